--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -13,8 +13,8 @@
 
 use fastrand::Rng;
 use juniperladder::ListKind;
-use juniperladder_exchange::log_throttle::LogThrottle;
-use juniperladder_exchange::numbers::ServerLabel;
+use juniperladder_dispatch::log_throttle::LogThrottle;
+use juniperladder_dispatch::numbers::ServerLabel;
 use slog::{debug, info, warn, Logger};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep_until, Instant};
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -26,7 +26,7 @@
 #[cfg(test)]
 mod testing;
 
-pub use juniperladder_exchange::{clock, counters, exchange};
+pub use juniperladder_dispatch::{clock, counters, exchange};
 pub use juniperladder_protocols::{http, memcache};
 
 use std::ffi::OsString;
--- a/node/src/name_table.rs
+++ b/node/src/name_table.rs
@@ -3,13 +3,13 @@
 use std::net::SocketAddr;
 
 use juniperladder::{Entry, State};
-pub use juniperladder_exchange::numbers::{hash, key, server};
+pub use juniperladder_dispatch::numbers::{hash, key, server};
 use serde::Deserialize;
 use slog::{warn, Logger};
 
 use crate::clock::from_ms;
 use crate::exchange::Host;
-use juniperladder_exchange::log_throttle::LogThrottle;
+use juniperladder_dispatch::log_throttle::LogThrottle;
 
 /// The names that stand for the settings' numbers.
 #[derive(Clone, Debug, Default)]
--- a/node/src/passing.rs
+++ b/node/src/passing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::{BufMut, Bytes, BytesMut};
-use juniperladder_exchange::long::Feed;
+use juniperladder_dispatch::long::Feed;
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::time::timeout;
 
@@ -92,7 +92,7 @@
     use super::*;
     use crate::memcache::{answered, Answered};
     use crate::testing::{self, command, settle};
-    use juniperladder_exchange::long::long;
+    use juniperladder_dispatch::long::long;
     use tokio::io::{duplex, AsyncWriteExt};
     use tokio::task::spawn_local;
 
--- a/node/src/service.rs
+++ b/node/src/service.rs
@@ -21,7 +21,7 @@
 use backlog::{Accepted, Backlog};
 pub use connection::{Connection, Reader};
 use downstream::{linger, until, DownstreamConnection};
-use juniperladder_exchange::log_throttle::LogThrottle;
+use juniperladder_dispatch::log_throttle::LogThrottle;
 
 /// How long a connection that is about to close is read once more.
 const LAST_LOOK: Duration = Duration::from_millis(2);
--- a/node/src/service/downstream.rs
+++ b/node/src/service/downstream.rs
@@ -16,7 +16,7 @@
 use crate::exchange::{Answer, Command, CommandId};
 use crate::memcache::{write_answer, Commands, Incoming};
 use crate::writing::{self, Writing};
-use juniperladder_exchange::long::Long;
+use juniperladder_dispatch::long::Long;
 
 /// Commands that one connection may have open: enough for any pipeline, a bound for one that runs away.
 pub(super) const MAX_OWED: usize = 128;
--- a/node/src/testing.rs
+++ b/node/src/testing.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-pub use juniperladder_exchange::testing::*;
+pub use juniperladder_dispatch::testing::*;
 
 use tokio::io::{DuplexStream, ReadHalf, WriteHalf};
 
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -20,7 +20,7 @@
 use crate::counters::{count, Counters};
 use crate::exchange::{Attempt, AttemptId, Carrier, End, Exchange, Host, Upload};
 use connection::{NoConnection, UpstreamConnection};
-use juniperladder_exchange::log_throttle::LogThrottle;
+use juniperladder_dispatch::log_throttle::LogThrottle;
 
 /// The part of the idle time that the settings tell after which a connection is closed here: a write must never
 /// cross the host's close, which comes by its clock and after the way there. What lies between is kept open: one
--- a/node/src/upstream/connection.rs
+++ b/node/src/upstream/connection.rs
@@ -9,8 +9,8 @@
 
 use bytes::BytesMut;
 use juniperladder::{Micros, ServerId};
-use juniperladder_exchange::long::{long, Feed};
-use juniperladder_exchange::numbers::ServerLabel;
+use juniperladder_dispatch::long::{long, Feed};
+use juniperladder_dispatch::numbers::ServerLabel;
 use slog::debug;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite};
 use tokio::task::yield_now;
--- a/node/src/writing.rs
+++ b/node/src/writing.rs
@@ -4,8 +4,8 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use juniperladder::ServerId;
-use juniperladder_exchange::command::{ticket, Ticket};
-use juniperladder_exchange::long::Feed;
+use juniperladder_dispatch::command::{ticket, Ticket};
+use juniperladder_dispatch::long::Feed;
 
 use crate::exchange::{Command, Exchange};
 
--- a/node/tests/two_deployments.rs
+++ b/node/tests/two_deployments.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 
 use juniperladder::Micros;
-use juniperladder_exchange::exchange::{Attempt, End, Exchange};
-use juniperladder_exchange::testing::{self, Recorder};
+use juniperladder_dispatch::exchange::{Attempt, End, Exchange};
+use juniperladder_dispatch::testing::{self, Recorder};
 use juniperladder_node::bounds::Bounds;
 use juniperladder_node::config::Config;
 use juniperladder_node::service::Service;
--- a/protocols/src/http.rs
+++ b/protocols/src/http.rs
@@ -8,8 +8,8 @@
 use winnow::token::{take_till, take_while};
 
 use crate::memcache::{number, receipt, write_properties, MAX_LONG, MAX_VALUE};
-use juniperladder_exchange::command::Command;
-use juniperladder_exchange::values::{Answer, Reply};
+use juniperladder_dispatch::command::Command;
+use juniperladder_dispatch::values::{Answer, Reply};
 
 /// The longest head of a response.
 const MAX_HEAD: usize = 16 * 1024;
@@ -269,7 +269,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use juniperladder_exchange::testing::command;
+    use juniperladder_dispatch::testing::command;
 
     fn read(text: &[u8], cut: usize) -> Result<Response, String> {
         let (mut response, mut input) = (Response::default(), BytesMut::new());
--- a/protocols/src/memcache.rs
+++ b/protocols/src/memcache.rs
@@ -6,9 +6,9 @@
 use winnow::prelude::*;
 use winnow::token::take_while;
 
-use juniperladder_exchange::clock::{from_ms, to_ms};
-use juniperladder_exchange::command::Command;
-use juniperladder_exchange::values::{Answer, Reply};
+use juniperladder_dispatch::clock::{from_ms, to_ms};
+use juniperladder_dispatch::command::Command;
+use juniperladder_dispatch::values::{Answer, Reply};
 
 /// The longest line; a key, an id and a few properties are far shorter.
 const MAX_LINE: usize = 4096;
--- a/control/tests/behaviour.rs
+++ b/purge/tests/behaviour.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use juniperladder_control::{MemberId, PurgeStatus, RejectReason, ReplicaId};
+use juniperladder_purge::{MemberId, PurgeStatus, RejectReason, ReplicaId};
 use support::schedule::{MILLISECOND, SECOND};
 use support::scripted::Plane;
 
--- a/control/tests/quorums.rs
+++ b/purge/tests/quorums.rs
@@ -3,8 +3,8 @@
 
 mod support;
 
-use juniperladder_control::flaw::Flaw;
-use juniperladder_control::{PurgeId, PurgeStatus};
+use juniperladder_purge::flaw::Flaw;
+use juniperladder_purge::{PurgeId, PurgeStatus};
 use support::scripted::Plane;
 
 const KEY: &[u8] = b"the key";
--- a/control/tests/schedules.rs
+++ b/purge/tests/schedules.rs
@@ -1,6 +1,6 @@
 //! Drawn schedules of whole control planes in virtual time; see `support/`.
 //!
-//! `CONTROL_SCHEDULES=10000 cargo test --release -p juniperladder-control --test schedules` runs more of them, and
+//! `CONTROL_SCHEDULES=10000 cargo test --release -p juniperladder-purge --test schedules` runs more of them, and
 //! `CONTROL_FIRST_SEED` begins elsewhere.
 
 mod support;
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-use juniperladder_control::flaw::Flaw;
+use juniperladder_purge::flaw::Flaw;
 use support::schedule::Schedule;
 use support::simulation::{Report, Simulation, Verdict};
 
--- a/control/tests/support/checker.rs
+++ b/purge/tests/support/checker.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashSet;
 
-use juniperladder_control::{PurgeEvent, PurgeId};
+use juniperladder_purge::{PurgeEvent, PurgeId};
 
 /// A purge that some replica has taken.
 #[derive(Clone, Debug)]
--- a/control/tests/support/schedule.rs
+++ b/purge/tests/support/schedule.rs
@@ -1,6 +1,6 @@
 //! Schedules drawn from a seed: how large the control plane is, how bad its network, and what happens when.
 
-use juniperladder_control::CatchUp;
+use juniperladder_purge::CatchUp;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
--- a/control/tests/support/scripted.rs
+++ b/purge/tests/support/scripted.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-use juniperladder_control::flaw::{Flaw, Flaws};
-use juniperladder_control::{
+use juniperladder_purge::flaw::{Flaw, Flaws};
+use juniperladder_purge::{
     CatchUp, Member, MemberConfig, MemberId, MemberTiming, PurgeEvent, PurgeId, PurgeStatus, Replica,
     ReplicaConfig, ReplicaId, ReplicaSettings,
 };
--- a/control/tests/support/simulation.rs
+++ b/purge/tests/support/simulation.rs
@@ -4,10 +4,10 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
 
-use juniperladder_control::figures::Traffic;
-use juniperladder_control::flaw::{Flaw, Flaws};
-use juniperladder_control::limits::{MAX_DATAGRAM_BYTES, MAX_MEMBERS};
-use juniperladder_control::{
+use juniperladder_purge::figures::Traffic;
+use juniperladder_purge::flaw::{Flaw, Flaws};
+use juniperladder_purge::limits::{MAX_DATAGRAM_BYTES, MAX_MEMBERS};
+use juniperladder_purge::{
     Member, MemberConfig, MemberId, MemberTiming, PurgeStatus, Replica, ReplicaConfig, ReplicaId,
     ReplicaSettings,
 };
--- a/wirehost/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -27,7 +27,7 @@
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("juniperladder-wirehost: {problem}");
+            eprintln!("juniperladder-simulator-adapter: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/wirehost/tests/transcripts.rs
+++ b/simulator-adapter/tests/transcripts.rs
@@ -12,7 +12,7 @@
 const ID: &str = "5d3a91c4-529c-4add-ac63-3abe20529426";
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_juniperladder-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_juniperladder-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/lab/src/charts.rs
+++ b/testbed-cli/src/charts.rs
@@ -1,8 +1,8 @@
 //! Charts of a run as SVG: service over time with the faults shaded, the hosts' loads as a heat map, the origin's use,
 //! latencies. Drawn by plotters; nothing in them needs a network or a script.
 
-use juniperladder_world::experiment::Experiment;
-use juniperladder_world::judge::series::Second;
+use juniperladder_platform_model::experiment::Experiment;
+use juniperladder_platform_model::judge::series::Second;
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
@@ -35,7 +35,7 @@
 
 /// The times of the faults, in seconds.
 fn faults(e: &Experiment) -> Vec<(f64, f64)> {
-    let end = |fault: &juniperladder_world::experiment::Fault| {
+    let end = |fault: &juniperladder_platform_model::experiment::Fault| {
         fault.at + fault.lasts.or(fault.back).unwrap_or(0.2).max(0.2)
     };
     e.fault.iter().map(|fault| (fault.at, end(fault).min(e.seconds))).collect()
@@ -240,7 +240,7 @@
 
     #[test]
     fn charts_are_whole_and_show_what_they_are_given() {
-        let e = juniperladder_world::reader::read(include_str!("../demo.toml"), &[]).unwrap();
+        let e = juniperladder_platform_model::reader::read(include_str!("../demo.toml"), &[]).unwrap();
         let seconds: Vec<Second> = (0..14)
             .map(|second| Second { second, commands: 200, served: 150, ..Second::default() })
             .collect();
--- a/lab/src/commands.rs
+++ b/testbed-cli/src/commands.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
-use juniperladder_fleet::child_reaper::{reap, ChildReaper};
-use juniperladder_fleet::{play, Options, Played, Problem, Progress};
-use juniperladder_world::experiment::Experiment;
-use juniperladder_world::judge::told::told;
-use juniperladder_world::judge::{judge, Terms, Verdict};
-use juniperladder_world::reader::read;
-use juniperladder_world::schedule::schedule;
+use juniperladder_platform_model::experiment::Experiment;
+use juniperladder_platform_model::judge::told::told;
+use juniperladder_platform_model::judge::{judge, Terms, Verdict};
+use juniperladder_platform_model::reader::read;
+use juniperladder_platform_model::schedule::schedule;
+use juniperladder_testbed::child_reaper::{reap, ChildReaper};
+use juniperladder_testbed::{play, Options, Played, Problem, Progress};
 
 use crate::exit::{BROKEN, KEPT, LATE, NOT_ALLOWED};
 use crate::{report, tables};
@@ -134,7 +134,7 @@
     code
 }
 
-/// Builds the balancer where this is its workspace: `cargo run -p juniperladder-lab` builds the laboratory alone.
+/// Builds the balancer where this is its workspace: `cargo run -p juniperladder-testbed` builds the laboratory alone.
 fn built() -> bool {
     if !Path::new("cli/Cargo.toml").is_file() {
         return false;
--- a/lab/src/compare.rs
+++ b/testbed-cli/src/compare.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use juniperladder_world::rng::{seeded_rng, RngStream};
-use juniperladder_world::summary::Summary;
+use juniperladder_platform_model::rng::{seeded_rng, RngStream};
+use juniperladder_platform_model::summary::Summary;
 use rand::Rng;
 
 use crate::exit::{BROKEN, KEPT, NOT_ALLOWED};
--- a/lab/src/lib.rs
+++ b/testbed-cli/src/lib.rs
@@ -20,7 +20,7 @@
 
 /// Plays experiments with fleets of real processes under faults, and reports on them.
 #[derive(Debug, Parser)]
-#[command(name = "juniperladder-lab", version, arg_required_else_help = true)]
+#[command(name = "juniperladder-testbed", version, arg_required_else_help = true)]
 pub struct Args {
     /// What to do.
     #[command(subcommand)]
--- a/lab/src/overview.rs
+++ b/testbed-cli/src/overview.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use juniperladder_world::experiment::Experiment;
-use juniperladder_world::summary::Summary;
+use juniperladder_platform_model::experiment::Experiment;
+use juniperladder_platform_model::summary::Summary;
 
 use crate::charts::by_size;
 use crate::compare::summaries;
--- a/lab/src/replay.rs
+++ b/testbed-cli/src/replay.rs
@@ -5,8 +5,8 @@
 use std::fs::File;
 use std::path::Path;
 
-use juniperladder_world::experiment::Experiment;
-use juniperladder_world::rng::{seeded_rng, spread, RngStream, SeededRng};
+use juniperladder_platform_model::experiment::Experiment;
+use juniperladder_platform_model::rng::{seeded_rng, spread, RngStream, SeededRng};
 use rand::Rng;
 
 use crate::exit::{KEPT, NOT_ALLOWED};
--- a/lab/src/report.rs
+++ b/testbed-cli/src/report.rs
@@ -5,10 +5,10 @@
 use std::io::BufReader;
 use std::path::Path;
 
-use juniperladder_world::experiment::Experiment;
-use juniperladder_world::judge::rules::Breach;
-use juniperladder_world::judge::series::Second;
-use juniperladder_world::summary::Summary;
+use juniperladder_platform_model::experiment::Experiment;
+use juniperladder_platform_model::judge::rules::Breach;
+use juniperladder_platform_model::judge::series::Second;
+use juniperladder_platform_model::summary::Summary;
 use serde::de::DeserializeOwned;
 
 use crate::charts;
--- a/lab/src/scale.rs
+++ b/testbed-cli/src/scale.rs
@@ -3,11 +3,11 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-use juniperladder_fleet::scale::results::LATE_MS;
-use juniperladder_fleet::scale::{
+use juniperladder_testbed::scale::results::LATE_MS;
+use juniperladder_testbed::scale::{
     self, CalibrationTraffic, Event, Flaw, Mechanism, Outcome, ScaleConfig, Summary,
 };
-use juniperladder_fleet::Problem;
+use juniperladder_testbed::Problem;
 
 use crate::exit::{BROKEN, KEPT, LATE, NOT_ALLOWED};
 use crate::scale_table;
--- a/lab/src/scale_table.rs
+++ b/testbed-cli/src/scale_table.rs
@@ -1,7 +1,7 @@
 //! The table that a scale test prints.
 
-use juniperladder_fleet::scale::results::{ChangeSummary, PhaseSummary, Summary};
-use juniperladder_fleet::scale::{PurgeSummary, Times};
+use juniperladder_testbed::scale::results::{ChangeSummary, PhaseSummary, Summary};
+use juniperladder_testbed::scale::{PurgeSummary, Times};
 
 /// Prints a run's summary.
 pub fn print(summary: &Summary) {
--- a/lab/src/sizes.rs
+++ b/testbed-cli/src/sizes.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use juniperladder_fleet::scale::Summary;
+use juniperladder_testbed::scale::Summary;
 
 use crate::charts::by_size;
 use crate::exit::{BROKEN, KEPT, NOT_ALLOWED};
@@ -80,7 +80,7 @@
     let command = Scale { members: 0, out: PathBuf::from("OUT"), ..args.clone() }.arguments().join(" ");
     let sizes: Vec<String> = args.sizes.iter().map(usize::to_string).collect();
     let command = command.replace("--members 0", &format!("--sizes {}", sizes.join(",")));
-    let mut text = format!("# juniperladder-lab {command}\n").into_bytes();
+    let mut text = format!("# juniperladder-testbed {command}\n").into_bytes();
     {
         let mut table = csv::Writer::from_writer(&mut text);
         table.write_record(std::iter::once("members").chain(names.iter().map(|name| name.as_str())))?;
--- a/lab/src/tables.rs
+++ b/testbed-cli/src/tables.rs
@@ -4,11 +4,11 @@
 use std::io::{BufWriter, Write};
 use std::path::Path;
 
-use juniperladder_fleet::holders::Holder;
-use juniperladder_world::experiment::Experiment;
-use juniperladder_world::judge::{Terms, Verdict};
-use juniperladder_world::ledger::{At, Ledger};
-use juniperladder_world::SECOND;
+use juniperladder_platform_model::experiment::Experiment;
+use juniperladder_platform_model::judge::{Terms, Verdict};
+use juniperladder_platform_model::ledger::{At, Ledger};
+use juniperladder_platform_model::SECOND;
+use juniperladder_testbed::holders::Holder;
 use serde::Serialize;
 
 /// Writes all tables of a run into its folder.
--- a/lab/tests/fleet.rs
+++ b/testbed-cli/tests/fleet.rs
@@ -5,11 +5,11 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use juniperladder_fleet::{play, Options, Played};
-use juniperladder_world::judge::{judge, Terms, Verdict};
-use juniperladder_world::ledger::At;
-use juniperladder_world::reader::read;
-use juniperladder_world::SECOND;
+use juniperladder_platform_model::judge::{judge, Terms, Verdict};
+use juniperladder_platform_model::ledger::At;
+use juniperladder_platform_model::reader::read;
+use juniperladder_platform_model::SECOND;
+use juniperladder_testbed::{play, Options, Played};
 
 /// Two at a time.
 static SEATS: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
--- a/fleet/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -7,11 +7,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use juniperladder_world::judge::Terms;
-use juniperladder_world::ledger::{Command, Ended};
-use juniperladder_world::load::{key_name, Arrival};
-use juniperladder_world::rng::{seeded_rng, RngStream, SeededRng};
-use juniperladder_world::{us_of_ms, Us};
+use juniperladder_platform_model::judge::Terms;
+use juniperladder_platform_model::ledger::{Command, Ended};
+use juniperladder_platform_model::load::{key_name, Arrival};
+use juniperladder_platform_model::rng::{seeded_rng, RngStream, SeededRng};
+use juniperladder_platform_model::{us_of_ms, Us};
 use rand::Rng;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
--- a/fleet/src/hosts.rs
+++ b/testbed/src/hosts.rs
@@ -5,11 +5,11 @@
 use std::rc::Rc;
 
 use bytes::BytesMut;
+use juniperladder_platform_model::host::Answer;
+use juniperladder_platform_model::ledger::{At, Attempt, Became};
+use juniperladder_platform_model::links::End;
+use juniperladder_platform_model::Us;
 use juniperladder_protocols::memcache::{Commands, Incoming};
-use juniperladder_world::host::Answer;
-use juniperladder_world::ledger::{At, Attempt, Became};
-use juniperladder_world::links::End;
-use juniperladder_world::Us;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
--- a/fleet/src/operator.rs
+++ b/testbed/src/operator.rs
@@ -4,9 +4,9 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
-use juniperladder_world::experiment::Experiment;
-use juniperladder_world::judge::Stated;
-use juniperladder_world::us_of_ms;
+use juniperladder_platform_model::experiment::Experiment;
+use juniperladder_platform_model::judge::Stated;
+use juniperladder_platform_model::us_of_ms;
 use toml::{Table, Value};
 
 use crate::peers::Relay;
--- a/fleet/src/peers.rs
+++ b/testbed/src/peers.rs
@@ -10,8 +10,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
-use juniperladder_world::links::End;
-use juniperladder_world::us_of_ms;
+use juniperladder_platform_model::links::End;
+use juniperladder_platform_model::us_of_ms;
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
@@ -110,7 +110,7 @@
             }
             let copies = 1 + usize::from(self.rig.happens(state.repeat));
             for _ in 0..copies {
-                let lossless = juniperladder_world::links::LinkState { lose: 0.0, ..state };
+                let lossless = juniperladder_platform_model::links::LinkState { lose: 0.0, ..state };
                 let mut way = self.rig.way(ends.0, ends.1, &lossless);
                 if self.rig.happens(state.reorder) {
                     way += us_of_ms(LATER_MS);
@@ -142,8 +142,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use juniperladder_world::reader::read;
-    use juniperladder_world::schedule::schedule;
+    use juniperladder_platform_model::reader::read;
+    use juniperladder_platform_model::schedule::schedule;
     use std::time::Duration;
     use tokio::task::LocalSet;
     use tokio::time::timeout;
--- a/fleet/src/processes.rs
+++ b/testbed/src/processes.rs
@@ -10,11 +10,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use juniperladder_world::experiment::Experiment;
-use juniperladder_world::group::zone_of;
-use juniperladder_world::judge::{Effect, Terms};
-use juniperladder_world::ledger::{Ill, Ledger};
-use juniperladder_world::rng::spread;
+use juniperladder_platform_model::experiment::Experiment;
+use juniperladder_platform_model::group::zone_of;
+use juniperladder_platform_model::judge::{Effect, Terms};
+use juniperladder_platform_model::ledger::{Ill, Ledger};
+use juniperladder_platform_model::rng::spread;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::{json, Value};
--- a/fleet/src/room.rs
+++ b/testbed/src/room.rs
@@ -1,7 +1,7 @@
 //! What a run needs of the machine, checked before anything is started: an exhausted limit in the middle would look
 //! like a fault of the program.
 
-use juniperladder_world::experiment::Experiment;
+use juniperladder_platform_model::experiment::Experiment;
 use nix::sys::resource::{getrlimit, Resource};
 
 use crate::Problem;
--- a/fleet/src/scale/purge_endpoint.rs
+++ b/testbed/src/scale/purge_endpoint.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use juniperladder_control::{
+use juniperladder_purge::{
     CatchUp, Member, MemberConfig, MemberId, MemberTiming, PurgeEvent, PurgeId, PurgeStatus, Replica,
     ReplicaConfig, ReplicaId, ReplicaSettings,
 };
--- a/fleet/tests/controls.rs
+++ b/testbed/tests/controls.rs
@@ -3,17 +3,17 @@
 
 use std::path::PathBuf;
 
-use juniperladder_fleet::{play, Options, Problem};
-use juniperladder_world::judge::{judge, Terms};
-use juniperladder_world::reader::read;
-use juniperladder_world::summary::Summary;
-use juniperladder_world::SECOND;
+use juniperladder_platform_model::judge::{judge, Terms};
+use juniperladder_platform_model::reader::read;
+use juniperladder_platform_model::summary::Summary;
+use juniperladder_platform_model::SECOND;
+use juniperladder_testbed::{play, Options, Problem};
 
 /// Plays the control that is wrong in this way; `more` is put at the end of the experiment's file.
 fn played(wrong: &str, more: &str) -> Summary {
     let folder = tempfile::tempdir().unwrap();
     let program: PathBuf = folder.path().join(wrong);
-    std::os::unix::fs::symlink(env!("CARGO_BIN_EXE_juniperladder-fleet-control"), &program).unwrap();
+    std::os::unix::fs::symlink(env!("CARGO_BIN_EXE_juniperladder-faulty-balancer"), &program).unwrap();
     let text = format!(
         "name = \"{wrong}\"\nseconds = 10\n[fleet]\nbalancers = 4\nhosts = 12\nzones = 1\nprogram = {program:?}\n\
          [load]\nrate = 160\nkeys = 300\nzipf = 0.0\nwrites = 0.03\nwarm = 4\n[origin]\ncapacity = 80\n\
@@ -107,7 +107,9 @@
         play(&read(&text, &[]).unwrap(), options).err().unwrap()
     };
     let ended = reason(
-        env!("CARGO_BIN_EXE_juniperladder-fleet-control").replace("fleet-control", "lab-none").as_str(),
+        env!("CARGO_BIN_EXE_juniperladder-faulty-balancer")
+            .replace("faulty-balancer", "does-not-exist")
+            .as_str(),
     );
     assert!(matches!(&ended, Problem::NotAllowed(what) if what.contains("build it first")), "{ended:?}");
     let ended = reason("/bin/false");
