--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -4,16 +4,16 @@
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
 use juniperladder::*;
 
-fn class(aim: u64, deadline: u64, effect: Effect) -> Class {
+fn class(latency_objective: u64, deadline: u64, idempotency: Idempotency) -> Class {
     Class {
-        aim: Micros(aim),
-        aim_stretch: 0.0,
+        latency_objective: Micros(latency_objective),
+        latency_objective_per_work: 0.0,
         deadline: Micros(deadline),
-        effect,
-        group: Group::All,
-        window: Micros(6_000_000),
-        worth: 1.0,
-        late_worth: 0.0,
+        idempotency,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: Micros(6_000_000),
+        priority_weight: 1.0,
+        late_priority_weight: 0.0,
     }
 }
 
@@ -21,9 +21,12 @@
     let settings = Settings {
         balancers: 3,
         zone: 0,
-        classes: vec![class(750_000, 1_500_000, Effect::Safe), class(1_200_000, 3_000_000, Effect::Keyed)],
+        classes: vec![
+            class(750_000, 1_500_000, Idempotency::Idempotent),
+            class(1_200_000, 3_000_000, Idempotency::WithIdempotencyKey),
+        ],
         tenants: vec![],
-        mode: Mode::Aside(1),
+        mode: CacheMode::Aside(1),
         subscribe: false,
         weighted: true,
         tick: Micros(5_000),
@@ -33,20 +36,24 @@
             retry_after: true,
             may_duplicate: true,
         },
-        rules: Rules { ask_within: Micros(10_000_000), cold_share: 0.32, warm_up: Micros(9_000_000) },
+        rules: Rules {
+            discovery_poll_interval: Micros(10_000_000),
+            slow_start_initial_share: 0.32,
+            slow_start_duration: Micros(9_000_000),
+        },
     };
-    let entry = |server: u64, kind: u32| Entry {
+    let entry = |server: u64, kind: u32| Endpoint {
         server: ServerId(server),
         zone: (server % 3) as u32,
         kind,
         cell: 0,
-        state: State::Serving,
+        state: EndpointState::Serving,
         weight: 1.0 + (server % 2) as f64,
         started: Micros(0),
     };
-    let list: Vec<Entry> = (0..hosts).map(|n| entry(n, 0)).chain([entry(hosts, 1)]).collect();
+    let list: Vec<Endpoint> = (0..hosts).map(|n| entry(n, 0)).chain([entry(hosts, 1)]).collect();
     let mut balancer = Balancer::new(settings, 7);
-    balancer.handle(Micros(1), Event::Endpoints(ListKind::Restored, &list), &mut vec![]);
+    balancer.handle(Micros(1), Event::EndpointsChanged(EndpointUpdate::Restored, &list), &mut vec![]);
     balancer
 }
 
@@ -71,34 +78,34 @@
         let request = Request {
             id: RequestId(id),
             deadline: Micros(self.now + 1_100_000),
-            hint: None,
+            expected_work: None,
             key: Some(Key((mixed % 400) * (mixed % 7) % 400)),
-            write,
+            is_write: write,
             class: u32::from(write),
             tenant: 0,
-            retry: false,
+            is_client_retry: false,
         };
         self.tell(Event::Request(request));
         while self.open.len() > 30 {
             let Some((sent, id, server, attempt)) = self.open.pop_front() else { return };
             let cache = server.0 != self.hosts;
             let miss = cache && (sent / 2_000).is_multiple_of(20);
-            let outcome = Outcome {
+            let outcome = CompletedAttempt {
                 id,
                 server,
                 attempt,
                 latency: Micros(self.now - sent),
-                status: if miss { Status::Miss } else { Status::Ok },
-                closed: !miss,
-                fetching: false,
+                result: if miss { AttemptResult::Miss } else { AttemptResult::Served },
+                request_closed: !miss,
+                fetch_in_progress: false,
             };
-            self.tell(Event::Outcome(outcome));
+            self.tell(Event::AttemptCompleted(outcome));
         }
     }
 
     fn tell(&mut self, event: Event) {
         let attempt = match &event {
-            Event::Outcome(outcome) => outcome.attempt + 1,
+            Event::AttemptCompleted(outcome) => outcome.attempt + 1,
             _ => 0,
         };
         self.balancer.handle(Micros(self.now), event, &mut self.actions);
--- a/dispatch/src/bans.rs
+++ b/dispatch/src/bans.rs
@@ -5,7 +5,7 @@
 
 use std::collections::VecDeque;
 
-use juniperladder::{Micros, ServerId, State};
+use juniperladder::{EndpointState, Micros, ServerId};
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use crate::values::Host;
@@ -49,7 +49,7 @@
             if self.back.get(&server).is_some_and(|(since, _)| host.entry.started >= *since) {
                 self.back.remove(&server);
             }
-            if host.entry.state == State::Deleted {
+            if host.entry.state == EndpointState::Deleted {
                 self.listed.remove(&server);
             } else {
                 self.listed.insert(server, host.clone());
@@ -73,8 +73,8 @@
     fn seen(&self, host: &Host) -> Host {
         let mut host = host.clone();
         let server = host.entry.server;
-        if self.banned(server) && host.entry.state == State::Serving {
-            host.entry.state = State::Draining;
+        if self.banned(server) && host.entry.state == EndpointState::Serving {
+            host.entry.state = EndpointState::Draining;
         }
         if let Some((_, ended)) = self.back.get(&server) {
             host.entry.started = host.entry.started.max(*ended);
@@ -133,12 +133,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use juniperladder::Entry;
+    use juniperladder::Endpoint;
 
     const NOW: Micros = Micros(50_000_000);
 
-    fn host(server: u64, state: State, started: u64) -> Host {
-        let entry = Entry {
+    fn host(server: u64, state: EndpointState, started: u64) -> Host {
+        let entry = Endpoint {
             server: ServerId(server),
             zone: 0,
             kind: 0,
@@ -151,7 +151,7 @@
     }
 
     fn serving(server: u64) -> Host {
-        host(server, State::Serving, 0)
+        host(server, EndpointState::Serving, 0)
     }
 
     #[test]
@@ -160,24 +160,27 @@
         assert!(bans.ban(ServerId(7), "s-7", NOW, true).is_err(), "never listed");
         bans.over(true, &[serving(7), serving(8)]);
         let told = bans.ban(ServerId(7), "s-7", NOW, true).unwrap().unwrap();
-        assert_eq!(told.entry.state, State::Draining);
+        assert_eq!(told.entry.state, EndpointState::Draining);
         assert!(bans.ban(ServerId(7), "s-7", NOW, true).is_ok(), "a second call is the same");
         // Discovery says the host serves, in whole lists and in changes alike, that it is gone, that it has
         // started anew, and has it in no list at all: it still drains whenever it is named.
         for replace in [true, false] {
             let seen = bans.over(replace, &[serving(7), serving(8)]);
-            assert_eq!((seen[0].entry.state, seen[1].entry.state), (State::Draining, State::Serving));
-            bans.over(false, &[host(7, State::Deleted, 0)]);
-            let anew = host(7, State::Serving, NOW.0 + 1);
-            assert_eq!(bans.over(false, &[anew])[0].entry.state, State::Draining);
+            assert_eq!(
+                (seen[0].entry.state, seen[1].entry.state),
+                (EndpointState::Draining, EndpointState::Serving)
+            );
+            bans.over(false, &[host(7, EndpointState::Deleted, 0)]);
+            let anew = host(7, EndpointState::Serving, NOW.0 + 1);
+            assert_eq!(bans.over(false, &[anew])[0].entry.state, EndpointState::Draining);
             bans.over(true, &[serving(8)]);
             assert!(bans.banned(ServerId(7)) && bans.listed().count() == 1);
         }
-        assert_eq!(bans.over(false, &[serving(7)])[0].entry.state, State::Draining);
+        assert_eq!(bans.over(false, &[serving(7)])[0].entry.state, EndpointState::Draining);
         assert_eq!(bans.names(), ["s-7"]);
         let back = bans.unban(ServerId(7), NOW).unwrap().unwrap();
-        assert_eq!(back.entry.state, State::Serving);
-        assert_eq!(bans.over(false, &[serving(7)])[0].entry.state, State::Serving);
+        assert_eq!(back.entry.state, EndpointState::Serving);
+        assert_eq!(bans.over(false, &[serving(7)])[0].entry.state, EndpointState::Serving);
         assert!(bans.unban(ServerId(9), NOW).is_err());
     }
 
@@ -186,10 +189,10 @@
     fn a_host_that_is_gone_from_the_list_can_be_banned() {
         let mut bans = Bans::default();
         bans.over(true, &[serving(7)]);
-        bans.over(false, &[host(7, State::Deleted, 0)]);
+        bans.over(false, &[host(7, EndpointState::Deleted, 0)]);
         assert!(bans.unban(ServerId(7), NOW).unwrap().is_none(), "nothing to end, and no harm");
         assert!(bans.ban(ServerId(7), "s-7", NOW, true).unwrap().is_none());
-        assert_eq!(bans.over(false, &[serving(7)])[0].entry.state, State::Draining);
+        assert_eq!(bans.over(false, &[serving(7)])[0].entry.state, EndpointState::Draining);
         // What is remembered for this is bounded.
         (0..2 * REMEMBERED as u64).for_each(|n| drop(bans.over(true, &[serving(100 + n)])));
         assert_eq!((bans.known.len(), bans.order.len()), (REMEMBERED, REMEMBERED));
@@ -204,13 +207,16 @@
             let mut bans = Bans::default();
             bans.over(true, &[serving(7)]);
             bans.ban(ServerId(7), "s-7", NOW, true).unwrap();
-            bans.over(false, &[host(7, State::Serving, told)]);
+            bans.over(false, &[host(7, EndpointState::Serving, told)]);
             let back = bans.unban(ServerId(7), later).unwrap().unwrap();
             assert_eq!(back.entry.started, Micros(want));
             // A whole list that knows nothing new does not make it warm.
-            assert_eq!(bans.over(true, &[host(7, State::Serving, told)])[0].entry.started, Micros(want));
+            assert_eq!(
+                bans.over(true, &[host(7, EndpointState::Serving, told)])[0].entry.started,
+                Micros(want)
+            );
             // Discovery's word on the start, once it comes, is better than the guess.
-            let truth = host(7, State::Serving, NOW.0 + 1_000_000);
+            let truth = host(7, EndpointState::Serving, NOW.0 + 1_000_000);
             assert_eq!(bans.over(false, &[truth])[0].entry.started, Micros(NOW.0 + 1_000_000));
             assert!(bans.back.is_empty());
         }
@@ -220,6 +226,6 @@
     fn a_ban_from_an_earlier_process_holds_before_the_host_is_listed() {
         let mut bans = Bans::default();
         assert!(bans.ban(ServerId(7), "s-7", NOW, false).unwrap().is_none());
-        assert_eq!(bans.over(true, &[serving(7)])[0].entry.state, State::Draining);
+        assert_eq!(bans.over(true, &[serving(7)])[0].entry.state, EndpointState::Draining);
     }
 }
--- a/dispatch/src/carrier.rs
+++ b/dispatch/src/carrier.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use juniperladder::{ListKind, ServerId};
+use juniperladder::{EndpointUpdate, ServerId};
 
 use crate::command::{Attempt, Command, Going};
 use crate::long::Long;
@@ -41,7 +41,7 @@
 /// Carries attempts to hosts. No method may call the exchange: what is to be told comes from a task.
 pub trait Carrier {
     /// The name table has news.
-    fn listed(&self, kind: ListKind, hosts: &[Host]);
+    fn listed(&self, kind: EndpointUpdate, hosts: &[Host]);
     /// Start an attempt.
     fn begin(&self, attempt: Attempt);
     /// Begin to send a long value. The attempt that ends it comes by its ticket.
--- a/dispatch/src/counters.rs
+++ b/dispatch/src/counters.rs
@@ -105,13 +105,13 @@
     /// The counter of rejections for this reason.
     pub fn refusals(&self, reason: RejectReason) -> &Cell<u64> {
         match reason {
-            RejectReason::Late => &self.rejected_late,
-            RejectReason::Spent => &self.rejected_spent,
-            RejectReason::Nowhere => &self.rejected_nowhere,
+            RejectReason::ObjectiveMissed => &self.rejected_late,
+            RejectReason::AttemptsExhausted => &self.rejected_spent,
+            RejectReason::NoEligibleServer => &self.rejected_nowhere,
             RejectReason::DeadlineUnreachable => &self.rejected_deadline_unreachable,
             RejectReason::QueueTimeout => &self.rejected_queue_timeout,
             RejectReason::Preempted => &self.rejected_preempted,
-            RejectReason::Gapped => &self.rejected_gapped,
+            RejectReason::AllServersGapped => &self.rejected_gapped,
         }
     }
 }
--- a/dispatch/src/exchange.rs
+++ b/dispatch/src/exchange.rs
@@ -15,7 +15,7 @@
 use std::fmt;
 use std::rc::Rc;
 
-use juniperladder::{Balancer, Class, Effect, Event, Fleet, Micros, Request, Settings};
+use juniperladder::{Balancer, Class, Coordination, Event, Idempotency, Micros, Request, Settings};
 use rustc_hash::FxHashMap;
 use slog::{debug, Logger};
 use tokio::sync::{oneshot, Notify};
@@ -69,7 +69,9 @@
         log: Logger,
     ) -> Rc<Exchange> {
         let longest = settings.classes.iter().map(|class| class.deadline).collect();
-        let keyed = |class: &Class| (class.effect == Effect::Keyed).then_some(class.window);
+        let keyed = |class: &Class| {
+            (class.idempotency == Idempotency::WithIdempotencyKey).then_some(class.deduplication_window)
+        };
         let windows = settings.classes.iter().map(keyed).collect();
         let origin = settings.mode.origin();
         let tally = Tally::new(settings.classes.len());
@@ -106,7 +108,7 @@
     }
 
     /// From now on this balancer keeps to the limits that it shares with others, and hears what they tell.
-    pub fn join(&self, fleet: Box<dyn Fleet>) {
+    pub fn join(&self, fleet: Box<dyn Coordination>) {
         let mut inner = self.inner.borrow_mut();
         inner.start_times.trust_clock();
         inner.balancer.join(fleet);
@@ -158,12 +160,12 @@
         let request = Request {
             id: id.request(),
             deadline,
-            hint: None,
+            expected_work: None,
             key: Some(crate::numbers::key(&command.key)),
-            write: command.value.is_some(),
+            is_write: command.value.is_some(),
             class: command.class,
             tenant: command.tenant,
-            retry: command.retry,
+            is_client_retry: command.retry,
         };
         debug!(self.log, "request taken"; "request" => id.0, "id" => %ClientText(&command.id),
             "class" => command.class, "left-ms" => to_ms(deadline.minus(now)));
@@ -212,7 +214,7 @@
             debug!(self.log, "request abandoned: the client is gone"; "request" => id.0,
                 "id" => %ClientText(&open.command.id));
             if !open.left {
-                self.handle(&mut inner, self.clock.now(), Event::Gone(id.request()));
+                self.handle(&mut inner, self.clock.now(), Event::ClientDisconnected(id.request()));
             }
         }
         self.check_idle(&inner);
@@ -232,7 +234,7 @@
         // What no byte has gone out of does not begin any more.
         open.over.set(true);
         let out = open.out;
-        self.handle(&mut inner, self.clock.now(), Event::Gone(id.request()));
+        self.handle(&mut inner, self.clock.now(), Event::ClientDisconnected(id.request()));
         if out == 0 {
             self.finish(&mut inner, id, Answer::Failed);
         }
--- a/dispatch/src/exchange/attempts.rs
+++ b/dispatch/src/exchange/attempts.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::rc::Rc;
 
-use juniperladder::{Action, Event, Micros, Outcome, Status};
+use juniperladder::{Action, AttemptResult, CompletedAttempt, Event, Micros};
 use slog::{debug, info};
 
 use super::state::{Due, Inner, Running, NEVER};
@@ -20,18 +20,18 @@
     pub fn ended(&self, id: AttemptId, end: End) {
         let mut inner = self.inner.borrow_mut();
         let Some(running) = inner.attempts.remove(&id) else { return self.ended_late(&mut inner, id, end) };
-        let fetching = matches!(end, End::Reply(Reply::Miss { fetching: true }));
-        let (status, answer) = match end {
-            End::Reply(Reply::Served(answer)) => (Status::Ok, Some(answer)),
-            End::Reply(Reply::Miss { .. }) => (Status::Miss, None),
+        let fetch_in_progress = matches!(end, End::Reply(Reply::Miss { fetch_in_progress: true }));
+        let (result, answer) = match end {
+            End::Reply(Reply::Served(answer)) => (AttemptResult::Served, Some(answer)),
+            End::Reply(Reply::Miss { .. }) => (AttemptResult::Miss, None),
             // The host is at work, so that its connections and its load are not in question.
-            End::Reply(Reply::Error) | End::Spoilt => (Status::Error, None),
-            End::Reply(Reply::Full) => (Status::Full, None),
-            End::NotSent => (Status::ConnectFailed, None),
-            End::Broken => (Status::Reset, None),
-            End::CalledOff => (Status::Moot, None),
+            End::Reply(Reply::Error) | End::Spoilt => (AttemptResult::Error, None),
+            End::Reply(Reply::Full) => (AttemptResult::Rejected, None),
+            End::NotSent => (AttemptResult::ConnectFailed, None),
+            End::Broken => (AttemptResult::Reset, None),
+            End::CalledOff => (AttemptResult::NotSent, None),
         };
-        self.conclude(&mut inner, running, status, fetching, answer);
+        self.conclude(&mut inner, running, result, fetch_in_progress, answer);
     }
 
     /// An attempt has ended that had timed out before. Its answer was made for the command all the same:
@@ -45,7 +45,7 @@
         count(&self.counters.served_late);
         self.finish(inner, command, answer);
         if !left {
-            self.handle(inner, self.clock.now(), Event::Gone(command.request()));
+            self.handle(inner, self.clock.now(), Event::ClientDisconnected(command.request()));
         }
     }
 
@@ -54,11 +54,11 @@
         let Some(running) = inner.attempts.remove(&id) else { return };
         // What was never written whole cannot have run.
         let written = inner.carrier.abandon(id, running.server);
-        let status = if written { Status::Timeout } else { Status::ConnectFailed };
+        let result = if written { AttemptResult::Timeout } else { AttemptResult::ConnectFailed };
         if written {
             inner.late.insert(id, running.command);
         }
-        self.conclude(inner, running, status, false, None);
+        self.conclude(inner, running, result, false, None);
     }
 
     /// Counts how an attempt ended, answers its command where that is over, and tells the module.
@@ -66,46 +66,46 @@
         &self,
         inner: &mut Inner,
         running: Running,
-        status: Status,
-        fetching: bool,
+        result: AttemptResult,
+        fetch_in_progress: bool,
         answer: Option<Answer>,
     ) {
-        count(match status {
-            Status::Ok => &self.counters.ok,
-            Status::Miss => &self.counters.misses,
-            Status::Full => &self.counters.full,
-            Status::Timeout => &self.counters.timeouts,
-            Status::ConnectFailed => &self.counters.connect_failed,
-            Status::Reset => &self.counters.resets,
-            Status::Moot | Status::Cancelled => &self.counters.moot,
-            Status::Error => &self.counters.errors,
+        count(match result {
+            AttemptResult::Served => &self.counters.ok,
+            AttemptResult::Miss => &self.counters.misses,
+            AttemptResult::Rejected => &self.counters.full,
+            AttemptResult::Timeout => &self.counters.timeouts,
+            AttemptResult::ConnectFailed => &self.counters.connect_failed,
+            AttemptResult::Reset => &self.counters.resets,
+            AttemptResult::NotSent | AttemptResult::Cancelled => &self.counters.moot,
+            AttemptResult::Error => &self.counters.errors,
         });
         let now = self.clock.now();
         debug!(self.log, "attempt ended"; "request" => running.command.0, "attempt" => running.attempt,
-            "server" => %ServerLabel(running.server), "status" => ?status,
+            "server" => %ServerLabel(running.server), "result" => ?result,
             "after-ms" => to_ms(now.minus(running.sent)));
-        let mut closed = true;
+        let mut request_closed = true;
         if let Some(open) = inner.commands.get_mut(&running.command) {
             open.out -= 1;
-            closed = open.left;
+            request_closed = open.left;
             let last = open.left && open.out == 0;
             if let Some(answer) = answer {
-                closed = true;
+                request_closed = true;
                 self.finish(inner, running.command, answer);
             } else if last {
                 self.finish(inner, running.command, Answer::Failed);
             }
         }
-        let outcome = Outcome {
+        let outcome = CompletedAttempt {
             id: running.command.request(),
             server: running.server,
             attempt: running.attempt,
             latency: now.minus(running.sent),
-            status,
-            closed,
-            fetching,
+            result,
+            request_closed,
+            fetch_in_progress,
         };
-        self.handle(inner, now, Event::Outcome(outcome));
+        self.handle(inner, now, Event::AttemptCompleted(outcome));
     }
 
     /// Does what the module says.
@@ -136,7 +136,7 @@
                 inner.timers.push(Reverse((until, Due::Attempt(id))));
                 inner.carrier.begin(Attempt { id, command, server, until, by, over });
             }
-            Action::Refuse { id, retry_after, reason } => {
+            Action::Reject { id, retry_after, reason } => {
                 count(self.counters.refusals(reason));
                 debug!(self.log, "request refused"; "request" => CommandId::of(&id).0, "reason" => ?reason,
                     "retry-after-ms" => to_ms(retry_after));
@@ -146,7 +146,7 @@
             Action::Timer { at, token } => {
                 inner.timers.push(Reverse((at, Due::Module(token))));
             }
-            Action::Watch => {
+            Action::WatchEndpoints => {
                 debug!(self.log, "discovery is due");
                 self.watch.notify_one();
             }
--- a/dispatch/src/exchange/hosts.rs
+++ b/dispatch/src/exchange/hosts.rs
@@ -1,6 +1,6 @@
 //! The exchange and the hosts: discovery's news to the module and the carrier, and what operators are told of them.
 
-use juniperladder::{Entry, Event, ListKind, State};
+use juniperladder::{Endpoint, EndpointState, EndpointUpdate, Event};
 use slog::{info, warn};
 
 use super::state::Inner;
@@ -15,7 +15,7 @@
 impl Exchange {
     /// Whether commands can be served: some host is known.
     pub fn ready(&self) -> bool {
-        self.inner.borrow().serving.values().any(|(state, _)| *state == State::Serving)
+        self.inner.borrow().serving.values().any(|(state, _)| *state == EndpointState::Serving)
     }
 
     /// Tells the log which limits hold something back, and why.
@@ -36,20 +36,20 @@
     }
 
     /// The name table has news.
-    pub fn listed(&self, kind: ListKind, hosts: &[Host]) {
+    pub fn listed(&self, kind: EndpointUpdate, hosts: &[Host]) {
         let mut inner = self.inner.borrow_mut();
         let hosts = match kind {
-            ListKind::Unavailable => Vec::new(),
+            EndpointUpdate::Unavailable => Vec::new(),
             _ => {
                 let now = self.clock.now();
                 let mut known = self.within_bounds(&inner, kind, hosts);
                 let Inner { start_times, bans, serving, .. } = &mut *inner;
                 start_times.translate(&mut known, now);
                 start_times.forget(|server| serving.contains_key(server));
-                if matches!(kind, ListKind::Update | ListKind::Replace) {
+                if matches!(kind, EndpointUpdate::Delta | EndpointUpdate::Snapshot) {
                     start_times.confirm(now);
                 }
-                bans.over(kind.whole(), &known)
+                bans.over(kind.is_complete(), &known)
             }
         };
         self.tell(&mut inner, kind, &hosts);
@@ -62,13 +62,13 @@
     }
 
     /// The news without the hosts that are more than may be known; they are counted, and told in one line.
-    fn within_bounds(&self, inner: &Inner, kind: ListKind, hosts: &[Host]) -> Vec<Host> {
-        let known = |server| !kind.whole() && inner.serving.contains_key(&server);
-        let mut room = MOST_HOSTS.saturating_sub(if kind.whole() { 0 } else { inner.serving.len() });
+    fn within_bounds(&self, inner: &Inner, kind: EndpointUpdate, hosts: &[Host]) -> Vec<Host> {
+        let known = |server| !kind.is_complete() && inner.serving.contains_key(&server);
+        let mut room = MOST_HOSTS.saturating_sub(if kind.is_complete() { 0 } else { inner.serving.len() });
         let mut left_out = 0;
         let fits = |host: &&Host| {
-            let Entry { server, state, kind, .. } = host.entry;
-            if state == State::Deleted || known(server) || Some(kind) == self.origin {
+            let Endpoint { server, state, kind, .. } = host.entry;
+            if state == EndpointState::Deleted || known(server) || Some(kind) == self.origin {
                 return true;
             }
             left_out += u64::from(room == 0);
@@ -88,18 +88,18 @@
     }
 
     /// Tells the module and the carrier a list as it is to be seen, bans laid over.
-    pub(crate) fn tell(&self, inner: &mut Inner, kind: ListKind, hosts: &[Host]) {
-        if kind != ListKind::Unavailable {
-            if kind.whole() {
+    pub(crate) fn tell(&self, inner: &mut Inner, kind: EndpointUpdate, hosts: &[Host]) {
+        if kind != EndpointUpdate::Unavailable {
+            if kind.is_complete() {
                 inner.serving.clear();
             }
             for Host { entry, address } in hosts {
                 inner.serving.insert(entry.server, (entry.state, *address));
             }
-            inner.serving.retain(|_, (state, _)| *state != State::Deleted);
+            inner.serving.retain(|_, (state, _)| *state != EndpointState::Deleted);
             inner.carrier.listed(kind, hosts);
         }
-        let entries: Vec<Entry> = hosts.iter().map(|host| host.entry.clone()).collect();
-        self.handle(inner, self.clock.now(), Event::Endpoints(kind, &entries));
+        let entries: Vec<Endpoint> = hosts.iter().map(|host| host.entry.clone()).collect();
+        self.handle(inner, self.clock.now(), Event::EndpointsChanged(kind, &entries));
     }
 }
--- a/dispatch/src/exchange/state.rs
+++ b/dispatch/src/exchange/state.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use juniperladder::{Action, Balancer, Micros, ServerId, State};
+use juniperladder::{Action, Balancer, EndpointState, Micros, ServerId};
 use rustc_hash::FxHashMap;
 use tokio::sync::oneshot;
 
@@ -63,7 +63,7 @@
     pub(super) timers: BinaryHeap<Reverse<(Micros, Due)>>,
     pub(super) actions: Vec<Action>,
     pub(super) last: u64,
-    pub(super) serving: FxHashMap<ServerId, (State, Option<SocketAddr>)>,
+    pub(super) serving: FxHashMap<ServerId, (EndpointState, Option<SocketAddr>)>,
     pub(crate) bans: Bans,
     pub(super) start_times: StartTimes,
 }
--- a/dispatch/src/exchange/tests.rs
+++ b/dispatch/src/exchange/tests.rs
@@ -1,7 +1,7 @@
 //! Commands from their taking to their one answer, with a carrier that only writes down.
 
 use bytes::Bytes;
-use juniperladder::{ListKind, ServerId, State};
+use juniperladder::{EndpointState, EndpointUpdate, ServerId};
 
 use super::hosts::MOST_HOSTS;
 use super::*;
@@ -9,9 +9,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{Duration, Instant};
 
-fn with_timers(attempts: u32, effect: Effect, hosts: u32) -> (Rc<Exchange>, Rc<Recorder>) {
+fn with_timers(attempts: u32, idempotency: Idempotency, hosts: u32) -> (Rc<Exchange>, Rc<Recorder>) {
     let recorder = Rc::new(Recorder::default());
-    let exchange = exchange(settings(attempts, effect), recorder.clone(), hosts);
+    let exchange = exchange(settings(attempts, idempotency), recorder.clone(), hosts);
     let timers = Rc::clone(&exchange);
     spawn_local(async move { timers.run().await });
     (exchange, recorder)
@@ -21,8 +21,12 @@
 #[test]
 fn every_command_is_answered_before_its_deadline() {
     testing::run(async {
-        for (attempts, effect) in [(1, Effect::Unsafe), (3, Effect::Safe), (3, Effect::Keyed)] {
-            let (exchange, recorder) = with_timers(attempts, effect, 3);
+        for (attempts, idempotency) in [
+            (1, Idempotency::NotIdempotent),
+            (3, Idempotency::Idempotent),
+            (3, Idempotency::WithIdempotencyKey),
+        ] {
+            let (exchange, recorder) = with_timers(attempts, idempotency, 3);
             let start = Instant::now();
             let (_, answer) = exchange.take(command("1", None)).unwrap();
             assert!(matches!(answer.await, Ok(Answer::Failed | Answer::Rejected(_))));
@@ -38,7 +42,7 @@
 #[test]
 fn a_command_that_is_given_up_is_answered_at_once() {
     testing::run(async {
-        let (exchange, recorder) = with_timers(1, Effect::Safe, 1);
+        let (exchange, recorder) = with_timers(1, Idempotency::Idempotent, 1);
         let start = Instant::now();
         let (_, answer) = exchange.take(command("1", None)).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
@@ -53,7 +57,7 @@
 fn a_half_closed_client_is_answered_by_what_is_out() {
     testing::run(async {
         for served in [true, false] {
-            let (exchange, recorder) = with_timers(3, Effect::Safe, 3);
+            let (exchange, recorder) = with_timers(3, Idempotency::Idempotent, 3);
             let (id, answer) = exchange.take(command("1", None)).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             exchange.left(id);
@@ -72,7 +76,7 @@
 fn a_late_answer_serves_a_command_that_is_still_open() {
     testing::run(async {
         let recorder = Rc::new(Recorder::default());
-        let mut settings = settings(3, Effect::Safe);
+        let mut settings = settings(3, Idempotency::Idempotent);
         settings.limits.may_duplicate = false;
         let exchange = exchange(settings, recorder.clone(), 3);
         let timers = Rc::clone(&exchange);
@@ -97,7 +101,7 @@
 fn what_is_out_is_over_with_its_command() {
     testing::run(async {
         for gone in [false, true] {
-            let (exchange, recorder) = with_timers(3, Effect::Safe, 3);
+            let (exchange, recorder) = with_timers(3, Idempotency::Idempotent, 3);
             let (id, answer) = exchange.take(command("1", None)).unwrap();
             while recorder.begun.borrow().len() < 2 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
@@ -122,9 +126,9 @@
 fn a_repeat_goes_out_while_hosts_drop_it() {
     testing::run(async {
         let recorder = Rc::new(Recorder::default());
-        let mut settings = settings(3, Effect::Keyed);
+        let mut settings = settings(3, Idempotency::WithIdempotencyKey);
         let window = Micros(200_000);
-        settings.classes[0].window = window;
+        settings.classes[0].deduplication_window = window;
         let exchange = exchange(settings, recorder.clone(), 3);
         let first = exchange.clock.now();
         let _answer = exchange.take(command("1", Some(vec![]))).unwrap();
@@ -142,22 +146,25 @@
 #[test]
 fn a_list_is_bounded_far_over_a_fleets() {
     let recorder = Rc::new(Recorder::default());
-    let mode = juniperladder::Mode::Aside(testing::ORIGIN);
-    let exchange = exchange(Settings { mode, ..settings(3, Effect::Safe) }, recorder, 0);
-    let up = |n| testing::host(ServerId(n), State::Serving);
+    let mode = juniperladder::CacheMode::Aside(testing::ORIGIN);
+    let exchange = exchange(Settings { mode, ..settings(3, Idempotency::Idempotent) }, recorder, 0);
+    let up = |n| testing::host(ServerId(n), EndpointState::Serving);
     let mut origin = up(u64::MAX);
     origin.entry.kind = testing::ORIGIN;
     let known = || exchange.inner.borrow().serving.len();
-    exchange.listed(ListKind::Replace, &(0..1_024).map(up).collect::<Vec<_>>());
+    exchange.listed(EndpointUpdate::Snapshot, &(0..1_024).map(up).collect::<Vec<_>>());
     assert_eq!((known(), exchange.counters.hosts_left_out.get()), (1_024, 0));
     let most = MOST_HOSTS as u64;
-    exchange.listed(ListKind::Replace, &(0..most + 10).map(up).chain([origin.clone()]).collect::<Vec<_>>());
+    exchange.listed(
+        EndpointUpdate::Snapshot,
+        &(0..most + 10).map(up).chain([origin.clone()]).collect::<Vec<_>>(),
+    );
     assert!(exchange.inner.borrow().balancer.origin() == Some(origin.entry.server));
-    exchange.listed(ListKind::Update, &[up(most * 2)]);
+    exchange.listed(EndpointUpdate::Delta, &[up(most * 2)]);
     assert_eq!((known(), exchange.counters.hosts_left_out.get()), (MOST_HOSTS + 1, 11));
-    let gone: Vec<Host> = (0..5).map(|n| testing::host(ServerId(n), State::Deleted)).collect();
-    exchange.listed(ListKind::Update, &gone);
-    exchange.listed(ListKind::Update, &(most * 2..most * 2 + 9).map(up).collect::<Vec<_>>());
+    let gone: Vec<Host> = (0..5).map(|n| testing::host(ServerId(n), EndpointState::Deleted)).collect();
+    exchange.listed(EndpointUpdate::Delta, &gone);
+    exchange.listed(EndpointUpdate::Delta, &(most * 2..most * 2 + 9).map(up).collect::<Vec<_>>());
     assert_eq!((known(), exchange.counters.hosts_left_out.get()), (MOST_HOSTS, 16));
 }
 
@@ -166,7 +173,7 @@
 #[test]
 fn a_process_that_ends_answers_all_that_it_took() {
     testing::run(async {
-        let (exchange, recorder) = with_timers(3, Effect::Unsafe, 3);
+        let (exchange, recorder) = with_timers(3, Idempotency::NotIdempotent, 3);
         let start = Instant::now();
         let (_, first) = exchange.take(command("1", None)).unwrap();
         settle().await;
@@ -186,7 +193,7 @@
 #[test]
 fn an_id_in_use_is_not_taken() {
     testing::run(async {
-        let (exchange, recorder) = with_timers(1, Effect::Safe, 1);
+        let (exchange, recorder) = with_timers(1, Idempotency::Idempotent, 1);
         for _ in 0..2 {
             let (_, answer) = exchange.take(command("1", None)).unwrap();
             assert!(exchange.take(command("1", None)).is_none());
@@ -205,14 +212,15 @@
     const HOUR: u64 = 3_600_000_000;
     let sends_in_a_second = |told: &dyn Fn(u64) -> u64, age: Duration| {
         testing::run(async {
-            let (exchange, recorder) = with_timers(1, Effect::Safe, 3);
-            let old: Vec<Host> = (0..3).map(|n| testing::host(ServerId(9 + n), State::Serving)).collect();
-            exchange.listed(ListKind::Replace, &old);
+            let (exchange, recorder) = with_timers(1, Idempotency::Idempotent, 3);
+            let old: Vec<Host> =
+                (0..3).map(|n| testing::host(ServerId(9 + n), EndpointState::Serving)).collect();
+            exchange.listed(EndpointUpdate::Snapshot, &old);
             tokio::time::sleep(Duration::from_secs(2)).await;
             exchange.list_confirmed();
-            let mut joined = testing::host(ServerId(50), State::Serving);
+            let mut joined = testing::host(ServerId(50), EndpointState::Serving);
             joined.entry.started = juniperladder::Micros(told(exchange.clock().now().0));
-            exchange.listed(ListKind::Update, &[joined]);
+            exchange.listed(EndpointUpdate::Delta, &[joined]);
             tokio::time::sleep(age).await;
             recorder.begun.borrow_mut().clear();
             for number in 0..400 {
--- a/dispatch/src/exchange/timers.rs
+++ b/dispatch/src/exchange/timers.rs
@@ -48,7 +48,7 @@
                     if inner.commands.contains_key(&id) {
                         count(&self.counters.overdue);
                         self.finish(&mut inner, id, Answer::Failed);
-                        self.handle(&mut inner, now, Event::Gone(id.request()));
+                        self.handle(&mut inner, now, Event::ClientDisconnected(id.request()));
                     }
                 }
             }
--- a/dispatch/src/operators.rs
+++ b/dispatch/src/operators.rs
@@ -6,7 +6,7 @@
 
 use std::fmt::Write;
 
-use juniperladder::{ListKind, ServerId};
+use juniperladder::{EndpointUpdate, ServerId};
 use rustc_hash::FxHashSet;
 
 use crate::exchange::Exchange;
@@ -32,7 +32,7 @@
         let mut inner = self.inner.borrow_mut();
         let told = inner.bans.ban(server(name), name, now, must_be_known).map_err(|_| NEVER_LISTED)?;
         if let Some(host) = told {
-            self.tell(&mut inner, ListKind::ByHand, &[host]);
+            self.tell(&mut inner, EndpointUpdate::OperatorOverride, &[host]);
         }
         Ok(())
     }
@@ -43,7 +43,7 @@
         let mut inner = self.inner.borrow_mut();
         let told = inner.bans.unban(server(name), now).map_err(|_| NEVER_LISTED)?;
         if let Some(host) = told {
-            self.tell(&mut inner, ListKind::ByHand, &[host]);
+            self.tell(&mut inner, EndpointUpdate::OperatorOverride, &[host]);
         }
         Ok(())
     }
--- a/dispatch/src/operators/tests.rs
+++ b/dispatch/src/operators/tests.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use juniperladder::{Effect, State};
+use juniperladder::{EndpointState, Idempotency};
 use tokio::task::spawn_local;
 use tokio::time::{timeout, Duration};
 
@@ -16,7 +16,7 @@
 fn balancer() -> (Rc<Exchange>, Rc<Recorder>) {
     assert_eq!(server(NAME), HOST);
     let recorder = Rc::new(Recorder::default());
-    let exchange = exchange(settings(3, Effect::Safe), recorder.clone(), 4);
+    let exchange = exchange(settings(3, Idempotency::Idempotent), recorder.clone(), 4);
     let timers = Rc::clone(&exchange);
     spawn_local(async move { timers.run().await });
     (exchange, recorder)
@@ -39,7 +39,7 @@
     there
 }
 
-fn told(state: State, started: u64) -> Host {
+fn told(state: EndpointState, started: u64) -> Host {
     let mut host = host(HOST, state);
     host.entry.started = juniperladder::Micros(started);
     host
@@ -51,15 +51,16 @@
 fn an_operators_call_puts_off_no_watch() {
     testing::run(async {
         let (exchange, _) = balancer();
-        let within = Duration::from_micros(settings(3, Effect::Safe).rules.ask_within.0);
+        let within =
+            Duration::from_micros(settings(3, Idempotency::Idempotent).rules.discovery_poll_interval.0);
         for _ in 0..3 {
             exchange.offline(NAME).unwrap();
             exchange.online(NAME).unwrap();
             exchange.restore_ban(NAME);
             exchange.online(NAME).unwrap();
             timeout(within, exchange.watch_wanted()).await.expect("the list has to be asked for in time");
-            exchange.listed(ListKind::Update, &[]);
-            exchange.listed(ListKind::Unavailable, &[]);
+            exchange.listed(EndpointUpdate::Delta, &[]);
+            exchange.listed(EndpointUpdate::Unavailable, &[]);
         }
     });
 }
@@ -70,18 +71,18 @@
 fn nothing_goes_to_a_host_out_by_hand_whatever_discovery_says() {
     testing::run(async {
         let mut fleet: Vec<_> = (0..3).map(|_| balancer()).collect();
-        let others: Vec<Host> = (1..4).map(|n| host(ServerId(HOST.0 + n), State::Serving)).collect();
+        let others: Vec<Host> = (1..4).map(|n| host(ServerId(HOST.0 + n), EndpointState::Serving)).collect();
         let with = |here: Host| others.iter().cloned().chain([here]).collect::<Vec<_>>();
-        let mut moved = told(State::Serving, 60_000_000);
+        let mut moved = told(EndpointState::Serving, 60_000_000);
         moved.address = Some(([127, 0, 0, 1], 2).into());
         let news = [
-            (ListKind::Update, vec![told(State::Deleted, 0)]),
-            (ListKind::Update, vec![told(State::Serving, 50_000_000)]),
-            (ListKind::Update, vec![moved.clone()]),
-            (ListKind::Replace, others.clone()),
-            (ListKind::Replace, with(moved)),
-            (ListKind::Unavailable, vec![]),
-            (ListKind::Restored, with(told(State::Serving, 0))),
+            (EndpointUpdate::Delta, vec![told(EndpointState::Deleted, 0)]),
+            (EndpointUpdate::Delta, vec![told(EndpointState::Serving, 50_000_000)]),
+            (EndpointUpdate::Delta, vec![moved.clone()]),
+            (EndpointUpdate::Snapshot, others.clone()),
+            (EndpointUpdate::Snapshot, with(moved)),
+            (EndpointUpdate::Unavailable, vec![]),
+            (EndpointUpdate::Restored, with(told(EndpointState::Serving, 0))),
         ];
         for (exchange, recorder) in &fleet {
             assert!(sent_there(exchange, recorder, 40).await > 0, "it is in use");
--- a/dispatch/src/start_times/tests.rs
+++ b/dispatch/src/start_times/tests.rs
@@ -1,6 +1,6 @@
 //! Starts by a wall clock that is right, ahead and behind.
 
-use juniperladder::State;
+use juniperladder::EndpointState;
 
 use super::*;
 use crate::testing::host;
@@ -10,7 +10,7 @@
 const SECOND: u64 = 1_000_000;
 
 fn started(server: u64, started: u64) -> Host {
-    let mut host = host(ServerId(server), State::Serving);
+    let mut host = host(ServerId(server), EndpointState::Serving);
     host.entry.started = Micros(started);
     host
 }
--- a/dispatch/src/testing.rs
+++ b/dispatch/src/testing.rs
@@ -28,7 +28,7 @@
 }
 
 impl Carrier for Recorder {
-    fn listed(&self, _: ListKind, _: &[Host]) {}
+    fn listed(&self, _: EndpointUpdate, _: &[Host]) {}
     fn begin(&self, attempt: Attempt) {
         self.begun.borrow_mut().push(attempt);
     }
@@ -45,23 +45,23 @@
 pub const ORIGIN: u32 = 1;
 
 /// A site with one class and so many attempts.
-pub fn settings(max_attempts: u32, effect: Effect) -> Settings {
+pub fn settings(max_attempts: u32, idempotency: Idempotency) -> Settings {
     let class = Class {
-        aim: Micros(750_000),
-        aim_stretch: 0.0,
+        latency_objective: Micros(750_000),
+        latency_objective_per_work: 0.0,
         deadline: Micros(1_500_000),
-        effect,
-        group: Group::All,
-        window: Micros(6_000_000),
-        worth: 1.0,
-        late_worth: 0.0,
+        idempotency,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window: Micros(6_000_000),
+        priority_weight: 1.0,
+        late_priority_weight: 0.0,
     };
     Settings {
         balancers: 1,
         zone: 0,
         classes: vec![class],
         tenants: vec![],
-        mode: Mode::Through,
+        mode: CacheMode::ReadThrough,
         subscribe: true,
         weighted: false,
         tick: Micros(5_000),
@@ -71,13 +71,17 @@
             retry_after: true,
             may_duplicate: true,
         },
-        rules: Rules { ask_within: Micros(10_000_000), cold_share: 0.32, warm_up: Micros(9_000_000) },
+        rules: Rules {
+            discovery_poll_interval: Micros(10_000_000),
+            slow_start_initial_share: 0.32,
+            slow_start_duration: Micros(9_000_000),
+        },
     }
 }
 
 /// A host in this state.
-pub fn host(server: ServerId, state: State) -> Host {
-    let entry = Entry { server, zone: 0, kind: 0, cell: 0, state, weight: 1.0, started: Micros(0) };
+pub fn host(server: ServerId, state: EndpointState) -> Host {
+    let entry = Endpoint { server, zone: 0, kind: 0, cell: 0, state, weight: 1.0, started: Micros(0) };
     Host { entry, address: Some(([127, 0, 0, 1], 1).into()) }
 }
 
@@ -91,8 +95,8 @@
     let counters = Rc::new(Counters::default());
     let exchange = Exchange::new(settings, seed, carrier, Clock::start(), counters, log());
     let hosts: Vec<Host> =
-        (0..hosts).map(|n| host(ServerId(HOST.0 + u64::from(n)), State::Serving)).collect();
-    exchange.listed(ListKind::Restored, &hosts);
+        (0..hosts).map(|n| host(ServerId(HOST.0 + u64::from(n)), EndpointState::Serving)).collect();
+    exchange.listed(EndpointUpdate::Restored, &hosts);
     exchange
 }
 
--- a/dispatch/src/values.rs
+++ b/dispatch/src/values.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use juniperladder::{Entry, Micros};
+use juniperladder::{Endpoint, Micros};
 
 use crate::long::Long;
 
@@ -43,7 +43,7 @@
     /// The host lacks the key.
     Miss {
         /// Whether another fetch of the key is out.
-        fetching: bool,
+        fetch_in_progress: bool,
     },
     /// It failed; it may have run.
     Error,
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 pub struct Host {
     /// What the module is told of it.
-    pub entry: Entry,
+    pub entry: Endpoint,
     /// Where it listens.
     pub address: Option<SocketAddr>,
 }
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -191,7 +191,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use juniperladder::Mode;
+    use juniperladder::CacheMode;
 
     const SOUND: &str = r#"{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.2:2","seed":"8c1f30d27a5be964",
         "limits":{"cores":1.0,"memory_mb":192,"sockets":512},
@@ -208,7 +208,7 @@
         let config = Config::parse(SOUND.into()).unwrap();
         assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
         assert_eq!(config.limits, Limits { memory: 192 << 20, sockets: 512 });
-        assert_eq!((config.settings.mode, config.settings.zone), (Mode::Aside(2), 1));
+        assert_eq!((config.settings.mode, config.settings.zone), (CacheMode::Aside(2), 1));
         assert_eq!(
             (config.idle, config.connect_timeout),
             (Duration::from_secs(5), Duration::from_millis(250))
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use juniperladder::ListKind;
+use juniperladder::EndpointUpdate;
 use juniperladder_dispatch::log_throttle::LogThrottle;
 use juniperladder_dispatch::numbers::ServerLabel;
 use slog::{debug, info, warn, Logger};
@@ -176,7 +176,7 @@
             News::List(catalog) => self.on_list(watch, catalog),
             News::NoChange => match self.watches.on_no_change(watch, Instant::now()) {
                 // It has answered, though with nothing: the module need not ask again.
-                NoChange::Answered => self.exchange.listed(ListKind::Update, &[]),
+                NoChange::Answered => self.exchange.listed(EndpointUpdate::Delta, &[]),
                 NoChange::Confirmed => self.exchange.list_confirmed(),
                 NoChange::Nothing => {}
             },
@@ -192,8 +192,8 @@
     fn on_list(&mut self, watch: WatchId, catalog: Catalog) {
         let generation = catalog.generation;
         let kind = match self.watches.on_list(watch, generation, catalog.reset, Instant::now()) {
-            ListUse::Whole => ListKind::Replace,
-            ListUse::Changes => ListKind::Update,
+            ListUse::Whole => EndpointUpdate::Snapshot,
+            ListUse::Changes => EndpointUpdate::Delta,
             ListUse::Outdated | ListUse::Unknown => {
                 info!(self.log, "list passed over"; "call" => ?watch, "generation" => generation);
                 return;
@@ -214,7 +214,7 @@
         }
         count(&self.exchange.counters().lists);
         info!(self.log, "list"; "call" => ?watch, "generation" => generation,
-            "whole" => kind == ListKind::Replace, "entries" => hosts.len());
+            "whole" => kind == EndpointUpdate::Snapshot, "entries" => hosts.len());
         self.exchange.listed(kind, &hosts);
     }
 
@@ -234,7 +234,7 @@
         }
         self.again = self.pushed.map(|wait| now + wait);
         // From here on the module spaces the calls out: it asks again after a wait of its own.
-        self.exchange.listed(ListKind::Unavailable, &[]);
+        self.exchange.listed(EndpointUpdate::Unavailable, &[]);
     }
 }
 
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::testing::{self, log, settle, Recorder};
 use bytes::BytesMut;
-use juniperladder::{Effect, AGAIN, ASKING, SOON, START};
+use juniperladder::{Idempotency, AGAIN, ASKING, SOON, START};
 use std::cell::{Cell, RefCell};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -203,7 +203,7 @@
 }
 
 fn balancer_at(address: SocketAddr, calls: Calls, subscribe: bool) -> Balancer {
-    let mut settings = testing::settings(1, Effect::Safe);
+    let mut settings = testing::settings(1, Idempotency::Idempotent);
     settings.subscribe = subscribe;
     let exchange = testing::seeded_exchange(settings, calls.seed, Rc::new(Recorder::default()), 1);
     let timers = Rc::clone(&exchange);
--- a/node/src/keeper.rs
+++ b/node/src/keeper.rs
@@ -131,13 +131,13 @@
 mod tests {
     use super::*;
     use crate::testing::{self, log, Recorder};
-    use juniperladder::Effect;
+    use juniperladder::Idempotency;
 
     const ONE: &str = "s-00000009";
     const TWO: &str = "s-0000000a";
 
     fn process(file: &std::path::Path) -> (Rc<Exchange>, Rc<Keeper>, bool) {
-        let settings = testing::settings(1, Effect::Safe);
+        let settings = testing::settings(1, Idempotency::Idempotent);
         let exchange = testing::exchange(settings, Rc::new(Recorder::default()), 2);
         let (keeper, replaces) = Keeper::new(Rc::clone(&exchange), file.to_owned(), log());
         (exchange, keeper, replaces)
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -34,7 +34,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use juniperladder::ListKind;
+use juniperladder::EndpointUpdate;
 use slog::{error, info, o, Drain, Level, LevelFilter, Logger};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
@@ -90,7 +90,7 @@
     let bounds = bounds::Bounds::of(config.limits);
     let longest = config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
     let longest = clock::duration(longest);
-    let ask_within = config.settings.rules.ask_within;
+    let ask_within = config.settings.rules.discovery_poll_interval;
     let limits = upstream::Limits {
         connections: bounds.hosts,
         piece: bounds.piece,
@@ -126,7 +126,7 @@
     let table = name_table::NameTable::new(config.names);
     let known_generation = config.known.generation;
     let hosts = table.read(config.known, &log);
-    exchange.listed(ListKind::Restored, &hosts);
+    exchange.listed(EndpointUpdate::Restored, &hosts);
 
     let shutdown = Rc::new(shutdown::Shutdown::default());
     let listener = retry::for_a_moment(|| listen(config.listen)).await.map_err(|e| {
--- a/node/src/name_table.rs
+++ b/node/src/name_table.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use juniperladder::{Entry, State};
+use juniperladder::{Endpoint, EndpointState};
 pub use juniperladder_dispatch::numbers::{hash, key, server};
 use serde::Deserialize;
 use slog::{warn, Logger};
@@ -84,19 +84,19 @@
         let mut hosts = Vec::with_capacity(catalog.instances.len());
         for instance in catalog.instances {
             let state = match instance.lifecycle.as_str() {
-                "in_service" => State::Serving,
-                "terminated" => State::Deleted,
-                "terminating" => State::Draining,
+                "in_service" => EndpointState::Serving,
+                "terminated" => EndpointState::Deleted,
+                "terminating" => EndpointState::Draining,
                 other => {
                     // A state this balancer does not know is no reason to send there.
                     if self.log_throttle.allows() {
                         warn!(log, "unknown lifecycle"; "host" => &instance.instance_id, "lifecycle" => other);
                     }
-                    State::Draining
+                    EndpointState::Draining
                 }
             };
             let address: Option<SocketAddr> = instance.host_port.parse().ok();
-            if address.is_none() && state != State::Deleted {
+            if address.is_none() && state != EndpointState::Deleted {
                 if self.log_throttle.allows() {
                     warn!(log, "no address"; "host" => &instance.instance_id, "address" => &instance.host_port);
                 }
@@ -105,7 +105,7 @@
             let place = |names: &[String], name: &str| {
                 names.iter().position(|n| n == name).map_or(u32::MAX, |place| place as u32)
             };
-            let entry = Entry {
+            let entry = Endpoint {
                 server: server(&instance.instance_id),
                 zone: place(&self.names.zones, &instance.zone),
                 kind: place(&self.names.kinds, &instance.machine_type),
--- a/node/src/name_table/tests.rs
+++ b/node/src/name_table/tests.rs
@@ -24,8 +24,8 @@
     let [origin, gone] = &hosts[..] else { panic!("one has no address: {hosts:?}") };
     let entry = &origin.entry;
     assert_eq!((entry.server, entry.zone, entry.kind, entry.cell), (ServerId(0x5be2_a07c), 1, 1, 3));
-    assert_eq!((entry.state, entry.weight, entry.started), (State::Draining, 1.5, from_ms(7)));
-    assert_eq!((gone.entry.state, gone.entry.zone), (State::Deleted, u32::MAX));
+    assert_eq!((entry.state, entry.weight, entry.started), (EndpointState::Draining, 1.5, from_ms(7)));
+    assert_eq!((gone.entry.state, gone.entry.zone), (EndpointState::Deleted, u32::MAX));
     assert_eq!(watch_path(Some(41)), "/catalog/members?follow=1&since=41");
     assert_eq!(watch_path(None), "/catalog/members?follow=1");
 }
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -240,8 +240,13 @@
             drift,
         };
         let rules = &settings.rules;
-        let share = if rules.cold_share > 0.0 { rules.cold_share.min(1.0) } else { LEAST_SHARE };
-        let cold = |rate: &Rate| cold::Terms { shares: terms(rate), share, warm_up: rules.warm_up.0 };
+        let share = if rules.slow_start_initial_share > 0.0 {
+            rules.slow_start_initial_share.min(1.0)
+        } else {
+            LEAST_SHARE
+        };
+        let cold =
+            |rate: &Rate| cold::Terms { shares: terms(rate), share, warm_up: rules.slow_start_duration.0 };
         let second = |second: &Second| budget::Terms {
             share: second.share,
             saved: second.saved * f64::from(holders),
@@ -367,7 +372,7 @@
             zone: 1,
             classes: vec![],
             tenants: vec![],
-            mode: juniperladder::Mode::Aside(1),
+            mode: juniperladder::CacheMode::Aside(1),
             subscribe: true,
             weighted: false,
             tick: juniperladder::Micros(5_000),
@@ -378,9 +383,9 @@
                 may_duplicate: true,
             },
             rules: juniperladder::Rules {
-                ask_within: juniperladder::Micros(1),
-                cold_share: 0.25,
-                warm_up: juniperladder::Micros(10_000_000),
+                discovery_poll_interval: juniperladder::Micros(1),
+                slow_start_initial_share: 0.25,
+                slow_start_duration: juniperladder::Micros(10_000_000),
             },
         }
     }
--- a/node/src/operators.rs
+++ b/node/src/operators.rs
@@ -172,7 +172,7 @@
     use super::*;
     use crate::exchange::{Answer, End, Reply};
     use crate::testing::{self, command, log, Recorder};
-    use juniperladder::Effect;
+    use juniperladder::Idempotency;
     use tokio::io::{duplex, DuplexStream};
     use tokio::time::Instant;
 
@@ -181,7 +181,7 @@
 
     fn process(dir: &std::path::Path) -> (Rc<Operators>, Rc<Recorder>) {
         let recorder = Rc::new(Recorder::default());
-        let exchange = testing::exchange(testing::settings(1, Effect::Safe), recorder.clone(), 2);
+        let exchange = testing::exchange(testing::settings(1, Idempotency::Idempotent), recorder.clone(), 2);
         let classes = vec!["read".into()];
         let callers = Callers { now: Rc::default(), most: CALLERS };
         let (operators, _) =
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use juniperladder::{Fleet, Settings};
+use juniperladder::{Coordination, Settings};
 use juniperladder_cluster::{Cluster, Figures, LONGEST};
 use slog::{info, Logger};
 use tokio::net::UdpSocket;
@@ -62,7 +62,7 @@
     }
 
     /// What the decisions see of it.
-    pub fn fleet(&self) -> Box<dyn Fleet> {
+    pub fn fleet(&self) -> Box<dyn Coordination> {
         Box::new(Together::new(Rc::clone(&self.cluster)))
     }
 
--- a/node/src/service/tests.rs
+++ b/node/src/service/tests.rs
@@ -7,7 +7,7 @@
 use crate::exchange::{Answer, End, Reply};
 use crate::testing::{self, settle, Recorder};
 use bytes::Bytes;
-use juniperladder::Effect;
+use juniperladder::Idempotency;
 use proptest::prelude::*;
 use tokio::io::{duplex, AsyncReadExt, AsyncWriteExt};
 
@@ -32,7 +32,7 @@
 }
 
 pub(super) fn service(recorder: &Rc<Recorder>) -> Rc<Service> {
-    let exchange = testing::exchange(testing::settings(1, Effect::Unsafe), recorder.clone(), 1);
+    let exchange = testing::exchange(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
     let bounds =
         Bounds { clients: 8, kept: 4, hosts: 8, callers: 8, held: 1 << 17, unread: 1 << 16, piece: 1 << 10 };
     let labels = Labels { classes: vec!["read".into()], tenants: vec!["acme".into(), "beta".into()] };
--- a/node/src/storm.rs
+++ b/node/src/storm.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 use fastrand::Rng;
-use juniperladder::{Class, Effect, ListKind, Micros, Mode, Settings};
+use juniperladder::{CacheMode, Class, EndpointUpdate, Idempotency, Micros, Settings};
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, sleep_until, Instant};
 
@@ -34,8 +34,11 @@
 
 const SEEDS: u64 = 250;
 /// Classes by their effect: their names, and their deadlines in milliseconds.
-const CLASSES: [(&str, Effect, u64); 3] =
-    [("read", Effect::Safe, 400), ("put", Effect::Keyed, 900), ("once", Effect::Unsafe, 700)];
+const CLASSES: [(&str, Idempotency, u64); 3] = [
+    ("read", Idempotency::Idempotent, 400),
+    ("put", Idempotency::WithIdempotencyKey, 900),
+    ("once", Idempotency::NotIdempotent, 700),
+];
 const ATTEMPTS: u32 = 3;
 const WINDOW: Duration = Duration::from_millis(250);
 
@@ -93,9 +96,9 @@
         let earlier =
             seen.runs.iter().filter(|(_, may_have_run)| may_have_run.get()).map(|(at, _)| *at).min();
         let allowed = match CLASSES[seen.class].1 {
-            Effect::Safe => true,
-            Effect::Keyed => earlier.is_none_or(|first| now - first < WINDOW),
-            Effect::Unsafe => earlier.is_none(),
+            Idempotency::Idempotent => true,
+            Idempotency::WithIdempotencyKey => earlier.is_none_or(|first| now - first < WINDOW),
+            Idempotency::NotIdempotent => earlier.is_none(),
         };
         if !allowed {
             self.broken(id, "sent again though it may have run");
@@ -108,14 +111,18 @@
 
 fn settings() -> Settings {
     let class = |(_, effect, ms)| Class {
-        aim: Micros(ms * 800),
+        latency_objective: Micros(ms * 800),
         deadline: Micros(ms * 1000),
-        effect,
-        window: Micros(WINDOW.as_micros() as u64),
+        idempotency: effect,
+        deduplication_window: Micros(WINDOW.as_micros() as u64),
         ..Class::default()
     };
-    let mode = Mode::Aside(ORIGIN);
-    Settings { classes: CLASSES.map(class).into(), mode, ..testing::settings(ATTEMPTS, Effect::Safe) }
+    let mode = CacheMode::Aside(ORIGIN);
+    Settings {
+        classes: CLASSES.map(class).into(),
+        mode,
+        ..testing::settings(ATTEMPTS, Idempotency::Idempotent)
+    }
 }
 
 /// A balancer, its clients and its hosts.
@@ -149,7 +156,7 @@
         let carrier = Rc::clone(&upstream) as Rc<dyn Carrier>;
         let exchange = Exchange::new(settings(), seed, carrier, clock, counters, log());
         upstream.attach(&exchange);
-        exchange.listed(ListKind::Restored, &hosts.listed());
+        exchange.listed(EndpointUpdate::Restored, &hosts.listed());
         let shutdown = Rc::new(Shutdown::default());
         let classes = CLASSES.map(|(name, ..)| name.to_owned()).into();
         let labels = Labels { classes, tenants: vec![] };
@@ -172,11 +179,11 @@
         loop {
             sleep(Duration::from_millis(rng.u64(50..400))).await;
             if rng.u8(..8) == 0 {
-                self.exchange.listed(ListKind::Unavailable, &[]);
+                self.exchange.listed(EndpointUpdate::Unavailable, &[]);
             }
             let news: Host = self.hosts.turn(rng.usize(1..hosts::PLACES));
             self.ledger.met("lists");
-            self.exchange.listed(ListKind::Update, &[news]);
+            self.exchange.listed(EndpointUpdate::Delta, &[news]);
         }
     }
 
--- a/node/src/storm/hosts.rs
+++ b/node/src/storm/hosts.rs
@@ -7,7 +7,7 @@
 
 use bytes::BytesMut;
 use fastrand::Rng;
-use juniperladder::{Entry, Micros, ServerId, State};
+use juniperladder::{Endpoint, EndpointState, Micros, ServerId};
 use tokio::io::{duplex, AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
@@ -57,7 +57,7 @@
 
 struct Place {
     life: u64,
-    state: State,
+    state: EndpointState,
     told: Told,
 }
 
@@ -70,13 +70,13 @@
 
 impl Hosts {
     pub fn new(rng: Rng, ledger: Rc<Ledger>) -> Hosts {
-        let place = |_| Place { life: 1, state: State::Serving, told: Rc::default() };
+        let place = |_| Place { life: 1, state: EndpointState::Serving, told: Rc::default() };
         Hosts { places: RefCell::new((0..PLACES).map(place).collect()), rng: RefCell::new(rng), ledger }
     }
 
     fn host(&self, place: usize) -> Host {
         let Place { life, state, .. } = &self.places.borrow()[place];
-        let entry = Entry {
+        let entry = Endpoint {
             server: ServerId(place as u64 * 1000 + life),
             zone: place as u32 % 2,
             kind: if place == 0 { ORIGIN } else { 0 },
@@ -97,11 +97,11 @@
     pub fn turn(&self, place: usize) -> Host {
         if let Some(place) = self.places.borrow_mut().get_mut(place) {
             place.state = match place.state {
-                State::Serving => State::Draining,
-                State::Draining => State::Deleted,
-                State::Deleted => State::Serving,
+                EndpointState::Serving => EndpointState::Draining,
+                EndpointState::Draining => EndpointState::Deleted,
+                EndpointState::Deleted => EndpointState::Serving,
             };
-            if place.state == State::Serving {
+            if place.state == EndpointState::Serving {
                 (place.life, place.told) = (place.life + 1, Rc::default());
             } else {
                 place.told.set(place.told.get().or(Some(Instant::now())));
--- a/node/src/together.rs
+++ b/node/src/together.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-use juniperladder::{Common, Fleet, Micros, ServerId};
+use juniperladder::{Coordination, Micros, ServerId, ServingServer, SharedLimit};
 use juniperladder_cluster::cold::Start;
 use juniperladder_cluster::shares::Shares;
 use juniperladder_cluster::{shares, Cluster, Figures};
@@ -25,12 +25,12 @@
     }
 
     /// Does something with the part of a limit in units; none where there is no such limit, or the host is warm.
-    fn units<T>(&self, of: Common, now: Micros, act: impl FnOnce(&mut Shares) -> T) -> Option<T> {
+    fn units<T>(&self, of: SharedLimit, now: Micros, act: impl FnOnce(&mut Shares) -> T) -> Option<T> {
         let mut cluster = self.0.borrow_mut();
         match of {
-            Common::Origin => cluster.limit(ORIGIN).map(act),
-            Common::Cold(host, started) => cluster.cold(start(host, started), now.0).0.map(act),
-            Common::Second => None,
+            SharedLimit::OriginRate => cluster.limit(ORIGIN).map(act),
+            SharedLimit::SlowStart(host, started) => cluster.cold(start(host, started), now.0).0.map(act),
+            SharedLimit::RetryBudget => None,
         }
     }
 }
@@ -39,52 +39,63 @@
     Start { host: host.0, started: started.0 }
 }
 
-impl Fleet for Together {
-    fn wait(&mut self, of: Common, now: Micros) -> Option<Micros> {
+impl Coordination for Together {
+    fn wait_time(&mut self, of: SharedLimit, now: Micros) -> Option<Micros> {
         match of {
-            Common::Second => {
+            SharedLimit::RetryBudget => {
                 let has = self.0.borrow_mut().second()?.has(now.0);
                 Some(if has { Micros(0) } else { MOMENT })
             }
-            Common::Cold(host, started) => match self.0.borrow_mut().cold(start(host, started), now.0) {
-                (Some(shares), _) => Some(Micros(shares.wait(now.0))),
-                (None, shut) => shut.then_some(MOMENT),
-            },
-            Common::Origin => self.units(of, now, |shares| Micros(shares.wait(now.0))),
+            SharedLimit::SlowStart(host, started) => {
+                match self.0.borrow_mut().cold(start(host, started), now.0) {
+                    (Some(shares), _) => Some(Micros(shares.wait(now.0))),
+                    (None, shut) => shut.then_some(MOMENT),
+                }
+            }
+            SharedLimit::OriginRate => self.units(of, now, |shares| Micros(shares.wait(now.0))),
         }
     }
 
-    fn took(&mut self, of: Common, now: Micros) {
+    fn acquire(&mut self, of: SharedLimit, now: Micros) {
         match of {
-            Common::Second => self.0.borrow_mut().second().into_iter().for_each(|budget| budget.spend(now.0)),
+            SharedLimit::RetryBudget => {
+                self.0.borrow_mut().second().into_iter().for_each(|budget| budget.spend(now.0))
+            }
             _ => drop(self.units(of, now, |shares| shares.took(now.0))),
         }
     }
 
-    fn denied(&mut self, of: Common, now: Micros) {
+    fn on_rejected(&mut self, of: SharedLimit, now: Micros) {
         match of {
-            Common::Second => {
+            SharedLimit::RetryBudget => {
                 self.0.borrow_mut().second().into_iter().for_each(|budget| budget.denied(now.0))
             }
             _ => drop(self.units(of, now, |shares| shares.denied(now.0))),
         }
     }
 
-    fn first(&mut self, _now: Micros) {
+    fn on_first_attempt(&mut self, _now: Micros) {
         self.0.borrow_mut().second().into_iter().for_each(|budget| budget.first());
     }
 
-    fn listed(&mut self, hosts: &[(ServerId, Micros, u32)]) {
-        let hosts = hosts.iter().map(|(host, started, zone)| (start(*host, *started), *zone));
+    fn on_endpoints_changed(&mut self, servers: &[ServingServer]) {
+        let hosts = servers.iter().map(|serving| (start(serving.server, serving.started), serving.zone));
         self.0.borrow_mut().verdicts().into_iter().for_each(|verdicts| verdicts.listed(hosts.clone()));
     }
 
-    fn saw(&mut self, host: ServerId, started: Micros, silent: bool, now: Micros) {
+    fn on_server_observed(&mut self, host: ServerId, started: Micros, silent: bool, now: Micros) {
         let start = start(host, started);
         self.0.borrow_mut().verdicts().into_iter().for_each(|verdicts| verdicts.saw(start, silent, now.0));
     }
 
-    fn warned(&mut self, host: ServerId, started: Micros, heard: Micros, per_s: f64, now: Micros) -> bool {
+    fn is_suspected(
+        &mut self,
+        host: ServerId,
+        started: Micros,
+        heard: Micros,
+        per_s: f64,
+        now: Micros,
+    ) -> bool {
         let start = start(host, started);
         let mut cluster = self.0.borrow_mut();
         cluster.verdicts().is_some_and(|verdicts| verdicts.warned(start, heard.0, per_s, now.0))
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -9,7 +9,7 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use juniperladder::{ListKind, ServerId, State};
+use juniperladder::{EndpointState, EndpointUpdate, ServerId};
 use rustc_hash::FxHashMap;
 use slog::{warn, Logger};
 use tokio::sync::{oneshot, Notify};
@@ -308,14 +308,14 @@
 }
 
 impl Carrier for Upstream {
-    fn listed(&self, kind: ListKind, hosts: &[Host]) {
+    fn listed(&self, kind: EndpointUpdate, hosts: &[Host]) {
         let mut pools = self.pools.borrow_mut();
-        if kind.whole() {
+        if kind.is_complete() {
             pools.values_mut().for_each(|pool| pool.open = false);
         }
         for Host { entry, address } in hosts {
             let pool = pools.entry(entry.server).or_default();
-            pool.open = entry.state == State::Serving;
+            pool.open = entry.state == EndpointState::Serving;
             pool.origin = self.limits.origin == Some(entry.kind);
             if address.is_some() && pool.address != *address {
                 pool.address = *address;
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -6,7 +6,7 @@
 use crate::memcache;
 use crate::testing::{self, host, settle, Recorder, HOST};
 use bytes::BytesMut;
-use juniperladder::Effect;
+use juniperladder::Idempotency;
 use proptest::prelude::*;
 use tokio::io::{duplex, AsyncReadExt, AsyncWriteExt};
 use tokio::time::{sleep, timeout};
@@ -49,7 +49,7 @@
     fn an_attempt_ends_by_what_was_written(peer in peer(), size in 0..300usize, cut in 1..9usize, room in 1..200usize) {
         testing::run(async {
             let recorder = Rc::new(Recorder::default());
-            let exchange = testing::exchange(testing::settings(1, Effect::Unsafe), recorder.clone(), 1);
+            let exchange = testing::exchange(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
             let upstream = testing::upstream(1);
             upstream.attach(&exchange);
             let (_, answer) = exchange.take(testing::command("7", Some(vec![b'x'; size]))).unwrap();
@@ -110,12 +110,12 @@
 fn a_draining_host_gets_nothing_that_waits() {
     testing::run(async {
         let upstream = testing::upstream(0);
-        let exchange = testing::exchange(testing::settings(1, Effect::Safe), upstream.clone(), 1);
+        let exchange = testing::exchange(testing::settings(1, Idempotency::Idempotent), upstream.clone(), 1);
         upstream.attach(&exchange);
         let (_, answer) = exchange.take(testing::command("7", None)).unwrap();
         settle().await;
         assert_eq!(exchange.counters().moot.get(), 0, "it waits for a connection");
-        exchange.listed(ListKind::Update, &[host(HOST, State::Draining)]);
+        exchange.listed(EndpointUpdate::Delta, &[host(HOST, EndpointState::Draining)]);
         assert!(matches!(answer.await, Ok(Answer::Rejected(_))));
         assert_eq!(exchange.counters().moot.get(), 1);
     });
@@ -145,7 +145,8 @@
 fn what_is_half_written_ends_with_its_command() {
     testing::run(async {
         let recorder = Rc::new(Recorder::default());
-        let exchange = testing::exchange(testing::settings(1, Effect::Unsafe), recorder.clone(), 1);
+        let exchange =
+            testing::exchange(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
         let upstream = testing::upstream(1);
         upstream.attach(&exchange);
         let (id, _answer) = exchange.take(testing::command("7", Some(vec![b'x'; 300]))).unwrap();
@@ -179,13 +180,14 @@
             tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap(),
         ];
         let upstream = testing::upstream(1);
-        let exchange = testing::exchange(testing::settings(1, Effect::Unsafe), upstream.clone(), 0);
+        let exchange =
+            testing::exchange(testing::settings(1, Idempotency::NotIdempotent), upstream.clone(), 0);
         upstream.attach(&exchange);
         for listener in &hosts {
-            let mut up = host(HOST, State::Serving);
+            let mut up = host(HOST, EndpointState::Serving);
             up.address = listener.local_addr().ok();
             up.entry.server = ServerId(up.address.unwrap().port().into());
-            exchange.listed(ListKind::Replace, &[up]);
+            exchange.listed(EndpointUpdate::Snapshot, &[up]);
             let (_, answer) = exchange.take(testing::command("7", Some(vec![]))).unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
             stream.read_buf(&mut BytesMut::new()).await.unwrap();
@@ -219,7 +221,8 @@
     for (text, spoilt) in cases {
         testing::run(async {
             let recorder = Rc::new(Recorder::default());
-            let exchange = testing::exchange(testing::settings(1, Effect::Unsafe), recorder.clone(), 1);
+            let exchange =
+                testing::exchange(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
             let upstream = testing::upstream(1);
             upstream.attach(&exchange);
             let (_, answer) = exchange.take(testing::command("7", None)).unwrap();
@@ -243,7 +246,8 @@
 fn an_endless_body_is_not_read_to_its_end() {
     testing::run(async {
         let recorder = Rc::new(Recorder::default());
-        let exchange = testing::exchange(testing::settings(1, Effect::Unsafe), recorder.clone(), 1);
+        let exchange =
+            testing::exchange(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
         let upstream = testing::upstream(1);
         upstream.attach(&exchange);
         let _answer = exchange.take(testing::command("7", None)).unwrap();
@@ -269,9 +273,9 @@
     testing::run(async {
         for kind in [0, testing::ORIGIN] {
             let upstream = testing::upstream(4);
-            let mut listed = host(HOST, State::Serving);
+            let mut listed = host(HOST, EndpointState::Serving);
             listed.entry.kind = kind;
-            upstream.listed(ListKind::Replace, &[listed]);
+            upstream.listed(EndpointUpdate::Snapshot, &[listed]);
             let id = AttemptId(1);
             upstream.pools.borrow_mut().entry(HOST).or_default().running.insert(id, Carried::default());
             let stop = upstream.written(HOST, id);
@@ -310,8 +314,8 @@
 fn a_connection_to_an_old_address_is_not_used() {
     testing::run(async {
         let upstream = testing::upstream(4);
-        let moved = host(HOST, State::Serving);
-        upstream.listed(ListKind::Replace, std::slice::from_ref(&moved));
+        let moved = host(HOST, EndpointState::Serving);
+        upstream.listed(EndpointUpdate::Snapshot, std::slice::from_ref(&moved));
         let connection =
             |port| UpstreamConnection { server: HOST, origin: false, address: ([127, 0, 0, 1], port).into() };
         assert!(upstream.rest(&connection(1)).is_some());
@@ -324,13 +328,14 @@
 fn a_refused_connection_never_ran() {
     testing::run_on_sockets(async {
         let closed = std::net::TcpListener::bind(("127.0.0.1", 0)).unwrap();
-        let mut down = host(HOST, State::Serving);
+        let mut down = host(HOST, EndpointState::Serving);
         down.address = closed.local_addr().ok();
         drop(closed);
         let upstream = testing::upstream(4);
-        let exchange = testing::exchange(testing::settings(1, Effect::Unsafe), upstream.clone(), 0);
+        let exchange =
+            testing::exchange(testing::settings(1, Idempotency::NotIdempotent), upstream.clone(), 0);
         upstream.attach(&exchange);
-        exchange.listed(ListKind::Restored, &[down]);
+        exchange.listed(EndpointUpdate::Restored, &[down]);
         let (_, first) = exchange.take(testing::command("7", None)).unwrap();
         let (_, second) = exchange.take(testing::command("8", None)).unwrap();
         assert!(matches!((first.await, second.await), (Ok(Answer::Rejected(_)), Ok(Answer::Rejected(_)))));
@@ -343,11 +348,12 @@
 async fn world(attempts: u32) -> (Rc<Exchange>, Rc<Upstream>, tokio::net::TcpListener) {
     let listener = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let upstream = testing::upstream(4);
-    let exchange = testing::exchange(testing::settings(attempts, Effect::Unsafe), upstream.clone(), 0);
+    let exchange =
+        testing::exchange(testing::settings(attempts, Idempotency::NotIdempotent), upstream.clone(), 0);
     upstream.attach(&exchange);
-    let mut up = host(HOST, State::Serving);
+    let mut up = host(HOST, EndpointState::Serving);
     up.address = listener.local_addr().ok();
-    exchange.listed(ListKind::Replace, &[up]);
+    exchange.listed(EndpointUpdate::Snapshot, &[up]);
     (exchange, upstream, listener)
 }
 
@@ -419,10 +425,10 @@
     for (reset, body) in [(false, true), (true, true), (true, false)] {
         testing::run_on_sockets(async {
             let (exchange, _upstream, listener) = world(3).await;
-            let mut origin = host(HOST, State::Serving);
+            let mut origin = host(HOST, EndpointState::Serving);
             origin.address = listener.local_addr().ok();
             origin.entry.kind = testing::ORIGIN;
-            exchange.listed(ListKind::Replace, &[origin]);
+            exchange.listed(EndpointUpdate::Snapshot, &[origin]);
             let (_, answer) = exchange.take(testing::command("7", None)).unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
             let mut got = BytesMut::new();
@@ -456,7 +462,7 @@
 /// the host drains, is gone, or stands elsewhere. Nothing goes out on the old connection.
 #[test]
 fn a_list_that_crosses_a_hand_over_comes_first() {
-    for change in [State::Draining, State::Deleted, State::Serving] {
+    for change in [EndpointState::Draining, EndpointState::Deleted, EndpointState::Serving] {
         testing::run_on_sockets(async {
             let (exchange, upstream, old) = world(3).await;
             let new = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
@@ -471,8 +477,8 @@
             let (_, second) = exchange.take(testing::command("2", None)).unwrap();
             let mut listed = host(HOST, change);
             listed.address = new.local_addr().ok();
-            exchange.listed(ListKind::Update, &[listed]);
-            if change == State::Serving {
+            exchange.listed(EndpointUpdate::Delta, &[listed]);
+            if change == EndpointState::Serving {
                 let accepted = timeout(Duration::from_secs(5), new.accept()).await;
                 let (mut stream, _) = accepted.expect("it goes to the new place").unwrap();
                 assert!(command_at(&mut stream).await.contains(" O2 "));
--- a/node/src/upstream/uploads.rs
+++ b/node/src/upstream/uploads.rs
@@ -107,7 +107,7 @@
     use crate::bounds::Bounds;
     use crate::service::{Labels, Service};
     use crate::testing::{self, host, log, HOST, ORIGIN};
-    use juniperladder::{Effect, ListKind, Mode, ServerId, State};
+    use juniperladder::{CacheMode, EndpointState, EndpointUpdate, Idempotency, ServerId};
     use tokio::io::AsyncReadExt;
     use tokio::net::{TcpListener, TcpStream};
 
@@ -117,13 +117,15 @@
     async fn world() -> (Rc<Upstream>, TcpStream, TcpListener) {
         let origin = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let upstream = testing::upstream(8);
-        let settings =
-            juniperladder::Settings { mode: Mode::Aside(ORIGIN), ..testing::settings(3, Effect::Keyed) };
+        let settings = juniperladder::Settings {
+            mode: CacheMode::Aside(ORIGIN),
+            ..testing::settings(3, Idempotency::WithIdempotencyKey)
+        };
         let exchange = testing::exchange(settings, upstream.clone(), 0);
         upstream.attach(&exchange);
-        let mut up = host(ServerId(HOST.0 + 1), State::Serving);
+        let mut up = host(ServerId(HOST.0 + 1), EndpointState::Serving);
         (up.entry.kind, up.address) = (ORIGIN, origin.local_addr().ok());
-        exchange.listed(ListKind::Replace, &[up]);
+        exchange.listed(EndpointUpdate::Snapshot, &[up]);
         let bounds = Bounds {
             clients: 8,
             kept: 4,
--- a/protocols/src/memcache.rs
+++ b/protocols/src/memcache.rs
@@ -372,7 +372,7 @@
             let receipt = flag(b'c').and_then(receipt).ok_or_else(|| strange(text))?;
             Some(Reply::Served(Answer::Receipt(receipt)))
         }
-        (b"EN", _) => Some(Reply::Miss { fetching: flags.contains(&&b"Z"[..]) }),
+        (b"EN", _) => Some(Reply::Miss { fetch_in_progress: flags.contains(&&b"Z"[..]) }),
         (b"SERVER_ERROR", Some(b"failed")) => Some(Reply::Error),
         (b"SERVER_ERROR", Some(b"busy")) => Some(Reply::Full),
         _ => return Err(strange(text)),
@@ -414,7 +414,7 @@
     if let Some(hit) = hit {
         out.put_slice(if hit { b" h1" } else { b" h0" });
     }
-    if matches!(reply, Reply::Miss { fetching: true }) {
+    if matches!(reply, Reply::Miss { fetch_in_progress: true }) {
         out.put_slice(b" Z");
     }
     if let Some(load) = load {
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -4,7 +4,9 @@
 //! Keys that are absent have the value that makes least of them; [`Env::check`] tells which of those a real
 //! balancer cannot do without.
 
-use juniperladder::{Class, Effect, Group, Limits, Micros, Mode, Rules, Settings, Tenant};
+use juniperladder::{
+    CacheMode, Class, DeduplicationScope, Idempotency, Limits, Micros, Rules, Settings, Tenant,
+};
 use serde::Deserialize;
 
 /// The settings as they are written; times are in microseconds.
@@ -97,8 +99,8 @@
             classes: self.categories.iter().map(Category::class).collect(),
             tenants: self.orgs.iter().map(|org| Tenant { allowance_per_s: org.allowance_per_s }).collect(),
             mode: match origin {
-                Some(kind) if self.extra.mode == "aside" => Mode::Aside(kind),
-                _ => Mode::Through,
+                Some(kind) if self.extra.mode == "aside" => CacheMode::Aside(kind),
+                _ => CacheMode::ReadThrough,
             },
             subscribe: self.membership_mode == "subscribe",
             weighted: matches!(self.weights.as_str(), "nominal" | "rough"),
@@ -110,9 +112,9 @@
                 may_duplicate: self.limits.may_duplicate,
             },
             rules: Rules {
-                ask_within: Micros(self.rules.ask_within),
-                cold_share: self.rules.cold_share,
-                warm_up: Micros(self.rules.warm_up),
+                discovery_poll_interval: Micros(self.rules.ask_within),
+                slow_start_initial_share: self.rules.cold_share,
+                slow_start_duration: Micros(self.rules.warm_up),
             },
         }
     }
@@ -173,22 +175,22 @@
 impl Category {
     fn class(&self) -> Class {
         Class {
-            aim: Micros(self.aim),
-            aim_stretch: self.aim_stretch,
+            latency_objective: Micros(self.aim),
+            latency_objective_per_work: self.aim_stretch,
             deadline: Micros(self.give_up),
-            effect: match self.effect.as_str() {
-                "pure" => Effect::Safe,
-                "token" => Effect::Keyed,
-                _ => Effect::Unsafe,
+            idempotency: match self.effect.as_str() {
+                "pure" => Idempotency::Idempotent,
+                "token" => Idempotency::WithIdempotencyKey,
+                _ => Idempotency::NotIdempotent,
             },
-            group: match self.group.as_str() {
-                "zone" => Group::Zone,
-                "cell" => Group::Cell,
-                _ => Group::All,
+            deduplication_scope: match self.group.as_str() {
+                "zone" => DeduplicationScope::Zone,
+                "cell" => DeduplicationScope::Cell,
+                _ => DeduplicationScope::All,
             },
-            window: Micros(self.window),
-            worth: self.worth,
-            late_worth: self.late_worth,
+            deduplication_window: Micros(self.window),
+            priority_weight: self.worth,
+            late_priority_weight: self.late_worth,
         }
     }
 }
--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -13,10 +13,13 @@
 fn words_are_mapped_to_the_modules_values() {
     let settings = read(SOUND).settings();
     let class = &settings.classes[0];
-    assert_eq!((class.effect, class.group, class.deadline), (Effect::Keyed, Group::Cell, Micros(3_000_000)));
-    assert_eq!((settings.mode, settings.zone), (Mode::Aside(2), 1));
+    assert_eq!(
+        (class.idempotency, class.deduplication_scope, class.deadline),
+        (Idempotency::WithIdempotencyKey, DeduplicationScope::Cell, Micros(3_000_000))
+    );
+    assert_eq!((settings.mode, settings.zone), (CacheMode::Aside(2), 1));
     assert!(settings.subscribe && settings.weighted);
-    assert_eq!(read(&SOUND.replace("aside", "through")).settings().mode, Mode::Through);
+    assert_eq!(read(&SOUND.replace("aside", "through")).settings().mode, CacheMode::ReadThrough);
 }
 
 /// A tenant without a name would be whoever names none.
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -148,16 +148,16 @@
 }
 
 impl Line {
-    fn entry(&self) -> Entry {
-        Entry {
+    fn entry(&self) -> Endpoint {
+        Endpoint {
             server: ServerId(self.server.into()),
             zone: self.locality,
             kind: self.sku,
             cell: self.bay,
             state: match self.stage_state {
-                Stage::Serving => State::Serving,
-                Stage::Draining => State::Draining,
-                Stage::Deleted => State::Deleted,
+                Stage::Serving => EndpointState::Serving,
+                Stage::Draining => EndpointState::Draining,
+                Stage::Deleted => EndpointState::Deleted,
             },
             weight: self.capacity_hint,
             started: Micros(self.came_up),
@@ -174,7 +174,7 @@
 #[derive(Default)]
 pub struct Host {
     balancers: FxHashMap<u32, Balancer>,
-    lists: Vec<Vec<Entry>>,
+    lists: Vec<Vec<Endpoint>>,
     actions: Vec<Action>,
     reply: Vec<u8>,
 }
@@ -214,17 +214,17 @@
                 Ok(())
             }
             Wire::Endpoints { router, form: Form::Unavailable, .. } => {
-                self.step(now, router, Event::Endpoints(ListKind::Unavailable, &[]))
+                self.step(now, router, Event::EndpointsChanged(EndpointUpdate::Unavailable, &[]))
             }
             Wire::Endpoints { router, slot, form } => {
                 let missing = || format!("endpoints name manifest slot {slot}, which was never given");
                 let list = std::mem::take(self.lists.get_mut(slot).ok_or_else(missing)?);
                 let kind = match form {
-                    Form::Update => ListKind::Update,
-                    Form::Replace => ListKind::Replace,
-                    _ => ListKind::Restored,
+                    Form::Update => EndpointUpdate::Delta,
+                    Form::Replace => EndpointUpdate::Snapshot,
+                    _ => EndpointUpdate::Restored,
                 };
-                let result = self.step(now, router, Event::Endpoints(kind, &list));
+                let result = self.step(now, router, Event::EndpointsChanged(kind, &list));
                 self.lists[slot] = list;
                 result
             }
@@ -242,40 +242,40 @@
                 let request = Request {
                     id: id(op_id)?,
                     deadline: Micros(client_deadline),
-                    hint: estimate.map(Micros),
+                    expected_work: estimate.map(Micros),
                     key: resource.map(Key),
-                    write: is_write,
+                    is_write,
                     class: lane,
                     tenant: user_group,
-                    retry: again_by_client,
+                    is_client_retry: again_by_client,
                 };
                 self.step(now, router, Event::Request(request))
             }
-            Wire::Started { router, op_id } => self.step(now, router, Event::Started(id(op_id)?)),
+            Wire::Started { router, op_id } => self.step(now, router, Event::ResponseStarted(id(op_id)?)),
             Wire::Done { router, op_id, remark, closed, round_no, server, elapsed, result } => {
-                let outcome = Outcome {
+                let outcome = CompletedAttempt {
                     id: id(op_id)?,
                     server: ServerId(server.into()),
                     attempt: round_no,
                     latency: Micros(elapsed),
-                    status: match result {
-                        Code::Completed => Status::Ok,
-                        Code::Errored => Status::Error,
-                        Code::Saturated => Status::Full,
-                        Code::Overdue => Status::Timeout,
-                        Code::RefusedConn => Status::ConnectFailed,
-                        Code::Severed => Status::Reset,
-                        Code::Recalled => Status::Cancelled,
-                        Code::Superseded => Status::Moot,
-                        Code::LookupMiss => Status::Miss,
+                    result: match result {
+                        Code::Completed => AttemptResult::Served,
+                        Code::Errored => AttemptResult::Error,
+                        Code::Saturated => AttemptResult::Rejected,
+                        Code::Overdue => AttemptResult::Timeout,
+                        Code::RefusedConn => AttemptResult::ConnectFailed,
+                        Code::Severed => AttemptResult::Reset,
+                        Code::Recalled => AttemptResult::Cancelled,
+                        Code::Superseded => AttemptResult::NotSent,
+                        Code::LookupMiss => AttemptResult::Miss,
                     },
-                    closed,
-                    fetching: remark == 3,
+                    request_closed: closed,
+                    fetch_in_progress: remark == 3,
                 };
-                self.step(now, router, Event::Outcome(outcome))
+                self.step(now, router, Event::AttemptCompleted(outcome))
             }
             Wire::Fired { router, token } => self.step(now, router, Event::Timer(token)),
-            Wire::Aborted { router, op_id } => self.step(now, router, Event::Gone(id(op_id)?)),
+            Wire::Aborted { router, op_id } => self.step(now, router, Event::ClientDisconnected(id(op_id)?)),
             Wire::Message { router, msg } => {
                 let decoded = base64::engine::general_purpose::STANDARD.decode(msg);
                 decoded.map_err(|e| format!("message for router {router} is not base64: {e}"))?;
@@ -312,13 +312,13 @@
         Action::Send { id, server, timeout } => serde_json::json!({
             "event_type": "submit-to", "router": router, "op-id": text(id),
             "server": server.0, "max-wait": timeout.0}),
-        Action::Refuse { id, retry_after, .. } => serde_json::json!({
+        Action::Reject { id, retry_after, .. } => serde_json::json!({
             "event_type": "push-back", "router": router, "op-id": text(id), "backoff": retry_after.0}),
         Action::Fail { id } => serde_json::json!({
             "event_type": "finish-error", "router": router, "op-id": text(id)}),
         Action::Timer { at, token } => serde_json::json!({
             "event_type": "remind", "router": router, "moment": at.0, "token": token}),
-        Action::Watch => serde_json::json!({"event_type": "track", "router": router, "on": true}),
+        Action::WatchEndpoints => serde_json::json!({"event_type": "track", "router": router, "on": true}),
         Action::Log(line) => serde_json::json!({"event_type": "remark", "router": router, "line": line}),
     };
     out.extend_from_slice(value.to_string().as_bytes());
--- a/src/rules.rs
+++ b/src/balancer.rs
@@ -1,5 +1,5 @@
-//! Every decision of the balancer; the types of its interface stand in src/interface.rs.
-//! The mechanism is that of docs/design.md; what this file asks stands in a file for each concern.
+//! Who is asked for which event. The events stand in `src/event.rs`, the actions in `src/action.rs`; the
+//! mechanism is that of docs/design.md, and each concern has a file of its own in `src/balancer/`.
 
 mod gap;
 mod members;
@@ -10,7 +10,8 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::{interface::*, together::Together};
+use crate::coordination::OptionalCoordination;
+use crate::*;
 use gap::{Ladder, FEW, MEMORY};
 use members::{Members, Rate};
 use pending::{Attempt, Fate, Pending, Step};
@@ -76,13 +77,13 @@
     next_token: u64,
     passing: bool,
     hedges: f64,
-    together: Together,
+    coordination: OptionalCoordination,
 }
 
 impl Balancer {
     /// A balancer that knows nothing yet but its settings.
     pub fn new(settings: Settings, seed: u64) -> Balancer {
-        let settings = settings.sound();
+        let settings = settings.sanitized();
         Balancer {
             ladder: Ladder::new(&settings, settings.balancers),
             at_origin: Ladder::new(&settings, settings.balancers.min(FEW)),
@@ -103,21 +104,21 @@
             next_token: PASS + 1,
             passing: false,
             hedges: HEDGES_SAVED,
-            together: Together::default(),
+            coordination: OptionalCoordination::default(),
         }
     }
 
     /// Takes one event in and appends what is to be done.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Endpoints(kind, list) => self.listed(now, kind, list, actions),
+            Event::EndpointsChanged(kind, list) => self.listed(now, kind, list, actions),
             Event::Request(request) => self.arrived(now, request, actions),
-            Event::Started(id) => self.requests.get_mut(&id).into_iter().for_each(|p| p.begun = true),
-            Event::Outcome(outcome) => self.ended(now, outcome, actions),
+            Event::ResponseStarted(id) => self.requests.get_mut(&id).into_iter().for_each(|p| p.begun = true),
+            Event::AttemptCompleted(outcome) => self.ended(now, outcome, actions),
             Event::Timer(DISCOVERY) if !self.settings.subscribe || self.members.failures == 0 => {}
             // An older timer than that of the next call.
             Event::Timer(DISCOVERY) if now < self.members.call => {}
-            Event::Timer(DISCOVERY) => actions.push(Action::Watch),
+            Event::Timer(DISCOVERY) => actions.push(Action::WatchEndpoints),
             Event::Timer(PASS) => {
                 self.passing = false;
                 self.pass(now, actions);
@@ -131,12 +132,12 @@
                     }
                 }
             }
-            Event::Gone(id) => {
+            Event::ClientDisconnected(id) => {
                 if let Some(pending) = self.requests.remove(&id) {
                     self.held.remove(&pending.token);
                     self.queue.retain(|(_, queued)| *queued != id);
                     if let Some(server) = pending.out().and_then(|a| self.members.find(a.to.server)) {
-                        server.places.free(now, pending.request.write, None);
+                        server.places.free(now, pending.request.is_write, None);
                         server.places.take(false);
                     }
                 }
@@ -150,10 +151,10 @@
         (f64::from(self.settings.balancers) / FULL_SPREAD_FLEET).clamp(LEAST_SPREAD, 1.0)
     }
 
-    fn listed(&mut self, now: Micros, kind: ListKind, list: &[Entry], actions: &mut Vec<Action>) {
-        let spread = self.settings.rules.ask_within.min(ASKING);
+    fn listed(&mut self, now: Micros, kind: EndpointUpdate, list: &[Endpoint], actions: &mut Vec<Action>) {
+        let spread = self.settings.rules.discovery_poll_interval.min(ASKING);
         let start = self.start_spread();
-        if kind == ListKind::Unavailable {
+        if kind == EndpointUpdate::Unavailable {
             let mut wait = |(least, most)| spread.times(least + (most - least) * self.rng.f64());
             let soon = now.plus(wait(SOON));
             let part = if self.members.failures == START_FAILURES { start } else { 1.0 };
@@ -169,12 +170,12 @@
             return;
         }
         self.members.follow(kind, list, &self.settings);
-        self.together.listed(self.members.hosts());
-        if kind == ListKind::Restored && self.members.call.0 == 0 && self.settings.subscribe {
+        self.coordination.on_endpoints_changed(self.members.hosts());
+        if kind == EndpointUpdate::Restored && self.members.call.0 == 0 && self.settings.subscribe {
             let at = now.plus(spread.times(START * start * self.rng.f64())).plus(self.settings.tick);
             self.members.call = at;
             actions.push(Action::Timer { at, token: DISCOVERY });
-        } else if kind != ListKind::ByHand {
+        } else if kind != EndpointUpdate::OperatorOverride {
             (self.members.failures, self.members.call, self.members.start_calls) = (0, now, 0);
         }
     }
@@ -183,11 +184,14 @@
         request.tenant = request.tenant.min(self.settings.tenants.len() as u32);
         let spent = self.spent(now, &request);
         let class = self.settings.class(request.class);
-        let work = request.hint.unwrap_or(Micros(0));
-        let aim = class.aim.plus(work.times(class.aim_stretch)).min(class.deadline.max(class.aim));
+        let work = request.expected_work.unwrap_or(Micros(0));
+        let aim = class
+            .latency_objective
+            .plus(work.times(class.latency_objective_per_work))
+            .min(class.deadline.max(class.latency_objective));
         let aim = now.plus(aim.minus(spent)).min(request.deadline);
-        let useful = if class.late_worth > 0.0 { request.deadline } else { aim };
-        request.key.filter(|_| !request.write).into_iter().for_each(|key| self.placement.count(key));
+        let useful = if class.late_priority_weight > 0.0 { request.deadline } else { aim };
+        request.key.filter(|_| !request.is_write).into_iter().for_each(|key| self.placement.count(key));
         self.route(now, Pending::new(request, useful), actions);
     }
 
@@ -197,9 +201,9 @@
         let class = self.settings.class(request.class);
         let left = request.deadline.minus(now);
         let first = &mut self.first_waits[(request.class as usize).min(self.settings.classes.len() - 1)];
-        if !request.retry {
+        if !request.is_client_retry {
             *first = left.max(*first);
-            self.together.first(now);
+            self.coordination.on_first_attempt(now);
             self.hedges = (self.hedges + HEDGES / self.ladder.least).min(HEDGES_SAVED);
             return Micros(0);
         }
@@ -214,7 +218,7 @@
             Path::Queue(wait) => {
                 pending.step = Step::Queued;
                 let share = pending.request.key.map_or(0.0, |key| self.placement.share(key));
-                self.queue.push((share + f64::from(pending.request.write), id));
+                self.queue.push((share + f64::from(pending.request.is_write), id));
                 self.hold(now, wait, pending, actions);
                 self.next_pass(now, actions);
                 let most = self.members.origin().map_or(0, |s| s.places.freed(QUEUE));
@@ -226,12 +230,12 @@
                 }
             }
             Path::End(wait, reason) => {
-                self.together.ended(now, reason);
+                self.coordination.on_rejected(now, reason);
                 if pending.may_refuse(self.settings.class(pending.request.class)) {
                     let limits = &self.settings.limits;
                     let most = if limits.retry_after { limits.max_retry_after } else { Micros(0) };
                     let spread = SPREAD.times(self.rng.f64());
-                    actions.push(Action::Refuse { id, retry_after: wait.plus(spread).min(most), reason });
+                    actions.push(Action::Reject { id, retry_after: wait.plus(spread).min(most), reason });
                 } else {
                     actions.push(Action::Fail { id });
                 }
@@ -246,11 +250,11 @@
             if let Some(server) = self.members.find(to.server).filter(|s| s.places.fair(now.minus(sent))) {
                 server.gap.outcome(now, sent, true, &self.ladder, self.rng.f64());
                 self.members.told(to.zone, true);
-                self.together.saw(now, &to, Status::Timeout, Some(true));
+                self.coordination.on_attempt_completed(now, &to, AttemptResult::Timeout, Some(true));
             }
         }
         match self.path(now, &pending) {
-            Path::Send(at) if self.queue.is_empty() && self.together.spare(now, self.hedges) => {
+            Path::Send(at) if self.queue.is_empty() && self.coordination.allows_hedge(now, self.hedges) => {
                 self.hedges -= 1.0;
                 self.send(now, at, pending, actions);
             }
@@ -263,15 +267,15 @@
         let server = &mut self.members.servers[at];
         server.budget.iter_mut().for_each(|(left, _)| *left -= 1.0);
         server.gap.pass(now, pending.request.tenant);
-        server.places.take(pending.request.write);
+        server.places.take(pending.request.is_write);
         let entry = &server.entry;
         let second = !pending.attempts.is_empty() && !pending.missed;
         pending.step = Step::Usual;
         pending.attempts.push(Attempt { to: entry.clone(), sent: now, fate: Fate::Out });
         let class = self.settings.class(pending.request.class);
         let origin = self.settings.is_origin(entry);
-        self.together.sent(now, entry, origin, second);
-        let again = class.effect == Effect::Safe && !origin;
+        self.coordination.on_send(now, entry, origin, second);
+        let again = class.idempotency == Idempotency::Idempotent && !origin;
         let unheard = now.minus(server.heard).0 as f64 / (MEMORY * self.ladder.window.0 as f64);
         let after = HEDGE_AFTER - HEDGE_SOONER * unheard.min(1.0);
         let wait = pending.useful.minus(now).times(after).max(Micros(1));
@@ -304,7 +308,7 @@
 
     /// How long the origin's gap, or the own part of the fleet's limit there, keeps the next send back.
     fn closed(&mut self, now: Micros, tenant: u32) -> Micros {
-        let part = self.together.wait(Common::Origin, now);
+        let part = self.coordination.wait_time(SharedLimit::OriginRate, now);
         self.members.origin().map_or(part, |s| s.gap.wait(now, tenant, &self.at_origin).max(part))
     }
 
@@ -333,12 +337,15 @@
         let used = pending.attempts.len() as u32;
         let left = self.settings.limits.max_attempts.max(1).saturating_sub(used);
         let second = used > 0 && !pending.missed;
-        let spent = left == 0 || second && self.together.wait(Common::Second, now).0 > 0;
+        let spent = left == 0 || second && self.coordination.wait_time(SharedLimit::RetryBudget, now).0 > 0;
         if now >= pending.useful || spent {
-            return Path::End(Micros(0), if spent { RejectReason::Spent } else { RejectReason::Late });
+            return Path::End(
+                Micros(0),
+                if spent { RejectReason::AttemptsExhausted } else { RejectReason::ObjectiveMissed },
+            );
         }
         let tried = pending.missed || pending.out().is_some() || used as usize >= MAX_HOMES;
-        if self.settings.mode == Mode::Through || !(pending.request.write || tried || left == 1) {
+        if self.settings.mode == CacheMode::ReadThrough || !(pending.request.is_write || tried || left == 1) {
             if let Some(path) = self.at_cache(now, pending) {
                 return path;
             }
@@ -367,22 +374,22 @@
             }
             if now < server.places.rest || !server.places.room(now, true) {
                 // A crowded home is no reason to move a key where the origin can serve it.
-                if place + 1 >= homes && self.settings.mode != Mode::Through {
+                if place + 1 >= homes && self.settings.mode != CacheMode::ReadThrough {
                     break;
                 }
                 continue;
             }
             let class = self.settings.class(pending.request.class);
             if server.spare(now, fair, &self.settings.rules, &mut self.rng)
-                && self.together.open(now, &server.entry, server.heard, fair)
+                && self.coordination.admits(now, &server.entry, server.heard, fair)
                 && pending.may_send(now, &server.entry, class, &self.settings.limits)
             {
                 return Some(Path::Send(at));
             }
         }
         least
-            .filter(|_| self.settings.mode == Mode::Through)
-            .map(|wait| Path::End(wait, RejectReason::Gapped))
+            .filter(|_| self.settings.mode == CacheMode::ReadThrough)
+            .map(|wait| Path::End(wait, RejectReason::AllServersGapped))
     }
 
     fn at_origin(&mut self, now: Micros, pending: &Pending) -> Path {
@@ -390,45 +397,49 @@
         let wait = self.closed(now, request.tenant);
         let (settings, room) = (&self.settings, pending.useful.minus(now));
         let class = settings.class(request.class);
-        let Some(at) = self.members.origin else { return Path::End(Micros(0), RejectReason::Nowhere) };
+        let Some(at) = self.members.origin else {
+            return Path::End(Micros(0), RejectReason::NoEligibleServer);
+        };
         let server = &mut self.members.servers[at];
         if !pending.may_send(now, &server.entry, class, &settings.limits) {
-            return Path::End(Micros(0), RejectReason::Nowhere);
+            return Path::End(Micros(0), RejectReason::NoEligibleServer);
         }
-        let full = wait.0 > 0 || !server.places.room(now, request.write);
+        let full = wait.0 > 0 || !server.places.room(now, request.is_write);
         match pending.step {
             Step::Booked => Path::Send(at),
             Step::Preempted => Path::End(wait, RejectReason::Preempted),
             Step::Queued => Path::End(wait, RejectReason::QueueTimeout),
             _ if !server.places.hopeful(room) => Path::End(wait, RejectReason::DeadlineUnreachable),
-            _ if full || !(request.write || self.queue.is_empty()) => {
-                Path::Queue(room.times(if request.write { WRITE_WAITS } else { READ_WAITS }))
+            _ if full || !(request.is_write || self.queue.is_empty()) => {
+                Path::Queue(room.times(if request.is_write { WRITE_WAITS } else { READ_WAITS }))
             }
             _ => Path::Send(at),
         }
     }
 
-    fn ended(&mut self, now: Micros, outcome: Outcome, actions: &mut Vec<Action>) {
+    fn ended(&mut self, now: Micros, outcome: CompletedAttempt, actions: &mut Vec<Action>) {
         let known = self.requests.remove(&outcome.id);
-        let write = known.as_ref().is_some_and(|p| p.request.write);
+        let write = known.as_ref().is_some_and(|p| p.request.is_write);
         if let Some(server) = self.members.find(outcome.server) {
             let (origin, zone) = (self.settings.is_origin(&server.entry), server.entry.zone);
             let (latency, places) = (outcome.latency, &mut server.places);
             // The origin drops what nobody waits for; a cache server goes on with it.
-            let goes_on = (outcome.status == Status::Timeout && !origin).then_some(latency);
+            let goes_on = (outcome.result == AttemptResult::Timeout && !origin).then_some(latency);
             places.free(now, write, goes_on);
-            let rejected = match outcome.status {
-                Status::Full | Status::ConnectFailed => Some(true),
-                Status::Timeout if places.fair(latency) => {
+            let rejected = match outcome.result {
+                AttemptResult::Rejected | AttemptResult::ConnectFailed => Some(true),
+                AttemptResult::Timeout if places.fair(latency) => {
                     places.silent(now, latency, origin);
                     // A slow origin still refills caches, and its places bound what waits there.
                     (!origin).then_some(true)
                 }
                 // A connection that breaks tells of itself; a server that is gone, by the next one.
-                Status::Ok | Status::Miss | Status::Error | Status::Reset => Some(false),
-                Status::Timeout | Status::Cancelled | Status::Moot => None,
+                AttemptResult::Served | AttemptResult::Miss | AttemptResult::Error | AttemptResult::Reset => {
+                    Some(false)
+                }
+                AttemptResult::Timeout | AttemptResult::Cancelled | AttemptResult::NotSent => None,
             };
-            if outcome.status == Status::Ok {
+            if outcome.result == AttemptResult::Served {
                 places.answered(now, latency);
             }
             if let Some(rejected) = rejected {
@@ -436,8 +447,8 @@
                 server.gap.outcome(now, now.minus(latency), rejected, ladder, self.rng.f64());
             }
             let rejected = rejected.filter(|_| !origin);
-            self.together.saw(now, &server.entry, outcome.status, rejected);
-            if !origin && matches!(outcome.status, Status::Ok | Status::Miss) {
+            self.coordination.on_attempt_completed(now, &server.entry, outcome.result, rejected);
+            if !origin && matches!(outcome.result, AttemptResult::Served | AttemptResult::Miss) {
                 (server.heard, _) = (now, self.answers.add(now));
             }
             rejected.into_iter().for_each(|rejected| self.members.told(zone, rejected));
@@ -448,16 +459,27 @@
         self.pass(now, actions);
     }
 
-    fn go_on(&mut self, now: Micros, mut pending: Pending, outcome: &Outcome, actions: &mut Vec<Action>) {
+    fn go_on(
+        &mut self,
+        now: Micros,
+        mut pending: Pending,
+        outcome: &CompletedAttempt,
+        actions: &mut Vec<Action>,
+    ) {
         self.held.remove(&pending.token);
-        if outcome.closed {
+        if outcome.request_closed {
             return;
         }
         if let Some(attempt) = pending.attempts.get_mut(outcome.attempt as usize) {
-            let never = [Status::Full, Status::ConnectFailed, Status::Moot, Status::Miss];
-            attempt.fate = if never.contains(&outcome.status) { Fate::NeverRan } else { Fate::MayHaveRun };
+            let never = [
+                AttemptResult::Rejected,
+                AttemptResult::ConnectFailed,
+                AttemptResult::NotSent,
+                AttemptResult::Miss,
+            ];
+            attempt.fate = if never.contains(&outcome.result) { Fate::NeverRan } else { Fate::MayHaveRun };
         }
-        pending.missed |= outcome.status == Status::Miss;
+        pending.missed |= outcome.result == AttemptResult::Miss;
         pending.step = Step::Usual;
         if pending.out().is_some() || pending.begun {
             self.requests.insert(outcome.id, pending);
--- a/src/rules/gap.rs
+++ b/src/balancer/gap.rs
@@ -2,7 +2,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::interface::*;
+use crate::*;
 
 /// Ratio y of the ladder: a finer one settles nearer the right gap, a coarser one gets there sooner.
 pub(super) const RATIO: f64 = 1.5;
@@ -33,7 +33,7 @@
     /// a dead server grows with it, and what they lose by finding it well late does not.
     pub(super) fn new(settings: &Settings, balancers: u32) -> Ladder {
         let base = settings.tick.0.max(1_000) as f64;
-        let aim = settings.classes.iter().map(|c| c.aim).min().unwrap_or(Micros(500_000));
+        let aim = settings.classes.iter().map(|c| c.latency_objective).min().unwrap_or(Micros(500_000));
         let longest = settings.classes.iter().map(|c| c.deadline).max().unwrap_or(Micros(1_000_000));
         let balancers = f64::from(balancers);
         let (window, least) = (aim.times(0.5).max(Micros(1)), (LEAST / balancers).clamp(1.0, 4.0));
--- a/src/rules/members.rs
+++ b/src/balancer/members.rs
@@ -3,7 +3,7 @@
 use rustc_hash::FxHashMap;
 
 use super::{gap::Gap, places::Places};
-use crate::interface::*;
+use crate::*;
 
 /// Span in microseconds of the own rate of answers: some requests even at a quiet balancer.
 const RATE_SPAN: f64 = 8e6;
@@ -37,7 +37,7 @@
 
 #[derive(Debug)]
 pub(super) struct Server {
-    pub(super) entry: Entry,
+    pub(super) entry: Endpoint,
     pub(super) gap: Gap,
     pub(super) places: Places,
     pub(super) heard: Micros,
@@ -46,7 +46,7 @@
 }
 
 impl Server {
-    pub(super) fn new(entry: Entry, balancers: u32) -> Server {
+    pub(super) fn new(entry: Endpoint, balancers: u32) -> Server {
         Server { entry, gap: Gap::default(), places: Places::new(balancers), heard: Micros(0), budget: None }
     }
 
@@ -98,8 +98,8 @@
         self.origin.map(|at| &mut self.servers[at])
     }
 
-    pub(super) fn follow(&mut self, kind: ListKind, list: &[Entry], settings: &Settings) {
-        if kind.whole() {
+    pub(super) fn follow(&mut self, kind: EndpointUpdate, list: &[Endpoint], settings: &Settings) {
+        if kind.is_complete() {
             let mut named: Vec<ServerId> = list.iter().map(|e| e.server).collect();
             named.sort_unstable();
             self.servers.retain(|s| named.binary_search(&s.entry.server).is_ok());
@@ -107,8 +107,8 @@
         for entry in list {
             let place = self.servers.binary_search_by_key(&entry.server, |s| s.entry.server);
             match (place, entry.state) {
-                (Ok(at), State::Deleted) => drop(self.servers.remove(at)),
-                (Err(_), State::Deleted) => {}
+                (Ok(at), EndpointState::Deleted) => drop(self.servers.remove(at)),
+                (Err(_), EndpointState::Deleted) => {}
                 // A new start is another process: nothing known of the old one holds.
                 (Ok(at), _) if entry.started > self.servers[at].entry.started => {
                     self.servers[at] = Server::new(entry.clone(), self.balancers);
@@ -117,16 +117,17 @@
                 (Err(at), _) => self.servers.insert(at, Server::new(entry.clone(), self.balancers)),
             }
         }
-        let origin = |s: &Server| s.entry.state == State::Serving && settings.is_origin(&s.entry);
+        let origin = |s: &Server| s.entry.state == EndpointState::Serving && settings.is_origin(&s.entry);
         self.origin = self.servers.iter().position(origin);
     }
 }
 
 /// The part of its capacity that a server may be taken to have, by its age alone, so that every
 /// router ramps it alike and rule 4 holds without talk.
-pub(super) fn warmth(entry: &Entry, now: Micros, rules: &Rules) -> f64 {
-    let (age, whole) = (now.minus(entry.started).0 as f64, rules.warm_up.0 as f64);
+pub(super) fn warmth(entry: &Endpoint, now: Micros, rules: &Rules) -> f64 {
+    let (age, whole) = (now.minus(entry.started).0 as f64, rules.slow_start_duration.0 as f64);
     let part = if entry.started.0 == 0 { 1.0 } else { (age / whole).min(1.0) };
-    let cold = if rules.cold_share > 0.0 { rules.cold_share.min(1.0) } else { 0.05 };
+    let cold =
+        if rules.slow_start_initial_share > 0.0 { rules.slow_start_initial_share.min(1.0) } else { 0.05 };
     1.0 - (1.0 - cold) * (1.0 - part)
 }
--- a/src/rules/pending.rs
+++ b/src/balancer/pending.rs
@@ -1,6 +1,6 @@
 //! A request in hand, and what may still be done with it: rules 1 and 2 hold here or nowhere.
 
-use crate::interface::*;
+use crate::*;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fate {
@@ -11,7 +11,7 @@
 
 #[derive(Debug)]
 pub(super) struct Attempt {
-    pub(super) to: Entry,
+    pub(super) to: Endpoint,
     pub(super) sent: Micros,
     pub(super) fate: Fate,
 }
@@ -49,30 +49,31 @@
         self.attempts.iter().filter(|a| a.fate != Fate::NeverRan)
     }
 
-    pub(super) fn may_send(&self, now: Micros, to: &Entry, class: &Class, limits: &Limits) -> bool {
+    pub(super) fn may_send(&self, now: Micros, to: &Endpoint, class: &Class, limits: &Limits) -> bool {
         let out = self.out().is_some();
         let left = (self.attempts.len() as u32) < limits.max_attempts.max(1);
-        let open = !self.begun && now < self.request.deadline && to.state == State::Serving;
-        let twice = class.effect == Effect::Safe && limits.may_duplicate;
+        let open = !self.begun && now < self.request.deadline && to.state == EndpointState::Serving;
+        let twice = class.idempotency == Idempotency::Idempotent && limits.may_duplicate;
         (!out || twice)
             && left
             && open
-            && match class.effect {
-                Effect::Safe => true,
-                Effect::Unsafe => self.may_have_run().next().is_none(),
-                Effect::Keyed => self.may_have_run().all(|a| {
-                    let near = match class.group {
-                        Group::All => true,
-                        Group::Zone => a.to.zone == to.zone,
-                        Group::Cell => a.to.cell == to.cell,
+            && match class.idempotency {
+                Idempotency::Idempotent => true,
+                Idempotency::NotIdempotent => self.may_have_run().next().is_none(),
+                Idempotency::WithIdempotencyKey => self.may_have_run().all(|a| {
+                    let near = match class.deduplication_scope {
+                        DeduplicationScope::All => true,
+                        DeduplicationScope::Zone => a.to.zone == to.zone,
+                        DeduplicationScope::Cell => a.to.cell == to.cell,
                     };
-                    near && now.minus(a.sent) < class.window
+                    near && now.minus(a.sent) < class.deduplication_window
                 }),
             }
     }
 
     pub(super) fn may_refuse(&self, class: &Class) -> bool {
-        let harmless = class.effect == Effect::Keyed && class.group == Group::All;
-        class.effect == Effect::Safe || harmless || self.may_have_run().next().is_none()
+        let harmless = class.idempotency == Idempotency::WithIdempotencyKey
+            && class.deduplication_scope == DeduplicationScope::All;
+        class.idempotency == Idempotency::Idempotent || harmless || self.may_have_run().next().is_none()
     }
 }
--- a/src/rules/placement.rs
+++ b/src/balancer/placement.rs
@@ -3,7 +3,7 @@
 use rustc_hash::FxHashMap;
 
 use super::members::{warmth, Server};
-use crate::interface::*;
+use crate::*;
 
 /// Requests counted before all popularity counts are halved: bounds the table, ages old favourites.
 pub(super) const POPULARITY_SPAN: f64 = 2048.0;
@@ -51,7 +51,10 @@
         for (at, server) in servers.iter().enumerate() {
             let (entry, warm) = (&server.entry, warmth(&server.entry, now, &settings.rules));
             // A hot key would push a cold server over by itself (rule 4).
-            if entry.state != State::Serving || settings.is_origin(entry) || warm < 1.0 && share > warm {
+            if entry.state != EndpointState::Serving
+                || settings.is_origin(entry)
+                || warm < 1.0 && share > warm
+            {
                 continue;
             }
             let ok = settings.weighted && entry.weight.is_finite() && entry.weight > 0.0;
--- a/src/rules/places.rs
+++ b/src/balancer/places.rs
@@ -1,6 +1,6 @@
 //! How many own sends may be out at one server: the paper's internal control (section 2).
 
-use crate::interface::*;
+use crate::*;
 
 /// The bound for a server of which nothing is known: one, and this shared out to all balancers.
 const FIRST: f64 = 6.0;
--- a/src/rules/tests.rs
+++ b/src/balancer/tests.rs
@@ -15,23 +15,23 @@
 
 const SECOND: u64 = 1_000_000;
 
-fn settings(effect: Effect, group: Group) -> Settings {
+fn settings(idempotency: Idempotency, group: DeduplicationScope) -> Settings {
     let class = Class {
-        aim: Micros(250_000),
-        aim_stretch: 0.0,
+        latency_objective: Micros(250_000),
+        latency_objective_per_work: 0.0,
         deadline: Micros(SECOND),
-        effect,
-        group,
-        window: Micros(400_000),
-        worth: 1.0,
-        late_worth: 0.0,
+        idempotency,
+        deduplication_scope: group,
+        deduplication_window: Micros(400_000),
+        priority_weight: 1.0,
+        late_priority_weight: 0.0,
     };
     Settings {
         balancers: 100,
         zone: 0,
         classes: vec![class],
         tenants: vec![],
-        mode: Mode::Aside(7),
+        mode: CacheMode::Aside(7),
         subscribe: false,
         weighted: false,
         tick: Micros(5_000),
@@ -41,31 +41,35 @@
             retry_after: true,
             may_duplicate: false,
         },
-        rules: Rules { ask_within: Micros(10 * SECOND), cold_share: 0.1, warm_up: Micros(20 * SECOND) },
+        rules: Rules {
+            discovery_poll_interval: Micros(10 * SECOND),
+            slow_start_initial_share: 0.1,
+            slow_start_duration: Micros(20 * SECOND),
+        },
     }
 }
 
-fn entry(server: u64) -> Entry {
+fn entry(server: u64) -> Endpoint {
     let kind = if server == 900 { 7 } else { 0 };
     let (zone, cell) = ((server % 2) as u32, (server % 4) as u32);
-    Entry {
+    Endpoint {
         server: ServerId(server),
         zone,
         kind,
         cell,
-        state: State::Serving,
+        state: EndpointState::Serving,
         weight: 1.0,
         started: Micros(0),
     }
 }
 
-fn fleet(n: u64) -> Vec<Entry> {
+fn fleet(n: u64) -> Vec<Endpoint> {
     (0..n).chain([900]).map(entry).collect()
 }
 
-fn balancer(settings: Settings, list: &[Entry]) -> Balancer {
+fn balancer(settings: Settings, list: &[Endpoint]) -> Balancer {
     let mut balancer = Balancer::new(settings, 3);
-    step(&mut balancer, 1, Event::Endpoints(ListKind::Restored, list));
+    step(&mut balancer, 1, Event::EndpointsChanged(EndpointUpdate::Restored, list));
     balancer
 }
 
@@ -85,18 +89,26 @@
     Request {
         id: id(n),
         deadline: Micros(now + SECOND),
-        hint: None,
+        expected_work: None,
         key: Some(Key(key)),
-        write: false,
+        is_write: false,
         class: 0,
         tenant: 0,
-        retry: false,
+        is_client_retry: false,
     }
 }
 
-fn outcome(n: u64, attempt: u32, server: ServerId, status: Status) -> Event<'static> {
+fn outcome(n: u64, attempt: u32, server: ServerId, status: AttemptResult) -> Event<'static> {
     let latency = Micros(1_000);
-    Event::Outcome(Outcome { id: id(n), server, attempt, latency, status, closed: false, fetching: false })
+    Event::AttemptCompleted(CompletedAttempt {
+        id: id(n),
+        server,
+        attempt,
+        latency,
+        result: status,
+        request_closed: false,
+        fetch_in_progress: false,
+    })
 }
 
 fn sent(actions: &[Action]) -> Option<ServerId> {
@@ -111,7 +123,7 @@
         Key(key),
         Micros(5),
         &balancer.members.servers,
-        &settings(Effect::Safe, Group::All),
+        &settings(Idempotency::Idempotent, DeduplicationScope::All),
     );
     assert_eq!(homes, 1);
     balancer.members.servers[balancer.placement.order[0].1].entry.server
@@ -120,8 +132,8 @@
 #[test]
 fn a_list_change_moves_only_the_keys_of_the_server_that_left() {
     let list = fleet(20);
-    let mut all = balancer(settings(Effect::Safe, Group::All), &list);
-    let mut fewer = balancer(settings(Effect::Safe, Group::All), &list[1..]);
+    let mut all = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &list);
+    let mut fewer = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &list[1..]);
     let mut moved = 0;
     for key in 0..1_000 {
         let (before, after) = (home(&mut all, key), home(&mut fewer, key));
@@ -137,27 +149,27 @@
 #[test]
 fn a_popular_key_gets_more_homes_and_a_cold_server_gets_none_of_it() {
     let mut list = fleet(20);
-    let mut b = balancer(settings(Effect::Safe, Group::All), &list);
+    let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &list);
     for _ in 0..300 {
         b.placement.count(Key(1));
         b.placement.count(Key(2_000 + b.placement.total as u64));
     }
     let share = b.placement.share(Key(1));
     assert!((0.4..0.6).contains(&share), "{share}");
-    let rules = settings(Effect::Safe, Group::All);
+    let rules = settings(Idempotency::Idempotent, DeduplicationScope::All);
     let homes = b.placement.rank(Key(1), Micros(5), &b.members.servers, &rules);
     assert!(homes > 5, "{homes} homes for half of all requests on 20 servers");
     let first = b.members.servers[b.placement.order[0].1].entry.server;
     list[first.0 as usize].started = Micros(100 * SECOND);
-    step(&mut b, 101 * SECOND, Event::Endpoints(ListKind::Replace, &list));
+    step(&mut b, 101 * SECOND, Event::EndpointsChanged(EndpointUpdate::Snapshot, &list));
     b.placement.rank(Key(1), Micros(101 * SECOND), &b.members.servers, &rules);
     assert!(b.placement.order.iter().all(|(_, at)| b.members.servers[*at].entry.server != first));
 }
 
 #[test]
 fn warmth_rises_from_the_cold_share_to_one() {
-    let rules = settings(Effect::Safe, Group::All).rules;
-    let cold = Entry { started: Micros(100 * SECOND), ..entry(1) };
+    let rules = settings(Idempotency::Idempotent, DeduplicationScope::All).rules;
+    let cold = Endpoint { started: Micros(100 * SECOND), ..entry(1) };
     let at = |s: u64| warmth(&cold, Micros(s * SECOND), &rules);
     assert!((at(100) - 0.1).abs() < 1e-9 && (at(110) - 0.55).abs() < 1e-9 && at(120) == 1.0);
     assert!((warmth(&cold, Micros(0), &rules) - 0.1).abs() < 1e-9, "started in the future is cold");
@@ -166,9 +178,9 @@
 #[test]
 fn a_cold_server_gets_no_more_than_its_warmth_of_what_warm_ones_answer() {
     // Gapped servers once shed all their keys onto one that had just started.
-    let rules = settings(Effect::Safe, Group::All).rules;
+    let rules = settings(Idempotency::Idempotent, DeduplicationScope::All).rules;
     let mut rng = fastrand::Rng::with_seed(5);
-    let started = Entry { started: Micros(100 * SECOND), ..entry(1) };
+    let started = Endpoint { started: Micros(100 * SECOND), ..entry(1) };
     let mut server = Server::new(started, 1);
     let mut taken = 0;
     for ms in 0..2_000 {
@@ -184,11 +196,11 @@
 
 #[test]
 fn drains_and_departures_stop_sends_at_once() {
-    for state in [State::Draining, State::Deleted] {
-        let mut b = balancer(settings(Effect::Safe, Group::All), &fleet(3));
+    for state in [EndpointState::Draining, EndpointState::Deleted] {
+        let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(3));
         let target = sent(&step(&mut b, 10, Event::Request(request(1, 10, 5)))).expect("sent");
-        let change = [Entry { state, ..entry(target.0) }];
-        step(&mut b, 20, Event::Endpoints(ListKind::Update, &change));
+        let change = [Endpoint { state, ..entry(target.0) }];
+        step(&mut b, 20, Event::EndpointsChanged(EndpointUpdate::Delta, &change));
         for n in 2..200 {
             b.members.servers.iter_mut().for_each(|s| s.places = Places::new(1));
             let to = sent(&step(&mut b, 30 + n, Event::Request(request(n, 30 + n, n))));
@@ -199,27 +211,29 @@
 
 #[test]
 fn a_new_start_forgets_the_old_history() {
-    let mut b = balancer(settings(Effect::Safe, Group::All), &fleet(3));
+    let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(3));
     b.members.servers[1].gap.rung = 9;
-    let restarted = [Entry { started: Micros(50), ..entry(1) }];
-    step(&mut b, 60, Event::Endpoints(ListKind::Update, &restarted));
+    let restarted = [Endpoint { started: Micros(50), ..entry(1) }];
+    step(&mut b, 60, Event::EndpointsChanged(EndpointUpdate::Delta, &restarted));
     assert_eq!(b.members.servers[1].gap.rung, 0);
 }
 
-/// Every cell of effect and group, outcome, and time: may it be sent again, may it be refused?
+/// Every cell of idempotency and group, outcome, and time: may it be sent again, may it be refused?
 #[test]
 fn every_class_and_outcome_has_its_right_to_repeat_and_to_refuse() {
-    let never = [Status::Full, Status::ConnectFailed, Status::Moot, Status::Miss];
-    let maybe = [Status::Error, Status::Timeout, Status::Reset, Status::Cancelled];
-    for (effect, group) in [
-        (Effect::Safe, Group::All),
-        (Effect::Keyed, Group::All),
-        (Effect::Keyed, Group::Zone),
-        (Effect::Keyed, Group::Cell),
-        (Effect::Unsafe, Group::All),
+    let never =
+        [AttemptResult::Rejected, AttemptResult::ConnectFailed, AttemptResult::NotSent, AttemptResult::Miss];
+    let maybe =
+        [AttemptResult::Error, AttemptResult::Timeout, AttemptResult::Reset, AttemptResult::Cancelled];
+    for (idempotency, group) in [
+        (Idempotency::Idempotent, DeduplicationScope::All),
+        (Idempotency::WithIdempotencyKey, DeduplicationScope::All),
+        (Idempotency::WithIdempotencyKey, DeduplicationScope::Zone),
+        (Idempotency::WithIdempotencyKey, DeduplicationScope::Cell),
+        (Idempotency::NotIdempotent, DeduplicationScope::All),
     ] {
         for status in never.iter().chain(&maybe) {
-            let settings = settings(effect, group);
+            let settings = settings(idempotency, group);
             let mut b = balancer(settings.clone(), &fleet(4));
             let first = sent(&step(&mut b, 10, Event::Request(request(1, 10, 5)))).expect("sent");
             let mut pending = b.requests.remove(&id(1)).expect("in hand");
@@ -228,19 +242,27 @@
             assert!(!pending.may_send(Micros(20), &to(first.0), class, limits), "one is still out");
             let twice = Limits { may_duplicate: true, ..limits.clone() };
             let second = pending.may_send(Micros(20), &to(first.0), class, &twice);
-            assert_eq!(second, effect == Effect::Safe, "a second copy only of what is safe to repeat");
+            assert_eq!(
+                second,
+                idempotency == Idempotency::Idempotent,
+                "a second copy only of what is safe to repeat"
+            );
             let never_ran = never.contains(status);
             pending.attempts[0].fate = if never_ran { Fate::NeverRan } else { Fate::MayHaveRun };
             let (same, other) = (to(first.0), to((first.0 + 1) % 4));
-            let allowed = |at: &Entry, now: u64| pending.may_send(Micros(now), at, class, limits);
-            let keyed = effect == Effect::Keyed;
-            let free = never_ran || effect == Effect::Safe;
-            let name = format!("{effect:?} {group:?} {status:?}");
+            let allowed = |at: &Endpoint, now: u64| pending.may_send(Micros(now), at, class, limits);
+            let keyed = idempotency == Idempotency::WithIdempotencyKey;
+            let free = never_ran || idempotency == Idempotency::Idempotent;
+            let name = format!("{idempotency:?} {group:?} {status:?}");
             assert_eq!(allowed(&same, 20), free || keyed, "{name}");
-            assert_eq!(allowed(&other, 20), free || keyed && group == Group::All, "{name}");
+            assert_eq!(allowed(&other, 20), free || keyed && group == DeduplicationScope::All, "{name}");
             assert_eq!(allowed(&same, 400_010), free, "{name}: past its window");
-            assert_eq!(pending.may_refuse(class), free || keyed && group == Group::All, "{name}");
-            let draining = Entry { state: State::Draining, ..to(first.0) };
+            assert_eq!(
+                pending.may_refuse(class),
+                free || keyed && group == DeduplicationScope::All,
+                "{name}"
+            );
+            let draining = Endpoint { state: EndpointState::Draining, ..to(first.0) };
             assert!(!allowed(&draining, 20) && !allowed(&same, SECOND + 10), "{name}");
         }
     }
@@ -248,12 +270,12 @@
 
 #[test]
 fn a_dead_request_is_refused_where_harmless_and_failed_where_not() {
-    for (effect, refused) in [(Effect::Safe, true), (Effect::Unsafe, false)] {
-        let mut b = balancer(settings(effect, Group::All), &fleet(4));
+    for (idempotency, refused) in [(Idempotency::Idempotent, true), (Idempotency::NotIdempotent, false)] {
+        let mut b = balancer(settings(idempotency, DeduplicationScope::All), &fleet(4));
         let to = sent(&step(&mut b, 10, Event::Request(request(1, 10, 5)))).expect("sent");
-        let actions = step(&mut b, SECOND + 10, outcome(1, 0, to, Status::Timeout));
+        let actions = step(&mut b, SECOND + 10, outcome(1, 0, to, AttemptResult::Timeout));
         let fine = match &actions[..] {
-            [Action::Refuse { retry_after, .. }] => refused && *retry_after <= SPREAD,
+            [Action::Reject { retry_after, .. }] => refused && *retry_after <= SPREAD,
             [Action::Fail { .. }] => !refused,
             _ => false,
         };
@@ -264,12 +286,16 @@
 
 #[test]
 fn odd_settings_are_survived() {
-    let mut odd = settings(Effect::Safe, Group::All);
+    let mut odd = settings(Idempotency::Idempotent, DeduplicationScope::All);
     odd.classes.clear();
     odd.balancers = 0;
     odd.tick = Micros(0);
     odd.limits.max_attempts = 0;
-    odd.rules = Rules { ask_within: Micros(0), cold_share: f64::NAN, warm_up: Micros(0) };
+    odd.rules = Rules {
+        discovery_poll_interval: Micros(0),
+        slow_start_initial_share: f64::NAN,
+        slow_start_duration: Micros(0),
+    };
     odd.weighted = true;
     let mut list = fleet(3);
     (list[0].weight, list[1].weight, list[2].weight) = (f64::NAN, 0.0, -1.0);
@@ -278,23 +304,26 @@
     assert!(sent(&step(&mut b, 10, Event::Request(wild.clone()))).is_some());
     let mut empty = balancer(odd, &[]);
     assert_eq!(step(&mut empty, 10, Event::Request(wild)).len(), 1, "no server: answered at once");
-    step(&mut empty, 10, outcome(77, 9, ServerId(5), Status::Full));
+    step(&mut empty, 10, outcome(77, 9, ServerId(5), AttemptResult::Rejected));
     step(&mut empty, 10, Event::Timer(u64::MAX));
 }
 
 #[test]
 fn discovery_is_asked_apart_and_within_the_rule() {
-    let mut asking = settings(Effect::Safe, Group::All);
+    let mut asking = settings(Idempotency::Idempotent, DeduplicationScope::All);
     asking.subscribe = true;
     let mut times = Vec::new();
     for seed in 0..50 {
         let mut b = Balancer::new(asking.clone(), seed);
-        let first = step(&mut b, 1, Event::Endpoints(ListKind::Restored, &[]));
+        let first = step(&mut b, 1, Event::EndpointsChanged(EndpointUpdate::Restored, &[]));
         let [Action::Timer { at, token }] = first[..] else { panic!("{first:?}") };
-        assert_eq!(step(&mut b, at.0, Event::Timer(token)), [Action::Watch]);
-        let again = step(&mut b, at.0 + 1, Event::Endpoints(ListKind::Unavailable, &[]));
+        assert_eq!(step(&mut b, at.0, Event::Timer(token)), [Action::WatchEndpoints]);
+        let again = step(&mut b, at.0 + 1, Event::EndpointsChanged(EndpointUpdate::Unavailable, &[]));
         let [Action::Timer { at: retry, .. }] = again[..] else { panic!("{again:?}") };
-        assert!(at < asking.rules.ask_within && retry.minus(at) < asking.rules.ask_within);
+        assert!(
+            at < asking.rules.discovery_poll_interval
+                && retry.minus(at) < asking.rules.discovery_poll_interval
+        );
         times.push(at.0);
     }
     times.sort_unstable();
@@ -310,34 +339,49 @@
     let policy = deploy.lines().find(|l| l.starts_with("policy")).expect("the deploy file lists the policy");
     let names: Vec<&str> = policy.split('"').skip(1).step_by(2).collect();
     let files: Vec<String> = names.iter().map(|n| std::fs::read_to_string(root.join(n)).expect(n)).collect();
-    let rules = std::fs::read_dir(root.join("src/rules")).expect("a folder");
+    let rules = std::fs::read_dir(root.join("src/balancer")).expect("a folder");
     let count = rules.filter(|f| f.as_ref().is_ok_and(|f| f.path().is_file())).count();
-    assert_eq!(files.len(), count - 1, "rules.rs, and all beside it but the tests and what only shows");
+    assert_eq!(files.len(), count - 1, "balancer.rs, and all beside it but the tests and the view");
     let lines = || files.iter().flat_map(|text| text.lines());
     assert!(lines().all(|l| l.chars().count() <= 110));
-    assert!(files[0].lines().take(3).any(|l| l.contains("src/interface.rs")));
+    for types in ["src/event.rs", "src/action.rs"] {
+        assert!(files[0].lines().take(3).any(|l| l.contains(types)));
+    }
 }
 
 /// What the model knows of one request, to judge the module's actions by.
 #[derive(Default)]
 struct Watched {
     deadline: u64,
-    attempts: Vec<(ServerId, u64, Option<Status>)>,
+    attempts: Vec<(ServerId, u64, Option<AttemptResult>)>,
 }
 
 /// Drives one balancer through a random history and judges rules 1 to 3 after each step.
-fn drive(seed: u64, effect: Effect, group: Group, steps: u64) -> Result<(Vec<Action>, usize), TestCaseError> {
+fn drive(
+    seed: u64,
+    idempotency: Idempotency,
+    group: DeduplicationScope,
+    steps: u64,
+) -> Result<(Vec<Action>, usize), TestCaseError> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut settings = settings(effect, group);
+    let mut settings = settings(idempotency, group);
     settings.limits.may_duplicate = seed.is_multiple_of(2);
     let class = settings.classes[0].clone();
-    let twice = effect == Effect::Safe && settings.limits.may_duplicate;
+    let twice = idempotency == Idempotency::Idempotent && settings.limits.may_duplicate;
     let mut b = balancer(settings.clone(), &fleet(6));
-    let mut state: Vec<State> = vec![State::Serving; 6];
+    let mut state: Vec<EndpointState> = vec![EndpointState::Serving; 6];
     let mut open: std::collections::BTreeMap<RequestId, Watched> = Default::default();
     let mut timers: Vec<(u64, u64)> = vec![];
     let (mut now, mut log) = (10u64, vec![]);
-    let never = |s: Status| matches!(s, Status::Full | Status::ConnectFailed | Status::Moot | Status::Miss);
+    let never = |s: AttemptResult| {
+        matches!(
+            s,
+            AttemptResult::Rejected
+                | AttemptResult::ConnectFailed
+                | AttemptResult::NotSent
+                | AttemptResult::Miss
+        )
+    };
     for n in 0..steps {
         now += rng.u64(1..20_000);
         let mut events: Vec<(u64, Event)> = vec![];
@@ -349,17 +393,24 @@
         match rng.u32(0..10) {
             0 => {
                 let at = rng.u32(0..6);
-                let next = [State::Serving, State::Draining, State::Deleted][rng.usize(..3)];
+                let next =
+                    [EndpointState::Serving, EndpointState::Draining, EndpointState::Deleted][rng.usize(..3)];
                 state[at as usize] = next;
-                change = [Entry { state: next, started: Micros(now / 2), ..entry(at.into()) }];
+                change = [Endpoint { state: next, started: Micros(now / 2), ..entry(at.into()) }];
                 // The model knows of the change at once, so the balancer must hear of it first.
-                events.insert(0, (now, Event::Endpoints(ListKind::Update, &change)));
+                events.insert(0, (now, Event::EndpointsChanged(EndpointUpdate::Delta, &change)));
             }
             1..=4 => {
                 let write = rng.u32(0..5) == 0;
                 let retry = rng.u32(0..5) == 0;
-                events
-                    .push((now, Event::Request(Request { write, retry, ..request(n, now, rng.u64(0..40)) })));
+                events.push((
+                    now,
+                    Event::Request(Request {
+                        is_write: write,
+                        is_client_retry: retry,
+                        ..request(n, now, rng.u64(0..40))
+                    }),
+                ));
                 open.insert(id(n), Watched { deadline: now + SECOND, attempts: vec![] });
             }
             5 => events.push((now, Event::Timer(rng.u64(1_000_000..)))),
@@ -372,27 +423,28 @@
         });
         if let Some((id, at, late)) = out {
             let kinds = [
-                Status::Full,
-                Status::Timeout,
-                Status::Miss,
-                Status::ConnectFailed,
-                Status::Reset,
-                Status::Error,
-                Status::Ok,
+                AttemptResult::Rejected,
+                AttemptResult::Timeout,
+                AttemptResult::Miss,
+                AttemptResult::ConnectFailed,
+                AttemptResult::Reset,
+                AttemptResult::Error,
+                AttemptResult::Served,
             ];
-            let status = if late { Status::Timeout } else { kinds[rng.usize(..kinds.len())] };
+            let result = if late { AttemptResult::Timeout } else { kinds[rng.usize(..kinds.len())] };
             let watched = open.get_mut(&id).expect("open");
             let (server, sent, end) = &mut watched.attempts[at];
-            *end = Some(status);
+            *end = Some(result);
             let (server, latency) = (*server, Micros(now - *sent));
-            let closed = status == Status::Ok;
-            if closed {
+            let request_closed = result == AttemptResult::Served;
+            if request_closed {
                 open.remove(&id);
             }
-            let fetching = rng.bool();
+            let fetch_in_progress = rng.bool();
             let attempt = at as u32;
-            let outcome = Outcome { id, server, attempt, latency, status, closed, fetching };
-            events.push((now, Event::Outcome(outcome)));
+            let outcome =
+                CompletedAttempt { id, server, attempt, latency, result, request_closed, fetch_in_progress };
+            events.push((now, Event::AttemptCompleted(outcome)));
         }
         for (now, event) in events {
             let actions = step(&mut b, now, event);
@@ -407,23 +459,29 @@
                         let ran = before.iter().filter(|a| a.2.is_none_or(|s| !never(s)));
                         for (at, sent, _) in ran {
                             let near = match group {
-                                Group::All => true,
-                                Group::Zone => at.0 % 2 == server.0 % 2,
-                                Group::Cell => at.0 % 4 == server.0 % 4,
+                                DeduplicationScope::All => true,
+                                DeduplicationScope::Zone => at.0 % 2 == server.0 % 2,
+                                DeduplicationScope::Cell => at.0 % 4 == server.0 % 4,
                             };
-                            let keyed = effect == Effect::Keyed && near && now - sent < class.window.0;
-                            prop_assert!(effect == Effect::Safe || keyed, "rule 2: sent twice");
+                            let keyed = idempotency == Idempotency::WithIdempotencyKey
+                                && near
+                                && now - sent < class.deduplication_window.0;
+                            prop_assert!(
+                                idempotency == Idempotency::Idempotent || keyed,
+                                "rule 2: sent twice"
+                            );
                         }
-                        let fine = server.0 == 900 || state[server.0 as usize] == State::Serving;
+                        let fine = server.0 == 900 || state[server.0 as usize] == EndpointState::Serving;
                         prop_assert!(fine, "rule 3: sent to a draining server");
                         watched.attempts.push((*server, now, None));
                     }
-                    Action::Refuse { id, .. } => {
+                    Action::Reject { id, .. } => {
                         let watched = open.remove(id).expect("rule 1: answered twice");
                         let mut ran = watched.attempts.iter().filter(|a| a.2.is_none_or(|s| !never(s)));
                         let harmless = ran.next().is_none()
-                            || effect == Effect::Safe
-                            || effect == Effect::Keyed && group == Group::All;
+                            || idempotency == Idempotency::Idempotent
+                            || idempotency == Idempotency::WithIdempotencyKey
+                                && group == DeduplicationScope::All;
                         prop_assert!(harmless, "rule 2: refused what may have run");
                     }
                     Action::Fail { id } => {
@@ -433,7 +491,7 @@
                         prop_assert!(at.0 > now);
                         timers.push((at.0, *token));
                     }
-                    Action::Watch | Action::Log(_) => {}
+                    Action::WatchEndpoints | Action::Log(_) => {}
                 }
             }
             log.extend(actions);
@@ -460,15 +518,15 @@
     })]
     #[test]
     fn any_history_keeps_the_rules_and_repeats_exactly(seed: u64, kind in 0usize..5) {
-        let (effect, group) = [
-            (Effect::Safe, Group::All),
-            (Effect::Keyed, Group::All),
-            (Effect::Keyed, Group::Zone),
-            (Effect::Keyed, Group::Cell),
-            (Effect::Unsafe, Group::All),
+        let (idempotency, group) = [
+            (Idempotency::Idempotent, DeduplicationScope::All),
+            (Idempotency::WithIdempotencyKey, DeduplicationScope::All),
+            (Idempotency::WithIdempotencyKey, DeduplicationScope::Zone),
+            (Idempotency::WithIdempotencyKey, DeduplicationScope::Cell),
+            (Idempotency::NotIdempotent, DeduplicationScope::All),
         ][kind];
-        let first = drive(seed, effect, group, 1_500)?;
+        let first = drive(seed, idempotency, group, 1_500)?;
         prop_assert!(first.0.len() > 500);
-        prop_assert_eq!(first, drive(seed, effect, group, 1_500)?, "same events, same actions");
+        prop_assert_eq!(first, drive(seed, idempotency, group, 1_500)?, "same events, same actions");
     }
 }
--- a/src/rules/tests/capacity.rs
+++ b/src/balancer/tests/capacity.rs
@@ -188,7 +188,7 @@
 }
 
 fn discovery_wave(balancers: usize, seed: u64, service_ms: u64) {
-    let mut settings = settings(Effect::Safe, Group::All);
+    let mut settings = settings(Idempotency::Idempotent, DeduplicationScope::All);
     (settings.subscribe, settings.balancers) = (true, balancers as u32);
     let callers = balancers * 2 / 5;
     let mut wave: Vec<Balancer> =
@@ -200,24 +200,24 @@
         other => panic!("{other:?}"),
     };
     for (n, balancer) in wave.iter_mut().enumerate() {
-        let actions = step(balancer, SECOND, Event::Endpoints(ListKind::Restored, &known));
+        let actions = step(balancer, SECOND, Event::EndpointsChanged(EndpointUpdate::Restored, &known));
         plan(&mut due, n, &actions);
     }
     let mut queue = CallQueue { service: service_ms * 1_000, free: 0 };
     let (mut listed, mut calls) = (Vec::new(), BTreeMap::<u64, usize>::new());
     while let Some(((now, n), is_call)) = due.pop_first() {
         if !is_call {
-            let actions = step(&mut wave[n], now, Event::Endpoints(ListKind::Unavailable, &[]));
+            let actions = step(&mut wave[n], now, Event::EndpointsChanged(EndpointUpdate::Unavailable, &[]));
             plan(&mut due, n, &actions);
             continue;
         }
-        if step(&mut wave[n], now, Event::Timer(DISCOVERY)) != [Action::Watch] {
+        if step(&mut wave[n], now, Event::Timer(DISCOVERY)) != [Action::WatchEndpoints] {
             continue;
         }
         *calls.entry(now / SECOND).or_default() += 1;
         match queue.call(now) {
             Ok(at) => {
-                step(&mut wave[n], at, Event::Endpoints(ListKind::Replace, &known));
+                step(&mut wave[n], at, Event::EndpointsChanged(EndpointUpdate::Snapshot, &known));
                 listed.push((at - SECOND) as f64 / 1e6);
             }
             Err(at) => {
--- a/src/rules/tests/fleet.rs
+++ b/src/balancer/tests/fleet.rs
@@ -102,7 +102,7 @@
     (0..5).for_each(|_| members.told(0, false));
     assert!(members.astray(0) < ASTRAY, "{}", members.astray(0));
 
-    let mut b = balancer(settings(Effect::Safe, Group::All), &fleet(24));
+    let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(24));
     let (mut even, mut all) = (0, 0);
     for n in 0..200 {
         (0..12).for_each(|n| b.members.told(n % 2, n % 2 == 0));
@@ -110,9 +110,11 @@
         let to = sent(&step(&mut b, now, Event::Request(request(n, now, n)))).expect("sent");
         all += u32::from(to.0 != 900);
         even += u32::from(to.0 != 900 && to.0.is_multiple_of(2));
-        let Event::Outcome(mut end) = outcome(n, 0, to, Status::Ok) else { unreachable!() };
-        end.closed = true;
-        step(&mut b, now + 1_000, Event::Outcome(end));
+        let Event::AttemptCompleted(mut end) = outcome(n, 0, to, AttemptResult::Served) else {
+            unreachable!()
+        };
+        end.request_closed = true;
+        step(&mut b, now + 1_000, Event::AttemptCompleted(end));
     }
     assert!(even * 4 < all, "{even} of {all} to a zone of which every end was lost");
 }
@@ -120,16 +122,18 @@
 /// However long a zone was lost, one send in twenty still goes there: it is found again as soon as it is back.
 #[test]
 fn a_zone_that_was_lost_for_long_is_still_probed() {
-    let mut b = balancer(settings(Effect::Safe, Group::All), &fleet(24));
+    let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(24));
     let mut probes = 0;
     for n in 0..2000 {
         (0..400).for_each(|n| b.members.told(n % 2, n % 2 == 0));
         let now = SECOND + n * 200_000;
         let to = sent(&step(&mut b, now, Event::Request(request(n, now, n)))).expect("sent");
         probes += u32::from(to.0 != 900 && to.0.is_multiple_of(2));
-        let Event::Outcome(mut end) = outcome(n, 0, to, Status::Ok) else { unreachable!() };
-        end.closed = true;
-        step(&mut b, now + 1_000, Event::Outcome(end));
+        let Event::AttemptCompleted(mut end) = outcome(n, 0, to, AttemptResult::Served) else {
+            unreachable!()
+        };
+        end.request_closed = true;
+        step(&mut b, now + 1_000, Event::AttemptCompleted(end));
     }
     assert!(probes > 25, "{probes} sends of 2000 to a zone of which every end was lost");
 }
@@ -138,7 +142,10 @@
 #[test]
 fn a_hot_keys_own_zone_comes_first() {
     let homes = |zone: u32| {
-        let mut b = balancer(Settings { zone, ..settings(Effect::Safe, Group::All) }, &fleet(24));
+        let mut b = balancer(
+            Settings { zone, ..settings(Idempotency::Idempotent, DeduplicationScope::All) },
+            &fleet(24),
+        );
         (0..400).for_each(|_| b.placement.count(Key(7)));
         let homes = b.placement.rank(Key(7), Micros(SECOND), &b.members.servers, &b.settings);
         let zones: Vec<u32> =
@@ -154,7 +161,7 @@
 #[test]
 fn a_herd_does_not_bury_discovery() {
     const CAN: usize = 10;
-    let mut one = settings(Effect::Safe, Group::All);
+    let mut one = settings(Idempotency::Idempotent, DeduplicationScope::All);
     one.subscribe = true;
     let mut herd: Vec<Balancer> = (0..90).map(|seed| Balancer::new(one.clone(), seed)).collect();
     let mut due: Vec<(u64, usize)> = Vec::new();
@@ -163,19 +170,22 @@
         other => panic!("{other:?}"),
     };
     for (n, b) in herd.iter_mut().enumerate() {
-        due.push((timer(&step(b, SECOND, Event::Endpoints(ListKind::Restored, &fleet(6)))), n));
+        due.push((timer(&step(b, SECOND, Event::EndpointsChanged(EndpointUpdate::Restored, &fleet(6)))), n));
     }
     let (mut calls, mut listed) = ([0; 64], 0);
     while let Some(next) = (0..due.len()).min_by_key(|at| due[*at]) {
         let (now, n) = due.swap_remove(next);
-        assert_eq!(step(&mut herd[n], now, Event::Timer(DISCOVERY)), [Action::Watch]);
+        assert_eq!(step(&mut herd[n], now, Event::Timer(DISCOVERY)), [Action::WatchEndpoints]);
         let second = &mut calls[(now / SECOND) as usize];
         *second += 1;
         if *second <= CAN {
             listed += 1;
-            step(&mut herd[n], now, Event::Endpoints(ListKind::Replace, &fleet(6)));
+            step(&mut herd[n], now, Event::EndpointsChanged(EndpointUpdate::Snapshot, &fleet(6)));
         } else {
-            due.push((timer(&step(&mut herd[n], now, Event::Endpoints(ListKind::Unavailable, &[]))), n));
+            due.push((
+                timer(&step(&mut herd[n], now, Event::EndpointsChanged(EndpointUpdate::Unavailable, &[]))),
+                n,
+            ));
         }
     }
     assert_eq!(listed, 90);
@@ -188,7 +198,7 @@
 fn lists_of_any_size_are_decided_on() {
     let twice = [fleet(3), fleet(3)].concat();
     for (list, listed) in [(vec![], 0), (fleet(0), 1), (fleet(10_000), 10_000), (twice, 4)] {
-        let mut b = balancer(settings(Effect::Safe, Group::All), &list);
+        let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &list);
         assert_eq!(b.limits(Micros(SECOND)).0.len(), listed);
         let actions = step(&mut b, SECOND, Event::Request(request(1, SECOND, 7)));
         assert_eq!(sent(&actions).is_some(), listed > 0, "{listed} listed: {actions:?}");
@@ -199,14 +209,15 @@
 #[test]
 fn settings_without_sense_are_decided_on() {
     for (balancers, cold) in [(0, 0.0), (u32::MAX, f64::NAN), (1, f64::INFINITY)] {
-        let mut odd = settings(Effect::Safe, Group::All);
-        (odd.balancers, odd.rules.cold_share, odd.rules.warm_up) = (balancers, cold, Micros(0));
+        let mut odd = settings(Idempotency::Idempotent, DeduplicationScope::All);
+        (odd.balancers, odd.rules.slow_start_initial_share, odd.rules.slow_start_duration) =
+            (balancers, cold, Micros(0));
         odd.classes.clear();
         let mut b = balancer(odd, &fleet(3));
         for n in 0..50 {
             let now = SECOND + n * 10_000;
             let to = sent(&step(&mut b, now, Event::Request(request(n, now, n)))).expect("sent");
-            step(&mut b, now + 5_000, outcome(n, 0, to, Status::Timeout));
+            step(&mut b, now + 5_000, outcome(n, 0, to, AttemptResult::Timeout));
         }
         assert!(b.requests.is_empty());
     }
--- a/src/rules/tests/limits.rs
+++ b/src/balancer/tests/limits.rs
@@ -7,29 +7,29 @@
 }
 
 fn ladder_of(balancers: u32) -> Ladder {
-    Ladder::new(&settings(Effect::Safe, Group::All), balancers)
+    Ladder::new(&settings(Idempotency::Idempotent, DeduplicationScope::All), balancers)
 }
 
 /// What is not sent to the origin is lost as well: where many balancers found it out of reach, a write goes again
 /// within the longest deadline of its being back. The gap of one of three hundred was ten of those.
 #[test]
 fn an_origin_out_of_reach_is_tried_again_within_the_longest_deadline() {
-    let mut many = settings(Effect::Keyed, Group::All);
+    let mut many = settings(Idempotency::WithIdempotencyKey, DeduplicationScope::All);
     many.balancers = 300;
     let mut b = balancer(many, &fleet(3));
     let (mut now, mut last) = (SECOND, 0);
     let mut longest = 0;
     for n in 0..600 {
         now += 50_000;
-        let write = Request { write: true, ..request(n, now, n) };
+        let write = Request { is_write: true, ..request(n, now, n) };
         if let Some(server) = sent(&step(&mut b, now, Event::Request(write))) {
             longest = longest.max(now - last);
             last = now;
-            let Event::Outcome(mut end) = outcome(n, 0, server, Status::ConnectFailed) else {
+            let Event::AttemptCompleted(mut end) = outcome(n, 0, server, AttemptResult::ConnectFailed) else {
                 unreachable!()
             };
-            end.closed = true;
-            step(&mut b, now + 1, Event::Outcome(end));
+            end.request_closed = true;
+            step(&mut b, now + 1, Event::AttemptCompleted(end));
         }
     }
     assert!(longest < SECOND + 200_000 && now - last < SECOND + 200_000, "{longest} µs without a try");
@@ -73,15 +73,17 @@
 /// Who seldom meets a host knows little of it: where it has not answered lately, the second copy goes sooner.
 #[test]
 fn an_unheard_host_is_doubted_sooner() {
-    let mut one = settings(Effect::Safe, Group::All);
+    let mut one = settings(Idempotency::Idempotent, DeduplicationScope::All);
     one.limits.may_duplicate = true;
     let mut b = balancer(one, &fleet(1));
     let mut doubted = |n: u64, now: u64| {
         let sends = step(&mut b, now, Event::Request(request(n, now, n)));
         let [Action::Send { server, .. }, Action::Timer { at, .. }] = sends[..] else { panic!("{sends:?}") };
-        let Event::Outcome(mut end) = outcome(n, 0, server, Status::Ok) else { unreachable!() };
-        end.closed = true;
-        step(&mut b, now + 20_000, Event::Outcome(end));
+        let Event::AttemptCompleted(mut end) = outcome(n, 0, server, AttemptResult::Served) else {
+            unreachable!()
+        };
+        end.request_closed = true;
+        step(&mut b, now + 20_000, Event::AttemptCompleted(end));
         at.0 - now
     };
     let (first, soon, later) = (doubted(1, SECOND), doubted(2, SECOND + 50_000), doubted(3, 9 * SECOND));
@@ -92,7 +94,7 @@
 #[test]
 fn a_silent_host_stands_out_only_among_quick_ones() {
     for (others, gapped) in [(20_000, true), (150_000, false)] {
-        let mut one = settings(Effect::Safe, Group::All);
+        let mut one = settings(Idempotency::Idempotent, DeduplicationScope::All);
         one.limits.may_duplicate = true;
         let mut b = balancer(one, &fleet(12));
         let mut now = 2 * SECOND;
@@ -101,9 +103,17 @@
             let sends = step(&mut b, now, Event::Request(request(n, now, n)));
             let [Action::Send { server, .. }, ..] = sends[..] else { panic!("{sends:?}") };
             let latency = Micros(others);
-            let (id, status) = (id(n), Status::Ok);
-            let told = Outcome { id, server, attempt: 0, latency, status, closed: true, fetching: false };
-            step(&mut b, now + others, Event::Outcome(told));
+            let (id, status) = (id(n), AttemptResult::Served);
+            let told = CompletedAttempt {
+                id,
+                server,
+                attempt: 0,
+                latency,
+                result: status,
+                request_closed: true,
+                fetch_in_progress: false,
+            };
+            step(&mut b, now + others, Event::AttemptCompleted(told));
         }
         now += 200_000;
         let sends = step(&mut b, now, Event::Request(request(500, now, 500)));
@@ -330,15 +340,15 @@
 #[test]
 fn time_outs_of_clients_about_to_leave_count_for_nothing() {
     for (latency, counts) in [(20_000, false), (600_000, true)] {
-        let mut b = balancer(settings(Effect::Safe, Group::All), &fleet(1));
+        let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(1));
         for n in 0..200 {
             let now = SECOND + n * 200_000;
             let Some(to) = sent(&step(&mut b, now, Event::Request(request(n, now, 7)))) else { continue };
-            let status = if n < 40 { Status::Ok } else { Status::Timeout };
-            let Event::Outcome(mut end) = outcome(n, 0, to, status) else { unreachable!() };
-            end.closed = status == Status::Ok;
-            end.latency = Micros(if end.closed { 100_000 } else { latency });
-            step(&mut b, now + end.latency.0, Event::Outcome(end));
+            let status = if n < 40 { AttemptResult::Served } else { AttemptResult::Timeout };
+            let Event::AttemptCompleted(mut end) = outcome(n, 0, to, status) else { unreachable!() };
+            end.request_closed = status == AttemptResult::Served;
+            end.latency = Micros(if end.request_closed { 100_000 } else { latency });
+            step(&mut b, now + end.latency.0, Event::AttemptCompleted(end));
         }
         let server = b.members.find(ServerId(0)).expect("listed");
         assert_eq!(server.places.most < 2.0, counts, "{latency}");
@@ -348,15 +358,15 @@
 /// A marked retry whose first try is past its aim is worth nothing, and takes nothing.
 #[test]
 fn a_retry_past_its_aim_is_turned_away_at_once() {
-    let mut b = balancer(settings(Effect::Safe, Group::All), &fleet(4));
+    let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(4));
     let ask = |b: &mut Balancer, n: u64, left: u64, retry: bool| {
         let deadline = Micros(SECOND + left);
-        step(b, SECOND, Event::Request(Request { retry, deadline, ..request(n, SECOND, n) }))
+        step(b, SECOND, Event::Request(Request { is_client_retry: retry, deadline, ..request(n, SECOND, n) }))
     };
     assert!(sent(&ask(&mut b, 1, 800_000, false)).is_some());
     assert!(sent(&ask(&mut b, 2, 790_000, true)).is_some(), "210 ms of 250 are gone");
     let late = ask(&mut b, 3, 740_000, true);
-    assert!(matches!(late[..], [Action::Refuse { .. }]), "{late:?}");
+    assert!(matches!(late[..], [Action::Reject { .. }]), "{late:?}");
     assert!(sent(&ask(&mut b, 4, 740_000, false)).is_some(), "a first try of an impatient client");
 }
 
@@ -370,7 +380,7 @@
 /// The queue before a full origin is short, gives up the least worth at once, and serves the most first.
 #[test]
 fn the_queue_before_the_origin_holds_what_is_worth_most() {
-    let mut b = balancer(settings(Effect::Safe, Group::All), &fleet(0));
+    let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(0));
     (0..8).for_each(|_| {
         b.members.find(ServerId(900)).expect("listed").places.answered(Micros(SECOND), Micros(400_000))
     });
@@ -378,17 +388,17 @@
     (0..60).for_each(|_| b.placement.count(Key(5)));
     let mut refused = vec![];
     for n in 0..30 {
-        let one = Request { write: n == 7, ..request(n, SECOND, if n == 4 { 5 } else { 100 + n }) };
+        let one = Request { is_write: n == 7, ..request(n, SECOND, if n == 4 { 5 } else { 100 + n }) };
         let actions = step(&mut b, SECOND, Event::Request(one));
         refused.extend(actions.iter().filter_map(|a| match a {
-            Action::Refuse { id, .. } => Some(*id),
+            Action::Reject { id, .. } => Some(*id),
             _ => None,
         }));
     }
     assert!(b.queue.len() < 12 && refused.len() + b.queue.len() == 30, "given up at once");
     assert!(!refused.contains(&id(4)) && !refused.contains(&id(7)));
     b.members.find(ServerId(900)).expect("listed").places = Places::new(3);
-    let first = step(&mut b, SECOND + 1_000, outcome(999, 0, ServerId(900), Status::Ok));
+    let first = step(&mut b, SECOND + 1_000, outcome(999, 0, ServerId(900), AttemptResult::Served));
     let order: Vec<RequestId> = first
         .iter()
         .filter_map(|a| match a {
@@ -402,13 +412,13 @@
 /// A place that comes free goes to a waiting request, and one whose time to wait is over is refused.
 #[test]
 fn waiting_for_the_origin_ends_early() {
-    let mut b = balancer(settings(Effect::Safe, Group::All), &fleet(0));
+    let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(0));
     fill_origin(&mut b);
     let actions = step(&mut b, SECOND, Event::Request(request(1, SECOND, 5)));
     let [Action::Timer { at, token }] = actions[..] else { panic!("{actions:?}") };
     assert!(at < Micros(SECOND + 125_000), "well before half of the time to its aim");
     let end = step(&mut b, at.0, Event::Timer(token));
-    assert!(matches!(end[..], [Action::Refuse { .. }]), "{end:?}");
+    assert!(matches!(end[..], [Action::Reject { .. }]), "{end:?}");
     assert!(b.queue.is_empty() && b.requests.is_empty() && b.held.is_empty());
 }
 
@@ -417,7 +427,7 @@
 #[test]
 fn a_second_copy_goes_to_the_origin_within_its_budget() {
     for (allowed, balancers, range) in [(true, 1, 31..=40), (true, 100, 121..=130), (false, 1, 0..=0)] {
-        let mut settings = settings(Effect::Safe, Group::All);
+        let mut settings = settings(Idempotency::Idempotent, DeduplicationScope::All);
         settings.limits.may_duplicate = allowed;
         settings.balancers = balancers;
         let mut b = balancer(settings, &fleet(20));
@@ -436,13 +446,17 @@
             if let Some(copy) = sent(&step(&mut b, at, Event::Timer(token))) {
                 copies += 1;
                 assert_eq!(copy, ServerId(900));
-                let Event::Outcome(mut end) = outcome(n, 1, copy, Status::Ok) else { unreachable!() };
-                end.closed = true;
-                assert_eq!(step(&mut b, at + 50_000, Event::Outcome(end)), []);
+                let Event::AttemptCompleted(mut end) = outcome(n, 1, copy, AttemptResult::Served) else {
+                    unreachable!()
+                };
+                end.request_closed = true;
+                assert_eq!(step(&mut b, at + 50_000, Event::AttemptCompleted(end)), []);
             }
-            let Event::Outcome(mut end) = outcome(n, 0, to, Status::Ok) else { unreachable!() };
-            end.closed = true;
-            assert_eq!(step(&mut b, at + 60_000, Event::Outcome(end)), []);
+            let Event::AttemptCompleted(mut end) = outcome(n, 0, to, AttemptResult::Served) else {
+                unreachable!()
+            };
+            end.request_closed = true;
+            assert_eq!(step(&mut b, at + 60_000, Event::AttemptCompleted(end)), []);
         }
         assert!(range.contains(&copies), "{balancers} balancers: {copies} copies of 300");
         assert!(b.requests.is_empty());
@@ -451,8 +465,10 @@
 
 #[test]
 fn connections_that_break_or_answers_that_fail_gap_nobody() {
-    for (status, gaps) in [(Status::Reset, false), (Status::Error, false), (Status::Full, true)] {
-        let mut b = balancer(settings(Effect::Safe, Group::All), &fleet(1));
+    for (status, gaps) in
+        [(AttemptResult::Reset, false), (AttemptResult::Error, false), (AttemptResult::Rejected, true)]
+    {
+        let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(1));
         for n in 0..40 {
             let now = SECOND + n * 50_000;
             let server = sent(&step(&mut b, now, Event::Request(request(n, now, 7))));
@@ -467,7 +483,7 @@
 
 #[test]
 fn a_read_that_cache_gaps_hold_back_is_refused_only_by_the_origins_gap() {
-    let mut b = balancer(settings(Effect::Safe, Group::All), &fleet(4));
+    let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(4));
     for server in b.members.servers.iter_mut().filter(|s| s.entry.server != ServerId(900)) {
         server.gap = gapped(12);
     }
@@ -485,18 +501,18 @@
     assert!(sent(&held).is_none() && timers.len() == 2, "it waits a moment for the gap: {held:?}");
     let end = step(&mut b, now + 100_000, Event::Timer(timers[0]));
     assert!(
-        matches!(end[..], [Action::Refuse { retry_after, .. }] if retry_after > Micros(0)),
+        matches!(end[..], [Action::Reject { retry_after, .. }] if retry_after > Micros(0)),
         "and comes back when that is over: {end:?}"
     );
 }
 
 #[test]
 fn a_limit_that_holds_says_which_it_is_and_none_says_nothing() {
-    let mut b = balancer(settings(Effect::Safe, Group::All), &fleet(2));
+    let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(2));
     assert!(b.limits(Micros(SECOND)).0.iter().all(|limit| limit.holds().is_none()));
     fill_origin(&mut b);
     b.members.find(ServerId(1)).expect("listed").gap = gapped(9);
-    step(&mut b, SECOND, Event::Request(Request { write: true, ..request(1, SECOND, 7) }));
+    step(&mut b, SECOND, Event::Request(Request { is_write: true, ..request(1, SECOND, 7) }));
     let (limits, waiting) = b.limits(Micros(SECOND + 1));
     let held: Vec<_> = limits.iter().map(|limit| (limit.server.0, limit.holds())).collect();
     assert_eq!(held, [(0, None), (1, Some("gap")), (900, Some("places"))]);
--- a/src/rules/tests/miniature.rs
+++ b/src/balancer/tests/miniature.rs
@@ -138,16 +138,17 @@
 
 pub fn play_scaled(plan: Plan, scale: Scale) -> Day {
     let Plan { seed, balancers, caches, rate, seconds, silent, .. } = plan;
-    let mut settings = settings(Effect::Safe, Group::All);
+    let mut settings = settings(Idempotency::Idempotent, DeduplicationScope::All);
     (settings.balancers, settings.limits.max_attempts) = (balancers as u32, 3);
-    (settings.rules.cold_share, settings.rules.warm_up) = (0.32, Micros(9 * SECOND));
+    (settings.rules.slow_start_initial_share, settings.rules.slow_start_duration) =
+        (0.32, Micros(9 * SECOND));
     settings.limits.may_duplicate = true;
-    settings.classes[0].aim = Micros(750_000);
+    settings.classes[0].latency_objective = Micros(750_000);
     settings.classes[0].deadline = Micros(1_500_000);
     let routers = (0..balancers as u64)
         .map(|n| {
             let mut b = Balancer::new(settings.clone(), seed * 10 + n);
-            step(&mut b, 1, Event::Endpoints(ListKind::Restored, &fleet(caches)));
+            step(&mut b, 1, Event::EndpointsChanged(EndpointUpdate::Restored, &fleet(caches)));
             b
         })
         .collect();
@@ -204,13 +205,14 @@
             }
             Due::Timer(router, token) => world.tell(router, Event::Timer(token)),
             Due::Done(n, attempt) => world.done(n, attempt),
-            Due::Expired(n, attempt) => world.end(n, attempt, Status::Timeout),
+            Due::Expired(n, attempt) => world.end(n, attempt, AttemptResult::Timeout),
             Due::Listed(router) => {
                 let started = Micros(silent.1 * SECOND);
                 let back = |n: &u64| n.is_multiple_of(silent.2);
-                let list: Vec<_> = (0..caches).filter(back).map(|n| Entry { started, ..entry(n) }).collect();
+                let list: Vec<_> =
+                    (0..caches).filter(back).map(|n| Endpoint { started, ..entry(n) }).collect();
                 world.told.insert(router);
-                world.tell(router, Event::Endpoints(ListKind::Update, &list));
+                world.tell(router, Event::EndpointsChanged(EndpointUpdate::Delta, &list));
             }
         }
     }
@@ -234,7 +236,12 @@
         let one = Try { first, tries, key, write, deadline, at, missed, attempts, open: true };
         self.tries.insert(n, one);
         let retry = tries > 0;
-        let asked = Request { write, retry, deadline: Micros(deadline), ..request(n, self.now, key) };
+        let asked = Request {
+            is_write: write,
+            is_client_retry: retry,
+            deadline: Micros(deadline),
+            ..request(n, self.now, key)
+        };
         self.tell(at, Event::Request(asked));
     }
 
@@ -243,10 +250,10 @@
         for action in actions {
             match action {
                 Action::Send { id, server, timeout } => self.send(name(&id), server.0, timeout.0),
-                Action::Refuse { id, retry_after, .. } => self.gone(name(&id), retry_after.0),
+                Action::Reject { id, retry_after, .. } => self.gone(name(&id), retry_after.0),
                 Action::Fail { id } => self.gone(name(&id), 0),
                 Action::Timer { at: when, token } => self.plan(when.0, Due::Timer(at, token)),
-                Action::Watch | Action::Log(_) => {}
+                Action::WatchEndpoints | Action::Log(_) => {}
             }
         }
     }
@@ -318,7 +325,7 @@
         let server = one.attempts[attempt as usize].0;
         if server != 900 && !self.kept[server as usize].contains(&one.key) {
             one.missed.push(server);
-            return self.end(n, attempt, Status::Miss);
+            return self.end(n, attempt, AttemptResult::Miss);
         }
         let (key, open, write) = (one.key, one.open, one.write);
         for server in one.missed.iter().take(2).filter(|_| open) {
@@ -329,23 +336,32 @@
                 kept.remove(&key);
             }
         }
-        self.end(n, attempt, Status::Ok);
+        self.end(n, attempt, AttemptResult::Served);
     }
 
-    fn end(&mut self, n: u64, attempt: u32, status: Status) {
+    fn end(&mut self, n: u64, attempt: u32, status: AttemptResult) {
         let one = self.tries.get_mut(&n).expect("asked");
         let (server, sent, out) = one.attempts[attempt as usize];
         if !std::mem::take(&mut one.attempts[attempt as usize].2) || !out {
             return;
         }
-        if status == Status::Ok && std::mem::take(&mut one.open) && self.now <= one.first + 750_000 {
+        if status == AttemptResult::Served && std::mem::take(&mut one.open) && self.now <= one.first + 750_000
+        {
             self.day.served[(one.first / SECOND - 1) as usize] += 1.0;
         }
         let (at, closed) = (one.at, !one.open);
         let latency = Micros(self.now - sent);
         let (server, id) = (ServerId(server), id(n));
-        let told = Outcome { id, server, attempt, latency, status, closed, fetching: false };
-        self.tell(at, Event::Outcome(told));
+        let told = CompletedAttempt {
+            id,
+            server,
+            attempt,
+            latency,
+            result: status,
+            request_closed: closed,
+            fetch_in_progress: false,
+        };
+        self.tell(at, Event::AttemptCompleted(told));
     }
 
     /// A client that was refused or failed comes again, twice at most.
--- a/src/rules/tests/together.rs
+++ b/src/balancer/tests/together.rs
@@ -15,66 +15,66 @@
     second: Option<Micros>,
     against: HashSet<ServerId>,
     asked_origin: usize,
-    took: Vec<Common>,
-    denied: Vec<Common>,
+    took: Vec<SharedLimit>,
+    denied: Vec<SharedLimit>,
     saw: Vec<(ServerId, bool)>,
     first: usize,
-    listed: Vec<(ServerId, Micros, u32)>,
+    listed: Vec<ServingServer>,
 }
 
 #[derive(Debug, Default, Clone)]
 struct ByHand(Rc<RefCell<Said>>);
 
-impl Fleet for ByHand {
-    fn wait(&mut self, of: Common, _now: Micros) -> Option<Micros> {
+impl Coordination for ByHand {
+    fn wait_time(&mut self, of: SharedLimit, _now: Micros) -> Option<Micros> {
         let mut said = self.0.borrow_mut();
         match of {
-            Common::Origin => {
+            SharedLimit::OriginRate => {
                 said.asked_origin += 1;
                 said.origin
             }
-            Common::Cold(_, started) => said.cold.filter(|_| started.0 > 0),
-            Common::Second => said.second,
+            SharedLimit::SlowStart(_, started) => said.cold.filter(|_| started.0 > 0),
+            SharedLimit::RetryBudget => said.second,
         }
     }
 
-    fn took(&mut self, of: Common, _now: Micros) {
+    fn acquire(&mut self, of: SharedLimit, _now: Micros) {
         self.0.borrow_mut().took.push(of);
     }
 
-    fn denied(&mut self, of: Common, _now: Micros) {
+    fn on_rejected(&mut self, of: SharedLimit, _now: Micros) {
         self.0.borrow_mut().denied.push(of);
     }
 
-    fn first(&mut self, _now: Micros) {
+    fn on_first_attempt(&mut self, _now: Micros) {
         self.0.borrow_mut().first += 1;
     }
 
-    fn listed(&mut self, hosts: &[(ServerId, Micros, u32)]) {
-        self.0.borrow_mut().listed = hosts.to_vec();
+    fn on_endpoints_changed(&mut self, servers: &[ServingServer]) {
+        self.0.borrow_mut().listed = servers.to_vec();
     }
 
-    fn saw(&mut self, host: ServerId, _started: Micros, silent: bool, _now: Micros) {
+    fn on_server_observed(&mut self, host: ServerId, _started: Micros, silent: bool, _now: Micros) {
         self.0.borrow_mut().saw.push((host, silent));
     }
 
-    fn warned(&mut self, host: ServerId, _started: Micros, _: Micros, _: f64, _now: Micros) -> bool {
+    fn is_suspected(&mut self, host: ServerId, _started: Micros, _: Micros, _: f64, _now: Micros) -> bool {
         self.0.borrow().against.contains(&host)
     }
 }
 
-fn shared(list: &[Entry]) -> (Balancer, ByHand) {
+fn shared(list: &[Endpoint]) -> (Balancer, ByHand) {
     let fleet = ByHand::default();
-    let mut b = Balancer::new(settings(Effect::Safe, Group::All), 3);
+    let mut b = Balancer::new(settings(Idempotency::Idempotent, DeduplicationScope::All), 3);
     b.join(Box::new(fleet.clone()));
-    step(&mut b, 1, Event::Endpoints(ListKind::Restored, list));
+    step(&mut b, 1, Event::EndpointsChanged(EndpointUpdate::Restored, list));
     (b, fleet)
 }
 
 /// The first attempt has served its request, which is over.
 fn served(n: u64, server: ServerId) -> Event<'static> {
-    let Event::Outcome(end) = outcome(n, 0, server, Status::Ok) else { unreachable!() };
-    Event::Outcome(Outcome { closed: true, ..end })
+    let Event::AttemptCompleted(end) = outcome(n, 0, server, AttemptResult::Served) else { unreachable!() };
+    Event::AttemptCompleted(CompletedAttempt { request_closed: true, ..end })
 }
 
 #[test]
@@ -99,12 +99,12 @@
 #[test]
 fn what_an_end_tells_of_a_host_is_told_and_what_it_tells_of_load_is_not() {
     let cases = [
-        (Status::Ok, Some(false)),
-        (Status::Miss, Some(false)),
-        (Status::ConnectFailed, Some(true)),
-        (Status::Full, None),
-        (Status::Error, None),
-        (Status::Cancelled, None),
+        (AttemptResult::Served, Some(false)),
+        (AttemptResult::Miss, Some(false)),
+        (AttemptResult::ConnectFailed, Some(true)),
+        (AttemptResult::Rejected, None),
+        (AttemptResult::Error, None),
+        (AttemptResult::Cancelled, None),
     ];
     for (status, tells) in cases {
         let (mut b, said) = shared(&fleet(12));
@@ -118,10 +118,10 @@
 #[test]
 fn a_second_try_needs_a_right_and_a_fetch_after_a_miss_does_not() {
     for (second, status, again) in [
-        (None, Status::ConnectFailed, true),
-        (Some(Micros(0)), Status::ConnectFailed, true),
-        (Some(Micros(5)), Status::ConnectFailed, false),
-        (Some(Micros(5)), Status::Miss, true),
+        (None, AttemptResult::ConnectFailed, true),
+        (Some(Micros(0)), AttemptResult::ConnectFailed, true),
+        (Some(Micros(5)), AttemptResult::ConnectFailed, false),
+        (Some(Micros(5)), AttemptResult::Miss, true),
     ] {
         let (mut b, said) = shared(&fleet(12));
         said.0.borrow_mut().second = second;
@@ -129,11 +129,12 @@
         let actions = step(&mut b, 20, outcome(1, 0, to, status));
         assert_eq!(sent(&actions).is_some(), again, "{second:?} {status:?}");
         if !again {
-            let refused = |a: &Action| matches!(a, Action::Refuse { reason: RejectReason::Spent, .. });
+            let refused =
+                |a: &Action| matches!(a, Action::Reject { reason: RejectReason::AttemptsExhausted, .. });
             assert!(actions.iter().any(refused), "given up at once: {actions:?}");
         }
-        let spent = said.0.borrow().took.contains(&Common::Second);
-        assert_eq!(spent, again && status != Status::Miss, "{second:?} {status:?}");
+        let spent = said.0.borrow().took.contains(&SharedLimit::RetryBudget);
+        assert_eq!(spent, again && status != AttemptResult::Miss, "{second:?} {status:?}");
     }
 }
 
@@ -147,7 +148,7 @@
     let now = 119 * SECOND;
     let to = sent(&step(&mut b, now, Event::Request(request(1, now, 5))));
     assert_eq!(to, Some(ServerId(900)));
-    let cold = Common::Cold(ServerId(0), Micros(100 * SECOND));
+    let cold = SharedLimit::SlowStart(ServerId(0), Micros(100 * SECOND));
     assert_eq!(said.0.borrow().denied, [cold]);
     said.0.borrow_mut().cold = Some(Micros(0));
     let to = sent(&step(&mut b, now + 1, Event::Request(request(2, now + 1, 5))));
@@ -165,7 +166,7 @@
         step(&mut b, now + 9, served(n, to));
     }
     assert_eq!(said.0.borrow().asked_origin, 0);
-    let write = Request { write: true, ..request(50, 30 * SECOND, 5) };
+    let write = Request { is_write: true, ..request(50, 30 * SECOND, 5) };
     assert_eq!(sent(&step(&mut b, 30 * SECOND, Event::Request(write))), None);
     assert!(said.0.borrow().asked_origin > 0);
 }
--- a/src/rules/view.rs
+++ b/src/balancer/view.rs
@@ -2,7 +2,7 @@
 //! keep to. Nothing here decides anything.
 
 use super::Balancer;
-use crate::interface::{Fleet, Micros, ServerId};
+use crate::{Coordination, Micros, ServerId};
 
 /// The limits of one server, as they are now.
 #[derive(Clone, Debug, PartialEq)]
@@ -36,7 +36,7 @@
 
 impl super::members::Members {
     /// The list's entries but for the origin.
-    pub(super) fn hosts(&self) -> impl Iterator<Item = &crate::interface::Entry> {
+    pub(super) fn hosts(&self) -> impl Iterator<Item = &crate::Endpoint> {
         let at = |(at, server)| (Some(at) != self.origin).then_some(server);
         let servers = self.servers.iter().enumerate().filter_map(at);
         servers.map(|server: &super::members::Server| &server.entry)
@@ -45,8 +45,8 @@
 
 impl Balancer {
     /// From now on this balancer keeps to the limits that it shares with others, and hears what they tell.
-    pub fn join(&mut self, fleet: Box<dyn Fleet>) {
-        self.together.0 = Some(fleet);
+    pub fn join(&mut self, fleet: Box<dyn Coordination>) {
+        self.coordination.0 = Some(fleet);
     }
 
     /// The origin that requests go to now, if one serves.
--- /dev/null
+++ b/src/coordination.rs
@@ -0,0 +1,160 @@
+//! What balancers share, seen from the decisions: limits that hold for all of them together, and what they report to
+//! one another of servers. Where nothing is shared, every method of [`OptionalCoordination`] lets the balancer go on.
+
+use crate::action::RejectReason;
+use crate::endpoint::{Endpoint, EndpointState, ServerId};
+use crate::request::AttemptResult;
+use crate::time::Micros;
+
+/// A limit on all balancers together.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SharedLimit {
+    /// Attempts at the origin.
+    OriginRate,
+    /// Attempts at a server in slow start: which, and when it started.
+    SlowStart(ServerId, Micros),
+    /// Retries and hedged requests, as a budget relative to first attempts.
+    RetryBudget,
+}
+
+/// A cache server that serves, by the endpoint list in use.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ServingServer {
+    /// The server.
+    pub server: ServerId,
+    /// When it last started; a server that started anew counts as another.
+    pub started: Micros,
+    /// Its zone.
+    pub zone: u32,
+}
+
+/// The limits that a balancer shares with others, and what these report of servers. Without one only the balancer's
+/// own limits and observations hold.
+pub trait Coordination: std::fmt::Debug {
+    /// How long one more use of the limit has to wait; zero, it may begin now; none, the limit is not shared.
+    fn wait_time(&mut self, limit: SharedLimit, now: Micros) -> Option<Micros>;
+    /// One use begins. [`Coordination::wait_time`] was zero or none at the same time.
+    fn acquire(&mut self, limit: SharedLimit, now: Micros);
+    /// A request that needed the limit was rejected.
+    fn on_rejected(&mut self, limit: SharedLimit, now: Micros);
+    /// A first attempt has come in, as clients count them: retries of a client's own are none.
+    fn on_first_attempt(&mut self, now: Micros);
+    /// The endpoint list changed; these cache servers serve.
+    fn on_endpoints_changed(&mut self, servers: &[ServingServer]);
+    /// An own attempt showed that the server with this start is silent, or that it answers.
+    fn on_server_observed(&mut self, server: ServerId, started: Micros, silent: bool, now: Micros);
+    /// Whether to pass over the server with this start because others report it silent. `last_response` is when it
+    /// last answered this balancer, `sends_per_s` the rate of this balancer's own attempts at a server.
+    fn is_suspected(
+        &mut self,
+        server: ServerId,
+        started: Micros,
+        last_response: Micros,
+        sends_per_s: f64,
+        now: Micros,
+    ) -> bool;
+}
+
+/// The [`Coordination`] in use, if there is any.
+#[derive(Debug, Default)]
+pub(crate) struct OptionalCoordination(pub(crate) Option<Box<dyn Coordination>>);
+
+impl OptionalCoordination {
+    /// How long one more use of the limit has to wait; zero where nothing is shared.
+    pub(crate) fn wait_time(&mut self, limit: SharedLimit, now: Micros) -> Micros {
+        self.0.as_mut().and_then(|shared| shared.wait_time(limit, now)).unwrap_or_default()
+    }
+
+    /// Whether a hedged request is within its budget: the shared one where there is one, otherwise the balancer's own.
+    pub(crate) fn allows_hedge(&mut self, now: Micros, own_budget: f64) -> bool {
+        self.0
+            .as_mut()
+            .and_then(|shared| shared.wait_time(SharedLimit::RetryBudget, now))
+            .map_or(own_budget >= 1.0, |wait| wait.0 == 0)
+    }
+
+    /// A request was rejected; some reasons mean that it needed the origin's limit.
+    pub(crate) fn on_rejected(&mut self, now: Micros, reason: RejectReason) {
+        let needed_origin = matches!(
+            reason,
+            RejectReason::QueueTimeout | RejectReason::Preempted | RejectReason::DeadlineUnreachable
+        );
+        if !needed_origin {
+            return;
+        }
+        if let Some(shared) = &mut self.0 {
+            shared.on_rejected(SharedLimit::OriginRate, now);
+        }
+    }
+
+    /// A first attempt has come in.
+    pub(crate) fn on_first_attempt(&mut self, now: Micros) {
+        if let Some(shared) = &mut self.0 {
+            shared.on_first_attempt(now);
+        }
+    }
+
+    /// An attempt goes out: to the origin or to a cache server, as a retry or as the first.
+    pub(crate) fn on_send(&mut self, now: Micros, to: &Endpoint, is_origin: bool, is_retry: bool) {
+        let Some(shared) = &mut self.0 else { return };
+        let limit =
+            if is_origin { SharedLimit::OriginRate } else { SharedLimit::SlowStart(to.server, to.started) };
+        shared.acquire(limit, now);
+        if is_retry {
+            shared.acquire(SharedLimit::RetryBudget, now);
+        }
+    }
+
+    /// The endpoint list in use has changed.
+    pub(crate) fn on_endpoints_changed<'a>(&mut self, servers: impl Iterator<Item = &'a Endpoint>) {
+        let Some(shared) = &mut self.0 else { return };
+        let serving: Vec<ServingServer> = servers
+            .filter(|endpoint| endpoint.state == EndpointState::Serving)
+            .map(|endpoint| ServingServer {
+                server: endpoint.server,
+                started: endpoint.started,
+                zone: endpoint.zone,
+            })
+            .collect();
+        shared.on_endpoints_changed(&serving);
+    }
+
+    /// Whether an attempt may go to this cache server as far as the other balancers are concerned.
+    pub(crate) fn admits(
+        &mut self,
+        now: Micros,
+        to: &Endpoint,
+        last_response: Micros,
+        sends_per_s: f64,
+    ) -> bool {
+        let Some(shared) = &mut self.0 else { return true };
+        if shared.is_suspected(to.server, to.started, last_response, sends_per_s, now) {
+            return false;
+        }
+        let slow_start = SharedLimit::SlowStart(to.server, to.started);
+        let exhausted = shared.wait_time(slow_start, now).is_some_and(|wait| wait.0 > 0);
+        if exhausted {
+            shared.on_rejected(slow_start, now);
+        }
+        !exhausted
+    }
+
+    /// Reports whether an attempt showed a server as silent. One that rejects is not silent, and what it rejects says
+    /// nothing of the other balancers' attempts.
+    pub(crate) fn on_attempt_completed(
+        &mut self,
+        now: Micros,
+        at: &Endpoint,
+        result: AttemptResult,
+        rejected: Option<bool>,
+    ) {
+        let silent = match result {
+            AttemptResult::Served | AttemptResult::Miss if rejected == Some(false) => false,
+            AttemptResult::Timeout | AttemptResult::ConnectFailed if rejected == Some(true) => true,
+            _ => return,
+        };
+        if let Some(shared) = &mut self.0 {
+            shared.on_server_observed(at.server, at.started, silent, now);
+        }
+    }
+}
--- /dev/null
+++ b/src/event.rs
@@ -0,0 +1,21 @@
+//! The events that a router reports to its [`Balancer`](crate::Balancer).
+
+use crate::endpoint::{Endpoint, EndpointUpdate};
+use crate::request::{CompletedAttempt, Request, RequestId};
+
+/// What a router reports to its balancer.
+#[derive(Clone, Debug)]
+pub enum Event<'a> {
+    /// Discovery answered or failed, or an operator changed endpoints.
+    EndpointsChanged(EndpointUpdate, &'a [Endpoint]),
+    /// A request has come in.
+    Request(Request),
+    /// A streamed response has begun; no other attempt may answer the request now.
+    ResponseStarted(RequestId),
+    /// An attempt has ended.
+    AttemptCompleted(CompletedAttempt),
+    /// The timer with this token is due.
+    Timer(u64),
+    /// The client has left; no answer is owed any more.
+    ClientDisconnected(RequestId),
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,17 +10,17 @@
 //!     balancers: 2,
 //!     zone: 0,
 //!     classes: vec![Class {
-//!         aim: Micros(250_000),
-//!         aim_stretch: 0.0,
+//!         latency_objective: Micros(250_000),
+//!         latency_objective_per_work: 0.0,
 //!         deadline: Micros(500_000),
-//!         effect: Effect::Safe,
-//!         group: Group::All,
-//!         window: Micros(0),
-//!         worth: 1.0,
-//!         late_worth: 0.0,
+//!         idempotency: Idempotency::Idempotent,
+//!         deduplication_scope: DeduplicationScope::All,
+//!         deduplication_window: Micros(0),
+//!         priority_weight: 1.0,
+//!         late_priority_weight: 0.0,
 //!     }],
 //!     tenants: vec![],
-//!     mode: Mode::Through,
+//!     mode: CacheMode::ReadThrough,
 //!     subscribe: false,
 //!     weighted: false,
 //!     tick: Micros(1_000),
@@ -31,41 +31,52 @@
 //!         may_duplicate: false,
 //!     },
 //!     rules: Rules {
-//!         ask_within: Micros(10_000_000),
-//!         cold_share: 0.2,
-//!         warm_up: Micros(20_000_000),
+//!         discovery_poll_interval: Micros(10_000_000),
+//!         slow_start_initial_share: 0.2,
+//!         slow_start_duration: Micros(20_000_000),
 //!     },
 //! };
 //! let mut balancer = Balancer::new(settings, 7);
 //! let mut actions = Vec::new();
-//! let list = [Entry {
+//! let endpoints = [Endpoint {
 //!     server: ServerId(9),
 //!     zone: 0,
 //!     kind: 0,
 //!     cell: 0,
-//!     state: State::Serving,
+//!     state: EndpointState::Serving,
 //!     weight: 1.0,
 //!     started: Micros(0),
 //! }];
-//! balancer.handle(Micros(1), Event::Endpoints(ListKind::Restored, &list), &mut actions);
+//! balancer.handle(Micros(1), Event::EndpointsChanged(EndpointUpdate::Restored, &endpoints), &mut actions);
 //! let request = Request {
 //!     id: RequestId([b'a'; 36]),
 //!     deadline: Micros(500_001),
-//!     hint: None,
+//!     expected_work: None,
 //!     key: Some(Key(17)),
-//!     write: false,
+//!     is_write: false,
 //!     class: 0,
 //!     tenant: 0,
-//!     retry: false,
+//!     is_client_retry: false,
 //! };
 //! balancer.handle(Micros(1), Event::Request(request), &mut actions);
 //! assert!(matches!(actions[..], [Action::Send { server: ServerId(9), .. }]));
 //! ```
 
-mod interface;
-mod rules;
-mod together;
+mod action;
+mod balancer;
+mod coordination;
+mod endpoint;
+mod event;
+mod request;
+mod settings;
+mod time;
 
-pub use interface::*;
-pub use rules::view::LimitView;
-pub use rules::{Balancer, AGAIN, ASKING, SOON, START};
+pub use action::{Action, RejectReason};
+pub use balancer::view::LimitView;
+pub use balancer::{Balancer, AGAIN, ASKING, SOON, START};
+pub use coordination::{Coordination, ServingServer, SharedLimit};
+pub use endpoint::{Endpoint, EndpointState, EndpointUpdate, ServerId};
+pub use event::Event;
+pub use request::{AttemptResult, CompletedAttempt, Key, Request, RequestId};
+pub use settings::{CacheMode, Class, DeduplicationScope, Idempotency, Limits, Rules, Settings, Tenant};
+pub use time::Micros;
