--- a/dispatch/src/clock.rs
+++ b/dispatch/src/clock.rs
@@ -22,12 +22,12 @@
 
     /// The time now.
     pub fn now(&self) -> Micros {
-        self.unix.plus(micros(self.start.elapsed()))
+        self.unix.saturating_add(micros(self.start.elapsed()))
     }
 
     /// When the runtime's clock shows this time.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.start + duration(at.minus(self.unix))
+        self.start + duration(at.saturating_sub(self.unix))
     }
 }
 
--- a/dispatch/src/exchange.rs
+++ b/dispatch/src/exchange.rs
@@ -155,8 +155,8 @@
         let most = self.longest.get(command.class as usize).or(self.longest.last());
         let most = most.copied().unwrap_or(Micros(1_000_000));
         let wait = command.wait.map_or(most, |wait| wait.min(most));
-        let left = wait.minus(waited.min(wait.times(0.5)));
-        let deadline = now.plus(left.minus(MARGIN)).min(self.last.get());
+        let left = wait.saturating_sub(waited.min(wait.mul_f64(0.5)));
+        let deadline = now.saturating_add(left.saturating_sub(MARGIN)).min(self.last.get());
         let request = Request {
             id: id.request(),
             deadline,
@@ -168,7 +168,7 @@
             is_client_retry: command.retry,
         };
         debug!(self.log, "request taken"; "request" => id.0, "id" => %ClientText(&command.id),
-            "class" => command.class, "left-ms" => to_ms(deadline.minus(now)));
+            "class" => command.class, "left-ms" => to_ms(deadline.saturating_sub(now)));
         let (command, over) = (Rc::new(command), Over::default());
         inner.commands.insert(
             id,
--- a/dispatch/src/exchange/attempts.rs
+++ b/dispatch/src/exchange/attempts.rs
@@ -83,7 +83,7 @@
         let now = self.clock.now();
         debug!(self.log, "attempt ended"; "request" => running.command.0, "attempt" => running.attempt,
             "server" => %ServerLabel(running.server), "result" => ?result,
-            "after-ms" => to_ms(now.minus(running.sent)));
+            "after-ms" => to_ms(now.saturating_sub(running.sent)));
         let mut request_closed = true;
         if let Some(open) = inner.commands.get_mut(&running.command) {
             open.out -= 1;
@@ -100,7 +100,7 @@
             id: running.command.request(),
             server: running.server,
             attempt: running.attempt,
-            latency: now.minus(running.sent),
+            latency: now.saturating_sub(running.sent),
             result,
             request_closed,
             fetch_in_progress,
@@ -114,12 +114,16 @@
             Action::Send { id, server, timeout } => {
                 let command_id = CommandId::of(&id);
                 let Some(open) = inner.commands.get_mut(&command_id) else { return };
-                let until = if timeout.0 == 0 { open.deadline } else { now.plus(timeout).min(open.deadline) };
+                let until = if timeout.0 == 0 {
+                    open.deadline
+                } else {
+                    now.saturating_add(timeout).min(open.deadline)
+                };
                 let running = Running { command: command_id, server, attempt: open.attempts, sent: now };
                 let by = open.by;
                 if open.attempts == 0 {
                     let window = self.windows.get(open.command.class as usize).copied().flatten();
-                    open.by = window.map_or(NEVER, |window| now.plus(window));
+                    open.by = window.map_or(NEVER, |window| now.saturating_add(window));
                 }
                 open.attempts += 1;
                 open.out += 1;
@@ -130,8 +134,8 @@
                 let state = inner.serving.get(&server).map(|(state, _)| *state);
                 debug!(self.log, "attempt begins"; "request" => command_id.0, "attempt" => running.attempt,
                     "number" => id.0, "server" => %ServerLabel(server), "state" => ?state,
-                    "list-age-ms" => inner.start_times.confirmed().map(|at| to_ms(now.minus(at))),
-                    "until-ms" => to_ms(until.minus(now)));
+                    "list-age-ms" => inner.start_times.confirmed().map(|at| to_ms(now.saturating_sub(at))),
+                    "until-ms" => to_ms(until.saturating_sub(now)));
                 inner.attempts.insert(id, running);
                 inner.timers.push(Reverse((until, Due::Attempt(id))));
                 inner.carrier.begin(Attempt { id, command, server, until, by, over });
--- a/dispatch/src/exchange/tests.rs
+++ b/dispatch/src/exchange/tests.rs
@@ -136,8 +136,8 @@
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         exchange.ended(attempt.id, End::Broken);
         let repeat = recorder.begun.borrow_mut().pop().unwrap();
-        let end = first.plus(window);
-        assert!(!attempt.over(end) && !repeat.over(end.minus(Micros(1))) && repeat.over(end));
+        let end = first.saturating_add(window);
+        assert!(!attempt.over(end) && !repeat.over(end.saturating_sub(Micros(1))) && repeat.over(end));
     });
 }
 
@@ -178,7 +178,7 @@
         let (_, first) = exchange.take(command("1", None)).unwrap();
         settle().await;
         let last = Duration::from_millis(200);
-        exchange.end_by(exchange.clock.now().plus(crate::clock::micros(last)));
+        exchange.end_by(exchange.clock.now().saturating_add(crate::clock::micros(last)));
         tokio::time::sleep(last / 2).await;
         let (_, second) = exchange.take(command("2", None)).unwrap();
         assert!(first.await.is_ok() && second.await.is_ok());
--- a/dispatch/src/exchange/timers.rs
+++ b/dispatch/src/exchange/timers.rs
@@ -17,7 +17,7 @@
             let next = self.fire();
             self.next_timer.set(next);
             tokio::select! {
-                () = sleep_until(self.clock.instant(next.min(self.clock.now().plus(Micros(3_600_000_000))))) => {}
+                () = sleep_until(self.clock.instant(next.min(self.clock.now().saturating_add(Micros(3_600_000_000))))) => {}
                 () = self.timer_set.notified() => {}
             }
         }
--- a/dispatch/src/start_times.rs
+++ b/dispatch/src/start_times.rs
@@ -52,7 +52,7 @@
 
     /// Sets the starts of these entries, which have just come, to the own clock.
     pub fn translate(&mut self, hosts: &mut [Host], now: Micros) {
-        let earliest = self.confirmed.map_or(Micros(0), |confirmed| confirmed.minus(LISTED_AFTER));
+        let earliest = self.confirmed.map_or(Micros(0), |confirmed| confirmed.saturating_sub(LISTED_AFTER));
         for host in hosts.iter_mut() {
             let told = host.entry.started;
             // Long ago, whatever the clock says.
@@ -64,7 +64,7 @@
                 _ if self.trusted => told,
                 Some(known) if known.told == told => known.own,
                 // A later start is another process, and has to be later here, too.
-                Some(known) if known.told < told => news.max(known.own.plus(Micros(1))),
+                Some(known) if known.told < told => news.max(known.own.saturating_add(Micros(1))),
                 _ => news,
             };
             self.known.insert(host.entry.server, Start { told, own });
--- a/dispatch/src/start_times/tests.rs
+++ b/dispatch/src/start_times/tests.rs
@@ -28,7 +28,7 @@
         assert_eq!(translated(&mut times, age, NOW.0 - age, NOW), NOW.0 - age, "in the first list");
     }
     times.confirm(NOW);
-    let later = NOW.plus(Micros(SECOND));
+    let later = NOW.saturating_add(Micros(SECOND));
     assert_eq!(
         translated(&mut times, 7, NOW.0 - SECOND, later),
         NOW.0 - SECOND,
@@ -44,16 +44,16 @@
         let mut times = StartTimes::default();
         translated(&mut times, 1, NOW.0 - 2 * HOUR, NOW);
         times.confirm(NOW);
-        let later = NOW.plus(Micros(SECOND));
+        let later = NOW.saturating_add(Micros(SECOND));
         let own = translated(&mut times, 7, later.0 - ahead, later);
-        assert_eq!(own, NOW.minus(LISTED_AFTER).0, "{ahead}");
+        assert_eq!(own, NOW.saturating_sub(LISTED_AFTER).0, "{ahead}");
         // The same again, in whatever list, and after the list has been confirmed anew, is the same start.
         times.confirm(later);
-        let much_later = NOW.plus(Micros(20 * SECOND));
+        let much_later = NOW.saturating_add(Micros(20 * SECOND));
         assert_eq!(translated(&mut times, 7, later.0 - ahead, much_later), own);
         // A second start of the same server is news again.
         let restarted = translated(&mut times, 7, later.0 - ahead + 1, much_later);
-        assert_eq!(restarted, later.minus(LISTED_AFTER).0);
+        assert_eq!(restarted, later.saturating_sub(LISTED_AFTER).0);
     }
 }
 
@@ -63,9 +63,9 @@
     let mut times = StartTimes::default();
     assert_eq!(translated(&mut times, 1, NOW.0 + HOUR, NOW), NOW.0, "in the first list");
     times.confirm(NOW);
-    let later = NOW.plus(Micros(SECOND));
+    let later = NOW.saturating_add(Micros(SECOND));
     assert_eq!(translated(&mut times, 7, later.0 + HOUR, later), later.0);
-    assert_eq!(translated(&mut times, 7, later.0 + HOUR, later.plus(Micros(9 * SECOND))), later.0);
+    assert_eq!(translated(&mut times, 7, later.0 + HOUR, later.saturating_add(Micros(9 * SECOND))), later.0);
 }
 
 /// Two starts between two words of discovery are two processes, in their order.
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -192,7 +192,7 @@
     }
     info!(log, "stopping");
     let (signal, last) = (Instant::now(), shutdown::last_answer(longest));
-    exchange.end_by(clock.now().plus(clock::micros(last)));
+    exchange.end_by(clock.now().saturating_add(clock::micros(last)));
     shutdown.run(signal, last + shutdown::WAY_OUT).await;
     exchange.idle().await;
     peers.iter().for_each(|peers| peers.leave());
--- a/node/src/service/backlog/tests.rs
+++ b/node/src/service/backlog/tests.rs
@@ -88,7 +88,7 @@
             far.write_all(b"mg c v O3 Pc=read,d=480\r\n").await.unwrap();
             settle().await;
             let times: Vec<_> =
-                recorder.begun.borrow().iter().map(|attempt| attempt.until.minus(now)).collect();
+                recorder.begun.borrow().iter().map(|attempt| attempt.until.saturating_sub(now)).collect();
             let right_behind = Micros((480 - 10 - early) * 1_000);
             assert_eq!(times, [right_behind, right_behind, Micros((480 - 10 + 50) * 1_000)]);
         });
--- a/node/src/service/tests.rs
+++ b/node/src/service/tests.rs
@@ -590,7 +590,7 @@
         // The time for answers is up in a moment.
         let last = crate::shutdown::last_answer(Duration::from_millis(600));
         let signal = Instant::now() - (last - Duration::from_millis(100));
-        exchange.end_by(exchange.clock().now().plus(juniperladder::Micros(100_000)));
+        exchange.end_by(exchange.clock().now().saturating_add(juniperladder::Micros(100_000)));
         service.shutdown.run(signal, last + crate::shutdown::WAY_OUT).await;
         let got = timeout(Duration::from_secs(5), end).await.expect("the connection ends").unwrap().unwrap();
         assert!(got.ends_with(b"\r\n"));
--- a/node/src/storm.rs
+++ b/node/src/storm.rs
@@ -207,7 +207,7 @@
         let signal = Instant::now();
         let longest = Duration::from_millis(CLASSES.iter().map(|(.., ms)| *ms).max().unwrap_or(0));
         let last = last_answer(longest);
-        world.exchange.end_by(world.exchange.clock().now().plus(crate::clock::micros(last)));
+        world.exchange.end_by(world.exchange.clock().now().saturating_add(crate::clock::micros(last)));
         world.shutdown.run(signal, last + WAY_OUT).await;
         world.exchange.idle().await;
         // The protocol's time for a planned end: whoever waits still has lost its command.
--- a/node/src/upstream/connection.rs
+++ b/node/src/upstream/connection.rs
@@ -196,7 +196,7 @@
         input: &mut BytesMut,
         attempt: Attempt,
     ) -> After {
-        let wait = attempt.until.minus(upstream.clock.now());
+        let wait = attempt.until.saturating_sub(upstream.clock.now());
         if wait.0 == 0 || upstream.over(&attempt) {
             // It timed out on its way here, or its command was answered; to write it now would be work for nobody.
             let end = if wait.0 == 0 { End::NotSent } else { End::CalledOff };
--- a/node/src/upstream/uploads.rs
+++ b/node/src/upstream/uploads.rs
@@ -72,7 +72,7 @@
         };
         let Ok(go) = upload.going.await else { return };
         drop(on_its_way);
-        let wait = go.attempt.until.minus(upstream.clock.now());
+        let wait = go.attempt.until.saturating_sub(upstream.clock.now());
         if wait.0 == 0 || !upstream.is_at(self) {
             return upstream.stopped(self.server, go.attempt.id, End::CalledOff);
         }
--- a/node/tests/two_deployments.rs
+++ b/node/tests/two_deployments.rs
@@ -82,7 +82,8 @@
         let (at_first, at_second) = (first.begun().await, second.begun().await);
         assert_eq!((at_first.command.class, at_first.command.tenant), (1, 0));
         assert_eq!((at_second.command.class, at_second.command.tenant), (0, 1));
-        let left = |of: &Deployment, attempt: &Attempt| attempt.until.minus(of.exchange.clock().now());
+        let left =
+            |of: &Deployment, attempt: &Attempt| attempt.until.saturating_sub(of.exchange.clock().now());
         let (left_first, left_second) = (left(&first, &at_first), left(&second, &at_second));
         assert!(left_first > Micros(400_000) && left_first < Micros(3_000_000), "{left_first:?}");
         assert!(left_second < Micros(400_000), "{left_second:?}");
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -155,11 +155,11 @@
         let spread = self.settings.rules.discovery_poll_interval.min(ASKING);
         let start = self.start_spread();
         if kind == EndpointUpdate::Unavailable {
-            let mut wait = |(least, most)| spread.times(least + (most - least) * self.rng.f64());
-            let soon = now.plus(wait(SOON));
+            let mut wait = |(least, most)| spread.mul_f64(least + (most - least) * self.rng.f64());
+            let soon = now.saturating_add(wait(SOON));
             let part = if self.members.failures == START_FAILURES { start } else { 1.0 };
-            let again = wait(AGAIN[self.members.failures]).times(part);
-            let at = self.members.call.plus(again).max(soon);
+            let again = wait(AGAIN[self.members.failures]).mul_f64(part);
+            let at = self.members.call.saturating_add(again).max(soon);
             if self.members.failures == START_FAILURES && self.members.start_calls > 0 {
                 self.members.start_calls -= 1;
             } else {
@@ -172,7 +172,9 @@
         self.members.follow(kind, list, &self.settings);
         self.coordination.on_endpoints_changed(self.members.hosts());
         if kind == EndpointUpdate::Restored && self.members.call.0 == 0 && self.settings.subscribe {
-            let at = now.plus(spread.times(START * start * self.rng.f64())).plus(self.settings.tick);
+            let at = now
+                .saturating_add(spread.mul_f64(START * start * self.rng.f64()))
+                .saturating_add(self.settings.tick);
             self.members.call = at;
             actions.push(Action::Timer { at, token: DISCOVERY });
         } else if kind != EndpointUpdate::OperatorOverride {
@@ -187,9 +189,9 @@
         let work = request.expected_work.unwrap_or(Micros(0));
         let aim = class
             .latency_objective
-            .plus(work.times(class.latency_objective_per_work))
+            .saturating_add(work.mul_f64(class.latency_objective_per_work))
             .min(class.deadline.max(class.latency_objective));
-        let aim = now.plus(aim.minus(spent)).min(request.deadline);
+        let aim = now.saturating_add(aim.saturating_sub(spent)).min(request.deadline);
         let useful = if class.late_priority_weight > 0.0 { request.deadline } else { aim };
         request.key.filter(|_| !request.is_write).into_iter().for_each(|key| self.placement.count(key));
         self.route(now, Pending::new(request, useful), actions);
@@ -199,7 +201,7 @@
     /// tries, so that a retry with less time left than first tries have tells how much is gone.
     fn spent(&mut self, now: Micros, request: &Request) -> Micros {
         let class = self.settings.class(request.class);
-        let left = request.deadline.minus(now);
+        let left = request.deadline.saturating_sub(now);
         let first = &mut self.first_waits[(request.class as usize).min(self.settings.classes.len() - 1)];
         if !request.is_client_retry {
             *first = left.max(*first);
@@ -207,8 +209,8 @@
             self.hedges = (self.hedges + HEDGES / self.ladder.least).min(HEDGES_SAVED);
             return Micros(0);
         }
-        let gone = class.deadline.minus(left);
-        gone.times(if left.plus(self.settings.tick.times(2.0)) < *first { 1.0 } else { 0.5 })
+        let gone = class.deadline.saturating_sub(left);
+        gone.mul_f64(if left.saturating_add(self.settings.tick.mul_f64(2.0)) < *first { 1.0 } else { 0.5 })
     }
 
     fn route(&mut self, now: Micros, mut pending: Pending, actions: &mut Vec<Action>) {
@@ -234,8 +236,12 @@
                 if pending.may_refuse(self.settings.class(pending.request.class)) {
                     let limits = &self.settings.limits;
                     let most = if limits.retry_after { limits.max_retry_after } else { Micros(0) };
-                    let spread = SPREAD.times(self.rng.f64());
-                    actions.push(Action::Reject { id, retry_after: wait.plus(spread).min(most), reason });
+                    let spread = SPREAD.mul_f64(self.rng.f64());
+                    actions.push(Action::Reject {
+                        id,
+                        retry_after: wait.saturating_add(spread).min(most),
+                        reason,
+                    });
                 } else {
                     actions.push(Action::Fail { id });
                 }
@@ -247,7 +253,9 @@
     fn hedge(&mut self, now: Micros, pending: Pending, actions: &mut Vec<Action>) {
         let out = pending.out().filter(|_| self.ladder.least <= 1.0).map(|a| (a.to.clone(), a.sent));
         if let Some((to, sent)) = out {
-            if let Some(server) = self.members.find(to.server).filter(|s| s.places.fair(now.minus(sent))) {
+            if let Some(server) =
+                self.members.find(to.server).filter(|s| s.places.fair(now.saturating_sub(sent)))
+            {
                 server.gap.outcome(now, sent, true, &self.ladder, self.rng.f64());
                 self.members.told(to.zone, true);
                 self.coordination.on_attempt_completed(now, &to, AttemptResult::Timeout, Some(true));
@@ -276,9 +284,9 @@
         let origin = self.settings.is_origin(entry);
         self.coordination.on_send(now, entry, origin, second);
         let again = class.idempotency == Idempotency::Idempotent && !origin;
-        let unheard = now.minus(server.heard).0 as f64 / (MEMORY * self.ladder.window.0 as f64);
+        let unheard = now.saturating_sub(server.heard).0 as f64 / (MEMORY * self.ladder.window.0 as f64);
         let after = HEDGE_AFTER - HEDGE_SOONER * unheard.min(1.0);
-        let wait = pending.useful.minus(now).times(after).max(Micros(1));
+        let wait = pending.useful.saturating_sub(now).mul_f64(after).max(Micros(1));
         let twice = self.settings.limits.may_duplicate;
         let timeout = if again && !twice { wait } else { Micros(0) };
         actions.push(Action::Send { id, server: entry.server, timeout });
@@ -289,7 +297,7 @@
     }
 
     fn hold(&mut self, now: Micros, wait: Micros, mut pending: Pending, actions: &mut Vec<Action>) {
-        let at = now.plus(wait).min(pending.request.deadline).max(now.plus(Micros(1)));
+        let at = now.saturating_add(wait).min(pending.request.deadline).max(now.saturating_add(Micros(1)));
         pending.token = self.next_token;
         self.next_token += 1;
         actions.push(Action::Timer { at, token: pending.token });
@@ -316,7 +324,7 @@
         let wait = if self.queue.is_empty() { Micros(0) } else { self.closed(now, 0) };
         if !self.passing && wait.0 > 0 {
             self.passing = true;
-            actions.push(Action::Timer { at: now.plus(wait), token: PASS });
+            actions.push(Action::Timer { at: now.saturating_add(wait), token: PASS });
         }
     }
 
@@ -395,7 +403,7 @@
     fn at_origin(&mut self, now: Micros, pending: &Pending) -> Path {
         let request = &pending.request;
         let wait = self.closed(now, request.tenant);
-        let (settings, room) = (&self.settings, pending.useful.minus(now));
+        let (settings, room) = (&self.settings, pending.useful.saturating_sub(now));
         let class = settings.class(request.class);
         let Some(at) = self.members.origin else {
             return Path::End(Micros(0), RejectReason::NoEligibleServer);
@@ -411,7 +419,7 @@
             Step::Queued => Path::End(wait, RejectReason::QueueTimeout),
             _ if !server.places.hopeful(room) => Path::End(wait, RejectReason::DeadlineUnreachable),
             _ if full || !(request.is_write || self.queue.is_empty()) => {
-                Path::Queue(room.times(if request.is_write { WRITE_WAITS } else { READ_WAITS }))
+                Path::Queue(room.mul_f64(if request.is_write { WRITE_WAITS } else { READ_WAITS }))
             }
             _ => Path::Send(at),
         }
@@ -444,7 +452,7 @@
             }
             if let Some(rejected) = rejected {
                 let ladder = if origin { &self.at_origin } else { &self.ladder };
-                server.gap.outcome(now, now.minus(latency), rejected, ladder, self.rng.f64());
+                server.gap.outcome(now, now.saturating_sub(latency), rejected, ladder, self.rng.f64());
             }
             let rejected = rejected.filter(|_| !origin);
             self.coordination.on_attempt_completed(now, &server.entry, outcome.result, rejected);
--- a/src/balancer/gap.rs
+++ b/src/balancer/gap.rs
@@ -36,8 +36,8 @@
         let aim = settings.classes.iter().map(|c| c.latency_objective).min().unwrap_or(Micros(500_000));
         let longest = settings.classes.iter().map(|c| c.deadline).max().unwrap_or(Micros(1_000_000));
         let balancers = f64::from(balancers);
-        let (window, least) = (aim.times(0.5).max(Micros(1)), (LEAST / balancers).clamp(1.0, 4.0));
-        let longest = longest.times((balancers / f64::from(FEW)).max(1.0).sqrt());
+        let (window, least) = (aim.mul_f64(0.5).max(Micros(1)), (LEAST / balancers).clamp(1.0, 4.0));
+        let longest = longest.mul_f64((balancers / f64::from(FEW)).max(1.0).sqrt());
         let top = ((longest.0 as f64 / base).max(1.0).ln() / RATIO.ln()).clamp(1.0, 64.0) as u32;
         Ladder { base, window, top, least }
     }
@@ -70,8 +70,8 @@
 
     pub(super) fn wait(&self, now: Micros, source: u32, ladder: &Ladder) -> Micros {
         let last = self.passes.get(&source).copied().unwrap_or_default();
-        let until = if self.active(now) { last.plus(ladder.length(self.rung)) } else { now };
-        until.minus(now)
+        let until = if self.active(now) { last.saturating_add(ladder.length(self.rung)) } else { now };
+        until.saturating_sub(now)
     }
 
     pub(super) fn pass(&mut self, now: Micros, source: u32) {
@@ -84,13 +84,14 @@
         if sent < self.raised {
             return;
         }
-        if now.minus(self.opened) > ladder.window.times(MEMORY) && self.rung == 0 {
+        if now.saturating_sub(self.opened) > ladder.window.mul_f64(MEMORY) && self.rung == 0 {
             (self.outcomes, self.rejected, self.opened) = (0.0, 0.0, sent);
         }
         self.outcomes += 1.0;
         self.rejected += f64::from(rejected);
-        let span = now.minus(self.opened);
-        if self.rung == 0 && (self.outcomes < ladder.least || span < ladder.window.times(0.25 * ladder.least))
+        let span = now.saturating_sub(self.opened);
+        if self.rung == 0
+            && (self.outcomes < ladder.least || span < ladder.window.mul_f64(0.25 * ladder.least))
         {
             return;
         }
@@ -107,10 +108,10 @@
         }
         let gap = ladder.length(self.rung).max(ladder.window);
         if self.rung > before {
-            self.raised = now.plus(gap.times(0.5 * draw));
+            self.raised = now.saturating_add(gap.mul_f64(0.5 * draw));
         }
         if r > LOW || self.rung != before {
-            self.until = now.plus(gap.times(HOLD_GAPS * (1.0 + draw)));
+            self.until = now.saturating_add(gap.mul_f64(HOLD_GAPS * (1.0 + draw)));
         }
         (self.outcomes, self.rejected, self.opened) = (0.0, 0.0, now);
     }
--- a/src/balancer/members.rs
+++ b/src/balancer/members.rs
@@ -22,9 +22,9 @@
 
 impl Rate {
     pub(super) fn per_s(&mut self, now: Micros) -> f64 {
-        self.count *= (-(now.minus(self.last).0 as f64) / RATE_SPAN).exp();
+        self.count *= (-(now.saturating_sub(self.last).0 as f64) / RATE_SPAN).exp();
         self.last = now;
-        let age = (now.minus(self.first).0 as f64).max(1e6);
+        let age = (now.saturating_sub(self.first).0 as f64).max(1e6);
         self.count / (RATE_SPAN * (1.0 - (-age / RATE_SPAN).exp())) * 1e6
     }
 
@@ -57,7 +57,7 @@
             return true;
         }
         let (left, counted) = self.budget.unwrap_or_else(|| (rng.f64(), now));
-        let left = (left + now.minus(counted).0 as f64 / 1e6 * per_s * warm * COLD_SHARE).min(1.0);
+        let left = (left + now.saturating_sub(counted).0 as f64 / 1e6 * per_s * warm * COLD_SHARE).min(1.0);
         self.budget = Some((left, now));
         left >= 1.0
     }
@@ -125,7 +125,7 @@
 /// The part of its capacity that a server may be taken to have, by its age alone, so that every
 /// router ramps it alike and rule 4 holds without talk.
 pub(super) fn warmth(entry: &Endpoint, now: Micros, rules: &Rules) -> f64 {
-    let (age, whole) = (now.minus(entry.started).0 as f64, rules.slow_start_duration.0 as f64);
+    let (age, whole) = (now.saturating_sub(entry.started).0 as f64, rules.slow_start_duration.0 as f64);
     let part = if entry.started.0 == 0 { 1.0 } else { (age / whole).min(1.0) };
     let cold =
         if rules.slow_start_initial_share > 0.0 { rules.slow_start_initial_share.min(1.0) } else { 0.05 };
--- a/src/balancer/pending.rs
+++ b/src/balancer/pending.rs
@@ -66,7 +66,7 @@
                         DeduplicationScope::Zone => a.to.zone == to.zone,
                         DeduplicationScope::Cell => a.to.cell == to.cell,
                     };
-                    near && now.minus(a.sent) < class.deduplication_window
+                    near && now.saturating_sub(a.sent) < class.deduplication_window
                 }),
             }
     }
--- a/src/balancer/places.rs
+++ b/src/balancer/places.rs
@@ -72,9 +72,9 @@
         let out = if write { &mut self.writes } else { &mut self.reads };
         *out = (*out - 1.0).max(0.0);
         if self.most < 1.0 {
-            self.rest = now.plus(Micros((self.lately * (1.0 / self.most - 1.0)) as u64));
+            self.rest = now.saturating_add(Micros((self.lately * (1.0 / self.most - 1.0)) as u64));
         }
-        self.ghosts.extend(goes_on.map(|more| now.plus(more)));
+        self.ghosts.extend(goes_on.map(|more| now.saturating_add(more)));
     }
 
     /// Whether a time-out of this length tells of the server: its client may have been about to leave.
@@ -98,7 +98,7 @@
                 _ if self.usual == 0.0 => mean,
                 less if less < 0.0 => less * DOWN,
                 more if mean < ODD * self.usual && !self.pressed => more * UP,
-                _ => self.usual * now.minus(self.taught).0 as f64 / CREEP,
+                _ => self.usual * now.saturating_sub(self.taught).0 as f64 / CREEP,
             };
             (self.sum, self.count, self.pressed, self.taught) = (0.0, 0.0, false, now);
         }
@@ -115,7 +115,7 @@
 
     pub(super) fn silent(&mut self, now: Micros, latency: Micros, dropped: bool) {
         self.sample(now, latency);
-        if now.minus(latency) >= self.cut {
+        if now.saturating_sub(latency) >= self.cut {
             let least = if dropped { self.used * KEEPS } else { 0.0 };
             self.most = (self.most * CUT).max(least).max(self.part);
             self.cut = now;
--- a/src/balancer/tests.rs
+++ b/src/balancer/tests.rs
@@ -322,7 +322,7 @@
         let [Action::Timer { at: retry, .. }] = again[..] else { panic!("{again:?}") };
         assert!(
             at < asking.rules.discovery_poll_interval
-                && retry.minus(at) < asking.rules.discovery_poll_interval
+                && retry.saturating_sub(at) < asking.rules.discovery_poll_interval
         );
         times.push(at.0);
     }
--- a/src/balancer/tests/limits.rs
+++ b/src/balancer/tests/limits.rs
@@ -49,7 +49,7 @@
     assert!(!places.room(now, true) && !places.room(now, false), "one at a time");
     places.free(now, true, None);
     assert!(places.room(now, true) && !places.room(now, false));
-    assert!(places.room(now.plus(Micros(30 * SECOND)), false), "a read's time comes");
+    assert!(places.room(now.saturating_add(Micros(30 * SECOND)), false), "a read's time comes");
 }
 
 /// One of a hundred balancers sends to a host every few seconds: that sees no window of four ends before it
