--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -68,7 +68,7 @@
 }
 
 /// Sends requests, several at once, and returns how many were answered with their value and how many otherwise.
-fn exchange(listen: &str) -> (u64, u64) {
+fn dispatcher(listen: &str) -> (u64, u64) {
     let (mut served, mut other) = (0, 0);
     for round in 0..ROUNDS {
         let mut client = TcpStream::connect(listen).unwrap();
@@ -98,7 +98,7 @@
 /// Every request is served though these calls fail; the rest of the log.
 fn all_are_served(faults: &str) -> String {
     let (mut child, listen, log) = start(faults);
-    let (served, other) = exchange(&listen);
+    let (served, other) = dispatcher(&listen);
     assert_eq!((served, other), (ROUNDS * PIPELINE, 0), "{faults}");
     tell(&child, "-TERM");
     assert!(child.wait().unwrap().success(), "{faults}");
--- a/dispatch/src/bans.rs
+++ b/dispatch/src/bans.rs
@@ -1,7 +1,7 @@
 //! Cache hosts out by hand: what operators have banned, laid over every list that discovery tells.
 //!
 //! A ban is kept by the host's id, outside the list's entries: no list, change or reset touches it. No I/O and
-//! no clock: the exchange asks, this answers.
+//! no clock: the dispatcher asks, this answers.
 
 use std::collections::VecDeque;
 
--- a/dispatch/src/carrier.rs
+++ b/dispatch/src/carrier.rs
@@ -1,4 +1,4 @@
-//! What stands between the exchange and the network: who carries attempts, and how they end there.
+//! What stands between the dispatcher and the network: who carries attempts, and how they end there.
 
 use std::rc::Rc;
 
@@ -38,7 +38,7 @@
     pub going: Going,
 }
 
-/// Carries attempts to hosts. No method may call the exchange: what is to be told comes from a task.
+/// Carries attempts to hosts. No method may call the dispatcher: what is to be told comes from a task.
 pub trait Carrier {
     /// The name table has news.
     fn listed(&self, kind: EndpointUpdate, hosts: &[Host]);
--- a/dispatch/src/command.rs
+++ b/dispatch/src/command.rs
@@ -14,7 +14,7 @@
 pub struct CommandId(pub(crate) u64);
 
 impl CommandId {
-    // The module's id is one of the exchange's own: a client that gives one id twice confuses nobody.
+    // The module's id is one of the dispatcher's own: a client that gives one id twice confuses nobody.
     pub(crate) fn request(self) -> RequestId {
         let mut bytes = [0; 36];
         bytes[..8].copy_from_slice(&self.0.to_le_bytes());
--- a/dispatch/src/exchange.rs
+++ b/dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Where the client side and the server side meet. The exchange owns the module, the open commands, the
+//! Where the client side and the server side meet. The dispatcher owns the module, the open commands, the
 //! attempts and the timers; it knows no protocol, and neither side knows the other.
 
 #[cfg(test)]
@@ -39,7 +39,7 @@
 const MARGIN: Micros = Micros(10_000);
 
 /// The object through which all parts meet.
-pub struct Exchange {
+pub struct Dispatcher {
     pub(crate) inner: RefCell<Inner>,
     pub(crate) origin: Option<u32>,
     clock: Clock,
@@ -58,8 +58,8 @@
     log: Logger,
 }
 
-impl Exchange {
-    /// An exchange that sends attempts by this carrier.
+impl Dispatcher {
+    /// A dispatcher that sends attempts by this carrier.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -67,7 +67,7 @@
         clock: Clock,
         counters: Rc<Counters>,
         log: Logger,
-    ) -> Rc<Exchange> {
+    ) -> Rc<Dispatcher> {
         let longest = settings.classes.iter().map(|class| class.deadline).collect();
         let keyed = |class: &Class| {
             (class.idempotency == Idempotency::WithIdempotencyKey).then_some(class.deduplication_window)
@@ -89,7 +89,7 @@
             bans: Bans::default(),
             start_times: StartTimes::default(),
         };
-        Rc::new(Exchange {
+        Rc::new(Dispatcher {
             inner: RefCell::new(inner),
             origin,
             clock,
--- a/dispatch/src/exchange/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! The exchange and its attempts: what the module says begins, and how each attempt ends.
+//! The dispatcher and its attempts: what the module says begins, and how each attempt ends.
 
 use std::cmp::Reverse;
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 use slog::{debug, info};
 
 use super::state::{Due, Inner, Running, NEVER};
-use super::Exchange;
+use super::Dispatcher;
 use crate::carrier::End;
 use crate::clock::to_ms;
 use crate::command::{Attempt, CommandId};
@@ -15,7 +15,7 @@
 use crate::numbers::{AttemptId, ServerLabel};
 use crate::values::{Answer, Reply};
 
-impl Exchange {
+impl Dispatcher {
     /// An attempt has ended.
     pub fn ended(&self, id: AttemptId, end: End) {
         let mut inner = self.inner.borrow_mut();
--- a/dispatch/src/exchange/hosts.rs
+++ b/dispatch/src/dispatcher/hosts.rs
@@ -1,10 +1,10 @@
-//! The exchange and the hosts: discovery's news to the module and the carrier, and what operators are told of them.
+//! The dispatcher and the hosts: discovery's news to the module and the carrier, and what operators are told of them.
 
 use juniperladder::{Endpoint, EndpointState, EndpointUpdate, Event};
 use slog::{info, warn};
 
 use super::state::Inner;
-use super::Exchange;
+use super::Dispatcher;
 use crate::clock::to_ms;
 use crate::values::Host;
 
@@ -12,7 +12,7 @@
 /// the time that each command takes. The origin is always among them.
 pub(super) const MOST_HOSTS: usize = 4_096;
 
-impl Exchange {
+impl Dispatcher {
     /// Whether commands can be served: some host is known.
     pub fn ready(&self) -> bool {
         self.inner.borrow().serving.values().any(|(state, _)| *state == EndpointState::Serving)
--- a/dispatch/src/exchange/state.rs
+++ b/dispatch/src/dispatcher/state.rs
@@ -1,4 +1,4 @@
-//! What the exchange keeps: open commands, attempts that are out, timers and the hosts that serve.
+//! What the dispatcher keeps: open commands, attempts that are out, timers and the hosts that serve.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
@@ -50,7 +50,7 @@
     Command(CommandId),
 }
 
-/// All that the exchange keeps.
+/// All that the dispatcher keeps.
 pub(crate) struct Inner {
     pub(crate) balancer: Balancer,
     pub(super) carrier: Rc<dyn Carrier>,
--- a/dispatch/src/exchange/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -5,16 +5,16 @@
 
 use super::hosts::MOST_HOSTS;
 use super::*;
-use crate::testing::{self, command, exchange, settings, settle, Recorder};
+use crate::testing::{self, command, dispatcher, settings, settle, Recorder};
 use tokio::task::spawn_local;
 use tokio::time::{Duration, Instant};
 
-fn with_timers(attempts: u32, idempotency: Idempotency, hosts: u32) -> (Rc<Exchange>, Rc<Recorder>) {
+fn with_timers(attempts: u32, idempotency: Idempotency, hosts: u32) -> (Rc<Dispatcher>, Rc<Recorder>) {
     let recorder = Rc::new(Recorder::default());
-    let exchange = exchange(settings(attempts, idempotency), recorder.clone(), hosts);
-    let timers = Rc::clone(&exchange);
+    let dispatcher = dispatcher(settings(attempts, idempotency), recorder.clone(), hosts);
+    let timers = Rc::clone(&dispatcher);
     spawn_local(async move { timers.run().await });
-    (exchange, recorder)
+    (dispatcher, recorder)
 }
 
 /// Rule 1: silent hosts or not, the one answer comes before the client gives up.
@@ -26,14 +26,14 @@
             (3, Idempotency::Idempotent),
             (3, Idempotency::WithIdempotencyKey),
         ] {
-            let (exchange, recorder) = with_timers(attempts, idempotency, 3);
+            let (dispatcher, recorder) = with_timers(attempts, idempotency, 3);
             let start = Instant::now();
-            let (_, answer) = exchange.take(command("1", None)).unwrap();
+            let (_, answer) = dispatcher.take(command("1", None)).unwrap();
             assert!(matches!(answer.await, Ok(Answer::Failed | Answer::Rejected(_))));
             assert!(start.elapsed() < Duration::from_millis(480), "{:?}", start.elapsed());
             assert!(!recorder.begun.borrow().is_empty());
-            assert!(exchange.inner.borrow().attempts.is_empty() || exchange.counters.timeouts.get() > 0);
-            assert_eq!(exchange.counters.overdue.get(), 0, "the module ends it, not the net below it");
+            assert!(dispatcher.inner.borrow().attempts.is_empty() || dispatcher.counters.timeouts.get() > 0);
+            assert_eq!(dispatcher.counters.overdue.get(), 0, "the module ends it, not the net below it");
         }
     });
 }
@@ -42,11 +42,11 @@
 #[test]
 fn a_command_that_is_given_up_is_answered_at_once() {
     testing::run(async {
-        let (exchange, recorder) = with_timers(1, Idempotency::Idempotent, 1);
+        let (dispatcher, recorder) = with_timers(1, Idempotency::Idempotent, 1);
         let start = Instant::now();
-        let (_, answer) = exchange.take(command("1", None)).unwrap();
+        let (_, answer) = dispatcher.take(command("1", None)).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
-        exchange.ended(attempt.id, End::NotSent);
+        dispatcher.ended(attempt.id, End::NotSent);
         assert!(matches!(answer.await, Ok(Answer::Rejected(_))));
         assert_eq!(start.elapsed(), Duration::ZERO);
     });
@@ -57,13 +57,13 @@
 fn a_half_closed_client_is_answered_by_what_is_out() {
     testing::run(async {
         for served in [true, false] {
-            let (exchange, recorder) = with_timers(3, Idempotency::Idempotent, 3);
-            let (id, answer) = exchange.take(command("1", None)).unwrap();
+            let (dispatcher, recorder) = with_timers(3, Idempotency::Idempotent, 3);
+            let (id, answer) = dispatcher.take(command("1", None)).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
-            exchange.left(id);
+            dispatcher.left(id);
             let value = Answer::Value(Bytes::from_static(b"v"));
             let reply = if served { Reply::Served(value.clone()) } else { Reply::Error };
-            exchange.ended(attempt.id, End::Reply(reply));
+            dispatcher.ended(attempt.id, End::Reply(reply));
             assert_eq!(answer.await, Ok(if served { value } else { Answer::Failed }));
             settle().await;
             assert!(recorder.begun.borrow().is_empty());
@@ -78,20 +78,20 @@
         let recorder = Rc::new(Recorder::default());
         let mut settings = settings(3, Idempotency::Idempotent);
         settings.limits.may_duplicate = false;
-        let exchange = exchange(settings, recorder.clone(), 3);
-        let timers = Rc::clone(&exchange);
+        let dispatcher = dispatcher(settings, recorder.clone(), 3);
+        let timers = Rc::clone(&dispatcher);
         spawn_local(async move { timers.run().await });
-        let (_, answer) = exchange.take(command("1", None)).unwrap();
-        while exchange.counters.timeouts.get() == 0 {
+        let (_, answer) = dispatcher.take(command("1", None)).unwrap();
+        while dispatcher.counters.timeouts.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let [first, second] = &recorder.begun.take()[..] else { panic!("it is tried elsewhere") };
         let value = Answer::Value(Bytes::from_static(b"v"));
-        exchange.ended(first.id, End::Reply(Reply::Served(value.clone())));
+        dispatcher.ended(first.id, End::Reply(Reply::Served(value.clone())));
         assert_eq!(answer.await, Ok(value.clone()));
-        exchange.ended(second.id, End::Reply(Reply::Served(value)));
-        assert_eq!((exchange.counters.served.get(), exchange.counters.served_late.get()), (1, 1));
-        assert!(exchange.inner.borrow().late.is_empty());
+        dispatcher.ended(second.id, End::Reply(Reply::Served(value)));
+        assert_eq!((dispatcher.counters.served.get(), dispatcher.counters.served_late.get()), (1, 1));
+        assert!(dispatcher.inner.borrow().late.is_empty());
     });
 }
 
@@ -101,19 +101,19 @@
 fn what_is_out_is_over_with_its_command() {
     testing::run(async {
         for gone in [false, true] {
-            let (exchange, recorder) = with_timers(3, Idempotency::Idempotent, 3);
-            let (id, answer) = exchange.take(command("1", None)).unwrap();
+            let (dispatcher, recorder) = with_timers(3, Idempotency::Idempotent, 3);
+            let (id, answer) = dispatcher.take(command("1", None)).unwrap();
             while recorder.begun.borrow().len() < 2 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
             let [first, second] = &recorder.begun.take()[..] else { panic!("a second copy is out") };
-            let now = exchange.clock.now();
+            let now = dispatcher.clock.now();
             assert!(!first.over(now) && !second.over(now));
             if gone {
-                exchange.gone(id);
+                dispatcher.gone(id);
             } else {
                 let value = Answer::Value(Bytes::from_static(b"v"));
-                exchange.ended(first.id, End::Reply(Reply::Served(value)));
+                dispatcher.ended(first.id, End::Reply(Reply::Served(value)));
                 assert!(answer.await.is_ok());
             }
             assert!(first.over(now) && second.over(now));
@@ -129,12 +129,12 @@
         let mut settings = settings(3, Idempotency::WithIdempotencyKey);
         let window = Micros(200_000);
         settings.classes[0].deduplication_window = window;
-        let exchange = exchange(settings, recorder.clone(), 3);
-        let first = exchange.clock.now();
-        let _answer = exchange.take(command("1", Some(vec![]))).unwrap();
+        let dispatcher = dispatcher(settings, recorder.clone(), 3);
+        let first = dispatcher.clock.now();
+        let _answer = dispatcher.take(command("1", Some(vec![]))).unwrap();
         tokio::time::sleep(Duration::from_millis(100)).await;
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
-        exchange.ended(attempt.id, End::Broken);
+        dispatcher.ended(attempt.id, End::Broken);
         let repeat = recorder.begun.borrow_mut().pop().unwrap();
         let end = first.saturating_add(window);
         assert!(!attempt.over(end) && !repeat.over(end.saturating_sub(Micros(1))) && repeat.over(end));
@@ -147,25 +147,25 @@
 fn a_list_is_bounded_far_over_a_fleets() {
     let recorder = Rc::new(Recorder::default());
     let mode = juniperladder::CacheMode::Aside(testing::ORIGIN);
-    let exchange = exchange(Settings { mode, ..settings(3, Idempotency::Idempotent) }, recorder, 0);
+    let dispatcher = dispatcher(Settings { mode, ..settings(3, Idempotency::Idempotent) }, recorder, 0);
     let up = |n| testing::host(ServerId(n), EndpointState::Serving);
     let mut origin = up(u64::MAX);
     origin.entry.kind = testing::ORIGIN;
-    let known = || exchange.inner.borrow().serving.len();
-    exchange.listed(EndpointUpdate::Snapshot, &(0..1_024).map(up).collect::<Vec<_>>());
-    assert_eq!((known(), exchange.counters.hosts_left_out.get()), (1_024, 0));
+    let known = || dispatcher.inner.borrow().serving.len();
+    dispatcher.listed(EndpointUpdate::Snapshot, &(0..1_024).map(up).collect::<Vec<_>>());
+    assert_eq!((known(), dispatcher.counters.hosts_left_out.get()), (1_024, 0));
     let most = MOST_HOSTS as u64;
-    exchange.listed(
+    dispatcher.listed(
         EndpointUpdate::Snapshot,
         &(0..most + 10).map(up).chain([origin.clone()]).collect::<Vec<_>>(),
     );
-    assert!(exchange.inner.borrow().balancer.origin() == Some(origin.entry.server));
-    exchange.listed(EndpointUpdate::Delta, &[up(most * 2)]);
-    assert_eq!((known(), exchange.counters.hosts_left_out.get()), (MOST_HOSTS + 1, 11));
+    assert!(dispatcher.inner.borrow().balancer.origin() == Some(origin.entry.server));
+    dispatcher.listed(EndpointUpdate::Delta, &[up(most * 2)]);
+    assert_eq!((known(), dispatcher.counters.hosts_left_out.get()), (MOST_HOSTS + 1, 11));
     let gone: Vec<Host> = (0..5).map(|n| testing::host(ServerId(n), EndpointState::Deleted)).collect();
-    exchange.listed(EndpointUpdate::Delta, &gone);
-    exchange.listed(EndpointUpdate::Delta, &(most * 2..most * 2 + 9).map(up).collect::<Vec<_>>());
-    assert_eq!((known(), exchange.counters.hosts_left_out.get()), (MOST_HOSTS, 16));
+    dispatcher.listed(EndpointUpdate::Delta, &gone);
+    dispatcher.listed(EndpointUpdate::Delta, &(most * 2..most * 2 + 9).map(up).collect::<Vec<_>>());
+    assert_eq!((known(), dispatcher.counters.hosts_left_out.get()), (MOST_HOSTS, 16));
 }
 
 /// A process that is told to end has an answer for all that it took before its time is up: what was open then, what
@@ -173,17 +173,17 @@
 #[test]
 fn a_process_that_ends_answers_all_that_it_took() {
     testing::run(async {
-        let (exchange, recorder) = with_timers(3, Idempotency::NotIdempotent, 3);
+        let (dispatcher, recorder) = with_timers(3, Idempotency::NotIdempotent, 3);
         let start = Instant::now();
-        let (_, first) = exchange.take(command("1", None)).unwrap();
+        let (_, first) = dispatcher.take(command("1", None)).unwrap();
         settle().await;
         let last = Duration::from_millis(200);
-        exchange.end_by(exchange.clock.now().saturating_add(crate::clock::micros(last)));
+        dispatcher.end_by(dispatcher.clock.now().saturating_add(crate::clock::micros(last)));
         tokio::time::sleep(last / 2).await;
-        let (_, second) = exchange.take(command("2", None)).unwrap();
+        let (_, second) = dispatcher.take(command("2", None)).unwrap();
         assert!(first.await.is_ok() && second.await.is_ok());
         assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (last, 2));
-        let (_, third) = exchange.take(command("3", None)).unwrap();
+        let (_, third) = dispatcher.take(command("3", None)).unwrap();
         assert!(third.await.is_ok());
         assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (last, 2));
     });
@@ -193,15 +193,15 @@
 #[test]
 fn an_id_in_use_is_not_taken() {
     testing::run(async {
-        let (exchange, recorder) = with_timers(1, Idempotency::Idempotent, 1);
+        let (dispatcher, recorder) = with_timers(1, Idempotency::Idempotent, 1);
         for _ in 0..2 {
-            let (_, answer) = exchange.take(command("1", None)).unwrap();
-            assert!(exchange.take(command("1", None)).is_none());
+            let (_, answer) = dispatcher.take(command("1", None)).unwrap();
+            assert!(dispatcher.take(command("1", None)).is_none());
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
-            exchange.ended(attempt.id, End::Spoilt);
+            dispatcher.ended(attempt.id, End::Spoilt);
             assert!(matches!(answer.await, Ok(Answer::Rejected(_) | Answer::Failed)));
         }
-        assert!(exchange.inner.borrow().ids.is_empty());
+        assert!(dispatcher.inner.borrow().ids.is_empty());
     });
 }
 
@@ -212,24 +212,24 @@
     const HOUR: u64 = 3_600_000_000;
     let sends_in_a_second = |told: &dyn Fn(u64) -> u64, age: Duration| {
         testing::run(async {
-            let (exchange, recorder) = with_timers(1, Idempotency::Idempotent, 3);
+            let (dispatcher, recorder) = with_timers(1, Idempotency::Idempotent, 3);
             let old: Vec<Host> =
                 (0..3).map(|n| testing::host(ServerId(9 + n), EndpointState::Serving)).collect();
-            exchange.listed(EndpointUpdate::Snapshot, &old);
+            dispatcher.listed(EndpointUpdate::Snapshot, &old);
             tokio::time::sleep(Duration::from_secs(2)).await;
-            exchange.list_confirmed();
+            dispatcher.list_confirmed();
             let mut joined = testing::host(ServerId(50), EndpointState::Serving);
-            joined.entry.started = juniperladder::Micros(told(exchange.clock().now().0));
-            exchange.listed(EndpointUpdate::Delta, &[joined]);
+            joined.entry.started = juniperladder::Micros(told(dispatcher.clock().now().0));
+            dispatcher.listed(EndpointUpdate::Delta, &[joined]);
             tokio::time::sleep(age).await;
             recorder.begun.borrow_mut().clear();
             for number in 0..400 {
                 let mut one = command(&format!("c{number}"), None);
                 one.key = Bytes::from(format!("{number:016x}"));
-                let _answer = exchange.take(one);
+                let _answer = dispatcher.take(one);
                 for attempt in recorder.begun.borrow().iter().filter(|a| a.command.id == format!("c{number}"))
                 {
-                    exchange.ended(attempt.id, End::Reply(Reply::Served(Answer::Value(Bytes::new()))));
+                    dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value(Bytes::new()))));
                 }
                 tokio::time::sleep(Duration::from_micros(2_500)).await;
             }
--- a/dispatch/src/exchange/timers.rs
+++ b/dispatch/src/dispatcher/timers.rs
@@ -1,4 +1,4 @@
-//! The exchange's timers: the module's own, the end of each attempt's time, and each command's deadline behind them.
+//! The dispatcher's timers: the module's own, the end of each attempt's time, and each command's deadline behind them.
 
 use std::cmp::Reverse;
 
@@ -6,11 +6,11 @@
 use tokio::time::sleep_until;
 
 use super::state::{Due, NEVER};
-use super::Exchange;
+use super::Dispatcher;
 use crate::counters::count;
 use crate::values::Answer;
 
-impl Exchange {
+impl Dispatcher {
     /// Fires the timers, for as long as it is polled.
     pub async fn run(&self) {
         loop {
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -1,6 +1,6 @@
 //! Where the client side and the server side of a balancer meet. It knows no protocol and no socket.
 //!
-//! [`exchange::Exchange`] owns the decision module, the open commands, the attempts and the timers;
+//! [`dispatcher::Dispatcher`] owns the decision module, the open commands, the attempts and the timers;
 //! [`values`] are what every front and every protocol shares.
 
 pub mod bans;
@@ -8,7 +8,7 @@
 pub mod clock;
 pub mod command;
 pub mod counters;
-pub mod exchange;
+pub mod dispatcher;
 pub mod log_throttle;
 pub mod long;
 pub mod numbers;
--- a/dispatch/src/operators.rs
+++ b/dispatch/src/operators.rs
@@ -9,15 +9,15 @@
 use juniperladder::{EndpointUpdate, ServerId};
 use rustc_hash::FxHashSet;
 
-use crate::exchange::Exchange;
+use crate::dispatcher::Dispatcher;
 use crate::numbers::server;
 use crate::tally::Ended;
 
 /// Why an operator is told no.
 pub const NEVER_LISTED: &str = "no such cache host has been listed; give an instanceId of the list";
 
-impl Exchange {
-    /// Leaves a cache host out from now on, whatever discovery says, until [`Exchange::online`].
+impl Dispatcher {
+    /// Leaves a cache host out from now on, whatever discovery says, until [`Dispatcher::online`].
     pub fn offline(&self, name: &str) -> Result<(), &'static str> {
         self.ban(name, true)
     }
--- a/dispatch/src/operators/tests.rs
+++ b/dispatch/src/operators/tests.rs
@@ -1,4 +1,4 @@
-//! Operators' calls and pages, on an exchange without a network.
+//! Operators' calls and pages, on a dispatcher without a network.
 
 use std::rc::Rc;
 
@@ -8,30 +8,30 @@
 use tokio::time::{timeout, Duration};
 
 use super::*;
-use crate::exchange::{Answer, End, Host, Reply};
-use crate::testing::{self, command, exchange, host, settings, Recorder, HOST};
+use crate::dispatcher::{Answer, End, Host, Reply};
+use crate::testing::{self, command, dispatcher, host, settings, Recorder, HOST};
 
 const NAME: &str = "s-00000009";
 
-fn balancer() -> (Rc<Exchange>, Rc<Recorder>) {
+fn balancer() -> (Rc<Dispatcher>, Rc<Recorder>) {
     assert_eq!(server(NAME), HOST);
     let recorder = Rc::new(Recorder::default());
-    let exchange = exchange(settings(3, Idempotency::Idempotent), recorder.clone(), 4);
-    let timers = Rc::clone(&exchange);
+    let dispatcher = dispatcher(settings(3, Idempotency::Idempotent), recorder.clone(), 4);
+    let timers = Rc::clone(&dispatcher);
     spawn_local(async move { timers.run().await });
-    (exchange, recorder)
+    (dispatcher, recorder)
 }
 
 /// So many commands for as many keys, each served by where it goes; how many go to the host.
-async fn sent_there(exchange: &Exchange, recorder: &Recorder, commands: u64) -> usize {
+async fn sent_there(dispatcher: &Dispatcher, recorder: &Recorder, commands: u64) -> usize {
     let mut there = 0;
     for n in 0..commands {
         let mut asked = command("1", None);
         asked.key = Bytes::from(format!("{n:016x}"));
-        let (_, answer) = exchange.take(asked).unwrap();
+        let (_, answer) = dispatcher.take(asked).unwrap();
         for attempt in recorder.begun.take() {
             there += usize::from(attempt.server == HOST);
-            exchange.ended(attempt.id, End::Reply(Reply::Served(Answer::Value("v".into()))));
+            dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value("v".into()))));
         }
         assert!(matches!(answer.await, Ok(Answer::Value(_) | Answer::Rejected(_))));
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -50,17 +50,17 @@
 #[test]
 fn an_operators_call_puts_off_no_watch() {
     testing::run(async {
-        let (exchange, _) = balancer();
+        let (dispatcher, _) = balancer();
         let within =
             Duration::from_micros(settings(3, Idempotency::Idempotent).rules.discovery_poll_interval.0);
         for _ in 0..3 {
-            exchange.offline(NAME).unwrap();
-            exchange.online(NAME).unwrap();
-            exchange.restore_ban(NAME);
-            exchange.online(NAME).unwrap();
-            timeout(within, exchange.watch_wanted()).await.expect("the list has to be asked for in time");
-            exchange.listed(EndpointUpdate::Delta, &[]);
-            exchange.listed(EndpointUpdate::Unavailable, &[]);
+            dispatcher.offline(NAME).unwrap();
+            dispatcher.online(NAME).unwrap();
+            dispatcher.restore_ban(NAME);
+            dispatcher.online(NAME).unwrap();
+            timeout(within, dispatcher.watch_wanted()).await.expect("the list has to be asked for in time");
+            dispatcher.listed(EndpointUpdate::Delta, &[]);
+            dispatcher.listed(EndpointUpdate::Unavailable, &[]);
         }
     });
 }
@@ -84,17 +84,17 @@
             (EndpointUpdate::Unavailable, vec![]),
             (EndpointUpdate::Restored, with(told(EndpointState::Serving, 0))),
         ];
-        for (exchange, recorder) in &fleet {
-            assert!(sent_there(exchange, recorder, 40).await > 0, "it is in use");
-            exchange.offline(NAME).unwrap();
+        for (dispatcher, recorder) in &fleet {
+            assert!(sent_there(dispatcher, recorder, 40).await > 0, "it is in use");
+            dispatcher.offline(NAME).unwrap();
         }
         for (kind, hosts) in news {
-            for (exchange, recorder) in &fleet {
-                exchange.listed(kind, &hosts);
-                assert_eq!(sent_there(exchange, recorder, 40).await, 0, "{kind:?} {hosts:?}");
-                exchange.offline(NAME).expect("a second call is the same");
-                if exchange.inner.borrow().bans.listed().any(|host| host.entry.server == HOST) {
-                    assert!(exchange.figures(&[], "").contains("skipped_cache_hosts 1\n"));
+            for (dispatcher, recorder) in &fleet {
+                dispatcher.listed(kind, &hosts);
+                assert_eq!(sent_there(dispatcher, recorder, 40).await, 0, "{kind:?} {hosts:?}");
+                dispatcher.offline(NAME).expect("a second call is the same");
+                if dispatcher.inner.borrow().bans.listed().any(|host| host.entry.server == HOST) {
+                    assert!(dispatcher.figures(&[], "").contains("skipped_cache_hosts 1\n"));
                 }
             }
             // One is replaced: what it knew by hand goes on in its successor.
@@ -104,9 +104,9 @@
             assert_eq!(sent_there(&successor.0, &successor.1, 40).await, 0);
             fleet.push(successor);
         }
-        for (exchange, recorder) in &fleet {
-            exchange.online(NAME).unwrap();
-            assert!(sent_there(exchange, recorder, 400).await > 0, "it serves again within 4 s");
+        for (dispatcher, recorder) in &fleet {
+            dispatcher.online(NAME).unwrap();
+            assert!(sent_there(dispatcher, recorder, 400).await > 0, "it serves again within 4 s");
         }
         assert_eq!(fleet[0].0.offline("s-0000abcd"), Err(NEVER_LISTED));
     });
--- a/dispatch/src/testing.rs
+++ b/dispatch/src/testing.rs
@@ -1,4 +1,4 @@
-//! The one helper of the tests of commands and of the network: an exchange over one host whose attempts are only written down.
+//! The one helper of the tests of commands and of the network: a dispatcher over one host whose attempts are only written down.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -11,7 +11,7 @@
 
 use crate::clock::Clock;
 use crate::counters::Counters;
-use crate::exchange::{self, Attempt, AttemptId, Carrier, Exchange, Host, Upload};
+use crate::dispatcher::{self, Attempt, AttemptId, Carrier, Dispatcher, Host, Upload};
 
 /// The only host.
 pub const HOST: ServerId = ServerId(9);
@@ -85,24 +85,29 @@
     Host { entry, address: Some(([127, 0, 0, 1], 1).into()) }
 }
 
-/// An exchange by this carrier that knows so many hosts, the first of which is `HOST`.
-pub fn exchange(settings: Settings, carrier: Rc<dyn Carrier>, hosts: u32) -> Rc<Exchange> {
+/// A dispatcher by this carrier that knows so many hosts, the first of which is `HOST`.
+pub fn dispatcher(settings: Settings, carrier: Rc<dyn Carrier>, hosts: u32) -> Rc<Dispatcher> {
     seeded_exchange(settings, 7, carrier, hosts)
 }
 
 /// The same with a seed of its own, as each process of a fleet has.
-pub fn seeded_exchange(settings: Settings, seed: u64, carrier: Rc<dyn Carrier>, hosts: u32) -> Rc<Exchange> {
+pub fn seeded_exchange(
+    settings: Settings,
+    seed: u64,
+    carrier: Rc<dyn Carrier>,
+    hosts: u32,
+) -> Rc<Dispatcher> {
     let counters = Rc::new(Counters::default());
-    let exchange = Exchange::new(settings, seed, carrier, Clock::start(), counters, log());
+    let dispatcher = Dispatcher::new(settings, seed, carrier, Clock::start(), counters, log());
     let hosts: Vec<Host> =
         (0..hosts).map(|n| host(ServerId(HOST.0 + u64::from(n)), EndpointState::Serving)).collect();
-    exchange.listed(EndpointUpdate::Restored, &hosts);
-    exchange
+    dispatcher.listed(EndpointUpdate::Restored, &hosts);
+    dispatcher
 }
 
 /// A command with this id.
-pub fn command(id: &str, value: Option<Vec<u8>>) -> exchange::Command {
-    exchange::Command {
+pub fn command(id: &str, value: Option<Vec<u8>>) -> dispatcher::Command {
+    dispatcher::Command {
         id: Bytes::copy_from_slice(id.as_bytes()),
         key: Bytes::from_static(b"7f3a9c21e0b4d655"),
         value: value.map(Bytes::from),
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -21,7 +21,7 @@
 
 use crate::clock::to_ms;
 use crate::counters::count;
-use crate::exchange::Exchange;
+use crate::dispatcher::Dispatcher;
 use crate::name_table::{watch_path, Catalog, NameTable};
 use budget::turn_again;
 use call::{Call, Message, News};
@@ -63,13 +63,13 @@
     table: NameTable,
     known: Option<u64>,
     mut address: watch::Receiver<SocketAddr>,
-    exchange: Rc<Exchange>,
+    dispatcher: Rc<Dispatcher>,
     calls: Calls,
     log: Logger,
 ) {
     let (inbox, mut news) = mpsc::channel(INBOX);
     let at = *address.borrow_and_update();
-    let mut follower = Follower::new(table, known, at, Rc::clone(&exchange), calls, inbox, log);
+    let mut follower = Follower::new(table, known, at, Rc::clone(&dispatcher), calls, inbox, log);
     if calls.at_once || calls.pushed.is_some() {
         follower.call(Reason::Start);
     }
@@ -84,7 +84,7 @@
                 follower.turn(address);
             }
             Some(message) = news.recv() => follower.on_message(message),
-            () = exchange.watch_wanted() => follower.on_wanted(),
+            () = dispatcher.watch_wanted() => follower.on_wanted(),
             () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => follower.on_deadline(),
         }
     }
@@ -101,7 +101,7 @@
     turn_failures: u32,
     pushed: Option<Duration>,
     rng: Rng,
-    exchange: Rc<Exchange>,
+    dispatcher: Rc<Dispatcher>,
     inbox: mpsc::Sender<Message>,
     log_throttle: LogThrottle,
     log: Logger,
@@ -112,7 +112,7 @@
         table: NameTable,
         known: Option<u64>,
         address: SocketAddr,
-        exchange: Rc<Exchange>,
+        dispatcher: Rc<Dispatcher>,
         calls: Calls,
         inbox: mpsc::Sender<Message>,
         log: Logger,
@@ -125,7 +125,7 @@
             turn_failures: 0,
             pushed: calls.pushed,
             rng: Rng::with_seed(calls.seed),
-            exchange,
+            dispatcher,
             inbox,
             log_throttle: LogThrottle::default(),
             log,
@@ -176,8 +176,8 @@
             News::List(catalog) => self.on_list(watch, catalog),
             News::NoChange => match self.watches.on_no_change(watch, Instant::now()) {
                 // It has answered, though with nothing: the module need not ask again.
-                NoChange::Answered => self.exchange.listed(EndpointUpdate::Delta, &[]),
-                NoChange::Confirmed => self.exchange.list_confirmed(),
+                NoChange::Answered => self.dispatcher.listed(EndpointUpdate::Delta, &[]),
+                NoChange::Confirmed => self.dispatcher.list_confirmed(),
                 NoChange::Nothing => {}
             },
             News::Ended(problem) => {
@@ -212,15 +212,15 @@
             debug!(self.log, "list entry"; "server" => %ServerLabel(host.entry.server),
                 "state" => ?host.entry.state, "started-ms" => to_ms(host.entry.started));
         }
-        count(&self.exchange.counters().lists);
+        count(&self.dispatcher.counters().lists);
         info!(self.log, "list"; "call" => ?watch, "generation" => generation,
             "whole" => kind == EndpointUpdate::Snapshot, "entries" => hosts.len());
-        self.exchange.listed(kind, &hosts);
+        self.dispatcher.listed(kind, &hosts);
     }
 
     /// A call or a watch has failed: another call is due after a wait.
     fn failed(&mut self, problem: &str, lasted: Duration) {
-        let failures = &self.exchange.counters().discovery_failures;
+        let failures = &self.dispatcher.counters().discovery_failures;
         count(failures);
         if self.log_throttle.allows() {
             warn!(self.log, "discovery"; "problem" => problem, "after-ms" => lasted.as_millis(),
@@ -234,7 +234,7 @@
         }
         self.again = self.pushed.map(|wait| now + wait);
         // From here on the module spaces the calls out: it asks again after a wait of its own.
-        self.exchange.listed(EndpointUpdate::Unavailable, &[]);
+        self.dispatcher.listed(EndpointUpdate::Unavailable, &[]);
     }
 }
 
--- a/node/src/keeper.rs
+++ b/node/src/keeper.rs
@@ -15,7 +15,7 @@
 use tokio::task::spawn_blocking;
 use tokio::time::timeout;
 
-use crate::exchange::Exchange;
+use crate::dispatcher::Dispatcher;
 use crate::state::{self, Stamp};
 
 /// How often the file is looked at for what another process has written: a call has to hold within a second.
@@ -23,7 +23,7 @@
 
 /// The file of one balancer's bans, and what is on its way there.
 pub struct Keeper {
-    exchange: Rc<Exchange>,
+    dispatcher: Rc<Dispatcher>,
     file: PathBuf,
     /// Changes that are not in the file yet, by the host's name: out, or back.
     changes: RefCell<BTreeMap<String, bool>>,
@@ -37,17 +37,17 @@
 
 impl Keeper {
     /// Takes the bans of the process before over, if there was one. Also whether there was.
-    pub fn new(exchange: Rc<Exchange>, file: PathBuf, log: Logger) -> (Rc<Keeper>, bool) {
+    pub fn new(dispatcher: Rc<Dispatcher>, file: PathBuf, log: Logger) -> (Rc<Keeper>, bool) {
         let before = state::read(&file);
         match &before {
             Ok(names) => {
                 info!(log, "bans taken over"; "hosts" => names.len());
-                names.iter().for_each(|name| exchange.restore_ban(name));
+                names.iter().for_each(|name| dispatcher.restore_ban(name));
             }
             Err(why) => info!(log, "no bans taken over"; "why" => why.to_string()),
         }
         let keeper = Keeper {
-            exchange,
+            dispatcher,
             file,
             changes: RefCell::default(),
             stamp: Cell::new(None),
@@ -91,7 +91,7 @@
     async fn turn(&self) {
         let asked = self.asked.get();
         let changes = self.changes.borrow().clone();
-        let (file, own, stamp) = (self.file.clone(), self.exchange.banned(), self.stamp.get());
+        let (file, own, stamp) = (self.file.clone(), self.dispatcher.banned(), self.stamp.get());
         let taken = changes.clone();
         let looked = spawn_blocking(move || state::bring_up_to_date(&file, &own, &taken, stamp)).await;
         match looked.map_err(std::io::Error::from).and_then(|result| result) {
@@ -114,15 +114,15 @@
 
     fn take_up(&self, names: &[String]) {
         let changes = self.changes.borrow();
-        let own = self.exchange.banned();
+        let own = self.dispatcher.banned();
         let here = |name: &&String| !changes.contains_key(*name);
         for name in names.iter().filter(|name| own.binary_search(name).is_err()).filter(here) {
             info!(self.log, "other process"; "host" => name, "now" => "out by hand");
-            self.exchange.restore_ban(name);
+            self.dispatcher.restore_ban(name);
         }
         for name in own.iter().filter(|name| names.binary_search(name).is_err()).filter(here) {
             info!(self.log, "other process"; "host" => name, "now" => "may serve again");
-            let _ = self.exchange.online(name);
+            let _ = self.dispatcher.online(name);
         }
     }
 }
@@ -136,11 +136,11 @@
     const ONE: &str = "s-00000009";
     const TWO: &str = "s-0000000a";
 
-    fn process(file: &std::path::Path) -> (Rc<Exchange>, Rc<Keeper>, bool) {
+    fn process(file: &std::path::Path) -> (Rc<Dispatcher>, Rc<Keeper>, bool) {
         let settings = testing::settings(1, Idempotency::Idempotent);
-        let exchange = testing::exchange(settings, Rc::new(Recorder::default()), 2);
-        let (keeper, replaces) = Keeper::new(Rc::clone(&exchange), file.to_owned(), log());
-        (exchange, keeper, replaces)
+        let dispatcher = testing::dispatcher(settings, Rc::new(Recorder::default()), 2);
+        let (keeper, replaces) = Keeper::new(Rc::clone(&dispatcher), file.to_owned(), log());
+        (dispatcher, keeper, replaces)
     }
 
     /// Two processes of one balancer side by side: what an operator tells either holds at both, also what is told
@@ -178,8 +178,8 @@
         let dir = tempfile::tempdir().unwrap();
         let file = dir.path().join("n0.bans");
         testing::run_on_sockets(async {
-            let (exchange, keeper, _) = process(&file);
-            exchange.offline(ONE).unwrap();
+            let (dispatcher, keeper, _) = process(&file);
+            dispatcher.offline(ONE).unwrap();
             keeper.changed(ONE, true);
             keeper.turn().await;
             for spoil in [None, Some("juniperladder bans 1\ns-000"), Some("another program's")] {
@@ -188,7 +188,7 @@
                     Some(text) => std::fs::write(&file, text).unwrap(),
                 }
                 keeper.turn().await;
-                assert_eq!(exchange.banned(), [ONE]);
+                assert_eq!(dispatcher.banned(), [ONE]);
                 assert_eq!(state::read(&file).unwrap(), [ONE]);
             }
         });
@@ -205,15 +205,15 @@
             // A link to itself cannot be read, with an error that is not that there is no file, but could be written over.
             std::fs::rename(&file, &aside).unwrap();
             std::os::unix::fs::symlink(&file, &file).unwrap();
-            let (exchange, keeper, _) = process(&file);
-            exchange.offline(TWO).unwrap();
+            let (dispatcher, keeper, _) = process(&file);
+            dispatcher.offline(TWO).unwrap();
             keeper.changed(TWO, true);
             keeper.turn().await;
-            assert!(file.is_symlink() && exchange.banned() == [TWO]);
+            assert!(file.is_symlink() && dispatcher.banned() == [TWO]);
             std::fs::remove_file(&file).unwrap();
             std::fs::rename(&aside, &file).unwrap();
             keeper.turn().await;
-            assert_eq!(exchange.banned(), [ONE, TWO], "the process before is still listened to");
+            assert_eq!(dispatcher.banned(), [ONE, TWO], "the process before is still listened to");
             assert_eq!(state::read(&file).unwrap(), [ONE, TWO]);
             let left: Vec<_> =
                 std::fs::read_dir(dir.path()).unwrap().map(|f| f.unwrap().file_name()).collect();
@@ -225,12 +225,12 @@
     #[test]
     fn a_disk_that_takes_nothing_holds_nobody_up() {
         testing::run_on_sockets(async {
-            let (exchange, keeper, _) = process(std::path::Path::new("/proc/none/n0.bans"));
-            exchange.offline(ONE).unwrap();
+            let (dispatcher, keeper, _) = process(std::path::Path::new("/proc/none/n0.bans"));
+            dispatcher.offline(ONE).unwrap();
             let change = keeper.changed(ONE, true);
             keeper.turn().await;
             keeper.kept(change).await;
-            assert_eq!(exchange.banned(), [ONE]);
+            assert_eq!(dispatcher.banned(), [ONE]);
             assert_eq!(keeper.changes.borrow().len(), 1, "it is tried again");
         });
     }
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,6 +1,6 @@
 //! The real balancer: juniperladder's decisions on real sockets.
 //!
-//! The client side ([`service`]) and the server side ([`upstream`]) meet only in the [`exchange`].
+//! The client side ([`service`]) and the server side ([`upstream`]) meet only in the [`dispatcher`].
 
 pub mod bounds;
 pub mod config;
@@ -26,7 +26,7 @@
 #[cfg(test)]
 mod testing;
 
-pub use juniperladder_dispatch::{clock, counters, exchange};
+pub use juniperladder_dispatch::{clock, counters, dispatcher};
 pub use juniperladder_protocols::{http, memcache};
 
 use std::ffi::OsString;
@@ -103,20 +103,20 @@
     let upstream =
         upstream::Upstream::new(limits, Rc::new(connect::Tcp), clock, Rc::clone(&counters), log.clone());
     let settings = config.operator.as_ref().map(|_| config.settings.clone());
-    let exchange = exchange::Exchange::new(
+    let dispatcher = dispatcher::Dispatcher::new(
         config.settings,
         config.seed,
-        Rc::clone(&upstream) as Rc<dyn exchange::Carrier>,
+        Rc::clone(&upstream) as Rc<dyn dispatcher::Carrier>,
         clock,
         Rc::clone(&counters),
         log.clone(),
     );
-    upstream.attach(&exchange);
+    upstream.attach(&dispatcher);
     let peers = match config.operator.as_ref().zip(settings) {
         Some((operator, settings)) => {
             let (position, seed) = (config.position, config.seed);
             let peers = peers::Peers::start(operator, position, &settings, seed, clock, log.clone())?;
-            exchange.join(peers.fleet());
+            dispatcher.join(peers.fleet());
             let talk = Rc::clone(&peers);
             spawn_local(async move { talk.run().await });
             Some(peers)
@@ -126,22 +126,27 @@
     let table = name_table::NameTable::new(config.names);
     let known_generation = config.known.generation;
     let hosts = table.read(config.known, &log);
-    exchange.listed(EndpointUpdate::Restored, &hosts);
+    dispatcher.listed(EndpointUpdate::Restored, &hosts);
 
     let shutdown = Rc::new(shutdown::Shutdown::default());
     let listener = retry::for_a_moment(|| listen(config.listen)).await.map_err(|e| {
         format!("cannot listen on {}: {e}; is another program than a balancer there?", config.listen)
     })?;
     let classes = config.labels.classes.clone();
-    let service =
-        service::Service::new(Rc::clone(&exchange), config.labels, Rc::clone(&shutdown), bounds, log.clone());
+    let service = service::Service::new(
+        Rc::clone(&dispatcher),
+        config.labels,
+        Rc::clone(&shutdown),
+        bounds,
+        log.clone(),
+    );
     let address = listener.local_addr().unwrap_or(config.listen);
     info!(log, "listening"; "address" => address.to_string(), "hosts" => hosts.len());
     info!(log, "settings"; "generation" => known_generation, "ask-within-ms" => clock::to_ms(ask_within),
         "lists" => if config.pushed.is_some() { "pushed" } else { "asked for" },
         "longest-deadline-ms" => longest.as_millis(), "unix-ms" => clock::to_ms(clock.now()));
 
-    let timers = Rc::clone(&exchange);
+    let timers = Rc::clone(&dispatcher);
     spawn_local(async move { timers.run().await });
     let mut successor = false;
     if let Some(mgmt) = config.mgmt {
@@ -150,7 +155,7 @@
             .map_err(|e| format!("cannot listen for operators on {mgmt}: {e}; give mgmt a free address"))?;
         let operators;
         (operators, successor) = operators::Operators::new(
-            Rc::clone(&exchange),
+            Rc::clone(&dispatcher),
             classes,
             Rc::clone(&shutdown),
             &config.name,
@@ -165,7 +170,7 @@
     let (discovery_address, turns) = watch::channel(config.discovery);
     let calls = discovery::Calls { at_once: successor, pushed: config.pushed, seed: config.seed };
     let known = Some(known_generation);
-    spawn_local(discovery::follow(table, known, turns, Rc::clone(&exchange), calls, log.clone()));
+    spawn_local(discovery::follow(table, known, turns, Rc::clone(&dispatcher), calls, log.clone()));
     let reloader = Rc::new(Reloader {
         file: config.file,
         discovery: discovery_address,
@@ -182,7 +187,7 @@
             _ = interrupt.recv() => break,
             _ = report.recv() => {
                 info!(log, "counters"; "all" => counters.to_string());
-                exchange.tell_limits();
+                dispatcher.tell_limits();
             }
             _ = reload.recv() => {
                 // The file may have to be read for a moment, which must not hold up a signal to end.
@@ -192,9 +197,9 @@
     }
     info!(log, "stopping");
     let (signal, last) = (Instant::now(), shutdown::last_answer(longest));
-    exchange.end_by(clock.now().saturating_add(clock::micros(last)));
+    dispatcher.end_by(clock.now().saturating_add(clock::micros(last)));
     shutdown.run(signal, last + shutdown::WAY_OUT).await;
-    exchange.idle().await;
+    dispatcher.idle().await;
     peers.iter().for_each(|peers| peers.leave());
     info!(log, "stopped"; "counters" => counters.to_string());
     Ok(())
--- a/node/src/name_table.rs
+++ b/node/src/name_table.rs
@@ -8,7 +8,7 @@
 use slog::{warn, Logger};
 
 use crate::clock::from_ms;
-use crate::exchange::Host;
+use crate::dispatcher::Host;
 use juniperladder_dispatch::log_throttle::LogThrottle;
 
 /// The names that stand for the settings' numbers.
--- a/node/src/operators.rs
+++ b/node/src/operators.rs
@@ -1,6 +1,6 @@
-//! The operators' address: a second listener, one call a connection, answered from the exchange at once.
+//! The operators' address: a second listener, one call a connection, answered from the dispatcher at once.
 //!
-//! The codec is `protocols::mgmt`; what a call decides is the exchange's. Each caller takes one of a bounded
+//! The codec is `protocols::mgmt`; what a call decides is the dispatcher's. Each caller takes one of a bounded
 //! number of slots and is closed by a read deadline, so that callers who say nothing cost little and never
 //! delay the data path or each other.
 
@@ -16,7 +16,7 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-use crate::exchange::Exchange;
+use crate::dispatcher::Dispatcher;
 use crate::keeper::Keeper;
 use crate::peers::Peers;
 use crate::shutdown::Shutdown;
@@ -42,7 +42,7 @@
 
 /// The operators' side of one process.
 pub struct Operators {
-    exchange: Rc<Exchange>,
+    dispatcher: Rc<Dispatcher>,
     classes: Vec<String>,
     shutdown: Rc<Shutdown>,
     keeper: Rc<Keeper>,
@@ -55,7 +55,7 @@
     /// The operators' side; the bans that an earlier process of this name left are taken up at once. Also
     /// whether there was such a process, which this one replaces.
     pub fn new(
-        exchange: Rc<Exchange>,
+        dispatcher: Rc<Dispatcher>,
         classes: Vec<String>,
         shutdown: Rc<Shutdown>,
         name: &str,
@@ -64,11 +64,11 @@
         log: Logger,
     ) -> (Rc<Operators>, bool) {
         let file = std::env::temp_dir().join(format!("juniperladder-{}.bans", crate::state::safe(name)));
-        Operators::over(exchange, classes, shutdown, file, callers, peers, log)
+        Operators::over(dispatcher, classes, shutdown, file, callers, peers, log)
     }
 
     fn over(
-        exchange: Rc<Exchange>,
+        dispatcher: Rc<Dispatcher>,
         classes: Vec<String>,
         shutdown: Rc<Shutdown>,
         file: PathBuf,
@@ -76,11 +76,11 @@
         peers: Option<Rc<Peers>>,
         log: Logger,
     ) -> (Rc<Operators>, bool) {
-        let (keeper, successor) = Keeper::new(Rc::clone(&exchange), file, log.clone());
+        let (keeper, successor) = Keeper::new(Rc::clone(&dispatcher), file, log.clone());
         // The file is there from the start, so that a successor knows that it replaces a process.
         let keeps = Rc::clone(&keeper);
         spawn_local(async move { keeps.run().await });
-        (Rc::new(Operators { exchange, classes, shutdown, keeper, peers, callers, log }), successor)
+        (Rc::new(Operators { dispatcher, classes, shutdown, keeper, peers, callers, log }), successor)
     }
 
     /// Answers callers for as long as it is polled.
@@ -136,18 +136,18 @@
     pub async fn answer(&self, call: Call) -> String {
         match call {
             Call::Health if self.shutdown.stopping() => nak("stopping: this process has been told to end"),
-            Call::Health if self.exchange.ready() => ack("ready"),
+            Call::Health if self.dispatcher.ready() => ack("ready"),
             Call::Health => nak("not ready: no cache host is listed yet"),
             Call::Dump => format!("{}{}", ack("figures follow"), self.figures()),
-            Call::Offline(name) => self.changed(self.exchange.offline(&name), &name, true).await,
-            Call::Online(name) => self.changed(self.exchange.online(&name), &name, false).await,
+            Call::Offline(name) => self.changed(self.dispatcher.offline(&name), &name, true).await,
+            Call::Online(name) => self.changed(self.dispatcher.online(&name), &name, false).await,
         }
     }
 
     /// The figures, those of the talk between balancers with them where there is any.
     fn figures(&self) -> String {
         let peers = self.peers.as_ref().map(|peers| peers.text());
-        self.exchange.figures(&self.classes, &peers.unwrap_or_default())
+        self.dispatcher.figures(&self.classes, &peers.unwrap_or_default())
     }
 
     /// The change holds here already; the answer waits a moment for it to be kept, too.
@@ -170,7 +170,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::exchange::{Answer, End, Reply};
+    use crate::dispatcher::{Answer, End, Reply};
     use crate::testing::{self, command, log, Recorder};
     use juniperladder::Idempotency;
     use tokio::io::{duplex, DuplexStream};
@@ -181,11 +181,12 @@
 
     fn process(dir: &std::path::Path) -> (Rc<Operators>, Rc<Recorder>) {
         let recorder = Rc::new(Recorder::default());
-        let exchange = testing::exchange(testing::settings(1, Idempotency::Idempotent), recorder.clone(), 2);
+        let dispatcher =
+            testing::dispatcher(testing::settings(1, Idempotency::Idempotent), recorder.clone(), 2);
         let classes = vec!["read".into()];
         let callers = Callers { now: Rc::default(), most: CALLERS };
         let (operators, _) =
-            Operators::over(exchange, classes, Rc::default(), dir.join("n0.bans"), callers, None, log());
+            Operators::over(dispatcher, classes, Rc::default(), dir.join("n0.bans"), callers, None, log());
         (operators, recorder)
     }
 
@@ -259,17 +260,17 @@
         let dir = tempfile::tempdir().unwrap();
         testing::run(async {
             let (operators, recorder) = process(dir.path());
-            let exchange = &operators.exchange;
+            let dispatcher = &operators.dispatcher;
             let value = Reply::Served(Answer::Value("v".into()));
             let mut answers = Vec::new();
             for (n, end) in
                 [End::Reply(value.clone()), End::NotSent, End::Reply(value)].into_iter().enumerate()
             {
-                answers.push(exchange.take(command(&n.to_string(), None)).unwrap());
+                answers.push(dispatcher.take(command(&n.to_string(), None)).unwrap());
                 let attempt = recorder.begun.borrow_mut().pop().unwrap();
-                exchange.ended(attempt.id, end);
+                dispatcher.ended(attempt.id, end);
             }
-            let _open = exchange.take(command("9", None)).unwrap();
+            let _open = dispatcher.take(command("9", None)).unwrap();
             assert!(operators.answer(Call::Offline(HOST.into())).await.starts_with("ACK"));
             let told = operators.answer(Call::Dump).await;
             for line in [
@@ -297,7 +298,7 @@
             let promised = operators.answer(Call::Offline(HOST.into())).await;
             assert_eq!(promised, format!("ACK {HOST} out by hand; not kept for a successor yet\n"));
             assert_eq!(operators.answer(Call::Health).await, "ACK ready\n");
-            assert_eq!(operators.exchange.banned(), [HOST]);
+            assert_eq!(operators.dispatcher.banned(), [HOST]);
             lock.unlock().unwrap();
             operators.keeper.kept(1).await;
             assert_eq!(crate::state::read(&dir.path().join("n0.bans")).unwrap(), [HOST]);
--- a/node/src/service.rs
+++ b/node/src/service.rs
@@ -15,7 +15,7 @@
 
 use crate::bounds::{Bounds, OPERATORS};
 use crate::counters::count;
-use crate::exchange::Exchange;
+use crate::dispatcher::Dispatcher;
 use crate::shutdown::Shutdown;
 use crate::socket::Socket;
 use backlog::{Accepted, Backlog};
@@ -50,7 +50,7 @@
 
 /// What all downstream connections share.
 pub struct Service {
-    exchange: Rc<Exchange>,
+    dispatcher: Rc<Dispatcher>,
     labels: Labels,
     shutdown: Rc<Shutdown>,
     bounds: Bounds,
@@ -148,7 +148,7 @@
 impl Service {
     /// A service that knows these names and keeps within these bounds.
     pub fn new(
-        exchange: Rc<Exchange>,
+        dispatcher: Rc<Dispatcher>,
         labels: Labels,
         shutdown: Rc<Shutdown>,
         bounds: Bounds,
@@ -156,7 +156,7 @@
     ) -> Rc<Service> {
         let (held, seats, callers, lingering, left, log_throttle) = Default::default();
         Rc::new(Service {
-            exchange,
+            dispatcher,
             labels,
             shutdown,
             bounds,
@@ -198,7 +198,7 @@
                 }
                 Err(problem) => {
                     // Out of descriptors, or a client that left at once: neither may end the program.
-                    let failed = &self.exchange.counters().accepts_failed;
+                    let failed = &self.dispatcher.counters().accepts_failed;
                     count(failed);
                     if self.log_throttle.allows() {
                         warn!(self.log, "accept"; "problem" => problem.to_string(), "so far" => failed.get());
@@ -255,7 +255,7 @@
 
     /// Seats a client that has just connected, after at most this wait to be accepted, and serves it.
     pub(crate) fn take_in(self: &Rc<Service>, stream: impl Connection, waited: Duration) {
-        count(&self.exchange.counters().clients);
+        count(&self.dispatcher.counters().clients);
         let seated = self.seat(waited);
         // A connection that breaks has no one to be told.
         let service = Rc::clone(self);
@@ -289,7 +289,7 @@
                 Look::Short
             }
             () = until(patience) => {
-                count(&self.exchange.counters().quiet);
+                count(&self.dispatcher.counters().quiet);
                 debug!(self.log, "downstream connection closes: idle for too long");
                 Look::Long
             }
--- a/node/src/service/backlog/tests.rs
+++ b/node/src/service/backlog/tests.rs
@@ -59,7 +59,7 @@
                 counted.set(counted.get() + 1);
             }
         });
-        while (service.exchange.counters().clients.get() as usize) < CLIENTS {
+        while (service.dispatcher.counters().clients.get() as usize) < CLIENTS {
             yield_now().await;
         }
         assert!(
@@ -81,7 +81,7 @@
             let service = service(&recorder);
             let (near, mut far) = duplex(1 << 10);
             spawn_local(serve_after(Rc::clone(&service), near, Duration::from_millis(waited)));
-            let now = service.exchange.clock().now();
+            let now = service.dispatcher.clock().now();
             far.write_all(b"mg a v O1 Pc=read,d=480\r\nmg b v O2 Pc=read,d=480\r\n").await.unwrap();
             settle().await;
             advance(Duration::from_millis(50)).await;
--- a/node/src/service/downstream.rs
+++ b/node/src/service/downstream.rs
@@ -13,7 +13,7 @@
 use super::{Seat, Service};
 use crate::clock;
 use crate::counters::count;
-use crate::exchange::{Answer, Command, CommandId};
+use crate::dispatcher::{Answer, Command, CommandId};
 use crate::memcache::{write_answer, Commands, Incoming};
 use crate::writing::{self, Writing};
 use juniperladder_dispatch::long::Long;
@@ -116,7 +116,7 @@
         self.owed.is_empty() && self.output.is_empty() && self.long.is_none()
     }
 
-    /// Until when this connection may go on as it is; none while its client waits for the exchange.
+    /// Until when this connection may go on as it is; none while its client waits for the dispatcher.
     fn patience(&self) -> Option<Instant> {
         if !self.output.is_empty() {
             return Some(self.read + UNREAD);
@@ -246,7 +246,7 @@
 
     /// Ends a connection whose client is owed nothing and has sent half a command.
     fn cut(&mut self) {
-        count(&self.service.exchange.counters().cut);
+        count(&self.service.dispatcher.counters().cut);
         self.owed.push_back(Owed::Line("CLIENT_ERROR command not finished in time"));
         self.ended = true;
     }
@@ -264,7 +264,7 @@
         {
             match self.commands.next(&mut self.input) {
                 None => return,
-                Some(Incoming::Ready) if self.service.exchange.ready() => {
+                Some(Incoming::Ready) if self.service.dispatcher.ready() => {
                     self.owed.push_back(Owed::Line("MN"))
                 }
                 Some(Incoming::Ready) => self.owed.push_back(Owed::Line("SERVER_ERROR not ready")),
@@ -273,7 +273,7 @@
                         self.take_whole(*command);
                     }
                 }
-                Some(Incoming::Long(..)) if !self.service.exchange.takes_long() => {
+                Some(Incoming::Long(..)) if !self.service.dispatcher.takes_long() => {
                     self.turn_away("SERVER_ERROR object too large for cache");
                 }
                 Some(Incoming::Long(command, class, length)) => {
@@ -284,7 +284,7 @@
                 Some(Incoming::Piece(piece, end)) => {
                     // Of a command that was turned away at its line the value is read past.
                     if let Some(writing) = &mut self.writing {
-                        writing.add(&self.service.exchange, piece, end);
+                        writing.add(&self.service.dispatcher, piece, end);
                     }
                     if let Some(writing) = self.writing.take_if(|_| end) {
                         self.take_whole(writing.whole());
@@ -325,7 +325,7 @@
         if self.left {
             return self.turn_back();
         }
-        match self.service.exchange.take_after(command, self.unread_wait()) {
+        match self.service.dispatcher.take_after(command, self.unread_wait()) {
             Some((id, answer)) => {
                 self.open += size;
                 self.owed.push_back(Owed::Command(id, text, answer, size));
@@ -350,7 +350,7 @@
 
     /// Owes this line for what was no command. Whoever goes on sending such things loses the connection.
     fn turn_away(&mut self, line: &'static str) {
-        count(&self.service.exchange.counters().malformed);
+        count(&self.service.dispatcher.counters().malformed);
         self.owed.push_back(Owed::Line(line));
         self.malformed += 1;
         self.ended |= self.malformed >= MAX_MALFORMED;
@@ -358,7 +358,7 @@
 
     /// Owes a client that has left the answer to what it had sent before: it is not sent on.
     fn turn_back(&mut self) {
-        count(&self.service.exchange.counters().left);
+        count(&self.service.dispatcher.counters().left);
         self.owed.push_back(Owed::Line("SERVER_ERROR busy"));
     }
 
@@ -379,7 +379,7 @@
     fn let_go(&mut self) {
         for owed in &self.owed {
             if let Owed::Command(id, ..) = owed {
-                self.service.exchange.left(*id);
+                self.service.dispatcher.left(*id);
             }
         }
     }
@@ -423,7 +423,7 @@
         self.service.held.set(self.service.held.get() - self.held);
         for owed in &self.owed {
             if let Owed::Command(id, ..) = owed {
-                self.service.exchange.gone(*id);
+                self.service.dispatcher.gone(*id);
             }
         }
     }
@@ -465,7 +465,7 @@
     let answer = match owed.front_mut() {
         None => std::future::pending().await,
         Some(Owed::Line(_)) => Answer::Failed,
-        // The exchange answers everything it took; should it ever drop one, that command has failed.
+        // The dispatcher answers everything it took; should it ever drop one, that command has failed.
         Some(Owed::Command(_, _, answer, _)) => answer.await.unwrap_or(Answer::Failed),
     };
     match owed.pop_front() {
--- a/node/src/service/tests.rs
+++ b/node/src/service/tests.rs
@@ -4,7 +4,7 @@
 
 use super::downstream::{DownstreamConnection, MAX_MALFORMED, MAX_OWED, READ, SMALL};
 use super::*;
-use crate::exchange::{Answer, End, Reply};
+use crate::dispatcher::{Answer, End, Reply};
 use crate::testing::{self, settle, Recorder};
 use bytes::Bytes;
 use juniperladder::Idempotency;
@@ -32,11 +32,12 @@
 }
 
 pub(super) fn service(recorder: &Rc<Recorder>) -> Rc<Service> {
-    let exchange = testing::exchange(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
+    let dispatcher =
+        testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
     let bounds =
         Bounds { clients: 8, kept: 4, hosts: 8, callers: 8, held: 1 << 17, unread: 1 << 16, piece: 1 << 10 };
     let labels = Labels { classes: vec!["read".into()], tenants: vec!["acme".into(), "beta".into()] };
-    Service::new(exchange, labels, Rc::default(), bounds, testing::log())
+    Service::new(dispatcher, labels, Rc::default(), bounds, testing::log())
 }
 
 async fn serve(service: Rc<Service>, stream: impl Connection) -> io::Result<()> {
@@ -93,7 +94,7 @@
                         } else {
                             (Reply::Error, "SERVER_ERROR failed\r\n".into())
                         };
-                        service.exchange.ended(attempt.id, End::Reply(reply));
+                        service.dispatcher.ended(attempt.id, End::Reply(reply));
                         owed[place] = Some(answer);
                     }
                     Step::End { .. } => {}
@@ -103,7 +104,7 @@
             far.shutdown().await.unwrap();
             settle().await;
             for attempt in recorder.begun.take() {
-                service.exchange.ended(attempt.id, End::Broken);
+                service.dispatcher.ended(attempt.id, End::Broken);
             }
             let mut got = String::new();
             far.read_to_string(&mut got).await.unwrap();
@@ -154,7 +155,7 @@
             far.write_all(format!("mg k v O{id} Pc=read,d=480\r\n").as_bytes()).await.unwrap();
             settle().await;
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
-            service.exchange.ended(attempt.id, End::Reply(Reply::Error));
+            service.dispatcher.ended(attempt.id, End::Reply(Reply::Error));
             clients.push(far);
             sleep(Duration::from_millis(5)).await;
         }
@@ -321,7 +322,7 @@
         far.read_to_string(&mut got).await.unwrap();
         assert_eq!(got, "ERROR\r\n".repeat(MAX_MALFORMED - 5));
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
-        service.exchange.ended(attempt.id, End::Reply(Reply::Served(Answer::Value("v".into()))));
+        service.dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value("v".into()))));
         let mut got = [0; 12];
         honest.read_exact(&mut got).await.unwrap();
         assert_eq!(&got, b"VA 1 O1\r\nv\r\n");
@@ -341,7 +342,7 @@
             settle().await;
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             assert_eq!(attempt.command.tenant, place, "{named}");
-            service.exchange.ended(attempt.id, End::Reply(Reply::Served(Answer::Value("v".into()))));
+            service.dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value("v".into()))));
             let mut got = [0; 12];
             far.read_exact(&mut got).await.unwrap();
             assert_eq!(&got, b"VA 1 O1\r\nv\r\n");
@@ -366,8 +367,8 @@
         }
         assert_eq!(recorder.begun.borrow().len(), 2);
         drop(client);
-        service.exchange.idle().await;
-        assert_eq!(service.exchange.counters().left.get(), 2);
+        service.dispatcher.idle().await;
+        assert_eq!(service.dispatcher.counters().left.get(), 2);
     });
 }
 
@@ -387,7 +388,7 @@
         while !task.is_finished() {
             settle().await;
             for attempt in recorder.begun.take() {
-                service.exchange.ended(attempt.id, End::Reply(Reply::Error));
+                service.dispatcher.ended(attempt.id, End::Reply(Reply::Error));
             }
         }
         let mut got = String::new();
@@ -413,7 +414,7 @@
         settle().await;
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         let value = Answer::Value(Bytes::from_static(b"v"));
-        service.exchange.ended(attempt.id, End::Reply(Reply::Served(value)));
+        service.dispatcher.ended(attempt.id, End::Reply(Reply::Served(value)));
         let mut got = String::new();
         far.read_to_string(&mut got).await.unwrap();
         assert_eq!(got, "VA 1 O1\r\nv\r\n");
@@ -480,7 +481,7 @@
                 let text: String = (0..all).map(|id| format!("mg k v O{id} Pc=read,d=1400\r\n")).collect();
                 far.write_all(text.as_bytes()).await.unwrap();
                 // It is read up to its bound and no further.
-                let taken = || service.exchange.counters().commands.get();
+                let taken = || service.dispatcher.counters().commands.get();
                 while taken() < MAX_OWED as u64 {
                     settle().await;
                 }
@@ -491,12 +492,12 @@
                     // The first answers are more than the client, who takes none, has room for.
                     let attempt = recorder.begun.borrow_mut().remove(0);
                     let value = Bytes::from(vec![b'v'; 16 << 20]);
-                    service.exchange.ended(attempt.id, End::Reply(Reply::Served(Answer::Value(value))));
+                    service.dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value(value))));
                     settle().await;
                 }
                 let far = leave(far, how).await;
                 let over = |recorder: &Recorder| {
-                    let now = service.exchange.clock().now();
+                    let now = service.dispatcher.clock().now();
                     recorder.begun.borrow().iter().all(|attempt| attempt.over(now))
                 };
                 let start = Instant::now();
@@ -508,7 +509,7 @@
                 let out: Vec<_> = recorder.begun.take();
                 assert_eq!(out.len() + usize::from(answers), begun);
                 for attempt in out {
-                    service.exchange.ended(attempt.id, End::CalledOff);
+                    service.dispatcher.ended(attempt.id, End::CalledOff);
                 }
                 if let Some(mut far) = far {
                     // Who only ended its side has an answer for each all the same.
@@ -522,7 +523,7 @@
                     sleep(Duration::from_millis(1)).await;
                 }
                 assert!(recorder.begun.borrow().is_empty(), "{how:?}, {answers}: begun for nobody");
-                assert_eq!(service.exchange.in_progress(), 0);
+                assert_eq!(service.dispatcher.in_progress(), 0);
             });
         }
     }
@@ -546,7 +547,7 @@
         // More than the client's machine takes while its client does not read, and less than the own one does.
         const LENGTH: usize = 200 << 10;
         let value = Bytes::from(vec![b'v'; LENGTH]);
-        service.exchange.ended(attempt.id, End::Reply(Reply::Served(Answer::Value(value))));
+        service.dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value(value))));
         service.shutdown.close();
         // The connection is shut for writing by now, and its client, who has read nothing yet, sends one more.
         while !service.seats.borrow().is_empty() {
@@ -568,8 +569,8 @@
         let recorder = Rc::new(Recorder::default());
         let service = service(&recorder);
         let far = connected(&service).await;
-        let exchange = Rc::clone(&service.exchange);
-        let timers = Rc::clone(&exchange);
+        let dispatcher = Rc::clone(&service.dispatcher);
+        let timers = Rc::clone(&dispatcher);
         spawn_local(async move { timers.run().await });
         let (mut reader, mut writer) = far.into_split();
         spawn_local(async move {
@@ -580,7 +581,7 @@
                 }
             }
         });
-        while exchange.counters().commands.get() < 50 {
+        while dispatcher.counters().commands.get() < 50 {
             settle().await;
         }
         let end = spawn_local(async move {
@@ -590,12 +591,16 @@
         // The time for answers is up in a moment.
         let last = crate::shutdown::last_answer(Duration::from_millis(600));
         let signal = Instant::now() - (last - Duration::from_millis(100));
-        exchange.end_by(exchange.clock().now().saturating_add(juniperladder::Micros(100_000)));
+        dispatcher.end_by(dispatcher.clock().now().saturating_add(juniperladder::Micros(100_000)));
         service.shutdown.run(signal, last + crate::shutdown::WAY_OUT).await;
         let got = timeout(Duration::from_secs(5), end).await.expect("the connection ends").unwrap().unwrap();
         assert!(got.ends_with(b"\r\n"));
         let answers =
             got.split(|byte| *byte == b'\n').filter(|line| line.starts_with(b"SERVER_ERROR")).count();
-        assert_eq!(answers as u64, exchange.counters().commands.get(), "one answer for each that was taken");
+        assert_eq!(
+            answers as u64,
+            dispatcher.counters().commands.get(),
+            "one answer for each that was taken"
+        );
     });
 }
--- a/node/src/storm.rs
+++ b/node/src/storm.rs
@@ -25,7 +25,7 @@
 use crate::bounds::Bounds;
 use crate::connect::Connect;
 use crate::counters::Counters;
-use crate::exchange::{Carrier, Exchange, Host};
+use crate::dispatcher::{Carrier, Dispatcher, Host};
 use crate::service::{Labels, Service};
 use crate::shutdown::{last_answer, Shutdown, WAY_OUT};
 use crate::testing::{self, log, ORIGIN};
@@ -127,7 +127,7 @@
 
 /// A balancer, its clients and its hosts.
 struct World {
-    exchange: Rc<Exchange>,
+    dispatcher: Rc<Dispatcher>,
     service: Rc<Service>,
     shutdown: Rc<Shutdown>,
     hosts: Rc<Hosts>,
@@ -154,9 +154,9 @@
         let ways = Rc::clone(&hosts) as Rc<dyn Connect>;
         let upstream = Upstream::new(limits, ways, clock, Rc::clone(&counters), log());
         let carrier = Rc::clone(&upstream) as Rc<dyn Carrier>;
-        let exchange = Exchange::new(settings(), seed, carrier, clock, counters, log());
-        upstream.attach(&exchange);
-        exchange.listed(EndpointUpdate::Restored, &hosts.listed());
+        let dispatcher = Dispatcher::new(settings(), seed, carrier, clock, counters, log());
+        upstream.attach(&dispatcher);
+        dispatcher.listed(EndpointUpdate::Restored, &hosts.listed());
         let shutdown = Rc::new(Shutdown::default());
         let classes = CLASSES.map(|(name, ..)| name.to_owned()).into();
         let labels = Labels { classes, tenants: vec![] };
@@ -169,9 +169,9 @@
             unread: 1 << 16,
             piece: 1 << 12,
         };
-        let service = Service::new(Rc::clone(&exchange), labels, Rc::clone(&shutdown), bounds, log());
-        // The pools live as long as the exchange, which holds them.
-        World { exchange, service, shutdown, hosts, ledger }
+        let service = Service::new(Rc::clone(&dispatcher), labels, Rc::clone(&shutdown), bounds, log());
+        // The pools live as long as the dispatcher, which holds them.
+        World { dispatcher, service, shutdown, hosts, ledger }
     }
 
     /// Discovery's news: hosts drain, end, and others start at their addresses; now and then nothing is heard of it.
@@ -179,11 +179,11 @@
         loop {
             sleep(Duration::from_millis(rng.u64(50..400))).await;
             if rng.u8(..8) == 0 {
-                self.exchange.listed(EndpointUpdate::Unavailable, &[]);
+                self.dispatcher.listed(EndpointUpdate::Unavailable, &[]);
             }
             let news: Host = self.hosts.turn(rng.usize(1..hosts::PLACES));
             self.ledger.met("lists");
-            self.exchange.listed(EndpointUpdate::Delta, &[news]);
+            self.dispatcher.listed(EndpointUpdate::Delta, &[news]);
         }
     }
 
@@ -192,7 +192,7 @@
         let mut rng = Rng::with_seed(seed ^ 0x5eed);
         let world = Rc::new(self);
         let (timers, news) = (Rc::clone(&world), Rc::clone(&world));
-        spawn_local(async move { timers.exchange.run().await });
+        spawn_local(async move { timers.dispatcher.run().await });
         let draw = rng.fork();
         spawn_local(async move { news.discovery(draw).await });
         let mut clients: Vec<JoinHandle<()>> = Vec::new();
@@ -207,9 +207,9 @@
         let signal = Instant::now();
         let longest = Duration::from_millis(CLASSES.iter().map(|(.., ms)| *ms).max().unwrap_or(0));
         let last = last_answer(longest);
-        world.exchange.end_by(world.exchange.clock().now().saturating_add(crate::clock::micros(last)));
+        world.dispatcher.end_by(world.dispatcher.clock().now().saturating_add(crate::clock::micros(last)));
         world.shutdown.run(signal, last + WAY_OUT).await;
-        world.exchange.idle().await;
+        world.dispatcher.idle().await;
         // The protocol's time for a planned end: whoever waits still has lost its command.
         sleep_until(signal + longest + Duration::from_millis(700)).await;
         if world.ledger.waiting.get() > 0 {
--- a/node/src/storm/clients.rs
+++ b/node/src/storm/clients.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep, timeout_at, Instant};
 
 use super::{World, CLASSES};
-use crate::exchange::{Answer, Command};
+use crate::dispatcher::{Answer, Command};
 use crate::memcache::{client_answer, write_command};
 use crate::testing;
 
--- a/node/src/storm/hosts.rs
+++ b/node/src/storm/hosts.rs
@@ -14,7 +14,7 @@
 
 use super::Ledger;
 use crate::connect::{Connect, Connecting, Stream};
-use crate::exchange::Host;
+use crate::dispatcher::Host;
 use crate::memcache::{Commands, Incoming};
 use crate::testing::ORIGIN;
 
--- a/node/src/testing.rs
+++ b/node/src/testing.rs
@@ -1,4 +1,4 @@
-//! What the tests of the network share, beside what those of the exchange do.
+//! What the tests of the network share, beside what those of the dispatcher do.
 
 use std::rc::Rc;
 
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -18,7 +18,7 @@
 use crate::clock::Clock;
 use crate::connect::Connect;
 use crate::counters::{count, Counters};
-use crate::exchange::{Attempt, AttemptId, Carrier, End, Exchange, Host, Upload};
+use crate::dispatcher::{Attempt, AttemptId, Carrier, Dispatcher, End, Host, Upload};
 use connection::{NoConnection, UpstreamConnection};
 use juniperladder_dispatch::log_throttle::LogThrottle;
 
@@ -88,7 +88,7 @@
 pub struct Upstream {
     pools: RefCell<FxHashMap<ServerId, Pool>>,
     ways: Rc<dyn Connect>,
-    exchange: RefCell<Weak<Exchange>>,
+    dispatcher: RefCell<Weak<Dispatcher>>,
     this: Weak<Upstream>,
     limits: Limits,
     clock: Clock,
@@ -131,7 +131,7 @@
         Rc::new_cyclic(|this| Upstream {
             pools: RefCell::default(),
             ways,
-            exchange: RefCell::default(),
+            dispatcher: RefCell::default(),
             this: this.clone(),
             keep: Cell::new(limits.idle.mul_f64(IDLE_PART)),
             limits,
@@ -145,18 +145,18 @@
         })
     }
 
-    /// Tells which exchange hears of the attempts' ends.
-    pub fn attach(&self, exchange: &Rc<Exchange>) {
-        *self.exchange.borrow_mut() = Rc::downgrade(exchange);
+    /// Tells which dispatcher hears of the attempts' ends.
+    pub fn attach(&self, dispatcher: &Rc<Dispatcher>) {
+        *self.dispatcher.borrow_mut() = Rc::downgrade(dispatcher);
     }
 
     fn ended(&self, id: AttemptId, end: End) {
-        if let Some(exchange) = self.exchange.borrow().upgrade() {
-            exchange.ended(id, end);
+        if let Some(dispatcher) = self.dispatcher.borrow().upgrade() {
+            dispatcher.ended(id, end);
         }
     }
 
-    /// Ends an attempt from a task of its own, as the exchange may be the caller.
+    /// Ends an attempt from a task of its own, as the dispatcher may be the caller.
     fn end_later(&self, id: AttemptId, end: End) {
         if let Some(this) = self.this.upgrade() {
             spawn_local(async move { this.ended(id, end) });
--- a/node/src/upstream/connection.rs
+++ b/node/src/upstream/connection.rs
@@ -19,7 +19,7 @@
 use super::Upstream;
 use crate::connect::Stream;
 use crate::counters::count;
-use crate::exchange::{Answer, Attempt, End, Reply};
+use crate::dispatcher::{Answer, Attempt, End, Reply};
 use crate::http::{self, Response};
 use crate::memcache;
 use crate::passing::{self, Body};
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -2,7 +2,7 @@
 
 use super::connection::{After, UpstreamConnection};
 use super::*;
-use crate::exchange::Answer;
+use crate::dispatcher::Answer;
 use crate::memcache;
 use crate::testing::{self, host, settle, Recorder, HOST};
 use bytes::BytesMut;
@@ -49,10 +49,10 @@
     fn an_attempt_ends_by_what_was_written(peer in peer(), size in 0..300usize, cut in 1..9usize, room in 1..200usize) {
         testing::run(async {
             let recorder = Rc::new(Recorder::default());
-            let exchange = testing::exchange(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
+            let dispatcher = testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
             let upstream = testing::upstream(1);
-            upstream.attach(&exchange);
-            let (_, answer) = exchange.take(testing::command("7", Some(vec![b'x'; size]))).unwrap();
+            upstream.attach(&dispatcher);
+            let (_, answer) = dispatcher.take(testing::command("7", Some(vec![b'x'; size]))).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             let (mut near, mut far) = duplex(room);
             let connection = UpstreamConnection { server: HOST, origin: false, address: ([127, 0, 0, 1], 1).into() };
@@ -92,7 +92,7 @@
                 after
             };
             let (after, ()) = tokio::join!(carry, host);
-            let counted: Vec<_> = exchange.counters().all().into_iter()
+            let counted: Vec<_> = dispatcher.counters().all().into_iter()
                 .filter(|(name, n)| *n > 0 && !name.starts_with("rejected_") && !["commands", "attempts", "served", "rejected", "failed", "bad_answers"].contains(name))
                 .collect();
             assert_eq!(counted, [(want, 1)]);
@@ -110,14 +110,15 @@
 fn a_draining_host_gets_nothing_that_waits() {
     testing::run(async {
         let upstream = testing::upstream(0);
-        let exchange = testing::exchange(testing::settings(1, Idempotency::Idempotent), upstream.clone(), 1);
-        upstream.attach(&exchange);
-        let (_, answer) = exchange.take(testing::command("7", None)).unwrap();
+        let dispatcher =
+            testing::dispatcher(testing::settings(1, Idempotency::Idempotent), upstream.clone(), 1);
+        upstream.attach(&dispatcher);
+        let (_, answer) = dispatcher.take(testing::command("7", None)).unwrap();
         settle().await;
-        assert_eq!(exchange.counters().moot.get(), 0, "it waits for a connection");
-        exchange.listed(EndpointUpdate::Delta, &[host(HOST, EndpointState::Draining)]);
+        assert_eq!(dispatcher.counters().moot.get(), 0, "it waits for a connection");
+        dispatcher.listed(EndpointUpdate::Delta, &[host(HOST, EndpointState::Draining)]);
         assert!(matches!(answer.await, Ok(Answer::Rejected(_))));
-        assert_eq!(exchange.counters().moot.get(), 1);
+        assert_eq!(dispatcher.counters().moot.get(), 1);
     });
 }
 
@@ -126,17 +127,17 @@
 #[test]
 fn a_connection_that_comes_up_late_gets_nothing_of_a_command_that_is_over() {
     testing::run_on_sockets(async {
-        let (exchange, upstream, listener) = world(1).await;
-        let (id, _answer) = exchange.take(testing::command("1", None)).unwrap();
-        exchange.gone(id);
+        let (dispatcher, upstream, listener) = world(1).await;
+        let (id, _answer) = dispatcher.take(testing::command("1", None)).unwrap();
+        dispatcher.gone(id);
         let (mut stream, _) = listener.accept().await.unwrap();
         settle().await;
-        let (_, answer) = exchange.take(testing::command("2", None)).unwrap();
+        let (_, answer) = dispatcher.take(testing::command("2", None)).unwrap();
         let got = command_at(&mut stream).await;
         assert!(got.starts_with("mg ") && got.contains(" O2 ") && !got.contains(" O1 "), "{got}");
         stream.write_all(b"VA 1 O2\r\nv\r\n").await.unwrap();
         assert_eq!(answer.await, Ok(Answer::Value("v".into())));
-        assert_eq!((exchange.counters().moot.get(), upstream.counters.tries.get()), (1, 1));
+        assert_eq!((dispatcher.counters().moot.get(), upstream.counters.tries.get()), (1, 1));
     });
 }
 
@@ -145,18 +146,18 @@
 fn what_is_half_written_ends_with_its_command() {
     testing::run(async {
         let recorder = Rc::new(Recorder::default());
-        let exchange =
-            testing::exchange(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
+        let dispatcher =
+            testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
         let upstream = testing::upstream(1);
-        upstream.attach(&exchange);
-        let (id, _answer) = exchange.take(testing::command("7", Some(vec![b'x'; 300]))).unwrap();
+        upstream.attach(&dispatcher);
+        let (id, _answer) = dispatcher.take(testing::command("7", Some(vec![b'x'; 300]))).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         let (mut near, mut far) = duplex(100);
         let connection =
             UpstreamConnection { server: HOST, origin: false, address: ([127, 0, 0, 1], 1).into() };
         let host = async {
             settle().await;
-            exchange.gone(id);
+            dispatcher.gone(id);
             let mut got = Vec::new();
             far.read_to_end(&mut got).await.unwrap();
             got.len()
@@ -180,15 +181,15 @@
             tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap(),
         ];
         let upstream = testing::upstream(1);
-        let exchange =
-            testing::exchange(testing::settings(1, Idempotency::NotIdempotent), upstream.clone(), 0);
-        upstream.attach(&exchange);
+        let dispatcher =
+            testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), upstream.clone(), 0);
+        upstream.attach(&dispatcher);
         for listener in &hosts {
             let mut up = host(HOST, EndpointState::Serving);
             up.address = listener.local_addr().ok();
             up.entry.server = ServerId(up.address.unwrap().port().into());
-            exchange.listed(EndpointUpdate::Snapshot, &[up]);
-            let (_, answer) = exchange.take(testing::command("7", Some(vec![]))).unwrap();
+            dispatcher.listed(EndpointUpdate::Snapshot, &[up]);
+            let (_, answer) = dispatcher.take(testing::command("7", Some(vec![]))).unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
             stream.read_buf(&mut BytesMut::new()).await.unwrap();
             stream.write_all(b"HD O7 cr1\r\n").await.unwrap();
@@ -221,11 +222,11 @@
     for (text, spoilt) in cases {
         testing::run(async {
             let recorder = Rc::new(Recorder::default());
-            let exchange =
-                testing::exchange(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
+            let dispatcher =
+                testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
             let upstream = testing::upstream(1);
-            upstream.attach(&exchange);
-            let (_, answer) = exchange.take(testing::command("7", None)).unwrap();
+            upstream.attach(&dispatcher);
+            let (_, answer) = dispatcher.take(testing::command("7", None)).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             let (mut near, mut far) = duplex(1 << 12);
             let connection =
@@ -246,11 +247,11 @@
 fn an_endless_body_is_not_read_to_its_end() {
     testing::run(async {
         let recorder = Rc::new(Recorder::default());
-        let exchange =
-            testing::exchange(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
+        let dispatcher =
+            testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
         let upstream = testing::upstream(1);
-        upstream.attach(&exchange);
-        let _answer = exchange.take(testing::command("7", None)).unwrap();
+        upstream.attach(&dispatcher);
+        let _answer = dispatcher.take(testing::command("7", None)).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         let (mut near, mut far) = duplex(1 << 12);
         let connection =
@@ -332,29 +333,29 @@
         down.address = closed.local_addr().ok();
         drop(closed);
         let upstream = testing::upstream(4);
-        let exchange =
-            testing::exchange(testing::settings(1, Idempotency::NotIdempotent), upstream.clone(), 0);
-        upstream.attach(&exchange);
-        exchange.listed(EndpointUpdate::Restored, &[down]);
-        let (_, first) = exchange.take(testing::command("7", None)).unwrap();
-        let (_, second) = exchange.take(testing::command("8", None)).unwrap();
+        let dispatcher =
+            testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), upstream.clone(), 0);
+        upstream.attach(&dispatcher);
+        dispatcher.listed(EndpointUpdate::Restored, &[down]);
+        let (_, first) = dispatcher.take(testing::command("7", None)).unwrap();
+        let (_, second) = dispatcher.take(testing::command("8", None)).unwrap();
         assert!(matches!((first.await, second.await), (Ok(Answer::Rejected(_)), Ok(Answer::Rejected(_)))));
-        assert_eq!(exchange.counters().connect_failed.get(), 2);
+        assert_eq!(dispatcher.counters().connect_failed.get(), 2);
         assert_eq!(upstream.connections.get(), 0);
     });
 }
 
 /// A pool over one host on loopback, with so many attempts for each command, and what listens there.
-async fn world(attempts: u32) -> (Rc<Exchange>, Rc<Upstream>, tokio::net::TcpListener) {
+async fn world(attempts: u32) -> (Rc<Dispatcher>, Rc<Upstream>, tokio::net::TcpListener) {
     let listener = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let upstream = testing::upstream(4);
-    let exchange =
-        testing::exchange(testing::settings(attempts, Idempotency::NotIdempotent), upstream.clone(), 0);
-    upstream.attach(&exchange);
+    let dispatcher =
+        testing::dispatcher(testing::settings(attempts, Idempotency::NotIdempotent), upstream.clone(), 0);
+    upstream.attach(&dispatcher);
     let mut up = host(HOST, EndpointState::Serving);
     up.address = listener.local_addr().ok();
-    exchange.listed(EndpointUpdate::Snapshot, &[up]);
-    (exchange, upstream, listener)
+    dispatcher.listed(EndpointUpdate::Snapshot, &[up]);
+    (dispatcher, upstream, listener)
 }
 
 /// A host that takes connections and ends them at once, or greets whoever comes, is no host that may be tried without end: each
@@ -363,10 +364,10 @@
 fn a_host_that_ends_new_connections_is_not_tried_without_end() {
     for greets in [false, true] {
         testing::run_on_sockets(async {
-            let (exchange, upstream, listener) = world(3).await;
+            let (dispatcher, upstream, listener) = world(3).await;
             let accepted = Rc::new(Cell::new(0));
             let so_far = Rc::clone(&accepted);
-            let timers = Rc::clone(&exchange);
+            let timers = Rc::clone(&dispatcher);
             spawn_local(async move { timers.run().await });
             spawn_local(async move {
                 let mut kept = Vec::new();
@@ -379,7 +380,7 @@
                     }
                 }
             });
-            let (_, answer) = exchange.take(testing::command("7", None)).unwrap();
+            let (_, answer) = dispatcher.take(testing::command("7", None)).unwrap();
             assert!(matches!(answer.await, Ok(Answer::Rejected(_) | Answer::Failed)));
             assert!(accepted.get() <= 3, "{} connections for three attempts", accepted.get());
             assert_eq!(upstream.counters.tries.get(), 0, "nothing of it was written");
@@ -393,8 +394,8 @@
 fn half_a_line_spoils_its_connection_and_no_command() {
     for at_once in [false, true] {
         testing::run_on_sockets(async {
-            let (exchange, upstream, listener) = world(3).await;
-            let (_, first) = exchange.take(testing::command("1", None)).unwrap();
+            let (dispatcher, upstream, listener) = world(3).await;
+            let (_, first) = dispatcher.take(testing::command("1", None)).unwrap();
             let (mut resting, _) = listener.accept().await.unwrap();
             command_at(&mut resting).await;
             resting.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
@@ -402,13 +403,13 @@
             settle().await;
             let second = if at_once {
                 // The pool has not looked at the connection since: it gives it away, and the bytes are there.
-                let (_, second) = exchange.take(testing::command("2", None)).unwrap();
+                let (_, second) = dispatcher.take(testing::command("2", None)).unwrap();
                 resting.try_write(b"VA 1").unwrap();
                 second
             } else {
                 resting.write_all(b"VA 1").await.unwrap();
                 settle().await;
-                exchange.take(testing::command("2", None)).unwrap().1
+                dispatcher.take(testing::command("2", None)).unwrap().1
             };
             let (mut fresh, _) = listener.accept().await.unwrap();
             command_at(&mut fresh).await;
@@ -424,12 +425,12 @@
 fn a_reset_is_no_end_of_an_answer_without_a_length() {
     for (reset, body) in [(false, true), (true, true), (true, false)] {
         testing::run_on_sockets(async {
-            let (exchange, _upstream, listener) = world(3).await;
+            let (dispatcher, _upstream, listener) = world(3).await;
             let mut origin = host(HOST, EndpointState::Serving);
             origin.address = listener.local_addr().ok();
             origin.entry.kind = testing::ORIGIN;
-            exchange.listed(EndpointUpdate::Snapshot, &[origin]);
-            let (_, answer) = exchange.take(testing::command("7", None)).unwrap();
+            dispatcher.listed(EndpointUpdate::Snapshot, &[origin]);
+            let (_, answer) = dispatcher.take(testing::command("7", None)).unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
             let mut got = BytesMut::new();
             while !got.ends_with(b"\r\n\r\n") {
@@ -444,7 +445,7 @@
             drop(stream);
             let answer = answer.await.unwrap();
             assert_eq!(answer == Answer::Value("ab".into()), !reset, "{answer:?}");
-            assert_eq!(exchange.counters().resets.get(), u64::from(reset));
+            assert_eq!(dispatcher.counters().resets.get(), u64::from(reset));
         });
     }
 }
@@ -464,9 +465,9 @@
 fn a_list_that_crosses_a_hand_over_comes_first() {
     for change in [EndpointState::Draining, EndpointState::Deleted, EndpointState::Serving] {
         testing::run_on_sockets(async {
-            let (exchange, upstream, old) = world(3).await;
+            let (dispatcher, upstream, old) = world(3).await;
             let new = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
-            let (_, first) = exchange.take(testing::command("1", None)).unwrap();
+            let (_, first) = dispatcher.take(testing::command("1", None)).unwrap();
             let (mut resting, _) = old.accept().await.unwrap();
             command_at(&mut resting).await;
             resting.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
@@ -474,10 +475,10 @@
             settle().await;
             assert_eq!(upstream.connections.get(), 1, "it rests");
             // Without a moment between: the command is given to the connection, and the list comes.
-            let (_, second) = exchange.take(testing::command("2", None)).unwrap();
+            let (_, second) = dispatcher.take(testing::command("2", None)).unwrap();
             let mut listed = host(HOST, change);
             listed.address = new.local_addr().ok();
-            exchange.listed(EndpointUpdate::Delta, &[listed]);
+            dispatcher.listed(EndpointUpdate::Delta, &[listed]);
             if change == EndpointState::Serving {
                 let accepted = timeout(Duration::from_secs(5), new.accept()).await;
                 let (mut stream, _) = accepted.expect("it goes to the new place").unwrap();
--- a/node/src/upstream/uploads.rs
+++ b/node/src/upstream/uploads.rs
@@ -13,7 +13,7 @@
 use super::connection::{After, UpstreamConnection};
 use super::{Counted, Upstream};
 use crate::connect::Stream;
-use crate::exchange::{End, Upload};
+use crate::dispatcher::{End, Upload};
 use crate::http;
 use crate::passing::STALLED;
 
@@ -121,11 +121,11 @@
             mode: CacheMode::Aside(ORIGIN),
             ..testing::settings(3, Idempotency::WithIdempotencyKey)
         };
-        let exchange = testing::exchange(settings, upstream.clone(), 0);
-        upstream.attach(&exchange);
+        let dispatcher = testing::dispatcher(settings, upstream.clone(), 0);
+        upstream.attach(&dispatcher);
         let mut up = host(ServerId(HOST.0 + 1), EndpointState::Serving);
         (up.entry.kind, up.address) = (ORIGIN, origin.local_addr().ok());
-        exchange.listed(EndpointUpdate::Snapshot, &[up]);
+        dispatcher.listed(EndpointUpdate::Snapshot, &[up]);
         let bounds = Bounds {
             clients: 8,
             kept: 4,
@@ -136,7 +136,7 @@
             piece: 1 << 12,
         };
         let labels = Labels { classes: vec!["read".into()], tenants: vec![] };
-        let service = Service::new(exchange, labels, Rc::default(), bounds, log());
+        let service = Service::new(dispatcher, labels, Rc::default(), bounds, log());
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         tokio::task::spawn_local(service.accept(listener));
@@ -212,8 +212,8 @@
     fn long_writes_hold_a_quarter_of_the_connections() {
         testing::run_on_sockets(async {
             let (upstream, _client, _origin) = world().await;
-            let exchange = upstream.exchange.borrow().upgrade().unwrap();
-            let begin = |_| exchange.upload(&testing::command("7", None), LENGTH).unwrap();
+            let dispatcher = upstream.dispatcher.borrow().upgrade().unwrap();
+            let begin = |_| dispatcher.upload(&testing::command("7", None), LENGTH).unwrap();
             let mut ways: Vec<_> = (0..5).map(begin).collect();
             assert_eq!((upstream.uploads.get(), upstream.connections.get()), (2, 2));
             let mut taken = |place: usize| ways[place].1.push_now("v".into()).is_ok();
--- a/node/src/writing.rs
+++ b/node/src/writing.rs
@@ -1,13 +1,13 @@
 //! The client's side of a long value that is being written: its pieces go on to the origin as they come.
 //!
-//! Who carries attempts has the origin's side of it; the two meet in the exchange.
+//! Who carries attempts has the origin's side of it; the two meet in the dispatcher.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use juniperladder::ServerId;
 use juniperladder_dispatch::command::{ticket, Ticket};
 use juniperladder_dispatch::long::Feed;
 
-use crate::exchange::{Command, Exchange};
+use crate::dispatcher::{Command, Dispatcher};
 
 /// How much of a long value a client has brought before a connection to the origin is opened for it.
 const AHEAD: usize = 16 * 1024;
@@ -48,7 +48,7 @@
     }
 
     /// Takes a piece of the value. What nobody takes any longer is let go of: the command is told so at its end.
-    pub fn add(&mut self, exchange: &Exchange, piece: Bytes, end: bool) {
+    pub fn add(&mut self, dispatcher: &Dispatcher, piece: Bytes, end: bool) {
         if self.begun {
             self.pass(piece);
             return;
@@ -56,7 +56,7 @@
         self.ahead.put_slice(&piece);
         if end || self.ahead.len() >= AHEAD {
             self.begun = true;
-            self.way = exchange.upload(&self.command, self.length);
+            self.way = dispatcher.upload(&self.command, self.length);
             let ahead = self.ahead.split().freeze();
             self.pass(ahead);
         }
--- a/node/tests/two_deployments.rs
+++ b/node/tests/two_deployments.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use juniperladder::Micros;
-use juniperladder_dispatch::exchange::{Attempt, End, Exchange};
+use juniperladder_dispatch::dispatcher::{Attempt, Dispatcher, End};
 use juniperladder_dispatch::testing::{self, Recorder};
 use juniperladder_node::bounds::Bounds;
 use juniperladder_node::config::Config;
@@ -25,7 +25,7 @@
 
 /// One deployment, and a client of it.
 struct Deployment {
-    exchange: Rc<Exchange>,
+    dispatcher: Rc<Dispatcher>,
     recorder: Rc<Recorder>,
     client: BufStream<TcpStream>,
 }
@@ -38,16 +38,16 @@
         );
         let config = Config::parse(text.into()).unwrap();
         let recorder = Rc::new(Recorder::default());
-        let exchange = testing::exchange(config.settings, recorder.clone(), 3);
-        let timers = Rc::clone(&exchange);
+        let dispatcher = testing::dispatcher(config.settings, recorder.clone(), 3);
+        let timers = Rc::clone(&dispatcher);
         spawn_local(async move { timers.run().await });
         let bounds = Bounds::of(config.limits);
         let service =
-            Service::new(Rc::clone(&exchange), config.labels, Rc::default(), bounds, testing::log());
+            Service::new(Rc::clone(&dispatcher), config.labels, Rc::default(), bounds, testing::log());
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         spawn_local(service.accept(listener));
-        Deployment { exchange, recorder, client: BufStream::new(client) }
+        Deployment { dispatcher, recorder, client: BufStream::new(client) }
     }
 
     async fn ask(&mut self, line: &str) {
@@ -83,13 +83,13 @@
         assert_eq!((at_first.command.class, at_first.command.tenant), (1, 0));
         assert_eq!((at_second.command.class, at_second.command.tenant), (0, 1));
         let left =
-            |of: &Deployment, attempt: &Attempt| attempt.until.saturating_sub(of.exchange.clock().now());
+            |of: &Deployment, attempt: &Attempt| attempt.until.saturating_sub(of.dispatcher.clock().now());
         let (left_first, left_second) = (left(&first, &at_first), left(&second, &at_second));
         assert!(left_first > Micros(400_000) && left_first < Micros(3_000_000), "{left_first:?}");
         assert!(left_second < Micros(400_000), "{left_second:?}");
         // Broken off, a keyed write may be repeated at the first; at the second nothing may.
-        first.exchange.ended(at_first.id, End::Broken);
-        second.exchange.ended(at_second.id, End::Broken);
+        first.dispatcher.ended(at_first.id, End::Broken);
+        second.dispatcher.ended(at_second.id, End::Broken);
         assert_eq!(first.begun().await.command.id, "1");
         assert_eq!(second.answer().await, "SERVER_ERROR failed\r\n");
         assert!(second.recorder.begun.borrow().is_empty());
