--- a/dispatch/src/counters.rs
+++ b/dispatch/src/counters.rs
@@ -1,4 +1,7 @@
 //! What the balancer took in, sent and answered, counted since its start.
+//!
+//! Each counter has two names: the field's name in the code, and the figure's name in the log and in the operators'
+//! figures, which operators' own tools read and which never changes.
 
 use std::cell::Cell;
 use std::fmt;
@@ -6,15 +9,15 @@
 use juniperladder::RejectReason;
 
 macro_rules! counters {
-    ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
+    ($($(#[$doc:meta])* $name:ident => $figure:literal),* $(,)?) => {
         /// One number for each kind of thing that happens.
         #[derive(Debug, Default)]
         pub struct Counters { $($(#[$doc])* pub $name: Cell<u64>),* }
 
         impl Counters {
-            /// Every counter with its name, in a fixed order.
-            pub fn all(&self) -> Vec<(&'static str, u64)> {
-                vec![$((stringify!($name), self.$name.get())),*]
+            /// Every counter with its figure's name, in a fixed order.
+            pub fn figures(&self) -> Vec<(&'static str, u64)> {
+                vec![$(($figure, self.$name.get())),*]
             }
         }
     };
@@ -22,109 +25,109 @@
 
 counters! {
     /// Connections accepted from clients.
-    clients,
+    connections_accepted => "clients",
     /// Connections that could not be accepted.
-    accepts_failed,
-    /// Commands taken.
-    commands,
-    /// Lines from clients that were no command.
-    malformed,
-    /// Clients' connections closed as they had no command open for too long.
-    quiet,
-    /// Clients' connections ended in the middle of a command.
-    cut,
-    /// Commands whose client left before the answer.
-    left,
-    /// Commands answered with a value or a receipt.
-    served,
-    /// Commands answered with a rejection.
-    rejected,
+    accepts_failed => "accepts_failed",
+    /// Requests taken.
+    requests => "commands",
+    /// Lines from clients that were no request.
+    malformed_requests => "malformed",
+    /// Clients' connections closed as they had no request open for too long.
+    idle_connections_closed => "quiet",
+    /// Clients' connections that ended in the middle of a request.
+    connections_cut => "cut",
+    /// Requests whose client left before the answer.
+    requests_abandoned => "left",
+    /// Requests answered with a value or a receipt.
+    served => "served",
+    /// Requests answered with a rejection.
+    rejected => "rejected",
     /// Rejections: an answer would have come too late to be worth anything.
-    rejected_late,
+    rejected_objective_missed => "rejected_late",
     /// Rejections: all attempts were used up.
-    rejected_spent,
-    /// Rejections: no host was left that the command might be sent to.
-    rejected_nowhere,
-    /// Rejections: too little time was left for the origin's usual pace.
-    rejected_deadline_unreachable,
-    /// Rejections: the command had waited for a place at the origin for as long as it may.
-    rejected_queue_timeout,
-    /// Rejections: too many commands that are worth more waited for a place at the origin.
-    rejected_preempted,
-    /// Rejections: all hosts of the command were gapped.
-    rejected_gapped,
-    /// Commands answered as failed.
-    failed,
-    /// Commands that the module had not ended at their deadline.
-    overdue,
-    /// Listed hosts that were more than may be known.
-    hosts_left_out,
+    rejected_attempts_exhausted => "rejected_spent",
+    /// Rejections: no server was left that the request might be sent to.
+    rejected_no_eligible_server => "rejected_nowhere",
+    /// Rejections: the time left was too short for the origin's usual latency.
+    rejected_deadline_unreachable => "rejected_deadline_unreachable",
+    /// Rejections: the request had waited for capacity at the origin for as long as it may.
+    rejected_queue_timeout => "rejected_queue_timeout",
+    /// Rejections: requests of higher priority filled the queue before the origin.
+    rejected_preempted => "rejected_preempted",
+    /// Rejections: all servers of the request were gapped.
+    rejected_all_servers_gapped => "rejected_gapped",
+    /// Requests answered as failed.
+    failed => "failed",
+    /// Requests that the decisions had not ended at their deadline.
+    overdue => "overdue",
+    /// Listed servers that were more than may be known.
+    endpoints_left_out => "hosts_left_out",
     /// Attempts begun.
-    attempts,
-    /// Attempts written in full to a host.
-    tries,
-    /// Attempts that a host answered with a value or a receipt.
-    ok,
-    /// Attempts that a cache host answered with a miss.
-    misses,
+    attempts => "attempts",
+    /// Attempts written in full to a server.
+    attempts_written => "tries",
+    /// Attempts that a server answered with a value or a receipt.
+    attempts_served => "ok",
+    /// Attempts that a cache server answered with a miss.
+    misses => "misses",
     /// Attempts that ended in an error.
-    errors,
-    /// Attempts turned away.
-    full,
+    errors => "errors",
+    /// Attempts that an overloaded server rejected.
+    attempts_rejected => "full",
     /// Attempts that timed out.
-    timeouts,
+    timeouts => "timeouts",
     /// Attempts that found no connection.
-    connect_failed,
+    connect_failed => "connect_failed",
     /// Attempts whose connection broke.
-    resets,
-    /// Attempts called off before their first byte, as the host drains or is gone.
-    moot,
-    /// Answers that came after their attempt had timed out.
-    late_answers,
-    /// Commands served by such an answer.
-    served_late,
-    /// Long values passed on in full while they came.
-    long,
-    /// Long values that broke off before their end.
-    long_broken,
-    /// Long values of clients that were begun to be sent to the origin while they came.
-    uploads,
-    /// Answers that could not be understood or were for another id.
-    bad_answers,
-    /// Connections opened to hosts.
-    opened,
-    /// Lists and changes that discovery has told.
-    lists,
+    resets => "resets",
+    /// Attempts cancelled before their first byte, as the server drains or is gone.
+    attempts_not_sent => "moot",
+    /// Responses that came after their attempt had timed out.
+    late_responses => "late_answers",
+    /// Requests served by such a response.
+    served_late => "served_late",
+    /// Streamed values passed on in full while they came.
+    downloads => "long",
+    /// Streamed values that broke off before their end.
+    downloads_broken => "long_broken",
+    /// Streamed values of clients that began to go to the origin while they came.
+    uploads => "uploads",
+    /// Responses that were malformed or for another id.
+    malformed_responses => "bad_answers",
+    /// Connections opened to servers.
+    connections_opened => "opened",
+    /// Endpoint lists and changes that discovery has sent.
+    endpoint_updates => "lists",
     /// Configurations taken over on a signal.
-    reloads,
+    reloads => "reloads",
     /// Calls to discovery that failed, and watches that ended.
-    discovery_failures,
+    discovery_failures => "discovery_failures",
 }
 
 impl Counters {
     /// The counter of rejections for this reason.
-    pub fn refusals(&self, reason: RejectReason) -> &Cell<u64> {
+    pub fn rejections(&self, reason: RejectReason) -> &Cell<u64> {
         match reason {
-            RejectReason::ObjectiveMissed => &self.rejected_late,
-            RejectReason::AttemptsExhausted => &self.rejected_spent,
-            RejectReason::NoEligibleServer => &self.rejected_nowhere,
+            RejectReason::ObjectiveMissed => &self.rejected_objective_missed,
+            RejectReason::AttemptsExhausted => &self.rejected_attempts_exhausted,
+            RejectReason::NoEligibleServer => &self.rejected_no_eligible_server,
             RejectReason::DeadlineUnreachable => &self.rejected_deadline_unreachable,
             RejectReason::QueueTimeout => &self.rejected_queue_timeout,
             RejectReason::Preempted => &self.rejected_preempted,
-            RejectReason::AllServersGapped => &self.rejected_gapped,
+            RejectReason::AllServersGapped => &self.rejected_all_servers_gapped,
         }
     }
 }
 
 /// Adds one.
-pub fn count(counter: &Cell<u64>) {
+pub fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
 
 impl fmt::Display for Counters {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, (name, value)) in self.all().into_iter().enumerate() {
-            write!(out, "{}{name}={value}", if place > 0 { " " } else { "" })?;
+        for (place, (figure, value)) in self.figures().into_iter().enumerate() {
+            write!(out, "{}{figure}={value}", if place > 0 { " " } else { "" })?;
         }
         Ok(())
     }
--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -25,7 +25,7 @@
 use crate::clock::{to_ms, Clock};
 use crate::command::{ticket, Over, Ticket};
 pub use crate::command::{Attempt, Command, CommandId};
-use crate::counters::{count, Counters};
+use crate::counters::{increment, Counters};
 use crate::log_throttle::LogThrottle;
 use crate::long::{long, Feed};
 pub use crate::numbers::AttemptId;
@@ -145,7 +145,7 @@
         if !self.inner.borrow_mut().ids.insert(command.id.clone()) {
             return None;
         }
-        count(&self.counters.commands);
+        increment(&self.counters.requests);
         let now = self.clock.now();
         let (answer, receiver) = oneshot::channel();
         let mut inner = self.inner.borrow_mut();
@@ -201,7 +201,7 @@
         let server = inner.balancer.origin()?;
         let (value, feed) = long(length);
         let (ticket, going) = ticket(server);
-        count(&self.counters.uploads);
+        increment(&self.counters.uploads);
         inner.carrier.upload(Upload { command: Rc::new(command.clone()), server, value, going });
         Some((ticket, feed))
     }
@@ -210,7 +210,7 @@
     pub fn gone(&self, id: CommandId) {
         let mut inner = self.inner.borrow_mut();
         if let Some(open) = inner.close(id) {
-            count(&self.counters.left);
+            increment(&self.counters.requests_abandoned);
             debug!(self.log, "request abandoned: the client is gone"; "request" => id.0,
                 "id" => %ClientText(&open.command.id));
             if !open.left {
@@ -265,7 +265,7 @@
                 Answer::Rejected(_) => (&self.counters.rejected, Some(Ended::Dropped)),
                 Answer::Failed => (&self.counters.failed, Some(Ended::Failed)),
             };
-            count(counter);
+            increment(counter);
             how.into_iter().for_each(|how| self.tally.count(class, how));
             let answer = match answer {
                 Answer::Long(long) => Answer::Long(long.counted(&self.tally, class)),
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -11,7 +11,7 @@
 use crate::carrier::End;
 use crate::clock::to_ms;
 use crate::command::{Attempt, CommandId};
-use crate::counters::count;
+use crate::counters::increment;
 use crate::numbers::{AttemptId, ServerLabel};
 use crate::values::{Answer, Reply};
 
@@ -39,10 +39,10 @@
     fn ended_late(&self, inner: &mut Inner, id: AttemptId, end: End) {
         let Some(command) = inner.late.remove(&id) else { return };
         let End::Reply(Reply::Served(answer)) = end else { return };
-        count(&self.counters.late_answers);
+        increment(&self.counters.late_responses);
         let Some(open) = inner.commands.get(&command) else { return };
         let left = open.left;
-        count(&self.counters.served_late);
+        increment(&self.counters.served_late);
         self.finish(inner, command, answer);
         if !left {
             self.handle(inner, self.clock.now(), Event::ClientDisconnected(command.request()));
@@ -70,14 +70,14 @@
         fetch_in_progress: bool,
         answer: Option<Answer>,
     ) {
-        count(match result {
-            AttemptResult::Served => &self.counters.ok,
+        increment(match result {
+            AttemptResult::Served => &self.counters.attempts_served,
             AttemptResult::Miss => &self.counters.misses,
-            AttemptResult::Rejected => &self.counters.full,
+            AttemptResult::Rejected => &self.counters.attempts_rejected,
             AttemptResult::Timeout => &self.counters.timeouts,
             AttemptResult::ConnectFailed => &self.counters.connect_failed,
             AttemptResult::Reset => &self.counters.resets,
-            AttemptResult::NotSent | AttemptResult::Cancelled => &self.counters.moot,
+            AttemptResult::NotSent | AttemptResult::Cancelled => &self.counters.attempts_not_sent,
             AttemptResult::Error => &self.counters.errors,
         });
         let now = self.clock.now();
@@ -130,7 +130,7 @@
                 let (command, over) = (Rc::clone(&open.command), Rc::clone(&open.over));
                 inner.last += 1;
                 let id = AttemptId(inner.last);
-                count(&self.counters.attempts);
+                increment(&self.counters.attempts);
                 let state = inner.serving.get(&server).map(|(state, _)| *state);
                 debug!(self.log, "attempt begins"; "request" => command_id.0, "attempt" => running.attempt,
                     "number" => id.0, "server" => %ServerLabel(server), "state" => ?state,
@@ -141,7 +141,7 @@
                 inner.carrier.begin(Attempt { id, command, server, until, by, over });
             }
             Action::Reject { id, retry_after, reason } => {
-                count(self.counters.refusals(reason));
+                increment(self.counters.rejections(reason));
                 debug!(self.log, "request refused"; "request" => CommandId::of(&id).0, "reason" => ?reason,
                     "retry-after-ms" => to_ms(retry_after));
                 self.finish(inner, CommandId::of(&id), Answer::Rejected(retry_after));
--- a/dispatch/src/dispatcher/hosts.rs
+++ b/dispatch/src/dispatcher/hosts.rs
@@ -78,7 +78,7 @@
         };
         let kept = hosts.iter().filter(fits).cloned().collect();
         if left_out > 0 {
-            self.counters.hosts_left_out.set(self.counters.hosts_left_out.get() + left_out);
+            self.counters.endpoints_left_out.set(self.counters.endpoints_left_out.get() + left_out);
             if self.log_throttle.allows() {
                 warn!(self.log, "more hosts than can be known; the rest is left out"; "most" => MOST_HOSTS,
                     "left out" => left_out);
--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -153,7 +153,7 @@
     origin.entry.kind = testing::ORIGIN;
     let known = || dispatcher.inner.borrow().serving.len();
     dispatcher.listed(EndpointUpdate::Snapshot, &(0..1_024).map(up).collect::<Vec<_>>());
-    assert_eq!((known(), dispatcher.counters.hosts_left_out.get()), (1_024, 0));
+    assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (1_024, 0));
     let most = MOST_HOSTS as u64;
     dispatcher.listed(
         EndpointUpdate::Snapshot,
@@ -161,11 +161,11 @@
     );
     assert!(dispatcher.inner.borrow().balancer.origin() == Some(origin.entry.server));
     dispatcher.listed(EndpointUpdate::Delta, &[up(most * 2)]);
-    assert_eq!((known(), dispatcher.counters.hosts_left_out.get()), (MOST_HOSTS + 1, 11));
+    assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (MOST_HOSTS + 1, 11));
     let gone: Vec<Host> = (0..5).map(|n| testing::host(ServerId(n), EndpointState::Deleted)).collect();
     dispatcher.listed(EndpointUpdate::Delta, &gone);
     dispatcher.listed(EndpointUpdate::Delta, &(most * 2..most * 2 + 9).map(up).collect::<Vec<_>>());
-    assert_eq!((known(), dispatcher.counters.hosts_left_out.get()), (MOST_HOSTS, 16));
+    assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (MOST_HOSTS, 16));
 }
 
 /// A process that is told to end has an answer for all that it took before its time is up: what was open then, what
--- a/dispatch/src/dispatcher/timers.rs
+++ b/dispatch/src/dispatcher/timers.rs
@@ -7,7 +7,7 @@
 
 use super::state::{Due, NEVER};
 use super::Dispatcher;
-use crate::counters::count;
+use crate::counters::increment;
 use crate::values::Answer;
 
 impl Dispatcher {
@@ -46,7 +46,7 @@
                         inner.attempts.iter().filter(|(_, r)| r.command == id).map(|(id, _)| *id).collect();
                     out.into_iter().for_each(|id| self.expire(&mut inner, id));
                     if inner.commands.contains_key(&id) {
-                        count(&self.counters.overdue);
+                        increment(&self.counters.overdue);
                         self.finish(&mut inner, id, Answer::Failed);
                         self.handle(&mut inner, now, Event::ClientDisconnected(id.request()));
                     }
--- a/dispatch/src/operators.rs
+++ b/dispatch/src/operators.rs
@@ -79,7 +79,7 @@
         let skipped =
             known.iter().filter(|server| inner.bans.banned(**server) || gapped.contains(server)).count();
         let gauges = [
-            ("upstream_tries", "counter", self.counters().tries.get()),
+            ("upstream_tries", "counter", self.counters().attempts_written.get()),
             ("in_progress", "gauge", in_progress),
             ("known_cache_hosts", "gauge", known.len() as u64),
             ("skipped_cache_hosts", "gauge", skipped as u64),
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -20,7 +20,7 @@
 use tokio::time::{sleep_until, Instant};
 
 use crate::clock::to_ms;
-use crate::counters::count;
+use crate::counters::increment;
 use crate::dispatcher::Dispatcher;
 use crate::name_table::{watch_path, Catalog, NameTable};
 use budget::turn_again;
@@ -212,7 +212,7 @@
             debug!(self.log, "list entry"; "server" => %ServerLabel(host.entry.server),
                 "state" => ?host.entry.state, "started-ms" => to_ms(host.entry.started));
         }
-        count(&self.dispatcher.counters().lists);
+        increment(&self.dispatcher.counters().endpoint_updates);
         info!(self.log, "list"; "call" => ?watch, "generation" => generation,
             "whole" => kind == EndpointUpdate::Snapshot, "entries" => hosts.len());
         self.dispatcher.listed(kind, &hosts);
@@ -221,7 +221,7 @@
     /// A call or a watch has failed: another call is due after a wait.
     fn failed(&mut self, problem: &str, lasted: Duration) {
         let failures = &self.dispatcher.counters().discovery_failures;
-        count(failures);
+        increment(failures);
         if self.log_throttle.allows() {
             warn!(self.log, "discovery"; "problem" => problem, "after-ms" => lasted.as_millis(),
                 "so far" => failures.get());
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -28,7 +28,7 @@
     let mut line = String::new();
     tokio::io::BufReader::new(&mut next).read_line(&mut line).await.unwrap();
     let since = line.split("since=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
-    (balancer.dispatcher.counters().lists.get(), since.unwrap_or_default())
+    (balancer.dispatcher.counters().endpoint_updates.get(), since.unwrap_or_default())
 }
 
 /// A watch that says nothing, fails or makes no sense ends, and what came before it stays.
@@ -215,7 +215,7 @@
 
 impl Balancer {
     async fn lists(&self, lists: u64) -> Instant {
-        while self.dispatcher.counters().lists.get() < lists {
+        while self.dispatcher.counters().endpoint_updates.get() < lists {
             sleep(Duration::from_millis(5)).await;
         }
         Instant::now()
@@ -242,7 +242,7 @@
                 // What is alive is left alone.
                 sleep(Duration::from_secs(60)).await;
                 assert_eq!(
-                    (balancer.dispatcher.counters().lists.get(), discovery.calls()),
+                    (balancer.dispatcher.counters().endpoint_updates.get(), discovery.calls()),
                     (2, 2 + usize::from(between.is_some()))
                 );
             });
@@ -473,6 +473,6 @@
                 break;
             }
         }
-        assert_eq!(balancer.dispatcher.counters().lists.get(), 3);
+        assert_eq!(balancer.dispatcher.counters().endpoint_updates.get(), 3);
     });
 }
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -230,7 +230,7 @@
     async fn run(self: Rc<Self>) {
         match self.read().await {
             Ok(()) => {
-                counters::count(&self.counters.reloads);
+                counters::increment(&self.counters.reloads);
                 info!(self.log, "configuration read"; "discovery" => self.discovery.borrow().to_string());
             }
             // What is in force stays so: a file half-written or mistyped must not stop the service.
--- a/node/src/service.rs
+++ b/node/src/service.rs
@@ -14,7 +14,7 @@
 use tokio::time::{sleep, timeout, Duration, Instant};
 
 use crate::bounds::{Bounds, OPERATORS};
-use crate::counters::count;
+use crate::counters::increment;
 use crate::dispatcher::Dispatcher;
 use crate::shutdown::Shutdown;
 use crate::socket::Socket;
@@ -199,7 +199,7 @@
                 Err(problem) => {
                     // Out of descriptors, or a client that left at once: neither may end the program.
                     let failed = &self.dispatcher.counters().accepts_failed;
-                    count(failed);
+                    increment(failed);
                     if self.log_throttle.allows() {
                         warn!(self.log, "accept"; "problem" => problem.to_string(), "so far" => failed.get());
                     }
@@ -255,7 +255,7 @@
 
     /// Seats a client that has just connected, after at most this wait to be accepted, and serves it.
     pub(crate) fn take_in(self: &Rc<Service>, stream: impl Connection, waited: Duration) {
-        count(&self.dispatcher.counters().clients);
+        increment(&self.dispatcher.counters().connections_accepted);
         let seated = self.seat(waited);
         // A connection that breaks has no one to be told.
         let service = Rc::clone(self);
@@ -289,7 +289,7 @@
                 Look::Short
             }
             () = until(patience) => {
-                count(&self.dispatcher.counters().quiet);
+                increment(&self.dispatcher.counters().idle_connections_closed);
                 debug!(self.log, "downstream connection closes: idle for too long");
                 Look::Long
             }
--- a/node/src/service/backlog/tests.rs
+++ b/node/src/service/backlog/tests.rs
@@ -59,7 +59,7 @@
                 counted.set(counted.get() + 1);
             }
         });
-        while (service.dispatcher.counters().clients.get() as usize) < CLIENTS {
+        while (service.dispatcher.counters().connections_accepted.get() as usize) < CLIENTS {
             yield_now().await;
         }
         assert!(
--- a/node/src/service/downstream.rs
+++ b/node/src/service/downstream.rs
@@ -12,7 +12,7 @@
 use super::connection::{left, Connection, Reader};
 use super::{Seat, Service};
 use crate::clock;
-use crate::counters::count;
+use crate::counters::increment;
 use crate::dispatcher::{Answer, Command, CommandId};
 use crate::memcache::{write_answer, Commands, Incoming};
 use crate::writing::{self, Writing};
@@ -246,7 +246,7 @@
 
     /// Ends a connection whose client is owed nothing and has sent half a command.
     fn cut(&mut self) {
-        count(&self.service.dispatcher.counters().cut);
+        increment(&self.service.dispatcher.counters().connections_cut);
         self.owed.push_back(Owed::Line("CLIENT_ERROR command not finished in time"));
         self.ended = true;
     }
@@ -350,7 +350,7 @@
 
     /// Owes this line for what was no command. Whoever goes on sending such things loses the connection.
     fn turn_away(&mut self, line: &'static str) {
-        count(&self.service.dispatcher.counters().malformed);
+        increment(&self.service.dispatcher.counters().malformed_requests);
         self.owed.push_back(Owed::Line(line));
         self.malformed += 1;
         self.ended |= self.malformed >= MAX_MALFORMED;
@@ -358,7 +358,7 @@
 
     /// Owes a client that has left the answer to what it had sent before: it is not sent on.
     fn turn_back(&mut self) {
-        count(&self.service.dispatcher.counters().left);
+        increment(&self.service.dispatcher.counters().requests_abandoned);
         self.owed.push_back(Owed::Line("SERVER_ERROR busy"));
     }
 
--- a/node/src/service/tests.rs
+++ b/node/src/service/tests.rs
@@ -368,7 +368,7 @@
         assert_eq!(recorder.begun.borrow().len(), 2);
         drop(client);
         service.dispatcher.idle().await;
-        assert_eq!(service.dispatcher.counters().left.get(), 2);
+        assert_eq!(service.dispatcher.counters().requests_abandoned.get(), 2);
     });
 }
 
@@ -481,7 +481,7 @@
                 let text: String = (0..all).map(|id| format!("mg k v O{id} Pc=read,d=1400\r\n")).collect();
                 far.write_all(text.as_bytes()).await.unwrap();
                 // It is read up to its bound and no further.
-                let taken = || service.dispatcher.counters().commands.get();
+                let taken = || service.dispatcher.counters().requests.get();
                 while taken() < MAX_OWED as u64 {
                     settle().await;
                 }
@@ -581,7 +581,7 @@
                 }
             }
         });
-        while dispatcher.counters().commands.get() < 50 {
+        while dispatcher.counters().requests.get() < 50 {
             settle().await;
         }
         let end = spawn_local(async move {
@@ -599,7 +599,7 @@
             got.split(|byte| *byte == b'\n').filter(|line| line.starts_with(b"SERVER_ERROR")).count();
         assert_eq!(
             answers as u64,
-            dispatcher.counters().commands.get(),
+            dispatcher.counters().requests.get(),
             "one answer for each that was taken"
         );
     });
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -17,7 +17,7 @@
 
 use crate::clock::Clock;
 use crate::connect::Connect;
-use crate::counters::{count, Counters};
+use crate::counters::{increment, Counters};
 use crate::dispatcher::{Attempt, AttemptId, Carrier, Dispatcher, End, Host, Upload};
 use connection::{NoConnection, UpstreamConnection};
 use juniperladder_dispatch::log_throttle::LogThrottle;
@@ -274,8 +274,8 @@
 
     /// Counts an answer that made no sense, and logs it where no other has been in this second.
     fn tell_bad(&self, host: &SocketAddr, problem: &str) {
-        let bad = &self.counters.bad_answers;
-        count(bad);
+        let bad = &self.counters.malformed_responses;
+        increment(bad);
         if self.log_throttle.allows() {
             warn!(self.log, "bad answer"; "host" => host.to_string(), "problem" => problem, "so far" => bad.get());
         }
--- a/node/src/upstream/connection.rs
+++ b/node/src/upstream/connection.rs
@@ -18,7 +18,7 @@
 
 use super::Upstream;
 use crate::connect::Stream;
-use crate::counters::count;
+use crate::counters::increment;
 use crate::dispatcher::{Answer, Attempt, End, Reply};
 use crate::http::{self, Response};
 use crate::memcache;
@@ -125,7 +125,7 @@
                 return Err(NoConnection::Server);
             }
         };
-        count(&upstream.counters.opened);
+        increment(&upstream.counters.connections_opened);
         Ok(stream)
     }
 
@@ -229,7 +229,7 @@
             upstream.stopped(self.server, id, end);
             return After::Close;
         }
-        count(&upstream.counters.tries);
+        increment(&upstream.counters.attempts_written);
         debug!(upstream.log, "attempt written"; "number" => id.0, "address" => %self.address);
         let stop = upstream.written(self.server, id);
         let read = tokio::select! {
@@ -314,7 +314,11 @@
         feed: Feed,
     ) -> After {
         let passed = passing::pump(stream, input, &mut body, feed, upstream.limits.piece).await;
-        count(if passed.is_ok() { &upstream.counters.long } else { &upstream.counters.long_broken });
+        increment(if passed.is_ok() {
+            &upstream.counters.downloads
+        } else {
+            &upstream.counters.downloads_broken
+        });
         match (passed, body) {
             (Ok(()), Body::Http(response)) => after(&response),
             (Ok(()), Body::Meta(_)) => After::Keep,
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -92,12 +92,12 @@
                 after
             };
             let (after, ()) = tokio::join!(carry, host);
-            let counted: Vec<_> = dispatcher.counters().all().into_iter()
+            let counted: Vec<_> = dispatcher.counters().figures().into_iter()
                 .filter(|(name, n)| *n > 0 && !name.starts_with("rejected_") && !["commands", "attempts", "served", "rejected", "failed", "bad_answers"].contains(name))
                 .collect();
             assert_eq!(counted, [(want, 1)]);
             assert_eq!(after == After::Broke, leaves && want == "resets");
-            let spoilt = upstream.counters.bad_answers.get() > 0;
+            let spoilt = upstream.counters.malformed_responses.get() > 0;
             assert_eq!(after == After::Keep, !spoilt && ["ok", "misses", "full", "errors"].contains(&want));
             let served = matches!(answer.await, Ok(Answer::Receipt(_)));
             assert_eq!(served, want == "ok");
@@ -115,10 +115,10 @@
         upstream.attach(&dispatcher);
         let (_, answer) = dispatcher.take(testing::command("7", None)).unwrap();
         settle().await;
-        assert_eq!(dispatcher.counters().moot.get(), 0, "it waits for a connection");
+        assert_eq!(dispatcher.counters().attempts_not_sent.get(), 0, "it waits for a connection");
         dispatcher.listed(EndpointUpdate::Delta, &[host(HOST, EndpointState::Draining)]);
         assert!(matches!(answer.await, Ok(Answer::Rejected(_))));
-        assert_eq!(dispatcher.counters().moot.get(), 1);
+        assert_eq!(dispatcher.counters().attempts_not_sent.get(), 1);
     });
 }
 
@@ -137,7 +137,10 @@
         assert!(got.starts_with("mg ") && got.contains(" O2 ") && !got.contains(" O1 "), "{got}");
         stream.write_all(b"VA 1 O2\r\nv\r\n").await.unwrap();
         assert_eq!(answer.await, Ok(Answer::Value("v".into())));
-        assert_eq!((dispatcher.counters().moot.get(), upstream.counters.tries.get()), (1, 1));
+        assert_eq!(
+            (dispatcher.counters().attempts_not_sent.get(), upstream.counters.attempts_written.get()),
+            (1, 1)
+        );
     });
 }
 
@@ -168,7 +171,7 @@
             after
         };
         assert_eq!(tokio::join!(carry, host), (After::Close, 100));
-        assert_eq!(upstream.counters.tries.get(), 0);
+        assert_eq!(upstream.counters.attempts_written.get(), 0);
     });
 }
 
@@ -234,7 +237,7 @@
             far.write_all(text.as_bytes()).await.unwrap();
             let mut input = BytesMut::new();
             connection.execute(&upstream, &mut near, &mut input, attempt).await;
-            assert_eq!(upstream.counters.bad_answers.get(), spoilt, "{text:?}");
+            assert_eq!(upstream.counters.malformed_responses.get(), spoilt, "{text:?}");
             let chunked = text.contains("chunked");
             let value = Answer::Value(bytes::Bytes::from_static(b"ab"));
             assert_eq!(answer.await == Ok(value), spoilt == 0 && !chunked, "{text:?}");
@@ -263,7 +266,7 @@
         });
         let mut input = BytesMut::new();
         assert_eq!(connection.execute(&upstream, &mut near, &mut input, attempt).await, After::Close);
-        assert_eq!(upstream.counters.bad_answers.get(), 1);
+        assert_eq!(upstream.counters.malformed_responses.get(), 1);
     });
 }
 
@@ -383,7 +386,7 @@
             let (_, answer) = dispatcher.take(testing::command("7", None)).unwrap();
             assert!(matches!(answer.await, Ok(Answer::Rejected(_) | Answer::Failed)));
             assert!(accepted.get() <= 3, "{} connections for three attempts", accepted.get());
-            assert_eq!(upstream.counters.tries.get(), 0, "nothing of it was written");
+            assert_eq!(upstream.counters.attempts_written.get(), 0, "nothing of it was written");
         });
     }
 }
@@ -415,7 +418,10 @@
             command_at(&mut fresh).await;
             fresh.write_all(b"VA 1 O2\r\nw\r\n").await.unwrap();
             assert_eq!(second.await, Ok(Answer::Value("w".into())));
-            assert_eq!((upstream.counters.bad_answers.get(), upstream.counters.tries.get()), (0, 2));
+            assert_eq!(
+                (upstream.counters.malformed_responses.get(), upstream.counters.attempts_written.get()),
+                (0, 2)
+            );
         });
     }
 }
--- a/node/src/upstream/uploads.rs
+++ b/node/src/upstream/uploads.rs
@@ -193,7 +193,7 @@
             at_origin.read_exact(&mut got).await.unwrap();
             assert!(got == value[..LENGTH - 1]);
             assert_eq!(
-                (upstream.counters.tries.get(), upstream.uploads.get()),
+                (upstream.counters.attempts_written.get(), upstream.uploads.get()),
                 (0, 1),
                 "nothing has run yet"
             );
@@ -203,7 +203,7 @@
             let mut told = [0; 14];
             reads.read_exact(&mut told).await.unwrap();
             assert_eq!(&told, b"HD O7 cr1\r\nMN\r");
-            assert_eq!((upstream.counters.tries.get(), upstream.uploads.get()), (1, 0));
+            assert_eq!((upstream.counters.attempts_written.get(), upstream.uploads.get()), (1, 0));
         });
     }
 
@@ -235,7 +235,7 @@
             client.write_all(b"\r\n").await.unwrap();
             leaves.await.unwrap();
             assert!(line(&mut client).await.starts_with("SERVER_ERROR busy"));
-            assert_eq!((upstream.counters.tries.get(), upstream.counters.resets.get()), (0, 0));
+            assert_eq!((upstream.counters.attempts_written.get(), upstream.counters.resets.get()), (0, 0));
         });
     }
 
@@ -265,7 +265,7 @@
                     !told.contains("HD") && (sent < LENGTH || told.starts_with("CLIENT_ERROR")),
                     "{told}"
                 );
-                assert_eq!(upstream.counters.tries.get(), 0);
+                assert_eq!(upstream.counters.attempts_written.get(), 0);
             }
         });
     }
