--- a/cluster/src/cluster.rs
+++ b/cluster/src/cluster.rs
@@ -31,11 +31,11 @@
     pub seeds: Vec<SocketAddr>,
     /// The limits, in the order in which the file has them.
     pub limits: Vec<(String, Terms)>,
-    /// The limit on sends to each host that warms up.
+    /// The limit on sends to each server that warms up.
     pub cold: Option<cold::Terms>,
     /// The budget of second tries.
     pub second: Option<budget::Terms>,
-    /// Verdicts on hosts.
+    /// Verdicts on servers.
     pub verdicts: Option<verdicts::Terms>,
     /// For random numbers.
     pub seed: u64,
@@ -48,11 +48,11 @@
     pub members: Counts,
     /// The limits, by name.
     pub limits: Vec<(String, shares::Figures)>,
-    /// The limits of hosts that warm up, summed, and how many such hosts there are.
+    /// The limits of servers that warm up, summed, and how many such servers there are.
     pub cold: Option<(shares::Figures, usize)>,
     /// The budget of second tries.
     pub second: Option<budget::Figures>,
-    /// Verdicts on hosts.
+    /// Verdicts on servers.
     pub verdicts: Option<verdicts::Figures>,
     /// Packets out, and their bytes.
     pub sent: (u64, u64),
@@ -142,7 +142,7 @@
             },
             About::Cold(start, message) => match &mut self.cold {
                 Some((cold, brief)) if *brief == terms => {
-                    // A host that is warm by now, or one that the list cannot have told, has no part here.
+                    // A server that is warm by now, or one that the list cannot have told, has no part here.
                     cold.part(start, now).into_iter().for_each(|shares| shares.heard(now, from, message));
                 }
                 _ => self.figures.differ += 1,
@@ -234,8 +234,8 @@
         self.limits.iter_mut().find(|one| one.name == name).map(|one| &mut one.shares)
     }
 
-    /// This balancer's part of the sends to a host that warms up; none where they are not limited, or the host is warm. Where
-    /// there is no room for one more such host, nothing may be sent to it: the second value.
+    /// This balancer's part of the sends to a server that warms up; none where they are not limited, or the server is warm. Where
+    /// there is no room for one more such server, nothing may be sent to it: the second value.
     pub fn cold(&mut self, start: Start, now: Us) -> (Option<&mut Shares>, bool) {
         match &mut self.cold {
             Some((cold, _)) if !cold.is_warm(start, now) => {
@@ -252,7 +252,7 @@
         self.second.as_mut().map(|(budget, _)| budget)
     }
 
-    /// This balancer's verdicts on hosts.
+    /// This balancer's verdicts on servers.
     pub fn verdicts(&mut self) -> Option<&mut Verdicts> {
         self.verdicts.as_mut().map(|(verdicts, _)| verdicts)
     }
@@ -328,7 +328,7 @@
         }
     }
 
-    /// Carries packets between two balancers for so long; the first of them wants six commands a second.
+    /// Carries packets between two balancers for so long; the first of them wants six requests a second.
     fn run(all: &mut [Cluster; 2], seconds: u64) {
         for now in (0..seconds * SECOND).step_by(20_000) {
             (0..2).for_each(|from| carry(all, from, now));
@@ -355,10 +355,10 @@
     }
 
     #[test]
-    fn rights_to_second_tries_and_units_of_a_cold_host_reach_who_needs_them() {
+    fn retry_budget_and_slow_start_tokens_reach_who_needs_them() {
         let mut all = [cluster(0, 8), cluster(1, 8)];
         run(&mut all, 8);
-        let start = Start { host: 7, started: 4 * SECOND };
+        let start = Start { server: 7, started: 4 * SECOND };
         let mut took = 0;
         for now in (8 * SECOND..12 * SECOND).step_by(20_000) {
             all[1].second().unwrap().first();
--- a/cluster/src/cold.rs
+++ b/cluster/src/cold.rs
@@ -1,37 +1,37 @@
-//! Limits on sends to hosts that warm up: one limit of its own for each start of a host, shared like any other.
+//! Limits on sends to servers that warm up: one limit of its own for each start of a server, shared like any other.
 //!
 //! # Guarantee
 //!
-//! With `per_s` sends a second that a warm host bears and a warmth that grows from `share` to 1 over `warm_up`: in no second do
-//! more sends arrive at a host than `per_s` times its warmth at the end of that second, times 1 + s, as long as what
+//! With `per_s` sends a second that a warm server bears and a warmth that grows from `share` to 1 over `warm_up`: in no second do
+//! more sends arrive at a server than `per_s` times its warmth at the end of that second, times 1 + s, as long as what
 //! [`crate::shares`] assumes holds and balancers' clocks of the day agree; clocks that differ by d make it the warmth of d later.
 //!
 //! # Why
 //!
-//! Units are dealt to positions in turn, beginning at one that follows from the host and its start, so that the units of a
+//! Units are dealt to positions in turn, beginning at one that follows from the server and its start, so that the units of a
 //! smaller warmth are among those of a greater one: what a position owns only grows, and what all own sums up to the whole of
-//! that warmth. A host's start is another limit than an earlier one, so that no life of a process that ended before it can have
+//! that warmth. A server's start is another limit than an earlier one, so that no life of a process that ended before it can have
 //! used of it; a life that began after it waits as with every limit.
 
 use std::collections::btree_map::{BTreeMap, Entry};
 use std::net::SocketAddr;
 
 use crate::shares::{self, Shares};
-use crate::{Us, MOST_HOSTS};
+use crate::{Us, MAX_SERVERS};
 
 /// The terms, the same at every member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// Of the shares; `whole` is what a warm host bears a second.
+    /// Of the shares; `whole` is what a warm server bears a second.
     pub shares: shares::Terms,
-    /// The part of it that a host has at its start.
+    /// The part of it that a server has at its start.
     pub share: f64,
     /// After how long it has all of it.
     pub warm_up: Us,
 }
 
 impl Terms {
-    /// The part of its capacity that a host has.
+    /// The part of its capacity that a server has.
     fn warmth(&self, started: Us, now: Us) -> f64 {
         let part = now.saturating_sub(started) as f64 / (self.warm_up.max(1)) as f64;
         if started == 0 || part >= 1.0 {
@@ -40,19 +40,19 @@
         self.share + (1.0 - self.share) * part
     }
 
-    /// Units of a host with this start that there are now.
+    /// Units of a server with this start that there are now.
     pub fn whole(&self, started: Us, now: Us) -> u32 {
         self.shares.units_of(f64::from(self.shares.whole) * self.warmth(started, now))
     }
 
     /// Those of them that belong to a position.
-    pub fn own(&self, host: Start, position: u32, now: Us) -> u32 {
+    pub fn own(&self, server: Start, position: u32, now: Us) -> u32 {
         let holders = self.shares.holders.max(1);
         if position >= holders {
             return 0;
         }
-        let whole = self.whole(host.started, now);
-        let first = mix(host.host ^ mix(host.started)) % u64::from(holders);
+        let whole = self.whole(server.started, now);
+        let first = mix(server.server ^ mix(server.started)) % u64::from(holders);
         let turn = (position + holders - first as u32) % holders;
         whole / holders + u32::from(turn < whole % holders)
     }
@@ -64,11 +64,11 @@
     x ^ (x >> 31)
 }
 
-/// One start of a host: a process, not an address.
+/// One start of a server: a process, not an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, serde::Serialize, serde::Deserialize)]
 pub struct Start {
-    /// The host.
-    pub host: u64,
+    /// The server.
+    pub server: u64,
     /// When it started, by the list.
     pub started: Us,
 }
@@ -82,30 +82,30 @@
     life: u64,
     /// From when on what is its own may be used.
     from: Us,
-    hosts: BTreeMap<Start, Shares>,
-    /// Times at which there was no room for one more host.
+    servers: BTreeMap<Start, Shares>,
+    /// Times at which there was no room for one more server.
     pub full: u64,
 }
 
 impl Cold {
     /// Those of the member at this position, which starts its life now.
     pub fn new(terms: Terms, position: u32, life: u64, now: Us) -> Cold {
-        Cold { terms, position, life, from: now + terms.shares.lock(), hosts: BTreeMap::new(), full: 0 }
+        Cold { terms, position, life, from: now + terms.shares.lock(), servers: BTreeMap::new(), full: 0 }
     }
 
-    /// Whether a host with this start is warm, so that nothing is limited.
+    /// Whether a server with this start is warm, so that nothing is limited.
     pub fn is_warm(&self, start: Start, now: Us) -> bool {
         self.terms.warmth(start.started, now) >= 1.0
     }
 
-    /// This member's part of a host that warms up; none where it is warm, or where there is no room for one more.
+    /// This member's part of a server that warms up; none where it is warm, or where there is no room for one more.
     pub fn part(&mut self, start: Start, now: Us) -> Option<&mut Shares> {
         if self.is_warm(start, now) {
             return None;
         }
-        let full = self.hosts.len() >= MOST_HOSTS;
+        let full = self.servers.len() >= MAX_SERVERS;
         let own = self.terms.own(start, self.position, now);
-        let shares = match self.hosts.entry(start) {
+        let shares = match self.servers.entry(start) {
             Entry::Occupied(known) => known.into_mut(),
             // What has not started by this clock, and by far, is no start that the list told.
             Entry::Vacant(_) if start.started > now + self.terms.warm_up => return None,
@@ -120,12 +120,12 @@
     }
 
     /// Does what is due at each, and forgets those that are warm and have nothing lent any more. `peers` gives the members to
-    /// ask, from the first for each host.
+    /// ask, from the first for each server.
     pub fn tick<P: FnMut() -> Option<SocketAddr>>(&mut self, now: Us, peers: impl Fn() -> P) {
         let (terms, position) = (self.terms, self.position);
         let over = |start: Start| now >= start.started + terms.warm_up + terms.shares.lock();
-        self.hosts.retain(|start, _| !over(*start));
-        for (start, shares) in &mut self.hosts {
+        self.servers.retain(|start, _| !over(*start));
+        for (start, shares) in &mut self.servers {
             shares.grow(terms.own(*start, position, now));
             shares.tick(now, peers());
         }
@@ -133,7 +133,7 @@
 
     /// All parts, by their starts.
     pub fn parts(&mut self) -> impl Iterator<Item = (Start, &mut Shares)> {
-        self.hosts.iter_mut().map(|(start, shares)| (*start, shares))
+        self.servers.iter_mut().map(|(start, shares)| (*start, shares))
     }
 }
 
@@ -150,8 +150,8 @@
     #[test]
     fn what_positions_own_only_grows_and_sums_up_to_the_whole_of_the_warmth() {
         let terms = terms();
-        for host in 0..50 {
-            let start = Start { host, started: 100 * SECOND };
+        for server in 0..50 {
+            let start = Start { server, started: 100 * SECOND };
             let mut before = [0; 9];
             for now in (100 * SECOND..112 * SECOND).step_by(100_000) {
                 let own: Vec<u32> = (0..9).map(|position| terms.own(start, position, now)).collect();
@@ -165,24 +165,24 @@
     }
 
     #[test]
-    fn hosts_are_forgotten_once_warm_and_their_number_is_bounded() {
+    fn servers_are_forgotten_once_warm_and_their_number_is_bounded() {
         let mut cold = Cold::new(terms(), 3, 1, 0);
         let now = 100 * SECOND;
-        for host in 0..MOST_HOSTS as u64 + 5 {
-            assert_eq!(cold.part(Start { host, started: now }, now).is_some(), host < MOST_HOSTS as u64);
+        for server in 0..MAX_SERVERS as u64 + 5 {
+            assert_eq!(cold.part(Start { server, started: now }, now).is_some(), server < MAX_SERVERS as u64);
         }
         assert_eq!(cold.full, 5);
-        assert!(cold.part(Start { host: 1, started: now + 60 * SECOND }, now).is_none(), "no such start");
+        assert!(cold.part(Start { server: 1, started: now + 60 * SECOND }, now).is_none(), "no such start");
         cold.tick(now + 12 * SECOND, || || None);
-        assert_eq!(cold.parts().count(), MOST_HOSTS, "what was lent is locked still");
-        assert!(cold.part(Start { host: 1, started: now }, now + 10 * SECOND).is_none(), "it is warm");
+        assert_eq!(cold.parts().count(), MAX_SERVERS, "what was lent is locked still");
+        assert!(cold.part(Start { server: 1, started: now }, now + 10 * SECOND).is_none(), "it is warm");
         cold.tick(now + 14 * SECOND, || || None);
         assert_eq!(cold.parts().count(), 0);
     }
 
     #[test]
-    fn a_life_that_began_after_the_host_waits_and_one_from_before_does_not() {
-        let start = Start { host: 9, started: 100 * SECOND };
+    fn an_incarnation_that_began_after_the_server_waits_and_one_from_before_does_not() {
+        let start = Start { server: 9, started: 100 * SECOND };
         let own = |born: Us, at: Us| {
             let mut cold = Cold::new(terms(), 3, 1, born);
             cold.part(start, at).unwrap().held(at)
--- a/cluster/src/lib.rs
+++ b/cluster/src/lib.rs
@@ -1,5 +1,5 @@
 //! What balancers that may talk agree on: who is there ([`membership`]), who may use which part of a limit that holds for all
-//! of them together ([`shares`]; [`cold`] for each host that warms up; [`budget`] for second tries), and what they saw of hosts
+//! of them together ([`shares`]; [`cold`] for each server that warms up; [`budget`] for second tries), and what they saw of servers
 //! ([`verdicts`]). All are state machines without I/O and without a clock: they are fed packets and times and drained of
 //! packets; `node/` carries those by UDP.
 //!
@@ -32,5 +32,5 @@
 /// The most members of a fleet. What a table of them takes is there only once they are.
 pub const MOST_MEMBERS: usize = 4_096;
 
-/// The most starts of hosts of which something is held at once: all hosts of a fleet, and as many that they replace.
-pub const MOST_HOSTS: usize = 8_192;
+/// The most starts of servers of which something is held at once: all servers of a fleet, and as many that they replace.
+pub const MAX_SERVERS: usize = 8_192;
--- a/cluster/src/packet.rs
+++ b/cluster/src/packet.rs
@@ -23,11 +23,11 @@
 pub enum About {
     /// A limit, by its number.
     Limit(u8, shares::Message),
-    /// The limit of one start of a host that warms up.
+    /// The limit of one start of a server that warms up.
     Cold(Start, shares::Message),
     /// The budget of second tries.
     Second(budget::Message),
-    /// Verdicts on hosts.
+    /// Verdicts on servers.
     Verdicts(verdicts::Message),
 }
 
@@ -127,7 +127,7 @@
     use crate::shares::{Hold, Lent, Message};
 
     fn all() -> Vec<Item> {
-        let start = Start { host: u64::MAX, started: u64::MAX };
+        let start = Start { server: u64::MAX, started: u64::MAX };
         let hold = Message::Hold(Hold { life: u64::MAX, sent: 12, units: 7 });
         let lent = Message::Lent(Lent { life: 1, sent: u64::MAX, units: 0, spare: u32::MAX });
         let entry = verdicts::Entry {
--- a/cluster/src/shares.rs
+++ b/cluster/src/shares.rs
@@ -2,10 +2,10 @@
 //!
 //! # Guarantee
 //!
-//! Commands may differ by up to `spread` s in the time that they take to whoever counts them. A limit of `whole` commands a
-//! second is cut into `whole` times 1 + s *units*. A unit is the right to one command in any window of 1 + s seconds. Each
+//! Requests may differ by up to `spread` s in the time that they take to whoever counts them. A limit of `whole` requests a
+//! second is cut into `whole` times 1 + s *units*. A unit is the right to one request in any window of 1 + s seconds. Each
 //! unit has an owner, by position in the fleet; the owner uses it or lends it. Whatever is lost, late, repeated or in disorder,
-//! whoever is cut off, killed, started anew without memory or frozen: **in no second do more than `whole` times 1 + s commands
+//! whoever is cut off, killed, started anew without memory or frozen: **in no second do more than `whole` times 1 + s requests
 //! of all holders together arrive**, as long as clocks run within the stated drift of each other and no two processes live at
 //! one position.
 //!
@@ -45,9 +45,9 @@
 const ASK_SELDOM: Us = 800_000;
 /// How long what is not needed any more is kept, in case it is needed again.
 const KEEP: Us = SECOND;
-/// How long a command waits at first where there is no unit at all.
+/// How long a request waits at first where there is no unit at all.
 const MOMENT: Us = 50_000;
-/// Units that a member asks for beyond those it has while a command waits for one.
+/// Units that a member asks for beyond those it has while a request waits for one.
 const BURST: u32 = 2;
 /// Over how long the demand is averaged.
 const DEMAND: f64 = 1.5e6;
@@ -73,7 +73,7 @@
     pub contact: Option<Us>,
     /// Microseconds spent with less than was wanted.
     pub short: Us,
-    /// Commands that found no unit free, all told.
+    /// Requests that found no unit free, all told.
     pub denied: u64,
 }
 
@@ -117,7 +117,7 @@
     short: Us,
     ticked: Us,
     denied: u64,
-    /// Whether a command has found no unit free since the last tick.
+    /// Whether a request has found no unit free since the last tick.
     pressed: bool,
     out: Vec<(SocketAddr, Message)>,
     flaw: InjectedDefect<Flaw>,
@@ -161,7 +161,7 @@
         self.own = self.own.max(own);
     }
 
-    /// How long a command has to wait for a unit; zero, one may begin now. Without any unit it is a moment: something may
+    /// How long a request has to wait for a unit; zero, one may begin now. Without any unit it is a moment: something may
     /// be lent by then.
     pub fn wait(&mut self, now: Us) -> Us {
         let (used, held) = (self.used(now), self.held(now) as usize);
@@ -177,13 +177,13 @@
         }
     }
 
-    /// A command begins. The caller has asked [`Shares::wait`] at the same time.
+    /// A request begins. The caller has asked [`Shares::wait`] at the same time.
     pub fn took(&mut self, now: Us) {
         self.demand(now);
         self.uses.push_back(now);
     }
 
-    /// A command that needed a unit was given up for want of one.
+    /// A request that needed a unit was given up for want of one.
     pub fn denied(&mut self, now: Us) {
         self.demand(now);
         self.denied += 1;
@@ -200,7 +200,7 @@
         self.counted = now;
     }
 
-    /// Commands begun within the last window.
+    /// Requests begun within the last window.
     fn used(&mut self, now: Us) -> usize {
         let window = self.terms.window();
         while self.uses.front().is_some_and(|at| at + window <= now) {
--- a/cluster/src/shares/message.rs
+++ b/cluster/src/shares/message.rs
@@ -7,9 +7,9 @@
 /// A limit's terms, the same at every member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// Commands a second, of all together.
+    /// Requests a second, of all together.
     pub whole: u32,
-    /// By how much commands differ in the time that they take to whoever counts them.
+    /// By how much requests differ in the time that they take to whoever counts them.
     pub spread: Us,
     /// Among how many positions the whole is divided.
     pub holders: u32,
@@ -20,7 +20,7 @@
 }
 
 impl Terms {
-    /// The units that so many commands a second are cut into.
+    /// The units that so many requests a second are cut into.
     pub fn units_of(&self, per_s: f64) -> u32 {
         (per_s * (SECOND + self.spread) as f64 / SECOND as f64 + 1e-9) as u32
     }
--- a/cluster/src/shares/tests.rs
+++ b/cluster/src/shares/tests.rs
@@ -1,4 +1,4 @@
-//! Fleets in virtual time: drawn networks, kills, freezes and clocks, the bound asserted at each command that begins.
+//! Fleets in virtual time: drawn networks, kills, freezes and clocks, the bound asserted at each request that begins.
 
 use std::collections::VecDeque;
 
@@ -11,13 +11,13 @@
 /// What is scheduled beside what the network does.
 #[derive(Debug)]
 enum Scheduled {
-    /// A command of a member, which waits until then.
+    /// A request of a member, which waits until then.
     Command(usize, Us),
     /// A process that was killed starts anew.
     Start(usize),
 }
 
-/// How long a command waits for a unit, as a read does at the origin.
+/// How long a request waits for a unit, as a read does at the origin.
 const WAITS: Us = 200_000;
 
 /// How bad a fleet's world is.
@@ -26,10 +26,10 @@
     members: usize,
     holders: u32,
     whole: u32,
-    /// By how much commands differ in the time that they take.
+    /// By how much requests differ in the time that they take.
     spread: Us,
     seconds: u64,
-    /// Commands a second of all members, and the share of the first fifth of them.
+    /// Requests a second of all members, and the share of the first fifth of them.
     rate: f64,
     uneven: f64,
     loss: f64,
@@ -44,7 +44,7 @@
     flaw: Option<Flaw>,
     /// A process uses what is its own at once when it starts.
     hasty: bool,
-    /// Units are for one second, whatever the time that commands take.
+    /// Units are for one second, whatever the time that requests take.
     one_second: bool,
 }
 
@@ -170,7 +170,7 @@
         }
     }
 
-    /// A command wants to begin: the bound is asserted here, at each of them, by the fleet's own time.
+    /// A request wants to begin: the bound is asserted here, at each of them, by the fleet's own time.
     fn command(&mut self, who: usize, until: Us) {
         let (now, true_now) = (self.network.clock(who), self.network.now());
         let Some(shares) = &mut self.members[who] else { return };
@@ -295,7 +295,7 @@
     within as f64 / (f64::from(world.whole) * (to - from) as f64)
 }
 
-/// Where commands differ in the time that they take, units for one second let more arrive in one than a bound by rates says.
+/// Where requests differ in the time that they take, units for one second let more arrive in one than a bound by rates says.
 #[test]
 fn units_for_one_second_would_not_hold_where_commands_arrive() {
     let world = World { spread: 100_000, whole: 20, rate: 60.0, ..CALM };
--- a/cluster/src/verdicts.rs
+++ b/cluster/src/verdicts.rs
@@ -1,18 +1,18 @@
-//! Verdicts on hosts: what balancers saw of a host's start, told to all, with an age that is proven and an end.
+//! Verdicts on servers: what balancers saw of a server's start, told to all, with an age that is proven and an end.
 //!
 //! # Guarantee
 //!
-//! - **Evidence, not commands.** An entry says that one witness saw one start of a host (its id and when it started, never an
-//!   address) silent, or answering. Entries merge by a join: per host and witness the newest stamp wins; any order and any
+//! - **Evidence, not requests.** An entry says that one witness saw one start of a server (its id and when it started, never an
+//!   address) silent, or answering. Entries merge by a join: per server and witness the newest stamp wins; any order and any
 //!   repeats give the same.
 //! - **An end.** An entry acts at no member later than `expiry` after its witness saw what it tells, by any clock that runs
 //!   within the stated drift: not where it comes late, nor at a member that was cut off, frozen or started anew. Only the
 //!   witness itself can renew it.
-//! - **Nobody is believed alone.** A host is passed by on others' word only where `witnesses` different ones say so: all of
-//!   the own zone, or from two zones at least. A witness that finds more than half of the hosts silent has lost its own link
-//!   and counts for nothing. At most `most` of all hosts, and half of a zone's, are passed by; those most spoken against first.
-//! - **Back.** An answer that is newer than the words against a host clears it; each member draws its own wait for that. While a
-//!   host is passed by, all members together try it about `tries` times a second, whatever their number.
+//! - **Nobody is believed alone.** A server is passed by on others' word only where `witnesses` different ones say so: all of
+//!   the own zone, or from two zones at least. A witness that finds more than half of the servers silent has lost its own link
+//!   and counts for nothing. At most `most` of all servers, and half of a zone's, are passed by; those most spoken against first.
+//! - **Back.** An answer that is newer than the words against a server clears it; each member draws its own wait for that. While a
+//!   server is passed by, all members together try it about `tries` times a second, whatever their number.
 //!
 //! # Why an age can be trusted
 //!
@@ -36,20 +36,20 @@
 
 use crate::cold::Start;
 use crate::injected_defect::InjectedDefect;
-use crate::{Us, MOST_HOSTS, SECOND};
+use crate::{Us, MAX_SERVERS, SECOND};
 use dissemination::Dissemination;
-use known::{Hosts, Known};
+use known::{Known, Servers};
 pub use message::{Entry, Message, Terms, What, MOST_TOLD};
 use own_results::OwnResults;
 use selection::{Listed, PassedBy, Selection};
 
-/// Between two entries of one witness on one host.
+/// Between two entries of one witness on one server.
 const AGAIN: Us = 500_000;
-/// A host's silence is not told once more where so many told of it within the last second.
+/// A server's silence is not told once more where so many told of it within the last second.
 const ENOUGH: usize = 5;
-/// A host that has answered here within this time is not passed by.
+/// A server that has answered here within this time is not passed by.
 const FRESH: Us = SECOND;
-/// How long it is remembered when a host that is passed by was tried.
+/// How long it is remembered when a server that is passed by was tried.
 const TRIES_KEPT: Us = 10 * SECOND;
 
 /// What operators see.
@@ -59,15 +59,15 @@
     pub silent: usize,
     /// Entries held that tell of answers.
     pub sound: usize,
-    /// Hosts that are passed by on others' word.
+    /// Servers that are passed by on others' word.
     pub against: usize,
-    /// Hosts that would be, were it not for the most that may.
+    /// Servers that would be, were it not for the most that may.
     pub beyond: usize,
     /// Witnesses that count for nothing now.
     pub refused: usize,
-    /// Times at which a host was passed by.
+    /// Times at which a server was passed by.
     pub passed: u64,
-    /// Tries of hosts that others speak against.
+    /// Tries of servers that others speak against.
     pub tried: u64,
     /// Entries of its own.
     pub told: u64,
@@ -82,14 +82,14 @@
     position: u32,
     zone: u32,
     rng: ChaCha8Rng,
-    hosts: Hosts,
+    servers: Servers,
     listed: Listed,
     against: PassedBy,
     tried: BTreeMap<Start, Us>,
     own: OwnResults,
     dissemination: Dissemination,
     members: usize,
-    /// Whether anything has changed since it was last decided which hosts are passed by.
+    /// Whether anything has changed since it was last decided which servers are passed by.
     changed: bool,
     out: Vec<(SocketAddr, Message)>,
     figures: Figures,
@@ -104,7 +104,7 @@
             position,
             zone,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            hosts: Hosts::new(),
+            servers: Servers::new(),
             listed: Listed::new(),
             against: PassedBy::new(),
             tried: BTreeMap::new(),
@@ -118,17 +118,17 @@
         }
     }
 
-    /// The hosts that serve, each with its zone, by the list in hand.
-    pub fn listed(&mut self, hosts: impl IntoIterator<Item = (Start, u32)>) {
-        let hosts = hosts.into_iter().map(|(start, zone)| (self.name(start), zone));
-        self.listed = hosts.map(|(start, zone)| (start.host, (start.started, zone))).collect();
+    /// The servers that serve, each with its zone, by the list in hand.
+    pub fn listed(&mut self, servers: impl IntoIterator<Item = (Start, u32)>) {
+        let servers = servers.into_iter().map(|(start, zone)| (self.name(start), zone));
+        self.listed = servers.map(|(start, zone)| (start.server, (start.started, zone))).collect();
         self.changed = true;
     }
 
-    /// An own send told of this start of a host.
+    /// An own send told of this start of a server.
     pub fn saw(&mut self, start: Start, silent: bool, now: Us) {
         let start = self.name(start);
-        self.own.record(now, start.host, silent);
+        self.own.record(now, start.server, silent);
         if self.is_worth_telling(start, silent, now) {
             self.tell(start, silent, now);
         }
@@ -148,7 +148,7 @@
         let lately = |known: &&Known| known.silent && now < known.born + SECOND;
         known.iter().filter(lately).count() < ENOUGH
             && self.own.link_works()
-            && !self.own.has_just_answered(start.host, now)
+            && !self.own.has_just_answered(start.server, now)
     }
 
     /// Takes in an entry of its own, which others are told with haste.
@@ -164,26 +164,26 @@
         self.take(start, known, now);
     }
 
-    /// What is known of a start of a host.
+    /// What is known of a start of a server.
     fn known(&self, start: Start) -> &[Known] {
-        self.hosts.get(&start).map_or(&[], Vec::as_slice)
+        self.servers.get(&start).map_or(&[], Vec::as_slice)
     }
 
-    /// The own entry on a start of a host.
+    /// The own entry on a start of a server.
     fn own_entry(&self, start: Start) -> Option<&Known> {
         self.known(start).iter().find(|known| known.witness == self.position)
     }
 
-    /// Takes an entry in, beyond [`MOST_HOSTS`] none on a host that is new; what is new and changes something is spread with haste.
+    /// Takes an entry in, beyond [`MAX_SERVERS`] none on a server that is new; what is new and changes something is spread with haste.
     fn take(&mut self, start: Start, known: Known, now: Us) {
-        if !self.hosts.contains_key(&start) && self.hosts.len() >= MOST_HOSTS {
+        if !self.servers.contains_key(&start) && self.servers.len() >= MAX_SERVERS {
             return;
         }
-        let all = self.hosts.entry(start).or_default();
+        let all = self.servers.entry(start).or_default();
         let news = known::join(all, known);
         let words = all.iter().filter(|one| one.silent).count();
         if all.is_empty() {
-            self.hosts.remove(&start);
+            self.servers.remove(&start);
         }
         self.changed |= news;
         if news {
@@ -212,8 +212,8 @@
         if digest == self.dissemination.digest(about) || !self.dissemination.may_answer() {
             return;
         }
-        let first = self.rng.random_range(0..self.hosts.len().max(1));
-        let entries = dissemination::answer(&self.hosts, now, about, first, self.terms.witnesses);
+        let first = self.rng.random_range(0..self.servers.len().max(1));
+        let entries = dissemination::answer(&self.servers, now, about, first, self.terms.witnesses);
         if !entries.is_empty() {
             self.out.push((from, Message::Told { sent, entries }));
         }
@@ -252,10 +252,10 @@
         // Those that are cleared wait for their time without anything new.
         if std::mem::take(&mut self.changed) || !self.against.is_empty() {
             self.tried.retain(|_, at| now < *at + TRIES_KEPT);
-            self.dissemination.update(&self.hosts, self.terms.witnesses);
+            self.dissemination.update(&self.servers, self.terms.witnesses);
             self.decide(now);
         }
-        for (to, about) in self.dissemination.due(now, &self.hosts, self.terms.witnesses, peer) {
+        for (to, about) in self.dissemination.due(now, &self.servers, self.terms.witnesses, peer) {
             self.ask(now, to, about);
         }
     }
@@ -263,20 +263,20 @@
     /// Drops the entries that act no more.
     fn expire(&mut self, now: Us) {
         let expiry = self.terms.own_expiry();
-        for all in self.hosts.values_mut() {
+        for all in self.servers.values_mut() {
             let before = all.len();
             all.retain(|one| now < one.born + expiry);
             self.changed |= all.len() < before;
         }
-        self.hosts.retain(|_, all| !all.is_empty());
+        self.servers.retain(|_, all| !all.is_empty());
     }
 
-    /// Decides which hosts are passed by from now on.
+    /// Decides which servers are passed by from now on.
     fn decide(&mut self, now: Us) {
         let Selection { passed_by, beyond, refused } = selection::select(
             &self.terms,
             self.zone,
-            &self.hosts,
+            &self.servers,
             &self.listed,
             &self.against,
             now,
@@ -287,8 +287,8 @@
         (self.figures.beyond, self.figures.refused) = (beyond, refused);
     }
 
-    /// Whether to pass by this start of a host. `heard` is when it last answered here, `per_s` how many sends a
-    /// host gets from here.
+    /// Whether to pass by this start of a server. `heard` is when it last answered here, `per_s` how many sends a
+    /// server gets from here.
     pub fn warned(&mut self, start: Start, heard: Us, per_s: f64, now: Us) -> bool {
         let start = self.name(start);
         if !self.against.contains_key(&start) || now < heard + FRESH {
@@ -304,7 +304,7 @@
         true
     }
 
-    /// Whether a host that is passed by is tried all the same: all members together make so many tries a second; this one's
+    /// Whether a server that is passed by is tried all the same: all members together make so many tries a second; this one's
     /// part is drawn, at most one a second.
     fn draws_a_try(&mut self, start: Start, per_s: f64, now: Us) -> bool {
         let all = (self.members as f64 * per_s).max(1e-3);
@@ -324,7 +324,7 @@
 
     /// What operators see.
     pub fn figures(&self) -> Figures {
-        let count = |silent| self.hosts.values().flatten().filter(|one| one.silent == silent).count();
+        let count = |silent| self.servers.values().flatten().filter(|one| one.silent == silent).count();
         Figures { silent: count(true), sound: count(false), ..self.figures }
     }
 
@@ -345,6 +345,6 @@
     AgeNotCarried,
     /// Who hears an entry once more takes it for new.
     RenewedByHearsay,
-    /// A host is known by its address alone: a new start inherits the old one's entries.
+    /// A server is known by its address alone: a new start inherits the old one's entries.
     AddressForStart,
 }
--- a/cluster/src/verdicts/dissemination.rs
+++ b/cluster/src/verdicts/dissemination.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::known::{self, Hosts, Known};
+use super::known::{self, Known, Servers};
 use super::message::{Entry, What, MOST_TOLD};
 use crate::interval::Interval;
 use crate::open_requests::OpenRequests;
@@ -18,12 +18,12 @@
 const URGENT: Us = 100_000;
 const HELD: Us = 500_000;
 const CALM: Us = 2_000_000;
-/// How long something new is spread with haste: an own first word, and what changes which hosts are passed by.
+/// How long something new is spread with haste: an own first word, and what changes which servers are passed by.
 const OWN_HASTE: Us = 200_000;
 const HASTE: Us = 500_000;
 /// After its start a member asks with haste for so long.
 const START_HASTE: Us = 2 * SECOND;
-/// Words against a host from which on they are spread with haste: one alone is mostly a host that is slow for a moment.
+/// Words against a server from which on they are spread with haste: one alone is mostly a server that is slow for a moment.
 const HASTY: usize = 2;
 /// A question is answered within this time or not at all.
 const OPEN: Us = SECOND;
@@ -64,7 +64,7 @@
         self.own_haste_until = now + OWN_HASTE;
     }
 
-    /// An entry of a host was new here: it has haste where it may change whether the host is passed by.
+    /// An entry of a server was new here: it has haste where it may change whether the server is passed by.
     pub(super) fn on_news(&mut self, now: Us, silent: bool, words: usize, passed_by: bool) {
         let urgent = if silent { !passed_by && words >= HASTY } else { passed_by };
         if urgent {
@@ -73,9 +73,9 @@
     }
 
     /// Takes in what is held now.
-    pub(super) fn update(&mut self, hosts: &Hosts, witnesses: usize) {
-        self.digest = known::digest(hosts);
-        self.hot_digest = known::hot_digest(hosts, HASTY, witnesses);
+    pub(super) fn update(&mut self, servers: &Servers, witnesses: usize) {
+        self.digest = known::digest(servers);
+        self.hot_digest = known::hot_digest(servers, HASTY, witnesses);
     }
 
     /// What is held in brief, as far as a question is about it.
@@ -124,16 +124,16 @@
     pub(super) fn due(
         &mut self,
         now: Us,
-        hosts: &Hosts,
+        servers: &Servers,
         witnesses: usize,
         mut peer: impl FnMut() -> Option<SocketAddr>,
     ) -> Vec<(SocketAddr, What)> {
         let mut questions = Vec::new();
         if now < self.haste_until.max(self.own_haste_until) && self.hasty_rounds.is_due(now, URGENT) {
-            let about = self.hasty_question(now, hosts, witnesses);
+            let about = self.hasty_question(now, servers, witnesses);
             questions.extend((0..ASKED).filter_map(|_| peer()).map(|to| (to, about)));
         }
-        let interval = if hosts.is_empty() { CALM } else { HELD };
+        let interval = if servers.is_empty() { CALM } else { HELD };
         if self.rounds.is_due(now, interval) {
             questions.extend(peer().map(|to| (to, What::All)));
         }
@@ -142,9 +142,9 @@
 
     /// What a question with haste is about. Words that are missing may be with members that have but one and no haste: they are
     /// asked for all that they hold.
-    fn hasty_question(&self, now: Us, hosts: &Hosts, witnesses: usize) -> What {
+    fn hasty_question(&self, now: Us, servers: &Servers, witnesses: usize) -> What {
         let is_missing = |all: &Vec<Known>| known::is_hot(all, HASTY) && !known::is_decided(all, witnesses);
-        let all = now < self.own_haste_until || self.hot_digest == 0 || hosts.values().any(is_missing);
+        let all = now < self.own_haste_until || self.hot_digest == 0 || servers.values().any(is_missing);
         if all {
             What::Own
         } else {
@@ -153,14 +153,14 @@
     }
 }
 
-/// The entries of an answer, with their ages. Where it has no room for all: the newest of each host, as many as have to agree,
-/// of hosts from the `first` on, and then the others.
-pub(super) fn answer(hosts: &Hosts, now: Us, about: What, first: usize, witnesses: usize) -> Vec<Entry> {
+/// The entries of an answer, with their ages. Where it has no room for all: the newest of each server, as many as have to agree,
+/// of servers from the `first` on, and then the others.
+pub(super) fn answer(servers: &Servers, now: Us, about: What, first: usize, witnesses: usize) -> Vec<Entry> {
     let mut ranked: Vec<((usize, usize, usize), Entry)> = Vec::new();
     let is_whole = matches!(about, What::All | What::Own);
     let is_asked = |all: &[Known]| is_whole || known::is_hot(all, HASTY);
-    for (number, (start, all)) in hosts.iter().enumerate().filter(|(_, (_, all))| is_asked(all)) {
-        let turn = (number + hosts.len() - first) % hosts.len();
+    for (number, (start, all)) in servers.iter().enumerate().filter(|(_, (_, all))| is_asked(all)) {
+        let turn = (number + servers.len() - first) % servers.len();
         ranked.extend(all.iter().enumerate().map(|(place, known)| {
             let rank = (place / witnesses.max(1), turn, place);
             (rank, known.entry(*start, now))
--- a/cluster/src/verdicts/known.rs
+++ b/cluster/src/verdicts/known.rs
@@ -1,4 +1,4 @@
-//! What is known of one host's start, and what follows from it: a join, a digest, who counts, and how many speak against it.
+//! What is known of one server's start, and what follows from it: a join, a digest, who counts, and how many speak against it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,15 +6,15 @@
 use crate::cold::{mix, Start};
 use crate::Us;
 
-/// Entries of silence that are kept of one host and zone: the newest. Of either kind of answer it is one.
+/// Entries of silence that are kept of one server and zone: the newest. Of either kind of answer it is one.
 const SILENT_KEPT: usize = 4;
-/// Zones of which entries are kept of one host.
+/// Zones of which entries are kept of one server.
 const ZONES_KEPT: usize = 4;
-/// Of so few hosts one that speaks against most of them may be right.
+/// Of so few servers one that speaks against most of them may be right.
 const FEW: usize = 2;
 
-/// What is known of hosts, by their starts.
-pub(super) type Hosts = BTreeMap<Start, Vec<Known>>;
+/// What is known of servers, by their starts.
+pub(super) type Servers = BTreeMap<Start, Vec<Known>>;
 
 /// One witness's entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// The earliest that it can have been seen, by the own clock.
     pub(super) born: Us,
     pub(super) silent: bool,
-    /// An answer where its own zone had found the host silent: news of the host, not of a path.
+    /// An answer where its own zone had found the server silent: news of the server, not of a path.
     pub(super) back: bool,
 }
 
@@ -74,59 +74,59 @@
 }
 
 /// All that is held, in brief: the same for the same entries, whatever their ages were proven to be.
-pub(super) fn digest(hosts: &Hosts) -> u64 {
+pub(super) fn digest(servers: &Servers) -> u64 {
     let mut sum: u64 = 0;
-    for (start, all) in hosts {
-        let host = mix(start.host ^ mix(start.started));
+    for (start, all) in servers {
+        let server = mix(start.server ^ mix(start.started));
         for one in all {
-            sum ^= mix(host ^ mix(one.stamp ^ (u64::from(one.witness) << 40)));
+            sum ^= mix(server ^ mix(one.stamp ^ (u64::from(one.witness) << 40)));
         }
     }
     sum
 }
 
-/// Whether a host's words are worth haste: at least so many of them, or news that it is back.
+/// Whether a server's words are worth haste: at least so many of them, or news that it is back.
 pub(super) fn is_hot(all: &[Known], hasty: usize) -> bool {
     uncleared(all, &BTreeSet::new()).count() >= hasty || all.iter().any(|one| one.back)
 }
 
-/// Whether enough speak against a host that is worth haste, or none does any more: who holds it so needs no more words.
+/// Whether enough speak against a server that is worth haste, or none does any more: who holds it so needs no more words.
 pub(super) fn is_decided(all: &[Known], witnesses: usize) -> bool {
     let words = uncleared(all, &BTreeSet::new()).count();
     words == 0 || words >= witnesses
 }
 
-/// What is worth haste, in brief: a host that enough speak against is one thing, however many do and whenever they last said so.
-pub(super) fn hot_digest(hosts: &Hosts, hasty: usize, witnesses: usize) -> u64 {
+/// What is worth haste, in brief: a server that enough speak against is one thing, however many do and whenever they last said so.
+pub(super) fn hot_digest(servers: &Servers, hasty: usize, witnesses: usize) -> u64 {
     let none = BTreeSet::new();
     let mut sum: u64 = 0;
-    for (start, all) in hosts.iter().filter(|(_, all)| is_hot(all, hasty)) {
-        let host = mix(start.host ^ mix(start.started));
+    for (start, all) in servers.iter().filter(|(_, all)| is_hot(all, hasty)) {
+        let server = mix(start.server ^ mix(start.started));
         let words: Vec<&Known> = uncleared(all, &none).collect();
         if words.len() >= witnesses {
-            sum ^= host;
+            sum ^= server;
         } else {
-            words.iter().for_each(|one| sum ^= mix(host ^ mix(one.stamp ^ u64::from(one.witness))));
+            words.iter().for_each(|one| sum ^= mix(server ^ mix(one.stamp ^ u64::from(one.witness))));
         }
         if words.is_empty() {
-            sum ^= mix(!host);
+            sum ^= mix(!server);
         }
     }
     sum
 }
 
-/// Witnesses that speak against more than half of the hosts: they have lost their own link.
-pub(super) fn refused(hosts: &Hosts, listed: usize) -> BTreeSet<u32> {
+/// Witnesses that speak against more than half of the servers: they have lost their own link.
+pub(super) fn refused(servers: &Servers, listed: usize) -> BTreeSet<u32> {
     let mut against: BTreeMap<u32, usize> = BTreeMap::new();
-    for one in hosts.values().flatten().filter(|one| one.silent) {
+    for one in servers.values().flatten().filter(|one| one.silent) {
         *against.entry(one.witness).or_default() += 1;
     }
     let most = (listed / 2).max(FEW);
     against.into_iter().filter(|(_, count)| *count > most).map(|(witness, _)| witness).collect()
 }
 
-/// Words against a host that no answer has cleared: an answer clears what is older of its own zone, and of other zones where it
-/// is news of the host; else it tells of its own path alone.
+/// Words against a server that no answer has cleared: an answer clears what is older of its own zone, and of other zones where it
+/// is news of the server; else it tells of its own path alone.
 fn uncleared<'a>(all: &'a [Known], refused: &'a BTreeSet<u32>) -> impl Iterator<Item = &'a Known> {
     let clears = |sound: &Known, one: &Known| {
         !sound.silent && sound.born > one.born && (sound.zone == one.zone || sound.back)
@@ -136,12 +136,12 @@
     })
 }
 
-/// Whether there is a word against a host that no answer has cleared.
+/// Whether there is a word against a server that no answer has cleared.
 pub(super) fn spoken_against(all: &[Known]) -> bool {
     uncleared(all, &BTreeSet::new()).next().is_some()
 }
 
-/// How many speak against a host as far as it concerns a member of this zone; zero where it is not to be passed by. Once it is
+/// How many speak against a server as far as it concerns a member of this zone; zero where it is not to be passed by. Once it is
 /// passed by (`latched`), one uncleared word keeps it so.
 pub(super) fn against(
     all: &[Known],
--- a/cluster/src/verdicts/message.rs
+++ b/cluster/src/verdicts/message.rs
@@ -15,9 +15,9 @@
     pub witnesses: usize,
     /// How long an entry acts.
     pub expiry: Us,
-    /// The part of all hosts that is passed by at the most.
+    /// The part of all servers that is passed by at the most.
     pub most: f64,
-    /// Tries a second of one host by all members together.
+    /// Tries a second of one server by all members together.
     pub tries: f64,
     /// By which part clocks may run faster or slower than each other.
     pub drift: f64,
@@ -30,10 +30,10 @@
     }
 }
 
-/// What one witness saw of one start of a host.
+/// What one witness saw of one start of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The host and its start.
+    /// The server and its start.
     pub start: Start,
     /// The witness's place in the fleet.
     pub witness: u32,
@@ -43,9 +43,9 @@
     pub stamp: Us,
     /// How old it was at the most when it was written down here.
     pub age: Us,
-    /// Whether the host was silent; else it answered.
+    /// Whether the server was silent; else it answered.
     pub silent: bool,
-    /// Of an answer, whether the witness's zone had found the host silent.
+    /// Of an answer, whether the witness's zone had found the server silent.
     pub back: bool,
 }
 
--- a/cluster/src/verdicts/own_results.rs
+++ b/cluster/src/verdicts/own_results.rs
@@ -1,4 +1,4 @@
-//! How the own sends of late ended: whether it is a host that is silent, or the own link.
+//! How the own sends of late ended: whether it is a server that is silent, or the own link.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,7 +7,7 @@
 /// How long results are kept, and how many.
 const KEPT_FOR: Us = 2 * SECOND;
 const MOST_KEPT: usize = 64;
-/// A host that has answered here within this time is not told to be silent: a time-out takes about as long, so that the host
+/// A server that has answered here within this time is not told to be silent: a time-out takes about as long, so that the server
 /// has answered since.
 const ANSWERED: Us = SECOND / 2;
 
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug)]
 struct SendResult {
     at: Us,
-    host: u64,
+    server: u64,
     silent: bool,
 }
 
@@ -26,25 +26,27 @@
 }
 
 impl OwnResults {
-    /// A send to a host has ended, without an answer where the host was silent.
-    pub(super) fn record(&mut self, now: Us, host: u64, silent: bool) {
-        self.results.push_back(SendResult { at: now, host, silent });
+    /// A send to a server has ended, without an answer where the server was silent.
+    pub(super) fn record(&mut self, now: Us, server: u64, silent: bool) {
+        self.results.push_back(SendResult { at: now, server, silent });
         let is_old = |result: &SendResult| result.at + KEPT_FOR < now;
         while self.results.len() > MOST_KEPT || self.results.front().is_some_and(is_old) {
             self.results.pop_front();
         }
     }
 
-    /// Whether the results tell of hosts and not of the own link: no more than half of the hosts are silent.
+    /// Whether the results tell of servers and not of the own link: no more than half of the servers are silent.
     pub(super) fn link_works(&self) -> bool {
         let mut last: BTreeMap<u64, bool> = BTreeMap::new();
-        last.extend(self.results.iter().map(|result| (result.host, result.silent)));
+        last.extend(self.results.iter().map(|result| (result.server, result.silent)));
         let silent = last.values().filter(|silent| **silent).count();
         2 * silent <= last.len()
     }
 
-    /// Whether a host has answered here a moment ago.
-    pub(super) fn has_just_answered(&self, host: u64, now: Us) -> bool {
-        self.results.iter().any(|result| !result.silent && result.host == host && now < result.at + ANSWERED)
+    /// Whether a server has answered here a moment ago.
+    pub(super) fn has_just_answered(&self, server: u64, now: Us) -> bool {
+        self.results
+            .iter()
+            .any(|result| !result.silent && result.server == server && now < result.at + ANSWERED)
     }
 }
--- a/cluster/src/verdicts/tests.rs
+++ b/cluster/src/verdicts/tests.rs
@@ -1,4 +1,4 @@
-//! Fleets in virtual time: hosts that fall silent, start anew and come back, drawn networks, kills, freezes, clocks and liars;
+//! Fleets in virtual time: servers that fall silent, start anew and come back, drawn networks, kills, freezes, clocks and liars;
 //! what acts is held against what was truly seen, at every use.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug)]
 struct World {
     members: usize,
-    hosts: usize,
+    servers: usize,
     zones: u32,
     seconds: u64,
     /// Sends a second of each member.
@@ -24,16 +24,16 @@
     kills: usize,
     freezes: usize,
     cuts: usize,
-    /// Hosts that fall silent for some seconds, and hosts that start anew at their address while they are spoken against.
+    /// Servers that fall silent for some seconds, and servers that start anew at their address while they are spoken against.
     falls: usize,
-    /// Members that speak against every host all the time.
+    /// Members that speak against every server all the time.
     liars: usize,
     flaw: Option<Flaw>,
 }
 
 const MILD: World = World {
     members: 60,
-    hosts: 24,
+    servers: 24,
     zones: 3,
     seconds: 24,
     rate: 10.0,
@@ -52,19 +52,19 @@
 /// What is scheduled beside what the network does.
 #[derive(Debug)]
 enum Scheduled {
-    /// A member sends to a host.
+    /// A member sends to a server.
     Send(usize),
     /// A member learns how a send ended.
-    Ended { member: usize, host: usize, silent: bool, start: Start },
-    /// A host falls silent, or speaks again.
+    Ended { member: usize, server: usize, silent: bool, start: Start },
+    /// A server falls silent, or speaks again.
     Silent(usize, bool),
-    /// Another process starts at a host's address.
+    /// Another process starts at a server's address.
     Anew(usize),
 }
 
 struct Member {
     verdicts: Verdicts,
-    /// When each host last answered here.
+    /// When each server last answered here.
     heard: Vec<Us>,
 }
 
@@ -72,15 +72,15 @@
 struct Played {
     /// What was not kept.
     broken: Option<String>,
-    /// Sends at silent hosts, and times at which a host was passed by.
+    /// Sends at silent servers, and times at which a server was passed by.
     lost: usize,
     passed: usize,
-    /// Of those, hosts that were sound all the time.
+    /// Of those, servers that were sound all the time.
     wrong: usize,
     packets: u64,
-    /// From the moment at which enough had seen a host silent until nearly all passed it by.
+    /// From the moment at which enough had seen a server silent until nearly all passed it by.
     spread: Vec<Us>,
-    /// From the first answer of a host that is back until nearly all used it.
+    /// From the first answer of a server that is back until nearly all used it.
     back: Vec<Us>,
 }
 
@@ -116,8 +116,8 @@
         world,
         network: VirtualNetwork::new(seed, world.members, conditions),
         members: Vec::new(),
-        silent: vec![false; world.hosts],
-        started: vec![1; world.hosts],
+        silent: vec![false; world.servers],
+        started: vec![1; world.servers],
         ill: BTreeSet::new(),
         seen: BTreeMap::new(),
         raised: BTreeMap::new(),
@@ -138,12 +138,12 @@
         verdicts.flaw = InjectedDefect::given(self.world.flaw);
         verdicts.listed(self.list());
         self.network.start(one);
-        Member { verdicts, heard: vec![0; self.world.hosts] }
+        Member { verdicts, heard: vec![0; self.world.servers] }
     }
 
     fn list(&self) -> Vec<(Start, u32)> {
-        let start = |host| Start { host: host as u64, started: self.started[host] };
-        (0..self.world.hosts).map(|host| (start(host), host as u32 % 3)).collect()
+        let start = |server| Start { server: server as u64, started: self.started[server] };
+        (0..self.world.servers).map(|server| (start(server), server as u32 % 3)).collect()
     }
 
     fn run(&mut self) {
@@ -162,15 +162,15 @@
             let second_side = self.network.rng.random();
             self.network.schedule_cut(at, at + lasts, Partition { second_side, one_way: false });
         }
-        for host in 0..world.falls {
+        for server in 0..world.falls {
             let at = 4 * SECOND + self.network.draw(end / 4);
             let back = at + 6 * SECOND + self.network.draw(6 * SECOND);
-            self.ill.insert(host);
-            self.network.schedule(at, Scheduled::Silent(host, true));
-            self.network.schedule(back, Scheduled::Silent(host, false));
-            if host % 2 == 1 {
+            self.ill.insert(server);
+            self.network.schedule(at, Scheduled::Silent(server, true));
+            self.network.schedule(back, Scheduled::Silent(server, false));
+            if server % 2 == 1 {
                 // While it is spoken against another process starts at its address, and that one is sound.
-                self.network.schedule(back, Scheduled::Anew(host));
+                self.network.schedule(back, Scheduled::Anew(server));
             }
         }
         while self.played.broken.is_none() {
@@ -192,19 +192,19 @@
                 self.network.schedule_for(self.network.now() + 1, one, Scheduled::Send(one));
             }
             Arrival::Scheduled(Scheduled::Send(one)) => self.send(one),
-            Arrival::Scheduled(Scheduled::Ended { member, host, silent, start }) => {
-                self.ended(member, host, silent, start);
+            Arrival::Scheduled(Scheduled::Ended { member, server, silent, start }) => {
+                self.ended(member, server, silent, start);
             }
-            Arrival::Scheduled(Scheduled::Silent(host, silent)) => self.silent[host] = silent,
-            Arrival::Scheduled(Scheduled::Anew(host)) => {
-                self.started[host] = self.network.now();
+            Arrival::Scheduled(Scheduled::Silent(server, silent)) => self.silent[server] = silent,
+            Arrival::Scheduled(Scheduled::Anew(server)) => {
+                self.started[server] = self.network.now();
                 let list = self.list();
                 self.members.iter_mut().for_each(|one| one.verdicts.listed(list.clone()));
             }
         }
     }
 
-    /// How many members at least make nearly all, and since when each host that enough have seen silent is passed by by them.
+    /// How many members at least make nearly all, and since when each server that enough have seen silent is passed by by them.
     fn watch(&mut self) {
         let nearly = self.world.members - self.world.members / 100;
         for (start, since) in self.raised.iter_mut().filter(|(_, since)| **since < Us::MAX) {
@@ -231,10 +231,10 @@
         self.network.tick_after(one, 50_000);
     }
 
-    /// A liar speaks against every host, anew at each tick.
+    /// A liar speaks against every server, anew at each tick.
     fn lie(&mut self, one: usize, now: Us) {
-        for host in 0..self.world.hosts {
-            let start = Start { host: host as u64, started: self.started[host] };
+        for server in 0..self.world.servers {
+            let start = Start { server: server as u64, started: self.started[server] };
             let zone = one as u32 % self.world.zones;
             let known = Known { witness: one as u32, zone, stamp: now, born: now, silent: true, back: false };
             self.members[one].verdicts.take(start, known, now);
@@ -245,28 +245,28 @@
         self.network.send(one, self.members[one].verdicts.drain());
     }
 
-    /// A member sends to a host, unless it passes it by.
+    /// A member sends to a server, unless it passes it by.
     fn send(&mut self, one: usize) {
         let rest = (self.network.draw(2 * SECOND) as f64 / self.world.rate) as Us;
         self.network.schedule_for(self.network.now() + rest, one, Scheduled::Send(one));
-        let host = self.network.rng.random_range(0..self.world.hosts);
-        let start = Start { host: host as u64, started: self.started[host] };
+        let server = self.network.rng.random_range(0..self.world.servers);
+        let start = Start { server: server as u64, started: self.started[server] };
         let now = self.network.clock(one);
-        let per_s = self.world.rate / self.world.hosts as f64;
+        let per_s = self.world.rate / self.world.servers as f64;
         let member = &mut self.members[one];
-        let passed = member.verdicts.warned(start, member.heard[host], per_s, now);
+        let passed = member.verdicts.warned(start, member.heard[server], per_s, now);
         if passed {
-            self.passed(one, host, start);
+            self.passed(one, server, start);
             return;
         }
-        let silent = self.silent[host];
+        let silent = self.silent[server];
         self.played.lost += usize::from(silent);
         let after = if silent { 400_000 } else { 5_000 };
-        let ended = Scheduled::Ended { member: one, host, silent, start };
+        let ended = Scheduled::Ended { member: one, server, silent, start };
         self.network.schedule_for(self.network.now() + after, one, ended);
     }
 
-    fn ended(&mut self, one: usize, host: usize, silent: bool, start: Start) {
+    fn ended(&mut self, one: usize, server: usize, silent: bool, start: Start) {
         let now = self.network.clock(one);
         if silent {
             let (at, who) = self.seen.entry(start).or_default();
@@ -276,8 +276,8 @@
                 self.raised.entry(start).or_insert(self.network.now());
             }
         } else {
-            self.members[one].heard[host] = now;
-            if !self.silent[host] && self.raised.contains_key(&start) {
+            self.members[one].heard[server] = now;
+            if !self.silent[server] && self.raised.contains_key(&start) {
                 self.cleared.entry(start).or_insert(self.network.now());
             }
         }
@@ -285,9 +285,9 @@
     }
 
     /// Somebody was passed by: it must have been seen silent, by enough, and lately.
-    fn passed(&mut self, one: usize, host: usize, start: Start) {
+    fn passed(&mut self, one: usize, server: usize, start: Start) {
         self.played.passed += 1;
-        self.played.wrong += usize::from(!self.ill.contains(&host));
+        self.played.wrong += usize::from(!self.ill.contains(&server));
         let liars = self.world.liars;
         let (last, who) = self.seen.get(&start).cloned().unwrap_or_default();
         let said = who.len() + liars;
@@ -319,7 +319,7 @@
     let mut chance = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
     World {
         members: chance.random_range(6..14),
-        hosts: chance.random_range(6..14),
+        servers: chance.random_range(6..14),
         zones: chance.random_range(1..4),
         seconds: 22,
         rate: 12.0,
@@ -358,9 +358,9 @@
 }
 
 #[test]
-fn liars_alone_get_no_host_passed_by_and_cannot_hide_a_sound_one() {
+fn liars_alone_get_no_server_passed_over_and_cannot_hide_a_healthy_one() {
     for seed in 0..20 {
-        let world = World { members: 20, hosts: 12, falls: 1, liars: 2, ..MILD };
+        let world = World { members: 20, servers: 12, falls: 1, liars: 2, ..MILD };
         let played = play(seed, world);
         assert_eq!(played.wrong, 0, "seed {seed}: two of three needed");
         assert!(played.passed > 0, "seed {seed}: the one that is silent is passed by all the same");
@@ -369,25 +369,25 @@
 }
 
 #[test]
-fn a_member_that_finds_most_hosts_silent_says_nothing() {
+fn a_member_that_finds_most_servers_silent_reports_nothing() {
     let mut one = Verdicts::new(terms(), 0, 0, 1, 0);
-    for host in 0..10 {
-        one.saw(Start { host, started: 1 }, true, 1_000 * host);
+    for server in 0..10 {
+        one.saw(Start { server, started: 1 }, true, 1_000 * server);
     }
     assert_eq!(one.figures().told, 0);
-    for host in 10..21 {
-        one.saw(Start { host, started: 1 }, false, 20_000 + host);
+    for server in 10..21 {
+        one.saw(Start { server, started: 1 }, false, 20_000 + server);
     }
-    one.saw(Start { host: 5, started: 1 }, true, 30_000);
+    one.saw(Start { server: 5, started: 1 }, true, 30_000);
     assert_eq!(one.figures().told, 1, "now most answer");
-    one.saw(Start { host: 6, started: 1 }, true, 30_000 + 3 * SECOND);
+    one.saw(Start { server: 6, started: 1 }, true, 30_000 + 3 * SECOND);
     assert_eq!(one.figures().told, 1, "and that is long ago");
 }
 
 /// Of four zones' members in a full view: a path that is cut for one zone tells the others nothing.
 #[test]
-fn a_zone_that_cannot_reach_a_host_speaks_for_itself_alone() {
-    let start = Start { host: 3, started: 1 };
+fn a_zone_that_cannot_reach_a_server_reports_for_itself_alone() {
+    let start = Start { server: 3, started: 1 };
     let word = |witness, zone, born, silent| {
         // Zone 2 had found it silent before it answered there.
         Known { witness, zone, stamp: born, born, silent, back: !silent && zone == 2 }
@@ -402,18 +402,18 @@
     // An answer in another zone, which had never found it silent, clears nothing here.
     known::join(&mut all, word(7, 1, 200, false));
     assert_eq!((against(&all, 0, true), against(&all, 1, true)), (3, 0));
-    // One more zone finds it silent: that is the host, for a third zone as well.
+    // One more zone finds it silent: that is the server, for a third zone as well.
     known::join(&mut all, word(8, 2, 210, true));
     assert_eq!((against(&all, 0, false), against(&all, 3, false)), (4, 4));
-    // And an answer in that zone is news of the host.
+    // And an answer in that zone is news of the server.
     known::join(&mut all, word(9, 2, 220, false));
     assert_eq!((against(&all, 0, true), against(&all, 3, true)), (0, 0));
     let refused = BTreeSet::from([0, 1]);
     assert_eq!(known::against(&all[..], &refused, 0, 1, false), 0);
-    let mut hosts = BTreeMap::from([(start, all)]);
-    let before = known::digest(&hosts);
-    known::join(hosts.get_mut(&start).unwrap(), word(9, 2, 230, false));
-    assert_ne!(known::digest(&hosts), before);
+    let mut servers = BTreeMap::from([(start, all)]);
+    let before = known::digest(&servers);
+    known::join(servers.get_mut(&start).unwrap(), word(9, 2, 230, false));
+    assert_ne!(known::digest(&servers), before);
 }
 
 #[test]
@@ -453,8 +453,8 @@
     let mut one = Verdicts::new(terms(), 0, 0, 1, 0);
     one.tick(2 * SECOND, 2, || Some(address(1)));
     let Some((_, Message::Ask { sent, .. })) = one.drain().next() else { panic!("it asks when it starts") };
-    let entry = |host| Entry {
-        start: Start { host, started: 1 },
+    let entry = |server| Entry {
+        start: Start { server, started: 1 },
         witness: 9,
         zone: 0,
         stamp: 5,
@@ -467,7 +467,7 @@
         one.heard(2 * SECOND, address(1), Message::Told { sent, entries });
         one.heard(2 * SECOND, address(1), Message::Ask { sent: turn, digest: turn, about: What::Hot });
     }
-    assert!(one.hosts.len() <= MOST_TOLD, "one question, one answer: {}", one.hosts.len());
+    assert!(one.servers.len() <= MOST_TOLD, "one question, one answer: {}", one.servers.len());
     assert!(one.drain().count() <= MOST_ANSWERS + ASKED_BACK);
 }
 
@@ -479,7 +479,7 @@
     for (members, loss) in [(12, 0.0), (100, 0.0), (100, 0.3), (300, 0.0), (300, 0.3), (500, 0.0)] {
         let (mut spread, mut back, mut lost, mut packets) = (Vec::new(), Vec::new(), 0, 0);
         for seed in 1..=3 {
-            let world = World { members, loss, hosts: 60, falls: 7, rate: 1500.0 / members as f64, ..MILD };
+            let world = World { members, loss, servers: 60, falls: 7, rate: 1500.0 / members as f64, ..MILD };
             let mut played = play(seed, world);
             assert_eq!(played.broken, None);
             (lost, packets) = (lost + played.lost, packets + played.packets);
--- a/dispatch/src/carrier.rs
+++ b/dispatch/src/carrier.rs
@@ -4,10 +4,10 @@
 
 use juniperladder::{EndpointUpdate, ServerId};
 
-use crate::command::{Attempt, Command, Going};
 use crate::long::Long;
 use crate::numbers::AttemptId;
-use crate::values::{Host, Reply};
+use crate::request::{Attempt, ClientRequest, Going};
+use crate::values::{ListedServer, Reply};
 
 /// How an attempt ended on the network.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -18,9 +18,9 @@
     NotSent,
     /// After its last byte was written: it may have run.
     Broken,
-    /// With an answer that makes no sense or is another command's: it may have run.
+    /// With an answer that makes no sense or is another request's: it may have run.
     Spoilt,
-    /// Before its first byte, since the host drains or is gone.
+    /// Before its first byte, since the server drains or is gone.
     CalledOff,
 }
 
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub struct Upload {
     /// What it is about: a write, whose value is the one below.
-    pub command: Rc<Command>,
+    pub request: Rc<ClientRequest>,
     /// Where to.
     pub server: ServerId,
     /// The value. Whoever lets go of it takes no more.
@@ -38,10 +38,10 @@
     pub going: Going,
 }
 
-/// Carries attempts to hosts. No method may call the dispatcher: what is to be told comes from a task.
+/// Carries attempts to servers. No method may call the dispatcher: what is to be told comes from a task.
 pub trait Carrier {
-    /// The name table has news.
-    fn listed(&self, kind: EndpointUpdate, hosts: &[Host]);
+    /// The endpoint list has news.
+    fn listed(&self, kind: EndpointUpdate, servers: &[ListedServer]);
     /// Start an attempt.
     fn begin(&self, attempt: Attempt);
     /// Begin to send a long value. The attempt that ends it comes by its ticket.
--- a/dispatch/src/clock.rs
+++ b/dispatch/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one place where clocks and units meet: the module counts Unix microseconds.
+//! The one place where clocks and units meet: the decisions counts Unix microseconds.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -31,17 +31,17 @@
     }
 }
 
-/// A duration in the module's unit.
+/// A duration in the decisions' unit.
 pub fn micros(duration: Duration) -> Micros {
     Micros(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX))
 }
 
-/// A duration of the module's in the standard library's form.
+/// A duration of the decisions' in the standard library's form.
 pub fn duration(micros: Micros) -> Duration {
     Duration::from_micros(micros.0)
 }
 
-/// Milliseconds, as configurations and discovery have them, in the module's unit.
+/// Milliseconds, as configurations and discovery have them, in the decisions' unit.
 pub fn from_ms(ms: u64) -> Micros {
     Micros(ms.saturating_mul(1000))
 }
--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -1,11 +1,11 @@
-//! Where the client side and the server side meet. The dispatcher owns the module, the open commands, the
+//! Where the client side and the server side meet. The dispatcher owns the decisions, the open requests, the
 //! attempts and the timers; it knows no protocol, and neither side knows the other.
 
 #[cfg(test)]
 mod tests;
 
 mod attempts;
-mod hosts;
+mod endpoints;
 mod state;
 mod timers;
 
@@ -23,19 +23,19 @@
 use crate::bans::Bans;
 pub use crate::carrier::{Carrier, End, Upload};
 use crate::clock::{to_ms, Clock};
-use crate::command::{ticket, Over, Ticket};
-pub use crate::command::{Attempt, Command, CommandId};
 use crate::counters::{increment, Counters};
 use crate::log_throttle::LogThrottle;
 use crate::long::{long, Feed};
 pub use crate::numbers::AttemptId;
+use crate::request::{ticket, Over, Ticket};
+pub use crate::request::{Attempt, ClientRequest, ClientRequestId};
 use crate::start_times::StartTimes;
 use crate::tally::{Ended, Tally};
-pub use crate::values::{Answer, Host, Reply};
+pub use crate::values::{Answer, ListedServer, Reply};
 use state::{Due, Inner, Open, NEVER};
 
-/// How long before its client gives up a command is over here: the way of the answer back, and of the
-/// command here, which nothing tells.
+/// How long before its client gives up a request is over here: the way of the answer back, and of the
+/// request here, which nothing tells.
 const MARGIN: Micros = Micros(10_000);
 
 /// The object through which all parts meet.
@@ -52,7 +52,7 @@
     watch: Notify,
     idle: Notify,
     next_timer: Cell<Micros>,
-    /// When the last command has to be answered.
+    /// When the last request has to be answered.
     last: Cell<Micros>,
     log_throttle: LogThrottle,
     log: Logger,
@@ -78,7 +78,7 @@
         let inner = Inner {
             balancer: Balancer::new(settings, seed),
             carrier,
-            commands: FxHashMap::default(),
+            requests: FxHashMap::default(),
             ids: HashSet::new(),
             attempts: FxHashMap::default(),
             late: FxHashMap::default(),
@@ -119,9 +119,9 @@
         &self.counters
     }
 
-    /// Commands taken and not yet answered in full.
+    /// Requests taken and not yet answered in full.
     pub fn in_progress(&self) -> usize {
-        self.inner.borrow().commands.len() + self.tally.passing()
+        self.inner.borrow().requests.len() + self.tally.passing()
     }
 
     /// The program's clock.
@@ -129,20 +129,20 @@
         &self.clock
     }
 
-    /// Takes a command; its one answer comes on the receiver. None if a command with its id is open: hosts
+    /// Takes a request; its one answer comes on the receiver. None if a request with its id is open: servers
     /// could not tell the two apart, and one would be answered for the other.
-    pub fn take(&self, command: Command) -> Option<(CommandId, oneshot::Receiver<Answer>)> {
-        self.take_after(command, Micros(0))
+    pub fn take(&self, request: ClientRequest) -> Option<(ClientRequestId, oneshot::Receiver<Answer>)> {
+        self.take_after(request, Micros(0))
     }
 
-    /// Takes a command that may have waited for so long, at most, before it could be read. That comes off its time, by half of
+    /// Takes a request that may have waited for so long, at most, before it could be read. That comes off its time, by half of
     /// it where the wait may have been longer: it is a bound and may be far over the truth.
     pub fn take_after(
         &self,
-        command: Command,
+        request: ClientRequest,
         waited: Micros,
-    ) -> Option<(CommandId, oneshot::Receiver<Answer>)> {
-        if !self.inner.borrow_mut().ids.insert(command.id.clone()) {
+    ) -> Option<(ClientRequestId, oneshot::Receiver<Answer>)> {
+        if !self.inner.borrow_mut().ids.insert(request.id.clone()) {
             return None;
         }
         increment(&self.counters.requests);
@@ -150,41 +150,41 @@
         let (answer, receiver) = oneshot::channel();
         let mut inner = self.inner.borrow_mut();
         inner.last += 1;
-        let id = CommandId(inner.last);
+        let id = ClientRequestId(inner.last);
         // A client that names no wait, or one longer than its class allows, waits as the class has it.
-        let most = self.longest.get(command.class as usize).or(self.longest.last());
+        let most = self.longest.get(request.class as usize).or(self.longest.last());
         let most = most.copied().unwrap_or(Micros(1_000_000));
-        let wait = command.wait.map_or(most, |wait| wait.min(most));
+        let wait = request.wait.map_or(most, |wait| wait.min(most));
         let left = wait.saturating_sub(waited.min(wait.mul_f64(0.5)));
         let deadline = now.saturating_add(left.saturating_sub(MARGIN)).min(self.last.get());
-        let request = Request {
-            id: id.request(),
+        let event = Event::Request(Request {
+            id: id.to_request_id(),
             deadline,
             expected_work: None,
-            key: Some(crate::numbers::key(&command.key)),
-            is_write: command.value.is_some(),
-            class: command.class,
-            tenant: command.tenant,
-            is_client_retry: command.retry,
-        };
-        debug!(self.log, "request taken"; "request" => id.0, "id" => %ClientText(&command.id),
-            "class" => command.class, "left-ms" => to_ms(deadline.saturating_sub(now)));
-        let (command, over) = (Rc::new(command), Over::default());
-        inner.commands.insert(
+            key: Some(crate::numbers::key(&request.key)),
+            is_write: request.value.is_some(),
+            class: request.class,
+            tenant: request.tenant,
+            is_client_retry: request.retry,
+        });
+        debug!(self.log, "request taken"; "request" => id.0, "id" => %ClientText(&request.id),
+            "class" => request.class, "left-ms" => to_ms(deadline.saturating_sub(now)));
+        let (request, over) = (Rc::new(request), Over::default());
+        inner.requests.insert(
             id,
-            Open { command, answer, deadline, attempts: 0, out: 0, left: false, by: NEVER, over },
+            Open { request, answer, deadline, attempts: 0, out: 0, left: false, by: NEVER, over },
         );
-        inner.timers.push(Reverse((deadline, Due::Command(id))));
-        self.handle(&mut inner, now, Event::Request(request));
+        inner.timers.push(Reverse((deadline, Due::Request(id))));
+        self.handle(&mut inner, now, event);
         Some((id, receiver))
     }
 
-    /// From now on every command is answered by this time, those that are open already too: this process has no more.
+    /// From now on every request is answered by this time, those that are open already too: this process has no more.
     pub fn end_by(&self, last: Micros) {
         self.last.set(last);
         let mut inner = self.inner.borrow_mut();
-        let open = inner.commands.iter().filter(|(_, open)| open.deadline > last);
-        let ends: Vec<_> = open.map(|(id, _)| Reverse((last, Due::Command(*id)))).collect();
+        let open = inner.requests.iter().filter(|(_, open)| open.deadline > last);
+        let ends: Vec<_> = open.map(|(id, _)| Reverse((last, Due::Request(*id)))).collect();
         inner.timers.extend(ends);
         self.timer_set.notify_one();
     }
@@ -194,27 +194,27 @@
         self.origin.is_some()
     }
 
-    /// Begins to send a long value that this command writes, though the command is not whole and not taken yet: a
-    /// host begins a command with its last byte. None where there is nowhere to send it now.
-    pub fn upload(&self, command: &Command, length: usize) -> Option<(Ticket, Feed)> {
+    /// Begins to send a long value that this request writes, though the request is not whole and not taken yet: a
+    /// server begins a request with its last byte. None where there is nowhere to send it now.
+    pub fn upload(&self, request: &ClientRequest, length: usize) -> Option<(Ticket, Feed)> {
         let inner = self.inner.borrow();
         let server = inner.balancer.origin()?;
         let (value, feed) = long(length);
         let (ticket, going) = ticket(server);
         increment(&self.counters.uploads);
-        inner.carrier.upload(Upload { command: Rc::new(command.clone()), server, value, going });
+        inner.carrier.upload(Upload { request: Rc::new(request.clone()), server, value, going });
         Some((ticket, feed))
     }
 
     /// The client is gone: nothing is owed any more.
-    pub fn gone(&self, id: CommandId) {
+    pub fn gone(&self, id: ClientRequestId) {
         let mut inner = self.inner.borrow_mut();
         if let Some(open) = inner.close(id) {
             increment(&self.counters.requests_abandoned);
             debug!(self.log, "request abandoned: the client is gone"; "request" => id.0,
-                "id" => %ClientText(&open.command.id));
+                "id" => %ClientText(&open.request.id));
             if !open.left {
-                self.handle(&mut inner, self.clock.now(), Event::ClientDisconnected(id.request()));
+                self.handle(&mut inner, self.clock.now(), Event::ClientDisconnected(id.to_request_id()));
             }
         }
         self.check_idle(&inner);
@@ -222,41 +222,41 @@
 
     /// The client sends no more. It may be gone or wait for its answer, which cannot be told apart: no
     /// new attempt begins for it, and what is out already may still answer it.
-    pub fn left(&self, id: CommandId) {
+    pub fn left(&self, id: ClientRequestId) {
         let mut inner = self.inner.borrow_mut();
-        let Some(open) = inner.commands.get_mut(&id) else { return };
+        let Some(open) = inner.requests.get_mut(&id) else { return };
         if open.left {
             return;
         }
         open.left = true;
         debug!(self.log, "request half-closed: the client sends no more"; "request" => id.0,
-            "id" => %ClientText(&open.command.id));
+            "id" => %ClientText(&open.request.id));
         // What no byte has gone out of does not begin any more.
         open.over.set(true);
         let out = open.out;
-        self.handle(&mut inner, self.clock.now(), Event::ClientDisconnected(id.request()));
+        self.handle(&mut inner, self.clock.now(), Event::ClientDisconnected(id.to_request_id()));
         if out == 0 {
             self.finish(&mut inner, id, Answer::Failed);
         }
     }
 
-    /// Waits until the module wants discovery's changes.
+    /// Waits until the decisions wants discovery's changes.
     pub async fn watch_wanted(&self) {
         self.watch.notified().await;
     }
 
-    /// Waits until no command is open.
+    /// Waits until no request is open.
     pub async fn idle(&self) {
-        while !self.inner.borrow().commands.is_empty() {
+        while !self.inner.borrow().requests.is_empty() {
             self.idle.notified().await;
         }
     }
 
-    /// Gives a command its final answer.
-    pub(super) fn finish(&self, inner: &mut Inner, id: CommandId, answer: Answer) {
+    /// Gives a request its final answer.
+    pub(super) fn finish(&self, inner: &mut Inner, id: ClientRequestId, answer: Answer) {
         if let Some(open) = inner.close(id) {
-            let class = open.command.class;
-            debug!(self.log, "request answered"; "request" => id.0, "id" => %ClientText(&open.command.id),
+            let class = open.request.class;
+            debug!(self.log, "request answered"; "request" => id.0, "id" => %ClientText(&open.request.id),
                 "answer" => answer.label(), "attempts" => open.attempts, "out" => open.out);
             let (counter, how) = match answer {
                 Answer::Value(_) | Answer::Receipt(_) => (&self.counters.served, Some(Ended::Passed)),
@@ -278,12 +278,12 @@
     }
 
     fn check_idle(&self, inner: &Inner) {
-        if inner.commands.is_empty() {
+        if inner.requests.is_empty() {
             self.idle.notify_waiters();
         }
     }
 
-    /// Tells the module an event and does what it says.
+    /// Tells the decisions an event and does what it says.
     pub(super) fn handle(&self, inner: &mut Inner, now: Micros, event: Event) {
         let mut actions = std::mem::take(&mut inner.actions);
         inner.balancer.handle(now, event, &mut actions);
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! The dispatcher and its attempts: what the module says begins, and how each attempt ends.
+//! The dispatcher and its attempts: what the decisions says begins, and how each attempt ends.
 
 use std::cmp::Reverse;
 use std::rc::Rc;
@@ -10,9 +10,9 @@
 use super::Dispatcher;
 use crate::carrier::End;
 use crate::clock::to_ms;
-use crate::command::{Attempt, CommandId};
 use crate::counters::increment;
 use crate::numbers::{AttemptId, ServerLabel};
+use crate::request::{Attempt, ClientRequestId};
 use crate::values::{Answer, Reply};
 
 impl Dispatcher {
@@ -24,7 +24,7 @@
         let (result, answer) = match end {
             End::Reply(Reply::Served(answer)) => (AttemptResult::Served, Some(answer)),
             End::Reply(Reply::Miss { .. }) => (AttemptResult::Miss, None),
-            // The host is at work, so that its connections and its load are not in question.
+            // The server is at work, so that its connections and its load are not in question.
             End::Reply(Reply::Error) | End::Spoilt => (AttemptResult::Error, None),
             End::Reply(Reply::Full) => (AttemptResult::Rejected, None),
             End::NotSent => (AttemptResult::ConnectFailed, None),
@@ -34,18 +34,18 @@
         self.conclude(&mut inner, running, result, fetch_in_progress, answer);
     }
 
-    /// An attempt has ended that had timed out before. Its answer was made for the command all the same:
+    /// An attempt has ended that had timed out before. Its answer was made for the request all the same:
     /// where that is open, while it is tried elsewhere, a client that waits is better served than not.
     fn ended_late(&self, inner: &mut Inner, id: AttemptId, end: End) {
-        let Some(command) = inner.late.remove(&id) else { return };
+        let Some(request) = inner.late.remove(&id) else { return };
         let End::Reply(Reply::Served(answer)) = end else { return };
         increment(&self.counters.late_responses);
-        let Some(open) = inner.commands.get(&command) else { return };
+        let Some(open) = inner.requests.get(&request) else { return };
         let left = open.left;
         increment(&self.counters.served_late);
-        self.finish(inner, command, answer);
+        self.finish(inner, request, answer);
         if !left {
-            self.handle(inner, self.clock.now(), Event::ClientDisconnected(command.request()));
+            self.handle(inner, self.clock.now(), Event::ClientDisconnected(request.to_request_id()));
         }
     }
 
@@ -56,12 +56,12 @@
         let written = inner.carrier.abandon(id, running.server);
         let result = if written { AttemptResult::Timeout } else { AttemptResult::ConnectFailed };
         if written {
-            inner.late.insert(id, running.command);
+            inner.late.insert(id, running.request);
         }
         self.conclude(inner, running, result, false, None);
     }
 
-    /// Counts how an attempt ended, answers its command where that is over, and tells the module.
+    /// Counts how an attempt ended, answers its request where that is over, and tells the decisions.
     fn conclude(
         &self,
         inner: &mut Inner,
@@ -81,23 +81,23 @@
             AttemptResult::Error => &self.counters.errors,
         });
         let now = self.clock.now();
-        debug!(self.log, "attempt ended"; "request" => running.command.0, "attempt" => running.attempt,
+        debug!(self.log, "attempt ended"; "request" => running.request.0, "attempt" => running.attempt,
             "server" => %ServerLabel(running.server), "result" => ?result,
             "after-ms" => to_ms(now.saturating_sub(running.sent)));
         let mut request_closed = true;
-        if let Some(open) = inner.commands.get_mut(&running.command) {
+        if let Some(open) = inner.requests.get_mut(&running.request) {
             open.out -= 1;
             request_closed = open.left;
             let last = open.left && open.out == 0;
             if let Some(answer) = answer {
                 request_closed = true;
-                self.finish(inner, running.command, answer);
+                self.finish(inner, running.request, answer);
             } else if last {
-                self.finish(inner, running.command, Answer::Failed);
+                self.finish(inner, running.request, Answer::Failed);
             }
         }
         let outcome = CompletedAttempt {
-            id: running.command.request(),
+            id: running.request.to_request_id(),
             server: running.server,
             attempt: running.attempt,
             latency: now.saturating_sub(running.sent),
@@ -108,45 +108,45 @@
         self.handle(inner, now, Event::AttemptCompleted(outcome));
     }
 
-    /// Does what the module says.
+    /// Does what the decisions says.
     pub(super) fn act(&self, inner: &mut Inner, now: Micros, action: Action) {
         match action {
             Action::Send { id, server, timeout } => {
-                let command_id = CommandId::of(&id);
-                let Some(open) = inner.commands.get_mut(&command_id) else { return };
+                let request_id = ClientRequestId::from_request_id(&id);
+                let Some(open) = inner.requests.get_mut(&request_id) else { return };
                 let until = if timeout.0 == 0 {
                     open.deadline
                 } else {
                     now.saturating_add(timeout).min(open.deadline)
                 };
-                let running = Running { command: command_id, server, attempt: open.attempts, sent: now };
+                let running = Running { request: request_id, server, attempt: open.attempts, sent: now };
                 let by = open.by;
                 if open.attempts == 0 {
-                    let window = self.windows.get(open.command.class as usize).copied().flatten();
+                    let window = self.windows.get(open.request.class as usize).copied().flatten();
                     open.by = window.map_or(NEVER, |window| now.saturating_add(window));
                 }
                 open.attempts += 1;
                 open.out += 1;
-                let (command, over) = (Rc::clone(&open.command), Rc::clone(&open.over));
+                let (request, over) = (Rc::clone(&open.request), Rc::clone(&open.over));
                 inner.last += 1;
                 let id = AttemptId(inner.last);
                 increment(&self.counters.attempts);
                 let state = inner.serving.get(&server).map(|(state, _)| *state);
-                debug!(self.log, "attempt begins"; "request" => command_id.0, "attempt" => running.attempt,
+                debug!(self.log, "attempt begins"; "request" => request_id.0, "attempt" => running.attempt,
                     "number" => id.0, "server" => %ServerLabel(server), "state" => ?state,
                     "list-age-ms" => inner.start_times.confirmed().map(|at| to_ms(now.saturating_sub(at))),
                     "until-ms" => to_ms(until.saturating_sub(now)));
                 inner.attempts.insert(id, running);
                 inner.timers.push(Reverse((until, Due::Attempt(id))));
-                inner.carrier.begin(Attempt { id, command, server, until, by, over });
+                inner.carrier.begin(Attempt { id, request, server, until, by, over });
             }
             Action::Reject { id, retry_after, reason } => {
                 increment(self.counters.rejections(reason));
-                debug!(self.log, "request refused"; "request" => CommandId::of(&id).0, "reason" => ?reason,
+                debug!(self.log, "request refused"; "request" => ClientRequestId::from_request_id(&id).0, "reason" => ?reason,
                     "retry-after-ms" => to_ms(retry_after));
-                self.finish(inner, CommandId::of(&id), Answer::Rejected(retry_after));
+                self.finish(inner, ClientRequestId::from_request_id(&id), Answer::Rejected(retry_after));
             }
-            Action::Fail { id } => self.finish(inner, CommandId::of(&id), Answer::Failed),
+            Action::Fail { id } => self.finish(inner, ClientRequestId::from_request_id(&id), Answer::Failed),
             Action::Timer { at, token } => {
                 inner.timers.push(Reverse((at, Due::Module(token))));
             }
--- a/dispatch/src/dispatcher/hosts.rs
+++ b/dispatch/src/dispatcher/endpoints.rs
@@ -1,4 +1,4 @@
-//! The dispatcher and the hosts: discovery's news to the module and the carrier, and what operators are told of them.
+//! The dispatcher and the servers: discovery's news to the decisions and the carrier, and what operators are told of them.
 
 use juniperladder::{Endpoint, EndpointState, EndpointUpdate, Event};
 use slog::{info, warn};
@@ -6,14 +6,14 @@
 use super::state::Inner;
 use super::Dispatcher;
 use crate::clock::to_ms;
-use crate::values::Host;
+use crate::values::ListedServer;
 
-/// Hosts that are known at once, several times what a fleet has: a list that goes on for ever must not fill the memory, nor
-/// the time that each command takes. The origin is always among them.
-pub(super) const MOST_HOSTS: usize = 4_096;
+/// Servers that are known at once, several times what a fleet has: a list that goes on for ever must not fill the memory, nor
+/// the time that each request takes. The origin is always among them.
+pub(super) const MAX_SERVERS: usize = 4_096;
 
 impl Dispatcher {
-    /// Whether commands can be served: some host is known.
+    /// Whether requests can be served: some server is known.
     pub fn ready(&self) -> bool {
         self.inner.borrow().serving.values().any(|(state, _)| *state == EndpointState::Serving)
     }
@@ -35,14 +35,14 @@
         info!(self.log, "limits"; "hosts" => limits.len(), "held" => held, "waiting" => waiting);
     }
 
-    /// The name table has news.
-    pub fn listed(&self, kind: EndpointUpdate, hosts: &[Host]) {
+    /// The endpoint list has news.
+    pub fn listed(&self, kind: EndpointUpdate, servers: &[ListedServer]) {
         let mut inner = self.inner.borrow_mut();
-        let hosts = match kind {
+        let servers = match kind {
             EndpointUpdate::Unavailable => Vec::new(),
             _ => {
                 let now = self.clock.now();
-                let mut known = self.within_bounds(&inner, kind, hosts);
+                let mut known = self.within_bounds(&inner, kind, servers);
                 let Inner { start_times, bans, serving, .. } = &mut *inner;
                 start_times.translate(&mut known, now);
                 start_times.forget(|server| serving.contains_key(server));
@@ -52,7 +52,7 @@
                 bans.over(kind.is_complete(), &known)
             }
         };
-        self.tell(&mut inner, kind, &hosts);
+        self.tell(&mut inner, kind, &servers);
     }
 
     /// Discovery has said that the list in hand is what it has.
@@ -61,13 +61,18 @@
         self.inner.borrow_mut().start_times.confirm(now);
     }
 
-    /// The news without the hosts that are more than may be known; they are counted, and told in one line.
-    fn within_bounds(&self, inner: &Inner, kind: EndpointUpdate, hosts: &[Host]) -> Vec<Host> {
+    /// The news without the servers that are more than may be known; they are counted, and told in one line.
+    fn within_bounds(
+        &self,
+        inner: &Inner,
+        kind: EndpointUpdate,
+        servers: &[ListedServer],
+    ) -> Vec<ListedServer> {
         let known = |server| !kind.is_complete() && inner.serving.contains_key(&server);
-        let mut room = MOST_HOSTS.saturating_sub(if kind.is_complete() { 0 } else { inner.serving.len() });
+        let mut room = MAX_SERVERS.saturating_sub(if kind.is_complete() { 0 } else { inner.serving.len() });
         let mut left_out = 0;
-        let fits = |host: &&Host| {
-            let Endpoint { server, state, kind, .. } = host.entry;
+        let fits = |listed_server: &&ListedServer| {
+            let Endpoint { server, state, kind, .. } = listed_server.endpoint;
             if state == EndpointState::Deleted || known(server) || Some(kind) == self.origin {
                 return true;
             }
@@ -76,30 +81,31 @@
             room = room.saturating_sub(1);
             fits
         };
-        let kept = hosts.iter().filter(fits).cloned().collect();
+        let kept = servers.iter().filter(fits).cloned().collect();
         if left_out > 0 {
             self.counters.endpoints_left_out.set(self.counters.endpoints_left_out.get() + left_out);
             if self.log_throttle.allows() {
-                warn!(self.log, "more hosts than can be known; the rest is left out"; "most" => MOST_HOSTS,
+                warn!(self.log, "more hosts than can be known; the rest is left out"; "most" => MAX_SERVERS,
                     "left out" => left_out);
             }
         }
         kept
     }
 
-    /// Tells the module and the carrier a list as it is to be seen, bans laid over.
-    pub(crate) fn tell(&self, inner: &mut Inner, kind: EndpointUpdate, hosts: &[Host]) {
+    /// Tells the decisions and the carrier a list as it is to be seen, bans laid over.
+    pub(crate) fn tell(&self, inner: &mut Inner, kind: EndpointUpdate, servers: &[ListedServer]) {
         if kind != EndpointUpdate::Unavailable {
             if kind.is_complete() {
                 inner.serving.clear();
             }
-            for Host { entry, address } in hosts {
-                inner.serving.insert(entry.server, (entry.state, *address));
+            for ListedServer { endpoint, address } in servers {
+                inner.serving.insert(endpoint.server, (endpoint.state, *address));
             }
             inner.serving.retain(|_, (state, _)| *state != EndpointState::Deleted);
-            inner.carrier.listed(kind, hosts);
+            inner.carrier.listed(kind, servers);
         }
-        let entries: Vec<Endpoint> = hosts.iter().map(|host| host.entry.clone()).collect();
-        self.handle(inner, self.clock.now(), Event::EndpointsChanged(kind, &entries));
+        let endpoints: Vec<Endpoint> =
+            servers.iter().map(|listed_server| listed_server.endpoint.clone()).collect();
+        self.handle(inner, self.clock.now(), Event::EndpointsChanged(kind, &endpoints));
     }
 }
--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -1,23 +1,23 @@
-//! Commands from their taking to their one answer, with a carrier that only writes down.
+//! Requests from their taking to their one answer, with a carrier that only writes down.
 
 use bytes::Bytes;
 use juniperladder::{EndpointState, EndpointUpdate, ServerId};
 
-use super::hosts::MOST_HOSTS;
+use super::endpoints::MAX_SERVERS;
 use super::*;
-use crate::testing::{self, command, dispatcher, settings, settle, Recorder};
+use crate::testing::{self, dispatcher, request, settings, settle, Recorder};
 use tokio::task::spawn_local;
 use tokio::time::{Duration, Instant};
 
-fn with_timers(attempts: u32, idempotency: Idempotency, hosts: u32) -> (Rc<Dispatcher>, Rc<Recorder>) {
+fn with_timers(attempts: u32, idempotency: Idempotency, servers: u32) -> (Rc<Dispatcher>, Rc<Recorder>) {
     let recorder = Rc::new(Recorder::default());
-    let dispatcher = dispatcher(settings(attempts, idempotency), recorder.clone(), hosts);
+    let dispatcher = dispatcher(settings(attempts, idempotency), recorder.clone(), servers);
     let timers = Rc::clone(&dispatcher);
     spawn_local(async move { timers.run().await });
     (dispatcher, recorder)
 }
 
-/// Rule 1: silent hosts or not, the one answer comes before the client gives up.
+/// Rule 1: silent servers or not, the one answer comes before the client gives up.
 #[test]
 fn every_command_is_answered_before_its_deadline() {
     testing::run(async {
@@ -28,7 +28,7 @@
         ] {
             let (dispatcher, recorder) = with_timers(attempts, idempotency, 3);
             let start = Instant::now();
-            let (_, answer) = dispatcher.take(command("1", None)).unwrap();
+            let (_, answer) = dispatcher.take(request("1", None)).unwrap();
             assert!(matches!(answer.await, Ok(Answer::Failed | Answer::Rejected(_))));
             assert!(start.elapsed() < Duration::from_millis(480), "{:?}", start.elapsed());
             assert!(!recorder.begun.borrow().is_empty());
@@ -38,13 +38,13 @@
     });
 }
 
-/// What the module gives up is answered at once, not at its deadline.
+/// What the decisions gives up is answered at once, not at its deadline.
 #[test]
 fn a_command_that_is_given_up_is_answered_at_once() {
     testing::run(async {
         let (dispatcher, recorder) = with_timers(1, Idempotency::Idempotent, 1);
         let start = Instant::now();
-        let (_, answer) = dispatcher.take(command("1", None)).unwrap();
+        let (_, answer) = dispatcher.take(request("1", None)).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         dispatcher.ended(attempt.id, End::NotSent);
         assert!(matches!(answer.await, Ok(Answer::Rejected(_))));
@@ -58,7 +58,7 @@
     testing::run(async {
         for served in [true, false] {
             let (dispatcher, recorder) = with_timers(3, Idempotency::Idempotent, 3);
-            let (id, answer) = dispatcher.take(command("1", None)).unwrap();
+            let (id, answer) = dispatcher.take(request("1", None)).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             dispatcher.left(id);
             let value = Answer::Value(Bytes::from_static(b"v"));
@@ -71,7 +71,7 @@
     });
 }
 
-/// What comes after its time-out, while the command is tried elsewhere, is an answer all the same.
+/// What comes after its time-out, while the request is tried elsewhere, is an answer all the same.
 #[test]
 fn a_late_answer_serves_a_command_that_is_still_open() {
     testing::run(async {
@@ -81,7 +81,7 @@
         let dispatcher = dispatcher(settings, recorder.clone(), 3);
         let timers = Rc::clone(&dispatcher);
         spawn_local(async move { timers.run().await });
-        let (_, answer) = dispatcher.take(command("1", None)).unwrap();
+        let (_, answer) = dispatcher.take(request("1", None)).unwrap();
         while dispatcher.counters.timeouts.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -95,14 +95,14 @@
     });
 }
 
-/// With a command's final answer, or its client's end, all its attempts are over: those that no byte has gone out of
+/// With a request's final answer, or its client's end, all its attempts are over: those that no byte has gone out of
 /// must never begin.
 #[test]
 fn what_is_out_is_over_with_its_command() {
     testing::run(async {
         for gone in [false, true] {
             let (dispatcher, recorder) = with_timers(3, Idempotency::Idempotent, 3);
-            let (id, answer) = dispatcher.take(command("1", None)).unwrap();
+            let (id, answer) = dispatcher.take(request("1", None)).unwrap();
             while recorder.begun.borrow().len() < 2 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
@@ -121,7 +121,7 @@
     });
 }
 
-/// Hosts drop a repeat for a while after the first attempt: one that still waits for a connection then must not go out.
+/// Servers drop a repeat for a while after the first attempt: one that still waits for a connection then must not go out.
 #[test]
 fn a_repeat_goes_out_while_hosts_drop_it() {
     testing::run(async {
@@ -131,7 +131,7 @@
         settings.classes[0].deduplication_window = window;
         let dispatcher = dispatcher(settings, recorder.clone(), 3);
         let first = dispatcher.clock.now();
-        let _answer = dispatcher.take(command("1", Some(vec![]))).unwrap();
+        let _answer = dispatcher.take(request("1", Some(vec![]))).unwrap();
         tokio::time::sleep(Duration::from_millis(100)).await;
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         dispatcher.ended(attempt.id, End::Broken);
@@ -142,30 +142,31 @@
 }
 
 /// A list as long as a fleet's is known whole; of one that is far too long a bounded part is, with the origin at its end,
-/// and hosts that go make room.
+/// and servers that go make room.
 #[test]
 fn a_list_is_bounded_far_over_a_fleets() {
     let recorder = Rc::new(Recorder::default());
     let mode = juniperladder::CacheMode::Aside(testing::ORIGIN);
     let dispatcher = dispatcher(Settings { mode, ..settings(3, Idempotency::Idempotent) }, recorder, 0);
-    let up = |n| testing::host(ServerId(n), EndpointState::Serving);
+    let up = |n| testing::listed_server(ServerId(n), EndpointState::Serving);
     let mut origin = up(u64::MAX);
-    origin.entry.kind = testing::ORIGIN;
+    origin.endpoint.kind = testing::ORIGIN;
     let known = || dispatcher.inner.borrow().serving.len();
     dispatcher.listed(EndpointUpdate::Snapshot, &(0..1_024).map(up).collect::<Vec<_>>());
     assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (1_024, 0));
-    let most = MOST_HOSTS as u64;
+    let most = MAX_SERVERS as u64;
     dispatcher.listed(
         EndpointUpdate::Snapshot,
         &(0..most + 10).map(up).chain([origin.clone()]).collect::<Vec<_>>(),
     );
-    assert!(dispatcher.inner.borrow().balancer.origin() == Some(origin.entry.server));
+    assert!(dispatcher.inner.borrow().balancer.origin() == Some(origin.endpoint.server));
     dispatcher.listed(EndpointUpdate::Delta, &[up(most * 2)]);
-    assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (MOST_HOSTS + 1, 11));
-    let gone: Vec<Host> = (0..5).map(|n| testing::host(ServerId(n), EndpointState::Deleted)).collect();
+    assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (MAX_SERVERS + 1, 11));
+    let gone: Vec<ListedServer> =
+        (0..5).map(|n| testing::listed_server(ServerId(n), EndpointState::Deleted)).collect();
     dispatcher.listed(EndpointUpdate::Delta, &gone);
     dispatcher.listed(EndpointUpdate::Delta, &(most * 2..most * 2 + 9).map(up).collect::<Vec<_>>());
-    assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (MOST_HOSTS, 16));
+    assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (MAX_SERVERS, 16));
 }
 
 /// A process that is told to end has an answer for all that it took before its time is up: what was open then, what
@@ -175,28 +176,28 @@
     testing::run(async {
         let (dispatcher, recorder) = with_timers(3, Idempotency::NotIdempotent, 3);
         let start = Instant::now();
-        let (_, first) = dispatcher.take(command("1", None)).unwrap();
+        let (_, first) = dispatcher.take(request("1", None)).unwrap();
         settle().await;
         let last = Duration::from_millis(200);
         dispatcher.end_by(dispatcher.clock.now().saturating_add(crate::clock::micros(last)));
         tokio::time::sleep(last / 2).await;
-        let (_, second) = dispatcher.take(command("2", None)).unwrap();
+        let (_, second) = dispatcher.take(request("2", None)).unwrap();
         assert!(first.await.is_ok() && second.await.is_ok());
         assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (last, 2));
-        let (_, third) = dispatcher.take(command("3", None)).unwrap();
+        let (_, third) = dispatcher.take(request("3", None)).unwrap();
         assert!(third.await.is_ok());
         assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (last, 2));
     });
 }
 
-/// An id names one open command; once that is over it may come again.
+/// An id names one open request; once that is over it may come again.
 #[test]
 fn an_id_in_use_is_not_taken() {
     testing::run(async {
         let (dispatcher, recorder) = with_timers(1, Idempotency::Idempotent, 1);
         for _ in 0..2 {
-            let (_, answer) = dispatcher.take(command("1", None)).unwrap();
-            assert!(dispatcher.take(command("1", None)).is_none());
+            let (_, answer) = dispatcher.take(request("1", None)).unwrap();
+            assert!(dispatcher.take(request("1", None)).is_none());
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             dispatcher.ended(attempt.id, End::Spoilt);
             assert!(matches!(answer.await, Ok(Answer::Rejected(_) | Answer::Failed)));
@@ -213,21 +214,21 @@
     let sends_in_a_second = |told: &dyn Fn(u64) -> u64, age: Duration| {
         testing::run(async {
             let (dispatcher, recorder) = with_timers(1, Idempotency::Idempotent, 3);
-            let old: Vec<Host> =
-                (0..3).map(|n| testing::host(ServerId(9 + n), EndpointState::Serving)).collect();
+            let old: Vec<ListedServer> =
+                (0..3).map(|n| testing::listed_server(ServerId(9 + n), EndpointState::Serving)).collect();
             dispatcher.listed(EndpointUpdate::Snapshot, &old);
             tokio::time::sleep(Duration::from_secs(2)).await;
             dispatcher.list_confirmed();
-            let mut joined = testing::host(ServerId(50), EndpointState::Serving);
-            joined.entry.started = juniperladder::Micros(told(dispatcher.clock().now().0));
+            let mut joined = testing::listed_server(ServerId(50), EndpointState::Serving);
+            joined.endpoint.started = juniperladder::Micros(told(dispatcher.clock().now().0));
             dispatcher.listed(EndpointUpdate::Delta, &[joined]);
             tokio::time::sleep(age).await;
             recorder.begun.borrow_mut().clear();
             for number in 0..400 {
-                let mut one = command(&format!("c{number}"), None);
+                let mut one = request(&format!("c{number}"), None);
                 one.key = Bytes::from(format!("{number:016x}"));
                 let _answer = dispatcher.take(one);
-                for attempt in recorder.begun.borrow().iter().filter(|a| a.command.id == format!("c{number}"))
+                for attempt in recorder.begun.borrow().iter().filter(|a| a.request.id == format!("c{number}"))
                 {
                     dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value(Bytes::new()))));
                 }
--- a/dispatch/src/dispatcher/timers.rs
+++ b/dispatch/src/dispatcher/timers.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's timers: the module's own, the end of each attempt's time, and each command's deadline behind them.
+//! The dispatcher's timers: the decisions' own, the end of each attempt's time, and each request's deadline behind them.
 
 use std::cmp::Reverse;
 
@@ -38,17 +38,17 @@
                 Due::Module(token) => self.handle(&mut inner, now, Event::Timer(token)),
                 Due::Attempt(id) => self.expire(&mut inner, id),
                 // Most are over by now.
-                Due::Command(id) if !inner.commands.contains_key(&id) => {}
-                Due::Command(id) => {
-                    // The attempts' time-outs come first and let the module end it; this guards against
-                    // a command that it has forgotten.
+                Due::Request(id) if !inner.requests.contains_key(&id) => {}
+                Due::Request(id) => {
+                    // The attempts' time-outs come first and let the decisions end it; this guards against
+                    // a request that it has forgotten.
                     let out: Vec<_> =
-                        inner.attempts.iter().filter(|(_, r)| r.command == id).map(|(id, _)| *id).collect();
+                        inner.attempts.iter().filter(|(_, r)| r.request == id).map(|(id, _)| *id).collect();
                     out.into_iter().for_each(|id| self.expire(&mut inner, id));
-                    if inner.commands.contains_key(&id) {
+                    if inner.requests.contains_key(&id) {
                         increment(&self.counters.overdue);
                         self.finish(&mut inner, id, Answer::Failed);
-                        self.handle(&mut inner, now, Event::ClientDisconnected(id.request()));
+                        self.handle(&mut inner, now, Event::ClientDisconnected(id.to_request_id()));
                     }
                 }
             }
--- a/dispatch/src/long.rs
+++ b/dispatch/src/long.rs
@@ -1,7 +1,7 @@
-//! A long value, passed on while it still comes: the host's side feeds it, the client's side takes it piece by
+//! A long value, passed on while it still comes: the server's side feeds it, the client's side takes it piece by
 //! piece, and neither ever has more than a few pieces in hand.
 //!
-//! The last byte is held back until the host's end of the value has been seen, so that a client can always tell
+//! The last byte is held back until the server's end of the value has been seen, so that a client can always tell
 //! a value that broke off, or whose end was wrong, from a whole one.
 
 #[cfg(test)]
@@ -27,7 +27,7 @@
     passing: Option<Rc<Passing>>,
 }
 
-/// The host's side of a long value.
+/// The server's side of a long value.
 #[derive(Debug)]
 pub struct Feed {
     pieces: mpsc::Sender<Bytes>,
--- a/dispatch/src/long/tests.rs
+++ b/dispatch/src/long/tests.rs
@@ -10,7 +10,7 @@
         for cut in [1, 3, 10] {
             for right in [true, false] {
                 let (long, mut feed) = long(10);
-                let host = async move {
+                let listed_server = async move {
                     for piece in b"0123456789".chunks(cut) {
                         feed.push(Bytes::copy_from_slice(piece)).await.unwrap();
                     }
@@ -25,14 +25,14 @@
                     }
                     got
                 };
-                let (got, ()) = tokio::join!(client, host);
+                let (got, ()) = tokio::join!(client, listed_server);
                 assert_eq!(got, if right { &b"0123456789"[..] } else { b"012345678" });
             }
         }
     });
 }
 
-/// The host's side waits for the client, and ends when the client is gone.
+/// The server's side waits for the client, and ends when the client is gone.
 #[test]
 fn a_client_that_is_slow_holds_the_host_back() {
     testing::run(async {
--- a/dispatch/src/numbers.rs
+++ b/dispatch/src/numbers.rs
@@ -1,4 +1,4 @@
-//! The numbers of hosts and keys: the same at every balancer and after every restart, from the names alone. And
+//! The numbers of servers and keys: the same at every balancer and after every restart, from the names alone. And
 //! those of attempts, which are this process's own.
 
 use std::fmt;
@@ -24,7 +24,7 @@
     Key(hexadecimal(text, 16).unwrap_or_else(|| hash(text)))
 }
 
-/// A host's number, from its name alone: nothing is kept for hosts that have gone, and every balancer has the
+/// A server's number, from its name alone: nothing is kept for servers that have gone, and every balancer has the
 /// same number whatever it has seen before. Names of the usual form have the value of their digits, below
 /// 2^32; the others have a hash above 2^63, so that the two kinds never meet.
 pub fn server(name: &str) -> ServerId {
--- a/dispatch/src/operators.rs
+++ b/dispatch/src/operators.rs
@@ -1,4 +1,4 @@
-//! What an operator's call decides: readiness, the figures, and hosts out by hand. No I/O: the node's
+//! What an operator's call decides: readiness, the figures, and servers out by hand. No I/O: the node's
 //! listener reads the calls and writes the replies.
 
 #[cfg(test)]
@@ -17,7 +17,7 @@
 pub const NEVER_LISTED: &str = "no such cache host has been listed; give an instanceId of the list";
 
 impl Dispatcher {
-    /// Leaves a cache host out from now on, whatever discovery says, until [`Dispatcher::online`].
+    /// Leaves a cache server out from now on, whatever discovery says, until [`Dispatcher::online`].
     pub fn offline(&self, name: &str) -> Result<(), &'static str> {
         self.ban(name, true)
     }
@@ -31,24 +31,24 @@
         let now = self.clock().now();
         let mut inner = self.inner.borrow_mut();
         let told = inner.bans.ban(server(name), name, now, must_be_known).map_err(|_| NEVER_LISTED)?;
-        if let Some(host) = told {
-            self.tell(&mut inner, EndpointUpdate::OperatorOverride, &[host]);
+        if let Some(listed_server) = told {
+            self.tell(&mut inner, EndpointUpdate::OperatorOverride, &[listed_server]);
         }
         Ok(())
     }
 
-    /// Ends a ban: the host serves again as discovery has it, cold as one that has just started.
+    /// Ends a ban: the server serves again as discovery has it, cold as one that has just started.
     pub fn online(&self, name: &str) -> Result<(), &'static str> {
         let now = self.clock().now();
         let mut inner = self.inner.borrow_mut();
         let told = inner.bans.unban(server(name), now).map_err(|_| NEVER_LISTED)?;
-        if let Some(host) = told {
-            self.tell(&mut inner, EndpointUpdate::OperatorOverride, &[host]);
+        if let Some(listed_server) = told {
+            self.tell(&mut inner, EndpointUpdate::OperatorOverride, &[listed_server]);
         }
         Ok(())
     }
 
-    /// The names of the hosts out by hand.
+    /// The names of the servers out by hand.
     pub fn banned(&self) -> Vec<String> {
         self.inner.borrow().bans.names()
     }
@@ -73,8 +73,8 @@
         let known: Vec<ServerId> = inner
             .bans
             .listed()
-            .filter(|host| self.origin != Some(host.entry.kind))
-            .map(|host| host.entry.server)
+            .filter(|listed_server| self.origin != Some(listed_server.endpoint.kind))
+            .map(|listed_server| listed_server.endpoint.server)
             .collect();
         let skipped =
             known.iter().filter(|server| inner.bans.banned(**server) || gapped.contains(server)).count();
--- a/dispatch/src/operators/tests.rs
+++ b/dispatch/src/operators/tests.rs
@@ -8,13 +8,13 @@
 use tokio::time::{timeout, Duration};
 
 use super::*;
-use crate::dispatcher::{Answer, End, Host, Reply};
-use crate::testing::{self, command, dispatcher, host, settings, Recorder, HOST};
+use crate::dispatcher::{Answer, End, ListedServer, Reply};
+use crate::testing::{self, dispatcher, listed_server, request, settings, Recorder, SERVER};
 
 const NAME: &str = "s-00000009";
 
 fn balancer() -> (Rc<Dispatcher>, Rc<Recorder>) {
-    assert_eq!(server(NAME), HOST);
+    assert_eq!(server(NAME), SERVER);
     let recorder = Rc::new(Recorder::default());
     let dispatcher = dispatcher(settings(3, Idempotency::Idempotent), recorder.clone(), 4);
     let timers = Rc::clone(&dispatcher);
@@ -22,15 +22,15 @@
     (dispatcher, recorder)
 }
 
-/// So many commands for as many keys, each served by where it goes; how many go to the host.
-async fn sent_there(dispatcher: &Dispatcher, recorder: &Recorder, commands: u64) -> usize {
+/// So many requests for as many keys, each served by where it goes; how many go to the server.
+async fn sent_there(dispatcher: &Dispatcher, recorder: &Recorder, requests: u64) -> usize {
     let mut there = 0;
-    for n in 0..commands {
-        let mut asked = command("1", None);
+    for n in 0..requests {
+        let mut asked = request("1", None);
         asked.key = Bytes::from(format!("{n:016x}"));
         let (_, answer) = dispatcher.take(asked).unwrap();
         for attempt in recorder.begun.take() {
-            there += usize::from(attempt.server == HOST);
+            there += usize::from(attempt.server == SERVER);
             dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value("v".into()))));
         }
         assert!(matches!(answer.await, Ok(Answer::Value(_) | Answer::Rejected(_))));
@@ -39,10 +39,10 @@
     there
 }
 
-fn told(state: EndpointState, started: u64) -> Host {
-    let mut host = host(HOST, state);
-    host.entry.started = juniperladder::Micros(started);
-    host
+fn told(state: EndpointState, started: u64) -> ListedServer {
+    let mut listed_server = listed_server(SERVER, state);
+    listed_server.endpoint.started = juniperladder::Micros(started);
+    listed_server
 }
 
 /// A call is no news from discovery: the balancer goes on to ask for the list, the first time as well as
@@ -65,14 +65,15 @@
     });
 }
 
-/// From the call out to the call back nothing goes to the host, whatever discovery says and whoever
+/// From the call out to the call back nothing goes to the server, whatever discovery says and whoever
 /// replaces the process; then it serves again.
 #[test]
 fn nothing_goes_to_a_host_out_by_hand_whatever_discovery_says() {
     testing::run(async {
         let mut fleet: Vec<_> = (0..3).map(|_| balancer()).collect();
-        let others: Vec<Host> = (1..4).map(|n| host(ServerId(HOST.0 + n), EndpointState::Serving)).collect();
-        let with = |here: Host| others.iter().cloned().chain([here]).collect::<Vec<_>>();
+        let others: Vec<ListedServer> =
+            (1..4).map(|n| listed_server(ServerId(SERVER.0 + n), EndpointState::Serving)).collect();
+        let with = |here: ListedServer| others.iter().cloned().chain([here]).collect::<Vec<_>>();
         let mut moved = told(EndpointState::Serving, 60_000_000);
         moved.address = Some(([127, 0, 0, 1], 2).into());
         let news = [
@@ -88,12 +89,18 @@
             assert!(sent_there(dispatcher, recorder, 40).await > 0, "it is in use");
             dispatcher.offline(NAME).unwrap();
         }
-        for (kind, hosts) in news {
+        for (kind, servers) in news {
             for (dispatcher, recorder) in &fleet {
-                dispatcher.listed(kind, &hosts);
-                assert_eq!(sent_there(dispatcher, recorder, 40).await, 0, "{kind:?} {hosts:?}");
+                dispatcher.listed(kind, &servers);
+                assert_eq!(sent_there(dispatcher, recorder, 40).await, 0, "{kind:?} {servers:?}");
                 dispatcher.offline(NAME).expect("a second call is the same");
-                if dispatcher.inner.borrow().bans.listed().any(|host| host.entry.server == HOST) {
+                if dispatcher
+                    .inner
+                    .borrow()
+                    .bans
+                    .listed()
+                    .any(|listed_server| listed_server.endpoint.server == SERVER)
+                {
                     assert!(dispatcher.figures(&[], "").contains("skipped_cache_hosts 1\n"));
                 }
             }
--- a/dispatch/src/command.rs
+++ b/dispatch/src/request.rs
@@ -1,4 +1,4 @@
-//! Commands and the attempts at them, with the ticket by which an attempt sends the last byte of a long value.
+//! Requests and the attempts at them, with the ticket by which an attempt sends the last byte of a long value.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -9,26 +9,26 @@
 
 use crate::numbers::AttemptId;
 
-/// Names one command for as long as the program runs.
+/// Names one request for as long as the program runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct CommandId(pub(crate) u64);
+pub struct ClientRequestId(pub(crate) u64);
 
-impl CommandId {
+impl ClientRequestId {
     // The module's id is one of the dispatcher's own: a client that gives one id twice confuses nobody.
-    pub(crate) fn request(self) -> RequestId {
+    pub(crate) fn to_request_id(self) -> RequestId {
         let mut bytes = [0; 36];
         bytes[..8].copy_from_slice(&self.0.to_le_bytes());
         RequestId(bytes)
     }
 
-    pub(crate) fn of(request: &RequestId) -> CommandId {
-        CommandId(request.0[..8].iter().rev().fold(0, |sum, byte| sum << 8 | u64::from(*byte)))
+    pub(crate) fn from_request_id(request: &RequestId) -> ClientRequestId {
+        ClientRequestId(request.0[..8].iter().rev().fold(0, |sum, byte| sum << 8 | u64::from(*byte)))
     }
 }
 
 /// What a client asks for.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Command {
+pub struct ClientRequest {
     /// The client's id for it.
     pub id: Bytes,
     /// What it is about.
@@ -49,13 +49,13 @@
     pub properties: Vec<(Bytes, Bytes)>,
 }
 
-/// One attempt at a command at one host.
+/// One attempt at a request at one server.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// Its name.
     pub id: AttemptId,
     /// What to send.
-    pub command: Rc<Command>,
+    pub request: Rc<ClientRequest>,
     /// Where to.
     pub server: ServerId,
     /// Until when its answer is waited for.
@@ -65,12 +65,12 @@
     pub(crate) over: Over,
 }
 
-/// Set once a command has its final answer, or its client is gone or sends no more: shared by all its attempts.
+/// Set once a request has its final answer, or its client is gone or sends no more: shared by all its attempts.
 pub(crate) type Over = Rc<Cell<bool>>;
 
 impl Attempt {
-    /// Whether no byte of it may be written any more: nobody waits for it, so that a host would do work that is for nobody,
-    /// after the command's final answer; or it is a repeat, and hosts may no longer know the command to drop it. Whoever
+    /// Whether no byte of it may be written any more: nobody waits for it, so that a server would do work that is for nobody,
+    /// after the request's final answer; or it is a repeat, and servers may no longer know the request to drop it. Whoever
     /// carries it asks before each write.
     pub fn over(&self, now: Micros) -> bool {
         self.over.get() || now >= self.by
@@ -89,7 +89,7 @@
 /// Where a connection that has all but the last byte of a value hears of the attempt.
 pub type Going = oneshot::Receiver<Go>;
 
-/// Stands in a command for a long value, all of which but the last byte is on its way to one server. The way ends
+/// Stands in a request for a long value, all of which but the last byte is on its way to one server. The way ends
 /// where the last holder lets go of it unused: that value never ran.
 #[derive(Clone, Debug)]
 pub struct Ticket {
--- a/dispatch/src/start_times.rs
+++ b/dispatch/src/start_times.rs
@@ -8,7 +8,7 @@
 use juniperladder::{Micros, ServerId};
 use rustc_hash::FxHashMap;
 
-use crate::values::Host;
+use crate::values::ListedServer;
 
 /// How long after its start a server is listed, as discovery has to find it first.
 const LISTED_AFTER: Micros = Micros(2_500_000);
@@ -51,24 +51,24 @@
     }
 
     /// Sets the starts of these entries, which have just come, to the own clock.
-    pub fn translate(&mut self, hosts: &mut [Host], now: Micros) {
+    pub fn translate(&mut self, servers: &mut [ListedServer], now: Micros) {
         let earliest = self.confirmed.map_or(Micros(0), |confirmed| confirmed.saturating_sub(LISTED_AFTER));
-        for host in hosts.iter_mut() {
-            let told = host.entry.started;
+        for listed_server in servers.iter_mut() {
+            let told = listed_server.endpoint.started;
             // Long ago, whatever the clock says.
             if told.0 == 0 {
                 continue;
             }
             let news = told.max(earliest).min(now);
-            let own = match self.known.get(&host.entry.server) {
+            let own = match self.known.get(&listed_server.endpoint.server) {
                 _ if self.trusted => told,
                 Some(known) if known.told == told => known.own,
                 // A later start is another process, and has to be later here, too.
                 Some(known) if known.told < told => news.max(known.own.saturating_add(Micros(1))),
                 _ => news,
             };
-            self.known.insert(host.entry.server, Start { told, own });
-            host.entry.started = own;
+            self.known.insert(listed_server.endpoint.server, Start { told, own });
+            listed_server.endpoint.started = own;
         }
     }
 
--- a/dispatch/src/start_times/tests.rs
+++ b/dispatch/src/start_times/tests.rs
@@ -3,22 +3,22 @@
 use juniperladder::EndpointState;
 
 use super::*;
-use crate::testing::host;
+use crate::testing::listed_server;
 
 const NOW: Micros = Micros(50_000_000_000);
 const HOUR: u64 = 3_600_000_000;
 const SECOND: u64 = 1_000_000;
 
-fn started(server: u64, started: u64) -> Host {
-    let mut host = host(ServerId(server), EndpointState::Serving);
-    host.entry.started = Micros(started);
-    host
+fn started(server: u64, started: u64) -> ListedServer {
+    let mut listed_server = listed_server(ServerId(server), EndpointState::Serving);
+    listed_server.endpoint.started = Micros(started);
+    listed_server
 }
 
 fn translated(times: &mut StartTimes, server: u64, told: u64, now: Micros) -> u64 {
-    let mut hosts = [started(server, told)];
-    times.translate(&mut hosts, now);
-    hosts[0].entry.started.0
+    let mut servers = [started(server, told)];
+    times.translate(&mut servers, now);
+    servers[0].endpoint.started.0
 }
 
 #[test]
--- a/dispatch/src/tally.rs
+++ b/dispatch/src/tally.rs
@@ -1,4 +1,4 @@
-//! How commands ended, as the figures tell it, and the long values that are on their way.
+//! How requests ended, as the figures tell it, and the long values that are on their way.
 
 #[cfg(test)]
 mod tests;
@@ -6,14 +6,14 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// How commands ended, by class; and the values that are on their way.
+/// How requests ended, by class; and the values that are on their way.
 #[derive(Debug)]
 pub struct Tally {
     ended: RefCell<Vec<[u64; 3]>>,
     passing: Cell<usize>,
 }
 
-/// How a command ended, as the figures tell it.
+/// How a request ended, as the figures tell it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ended {
     /// With a value or a receipt.
@@ -30,7 +30,7 @@
         Rc::new(Tally { ended: RefCell::new(vec![[0; 3]; classes.max(1)]), passing: Cell::new(0) })
     }
 
-    /// A command of this class has ended; a class that the settings lack counts as the last.
+    /// A request of this class has ended; a class that the settings lack counts as the last.
     pub fn count(&self, class: u32, how: Ended) {
         let mut ended = self.ended.borrow_mut();
         let last = ended.len() - 1;
@@ -57,7 +57,7 @@
 }
 
 impl Passing {
-    /// One more is on its way, for a command of this class.
+    /// One more is on its way, for a request of this class.
     pub(crate) fn begun(tally: &Rc<Tally>, class: u32) -> Passing {
         tally.passing.set(tally.passing.get() + 1);
         Passing { tally: Rc::clone(tally), class, whole: Cell::new(false) }
--- a/dispatch/src/testing.rs
+++ b/dispatch/src/testing.rs
@@ -1,4 +1,4 @@
-//! The one helper of the tests of commands and of the network: a dispatcher over one host whose attempts are only written down.
+//! The one helper of the tests of requests and of the network: a dispatcher over one server whose attempts are only written down.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -11,10 +11,10 @@
 
 use crate::clock::Clock;
 use crate::counters::Counters;
-use crate::dispatcher::{self, Attempt, AttemptId, Carrier, Dispatcher, Host, Upload};
+use crate::dispatcher::{self, Attempt, AttemptId, Carrier, Dispatcher, ListedServer, Upload};
 
-/// The only host.
-pub const HOST: ServerId = ServerId(9);
+/// The only server.
+pub const SERVER: ServerId = ServerId(9);
 
 /// A carrier that carries nothing.
 #[derive(Default)]
@@ -28,7 +28,7 @@
 }
 
 impl Carrier for Recorder {
-    fn listed(&self, _: EndpointUpdate, _: &[Host]) {}
+    fn listed(&self, _: EndpointUpdate, _: &[ListedServer]) {}
     fn begin(&self, attempt: Attempt) {
         self.begun.borrow_mut().push(attempt);
     }
@@ -79,15 +79,15 @@
     }
 }
 
-/// A host in this state.
-pub fn host(server: ServerId, state: EndpointState) -> Host {
-    let entry = Endpoint { server, zone: 0, kind: 0, cell: 0, state, weight: 1.0, started: Micros(0) };
-    Host { entry, address: Some(([127, 0, 0, 1], 1).into()) }
+/// A server in this state.
+pub fn listed_server(server: ServerId, state: EndpointState) -> ListedServer {
+    let endpoint = Endpoint { server, zone: 0, kind: 0, cell: 0, state, weight: 1.0, started: Micros(0) };
+    ListedServer { endpoint, address: Some(([127, 0, 0, 1], 1).into()) }
 }
 
-/// A dispatcher by this carrier that knows so many hosts, the first of which is `HOST`.
-pub fn dispatcher(settings: Settings, carrier: Rc<dyn Carrier>, hosts: u32) -> Rc<Dispatcher> {
-    seeded_exchange(settings, 7, carrier, hosts)
+/// A dispatcher by this carrier that knows so many servers, the first of which is `SERVER`.
+pub fn dispatcher(settings: Settings, carrier: Rc<dyn Carrier>, servers: u32) -> Rc<Dispatcher> {
+    seeded_exchange(settings, 7, carrier, servers)
 }
 
 /// The same with a seed of its own, as each process of a fleet has.
@@ -95,19 +95,20 @@
     settings: Settings,
     seed: u64,
     carrier: Rc<dyn Carrier>,
-    hosts: u32,
+    servers: u32,
 ) -> Rc<Dispatcher> {
     let counters = Rc::new(Counters::default());
     let dispatcher = Dispatcher::new(settings, seed, carrier, Clock::start(), counters, log());
-    let hosts: Vec<Host> =
-        (0..hosts).map(|n| host(ServerId(HOST.0 + u64::from(n)), EndpointState::Serving)).collect();
-    dispatcher.listed(EndpointUpdate::Restored, &hosts);
+    let servers: Vec<ListedServer> = (0..servers)
+        .map(|n| listed_server(ServerId(SERVER.0 + u64::from(n)), EndpointState::Serving))
+        .collect();
+    dispatcher.listed(EndpointUpdate::Restored, &servers);
     dispatcher
 }
 
-/// A command with this id.
-pub fn command(id: &str, value: Option<Vec<u8>>) -> dispatcher::Command {
-    dispatcher::Command {
+/// A request with this id.
+pub fn request(id: &str, value: Option<Vec<u8>>) -> dispatcher::ClientRequest {
+    dispatcher::ClientRequest {
         id: Bytes::copy_from_slice(id.as_bytes()),
         key: Bytes::from_static(b"7f3a9c21e0b4d655"),
         value: value.map(Bytes::from),
--- a/dispatch/src/values.rs
+++ b/dispatch/src/values.rs
@@ -1,4 +1,4 @@
-//! The values that every protocol and every side shares: answers, replies and hosts.
+//! The values that every protocol and every side shares: answers, replies and servers.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 
 use crate::long::Long;
 
-/// A command's final answer.
+/// A request's final answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// Served: the value read.
@@ -35,12 +35,12 @@
     }
 }
 
-/// What a host replied to an attempt.
+/// What a server replied to an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// A final answer.
     Served(Answer),
-    /// The host lacks the key.
+    /// The server lacks the key.
     Miss {
         /// Whether another fetch of the key is out.
         fetch_in_progress: bool,
@@ -51,11 +51,11 @@
     Full,
 }
 
-/// A host of the name table.
+/// A server of the endpoint list.
 #[derive(Clone, Debug)]
-pub struct Host {
-    /// What the module is told of it.
-    pub entry: Endpoint,
+pub struct ListedServer {
+    /// What the decisions is told of it.
+    pub endpoint: Endpoint,
     /// Where it listens.
     pub address: Option<SocketAddr>,
 }
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -37,7 +37,7 @@
     pub limits: Limits,
     /// The list as this balancer last had it.
     pub known: Catalog,
-    /// What the module is told.
+    /// What the decisions is told.
     pub settings: Settings,
     /// This balancer's place among all, where the settings name it.
     pub position: Option<u32>,
@@ -49,7 +49,7 @@
     pub labels: Labels,
     /// How long a connection may take to come up.
     pub connect_timeout: Duration,
-    /// How long a host keeps an idle connection.
+    /// How long a server keeps an idle connection.
     pub idle: Duration,
     /// From which level on lines go to the log.
     pub log_level: Level,
--- a/node/src/connect.rs
+++ b/node/src/connect.rs
@@ -1,4 +1,4 @@
-//! The ways to hosts: connections by TCP, and for whoever plays hosts in memory any others.
+//! The ways to servers: connections by TCP, and for whoever plays servers in memory any others.
 
 use std::future::Future;
 use std::io;
@@ -10,7 +10,7 @@
 
 use crate::socket::Socket;
 
-/// A connection to a host.
+/// A connection to a server.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin {}
 
 impl<S: AsyncRead + AsyncWrite + Unpin> Stream for S {}
@@ -18,7 +18,7 @@
 /// A connection that is coming up.
 pub type Connecting = Pin<Box<dyn Future<Output = io::Result<Box<dyn Stream>>>>>;
 
-/// Where connections to hosts come from.
+/// Where connections to servers come from.
 pub trait Connect {
     /// Begins to connect to this address. It may take for ever: whoever waits bounds it.
     fn connect(&self, address: SocketAddr) -> Connecting;
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -33,11 +33,11 @@
 /// When discovery is called.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Calls {
-    /// At the start, not when the module would: a process that replaces another starts from a list that may be old, and what
+    /// At the start, not when the decisions would: a process that replaces another starts from a list that may be old, and what
     /// discovery says binds it soon after its start.
     pub at_once: bool,
     /// Where lists are pushed: at once, and so long after each call or watch that failed. What discovery has counts as told from
-    /// the first moment on there, whether a watch is open or not, and the module does not ask for one.
+    /// the first moment on there, whether a watch is open or not, and the decisions does not ask for one.
     pub pushed: Option<Duration>,
     /// For the waits of the calls at a new address.
     pub seed: u64,
@@ -52,11 +52,11 @@
     Due,
     /// A new configuration names another address.
     NewAddress,
-    /// The last one failed, and the module does not space the calls out.
+    /// The last one failed, and the decisions does not space the calls out.
     Again,
 }
 
-/// Watches discovery whenever the module asks for it, and tells the module what comes. When the address changes the new one is
+/// Watches discovery whenever the decisions asks for it, and tells the decisions what comes. When the address changes the new one is
 /// called at once, and what the old one's watch says is taken in until the new one has told its list. `known` is the version
 /// of the list in hand.
 pub async fn follow(
@@ -95,7 +95,7 @@
     table: NameTable,
     watches: Watches<Call>,
     address: SocketAddr,
-    /// When the next call is made that the module does not ask for.
+    /// When the next call is made that the decisions does not ask for.
     again: Option<Instant>,
     /// Calls that failed at a new address that has told no list yet.
     turn_failures: u32,
@@ -175,7 +175,7 @@
             News::Connected => debug!(self.log, "discovery connected"; "call" => ?watch),
             News::List(catalog) => self.on_list(watch, catalog),
             News::NoChange => match self.watches.on_no_change(watch, Instant::now()) {
-                // It has answered, though with nothing: the module need not ask again.
+                // It has answered, though with nothing: the decisions need not ask again.
                 NoChange::Answered => self.dispatcher.listed(EndpointUpdate::Delta, &[]),
                 NoChange::Confirmed => self.dispatcher.list_confirmed(),
                 NoChange::Nothing => {}
@@ -199,7 +199,7 @@
                 return;
             }
             ListUse::Contradicts(known) => {
-                // The list stands, and the whole one is asked for when the module asks again.
+                // The list stands, and the whole one is asked for when the decisions asks again.
                 let problem = format!("generation {generation} after {known} without a reset");
                 return self.failed(&problem, Duration::ZERO);
             }
@@ -207,15 +207,15 @@
         if !self.watches.turning() {
             self.again = None;
         }
-        let hosts = self.table.read(catalog, &self.log);
-        for host in &hosts {
-            debug!(self.log, "list entry"; "server" => %ServerLabel(host.entry.server),
-                "state" => ?host.entry.state, "started-ms" => to_ms(host.entry.started));
+        let servers = self.table.read(catalog, &self.log);
+        for listed_server in &servers {
+            debug!(self.log, "list entry"; "server" => %ServerLabel(listed_server.endpoint.server),
+                "state" => ?listed_server.endpoint.state, "started-ms" => to_ms(listed_server.endpoint.started));
         }
         increment(&self.dispatcher.counters().endpoint_updates);
         info!(self.log, "list"; "call" => ?watch, "generation" => generation,
-            "whole" => kind == EndpointUpdate::Snapshot, "entries" => hosts.len());
-        self.dispatcher.listed(kind, &hosts);
+            "whole" => kind == EndpointUpdate::Snapshot, "entries" => servers.len());
+        self.dispatcher.listed(kind, &servers);
     }
 
     /// A call or a watch has failed: another call is due after a wait.
@@ -233,7 +233,7 @@
             return;
         }
         self.again = self.pushed.map(|wait| now + wait);
-        // From here on the module spaces the calls out: it asks again after a wait of its own.
+        // From here on the decisions spaces the calls out: it asks again after a wait of its own.
         self.dispatcher.listed(EndpointUpdate::Unavailable, &[]);
     }
 }
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -298,7 +298,7 @@
 fn a_new_address_is_followed_within_four_seconds() {
     for first in [Peer::Refuses, Peer::Busy, Peer::Hangs, Peer::Tells(1)] {
         testing::run(async {
-            // The old one has failed for so long that the module waits long.
+            // The old one has failed for so long that the decisions waits long.
             let old = Discovery::new(vec![Peer::Refuses]).await;
             let new = Discovery::new(vec![first, Peer::Tells(1)]).await;
             let balancer = balancer(&old, NOW, true);
--- a/node/src/keeper.rs
+++ b/node/src/keeper.rs
@@ -1,8 +1,8 @@
-//! Keeps the hosts out by hand in their file, and takes up what the other process of a replacement kept there: for
+//! Keeps the servers out by hand in their file, and takes up what the other process of a replacement kept there: for
 //! as long as both run, a call at either holds at both.
 //!
 //! A disk may stand still for a second. The file is read and written by a thread of the runtime's own for such
-//! work, and neither commands nor operators' calls ever wait for it.
+//! work, and neither requests nor operators' calls ever wait for it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
 pub struct Keeper {
     dispatcher: Rc<Dispatcher>,
     file: PathBuf,
-    /// Changes that are not in the file yet, by the host's name: out, or back.
+    /// Changes that are not in the file yet, by the server's name: out, or back.
     changes: RefCell<BTreeMap<String, bool>>,
     stamp: Cell<Option<Stamp>>,
     asked: Cell<u64>,
@@ -60,7 +60,7 @@
         (Rc::new(keeper), before.is_ok())
     }
 
-    /// An operator has put this host out, or called it back. The number is for [`Keeper::kept`].
+    /// An operator has put this server out, or called it back. The number is for [`Keeper::kept`].
     pub fn changed(&self, name: &str, out: bool) -> u64 {
         self.changes.borrow_mut().insert(name.to_owned(), out);
         self.asked.set(self.asked.get() + 1);
@@ -74,7 +74,7 @@
         let _ = self.kept.subscribe().wait_for(|kept| *kept >= change).await;
     }
 
-    /// Whether the last change of this host is not in the file yet.
+    /// Whether the last change of this server is not in the file yet.
     pub fn is_pending(&self, name: &str) -> bool {
         self.changes.borrow().contains_key(name)
     }
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -53,7 +53,7 @@
 const DEBUG_LINES_QUEUED: usize = 16 * 1024;
 
 /// Runs a balancer as the environment describes it, until it is told to stop; `operator` names the operators' file
-/// where the command line does.
+/// where the request line does.
 pub fn run_from_environment(operator: Option<OsString>) -> Result<(), String> {
     serve(Config::from_environment(operator)?)
 }
@@ -92,7 +92,7 @@
     let longest = clock::duration(longest);
     let ask_within = config.settings.rules.discovery_poll_interval;
     let limits = upstream::Limits {
-        connections: bounds.hosts,
+        connections: bounds.servers,
         piece: bounds.piece,
         connect_timeout: config.connect_timeout,
         idle: config.idle,
@@ -125,8 +125,8 @@
     };
     let table = name_table::NameTable::new(config.names);
     let known_generation = config.known.generation;
-    let hosts = table.read(config.known, &log);
-    dispatcher.listed(EndpointUpdate::Restored, &hosts);
+    let servers = table.read(config.known, &log);
+    dispatcher.listed(EndpointUpdate::Restored, &servers);
 
     let shutdown = Rc::new(shutdown::Shutdown::default());
     let listener = retry::for_a_moment(|| listen(config.listen)).await.map_err(|e| {
@@ -141,7 +141,7 @@
         log.clone(),
     );
     let address = listener.local_addr().unwrap_or(config.listen);
-    info!(log, "listening"; "address" => address.to_string(), "hosts" => hosts.len());
+    info!(log, "listening"; "address" => address.to_string(), "hosts" => servers.len());
     info!(log, "settings"; "generation" => known_generation, "ask-within-ms" => clock::to_ms(ask_within),
         "lists" => if config.pushed.is_some() { "pushed" } else { "asked for" },
         "longest-deadline-ms" => longest.as_millis(), "unix-ms" => clock::to_ms(clock.now()));
--- a/node/src/name_table.rs
+++ b/node/src/name_table.rs
@@ -1,4 +1,4 @@
-//! The name table: discovery's list in the module's terms.
+//! The endpoint list: discovery's list in the decisions' terms.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 use slog::{warn, Logger};
 
 use crate::clock::from_ms;
-use crate::dispatcher::Host;
+use crate::dispatcher::ListedServer;
 use juniperladder_dispatch::log_throttle::LogThrottle;
 
 /// The names that stand for the settings' numbers.
@@ -66,7 +66,7 @@
     }
 }
 
-/// Discovery's list in the module's terms.
+/// Discovery's list in the decisions' terms.
 #[derive(Debug, Default)]
 pub struct NameTable {
     names: Names,
@@ -80,8 +80,8 @@
     }
 
     /// The entries of a list or of its changes; those that make no sense are left out and told.
-    pub fn read(&self, catalog: Catalog, log: &Logger) -> Vec<Host> {
-        let mut hosts = Vec::with_capacity(catalog.instances.len());
+    pub fn read(&self, catalog: Catalog, log: &Logger) -> Vec<ListedServer> {
+        let mut servers = Vec::with_capacity(catalog.instances.len());
         for instance in catalog.instances {
             let state = match instance.lifecycle.as_str() {
                 "in_service" => EndpointState::Serving,
@@ -105,7 +105,7 @@
             let place = |names: &[String], name: &str| {
                 names.iter().position(|n| n == name).map_or(u32::MAX, |place| place as u32)
             };
-            let entry = Endpoint {
+            let endpoint = Endpoint {
                 server: server(&instance.instance_id),
                 zone: place(&self.names.zones, &instance.zone),
                 kind: place(&self.names.kinds, &instance.machine_type),
@@ -114,9 +114,9 @@
                 weight: instance.weight,
                 started: from_ms(instance.started_at_ms),
             };
-            hosts.push(Host { entry, address });
+            servers.push(ListedServer { endpoint, address });
         }
-        hosts
+        servers
     }
 }
 
--- a/node/src/name_table/tests.rs
+++ b/node/src/name_table/tests.rs
@@ -20,12 +20,18 @@
         {"instanceId":"s-00000001","hostPort":"nowhere","zone":"west"},
         {"instanceId":"s-00000002","hostPort":"127.0.0.1:6","zone":"north","lifecycle":"terminated"}]}"#;
     let table = NameTable::new(names());
-    let hosts = table.read(catalog(text), &log());
-    let [origin, gone] = &hosts[..] else { panic!("one has no address: {hosts:?}") };
-    let entry = &origin.entry;
-    assert_eq!((entry.server, entry.zone, entry.kind, entry.cell), (ServerId(0x5be2_a07c), 1, 1, 3));
-    assert_eq!((entry.state, entry.weight, entry.started), (EndpointState::Draining, 1.5, from_ms(7)));
-    assert_eq!((gone.entry.state, gone.entry.zone), (EndpointState::Deleted, u32::MAX));
+    let servers = table.read(catalog(text), &log());
+    let [origin, gone] = &servers[..] else { panic!("one has no address: {servers:?}") };
+    let endpoint = &origin.endpoint;
+    assert_eq!(
+        (endpoint.server, endpoint.zone, endpoint.kind, endpoint.cell),
+        (ServerId(0x5be2_a07c), 1, 1, 3)
+    );
+    assert_eq!(
+        (endpoint.state, endpoint.weight, endpoint.started),
+        (EndpointState::Draining, 1.5, from_ms(7))
+    );
+    assert_eq!((gone.endpoint.state, gone.endpoint.zone), (EndpointState::Deleted, u32::MAX));
     assert_eq!(watch_path(Some(41)), "/catalog/members?follow=1&since=41");
     assert_eq!(watch_path(None), "/catalog/members?follow=1");
 }
--- a/node/src/operators.rs
+++ b/node/src/operators.rs
@@ -171,13 +171,13 @@
 mod tests {
     use super::*;
     use crate::dispatcher::{Answer, End, Reply};
-    use crate::testing::{self, command, log, Recorder};
+    use crate::testing::{self, log, request, Recorder};
     use juniperladder::Idempotency;
     use tokio::io::{duplex, DuplexStream};
     use tokio::time::Instant;
 
     const CALLERS: usize = 128;
-    const HOST: &str = "s-00000009";
+    const SERVER: &str = "s-00000009";
 
     fn process(dir: &std::path::Path) -> (Rc<Operators>, Rc<Recorder>) {
         let recorder = Rc::new(Recorder::default());
@@ -254,7 +254,7 @@
         });
     }
 
-    /// The figures against commands whose endings are known: each is counted once, in its class.
+    /// The figures against requests whose endings are known: each is counted once, in its class.
     #[test]
     fn the_figures_tell_what_happened() {
         let dir = tempfile::tempdir().unwrap();
@@ -266,12 +266,12 @@
             for (n, end) in
                 [End::Reply(value.clone()), End::NotSent, End::Reply(value)].into_iter().enumerate()
             {
-                answers.push(dispatcher.take(command(&n.to_string(), None)).unwrap());
+                answers.push(dispatcher.take(request(&n.to_string(), None)).unwrap());
                 let attempt = recorder.begun.borrow_mut().pop().unwrap();
                 dispatcher.ended(attempt.id, end);
             }
-            let _open = dispatcher.take(command("9", None)).unwrap();
-            assert!(operators.answer(Call::Offline(HOST.into())).await.starts_with("ACK"));
+            let _open = dispatcher.take(request("9", None)).unwrap();
+            assert!(operators.answer(Call::Offline(SERVER.into())).await.starts_with("ACK"));
             let told = operators.answer(Call::Dump).await;
             for line in [
                 "app_passed{category=\"read\"} 2",
@@ -295,15 +295,15 @@
             let lock = std::fs::File::create(dir.path().join("n0.lock")).unwrap();
             lock.lock().unwrap();
             let (operators, _) = process(dir.path());
-            let promised = operators.answer(Call::Offline(HOST.into())).await;
-            assert_eq!(promised, format!("ACK {HOST} out by hand; not kept for a successor yet\n"));
+            let promised = operators.answer(Call::Offline(SERVER.into())).await;
+            assert_eq!(promised, format!("ACK {SERVER} out by hand; not kept for a successor yet\n"));
             assert_eq!(operators.answer(Call::Health).await, "ACK ready\n");
-            assert_eq!(operators.dispatcher.banned(), [HOST]);
+            assert_eq!(operators.dispatcher.banned(), [SERVER]);
             lock.unlock().unwrap();
             operators.keeper.kept(1).await;
-            assert_eq!(crate::state::read(&dir.path().join("n0.bans")).unwrap(), [HOST]);
-            let promised = operators.answer(Call::Offline(HOST.into())).await;
-            assert_eq!(promised, format!("ACK {HOST} out by hand\n"), "now it is in the file");
+            assert_eq!(crate::state::read(&dir.path().join("n0.bans")).unwrap(), [SERVER]);
+            let promised = operators.answer(Call::Offline(SERVER.into())).await;
+            assert_eq!(promised, format!("ACK {SERVER} out by hand\n"), "now it is in the file");
         });
     }
 }
--- a/node/src/passing.rs
+++ b/node/src/passing.rs
@@ -1,4 +1,4 @@
-//! Long values on their way from a host to a client, piece by piece, as fast as the client takes them.
+//! Long values on their way from a server to a client, piece by piece, as fast as the client takes them.
 
 use std::time::Duration;
 
@@ -10,15 +10,15 @@
 use crate::http::{self, Response};
 use crate::memcache;
 
-/// How long a host may bring nothing more of a value that it has begun to give: it may stand still, and one that
+/// How long a server may bring nothing more of a value that it has begun to give: it may stand still, and one that
 /// vanished says nothing for ever.
 pub const STALLED: Duration = Duration::from_secs(10);
 /// Room made to look for what has come already.
 const READ: usize = 4096;
 
-/// The body of a long value, in the host's protocol.
+/// The body of a long value, in the server's protocol.
 pub enum Body {
-    /// Of a cache host.
+    /// Of a cache server.
     Meta(memcache::Rest),
     /// Of the origin.
     Http(Response),
@@ -38,7 +38,7 @@
 }
 
 /// Passes a long value on until its end, so much at once. An error is where it broke off: what was wrong with it, or
-/// nothing if a connection ended, either the host's or the client's. The client has not had its last byte then.
+/// nothing if a connection ended, either the server's or the client's. The client has not had its last byte then.
 pub async fn pump<S: AsyncRead + Unpin>(
     stream: &mut S,
     input: &mut BytesMut,
@@ -91,7 +91,7 @@
 mod tests {
     use super::*;
     use crate::memcache::{answered, Answered};
-    use crate::testing::{self, command, settle};
+    use crate::testing::{self, request, settle};
     use juniperladder_dispatch::long::long;
     use tokio::io::{duplex, AsyncWriteExt};
     use tokio::task::spawn_local;
@@ -107,7 +107,7 @@
     /// Both protocols' bodies of a value, and what ends them.
     fn bodies() -> [(Body, &'static [u8]); 2] {
         let mut line = BytesMut::from(format!("VA {LENGTH} O7 h1\r\n").as_bytes());
-        let Ok(Some(Answered::Long(LENGTH, rest))) = answered(&mut line, &command("7", None)) else {
+        let Ok(Some(Answered::Long(LENGTH, rest))) = answered(&mut line, &request("7", None)) else {
             panic!()
         };
         let mut response = Response::default();
@@ -117,7 +117,7 @@
         [(Body::Meta(rest), b"\r\n"), (Body::Http(response), b"")]
     }
 
-    /// A value of four megabytes passes whole, and a client that does not read holds the host back at a few
+    /// A value of four megabytes passes whole, and a client that does not read holds the server back at a few
     /// pieces: the value is never in hand.
     #[test]
     fn a_value_far_over_the_memory_passes_through_a_few_pieces() {
@@ -156,7 +156,7 @@
         });
     }
 
-    /// A host that leaves, stands still or brings a wrong end: the client never has the last byte.
+    /// A server that leaves, stands still or brings a wrong end: the client never has the last byte.
     #[test]
     fn a_value_that_breaks_off_is_never_whole() {
         testing::run(async {
--- a/node/src/service.rs
+++ b/node/src/service.rs
@@ -1,4 +1,4 @@
-//! The downstream side: clients' connections, the commands on them, and the answers in their order.
+//! The downstream side: clients' connections, the requests on them, and the answers in their order.
 
 mod backlog;
 mod connection;
@@ -86,14 +86,14 @@
     /// When it was accepted, and how long it may have waited for that at most.
     accepted: Instant,
     waited: Duration,
-    /// Since when it has had no command open.
+    /// Since when it has had no request open.
     quiet: Cell<Instant>,
     busy: Cell<bool>,
-    /// Whether a command has begun to come.
+    /// Whether a request has begun to come.
     half: Cell<bool>,
-    /// Whether it has ever brought a command.
+    /// Whether it has ever brought a request.
     spoke: Cell<bool>,
-    /// Told to close once it owes nothing, and to end in the middle of a command.
+    /// Told to close once it owes nothing, and to end in the middle of a request.
     leave: Notify,
     cut: Notify,
 }
@@ -230,7 +230,7 @@
     async fn make_room_for(&self, backlog: &Backlog) {
         let behind = backlog.waited() > BACKLOG_PATIENCE;
         self.evict(if behind { EVICTIONS_AT_ONCE } else { 1 });
-        // The one that was told may have brought a command meanwhile: then another is.
+        // The one that was told may have brought a request meanwhile: then another is.
         let _ = timeout(ROOM, self.left.notified()).await;
     }
 
@@ -296,7 +296,7 @@
         }
     }
 
-    /// Closes the connections that are quiet longest when more than may be kept have brought commands. Clients
+    /// Closes the connections that are quiet longest when more than may be kept have brought requests. Clients
     /// hold only so many, and some keep theirs for good: a client with something to say would find none left.
     fn thin_out(&self) {
         let seats = self.seats.borrow();
@@ -309,8 +309,8 @@
         }
     }
 
-    /// Tells one connection to leave that has no command open: the longest quiet of those that never brought
-    /// one, or else of the others, then one that has only just come, and one in the middle of a command only when
+    /// Tells one connection to leave that has no request open: the longest quiet of those that never brought
+    /// one, or else of the others, then one that has only just come, and one in the middle of a request only when
     /// there is no other.
     fn make_room(&self) {
         self.evict(1);
@@ -335,7 +335,7 @@
             if place > 0 && !silent(seat) {
                 continue;
             }
-            // Who is told to close while idle and then begins a command may finish it.
+            // Who is told to close while idle and then begins a request may finish it.
             if seat.half.get() { &seat.cut } else { &seat.leave }.notify_one();
         }
     }
--- a/node/src/service/downstream.rs
+++ b/node/src/service/downstream.rs
@@ -1,4 +1,4 @@
-//! One downstream connection: its commands, taken as they come, and their answers in the same order.
+//! One downstream connection: its requests, taken as they come, and their answers in the same order.
 
 use std::collections::VecDeque;
 use std::io;
@@ -13,24 +13,24 @@
 use super::{Seat, Service};
 use crate::clock;
 use crate::counters::increment;
-use crate::dispatcher::{Answer, Command, CommandId};
-use crate::memcache::{write_answer, Commands, Incoming};
+use crate::dispatcher::{Answer, ClientRequest, ClientRequestId};
+use crate::memcache::{write_answer, Incoming, RequestReader};
 use crate::writing::{self, Writing};
 use juniperladder_dispatch::long::Long;
 
-/// Commands that one connection may have open: enough for any pipeline, a bound for one that runs away.
+/// Requests that one connection may have open: enough for any pipeline, a bound for one that runs away.
 pub(super) const MAX_OWED: usize = 128;
-/// What is no command may come so often on one connection: more is noise, or someone who does not listen.
+/// What is no request may come so often on one connection: more is noise, or someone who does not listen.
 pub(super) const MAX_MALFORMED: usize = 64;
 /// Room made for each read.
 pub(super) const READ: usize = 2048;
-/// What a connection may hold whatever the others do: a command as clients send it.
+/// What a connection may hold whatever the others do: a request as clients send it.
 pub(super) const SMALL: usize = 8 * 1024;
 
-/// How long a connection may go without an open command: one that is silent, kept for good or in the middle
-/// of a command holds a descriptor that others need. Unfinished commands do not set it back.
+/// How long a connection may go without an open request: one that is silent, kept for good or in the middle
+/// of a request holds a descriptor that others need. Unfinished requests do not set it back.
 const QUIET: Duration = Duration::from_millis(2200);
-/// How long a command may take from its first byte to its last, if that is longer.
+/// How long a request may take from its first byte to its last, if that is longer.
 const HALF: Duration = Duration::from_millis(2500);
 /// How long a value may take to come to its end while pieces of it keep coming.
 const VALUE: Duration = Duration::from_secs(15);
@@ -48,24 +48,24 @@
 enum Owed {
     /// Words that need nobody else.
     Line(&'static str),
-    /// A command's answer, and the bytes that the command holds until then.
-    Command(CommandId, Bytes, oneshot::Receiver<Answer>, usize),
+    /// A request's answer, and the bytes that the request holds until then.
+    Request(ClientRequestId, Bytes, oneshot::Receiver<Answer>, usize),
 }
 
 /// One downstream connection.
 pub(super) struct DownstreamConnection<'a> {
     service: &'a Service,
     seat: &'a Seat,
-    commands: Commands,
+    requests: RequestReader,
     input: BytesMut,
     output: BytesMut,
     owed: VecDeque<Owed>,
-    /// Bytes that its open commands hold, and all that it was last found to hold.
+    /// Bytes that its open requests hold, and all that it was last found to hold.
     open: usize,
     held: usize,
-    /// How much it has brought that was no command.
+    /// How much it has brought that was no request.
     malformed: usize,
-    /// Since when a command has been coming that is not whole, and when a piece of it came last.
+    /// Since when a request has been coming that is not whole, and when a piece of it came last.
     half: Option<Instant>,
     came: Instant,
     /// The long value that is on its way to the client, and how much of it has yet to come.
@@ -89,7 +89,7 @@
         DownstreamConnection {
             service,
             seat,
-            commands: Commands::default(),
+            requests: RequestReader::default(),
             input: BytesMut::new(),
             output: BytesMut::new(),
             owed: VecDeque::new(),
@@ -109,7 +109,7 @@
     }
 
     fn idle(&self) -> bool {
-        self.owes_nothing() && self.input.is_empty() && !self.commands.unfinished()
+        self.owes_nothing() && self.input.is_empty() && !self.requests.unfinished()
     }
 
     fn owes_nothing(&self) -> bool {
@@ -124,7 +124,7 @@
         let quiet = self.seat.quiet.get() + QUIET;
         let end = match self.half {
             // A value may come slowly, but it has to come.
-            Some(since) if self.commands.unfinished() => (self.came + QUIET).min(since + VALUE),
+            Some(since) if self.requests.unfinished() => (self.came + QUIET).min(since + VALUE),
             Some(since) => since + HALF,
             None => quiet,
         };
@@ -152,7 +152,7 @@
         if self.seat.busy.replace(busy) && !busy {
             self.seat.quiet.set(now);
         }
-        let half = !self.input.is_empty() || self.commands.unfinished();
+        let half = !self.input.is_empty() || self.requests.unfinished();
         self.seat.half.set(half);
         self.half = if half { self.half.or(Some(now)) } else { None };
         if self.blocked() {
@@ -175,8 +175,8 @@
                 writer.shutdown().await?;
                 return Ok(Some(reader));
             }
-            // With room here every whole command has been taken, so that the end of the client's side, which
-            // is only read then, never comes before a command that it had sent.
+            // With room here every whole request has been taken, so that the end of the client's side, which
+            // is only read then, never comes before a request that it had sent.
             let blocked = self.blocked();
             let room =
                 !self.ended && !self.last && !blocked && self.owed.len() < MAX_OWED && self.may_hold_more();
@@ -217,7 +217,7 @@
                     }
                 }
                 look = service.closing(self.seat, patience), if idle => {
-                    // A command may have come that the runtime has not looked for yet: it is taken, and a
+                    // A request may have come that the runtime has not looked for yet: it is taken, and a
                     // close over unread bytes would reset the connection.
                     tokio::select! {
                         biased;
@@ -238,13 +238,13 @@
                     }
                     self.cut();
                 }
-                // Half a command gives its seat up too, but only when nothing else can.
+                // Half a request gives its seat up too, but only when nothing else can.
                 () = self.seat.cut.notified(), if !idle && !self.seat.busy.get() => self.cut(),
             }
         }
     }
 
-    /// Ends a connection whose client is owed nothing and has sent half a command.
+    /// Ends a connection whose client is owed nothing and has sent half a request.
     fn cut(&mut self) {
         increment(&self.service.dispatcher.counters().connections_cut);
         self.owed.push_back(Owed::Line("CLIENT_ERROR command not finished in time"));
@@ -255,34 +255,34 @@
         self.writing.as_ref().is_some_and(Writing::blocked)
     }
 
-    /// Takes every whole command in hand.
+    /// Takes every whole request in hand.
     fn take(&mut self) {
         while !self.ended
             && !self.blocked()
             && self.owed.len() < MAX_OWED
             && self.output.len() < self.service.bounds.unread
         {
-            match self.commands.next(&mut self.input) {
+            match self.requests.next(&mut self.input) {
                 None => return,
                 Some(Incoming::Ready) if self.service.dispatcher.ready() => {
                     self.owed.push_back(Owed::Line("MN"))
                 }
                 Some(Incoming::Ready) => self.owed.push_back(Owed::Line("SERVER_ERROR not ready")),
-                Some(Incoming::Command(command, class)) => {
-                    if let Some(command) = self.of_class(command, &class) {
-                        self.take_whole(*command);
+                Some(Incoming::Request(request, class)) => {
+                    if let Some(request) = self.of_class(request, &class) {
+                        self.take_whole(*request);
                     }
                 }
                 Some(Incoming::Long(..)) if !self.service.dispatcher.takes_long() => {
                     self.turn_away("SERVER_ERROR object too large for cache");
                 }
-                Some(Incoming::Long(command, class, length)) => {
-                    let command = self.of_class(command, &class);
-                    self.writing = command.map(|command| Writing::new(command, length));
+                Some(Incoming::Long(request, class, length)) => {
+                    let request = self.of_class(request, &class);
+                    self.writing = request.map(|request| Writing::new(request, length));
                     self.writing.iter_mut().filter(|_| self.left).for_each(Writing::let_go);
                 }
                 Some(Incoming::Piece(piece, end)) => {
-                    // Of a command that was turned away at its line the value is read past.
+                    // Of a request that was turned away at its line the value is read past.
                     if let Some(writing) = &mut self.writing {
                         writing.add(&self.service.dispatcher, piece, end);
                     }
@@ -300,35 +300,35 @@
         }
     }
 
-    /// The command with its class and tenant; none if there is no such class in the settings, which the client is told: such
-    /// a one has no deadline and no effect, and hosts turn it away too. One that names no tenant of the settings, or none
+    /// The request with its class and tenant; none if there is no such class in the settings, which the client is told: such
+    /// a one has no deadline and no effect, and servers turn it away too. One that names no tenant of the settings, or none
     /// at all, is served like all others and counts for nobody's share.
-    fn of_class(&mut self, mut command: Box<Command>, class: &[u8]) -> Option<Box<Command>> {
+    fn of_class(&mut self, mut request: Box<ClientRequest>, class: &[u8]) -> Option<Box<ClientRequest>> {
         let labels = &self.service.labels;
         let place = labels.classes.iter().position(|name| name.as_bytes() == class);
         if place.is_none() {
             self.turn_away("CLIENT_ERROR unknown class");
         }
-        command.class = place? as u32;
-        let named = command.properties.iter().find(|(name, _)| name.as_ref() == b"t");
+        request.class = place? as u32;
+        let named = request.properties.iter().find(|(name, _)| name.as_ref() == b"t");
         let tenant =
             named.and_then(|(_, named)| labels.tenants.iter().position(|name| name.as_bytes() == named));
-        command.tenant = tenant.unwrap_or(labels.tenants.len()) as u32;
-        Some(command)
+        request.tenant = tenant.unwrap_or(labels.tenants.len()) as u32;
+        Some(request)
     }
 
-    /// Takes a command that is whole.
-    fn take_whole(&mut self, command: Command) {
+    /// Takes a request that is whole.
+    fn take_whole(&mut self, request: ClientRequest) {
         self.half = None;
-        let text = command.id.clone();
-        let size = command.value.as_ref().map_or(0, Bytes::len);
+        let text = request.id.clone();
+        let size = request.value.as_ref().map_or(0, Bytes::len);
         if self.left {
             return self.turn_back();
         }
-        match self.service.dispatcher.take_after(command, self.unread_wait()) {
+        match self.service.dispatcher.take_after(request, self.unread_wait()) {
             Some((id, answer)) => {
                 self.open += size;
-                self.owed.push_back(Owed::Command(id, text, answer, size));
+                self.owed.push_back(Owed::Request(id, text, answer, size));
                 self.seat.busy.set(true);
                 if !self.seat.spoke.replace(true) {
                     self.service.thin_out();
@@ -338,7 +338,7 @@
         }
     }
 
-    /// The longest that a command which is read now may have waited before: what comes right behind the accept of its
+    /// The longest that a request which is read now may have waited before: what comes right behind the accept of its
     /// connection may have come long before that.
     fn unread_wait(&self) -> Micros {
         if self.seat.accepted.elapsed() < RIGHT_BEHIND_ACCEPT {
@@ -348,7 +348,7 @@
         }
     }
 
-    /// Owes this line for what was no command. Whoever goes on sending such things loses the connection.
+    /// Owes this line for what was no request. Whoever goes on sending such things loses the connection.
     fn turn_away(&mut self, line: &'static str) {
         increment(&self.service.dispatcher.counters().malformed_requests);
         self.owed.push_back(Owed::Line(line));
@@ -375,10 +375,10 @@
         self.let_go();
     }
 
-    /// Nothing new begins for the commands that are open.
+    /// Nothing new begins for the requests that are open.
     fn let_go(&mut self) {
         for owed in &self.owed {
-            if let Owed::Command(id, ..) = owed {
+            if let Owed::Request(id, ..) = owed {
                 self.service.dispatcher.left(*id);
             }
         }
@@ -390,7 +390,7 @@
                 self.output.put_slice(line.as_bytes());
                 self.output.put_slice(b"\r\n");
             }
-            Owed::Command(_, id, _, size) => {
+            Owed::Request(_, id, _, size) => {
                 self.open -= size;
                 write_answer(&mut self.output, &id, &answer);
                 if let Answer::Long(long) = answer {
@@ -422,7 +422,7 @@
     fn drop(&mut self) {
         self.service.held.set(self.service.held.get() - self.held);
         for owed in &self.owed {
-            if let Owed::Command(id, ..) = owed {
+            if let Owed::Request(id, ..) = owed {
                 self.service.dispatcher.gone(*id);
             }
         }
@@ -465,8 +465,8 @@
     let answer = match owed.front_mut() {
         None => std::future::pending().await,
         Some(Owed::Line(_)) => Answer::Failed,
-        // The dispatcher answers everything it took; should it ever drop one, that command has failed.
-        Some(Owed::Command(_, _, answer, _)) => answer.await.unwrap_or(Answer::Failed),
+        // The dispatcher answers everything it took; should it ever drop one, that request has failed.
+        Some(Owed::Request(_, _, answer, _)) => answer.await.unwrap_or(Answer::Failed),
     };
     match owed.pop_front() {
         Some(first) => (first, answer),
--- a/node/src/service/tests.rs
+++ b/node/src/service/tests.rs
@@ -34,8 +34,15 @@
 pub(super) fn service(recorder: &Rc<Recorder>) -> Rc<Service> {
     let dispatcher =
         testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
-    let bounds =
-        Bounds { clients: 8, kept: 4, hosts: 8, callers: 8, held: 1 << 17, unread: 1 << 16, piece: 1 << 10 };
+    let bounds = Bounds {
+        clients: 8,
+        kept: 4,
+        servers: 8,
+        callers: 8,
+        held: 1 << 17,
+        unread: 1 << 16,
+        piece: 1 << 10,
+    };
     let labels = Labels { classes: vec!["read".into()], tenants: vec!["acme".into(), "beta".into()] };
     Service::new(dispatcher, labels, Rc::default(), bounds, testing::log())
 }
@@ -57,8 +64,8 @@
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    /// Whatever comes in whatever pieces, each command gets its one answer, in the order of the
-    /// commands, and a client that closes its side still gets all of them.
+    /// Whatever comes in whatever pieces, each request gets its one answer, in the order of the
+    /// requests, and a client that closes its side still gets all of them.
     #[test]
     fn answers_keep_the_order_of_commands(steps in prop::collection::vec(step(), 1..24), cut in 1..40usize) {
         let (got, want) = testing::run(async {
@@ -72,7 +79,7 @@
             for step in steps {
                 match step {
                     Step::Line(text, answer) => {
-                        // Ids in use are turned away: each command has its own, of one length.
+                        // Ids in use are turned away: each request has its own, of one length.
                         let text = text.replace("Oid", &format!("O{:02}", owed.len()));
                         for piece in text.as_bytes().chunks(cut) {
                             far.write_all(piece).await.unwrap();
@@ -115,7 +122,7 @@
     }
 }
 
-/// Whoever says nothing, keeps a connection for good or stops half-way through a command gives it up, and
+/// Whoever says nothing, keeps a connection for good or stops half-way through a request gives it up, and
 /// one that is half-way is told why.
 #[test]
 fn a_connection_without_a_command_closes_in_time() {
@@ -171,7 +178,7 @@
     });
 }
 
-/// One told to close while idle that begins a command at that moment may finish it.
+/// One told to close while idle that begins a request at that moment may finish it.
 #[test]
 fn a_command_that_crosses_the_close_is_finished() {
     testing::run(async {
@@ -189,7 +196,7 @@
     });
 }
 
-/// Giving up a seat takes no time: in a flood of connections a command must not wait behind each of them.
+/// Giving up a seat takes no time: in a flood of connections a request must not wait behind each of them.
 #[test]
 fn a_seat_is_given_up_at_once() {
     testing::run(async {
@@ -205,7 +212,7 @@
     });
 }
 
-/// Values that never come to their end hold a bounded part of the memory, and small commands go on.
+/// Values that never come to their end hold a bounded part of the memory, and small requests go on.
 #[test]
 fn values_half_sent_do_not_fill_the_memory() {
     testing::run(async {
@@ -291,7 +298,7 @@
     });
 }
 
-/// What is no command is told so and never taken: an unknown class, an id that another command has, no
+/// What is no request is told so and never taken: an unknown class, an id that another request has, no
 /// deadline, and noise without end, whose connection ends.
 #[test]
 fn what_is_no_command_is_turned_away() {
@@ -329,7 +336,7 @@
     });
 }
 
-/// A command counts for the tenant that it names; one that the settings lack, or none, is nobody's and served all the same.
+/// A request counts for the tenant that it names; one that the settings lack, or none, is nobody's and served all the same.
 #[test]
 fn a_command_is_its_tenants() {
     testing::run(async {
@@ -341,7 +348,7 @@
             far.write_all(format!("mg k v O1 Pc=read{named},d=480\r\n").as_bytes()).await.unwrap();
             settle().await;
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
-            assert_eq!(attempt.command.tenant, place, "{named}");
+            assert_eq!(attempt.request.tenant, place, "{named}");
             service.dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value("v".into()))));
             let mut got = [0; 12];
             far.read_exact(&mut got).await.unwrap();
@@ -372,7 +379,7 @@
     });
 }
 
-/// Commands that a bound kept from being taken at once are answered too, though the client has closed
+/// Requests that a bound kept from being taken at once are answered too, though the client has closed
 /// its side meanwhile.
 #[test]
 fn a_long_pipeline_is_answered_after_a_half_close() {
@@ -380,8 +387,8 @@
         let recorder = Rc::new(Recorder::default());
         let service = service(&recorder);
         let (near, mut far) = duplex(1 << 20);
-        let commands = MAX_OWED * 2 + 7;
-        let text: String = (0..commands).map(|id| format!("mg a v O{id} Pc=read,d=480\r\n")).collect();
+        let requests = MAX_OWED * 2 + 7;
+        let text: String = (0..requests).map(|id| format!("mg a v O{id} Pc=read,d=480\r\n")).collect();
         far.write_all(text.as_bytes()).await.unwrap();
         far.shutdown().await.unwrap();
         let task = spawn_local(serve(Rc::clone(&service), near));
@@ -393,14 +400,14 @@
         }
         let mut got = String::new();
         far.read_to_string(&mut got).await.unwrap();
-        // What no host has a place for is turned away, and told so in its place as well.
+        // What no server has a place for is turned away, and told so in its place as well.
         let told = |line: &&str| *line == "SERVER_ERROR failed" || line.starts_with("SERVER_ERROR busy");
-        assert_eq!(got.lines().filter(told).count(), commands);
-        assert!(got.contains("failed") && got.lines().count() == commands);
+        assert_eq!(got.lines().filter(told).count(), requests);
+        assert!(got.contains("failed") && got.lines().count() == requests);
     });
 }
 
-/// On a planned end a connection closes between commands, never with one owed or half read.
+/// On a planned end a connection closes between requests, never with one owed or half read.
 #[test]
 fn a_closing_service_answers_first() {
     testing::run(async {
@@ -420,7 +427,7 @@
         assert_eq!(got, "VA 1 O1\r\nv\r\n");
     });
 }
-/// A command that stands unread in the kernel when the closing begins was taken, and is answered.
+/// A request that stands unread in the kernel when the closing begins was taken, and is answered.
 #[test]
 fn a_closing_connection_is_read_once_more() {
     testing::run_on_sockets(async {
--- a/node/src/shutdown.rs
+++ b/node/src/shutdown.rs
@@ -20,7 +20,7 @@
 pub const WAY_OUT: Duration = Duration::from_millis(50);
 const SPARE: Duration = Duration::from_millis(100);
 
-/// How long after the signal the last command has to be answered.
+/// How long after the signal the last request has to be answered.
 pub fn last_answer(longest: Duration) -> Duration {
     longest.min(LONGEST) + MORE - SPARE
 }
@@ -53,28 +53,28 @@
         self.changed.notify_waiters();
     }
 
-    /// Waits until connections should close between commands.
+    /// Waits until connections should close between requests.
     pub async fn closing(&self) {
         while !self.closing.get() {
             self.changed.notified().await;
         }
     }
 
-    /// Waits until no more commands are read: the last answers are on their way.
+    /// Waits until no more requests are read: the last answers are on their way.
     pub async fn last(&self) {
         while !self.over.get() {
             self.changed.notified().await;
         }
     }
 
-    /// From now on connections close between commands.
+    /// From now on connections close between requests.
     pub fn close(&self) {
         self.closing.set(true);
         self.changed.notify_waiters();
     }
 
     /// Runs the end from the signal on: until every connection is closed, and not longer than this, as a connection may
-    /// stand still in the middle of a command. By then whoever runs it has had every command answered.
+    /// stand still in the middle of a request. By then whoever runs it has had every request answered.
     pub async fn run(&self, signal: Instant, most: Duration) {
         self.stopping.set(true);
         loop {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// A client that stops in the middle of a command must not keep the program for ever.
+    /// A client that stops in the middle of a request must not keep the program for ever.
     #[test]
     fn the_end_comes_though_a_connection_stands_still() {
         testing::run(async {
--- a/node/src/state.rs
+++ b/node/src/state.rs
@@ -1,4 +1,4 @@
-//! What a process leaves for the one that replaces it: the hosts out by hand, in a small versioned file in
+//! What a process leaves for the one that replaces it: the servers out by hand, in a small versioned file in
 //! `$TMPDIR`, written whole or not at all, and read with care.
 
 use std::collections::BTreeMap;
--- a/node/src/storm.rs
+++ b/node/src/storm.rs
@@ -1,16 +1,16 @@
-//! A whole balancer on a clock that stands still, between clients and hosts that do what real ones do on bad days, all drawn
-//! from a seed. It is judged by what clients and hosts see, and by nothing that it tells of itself.
+//! A whole balancer on a clock that stands still, between clients and servers that do what real ones do on bad days, all drawn
+//! from a seed. It is judged by what clients and servers see, and by nothing that it tells of itself.
 //!
 //! # The invariant
 //!
-//! Every command whose last byte has come on a connection that was accepted gets one whole final answer, made for it by a
-//! host or the origin or saying that there is none, before its client's time is up, wherever the balancer is in its life; or
-//! its client can tell that a value is not whole. No byte of it reaches a host after that answer, after its client has gone,
-//! or after that host's end was told; no more attempts than the settings say; never again once one may have run, but as its
+//! Every request whose last byte has come on a connection that was accepted gets one whole final answer, made for it by a
+//! server or the origin or saying that there is none, before its client's time is up, wherever the balancer is in its life; or
+//! its client can tell that a value is not whole. No byte of it reaches a server after that answer, after its client has gone,
+//! or after that server's end was told; no more attempts than the settings say; never again once one may have run, but as its
 //! class allows.
 
 mod clients;
-mod hosts;
+mod servers;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -25,12 +25,12 @@
 use crate::bounds::Bounds;
 use crate::connect::Connect;
 use crate::counters::Counters;
-use crate::dispatcher::{Carrier, Dispatcher, Host};
+use crate::dispatcher::{Carrier, Dispatcher, ListedServer};
 use crate::service::{Labels, Service};
 use crate::shutdown::{last_answer, Shutdown, WAY_OUT};
 use crate::testing::{self, log, ORIGIN};
 use crate::upstream::{Limits, Upstream};
-use hosts::Hosts;
+use servers::Servers;
 
 const SEEDS: u64 = 250;
 /// Classes by their effect: their names, and their deadlines in milliseconds.
@@ -42,17 +42,17 @@
 const ATTEMPTS: u32 = 3;
 const WINDOW: Duration = Duration::from_millis(250);
 
-/// What is known of one command from outside.
+/// What is known of one request from outside.
 #[derive(Debug, Default)]
 struct Seen {
     class: usize,
     /// When its client had its answer, or left.
     over: Option<Instant>,
-    /// When it reached hosts whole, and whether it may have run there.
+    /// When it reached servers whole, and whether it may have run there.
     runs: Vec<(Instant, Rc<Cell<bool>>)>,
 }
 
-/// What clients and hosts see.
+/// What clients and servers see.
 #[derive(Debug, Default)]
 struct Ledger {
     seen: RefCell<HashMap<String, Seen>>,
@@ -80,7 +80,7 @@
         self.seen.borrow_mut().entry(id.to_owned()).or_default().over.get_or_insert(Instant::now());
     }
 
-    /// A host has it whole. What is returned says whether it may have run there, until the host knows better.
+    /// A server has it whole. What is returned says whether it may have run there, until the server knows better.
     fn arrives(&self, id: &str, now: Instant) -> Rc<Cell<bool>> {
         let mut seen = self.seen.borrow_mut();
         let Some(seen) = seen.get_mut(id) else {
@@ -125,19 +125,19 @@
     }
 }
 
-/// A balancer, its clients and its hosts.
+/// A balancer, its clients and its servers.
 struct World {
     dispatcher: Rc<Dispatcher>,
     service: Rc<Service>,
     shutdown: Rc<Shutdown>,
-    hosts: Rc<Hosts>,
+    servers: Rc<Servers>,
     ledger: Rc<Ledger>,
 }
 
 impl World {
     fn new(seed: u64) -> World {
         let ledger = Rc::new(Ledger::default());
-        let hosts = Rc::new(Hosts::new(Rng::with_seed(seed), Rc::clone(&ledger)));
+        let servers = Rc::new(Servers::new(Rng::with_seed(seed), Rc::clone(&ledger)));
         let (connect_timeout, idle) = (Duration::from_millis(150), Duration::from_secs(2));
         let (connections, late) = (24, Duration::from_millis(900));
         let limits = Limits {
@@ -151,19 +151,19 @@
         };
         let counters = Rc::new(Counters::default());
         let clock = crate::clock::Clock::start();
-        let ways = Rc::clone(&hosts) as Rc<dyn Connect>;
+        let ways = Rc::clone(&servers) as Rc<dyn Connect>;
         let upstream = Upstream::new(limits, ways, clock, Rc::clone(&counters), log());
         let carrier = Rc::clone(&upstream) as Rc<dyn Carrier>;
         let dispatcher = Dispatcher::new(settings(), seed, carrier, clock, counters, log());
         upstream.attach(&dispatcher);
-        dispatcher.listed(EndpointUpdate::Restored, &hosts.listed());
+        dispatcher.listed(EndpointUpdate::Restored, &servers.listed());
         let shutdown = Rc::new(Shutdown::default());
         let classes = CLASSES.map(|(name, ..)| name.to_owned()).into();
         let labels = Labels { classes, tenants: vec![] };
         let bounds = Bounds {
             clients: 16,
             kept: 12,
-            hosts: 24,
+            servers: 24,
             callers: 8,
             held: 1 << 17,
             unread: 1 << 16,
@@ -171,17 +171,17 @@
         };
         let service = Service::new(Rc::clone(&dispatcher), labels, Rc::clone(&shutdown), bounds, log());
         // The pools live as long as the dispatcher, which holds them.
-        World { dispatcher, service, shutdown, hosts, ledger }
+        World { dispatcher, service, shutdown, servers, ledger }
     }
 
-    /// Discovery's news: hosts drain, end, and others start at their addresses; now and then nothing is heard of it.
+    /// Discovery's news: servers drain, end, and others start at their addresses; now and then nothing is heard of it.
     async fn discovery(&self, mut rng: Rng) {
         loop {
             sleep(Duration::from_millis(rng.u64(50..400))).await;
             if rng.u8(..8) == 0 {
                 self.dispatcher.listed(EndpointUpdate::Unavailable, &[]);
             }
-            let news: Host = self.hosts.turn(rng.usize(1..hosts::PLACES));
+            let news: ListedServer = self.servers.turn(rng.usize(1..servers::PLACES));
             self.ledger.met("lists");
             self.dispatcher.listed(EndpointUpdate::Delta, &[news]);
         }
@@ -210,7 +210,7 @@
         world.dispatcher.end_by(world.dispatcher.clock().now().saturating_add(crate::clock::micros(last)));
         world.shutdown.run(signal, last + WAY_OUT).await;
         world.dispatcher.idle().await;
-        // The protocol's time for a planned end: whoever waits still has lost its command.
+        // The protocol's time for a planned end: whoever waits still has lost its request.
         sleep_until(signal + longest + Duration::from_millis(700)).await;
         if world.ledger.waiting.get() > 0 {
             world.ledger.broken("-", "a client still waits at the end of the process");
@@ -231,7 +231,7 @@
         ledger.met.take().into_iter().for_each(|(what, n)| *met.entry(what).or_default() += n);
     }
     let ends = ["served", "refused", "failed", "left", "closed", "lists", "half-closed", "noise"];
-    for what in ends.into_iter().chain(hosts::DEEDS.map(|(what, _)| what)) {
+    for what in ends.into_iter().chain(servers::DEEDS.map(|(what, _)| what)) {
         assert!(met.get(what).is_some_and(|n| *n >= SEEDS / 10), "{what}: {met:?}");
     }
 }
--- a/node/src/storm/clients.rs
+++ b/node/src/storm/clients.rs
@@ -10,16 +10,16 @@
 use tokio::time::{sleep, timeout_at, Instant};
 
 use super::{World, CLASSES};
-use crate::dispatcher::{Answer, Command};
+use crate::dispatcher::{Answer, ClientRequest};
 use crate::memcache::{client_answer, write_command};
 use crate::testing;
 
 /// A request that crosses the close of its connection is sent once more; it is no loss. So long may it have been on its way.
 const CROSSING: Duration = Duration::from_millis(2);
 
-/// One command that is out on a connection.
+/// One request that is out on a connection.
 struct Out {
-    command: Command,
+    request: ClientRequest,
     sent: Instant,
     until: Instant,
 }
@@ -30,21 +30,21 @@
     while !world.shutdown.stopping() {
         let mut far = open(&world);
         for _ in 0..rng.usize(1..12) {
-            let Ok(commands) = ask(&world, client, &mut asked, &mut far, &mut rng).await else { break };
+            let Ok(requests) = ask(&world, client, &mut asked, &mut far, &mut rng).await else { break };
             match rng.u8(..100) {
                 0..8 => {
                     // It leaves with its answers owed.
                     sleep(Duration::from_millis(rng.u64(..300))).await;
-                    leave(&world, commands);
+                    leave(&world, requests);
                     break;
                 }
                 8..12 => {
                     world.ledger.met("half-closed");
                     let _ = far.shutdown().await;
-                    hear(&world, commands, &mut far).await;
+                    hear(&world, requests, &mut far).await;
                     break;
                 }
-                _ if !hear(&world, commands, &mut far).await => break,
+                _ if !hear(&world, requests, &mut far).await => break,
                 _ => {}
             }
             // Some come again at once, also to a balancer that is about to end.
@@ -57,7 +57,7 @@
     }
 }
 
-/// A client that harms: noise, halves of commands, and whole ones behind them; then it goes.
+/// A client that harms: noise, halves of requests, and whole ones behind them; then it goes.
 pub async fn harm(world: Rc<World>, client: usize, mut rng: Rng) {
     let mut asked = 0;
     while !world.shutdown.stopping() {
@@ -76,11 +76,11 @@
                 break;
             }
         }
-        let commands = ask(&world, client, &mut asked, &mut far, &mut rng).await;
+        let requests = ask(&world, client, &mut asked, &mut far, &mut rng).await;
         sleep(Duration::from_millis(rng.u64(..200))).await;
         let _ = far.write_all(b"mg half v O").await;
         sleep(Duration::from_millis(rng.u64(..100))).await;
-        leave(&world, commands.unwrap_or_default());
+        leave(&world, requests.unwrap_or_default());
         drop(far);
     }
 }
@@ -92,13 +92,13 @@
     far
 }
 
-fn leave(world: &World, commands: VecDeque<Out>) {
+fn leave(world: &World, requests: VecDeque<Out>) {
     world.ledger.met("left");
     // The connection goes in this very moment.
-    commands.iter().for_each(|out| world.ledger.over(&String::from_utf8_lossy(&out.command.id)));
+    requests.iter().for_each(|out| world.ledger.over(&String::from_utf8_lossy(&out.request.id)));
 }
 
-/// Sends some commands in one go. An error if the connection has closed.
+/// Sends some requests in one go. An error if the connection has closed.
 async fn ask(
     world: &World,
     client: usize,
@@ -106,14 +106,14 @@
     far: &mut DuplexStream,
     rng: &mut Rng,
 ) -> std::io::Result<VecDeque<Out>> {
-    let (mut text, mut commands, mut until) = (BytesMut::new(), VecDeque::new(), Instant::now());
+    let (mut text, mut requests, mut until) = (BytesMut::new(), VecDeque::new(), Instant::now());
     for _ in 0..if rng.u8(..4) == 0 { rng.usize(2..5) } else { 1 } {
         *asked += 1;
         let class = rng.usize(..CLASSES.len() * 2).saturating_sub(CLASSES.len());
         let (name, _, deadline) = CLASSES[class];
         let id = format!("{client:02x}{asked:06x}");
         let wait = rng.u64(deadline * 7 / 10..=deadline);
-        let command = Command {
+        let request = ClientRequest {
             key: Bytes::from(format!("{:016x}", rng.u64(..20))),
             value: (class > 0).then(|| vec![b'w'; rng.usize(..3000)].into()),
             wait: Some(juniperladder::Micros(wait * 1000)),
@@ -122,36 +122,36 @@
                 ("d".into(), wait.to_string().into()),
                 ("k".into(), id.clone().into()),
             ],
-            ..testing::command(&id, None)
+            ..testing::request(&id, None)
         };
-        write_command(&mut text, &command, command.wait.unwrap_or_default());
+        write_command(&mut text, &request, request.wait.unwrap_or_default());
         world.ledger.sends(&id, class);
         // The wait for the answers before it does not count.
         until = until.max(Instant::now() + Duration::from_millis(wait));
-        commands.push_back(Out { command, sent: Instant::now(), until });
+        requests.push_back(Out { request, sent: Instant::now(), until });
     }
     let sent = far.write_all(&text).await;
     if sent.is_err() {
         // Nothing of it was read.
         world.ledger.met("closed");
     }
-    sent.map(|()| commands)
+    sent.map(|()| requests)
 }
 
 /// Reads the answers, and tells whether the connection can go on.
-async fn hear(world: &World, commands: VecDeque<Out>, far: &mut DuplexStream) -> bool {
+async fn hear(world: &World, requests: VecDeque<Out>, far: &mut DuplexStream) -> bool {
     let waiting = &world.ledger.waiting;
     waiting.set(waiting.get() + 1);
-    let goes_on = answers(world, commands, far).await;
+    let goes_on = answers(world, requests, far).await;
     waiting.set(waiting.get() - 1);
     goes_on
 }
 
-async fn answers(world: &World, mut commands: VecDeque<Out>, far: &mut DuplexStream) -> bool {
+async fn answers(world: &World, mut requests: VecDeque<Out>, far: &mut DuplexStream) -> bool {
     let mut input = BytesMut::new();
-    while let Some(Out { command, sent, until }) = commands.front() {
-        let id = String::from_utf8_lossy(&command.id).into_owned();
-        match client_answer(&mut input, command) {
+    while let Some(Out { request, sent, until }) = requests.front() {
+        let id = String::from_utf8_lossy(&request.id).into_owned();
+        match client_answer(&mut input, request) {
             Ok(Some(answer)) => {
                 world.ledger.over(&id);
                 world.ledger.met(match &answer {
@@ -164,7 +164,7 @@
                         "strange"
                     }
                 });
-                commands.pop_front();
+                requests.pop_front();
                 continue;
             }
             Ok(None) => {}
