--- a/node/src/storm/hosts.rs
+++ b/node/src/storm/servers.rs
@@ -1,4 +1,4 @@
-//! Cache hosts and an origin that are slow, silent, gone or wrong, by draw.
+//! Cache servers and an origin that are slow, silent, gone or wrong, by draw.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -14,14 +14,14 @@
 
 use super::Ledger;
 use crate::connect::{Connect, Connecting, Stream};
-use crate::dispatcher::Host;
-use crate::memcache::{Commands, Incoming};
+use crate::dispatcher::ListedServer;
+use crate::memcache::{Incoming, RequestReader};
 use crate::testing::ORIGIN;
 
-/// The origin, at the first, and cache hosts.
+/// The origin, at the first, and cache servers.
 pub const PLACES: usize = 6;
 
-/// What a host does with a command, or a connection on its way, and how often in a hundred, beside what is right.
+/// What a server does with a request, or a connection on its way, and how often in a hundred, beside what is right.
 pub const DEEDS: [(&str, u8); 15] = [
     ("misses", 25),
     ("busy", 4),
@@ -52,7 +52,7 @@
     ""
 }
 
-/// When a life of a host was told to drain or to end.
+/// When a life of a server was told to drain or to end.
 type Told = Rc<Cell<Option<Instant>>>;
 
 struct Place {
@@ -61,22 +61,22 @@
     told: Told,
 }
 
-/// All hosts.
-pub struct Hosts {
+/// All servers.
+pub struct Servers {
     places: RefCell<Vec<Place>>,
     rng: RefCell<Rng>,
     ledger: Rc<Ledger>,
 }
 
-impl Hosts {
-    pub fn new(rng: Rng, ledger: Rc<Ledger>) -> Hosts {
+impl Servers {
+    pub fn new(rng: Rng, ledger: Rc<Ledger>) -> Servers {
         let place = |_| Place { life: 1, state: EndpointState::Serving, told: Rc::default() };
-        Hosts { places: RefCell::new((0..PLACES).map(place).collect()), rng: RefCell::new(rng), ledger }
+        Servers { places: RefCell::new((0..PLACES).map(place).collect()), rng: RefCell::new(rng), ledger }
     }
 
-    fn host(&self, place: usize) -> Host {
+    fn listed_server(&self, place: usize) -> ListedServer {
         let Place { life, state, .. } = &self.places.borrow()[place];
-        let entry = Endpoint {
+        let endpoint = Endpoint {
             server: ServerId(place as u64 * 1000 + life),
             zone: place as u32 % 2,
             kind: if place == 0 { ORIGIN } else { 0 },
@@ -85,16 +85,16 @@
             weight: 1.0,
             started: Micros(0),
         };
-        Host { entry, address: Some(([127, 0, 0, 1], place as u16 + 1).into()) }
+        ListedServer { endpoint, address: Some(([127, 0, 0, 1], place as u16 + 1).into()) }
     }
 
-    pub fn listed(&self) -> Vec<Host> {
-        (0..PLACES).map(|place| self.host(place)).collect()
+    pub fn listed(&self) -> Vec<ListedServer> {
+        (0..PLACES).map(|place| self.listed_server(place)).collect()
     }
 
-    /// The next thing that happens to the host at this place, as discovery tells it: it drains, it ends, and another starts
+    /// The next thing that happens to the server at this place, as discovery tells it: it drains, it ends, and another starts
     /// at its address.
-    pub fn turn(&self, place: usize) -> Host {
+    pub fn turn(&self, place: usize) -> ListedServer {
         if let Some(place) = self.places.borrow_mut().get_mut(place) {
             place.state = match place.state {
                 EndpointState::Serving => EndpointState::Draining,
@@ -107,11 +107,11 @@
                 place.told.set(place.told.get().or(Some(Instant::now())));
             }
         }
-        self.host(place)
+        self.listed_server(place)
     }
 }
 
-impl Connect for Hosts {
+impl Connect for Servers {
     fn connect(&self, address: SocketAddr) -> Connecting {
         let place = usize::from(address.port()) - 1;
         let mut rng = self.rng.borrow_mut().fork();
@@ -148,10 +148,10 @@
     }
 }
 
-/// What a host got: the command's id, and whether it writes.
+/// What a server got: the request's id, and whether it writes.
 struct Got(String, bool);
 
-/// The host's side of one connection.
+/// The server's side of one connection.
 struct Peer {
     origin: bool,
     told: Told,
@@ -198,7 +198,7 @@
                 "comes in pieces" => self.in_pieces(&answer).await,
                 "answers twice" => {
                     let first = self.far.write_all(&answer).await;
-                    // The next command may begin to come before the second.
+                    // The next request may begin to come before the second.
                     let until = Instant::now() + Duration::from_millis(self.rng.u64(..20));
                     while let Ok(Some(())) = timeout_at(until, self.read(false)).await {}
                     sleep_until(until).await;
@@ -226,7 +226,7 @@
         Ok(())
     }
 
-    /// An answer in this host's own protocol.
+    /// An answer in this server's own protocol.
     fn wrong(&self, meta: &str, status: &str) -> Vec<u8> {
         if self.origin {
             return format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").into_bytes();
@@ -260,14 +260,14 @@
         }
     }
 
-    /// The next command; none once the balancer has let go of the connection.
+    /// The next request; none once the balancer has let go of the connection.
     async fn next(&mut self) -> Option<Got> {
-        let mut commands = Commands::default();
+        let mut requests = RequestReader::default();
         loop {
-            if let Some(got) = self.take(&mut commands) {
+            if let Some(got) = self.take(&mut requests) {
                 return Some(got);
             }
-            self.read(commands.unfinished()).await?;
+            self.read(requests.unfinished()).await?;
         }
     }
 
@@ -283,12 +283,12 @@
         Some(())
     }
 
-    fn take(&mut self, commands: &mut Commands) -> Option<Got> {
+    fn take(&mut self, requests: &mut RequestReader) -> Option<Got> {
         if !self.origin {
-            return match commands.next(&mut self.input)? {
-                Incoming::Command(command, _) => {
-                    let id = String::from_utf8_lossy(&command.id).into_owned();
-                    Some(Got(id, command.value.is_some()))
+            return match requests.next(&mut self.input)? {
+                Incoming::Request(request, _) => {
+                    let id = String::from_utf8_lossy(&request.id).into_owned();
+                    Some(Got(id, request.value.is_some()))
                 }
                 other => {
                     self.ledger.broken("-", format!("a host got {other:?}"));
--- a/node/src/together.rs
+++ b/node/src/together.rs
@@ -11,7 +11,7 @@
 
 use crate::operator::ORIGIN;
 
-/// How long a send waits where a host that warms up has no part here yet: something may be lent by then.
+/// How long a send waits where a server that warms up has no part here yet: something may be lent by then.
 const MOMENT: Micros = Micros(50_000);
 
 /// The decisions' view of a balancer's side of the talk.
@@ -24,19 +24,21 @@
         Together(cluster)
     }
 
-    /// Does something with the part of a limit in units; none where there is no such limit, or the host is warm.
+    /// Does something with the part of a limit in units; none where there is no such limit, or the server is warm.
     fn units<T>(&self, of: SharedLimit, now: Micros, act: impl FnOnce(&mut Shares) -> T) -> Option<T> {
         let mut cluster = self.0.borrow_mut();
         match of {
             SharedLimit::OriginRate => cluster.limit(ORIGIN).map(act),
-            SharedLimit::SlowStart(host, started) => cluster.cold(start(host, started), now.0).0.map(act),
+            SharedLimit::SlowStart(listed_server, started) => {
+                cluster.cold(start(listed_server, started), now.0).0.map(act)
+            }
             SharedLimit::RetryBudget => None,
         }
     }
 }
 
-fn start(host: ServerId, started: Micros) -> Start {
-    Start { host: host.0, started: started.0 }
+fn start(server: ServerId, started: Micros) -> Start {
+    Start { server: server.0, started: started.0 }
 }
 
 impl Coordination for Together {
@@ -46,8 +48,8 @@
                 let has = self.0.borrow_mut().second()?.has(now.0);
                 Some(if has { Micros(0) } else { MOMENT })
             }
-            SharedLimit::SlowStart(host, started) => {
-                match self.0.borrow_mut().cold(start(host, started), now.0) {
+            SharedLimit::SlowStart(listed_server, started) => {
+                match self.0.borrow_mut().cold(start(listed_server, started), now.0) {
                     (Some(shares), _) => Some(Micros(shares.wait(now.0))),
                     (None, shut) => shut.then_some(MOMENT),
                 }
@@ -79,24 +81,24 @@
     }
 
     fn on_endpoints_changed(&mut self, servers: &[ServingServer]) {
-        let hosts = servers.iter().map(|serving| (start(serving.server, serving.started), serving.zone));
-        self.0.borrow_mut().verdicts().into_iter().for_each(|verdicts| verdicts.listed(hosts.clone()));
+        let servers = servers.iter().map(|serving| (start(serving.server, serving.started), serving.zone));
+        self.0.borrow_mut().verdicts().into_iter().for_each(|verdicts| verdicts.listed(servers.clone()));
     }
 
-    fn on_server_observed(&mut self, host: ServerId, started: Micros, silent: bool, now: Micros) {
-        let start = start(host, started);
+    fn on_server_observed(&mut self, listed_server: ServerId, started: Micros, silent: bool, now: Micros) {
+        let start = start(listed_server, started);
         self.0.borrow_mut().verdicts().into_iter().for_each(|verdicts| verdicts.saw(start, silent, now.0));
     }
 
     fn is_suspected(
         &mut self,
-        host: ServerId,
+        listed_server: ServerId,
         started: Micros,
         heard: Micros,
         per_s: f64,
         now: Micros,
     ) -> bool {
-        let start = start(host, started);
+        let start = start(listed_server, started);
         let mut cluster = self.0.borrow_mut();
         cluster.verdicts().is_some_and(|verdicts| verdicts.warned(start, heard.0, per_s, now.0))
     }
@@ -124,9 +126,9 @@
         let _ = writeln!(text, "app_limit_bound{{limit=\"{name}\"}} {bound}");
         of_limit(&mut text, name, limit);
     }
-    if let Some((limit, hosts)) = cold {
+    if let Some((limit, servers)) = cold {
         of_limit(&mut text, "cold", limit);
-        let _ = writeln!(text, "app_limit_cold_hosts {hosts}");
+        let _ = writeln!(text, "app_limit_cold_hosts {servers}");
     }
     if let Some(budget) = second {
         let figures = [
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The server side: pools of connections to the cache hosts and the origin, and the attempts on them.
+//! The server side: pools of connections to the cache servers and the origin, and the attempts on them.
 
 mod connection;
 mod uploads;
@@ -18,13 +18,13 @@
 use crate::clock::Clock;
 use crate::connect::Connect;
 use crate::counters::{increment, Counters};
-use crate::dispatcher::{Attempt, AttemptId, Carrier, Dispatcher, End, Host, Upload};
+use crate::dispatcher::{Attempt, AttemptId, Carrier, Dispatcher, End, ListedServer, Upload};
 use connection::{NoConnection, UpstreamConnection};
 use juniperladder_dispatch::log_throttle::LogThrottle;
 
 /// The part of the idle time that the settings tell after which a connection is closed here: a write must never
-/// cross the host's close, which comes by its clock and after the way there. What lies between is kept open: one
-/// of a hundred balancers comes back to a host after seconds.
+/// cross the server's close, which comes by its clock and after the way there. What lies between is kept open: one
+/// of a hundred balancers comes back to a server after seconds.
 const IDLE_PART: f64 = 0.95;
 /// The same of an idle time that was learnt from a connection that broke.
 const LEARNT_PART: f64 = 0.7;
@@ -35,13 +35,13 @@
 /// What the pools are told at the start.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Connections to all hosts together.
+    /// Connections to all servers together.
     pub connections: usize,
-    /// How much of a long value is read from its host at once.
+    /// How much of a long value is read from its server at once.
     pub piece: usize,
     /// How long one may take to come up.
     pub connect_timeout: Duration,
-    /// How long a host keeps an idle one.
+    /// How long a server keeps an idle one.
     pub idle: Duration,
     /// How long an answer is awaited whose attempt has timed out.
     pub late: Duration,
@@ -78,7 +78,7 @@
 }
 
 impl Pool {
-    /// Whether its host may be sent to, and stands where this connection leads.
+    /// Whether its server may be sent to, and stands where this connection leads.
     fn is_at(&self, connection: &UpstreamConnection) -> bool {
         self.open && self.address == Some(connection.address)
     }
@@ -120,7 +120,7 @@
 }
 
 impl Upstream {
-    /// Pools without any host yet, whose connections come up this way.
+    /// Pools without any server yet, whose connections come up this way.
     pub fn new(
         limits: Limits,
         ways: Rc<dyn Connect>,
@@ -167,7 +167,7 @@
     fn connect(&self, server: ServerId, pool: &mut Pool) {
         let (Some(this), Some(address)) = (self.this.upgrade(), pool.address) else { return };
         if pool.connecting < pool.waiting.len() {
-            // No connection is opened for what nobody waits for. One that is on its way already still tells of its host.
+            // No connection is opened for what nobody waits for. One that is on its way already still tells of its server.
             self.call_off(&mut pool.waiting, |attempt| self.over(attempt));
         }
         while pool.connecting < pool.waiting.len() && self.connections.get() < self.limits.connections {
@@ -228,7 +228,7 @@
         self.connect(server, pool);
     }
 
-    /// Whether this host may be sent to, and stands where this connection leads.
+    /// Whether this server may be sent to, and stands where this connection leads.
     fn is_at(&self, connection: &UpstreamConnection) -> bool {
         self.pools.borrow().get(&connection.server).is_some_and(|pool| pool.is_at(connection))
     }
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Learns from a connection that stood idle for so long and was used again. Hosts, and what stands between,
+    /// Learns from a connection that stood idle for so long and was used again. Servers, and what stands between,
     /// may let go of idle connections sooner than the settings tell, and say so only at the next write.
     fn learn(&self, idle: Duration, broke: bool) {
         let keep = self.keep.get();
@@ -273,11 +273,11 @@
     }
 
     /// Counts an answer that made no sense, and logs it where no other has been in this second.
-    fn tell_bad(&self, host: &SocketAddr, problem: &str) {
+    fn tell_bad(&self, listed_server: &SocketAddr, problem: &str) {
         let bad = &self.counters.malformed_responses;
         increment(bad);
         if self.log_throttle.allows() {
-            warn!(self.log, "bad answer"; "host" => host.to_string(), "problem" => problem, "so far" => bad.get());
+            warn!(self.log, "bad answer"; "host" => listed_server.to_string(), "problem" => problem, "so far" => bad.get());
         }
     }
 
@@ -291,7 +291,7 @@
     /// Waits for the next attempt on an idle connection.
     fn rest(&self, connection: &UpstreamConnection) -> Option<(u64, oneshot::Receiver<Attempt>)> {
         let mut pools = self.pools.borrow_mut();
-        // A host that has moved has nothing to do with whoever listens at its old address now.
+        // A server that has moved has nothing to do with whoever listens at its old address now.
         let pool = pools.get_mut(&connection.server).filter(|pool| pool.is_at(connection))?;
         let (next, receiver) = oneshot::channel();
         let id = self.last.get() + 1;
@@ -308,22 +308,22 @@
 }
 
 impl Carrier for Upstream {
-    fn listed(&self, kind: EndpointUpdate, hosts: &[Host]) {
+    fn listed(&self, kind: EndpointUpdate, servers: &[ListedServer]) {
         let mut pools = self.pools.borrow_mut();
         if kind.is_complete() {
             pools.values_mut().for_each(|pool| pool.open = false);
         }
-        for Host { entry, address } in hosts {
-            let pool = pools.entry(entry.server).or_default();
-            pool.open = entry.state == EndpointState::Serving;
-            pool.origin = self.limits.origin == Some(entry.kind);
+        for ListedServer { endpoint, address } in servers {
+            let pool = pools.entry(endpoint.server).or_default();
+            pool.open = endpoint.state == EndpointState::Serving;
+            pool.origin = self.limits.origin == Some(endpoint.kind);
             if address.is_some() && pool.address != *address {
                 pool.address = *address;
                 pool.idle.clear();
             }
         }
         for pool in pools.values_mut().filter(|pool| !pool.open) {
-            // Nothing may begin at a host that drains or is gone: its first byte would count.
+            // Nothing may begin at a server that drains or is gone: its first byte would count.
             pool.idle.clear();
             self.call_off(&mut pool.waiting, |_| true);
         }
@@ -336,7 +336,7 @@
         let Some(pool) = pools.get_mut(&server).filter(|pool| pool.open && pool.address.is_some()) else {
             return self.end_later(attempt.id, End::CalledOff);
         };
-        if let Some(ticket) = &attempt.command.ticket {
+        if let Some(ticket) = &attempt.request.ticket {
             // All else is written; where that has failed it never ran, and nobody has it to send it again.
             let id = attempt.id;
             if ticket.give(attempt.clone()) {
@@ -377,8 +377,8 @@
         let Some(pool) = pools.get_mut(&server) else { return false };
         pool.waiting.retain(|attempt| attempt.id != id);
         let Some(carried) = pool.running.get(&id) else { return false };
-        // A late answer is read off as long as there is room: it may still serve its command, and a new
-        // connection costs the host work.
+        // A late answer is read off as long as there is room: it may still serve its request, and a new
+        // connection costs the server work.
         // The origin does no work that nobody waits for, which only a close tells it.
         let crowded = self.connections.get() * 4 > self.limits.connections * 3;
         if crowded || pool.origin || !self.limits.may_duplicate {
--- a/node/src/upstream/connection.rs
+++ b/node/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a host: it comes up, carries attempts one after the other, and rests between them.
+//! One connection to a server: it comes up, carries attempts one after the other, and rests between them.
 
 use std::future::poll_fn;
 use std::io::{self, ErrorKind};
@@ -30,7 +30,7 @@
 /// Room made for each read.
 const READ: usize = 4096;
 
-/// One connection to a host.
+/// One connection to a server.
 pub(super) struct UpstreamConnection {
     pub(super) server: ServerId,
     pub(super) origin: bool,
@@ -80,7 +80,7 @@
 /// An answer is not waited for any longer.
 struct Stopped;
 
-/// What was heard from a host.
+/// What was heard from a server.
 enum Heard {
     /// Its whole reply.
     Whole(Reply, After),
@@ -109,7 +109,7 @@
         self.carry(upstream, stream).await;
     }
 
-    /// A connection to the host, if one comes up in time.
+    /// A connection to the server, if one comes up in time.
     pub(super) async fn connect(&self, upstream: &Upstream) -> Result<Box<dyn Stream>, NoConnection> {
         let connect = timeout(upstream.limits.connect_timeout, upstream.ways.connect(self.address));
         let stream = match connect.await {
@@ -143,14 +143,14 @@
                     None => return,
                 },
             };
-            // The runtime looks for news of the connection first: some hosts close right behind an answer.
+            // The runtime looks for news of the connection first: some servers close right behind an answer.
             yield_now().await;
             // A connection that ended meanwhile is no try: nothing of the attempt was written.
             if !upstream.is_at(self) {
                 return upstream.put_back(self.server, attempt);
             }
             if !quiet(&mut stream, &mut input) {
-                // One that has only just come up tells of its host, which would do so again without end.
+                // One that has only just come up tells of its server, which would do so again without end.
                 return match fresh {
                     true => upstream.stopped(self.server, attempt.id, End::NotSent),
                     false => upstream.put_back(self.server, attempt),
@@ -198,16 +198,16 @@
     ) -> After {
         let wait = attempt.until.saturating_sub(upstream.clock.now());
         if wait.0 == 0 || upstream.over(&attempt) {
-            // It timed out on its way here, or its command was answered; to write it now would be work for nobody.
+            // It timed out on its way here, or its request was answered; to write it now would be work for nobody.
             let end = if wait.0 == 0 { End::NotSent } else { End::CalledOff };
             upstream.stopped(self.server, attempt.id, end);
             return After::Keep;
         }
         let mut output = BytesMut::new();
         if self.origin {
-            http::write_command(&mut output, &attempt.command, &self.address.to_string(), wait);
+            http::write_command(&mut output, &attempt.request, &self.address.to_string(), wait);
         } else {
-            memcache::write_command(&mut output, &attempt.command, wait);
+            memcache::write_command(&mut output, &attempt.request, wait);
         }
         self.send(upstream, stream, input, attempt, &output, wait).await
     }
@@ -266,7 +266,7 @@
         input: &mut BytesMut,
         attempt: &Attempt,
     ) -> Result<Heard, Option<String>> {
-        let write = attempt.command.value.is_some();
+        let write = attempt.request.value.is_some();
         let mut response = Response::default();
         loop {
             input.reserve(READ);
@@ -277,7 +277,7 @@
                     response.ended();
                 }
                 let id = response.head.as_ref().and_then(|head| head.id.as_ref());
-                if id.is_some_and(|id| *id != attempt.command.id) {
+                if id.is_some_and(|id| *id != attempt.request.id) {
                     return Err(Some("a response for another id".into()));
                 }
                 if let Some(length) = response.long().filter(|_| !write) {
@@ -291,7 +291,7 @@
                     let reply = http::reply(&response, write).map_err(Some)?;
                     return Ok(Heard::Whole(reply, after(&response)));
                 }
-            } else if let Some(heard) = memcache::answered(input, &attempt.command).map_err(Some)? {
+            } else if let Some(heard) = memcache::answered(input, &attempt.request).map_err(Some)? {
                 return Ok(match heard {
                     memcache::Answered::Whole(reply) => Heard::Whole(reply, After::Keep),
                     memcache::Answered::Long(length, rest) => Heard::Long(length, Body::Meta(rest)),
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -1,17 +1,17 @@
-//! Pools and connections, against hosts played in memory and on loopback.
+//! Pools and connections, against servers played in memory and on loopback.
 
 use super::connection::{After, UpstreamConnection};
 use super::*;
 use crate::dispatcher::Answer;
 use crate::memcache;
-use crate::testing::{self, host, settle, Recorder, HOST};
+use crate::testing::{self, listed_server, settle, Recorder, SERVER};
 use bytes::BytesMut;
 use juniperladder::Idempotency;
 use proptest::prelude::*;
 use tokio::io::{duplex, AsyncReadExt, AsyncWriteExt};
 use tokio::time::{sleep, timeout};
 
-/// What a host does with one attempt.
+/// What a server does with one attempt.
 #[derive(Clone, Debug)]
 enum Peer {
     /// Reads so many bytes and closes.
@@ -52,12 +52,12 @@
             let dispatcher = testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
             let upstream = testing::upstream(1);
             upstream.attach(&dispatcher);
-            let (_, answer) = dispatcher.take(testing::command("7", Some(vec![b'x'; size]))).unwrap();
+            let (_, answer) = dispatcher.take(testing::request("7", Some(vec![b'x'; size]))).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             let (mut near, mut far) = duplex(room);
-            let connection = UpstreamConnection { server: HOST, origin: false, address: ([127, 0, 0, 1], 1).into() };
+            let connection = UpstreamConnection { server: SERVER, origin: false, address: ([127, 0, 0, 1], 1).into() };
             let mut wire = BytesMut::new();
-            memcache::write_command(&mut wire, &attempt.command, juniperladder::Micros(470_000));
+            memcache::write_command(&mut wire, &attempt.request, juniperladder::Micros(470_000));
             let length = wire.len();
             let want = match &peer {
                 Peer::Leaves(n) if n + room >= length => "resets",
@@ -66,12 +66,12 @@
                 Peer::Answers(text) if text.starts_with("EN") => "misses",
                 Peer::Answers(text) if text.contains("busy") => "full",
                 Peer::Answers(text) if text.contains("failed") => "errors",
-                // Spoilt: it has run, the host is at work, and the connection is of no further use.
+                // Spoilt: it has run, the server is at work, and the connection is of no further use.
                 Peer::Answers(text) if text.ends_with("\r\n") => "errors",
                 Peer::Answers(_) | Peer::Silent => "resets",
             };
             let leaves = matches!(peer, Peer::Leaves(_));
-            let host = async {
+            let listed_server = async {
                 let mut seen = vec![0; match peer { Peer::Leaves(n) => n.min(length), _ => length }];
                 far.read_exact(&mut seen).await.unwrap();
                 match peer {
@@ -91,7 +91,7 @@
                 drop(near);
                 after
             };
-            let (after, ()) = tokio::join!(carry, host);
+            let (after, ()) = tokio::join!(carry, listed_server);
             let counted: Vec<_> = dispatcher.counters().figures().into_iter()
                 .filter(|(name, n)| *n > 0 && !name.starts_with("rejected_") && !["commands", "attempts", "served", "rejected", "failed", "bad_answers"].contains(name))
                 .collect();
@@ -113,26 +113,26 @@
         let dispatcher =
             testing::dispatcher(testing::settings(1, Idempotency::Idempotent), upstream.clone(), 1);
         upstream.attach(&dispatcher);
-        let (_, answer) = dispatcher.take(testing::command("7", None)).unwrap();
+        let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
         settle().await;
         assert_eq!(dispatcher.counters().attempts_not_sent.get(), 0, "it waits for a connection");
-        dispatcher.listed(EndpointUpdate::Delta, &[host(HOST, EndpointState::Draining)]);
+        dispatcher.listed(EndpointUpdate::Delta, &[listed_server(SERVER, EndpointState::Draining)]);
         assert!(matches!(answer.await, Ok(Answer::Rejected(_))));
         assert_eq!(dispatcher.counters().attempts_not_sent.get(), 1);
     });
 }
 
-/// A connection that comes up when its command is over, its client gone or answered from elsewhere, gets nothing of
-/// that command, and the next command can use it.
+/// A connection that comes up when its request is over, its client gone or answered from elsewhere, gets nothing of
+/// that request, and the next request can use it.
 #[test]
 fn a_connection_that_comes_up_late_gets_nothing_of_a_command_that_is_over() {
     testing::run_on_sockets(async {
         let (dispatcher, upstream, listener) = world(1).await;
-        let (id, _answer) = dispatcher.take(testing::command("1", None)).unwrap();
+        let (id, _answer) = dispatcher.take(testing::request("1", None)).unwrap();
         dispatcher.gone(id);
         let (mut stream, _) = listener.accept().await.unwrap();
         settle().await;
-        let (_, answer) = dispatcher.take(testing::command("2", None)).unwrap();
+        let (_, answer) = dispatcher.take(testing::request("2", None)).unwrap();
         let got = command_at(&mut stream).await;
         assert!(got.starts_with("mg ") && got.contains(" O2 ") && !got.contains(" O1 "), "{got}");
         stream.write_all(b"VA 1 O2\r\nv\r\n").await.unwrap();
@@ -144,7 +144,7 @@
     });
 }
 
-/// A write that stands still half-way is not carried on once its command is over, though the way clears.
+/// A write that stands still half-way is not carried on once its request is over, though the way clears.
 #[test]
 fn what_is_half_written_ends_with_its_command() {
     testing::run(async {
@@ -153,12 +153,12 @@
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
         let upstream = testing::upstream(1);
         upstream.attach(&dispatcher);
-        let (id, _answer) = dispatcher.take(testing::command("7", Some(vec![b'x'; 300]))).unwrap();
+        let (id, _answer) = dispatcher.take(testing::request("7", Some(vec![b'x'; 300]))).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         let (mut near, mut far) = duplex(100);
         let connection =
-            UpstreamConnection { server: HOST, origin: false, address: ([127, 0, 0, 1], 1).into() };
-        let host = async {
+            UpstreamConnection { server: SERVER, origin: false, address: ([127, 0, 0, 1], 1).into() };
+        let listed_server = async {
             settle().await;
             dispatcher.gone(id);
             let mut got = Vec::new();
@@ -170,16 +170,16 @@
             drop(near);
             after
         };
-        assert_eq!(tokio::join!(carry, host), (After::Close, 100));
+        assert_eq!(tokio::join!(carry, listed_server), (After::Close, 100));
         assert_eq!(upstream.counters.attempts_written.get(), 0);
     });
 }
 
-/// Connections are bounded over all hosts: one that is idle gives way to an attempt elsewhere.
+/// Connections are bounded over all servers: one that is idle gives way to an attempt elsewhere.
 #[test]
 fn an_idle_connection_makes_room() {
     testing::run_on_sockets(async {
-        let hosts = [
+        let servers = [
             tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap(),
             tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap(),
         ];
@@ -187,12 +187,12 @@
         let dispatcher =
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), upstream.clone(), 0);
         upstream.attach(&dispatcher);
-        for listener in &hosts {
-            let mut up = host(HOST, EndpointState::Serving);
+        for listener in &servers {
+            let mut up = listed_server(SERVER, EndpointState::Serving);
             up.address = listener.local_addr().ok();
-            up.entry.server = ServerId(up.address.unwrap().port().into());
+            up.endpoint.server = ServerId(up.address.unwrap().port().into());
             dispatcher.listed(EndpointUpdate::Snapshot, &[up]);
-            let (_, answer) = dispatcher.take(testing::command("7", Some(vec![]))).unwrap();
+            let (_, answer) = dispatcher.take(testing::request("7", Some(vec![]))).unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
             stream.read_buf(&mut BytesMut::new()).await.unwrap();
             stream.write_all(b"HD O7 cr1\r\n").await.unwrap();
@@ -229,11 +229,11 @@
                 testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
             let upstream = testing::upstream(1);
             upstream.attach(&dispatcher);
-            let (_, answer) = dispatcher.take(testing::command("7", None)).unwrap();
+            let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             let (mut near, mut far) = duplex(1 << 12);
             let connection =
-                UpstreamConnection { server: HOST, origin: true, address: ([127, 0, 0, 1], 1).into() };
+                UpstreamConnection { server: SERVER, origin: true, address: ([127, 0, 0, 1], 1).into() };
             far.write_all(text.as_bytes()).await.unwrap();
             let mut input = BytesMut::new();
             connection.execute(&upstream, &mut near, &mut input, attempt).await;
@@ -254,11 +254,11 @@
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
         let upstream = testing::upstream(1);
         upstream.attach(&dispatcher);
-        let _answer = dispatcher.take(testing::command("7", None)).unwrap();
+        let _answer = dispatcher.take(testing::request("7", None)).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         let (mut near, mut far) = duplex(1 << 12);
         let connection =
-            UpstreamConnection { server: HOST, origin: true, address: ([127, 0, 0, 1], 1).into() };
+            UpstreamConnection { server: SERVER, origin: true, address: ([127, 0, 0, 1], 1).into() };
         spawn_local(async move {
             let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nb2d05e00\r\n";
             far.write_all(head).await.unwrap();
@@ -270,20 +270,20 @@
     });
 }
 
-/// The origin does no work that nobody waits for, and only a close tells it. At a cache host the answer is
+/// The origin does no work that nobody waits for, and only a close tells it. At a cache server the answer is
 /// read off, as nothing stops there.
 #[test]
 fn a_time_out_closes_the_connection_to_the_origin() {
     testing::run(async {
         for kind in [0, testing::ORIGIN] {
             let upstream = testing::upstream(4);
-            let mut listed = host(HOST, EndpointState::Serving);
-            listed.entry.kind = kind;
+            let mut listed = listed_server(SERVER, EndpointState::Serving);
+            listed.endpoint.kind = kind;
             upstream.listed(EndpointUpdate::Snapshot, &[listed]);
             let id = AttemptId(1);
-            upstream.pools.borrow_mut().entry(HOST).or_default().running.insert(id, Carried::default());
-            let stop = upstream.written(HOST, id);
-            assert!(upstream.abandon(id, HOST));
+            upstream.pools.borrow_mut().entry(SERVER).or_default().running.insert(id, Carried::default());
+            let stop = upstream.written(SERVER, id);
+            assert!(upstream.abandon(id, SERVER));
             let told = timeout(Duration::from_secs(1), stop.notified()).await.is_ok();
             assert_eq!(told, kind == testing::ORIGIN);
         }
@@ -313,26 +313,29 @@
     });
 }
 
-/// A host that has moved has nothing to do with whoever listens at its old address.
+/// A server that has moved has nothing to do with whoever listens at its old address.
 #[test]
 fn a_connection_to_an_old_address_is_not_used() {
     testing::run(async {
         let upstream = testing::upstream(4);
-        let moved = host(HOST, EndpointState::Serving);
+        let moved = listed_server(SERVER, EndpointState::Serving);
         upstream.listed(EndpointUpdate::Snapshot, std::slice::from_ref(&moved));
-        let connection =
-            |port| UpstreamConnection { server: HOST, origin: false, address: ([127, 0, 0, 1], port).into() };
+        let connection = |port| UpstreamConnection {
+            server: SERVER,
+            origin: false,
+            address: ([127, 0, 0, 1], port).into(),
+        };
         assert!(upstream.rest(&connection(1)).is_some());
         assert!(upstream.rest(&connection(2)).is_none() && upstream.next(&connection(2)).is_none());
     });
 }
 
-/// A host that refuses connections fails each attempt once, as one that never ran.
+/// A server that refuses connections fails each attempt once, as one that never ran.
 #[test]
 fn a_refused_connection_never_ran() {
     testing::run_on_sockets(async {
         let closed = std::net::TcpListener::bind(("127.0.0.1", 0)).unwrap();
-        let mut down = host(HOST, EndpointState::Serving);
+        let mut down = listed_server(SERVER, EndpointState::Serving);
         down.address = closed.local_addr().ok();
         drop(closed);
         let upstream = testing::upstream(4);
@@ -340,29 +343,29 @@
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), upstream.clone(), 0);
         upstream.attach(&dispatcher);
         dispatcher.listed(EndpointUpdate::Restored, &[down]);
-        let (_, first) = dispatcher.take(testing::command("7", None)).unwrap();
-        let (_, second) = dispatcher.take(testing::command("8", None)).unwrap();
+        let (_, first) = dispatcher.take(testing::request("7", None)).unwrap();
+        let (_, second) = dispatcher.take(testing::request("8", None)).unwrap();
         assert!(matches!((first.await, second.await), (Ok(Answer::Rejected(_)), Ok(Answer::Rejected(_)))));
         assert_eq!(dispatcher.counters().connect_failed.get(), 2);
         assert_eq!(upstream.connections.get(), 0);
     });
 }
 
-/// A pool over one host on loopback, with so many attempts for each command, and what listens there.
+/// A pool over one server on loopback, with so many attempts for each request, and what listens there.
 async fn world(attempts: u32) -> (Rc<Dispatcher>, Rc<Upstream>, tokio::net::TcpListener) {
     let listener = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let upstream = testing::upstream(4);
     let dispatcher =
         testing::dispatcher(testing::settings(attempts, Idempotency::NotIdempotent), upstream.clone(), 0);
     upstream.attach(&dispatcher);
-    let mut up = host(HOST, EndpointState::Serving);
+    let mut up = listed_server(SERVER, EndpointState::Serving);
     up.address = listener.local_addr().ok();
     dispatcher.listed(EndpointUpdate::Snapshot, &[up]);
     (dispatcher, upstream, listener)
 }
 
-/// A host that takes connections and ends them at once, or greets whoever comes, is no host that may be tried without end: each
-/// attempt opens one connection, and the command is told that it never ran.
+/// A server that takes connections and ends them at once, or greets whoever comes, is no server that may be tried without end: each
+/// attempt opens one connection, and the request is told that it never ran.
 #[test]
 fn a_host_that_ends_new_connections_is_not_tried_without_end() {
     for greets in [false, true] {
@@ -383,7 +386,7 @@
                     }
                 }
             });
-            let (_, answer) = dispatcher.take(testing::command("7", None)).unwrap();
+            let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
             assert!(matches!(answer.await, Ok(Answer::Rejected(_) | Answer::Failed)));
             assert!(accepted.get() <= 3, "{} connections for three attempts", accepted.get());
             assert_eq!(upstream.counters.attempts_written.get(), 0, "nothing of it was written");
@@ -391,14 +394,14 @@
     }
 }
 
-/// Half a line that comes on a resting connection spoils that connection and nothing else: the next command goes out on a new
+/// Half a line that comes on a resting connection spoils that connection and nothing else: the next request goes out on a new
 /// one, whether the bytes come before it or in the moment in which the connection is given to it.
 #[test]
 fn half_a_line_spoils_its_connection_and_no_command() {
     for at_once in [false, true] {
         testing::run_on_sockets(async {
             let (dispatcher, upstream, listener) = world(3).await;
-            let (_, first) = dispatcher.take(testing::command("1", None)).unwrap();
+            let (_, first) = dispatcher.take(testing::request("1", None)).unwrap();
             let (mut resting, _) = listener.accept().await.unwrap();
             command_at(&mut resting).await;
             resting.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
@@ -406,13 +409,13 @@
             settle().await;
             let second = if at_once {
                 // The pool has not looked at the connection since: it gives it away, and the bytes are there.
-                let (_, second) = dispatcher.take(testing::command("2", None)).unwrap();
+                let (_, second) = dispatcher.take(testing::request("2", None)).unwrap();
                 resting.try_write(b"VA 1").unwrap();
                 second
             } else {
                 resting.write_all(b"VA 1").await.unwrap();
                 settle().await;
-                dispatcher.take(testing::command("2", None)).unwrap().1
+                dispatcher.take(testing::request("2", None)).unwrap().1
             };
             let (mut fresh, _) = listener.accept().await.unwrap();
             command_at(&mut fresh).await;
@@ -432,11 +435,11 @@
     for (reset, body) in [(false, true), (true, true), (true, false)] {
         testing::run_on_sockets(async {
             let (dispatcher, _upstream, listener) = world(3).await;
-            let mut origin = host(HOST, EndpointState::Serving);
+            let mut origin = listed_server(SERVER, EndpointState::Serving);
             origin.address = listener.local_addr().ok();
-            origin.entry.kind = testing::ORIGIN;
+            origin.endpoint.kind = testing::ORIGIN;
             dispatcher.listed(EndpointUpdate::Snapshot, &[origin]);
-            let (_, answer) = dispatcher.take(testing::command("7", None)).unwrap();
+            let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
             let mut got = BytesMut::new();
             while !got.ends_with(b"\r\n\r\n") {
@@ -456,7 +459,7 @@
     }
 }
 
-/// Reads one command's line.
+/// Reads one request's line.
 async fn command_at(stream: &mut tokio::net::TcpStream) -> String {
     let mut got = BytesMut::new();
     while !got.ends_with(b"\r\n") {
@@ -465,24 +468,24 @@
     String::from_utf8_lossy(&got).into_owned()
 }
 
-/// A list that crosses a hand-over: the resting connection has been given its next command, and before a byte of that is written
-/// the host drains, is gone, or stands elsewhere. Nothing goes out on the old connection.
+/// A list that crosses a hand-over: the resting connection has been given its next request, and before a byte of that is written
+/// the server drains, is gone, or stands elsewhere. Nothing goes out on the old connection.
 #[test]
 fn a_list_that_crosses_a_hand_over_comes_first() {
     for change in [EndpointState::Draining, EndpointState::Deleted, EndpointState::Serving] {
         testing::run_on_sockets(async {
             let (dispatcher, upstream, old) = world(3).await;
             let new = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
-            let (_, first) = dispatcher.take(testing::command("1", None)).unwrap();
+            let (_, first) = dispatcher.take(testing::request("1", None)).unwrap();
             let (mut resting, _) = old.accept().await.unwrap();
             command_at(&mut resting).await;
             resting.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
             assert!(first.await.is_ok());
             settle().await;
             assert_eq!(upstream.connections.get(), 1, "it rests");
-            // Without a moment between: the command is given to the connection, and the list comes.
-            let (_, second) = dispatcher.take(testing::command("2", None)).unwrap();
-            let mut listed = host(HOST, change);
+            // Without a moment between: the request is given to the connection, and the list comes.
+            let (_, second) = dispatcher.take(testing::request("2", None)).unwrap();
+            let mut listed = listed_server(SERVER, change);
             listed.address = new.local_addr().ok();
             dispatcher.listed(EndpointUpdate::Delta, &[listed]);
             if change == EndpointState::Serving {
--- a/node/src/upstream/uploads.rs
+++ b/node/src/upstream/uploads.rs
@@ -1,8 +1,8 @@
 //! Long values that clients write, on their way to the origin while they still come.
 //!
-//! A host begins a command with its last byte. So all of a long value but that byte can go ahead, at the pace of its
-//! client and a few pieces at a time, before the command is whole and before the decisions hear of it; the last byte
-//! is the attempt. A value that breaks off, or whose command is refused, never ran: its connection ends.
+//! A server begins a request with its last byte. So all of a long value but that byte can go ahead, at the pace of its
+//! client and a few pieces at a time, before the request is whole and before the decisions hear of it; the last byte
+//! is the attempt. A value that breaks off, or whose request is refused, never ran: its connection ends.
 
 use std::rc::Rc;
 
@@ -17,7 +17,7 @@
 use crate::http;
 use crate::passing::STALLED;
 
-/// The part of the connections to hosts that long values may hold: clients may be slow, and others need theirs.
+/// The part of the connections to servers that long values may hold: clients may be slow, and others need theirs.
 const PART: usize = 4;
 
 /// Counts an upload for as long as it is on its way.
@@ -87,9 +87,9 @@
     async fn send_ahead(&self, upstream: &Upstream, upload: &Upload) -> Option<Box<dyn Stream>> {
         let mut stream = self.connect(upstream).await.ok()?;
         let length = upload.value.length();
-        let (mut head, host) = (BytesMut::new(), self.address.to_string());
-        let wait = upload.command.wait.unwrap_or_default();
-        http::write_head(&mut head, &upload.command, &host, wait, Some(length));
+        let (mut head, listed_server) = (BytesMut::new(), self.address.to_string());
+        let wait = upload.request.wait.unwrap_or_default();
+        http::write_head(&mut head, &upload.request, &listed_server, wait, Some(length));
         timeout(STALLED, stream.write_all(&head)).await.ok()?.ok()?;
         let mut left = length - 1;
         while left > 0 {
@@ -106,7 +106,7 @@
     use super::*;
     use crate::bounds::Bounds;
     use crate::service::{Labels, Service};
-    use crate::testing::{self, host, log, HOST, ORIGIN};
+    use crate::testing::{self, listed_server, log, ORIGIN, SERVER};
     use juniperladder::{CacheMode, EndpointState, EndpointUpdate, Idempotency, ServerId};
     use tokio::io::AsyncReadExt;
     use tokio::net::{TcpListener, TcpStream};
@@ -123,13 +123,13 @@
         };
         let dispatcher = testing::dispatcher(settings, upstream.clone(), 0);
         upstream.attach(&dispatcher);
-        let mut up = host(ServerId(HOST.0 + 1), EndpointState::Serving);
-        (up.entry.kind, up.address) = (ORIGIN, origin.local_addr().ok());
+        let mut up = listed_server(ServerId(SERVER.0 + 1), EndpointState::Serving);
+        (up.endpoint.kind, up.address) = (ORIGIN, origin.local_addr().ok());
         dispatcher.listed(EndpointUpdate::Snapshot, &[up]);
         let bounds = Bounds {
             clients: 8,
             kept: 4,
-            hosts: 8,
+            servers: 8,
             callers: 8,
             held: 1 << 17,
             unread: 1 << 16,
@@ -213,7 +213,7 @@
         testing::run_on_sockets(async {
             let (upstream, _client, _origin) = world().await;
             let dispatcher = upstream.dispatcher.borrow().upgrade().unwrap();
-            let begin = |_| dispatcher.upload(&testing::command("7", None), LENGTH).unwrap();
+            let begin = |_| dispatcher.upload(&testing::request("7", None), LENGTH).unwrap();
             let mut ways: Vec<_> = (0..5).map(begin).collect();
             assert_eq!((upstream.uploads.get(), upstream.connections.get()), (2, 2));
             let mut taken = |place: usize| ways[place].1.push_now("v".into()).is_ok();
--- a/node/src/writing.rs
+++ b/node/src/writing.rs
@@ -4,17 +4,17 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use juniperladder::ServerId;
-use juniperladder_dispatch::command::{ticket, Ticket};
 use juniperladder_dispatch::long::Feed;
+use juniperladder_dispatch::request::{ticket, Ticket};
 
-use crate::dispatcher::{Command, Dispatcher};
+use crate::dispatcher::{ClientRequest, Dispatcher};
 
 /// How much of a long value a client has brought before a connection to the origin is opened for it.
 const AHEAD: usize = 16 * 1024;
 
-/// A command whose long value is coming.
+/// A request whose long value is coming.
 pub struct Writing {
-    command: Box<Command>,
+    request: Box<ClientRequest>,
     length: usize,
     /// What came before it was worth a connection.
     ahead: BytesMut,
@@ -23,11 +23,11 @@
 }
 
 impl Writing {
-    /// A command whose line has come, and then a value of so many bytes.
-    pub fn new(mut command: Box<Command>, length: usize) -> Writing {
+    /// A request whose line has come, and then a value of so many bytes.
+    pub fn new(mut request: Box<ClientRequest>, length: usize) -> Writing {
         // A write all the same, whose value goes another way.
-        command.value = Some(Bytes::new());
-        Writing { command, length, ahead: BytesMut::new(), begun: false, way: None }
+        request.value = Some(Bytes::new());
+        Writing { request, length, ahead: BytesMut::new(), begun: false, way: None }
     }
 
     /// Lets go of what is on its way: its client has left. The value is still read to its end.
@@ -47,7 +47,7 @@
         self.way.as_ref().is_some_and(|(_, feed)| !feed.has_room())
     }
 
-    /// Takes a piece of the value. What nobody takes any longer is let go of: the command is told so at its end.
+    /// Takes a piece of the value. What nobody takes any longer is let go of: the request is told so at its end.
     pub fn add(&mut self, dispatcher: &Dispatcher, piece: Bytes, end: bool) {
         if self.begun {
             self.pass(piece);
@@ -56,7 +56,7 @@
         self.ahead.put_slice(&piece);
         if end || self.ahead.len() >= AHEAD {
             self.begun = true;
-            self.way = dispatcher.upload(&self.command, self.length);
+            self.way = dispatcher.upload(&self.request, self.length);
             let ahead = self.ahead.split().freeze();
             self.pass(ahead);
         }
@@ -68,15 +68,15 @@
         }
     }
 
-    /// The command, once its value is whole.
-    pub fn whole(self) -> Command {
+    /// The request, once its value is whole.
+    pub fn whole(self) -> ClientRequest {
         // Without a way it is taken all the same, and what decides hears that it did not go.
         let (ticket, last) = match self.way {
             Some((ticket, feed)) => (ticket, feed.last()),
             None => (ticket(ServerId(0)).0, None),
         };
         let ticket = Some(ticket.whole(last.unwrap_or_default()));
-        Command { ticket, ..*self.command }
+        ClientRequest { ticket, ..*self.request }
     }
 }
 
--- a/node/tests/two_deployments.rs
+++ b/node/tests/two_deployments.rs
@@ -80,8 +80,8 @@
         first.ask(line).await;
         second.ask(line).await;
         let (at_first, at_second) = (first.begun().await, second.begun().await);
-        assert_eq!((at_first.command.class, at_first.command.tenant), (1, 0));
-        assert_eq!((at_second.command.class, at_second.command.tenant), (0, 1));
+        assert_eq!((at_first.request.class, at_first.request.tenant), (1, 0));
+        assert_eq!((at_second.request.class, at_second.request.tenant), (0, 1));
         let left =
             |of: &Deployment, attempt: &Attempt| attempt.until.saturating_sub(of.dispatcher.clock().now());
         let (left_first, left_second) = (left(&first, &at_first), left(&second, &at_second));
@@ -90,7 +90,7 @@
         // Broken off, a keyed write may be repeated at the first; at the second nothing may.
         first.dispatcher.ended(at_first.id, End::Broken);
         second.dispatcher.ended(at_second.id, End::Broken);
-        assert_eq!(first.begun().await.command.id, "1");
+        assert_eq!(first.begun().await.request.id, "1");
         assert_eq!(second.answer().await, "SERVER_ERROR failed\r\n");
         assert!(second.recorder.begun.borrow().is_empty());
         // Neither knows the other's classes or tenants; who names no tenant of theirs is served, and is nobody's.
@@ -99,7 +99,7 @@
         assert_eq!(second.answer().await, "CLIENT_ERROR unknown class\r\n");
         first.ask("mg k v O3 Pc=read,t=beta,d=500\r\n").await;
         second.ask("mg k v O3 Pc=list,d=500\r\n").await;
-        assert_eq!(first.begun().await.command.tenant, 1, "beyond the only one");
-        assert_eq!(second.begun().await.command.tenant, 2, "beyond both");
+        assert_eq!(first.begun().await.request.tenant, 1, "beyond the only one");
+        assert_eq!(second.begun().await.request.tenant, 2, "beyond both");
     });
 }
--- a/protocols/src/http.rs
+++ b/protocols/src/http.rs
@@ -8,7 +8,7 @@
 use winnow::token::{take_till, take_while};
 
 use crate::memcache::{number, receipt, write_properties, MAX_LONG, MAX_VALUE};
-use juniperladder_dispatch::command::Command;
+use juniperladder_dispatch::request::ClientRequest;
 use juniperladder_dispatch::values::{Answer, Reply};
 
 /// The longest head of a response.
@@ -214,16 +214,22 @@
     }
 }
 
-/// Writes a command to the origin.
-pub fn write_command(out: &mut BytesMut, command: &Command, host: &str, wait: Micros) {
-    write_head(out, command, host, wait, command.value.as_ref().map(Bytes::len));
-    command.value.iter().for_each(|value| out.put_slice(value));
+/// Writes a request to the origin.
+pub fn write_command(out: &mut BytesMut, request: &ClientRequest, host: &str, wait: Micros) {
+    write_head(out, request, host, wait, request.value.as_ref().map(Bytes::len));
+    request.value.iter().for_each(|value| out.put_slice(value));
 }
 
-/// Writes the head of a command to the origin: a write, if there is the length of a value that follows.
-pub fn write_head(out: &mut BytesMut, command: &Command, host: &str, wait: Micros, value: Option<usize>) {
+/// Writes the head of a request to the origin: a write, if there is the length of a value that follows.
+pub fn write_head(
+    out: &mut BytesMut,
+    request: &ClientRequest,
+    host: &str,
+    wait: Micros,
+    value: Option<usize>,
+) {
     out.put_slice(if value.is_some() { b"PUT /" } else { b"GET /" });
-    for byte in &command.key {
+    for byte in &request.key {
         // What would end the path, or is no URI character, is written in percent form.
         if byte.is_ascii_graphic() && !b"%?#\"<>\\^`{|}".contains(byte) {
             out.put_u8(*byte);
@@ -232,16 +238,16 @@
         }
     }
     out.put_slice(format!(" HTTP/1.1\r\nHost: {host}\r\nX-Trace-Id: ").as_bytes());
-    out.put_slice(&command.id);
+    out.put_slice(&request.id);
     out.put_slice(b"\r\nX-Props: ");
-    write_properties(out, command, wait);
+    write_properties(out, request, wait);
     if let Some(length) = value {
         out.put_slice(format!("\r\nContent-Length: {length}").as_bytes());
     }
     out.put_slice(b"\r\n\r\n");
 }
 
-/// What the origin's whole response to a command means.
+/// What the origin's whole response to a request means.
 ///
 /// # Errors
 /// What is wrong with one that is none: a write's receipt that is no word.
@@ -269,7 +275,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use juniperladder_dispatch::testing::command;
+    use juniperladder_dispatch::testing::request;
 
     fn read(text: &[u8], cut: usize) -> Result<Response, String> {
         let (mut response, mut input) = (Response::default(), BytesMut::new());
@@ -338,7 +344,7 @@
     #[test]
     fn a_command_to_the_origin_keeps_its_key_and_id() {
         let mut out = BytesMut::new();
-        let mut write = command("9b", Some(b"v\r\n".to_vec()));
+        let mut write = request("9b", Some(b"v\r\n".to_vec()));
         write.key = Bytes::from_static(b"a/b?c%");
         write_command(&mut out, &write, "127.0.0.1:1", Micros(79_500));
         let want =
--- a/protocols/src/memcache.rs
+++ b/protocols/src/memcache.rs
@@ -7,7 +7,7 @@
 use winnow::token::take_while;
 
 use juniperladder_dispatch::clock::{from_ms, to_ms};
-use juniperladder_dispatch::command::Command;
+use juniperladder_dispatch::request::ClientRequest;
 use juniperladder_dispatch::values::{Answer, Reply};
 
 /// The longest line; a key, an id and a few properties are far shorter.
@@ -28,13 +28,13 @@
 pub enum Incoming {
     /// `mn`.
     Ready,
-    /// A command, and its class by name.
-    Command(Box<Command>, Bytes),
+    /// A request, and its class by name.
+    Request(Box<ClientRequest>, Bytes),
     /// The line of a write whose value is long: its class, and the value's length. Its pieces follow.
-    Long(Box<Command>, Bytes, usize),
+    Long(Box<ClientRequest>, Bytes, usize),
     /// A piece of a long value, and whether the value is whole with it.
     Piece(Bytes, bool),
-    /// No command; this is the whole answer.
+    /// No request; this is the whole answer.
     Malformed(&'static str),
     /// The same, and what follows cannot be told apart from it: the connection has to end.
     Lost(&'static str),
@@ -42,13 +42,13 @@
     Quit,
 }
 
-/// The commands on one connection, found in the bytes as they come.
+/// The requests on one connection, found in the bytes as they come.
 #[derive(Debug, Default)]
-pub struct Commands {
+pub struct RequestReader {
     /// Bytes of a refused value that are still to come.
     skip: usize,
     /// A write whose value is not there yet, so that its line is read once.
-    pending: Option<(Box<Command>, Bytes, usize)>,
+    pending: Option<(Box<ClientRequest>, Bytes, usize)>,
     /// A long value that is coming.
     rest: Option<Rest>,
 }
@@ -67,7 +67,7 @@
     (word, words).parse_next(input)
 }
 
-/// The words of a host's line, whatever their bytes: a load report that cannot be read spoils no answer.
+/// The words of a server's line, whatever their bytes: a load report that cannot be read spoils no answer.
 fn told<'a>(input: &mut &'a [u8]) -> winnow::Result<(&'a [u8], Flags<'a>)> {
     let any = |input: &mut &'a [u8]| take_while(1.., |byte: u8| byte != b' ').parse_next(input);
     (word, terminated(repeat(0.., preceded(take_while(1.., b' '), any)), take_while(0.., b' ')))
@@ -90,13 +90,13 @@
     Some((bare, end + 1))
 }
 
-impl Commands {
-    /// Whether a command has begun that is not whole.
+impl RequestReader {
+    /// Whether a request has begun that is not whole.
     pub fn unfinished(&self) -> bool {
         self.pending.is_some() || self.rest.is_some() || self.skip > 0
     }
 
-    /// Takes the next command off the input; none until more has come.
+    /// Takes the next request off the input; none until more has come.
     pub fn next(&mut self, input: &mut BytesMut) -> Option<Incoming> {
         if self.skip > 0 {
             let part = self.skip.min(input.len());
@@ -125,13 +125,13 @@
             if bare > MAX_LINE {
                 return Some(Incoming::Malformed("CLIENT_ERROR line too long"));
             }
-            match command(&text) {
+            match request(&text) {
                 Ok(Line::Whole(incoming)) => return Some(incoming),
-                Ok(Line::Write(command, class, length)) if length > MAX_VALUE => {
+                Ok(Line::Write(request, class, length)) if length > MAX_VALUE => {
                     self.rest = Some(Rest(length));
-                    return Some(Incoming::Long(command, class, length));
+                    return Some(Incoming::Long(request, class, length));
                 }
-                Ok(Line::Write(command, class, length)) => self.pending = Some((command, class, length)),
+                Ok(Line::Write(request, class, length)) => self.pending = Some((request, class, length)),
                 Ok(Line::TooLarge(length)) if length <= MAX_SKIPPED => {
                     self.skip = length + 2;
                     return Some(Incoming::Malformed("SERVER_ERROR object too large for cache"));
@@ -146,30 +146,30 @@
         if input.len() < length + 2 {
             return None;
         }
-        let (mut command, class, _) = self.pending.take()?;
+        let (mut request, class, _) = self.pending.take()?;
         if &input[length..length + 2] != b"\r\n" {
             return Some(Incoming::Lost("CLIENT_ERROR bad data chunk"));
         }
-        command.value = Some(input.split_to(length).freeze());
+        request.value = Some(input.split_to(length).freeze());
         input.advance(2);
-        Some(Incoming::Command(command, class))
+        Some(Incoming::Request(request, class))
     }
 }
 
 enum Line {
     Whole(Incoming),
-    Write(Box<Command>, Bytes, usize),
+    Write(Box<ClientRequest>, Bytes, usize),
     TooLarge(usize),
 }
 
-fn command(text: &Bytes) -> Result<Line, Incoming> {
+fn request(text: &Bytes) -> Result<Line, Incoming> {
     let Ok((name, rest)) = line.parse(text) else { return Err(Incoming::Malformed("ERROR")) };
     match (name, rest.as_slice()) {
         (b"mn", []) => Ok(Line::Whole(Incoming::Ready)),
         (b"quit", []) => Ok(Line::Whole(Incoming::Quit)),
         (b"mg", [key, flags @ ..]) => {
-            let (command, class) = described(text, key, flags).map_err(Incoming::Malformed)?;
-            Ok(Line::Whole(Incoming::Command(command, class)))
+            let (request, class) = described(text, key, flags).map_err(Incoming::Malformed)?;
+            Ok(Line::Whole(Incoming::Request(request, class)))
         }
         (b"ms", [key, length, flags @ ..]) => {
             // Without a length nobody can tell where the value ends.
@@ -179,15 +179,15 @@
                 return Ok(Line::TooLarge(length));
             }
             // The value follows all the same, and read as a line it would be another error.
-            let (command, class) = described(text, key, flags).map_err(Incoming::Lost)?;
-            Ok(Line::Write(command, class, length))
+            let (request, class) = described(text, key, flags).map_err(Incoming::Lost)?;
+            Ok(Line::Write(request, class, length))
         }
         (b"mg" | b"ms", _) => Err(Incoming::Malformed("CLIENT_ERROR bad command line format")),
         _ => Err(Incoming::Malformed("ERROR")),
     }
 }
 
-fn described(text: &Bytes, key: &[u8], flags: &[&[u8]]) -> Result<(Box<Command>, Bytes), &'static str> {
+fn described(text: &Bytes, key: &[u8], flags: &[&[u8]]) -> Result<(Box<ClientRequest>, Bytes), &'static str> {
     let find = |name: u8| flags.iter().find(|f| f[0] == name).map(|f| text.slice_ref(&f[1..]));
     if key.len() > MAX_KEY {
         return Err("CLIENT_ERROR key too long");
@@ -204,7 +204,7 @@
     let wait = Some(from_ms(number(&wait).ok_or("CLIENT_ERROR bad properties")?));
     let class = value_of(b"c").unwrap_or_default();
     let retry = value_of(b"r").is_some_and(|mark| mark.as_ref() == b"1");
-    let command = Command {
+    let request = ClientRequest {
         id,
         key: text.slice_ref(key),
         value: None,
@@ -215,7 +215,7 @@
         wait,
         properties,
     };
-    Ok((Box::new(command), class))
+    Ok((Box::new(request), class))
 }
 
 /// Writes a final answer to a client.
@@ -246,8 +246,8 @@
 }
 
 /// The list of names and values as it came, but for `d`, which tells the wait that is left.
-pub fn write_properties(out: &mut BytesMut, command: &Command, wait: Micros) {
-    for (place, (name, value)) in command.properties.iter().enumerate() {
+pub fn write_properties(out: &mut BytesMut, request: &ClientRequest, wait: Micros) {
+    for (place, (name, value)) in request.properties.iter().enumerate() {
         if place > 0 {
             out.put_u8(b',');
         }
@@ -261,28 +261,28 @@
     }
 }
 
-/// Writes a command to a cache host.
-pub fn write_command(out: &mut BytesMut, command: &Command, wait: Micros) {
-    out.put_slice(if command.value.is_some() { b"ms " } else { b"mg " });
-    out.put_slice(&command.key);
-    match &command.value {
+/// Writes a request to a cache server.
+pub fn write_command(out: &mut BytesMut, request: &ClientRequest, wait: Micros) {
+    out.put_slice(if request.value.is_some() { b"ms " } else { b"mg " });
+    out.put_slice(&request.key);
+    match &request.value {
         Some(value) => out.put_slice(format!(" {}", value.len()).as_bytes()),
         None => out.put_slice(b" v"),
     }
     out.put_slice(b" O");
-    out.put_slice(&command.id);
-    if !command.properties.is_empty() {
+    out.put_slice(&request.id);
+    if !request.properties.is_empty() {
         out.put_slice(b" P");
-        write_properties(out, command, wait);
+        write_properties(out, request, wait);
     }
     out.put_slice(b"\r\n");
-    if let Some(value) = &command.value {
+    if let Some(value) = &request.value {
         out.put_slice(value);
         out.put_slice(b"\r\n");
     }
 }
 
-/// A cache host's answer, as far as it has come.
+/// A cache server's answer, as far as it has come.
 #[derive(Debug, PartialEq)]
 pub enum Answered {
     /// Whole.
@@ -319,10 +319,10 @@
     word.then(|| Bytes::copy_from_slice(text))
 }
 
-/// Takes a cache host's answer to this command off the input, a value only once it is whole: none until then, an
+/// Takes a cache server's answer to this request off the input, a value only once it is whole: none until then, an
 /// error when it cannot be one.
-pub fn answer(input: &mut BytesMut, command: &Command) -> Result<Option<Reply>, String> {
-    match answered(input, command)? {
+pub fn answer(input: &mut BytesMut, request: &ClientRequest) -> Result<Option<Reply>, String> {
+    match answered(input, request)? {
         Some(Answered::Whole(reply)) => Ok(Some(reply)),
         Some(Answered::Long(length, _)) => {
             Err(format!("a value of {length} bytes, too long to be taken whole"))
@@ -331,9 +331,9 @@
     }
 }
 
-/// Takes a cache host's answer to this command off the input, of a long value its line: none until it is whole, an
+/// Takes a cache server's answer to this request off the input, of a long value its line: none until it is whole, an
 /// error when it cannot be one.
-pub fn answered(input: &mut BytesMut, command: &Command) -> Result<Option<Answered>, String> {
+pub fn answered(input: &mut BytesMut, request: &ClientRequest) -> Result<Option<Answered>, String> {
     let Some((bare, whole)) = line_end(input) else {
         return if input.len() > MAX_LINE { Err("an answer's line has no end".into()) } else { Ok(None) };
     };
@@ -343,10 +343,10 @@
     let text = &input[..bare];
     let (name, flags) = told.parse(text).map_err(|_| strange(text))?;
     let flag = |name: u8| flags.iter().find(|f| f[0] == name).map(|f| &f[1..]);
-    if matches!(name, b"VA" | b"HD" | b"EN") && flag(b'O') != Some(&command.id[..]) {
+    if matches!(name, b"VA" | b"HD" | b"EN") && flag(b'O') != Some(&request.id[..]) {
         return Err(format!("an answer for another id: {}", shown(text)));
     }
-    let write = command.value.is_some();
+    let write = request.value.is_some();
     let mut value = None;
     let reply = match (name, flags.first().copied()) {
         (b"VA", Some(length)) if !write => {
@@ -386,7 +386,7 @@
     Ok(reply.map(Answered::Whole))
 }
 
-/// Writes a cache host's answer, which [`answer`] reads. `hit` tells how a read went where hosts tell that,
+/// Writes a cache server's answer, which [`answer`] reads. `hit` tells how a read went where servers tell that,
 /// and `load` is the report that may end the line.
 pub fn write_reply(out: &mut BytesMut, id: &[u8], reply: &Reply, hit: Option<bool>, load: Option<&str>) {
     let named = |out: &mut BytesMut| {
@@ -428,9 +428,9 @@
     }
 }
 
-/// Takes a balancer's answer to this command off the input, as its client reads it: none until it is whole, an
+/// Takes a balancer's answer to this request off the input, as its client reads it: none until it is whole, an
 /// error when it cannot be one.
-pub fn client_answer(input: &mut BytesMut, command: &Command) -> Result<Option<Answer>, String> {
+pub fn client_answer(input: &mut BytesMut, request: &ClientRequest) -> Result<Option<Answer>, String> {
     let Some((bare, whole)) = line_end(input) else {
         return if input.len() > MAX_LINE { Err("an answer's line has no end".into()) } else { Ok(None) };
     };
@@ -439,7 +439,7 @@
         [b"SERVER_ERROR", b"busy"] => Answer::Rejected(Micros(0)),
         [b"SERVER_ERROR", b"busy", ms] => Answer::Rejected(number(ms).map_or(Micros(0), from_ms)),
         [b"VA" | b"HD", ..] => {
-            return Ok(answer(input, command)?.map(|reply| match reply {
+            return Ok(answer(input, request)?.map(|reply| match reply {
                 Reply::Served(answer) => answer,
                 _ => Answer::Failed,
             }));
@@ -455,14 +455,14 @@
     use super::*;
 
     fn all(text: &[u8], cut: usize) -> Vec<Incoming> {
-        let (mut commands, mut input, mut found) = (Commands::default(), BytesMut::new(), Vec::new());
+        let (mut requests, mut input, mut found) = (RequestReader::default(), BytesMut::new(), Vec::new());
         for piece in text.chunks(cut) {
             input.extend_from_slice(piece);
-            while let Some(incoming) = commands.next(&mut input) {
+            while let Some(incoming) = requests.next(&mut input) {
                 found.push(incoming);
             }
         }
-        assert!(input.is_empty() && !commands.unfinished());
+        assert!(input.is_empty() && !requests.unfinished());
         found
     }
 
@@ -473,7 +473,7 @@
         for cut in 1..text.len() {
             assert_eq!(all(text, cut), whole);
         }
-        let [Incoming::Command(read, class), Incoming::Ready, Incoming::Command(write, _)] = &whole[..]
+        let [Incoming::Request(read, class), Incoming::Ready, Incoming::Request(write, _)] = &whole[..]
         else {
             panic!("{whole:?}")
         };
@@ -487,9 +487,9 @@
     #[test]
     fn a_command_passes_on_unchanged_but_for_the_wait() {
         let text = b"ms 7f3a 5 O9b20 Pc=put,x=a=b,d=480,k=5c\r\nhello\r\n";
-        let Incoming::Command(command, _) = all(text, 3).remove(0) else { panic!() };
+        let Incoming::Request(request, _) = all(text, 3).remove(0) else { panic!() };
         let mut out = BytesMut::new();
-        write_command(&mut out, &command, Micros(120_001));
+        write_command(&mut out, &request, Micros(120_001));
         assert_eq!(out, b"ms 7f3a 5 O9b20 Pc=put,x=a=b,d=121,k=5c\r\nhello\r\n"[..]);
     }
 
@@ -504,20 +504,20 @@
         assert_eq!(all(b"mg k v O1 Pd=x\r\n", 99), [Incoming::Malformed("CLIENT_ERROR bad properties")]);
         assert_eq!(all(b"\r\n\xff\r\n", 99), [Incoming::Malformed("ERROR"), Incoming::Malformed("ERROR")]);
         assert_eq!(all(b"ms k five O1\r\n", 99), [Incoming::Lost("CLIENT_ERROR bad data chunk")]);
-        let (mut commands, mut input) = (Commands::default(), BytesMut::from(&[b'x'; MAX_LINE + 1][..]));
-        assert_eq!(commands.next(&mut input), Some(Incoming::Lost("CLIENT_ERROR line too long")));
+        let (mut requests, mut input) = (RequestReader::default(), BytesMut::from(&[b'x'; MAX_LINE + 1][..]));
+        assert_eq!(requests.next(&mut input), Some(Incoming::Lost("CLIENT_ERROR line too long")));
     }
 
     #[test]
     fn an_answer_waits_for_its_last_byte() {
-        let Incoming::Command(command, _) = all(b"mg k v O1 Pd=9\r\n", 99).remove(0) else { panic!() };
+        let Incoming::Request(request, _) = all(b"mg k v O1 Pd=9\r\n", 99).remove(0) else { panic!() };
         let text = b"VA 4 O1 h1 Lqps=7,queue=2\r\n\r\n\r\n\r\nEN";
         for end in 0..text.len() - 2 {
-            assert_eq!(answer(&mut BytesMut::from(&text[..end]), &command), Ok(None));
+            assert_eq!(answer(&mut BytesMut::from(&text[..end]), &request), Ok(None));
         }
         let mut input = BytesMut::from(&text[..]);
         let value = Answer::Value(Bytes::from_static(b"\r\n\r\n"));
-        assert_eq!(answer(&mut input, &command), Ok(Some(Reply::Served(value))));
+        assert_eq!(answer(&mut input, &request), Ok(Some(Reply::Served(value))));
         assert_eq!(input, b"EN"[..]);
     }
 
--- a/protocols/src/mgmt.rs
+++ b/protocols/src/mgmt.rs
@@ -18,9 +18,9 @@
     Health,
     /// The figures.
     Dump,
-    /// Leave this cache host out until it is called back.
+    /// Leave this cache server out until it is called back.
     Offline(String),
-    /// This cache host may serve again.
+    /// This cache server may serve again.
     Online(String),
 }
 
--- a/testbed/src/hosts.rs
+++ b/testbed/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The cache hosts' side of their sockets: reads commands, asks the model what becomes of each, writes the answers in
+//! The cache hosts' side of their sockets: reads requests, asks the model what becomes of each, writes the answers in
 //! order and in time. Link faults are applied here, where the stand-in reads and writes.
 
 use std::collections::VecDeque;
@@ -9,7 +9,7 @@
 use juniperladder_platform_model::ledger::{At, Attempt, Became};
 use juniperladder_platform_model::links::End;
 use juniperladder_platform_model::Us;
-use juniperladder_protocols::memcache::{Commands, Incoming};
+use juniperladder_protocols::memcache::{Incoming, RequestReader};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
@@ -39,7 +39,7 @@
     }
 }
 
-/// A command that is on its way to the host.
+/// A request that is on its way to the host.
 struct Coming {
     due: Us,
     first_byte: Us,
@@ -65,7 +65,7 @@
     going: VecDeque<Going>,
     /// Whether something that came on it was spoilt: from then on nothing on it is sure.
     spoilt: bool,
-    /// When the first byte of what is not yet a whole command came.
+    /// When the first byte of what is not yet a whole request came.
     first_byte: Option<Us>,
 }
 
@@ -104,7 +104,7 @@
 
     async fn talk(&mut self, stream: &mut TcpStream) -> Result<(), Over> {
         let mut weather = self.rig.weather.subscribe();
-        let (mut commands, mut input) = (Commands::default(), BytesMut::new());
+        let (mut requests, mut input) = (RequestReader::default(), BytesMut::new());
         let (mut read, mut write) = stream.split();
         loop {
             let there = self.rig.link(self.balancer, End::Host(self.host));
@@ -146,7 +146,7 @@
                         self.rig.spoil(&mut input);
                         self.spoilt = true;
                     }
-                    self.take(&mut commands, &mut input);
+                    self.take(&mut requests, &mut input);
                 }
                 () = sleep_until(self.rig.instant(due.unwrap_or(0))), if due.is_some() => {}
                 _ = weather.changed() => {}
@@ -154,21 +154,21 @@
         }
     }
 
-    /// Takes whole commands off the input and sends them on their way.
-    fn take(&mut self, commands: &mut Commands, input: &mut BytesMut) {
+    /// Takes whole requests off the input and sends them on their way.
+    fn take(&mut self, requests: &mut RequestReader, input: &mut BytesMut) {
         let now = self.rig.now();
         let there = self.rig.link(self.balancer, End::Host(self.host));
         loop {
             let first_byte = *self.first_byte.get_or_insert(now);
-            let Some(incoming) = commands.next(input) else { break };
+            let Some(incoming) = requests.next(input) else { break };
             self.first_byte = None;
             match incoming {
-                Incoming::Command(command, _) => {
+                Incoming::Request(request, _) => {
                     let word = |bytes: &[u8]| std::str::from_utf8(bytes).ok().map(str::to_owned);
                     let hex = |text: Option<String>| text.and_then(|t| u64::from_str_radix(&t, 16).ok());
-                    let key = command.properties.iter().find(|(name, _)| name.as_ref() == b"q");
+                    let key = request.properties.iter().find(|(name, _)| name.as_ref() == b"q");
                     let key = key.and_then(|(_, value)| word(value)).and_then(|text| text.parse().ok());
-                    let (Some(id), Some(key)) = (hex(word(&command.id)), key) else {
+                    let (Some(id), Some(key)) = (hex(word(&request.id)), key) else {
                         self.answer(now, "CLIENT_ERROR no client sent this\r\n".into(), None);
                         continue;
                     };
@@ -180,7 +180,7 @@
                         first_byte,
                         id,
                         key,
-                        write: command.value.is_some(),
+                        write: request.value.is_some(),
                     });
                 }
                 Incoming::Ready => self.answer(now, "MN\r\n".into(), None),
@@ -190,7 +190,7 @@
                 Incoming::Long(..) | Incoming::Piece(..) | Incoming::Quit => {}
             }
         }
-        if input.is_empty() && !commands.unfinished() {
+        if input.is_empty() && !requests.unfinished() {
             self.first_byte = None;
         }
     }
@@ -211,7 +211,7 @@
         }
     }
 
-    /// A command has arrived whole.
+    /// A request has arrived whole.
     fn begin(&mut self, coming: &Coming, now: Us) {
         let rig = Rc::clone(&self.rig);
         if rig.silent[self.host].get() {
@@ -246,7 +246,7 @@
         self.answer(outcome.at, line, Some(place));
     }
 
-    /// Sends an answer on its way at this time; answers keep the order of their commands.
+    /// Sends an answer on its way at this time; answers keep the order of their requests.
     fn answer(&mut self, at: Us, line: String, attempt: Option<usize>) {
         let back = self.rig.link(End::Host(self.host), self.balancer);
         let due = at + self.rig.way(End::Host(self.host), self.balancer, &back);
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -147,5 +147,5 @@
 }
 
 fn start(host: u64) -> Start {
-    Start { host, started: HOST_START }
+    Start { server: host, started: HOST_START }
 }
