--- a/platform-model/src/host.rs
+++ b/platform-model/src/cache_server.rs
@@ -1,4 +1,4 @@
-//! A cache host: cores, slots, a waiting room, work with noise, a cold start, keys kept to a size, load reports.
+//! A cache server: cores, slots, a waiting room, work with noise, a cold start, keys kept to a size, load reports.
 
 use std::collections::{HashMap, VecDeque};
 use std::num::NonZeroUsize;
@@ -7,14 +7,14 @@
 use rand::Rng;
 use rand_distr::{Distribution, Exp1};
 
-use crate::experiment::Hosts;
+use crate::experiment::CacheServers;
 use crate::rng::SeededRng;
 use crate::{us_of_ms, Us, SECOND};
 
 /// How long a miss counts as a fetch that is out, where nobody stores the key.
 const FETCHING: Us = 3 * SECOND;
 
-/// How a host answers a read.
+/// How a server answers a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// The key is kept.
@@ -30,30 +30,30 @@
     Failed,
 }
 
-/// What becomes of a command that has come.
+/// What becomes of a request that has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outcome {
     /// The answer.
     pub answer: Answer,
     /// When it goes out.
     pub at: Us,
-    /// Whether the host was not warm yet when it came.
+    /// Whether the server was not warm yet when it came.
     pub cold: bool,
 }
 
 /// A load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Commands served in the last second.
+    /// Requests served in the last second.
     pub served_per_s: f64,
-    /// Commands that wait for a core.
+    /// Requests that wait for a core.
     pub waiting: f64,
 }
 
-/// One cache host, through its restarts.
+/// One cache server, through its restarts.
 #[derive(Debug)]
-pub struct Host {
-    figures: Hosts,
+pub struct CacheServer {
+    figures: CacheServers,
     /// Cores; its weight in the list.
     pub cores: f64,
     /// How often it has started anew.
@@ -72,17 +72,17 @@
     ends: VecDeque<Us>,
     kept: LruCache<u64, ()>,
     fetching: HashMap<u64, Us>,
-    /// What came in the last second, for the push that a cold host bears.
+    /// What came in the last second, for the push that a cold server bears.
     recent: VecDeque<Us>,
     fallen: bool,
     report: Report,
     reported: Us,
 }
 
-impl Host {
-    /// A host that has run for long and keeps `keys` keys at the most; it keeps none yet.
-    pub fn new(figures: Hosts, cores: f64, keys: usize) -> Host {
-        Host {
+impl CacheServer {
+    /// A server that has run for long and keeps `keys` keys at the most; it keeps none yet.
+    pub fn new(figures: CacheServers, cores: f64, keys: usize) -> CacheServer {
+        CacheServer {
             figures,
             cores,
             incarnation: 0,
@@ -107,8 +107,13 @@
         let (cores, keys) = (self.cores, self.kept.cap().get());
         let (slow, failing) = (self.slow, self.failing);
         let incarnation = self.incarnation + 1;
-        *self =
-            Host { incarnation, started: Some(now), slow, failing, ..Host::new(self.figures, cores, keys) };
+        *self = CacheServer {
+            incarnation,
+            started: Some(now),
+            slow,
+            failing,
+            ..CacheServer::new(self.figures, cores, keys)
+        };
         self.free.fill(now);
     }
 
@@ -117,7 +122,7 @@
         self.slow = times;
     }
 
-    /// From now on it fails this share of its commands.
+    /// From now on it fails this share of its requests.
     pub fn fail(&mut self, share: f64) {
         self.failing = share;
     }
@@ -185,7 +190,7 @@
         Outcome { answer, at, cold }
     }
 
-    /// Watches the push on a cold host: over a second with more than it bears, it falls.
+    /// Watches the push on a cold server: over a second with more than it bears, it falls.
     fn pushed(&mut self, now: Us, cold: bool) {
         if !cold {
             self.recent.clear();
@@ -237,57 +242,57 @@
     use super::*;
     use crate::rng::{seeded_rng, RngStream};
 
-    fn host() -> (Host, SeededRng) {
-        (Host::new(Hosts::default(), 1.0, 3), seeded_rng(1, RngStream::Machines))
+    fn server() -> (CacheServer, SeededRng) {
+        (CacheServer::new(CacheServers::default(), 1.0, 3), seeded_rng(1, RngStream::Machines))
     }
 
     #[test]
     fn keys_are_kept_to_a_size_voided_and_lost_with_a_restart() {
-        let (mut host, mut rng) = host();
-        let mut ask = |host: &mut Host, now, key| host.begin(now, key, &mut rng).answer;
-        assert_eq!(ask(&mut host, 0, 1), Answer::Miss { fetching: false });
-        assert_eq!(ask(&mut host, 1, 1), Answer::Miss { fetching: true });
-        host.store(1);
-        assert_eq!(ask(&mut host, 2, 1), Answer::Hit);
-        (2..5).for_each(|key| host.store(key));
-        assert_eq!(ask(&mut host, 3, 1), Answer::Miss { fetching: false }, "three are kept");
-        assert_eq!(ask(&mut host, 4, 4), Answer::Hit);
-        host.void(4);
-        assert_eq!(ask(&mut host, 5, 4), Answer::Miss { fetching: false });
-        host.restart(6);
-        assert_eq!((host.incarnation, ask(&mut host, 7, 3)), (1, Answer::Miss { fetching: false }));
+        let (mut server, mut rng) = server();
+        let mut ask = |server: &mut CacheServer, now, key| server.begin(now, key, &mut rng).answer;
+        assert_eq!(ask(&mut server, 0, 1), Answer::Miss { fetching: false });
+        assert_eq!(ask(&mut server, 1, 1), Answer::Miss { fetching: true });
+        server.store(1);
+        assert_eq!(ask(&mut server, 2, 1), Answer::Hit);
+        (2..5).for_each(|key| server.store(key));
+        assert_eq!(ask(&mut server, 3, 1), Answer::Miss { fetching: false }, "three are kept");
+        assert_eq!(ask(&mut server, 4, 4), Answer::Hit);
+        server.void(4);
+        assert_eq!(ask(&mut server, 5, 4), Answer::Miss { fetching: false });
+        server.restart(6);
+        assert_eq!((server.incarnation, ask(&mut server, 7, 3)), (1, Answer::Miss { fetching: false }));
     }
 
     #[test]
     fn a_core_does_one_thing_at_a_time_and_the_room_is_bounded() {
-        let (mut host, mut rng) = host();
-        host.store(1);
-        let first = host.begin(0, 1, &mut rng).at;
-        let second = host.begin(0, 1, &mut rng).at;
+        let (mut server, mut rng) = server();
+        server.store(1);
+        let first = server.begin(0, 1, &mut rng).at;
+        let second = server.begin(0, 1, &mut rng).at;
         assert!(first >= 10_000 && second >= first + 10_000);
-        let answers: Vec<Answer> = (0..300).map(|_| host.begin(0, 1, &mut rng).answer).collect();
+        let answers: Vec<Answer> = (0..300).map(|_| server.begin(0, 1, &mut rng).answer).collect();
         assert_eq!(
             answers.iter().filter(|a| **a == Answer::Hit).count(),
             206,
             "8 slots and 200 places, 2 taken"
         );
-        assert!(host.report(SECOND, &mut rng).waiting > 100.0);
-        host.closed = true;
-        assert_eq!(host.begin(100 * SECOND, 1, &mut rng).answer, Answer::Busy);
+        assert!(server.report(SECOND, &mut rng).waiting > 100.0);
+        server.closed = true;
+        assert_eq!(server.begin(100 * SECOND, 1, &mut rng).answer, Answer::Busy);
     }
 
     /// 50 a second when warm, 17.5 at the start, four times which it bears.
     #[test]
     fn a_cold_host_falls_when_pushed_and_else_warms_up() {
         for (rate, falls) in [(60, false), (120, true)] {
-            let (mut host, mut rng) = host();
-            host.restart(SECOND);
-            assert!((host.capacity(SECOND) - 17.5).abs() < 0.01 && host.warmth(4 * SECOND) < 1.0);
+            let (mut server, mut rng) = server();
+            server.restart(SECOND);
+            assert!((server.capacity(SECOND) - 17.5).abs() < 0.01 && server.warmth(4 * SECOND) < 1.0);
             for n in 0..rate * 2 {
-                host.begin(SECOND + n * SECOND / rate, 1, &mut rng);
+                server.begin(SECOND + n * SECOND / rate, 1, &mut rng);
             }
-            assert_eq!(host.fallen(), falls, "{rate} a second");
-            assert_eq!(host.warmth(7 * SECOND), 1.0);
+            assert_eq!(server.fallen(), falls, "{rate} a second");
+            assert_eq!(server.warmth(7 * SECOND), 1.0);
         }
     }
 }
--- a/platform-model/src/check.rs
+++ b/platform-model/src/check.rs
@@ -10,8 +10,8 @@
 
 /// The most processes of a run: as many as a fleet's membership holds.
 const MOST_BALANCERS: usize = 1_024;
-/// The most cache hosts.
-const MOST_HOSTS: usize = 1_024;
+/// The most cache servers.
+const MAX_SERVERS: usize = 1_024;
 
 /// Everything that is wrong with an experiment; `text` is the file's, for the lines.
 pub fn check(e: &Experiment, text: &str) -> Vec<Problem> {
@@ -25,7 +25,7 @@
         "balancers",
         "lies from 1 to 1024",
     );
-    found.need((1..=MOST_HOSTS).contains(&e.fleet.hosts), "fleet", "hosts", "lies from 1 to 1024");
+    found.need((1..=MAX_SERVERS).contains(&e.fleet.servers), "fleet", "hosts", "lies from 1 to 1024");
     found.need((1..=16).contains(&e.fleet.zones), "fleet", "zones", "lies from 1 to 16");
     found.need(e.fleet.told != Some(0), "fleet", "told", "is at least 1");
     let weights = &e.fleet.weights;
@@ -63,16 +63,16 @@
     found.need(whole(e.clients.honour), "clients", "honour", "is a share from 0 to 1");
     found.need(whole(e.clients.impatient), "clients", "impatient", "is a share from 0 to 1");
     found.need(over(e.clients.backoff_ms), "clients", "backoff_ms", "is a number over 0");
-    found.need(over(e.hosts.work_ms), "hosts", "work_ms", "is a number over 0");
-    found.need(e.hosts.slots > 0, "hosts", "slots", "is at least 1");
-    found.need(over(e.hosts.keep), "hosts", "keep", "is a number over 0");
+    found.need(over(e.servers.work_ms), "hosts", "work_ms", "is a number over 0");
+    found.need(e.servers.slots > 0, "hosts", "slots", "is at least 1");
+    found.need(over(e.servers.keep), "hosts", "keep", "is a number over 0");
     found.need(
-        e.hosts.cold_from > 0.0 && whole(e.hosts.cold_from),
+        e.servers.cold_from > 0.0 && whole(e.servers.cold_from),
         "hosts",
         "cold_from",
         "is a share over 0",
     );
-    found.need(over(e.hosts.fall_times), "hosts", "fall_times", "is a number over 0");
+    found.need(over(e.servers.fall_times), "hosts", "fall_times", "is a number over 0");
     found.need(over(e.origin.capacity), "origin", "capacity", "is a number over 0");
     found.need(over(e.origin.work_ms), "origin", "work_ms", "is a number over 0");
     found.need(over(e.origin.fall_times), "origin", "fall_times", "is a number over 0");
@@ -180,7 +180,7 @@
             }
         }
         let packets = matches!(fault.what, What::Repeat | What::Reorder);
-        if packets && named.iter().any(|group| !group.hosts.is_empty() || group.origin || group.discovery) {
+        if packets && named.iter().any(|group| !group.servers.is_empty() || group.origin || group.discovery) {
             let why = "TCP hides repeats and disorder from both ends: name balancers on both sides";
             self.at_fault(number, "between", why.into());
         }
@@ -230,13 +230,13 @@
         | What::Restart
         | What::Replace
         | What::Flap => {
-            (group.hosts.is_empty()).then_some("it is a fault of cache hosts: name hosts or a zone")
+            (group.servers.is_empty()).then_some("it is a fault of cache hosts: name hosts or a zone")
         }
         _ => None,
     }
 }
 
-/// What a host or a process cannot be at once: out of the list and in it, frozen and killed.
+/// What a server or a process cannot be at once: out of the list and in it, frozen and killed.
 fn contradictions(found: &mut Found, e: &Experiment, named: &[Vec<Members>]) {
     let span = |fault: &Fault| (fault.at, fault.at + fault.lasts.unwrap_or(f64::INFINITY));
     for (later, b) in e.fault.iter().enumerate() {
@@ -258,7 +258,7 @@
             let meet = one.0 <= two.1 && two.0 <= one.1;
             let shared = named[earlier].iter().any(|x| {
                 named[later].iter().any(|y| {
-                    x.hosts.iter().any(|n| y.hosts.contains(n)) && !stops(a.what)
+                    x.servers.iter().any(|n| y.servers.contains(n)) && !stops(a.what)
                         || x.balancers.iter().any(|n| y.balancers.contains(n)) && stops(a.what)
                 })
             });
--- a/platform-model/src/discovery.rs
+++ b/platform-model/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::{us, Us, SECOND};
 
-/// What the list says of a host.
+/// What the list says of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Life {
     /// In service.
@@ -27,9 +27,9 @@
 /// A line of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// The host's id.
+    /// The server's id.
     pub id: String,
-    /// Where it stands: a host's number, or the number of hosts for the origin.
+    /// Where it stands: a server's number, or the number of servers for the origin.
     pub slot: usize,
     /// What it does.
     pub life: Life,
--- a/platform-model/src/experiment.rs
+++ b/platform-model/src/experiment.rs
@@ -17,16 +17,16 @@
     pub seed: u64,
     /// Seconds of load; starting and ending come on top.
     pub seconds: f64,
-    /// The processes and the hosts.
+    /// The processes and the servers.
     pub fleet: Fleet,
     /// What clients ask for.
     pub load: Load,
     /// What clients do after an answer.
     #[serde(default)]
     pub clients: Clients,
-    /// What a cache host can do.
-    #[serde(default)]
-    pub hosts: Hosts,
+    /// What a cache server can do.
+    #[serde(default, rename = "hosts")]
+    pub servers: CacheServers,
     /// The origin.
     #[serde(default)]
     pub origin: Origin,
@@ -41,21 +41,22 @@
     pub fault: Vec<Fault>,
 }
 
-/// The processes and the hosts.
+/// The processes and the servers.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
     /// Processes of the program.
     pub balancers: usize,
-    /// Cache hosts; the origin comes on top.
-    pub hosts: usize,
-    /// Zones; processes and hosts are dealt out to them in turn.
+    /// Cache servers; the origin comes on top.
+    #[serde(rename = "hosts")]
+    pub servers: usize,
+    /// Zones; processes and servers are dealt out to them in turn.
     #[serde(default = "one_zone")]
     pub zones: usize,
     /// `balancers` in the settings, if it is to be wrong; by default the real number.
     #[serde(default)]
     pub told: Option<usize>,
-    /// Cores of the hosts' kinds, in turn.
+    /// Cores of the servers' kinds, in turn.
     #[serde(default = "one_core")]
     pub weights: Vec<f64>,
     /// The program, from the folder that the laboratory is run in.
@@ -70,14 +71,14 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Commands a second, first tries of all clients together.
+    /// Requests a second, first tries of all clients together.
     pub rate: f64,
     /// How many keys there are.
     pub keys: u64,
     /// The exponent of Zipf's law for the keys' popularity; 0 makes all alike.
     #[serde(default = "zipf")]
     pub zipf: f64,
-    /// The share of the commands that write.
+    /// The share of the requests that write.
     #[serde(default)]
     pub writes: f64,
     /// A share of the load at a share of the balancers.
@@ -96,7 +97,7 @@
     #[serde(default)]
     pub drift: f64,
     /// Seconds of load before the experiment's beginning, in which the caches fill. The origin bears all of it then, so
-    /// that what hosts keep is what the program's own placement made of the load. Nothing of them counts but breaches.
+    /// that what servers keep is what the program's own placement made of the load. Nothing of them counts but breaches.
     #[serde(default = "warm")]
     pub warm: f64,
 }
@@ -117,7 +118,7 @@
 pub struct Hot {
     /// From when on, in seconds.
     pub at: f64,
-    /// Its share of all commands.
+    /// Its share of all requests.
     pub share: f64,
 }
 
@@ -154,10 +155,10 @@
     }
 }
 
-/// What a cache host can do.
+/// What a cache server can do.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
-pub struct Hosts {
+pub struct CacheServers {
     /// The mean work of a hit on one core.
     pub work_ms: f64,
     /// A miss's work over a hit's.
@@ -166,13 +167,13 @@
     pub slots: usize,
     /// What may wait for a core.
     pub queue: usize,
-    /// The keys that all hosts together keep, over all keys.
+    /// The keys that all servers together keep, over all keys.
     pub keep: f64,
-    /// The part of its capacity that a host starts with.
+    /// The part of its capacity that a server starts with.
     pub cold_from: f64,
     /// Seconds until it is warm.
     pub cold_s: f64,
-    /// Sent so many times what it can do for a second, a cold host falls over.
+    /// Sent so many times what it can do for a second, a cold server falls over.
     pub fall_times: f64,
     /// The connections that one holds.
     pub connections: usize,
@@ -182,9 +183,9 @@
     pub report_noise: f64,
 }
 
-impl Default for Hosts {
-    fn default() -> Hosts {
-        Hosts {
+impl Default for CacheServers {
+    fn default() -> CacheServers {
+        CacheServers {
             work_ms: 20.0,
             miss: 0.45,
             slots: 8,
@@ -282,21 +283,21 @@
     Freeze,
     /// Processes are killed and started again, a share at a time.
     Roll,
-    /// Hosts say nothing.
+    /// Servers say nothing.
     Silent,
-    /// Hosts take longer.
+    /// Servers take longer.
     Slow,
-    /// Hosts fail a share of their commands.
+    /// Servers fail a share of their requests.
     Failing,
-    /// Hosts drain, and are back at the end.
+    /// Servers drain, and are back at the end.
     Drain,
-    /// Hosts end, and are back at the end.
+    /// Servers end, and are back at the end.
     Gone,
-    /// Hosts start anew at once.
+    /// Servers start anew at once.
     Restart,
-    /// Hosts are replaced by others at the same addresses.
+    /// Servers are replaced by others at the same addresses.
     Replace,
-    /// Hosts are silent and well in turn.
+    /// Servers are silent and well in turn.
     Flap,
     /// The origin takes longer.
     OriginSlow,
@@ -334,7 +335,7 @@
     /// On links: which way.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub direction: Option<Direction>,
-    /// On processes and hosts: the group.
+    /// On processes and servers: the group.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub who: Option<String>,
     /// The share lost, repeated, reordered, spoilt or failed; of a roll, the share at a time.
@@ -352,7 +353,7 @@
     /// Of a killed process: after how many seconds it is started again; left out, never.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub back: Option<f64>,
-    /// Of a roll or a flapping host: seconds from one step to the next.
+    /// Of a roll or a flapping server: seconds from one step to the next.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub every: Option<f64>,
     /// Of late lists: the latest.
--- a/platform-model/src/group.rs
+++ b/platform-model/src/group.rs
@@ -1,4 +1,4 @@
-//! Groups of an experiment's file: `balancers:0-49`, `hosts:12.5%`, `zone:1`, `origin`, `discovery`.
+//! Groups of an experiment's file: `balancers:0-49`, `servers:12.5%`, `zone:1`, `origin`, `discovery`.
 
 #[cfg(test)]
 mod tests;
@@ -13,15 +13,15 @@
 pub struct Members {
     /// Processes, by number, in order.
     pub balancers: Vec<usize>,
-    /// Cache hosts, by number, in order.
-    pub hosts: Vec<usize>,
+    /// Cache servers, by number, in order.
+    pub servers: Vec<usize>,
     /// The origin.
     pub origin: bool,
     /// Discovery.
     pub discovery: bool,
 }
 
-/// The zone of the balancer or the host with this number.
+/// The zone of the balancer or the server with this number.
 pub fn zone_of(number: usize, fleet: &Fleet) -> usize {
     number % fleet.zones.max(1)
 }
@@ -38,16 +38,16 @@
         ("origin", "") => found.origin = true,
         ("discovery", "") => found.discovery = true,
         ("balancers", "") => found.balancers = all(fleet.balancers),
-        ("hosts", "") => found.hosts = all(fleet.hosts),
+        ("hosts", "") => found.servers = all(fleet.servers),
         ("balancers", which) => found.balancers = some(kind, which, fleet.balancers, rng)?,
-        ("hosts", which) => found.hosts = some(kind, which, fleet.hosts, rng)?,
+        ("hosts", which) => found.servers = some(kind, which, fleet.servers, rng)?,
         ("zone", which) => {
             let zone: usize = which.parse().map_err(|_| format!("{text:?}: a zone is a number, as in zone:1"))?;
             if zone >= fleet.zones {
                 return Err(format!("{text:?}: there are zones 0 to {}", fleet.zones.max(1) - 1));
             }
             found.balancers = all(fleet.balancers).into_iter().filter(|n| zone_of(*n, fleet) == zone).collect();
-            found.hosts = all(fleet.hosts).into_iter().filter(|n| zone_of(*n, fleet) == zone).collect();
+            found.servers = all(fleet.servers).into_iter().filter(|n| zone_of(*n, fleet) == zone).collect();
         }
         _ => {
             return Err(format!(
--- a/platform-model/src/group/tests.rs
+++ b/platform-model/src/group/tests.rs
@@ -9,9 +9,9 @@
     let fleet = read(SOUND, &[]).unwrap().fleet;
     let of = |text: &str| members(text, &fleet, &mut seeded_rng(1, RngStream::Groups));
     assert_eq!(of("balancers:2-4").unwrap().balancers, [2, 3, 4]);
-    assert_eq!(of("hosts:5").unwrap().hosts, [5]);
-    assert_eq!(of("hosts:50%").unwrap().hosts.len(), 3);
-    assert_eq!(of("hosts:1%").unwrap().hosts.len(), 1, "a share names at least one");
+    assert_eq!(of("hosts:5").unwrap().servers, [5]);
+    assert_eq!(of("hosts:50%").unwrap().servers.len(), 3);
+    assert_eq!(of("hosts:1%").unwrap().servers.len(), 1, "a share names at least one");
     assert_eq!(of("zone:1").unwrap().balancers, [1, 4, 7]);
     assert!(of("origin").unwrap().origin && of("discovery").unwrap().discovery);
     assert_eq!(of("balancers:30%"), of("balancers:30%"), "the same seed draws the same");
--- a/platform-model/src/judge.rs
+++ b/platform-model/src/judge.rs
@@ -1,6 +1,6 @@
 //! The judge: reads a run's ledger and counts every breach of the four rules, and the fleet's figures.
 //!
-//! Nothing here trusts what a balancer says of itself: what a limit used is counted at the origin and at the hosts,
+//! Nothing here trusts what a balancer says of itself: what a limit used is counted at the origin and at the servers,
 //! what was lost at the clients.
 
 pub mod limits;
@@ -15,12 +15,12 @@
 
 use std::collections::HashMap;
 
-use crate::experiment::{Experiment, Hosts};
-use crate::ledger::{Command, Ended, Ledger};
+use crate::experiment::{CacheServers, Experiment};
+use crate::ledger::{ClientRequest, Ended, Ledger};
 use crate::summary::{Latency, Summary};
 use crate::{us, Us, SECOND};
 
-/// Whether a command may run again once it may have run.
+/// Whether a request may run again once it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// As often as one likes.
@@ -31,7 +31,7 @@
     Unsafe,
 }
 
-/// A class of command.
+/// A class of request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Class {
     /// Its name on the wire.
@@ -55,18 +55,18 @@
     pub end: Us,
     /// Reads and writes.
     pub classes: [Class; 2],
-    /// The most attempts of a command.
+    /// The most attempts of a request.
     pub attempts: usize,
-    /// Sends to a host end so soon after its drain was told.
+    /// Sends to a server end so soon after its drain was told.
     pub drain_grace: Us,
     /// By so much each time limit grows.
     pub slack: Us,
-    /// The hosts' weights.
+    /// The servers' weights.
     pub weights: Vec<f64>,
     /// Fetches a second at the origin.
     pub capacity: f64,
-    /// The hosts' figures.
-    pub hosts: Hosts,
+    /// The servers' figures.
+    pub servers: CacheServers,
     /// What the program states, by the operators' file; nothing without talk.
     pub stated: Option<Stated>,
     /// Processes of the program.
@@ -90,9 +90,9 @@
             attempts: 3,
             drain_grace: SECOND / 2,
             slack: 50_000,
-            weights: (0..e.fleet.hosts).map(|n| e.fleet.weights[n % e.fleet.weights.len()]).collect(),
+            weights: (0..e.fleet.servers).map(|n| e.fleet.weights[n % e.fleet.weights.len()]).collect(),
             capacity: e.origin.capacity,
-            hosts: e.hosts,
+            servers: e.servers,
             stated: None,
             balancers: e.fleet.balancers,
             seed: e.seed,
@@ -115,9 +115,9 @@
 pub struct Stated {
     /// The whole of the limit `origin`, a second.
     pub origin: f64,
-    /// By how much commands may differ in the time that they take to a host or the origin.
+    /// By how much requests may differ in the time that they take to a server or the origin.
     pub spread: Us,
-    /// Sends a second that a warm host bears, where sends to cold ones are limited.
+    /// Sends a second that a warm server bears, where sends to cold ones are limited.
     pub cold: Option<f64>,
     /// Second tries for each first try, and how many may be saved up in all.
     pub second: Option<(f64, f64)>,
@@ -154,13 +154,13 @@
     summary.rules.cold = count(rules::Rule::Cold);
     let mut late: Vec<Us> = Vec::new();
     let mut latencies: Vec<Us> = Vec::new();
-    for command in ledger.commands.iter().filter(|c| terms.counts(c.planned)) {
-        summary.commands += 1;
-        late.push(command.sent.saturating_sub(command.planned));
-        match fate(command, terms) {
+    for request in ledger.requests.iter().filter(|c| terms.counts(c.planned)) {
+        summary.requests += 1;
+        late.push(request.sent.saturating_sub(request.planned));
+        match fate(request, terms) {
             Fate::Served => {
                 summary.served += 1;
-                latencies.extend(command.ended.map(|at| at - command.sent));
+                latencies.extend(request.ended.map(|at| at - request.sent));
             }
             Fate::Refused => summary.refused += 1,
             Fate::Failed => summary.failed += 1,
@@ -174,8 +174,8 @@
         p999: percentile(&mut latencies, 0.999) as f64 / 1e3,
     };
     summary.service = service(ledger, terms);
-    summary.attempts_per_command = ledger.attempts.iter().filter(|a| terms.counts(a.begun)).count() as f64
-        / (summary.commands.max(1)) as f64;
+    summary.attempts_per_request = ledger.attempts.iter().filter(|a| terms.counts(a.begun)).count() as f64
+        / (summary.requests.max(1)) as f64;
     summary.spread = spread::spread(ledger, terms);
     let origin = limits::origin(ledger, terms);
     summary.origin = origin.figures;
@@ -183,11 +183,11 @@
     summary.limits.insert("cold".into(), limits::cold(ledger, terms));
     summary.limits.insert("second".into(), limits::second(ledger, terms));
     let series = series::series(ledger, terms);
-    summary.verdicts = verdicts::verdicts(ledger, terms, &series.hosts);
+    summary.verdicts = verdicts::verdicts(ledger, terms, &series.servers);
     Verdict { summary, breaches, series }
 }
 
-/// How a command counts.
+/// How a request counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
     /// Served before its deadline.
@@ -200,10 +200,10 @@
     Lost,
 }
 
-/// How this command counts.
-pub fn fate(command: &Command, terms: &Terms) -> Fate {
-    let late = command.ended.is_some_and(|at| at > command.deadline + terms.slack);
-    match command.end {
+/// How this request counts.
+pub fn fate(request: &ClientRequest, terms: &Terms) -> Fate {
+    let late = request.ended.is_some_and(|at| at > request.deadline + terms.slack);
+    match request.end {
         Ended::Silent | Ended::Closed | Ended::Wrong => Fate::Lost,
         Ended::Served | Ended::Refused | Ended::Failed if late => Fate::Lost,
         Ended::Served => Fate::Served,
@@ -216,16 +216,16 @@
 fn service(ledger: &Ledger, terms: &Terms) -> f64 {
     let (mut asked, mut served) = (0.0, 0.0);
     let firsts = first_tries(ledger);
-    for command in &ledger.commands {
-        let Some(first) = firsts.get(&command.first).filter(|first| terms.counts(first.planned)) else {
+    for request in &ledger.requests {
+        let Some(first) = firsts.get(&request.first).filter(|first| terms.counts(first.planned)) else {
             continue;
         };
-        let class = terms.class(command.write);
-        if command.id == command.first {
+        let class = terms.class(request.write);
+        if request.id == request.first {
             asked += class.worth;
         }
-        let in_time = command.ended.is_some_and(|at| at <= first.sent + class.aim + terms.slack);
-        if command.end == Ended::Served && in_time {
+        let in_time = request.ended.is_some_and(|at| at <= first.sent + class.aim + terms.slack);
+        if request.end == Ended::Served && in_time {
             served += class.worth;
         }
     }
@@ -237,8 +237,8 @@
 }
 
 /// The first tries by their ids.
-fn first_tries(ledger: &Ledger) -> HashMap<u64, &Command> {
-    ledger.commands.iter().filter(|c| c.id == c.first).map(|c| (c.id, c)).collect()
+fn first_tries(ledger: &Ledger) -> HashMap<u64, &ClientRequest> {
+    ledger.requests.iter().filter(|c| c.id == c.first).map(|c| (c.id, c)).collect()
 }
 
 /// The value at this part of the sorted whole; 0 where there is none.
@@ -268,26 +268,27 @@
         let mut hand = Hand::default();
         use Ended::{Closed, Failed, Refused, Served, Shut, Silent, Untaken};
         for end in [Served, Refused, Failed, Untaken, Silent, Closed, Shut] {
-            hand.command(Command { end, ..served(10.0) });
+            hand.request(ClientRequest { end, ..served(10.0) });
         }
         let deadline = served(10.0).deadline;
-        hand.command(Command { ended: Some(deadline + 50_000), ..served(10.0) });
-        hand.command(Command { ended: Some(deadline + 50_001), ..served(10.0) });
-        hand.command(Command { planned: 0, ..served(10.0) });
+        hand.request(ClientRequest { ended: Some(deadline + 50_000), ..served(10.0) });
+        hand.request(ClientRequest { ended: Some(deadline + 50_001), ..served(10.0) });
+        hand.request(ClientRequest { planned: 0, ..served(10.0) });
         let summary = judge(&hand.ledger, &terms()).summary;
-        let counts = (summary.commands, summary.served, summary.refused, summary.failed, summary.lost);
+        let counts = (summary.requests, summary.served, summary.refused, summary.failed, summary.lost);
         assert_eq!(counts, (9, 2, 2, 2, 3), "one that came while the caches filled does not count");
     }
 
     #[test]
     fn a_retry_serves_its_first_try_while_the_aim_lasts() {
         let mut hand = Hand::default();
-        let first = hand.command(Command { end: Ended::Refused, ..served(10.0) });
+        let first = hand.request(ClientRequest { end: Ended::Refused, ..served(10.0) });
         let sent = served(10.0).sent;
-        let again = Command { first, sent: sent + 300_000, ended: Some(sent + 800_000), ..served(10.3) };
+        let again =
+            ClientRequest { first, sent: sent + 300_000, ended: Some(sent + 800_000), ..served(10.3) };
         hand.retry(again.clone());
         assert_eq!(judge(&hand.ledger, &terms()).summary.service, 1.0);
-        hand.ledger.commands[1].ended = Some(sent + 800_001);
+        hand.ledger.requests[1].ended = Some(sent + 800_001);
         assert_eq!(judge(&hand.ledger, &terms()).summary.service, 0.0);
     }
 
@@ -297,10 +298,10 @@
         for n in 0..100 {
             let one = served(10.0);
             let late = if n < 2 { 30_000 } else { 1_000 };
-            hand.command(Command { planned: one.sent - late, ..one });
+            hand.request(ClientRequest { planned: one.sent - late, ..one });
         }
         assert_eq!(judge(&hand.ledger, &terms()).summary.lag_p99_ms, 30.0);
-        hand.ledger.commands[0].planned += 29_000;
+        hand.ledger.requests[0].planned += 29_000;
         assert_eq!(judge(&hand.ledger, &terms()).summary.lag_p99_ms, 1.0);
     }
 }
--- a/platform-model/src/judge/hand.rs
+++ b/platform-model/src/judge/hand.rs
@@ -1,10 +1,10 @@
 //! Ledgers made by hand for the judge's tests.
 
 use super::{Class, Effect, Terms};
-use crate::ledger::{At, Attempt, Became, Command, Ended, Ledger};
+use crate::ledger::{At, Attempt, Became, ClientRequest, Ended, Ledger};
 use crate::{us, SECOND};
 
-/// Terms of a run with four hosts, the last of twice the weight, and an origin of ten a second.
+/// Terms of a run with four servers, the last of twice the weight, and an origin of ten a second.
 pub fn terms() -> Terms {
     let class = |name, effect| Class { name, aim: 750_000, deadline: 1_500_000, worth: 1.0, effect };
     Terms {
@@ -16,7 +16,7 @@
         slack: 50_000,
         weights: vec![1.0, 1.0, 1.0, 2.0],
         capacity: 10.0,
-        hosts: crate::experiment::Hosts::default(),
+        servers: crate::experiment::CacheServers::default(),
         stated: None,
         balancers: 4,
         seed: 1,
@@ -24,9 +24,9 @@
 }
 
 /// A read sent at this second and served 100 ms later.
-pub fn served(at: f64) -> Command {
+pub fn served(at: f64) -> ClientRequest {
     let sent = us(at);
-    Command {
+    ClientRequest {
         id: 0,
         first: 0,
         balancer: 0,
@@ -65,16 +65,16 @@
 
 impl Hand {
     /// Puts a first try in; gives its id.
-    pub fn command(&mut self, command: Command) -> u64 {
-        let id = self.ledger.commands.len() as u64 + 1;
-        self.ledger.commands.push(Command { id, first: id, ..command });
+    pub fn request(&mut self, request: ClientRequest) -> u64 {
+        let id = self.ledger.requests.len() as u64 + 1;
+        self.ledger.requests.push(ClientRequest { id, first: id, ..request });
         id
     }
 
     /// Puts a client's retry in.
-    pub fn retry(&mut self, command: Command) -> u64 {
-        let id = self.ledger.commands.len() as u64 + 1;
-        self.ledger.commands.push(Command { id, ..command });
+    pub fn retry(&mut self, request: ClientRequest) -> u64 {
+        let id = self.ledger.requests.len() as u64 + 1;
+        self.ledger.requests.push(ClientRequest { id, ..request });
         id
     }
 }
--- a/platform-model/src/judge/limits.rs
+++ b/platform-model/src/judge/limits.rs
@@ -31,7 +31,7 @@
     }
     let demand = demand(ledger, terms);
     let served: HashSet<u64> = ledger
-        .commands
+        .requests
         .iter()
         .filter(|c| c.end == Ended::Served && fate(c, terms) == Fate::Served)
         .map(|c| c.id)
@@ -67,20 +67,20 @@
 /// takes to its balancer at the most.
 const EARNED: Us = 2 * SECOND + SECOND / 4;
 
-/// The figures of the limit `cold`: sends in any second to a host that warms up, against what it bears by its warmth at the end
-/// of that second. Without a file that limits it, a warm host bears what it can serve.
+/// The figures of the limit `cold`: sends in any second to a server that warms up, against what it bears by its warmth at the end
+/// of that second. Without a file that limits it, a warm server bears what it can serve.
 pub fn cold(ledger: &Ledger, terms: &Terms) -> Limit {
     let limited = terms.stated.and_then(|stated| stated.cold.map(|per_s| (per_s, stated.bound())));
-    let (cold_us, from) = (terms.hosts.cold_s * 1e6, terms.hosts.cold_from);
+    let (cold_us, from) = (terms.servers.cold_s * 1e6, terms.servers.cold_from);
     let mut figures = Limit { bound: limited.map(|(_, bound)| bound), ..Limit::default() };
-    for span in ledger.hosts.iter().filter(|span| span.ill == Ill::Cold) {
+    for span in ledger.servers.iter().filter(|span| span.ill == Ill::Cold) {
         let cores = terms.weights.get(span.who as usize).copied().unwrap_or(1.0);
-        let warm = limited.map_or(cores * 1e3 / terms.hosts.work_ms, |(per_s, _)| per_s);
+        let warm = limited.map_or(cores * 1e3 / terms.servers.work_ms, |(per_s, _)| per_s);
         figures.whole = figures.whole.max(warm);
         let mut near = VecDeque::new();
         let mut over = HashSet::new();
         let to = span.from + cold_us as Us;
-        let here = |a: &&Attempt| a.at == At::Host(span.who) && (span.from..to).contains(&a.begun);
+        let here = |a: &&Attempt| a.at == At::CacheServer(span.who) && (span.from..to).contains(&a.begun);
         for send in ledger.attempts.iter().filter(here).filter(|a| terms.counts(a.begun)) {
             near.push_back(send.begun);
             while near.front().is_some_and(|at| at + SECOND <= send.begun) {
@@ -98,17 +98,17 @@
     figures
 }
 
-/// The figures of the limit `second`: tries of a command after its first that no miss led to, in any second, against the share
+/// The figures of the limit `second`: tries of a request after its first that no miss led to, in any second, against the share
 /// of the first tries of that second and of the time in which rights to them may have been earned, and what may be saved up.
 /// The whole is the share of the mean rate of first tries.
 pub fn second(ledger: &Ledger, terms: &Terms) -> Limit {
     let limited = terms.stated.and_then(|stated| stated.second);
     let (share, saved) = limited.unwrap_or((SECOND_SHARE, SECOND_SAVED * terms.balancers as f64));
-    let mut firsts: Vec<Us> = ledger.commands.iter().filter(|c| c.id == c.first).map(|c| c.sent).collect();
+    let mut firsts: Vec<Us> = ledger.requests.iter().filter(|c| c.id == c.first).map(|c| c.sent).collect();
     firsts.sort_unstable();
     let mut all: Vec<&Attempt> = ledger.attempts.iter().chain(&ledger.unheard).collect();
     all.sort_by_key(|attempt| attempt.begun);
-    // By command: whether there was a try, and whether one missed.
+    // By request: whether there was a try, and whether one missed.
     let mut tried: HashMap<u64, bool> = HashMap::new();
     let mut seconds: Vec<Us> = Vec::new();
     for attempt in all {
@@ -146,7 +146,7 @@
     figures
 }
 
-/// What was wanted of the origin in each second: writes asked for, reads that missed at a host, and of the commands
+/// What was wanted of the origin in each second: writes asked for, reads that missed at a server, and of the requests
 /// that were refused before anybody was asked the part that usually misses.
 pub fn demand(ledger: &Ledger, terms: &Terms) -> Vec<f64> {
     let mut by_second = vec![0.0; ((terms.end - terms.zero).div_ceil(SECOND)) as usize];
@@ -157,18 +157,18 @@
         *at_origin |= attempt.at == At::Origin;
     }
     let reads = |of: &dyn Fn(&(bool, bool)) -> bool| {
-        let reads = ledger.commands.iter().filter(|c| !c.write);
+        let reads = ledger.requests.iter().filter(|c| !c.write);
         reads.filter_map(|c| attempts.get(&c.id)).filter(|a| of(a)).count() as f64
     };
     let usual = reads(&|(missed, at_origin)| *missed || *at_origin) / reads(&|_| true).max(1.0);
-    for command in ledger.commands.iter().filter(|c| terms.counts(c.planned)) {
-        let wants = match attempts.get(&command.id) {
-            _ if command.write => 1.0,
+    for request in ledger.requests.iter().filter(|c| terms.counts(c.planned)) {
+        let wants = match attempts.get(&request.id) {
+            _ if request.write => 1.0,
             Some((missed, at_origin)) => f64::from(u8::from(*missed || *at_origin)),
-            None if command.end == Ended::Refused => usual,
+            None if request.end == Ended::Refused => usual,
             None => 0.0,
         };
-        by_second[((command.planned - terms.zero) / SECOND) as usize] += wants;
+        by_second[((request.planned - terms.zero) / SECOND) as usize] += wants;
     }
     by_second
 }
@@ -178,7 +178,7 @@
     use super::super::hand::{attempt, served, terms, Hand};
     use super::super::Stated;
     use super::*;
-    use crate::ledger::{Command, Span};
+    use crate::ledger::{ClientRequest, Span};
     use crate::us;
 
     /// In the second from 10 s on, so many fetches, evenly.
@@ -187,7 +187,7 @@
         for n in 0..fetches {
             let at = 10.0 + n as f64 / fetches as f64;
             let end = if n < served_of_them { Ended::Served } else { Ended::Failed };
-            let id = hand.command(Command { end, ..served(at) });
+            let id = hand.request(ClientRequest { end, ..served(at) });
             hand.ledger.attempts.push(attempt(id, At::Origin, at));
         }
         hand
@@ -210,11 +210,11 @@
     fn sends_to_a_cold_host_count_against_what_its_warmth_bears() {
         let mut hand = Hand::default();
         let span = |ill| Span { who: 1, ill, from: us(10.0), to: Some(us(20.0)) };
-        hand.ledger.hosts = vec![span(Ill::Cold)];
+        hand.ledger.servers = vec![span(Ill::Cold)];
         // A warm one does 50 a second; from 35% on it has all after 6 s: after 3 s it has 67.5%.
         for n in 0..27 {
-            hand.ledger.attempts.push(attempt(n, At::Host(1), 12.5 + n as f64 / 52.0));
-            hand.ledger.attempts.push(attempt(n, At::Host(2), 12.5 + n as f64 / 52.0));
+            hand.ledger.attempts.push(attempt(n, At::CacheServer(1), 12.5 + n as f64 / 52.0));
+            hand.ledger.attempts.push(attempt(n, At::CacheServer(2), 12.5 + n as f64 / 52.0));
         }
         let seen = cold(&hand.ledger, &terms());
         assert!((seen.peak - 0.8).abs() < 0.01 && seen.bound.is_none() && seen.whole == 50.0, "{seen:?}");
@@ -224,7 +224,7 @@
         let seen = cold(&hand.ledger, &limited);
         assert!((seen.peak - 4.0 / 3.0).abs() < 0.02 && seen.seconds_over == 2, "{seen:?}");
         assert_eq!(seen.bound, Some(1.05));
-        hand.ledger.hosts = vec![span(Ill::Slow)];
+        hand.ledger.servers = vec![span(Ill::Slow)];
         assert_eq!(cold(&hand.ledger, &limited).peak, 0.0, "it is warm");
     }
 
@@ -232,9 +232,9 @@
     fn second_tries_count_against_first_tries_unless_a_miss_led_to_them() {
         let mut hand = Hand::default();
         for n in 0..20 {
-            let id = hand.command(served(10.0 + f64::from(n) / 20.0));
-            hand.ledger.attempts.push(attempt(id, At::Host(0), 10.0 + f64::from(n) / 20.0));
-            hand.ledger.attempts.push(attempt(id, At::Host(1), 10.1 + f64::from(n) / 20.0));
+            let id = hand.request(served(10.0 + f64::from(n) / 20.0));
+            hand.ledger.attempts.push(attempt(id, At::CacheServer(0), 10.0 + f64::from(n) / 20.0));
+            hand.ledger.attempts.push(attempt(id, At::CacheServer(1), 10.1 + f64::from(n) / 20.0));
         }
         let stated =
             Stated { origin: 10.0, spread: 0, cold: None, second: Some((0.5, 10.0)), verdicts: None };
@@ -256,7 +256,7 @@
         assert_eq!((seen.limit.r#use, seen.figures.useful), (Some(1.2), Some(0.6)));
         let mut refused = hand(8, 8);
         for _ in 0..4 {
-            refused.command(Command { end: Ended::Refused, ..served(10.5) });
+            refused.request(ClientRequest { end: Ended::Refused, ..served(10.5) });
         }
         let seen = origin(&refused.ledger, &terms());
         assert_eq!(
--- a/platform-model/src/judge/rules.rs
+++ b/platform-model/src/judge/rules.rs
@@ -1,24 +1,24 @@
-//! The four rules: a final answer in time, attempts, drains, cold hosts. Each breach comes with its command's story.
+//! The four rules: a final answer in time, attempts, drains, cold servers. Each breach comes with its request's story.
 
 use std::collections::HashMap;
 
 use serde::{Deserialize, Serialize};
 
 use super::{Effect, Terms};
-use crate::ledger::{Attempt, Command, Ended, Ill, Ledger, Told};
+use crate::ledger::{Attempt, ClientRequest, Ended, Ill, Ledger, Told};
 use crate::{Us, SECOND};
 
 /// A rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Each command taken has one final answer before its deadline, made for it.
+    /// Each request taken has one final answer before its deadline, made for it.
     Answers,
     /// At most three attempts, and again only as the class allows.
     Attempts,
-    /// Nothing new to a host that was told to drain or to be gone.
+    /// Nothing new to a server that was told to drain or to be gone.
     Drains,
-    /// No cold host pushed over, no origin stopped by cold hosts' misses.
+    /// No cold server pushed over, no origin stopped by cold servers' misses.
     Cold,
 }
 
@@ -31,14 +31,14 @@
     pub at: Us,
     /// What broke it.
     pub what: String,
-    /// What happened to the command, line by line.
+    /// What happened to the request, line by line.
     pub story: Vec<String>,
 }
 
-/// The part of cold hosts' misses in what stopped the origin from which on the stop breaks the rule.
+/// The part of cold servers' misses in what stopped the origin from which on the stop breaks the rule.
 const MUCH: f64 = 0.5;
 
-/// A platform's balancers may shut the door on so many of their commands: one in 200. Beyond, these are lost.
+/// A platform's balancers may shut the door on so many of their requests: one in 200. Beyond, these are lost.
 const SHUT: usize = 200;
 
 /// All breaches, in the order of the ledger.
@@ -48,22 +48,25 @@
         attempts.entry(attempt.id).or_default().push(attempt);
     }
     let mut found = Vec::new();
-    let mut shut = ledger.commands.len() / SHUT;
-    for command in &ledger.commands {
-        if command.end == Ended::Shut && shut > 0 {
+    let mut shut = ledger.requests.len() / SHUT;
+    for request in &ledger.requests {
+        if request.end == Ended::Shut && shut > 0 {
             shut -= 1;
             continue;
         }
-        let own = attempts.get(&command.id).map_or(&[][..], Vec::as_slice);
-        let wrongs = [answer(ledger, terms, command, own), tries(terms, command, own)];
+        let own = attempts.get(&request.id).map_or(&[][..], Vec::as_slice);
+        let wrongs = [answer(ledger, terms, request, own), tries(terms, request, own)];
         for (rule, at, what) in wrongs.into_iter().flatten() {
-            found.push(Breach { rule, at, what, story: story(terms, command, own) });
+            found.push(Breach { rule, at, what, story: story(terms, request, own) });
         }
     }
     drains(ledger, terms, &attempts, &mut found);
     let plain = |at, what| Breach { rule: Rule::Cold, at, what, story: Vec::new() };
-    for (host, at) in &ledger.falls {
-        found.push(plain(*at, format!("host {host} was cold and was pushed over by all balancers together")));
+    for (server, at) in &ledger.falls {
+        found.push(plain(
+            *at,
+            format!("host {server} was cold and was pushed over by all balancers together"),
+        ));
     }
     for (at, cold) in ledger.stops.iter().filter(|(_, cold)| *cold >= MUCH) {
         found.push(plain(
@@ -76,41 +79,41 @@
 
 type Wrong = Option<(Rule, Us, String)>;
 
-/// One final answer, in time, made for the command.
-fn answer(ledger: &Ledger, terms: &Terms, command: &Command, own: &[&Attempt]) -> Wrong {
+/// One final answer, in time, made for the request.
+fn answer(ledger: &Ledger, terms: &Terms, request: &ClientRequest, own: &[&Attempt]) -> Wrong {
     let wrong = |at, what: String| Some((Rule::Answers, at, what));
     // A byte that a link spoilt within a value looks like any other to whoever passes it on.
-    if command.end == Ended::Wrong && own.iter().any(|attempt| attempt.spoilt) {
+    if request.end == Ended::Wrong && own.iter().any(|attempt| attempt.spoilt) {
         return None;
     }
-    if command.end == Ended::Wrong {
-        return wrong(command.ended?, "it was served with what nobody made for it".into());
+    if request.end == Ended::Wrong {
+        return wrong(request.ended?, "it was served with what nobody made for it".into());
     }
-    if command.more > 0 {
-        return wrong(command.ended?, format!("{} more lines came behind its answer", command.more));
+    if request.more > 0 {
+        return wrong(request.ended?, format!("{} more lines came behind its answer", request.more));
     }
     // A process that a fault killed or froze cannot answer: that is told as lost, and breaks no rule.
     let excused = ledger
         .processes
         .iter()
-        .any(|s| s.who == command.balancer && s.meets(command.sent, command.deadline + terms.slack));
+        .any(|s| s.who == request.balancer && s.meets(request.sent, request.deadline + terms.slack));
     if excused {
         return None;
     }
     // What the rig itself was late by, in the second before, it cannot hold against the program.
-    let due = command.deadline + terms.slack;
-    let near = |at: &&(Us, Us)| at.0 + SECOND >= command.sent && at.0 <= due + SECOND;
+    let due = request.deadline + terms.slack;
+    let near = |at: &&(Us, Us)| at.0 + SECOND >= request.sent && at.0 <= due + SECOND;
     let stall = ledger.stalls.iter().filter(near).map(|(_, by)| *by).max().unwrap_or(0);
-    match command.end {
+    match request.end {
         Ended::Silent => wrong(due, "it was taken and had no final answer".into()),
-        Ended::Closed => wrong(command.ended?, "its connection ended without a whole answer".into()),
+        Ended::Closed => wrong(request.ended?, "its connection ended without a whole answer".into()),
         Ended::Shut => {
-            wrong(command.ended?, format!("it was shut out at the door, beyond one command in {SHUT}"))
+            wrong(request.ended?, format!("it was shut out at the door, beyond one command in {SHUT}"))
         }
         Ended::Served | Ended::Refused | Ended::Failed => {
-            let late = command.ended?.checked_sub(due + stall).filter(|late| *late > 0)?;
+            let late = request.ended?.checked_sub(due + stall).filter(|late| *late > 0)?;
             wrong(
-                command.ended?,
+                request.ended?,
                 format!("its answer came {:.0} ms after its deadline", (late + stall) as f64 / 1e3),
             )
         }
@@ -119,14 +122,14 @@
 }
 
 /// At most so many attempts, and again only as the class allows.
-fn tries(terms: &Terms, command: &Command, own: &[&Attempt]) -> Wrong {
+fn tries(terms: &Terms, request: &ClientRequest, own: &[&Attempt]) -> Wrong {
     let wrong = |at, what: String| Some((Rule::Attempts, at, what));
     if let Some(last) = own.get(terms.attempts) {
         return wrong(last.begun, format!("{} attempts", own.len()));
     }
     let ran = own.iter().position(|attempt| attempt.may_have_run())?;
     let again = own.get(ran + 1)?;
-    match terms.class(command.write).effect {
+    match terms.class(request.write).effect {
         Effect::Safe => None,
         Effect::Keyed(window) => {
             let last = own.last()?;
@@ -137,16 +140,16 @@
     }
 }
 
-/// Nothing new to a host later than its grace after its drain or end was told.
+/// Nothing new to a server later than its grace after its drain or end was told.
 fn drains(ledger: &Ledger, terms: &Terms, attempts: &HashMap<u64, Vec<&Attempt>>, found: &mut Vec<Breach>) {
     let mut told: HashMap<(u32, u32), Vec<&Told>> = HashMap::new();
     for one in &ledger.told {
-        told.entry((one.balancer, one.host)).or_default().push(one);
+        told.entry((one.balancer, one.server)).or_default().push(one);
     }
-    let commands: HashMap<u64, &Command> = ledger.commands.iter().map(|c| (c.id, c)).collect();
+    let requests: HashMap<u64, &ClientRequest> = ledger.requests.iter().map(|c| (c.id, c)).collect();
     for attempt in &ledger.attempts {
-        let crate::ledger::At::Host(host) = attempt.at else { continue };
-        let Some(told) = told.get(&(attempt.balancer, host)) else { continue };
+        let crate::ledger::At::CacheServer(server) = attempt.at else { continue };
+        let Some(told) = told.get(&(attempt.balancer, server)) else { continue };
         // A process that has started anew knows what was told since its start alone.
         let born = ledger
             .processes
@@ -164,30 +167,30 @@
         if attempt.first_byte > since + terms.drain_grace + terms.slack {
             let late = (attempt.first_byte - since) as f64 / 1e3;
             let what = format!(
-                "balancer {} sent to host {host} {late:.0} ms after its drain was told",
+                "balancer {} sent to host {server} {late:.0} ms after its drain was told",
                 attempt.balancer
             );
             let own = attempts.get(&attempt.id).map_or(&[][..], Vec::as_slice);
             let story =
-                commands.get(&attempt.id).map(|command| story(terms, command, own)).unwrap_or_default();
+                requests.get(&attempt.id).map(|request| story(terms, request, own)).unwrap_or_default();
             found.push(Breach { rule: Rule::Drains, at: attempt.first_byte, what, story });
         }
     }
 }
 
-/// What happened to a command, line by line.
-pub fn story(terms: &Terms, command: &Command, own: &[&Attempt]) -> Vec<String> {
+/// What happened to a request, line by line.
+pub fn story(terms: &Terms, request: &ClientRequest, own: &[&Attempt]) -> Vec<String> {
     let second = |at: Us| (at as f64 - terms.zero as f64) / 1e6;
-    let kind = terms.class(command.write).name;
+    let kind = terms.class(request.write).name;
     let mut lines = vec![(
-        command.sent,
+        request.sent,
         format!(
             "{:016x}: {kind} of key {} sent to balancer {}, wanted within {:.0} ms{}",
-            command.id,
-            command.key,
-            command.balancer,
-            (command.deadline - command.sent) as f64 / 1e3,
-            if command.first == command.id { "" } else { ", a client's retry" }
+            request.id,
+            request.key,
+            request.balancer,
+            (request.deadline - request.sent) as f64 / 1e3,
+            if request.first == request.id { "" } else { ", a client's retry" }
         ),
     )];
     for attempt in own {
@@ -199,8 +202,8 @@
             attempt.answered.map(|at| (at, format!("{:?} answers: {:?}", attempt.at, attempt.became))),
         );
     }
-    lines.extend(command.ended.map(|at| (at, format!("its client sees: {:?}", command.end))));
-    lines.push((command.deadline, "its deadline".into()));
+    lines.extend(request.ended.map(|at| (at, format!("its client sees: {:?}", request.end))));
+    lines.push((request.deadline, "its deadline".into()));
     lines.sort_by_key(|(at, _)| *at);
     lines.into_iter().map(|(at, line)| format!("{:9.3} s  {line}", second(at))).collect()
 }
@@ -221,28 +224,28 @@
         let sound = served(10.0);
         let due = sound.deadline + 50_000;
         let cases = [
-            (Command { ended: Some(due), ..sound.clone() }, false),
-            (Command { ended: Some(due + 1), ..sound.clone() }, true),
-            (Command { ended: Some(due + 1), end: Ended::Refused, ..sound.clone() }, true),
-            (Command { end: Ended::Silent, ended: None, ..sound.clone() }, true),
-            (Command { end: Ended::Closed, ..sound.clone() }, true),
-            (Command { end: Ended::Wrong, ..sound.clone() }, true),
-            (Command { more: 1, ..sound.clone() }, true),
-            (Command { end: Ended::Untaken, ..sound.clone() }, false),
-            (Command { end: Ended::Left, ..sound.clone() }, false),
+            (ClientRequest { ended: Some(due), ..sound.clone() }, false),
+            (ClientRequest { ended: Some(due + 1), ..sound.clone() }, true),
+            (ClientRequest { ended: Some(due + 1), end: Ended::Refused, ..sound.clone() }, true),
+            (ClientRequest { end: Ended::Silent, ended: None, ..sound.clone() }, true),
+            (ClientRequest { end: Ended::Closed, ..sound.clone() }, true),
+            (ClientRequest { end: Ended::Wrong, ..sound.clone() }, true),
+            (ClientRequest { more: 1, ..sound.clone() }, true),
+            (ClientRequest { end: Ended::Untaken, ..sound.clone() }, false),
+            (ClientRequest { end: Ended::Left, ..sound.clone() }, false),
         ];
-        for (command, breaks) in cases {
+        for (request, breaks) in cases {
             let mut hand = Hand::default();
-            hand.command(command.clone());
-            assert_eq!(rules(&hand), vec![Rule::Answers; usize::from(breaks)], "{command:?}");
+            hand.request(request.clone());
+            assert_eq!(rules(&hand), vec![Rule::Answers; usize::from(breaks)], "{request:?}");
         }
     }
 
     #[test]
     fn a_value_that_a_link_spoilt_is_not_held_against_who_passed_it_on() {
         let mut hand = Hand::default();
-        let id = hand.command(Command { end: Ended::Wrong, ..served(10.0) });
-        hand.ledger.attempts.push(Attempt { spoilt: true, ..attempt(id, At::Host(0), 10.0) });
+        let id = hand.request(ClientRequest { end: Ended::Wrong, ..served(10.0) });
+        hand.ledger.attempts.push(Attempt { spoilt: true, ..attempt(id, At::CacheServer(0), 10.0) });
         assert_eq!(rules(&hand), []);
         hand.ledger.attempts[0].spoilt = false;
         assert_eq!(rules(&hand), [Rule::Answers]);
@@ -252,22 +255,22 @@
     fn one_command_in_two_hundred_may_be_shut_out_at_the_door() {
         let mut hand = Hand::default();
         for _ in 0..398 {
-            hand.command(served(10.0));
+            hand.request(served(10.0));
         }
-        hand.command(Command { end: Ended::Shut, ..served(10.0) });
-        hand.command(Command { end: Ended::Shut, ..served(10.0) });
+        hand.request(ClientRequest { end: Ended::Shut, ..served(10.0) });
+        hand.request(ClientRequest { end: Ended::Shut, ..served(10.0) });
         assert_eq!(rules(&hand), []);
-        hand.ledger.commands.pop();
+        hand.ledger.requests.pop();
         assert_eq!(rules(&hand), [], "one of 399");
-        hand.command(Command { end: Ended::Shut, ..served(10.0) });
-        hand.command(Command { end: Ended::Shut, ..served(10.0) });
+        hand.request(ClientRequest { end: Ended::Shut, ..served(10.0) });
+        hand.request(ClientRequest { end: Ended::Shut, ..served(10.0) });
         assert_eq!(rules(&hand), [Rule::Answers], "three of 401");
     }
 
     #[test]
     fn a_process_that_is_dead_or_frozen_and_a_rig_that_is_late_excuse_an_answer() {
         let mut hand = Hand::default();
-        hand.command(Command { end: Ended::Silent, ended: None, ..served(10.0) });
+        hand.request(ClientRequest { end: Ended::Silent, ended: None, ..served(10.0) });
         let dead = |who, from, to| Span { who, ill: Ill::Dead, from: us(from), to: Some(us(to)) };
         for (span, breaks) in [
             (dead(0, 10.9, 12.0), 0),
@@ -279,7 +282,7 @@
             assert_eq!(rules(&hand).len(), breaks, "{:?}", hand.ledger.processes);
         }
         let mut hand = Hand::default();
-        hand.command(Command { ended: Some(us(11.1)), ..served(10.0) });
+        hand.request(ClientRequest { ended: Some(us(11.1)), ..served(10.0) });
         assert_eq!(rules(&hand), [Rule::Answers]);
         hand.ledger.stalls = vec![(us(11.0), 49_000)];
         assert_eq!(rules(&hand), [Rule::Answers]);
@@ -291,9 +294,11 @@
     fn three_attempts_are_allowed_and_repeats_as_the_class_has_it() {
         let played = |effect, write, attempts: &[(f64, Became)]| {
             let mut hand = Hand::default();
-            let id = hand.command(Command { write, ..served(10.0) });
+            let id = hand.request(ClientRequest { write, ..served(10.0) });
             for (at, became) in attempts {
-                hand.ledger.attempts.push(Attempt { became: *became, ..attempt(id, At::Host(0), *at) });
+                hand.ledger
+                    .attempts
+                    .push(Attempt { became: *became, ..attempt(id, At::CacheServer(0), *at) });
             }
             let mut terms = terms();
             terms.classes[1].effect = effect;
@@ -313,16 +318,16 @@
     #[test]
     fn a_drain_holds_from_its_grace_until_the_return_is_told() {
         let mut hand = Hand::default();
-        let told = |at, in_service| Told { balancer: 0, host: 2, in_service, at: us(at) };
+        let told = |at, in_service| Told { balancer: 0, server: 2, in_service, at: us(at) };
         hand.ledger.told = vec![told(10.0, false), told(10.4, false), told(20.0, true)];
-        for (at, host, breaks) in
+        for (at, server, breaks) in
             [(10.55, 2, 0), (10.56, 2, 1), (10.56, 1, 0), (19.99, 2, 1), (20.0, 2, 0), (9.0, 2, 0)]
         {
-            hand.ledger.attempts = vec![attempt(1, At::Host(host), at)];
-            assert_eq!(rules(&hand), vec![Rule::Drains; breaks], "{at} {host}");
+            hand.ledger.attempts = vec![attempt(1, At::CacheServer(server), at)];
+            assert_eq!(rules(&hand), vec![Rule::Drains; breaks], "{at} {server}");
         }
         // Started anew at 12 s, the process was told nothing.
-        hand.ledger.attempts = vec![attempt(1, At::Host(2), 13.0)];
+        hand.ledger.attempts = vec![attempt(1, At::CacheServer(2), 13.0)];
         hand.ledger.processes = vec![Span { who: 0, ill: Ill::Dead, from: us(11.0), to: Some(us(12.0)) }];
         assert_eq!(rules(&hand), []);
     }
@@ -340,8 +345,8 @@
     #[test]
     fn a_breach_tells_the_whole_story_in_order() {
         let mut hand = Hand::default();
-        let id = hand.command(Command { end: Ended::Silent, ended: None, ..served(10.0) });
-        hand.ledger.attempts.push(Attempt { became: Became::Miss, ..attempt(id, At::Host(3), 10.1) });
+        let id = hand.request(ClientRequest { end: Ended::Silent, ended: None, ..served(10.0) });
+        hand.ledger.attempts.push(Attempt { became: Became::Miss, ..attempt(id, At::CacheServer(3), 10.1) });
         let story = &breaches(&hand.ledger, &terms())[0].story;
         let parts = [
             "5.000 s  0000000000000001: read",
--- a/platform-model/src/judge/series.rs
+++ b/platform-model/src/judge/series.rs
@@ -11,8 +11,9 @@
 pub struct Second {
     /// Its number, from the experiment's beginning.
     pub second: u64,
-    /// Commands planned in it.
-    pub commands: u64,
+    /// Requests planned in it.
+    #[serde(rename = "commands")]
+    pub requests: u64,
     /// Of those, served.
     pub served: u64,
     /// Of those, refused.
@@ -25,7 +26,7 @@
     pub p50_ms: f64,
     /// The 99th percentile of them.
     pub p99_ms: f64,
-    /// Attempts that hosts received.
+    /// Attempts that servers received.
     pub attempts: u64,
     /// Fetches that the origin received.
     pub fetches: u64,
@@ -38,8 +39,8 @@
 pub struct Series {
     /// By second.
     pub seconds: Vec<Second>,
-    /// For each host, what it began in each second over its fair part by weight.
-    pub hosts: Vec<Vec<f64>>,
+    /// For each server, what it began in each second over its fair part by weight.
+    pub servers: Vec<Vec<f64>>,
 }
 
 /// The series of a run.
@@ -52,14 +53,14 @@
         .collect();
     let of = |at: Us| ((at - terms.zero) / SECOND) as usize;
     let mut times: Vec<Vec<Us>> = vec![Vec::new(); seconds.len()];
-    for command in ledger.commands.iter().filter(|c| terms.counts(c.planned)) {
-        let second = of(command.planned);
+    for request in ledger.requests.iter().filter(|c| terms.counts(c.planned)) {
+        let second = of(request.planned);
         let one = &mut seconds[second];
-        one.commands += 1;
-        match fate(command, terms) {
+        one.requests += 1;
+        match fate(request, terms) {
             Fate::Served => {
                 one.served += 1;
-                times[second].extend(command.ended.map(|at| at - command.sent));
+                times[second].extend(request.ended.map(|at| at - request.sent));
             }
             Fate::Refused => one.refused += 1,
             Fate::Failed => one.failed += 1,
@@ -70,22 +71,22 @@
         second.p50_ms = percentile(times, 0.5) as f64 / 1e3;
         second.p99_ms = percentile(times, 0.99) as f64 / 1e3;
     }
-    let mut hosts = vec![vec![0.0; seconds.len()]; terms.weights.len()];
+    let mut servers = vec![vec![0.0; seconds.len()]; terms.weights.len()];
     for attempt in ledger.attempts.iter().filter(|a| terms.counts(a.begun)) {
         let second = of(attempt.begun);
         match attempt.at {
-            At::Host(host) => {
+            At::CacheServer(server) => {
                 seconds[second].attempts += 1;
-                hosts[host as usize][second] += 1.0;
+                servers[server as usize][second] += 1.0;
             }
             At::Origin => seconds[second].fetches += 1,
         }
     }
     let sum: f64 = terms.weights.iter().sum();
-    for (host, counts) in hosts.iter_mut().enumerate() {
+    for (server, counts) in servers.iter_mut().enumerate() {
         for (count, second) in counts.iter_mut().zip(&seconds) {
-            *count /= (second.attempts as f64 * terms.weights[host] / sum).max(1e-9);
+            *count /= (second.attempts as f64 * terms.weights[server] / sum).max(1e-9);
         }
     }
-    Series { seconds, hosts }
+    Series { seconds, servers }
 }
--- a/platform-model/src/judge/spread.rs
+++ b/platform-model/src/judge/spread.rs
@@ -1,6 +1,6 @@
-//! How evenly the hosts were used, from their own ledgers, beside what fair draws of the same begins would give.
+//! How evenly the servers were used, from their own ledgers, beside what fair draws of the same begins would give.
 //!
-//! Windows of 5 s; in each, the hosts that were sound, listed and warm from end to end. A host's load is what it began
+//! Windows of 5 s; in each, the servers that were sound, listed and warm from end to end. A server's load is what it began
 //! over its part by weight of what all of these began. Small numbers are uneven by chance, so each figure stands beside
 //! the mean of the same figure over [`DRAWS`] deals of the same begins by independent draws.
 
@@ -20,16 +20,16 @@
 const HERD: Us = SECOND / 10;
 /// How often the begins are dealt anew.
 const DRAWS: usize = 100;
-/// Where so many were due and nothing came, a host was idle.
+/// Where so many were due and nothing came, a server was idle.
 const IDLE_DUE: f64 = 5.0;
 
-/// One window: the hosts that count in it, and what they began.
+/// One window: the servers that count in it, and what they began.
 struct Window {
     /// Their numbers.
-    hosts: Vec<usize>,
+    servers: Vec<usize>,
     /// Their parts, which sum up to 1.
     parts: Vec<f64>,
-    /// What they began, in order: when, and at which place of `hosts`.
+    /// What they began, in order: when, and at which place of `servers`.
     begins: Vec<(Us, usize)>,
 }
 
@@ -73,31 +73,31 @@
     let mut all: Vec<Window> = (0..count)
         .map(|number| {
             let from = terms.zero + number as Us * WINDOW;
-            let ill = |host: usize| {
-                ledger.hosts.iter().any(|s| s.who == host as u32 && s.meets(from, from + WINDOW))
+            let ill = |server: usize| {
+                ledger.servers.iter().any(|s| s.who == server as u32 && s.meets(from, from + WINDOW))
             };
-            let hosts: Vec<usize> = (0..terms.weights.len()).filter(|host| !ill(*host)).collect();
-            let sum: f64 = hosts.iter().map(|host| terms.weights[*host]).sum();
-            for (place, host) in hosts.iter().enumerate() {
-                place_of[number][*host] = Some(place);
+            let servers: Vec<usize> = (0..terms.weights.len()).filter(|server| !ill(*server)).collect();
+            let sum: f64 = servers.iter().map(|server| terms.weights[*server]).sum();
+            for (place, server) in servers.iter().enumerate() {
+                place_of[number][*server] = Some(place);
             }
             Window {
-                parts: hosts.iter().map(|host| terms.weights[*host] / sum).collect(),
-                hosts,
+                parts: servers.iter().map(|server| terms.weights[*server] / sum).collect(),
+                servers,
                 begins: Vec::new(),
             }
         })
         .collect();
     for attempt in &ledger.attempts {
-        let At::Host(host) = attempt.at else { continue };
+        let At::CacheServer(server) = attempt.at else { continue };
         let Some(since) = attempt.begun.checked_sub(terms.zero) else { continue };
         let number = (since / WINDOW) as usize;
-        let place = place_of.get(number).and_then(|places| places.get(host as usize)).copied().flatten();
+        let place = place_of.get(number).and_then(|places| places.get(server as usize)).copied().flatten();
         if let Some(place) = place {
             all[number].begins.push((attempt.begun, place));
         }
     }
-    all.retain(|window| window.hosts.len() > 1 && !window.begins.is_empty());
+    all.retain(|window| window.servers.len() > 1 && !window.begins.is_empty());
     all.iter_mut().for_each(|window| window.begins.sort_unstable());
     all
 }
@@ -110,8 +110,8 @@
 ) -> Deal {
     let mut deal = Deal::default();
     for window in windows {
-        let mut counts = vec![0.0; window.hosts.len()];
-        let mut near: Vec<VecDeque<Us>> = vec![VecDeque::new(); window.hosts.len()];
+        let mut counts = vec![0.0; window.servers.len()];
+        let mut near: Vec<VecDeque<Us>> = vec![VecDeque::new(); window.servers.len()];
         let all = window.begins.len() as f64;
         for (at, place) in &window.begins {
             let place = choose(window, *place, rng);
@@ -156,17 +156,17 @@
     use crate::ledger::{Ill, Span};
     use crate::us;
 
-    /// Each window has 100 begins, dealt by weight (20, 20, 20, 40) but for what `moved` takes from host 0 to host 1.
+    /// Each window has 100 begins, dealt by weight (20, 20, 20, 40) but for what `moved` takes from server 0 to server 1.
     fn hand(moved: usize) -> Hand {
         let mut hand = Hand::default();
         for n in 0..600 {
             let place = n % 100;
-            let host = match place % 5 {
+            let server = match place % 5 {
                 0 if place / 5 < moved => 1,
                 3 | 4 => 3,
                 other => other as u32,
             };
-            hand.ledger.attempts.push(attempt(n as u64, At::Host(host), 5.0 + n as f64 * 0.05));
+            hand.ledger.attempts.push(attempt(n as u64, At::CacheServer(server), 5.0 + n as f64 * 0.05));
         }
         hand
     }
@@ -193,14 +193,14 @@
     #[test]
     fn hosts_that_are_not_sound_do_not_count_in_their_windows() {
         let mut hand = hand(20);
-        hand.ledger.hosts.push(Span { who: 0, ill: Ill::Cold, from: us(5.0), to: Some(us(34.9)) });
+        hand.ledger.servers.push(Span { who: 0, ill: Ill::Cold, from: us(5.0), to: Some(us(34.9)) });
         let seen = spread(&hand.ledger, &terms());
         assert_eq!(seen.idle, 0);
         assert!(
             (seen.peak - 1.6).abs() < 1e-9,
             "of 100 that three hosts of 4 parts began, host 1 had 40: {seen:?}"
         );
-        hand.ledger.hosts[0].to = Some(us(29.9));
+        hand.ledger.servers[0].to = Some(us(29.9));
         assert_eq!(spread(&hand.ledger, &terms()).idle, 1, "the last window counts again");
     }
 
@@ -213,7 +213,7 @@
             (even.herd - 2.5).abs() < 1e-9,
             "one in 100 ms where 0.4 were due, two where 0.8 were: {even:?}"
         );
-        for a in hand.ledger.attempts.iter_mut().filter(|a| a.at == At::Host(2) && a.id < 50) {
+        for a in hand.ledger.attempts.iter_mut().filter(|a| a.at == At::CacheServer(2) && a.id < 50) {
             a.begun = us(6.0);
         }
         let herd = spread(&hand.ledger, &terms());
--- a/platform-model/src/judge/told.rs
+++ b/platform-model/src/judge/told.rs
@@ -1,5 +1,5 @@
 //! What processes said of themselves once a second, held against what was true: the only figures that rest on it are those that
-//! nobody else can see, who they think is there and which hosts they pass by on others' word.
+//! nobody else can see, who they think is there and which servers they pass by on others' word.
 
 use std::collections::BTreeMap;
 
@@ -16,11 +16,11 @@
     pub balancer: usize,
     /// Units of the origin's limit that it may use.
     pub held: f64,
-    /// Commands begun in the last window.
+    /// Requests begun in the last window.
     pub used: f64,
     /// Members that it thinks are there.
     pub members: f64,
-    /// Hosts that it passes by on others' word.
+    /// Servers that it passes by on others' word.
     pub passed_by: f64,
     /// The oldest word that it has acted on, in seconds.
     pub oldest: f64,
@@ -32,7 +32,7 @@
     /// The longest time in which a process that was there was wrong about how many are, in seconds; none where links between
     /// balancers had a fault, so that more than one view is right, or a process was frozen.
     pub members_wrong_s: Option<f64>,
-    /// Hosts that were passed by beyond those that were unwell then or within a word's time before, summed over what was said.
+    /// Servers that were passed by beyond those that were unwell then or within a word's time before, summed over what was said.
     pub wrong: u64,
     /// The oldest word that acted, in milliseconds; none where none did.
     pub oldest_ms: Option<f64>,
@@ -43,7 +43,7 @@
     let expiry = terms.stated.and_then(|stated| stated.verdicts).map_or(0, |(_, expiry)| expiry);
     let holders: Vec<&Holder> = holders.iter().filter(|one| terms.counts(one.at)).collect();
     let unwell = |at: Us| {
-        let near = ledger.hosts.iter().filter(|span| span.meets(at.saturating_sub(expiry), at));
+        let near = ledger.servers.iter().filter(|span| span.meets(at.saturating_sub(expiry), at));
         near.map(|span| span.who).collect::<std::collections::HashSet<_>>().len() as f64
     };
     let beyond = |one: &&Holder| (one.passed_by - unwell(one.at)).max(0.0) as u64;
@@ -103,7 +103,7 @@
     #[test]
     fn hosts_passed_by_beyond_those_that_were_unwell_are_wrong() {
         let mut hand = Hand::default();
-        hand.ledger.hosts = vec![Span { who: 1, ill: Ill::Silent, from: us(10.0), to: Some(us(15.0)) }];
+        hand.ledger.servers = vec![Span { who: 1, ill: Ill::Silent, from: us(10.0), to: Some(us(15.0)) }];
         let verdicts = Some((SECOND, 6 * SECOND));
         let stated = Stated { origin: 1.0, spread: 0, cold: None, second: None, verdicts };
         let terms = Terms { stated: Some(stated), ..terms() };
--- a/platform-model/src/ledger.rs
+++ b/platform-model/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What a run leaves: what clients sent and got, what hosts and the origin received and ran, what discovery told, and
+//! What a run leaves: what clients sent and got, what servers and the origin received and ran, what discovery told, and
 //! who was unwell when. The judge reads nothing else.
 
 use serde::{Deserialize, Serialize};
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ended {
-    /// Served, with a value or a receipt that a host or the origin made for it.
+    /// Served, with a value or a receipt that a server or the origin made for it.
     Served,
     /// Served with what nobody made for it.
     Wrong,
@@ -29,9 +29,9 @@
     Shut,
 }
 
-/// One try of a client: a command, with an id of its own.
+/// One try of a client: a request, with an id of its own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Command {
+pub struct ClientRequest {
     /// Its id.
     pub id: u64,
     /// The id of the client's first try; its own where it is that.
@@ -60,13 +60,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum At {
-    /// The cache host with this number.
-    Host(u32),
+    /// The cache server with this number.
+    #[serde(rename = "host")]
+    CacheServer(u32),
     /// The origin.
     Origin,
 }
 
-/// What became of an attempt at its host.
+/// What became of an attempt at its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Became {
@@ -82,10 +83,10 @@
     Nothing,
 }
 
-/// One attempt that a host or the origin received whole.
+/// One attempt that a server or the origin received whole.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The command's id.
+    /// The request's id.
     pub id: u64,
     /// The balancer that sent it.
     pub balancer: u32,
@@ -99,7 +100,7 @@
     pub answered: Option<Us>,
     /// What became of it.
     pub became: Became,
-    /// Whether its host was cold; at the origin, whether a cold host missed for it.
+    /// Whether its server was cold; at the origin, whether a cold server missed for it.
     pub cold: bool,
     /// Whether a link's fault spoilt it or its answer on the way.
     pub spoilt: bool,
@@ -112,14 +113,15 @@
     }
 }
 
-/// Discovery has told a balancer of a host.
+/// Discovery has told a balancer of a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Told {
     /// The balancer.
     pub balancer: u32,
-    /// The host's number.
-    pub host: u32,
-    /// Whether the host is in service.
+    /// The server's number.
+    #[serde(rename = "host")]
+    pub server: u32,
+    /// Whether the server is in service.
     pub in_service: bool,
     /// When.
     pub at: Us,
@@ -129,17 +131,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ill {
-    /// A host says nothing.
+    /// A server says nothing.
     Silent,
-    /// A host is slow.
+    /// A server is slow.
     Slow,
-    /// A host fails some of its commands.
+    /// A server fails some of its requests.
     Failing,
-    /// A host drains or is gone.
+    /// A server drains or is gone.
     Closed,
-    /// A host warms up.
+    /// A server warms up.
     Cold,
-    /// A host's links have a fault.
+    /// A server's links have a fault.
     Links,
     /// A process is dead.
     Dead,
@@ -147,10 +149,10 @@
     Frozen,
 }
 
-/// A time in which a host or a process was not well.
+/// A time in which a server or a process was not well.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Span {
-    /// The host's or the process's number.
+    /// The server's or the process's number.
     pub who: u32,
     /// Why.
     pub ill: Ill,
@@ -171,20 +173,22 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Ledger {
     /// Tries, in the order in which they were sent.
-    pub commands: Vec<Command>,
+    #[serde(rename = "commands")]
+    pub requests: Vec<ClientRequest>,
     /// Attempts, in the order in which they were received.
     pub attempts: Vec<Attempt>,
     /// What went into a link that was cut and was never heard.
     pub unheard: Vec<Attempt>,
     /// What discovery told whom.
     pub told: Vec<Told>,
-    /// When hosts were not well.
-    pub hosts: Vec<Span>,
+    /// When servers were not well.
+    #[serde(rename = "hosts")]
+    pub servers: Vec<Span>,
     /// When processes were not well.
     pub processes: Vec<Span>,
-    /// Cold hosts that fell over: who and when.
+    /// Cold servers that fell over: who and when.
     pub falls: Vec<(u32, Us)>,
-    /// Times at which the origin stopped, and the share of cold hosts' misses in what it had been sent.
+    /// Times at which the origin stopped, and the share of cold servers' misses in what it had been sent.
     pub stops: Vec<(Us, f64)>,
     /// How late the rig itself was: when, and by how much, where that was over a few milliseconds.
     pub stalls: Vec<(Us, Us)>,
--- a/platform-model/src/lib.rs
+++ b/platform-model/src/lib.rs
@@ -1,14 +1,14 @@
-//! The model of the platform, without I/O and without a clock: cache hosts, the origin, discovery, the load and the
-//! faults of an experiment, and the judge that reads what clients sent and what hosts received.
+//! The model of the platform, without I/O and without a clock: cache servers, the origin, discovery, the load and the
+//! faults of an experiment, and the judge that reads what clients sent and what servers received.
 //!
 //! Time comes in as [`Us`], microseconds since the run's beginning; random numbers come in as a seeded generator that gives
 //! the same numbers on every machine. `fleet/` carries this world onto sockets round real processes.
 
+pub mod cache_server;
 pub mod check;
 pub mod discovery;
 pub mod experiment;
 pub mod group;
-pub mod host;
 pub mod judge;
 pub mod ledger;
 pub mod links;
--- a/platform-model/src/links.rs
+++ b/platform-model/src/links.rs
@@ -12,8 +12,8 @@
 pub enum End {
     /// A process of the program.
     Balancer(usize),
-    /// A cache host.
-    Host(usize),
+    /// A cache server.
+    CacheServer(usize),
     /// The origin.
     Origin,
     /// Discovery.
@@ -109,13 +109,13 @@
         state
     }
 
-    /// The hosts that a fault's links lead to.
+    /// The servers that a fault's links lead to.
     pub fn hosts_of(&self, number: usize) -> Vec<usize> {
-        let of = |f: &LinkFault| f.from.hosts.iter().chain(&f.to.hosts).copied().collect::<Vec<_>>();
-        let mut hosts: Vec<usize> = self.faults.iter().filter(|f| f.fault == number).flat_map(of).collect();
-        hosts.sort_unstable();
-        hosts.dedup();
-        hosts
+        let of = |f: &LinkFault| f.from.servers.iter().chain(&f.to.servers).copied().collect::<Vec<_>>();
+        let mut servers: Vec<usize> = self.faults.iter().filter(|f| f.fault == number).flat_map(of).collect();
+        servers.sort_unstable();
+        servers.dedup();
+        servers
     }
 
     /// Whether a fault is on links between balancers, on or off now.
@@ -124,7 +124,7 @@
     }
 
     /// The side of each balancer: balancers of one side are told apart by no link's fault and by no zone, so that they
-    /// may share the doors through which they reach the hosts. Sides are numbered from 0.
+    /// may share the doors through which they reach the servers. Sides are numbered from 0.
     pub fn sides(&self, e: &Experiment) -> Vec<usize> {
         let mut seen: Vec<(usize, Vec<bool>)> = Vec::new();
         (0..e.fleet.balancers)
@@ -143,7 +143,7 @@
 fn holds(group: &Members, end: End) -> bool {
     match end {
         End::Balancer(n) => group.balancers.binary_search(&n).is_ok(),
-        End::Host(n) => group.hosts.binary_search(&n).is_ok(),
+        End::CacheServer(n) => group.servers.binary_search(&n).is_ok(),
         End::Origin => group.origin,
         End::Discovery => group.discovery,
     }
--- a/platform-model/src/load.rs
+++ b/platform-model/src/load.rs
@@ -1,4 +1,4 @@
-//! The load, drawn ahead: when each command comes, at which balancer, for which key. It does not wait for answers.
+//! The load, drawn ahead: when each request comes, at which balancer, for which key. It does not wait for answers.
 
 use rand::Rng;
 use rand_distr::{Distribution, Zipf};
@@ -75,7 +75,7 @@
     }
 }
 
-/// Commands a second at this time of the experiment.
+/// Requests a second at this time of the experiment.
 fn rate(load: &Load, since: f64, seconds: f64) -> f64 {
     let ramp = 1.0 + (load.ramp - 1.0) * (since / seconds).clamp(0.0, 1.0);
     let within = load.burst.iter().filter(|b| (b.at..b.at + b.lasts).contains(&since));
--- a/platform-model/src/origin.rs
+++ b/platform-model/src/origin.rs
@@ -1,4 +1,4 @@
-//! The origin: slow, takes far less than all commands, stops when it is sent far too much.
+//! The origin: slow, takes far less than all requests, stops when it is sent far too much.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -36,12 +36,12 @@
     slow: f64,
     /// When each worker is free.
     free: Vec<Us>,
-    /// What came lately, and whether each was a miss of a cold host.
+    /// What came lately, and whether each was a miss of a cold server.
     recent: VecDeque<(Us, bool)>,
     stopped_until: Us,
     /// Writes by idempotency key, and when they ran.
     ran: HashMap<u64, Us>,
-    /// Each stop: when, and the share of misses of cold hosts in what was sent.
+    /// Each stop: when, and the share of misses of cold servers in what was sent.
     pub stops: Vec<(Us, f64)>,
     /// Nothing is too much: the caches are filling before the experiment begins.
     pub unbounded: bool,
@@ -69,7 +69,7 @@
     }
 
     /// Something has come, whole: `write` has the idempotency key of a write, `cold` says that it is the miss of a
-    /// cold host, and nobody waits for it after `until`.
+    /// cold server, and nobody waits for it after `until`.
     pub fn begin(
         &mut self,
         now: Us,
--- a/platform-model/src/rng.rs
+++ b/platform-model/src/rng.rs
@@ -6,15 +6,15 @@
 /// The generator of all random numbers here. ChaCha is portable, unlike rand's own standard generator.
 pub type SeededRng = ChaCha8Rng;
 
-/// What a stream of random numbers is for. Each purpose has one of its own, so that a change of one (more hosts, say)
+/// What a stream of random numbers is for. Each purpose has one of its own, so that a change of one (more servers, say)
 /// leaves the numbers of the others as they were.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RngStream {
-    /// When commands come, at which balancer, for which key.
+    /// When requests come, at which balancer, for which key.
     Load = 1,
-    /// Which processes and hosts a share of a group names.
+    /// Which processes and servers a share of a group names.
     Groups = 2,
-    /// Work and pauses of the cache hosts and the origin.
+    /// Work and pauses of the cache servers and the origin.
     Machines = 3,
     /// What clients do after an answer.
     Clients = 4,
@@ -35,7 +35,7 @@
     rng
 }
 
-/// Spreads a number over 64 bits, the same everywhere: names of keys and hosts are made of it.
+/// Spreads a number over 64 bits, the same everywhere: names of keys and servers are made of it.
 pub fn spread(number: u64) -> u64 {
     let mut x = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/platform-model/src/schedule.rs
+++ b/platform-model/src/schedule.rs
@@ -23,19 +23,19 @@
     Freeze(Vec<usize>),
     /// Processes go on.
     Thaw(Vec<usize>),
-    /// Hosts say nothing, or speak again.
+    /// Servers say nothing, or speak again.
     Silent(Vec<usize>, bool),
-    /// Hosts take so many times as long.
+    /// Servers take so many times as long.
     Slow(Vec<usize>, f64),
-    /// Hosts fail this share of their commands.
+    /// Servers fail this share of their requests.
     Failing(Vec<usize>, f64),
-    /// Hosts drain.
+    /// Servers drain.
     Drain(Vec<usize>),
-    /// Hosts end.
+    /// Servers end.
     Gone(Vec<usize>),
-    /// Hosts start anew, cold and empty.
+    /// Servers start anew, cold and empty.
     Restart(Vec<usize>),
-    /// Other hosts start at the addresses of these.
+    /// Other servers start at the addresses of these.
     Replace(Vec<usize>),
     /// The origin takes so many times as long.
     OriginSlow(f64),
@@ -88,7 +88,7 @@
 fn changes(e: &Experiment, number: usize, fault: &Fault, who: Members) -> Vec<(Us, Change)> {
     let from = us(fault.at);
     let until = fault.lasts.map(|lasts| from + us(lasts));
-    let (hosts, balancers) = (who.hosts, who.balancers);
+    let (servers, balancers) = (who.servers, who.balancers);
     let (share, times) = (fault.share.unwrap_or(1.0), fault.times.unwrap_or(1.0));
     let pair = |begin: Change, end: Change| {
         let mut both = vec![(from, begin)];
@@ -119,20 +119,20 @@
                 })
                 .collect()
         }
-        What::Silent => pair(Change::Silent(hosts.clone(), true), Change::Silent(hosts, false)),
-        What::Slow => pair(Change::Slow(hosts.clone(), times), Change::Slow(hosts, 1.0)),
-        What::Failing => pair(Change::Failing(hosts.clone(), share), Change::Failing(hosts, 0.0)),
-        What::Drain => pair(Change::Drain(hosts.clone()), Change::Restart(hosts)),
-        What::Gone => pair(Change::Gone(hosts.clone()), Change::Restart(hosts)),
-        What::Restart => vec![(from, Change::Restart(hosts))],
-        What::Replace => vec![(from, Change::Replace(hosts))],
+        What::Silent => pair(Change::Silent(servers.clone(), true), Change::Silent(servers, false)),
+        What::Slow => pair(Change::Slow(servers.clone(), times), Change::Slow(servers, 1.0)),
+        What::Failing => pair(Change::Failing(servers.clone(), share), Change::Failing(servers, 0.0)),
+        What::Drain => pair(Change::Drain(servers.clone()), Change::Restart(servers)),
+        What::Gone => pair(Change::Gone(servers.clone()), Change::Restart(servers)),
+        What::Restart => vec![(from, Change::Restart(servers))],
+        What::Replace => vec![(from, Change::Replace(servers))],
         What::Flap => {
             let (every, end) = (us(fault.every.unwrap_or(1.0)), until.unwrap_or(us(e.seconds)));
             let mut steps: Vec<_> = (0..)
-                .map(|n: Us| (from + n * every, Change::Silent(hosts.clone(), n.is_multiple_of(2))))
+                .map(|n: Us| (from + n * every, Change::Silent(servers.clone(), n.is_multiple_of(2))))
                 .take_while(|(at, _)| *at < end)
                 .collect();
-            steps.push((end, Change::Silent(hosts, false)));
+            steps.push((end, Change::Silent(servers, false)));
             steps
         }
         What::OriginSlow => pair(Change::OriginSlow(times), Change::OriginSlow(1.0)),
--- a/platform-model/src/summary.rs
+++ b/platform-model/src/summary.rs
@@ -14,7 +14,8 @@
     /// The processes.
     pub processes: Processes,
     /// Tries of clients.
-    pub commands: u64,
+    #[serde(rename = "commands")]
+    pub requests: u64,
     /// Of those, served before their deadline.
     pub served: u64,
     /// Of those, refused.
@@ -25,8 +26,9 @@
     pub lost: u64,
     /// Worth served within its aim over worth asked for, a client's tries counted as one.
     pub service: f64,
-    /// Attempts that hosts and the origin received, a try.
-    pub attempts_per_command: f64,
+    /// Attempts that servers and the origin received, a try.
+    #[serde(rename = "attempts_per_command")]
+    pub attempts_per_request: f64,
     /// Times of those served.
     pub latency_ms: Latency,
     /// Breaches.
@@ -37,11 +39,11 @@
     pub cpu: Cpu,
     /// The origin.
     pub origin: OriginFigures,
-    /// How evenly hosts were used.
+    /// How evenly servers were used.
     pub spread: Spread,
     /// Limits of the whole fleet, by name.
     pub limits: BTreeMap<String, Limit>,
-    /// How soon the fleet acted on changes at hosts.
+    /// How soon the fleet acted on changes at servers.
     pub verdicts: Verdicts,
     /// Talk between balancers.
     pub peers: Peers,
@@ -56,7 +58,7 @@
     pub crashed: u64,
 }
 
-/// Times of the commands served.
+/// Times of the requests served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Latency {
     /// Median.
@@ -76,7 +78,7 @@
     pub attempts: u64,
     /// Drains.
     pub drains: u64,
-    /// Cold hosts.
+    /// Cold servers.
     pub cold: u64,
 }
 
@@ -90,8 +92,9 @@
 /// What a run cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cpu {
-    /// Processor time of all balancers over all commands.
-    pub balancer_ms_per_command: f64,
+    /// Processor time of all balancers over all requests.
+    #[serde(rename = "balancer_ms_per_command")]
+    pub balancer_ms_per_request: f64,
     /// Processor time of the rig.
     pub rig_s: f64,
 }
@@ -107,16 +110,16 @@
     pub fetches: u64,
 }
 
-/// How evenly hosts were used.
+/// How evenly servers were used.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Spread {
     /// The 95th percentile over windows of the greatest load.
     pub peak: f64,
     /// The 5th percentile of the smallest.
     pub least: f64,
-    /// Host-windows with nothing begun where 5 or more were due.
+    /// Server-windows with nothing begun where 5 or more were due.
     pub idle: u64,
-    /// The most begun at one host in any 100 ms over what is due in 100 ms.
+    /// The most begun at one server in any 100 ms over what is due in 100 ms.
     pub herd: f64,
     /// The same as `peak` for fair draws.
     pub fair_peak: f64,
@@ -143,7 +146,7 @@
     pub seconds_over: u64,
 }
 
-/// How soon the fleet acted on changes at hosts.
+/// How soon the fleet acted on changes at servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Verdicts {
     /// What the program states; none without talk.
@@ -156,11 +159,11 @@
     pub stale_bound_ms: Option<f64>,
     /// The oldest that acted.
     pub stale_max_ms: Option<f64>,
-    /// Sound hosts passed by on others' word.
+    /// Sound servers passed by on others' word.
     pub wrong: u64,
-    /// Attempts at silent hosts.
+    /// Attempts at silent servers.
     pub lost_sends: u64,
-    /// From a host's silence until it gets under a tenth of its part for good, the longest.
+    /// From a server's silence until it gets under a tenth of its part for good, the longest.
     pub avoided_ms: Option<f64>,
     /// From its return until it gets half of its part, the longest.
     pub used_again_ms: Option<f64>,
--- a/testbed-cli/src/charts.rs
+++ b/testbed-cli/src/charts.rs
@@ -1,4 +1,4 @@
-//! Charts of a run as SVG: service over time with the faults shaded, the hosts' loads as a heat map, the origin's use,
+//! Charts of a run as SVG: service over time with the faults shaded, the servers' loads as a heat map, the origin's use,
 //! latencies. Drawn by plotters; nothing in them needs a network or a script.
 
 use juniperladder_platform_model::experiment::Experiment;
@@ -87,7 +87,7 @@
     })
 }
 
-/// What became of the commands, second by second.
+/// What became of the requests, second by second.
 ///
 /// # Errors
 /// What the drawing library says.
@@ -97,7 +97,7 @@
         e,
         "Commands a second, by how they ended (faults shaded)",
         &[
-            Line { name: "asked", colour: GREY, values: of(|s| s.commands) },
+            Line { name: "asked", colour: GREY, values: of(|s| s.requests) },
             Line { name: "served", colour: SERVED, values: of(|s| s.served) },
             Line { name: "refused", colour: REFUSED, values: of(|s| s.refused) },
             Line { name: "failed or lost", colour: FAILED, values: of(|s| s.failed + s.lost) },
@@ -122,7 +122,7 @@
     )
 }
 
-/// Times of the commands served.
+/// Times of the requests served.
 ///
 /// # Errors
 /// What the drawing library says.
@@ -145,20 +145,20 @@
 ///
 /// # Errors
 /// What the drawing library says.
-pub fn heat(title: &str, rows: &str, hosts: &[Vec<f64>]) -> Result<String, Error> {
-    let seconds = hosts.iter().map(Vec::len).max().unwrap_or(1).max(1);
-    let height = (hosts.len() as u32 * 7).clamp(120, 900) + 70;
+pub fn heat(title: &str, rows: &str, servers: &[Vec<f64>]) -> Result<String, Error> {
+    let seconds = servers.iter().map(Vec::len).max().unwrap_or(1).max(1);
+    let height = (servers.len() as u32 * 7).clamp(120, 900) + 70;
     svg(height, |area| {
         let mut chart = ChartBuilder::on(area)
             .caption(format!("{title} (blue 0, white 1, red 2 and more)"), ("sans-serif", 16))
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(56)
-            .build_cartesian_2d(0.0..seconds as f64, 0.0..hosts.len() as f64)?;
+            .build_cartesian_2d(0.0..seconds as f64, 0.0..servers.len() as f64)?;
         chart.configure_mesh().label_style(FONT).disable_mesh().x_desc("s").y_desc(rows).draw()?;
-        chart.draw_series(hosts.iter().enumerate().flat_map(|(host, loads)| {
+        chart.draw_series(servers.iter().enumerate().flat_map(|(server, loads)| {
             loads.iter().enumerate().map(move |(second, load)| {
-                let (x, y) = (second as f64, host as f64);
+                let (x, y) = (second as f64, server as f64);
                 Rectangle::new([(x, y), (x + 1.0, y + 1.0)], heat_colour(*load).filled())
             })
         }))?;
@@ -242,7 +242,7 @@
     fn charts_are_whole_and_show_what_they_are_given() {
         let e = juniperladder_platform_model::reader::read(include_str!("../demo.toml"), &[]).unwrap();
         let seconds: Vec<Second> = (0..14)
-            .map(|second| Second { second, commands: 200, served: 150, ..Second::default() })
+            .map(|second| Second { second, requests: 200, served: 150, ..Second::default() })
             .collect();
         let charts = [
             service(&e, &seconds),
--- a/testbed-cli/src/commands.rs
+++ b/testbed-cli/src/commands.rs
@@ -19,7 +19,7 @@
 /// The rig's lag in milliseconds, at the 99th percentile, over which a run does not count.
 const LATE_MS: f64 = 20.0;
 
-/// The demonstration: twelve processes, a host in six falls silent.
+/// The demonstration: twelve processes, a server in six falls silent.
 const DEMO: &str = include_str!("../demo.toml");
 
 /// How an experiment is played.
@@ -87,7 +87,7 @@
                 "{}: {} balancers, {} hosts, {} commands a second for {} s, {} faults",
                 e.name,
                 e.fleet.balancers,
-                e.fleet.hosts,
+                e.fleet.servers,
                 e.load.rate,
                 e.seconds,
                 e.fault.len()
@@ -177,7 +177,7 @@
     summary.seed = experiment.seed;
     summary.processes.started = run.started;
     summary.processes.crashed = run.crashes.len() as u64;
-    summary.cpu.balancer_ms_per_command = run.balancers_cpu_s * 1e3 / run.ledger.commands.len().max(1) as f64;
+    summary.cpu.balancer_ms_per_request = run.balancers_cpu_s * 1e3 / run.ledger.requests.len().max(1) as f64;
     if let Some((packets, bytes)) = run.talk {
         (summary.peers.packets_per_s, summary.peers.bytes_per_s) = (packets, bytes);
     }
@@ -234,12 +234,12 @@
 /// Says how a run went, the worst on the last line.
 fn tell(verdict: &Verdict, run: &Played) -> u8 {
     let s = &verdict.summary;
-    let share = |part: u64| 100.0 * part as f64 / s.commands.max(1) as f64;
+    let share = |part: u64| 100.0 * part as f64 / s.requests.max(1) as f64;
     println!(
         "{} seed {}: {} commands, served {:.1}%, refused {:.1}%, failed {:.1}%, lost {}; service {:.3}",
         s.name,
         s.seed,
-        s.commands,
+        s.requests,
         share(s.served),
         share(s.refused),
         share(s.failed),
@@ -255,7 +255,7 @@
         s.spread.idle,
         s.spread.herd,
         s.spread.fair_herd,
-        s.attempts_per_command
+        s.attempts_per_request
     );
     println!(
         "origin: peak {:.2} of its capacity, {} fetches; lost sends {}; p50 {:.0} ms, p99 {:.0} ms",
@@ -274,7 +274,7 @@
     }
     println!(
         "rig: lag p99 {:.1} ms, {:.1} s of processor time; balancers {:.2} ms a command; {} processes started",
-        s.lag_p99_ms, s.cpu.rig_s, s.cpu.balancer_ms_per_command, s.processes.started
+        s.lag_p99_ms, s.cpu.rig_s, s.cpu.balancer_ms_per_request, s.processes.started
     );
     for crash in run.crashes.iter().take(3) {
         println!("{crash}");
--- a/testbed-cli/src/compare.rs
+++ b/testbed-cli/src/compare.rs
@@ -22,10 +22,10 @@
 
 const FIGURES: [Figure; 17] = [
     ("service", |s| Some(s.service)),
-    ("served", |s| Some(s.served as f64 / s.commands.max(1) as f64)),
-    ("refused", |s| Some(s.refused as f64 / s.commands.max(1) as f64)),
+    ("served", |s| Some(s.served as f64 / s.requests.max(1) as f64)),
+    ("refused", |s| Some(s.refused as f64 / s.requests.max(1) as f64)),
     ("lost", |s| Some(s.lost as f64)),
-    ("attempts a command", |s| Some(s.attempts_per_command)),
+    ("attempts a command", |s| Some(s.attempts_per_request)),
     ("p50 ms", |s| Some(s.latency_ms.p50)),
     ("p99 ms", |s| Some(s.latency_ms.p99)),
     ("spread.peak / fair", |s| ratio(s.spread.peak, s.spread.fair_peak)),
@@ -37,7 +37,7 @@
     ("origin use", |s| s.limits.get("origin").and_then(|limit| limit.r#use)),
     ("lost sends", |s| Some(s.verdicts.lost_sends as f64)),
     ("verdicts.spread_p99_ms", |s| s.verdicts.spread_p99_ms),
-    ("balancer cpu ms", |s| Some(s.cpu.balancer_ms_per_command)),
+    ("balancer cpu ms", |s| Some(s.cpu.balancer_ms_per_request)),
 ];
 
 fn ratio(value: f64, fair: f64) -> Option<f64> {
--- a/testbed-cli/src/exit.rs
+++ b/testbed-cli/src/exit.rs
@@ -1,4 +1,4 @@
-//! The exit codes of the laboratory's commands.
+//! The exit codes of the laboratory's requests.
 
 /// Played, every rule and stated bound kept.
 pub const KEPT: u8 = 0;
--- a/testbed-cli/src/lib.rs
+++ b/testbed-cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The laboratory's commands. The program is a line round [`main`]; tests call the same.
+//! The laboratory's requests. The program is a line round [`main`]; tests call the same.
 
 pub mod charts;
 pub mod commands;
@@ -27,7 +27,7 @@
     pub command: Command,
 }
 
-/// A command of the laboratory.
+/// A request of the laboratory.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Plays an experiment: 0 played and every rule and stated bound kept, 1 something broken, 2 not allowed (nothing
--- a/testbed-cli/src/overview.rs
+++ b/testbed-cli/src/overview.rs
@@ -16,8 +16,8 @@
 
 const COLUMNS: [Column; 12] = [
     ("service", 3, |s| Some(s.service)),
-    ("served %", 1, |s| Some(100.0 * s.served as f64 / s.commands.max(1) as f64)),
-    ("attempts", 2, |s| Some(s.attempts_per_command)),
+    ("served %", 1, |s| Some(100.0 * s.served as f64 / s.requests.max(1) as f64)),
+    ("attempts", 2, |s| Some(s.attempts_per_request)),
     ("peak", 2, |s| Some(s.spread.peak)),
     ("fair peak", 2, |s| Some(s.spread.fair_peak)),
     ("least", 2, |s| Some(s.spread.least)),
--- a/testbed-cli/src/replay.rs
+++ b/testbed-cli/src/replay.rs
@@ -1,5 +1,5 @@
-//! `replay`: deals a run's sends to hosts out anew, by other placements, and tells what of its unevenness comes from where:
-//! chance, keys' popularity, placement. Then the fullest hosts and the keys that fill them.
+//! `replay`: deals a run's sends to servers out anew, by other placements, and tells what of its unevenness comes from where:
+//! chance, keys' popularity, placement. Then the fullest servers and the keys that fill them.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::fs::File;
@@ -15,20 +15,20 @@
 
 /// The windows' length, as of the judge's spread.
 const WINDOW_MS: f64 = 5_000.0;
-/// A key is hot that brings more than this part of a host's fair load.
+/// A key is hot that brings more than this part of a server's fair load.
 const HOT: f64 = 0.25;
-/// What bounded load lets a host have of the mean.
+/// What bounded load lets a server have of the mean.
 const BOUND: f64 = 1.25;
 
-/// One send that a host received.
+/// One send that a server received.
 #[derive(Clone, Copy)]
 struct Begin {
     ms: f64,
-    host: usize,
+    server: usize,
     key: u64,
 }
 
-/// Prints the replay of a run; hosts of unlike weight are not told apart here.
+/// Prints the replay of a run; servers of unlike weight are not told apart here.
 pub fn replay(folder: &Path) -> u8 {
     match print(folder) {
         Ok(()) => KEPT,
@@ -41,51 +41,51 @@
 
 fn print(folder: &Path) -> Result<(), Error> {
     let experiment: Experiment = serde_json::from_reader(File::open(folder.join("experiment.json"))?)?;
-    let hosts = experiment.fleet.hosts;
+    let servers = experiment.fleet.servers;
     let begins = begins(folder)?;
     let windows = windows(&begins, experiment.seconds);
-    let fair = begins.len() as f64 / hosts as f64;
+    let fair = begins.len() as f64 / servers as f64;
     let mut shares: HashMap<u64, f64> = HashMap::new();
     begins.iter().for_each(|begin| *shares.entry(begin.key).or_default() += 1.0 / fair);
     let hot = |key: u64| shares[&key] > HOT;
-    let carried: f64 = shares.values().filter(|share| **share > HOT).sum::<f64>() / hosts as f64;
+    let carried: f64 = shares.values().filter(|share| **share > HOT).sum::<f64>() / servers as f64;
     let count = shares.values().filter(|share| **share > HOT).count();
     println!(
-        "{} sends to {hosts} hosts; {count} hot keys have {:.0}% of them",
+        "{} sends to {servers} hosts; {count} hot keys have {:.0}% of them",
         begins.len(),
         carried * 100.0
     );
     println!("{:44} {:>6} {:>6}", "", "peak", "least");
     let mut draw = seeded_rng(experiment.seed, RngStream::Fair);
-    let homes = Homes::new(hosts);
+    let homes = Homes::new(servers);
     let mut show = |name: &str, deal: &mut dyn FnMut(&Begin, &mut SeededRng) -> Option<usize>| {
-        let (peak, least) = unevenness(&windows, hosts, |begin| deal(begin, &mut draw));
+        let (peak, least) = unevenness(&windows, servers, |begin| deal(begin, &mut draw));
         println!("{name:44} {peak:6.2} {least:6.2}");
     };
-    show("as played", &mut |begin, _| Some(begin.host));
-    show("independent fair draws", &mut |_, draw| Some(draw.random_range(0..hosts)));
+    show("as played", &mut |begin, _| Some(begin.server));
+    show("independent fair draws", &mut |_, draw| Some(draw.random_range(0..servers)));
     show("rendezvous, one home a key", &mut |begin, _| homes.ranked(begin.key).next());
     show("the same without the hot keys", &mut |begin, _| {
         homes.ranked(begin.key).next().filter(|_| !hot(begin.key))
     });
     show("the same, hot keys dealt by fair draws", &mut |begin, draw| {
         if hot(begin.key) {
-            Some(draw.random_range(0..hosts))
+            Some(draw.random_range(0..servers))
         } else {
             homes.ranked(begin.key).next()
         }
     });
     show("rendezvous, a home for each quarter of a load", &mut |begin, draw| {
         let many = (shares[&begin.key] / HOT) as usize + 1;
-        homes.ranked(begin.key).nth(draw.random_range(0..many.min(hosts)))
+        homes.ranked(begin.key).nth(draw.random_range(0..many.min(servers)))
     });
     let mut bounded = Bounded::default();
-    show("bounded load 1.25, seeing the true state", &mut |begin, _| bounded.deal(begin, hosts, &homes));
-    fullest(&begins, hosts, fair);
+    show("bounded load 1.25, seeing the true state", &mut |begin, _| bounded.deal(begin, servers, &homes));
+    fullest(&begins, servers, fair);
     Ok(())
 }
 
-/// The sends to hosts since the experiment's beginning, with their keys.
+/// The sends to servers since the experiment's beginning, with their keys.
 fn begins(folder: &Path) -> Result<Vec<Begin>, Error> {
     let mut keys: HashMap<String, u64> = HashMap::new();
     for row in csv::Reader::from_path(folder.join("commands.csv"))?.records() {
@@ -95,10 +95,10 @@
     let mut begins = Vec::new();
     for row in csv::Reader::from_path(folder.join("attempts.csv"))?.records() {
         let row = row?;
-        let (Ok(host), ms) = (row[2].parse(), row[3].parse::<f64>()?) else { continue };
+        let (Ok(server), ms) = (row[2].parse(), row[3].parse::<f64>()?) else { continue };
         let key = *keys.get(&row[0]).ok_or("an attempt of no command")?;
         if ms >= 0.0 {
-            begins.push(Begin { ms, host, key });
+            begins.push(Begin { ms, server, key });
         }
     }
     Ok(begins)
@@ -115,37 +115,37 @@
     windows
 }
 
-/// The greatest load of any window's fullest host and the smallest of its emptiest, means over the windows.
+/// The greatest load of any window's fullest server and the smallest of its emptiest, means over the windows.
 fn unevenness(
     windows: &[Vec<Begin>],
-    hosts: usize,
+    servers: usize,
     mut deal: impl FnMut(&Begin) -> Option<usize>,
 ) -> (f64, f64) {
     let (mut peak, mut least) = (0.0, 0.0);
     for window in windows {
-        let mut counts = vec![0.0; hosts];
-        window.iter().filter_map(&mut deal).for_each(|host| counts[host] += 1.0);
-        let mean = (counts.iter().sum::<f64>() / hosts as f64).max(1e-9);
+        let mut counts = vec![0.0; servers];
+        window.iter().filter_map(&mut deal).for_each(|server| counts[server] += 1.0);
+        let mean = (counts.iter().sum::<f64>() / servers as f64).max(1e-9);
         peak += counts.iter().copied().fold(0.0, f64::max) / mean / windows.len() as f64;
         least += counts.iter().copied().fold(f64::INFINITY, f64::min) / mean / windows.len() as f64;
     }
     (peak, least)
 }
 
-/// Rendezvous hashing of keys on hosts.
+/// Rendezvous hashing of keys on servers.
 struct Homes {
-    hosts: usize,
+    servers: usize,
 }
 
 impl Homes {
-    fn new(hosts: usize) -> Homes {
-        Homes { hosts }
+    fn new(servers: usize) -> Homes {
+        Homes { servers }
     }
 
-    /// A key's hosts, best first.
+    /// A key's servers, best first.
     fn ranked(&self, key: u64) -> impl Iterator<Item = usize> {
-        let mut order: Vec<usize> = (0..self.hosts).collect();
-        order.sort_unstable_by_key(|host| spread(spread(key) ^ *host as u64));
+        let mut order: Vec<usize> = (0..self.servers).collect();
+        order.sort_unstable_by_key(|server| spread(spread(key) ^ *server as u64));
         order.into_iter()
     }
 }
@@ -158,38 +158,38 @@
 }
 
 impl Bounded {
-    fn deal(&mut self, begin: &Begin, hosts: usize, homes: &Homes) -> Option<usize> {
+    fn deal(&mut self, begin: &Begin, servers: usize, homes: &Homes) -> Option<usize> {
         while self.last.front().is_some_and(|(ms, _)| ms + 1_000.0 <= begin.ms) {
-            if let Some((_, host)) = self.last.pop_front() {
-                *self.counts.entry(host).or_default() -= 1.0;
+            if let Some((_, server)) = self.last.pop_front() {
+                *self.counts.entry(server).or_default() -= 1.0;
             }
         }
-        let most = BOUND * (self.last.len() + 1) as f64 / hosts as f64 + 1.0;
-        let host = homes
+        let most = BOUND * (self.last.len() + 1) as f64 / servers as f64 + 1.0;
+        let server = homes
             .ranked(begin.key)
-            .find(|host| self.counts.get(host).copied().unwrap_or(0.0) + 1.0 <= most)?;
-        *self.counts.entry(host).or_default() += 1.0;
-        self.last.push_back((begin.ms, host));
-        Some(host)
+            .find(|server| self.counts.get(server).copied().unwrap_or(0.0) + 1.0 <= most)?;
+        *self.counts.entry(server).or_default() += 1.0;
+        self.last.push_back((begin.ms, server));
+        Some(server)
     }
 }
 
-/// Prints the fullest hosts, and the keys that fill them, in parts of a host's fair load.
-fn fullest(begins: &[Begin], hosts: usize, fair: f64) {
+/// Prints the fullest servers, and the keys that fill them, in parts of a server's fair load.
+fn fullest(begins: &[Begin], servers: usize, fair: f64) {
     let mut loads: Vec<(f64, usize, BTreeMap<u64, f64>)> =
-        (0..hosts).map(|host| (0.0, host, BTreeMap::new())).collect();
+        (0..servers).map(|server| (0.0, server, BTreeMap::new())).collect();
     for begin in begins {
-        let one = &mut loads[begin.host];
+        let one = &mut loads[begin.server];
         one.0 += 1.0 / fair;
         *one.2.entry(begin.key).or_default() += 1.0 / fair;
     }
     loads.sort_by(|a, b| b.0.total_cmp(&a.0));
-    for (load, host, keys) in loads.iter().take(5) {
+    for (load, server, keys) in loads.iter().take(5) {
         let mut keys: Vec<(&u64, &f64)> = keys.iter().collect();
         keys.sort_by(|a, b| b.1.total_cmp(a.1));
         let most: Vec<String> =
             keys.iter().take(3).map(|(key, part)| format!("key {key} {part:.2}")).collect();
-        println!("host {host}: {load:.2} of its fair load, of that {}", most.join(", "));
+        println!("host {server}: {load:.2} of its fair load, of that {}", most.join(", "));
     }
 }
 
@@ -199,12 +199,12 @@
 
     #[test]
     fn unevenness_is_that_of_the_windows() {
-        let begin = |ms, host| Begin { ms, host, key: 1 };
+        let begin = |ms, server| Begin { ms, server, key: 1 };
         let begins: Vec<Begin> =
             (0..40).map(|n| begin(f64::from(n) * 250.0, usize::from(n % 4 == 0))).collect();
         let windows = windows(&begins, 10.0);
         assert_eq!(windows.iter().map(Vec::len).collect::<Vec<_>>(), [20, 20]);
-        assert_eq!(unevenness(&windows, 2, |begin| Some(begin.host)), (1.5, 0.5));
+        assert_eq!(unevenness(&windows, 2, |begin| Some(begin.server)), (1.5, 0.5));
         let mut bounded = Bounded::default();
         let homes = Homes::new(4);
         let (peak, _) = unevenness(&windows, 4, |begin| bounded.deal(begin, 4, &homes));
--- a/testbed-cli/src/report.rs
+++ b/testbed-cli/src/report.rs
@@ -37,17 +37,17 @@
     let crashes: Vec<String> = json(&folder.join("crashes.json"))?;
     let seconds: Vec<Second> =
         csv::Reader::from_path(folder.join("seconds.csv"))?.deserialize().collect::<Result<_, _>>()?;
-    let mut hosts: Vec<Vec<f64>> = Vec::new();
+    let mut servers: Vec<Vec<f64>> = Vec::new();
     for row in csv::Reader::from_path(folder.join("hosts.csv"))?.deserialize() {
-        let (host, _, load): (usize, usize, f64) = row?;
-        hosts.resize_with(hosts.len().max(host + 1), Vec::new);
-        hosts[host].push(load);
+        let (server, _, load): (usize, usize, f64) = row?;
+        servers.resize_with(servers.len().max(server + 1), Vec::new);
+        servers[server].push(load);
     }
     let mut charts = vec![
         charts::service(&experiment, &seconds)?,
         charts::latency(&experiment, &seconds)?,
         charts::origin(&experiment, &seconds)?,
-        charts::heat("Load of each host over its fair part", "host", &hosts)?,
+        charts::heat("Load of each host over its fair part", "host", &servers)?,
     ];
     charts.extend(holders(folder, &experiment, &summary, seconds.len())?);
     std::fs::write(folder.join("report.html"), page(&summary, &experiment, &breaches, &crashes, &charts)?)?;
@@ -82,7 +82,7 @@
     ])
 }
 
-/// Writes a run's report anew; for the command line.
+/// Writes a run's report anew; for the request line.
 pub fn again(folder: &Path) -> u8 {
     match write(folder) {
         Ok(()) => {
@@ -114,7 +114,7 @@
         page,
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{name}, seed {}</title><style>{STYLE}</style>\
          <h1>{name}, seed {}</h1><p>{} balancers, {} hosts in {} zones, {} commands a second for {} s.</p>",
-        s.seed, s.seed, e.fleet.balancers, e.fleet.hosts, e.fleet.zones, e.load.rate, e.seconds
+        s.seed, s.seed, e.fleet.balancers, e.fleet.servers, e.fleet.zones, e.load.rate, e.seconds
     )?;
     let broken = s.rules.sum() > 0 || !crashes.is_empty();
     let (class, word) = if broken { ("bad", "Something is broken") } else { ("good", "Every rule was kept") };
@@ -167,10 +167,10 @@
 fn figures(s: &Summary) -> Vec<(String, String)> {
     let row = |name: &str, value: String| (name.to_owned(), value);
     let some = |value: Option<f64>, unit: &str| value.map_or("-".into(), |value| format!("{value:.2}{unit}"));
-    let share = |part: u64| format!("{part} ({:.2}%)", 100.0 * part as f64 / s.commands.max(1) as f64);
+    let share = |part: u64| format!("{part} ({:.2}%)", 100.0 * part as f64 / s.requests.max(1) as f64);
     let beside = |value: f64, fair: f64| format!("{value:.2} (fair draws {fair:.2})");
     let mut rows = vec![
-        row("commands", s.commands.to_string()),
+        row("commands", s.requests.to_string()),
         row("served", share(s.served)),
         row("refused", share(s.refused)),
         row("failed", share(s.failed)),
@@ -180,7 +180,7 @@
             let l = s.latency_ms;
             format!("{:.0} / {:.0} / {:.0} ms", l.p50, l.p99, l.p999)
         }),
-        row("attempts a command", format!("{:.3}", s.attempts_per_command)),
+        row("attempts a command", format!("{:.3}", s.attempts_per_request)),
         row("spread: peak", beside(s.spread.peak, s.spread.fair_peak)),
         row("spread: least", beside(s.spread.least, s.spread.fair_least)),
         row("spread: idle host-windows", s.spread.idle.to_string()),
@@ -196,7 +196,7 @@
         row("processes started", s.processes.started.to_string()),
         row("rig: lag, 99%", format!("{:.1} ms", s.lag_p99_ms)),
         row("rig: processor time", format!("{:.1} s", s.cpu.rig_s)),
-        row("balancers: processor time a command", format!("{:.3} ms", s.cpu.balancer_ms_per_command)),
+        row("balancers: processor time a command", format!("{:.3} ms", s.cpu.balancer_ms_per_request)),
     ];
     for (name, limit) in &s.limits {
         let bound = some(limit.bound, "");
--- a/testbed-cli/src/scale.rs
+++ b/testbed-cli/src/scale.rs
@@ -65,7 +65,7 @@
     /// Purges published a second, by all control machines together
     #[arg(long, default_value_t = 11.0)]
     pub publishes: f64,
-    /// Cache hosts
+    /// Cache servers
     #[arg(long, default_value_t = 230)]
     pub cache_hosts: usize,
     /// Breaks the mechanism on purpose: talks-to-all, drops-changes
--- a/testbed-cli/src/tables.rs
+++ b/testbed-cli/src/tables.rs
@@ -1,4 +1,4 @@
-//! What a run leaves beside its report: `summary.json`, tables as CSV, one compact record a command.
+//! What a run leaves beside its report: `summary.json`, tables as CSV, one compact record a request.
 
 use std::fs::File;
 use std::io::{BufWriter, Write};
@@ -32,14 +32,14 @@
         seconds.serialize(second)?;
     }
     seconds.flush()?;
-    let mut hosts = csv::Writer::from_path(out.join("hosts.csv"))?;
-    hosts.write_record(["host", "second", "load"])?;
-    for (host, loads) in verdict.series.hosts.iter().enumerate() {
+    let mut servers = csv::Writer::from_path(out.join("hosts.csv"))?;
+    servers.write_record(["host", "second", "load"])?;
+    for (server, loads) in verdict.series.servers.iter().enumerate() {
         for (second, load) in loads.iter().enumerate() {
-            hosts.write_record([host.to_string(), second.to_string(), format!("{load:.3}")])?;
+            servers.write_record([server.to_string(), second.to_string(), format!("{load:.3}")])?;
         }
     }
-    hosts.flush()?;
+    servers.flush()?;
     commands(&out.join("commands.csv"), ledger, terms)?;
     attempts(&out.join("attempts.csv"), ledger, terms)
 }
@@ -70,13 +70,13 @@
     format!("{:.3}", (at as f64 - terms.zero as f64) / 1e3)
 }
 
-/// One line a command.
+/// One line a request.
 fn commands(path: &Path, ledger: &Ledger, terms: &Terms) -> std::io::Result<()> {
     let mut table = csv::Writer::from_path(path)?;
     table.write_record([
         "id", "first", "balancer", "key", "write", "planned", "sent", "deadline", "ended", "end",
     ])?;
-    for c in &ledger.commands {
+    for c in &ledger.requests {
         table.write_record([
             format!("{:x}", c.id),
             format!("{:x}", c.first),
@@ -102,7 +102,7 @@
             format!("{:x}", a.id),
             a.balancer.to_string(),
             match a.at {
-                At::Host(host) => host.to_string(),
+                At::CacheServer(server) => server.to_string(),
                 At::Origin => "origin".into(),
             },
             ms(a.begun, terms),
--- a/testbed-cli/tests/fleet.rs
+++ b/testbed-cli/tests/fleet.rs
@@ -47,7 +47,7 @@
     (run, verdict)
 }
 
-/// The same with all that balancers may share: every stated bound is kept, and no word on a host outlives its end.
+/// The same with all that balancers may share: every stated bound is kept, and no word on a server outlives its end.
 fn all_shared(name: &str, balancers: usize, more: &str) -> (Played, Verdict) {
     let load = "writes = 0.05\nwarm = 5\n[origin]\ncapacity = 120\n";
     let (run, verdict) = played(name, balancers, load, more);
@@ -59,7 +59,7 @@
     let stated = run.stated.unwrap();
     let (_, expiry) = stated.verdicts.unwrap();
     for said in &run.holders {
-        // A third of the hosts, and half of a zone's four.
+        // A third of the servers, and half of a zone's four.
         assert!(said.passed_by <= 4.0, "{name}: {said:?}");
         assert!(said.oldest * 1e6 <= expiry as f64, "{name}: {said:?}");
     }
@@ -99,8 +99,8 @@
     assert_eq!(run.crashes, [""; 0], "{name}");
     assert_eq!(verdict.summary.rules.sum(), 0, "{name}: {:#?}", verdict.breaches);
     let s = &verdict.summary;
-    assert!(s.commands > 1_300, "{name}: the load has to have been there: {}", s.commands);
-    assert_eq!(s.commands, s.served + s.refused + s.failed + s.lost, "{name}");
+    assert!(s.requests > 1_300, "{name}: the load has to have been there: {}", s.requests);
+    assert_eq!(s.requests, s.served + s.refused + s.failed + s.lost, "{name}");
     (run, verdict)
 }
 
@@ -109,7 +109,7 @@
     let (_, verdict) =
         kept("silent", 12, "[[fault]]\nat = 3\nfor = 4\nwhat = \"silent\"\nwho = \"hosts:2-3\"\n");
     let s = verdict.summary;
-    // Two of twelve hosts for four seconds: a sixth of what goes to hosts then, and second copies serve it.
+    // Two of twelve servers for four seconds: a sixth of what goes to servers then, and second copies serve it.
     assert!(s.verdicts.lost_sends > 0 && s.verdicts.lost_sends < 160, "{:?}", s.verdicts);
     assert_eq!(s.lost, 0);
     assert!(s.service > 0.9, "{}", s.service);
@@ -121,7 +121,7 @@
         kept("herd", 20, "[[fault]]\nat = 4\nwhat = \"kill\"\nwho = \"balancers:70%\"\nback = 1\n");
     assert_eq!(run.started, 34, "fourteen started again");
     let last: u64 = verdict.series.seconds[9..].iter().map(|s| s.served).sum();
-    let asked: u64 = verdict.series.seconds[9..].iter().map(|s| s.commands).sum();
+    let asked: u64 = verdict.series.seconds[9..].iter().map(|s| s.requests).sum();
     assert!(
         last * 10 > asked * 9,
         "four seconds after their return the fleet serves again: {last} of {asked}"
@@ -172,7 +172,7 @@
          [[fault]]\nat = 4\nfor = 3\nwhat = \"origin-slow\"\ntimes = 4\n",
     );
     let s = verdict.summary;
-    assert!(s.lost > 0 && s.lost < s.commands / 5, "two of ten for three of eleven seconds: {}", s.lost);
+    assert!(s.lost > 0 && s.lost < s.requests / 5, "two of ten for three of eleven seconds: {}", s.lost);
 }
 
 #[test]
@@ -268,7 +268,7 @@
     assert_eq!(run.started, 14);
 }
 
-/// Hosts come back cold while thirty processes that do not talk send to them, most of the load at few of them, and while some of
+/// Servers come back cold while thirty processes that do not talk send to them, most of the load at few of them, and while some of
 /// these are replaced: in no second does one get more than it bears by the settings and what chance adds, 2 roots and 2, counted
 /// where it arrives.
 #[test]
@@ -285,16 +285,16 @@
                   [[fault]]\nat = 6\nwhat = \"kill\"\nwho = \"balancers:20-25\"\nback = 0.5\n";
     let (run, _) = played("cold-ramp", 30, &load, faults);
     assert_eq!(run.started, 44);
-    for host in [2, 3] {
+    for server in [2, 3] {
         let mut cold: Vec<u64> = run
             .ledger
             .attempts
             .iter()
-            .filter(|attempt| attempt.at == At::Host(host) && attempt.cold)
+            .filter(|attempt| attempt.at == At::CacheServer(server) && attempt.cold)
             .map(|attempt| attempt.begun)
             .collect();
         cold.sort_unstable();
-        assert!(cold.len() > 15, "host {host}: {} sends while it warms up", cold.len());
+        assert!(cold.len() > 15, "host {server}: {} sends while it warms up", cold.len());
         // It had started by then.
         let started = cold[0];
         for (last, at) in cold.iter().enumerate() {
@@ -303,7 +303,7 @@
             // A core does 50 a second.
             let n = BEARS * 50.0 * warm.min(1.0);
             let most = n + 2.0 * n.sqrt() + 2.0;
-            assert!(sends as f64 <= most, "host {host}: {sends} in a second for {most:.1}");
+            assert!(sends as f64 <= most, "host {server}: {sends} in a second for {most:.1}");
         }
     }
 }
--- a/testbed/faulty-balancer/main.rs
+++ b/testbed/faulty-balancer/main.rs
@@ -17,7 +17,7 @@
 /// The margin in which an answer has to get back to its client.
 const MARGIN: Duration = Duration::from_millis(40);
 
-struct Host {
+struct CacheServer {
     id: String,
     address: SocketAddr,
     open: bool,
@@ -27,7 +27,7 @@
 struct Control {
     /// How it is wrong.
     wrong: String,
-    hosts: RefCell<Vec<Host>>,
+    servers: RefCell<Vec<CacheServer>>,
     origin: SocketAddr,
 }
 
@@ -40,18 +40,18 @@
 }
 
 async fn run(wrong: String, config: Value) -> Result<(), Error> {
-    let mut hosts = Vec::new();
+    let mut servers = Vec::new();
     let mut origin = None;
     for entry in config["known"]["instances"].as_array().into_iter().flatten() {
-        let (host, is_origin) = host(entry)?;
+        let (server, is_origin) = server(entry)?;
         if is_origin {
-            origin = Some(host.address);
+            origin = Some(server.address);
         } else {
-            hosts.push(host);
+            servers.push(server);
         }
     }
     let origin = origin.ok_or("the list names no origin")?;
-    let control = Rc::new(Control { wrong, hosts: RefCell::new(hosts), origin });
+    let control = Rc::new(Control { wrong, servers: RefCell::new(servers), origin });
     let discovery: SocketAddr = config["discovery"].as_str().ok_or("no discovery")?.parse()?;
     if control.wrong != "deaf" {
         spawn_local(Rc::clone(&control).follow(discovery));
@@ -75,15 +75,15 @@
     }
 }
 
-fn host(entry: &Value) -> Result<(Host, bool), Error> {
+fn server(entry: &Value) -> Result<(CacheServer, bool), Error> {
     let text = |name: &str| entry[name].as_str().unwrap_or_default().to_owned();
-    let host = Host {
+    let server = CacheServer {
         id: text("instanceId"),
         address: text("hostPort").parse()?,
         open: text("lifecycle") == "in_service",
         fresh: entry["startedAtMs"].as_u64().unwrap_or(0) > 0,
     };
-    Ok((host, text("machineType") == "origin"))
+    Ok((server, text("machineType") == "origin"))
 }
 
 impl Control {
@@ -96,11 +96,11 @@
             if line.starts_with('{') {
                 let list: Value = serde_json::from_str(&line)?;
                 for entry in list["instances"].as_array().into_iter().flatten() {
-                    let (new, is_origin) = host(entry)?;
-                    let mut hosts = self.hosts.borrow_mut();
-                    match hosts.iter_mut().find(|host| host.id == new.id) {
-                        Some(host) => *host = new,
-                        None if !is_origin => hosts.push(new),
+                    let (new, is_origin) = server(entry)?;
+                    let mut servers = self.servers.borrow_mut();
+                    match servers.iter_mut().find(|server| server.id == new.id) {
+                        Some(server) => *server = new,
+                        None if !is_origin => servers.push(new),
                         None => {}
                     }
                 }
@@ -132,26 +132,26 @@
         Ok(())
     }
 
-    /// Which host the key with this number goes to: all in turn, and where one is closed its keys to all others.
+    /// Which server the key with this number goes to: all in turn, and where one is closed its keys to all others.
     fn pick(&self, key: u64, number: u64) -> Option<SocketAddr> {
-        let hosts = self.hosts.borrow();
-        let count = hosts.len() as u64;
+        let servers = self.servers.borrow();
+        let count = servers.len() as u64;
         let home = key % count.max(1);
         let place = match self.wrong.as_str() {
-            // All at one host, the next one after a fifth of a second, by the clock that all read.
+            // All at one server, the next one after a fifth of a second, by the clock that all read.
             "herd" => {
                 let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).ok()?;
                 now.as_millis() as u64 / 200 % count.max(1)
             }
             "favour" if number.is_multiple_of(2) => 0,
             "shun" if home == 1 => 2,
-            "push" => hosts.iter().position(|host| host.fresh).map_or(home, |fresh| fresh as u64),
+            "push" => servers.iter().position(|server| server.fresh).map_or(home, |fresh| fresh as u64),
             _ => home,
         };
-        let open: Vec<&Host> = hosts.iter().filter(|host| host.open).collect();
-        let host = hosts.get(place as usize).filter(|host| host.open);
-        let host = host.or_else(|| open.get((key / count.max(1)) as usize % open.len().max(1)).copied());
-        host.map(|host| host.address)
+        let open: Vec<&CacheServer> = servers.iter().filter(|server| server.open).collect();
+        let server = servers.get(place as usize).filter(|server| server.open);
+        let server = server.or_else(|| open.get((key / count.max(1)) as usize % open.len().max(1)).copied());
+        server.map(|server| server.address)
     }
 
     async fn read(&self, line: &str, key: &str) -> Result<String, Error> {
@@ -225,7 +225,7 @@
     }
 }
 
-/// Asks a host on a new connection; its answer, with the load report off.
+/// Asks a server on a new connection; its answer, with the load report off.
 async fn ask(address: SocketAddr, line: &str) -> Result<String, Error> {
     let mut stream = BufReader::new(TcpStream::connect(address).await?);
     stream.write_all(line.as_bytes()).await?;
--- a/testbed/src/hosts.rs
+++ b/testbed/src/cache_servers.rs
@@ -1,11 +1,11 @@
-//! The cache hosts' side of their sockets: reads requests, asks the model what becomes of each, writes the answers in
+//! The cache servers' side of their sockets: reads requests, asks the model what becomes of each, writes the answers in
 //! order and in time. Link faults are applied here, where the stand-in reads and writes.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
 
 use bytes::BytesMut;
-use juniperladder_platform_model::host::Answer;
+use juniperladder_platform_model::cache_server::Answer;
 use juniperladder_platform_model::ledger::{At, Attempt, Became};
 use juniperladder_platform_model::links::End;
 use juniperladder_platform_model::Us;
@@ -21,25 +21,25 @@
 /// What one connection may have sent and not got answered before it is read no further.
 const WAITING: usize = 256;
 
-/// Lets balancers of one side in at a host's door until the listener's task is aborted.
-pub async fn accept(rig: Rc<Rig>, host: usize, side: usize, listener: TcpListener) {
+/// Lets balancers of one side in at a server's door until the listener's task is aborted.
+pub async fn accept(rig: Rc<Rig>, server: usize, side: usize, listener: TcpListener) {
     loop {
         let stream = next(&listener).await;
-        let open = &rig.connections[host];
-        if open.get() >= rig.experiment.hosts.connections {
+        let open = &rig.connections[server];
+        if open.get() >= rig.experiment.servers.connections {
             reset(&stream);
             continue;
         }
         open.set(open.get() + 1);
         let rig = Rc::clone(&rig);
         spawn_local(async move {
-            ServerConnection::new(Rc::clone(&rig), host, side).serve(stream).await;
-            rig.connections[host].set(rig.connections[host].get() - 1);
+            ServerConnection::new(Rc::clone(&rig), server, side).serve(stream).await;
+            rig.connections[server].set(rig.connections[server].get() - 1);
         });
     }
 }
 
-/// A request that is on its way to the host.
+/// A request that is on its way to the server.
 struct Coming {
     due: Us,
     first_byte: Us,
@@ -58,7 +58,7 @@
 /// One connection.
 struct ServerConnection {
     rig: Rc<Rig>,
-    host: usize,
+    server: usize,
     balancer: End,
     life: u32,
     coming: VecDeque<Coming>,
@@ -78,22 +78,22 @@
 }
 
 impl ServerConnection {
-    fn new(rig: Rc<Rig>, host: usize, side: usize) -> ServerConnection {
+    fn new(rig: Rc<Rig>, server: usize, side: usize) -> ServerConnection {
         let balancer = End::Balancer(rig.sides[side]);
-        let life = rig.lives[host].get();
+        let life = rig.lives[server].get();
         let (coming, going) = (VecDeque::new(), VecDeque::new());
-        ServerConnection { rig, host, balancer, life, coming, going, spoilt: false, first_byte: None }
+        ServerConnection { rig, server, balancer, life, coming, going, spoilt: false, first_byte: None }
     }
 
     async fn serve(mut self, mut stream: TcpStream) {
-        // Latency counts here; a delayed acknowledgement must not pass for a host's time.
+        // Latency counts here; a delayed acknowledgement must not pass for a server's time.
         let _ = stream.set_nodelay(true);
         if let Err(Over::Reset) = self.talk(&mut stream).await {
             reset(&stream);
         }
         // What went into a link that stayed cut was sent and never heard. What is on its way over a sound one when its
-        // connection closes is given up by the balancer, and tells nothing of the host.
-        if !self.rig.link(self.balancer, End::Host(self.host)).cut {
+        // connection closes is given up by the balancer, and tells nothing of the server.
+        if !self.rig.link(self.balancer, End::CacheServer(self.server)).cut {
             return;
         }
         for lost in std::mem::take(&mut self.coming) {
@@ -107,9 +107,9 @@
         let (mut requests, mut input) = (RequestReader::default(), BytesMut::new());
         let (mut read, mut write) = stream.split();
         loop {
-            let there = self.rig.link(self.balancer, End::Host(self.host));
-            let back = self.rig.link(End::Host(self.host), self.balancer);
-            if there.reset || back.reset || self.rig.lives[self.host].get() != self.life {
+            let there = self.rig.link(self.balancer, End::CacheServer(self.server));
+            let back = self.rig.link(End::CacheServer(self.server), self.balancer);
+            if there.reset || back.reset || self.rig.lives[self.server].get() != self.life {
                 return Err(Over::Reset);
             }
             let now = self.rig.now();
@@ -157,7 +157,7 @@
     /// Takes whole requests off the input and sends them on their way.
     fn take(&mut self, requests: &mut RequestReader, input: &mut BytesMut) {
         let now = self.rig.now();
-        let there = self.rig.link(self.balancer, End::Host(self.host));
+        let there = self.rig.link(self.balancer, End::CacheServer(self.server));
         loop {
             let first_byte = *self.first_byte.get_or_insert(now);
             let Some(incoming) = requests.next(input) else { break };
@@ -173,7 +173,7 @@
                         continue;
                     };
                     // What was sent first arrives first.
-                    let due = now + self.rig.way(self.balancer, End::Host(self.host), &there);
+                    let due = now + self.rig.way(self.balancer, End::CacheServer(self.server), &there);
                     let due = due.max(self.coming.back().map_or(0, |last| last.due));
                     self.coming.push_back(Coming {
                         due,
@@ -197,7 +197,7 @@
 
     fn attempt(&self, coming: &Coming, begun: Us, became: Became, cold: bool) -> Attempt {
         let balancer = balancer_of(coming.id) as u32;
-        let at = At::Host(self.host as u32);
+        let at = At::CacheServer(self.server as u32);
         Attempt {
             id: coming.id,
             balancer,
@@ -214,21 +214,21 @@
     /// A request has arrived whole.
     fn begin(&mut self, coming: &Coming, now: Us) {
         let rig = Rc::clone(&self.rig);
-        if rig.silent[self.host].get() {
+        if rig.silent[self.server].get() {
             rig.received(self.attempt(coming, now, Became::Nothing, false));
             return;
         }
-        let mut host = rig.hosts[self.host].borrow_mut();
-        let fallen = host.fallen();
-        let outcome = host.begin(now, coming.key, &mut rig.machines());
-        if host.fallen() && !fallen {
-            rig.ledger.borrow_mut().falls.push((self.host as u32, now));
+        let mut server = rig.servers[self.server].borrow_mut();
+        let fallen = server.fallen();
+        let outcome = server.begin(now, coming.key, &mut rig.machines());
+        if server.fallen() && !fallen {
+            rig.ledger.borrow_mut().falls.push((self.server as u32, now));
         }
-        let report = host.report(now, &mut rig.machines());
-        drop(host);
+        let report = server.report(now, &mut rig.machines());
+        drop(server);
         let load = format!(" Lserved_ps={:.1},pending={:.1}", report.served_per_s, report.waiting);
         let id = coming.id;
-        // Writes go to the origin; a cache host has no answer to one but this.
+        // Writes go to the origin; a cache server has no answer to one but this.
         let answer = if coming.write { Answer::Failed } else { outcome.answer };
         let (became, line) = match answer {
             Answer::Hit => {
@@ -236,7 +236,7 @@
                 (Became::Served, format!("VA {} O{id:016x} h1{load}\r\n{value}\r\n", value.len()))
             }
             Answer::Miss { fetching } => {
-                rig.missed(id, self.host, outcome.cold);
+                rig.missed(id, self.server, outcome.cold);
                 (Became::Miss, format!("EN O{id:016x} h0{}{load}\r\n", if fetching { " Z" } else { "" }))
             }
             Answer::Busy => (Became::Busy, format!("SERVER_ERROR busy{load}\r\n")),
@@ -248,8 +248,8 @@
 
     /// Sends an answer on its way at this time; answers keep the order of their requests.
     fn answer(&mut self, at: Us, line: String, attempt: Option<usize>) {
-        let back = self.rig.link(End::Host(self.host), self.balancer);
-        let due = at + self.rig.way(End::Host(self.host), self.balancer, &back);
+        let back = self.rig.link(End::CacheServer(self.server), self.balancer);
+        let due = at + self.rig.way(End::CacheServer(self.server), self.balancer, &back);
         let due = due.max(self.going.back().map_or(0, |last| last.due));
         self.going.push_back(Going { due, line: line.into_bytes(), attempt });
     }
--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: send each command when it is due, whatever the answers; read what comes back; try again as they do.
+//! Clients: send each request when it is due, whatever the answers; read what comes back; try again as they do.
 //!
 //! The reader of answers is the rig's own, so that the program's codec is not tested against itself.
 
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use juniperladder_platform_model::judge::Terms;
-use juniperladder_platform_model::ledger::{Command, Ended};
+use juniperladder_platform_model::ledger::{ClientRequest, Ended};
 use juniperladder_platform_model::load::{key_name, Arrival};
 use juniperladder_platform_model::rng::{seeded_rng, RngStream, SeededRng};
 use juniperladder_platform_model::{us_of_ms, Us};
@@ -18,11 +18,11 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, timeout_at};
 
-use crate::rig::{command_id, receipt_of, value_of, Rig};
+use crate::rig::{receipt_of, request_id, value_of, Rig};
 
 /// How long after its deadline a try is still listened to: to tell a late answer from none.
 const LISTEN: Us = 1_000_000;
-/// A kept connection that ends so soon after a command was written had been closed before.
+/// A kept connection that ends so soon after a request was written had been closed before.
 const CROSSED: Us = 20_000;
 /// Idle connections that are kept to one balancer.
 const KEPT: usize = 64;
@@ -57,7 +57,7 @@
 }
 
 impl Try {
-    /// The command on the wire. The key's number rides along as a property, for the stand-ins.
+    /// The request on the wire. The key's number rides along as a property, for the stand-ins.
     fn line(&self) -> String {
         let Try { id, first, key, .. } = *self;
         let (name, ms) = (key_name(key), self.wait / 1_000);
@@ -102,7 +102,7 @@
         self.out.get()
     }
 
-    /// Sends all these commands when they are due.
+    /// Sends all these requests when they are due.
     pub async fn send(self: Rc<Clients>, load: Rc<Vec<Arrival>>) {
         for arrival in load.iter() {
             sleep_until(self.rig.instant(arrival.at)).await;
@@ -121,7 +121,7 @@
         let begun = arrival.at;
         let (mut first, mut planned, mut balancer) = (None, begun, arrival.balancer as usize);
         for retry in 0..=self.rig.experiment.clients.retries {
-            let id = command_id(balancer, self.numbers.replace(self.numbers.get() + 1));
+            let id = request_id(balancer, self.numbers.replace(self.numbers.get() + 1));
             let left = (begun + class.deadline).saturating_sub(planned);
             let part = |share: f64| (class.deadline as f64 * share) as Us;
             let one = Try {
@@ -139,8 +139,8 @@
             let went = self.one(place, &one).await;
             self.rig.over(id);
             {
-                let command = &mut self.rig.ledger.borrow_mut().commands[place];
-                (command.end, command.ended, command.more) = (went.end, went.at, went.more);
+                let request = &mut self.rig.ledger.borrow_mut().requests[place];
+                (request.end, request.ended, request.more) = (went.end, went.at, went.more);
             }
             if matches!(went.end, Ended::Served | Ended::Wrong | Ended::Left) {
                 return;
@@ -169,8 +169,8 @@
 
     /// Puts a try into the ledger; gives its place there.
     fn put_down(&self, one: &Try, planned: Us) -> usize {
-        let commands = &mut self.rig.ledger.borrow_mut().commands;
-        commands.push(Command {
+        let requests = &mut self.rig.ledger.borrow_mut().requests;
+        requests.push(ClientRequest {
             id: one.id,
             first: one.first,
             balancer: one.balancer as u32,
@@ -183,7 +183,7 @@
             end: Ended::Untaken,
             more: 0,
         });
-        commands.len() - 1
+        requests.len() - 1
     }
 
     /// One try: on a kept connection or a new one, once more where a kept one had been closed.
@@ -208,8 +208,8 @@
             let written = stream.write_all(line.as_bytes()).await;
             let sent = self.rig.now();
             {
-                let command = &mut self.rig.ledger.borrow_mut().commands[place];
-                (command.sent, command.deadline) = (sent, sent + one.wait);
+                let request = &mut self.rig.ledger.borrow_mut().requests[place];
+                (request.sent, request.deadline) = (sent, sent + one.wait);
             }
             let until = sent + one.leaves.unwrap_or(one.wait + LISTEN);
             let read = async {
@@ -226,7 +226,7 @@
                     }
                     return Went { end, at, more, again };
                 }
-                // The close crossed the command: once more on a new connection.
+                // The close crossed the request: once more on a new connection.
                 Ok(None) if was_kept && self.rig.now() <= sent + CROSSED => {}
                 Ok(None) if self.rig.now() <= sent + CROSSED => {
                     return Went::without(Ended::Shut, Some(self.rig.now()))
--- a/testbed/src/discovery.rs
+++ b/testbed/src/discovery.rs
@@ -29,7 +29,7 @@
 /// While nothing changes, an empty line comes this often.
 const EMPTY: Duration = Duration::from_secs(2);
 
-/// The addresses that a balancer is told for the hosts, the origin last.
+/// The addresses that a balancer is told for the servers, the origin last.
 pub type Addresses = Rc<Vec<SocketAddr>>;
 
 /// Lets one balancer in until the listener's task is aborted.
@@ -163,10 +163,10 @@
 /// Puts down what a balancer has been told.
 pub fn note(rig: &Rig, balancer: usize, entries: &[Entry]) {
     let at = rig.now();
-    let hosts = rig.hosts.len();
-    let told = entries.iter().filter(|entry| entry.slot < hosts).map(|entry| Told {
+    let servers = rig.servers.len();
+    let told = entries.iter().filter(|entry| entry.slot < servers).map(|entry| Told {
         balancer: balancer as u32,
-        host: entry.slot as u32,
+        server: entry.slot as u32,
         in_service: entry.life == Life::InService,
         at,
     });
@@ -181,9 +181,9 @@
 /// The same as a value, as a configuration's `known` holds it.
 pub fn list(rig: &Rig, generation: u64, reset: bool, entries: &[Entry], addresses: &Addresses) -> Value {
     let fleet = &rig.experiment.fleet;
-    let hosts = rig.hosts.len();
+    let servers = rig.servers.len();
     let instance = |entry: &Entry| {
-        let origin = entry.slot >= hosts;
+        let origin = entry.slot >= servers;
         let kind = entry.slot % fleet.weights.len();
         json!({
             "instanceId": entry.id,
@@ -204,7 +204,7 @@
     format!("zone-{zone}")
 }
 
-/// The name of a kind of host.
+/// The name of a kind of server.
 pub fn kind_name(kind: usize) -> String {
     format!("kind-{kind}")
 }
--- a/testbed/src/doors.rs
+++ b/testbed/src/doors.rs
@@ -1,5 +1,5 @@
 //! Doors: the addresses at which balancers reach the rig's stand-ins. A door keeps its port while nobody listens there,
-//! so that a host that is gone refuses connections and can come back at its old address.
+//! so that a server that is gone refuses connections and can come back at its old address.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,15 +1,15 @@
 //! The laboratory's world on loopback sockets, round real processes of the program.
 //!
-//! One thread holds the cache hosts, the origin, discovery and the clients; the program under test runs as processes of
+//! One thread holds the cache servers, the origin, discovery and the clients; the program under test runs as processes of
 //! its own and is met through its sockets alone. What stands here decides nothing: machines, faults and the judge are
 //! `world/`'s. [`play`] plays one experiment and gives the ledger.
 
+mod cache_servers;
 pub mod child_reaper;
 mod clients;
 mod discovery;
 mod doors;
 pub mod holders;
-mod hosts;
 mod operator;
 mod origin;
 pub mod peers;
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -29,7 +29,7 @@
 use crate::peers::{Relay, Sent};
 use crate::processes::Processes;
 use crate::rig::{host_id, Rig};
-use crate::{hosts, origin, room, Problem};
+use crate::{cache_servers, origin, room, Problem};
 
 /// How often the rig looks whether it is late itself, and from which lateness on it notes that.
 const BEAT: Duration = Duration::from_millis(5);
@@ -58,7 +58,7 @@
 
 /// What a run leaves.
 pub struct Played {
-    /// What clients, hosts and discovery saw.
+    /// What clients, servers and discovery saw.
     pub ledger: Ledger,
     /// Processes started, restarts included.
     pub started: u64,
@@ -114,7 +114,7 @@
 struct Run {
     rig: Rc<Rig>,
     processes: Rc<Processes>,
-    /// The doors of each host, the origin last, by side.
+    /// The doors of each server, the origin last, by side.
     doors: Vec<Vec<Door>>,
     /// Who listens at each of them.
     listeners: Vec<Vec<JoinHandle<()>>>,
@@ -127,7 +127,7 @@
         operator: Option<Operator>,
         child_reaper: Option<ChildReaper>,
     ) -> Result<Run, Problem> {
-        let machines = rig.hosts.len() + 1;
+        let machines = rig.servers.len() + 1;
         let sides = rig.sides.len();
         let doors: Vec<Vec<Door>> = (0..machines)
             .map(|_| (0..sides).map(|_| Door::new()).collect())
@@ -164,8 +164,8 @@
         for (side, door) in self.doors[machine].iter().enumerate() {
             let listener = door.open()?;
             let rig = Rc::clone(&self.rig);
-            self.listeners[machine].push(if machine < self.rig.hosts.len() {
-                spawn_local(hosts::accept(rig, machine, side, listener))
+            self.listeners[machine].push(if machine < self.rig.servers.len() {
+                spawn_local(cache_servers::accept(rig, machine, side, listener))
             } else {
                 spawn_local(origin::accept(rig, side, listener))
             });
@@ -173,13 +173,13 @@
         Ok(())
     }
 
-    /// Ends a host's machine: its doors refuse, its connections are reset.
-    async fn close(&mut self, host: usize) {
-        for listener in self.listeners[host].drain(..) {
+    /// Ends a server's machine: its doors refuse, its connections are reset.
+    async fn close(&mut self, server: usize) {
+        for listener in self.listeners[server].drain(..) {
             listener.abort();
             let _ = listener.await;
         }
-        self.rig.lives[host].set(self.rig.lives[host].get() + 1);
+        self.rig.lives[server].set(self.rig.lives[server].get() + 1);
     }
 
     async fn play(
@@ -257,7 +257,7 @@
         ledger.stops = self.rig.origin.borrow().stops.clone();
         // Those still out when the run was stopped have no end to be judged by.
         let end = if stopped { load_end.saturating_sub(us(4.0)) } else { load_end };
-        ledger.commands.retain(|c| !stopped || c.planned < end);
+        ledger.requests.retain(|c| !stopped || c.planned < end);
         move_times(&mut ledger, begun);
         Ok(Played {
             ledger,
@@ -277,13 +277,13 @@
     async fn make(&mut self, step: &Step) {
         let rig = Rc::clone(&self.rig);
         let now = rig.now();
-        let ill = |hosts: &[usize], ill, on: bool| {
-            let spans = &mut rig.ledger.borrow_mut().hosts;
-            for host in hosts {
+        let ill = |servers: &[usize], ill, on: bool| {
+            let spans = &mut rig.ledger.borrow_mut().servers;
+            for server in servers {
                 if on {
-                    Ledger::ill(spans, *host, ill, now);
+                    Ledger::ill(spans, *server, ill, now);
                 } else {
-                    Ledger::well(spans, *host, ill, now);
+                    Ledger::well(spans, *server, ill, now);
                 }
             }
         };
@@ -299,50 +299,50 @@
             Change::Freeze(who) => self.processes.signal(who, Signal::SIGSTOP),
             Change::Thaw(who) => self.processes.signal(who, Signal::SIGCONT),
             Change::Silent(who, on) => {
-                for host in who {
-                    rig.silent[*host].set(*on);
+                for server in who {
+                    rig.silent[*server].set(*on);
                     if !*on {
                         // What was open is reset when the machine is back.
-                        rig.lives[*host].set(rig.lives[*host].get() + 1);
+                        rig.lives[*server].set(rig.lives[*server].get() + 1);
                     }
                 }
                 ill(who, Ill::Silent, *on);
             }
             Change::Slow(who, times) => {
-                who.iter().for_each(|host| rig.hosts[*host].borrow_mut().slow(*times));
+                who.iter().for_each(|server| rig.servers[*server].borrow_mut().slow(*times));
                 ill(who, Ill::Slow, *times != 1.0);
             }
             Change::Failing(who, share) => {
-                who.iter().for_each(|host| rig.hosts[*host].borrow_mut().fail(*share));
+                who.iter().for_each(|server| rig.servers[*server].borrow_mut().fail(*share));
                 ill(who, Ill::Failing, *share > 0.0);
             }
             Change::Drain(who) => {
-                for host in who {
-                    rig.hosts[*host].borrow_mut().closed = true;
-                    self.list(*host, Life::Terminating);
+                for server in who {
+                    rig.servers[*server].borrow_mut().closed = true;
+                    self.list(*server, Life::Terminating);
                 }
                 ill(who, Ill::Closed, true);
             }
             Change::Gone(who) => {
-                for host in who {
-                    self.close(*host).await;
-                    self.list(*host, Life::Terminated);
+                for server in who {
+                    self.close(*server).await;
+                    self.list(*server, Life::Terminated);
                 }
                 ill(who, Ill::Closed, true);
             }
             Change::Restart(who) => {
-                for host in who {
-                    self.restart(*host, now).await;
-                    self.list(*host, Life::InService);
+                for server in who {
+                    self.restart(*server, now).await;
+                    self.list(*server, Life::InService);
                 }
                 ill(who, Ill::Closed, false);
             }
             Change::Replace(who) => {
-                for host in who {
-                    self.list(*host, Life::Terminated);
-                    rig.replaced[*host].set(rig.replaced[*host].get() + 1);
-                    self.restart(*host, now).await;
-                    self.list(*host, Life::InService);
+                for server in who {
+                    self.list(*server, Life::Terminated);
+                    rig.replaced[*server].set(rig.replaced[*server].get() + 1);
+                    self.restart(*server, now).await;
+                    self.list(*server, Life::InService);
                 }
             }
             Change::OriginSlow(times) => rig.origin.borrow_mut().slow(*times),
@@ -355,26 +355,26 @@
         rig.stir();
     }
 
-    /// A host's machine starts anew, cold and empty, at its old address.
-    async fn restart(&mut self, host: usize, now: Us) {
-        self.close(host).await;
-        self.rig.hosts[host].borrow_mut().restart(now);
-        self.rig.silent[host].set(false);
+    /// A server's machine starts anew, cold and empty, at its old address.
+    async fn restart(&mut self, server: usize, now: Us) {
+        self.close(server).await;
+        self.rig.servers[server].borrow_mut().restart(now);
+        self.rig.silent[server].set(false);
         // Its port is kept, so that it is there to be opened again.
-        let _ = self.open(host);
+        let _ = self.open(server);
         let e = &self.rig.experiment;
         // It counts as sound once it is warm, and listed to the last balancer.
         let late = self.rig.late.borrow().iter().copied().max().unwrap_or(0);
-        let to = Some(now + us(e.hosts.cold_s).max(us(e.discovery.notice_s) + late));
+        let to = Some(now + us(e.servers.cold_s).max(us(e.discovery.notice_s) + late));
         let mut ledger = self.rig.ledger.borrow_mut();
-        ledger.hosts.push(Span { who: host as u32, ill: Ill::Cold, from: now, to });
+        ledger.servers.push(Span { who: server as u32, ill: Ill::Cold, from: now, to });
     }
 
-    /// Discovery's list changes for a host.
-    fn list(&self, host: usize, life: Life) {
-        let id = host_id(self.rig.experiment.seed, host, self.rig.replaced[host].get());
-        let started = self.rig.hosts[host].borrow().started;
-        self.rig.list(Entry { id, slot: host, life, started });
+    /// Discovery's list changes for a server.
+    fn list(&self, server: usize, life: Life) {
+        let id = host_id(self.rig.experiment.seed, server, self.rig.replaced[server].get());
+        let started = self.rig.servers[server].borrow().started;
+        self.rig.list(Entry { id, slot: server, life, started });
     }
 }
 
@@ -403,7 +403,7 @@
 /// Counts all times of a ledger from the beginning of the load.
 fn move_times(ledger: &mut Ledger, by: Us) {
     let back = |at: &mut Us| *at = at.saturating_sub(by);
-    for command in &mut ledger.commands {
+    for command in &mut ledger.requests {
         [&mut command.planned, &mut command.sent, &mut command.deadline].into_iter().for_each(back);
         command.ended.iter_mut().for_each(back);
     }
@@ -412,7 +412,7 @@
         attempt.answered.iter_mut().for_each(back);
     }
     ledger.told.iter_mut().for_each(|told| back(&mut told.at));
-    for span in ledger.hosts.iter_mut().chain(&mut ledger.processes) {
+    for span in ledger.servers.iter_mut().chain(&mut ledger.processes) {
         back(&mut span.from);
         span.to.iter_mut().for_each(back);
     }
--- a/testbed/src/processes.rs
+++ b/testbed/src/processes.rs
@@ -124,7 +124,7 @@
         let rig = &self.rig;
         let e = &rig.experiment;
         let process = &self.all[number];
-        let first = (rig.hosts.len() + 1) as u64;
+        let first = (rig.servers.len() + 1) as u64;
         let known = rig.catalog.borrow().0.whole(first);
         let config = json!({
             "name": format!("b{number}"),
@@ -354,9 +354,9 @@
         "membership-mode": "subscribe",
         "orgs": [],
         "position": number,
-        "rules": {"answer-slack": 20_000, "ask-within": 10_000_000, "cold-share": e.hosts.cold_from,
-            "drain-grace": terms.drain_grace, "fall": 1_000_000, "fall-multiple": e.hosts.fall_times,
-            "warm-up": (e.hosts.cold_s * 1e6) as u64},
+        "rules": {"answer-slack": 20_000, "ask-within": 10_000_000, "cold-share": e.servers.cold_from,
+            "drain-grace": terms.drain_grace, "fall": 1_000_000, "fall-multiple": e.servers.fall_times,
+            "warm-up": (e.servers.cold_s * 1e6) as u64},
         "tick": 5_000,
         "weights": "rough",
         "zones": (0..e.fleet.zones).map(zone_name).collect::<Vec<_>>(),
--- a/testbed/src/rig.rs
+++ b/testbed/src/rig.rs
@@ -5,10 +5,10 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
+use juniperladder_platform_model::cache_server::CacheServer;
 use juniperladder_platform_model::discovery::{Catalog, Door, Entry, Life};
 use juniperladder_platform_model::experiment::Experiment;
 use juniperladder_platform_model::group::zone_of;
-use juniperladder_platform_model::host::Host;
 use juniperladder_platform_model::ledger::{Attempt, Ledger};
 use juniperladder_platform_model::links::{End, LinkState, Links};
 use juniperladder_platform_model::load::key_name;
@@ -21,12 +21,12 @@
 
 /// The kernel's first resend of what was lost on TCP; each further loss in a row doubles it.
 const RESEND: Us = 200_000;
-/// Misses of one command that are remembered for the origin's answer; a command has three attempts.
+/// Misses of one request that are remembered for the origin's answer; a request has three attempts.
 const MISSES: usize = 3;
 
-/// A host that lacks a command's key.
+/// A server that lacks a request's key.
 struct Missed {
-    host: usize,
+    server: usize,
     /// Which life of its machine that was.
     life: u32,
     cold: bool,
@@ -38,15 +38,15 @@
     pub experiment: Experiment,
     started: Instant,
     epoch_ms: u64,
-    /// The cache hosts, and how often each one's connections have ended with it.
-    pub hosts: Vec<RefCell<Host>>,
-    /// How often each host's machine went away; a connection of before is void.
+    /// The cache servers, and how often each one's connections have ended with it.
+    pub servers: Vec<RefCell<CacheServer>>,
+    /// How often each server's machine went away; a connection of before is void.
     pub lives: Vec<Cell<u32>>,
-    /// How often another host, with another id, took each one's place.
+    /// How often another server, with another id, took each one's place.
     pub replaced: Vec<Cell<u32>>,
-    /// Hosts that say nothing.
+    /// Servers that say nothing.
     pub silent: Vec<Cell<bool>>,
-    /// Connections that each host has open.
+    /// Connections that each server has open.
     pub connections: Vec<Cell<usize>>,
     /// The origin.
     pub origin: RefCell<Origin>,
@@ -64,7 +64,7 @@
     pub sides: Vec<usize>,
     /// What the run leaves.
     pub ledger: RefCell<Ledger>,
-    /// Commands' misses: the hosts that lack the key, and which life of theirs it was.
+    /// Requests' misses: the servers that lack the key, and which life of theirs it was.
     missed: RefCell<HashMap<u64, Vec<Missed>>>,
     machines: RefCell<SeededRng>,
     wires: RefCell<SeededRng>,
@@ -76,8 +76,8 @@
     /// The world of an experiment, with its links; its clock begins now.
     pub fn new(experiment: Experiment, links: Links) -> Rc<Rig> {
         let e = &experiment;
-        let count = e.fleet.hosts;
-        let kept = (e.hosts.keep * e.load.keys as f64 / count as f64).ceil().max(1.0) as usize;
+        let count = e.fleet.servers;
+        let kept = (e.servers.keep * e.load.keys as f64 / count as f64).ceil().max(1.0) as usize;
         let weight = |n: usize| e.fleet.weights[n % e.fleet.weights.len()];
         let entry = |slot| Entry { id: host_id(e.seed, slot, 0), slot, life: Life::InService, started: None };
         let entries: Vec<Entry> = (0..=count).map(entry).collect();
@@ -90,7 +90,7 @@
         Rc::new(Rig {
             started: Instant::now(),
             epoch_ms: epoch.as_millis() as u64,
-            hosts: (0..count).map(|n| RefCell::new(Host::new(e.hosts, weight(n), kept))).collect(),
+            servers: (0..count).map(|n| RefCell::new(CacheServer::new(e.servers, weight(n), kept))).collect(),
             lives: vec![Cell::new(0); count],
             replaced: vec![Cell::new(0); count],
             silent: vec![Cell::new(false); count],
@@ -121,7 +121,7 @@
         self.started + Duration::from_micros(at)
     }
 
-    /// The Unix time in milliseconds of a time, as discovery tells a host's start.
+    /// The Unix time in milliseconds of a time, as discovery tells a server's start.
     pub fn unix_ms(&self, at: Us) -> u64 {
         self.epoch_ms + at / 1_000
     }
@@ -145,7 +145,7 @@
     pub fn way(&self, from: End, to: End, state: &LinkState) -> Us {
         let fleet = &self.experiment.fleet;
         let zone = |end| match end {
-            End::Balancer(n) | End::Host(n) => zone_of(n, fleet),
+            End::Balancer(n) | End::CacheServer(n) => zone_of(n, fleet),
             End::Origin | End::Discovery => 0,
         };
         let net = &self.experiment.net;
@@ -186,35 +186,35 @@
         attempts.len() - 1
     }
 
-    /// A host has missed for a command.
-    pub fn missed(&self, id: u64, host: usize, cold: bool) {
+    /// A server has missed for a request.
+    pub fn missed(&self, id: u64, server: usize, cold: bool) {
         let mut all = self.missed.borrow_mut();
         let one = all.entry(id).or_default();
         if one.len() < MISSES {
-            one.push(Missed { host, life: self.lives[host].get(), cold });
+            one.push(Missed { server, life: self.lives[server].get(), cold });
         }
     }
 
-    /// Whether a cold host has missed for this command.
+    /// Whether a cold server has missed for this request.
     pub fn missed_cold(&self, id: u64) -> bool {
         self.missed.borrow().get(&id).is_some_and(|all| all.iter().any(|missed| missed.cold))
     }
 
-    /// The origin has answered a command's read: the hosts that missed for it store the value.
+    /// The origin has answered a request's read: the servers that missed for it store the value.
     pub fn store(&self, id: u64, key: u64) {
-        for Missed { host, life, .. } in self.missed.borrow_mut().remove(&id).unwrap_or_default() {
-            if self.lives[host].get() == life && !self.silent[host].get() {
-                self.hosts[host].borrow_mut().store(key);
+        for Missed { server, life, .. } in self.missed.borrow_mut().remove(&id).unwrap_or_default() {
+            if self.lives[server].get() == life && !self.silent[server].get() {
+                self.servers[server].borrow_mut().store(key);
             }
         }
     }
 
     /// The origin has taken a write: the copies are void.
     pub fn void(&self, key: u64) {
-        self.hosts.iter().for_each(|host| host.borrow_mut().void(key));
+        self.servers.iter().for_each(|server| server.borrow_mut().void(key));
     }
 
-    /// A command is over: nothing of it is remembered.
+    /// A request is over: nothing of it is remembered.
     pub fn over(&self, id: u64) {
         self.missed.borrow_mut().remove(&id);
     }
@@ -231,7 +231,7 @@
     pub fn tellable(&self, balancer: usize) -> (u64, Option<Us>) {
         let late = us(self.experiment.discovery.notice_s) + self.late.borrow()[balancer];
         let catalog = self.catalog.borrow();
-        let first = self.hosts.len() + 1;
+        let first = self.servers.len() + 1;
         let now = self.now();
         // What was listed at the beginning is no news.
         let due = |place: usize| if place < first { 0 } else { catalog.1[place] + late };
@@ -243,13 +243,13 @@
     }
 }
 
-/// The id of the host that stands at a slot in this life of it; the last slot is the origin's.
+/// The id of the server that stands at a slot in this life of it; the last slot is the origin's.
 pub fn host_id(seed: u64, slot: usize, life: u32) -> String {
     format!("s-{:08x}", spread(seed.wrapping_mul(1_000_003) ^ ((slot as u64) << 16) ^ u64::from(life)) as u32)
 }
 
 /// The id of a try: its balancer can be read from it.
-pub fn command_id(balancer: usize, number: u64) -> u64 {
+pub fn request_id(balancer: usize, number: u64) -> u64 {
     (balancer as u64) << 48 | number
 }
 
@@ -258,7 +258,7 @@
     (id >> 48) as usize
 }
 
-/// The value that a host or the origin makes for a command.
+/// The value that a server or the origin makes for a request.
 pub fn value_of(id: u64, key: u64) -> String {
     format!("value of {} for {id:016x}", key_name(key))
 }
--- a/testbed/src/room.rs
+++ b/testbed/src/room.rs
@@ -12,9 +12,9 @@
 /// Descriptors that the rig will hold at most, as far as that can be told ahead.
 pub fn descriptors(e: &Experiment, sides: usize) -> usize {
     let balancers = e.fleet.balancers;
-    let machines = e.fleet.hosts + 1;
-    // A connection to a host is kept for about five seconds; a balancer has one for each command of that time, and one
-    // to each host at the most, twice in a storm of second copies.
+    let machines = e.fleet.servers + 1;
+    // A connection to a server is kept for about five seconds; a balancer has one for each request of that time, and one
+    // to each server at the most, twice in a storm of second copies.
     let busiest = e.load.uneven.map_or(1.0, |u| (u.share / u.at).max(1.0));
     let each = (e.load.rate / balancers as f64 * busiest * 1.5 * 5.0) as usize + 4;
     let average = (e.load.rate / balancers as f64 * 1.5 * 5.0) as usize + 8;
@@ -37,7 +37,7 @@
              fewer balancers or hosts"
         )));
     }
-    let ports = (e.fleet.hosts + 1) * sides + 2 * e.fleet.balancers;
+    let ports = (e.fleet.servers + 1) * sides + 2 * e.fleet.balancers;
     if ports > PORTS {
         return Err(Problem::NotAllowed(format!(
             "the run needs {ports} ports and {PORTS} are the most: take fewer hosts, or name fewer groups on links"
--- a/testbed/src/scale/cluster_endpoint.rs
+++ b/testbed/src/scale/cluster_endpoint.rs
@@ -97,7 +97,7 @@
         let mut cluster = Cluster::new(plan(identity, members, &config), now);
         let workload = Workload::new(config, seed ^ 0x10ad, now);
         if let Some(verdicts) = cluster.verdicts() {
-            verdicts.listed(workload.hosts(zones));
+            verdicts.listed(workload.servers(zones));
         }
         ClusterEndpoint { cluster, workload }
     }
--- a/testbed/src/scale/config.rs
+++ b/testbed/src/scale/config.rs
@@ -9,7 +9,7 @@
 pub enum Mechanism {
     /// The membership alone.
     Membership,
-    /// All of today's coordination: membership, limits, retries, reports on hosts.
+    /// All of today's coordination: membership, limits, retries, reports on servers.
     Cluster,
     /// Fleet-wide purges, with control machines beside the members.
     Purge,
@@ -22,7 +22,7 @@
 pub enum Event {
     /// Nothing.
     None,
-    /// One member dies and starts again; then a cache host falls silent.
+    /// One member dies and starts again; then a cache server falls silent.
     MemberLost,
     /// The same, with 1% of all packets lost.
     Loss,
@@ -60,11 +60,11 @@
 
 impl std::error::Error for UnknownName {}
 
-/// Gives a type its names, for the command line and for tables.
+/// Gives a type its names, for the request line and for tables.
 macro_rules! named {
     ($type:ident, $($variant:ident => $name:literal),+ $(,)?) => {
         impl $type {
-            /// The name on the command line and in tables.
+            /// The name on the request line and in tables.
             pub fn name(self) -> &'static str {
                 match self {
                     $($type::$variant => $name),+
@@ -127,7 +127,7 @@
     pub replicas: usize,
     /// Purges published a second, by all control machines together.
     pub publishes_per_s: f64,
-    /// Cache hosts that the drawn traffic goes to.
+    /// Cache servers that the drawn traffic goes to.
     pub cache_hosts: usize,
     /// The traffic of a calibration run.
     pub calibration: CalibrationTraffic,
@@ -170,7 +170,7 @@
         self.members + self.replicas
     }
 
-    /// Members that are cache hosts in a run of purges: as many in proportion as 230 beside 1,770 balancers.
+    /// Members that are cache servers in a run of purges: as many in proportion as 230 beside 1,770 balancers.
     pub fn purged_cache_hosts(&self) -> usize {
         self.members * 23 / 200
     }
--- a/testbed/src/scale/endpoint.rs
+++ b/testbed/src/scale/endpoint.rs
@@ -15,11 +15,11 @@
     Membership,
     /// Limits that hold for all members together.
     Limits,
-    /// Limits on sends to a cache host that warms up.
+    /// Limits on sends to a cache server that warms up.
     WarmUp,
     /// The retry budget.
     Retries,
-    /// Reports on cache hosts.
+    /// Reports on cache servers.
     Verdicts,
     /// Purges, their acknowledgements and the registrations.
     Purge,
@@ -66,7 +66,7 @@
     Alive(SocketAddr),
     /// Whether it is not.
     Gone(SocketAddr),
-    /// Whether the member passes by the silent cache host.
+    /// Whether the member passes by the silent cache server.
     HostAvoided,
 }
 
--- a/testbed/src/scale/purge_endpoint.rs
+++ b/testbed/src/scale/purge_endpoint.rs
@@ -1,4 +1,4 @@
-//! Fleet-wide purges as endpoints: the control machines, which also publish, and the members, balancers and cache hosts.
+//! Fleet-wide purges as endpoints: the control machines, which also publish, and the members, balancers and cache servers.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -95,7 +95,7 @@
     pub replicas: Vec<SocketAddr>,
     /// The control machines, the nearest first.
     pub preferred: Vec<u8>,
-    /// Whether it is a cache host, which replays; a balancer voids.
+    /// Whether it is a cache server, which replays; a balancer voids.
     pub is_cache_host: bool,
     /// Whether it loses one change in a thousand, on purpose.
     pub drops_changes: bool,
@@ -103,7 +103,7 @@
     pub seed: u64,
 }
 
-/// A balancer or a cache host.
+/// A balancer or a cache server.
 pub struct MemberEndpoint {
     member: Member,
     drops_changes: bool,
--- a/testbed/src/scale/run.rs
+++ b/testbed/src/scale/run.rs
@@ -96,7 +96,7 @@
     fn workload(&self) -> WorkloadConfig {
         WorkloadConfig {
             requests_per_s: self.config.requests_per_s,
-            hosts: self.config.cache_hosts,
+            servers: self.config.cache_hosts,
             silent: self.schedule.silent_hosts.clone(),
         }
     }
--- a/testbed/src/scale/schedule.rs
+++ b/testbed/src/scale/schedule.rs
@@ -99,7 +99,7 @@
     pub actions: Vec<Action>,
     /// What members should come to know.
     pub expectations: Vec<Expectation>,
-    /// Cache hosts that fall silent, and when.
+    /// Cache servers that fall silent, and when.
     pub silent_hosts: Vec<(u64, Range<Micros>)>,
 }
 
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -1,4 +1,4 @@
-//! Drawn traffic: what a member's control code would see of client requests and of cache hosts, without either.
+//! Drawn traffic: what a member's control code would see of client requests and of cache servers, without either.
 
 use std::collections::VecDeque;
 use std::ops::Range;
@@ -17,10 +17,10 @@
 const BUSY_FACTOR: f64 = 3.0;
 /// How much of the origin's limit all requests together would use.
 const ORIGIN_USE: f64 = 0.8;
-/// After how long an attempt at a silent host counts as timed out.
+/// After how long an attempt at a silent server counts as timed out.
 const ATTEMPT_TIMEOUT: Micros = 250_000;
-/// The list gives every host this start: long ago, so that all are warm.
-const HOST_START: Micros = 1;
+/// The list gives every server this start: long ago, so that all are warm.
+const SERVER_START: Micros = 1;
 /// The most requests that one tick catches up on after a pause.
 const REQUESTS_PER_TICK_MAX: usize = 64;
 
@@ -29,9 +29,9 @@
 pub struct WorkloadConfig {
     /// Requests a second at a member, on average over all members.
     pub requests_per_s: f64,
-    /// How many cache hosts there are.
-    pub hosts: usize,
-    /// Cache hosts that fall silent, and when.
+    /// How many cache servers there are.
+    pub servers: usize,
+    /// Cache servers that fall silent, and when.
     pub silent: Vec<(u64, Range<Micros>)>,
 }
 
@@ -41,8 +41,8 @@
         (self.requests_per_s * members as f64 * MISS_SHARE / ORIGIN_USE).ceil().max(1.0) as u32
     }
 
-    fn is_silent(&self, host: u64, now: Micros) -> bool {
-        self.silent.iter().any(|(silent, during)| *silent == host && during.contains(&now))
+    fn is_silent(&self, server: u64, now: Micros) -> bool {
+        self.silent.iter().any(|(silent, during)| *silent == server && during.contains(&now))
     }
 }
 
@@ -52,9 +52,9 @@
     rng: fastrand::Rng,
     requests_per_s: f64,
     last: Micros,
-    /// Attempts at silent hosts: when they time out, and the host.
+    /// Attempts at silent servers: when they time out, and the server.
     waiting: VecDeque<(Micros, u64)>,
-    /// When each host last answered.
+    /// When each server last answered.
     answered: Vec<Micros>,
 }
 
@@ -64,7 +64,7 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let quiet = config.requests_per_s / (1.0 + BUSY_SHARE * (BUSY_FACTOR - 1.0));
         let factor = if rng.f64() < BUSY_SHARE { BUSY_FACTOR } else { 1.0 };
-        let answered = vec![0; config.hosts];
+        let answered = vec![0; config.servers];
         Workload {
             config,
             rng,
@@ -75,9 +75,10 @@
         }
     }
 
-    /// The cache hosts as discovery would list them, with their zones.
-    pub fn hosts(&self, zones: usize) -> impl Iterator<Item = (Start, u32)> {
-        (0..self.config.hosts as u64).map(move |host| (start(host), (host % zones.max(1) as u64) as u32))
+    /// The cache servers as discovery would list them, with their zones.
+    pub fn servers(&self, zones: usize) -> impl Iterator<Item = (Start, u32)> {
+        (0..self.config.servers as u64)
+            .map(move |server| (start(server), (server % zones.max(1) as u64) as u32))
     }
 
     /// Plays the requests since the last call on a member's control code.
@@ -94,9 +95,9 @@
     /// Reports the attempts that got no answer in time, and asks for a retry of each.
     fn time_out(&mut self, cluster: &mut Cluster, now: Micros) {
         while self.waiting.front().is_some_and(|(due, _)| *due <= now) {
-            let Some((_, host)) = self.waiting.pop_front() else { break };
+            let Some((_, server)) = self.waiting.pop_front() else { break };
             if let Some(verdicts) = cluster.verdicts() {
-                verdicts.saw(start(host), true, now);
+                verdicts.saw(start(server), true, now);
             }
             if let Some(retries) = cluster.second() {
                 if retries.has(now) {
@@ -108,18 +109,18 @@
         }
     }
 
-    /// One request: an attempt at a cache host, and at times a fetch from the origin.
+    /// One request: an attempt at a cache server, and at times a fetch from the origin.
     fn request(&mut self, cluster: &mut Cluster, now: Micros) {
         if let Some(retries) = cluster.second() {
             retries.first();
         }
-        let host = self.rng.u64(0..self.config.hosts.max(1) as u64);
-        let heard = self.answered.get(host as usize).copied().unwrap_or(0);
-        let per_s = self.requests_per_s / self.config.hosts.max(1) as f64;
+        let server = self.rng.u64(0..self.config.servers.max(1) as u64);
+        let heard = self.answered.get(server as usize).copied().unwrap_or(0);
+        let per_s = self.requests_per_s / self.config.servers.max(1) as f64;
         let avoided =
-            cluster.verdicts().is_some_and(|reports| reports.warned(start(host), heard, per_s, now));
+            cluster.verdicts().is_some_and(|reports| reports.warned(start(server), heard, per_s, now));
         if !avoided {
-            self.attempt(cluster, host, now);
+            self.attempt(cluster, server, now);
         }
         if self.rng.f64() < MISS_SHARE {
             if let Some(limit) = cluster.limit(ORIGIN_LIMIT) {
@@ -132,20 +133,20 @@
         }
     }
 
-    fn attempt(&mut self, cluster: &mut Cluster, host: u64, now: Micros) {
-        if self.config.is_silent(host, now) {
-            self.waiting.push_back((now + ATTEMPT_TIMEOUT, host));
+    fn attempt(&mut self, cluster: &mut Cluster, server: u64, now: Micros) {
+        if self.config.is_silent(server, now) {
+            self.waiting.push_back((now + ATTEMPT_TIMEOUT, server));
             return;
         }
-        if let Some(heard) = self.answered.get_mut(host as usize) {
+        if let Some(heard) = self.answered.get_mut(server as usize) {
             *heard = now;
         }
         if let Some(verdicts) = cluster.verdicts() {
-            verdicts.saw(start(host), false, now);
+            verdicts.saw(start(server), false, now);
         }
     }
 }
 
-fn start(host: u64) -> Start {
-    Start { server: host, started: HOST_START }
+fn start(server: u64) -> Start {
+    Start { server: server, started: SERVER_START }
 }
--- a/testbed/tests/controls.rs
+++ b/testbed/tests/controls.rs
@@ -66,9 +66,9 @@
             _ => [false; 4],
         };
         assert_eq!(rules, broken, "{wrong}: {s:#?}");
-        assert!(s.commands > 1_200, "{wrong}: {s:#?}");
+        assert!(s.requests > 1_200, "{wrong}: {s:#?}");
         let spread = s.spread;
-        // Some are wrong in more than one way: a host that gets half of everything is a herd's, too.
+        // Some are wrong in more than one way: a server that gets half of everything is a herd's, too.
         if !matches!(wrong, "push" | "favour") {
             assert_eq!(spread.herd > 1.8 * spread.fair_herd, wrong == "herd", "{wrong}: {spread:?}");
         }
