--- a/platform-model/src/judge/rules.rs
+++ b/platform-model/src/judge/rules.rs
@@ -196,11 +196,10 @@
     for attempt in own {
         lines.push((
             attempt.begun,
-            format!("received by {:?}{}", attempt.at, if attempt.cold { ", cold" } else { "" }),
+            format!("received by {}{}", attempt.at, if attempt.cold { ", cold" } else { "" }),
         ));
-        lines.extend(
-            attempt.answered.map(|at| (at, format!("{:?} answers: {:?}", attempt.at, attempt.became))),
-        );
+        lines
+            .extend(attempt.answered.map(|at| (at, format!("{} answers: {:?}", attempt.at, attempt.became))));
     }
     lines.extend(request.ended.map(|at| (at, format!("its client sees: {:?}", request.end))));
     lines.push((request.deadline, "its deadline".into()));
--- a/platform-model/src/ledger.rs
+++ b/platform-model/src/ledger.rs
@@ -1,6 +1,8 @@
 //! What a run leaves: what clients sent and got, what servers and the origin received and ran, what discovery told, and
 //! who was unwell when. The judge reads nothing else.
 
+use std::fmt;
+
 use serde::{Deserialize, Serialize};
 
 use crate::Us;
@@ -67,6 +69,16 @@
     Origin,
 }
 
+/// As the breaches' file names it, which keeps its words.
+impl fmt::Display for At {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            At::CacheServer(number) => write!(out, "Host({number})"),
+            At::Origin => out.write_str("Origin"),
+        }
+    }
+}
+
 /// What became of an attempt at its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
