--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,18 +1,18 @@
 //! Who is asked for which event. The events stand in `src/event.rs`, the actions in `src/action.rs`; the
 //! mechanism is that of docs/design.md, and each concern has a file of its own in `src/balancer/`.
 
-mod gap;
+mod concurrency_limit;
+mod gap_ladder;
 mod members;
 mod pending;
 mod placement;
-mod places;
 pub(crate) mod view;
 
 use rustc_hash::FxHashMap;
 
 use crate::coordination::OptionalCoordination;
 use crate::*;
-use gap::{Ladder, FEW, MEMORY};
+use gap_ladder::{GapLadder, SendOutcome, EVIDENCE_LIFETIME_IN_WINDOWS, MAX_BALANCERS_AT_SHORTEST_TOP};
 use members::{Members, Rate};
 use pending::{Attempt, Fate, Pending, Step};
 use placement::{Placement, MAX_HOMES};
@@ -62,9 +62,9 @@
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
-    ladder: Ladder,
+    ladder: GapLadder,
     /// That of the origin, which nothing stands in for: what is not sent there is lost as well.
-    at_origin: Ladder,
+    at_origin: GapLadder,
     rng: fastrand::Rng,
     members: Members,
     placement: Placement,
@@ -85,8 +85,8 @@
     pub fn new(settings: Settings, seed: u64) -> Balancer {
         let settings = settings.sanitized();
         Balancer {
-            ladder: Ladder::new(&settings, settings.balancers),
-            at_origin: Ladder::new(&settings, settings.balancers.min(FEW)),
+            ladder: GapLadder::new(&settings, settings.balancers),
+            at_origin: GapLadder::new(&settings, settings.balancers.min(MAX_BALANCERS_AT_SHORTEST_TOP)),
             first_waits: vec![Micros(0); settings.classes.len()],
             members: Members {
                 balancers: settings.balancers,
@@ -137,8 +137,8 @@
                     self.held.remove(&pending.token);
                     self.queue.retain(|(_, queued)| *queued != id);
                     if let Some(server) = pending.out().and_then(|a| self.members.find(a.to.server)) {
-                        server.places.free(now, pending.request.is_write, None);
-                        server.places.take(false);
+                        server.concurrency.release(now, pending.request.is_write, None);
+                        server.concurrency.reserve(false);
                     }
                 }
             }
@@ -206,7 +206,7 @@
         if !request.is_client_retry {
             *first = left.max(*first);
             self.coordination.on_first_attempt(now);
-            self.hedges = (self.hedges + HEDGES / self.ladder.least).min(HEDGES_SAVED);
+            self.hedges = (self.hedges + HEDGES / self.ladder.window_outcomes).min(HEDGES_SAVED);
             return Micros(0);
         }
         let gone = class.deadline.saturating_sub(left);
@@ -223,7 +223,7 @@
                 self.queue.push((share + f64::from(pending.request.is_write), id));
                 self.hold(now, wait, pending, actions);
                 self.next_pass(now, actions);
-                let most = self.members.origin().map_or(0, |s| s.places.freed(QUEUE));
+                let most = self.members.origin().map_or(0, |s| s.concurrency.completions_within(QUEUE));
                 if self.queue.len() > most + 2 {
                     // What is worth least is given up, and told so now.
                     let worth = |at: &usize| self.queue[*at].0;
@@ -251,12 +251,19 @@
 
     /// Sends a read that waits for a cache elsewhere as well, if there is a place to spare.
     fn hedge(&mut self, now: Micros, pending: Pending, actions: &mut Vec<Action>) {
-        let out = pending.out().filter(|_| self.ladder.least <= 1.0).map(|a| (a.to.clone(), a.sent));
+        let out =
+            pending.out().filter(|_| self.ladder.is_one_outcome_enough()).map(|a| (a.to.clone(), a.sent));
         if let Some((to, sent)) = out {
-            if let Some(server) =
-                self.members.find(to.server).filter(|s| s.places.fair(now.saturating_sub(sent)))
+            if let Some(server) = self
+                .members
+                .find(to.server)
+                .filter(|s| s.concurrency.is_timeout_meaningful(now.saturating_sub(sent)))
             {
-                server.gap.outcome(now, sent, true, &self.ladder, self.rng.f64());
+                server.gap.on_outcome(
+                    SendOutcome { sent, completed: now, is_rejected: true },
+                    &self.ladder,
+                    self.rng.f64(),
+                );
                 self.members.told(to.zone, true);
                 self.coordination.on_attempt_completed(now, &to, AttemptResult::Timeout, Some(true));
             }
@@ -274,8 +281,8 @@
         let id = pending.request.id;
         let server = &mut self.members.servers[at];
         server.budget.iter_mut().for_each(|(left, _)| *left -= 1.0);
-        server.gap.pass(now, pending.request.tenant);
-        server.places.take(pending.request.is_write);
+        server.gap.on_send(now, pending.request.tenant);
+        server.concurrency.reserve(pending.request.is_write);
         let entry = &server.entry;
         let second = !pending.attempts.is_empty() && !pending.missed;
         pending.step = Step::Usual;
@@ -284,7 +291,8 @@
         let origin = self.settings.is_origin(entry);
         self.coordination.on_send(now, entry, origin, second);
         let again = class.idempotency == Idempotency::Idempotent && !origin;
-        let unheard = now.saturating_sub(server.heard).0 as f64 / (MEMORY * self.ladder.window.0 as f64);
+        let unheard = now.saturating_sub(server.heard).0 as f64
+            / (EVIDENCE_LIFETIME_IN_WINDOWS * self.ladder.window.0 as f64);
         let after = HEDGE_AFTER - HEDGE_SOONER * unheard.min(1.0);
         let wait = pending.useful.saturating_sub(now).mul_f64(after).max(Micros(1));
         let twice = self.settings.limits.may_duplicate;
@@ -332,7 +340,7 @@
     fn pass(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while !self.queue.is_empty() && self.closed(now, 0).0 == 0 {
             let Some(server) = self.members.origin() else { break };
-            let room = [false, true].map(|write| server.places.room(now, write));
+            let room = [false, true].map(|write| server.concurrency.has_capacity(now, write));
             let fitting = (0..self.queue.len()).filter(|at| room[usize::from(self.queue[*at].0 >= 1.0)]);
             let best = fitting.max_by(|a, b| self.queue[*a].0.total_cmp(&self.queue[*b].0));
             let Some(at) = best else { break };
@@ -380,7 +388,7 @@
                 least = Some(least.unwrap_or(wait).min(wait));
                 continue;
             }
-            if now < server.places.rest || !server.places.room(now, true) {
+            if now < server.concurrency.paced_until || !server.concurrency.has_capacity(now, true) {
                 // A crowded home is no reason to move a key where the origin can serve it.
                 if place + 1 >= homes && self.settings.mode != CacheMode::ReadThrough {
                     break;
@@ -412,12 +420,14 @@
         if !pending.may_send(now, &server.entry, class, &settings.limits) {
             return Path::End(Micros(0), RejectReason::NoEligibleServer);
         }
-        let full = wait.0 > 0 || !server.places.room(now, request.is_write);
+        let full = wait.0 > 0 || !server.concurrency.has_capacity(now, request.is_write);
         match pending.step {
             Step::Booked => Path::Send(at),
             Step::Preempted => Path::End(wait, RejectReason::Preempted),
             Step::Queued => Path::End(wait, RejectReason::QueueTimeout),
-            _ if !server.places.hopeful(room) => Path::End(wait, RejectReason::DeadlineUnreachable),
+            _ if !server.concurrency.can_respond_within(room) => {
+                Path::End(wait, RejectReason::DeadlineUnreachable)
+            }
             _ if full || !(request.is_write || self.queue.is_empty()) => {
                 Path::Queue(room.mul_f64(if request.is_write { WRITE_WAITS } else { READ_WAITS }))
             }
@@ -430,14 +440,14 @@
         let write = known.as_ref().is_some_and(|p| p.request.is_write);
         if let Some(server) = self.members.find(outcome.server) {
             let (origin, zone) = (self.settings.is_origin(&server.entry), server.entry.zone);
-            let (latency, places) = (outcome.latency, &mut server.places);
+            let (latency, concurrency) = (outcome.latency, &mut server.concurrency);
             // The origin drops what nobody waits for; a cache server goes on with it.
             let goes_on = (outcome.result == AttemptResult::Timeout && !origin).then_some(latency);
-            places.free(now, write, goes_on);
+            concurrency.release(now, write, goes_on);
             let rejected = match outcome.result {
                 AttemptResult::Rejected | AttemptResult::ConnectFailed => Some(true),
-                AttemptResult::Timeout if places.fair(latency) => {
-                    places.silent(now, latency, origin);
+                AttemptResult::Timeout if concurrency.is_timeout_meaningful(latency) => {
+                    concurrency.on_timeout(now, latency, origin);
                     // A slow origin still refills caches, and its places bound what waits there.
                     (!origin).then_some(true)
                 }
@@ -448,11 +458,15 @@
                 AttemptResult::Timeout | AttemptResult::Cancelled | AttemptResult::NotSent => None,
             };
             if outcome.result == AttemptResult::Served {
-                places.answered(now, latency);
+                concurrency.on_response(now, latency);
             }
             if let Some(rejected) = rejected {
                 let ladder = if origin { &self.at_origin } else { &self.ladder };
-                server.gap.outcome(now, now.saturating_sub(latency), rejected, ladder, self.rng.f64());
+                server.gap.on_outcome(
+                    SendOutcome { sent: now.saturating_sub(latency), completed: now, is_rejected: rejected },
+                    ladder,
+                    self.rng.f64(),
+                );
             }
             let rejected = rejected.filter(|_| !origin);
             self.coordination.on_attempt_completed(now, &server.entry, outcome.result, rejected);
--- a/src/balancer/members.rs
+++ b/src/balancer/members.rs
@@ -2,7 +2,7 @@
 
 use rustc_hash::FxHashMap;
 
-use super::{gap::Gap, places::Places};
+use super::{concurrency_limit::ConcurrencyLimit, gap_ladder::Gap};
 use crate::*;
 
 /// Span in microseconds of the own rate of answers: some requests even at a quiet balancer.
@@ -39,7 +39,7 @@
 pub(super) struct Server {
     pub(super) entry: Endpoint,
     pub(super) gap: Gap,
-    pub(super) places: Places,
+    pub(super) concurrency: ConcurrencyLimit,
     pub(super) heard: Micros,
     /// Once it was cold: sends that it may still get from here, and when that was counted.
     pub(super) budget: Option<(f64, Micros)>,
@@ -47,7 +47,13 @@
 
 impl Server {
     pub(super) fn new(entry: Endpoint, balancers: u32) -> Server {
-        Server { entry, gap: Gap::default(), places: Places::new(balancers), heard: Micros(0), budget: None }
+        Server {
+            entry,
+            gap: Gap::default(),
+            concurrency: ConcurrencyLimit::new(balancers),
+            heard: Micros(0),
+            budget: None,
+        }
     }
 
     /// Whether a cold server can take one more send: as warm ones answer, cut by its warmth (rule 4).
--- a/src/balancer/tests.rs
+++ b/src/balancer/tests.rs
@@ -1,9 +1,9 @@
 //! Direct tests of the module's parts; each names the failure it guards against.
 
-use super::gap::*;
+use super::concurrency_limit::ConcurrencyLimit;
+use super::gap_ladder::*;
 use super::members::*;
 use super::placement::*;
-use super::places::Places;
 use super::*;
 use proptest::prelude::*;
 
@@ -202,7 +202,7 @@
         let change = [Endpoint { state, ..entry(target.0) }];
         step(&mut b, 20, Event::EndpointsChanged(EndpointUpdate::Delta, &change));
         for n in 2..200 {
-            b.members.servers.iter_mut().for_each(|s| s.places = Places::new(1));
+            b.members.servers.iter_mut().for_each(|s| s.concurrency = ConcurrencyLimit::new(1));
             let to = sent(&step(&mut b, 30 + n, Event::Request(request(n, 30 + n, n))));
             assert!(to.is_some_and(|to| to != target), "{state:?}");
         }
--- a/src/balancer/tests/limits.rs
+++ b/src/balancer/tests/limits.rs
@@ -2,12 +2,12 @@
 
 use super::*;
 
-fn ladder() -> Ladder {
+fn ladder() -> GapLadder {
     ladder_of(3)
 }
 
-fn ladder_of(balancers: u32) -> Ladder {
-    Ladder::new(&settings(Idempotency::Idempotent, DeduplicationScope::All), balancers)
+fn ladder_of(balancers: u32) -> GapLadder {
+    GapLadder::new(&settings(Idempotency::Idempotent, DeduplicationScope::All), balancers)
 }
 
 /// What is not sent to the origin is lost as well: where many balancers found it out of reach, a write goes again
@@ -39,17 +39,17 @@
 /// hundred balancers once served a quarter of their writes while reads that could not be in time took the rest.
 #[test]
 fn a_write_goes_to_a_pressed_origin_before_reads_do() {
-    let (now, mut places) = (Micros(60 * SECOND), Places::new(300));
-    places.answered(Micros(SECOND), Micros(70_000));
+    let (now, mut concurrency) = (Micros(60 * SECOND), ConcurrencyLimit::new(300));
+    concurrency.on_response(Micros(SECOND), Micros(70_000));
     for n in 0..12 {
-        places.silent(Micros((10 + n) * SECOND), Micros(SECOND / 2), true);
+        concurrency.on_timeout(Micros((10 + n) * SECOND), Micros(SECOND / 2), true);
     }
-    assert!(places.most < 0.7, "{}", places.most);
-    places.take(true);
-    assert!(!places.room(now, true) && !places.room(now, false), "one at a time");
-    places.free(now, true, None);
-    assert!(places.room(now, true) && !places.room(now, false));
-    assert!(places.room(now.saturating_add(Micros(30 * SECOND)), false), "a read's time comes");
+    assert!(concurrency.limit < 0.7, "{}", concurrency.limit);
+    concurrency.reserve(true);
+    assert!(!concurrency.has_capacity(now, true) && !concurrency.has_capacity(now, false), "one at a time");
+    concurrency.release(now, true, None);
+    assert!(concurrency.has_capacity(now, true) && !concurrency.has_capacity(now, false));
+    assert!(concurrency.has_capacity(now.saturating_add(Micros(30 * SECOND)), false), "a read's time comes");
 }
 
 /// One of a hundred balancers sends to a host every few seconds: that sees no window of four ends before it
@@ -58,13 +58,21 @@
 fn one_of_many_balancers_gaps_a_silent_host_at_once_and_probes_it_seldom() {
     for (balancers, gapped) in [(3, false), (100, true)] {
         let (ladder, mut gap, mut now) = (ladder_of(balancers), Gap::default(), 20 * SECOND);
-        gap.outcome(Micros(now), Micros(now - SECOND), true, &ladder, 0.5);
-        assert_eq!(gap.active(Micros(now)), gapped, "{balancers} balancers");
+        gap.on_outcome(
+            SendOutcome { sent: Micros(now - SECOND), completed: Micros(now), is_rejected: true },
+            &ladder,
+            0.5,
+        );
+        assert_eq!(gap.is_active(Micros(now)), gapped, "{balancers} balancers");
         for _ in 0..5 {
             now += 4 * SECOND;
-            gap.outcome(Micros(now), Micros(now - SECOND), true, &ladder, 0.5);
+            gap.on_outcome(
+                SendOutcome { sent: Micros(now - SECOND), completed: Micros(now), is_rejected: true },
+                &ladder,
+                0.5,
+            );
         }
-        assert_eq!(gap.active(Micros(now)), gapped, "{balancers} balancers");
+        assert_eq!(gap.is_active(Micros(now)), gapped, "{balancers} balancers");
     }
     let sum = |n: u32| f64::from(n) / ladder_of(n).length(ladder_of(n).top).0 as f64;
     assert!(sum(100) < 9.0 * sum(3), "probes of a dead server by all together");
@@ -131,7 +139,11 @@
     let mut now = from;
     for rejected in outcomes {
         now += step;
-        gap.outcome(Micros(now), Micros(now - 1), *rejected, &ladder(), 0.0);
+        gap.on_outcome(
+            SendOutcome { sent: Micros(now - 1), completed: Micros(now), is_rejected: *rejected },
+            &ladder(),
+            0.0,
+        );
     }
     now
 }
@@ -139,7 +151,7 @@
 fn gapped(rung: u32) -> Gap {
     let mut gap = Gap::default();
     (gap.rung, gap.until) = (rung, Micros(900 * SECOND));
-    gap.pass(Micros(SECOND), 0);
+    gap.on_send(Micros(SECOND), 0);
     gap
 }
 
@@ -149,7 +161,7 @@
     assert_eq!(ladder.length(0), Micros(0));
     for rung in 1..ladder.top {
         let ratio = ladder.length(rung + 1).0 as f64 / ladder.length(rung).0 as f64;
-        assert!((ratio - RATIO).abs() < 0.01, "rung {rung}: {ratio}");
+        assert!((ratio - RUNG_RATIO).abs() < 0.01, "rung {rung}: {ratio}");
     }
     assert!(ladder.length(ladder.top) <= Micros(SECOND) && ladder.length(ladder.top + 1) > Micros(SECOND));
 }
@@ -175,7 +187,7 @@
 fn the_first_gap_is_that_of_the_pace_that_was_served() {
     // Ten a second, half of them served: five a second pass from now on, at the nearest rungs.
     let mut gap = Gap::default();
-    gap.pass(Micros(SECOND), 0);
+    gap.on_send(Micros(SECOND), 0);
     feed(&mut gap, 2 * SECOND, 100_000, &[true, false, true, false, true, false]);
     let length = ladder().length(gap.rung).0;
     assert!((150_000..=300_000).contains(&length), "{length}");
@@ -190,7 +202,11 @@
     let rung = gap.rung;
     assert!(rung > 0);
     for late in 1..40 {
-        gap.outcome(Micros(now + late * 20_000), Micros(now - 1), true, &ladder(), 0.0);
+        gap.on_outcome(
+            SendOutcome { sent: Micros(now - 1), completed: Micros(now + late * 20_000), is_rejected: true },
+            &ladder(),
+            0.0,
+        );
     }
     assert_eq!(gap.rung, rung);
 }
@@ -205,7 +221,7 @@
     assert!(held.rung > 10 && held.until > Micros(2 * SECOND), "r over high raises and renews it");
     let mut ended = gapped(9);
     ended.until = Micros(5 * SECOND);
-    assert!(ended.active(Micros(5 * SECOND - 1)) && !ended.active(Micros(5 * SECOND)));
+    assert!(ended.is_active(Micros(5 * SECOND - 1)) && !ended.is_active(Micros(5 * SECOND)));
 }
 
 #[test]
@@ -217,7 +233,7 @@
     for now in (3 * SECOND..3 * SECOND + 10 * g).step_by(1_000) {
         for source in 0..2 {
             if gap.wait(Micros(now), source, &ladder).0 == 0 {
-                gap.pass(Micros(now), source);
+                gap.on_send(Micros(now), source);
                 passed[source as usize] += 1;
             }
         }
@@ -230,7 +246,15 @@
     let until = |draw: f64| {
         let mut gap = Gap::default();
         (0..6).for_each(|i| {
-            gap.outcome(Micros(3 * SECOND + i * 30_000), Micros(3 * SECOND), true, &ladder(), draw)
+            gap.on_outcome(
+                SendOutcome {
+                    sent: Micros(3 * SECOND),
+                    completed: Micros(3 * SECOND + i * 30_000),
+                    is_rejected: true,
+                },
+                &ladder(),
+                draw,
+            )
         });
         gap.until
     };
@@ -257,21 +281,21 @@
         for _ in 0..steps {
             now += rng.u64(1..60_000);
             if gap.wait(Micros(now), 0, &ladder).0 == 0 {
-                gap.pass(Micros(now), 0);
+                gap.on_send(Micros(now), 0);
                 let sent = Micros(now - rng.u64(0..400_000));
-                gap.outcome(Micros(now), sent, rng.f64() < bad, &ladder, rng.f64());
+                gap.on_outcome(SendOutcome { sent, completed: Micros(now), is_rejected: rng.f64() < bad }, &ladder, rng.f64());
             }
         }
-        prop_assert!(!gap.active(Micros(now + 8 * SECOND)), "without demand");
+        prop_assert!(!gap.is_active(Micros(now + 8 * SECOND)), "without demand");
         let gone = now + 3 * SECOND;
         while now < gone {
             now += 10_000;
             if gap.wait(Micros(now), 0, &ladder).0 == 0 {
-                gap.pass(Micros(now), 0);
-                gap.outcome(Micros(now), Micros(now - 1), false, &ladder, rng.f64());
+                gap.on_send(Micros(now), 0);
+                gap.on_outcome(SendOutcome { sent: Micros(now - 1), completed: Micros(now), is_rejected: false }, &ladder, rng.f64());
             }
         }
-        prop_assert!(!gap.active(Micros(now)), "rung {} with demand", gap.rung);
+        prop_assert!(!gap.is_active(Micros(now)), "rung {} with demand", gap.rung);
     }
 
     /// Whatever came before, a server that answers well again has its places back: each quick answer
@@ -279,60 +303,60 @@
     #[test]
     fn places_come_back(seed: u64, steps in 1usize..400, slower in 1u64..6) {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let (mut places, mut now) = (Places::new(3), SECOND);
+        let (mut concurrency, mut now) = (ConcurrencyLimit::new(3), SECOND);
         for _ in 0..steps {
             now += rng.u64(1..60_000);
             let write = rng.bool();
-            if places.room(Micros(now), write) {
-                places.take(write);
+            if concurrency.has_capacity(Micros(now), write) {
+                concurrency.reserve(write);
                 let latency = Micros(rng.u64(1_000..900_000));
                 let silent = rng.f64() < 0.3;
-                places.free(Micros(now), write, silent.then_some(latency));
+                concurrency.release(Micros(now), write, silent.then_some(latency));
                 if silent {
-                    places.silent(Micros(now), latency, seed.is_multiple_of(2));
+                    concurrency.on_timeout(Micros(now), latency, seed.is_multiple_of(2));
                 } else {
-                    places.answered(Micros(now), latency);
+                    concurrency.on_response(Micros(now), latency);
                 }
             }
-            prop_assert!(places.most >= 1.0);
+            prop_assert!(concurrency.limit >= 1.0);
         }
         let usual = 100_000 * slower;
         let end = now + 1_800 * SECOND;
-        while places.most < 8.0 {
-            prop_assert!(now < end, "{} places", places.most);
+        while concurrency.limit < 8.0 {
+            prop_assert!(now < end, "{} places", concurrency.limit);
             now += usual;
-            while places.room(Micros(now), true) {
-                places.take(true);
+            while concurrency.has_capacity(Micros(now), true) {
+                concurrency.reserve(true);
             }
-            places.free(Micros(now), true, None);
-            places.answered(Micros(now), Micros(usual));
+            concurrency.release(Micros(now), true, None);
+            concurrency.on_response(Micros(now), Micros(usual));
         }
-        prop_assert!((usual as f64) < 1.6 * places.usual, "it is quick again");
+        prop_assert!((usual as f64) < 1.6 * concurrency.baseline_latency, "it is quick again");
     }
 }
 
 #[test]
 fn what_was_given_up_at_a_cache_holds_its_place_as_long_again() {
-    let mut places = Places::new(6);
+    let mut concurrency = ConcurrencyLimit::new(6);
     let now = Micros(SECOND);
-    (0..2).for_each(|_| places.take(false));
-    assert!(!places.room(now, true));
-    places.free(now, false, Some(Micros(400_000)));
-    assert!(!places.room(Micros(SECOND + 399_999), true), "the server is still at it");
-    assert!(places.room(Micros(SECOND + 400_000), true));
+    (0..2).for_each(|_| concurrency.reserve(false));
+    assert!(!concurrency.has_capacity(now, true));
+    concurrency.release(now, false, Some(Micros(400_000)));
+    assert!(!concurrency.has_capacity(Micros(SECOND + 399_999), true), "the server is still at it");
+    assert!(concurrency.has_capacity(Micros(SECOND + 400_000), true));
 }
 
 #[test]
 fn writes_that_take_all_they_can_leave_reads_a_part() {
-    let mut places = Places::new(1);
-    while places.room(Micros(1), true) {
-        places.take(true);
+    let mut concurrency = ConcurrencyLimit::new(1);
+    while concurrency.has_capacity(Micros(1), true) {
+        concurrency.reserve(true);
     }
-    let before = places.out();
-    while places.room(Micros(1), false) {
-        places.take(false);
+    let before = concurrency.in_flight();
+    while concurrency.has_capacity(Micros(1), false) {
+        concurrency.reserve(false);
     }
-    assert_eq!((before, places.out()), (7.0, 9.0));
+    assert_eq!((before, concurrency.in_flight()), (7.0, 9.0));
 }
 
 /// A client that is about to leave waits no fair time: its time-outs once limited healthy hosts, and the
@@ -351,7 +375,7 @@
             step(&mut b, now + end.latency.0, Event::AttemptCompleted(end));
         }
         let server = b.members.find(ServerId(0)).expect("listed");
-        assert_eq!(server.places.most < 2.0, counts, "{latency}");
+        assert_eq!(server.concurrency.limit < 2.0, counts, "{latency}");
     }
 }
 
@@ -371,9 +395,9 @@
 }
 
 fn fill_origin(b: &mut Balancer) {
-    let origin = &mut b.members.find(ServerId(900)).expect("listed").places;
-    while origin.room(Micros(SECOND), false) {
-        origin.take(false);
+    let origin = &mut b.members.find(ServerId(900)).expect("listed").concurrency;
+    while origin.has_capacity(Micros(SECOND), false) {
+        origin.reserve(false);
     }
 }
 
@@ -382,7 +406,11 @@
 fn the_queue_before_the_origin_holds_what_is_worth_most() {
     let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(0));
     (0..8).for_each(|_| {
-        b.members.find(ServerId(900)).expect("listed").places.answered(Micros(SECOND), Micros(400_000))
+        b.members
+            .find(ServerId(900))
+            .expect("listed")
+            .concurrency
+            .on_response(Micros(SECOND), Micros(400_000))
     });
     fill_origin(&mut b);
     (0..60).for_each(|_| b.placement.count(Key(5)));
@@ -397,7 +425,7 @@
     }
     assert!(b.queue.len() < 12 && refused.len() + b.queue.len() == 30, "given up at once");
     assert!(!refused.contains(&id(4)) && !refused.contains(&id(7)));
-    b.members.find(ServerId(900)).expect("listed").places = Places::new(3);
+    b.members.find(ServerId(900)).expect("listed").concurrency = ConcurrencyLimit::new(3);
     let first = step(&mut b, SECOND + 1_000, outcome(999, 0, ServerId(900), AttemptResult::Served));
     let order: Vec<RequestId> = first
         .iter()
--- a/src/balancer/view.rs
+++ b/src/balancer/view.rs
@@ -1,5 +1,5 @@
-//! What an operator may see of the limits that hold: which server, which limit, and why; and what they are told to
-//! keep to. Nothing here decides anything.
+//! What an operator may see of the limits that hold: which server, which limit, and why; and what they are
+//! told to keep to. Nothing here decides anything.
 
 use super::Balancer;
 use crate::{Coordination, Micros, ServerId};
@@ -24,7 +24,7 @@
 }
 
 impl LimitView {
-    /// Whether a limit holds sends back right now, and which: `gap`, `places`, or none.
+    /// Whether a limit holds sends back right now, and which: `gap`, `concurrency`, or none.
     pub fn holds(&self) -> Option<&'static str> {
         if self.gap.0 > 0 {
             Some("gap")
@@ -58,12 +58,12 @@
     pub fn limits(&self, now: Micros) -> (Vec<LimitView>, usize) {
         let view = |server: &super::members::Server| LimitView {
             server: server.entry.server,
-            gap: if server.gap.active(now) { self.ladder.length(server.gap.rung) } else { Micros(0) },
+            gap: if server.gap.is_active(now) { self.ladder.length(server.gap.rung) } else { Micros(0) },
             until: server.gap.until,
-            out: server.places.out(),
-            most: server.places.most,
-            usual: Micros(server.places.usual as u64),
-            lately: Micros(server.places.lately as u64),
+            out: server.concurrency.in_flight(),
+            most: server.concurrency.limit,
+            usual: Micros(server.concurrency.baseline_latency as u64),
+            lately: Micros(server.concurrency.recent_latency as u64),
         };
         (self.members.servers.iter().map(view).collect(), self.queue.len())
     }
