--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -2,27 +2,29 @@
 //! mechanism is that of docs/design.md, and each concern has a file of its own in `src/balancer/`.
 
 mod concurrency_limit;
+mod endpoint_set;
 mod gap_ladder;
-mod members;
 mod pending;
 mod placement;
+mod rate_estimator;
+mod slow_start;
 pub(crate) mod view;
+mod zone_health;
 
 use rustc_hash::FxHashMap;
 
 use crate::coordination::OptionalCoordination;
 use crate::*;
+use endpoint_set::EndpointSet;
 use gap_ladder::{GapLadder, SendOutcome, EVIDENCE_LIFETIME_IN_WINDOWS, MAX_BALANCERS_AT_SHORTEST_TOP};
-use members::{Members, Rate};
 use pending::{Attempt, Fate, Pending, Step};
 use placement::{Placement, MAX_HOMES};
+use rate_estimator::RateEstimator;
+use zone_health::ZoneHealth;
 
 /// Part of the time left after which an unanswered read goes elsewhere too; what an unheard server takes off.
 const HEDGE_AFTER: f64 = 0.65;
 const HEDGE_SOONER: f64 = 0.22;
-/// From how much more lost than in the best zone on caches of a zone are passed by, and how often at most.
-const ASTRAY: f64 = 0.4;
-const MOST_PASSED: f64 = 0.95;
 /// Such second copies for each first try where a server is met seldom, and how many may be saved up.
 const HEDGES: f64 = 0.4;
 const HEDGES_SAVED: f64 = 10.0;
@@ -66,9 +68,15 @@
     /// That of the origin, which nothing stands in for: what is not sent there is lost as well.
     at_origin: GapLadder,
     rng: fastrand::Rng,
-    members: Members,
+    endpoints: EndpointSet,
+    zones: ZoneHealth,
+    /// Calls to discovery that failed since its last list, when the last one was due, and how many more
+    /// calls of a start come at its pace.
+    failures: usize,
+    call: Micros,
+    start_calls: usize,
     placement: Placement,
-    answers: Rate,
+    response_rate: RateEstimator,
     /// What waits for a place at the origin, with its worth; the longest wait of first tries, by class.
     queue: Vec<(f64, RequestId)>,
     first_waits: Vec<Micros>,
@@ -88,16 +96,15 @@
             ladder: GapLadder::new(&settings, settings.balancers),
             at_origin: GapLadder::new(&settings, settings.balancers.min(MAX_BALANCERS_AT_SHORTEST_TOP)),
             first_waits: vec![Micros(0); settings.classes.len()],
-            members: Members {
-                balancers: settings.balancers,
-                failures: START_FAILURES,
-                start_calls: START_CALLS - 1,
-                ..Members::default()
-            },
+            endpoints: EndpointSet::new(settings.balancers),
+            zones: ZoneHealth::default(),
+            failures: START_FAILURES,
+            call: Micros(0),
+            start_calls: START_CALLS - 1,
             settings,
             rng: fastrand::Rng::with_seed(seed),
             placement: Placement::default(),
-            answers: Rate::default(),
+            response_rate: RateEstimator::default(),
             queue: vec![],
             requests: FxHashMap::default(),
             held: FxHashMap::default(),
@@ -115,9 +122,9 @@
             Event::Request(request) => self.arrived(now, request, actions),
             Event::ResponseStarted(id) => self.requests.get_mut(&id).into_iter().for_each(|p| p.begun = true),
             Event::AttemptCompleted(outcome) => self.ended(now, outcome, actions),
-            Event::Timer(DISCOVERY) if !self.settings.subscribe || self.members.failures == 0 => {}
+            Event::Timer(DISCOVERY) if !self.settings.subscribe || self.failures == 0 => {}
             // An older timer than that of the next call.
-            Event::Timer(DISCOVERY) if now < self.members.call => {}
+            Event::Timer(DISCOVERY) if now < self.call => {}
             Event::Timer(DISCOVERY) => actions.push(Action::WatchEndpoints),
             Event::Timer(PASS) => {
                 self.passing = false;
@@ -136,7 +143,7 @@
                 if let Some(pending) = self.requests.remove(&id) {
                     self.held.remove(&pending.token);
                     self.queue.retain(|(_, queued)| *queued != id);
-                    if let Some(server) = pending.out().and_then(|a| self.members.find(a.to.server)) {
+                    if let Some(server) = pending.out().and_then(|a| self.endpoints.server_mut(a.to.server)) {
                         server.concurrency.release(now, pending.request.is_write, None);
                         server.concurrency.reserve(false);
                     }
@@ -157,28 +164,28 @@
         if kind == EndpointUpdate::Unavailable {
             let mut wait = |(least, most)| spread.mul_f64(least + (most - least) * self.rng.f64());
             let soon = now.saturating_add(wait(SOON));
-            let part = if self.members.failures == START_FAILURES { start } else { 1.0 };
-            let again = wait(AGAIN[self.members.failures]).mul_f64(part);
-            let at = self.members.call.saturating_add(again).max(soon);
-            if self.members.failures == START_FAILURES && self.members.start_calls > 0 {
-                self.members.start_calls -= 1;
+            let part = if self.failures == START_FAILURES { start } else { 1.0 };
+            let again = wait(AGAIN[self.failures]).mul_f64(part);
+            let at = self.call.saturating_add(again).max(soon);
+            if self.failures == START_FAILURES && self.start_calls > 0 {
+                self.start_calls -= 1;
             } else {
-                self.members.failures = (self.members.failures + 1).min(AGAIN.len() - 1);
+                self.failures = (self.failures + 1).min(AGAIN.len() - 1);
             }
-            self.members.call = at;
+            self.call = at;
             actions.push(Action::Timer { at, token: DISCOVERY });
             return;
         }
-        self.members.follow(kind, list, &self.settings);
-        self.coordination.on_endpoints_changed(self.members.hosts());
-        if kind == EndpointUpdate::Restored && self.members.call.0 == 0 && self.settings.subscribe {
+        self.endpoints.apply_update(kind, list, &self.settings);
+        self.coordination.on_endpoints_changed(self.endpoints.cache_servers());
+        if kind == EndpointUpdate::Restored && self.call.0 == 0 && self.settings.subscribe {
             let at = now
                 .saturating_add(spread.mul_f64(START * start * self.rng.f64()))
                 .saturating_add(self.settings.tick);
-            self.members.call = at;
+            self.call = at;
             actions.push(Action::Timer { at, token: DISCOVERY });
         } else if kind != EndpointUpdate::OperatorOverride {
-            (self.members.failures, self.members.call, self.members.start_calls) = (0, now, 0);
+            (self.failures, self.call, self.start_calls) = (0, now, 0);
         }
     }
 
@@ -223,7 +230,7 @@
                 self.queue.push((share + f64::from(pending.request.is_write), id));
                 self.hold(now, wait, pending, actions);
                 self.next_pass(now, actions);
-                let most = self.members.origin().map_or(0, |s| s.concurrency.completions_within(QUEUE));
+                let most = self.endpoints.origin_mut().map_or(0, |s| s.concurrency.completions_within(QUEUE));
                 if self.queue.len() > most + 2 {
                     // What is worth least is given up, and told so now.
                     let worth = |at: &usize| self.queue[*at].0;
@@ -255,8 +262,8 @@
             pending.out().filter(|_| self.ladder.is_one_outcome_enough()).map(|a| (a.to.clone(), a.sent));
         if let Some((to, sent)) = out {
             if let Some(server) = self
-                .members
-                .find(to.server)
+                .endpoints
+                .server_mut(to.server)
                 .filter(|s| s.concurrency.is_timeout_meaningful(now.saturating_sub(sent)))
             {
                 server.gap.on_outcome(
@@ -264,7 +271,7 @@
                     &self.ladder,
                     self.rng.f64(),
                 );
-                self.members.told(to.zone, true);
+                self.zones.on_attempt_completed(to.zone, true);
                 self.coordination.on_attempt_completed(now, &to, AttemptResult::Timeout, Some(true));
             }
         }
@@ -279,11 +286,9 @@
 
     fn send(&mut self, now: Micros, at: usize, mut pending: Pending, actions: &mut Vec<Action>) {
         let id = pending.request.id;
-        let server = &mut self.members.servers[at];
-        server.budget.iter_mut().for_each(|(left, _)| *left -= 1.0);
-        server.gap.on_send(now, pending.request.tenant);
-        server.concurrency.reserve(pending.request.is_write);
-        let entry = &server.entry;
+        let server = &mut self.endpoints.servers[at];
+        server.on_send(now, pending.request.tenant, pending.request.is_write);
+        let entry = &server.endpoint;
         let second = !pending.attempts.is_empty() && !pending.missed;
         pending.step = Step::Usual;
         pending.attempts.push(Attempt { to: entry.clone(), sent: now, fate: Fate::Out });
@@ -291,7 +296,7 @@
         let origin = self.settings.is_origin(entry);
         self.coordination.on_send(now, entry, origin, second);
         let again = class.idempotency == Idempotency::Idempotent && !origin;
-        let unheard = now.saturating_sub(server.heard).0 as f64
+        let unheard = now.saturating_sub(server.last_response).0 as f64
             / (EVIDENCE_LIFETIME_IN_WINDOWS * self.ladder.window.0 as f64);
         let after = HEDGE_AFTER - HEDGE_SOONER * unheard.min(1.0);
         let wait = pending.useful.saturating_sub(now).mul_f64(after).max(Micros(1));
@@ -325,7 +330,7 @@
     /// How long the origin's gap, or the own part of the fleet's limit there, keeps the next send back.
     fn closed(&mut self, now: Micros, tenant: u32) -> Micros {
         let part = self.coordination.wait_time(SharedLimit::OriginRate, now);
-        self.members.origin().map_or(part, |s| s.gap.wait(now, tenant, &self.at_origin).max(part))
+        self.endpoints.origin_mut().map_or(part, |s| s.gap.wait(now, tenant, &self.at_origin).max(part))
     }
 
     fn next_pass(&mut self, now: Micros, actions: &mut Vec<Action>) {
@@ -339,7 +344,7 @@
     /// Gives free places at the origin to what is worth most: writes, then reads of popular keys.
     fn pass(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while !self.queue.is_empty() && self.closed(now, 0).0 == 0 {
-            let Some(server) = self.members.origin() else { break };
+            let Some(server) = self.endpoints.origin_mut() else { break };
             let room = [false, true].map(|write| server.concurrency.has_capacity(now, write));
             let fitting = (0..self.queue.len()).filter(|at| room[usize::from(self.queue[*at].0 >= 1.0)]);
             let best = fitting.max_by(|a, b| self.queue[*a].0.total_cmp(&self.queue[*b].0));
@@ -372,15 +377,15 @@
     /// The first of the key's servers that its gap lets through; none if the list has no more.
     fn at_cache(&mut self, now: Micros, pending: &Pending) -> Option<Path> {
         let key = pending.request.key.unwrap_or(Key(self.rng.u64(..)));
-        let homes = self.placement.rank(key, now, &self.members.servers, &self.settings);
-        let fair = self.answers.per_s(now) / self.members.servers.len().max(1) as f64;
+        let homes = self.placement.rank(key, now, &self.endpoints.servers, &self.settings);
+        let fair = self.response_rate.per_second(now) / self.endpoints.servers.len().max(1) as f64;
         let mut least = None;
         for place in 0..self.placement.order.len() {
             let at = self.placement.order[place].1;
-            let astray = self.members.astray(self.members.servers[at].entry.zone);
-            let lost = astray > ASTRAY && self.rng.f64() < astray.min(MOST_PASSED);
-            let server = &mut self.members.servers[at];
-            if lost || pending.attempts.iter().any(|a| a.to.server == server.entry.server) {
+            let avoided = self.zones.avoided_share(self.endpoints.servers[at].endpoint.zone);
+            let lost = avoided > 0.0 && self.rng.f64() < avoided;
+            let server = &mut self.endpoints.servers[at];
+            if lost || pending.attempts.iter().any(|a| a.to.server == server.endpoint.server) {
                 continue;
             }
             let wait = server.gap.wait(now, pending.request.tenant, &self.ladder);
@@ -396,9 +401,9 @@
                 continue;
             }
             let class = self.settings.class(pending.request.class);
-            if server.spare(now, fair, &self.settings.rules, &mut self.rng)
-                && self.coordination.admits(now, &server.entry, server.heard, fair)
-                && pending.may_send(now, &server.entry, class, &self.settings.limits)
+            if server.has_slow_start_credit(now, fair, &self.settings.rules, &mut self.rng)
+                && self.coordination.admits(now, &server.endpoint, server.last_response, fair)
+                && pending.may_send(now, &server.endpoint, class, &self.settings.limits)
             {
                 return Some(Path::Send(at));
             }
@@ -413,11 +418,11 @@
         let wait = self.closed(now, request.tenant);
         let (settings, room) = (&self.settings, pending.useful.saturating_sub(now));
         let class = settings.class(request.class);
-        let Some(at) = self.members.origin else {
+        let Some(at) = self.endpoints.origin else {
             return Path::End(Micros(0), RejectReason::NoEligibleServer);
         };
-        let server = &mut self.members.servers[at];
-        if !pending.may_send(now, &server.entry, class, &settings.limits) {
+        let server = &mut self.endpoints.servers[at];
+        if !pending.may_send(now, &server.endpoint, class, &settings.limits) {
             return Path::End(Micros(0), RejectReason::NoEligibleServer);
         }
         let full = wait.0 > 0 || !server.concurrency.has_capacity(now, request.is_write);
@@ -438,8 +443,8 @@
     fn ended(&mut self, now: Micros, outcome: CompletedAttempt, actions: &mut Vec<Action>) {
         let known = self.requests.remove(&outcome.id);
         let write = known.as_ref().is_some_and(|p| p.request.is_write);
-        if let Some(server) = self.members.find(outcome.server) {
-            let (origin, zone) = (self.settings.is_origin(&server.entry), server.entry.zone);
+        if let Some(server) = self.endpoints.server_mut(outcome.server) {
+            let (origin, zone) = (self.settings.is_origin(&server.endpoint), server.endpoint.zone);
             let (latency, concurrency) = (outcome.latency, &mut server.concurrency);
             // The origin drops what nobody waits for; a cache server goes on with it.
             let goes_on = (outcome.result == AttemptResult::Timeout && !origin).then_some(latency);
@@ -469,11 +474,12 @@
                 );
             }
             let rejected = rejected.filter(|_| !origin);
-            self.coordination.on_attempt_completed(now, &server.entry, outcome.result, rejected);
+            self.coordination.on_attempt_completed(now, &server.endpoint, outcome.result, rejected);
             if !origin && matches!(outcome.result, AttemptResult::Served | AttemptResult::Miss) {
-                (server.heard, _) = (now, self.answers.add(now));
+                server.last_response = now;
+                self.response_rate.on_event(now);
             }
-            rejected.into_iter().for_each(|rejected| self.members.told(zone, rejected));
+            rejected.into_iter().for_each(|rejected| self.zones.on_attempt_completed(zone, rejected));
         }
         if let Some(pending) = known {
             self.go_on(now, pending, &outcome, actions);
--- /dev/null
+++ b/src/balancer/endpoint_set.rs
@@ -0,0 +1,149 @@
+//! The endpoint list in use, with what this balancer has learnt of each server.
+
+use super::concurrency_limit::ConcurrencyLimit;
+use super::gap_ladder::Gap;
+use super::slow_start::{slow_start_weight, SlowStartCredit};
+use crate::*;
+
+/// A server of the list, and what this balancer's own attempts there have shown.
+#[derive(Debug)]
+pub(super) struct Server {
+    /// The server as the list names it.
+    pub(super) endpoint: Endpoint,
+    /// The pause between two sends while it rejects too many.
+    pub(super) gap: Gap,
+    /// How many attempts may be in flight there.
+    pub(super) concurrency: ConcurrencyLimit,
+    /// When it last responded to this balancer; zero is never.
+    pub(super) last_response: Micros,
+    /// Attempts that it may still get in slow start; none before the first count.
+    pub(super) slow_start_credit: Option<SlowStartCredit>,
+}
+
+impl Server {
+    /// A server of which nothing but its entry in the list is known.
+    pub(super) fn new(endpoint: Endpoint, balancers: u32) -> Server {
+        Server {
+            endpoint,
+            gap: Gap::default(),
+            concurrency: ConcurrencyLimit::new(balancers),
+            last_response: Micros::ZERO,
+            slow_start_credit: None,
+        }
+    }
+
+    /// Whether slow start lets one more attempt go to this server, where cache servers respond at this rate
+    /// on average. The first credit is drawn, so that balancers do not send their first attempts all at once.
+    pub(super) fn has_slow_start_credit(
+        &mut self,
+        now: Micros,
+        responses_per_second: f64,
+        rules: &Rules,
+        rng: &mut fastrand::Rng,
+    ) -> bool {
+        let weight = slow_start_weight(&self.endpoint, now, rules);
+        if weight >= 1.0 {
+            return true;
+        }
+        let credit = self
+            .slow_start_credit
+            .get_or_insert_with(|| SlowStartCredit { attempts: rng.f64(), updated: now });
+        credit.refill(now, weight, responses_per_second);
+        credit.is_sufficient()
+    }
+
+    /// An attempt of this tenant goes out to this server.
+    pub(super) fn on_send(&mut self, now: Micros, tenant: u32, is_write: bool) {
+        if let Some(credit) = &mut self.slow_start_credit {
+            credit.spend();
+        }
+        self.gap.on_send(now, tenant);
+        self.concurrency.reserve(is_write);
+    }
+}
+
+/// The servers of the list in use.
+#[derive(Debug)]
+pub(super) struct EndpointSet {
+    /// How many balancers share the servers' capacity.
+    balancers: u32,
+    /// The servers, sorted by id.
+    pub(super) servers: Vec<Server>,
+    /// The index of the origin that requests go to, if one serves.
+    pub(super) origin: Option<usize>,
+}
+
+impl EndpointSet {
+    /// An empty list, for one of so many balancers.
+    pub(super) fn new(balancers: u32) -> EndpointSet {
+        EndpointSet { balancers, servers: vec![], origin: None }
+    }
+
+    /// The server with this id, if it is listed.
+    pub(super) fn server_mut(&mut self, id: ServerId) -> Option<&mut Server> {
+        let index = self.index_of(id).ok()?;
+        Some(&mut self.servers[index])
+    }
+
+    /// The origin that requests go to, if one serves.
+    pub(super) fn origin_mut(&mut self) -> Option<&mut Server> {
+        self.origin.map(|index| &mut self.servers[index])
+    }
+
+    /// The list's entries but for the origin.
+    pub(super) fn cache_servers(&self) -> impl Iterator<Item = &Endpoint> {
+        let servers = self.servers.iter().enumerate();
+        servers.filter(|(index, _)| Some(*index) != self.origin).map(|(_, server)| &server.endpoint)
+    }
+
+    /// Brings the list up to date. What is known of a server stays, unless it is gone or has started anew.
+    pub(super) fn apply_update(
+        &mut self,
+        update: EndpointUpdate,
+        endpoints: &[Endpoint],
+        settings: &Settings,
+    ) {
+        if update.is_complete() {
+            self.remove_unlisted(endpoints);
+        }
+        for endpoint in endpoints {
+            self.apply_endpoint(endpoint);
+        }
+        self.origin = self.servers.iter().position(|server| {
+            server.endpoint.state == EndpointState::Serving && settings.is_origin(&server.endpoint)
+        });
+    }
+
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
+        let mut listed: Vec<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
+        listed.sort_unstable();
+        self.servers.retain(|server| listed.binary_search(&server.endpoint.server).is_ok());
+    }
+
+    fn apply_endpoint(&mut self, endpoint: &Endpoint) {
+        let is_deleted = endpoint.state == EndpointState::Deleted;
+        match self.index_of(endpoint.server) {
+            Ok(index) if is_deleted => {
+                self.servers.remove(index);
+            }
+            Ok(index) => self.replace(index, endpoint),
+            Err(_) if is_deleted => {}
+            Err(index) => self.servers.insert(index, Server::new(endpoint.clone(), self.balancers)),
+        }
+    }
+
+    /// A server that has started anew is another process: nothing known of the old one holds.
+    fn replace(&mut self, index: usize, endpoint: &Endpoint) {
+        let server = &mut self.servers[index];
+        if endpoint.started > server.endpoint.started {
+            *server = Server::new(endpoint.clone(), self.balancers);
+        } else {
+            server.endpoint = endpoint.clone();
+        }
+    }
+
+    /// The index of the server with this id, or the one at which it would stand.
+    fn index_of(&self, id: ServerId) -> Result<usize, usize> {
+        self.servers.binary_search_by_key(&id, |server| server.endpoint.server)
+    }
+}
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -2,7 +2,8 @@
 
 use rustc_hash::FxHashMap;
 
-use super::members::{warmth, Server};
+use super::endpoint_set::Server;
+use super::slow_start::slow_start_weight;
 use crate::*;
 
 /// Requests counted before all popularity counts are halved: bounds the table, ages old favourites.
@@ -49,7 +50,7 @@
         let homes = (share / HOT_SHARE) as usize + 1;
         let keep = homes + MAX_HOMES;
         for (at, server) in servers.iter().enumerate() {
-            let (entry, warm) = (&server.entry, warmth(&server.entry, now, &settings.rules));
+            let (entry, warm) = (&server.endpoint, slow_start_weight(&server.endpoint, now, &settings.rules));
             // A hot key would push a cold server over by itself (rule 4).
             if entry.state != EndpointState::Serving
                 || settings.is_origin(entry)
@@ -69,7 +70,7 @@
             }
         }
         let homes = homes.min(self.order.len());
-        let near = self.order[..homes].iter().position(|(_, at)| servers[*at].entry.zone == settings.zone);
+        let near = self.order[..homes].iter().position(|(_, at)| servers[*at].endpoint.zone == settings.zone);
         self.order[..near.map_or(0, |place| place + 1)].rotate_right(usize::from(near.is_some()));
         homes
     }
--- /dev/null
+++ b/src/balancer/slow_start.rs
@@ -0,0 +1,62 @@
+//! How much may be sent to a server that has started lately.
+//!
+//! Its capacity is taken to grow evenly with its age alone, so that every balancer ramps it alike without a
+//! word from the others. The weight takes part in placement; the credit bounds this balancer's own attempts.
+
+use crate::*;
+
+/// Attempts at a server in slow start relative to what its weight allows: above one, as chance bunches few
+/// attempts.
+pub(super) const CREDIT_FACTOR: f64 = 1.25;
+/// Most attempts that may be saved up.
+const MAX_CREDIT: f64 = 1.0;
+/// Share of its capacity that a server has when it starts, where the site names none.
+const DEFAULT_INITIAL_SHARE: f64 = 0.05;
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// The share of its capacity that a server is taken to have, from the site's initial share up to 1.
+pub(super) fn slow_start_weight(endpoint: &Endpoint, now: Micros, rules: &Rules) -> f64 {
+    let started_long_ago = endpoint.started == Micros::ZERO;
+    let elapsed_share = if started_long_ago {
+        1.0
+    } else {
+        let age = now - endpoint.started;
+        (age.as_f64() / rules.slow_start_duration.as_f64()).min(1.0)
+    };
+    let initial_share = if rules.slow_start_initial_share > 0.0 {
+        rules.slow_start_initial_share.min(1.0)
+    } else {
+        DEFAULT_INITIAL_SHARE
+    };
+    1.0 - (1.0 - initial_share) * (1.0 - elapsed_share)
+}
+
+/// Attempts that a server in slow start may still get from this balancer.
+#[derive(Debug)]
+pub(super) struct SlowStartCredit {
+    /// Attempts; a whole one is needed to send.
+    pub(super) attempts: f64,
+    /// When they were last counted.
+    pub(super) updated: Micros,
+}
+
+impl SlowStartCredit {
+    /// Adds what has been earned since the last count: the rate at which other servers answer, cut by the
+    /// weight.
+    pub(super) fn refill(&mut self, now: Micros, weight: f64, responses_per_second: f64) {
+        let elapsed_seconds = (now - self.updated).as_f64() / MICROS_PER_SECOND;
+        let earned = elapsed_seconds * responses_per_second * weight * CREDIT_FACTOR;
+        self.attempts = (self.attempts + earned).min(MAX_CREDIT);
+        self.updated = now;
+    }
+
+    /// Whether one attempt may go out.
+    pub(super) fn is_sufficient(&self) -> bool {
+        self.attempts >= 1.0
+    }
+
+    /// An attempt goes out.
+    pub(super) fn spend(&mut self) {
+        self.attempts -= 1.0;
+    }
+}
--- a/src/balancer/tests.rs
+++ b/src/balancer/tests.rs
@@ -1,9 +1,11 @@
 //! Direct tests of the module's parts; each names the failure it guards against.
 
 use super::concurrency_limit::ConcurrencyLimit;
+use super::endpoint_set::*;
 use super::gap_ladder::*;
-use super::members::*;
 use super::placement::*;
+use super::slow_start::*;
+use super::zone_health::*;
 use super::*;
 use proptest::prelude::*;
 
@@ -122,11 +124,11 @@
     let homes = balancer.placement.rank(
         Key(key),
         Micros(5),
-        &balancer.members.servers,
+        &balancer.endpoints.servers,
         &settings(Idempotency::Idempotent, DeduplicationScope::All),
     );
     assert_eq!(homes, 1);
-    balancer.members.servers[balancer.placement.order[0].1].entry.server
+    balancer.endpoints.servers[balancer.placement.order[0].1].endpoint.server
 }
 
 #[test]
@@ -157,22 +159,25 @@
     let share = b.placement.share(Key(1));
     assert!((0.4..0.6).contains(&share), "{share}");
     let rules = settings(Idempotency::Idempotent, DeduplicationScope::All);
-    let homes = b.placement.rank(Key(1), Micros(5), &b.members.servers, &rules);
+    let homes = b.placement.rank(Key(1), Micros(5), &b.endpoints.servers, &rules);
     assert!(homes > 5, "{homes} homes for half of all requests on 20 servers");
-    let first = b.members.servers[b.placement.order[0].1].entry.server;
+    let first = b.endpoints.servers[b.placement.order[0].1].endpoint.server;
     list[first.0 as usize].started = Micros(100 * SECOND);
     step(&mut b, 101 * SECOND, Event::EndpointsChanged(EndpointUpdate::Snapshot, &list));
-    b.placement.rank(Key(1), Micros(101 * SECOND), &b.members.servers, &rules);
-    assert!(b.placement.order.iter().all(|(_, at)| b.members.servers[*at].entry.server != first));
+    b.placement.rank(Key(1), Micros(101 * SECOND), &b.endpoints.servers, &rules);
+    assert!(b.placement.order.iter().all(|(_, at)| b.endpoints.servers[*at].endpoint.server != first));
 }
 
 #[test]
 fn warmth_rises_from_the_cold_share_to_one() {
     let rules = settings(Idempotency::Idempotent, DeduplicationScope::All).rules;
     let cold = Endpoint { started: Micros(100 * SECOND), ..entry(1) };
-    let at = |s: u64| warmth(&cold, Micros(s * SECOND), &rules);
+    let at = |s: u64| slow_start_weight(&cold, Micros(s * SECOND), &rules);
     assert!((at(100) - 0.1).abs() < 1e-9 && (at(110) - 0.55).abs() < 1e-9 && at(120) == 1.0);
-    assert!((warmth(&cold, Micros(0), &rules) - 0.1).abs() < 1e-9, "started in the future is cold");
+    assert!(
+        (slow_start_weight(&cold, Micros(0), &rules) - 0.1).abs() < 1e-9,
+        "started in the future is cold"
+    );
 }
 
 #[test]
@@ -185,12 +190,14 @@
     let mut taken = 0;
     for ms in 0..2_000 {
         let now = Micros(100 * SECOND + ms * 1_000);
-        if server.spare(now, 50.0, &rules, &mut rng) {
-            server.budget = server.budget.map(|(left, at)| (left - 1.0, at));
+        if server.has_slow_start_credit(now, 50.0, &rules, &mut rng) {
+            if let Some(credit) = &mut server.slow_start_credit {
+                credit.spend();
+            }
             taken += 1;
         }
     }
-    // Two seconds at 50 a second and a warmth of 0.10 to 0.19, times COLD_SHARE.
+    // Two seconds at 50 a second and a warmth of 0.10 to 0.19, times CREDIT_FACTOR.
     assert!((14..=20).contains(&taken), "{taken}");
 }
 
@@ -202,7 +209,7 @@
         let change = [Endpoint { state, ..entry(target.0) }];
         step(&mut b, 20, Event::EndpointsChanged(EndpointUpdate::Delta, &change));
         for n in 2..200 {
-            b.members.servers.iter_mut().for_each(|s| s.concurrency = ConcurrencyLimit::new(1));
+            b.endpoints.servers.iter_mut().for_each(|s| s.concurrency = ConcurrencyLimit::new(1));
             let to = sent(&step(&mut b, 30 + n, Event::Request(request(n, 30 + n, n))));
             assert!(to.is_some_and(|to| to != target), "{state:?}");
         }
@@ -212,10 +219,10 @@
 #[test]
 fn a_new_start_forgets_the_old_history() {
     let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(3));
-    b.members.servers[1].gap.rung = 9;
+    b.endpoints.servers[1].gap.rung = 9;
     let restarted = [Endpoint { started: Micros(50), ..entry(1) }];
     step(&mut b, 60, Event::EndpointsChanged(EndpointUpdate::Delta, &restarted));
-    assert_eq!(b.members.servers[1].gap.rung, 0);
+    assert_eq!(b.endpoints.servers[1].gap.rung, 0);
 }
 
 /// Every cell of idempotency and group, outcome, and time: may it be sent again, may it be refused?
@@ -501,7 +508,7 @@
             prop_assert!(out || now <= watched.deadline + 20_000, "rule 1: a request was lost");
         }
         prop_assert_eq!(b.requests.len(), open.len(), "finished requests are forgotten");
-        prop_assert!(b.held.len() <= open.len() && b.members.servers.len() <= 7);
+        prop_assert!(b.held.len() <= open.len() && b.endpoints.servers.len() <= 7);
         prop_assert!(b.queue.len() <= open.len(), "only open requests wait");
         prop_assert!((b.placement.counts.len() as f64) < POPULARITY_SPAN);
     }
--- a/src/balancer/tests/fleet.rs
+++ b/src/balancer/tests/fleet.rs
@@ -92,20 +92,24 @@
 /// fail alike none is passed by; and it is back after a few answers.
 #[test]
 fn a_zone_is_lost_and_found_as_a_whole() {
-    let mut members = Members::default();
+    let mut zones = ZoneHealth::default();
     for _ in 0..12 {
-        (0..2).for_each(|zone| members.told(zone, true));
+        (0..2).for_each(|zone| zones.on_attempt_completed(zone, true));
     }
-    assert_eq!(members.astray(0), 0.0, "all fail alike");
-    (0..12).for_each(|_| members.told(1, false));
-    assert!(members.astray(0) > 0.9 && members.astray(1) == 0.0 && members.astray(7) == 0.0);
-    (0..5).for_each(|_| members.told(0, false));
-    assert!(members.astray(0) < ASTRAY, "{}", members.astray(0));
+    assert_eq!(zones.excess_rejection_rate(0), 0.0, "all fail alike");
+    (0..12).for_each(|_| zones.on_attempt_completed(1, false));
+    assert!(
+        zones.excess_rejection_rate(0) > 0.9
+            && zones.excess_rejection_rate(1) == 0.0
+            && zones.excess_rejection_rate(7) == 0.0
+    );
+    (0..5).for_each(|_| zones.on_attempt_completed(0, false));
+    assert!(zones.excess_rejection_rate(0) < UNHEALTHY_EXCESS_RATE, "{}", zones.excess_rejection_rate(0));
 
     let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(24));
     let (mut even, mut all) = (0, 0);
     for n in 0..200 {
-        (0..12).for_each(|n| b.members.told(n % 2, n % 2 == 0));
+        (0..12).for_each(|n| b.zones.on_attempt_completed(n % 2, n % 2 == 0));
         let now = SECOND + n * 200_000;
         let to = sent(&step(&mut b, now, Event::Request(request(n, now, n)))).expect("sent");
         all += u32::from(to.0 != 900);
@@ -125,7 +129,7 @@
     let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(24));
     let mut probes = 0;
     for n in 0..2000 {
-        (0..400).for_each(|n| b.members.told(n % 2, n % 2 == 0));
+        (0..400).for_each(|n| b.zones.on_attempt_completed(n % 2, n % 2 == 0));
         let now = SECOND + n * 200_000;
         let to = sent(&step(&mut b, now, Event::Request(request(n, now, n)))).expect("sent");
         probes += u32::from(to.0 != 900 && to.0.is_multiple_of(2));
@@ -147,9 +151,9 @@
             &fleet(24),
         );
         (0..400).for_each(|_| b.placement.count(Key(7)));
-        let homes = b.placement.rank(Key(7), Micros(SECOND), &b.members.servers, &b.settings);
+        let homes = b.placement.rank(Key(7), Micros(SECOND), &b.endpoints.servers, &b.settings);
         let zones: Vec<u32> =
-            b.placement.order[..homes].iter().map(|(_, at)| b.members.servers[*at].entry.zone).collect();
+            b.placement.order[..homes].iter().map(|(_, at)| b.endpoints.servers[*at].endpoint.zone).collect();
         assert!(zones.len() > 2 && zones[0] == zone, "{zones:?}");
         b.placement.order[..homes].iter().map(|(_, at)| *at).collect::<std::collections::BTreeSet<_>>()
     };
--- a/src/balancer/tests/limits.rs
+++ b/src/balancer/tests/limits.rs
@@ -374,7 +374,7 @@
             end.latency = Micros(if end.request_closed { 100_000 } else { latency });
             step(&mut b, now + end.latency.0, Event::AttemptCompleted(end));
         }
-        let server = b.members.find(ServerId(0)).expect("listed");
+        let server = b.endpoints.server_mut(ServerId(0)).expect("listed");
         assert_eq!(server.concurrency.limit < 2.0, counts, "{latency}");
     }
 }
@@ -395,7 +395,7 @@
 }
 
 fn fill_origin(b: &mut Balancer) {
-    let origin = &mut b.members.find(ServerId(900)).expect("listed").concurrency;
+    let origin = &mut b.endpoints.server_mut(ServerId(900)).expect("listed").concurrency;
     while origin.has_capacity(Micros(SECOND), false) {
         origin.reserve(false);
     }
@@ -406,8 +406,8 @@
 fn the_queue_before_the_origin_holds_what_is_worth_most() {
     let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(0));
     (0..8).for_each(|_| {
-        b.members
-            .find(ServerId(900))
+        b.endpoints
+            .server_mut(ServerId(900))
             .expect("listed")
             .concurrency
             .on_response(Micros(SECOND), Micros(400_000))
@@ -425,7 +425,7 @@
     }
     assert!(b.queue.len() < 12 && refused.len() + b.queue.len() == 30, "given up at once");
     assert!(!refused.contains(&id(4)) && !refused.contains(&id(7)));
-    b.members.find(ServerId(900)).expect("listed").concurrency = ConcurrencyLimit::new(3);
+    b.endpoints.server_mut(ServerId(900)).expect("listed").concurrency = ConcurrencyLimit::new(3);
     let first = step(&mut b, SECOND + 1_000, outcome(999, 0, ServerId(900), AttemptResult::Served));
     let order: Vec<RequestId> = first
         .iter()
@@ -504,7 +504,7 @@
                 step(&mut b, now + 10_000, outcome(n, 0, ServerId(0), status));
             }
         }
-        let gap = &b.members.find(ServerId(0)).unwrap().gap;
+        let gap = &b.endpoints.server_mut(ServerId(0)).unwrap().gap;
         assert_eq!(gap.rung > 0, gaps, "{status:?}");
     }
 }
@@ -512,12 +512,12 @@
 #[test]
 fn a_read_that_cache_gaps_hold_back_is_refused_only_by_the_origins_gap() {
     let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(4));
-    for server in b.members.servers.iter_mut().filter(|s| s.entry.server != ServerId(900)) {
+    for server in b.endpoints.servers.iter_mut().filter(|s| s.endpoint.server != ServerId(900)) {
         server.gap = gapped(12);
     }
     let now = SECOND + 1;
     assert_eq!(sent(&step(&mut b, now, Event::Request(request(1, now, 7)))), Some(ServerId(900)));
-    b.members.find(ServerId(900)).unwrap().gap = gapped(12);
+    b.endpoints.server_mut(ServerId(900)).unwrap().gap = gapped(12);
     let held = step(&mut b, now, Event::Request(request(2, now, 8)));
     let timers: Vec<u64> = held
         .iter()
@@ -539,7 +539,7 @@
     let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(2));
     assert!(b.limits(Micros(SECOND)).0.iter().all(|limit| limit.holds().is_none()));
     fill_origin(&mut b);
-    b.members.find(ServerId(1)).expect("listed").gap = gapped(9);
+    b.endpoints.server_mut(ServerId(1)).expect("listed").gap = gapped(9);
     step(&mut b, SECOND, Event::Request(Request { is_write: true, ..request(1, SECOND, 7) }));
     let (limits, waiting) = b.limits(Micros(SECOND + 1));
     let held: Vec<_> = limits.iter().map(|limit| (limit.server.0, limit.holds())).collect();
--- a/src/balancer/tests/together.rs
+++ b/src/balancer/tests/together.rs
@@ -143,7 +143,9 @@
     let mut list = fleet(1);
     list[0].started = Micros(100 * SECOND);
     let (mut b, said) = shared(&list);
-    b.members.servers.iter_mut().for_each(|s| s.budget = Some((1.0, Micros(119 * SECOND))));
+    b.endpoints.servers.iter_mut().for_each(|s| {
+        s.slow_start_credit = Some(SlowStartCredit { attempts: 1.0, updated: Micros(119 * SECOND) });
+    });
     said.0.borrow_mut().cold = Some(Micros(7));
     let now = 119 * SECOND;
     let to = sent(&step(&mut b, now, Event::Request(request(1, now, 5))));
--- a/src/balancer/view.rs
+++ b/src/balancer/view.rs
@@ -34,15 +34,6 @@
     }
 }
 
-impl super::members::Members {
-    /// The list's entries but for the origin.
-    pub(super) fn hosts(&self) -> impl Iterator<Item = &crate::Endpoint> {
-        let at = |(at, server)| (Some(at) != self.origin).then_some(server);
-        let servers = self.servers.iter().enumerate().filter_map(at);
-        servers.map(|server: &super::members::Server| &server.entry)
-    }
-}
-
 impl Balancer {
     /// From now on this balancer keeps to the limits that it shares with others, and hears what they tell.
     pub fn join(&mut self, fleet: Box<dyn Coordination>) {
@@ -51,13 +42,13 @@
 
     /// The origin that requests go to now, if one serves.
     pub fn origin(&self) -> Option<ServerId> {
-        self.members.origin.map(|at| self.members.servers[at].entry.server)
+        self.endpoints.origin.map(|at| self.endpoints.servers[at].endpoint.server)
     }
 
     /// The limits of every listed server, and how many requests wait for a place at the origin.
     pub fn limits(&self, now: Micros) -> (Vec<LimitView>, usize) {
-        let view = |server: &super::members::Server| LimitView {
-            server: server.entry.server,
+        let view = |server: &super::endpoint_set::Server| LimitView {
+            server: server.endpoint.server,
             gap: if server.gap.is_active(now) { self.ladder.length(server.gap.rung) } else { Micros(0) },
             until: server.gap.until,
             out: server.concurrency.in_flight(),
@@ -65,6 +56,6 @@
             usual: Micros(server.concurrency.baseline_latency as u64),
             lately: Micros(server.concurrency.recent_latency as u64),
         };
-        (self.members.servers.iter().map(view).collect(), self.queue.len())
+        (self.endpoints.servers.iter().map(view).collect(), self.queue.len())
     }
 }
