--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -4,22 +4,22 @@
 mod concurrency_limit;
 mod endpoint_set;
 mod gap_ladder;
-mod pending;
+mod open_request;
 mod placement;
 mod rate_estimator;
+mod request_table;
 mod slow_start;
 pub(crate) mod view;
 mod zone_health;
 
-use rustc_hash::FxHashMap;
-
 use crate::coordination::OptionalCoordination;
 use crate::*;
 use endpoint_set::EndpointSet;
 use gap_ladder::{GapLadder, SendOutcome, EVIDENCE_LIFETIME_IN_WINDOWS, MAX_BALANCERS_AT_SHORTEST_TOP};
-use pending::{Attempt, Fate, Pending, Step};
-use placement::{Placement, MAX_HOMES};
+use open_request::{Attempt, AttemptState, OpenRequest, QueueState};
+use placement::{Placement, MAX_CACHE_ATTEMPTS};
 use rate_estimator::RateEstimator;
+use request_table::RequestTable;
 use zone_health::ZoneHealth;
 
 /// Part of the time left after which an unanswered read goes elsewhere too; what an unheard server takes off.
@@ -52,6 +52,7 @@
 /// The timer tokens of discovery and of the origin's gap; requests use higher ones.
 const DISCOVERY: u64 = 0;
 const PASS: u64 = 1;
+const FIRST_REQUEST_TIMER: u64 = PASS + 1;
 
 /// Where a request goes next: to a server, into the queue before the origin, or to its end.
 enum Path {
@@ -80,9 +81,7 @@
     /// What waits for a place at the origin, with its worth; the longest wait of first tries, by class.
     queue: Vec<(f64, RequestId)>,
     first_waits: Vec<Micros>,
-    requests: FxHashMap<RequestId, Pending>,
-    held: FxHashMap<u64, RequestId>,
-    next_token: u64,
+    open_requests: RequestTable,
     passing: bool,
     hedges: f64,
     coordination: OptionalCoordination,
@@ -106,9 +105,7 @@
             placement: Placement::default(),
             response_rate: RateEstimator::default(),
             queue: vec![],
-            requests: FxHashMap::default(),
-            held: FxHashMap::default(),
-            next_token: PASS + 1,
+            open_requests: RequestTable::new(),
             passing: false,
             hedges: HEDGES_SAVED,
             coordination: OptionalCoordination::default(),
@@ -120,7 +117,7 @@
         match event {
             Event::EndpointsChanged(kind, list) => self.listed(now, kind, list, actions),
             Event::Request(request) => self.arrived(now, request, actions),
-            Event::ResponseStarted(id) => self.requests.get_mut(&id).into_iter().for_each(|p| p.begun = true),
+            Event::ResponseStarted(id) => self.on_response_started(&id),
             Event::AttemptCompleted(outcome) => self.ended(now, outcome, actions),
             Event::Timer(DISCOVERY) if !self.settings.subscribe || self.failures == 0 => {}
             // An older timer than that of the next call.
@@ -131,19 +128,20 @@
                 self.pass(now, actions);
             }
             Event::Timer(token) => {
-                if let Some(pending) = self.held.remove(&token).and_then(|id| self.requests.remove(&id)) {
+                if let Some(pending) = self.open_requests.take_due(token) {
                     self.queue.retain(|(_, queued)| *queued != pending.request.id);
-                    match pending.out() {
+                    match pending.attempt_in_flight() {
                         Some(_) => self.hedge(now, pending, actions),
                         None => self.route(now, pending, actions),
                     }
                 }
             }
             Event::ClientDisconnected(id) => {
-                if let Some(pending) = self.requests.remove(&id) {
-                    self.held.remove(&pending.token);
+                if let Some(pending) = self.open_requests.take(&id) {
                     self.queue.retain(|(_, queued)| *queued != id);
-                    if let Some(server) = pending.out().and_then(|a| self.endpoints.server_mut(a.to.server)) {
+                    if let Some(server) =
+                        pending.attempt_in_flight().and_then(|a| self.endpoints.server_mut(a.endpoint.server))
+                    {
                         server.concurrency.release(now, pending.request.is_write, None);
                         server.concurrency.reserve(false);
                     }
@@ -152,6 +150,12 @@
         }
     }
 
+    fn on_response_started(&mut self, id: &RequestId) {
+        if let Some(open) = self.open_requests.get_mut(id) {
+            open.has_response_started = true;
+        }
+    }
+
     /// By how much calls at a start are spread, as a part of what a large fleet needs:
     /// discovery takes calls in turn.
     fn start_spread(&self) -> f64 {
@@ -200,8 +204,8 @@
             .min(class.deadline.max(class.latency_objective));
         let aim = now.saturating_add(aim.saturating_sub(spent)).min(request.deadline);
         let useful = if class.late_priority_weight > 0.0 { request.deadline } else { aim };
-        request.key.filter(|_| !request.is_write).into_iter().for_each(|key| self.placement.count(key));
-        self.route(now, Pending::new(request, useful), actions);
+        request.key.filter(|_| !request.is_write).into_iter().for_each(|key| self.placement.on_read(key));
+        self.route(now, OpenRequest::new(request, useful), actions);
     }
 
     /// The time since the client's first try: a client waits as long as its class has it over all its
@@ -220,13 +224,13 @@
         gone.mul_f64(if left.saturating_add(self.settings.tick.mul_f64(2.0)) < *first { 1.0 } else { 0.5 })
     }
 
-    fn route(&mut self, now: Micros, mut pending: Pending, actions: &mut Vec<Action>) {
+    fn route(&mut self, now: Micros, mut pending: OpenRequest, actions: &mut Vec<Action>) {
         let id = pending.request.id;
         match self.path(now, &pending) {
             Path::Send(at) => self.send(now, at, pending, actions),
             Path::Queue(wait) => {
-                pending.step = Step::Queued;
-                let share = pending.request.key.map_or(0.0, |key| self.placement.share(key));
+                pending.queue_state = QueueState::Waiting;
+                let share = pending.request.key.map_or(0.0, |key| self.placement.popularity(key));
                 self.queue.push((share + f64::from(pending.request.is_write), id));
                 self.hold(now, wait, pending, actions);
                 self.next_pass(now, actions);
@@ -235,12 +239,12 @@
                     // What is worth least is given up, and told so now.
                     let worth = |at: &usize| self.queue[*at].0;
                     let least = (0..self.queue.len()).min_by(|a, b| worth(a).total_cmp(&worth(b)));
-                    self.take_on(now, least.unwrap_or(0), Step::Preempted, actions);
+                    self.take_on(now, least.unwrap_or(0), QueueState::Preempted, actions);
                 }
             }
             Path::End(wait, reason) => {
                 self.coordination.on_rejected(now, reason);
-                if pending.may_refuse(self.settings.class(pending.request.class)) {
+                if pending.may_reject(self.settings.class(pending.request.class)) {
                     let limits = &self.settings.limits;
                     let most = if limits.retry_after { limits.max_retry_after } else { Micros(0) };
                     let spread = SPREAD.mul_f64(self.rng.f64());
@@ -257,9 +261,11 @@
     }
 
     /// Sends a read that waits for a cache elsewhere as well, if there is a place to spare.
-    fn hedge(&mut self, now: Micros, pending: Pending, actions: &mut Vec<Action>) {
-        let out =
-            pending.out().filter(|_| self.ladder.is_one_outcome_enough()).map(|a| (a.to.clone(), a.sent));
+    fn hedge(&mut self, now: Micros, pending: OpenRequest, actions: &mut Vec<Action>) {
+        let out = pending
+            .attempt_in_flight()
+            .filter(|_| self.ladder.is_one_outcome_enough())
+            .map(|a| (a.endpoint.clone(), a.sent));
         if let Some((to, sent)) = out {
             if let Some(server) = self
                 .endpoints
@@ -280,18 +286,18 @@
                 self.hedges -= 1.0;
                 self.send(now, at, pending, actions);
             }
-            _ => drop(self.requests.insert(pending.request.id, pending)),
+            _ => self.open_requests.insert(pending),
         }
     }
 
-    fn send(&mut self, now: Micros, at: usize, mut pending: Pending, actions: &mut Vec<Action>) {
+    fn send(&mut self, now: Micros, at: usize, mut pending: OpenRequest, actions: &mut Vec<Action>) {
         let id = pending.request.id;
         let server = &mut self.endpoints.servers[at];
         server.on_send(now, pending.request.tenant, pending.request.is_write);
         let entry = &server.endpoint;
-        let second = !pending.attempts.is_empty() && !pending.missed;
-        pending.step = Step::Usual;
-        pending.attempts.push(Attempt { to: entry.clone(), sent: now, fate: Fate::Out });
+        let second = pending.is_retry();
+        pending.queue_state = QueueState::NotQueued;
+        pending.attempts.push(Attempt { endpoint: entry.clone(), sent: now, state: AttemptState::InFlight });
         let class = self.settings.class(pending.request.class);
         let origin = self.settings.is_origin(entry);
         self.coordination.on_send(now, entry, origin, second);
@@ -299,30 +305,25 @@
         let unheard = now.saturating_sub(server.last_response).0 as f64
             / (EVIDENCE_LIFETIME_IN_WINDOWS * self.ladder.window.0 as f64);
         let after = HEDGE_AFTER - HEDGE_SOONER * unheard.min(1.0);
-        let wait = pending.useful.saturating_sub(now).mul_f64(after).max(Micros(1));
+        let wait = pending.useful_until.saturating_sub(now).mul_f64(after).max(Micros(1));
         let twice = self.settings.limits.may_duplicate;
         let timeout = if again && !twice { wait } else { Micros(0) };
         actions.push(Action::Send { id, server: entry.server, timeout });
         if again && twice {
             return self.hold(now, wait, pending, actions);
         }
-        self.requests.insert(id, pending);
+        self.open_requests.insert(pending);
     }
 
-    fn hold(&mut self, now: Micros, wait: Micros, mut pending: Pending, actions: &mut Vec<Action>) {
-        let at = now.saturating_add(wait).min(pending.request.deadline).max(now.saturating_add(Micros(1)));
-        pending.token = self.next_token;
-        self.next_token += 1;
-        actions.push(Action::Timer { at, token: pending.token });
-        self.held.insert(pending.token, pending.request.id);
-        self.requests.insert(pending.request.id, pending);
+    fn hold(&mut self, now: Micros, wait: Micros, pending: OpenRequest, actions: &mut Vec<Action>) {
+        let (at, token) = self.open_requests.park(now, wait, pending);
+        actions.push(Action::Timer { at, token });
     }
 
-    fn take_on(&mut self, now: Micros, at: usize, step: Step, actions: &mut Vec<Action>) {
+    fn take_on(&mut self, now: Micros, at: usize, step: QueueState, actions: &mut Vec<Action>) {
         let (_, id) = self.queue.swap_remove(at);
-        if let Some(mut pending) = self.requests.remove(&id) {
-            self.held.remove(&pending.token);
-            pending.step = step;
+        if let Some(mut pending) = self.open_requests.take(&id) {
+            pending.queue_state = step;
             self.route(now, pending, actions);
         }
     }
@@ -349,23 +350,25 @@
             let fitting = (0..self.queue.len()).filter(|at| room[usize::from(self.queue[*at].0 >= 1.0)]);
             let best = fitting.max_by(|a, b| self.queue[*a].0.total_cmp(&self.queue[*b].0));
             let Some(at) = best else { break };
-            self.take_on(now, at, Step::Booked, actions);
+            self.take_on(now, at, QueueState::CapacityReserved, actions);
         }
         self.next_pass(now, actions);
     }
 
-    fn path(&mut self, now: Micros, pending: &Pending) -> Path {
+    fn path(&mut self, now: Micros, pending: &OpenRequest) -> Path {
         let used = pending.attempts.len() as u32;
         let left = self.settings.limits.max_attempts.max(1).saturating_sub(used);
-        let second = used > 0 && !pending.missed;
+        let second = pending.is_retry();
         let spent = left == 0 || second && self.coordination.wait_time(SharedLimit::RetryBudget, now).0 > 0;
-        if now >= pending.useful || spent {
+        if now >= pending.useful_until || spent {
             return Path::End(
                 Micros(0),
                 if spent { RejectReason::AttemptsExhausted } else { RejectReason::ObjectiveMissed },
             );
         }
-        let tried = pending.missed || pending.out().is_some() || used as usize >= MAX_HOMES;
+        let tried = pending.has_missed
+            || pending.attempt_in_flight().is_some()
+            || used as usize >= MAX_CACHE_ATTEMPTS;
         if self.settings.mode == CacheMode::ReadThrough || !(pending.request.is_write || tried || left == 1) {
             if let Some(path) = self.at_cache(now, pending) {
                 return path;
@@ -375,17 +378,17 @@
     }
 
     /// The first of the key's servers that its gap lets through; none if the list has no more.
-    fn at_cache(&mut self, now: Micros, pending: &Pending) -> Option<Path> {
+    fn at_cache(&mut self, now: Micros, pending: &OpenRequest) -> Option<Path> {
         let key = pending.request.key.unwrap_or(Key(self.rng.u64(..)));
         let homes = self.placement.rank(key, now, &self.endpoints.servers, &self.settings);
         let fair = self.response_rate.per_second(now) / self.endpoints.servers.len().max(1) as f64;
         let mut least = None;
-        for place in 0..self.placement.order.len() {
-            let at = self.placement.order[place].1;
+        for place in 0..self.placement.candidates.len() {
+            let at = self.placement.candidates[place].server;
             let avoided = self.zones.avoided_share(self.endpoints.servers[at].endpoint.zone);
             let lost = avoided > 0.0 && self.rng.f64() < avoided;
             let server = &mut self.endpoints.servers[at];
-            if lost || pending.attempts.iter().any(|a| a.to.server == server.endpoint.server) {
+            if lost || pending.has_tried(server.endpoint.server) {
                 continue;
             }
             let wait = server.gap.wait(now, pending.request.tenant, &self.ladder);
@@ -413,10 +416,10 @@
             .map(|wait| Path::End(wait, RejectReason::AllServersGapped))
     }
 
-    fn at_origin(&mut self, now: Micros, pending: &Pending) -> Path {
+    fn at_origin(&mut self, now: Micros, pending: &OpenRequest) -> Path {
         let request = &pending.request;
         let wait = self.closed(now, request.tenant);
-        let (settings, room) = (&self.settings, pending.useful.saturating_sub(now));
+        let (settings, room) = (&self.settings, pending.useful_until.saturating_sub(now));
         let class = settings.class(request.class);
         let Some(at) = self.endpoints.origin else {
             return Path::End(Micros(0), RejectReason::NoEligibleServer);
@@ -426,10 +429,10 @@
             return Path::End(Micros(0), RejectReason::NoEligibleServer);
         }
         let full = wait.0 > 0 || !server.concurrency.has_capacity(now, request.is_write);
-        match pending.step {
-            Step::Booked => Path::Send(at),
-            Step::Preempted => Path::End(wait, RejectReason::Preempted),
-            Step::Queued => Path::End(wait, RejectReason::QueueTimeout),
+        match pending.queue_state {
+            QueueState::CapacityReserved => Path::Send(at),
+            QueueState::Preempted => Path::End(wait, RejectReason::Preempted),
+            QueueState::Waiting => Path::End(wait, RejectReason::QueueTimeout),
             _ if !server.concurrency.can_respond_within(room) => {
                 Path::End(wait, RejectReason::DeadlineUnreachable)
             }
@@ -441,7 +444,7 @@
     }
 
     fn ended(&mut self, now: Micros, outcome: CompletedAttempt, actions: &mut Vec<Action>) {
-        let known = self.requests.remove(&outcome.id);
+        let known = self.open_requests.take(&outcome.id);
         let write = known.as_ref().is_some_and(|p| p.request.is_write);
         if let Some(server) = self.endpoints.server_mut(outcome.server) {
             let (origin, zone) = (self.settings.is_origin(&server.endpoint), server.endpoint.zone);
@@ -490,27 +493,20 @@
     fn go_on(
         &mut self,
         now: Micros,
-        mut pending: Pending,
+        mut pending: OpenRequest,
         outcome: &CompletedAttempt,
         actions: &mut Vec<Action>,
     ) {
-        self.held.remove(&pending.token);
         if outcome.request_closed {
             return;
         }
         if let Some(attempt) = pending.attempts.get_mut(outcome.attempt as usize) {
-            let never = [
-                AttemptResult::Rejected,
-                AttemptResult::ConnectFailed,
-                AttemptResult::NotSent,
-                AttemptResult::Miss,
-            ];
-            attempt.fate = if never.contains(&outcome.result) { Fate::NeverRan } else { Fate::MayHaveRun };
+            attempt.state = AttemptState::after(outcome.result);
         }
-        pending.missed |= outcome.result == AttemptResult::Miss;
-        pending.step = Step::Usual;
-        if pending.out().is_some() || pending.begun {
-            self.requests.insert(outcome.id, pending);
+        pending.has_missed |= outcome.result == AttemptResult::Miss;
+        pending.queue_state = QueueState::NotQueued;
+        if pending.attempt_in_flight().is_some() || pending.has_response_started {
+            self.open_requests.insert(pending);
         } else {
             self.route(now, pending, actions);
         }
--- /dev/null
+++ b/src/balancer/open_request.rs
@@ -0,0 +1,161 @@
+//! What may still be done with a request: whether it may be sent to a server, and whether it may be rejected.
+//!
+//! Inputs are its class's idempotency, its attempts so far and its deadline. A request that is not idempotent
+//! is never executed a second time, and one that may have been executed is rejected only where repeating it
+//! is harmless.
+
+use crate::*;
+
+/// How far an attempt has come.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum AttemptState {
+    /// No result yet.
+    InFlight,
+    /// It ended, and the server did not execute it.
+    NotExecuted,
+    /// It ended, and the server may have executed it or may do so yet.
+    MayHaveExecuted,
+}
+
+impl AttemptState {
+    /// The state of an attempt that ended with this result.
+    pub(super) fn after(result: AttemptResult) -> AttemptState {
+        match result {
+            AttemptResult::Rejected
+            | AttemptResult::ConnectFailed
+            | AttemptResult::NotSent
+            | AttemptResult::Miss => AttemptState::NotExecuted,
+            AttemptResult::Served
+            | AttemptResult::Error
+            | AttemptResult::Timeout
+            | AttemptResult::Reset
+            | AttemptResult::Cancelled => AttemptState::MayHaveExecuted,
+        }
+    }
+}
+
+/// One attempt of a request.
+#[derive(Debug)]
+pub(super) struct Attempt {
+    /// The server it went to, as listed then.
+    pub(super) endpoint: Endpoint,
+    /// When it was sent.
+    pub(super) sent: Micros,
+    /// How far it has come.
+    pub(super) state: AttemptState,
+}
+
+/// Where a request stands in the queue before the origin.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum QueueState {
+    /// It has not been queued since its last attempt.
+    NotQueued,
+    /// It waits; routed anew, it has waited for as long as it may.
+    Waiting,
+    /// It was taken out for requests of higher priority.
+    Preempted,
+    /// It was taken out, as there is capacity for it.
+    CapacityReserved,
+}
+
+/// A request without a final answer.
+#[derive(Debug)]
+pub(super) struct OpenRequest {
+    /// The request as it came.
+    pub(super) request: Request,
+    /// Until when an answer is worth anything; no later than the deadline.
+    pub(super) useful_until: Micros,
+    /// Its attempts, in the order in which they were sent.
+    pub(super) attempts: Vec<Attempt>,
+    /// Whether a cache server has answered with a miss.
+    pub(super) has_missed: bool,
+    /// Whether a streamed response has begun.
+    pub(super) has_response_started: bool,
+    /// Token of the timer that was last set for it; zero is none.
+    pub(super) timer_token: u64,
+    /// Where it stands in the queue before the origin.
+    pub(super) queue_state: QueueState,
+}
+
+impl OpenRequest {
+    /// A request that has just come in.
+    pub(super) fn new(request: Request, useful_until: Micros) -> OpenRequest {
+        OpenRequest {
+            request,
+            useful_until,
+            attempts: vec![],
+            has_missed: false,
+            has_response_started: false,
+            timer_token: 0,
+            queue_state: QueueState::NotQueued,
+        }
+    }
+
+    /// The latest attempt without a result.
+    pub(super) fn attempt_in_flight(&self) -> Option<&Attempt> {
+        self.attempts.iter().rfind(|attempt| attempt.state == AttemptState::InFlight)
+    }
+
+    /// Whether the next attempt is a retry or a hedged request. A fetch from the origin after a miss is none.
+    pub(super) fn is_retry(&self) -> bool {
+        !self.attempts.is_empty() && !self.has_missed
+    }
+
+    /// Whether an attempt has gone to this server.
+    pub(super) fn has_tried(&self, server: ServerId) -> bool {
+        self.attempts.iter().any(|attempt| attempt.endpoint.server == server)
+    }
+
+    /// Attempts that it may still have.
+    pub(super) fn attempts_left(&self, limits: &Limits) -> u32 {
+        limits.max_attempts.max(1).saturating_sub(self.attempts.len() as u32)
+    }
+
+    /// Attempts that were executed or may be.
+    fn possibly_executed(&self) -> impl Iterator<Item = &Attempt> {
+        self.attempts.iter().filter(|attempt| attempt.state != AttemptState::NotExecuted)
+    }
+
+    /// Whether it may be sent to this server now.
+    pub(super) fn may_send(&self, now: Micros, to: &Endpoint, class: &Class, limits: &Limits) -> bool {
+        let may_overlap = class.idempotency == Idempotency::Idempotent && limits.may_duplicate;
+        if self.attempt_in_flight().is_some() && !may_overlap {
+            return false;
+        }
+        let is_open = !self.has_response_started && now < self.request.deadline;
+        self.attempts_left(limits) > 0
+            && is_open
+            && to.state == EndpointState::Serving
+            && self.may_execute_at(now, to, class)
+    }
+
+    /// Whether executing it at this server cannot make it take effect twice.
+    fn may_execute_at(&self, now: Micros, to: &Endpoint, class: &Class) -> bool {
+        match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => self.possibly_executed().next().is_none(),
+            Idempotency::WithIdempotencyKey => {
+                self.possibly_executed().all(|attempt| is_deduplicated(now, attempt, to, class))
+            }
+        }
+    }
+
+    /// Whether it may be rejected: the client may then send it again, to any server.
+    pub(super) fn may_reject(&self, class: &Class) -> bool {
+        let is_deduplicated_everywhere = class.idempotency == Idempotency::WithIdempotencyKey
+            && class.deduplication_scope == DeduplicationScope::All;
+        class.idempotency == Idempotency::Idempotent
+            || is_deduplicated_everywhere
+            || self.possibly_executed().next().is_none()
+    }
+}
+
+/// Whether this server still drops a repeat of an earlier attempt.
+fn is_deduplicated(now: Micros, earlier: &Attempt, to: &Endpoint, class: &Class) -> bool {
+    let is_in_scope = match class.deduplication_scope {
+        DeduplicationScope::All => true,
+        DeduplicationScope::Zone => earlier.endpoint.zone == to.zone,
+        DeduplicationScope::Cell => earlier.endpoint.cell == to.cell,
+    };
+    is_in_scope && now - earlier.sent < class.deduplication_window
+}
--- a/src/balancer/tests.rs
+++ b/src/balancer/tests.rs
@@ -128,7 +128,7 @@
         &settings(Idempotency::Idempotent, DeduplicationScope::All),
     );
     assert_eq!(homes, 1);
-    balancer.endpoints.servers[balancer.placement.order[0].1].endpoint.server
+    balancer.endpoints.servers[balancer.placement.candidates[0].server].endpoint.server
 }
 
 #[test]
@@ -153,19 +153,23 @@
     let mut list = fleet(20);
     let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &list);
     for _ in 0..300 {
-        b.placement.count(Key(1));
-        b.placement.count(Key(2_000 + b.placement.total as u64));
+        b.placement.on_read(Key(1));
+        b.placement.on_read(Key(2_000 + b.placement.total_reads as u64));
     }
-    let share = b.placement.share(Key(1));
+    let share = b.placement.popularity(Key(1));
     assert!((0.4..0.6).contains(&share), "{share}");
     let rules = settings(Idempotency::Idempotent, DeduplicationScope::All);
     let homes = b.placement.rank(Key(1), Micros(5), &b.endpoints.servers, &rules);
     assert!(homes > 5, "{homes} homes for half of all requests on 20 servers");
-    let first = b.endpoints.servers[b.placement.order[0].1].endpoint.server;
+    let first = b.endpoints.servers[b.placement.candidates[0].server].endpoint.server;
     list[first.0 as usize].started = Micros(100 * SECOND);
     step(&mut b, 101 * SECOND, Event::EndpointsChanged(EndpointUpdate::Snapshot, &list));
     b.placement.rank(Key(1), Micros(101 * SECOND), &b.endpoints.servers, &rules);
-    assert!(b.placement.order.iter().all(|(_, at)| b.endpoints.servers[*at].endpoint.server != first));
+    assert!(b
+        .placement
+        .candidates
+        .iter()
+        .all(|candidate| b.endpoints.servers[candidate.server].endpoint.server != first));
 }
 
 #[test]
@@ -243,7 +247,7 @@
             let settings = settings(idempotency, group);
             let mut b = balancer(settings.clone(), &fleet(4));
             let first = sent(&step(&mut b, 10, Event::Request(request(1, 10, 5)))).expect("sent");
-            let mut pending = b.requests.remove(&id(1)).expect("in hand");
+            let mut pending = b.open_requests.take(&id(1)).expect("in hand");
             let (class, limits) = (&settings.classes[0], &settings.limits);
             let to = |server: u64| entry(server);
             assert!(!pending.may_send(Micros(20), &to(first.0), class, limits), "one is still out");
@@ -255,7 +259,8 @@
                 "a second copy only of what is safe to repeat"
             );
             let never_ran = never.contains(status);
-            pending.attempts[0].fate = if never_ran { Fate::NeverRan } else { Fate::MayHaveRun };
+            pending.attempts[0].state =
+                if never_ran { AttemptState::NotExecuted } else { AttemptState::MayHaveExecuted };
             let (same, other) = (to(first.0), to((first.0 + 1) % 4));
             let allowed = |at: &Endpoint, now: u64| pending.may_send(Micros(now), at, class, limits);
             let keyed = idempotency == Idempotency::WithIdempotencyKey;
@@ -265,7 +270,7 @@
             assert_eq!(allowed(&other, 20), free || keyed && group == DeduplicationScope::All, "{name}");
             assert_eq!(allowed(&same, 400_010), free, "{name}: past its window");
             assert_eq!(
-                pending.may_refuse(class),
+                pending.may_reject(class),
                 free || keyed && group == DeduplicationScope::All,
                 "{name}"
             );
@@ -287,7 +292,7 @@
             _ => false,
         };
         assert!(fine, "{actions:?}");
-        assert!(b.requests.is_empty());
+        assert!(b.open_requests.is_empty());
     }
 }
 
@@ -507,10 +512,10 @@
             let out = watched.attempts.iter().any(|a| a.2.is_none());
             prop_assert!(out || now <= watched.deadline + 20_000, "rule 1: a request was lost");
         }
-        prop_assert_eq!(b.requests.len(), open.len(), "finished requests are forgotten");
-        prop_assert!(b.held.len() <= open.len() && b.endpoints.servers.len() <= 7);
+        prop_assert_eq!(b.open_requests.len(), open.len(), "finished requests are forgotten");
+        prop_assert!(b.open_requests.parked_len() <= open.len() && b.endpoints.servers.len() <= 7);
         prop_assert!(b.queue.len() <= open.len(), "only open requests wait");
-        prop_assert!((b.placement.counts.len() as f64) < POPULARITY_SPAN);
+        prop_assert!((b.placement.read_counts.len() as f64) < MAX_COUNTED_REQUESTS);
     }
     Ok((log, open.len()))
 }
--- a/src/balancer/tests/fleet.rs
+++ b/src/balancer/tests/fleet.rs
@@ -150,12 +150,17 @@
             Settings { zone, ..settings(Idempotency::Idempotent, DeduplicationScope::All) },
             &fleet(24),
         );
-        (0..400).for_each(|_| b.placement.count(Key(7)));
+        (0..400).for_each(|_| b.placement.on_read(Key(7)));
         let homes = b.placement.rank(Key(7), Micros(SECOND), &b.endpoints.servers, &b.settings);
-        let zones: Vec<u32> =
-            b.placement.order[..homes].iter().map(|(_, at)| b.endpoints.servers[*at].endpoint.zone).collect();
+        let zones: Vec<u32> = b.placement.candidates[..homes]
+            .iter()
+            .map(|owner| b.endpoints.servers[owner.server].endpoint.zone)
+            .collect();
         assert!(zones.len() > 2 && zones[0] == zone, "{zones:?}");
-        b.placement.order[..homes].iter().map(|(_, at)| *at).collect::<std::collections::BTreeSet<_>>()
+        b.placement.candidates[..homes]
+            .iter()
+            .map(|owner| owner.server)
+            .collect::<std::collections::BTreeSet<_>>()
     };
     assert_eq!(homes(0), homes(1), "they are the same hosts for all");
 }
@@ -223,7 +228,7 @@
             let to = sent(&step(&mut b, now, Event::Request(request(n, now, n)))).expect("sent");
             step(&mut b, now + 5_000, outcome(n, 0, to, AttemptResult::Timeout));
         }
-        assert!(b.requests.is_empty());
+        assert!(b.open_requests.is_empty());
     }
 }
 
--- a/src/balancer/tests/limits.rs
+++ b/src/balancer/tests/limits.rs
@@ -413,7 +413,7 @@
             .on_response(Micros(SECOND), Micros(400_000))
     });
     fill_origin(&mut b);
-    (0..60).for_each(|_| b.placement.count(Key(5)));
+    (0..60).for_each(|_| b.placement.on_read(Key(5)));
     let mut refused = vec![];
     for n in 0..30 {
         let one = Request { is_write: n == 7, ..request(n, SECOND, if n == 4 { 5 } else { 100 + n }) };
@@ -447,7 +447,7 @@
     assert!(at < Micros(SECOND + 125_000), "well before half of the time to its aim");
     let end = step(&mut b, at.0, Event::Timer(token));
     assert!(matches!(end[..], [Action::Reject { .. }]), "{end:?}");
-    assert!(b.queue.is_empty() && b.requests.is_empty() && b.held.is_empty());
+    assert!(b.queue.is_empty() && b.open_requests.is_empty() && b.open_requests.parked_len() == 0);
 }
 
 /// A read whose cache stands still is sent to the origin as well, a tenth of them and where the site
@@ -487,7 +487,7 @@
             assert_eq!(step(&mut b, at + 60_000, Event::AttemptCompleted(end)), []);
         }
         assert!(range.contains(&copies), "{balancers} balancers: {copies} copies of 300");
-        assert!(b.requests.is_empty());
+        assert!(b.open_requests.is_empty());
     }
 }
 
