--- a/node/src/discovery/budget.rs
+++ b/node/src/discovery/budget.rs
@@ -6,7 +6,7 @@
 //! has taken on, however late: a call is therefore never given up because it takes long. After [`ANSWER`] another is made
 //! beside it, and whichever is answered first ends the other.
 //!
-//! The waits between calls are the decision module's ([`juniperladder::AGAIN`]), since they also keep a fleet of balancers from
+//! The waits between calls are the decision module's ([`juniperladder::DISCOVERY_BACKOFF`]), since they also keep a fleet of balancers from
 //! calling all at once; the tests beside add everything up.
 
 use std::time::Duration;
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -4,7 +4,9 @@
 use super::*;
 use crate::testing::{self, log, settle, Recorder};
 use bytes::BytesMut;
-use juniperladder::{Idempotency, AGAIN, ASKING, SOON, START};
+use juniperladder::{
+    BackoffRange, Idempotency, DISCOVERY_BACKOFF, MAX_POLL_INTERVAL, MIN_DISCOVERY_PAUSE, START_SPREAD_SHARE,
+};
 use std::cell::{Cell, RefCell};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -59,25 +61,33 @@
 /// Silence, waits, calls and their repeats stay within the time after which a change counts as told, in whatever order they come.
 #[test]
 fn a_change_is_known_before_it_counts_as_told() {
-    let asking = Duration::from_micros(ASKING.0);
-    let most = |at: usize| asking.mul_f64(AGAIN[at].1);
-    let soon = asking.mul_f64(SOON.1);
+    let poll_interval = Duration::from_micros(MAX_POLL_INTERVAL.0);
+    let longest = |range: BackoffRange| poll_interval.mul_f64(range.max_share);
+    let after_watch = longest(DISCOVERY_BACKOFF.after_watch);
+    let after_failure = longest(DISCOVERY_BACKOFF.after_first_failure);
+    let after_more_failures = longest(DISCOVERY_BACKOFF.after_more_failures);
+    let soon = longest(MIN_DISCOVERY_PAUSE);
     // The time for the connection is part of it.
     let call = ANSWER;
     assert!(CONNECT < ANSWER);
-    let last = AGAIN.len() - 1;
     // A watch that falls silent has lasted longer than calls are apart.
-    assert!(SILENCE > most(0));
+    assert!(SILENCE > after_watch);
     let chains = [
         ("silent, called, answered slowly", SILENCE + soon + call),
-        ("silent, refused, called, answered slowly", SILENCE + soon + most(1).max(soon) + call),
+        ("silent, refused, called, answered slowly", SILENCE + soon + after_failure.max(soon) + call),
         ("silent, given up, called", SILENCE + soon + call + soon + ROUND),
-        ("ended at once, called, answered slowly", most(0).max(soon) + call),
-        ("ended at once, refused, called, answered slowly", most(0).max(soon) + most(1).max(soon) + call),
-        ("back right after a call was refused, answered slowly", most(last) + call),
-        ("back right after a call began that hangs, answered slowly", most(last).max(call + soon) + call),
-        ("back, refused once, called", most(last) + most(last) + ROUND),
-        ("started, answered slowly", asking.mul_f64(START) + call),
+        ("ended at once, called, answered slowly", after_watch.max(soon) + call),
+        (
+            "ended at once, refused, called, answered slowly",
+            after_watch.max(soon) + after_failure.max(soon) + call,
+        ),
+        ("back right after a call was refused, answered slowly", after_more_failures + call),
+        (
+            "back right after a call began that hangs, answered slowly",
+            after_more_failures.max(call + soon) + call,
+        ),
+        ("back, refused once, called", after_more_failures + after_more_failures + ROUND),
+        ("started, answered slowly", poll_interval.mul_f64(START_SPREAD_SHARE) + call),
     ];
     for (chain, time) in chains {
         assert!(time <= TOLD, "{chain}: {time:?}");
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -2,6 +2,7 @@
 //! mechanism is that of docs/design.md, and each concern has a file of its own in `src/balancer/`.
 
 mod concurrency_limit;
+mod discovery_schedule;
 mod endpoint_set;
 mod gap_ladder;
 mod open_request;
@@ -12,8 +13,14 @@
 pub(crate) mod view;
 mod zone_health;
 
+pub use discovery_schedule::{
+    BackoffRange, DiscoveryBackoff, DISCOVERY_BACKOFF, MAX_POLL_INTERVAL, MIN_DISCOVERY_PAUSE,
+    START_SPREAD_SHARE,
+};
+
 use crate::coordination::OptionalCoordination;
 use crate::*;
+use discovery_schedule::DiscoverySchedule;
 use endpoint_set::EndpointSet;
 use gap_ladder::{GapLadder, SendOutcome, EVIDENCE_LIFETIME_IN_WINDOWS, MAX_BALANCERS_AT_SHORTEST_TOP};
 use open_request::{Attempt, AttemptState, OpenRequest, QueueState};
@@ -34,23 +41,8 @@
 const WRITE_WAITS: f64 = 0.8;
 const QUEUE: Micros = Micros(400_000);
 const SPREAD: Micros = Micros(250_000);
-/// What the times below are parts of: the time for asking, taken as no longer than this.
-pub const ASKING: Micros = Micros(10_000_000);
-/// The part over which those that start together call discovery. From this fleet on it is spread so far; a
-/// smaller one is spread, and calls a second time, in proportion sooner, down to the least part of it.
-pub const START: f64 = 0.33;
-const FULL_SPREAD_FLEET: f64 = 90.0;
-const LEAST_SPREAD: f64 = 0.3;
-/// The least and the most from call to call: after a watch, a failed call, the second (a start's), more.
-pub const AGAIN: [(f64, f64); 4] = [(0.12, 0.15), (0.03, 0.06), (0.3, 0.34), (0.24, 0.28)];
-/// The place of a start's first failure among them, and how many in a row keep it: who has heard nothing yet
-/// needs a list more than those who have one.
-const START_FAILURES: usize = 2;
-const START_CALLS: usize = 3;
-/// The same from the end of a call or a watch to the next call, if that is later.
-pub const SOON: (f64, f64) = (0.005, 0.03);
 /// The timer tokens of discovery and of the origin's gap; requests use higher ones.
-const DISCOVERY: u64 = 0;
+const DISCOVERY_TIMER: u64 = 0;
 const PASS: u64 = 1;
 const FIRST_REQUEST_TIMER: u64 = PASS + 1;
 
@@ -71,11 +63,7 @@
     rng: fastrand::Rng,
     endpoints: EndpointSet,
     zones: ZoneHealth,
-    /// Calls to discovery that failed since its last list, when the last one was due, and how many more
-    /// calls of a start come at its pace.
-    failures: usize,
-    call: Micros,
-    start_calls: usize,
+    discovery: DiscoverySchedule,
     placement: Placement,
     response_rate: RateEstimator,
     /// What waits for a place at the origin, with its worth; the longest wait of first tries, by class.
@@ -97,9 +85,7 @@
             first_waits: vec![Micros(0); settings.classes.len()],
             endpoints: EndpointSet::new(settings.balancers),
             zones: ZoneHealth::default(),
-            failures: START_FAILURES,
-            call: Micros(0),
-            start_calls: START_CALLS - 1,
+            discovery: DiscoverySchedule::new(&settings),
             settings,
             rng: fastrand::Rng::with_seed(seed),
             placement: Placement::default(),
@@ -115,14 +101,15 @@
     /// Takes one event in and appends what is to be done.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointsChanged(kind, list) => self.listed(now, kind, list, actions),
+            Event::EndpointsChanged(kind, list) => self.on_endpoints_changed(now, kind, list, actions),
             Event::Request(request) => self.arrived(now, request, actions),
             Event::ResponseStarted(id) => self.on_response_started(&id),
             Event::AttemptCompleted(outcome) => self.ended(now, outcome, actions),
-            Event::Timer(DISCOVERY) if !self.settings.subscribe || self.failures == 0 => {}
-            // An older timer than that of the next call.
-            Event::Timer(DISCOVERY) if now < self.call => {}
-            Event::Timer(DISCOVERY) => actions.push(Action::WatchEndpoints),
+            Event::Timer(DISCOVERY_TIMER) => {
+                if self.discovery.is_call_due(now) {
+                    actions.push(Action::WatchEndpoints);
+                }
+            }
             Event::Timer(PASS) => {
                 self.passing = false;
                 self.pass(now, actions);
@@ -156,40 +143,23 @@
         }
     }
 
-    /// By how much calls at a start are spread, as a part of what a large fleet needs:
-    /// discovery takes calls in turn.
-    fn start_spread(&self) -> f64 {
-        (f64::from(self.settings.balancers) / FULL_SPREAD_FLEET).clamp(LEAST_SPREAD, 1.0)
-    }
-
-    fn listed(&mut self, now: Micros, kind: EndpointUpdate, list: &[Endpoint], actions: &mut Vec<Action>) {
-        let spread = self.settings.rules.discovery_poll_interval.min(ASKING);
-        let start = self.start_spread();
-        if kind == EndpointUpdate::Unavailable {
-            let mut wait = |(least, most)| spread.mul_f64(least + (most - least) * self.rng.f64());
-            let soon = now.saturating_add(wait(SOON));
-            let part = if self.failures == START_FAILURES { start } else { 1.0 };
-            let again = wait(AGAIN[self.failures]).mul_f64(part);
-            let at = self.call.saturating_add(again).max(soon);
-            if self.failures == START_FAILURES && self.start_calls > 0 {
-                self.start_calls -= 1;
-            } else {
-                self.failures = (self.failures + 1).min(AGAIN.len() - 1);
-            }
-            self.call = at;
-            actions.push(Action::Timer { at, token: DISCOVERY });
-            return;
-        }
-        self.endpoints.apply_update(kind, list, &self.settings);
-        self.coordination.on_endpoints_changed(self.endpoints.cache_servers());
-        if kind == EndpointUpdate::Restored && self.call.0 == 0 && self.settings.subscribe {
-            let at = now
-                .saturating_add(spread.mul_f64(START * start * self.rng.f64()))
-                .saturating_add(self.settings.tick);
-            self.call = at;
-            actions.push(Action::Timer { at, token: DISCOVERY });
-        } else if kind != EndpointUpdate::OperatorOverride {
-            (self.failures, self.call, self.start_calls) = (0, now, 0);
+    /// Discovery answered or failed, or an operator changed endpoints.
+    fn on_endpoints_changed(
+        &mut self,
+        now: Micros,
+        update: EndpointUpdate,
+        endpoints: &[Endpoint],
+        actions: &mut Vec<Action>,
+    ) {
+        let next_call = if update == EndpointUpdate::Unavailable {
+            Some(self.discovery.on_unavailable(now, &mut self.rng))
+        } else {
+            self.endpoints.apply_update(update, endpoints, &self.settings);
+            self.coordination.on_endpoints_changed(self.endpoints.cache_servers());
+            self.discovery.on_endpoints(now, update, &mut self.rng)
+        };
+        if let Some(at) = next_call {
+            actions.push(Action::Timer { at, token: DISCOVERY_TIMER });
         }
     }
 
--- a/src/balancer/tests/capacity.rs
+++ b/src/balancer/tests/capacity.rs
@@ -211,7 +211,7 @@
             plan(&mut due, n, &actions);
             continue;
         }
-        if step(&mut wave[n], now, Event::Timer(DISCOVERY)) != [Action::WatchEndpoints] {
+        if step(&mut wave[n], now, Event::Timer(DISCOVERY_TIMER)) != [Action::WatchEndpoints] {
             continue;
         }
         *calls.entry(now / SECOND).or_default() += 1;
--- a/src/balancer/tests/fleet.rs
+++ b/src/balancer/tests/fleet.rs
@@ -184,7 +184,7 @@
     let (mut calls, mut listed) = ([0; 64], 0);
     while let Some(next) = (0..due.len()).min_by_key(|at| due[*at]) {
         let (now, n) = due.swap_remove(next);
-        assert_eq!(step(&mut herd[n], now, Event::Timer(DISCOVERY)), [Action::WatchEndpoints]);
+        assert_eq!(step(&mut herd[n], now, Event::Timer(DISCOVERY_TIMER)), [Action::WatchEndpoints]);
         let second = &mut calls[(now / SECOND) as usize];
         *second += 1;
         if *second <= CAN {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -73,7 +73,10 @@
 
 pub use action::{Action, RejectReason};
 pub use balancer::view::LimitView;
-pub use balancer::{Balancer, AGAIN, ASKING, SOON, START};
+pub use balancer::{
+    BackoffRange, Balancer, DiscoveryBackoff, DISCOVERY_BACKOFF, MAX_POLL_INTERVAL, MIN_DISCOVERY_PAUSE,
+    START_SPREAD_SHARE,
+};
 pub use coordination::{Coordination, ServingServer, SharedLimit};
 pub use endpoint::{Endpoint, EndpointState, EndpointUpdate, ServerId};
 pub use event::Event;
