--- a/dispatch/src/dispatcher/endpoints.rs
+++ b/dispatch/src/dispatcher/endpoints.rs
@@ -21,18 +21,19 @@
     /// Tells the log which limits hold something back, and why.
     pub fn tell_limits(&self) {
         let inner = self.inner.borrow();
-        let (limits, waiting) = inner.balancer.limits(self.clock.now());
+        let limits = inner.balancer.limits(self.clock.now());
         let mut held = 0;
-        for limit in &limits {
-            let Some(by) = limit.holds() else { continue };
+        for limit in &limits.servers {
+            let Some(by) = limit.binding_limit() else { continue };
             held += 1;
             let address = inner.serving.get(&limit.server).and_then(|(_, address)| *address);
-            info!(self.log, "limit"; "held-by" => by,
+            info!(self.log, "limit"; "held-by" => by.label(),
                 "host" => address.map_or_else(|| "unknown".into(), |a| a.to_string()),
-                "out" => limit.out, "most" => limit.most, "gap-ms" => to_ms(limit.gap),
-                "usual-ms" => to_ms(limit.usual), "lately-ms" => to_ms(limit.lately));
+                "out" => limit.in_flight, "most" => limit.limit, "gap-ms" => to_ms(limit.gap),
+                "usual-ms" => to_ms(limit.baseline_latency), "lately-ms" => to_ms(limit.recent_latency));
         }
-        info!(self.log, "limits"; "hosts" => limits.len(), "held" => held, "waiting" => waiting);
+        info!(self.log, "limits"; "hosts" => limits.servers.len(), "held" => held,
+            "waiting" => limits.waiting_for_origin);
     }
 
     /// The endpoint list has news.
--- a/dispatch/src/operators.rs
+++ b/dispatch/src/operators.rs
@@ -67,9 +67,9 @@
                 let _ = writeln!(text, "app_{name}{{category=\"{}\"}} {count}", escape(category));
             }
         }
-        let (limits, _) = inner.balancer.limits(self.clock().now());
+        let limits = inner.balancer.limits(self.clock().now());
         let gapped: FxHashSet<ServerId> =
-            limits.iter().filter(|limit| limit.gap.0 > 0).map(|limit| limit.server).collect();
+            limits.servers.iter().filter(|limit| limit.gap.0 > 0).map(|limit| limit.server).collect();
         let known: Vec<ServerId> = inner
             .bans
             .listed()
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -74,7 +74,7 @@
     minimum_limit: f64,
     /// A limit below one is kept by a pause between two sends: no read goes before this time, and a write
     /// only when nothing else is in flight.
-    pub(super) paced_until: Micros,
+    paced_until: Micros,
     /// The highest limit in use, decaying with the responses since.
     recent_peak_limit: f64,
     /// When the limit was last cut; zero is never.
@@ -109,13 +109,18 @@
         (self.limit * time.as_f64() / self.recent_latency.max(MIN_RECENT_LATENCY_MICROS)) as usize
     }
 
-    /// Whether one more attempt may go out now.
+    /// Whether the pause between two sends that keeps a limit below one still lasts.
+    pub(super) fn is_paced(&self, now: Micros) -> bool {
+        now < self.paced_until
+    }
+
+    /// Whether one more attempt may go out now. Reads may always use their share of the limit.
     pub(super) fn has_capacity(&mut self, now: Micros, is_write: bool) -> bool {
         self.abandoned_until.retain(|until| *until > now);
-        let is_paced = !is_write && now < self.paced_until;
+        let is_paused = !is_write && self.is_paced(now);
         let is_under_limit = self.in_flight() + 1.0 <= self.limit.max(1.0);
         let is_under_read_share = !is_write && self.reads_in_flight + 1.0 <= READ_SHARE * self.limit;
-        !is_paced && is_under_limit || is_under_read_share
+        !is_paused && is_under_limit || is_under_read_share
     }
 
     /// An attempt goes out.
--- /dev/null
+++ b/src/balancer/hedging.rs
@@ -0,0 +1,119 @@
+//! When an attempt without an answer is hedged or given up, and who pays for a hedged request.
+//!
+//! Inputs are the time that an answer is still worth something, and how long ago the server last responded:
+//! one that has not been heard of lately may be anything. Hedged requests are paid from the retry budget that
+//! balancers share, or else from this balancer's own, which first attempts fill.
+
+use super::endpoint_set::Server;
+use super::gap_ladder::{GapLadder, SendOutcome, EVIDENCE_LIFETIME_IN_WINDOWS};
+use super::open_request::OpenRequest;
+use super::routing::Route;
+use super::Balancer;
+use crate::coordination::Evidence;
+use crate::*;
+
+/// Share of the useful time left after which an attempt without an answer is hedged or given up.
+const HEDGE_AFTER_SHARE: f64 = 0.65;
+/// What is taken off that share for a server that has not responded for as long as evidence lasts.
+const MAX_HEDGE_SHARE_REDUCTION: f64 = 0.22;
+/// Hedged requests that a first attempt pays for, where one outcome is a window; fewer in proportion where
+/// more are.
+const HEDGES_PER_FIRST_ATTEMPT: f64 = 0.4;
+/// Most hedged requests that may be saved up.
+const MAX_SAVED_HEDGES: f64 = 10.0;
+
+/// Hedged requests that this balancer may still send by itself.
+#[derive(Debug)]
+pub(super) struct HedgeBudget {
+    hedges: f64,
+}
+
+impl HedgeBudget {
+    /// A full budget.
+    pub(super) fn new() -> HedgeBudget {
+        HedgeBudget { hedges: MAX_SAVED_HEDGES }
+    }
+
+    /// A client's first attempt has come in.
+    pub(super) fn on_first_attempt(&mut self, ladder: &GapLadder) {
+        let earned = HEDGES_PER_FIRST_ATTEMPT / ladder.window_outcomes;
+        self.hedges = (self.hedges + earned).min(MAX_SAVED_HEDGES);
+    }
+
+    fn spend(&mut self) {
+        self.hedges -= 1.0;
+    }
+}
+
+/// What happens to an attempt that has no answer for a while.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum WithoutAnswer {
+    /// It goes on until the request's deadline.
+    GoOn,
+    /// It goes on, and after this time the request is hedged.
+    Hedge(Micros),
+    /// It is given up after this time.
+    TimeOut(Micros),
+}
+
+impl Balancer {
+    /// What to do if an attempt that goes to this server now has no answer for a while. Only what is
+    /// idempotent can be sent a second time, and nothing stands in for the origin.
+    pub(super) fn without_answer(&self, now: Micros, open: &OpenRequest, server: &Server) -> WithoutAnswer {
+        let class = self.settings.class(open.request.class);
+        let is_origin = self.settings.is_origin(&server.endpoint);
+        if class.idempotency != Idempotency::Idempotent || is_origin {
+            return WithoutAnswer::GoOn;
+        }
+        let evidence_lifetime = EVIDENCE_LIFETIME_IN_WINDOWS * self.cache_ladder.window.as_f64();
+        let silent_share = ((now - server.last_response).as_f64() / evidence_lifetime).min(1.0);
+        let share = HEDGE_AFTER_SHARE - MAX_HEDGE_SHARE_REDUCTION * silent_share;
+        let delay = (open.useful_until - now).mul_f64(share).max(Micros(1));
+        if self.settings.limits.may_duplicate {
+            WithoutAnswer::Hedge(delay)
+        } else {
+            WithoutAnswer::TimeOut(delay)
+        }
+    }
+
+    /// The time to hedge a request has come: sends it to another server as well, if one can take it and the
+    /// budget allows it.
+    pub(super) fn hedge(&mut self, now: Micros, open: OpenRequest, actions: &mut Vec<Action>) {
+        self.count_silence(now, &open);
+        if let Route::Forward { server } = self.choose_route(now, &open) {
+            if self.may_hedge(now) {
+                self.hedge_budget.spend();
+                self.forward(now, server, open, actions);
+                return;
+            }
+        }
+        self.open_requests.insert(open);
+    }
+
+    /// Whether a hedged request may go out: nothing waits for the origin, and the budget allows it.
+    fn may_hedge(&mut self, now: Micros) -> bool {
+        self.origin_queue.is_empty() && self.coordination.allows_hedge(now, self.hedge_budget.hedges)
+    }
+
+    /// Counts the silence of the attempt in flight against its server, where one outcome is a window: who
+    /// sends there once in seconds cannot wait for the end of the attempt.
+    fn count_silence(&mut self, now: Micros, open: &OpenRequest) {
+        if !self.cache_ladder.is_one_outcome_enough() {
+            return;
+        }
+        let Some(attempt) = open.attempt_in_flight() else { return };
+        let Some(server) = self.endpoints.server_mut(attempt.endpoint.server) else { return };
+        if !server.concurrency.is_timeout_meaningful(now - attempt.sent) {
+            return;
+        }
+        let outcome = SendOutcome { sent: attempt.sent, completed: now, is_rejected: true };
+        server.gap.on_outcome(outcome, &self.cache_ladder, self.rng.f64());
+        self.zones.on_attempt_completed(attempt.endpoint.zone, true);
+        self.coordination.on_attempt_completed(
+            now,
+            &attempt.endpoint,
+            AttemptResult::Timeout,
+            Evidence::Rejected,
+        );
+    }
+}
--- a/src/balancer/open_request.rs
+++ b/src/balancer/open_request.rs
@@ -91,6 +91,21 @@
         }
     }
 
+    /// It goes out to this server.
+    pub(super) fn on_send(&mut self, now: Micros, to: &Endpoint) {
+        self.queue_state = QueueState::NotQueued;
+        self.attempts.push(Attempt { endpoint: to.clone(), sent: now, state: AttemptState::InFlight });
+    }
+
+    /// The attempt of this number ended with this result.
+    pub(super) fn on_attempt_completed(&mut self, attempt: u32, result: AttemptResult) {
+        if let Some(attempt) = self.attempts.get_mut(attempt as usize) {
+            attempt.state = AttemptState::after(result);
+        }
+        self.has_missed |= result == AttemptResult::Miss;
+        self.queue_state = QueueState::NotQueued;
+    }
+
     /// The latest attempt without a result.
     pub(super) fn attempt_in_flight(&self) -> Option<&Attempt> {
         self.attempts.iter().rfind(|attempt| attempt.state == AttemptState::InFlight)
--- /dev/null
+++ b/src/balancer/routing.rs
@@ -0,0 +1,180 @@
+//! Which server a request goes to next.
+//!
+//! Inputs are the candidates that placement ranks for its key, and the state of each. The first one that no
+//! reason speaks against gets the request; reads that no cache server can take and writes go to the origin,
+//! see `origin`.
+
+use super::hedging::WithoutAnswer;
+use super::open_request::OpenRequest;
+use super::placement::MAX_CACHE_ATTEMPTS;
+use super::Balancer;
+use crate::*;
+
+/// Where a request goes next.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Route {
+    /// To the server with this index in the endpoint list.
+    Forward {
+        /// The index.
+        server: usize,
+    },
+    /// Into the queue before the origin.
+    Enqueue {
+        /// For how long at most.
+        max_wait: Micros,
+    },
+    /// Nowhere: it is answered now.
+    Reject {
+        /// How long what holds it back will last; zero where that is not known.
+        wait: Micros,
+        /// Why.
+        reason: RejectReason,
+    },
+}
+
+/// Why a candidate does not get a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum PassedOver {
+    /// Its zone is unhealthy, and this attempt is not one of those that find out whether it is back.
+    ZoneUnhealthy,
+    /// The request has been there.
+    AlreadyTried,
+    /// Its gap holds the next send back for this time.
+    Gapped(Micros),
+    /// As many attempts as it can take are in flight.
+    NoCapacity,
+    /// It has started lately and has got its share.
+    SlowStart,
+    /// Other balancers report it silent.
+    Suspected,
+    /// Being executed there might make the request take effect twice, or its server takes nothing new.
+    NotPermitted,
+}
+
+impl Balancer {
+    /// Decides where a request goes next, and sees to it.
+    pub(super) fn route(&mut self, now: Micros, open: OpenRequest, actions: &mut Vec<Action>) {
+        match self.choose_route(now, &open) {
+            Route::Forward { server } => self.forward(now, server, open, actions),
+            Route::Enqueue { max_wait } => self.enqueue(now, max_wait, open, actions),
+            Route::Reject { wait, reason } => self.reject(now, &open, wait, reason, actions),
+        }
+    }
+
+    /// Decides where a request goes next.
+    pub(super) fn choose_route(&mut self, now: Micros, open: &OpenRequest) -> Route {
+        if let Some(reason) = self.shed_reason(now, open) {
+            return Route::Reject { wait: Micros::ZERO, reason };
+        }
+        let to_cache = if self.may_go_to_cache(open) { self.choose_cache_server(now, open) } else { None };
+        to_cache.unwrap_or_else(|| self.choose_origin(now, open))
+    }
+
+    /// Whether a cache server may be asked. With a fetching balancer writes, misses, hedged requests and last
+    /// attempts go to the origin.
+    fn may_go_to_cache(&self, open: &OpenRequest) -> bool {
+        if self.settings.mode == CacheMode::ReadThrough {
+            return true;
+        }
+        let is_last_attempt = open.attempts_left(&self.settings.limits) == 1;
+        let has_had_cache = open.has_missed
+            || open.attempt_in_flight().is_some()
+            || open.attempts.len() >= MAX_CACHE_ATTEMPTS;
+        !open.request.is_write && !has_had_cache && !is_last_attempt
+    }
+
+    /// The first candidate that no reason speaks against. With none left, a request is rejected where there
+    /// is no origin to go to and a gap is what holds it back; otherwise the result is none.
+    fn choose_cache_server(&mut self, now: Micros, open: &OpenRequest) -> Option<Route> {
+        // Drawn for requests with a key too: the sequence of draws must not depend on it.
+        let random_key = Key(self.rng.u64(..));
+        let key = open.request.key.unwrap_or(random_key);
+        let owners = self.placement.rank(key, now, &self.endpoints.servers, &self.settings);
+        let servers = self.endpoints.servers.len().max(1) as f64;
+        let responses_per_server = self.response_rate.per_second(now) / servers;
+        let is_read_through = self.settings.mode == CacheMode::ReadThrough;
+
+        let mut shortest_gap: Option<Micros> = None;
+        for rank in 0..self.placement.candidates.len() {
+            let server = self.placement.candidates[rank].server;
+            let passed_over = self.reason_to_pass_over(now, open, server, responses_per_server);
+            let Some(reason) = passed_over else { return Some(Route::Forward { server }) };
+            if let PassedOver::Gapped(wait) = reason {
+                shortest_gap = Some(shortest_gap.unwrap_or(wait).min(wait));
+            }
+            // A crowded owner is no reason to move a key where the origin can serve it.
+            let has_owner_left = rank + 1 < owners;
+            if reason == PassedOver::NoCapacity && !has_owner_left && !is_read_through {
+                break;
+            }
+        }
+        let wait = shortest_gap.filter(|_| is_read_through)?;
+        Some(Route::Reject { wait, reason: RejectReason::AllServersGapped })
+    }
+
+    /// Why this server cannot take the request now; none, it can.
+    fn reason_to_pass_over(
+        &mut self,
+        now: Micros,
+        open: &OpenRequest,
+        server: usize,
+        responses_per_server: f64,
+    ) -> Option<PassedOver> {
+        let server = &mut self.endpoints.servers[server];
+        let avoided_share = self.zones.avoided_share(server.endpoint.zone);
+        if avoided_share > 0.0 && self.rng.f64() < avoided_share {
+            return Some(PassedOver::ZoneUnhealthy);
+        }
+        if open.has_tried(server.endpoint.server) {
+            return Some(PassedOver::AlreadyTried);
+        }
+        let gap = server.gap.wait(now, open.request.tenant, &self.cache_ladder);
+        if gap > Micros::ZERO {
+            return Some(PassedOver::Gapped(gap));
+        }
+        // Reads and writes are alike at a cache server: neither has a part of the limit to itself.
+        if server.concurrency.is_paced(now) || !server.concurrency.has_capacity(now, true) {
+            return Some(PassedOver::NoCapacity);
+        }
+        if !server.has_slow_start_credit(now, responses_per_server, &self.settings.rules, &mut self.rng) {
+            return Some(PassedOver::SlowStart);
+        }
+        let last_response = server.last_response;
+        if self.coordination.is_suspected(now, &server.endpoint, last_response, responses_per_server) {
+            return Some(PassedOver::Suspected);
+        }
+        if !self.coordination.allows_slow_start(now, &server.endpoint) {
+            return Some(PassedOver::SlowStart);
+        }
+        let class = self.settings.class(open.request.class);
+        let is_permitted = open.may_send(now, &server.endpoint, class, &self.settings.limits);
+        (!is_permitted).then_some(PassedOver::NotPermitted)
+    }
+
+    /// Sends a request to the server with this index.
+    pub(super) fn forward(
+        &mut self,
+        now: Micros,
+        server_index: usize,
+        mut open: OpenRequest,
+        actions: &mut Vec<Action>,
+    ) {
+        let server = &self.endpoints.servers[server_index];
+        let without_answer = self.without_answer(now, &open, server);
+        let is_origin = self.settings.is_origin(&server.endpoint);
+        self.coordination.on_send(now, &server.endpoint, is_origin, open.is_retry());
+
+        let server = &mut self.endpoints.servers[server_index];
+        server.on_send(now, open.request.tenant, open.request.is_write);
+        open.on_send(now, &server.endpoint);
+        let timeout = match without_answer {
+            WithoutAnswer::TimeOut(after) => after,
+            WithoutAnswer::GoOn | WithoutAnswer::Hedge(_) => Micros::ZERO,
+        };
+        actions.push(Action::Send { id: open.request.id, server: server.endpoint.server, timeout });
+        match without_answer {
+            WithoutAnswer::Hedge(after) => self.park(now, after, open, actions),
+            WithoutAnswer::GoOn | WithoutAnswer::TimeOut(_) => self.open_requests.insert(open),
+        }
+    }
+}
--- a/src/balancer/tests.rs
+++ b/src/balancer/tests.rs
@@ -1,8 +1,10 @@
 //! Direct tests of the module's parts; each names the failure it guards against.
 
+use super::admission::RETRY_AFTER_SPREAD;
 use super::concurrency_limit::ConcurrencyLimit;
 use super::endpoint_set::*;
 use super::gap_ladder::*;
+use super::open_request::*;
 use super::placement::*;
 use super::slow_start::*;
 use super::zone_health::*;
@@ -287,7 +289,7 @@
         let to = sent(&step(&mut b, 10, Event::Request(request(1, 10, 5)))).expect("sent");
         let actions = step(&mut b, SECOND + 10, outcome(1, 0, to, AttemptResult::Timeout));
         let fine = match &actions[..] {
-            [Action::Reject { retry_after, .. }] => refused && *retry_after <= SPREAD,
+            [Action::Reject { retry_after, .. }] => refused && *retry_after <= RETRY_AFTER_SPREAD,
             [Action::Fail { .. }] => !refused,
             _ => false,
         };
@@ -514,7 +516,7 @@
         }
         prop_assert_eq!(b.open_requests.len(), open.len(), "finished requests are forgotten");
         prop_assert!(b.open_requests.parked_len() <= open.len() && b.endpoints.servers.len() <= 7);
-        prop_assert!(b.queue.len() <= open.len(), "only open requests wait");
+        prop_assert!(b.origin_queue.len() <= open.len(), "only open requests wait");
         prop_assert!((b.placement.read_counts.len() as f64) < MAX_COUNTED_REQUESTS);
     }
     Ok((log, open.len()))
--- a/src/balancer/tests/fleet.rs
+++ b/src/balancer/tests/fleet.rs
@@ -208,7 +208,7 @@
     let twice = [fleet(3), fleet(3)].concat();
     for (list, listed) in [(vec![], 0), (fleet(0), 1), (fleet(10_000), 10_000), (twice, 4)] {
         let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &list);
-        assert_eq!(b.limits(Micros(SECOND)).0.len(), listed);
+        assert_eq!(b.limits(Micros(SECOND)).servers.len(), listed);
         let actions = step(&mut b, SECOND, Event::Request(request(1, SECOND, 7)));
         assert_eq!(sent(&actions).is_some(), listed > 0, "{listed} listed: {actions:?}");
     }
--- a/src/balancer/tests/limits.rs
+++ b/src/balancer/tests/limits.rs
@@ -129,7 +129,7 @@
             panic!("{sends:?}")
         };
         step(&mut b, at.0, Event::Timer(token));
-        let (limits, _) = b.limits(at);
+        let limits = b.limits(at).servers;
         let limit = limits.iter().find(|l| l.server == server).expect("listed");
         assert_eq!(limit.gap > Micros(0), gapped, "others take {others} µs");
     }
@@ -423,7 +423,7 @@
             _ => None,
         }));
     }
-    assert!(b.queue.len() < 12 && refused.len() + b.queue.len() == 30, "given up at once");
+    assert!(b.origin_queue.len() < 12 && refused.len() + b.origin_queue.len() == 30, "given up at once");
     assert!(!refused.contains(&id(4)) && !refused.contains(&id(7)));
     b.endpoints.server_mut(ServerId(900)).expect("listed").concurrency = ConcurrencyLimit::new(3);
     let first = step(&mut b, SECOND + 1_000, outcome(999, 0, ServerId(900), AttemptResult::Served));
@@ -447,7 +447,7 @@
     assert!(at < Micros(SECOND + 125_000), "well before half of the time to its aim");
     let end = step(&mut b, at.0, Event::Timer(token));
     assert!(matches!(end[..], [Action::Reject { .. }]), "{end:?}");
-    assert!(b.queue.is_empty() && b.open_requests.is_empty() && b.open_requests.parked_len() == 0);
+    assert!(b.origin_queue.is_empty() && b.open_requests.is_empty() && b.open_requests.parked_len() == 0);
 }
 
 /// A read whose cache stands still is sent to the origin as well, a tenth of them and where the site
@@ -537,12 +537,16 @@
 #[test]
 fn a_limit_that_holds_says_which_it_is_and_none_says_nothing() {
     let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(2));
-    assert!(b.limits(Micros(SECOND)).0.iter().all(|limit| limit.holds().is_none()));
+    assert!(b.limits(Micros(SECOND)).servers.iter().all(|limit| limit.binding_limit().is_none()));
     fill_origin(&mut b);
     b.endpoints.server_mut(ServerId(1)).expect("listed").gap = gapped(9);
     step(&mut b, SECOND, Event::Request(Request { is_write: true, ..request(1, SECOND, 7) }));
-    let (limits, waiting) = b.limits(Micros(SECOND + 1));
-    let held: Vec<_> = limits.iter().map(|limit| (limit.server.0, limit.holds())).collect();
+    let limits = b.limits(Micros(SECOND + 1));
+    let held: Vec<_> = limits
+        .servers
+        .iter()
+        .map(|limit| (limit.server.0, limit.binding_limit().map(BindingLimit::label)))
+        .collect();
     assert_eq!(held, [(0, None), (1, Some("gap")), (900, Some("places"))]);
-    assert_eq!(waiting, 1);
+    assert_eq!(limits.waiting_for_origin, 1);
 }
--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -55,6 +55,17 @@
     ) -> bool;
 }
 
+/// What a completed attempt shows of its server's load.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Evidence {
+    /// It takes requests.
+    Accepted,
+    /// It is overloaded or out of reach.
+    Rejected,
+    /// Nothing.
+    Inconclusive,
+}
+
 /// The [`Coordination`] in use, if there is any.
 #[derive(Debug, Default)]
 pub(crate) struct OptionalCoordination(pub(crate) Option<Box<dyn Coordination>>);
@@ -119,24 +130,28 @@
         shared.on_endpoints_changed(&serving);
     }
 
-    /// Whether an attempt may go to this cache server as far as the other balancers are concerned.
-    pub(crate) fn admits(
+    /// Whether to pass over this cache server because other balancers report it silent.
+    pub(crate) fn is_suspected(
         &mut self,
         now: Micros,
-        to: &Endpoint,
+        server: &Endpoint,
         last_response: Micros,
         sends_per_s: f64,
     ) -> bool {
+        let Some(shared) = &mut self.0 else { return false };
+        shared.is_suspected(server.server, server.started, last_response, sends_per_s, now)
+    }
+
+    /// Whether an attempt may go to this cache server by the limit that balancers share while it is in slow start. Being
+    /// denied counts as need.
+    pub(crate) fn allows_slow_start(&mut self, now: Micros, server: &Endpoint) -> bool {
         let Some(shared) = &mut self.0 else { return true };
-        if shared.is_suspected(to.server, to.started, last_response, sends_per_s, now) {
-            return false;
-        }
-        let slow_start = SharedLimit::SlowStart(to.server, to.started);
-        let exhausted = shared.wait_time(slow_start, now).is_some_and(|wait| wait.0 > 0);
-        if exhausted {
-            shared.on_rejected(slow_start, now);
+        let limit = SharedLimit::SlowStart(server.server, server.started);
+        let is_exhausted = shared.wait_time(limit, now).is_some_and(|wait| wait > Micros::ZERO);
+        if is_exhausted {
+            shared.on_rejected(limit, now);
         }
-        !exhausted
+        !is_exhausted
     }
 
     /// Reports whether an attempt showed a server as silent. One that rejects is not silent, and what it rejects says
@@ -146,11 +161,11 @@
         now: Micros,
         at: &Endpoint,
         result: AttemptResult,
-        rejected: Option<bool>,
+        evidence: Evidence,
     ) {
         let silent = match result {
-            AttemptResult::Served | AttemptResult::Miss if rejected == Some(false) => false,
-            AttemptResult::Timeout | AttemptResult::ConnectFailed if rejected == Some(true) => true,
+            AttemptResult::Served | AttemptResult::Miss if evidence == Evidence::Accepted => false,
+            AttemptResult::Timeout | AttemptResult::ConnectFailed if evidence == Evidence::Rejected => true,
             _ => return,
         };
         if let Some(shared) = &mut self.0 {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -72,10 +72,9 @@
 mod time;
 
 pub use action::{Action, RejectReason};
-pub use balancer::view::LimitView;
 pub use balancer::{
-    BackoffRange, Balancer, DiscoveryBackoff, DISCOVERY_BACKOFF, MAX_POLL_INTERVAL, MIN_DISCOVERY_PAUSE,
-    START_SPREAD_SHARE,
+    BackoffRange, Balancer, BindingLimit, DiscoveryBackoff, LimitView, LimitsView, DISCOVERY_BACKOFF,
+    MAX_POLL_INTERVAL, MIN_DISCOVERY_PAUSE, START_SPREAD_SHARE,
 };
 pub use coordination::{Coordination, ServingServer, SharedLimit};
 pub use endpoint::{Endpoint, EndpointState, EndpointUpdate, ServerId};
