--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,6 +1,8 @@
-//! What a command costs the decision module, from its arrival to its answer, as the fleet grows: one in
+//! What a request costs the decisions, from its arrival to its answer, as the fleet grows: one in
 //! ten a write, one read in twenty missing and fetched. `cargo bench --bench decision`.
 
+use std::collections::VecDeque;
+
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
 use juniperladder::*;
 
@@ -17,7 +19,7 @@
     }
 }
 
-fn balancer(hosts: u64) -> Balancer {
+fn balancer(cache_servers: u64) -> Balancer {
     let settings = Settings {
         balancers: 3,
         zone: 0,
@@ -42,7 +44,7 @@
             slow_start_duration: Micros(9_000_000),
         },
     };
-    let entry = |server: u64, kind: u32| Endpoint {
+    let endpoint = |server: u64, kind: u32| Endpoint {
         server: ServerId(server),
         zone: (server % 3) as u32,
         kind,
@@ -51,80 +53,100 @@
         weight: 1.0 + (server % 2) as f64,
         started: Micros(0),
     };
-    let list: Vec<Endpoint> = (0..hosts).map(|n| entry(n, 0)).chain([entry(hosts, 1)]).collect();
+    let list: Vec<Endpoint> =
+        (0..cache_servers).map(|n| endpoint(n, 0)).chain([endpoint(cache_servers, 1)]).collect();
     let mut balancer = Balancer::new(settings, 7);
     balancer.handle(Micros(1), Event::EndpointsChanged(EndpointUpdate::Restored, &list), &mut vec![]);
     balancer
 }
 
-/// Drives commands through the module, each to its end, with 30 open at a time.
+/// An attempt in flight.
+struct Attempt {
+    sent: u64,
+    request: RequestId,
+    server: ServerId,
+    number: u32,
+}
+
+/// Drives requests through the balancer, each to its end, with 30 open at a time.
 struct Drive {
     balancer: Balancer,
     actions: Vec<Action>,
-    open: std::collections::VecDeque<(u64, RequestId, ServerId, u32)>,
-    hosts: u64,
+    /// Attempts in flight, oldest first.
+    in_flight: VecDeque<Attempt>,
+    /// The number of cache servers, which is the id of the origin.
+    cache_servers: u64,
     now: u64,
     count: u64,
 }
 
 impl Drive {
-    fn command(&mut self) {
+    fn request(&mut self) {
         self.count += 1;
         self.now += 2_000;
         let mut id = [b'0'; 36];
         id[..8].copy_from_slice(&self.count.to_be_bytes());
         let mixed = self.count.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33;
-        let write = self.count.is_multiple_of(10);
+        let is_write = self.count.is_multiple_of(10);
         let request = Request {
             id: RequestId(id),
             deadline: Micros(self.now + 1_100_000),
             expected_work: None,
             key: Some(Key((mixed % 400) * (mixed % 7) % 400)),
-            is_write: write,
-            class: u32::from(write),
+            is_write,
+            class: u32::from(is_write),
             tenant: 0,
             is_client_retry: false,
         };
-        self.tell(Event::Request(request));
-        while self.open.len() > 30 {
-            let Some((sent, id, server, attempt)) = self.open.pop_front() else { return };
-            let cache = server.0 != self.hosts;
-            let miss = cache && (sent / 2_000).is_multiple_of(20);
-            let outcome = CompletedAttempt {
-                id,
+        self.handle(Event::Request(request));
+        while self.in_flight.len() > 30 {
+            let Some(Attempt { sent, request, server, number }) = self.in_flight.pop_front() else { return };
+            let is_cache = server.0 != self.cache_servers;
+            let is_miss = is_cache && (sent / 2_000).is_multiple_of(20);
+            let completed = CompletedAttempt {
+                id: request,
                 server,
-                attempt,
+                attempt: number,
                 latency: Micros(self.now - sent),
-                result: if miss { AttemptResult::Miss } else { AttemptResult::Served },
-                request_closed: !miss,
+                result: if is_miss { AttemptResult::Miss } else { AttemptResult::Served },
+                request_closed: !is_miss,
                 fetch_in_progress: false,
             };
-            self.tell(Event::AttemptCompleted(outcome));
+            self.handle(Event::AttemptCompleted(completed));
         }
     }
 
-    fn tell(&mut self, event: Event) {
-        let attempt = match &event {
-            Event::AttemptCompleted(outcome) => outcome.attempt + 1,
+    fn handle(&mut self, event: Event) {
+        let number = match &event {
+            Event::AttemptCompleted(completed) => completed.attempt + 1,
             _ => 0,
         };
         self.balancer.handle(Micros(self.now), event, &mut self.actions);
         for action in self.actions.drain(..) {
             if let Action::Send { id, server, .. } = action {
-                self.open.push_back((self.now, id, server, attempt));
+                self.in_flight.push_back(Attempt { sent: self.now, request: id, server, number });
             }
         }
     }
 }
 
 fn decision(criterion: &mut Criterion) {
-    let mut group = criterion.benchmark_group("command");
+    let mut group = criterion.benchmark_group("request");
     group.throughput(Throughput::Elements(1));
-    for hosts in [10, 20, 50, 100, 200, 500, 1_024] {
-        let (actions, open) = (vec![], Default::default());
-        let mut drive = Drive { balancer: balancer(hosts), actions, open, hosts, now: 10, count: 0 };
-        (0..4_000).for_each(|_| drive.command());
-        group.bench_function(BenchmarkId::from_parameter(hosts), |bench| bench.iter(|| drive.command()));
+    for cache_servers in [10, 20, 50, 100, 200, 500, 1_024] {
+        let mut drive = Drive {
+            balancer: balancer(cache_servers),
+            actions: vec![],
+            in_flight: VecDeque::new(),
+            cache_servers,
+            now: 10,
+            count: 0,
+        };
+        for _ in 0..4_000 {
+            drive.request();
+        }
+        let id = BenchmarkId::from_parameter(cache_servers);
+        group.bench_function(id, |bench| bench.iter(|| drive.request()));
     }
     group.finish();
 }
--- a/src/balancer/tests/capacity.rs
+++ b/src/balancer/tests/capacity.rs
@@ -1,11 +1,11 @@
-//! Measures the data path by number of balancers for docs/CAPACITY.md, in virtual time and seeded. Nothing is asserted
-//! here and nothing of it runs in CI: each entry point prints rows of comma-separated values.
+//! Measures the data path by number of balancers for docs/CAPACITY.md, in virtual time and seeded. Nothing is
+//! asserted here and nothing of it runs in CI: each entry point prints rows of comma-separated values.
 //!
 //! `cargo test --release -p juniperladder --locked capacity_ -- --ignored --nocapture --test-threads 1`
 
 use std::collections::BTreeMap;
 
-use super::miniature::{play_scaled, Day, Plan, Scale};
+use super::simulation::{play_scaled, Day, Plan, Scale, Silence, Slowdown};
 use super::*;
 
 const SIZES: [usize; 5] = [125, 250, 500, 1_000, 2_000];
@@ -21,18 +21,26 @@
 /// As many workers and keys as keep the utilisation while the number of balancers grows.
 fn scale(balancers: usize) -> Scale {
     let workers = balancers as f64 * PAIR_RATE / UTILISATION / WORKER_RATE;
-    Scale { times: (workers / 2.0).round() as u64, ..Scale::default() }
+    Scale { factor: (workers / 2.0).round() as u64, ..Scale::default() }
 }
 
 fn plan(balancers: usize, seed: u64, seconds: u64) -> Plan {
     let rate = balancers as f64 * CACHES as f64 * PAIR_RATE;
-    Plan { seed, balancers, caches: CACHES, rate, seconds, slow: (0, 0, 1.0), silent: (0, 0, 1) }
+    Plan {
+        seed,
+        balancers,
+        caches: CACHES,
+        rate,
+        seconds,
+        slow_origin: Slowdown::NONE,
+        silence: Silence::NONE,
+    }
 }
 
 /// Greatest load over mean load of the caches, over these seconds.
 fn peak_over_mean(day: &Day, from: usize, to: usize) -> f64 {
-    let load = |cache: usize| day.sends[from..to].iter().map(|second| second[cache]).sum::<f64>();
-    let loads: Vec<f64> = (0..day.sends[0].len()).map(load).collect();
+    let load = |cache: usize| day.cache_sends[from..to].iter().map(|second| second[cache]).sum::<f64>();
+    let loads: Vec<f64> = (0..day.cache_sends[0].len()).map(load).collect();
     let mean = loads.iter().sum::<f64>() / loads.len() as f64;
     loads.into_iter().fold(0.0, f64::max) / mean
 }
@@ -52,13 +60,13 @@
     println!("balancers,seed,served,peak_over_mean,attempts_per_request,fetches_per_request");
     each_size(|balancers, seed| {
         let day = play_scaled(plan(balancers, seed, 10), scale(balancers));
-        let asked: f64 = day.asked[..10].iter().sum();
+        let requested: f64 = day.requested[..10].iter().sum();
         println!(
             "{balancers},{seed},{:.4},{:.3},{:.4},{:.4}",
-            day.share(5, 10),
+            day.served_share(5, 10),
             peak_over_mean(&day, 5, 10),
-            day.attempts / asked,
-            day.fetches.iter().sum::<f64>() / asked
+            day.sends / requested,
+            day.fetches.iter().sum::<f64>() / requested
         );
     });
 }
@@ -73,19 +81,19 @@
         for seed in SEEDS {
             let rate = BALANCERS as f64 * caches as f64 * PAIR_RATE;
             let day = play_scaled(Plan { caches, rate, ..plan(BALANCERS, seed, 6) }, scale(BALANCERS));
-            let asked: f64 = day.asked[..6].iter().sum();
+            let requested: f64 = day.requested[..6].iter().sum();
             println!(
                 "{caches},{seed},{:.4},{:.3},{:.4}",
-                day.share(3, 6),
+                day.served_share(3, 6),
                 peak_over_mean(&day, 3, 6),
-                day.attempts / asked
+                day.sends / requested
             );
         }
     }
 }
 
-/// One cache has a tenth, or a hundredth, of its strength from second 4 to 12: what is sent there over what it can do,
-/// in the first second and once all have had four.
+/// One cache has a tenth, or a hundredth, of its strength from second 4 to 12: what is sent there over what
+/// it can do, in the first second and once all have had four.
 #[test]
 #[ignore = "measures for docs/CAPACITY.md, minutes in a release build"]
 fn capacity_overloaded_server() {
@@ -96,25 +104,25 @@
 }
 
 fn overloaded_server(balancers: usize, seed: u64, times: f64) {
-    let scale = Scale { slow_cache: (5, 13, times), ..scale(balancers) };
+    let scale = Scale { slow_cache: Slowdown { from: 5, to: 13, factor: times }, ..scale(balancers) };
     let day = play_scaled(plan(balancers, seed, 12), scale);
-    let can = scale.cache_rate() / times;
-    let load: Vec<f64> = (4..12).map(|second| day.sends[second][1]).collect();
+    let capacity = scale.cache_rate() / times;
+    let load: Vec<f64> = (4..12).map(|second| day.cache_sends[second][1]).collect();
     let settled = load[4..].iter().sum::<f64>() / 4.0;
-    let demand = day.sends[..4].iter().map(|second| second[1]).sum::<f64>() / 4.0;
+    let demand = day.cache_sends[..4].iter().map(|second| second[1]).sum::<f64>() / 4.0;
     println!(
         "{times},{balancers},{seed},{:.2},{:.2},{:.2},{:.2},{:.2},{:.4},{:.3}",
-        demand / can,
-        load[0] / can,
-        settled / can,
-        load[4..].iter().copied().fold(f64::MAX, f64::min) / can,
-        load[4..].iter().copied().fold(0.0, f64::max) / can,
-        day.share(8, 12),
+        demand / capacity,
+        load[0] / capacity,
+        settled / capacity,
+        load[4..].iter().copied().fold(f64::MAX, f64::min) / capacity,
+        load[4..].iter().copied().fold(0.0, f64::max) / capacity,
+        day.served_share(8, 12),
         settled / balancers as f64
     );
 }
 
-/// All caches are asked for twice what they can do.
+/// All cache servers get twice what they can do.
 #[test]
 #[ignore = "measures for docs/CAPACITY.md, minutes in a release build"]
 fn capacity_overloaded_fleet() {
@@ -123,18 +131,23 @@
         let scale = scale(balancers);
         let calm = plan(balancers, seed, 10);
         let day = play_scaled(Plan { rate: calm.rate * 2.0 / UTILISATION, ..calm }, scale);
-        let can = CACHES as f64 * scale.cache_rate();
+        let capacity = CACHES as f64 * scale.cache_rate();
         // The origin has as many workers as all caches and takes half as long again.
-        let origin = can / 1.5;
-        let admitted = day.sends[5..10].iter().flatten().sum::<f64>() / 5.0;
+        let origin_capacity = capacity / 1.5;
+        let admitted = day.cache_sends[5..10].iter().flatten().sum::<f64>() / 5.0;
         let useful = day.served[5..10].iter().sum::<f64>() / 5.0;
         let fetches = day.fetches[5..10].iter().sum::<f64>() / 5.0;
-        println!("{balancers},{seed},{:.3},{:.3},{:.3}", admitted / can, useful / can, fetches / origin);
+        println!(
+            "{balancers},{seed},{:.3},{:.3},{:.3}",
+            admitted / capacity,
+            useful / capacity,
+            fetches / origin_capacity
+        );
     });
 }
 
-/// Two caches of twelve are silent for three seconds and come back cold: the most sends in a second over what a cold
-/// one can do then, and the most by which they passed what it bears and chance together.
+/// Two caches of twelve are silent for three seconds and restart: the most sends in a second over what one
+/// in slow start can do then, and the most by which they passed what it bears and chance together.
 #[test]
 #[ignore = "measures for docs/CAPACITY.md, minutes in a release build"]
 fn capacity_cold_server() {
@@ -142,14 +155,14 @@
         "cold,balancers,seed,most_over_capacity,over_chance,served_meanwhile,sends_lost,lost_per_balancer"
     );
     each_size(|balancers, seed| {
-        let plan = Plan { silent: (4, 7, 6), ..plan(balancers, seed, 14) };
+        let plan = Plan { silence: Silence { from: 4, to: 7, every: 6 }, ..plan(balancers, seed, 14) };
         let day = play_scaled(plan, scale(balancers));
-        let lost: f64 = day.lost.iter().sum();
+        let lost: f64 = day.lost_sends.iter().sum();
         println!(
             "{balancers},{seed},{:.3},{:.1},{:.4},{lost:.0},{:.2}",
-            day.pushed,
-            day.over_chance,
-            day.share(3, 6),
+            day.peak_slow_start_load,
+            day.excess_over_chance,
+            day.served_share(3, 6),
             lost / balancers as f64
         );
     });
@@ -157,8 +170,10 @@
 
 /// Discovery's calls, answered in turn.
 struct CallQueue {
-    service: u64,
-    free: u64,
+    /// Microseconds for one call.
+    service_time: u64,
+    /// When the next call can be begun.
+    free_at: u64,
 }
 
 impl CallQueue {
@@ -167,17 +182,17 @@
 
     /// When a call that comes now is answered, or given up.
     fn call(&mut self, now: u64) -> Result<u64, u64> {
-        let begin = self.free.max(now);
-        if begin + self.service > now + Self::PATIENCE {
+        let begin = self.free_at.max(now);
+        if begin + self.service_time > now + Self::PATIENCE {
             return Err(now + Self::PATIENCE);
         }
-        self.free = begin + self.service;
-        Ok(self.free)
+        self.free_at = begin + self.service_time;
+        Ok(self.free_at)
     }
 }
 
-/// Two balancers in five start at once before a discovery that answers calls in turn: when half, 99% and all of them
-/// have their list, and how many calls that took.
+/// Two balancers in five start at once before a discovery that answers calls in turn: when half, 99% and all
+/// of them have their list, and how many calls that took.
 #[test]
 #[ignore = "measures for docs/CAPACITY.md"]
 fn capacity_discovery_wave() {
@@ -188,36 +203,38 @@
 }
 
 fn discovery_wave(balancers: usize, seed: u64, service_ms: u64) {
-    let mut settings = settings(Idempotency::Idempotent, DeduplicationScope::All);
-    (settings.subscribe, settings.balancers) = (true, balancers as u32);
+    let mut settings = idempotent_settings();
+    settings.subscribe = true;
+    settings.balancers = balancers as u32;
     let callers = balancers * 2 / 5;
-    let mut wave: Vec<Balancer> =
+    let mut starting: Vec<Balancer> =
         (0..callers as u64).map(|n| Balancer::new(settings.clone(), seed * 10_000 + n)).collect();
-    let known = super::fleet(6);
+    let list = endpoints(6);
     let mut due = BTreeMap::new();
-    let plan = |due: &mut BTreeMap<(u64, usize), bool>, n: usize, actions: &[Action]| match actions {
+    let schedule = |due: &mut BTreeMap<(u64, usize), bool>, n: usize, actions: &[Action]| match actions {
         [Action::Timer { at, .. }] => due.insert((at.0, n), true),
         other => panic!("{other:?}"),
     };
-    for (n, balancer) in wave.iter_mut().enumerate() {
-        let actions = step(balancer, SECOND, Event::EndpointsChanged(EndpointUpdate::Restored, &known));
-        plan(&mut due, n, &actions);
+    for (n, balancer) in starting.iter_mut().enumerate() {
+        let actions = handle(balancer, SECOND, Event::EndpointsChanged(EndpointUpdate::Restored, &list));
+        schedule(&mut due, n, &actions);
     }
-    let mut queue = CallQueue { service: service_ms * 1_000, free: 0 };
+    let mut queue = CallQueue { service_time: service_ms * 1_000, free_at: 0 };
     let (mut listed, mut calls) = (Vec::new(), BTreeMap::<u64, usize>::new());
     while let Some(((now, n), is_call)) = due.pop_first() {
         if !is_call {
-            let actions = step(&mut wave[n], now, Event::EndpointsChanged(EndpointUpdate::Unavailable, &[]));
-            plan(&mut due, n, &actions);
+            let actions =
+                handle(&mut starting[n], now, Event::EndpointsChanged(EndpointUpdate::Unavailable, &[]));
+            schedule(&mut due, n, &actions);
             continue;
         }
-        if step(&mut wave[n], now, Event::Timer(DISCOVERY_TIMER)) != [Action::WatchEndpoints] {
+        if handle(&mut starting[n], now, Event::Timer(DISCOVERY_TIMER)) != [Action::WatchEndpoints] {
             continue;
         }
         *calls.entry(now / SECOND).or_default() += 1;
         match queue.call(now) {
             Ok(at) => {
-                step(&mut wave[n], at, Event::EndpointsChanged(EndpointUpdate::Snapshot, &known));
+                handle(&mut starting[n], at, Event::EndpointsChanged(EndpointUpdate::Snapshot, &list));
                 listed.push((at - SECOND) as f64 / 1e6);
             }
             Err(at) => {
--- /dev/null
+++ b/src/balancer/tests/concurrency_limit.rs
@@ -0,0 +1,114 @@
+//! The limit on attempts in flight at one server.
+
+use super::*;
+
+proptest! {
+    #![proptest_config(ProptestConfig {
+        cases: 200,
+        failure_persistence: None,
+        rng_algorithm: prop::test_runner::RngAlgorithm::ChaCha,
+        rng_seed: prop::test_runner::RngSeed::Fixed(12),
+        ..ProptestConfig::default()
+    })]
+
+    /// A server that responds well again has its limit back: each fast response that finds it in use raises
+    /// it. The latency of a server that has become slower for good is the baseline in half an hour.
+    #[test]
+    fn limit_recovers_whatever_came_before(seed: u64, steps in 1usize..400, slower in 1u64..6) {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let (mut concurrency, mut now) = (ConcurrencyLimit::new(3), SECOND);
+        for _ in 0..steps {
+            now += rng.u64(1..60_000);
+            let is_write = rng.bool();
+            if concurrency.has_capacity(Micros(now), is_write) {
+                concurrency.reserve(is_write);
+                let latency = Micros(rng.u64(1_000..900_000));
+                let is_timeout = rng.f64() < 0.3;
+                concurrency.release(Micros(now), is_write, is_timeout.then_some(latency));
+                if is_timeout {
+                    concurrency.on_timeout(Micros(now), latency, seed.is_multiple_of(2));
+                } else {
+                    concurrency.on_response(Micros(now), latency);
+                }
+            }
+            prop_assert!(concurrency.limit >= 1.0);
+        }
+        let latency = 100_000 * slower;
+        let end = now + 1_800 * SECOND;
+        while concurrency.limit < 8.0 {
+            prop_assert!(now < end, "limit {}", concurrency.limit);
+            now += latency;
+            while concurrency.has_capacity(Micros(now), true) {
+                concurrency.reserve(true);
+            }
+            concurrency.release(Micros(now), true, None);
+            concurrency.on_response(Micros(now), Micros(latency));
+        }
+        prop_assert!((latency as f64) < 1.6 * concurrency.baseline_latency, "it is fast again");
+    }
+}
+
+/// Under one attempt at a slow origin: reads pause between sends, a write goes as soon as nothing else is in
+/// flight. Three hundred balancers once served a quarter of their writes while reads that could not be in
+/// time took the rest.
+#[test]
+fn limit_below_one_admits_a_write_before_reads() {
+    let (now, mut concurrency) = (Micros(60 * SECOND), ConcurrencyLimit::new(300));
+    concurrency.on_response(Micros(SECOND), Micros(70_000));
+    for n in 0..12 {
+        concurrency.on_timeout(Micros((10 + n) * SECOND), Micros(SECOND / 2), true);
+    }
+    assert!(concurrency.limit < 0.7, "{}", concurrency.limit);
+    concurrency.reserve(true);
+    assert!(!concurrency.has_capacity(now, true) && !concurrency.has_capacity(now, false), "one at a time");
+    concurrency.release(now, true, None);
+    assert!(concurrency.has_capacity(now, true) && !concurrency.has_capacity(now, false));
+    assert!(concurrency.has_capacity(now + Micros(30 * SECOND), false), "a read's time comes");
+}
+
+#[test]
+fn abandoned_attempt_counts_as_in_flight_as_long_again() {
+    let mut concurrency = ConcurrencyLimit::new(6);
+    let now = Micros(SECOND);
+    (0..2).for_each(|_| concurrency.reserve(false));
+    assert!(!concurrency.has_capacity(now, true));
+    concurrency.release(now, false, Some(Micros(400_000)));
+    assert!(!concurrency.has_capacity(Micros(SECOND + 399_999), true), "the server still works on it");
+    assert!(concurrency.has_capacity(Micros(SECOND + 400_000), true));
+}
+
+#[test]
+fn reads_keep_their_share_while_writes_fill_the_limit() {
+    let mut concurrency = ConcurrencyLimit::new(1);
+    while concurrency.has_capacity(Micros(1), true) {
+        concurrency.reserve(true);
+    }
+    let before = concurrency.in_flight();
+    while concurrency.has_capacity(Micros(1), false) {
+        concurrency.reserve(false);
+    }
+    assert_eq!((before, concurrency.in_flight()), (7.0, 9.0));
+}
+
+/// A client that is about to leave waits no meaningful time: its time-outs once limited healthy servers, and
+/// the retries that this caused fed them.
+#[test]
+fn short_timeouts_do_not_decrease_the_limit() {
+    for (latency, is_decreased) in [(20_000, false), (600_000, true)] {
+        let mut balancer = new_balancer(idempotent_settings(), &endpoints(1));
+        for n in 0..200 {
+            let now = SECOND + n * 200_000;
+            let Some(to) = sent_to(&handle(&mut balancer, now, Event::Request(request(n, now, 7)))) else {
+                continue;
+            };
+            let is_served = n < 40;
+            let result = if is_served { AttemptResult::Served } else { AttemptResult::Timeout };
+            let latency = Micros(if is_served { 100_000 } else { latency });
+            let ended = completed_attempt(n, 0, to, result);
+            let ended = CompletedAttempt { request_closed: is_served, latency, ..ended };
+            handle(&mut balancer, now + latency.0, Event::AttemptCompleted(ended));
+        }
+        let server = balancer.endpoints.server_mut(ServerId(0)).expect("listed");
+        assert_eq!(server.concurrency.limit < 2.0, is_decreased, "{latency}");
+    }
+}
--- /dev/null
+++ b/src/balancer/tests/gap_ladder.rs
@@ -0,0 +1,193 @@
+//! The gap of one server, and what makes balancers gap a server.
+
+use super::*;
+
+fn ladder() -> GapLadder {
+    ladder_of(3)
+}
+
+fn ladder_of(balancers: u32) -> GapLadder {
+    GapLadder::new(&idempotent_settings(), balancers)
+}
+
+/// The outcome of a send between these times, in microseconds.
+fn send_outcome(sent: u64, completed: u64, is_rejected: bool) -> SendOutcome {
+    SendOutcome { sent: Micros(sent), completed: Micros(completed), is_rejected }
+}
+
+/// Gives a gap outcomes that are `interval` apart, true for a rejection; returns the time of the last one.
+fn feed(gap: &mut Gap, from: u64, interval: u64, outcomes: &[bool]) -> u64 {
+    let mut now = from;
+    for is_rejected in outcomes {
+        now += interval;
+        gap.on_outcome(send_outcome(now - 1, now, *is_rejected), &ladder(), 0.0);
+    }
+    now
+}
+
+#[test]
+fn rungs_grow_by_the_ratio_up_to_the_longest_deadline() {
+    let ladder = ladder();
+    assert_eq!(ladder.length(0), Micros(0));
+    for rung in 1..ladder.top {
+        let ratio = ladder.length(rung + 1).0 as f64 / ladder.length(rung).0 as f64;
+        assert!((ratio - RUNG_RATIO).abs() < 0.01, "rung {rung}: {ratio}");
+    }
+    assert!(ladder.length(ladder.top) <= Micros(SECOND) && ladder.length(ladder.top + 1) > Micros(SECOND));
+}
+
+#[test]
+fn rejected_share_gaps_only_above_the_threshold() {
+    let mut healthy = Gap::default();
+    feed(&mut healthy, 2 * SECOND, 100_000, &[false, false, true, false].repeat(20));
+    assert_eq!(healthy.rung, 0);
+    let mut overloaded = Gap::default();
+    feed(&mut overloaded, 2 * SECOND, 100_000, &[true, false, true, true]);
+    assert!(overloaded.rung > 0);
+}
+
+#[test]
+fn rejections_seconds_apart_do_not_gap() {
+    let mut gap = Gap::default();
+    feed(&mut gap, 20 * SECOND, 3 * SECOND, &[true, true, true, true]);
+    assert_eq!(gap.rung, 0, "rejections seconds apart must not gap a server");
+}
+
+#[test]
+fn first_gap_is_that_of_the_rate_that_was_served() {
+    // Ten a second, half of them served: five a second pass from now on, at the nearest rungs.
+    let mut gap = Gap::default();
+    gap.on_send(Micros(SECOND), 0);
+    feed(&mut gap, 2 * SECOND, 100_000, &[true, false, true, false, true, false]);
+    let length = ladder().length(gap.rung).0;
+    assert!((150_000..=300_000).contains(&length), "{length}");
+}
+
+/// The answers to what filled a server come for a second after it was gapped; counting them as the gap's
+/// doing once drove it to the top.
+#[test]
+fn outcomes_of_sends_before_a_raise_do_not_raise_again() {
+    let mut gap = Gap::default();
+    let now = feed(&mut gap, 2 * SECOND, 50_000, &[true; 4]);
+    let rung = gap.rung;
+    assert!(rung > 0);
+    for late in 1..40 {
+        gap.on_outcome(send_outcome(now - 1, now + late * 20_000, true), &ladder(), 0.0);
+    }
+    assert_eq!(gap.rung, rung);
+}
+
+#[test]
+fn gap_shrinks_in_steps_and_rejections_renew_it() {
+    let mut gap = gapped(12);
+    feed(&mut gap, 2 * SECOND, 300_000, &[false, false]);
+    assert_eq!(gap.rung, 6);
+    let mut renewed = gapped(10);
+    feed(&mut renewed, 2 * SECOND, 300_000, &[true]);
+    assert!(renewed.rung > 10 && renewed.until > Micros(2 * SECOND), "a high share raises and renews it");
+    let mut ended = gapped(9);
+    ended.until = Micros(5 * SECOND);
+    assert!(ended.is_active(Micros(5 * SECOND - 1)) && !ended.is_active(Micros(5 * SECOND)));
+}
+
+#[test]
+fn one_send_passes_per_gap_and_source() {
+    let ladder = ladder();
+    let mut gap = gapped(9);
+    let length = ladder.length(9).0;
+    let mut passed = [0u64; 2];
+    for now in (3 * SECOND..3 * SECOND + 10 * length).step_by(1_000) {
+        for source in 0..2 {
+            if gap.wait(Micros(now), source, &ladder).0 == 0 {
+                gap.on_send(Micros(now), source);
+                passed[source as usize] += 1;
+            }
+        }
+    }
+    assert_eq!(passed, [10, 10]);
+}
+
+#[test]
+fn gaps_with_different_draws_end_at_different_times() {
+    let until = |draw: f64| {
+        let mut gap = Gap::default();
+        for i in 0..6 {
+            gap.on_outcome(send_outcome(3 * SECOND, 3 * SECOND + i * 30_000, true), &ladder(), draw);
+        }
+        gap.until
+    };
+    assert!(until(0.9) > until(0.1));
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig {
+        cases: 200,
+        failure_persistence: None,
+        rng_algorithm: prop::test_runner::RngAlgorithm::ChaCha,
+        rng_seed: prop::test_runner::RngSeed::Fixed(12),
+        ..ProptestConfig::default()
+    })]
+
+    /// With demand it is gone 3 longest deadlines after its cause, without demand after 8 of them.
+    #[test]
+    fn gap_ends_whatever_came_before(seed: u64, steps in 1usize..400) {
+        let ladder = ladder();
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let (mut gap, mut now) = (Gap::default(), SECOND);
+        let rejected_share = rng.f64();
+        for _ in 0..steps {
+            now += rng.u64(1..60_000);
+            if gap.wait(Micros(now), 0, &ladder).0 == 0 {
+                gap.on_send(Micros(now), 0);
+                let sent = now - rng.u64(0..400_000);
+                gap.on_outcome(send_outcome(sent, now, rng.f64() < rejected_share), &ladder, rng.f64());
+            }
+        }
+        prop_assert!(!gap.is_active(Micros(now + 8 * SECOND)), "without demand");
+        let end = now + 3 * SECOND;
+        while now < end {
+            now += 10_000;
+            if gap.wait(Micros(now), 0, &ladder).0 == 0 {
+                gap.on_send(Micros(now), 0);
+                gap.on_outcome(send_outcome(now - 1, now, false), &ladder, rng.f64());
+            }
+        }
+        prop_assert!(!gap.is_active(Micros(now)), "rung {} with demand", gap.rung);
+    }
+}
+
+/// One of a hundred balancers sends to a server every few seconds: a window of four outcomes never fills, and
+/// it once sent on to servers that had been silent for half a minute.
+#[test]
+fn one_of_many_balancers_gaps_a_silent_server_at_the_first_timeout() {
+    for (balancers, is_gapped) in [(3, false), (100, true)] {
+        let (ladder, mut gap, mut now) = (ladder_of(balancers), Gap::default(), 20 * SECOND);
+        gap.on_outcome(send_outcome(now - SECOND, now, true), &ladder, 0.5);
+        assert_eq!(gap.is_active(Micros(now)), is_gapped, "{balancers} balancers");
+        for _ in 0..5 {
+            now += 4 * SECOND;
+            gap.on_outcome(send_outcome(now - SECOND, now, true), &ladder, 0.5);
+        }
+        assert_eq!(gap.is_active(Micros(now)), is_gapped, "{balancers} balancers");
+    }
+    let sends_of_all = |n: u32| f64::from(n) / ladder_of(n).length(ladder_of(n).top).0 as f64;
+    assert!(sends_of_all(100) < 9.0 * sends_of_all(3), "sends to a dead server by all together");
+}
+
+#[test]
+fn resets_and_errors_do_not_gap_but_rejections_do() {
+    for (result, is_gapped) in
+        [(AttemptResult::Reset, false), (AttemptResult::Error, false), (AttemptResult::Rejected, true)]
+    {
+        let mut balancer = new_balancer(idempotent_settings(), &endpoints(1));
+        for n in 0..40 {
+            let now = SECOND + n * 50_000;
+            let server = sent_to(&handle(&mut balancer, now, Event::Request(request(n, now, 7))));
+            if server == Some(ServerId(0)) {
+                handle(&mut balancer, now + 10_000, completed(n, 0, ServerId(0), result));
+            }
+        }
+        let gap = &balancer.endpoints.server_mut(ServerId(0)).unwrap().gap;
+        assert_eq!(gap.rung > 0, is_gapped, "{result:?}");
+    }
+}
--- /dev/null
+++ b/src/balancer/tests/hedging.rs
@@ -0,0 +1,89 @@
+//! When an attempt without an answer is hedged, and what its silence shows.
+
+use super::*;
+
+/// Who seldom meets a server knows little of it: where it has not responded lately, the hedged request goes
+/// sooner.
+#[test]
+fn server_without_a_recent_response_is_hedged_sooner() {
+    let mut settings = idempotent_settings();
+    settings.limits.may_duplicate = true;
+    let mut balancer = new_balancer(settings, &endpoints(1));
+    let mut hedge_delay = |n: u64, now: u64| {
+        let sends = handle(&mut balancer, now, Event::Request(request(n, now, n)));
+        let [Action::Send { server, .. }, Action::Timer { at, .. }] = sends[..] else { panic!("{sends:?}") };
+        let end = closing(n, 0, server, AttemptResult::Served);
+        handle(&mut balancer, now + 20_000, end);
+        at.0 - now
+    };
+    let (first, soon, later) =
+        (hedge_delay(1, SECOND), hedge_delay(2, SECOND + 50_000), hedge_delay(3, 9 * SECOND));
+    assert!(soon > 150_000 && later < 110_000 && first == later, "{first} {soon} {later}");
+}
+
+/// A server whose response is overdue is gapped when the hedged request is due, unless all servers are as
+/// slow.
+#[test]
+fn silence_gaps_a_server_only_where_others_are_fast() {
+    for (latency_of_others, is_gapped) in [(20_000, true), (150_000, false)] {
+        let mut settings = idempotent_settings();
+        settings.limits.may_duplicate = true;
+        let mut balancer = new_balancer(settings, &endpoints(12));
+        let mut now = 2 * SECOND;
+        for n in 0..100 {
+            now += 200_000;
+            let sends = handle(&mut balancer, now, Event::Request(request(n, now, n)));
+            let [Action::Send { server, .. }, ..] = sends[..] else { panic!("{sends:?}") };
+            let ended = CompletedAttempt {
+                latency: Micros(latency_of_others),
+                request_closed: true,
+                ..completed_attempt(n, 0, server, AttemptResult::Served)
+            };
+            handle(&mut balancer, now + latency_of_others, Event::AttemptCompleted(ended));
+        }
+        now += 200_000;
+        let sends = handle(&mut balancer, now, Event::Request(request(500, now, 500)));
+        let [Action::Send { server, .. }, Action::Timer { at, token }] = sends[..] else {
+            panic!("{sends:?}")
+        };
+        handle(&mut balancer, at.0, Event::Timer(token));
+        let limits = balancer.limits(at).servers;
+        let limit = limits.iter().find(|limit| limit.server == server).expect("listed");
+        assert_eq!(limit.gap > Micros(0), is_gapped, "others take {latency_of_others} µs");
+    }
+}
+
+/// A read whose cache server does not respond is sent to the origin as well, within the budget and where the
+/// site allows it; the first response serves it, and it is not sent a third time.
+#[test]
+fn hedged_request_goes_to_the_origin_within_the_budget() {
+    for (allowed, balancers, range) in [(true, 1, 31..=40), (true, 100, 121..=130), (false, 1, 0..=0)] {
+        let mut settings = idempotent_settings();
+        settings.limits.may_duplicate = allowed;
+        settings.balancers = balancers;
+        let mut balancer = new_balancer(settings, &endpoints(20));
+        let mut hedged = 0;
+        for n in 0..300 {
+            let now = SECOND + n * SECOND;
+            let actions = handle(&mut balancer, now, Event::Request(request(n, now, n)));
+            let to = sent_to(&actions).expect("sent");
+            let timer = actions.iter().find_map(|action| match action {
+                Action::Timer { at, token } => Some((at.0, *token)),
+                _ => None,
+            });
+            assert_eq!(timer.is_some(), allowed);
+            let (at, token) = timer.unwrap_or((now, 0));
+            assert!(at < now + 250_000, "before its objective");
+            if let Some(second) = sent_to(&handle(&mut balancer, at, Event::Timer(token))) {
+                hedged += 1;
+                assert_eq!(second, ORIGIN);
+                let end = closing(n, 1, second, AttemptResult::Served);
+                assert_eq!(handle(&mut balancer, at + 50_000, end), []);
+            }
+            let end = closing(n, 0, to, AttemptResult::Served);
+            assert_eq!(handle(&mut balancer, at + 60_000, end), []);
+        }
+        assert!(range.contains(&hedged), "{balancers} balancers: {hedged} hedged of 300");
+        assert!(balancer.open_requests.is_empty());
+    }
+}
--- /dev/null
+++ b/src/balancer/tests/settings.rs
@@ -0,0 +1,73 @@
+//! Settings that make no sense, and the list of the decisions' files.
+
+use super::*;
+
+#[test]
+fn unusable_settings_and_unknown_ids_are_survived() {
+    let mut odd = idempotent_settings();
+    odd.classes.clear();
+    odd.balancers = 0;
+    odd.tick = Micros(0);
+    odd.limits.max_attempts = 0;
+    odd.rules = Rules {
+        discovery_poll_interval: Micros(0),
+        slow_start_initial_share: f64::NAN,
+        slow_start_duration: Micros(0),
+    };
+    odd.weighted = true;
+    let mut list = endpoints(3);
+    for (endpoint, weight) in list.iter_mut().zip([f64::NAN, 0.0, -1.0]) {
+        endpoint.weight = weight;
+    }
+    let mut balancer = new_balancer(odd.clone(), &list);
+    let unknown_ids = Request { class: 99, tenant: 99, key: None, ..request(1, 10, 1) };
+    assert!(sent_to(&handle(&mut balancer, 10, Event::Request(unknown_ids.clone()))).is_some());
+    let mut empty = new_balancer(odd, &[]);
+    assert_eq!(handle(&mut empty, 10, Event::Request(unknown_ids)).len(), 1, "no server: answered at once");
+    handle(&mut empty, 10, completed(77, 9, ServerId(5), AttemptResult::Rejected));
+    handle(&mut empty, 10, Event::Timer(u64::MAX));
+}
+
+/// Settings that make no sense have sound defaults, and nothing is divided by zero.
+#[test]
+fn senseless_settings_lose_no_request() {
+    for (balancers, initial_share) in [(0, 0.0), (u32::MAX, f64::NAN), (1, f64::INFINITY)] {
+        let mut odd = idempotent_settings();
+        odd.balancers = balancers;
+        odd.rules.slow_start_initial_share = initial_share;
+        odd.rules.slow_start_duration = Micros(0);
+        odd.classes.clear();
+        let mut balancer = new_balancer(odd, &endpoints(3));
+        for n in 0..50 {
+            let now = SECOND + n * 10_000;
+            let to = sent_to(&handle(&mut balancer, now, Event::Request(request(n, now, n)))).expect("sent");
+            handle(&mut balancer, now + 5_000, completed(n, 0, to, AttemptResult::Timeout));
+        }
+        assert!(balancer.open_requests.is_empty());
+    }
+}
+
+/// All files of the decisions are named in the deploy file, and their lines are short.
+#[test]
+fn deploy_file_lists_every_file_of_decisions() {
+    let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
+    let deploy = include_str!("../../../deploy/balancer.toml");
+    let policy = deploy.lines().find(|line| line.starts_with("policy")).expect("a list of files");
+    let names: Vec<&str> = policy.split('"').skip(1).step_by(2).collect();
+    let files: Vec<String> =
+        names.iter().map(|name| std::fs::read_to_string(root.join(name)).expect(name)).collect();
+    let folder = std::fs::read_dir(root.join("src/balancer")).expect("a folder");
+    let count = folder.filter(|entry| entry.as_ref().is_ok_and(|entry| entry.path().is_file())).count();
+    assert_eq!(files.len(), count - 1, "balancer.rs, and all beside it but the tests and the view");
+    for entry in std::fs::read_dir(root.join("src/balancer")).expect("a folder") {
+        let file = entry.expect("an entry").file_name().into_string().expect("a name");
+        let decides = file.ends_with(".rs") && file != "tests.rs" && file != "limit_view.rs";
+        let path = format!("src/balancer/{file}");
+        assert!(!decides || names.contains(&path.as_str()), "{path} is not listed");
+    }
+    let lines = || files.iter().flat_map(|text| text.lines());
+    assert!(lines().all(|line| line.chars().count() <= 110));
+    for types in ["src/event.rs", "src/action.rs"] {
+        assert!(files[0].lines().take(3).any(|line| line.contains(types)));
+    }
+}
--- /dev/null
+++ b/src/balancer/tests/simulation/engine.rs
@@ -0,0 +1,390 @@
+//! The events of the simulation: arrivals, attempts, responses and client retries.
+
+use std::cmp::Reverse;
+use std::collections::{BinaryHeap, HashMap, HashSet};
+
+use super::*;
+
+/// Work of a miss, as a share of that of a hit.
+const MISS_WORK_SHARE: f64 = 0.45;
+/// Requests that count as served in time are answered within this time.
+const OBJECTIVE: u64 = 750_000;
+/// The time that a client waits over all its attempts, and that of one attempt of its own.
+const CLIENT_DEADLINE: u64 = 1_500_000;
+const CLIENT_ATTEMPT_DEADLINE: u64 = 1_100_000;
+/// Retries of a client's own.
+const MAX_CLIENT_RETRIES: usize = 2;
+/// A cache server's share of its capacity when it starts, what it gains, and the seconds until it has all of
+/// it.
+const INITIAL_SHARE: f64 = 0.32;
+const SHARE_GROWTH: f64 = 0.68;
+const SLOW_START_SECONDS: u64 = 9;
+/// What a server in slow start bears, relative to what it can do.
+const BEARABLE_LOAD: f64 = 1.5;
+
+/// Something that is due.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Due {
+    Arrival,
+    ClientRetry {
+        request: u64,
+        balancer: usize,
+    },
+    Timer {
+        balancer: usize,
+        token: u64,
+    },
+    Done {
+        request: u64,
+        attempt: u32,
+    },
+    Expired {
+        request: u64,
+        attempt: u32,
+    },
+    /// A balancer hears that the silent cache servers have restarted.
+    RestartsListed {
+        balancer: usize,
+    },
+}
+
+struct SimulatedAttempt {
+    server: u64,
+    sent: u64,
+    is_in_flight: bool,
+}
+
+/// One attempt of a client, which is a request to a balancer.
+struct ClientAttempt {
+    /// When the client first sent it.
+    first_sent: u64,
+    retries: usize,
+    key: u64,
+    is_write: bool,
+    deadline: u64,
+    balancer: usize,
+    /// Cache servers that answered with a miss.
+    missed_at: Vec<u64>,
+    attempts: Vec<SimulatedAttempt>,
+    is_open: bool,
+}
+
+pub struct Simulation {
+    rng: fastrand::Rng,
+    now: u64,
+    due: BinaryHeap<Reverse<(u64, u64, Due)>>,
+    /// Numbers what is due, and requests.
+    count: u64,
+    balancers: Vec<Balancer>,
+    requests: HashMap<u64, ClientAttempt>,
+    /// The keys that each cache server holds.
+    cached: Vec<HashSet<u64>>,
+    /// When each worker is free, of each cache server and of the origin, which comes last.
+    workers: Vec<BinaryHeap<Reverse<u64>>>,
+    plan: Plan,
+    scale: Scale,
+    /// The cache servers that have restarted.
+    restarted: HashSet<u64>,
+    /// The balancers that have heard of the restarts.
+    informed: HashSet<usize>,
+    /// Sends to each server in slow start, by second; and those of informed balancers.
+    slow_start_sends: HashMap<(u64, u64), f64>,
+    informed_sends: HashMap<(u64, u64), f64>,
+    day: Day,
+}
+
+fn balancer_settings(balancers: usize) -> Settings {
+    let mut settings = idempotent_settings();
+    settings.balancers = balancers as u32;
+    settings.limits.max_attempts = 3;
+    settings.limits.may_duplicate = true;
+    settings.rules.slow_start_initial_share = INITIAL_SHARE;
+    settings.rules.slow_start_duration = Micros(SLOW_START_SECONDS * SECOND);
+    settings.classes[0].latency_objective = Micros(OBJECTIVE);
+    settings.classes[0].deadline = Micros(CLIENT_DEADLINE);
+    settings
+}
+
+fn request_number(id: &RequestId) -> u64 {
+    u64::from_be_bytes(id.0[..8].try_into().expect("eight bytes"))
+}
+
+impl Simulation {
+    pub fn new(plan: Plan, scale: Scale) -> Simulation {
+        let settings = balancer_settings(plan.balancers);
+        let new_balancer = |n| {
+            let mut balancer = Balancer::new(settings.clone(), plan.seed * 10 + n);
+            let list = endpoints(plan.caches);
+            handle(&mut balancer, 1, Event::EndpointsChanged(EndpointUpdate::Restored, &list));
+            balancer
+        };
+        let workers = |server| {
+            let is_origin = server == plan.caches;
+            let count = if is_origin { scale.workers() * plan.caches } else { scale.workers() };
+            (0..count).map(|_| Reverse(0)).collect()
+        };
+        Simulation {
+            rng: fastrand::Rng::with_seed(plan.seed),
+            now: SECOND,
+            due: BinaryHeap::new(),
+            count: 0,
+            balancers: (0..plan.balancers as u64).map(new_balancer).collect(),
+            requests: HashMap::new(),
+            cached: vec![(0..scale.keys()).collect(); plan.caches as usize],
+            workers: (0..=plan.caches).map(workers).collect(),
+            plan,
+            scale,
+            restarted: HashSet::new(),
+            informed: HashSet::new(),
+            slow_start_sends: HashMap::new(),
+            informed_sends: HashMap::new(),
+            day: Day::new(plan.seconds, plan.caches),
+        }
+    }
+
+    /// Plays all that is due until nothing is.
+    pub fn run(mut self) -> Day {
+        self.schedule(SECOND, Due::Arrival);
+        self.schedule_restart_news();
+        while let Some(Reverse((at, _, due))) = self.due.pop() {
+            self.now = at;
+            self.on_due(due);
+        }
+        self.day
+    }
+
+    fn schedule(&mut self, at: u64, due: Due) {
+        self.count += 1;
+        self.due.push(Reverse((at, self.count, due)));
+    }
+
+    fn schedule_restart_news(&mut self) {
+        if self.plan.silence.to == 0 {
+            return;
+        }
+        for balancer in 0..self.plan.balancers {
+            let delay = self.rng.u64(..2 * SECOND);
+            self.schedule(self.plan.silence.to * SECOND + delay, Due::RestartsListed { balancer });
+        }
+    }
+
+    fn on_due(&mut self, due: Due) {
+        match due {
+            Due::Arrival => self.on_arrival(),
+            Due::ClientRetry { request, balancer } => {
+                let ClientAttempt { first_sent, retries, key, is_write, .. } = self.requests[&request];
+                self.send_request(first_sent, retries + 1, key, is_write, balancer);
+            }
+            Due::Timer { balancer, token } => self.handle(balancer, Event::Timer(token)),
+            Due::Done { request, attempt } => self.on_done(request, attempt),
+            Due::Expired { request, attempt } => {
+                self.end_attempt(request, attempt, AttemptResult::Timeout);
+            }
+            Due::RestartsListed { balancer } => self.list_restarts(balancer),
+        }
+    }
+
+    /// A client sends its first attempt, and the next arrival is drawn.
+    fn on_arrival(&mut self) {
+        if self.now >= (self.plan.seconds + 1) * SECOND {
+            return;
+        }
+        let pause_seconds = -(1.0 - self.rng.f64()).ln() / self.plan.rate;
+        self.schedule(self.now + (pause_seconds * 1e6) as u64, Due::Arrival);
+        // A few keys are far more popular than the rest.
+        let key = ((self.scale.keys() as f64).powf(self.rng.f64()) - 1.0) as u64;
+        let is_write = self.rng.f64() < 0.1;
+        let balancer = self.rng.usize(..self.plan.balancers);
+        self.day.requested[(self.now / SECOND - 1) as usize] += 1.0;
+        self.send_request(self.now, 0, key, is_write, balancer);
+    }
+
+    fn list_restarts(&mut self, balancer: usize) {
+        let Silence { to, every, .. } = self.plan.silence;
+        let started = Micros(to * SECOND);
+        let restarted = (0..self.plan.caches).filter(|server| server.is_multiple_of(every));
+        let list: Vec<_> = restarted.map(|server| Endpoint { started, ..endpoint(server) }).collect();
+        self.informed.insert(balancer);
+        self.handle(balancer, Event::EndpointsChanged(EndpointUpdate::Delta, &list));
+    }
+
+    fn send_request(&mut self, first_sent: u64, retries: usize, key: u64, is_write: bool, balancer: usize) {
+        self.count += 1;
+        let number = self.count;
+        let deadline = (self.now + CLIENT_ATTEMPT_DEADLINE).min(first_sent + CLIENT_DEADLINE);
+        if deadline <= self.now {
+            return;
+        }
+        let attempt = ClientAttempt {
+            first_sent,
+            retries,
+            key,
+            is_write,
+            deadline,
+            balancer,
+            missed_at: vec![],
+            attempts: vec![],
+            is_open: true,
+        };
+        self.requests.insert(number, attempt);
+        let request = Request {
+            is_write,
+            is_client_retry: retries > 0,
+            deadline: Micros(deadline),
+            ..request(number, self.now, key)
+        };
+        self.handle(balancer, Event::Request(request));
+    }
+
+    fn handle(&mut self, balancer: usize, event: Event) {
+        for action in handle(&mut self.balancers[balancer], self.now, event) {
+            match action {
+                Action::Send { id, server, timeout } => {
+                    self.start_attempt(request_number(&id), server.0, timeout.0);
+                }
+                Action::Reject { id, retry_after, .. } => {
+                    self.on_not_served(request_number(&id), retry_after.0);
+                }
+                Action::Fail { id } => self.on_not_served(request_number(&id), 0),
+                Action::Timer { at, token } => self.schedule(at.0, Due::Timer { balancer, token }),
+                Action::WatchEndpoints | Action::Log(_) => {}
+            }
+        }
+    }
+
+    fn start_attempt(&mut self, number: u64, server: u64, timeout: u64) {
+        let is_origin = ServerId(server) == ORIGIN;
+        let second = self.now / SECOND;
+        let is_silent = !is_origin && self.count_restarts_and_silence(number, server, second);
+        self.day.sends += 1.0;
+
+        let index = if is_origin { self.plan.caches } else { server } as usize;
+        let request = self.requests.get_mut(&number).expect("requested");
+        let is_hit = is_origin || self.cached[index].contains(&request.key);
+        request.attempts.push(SimulatedAttempt { server, sent: self.now, is_in_flight: true });
+        let attempt = request.attempts.len() as u32 - 1;
+        let deadline = request.deadline;
+        let expires = if timeout == 0 { deadline } else { deadline.min(self.now + timeout) };
+        let done = self.occupy_worker(index, server, is_hit, expires);
+        let by_second = second as usize - 1;
+        if is_origin {
+            self.day.fetches[by_second] += 1.0;
+        } else {
+            self.day.cache_sends[by_second][index] += 1.0;
+        }
+        if is_silent {
+            self.day.lost_sends[by_second] += 1.0;
+            self.schedule(expires, Due::Expired { request: number, attempt });
+            return;
+        }
+        self.day.hits += f64::from(!is_origin && is_hit);
+        if done < expires {
+            self.schedule(done, Due::Done { request: number, attempt });
+        } else {
+            self.schedule(expires, Due::Expired { request: number, attempt });
+        }
+    }
+
+    /// Counts what a cache server that restarts is sent; returns whether it is silent now.
+    fn count_restarts_and_silence(&mut self, number: u64, server: u64, second: u64) -> bool {
+        let Silence { from, to, every } = self.plan.silence;
+        if to == 0 || !server.is_multiple_of(every) {
+            return false;
+        }
+        if second >= to && self.restarted.insert(server) {
+            self.cached[server as usize].clear();
+        }
+        if (to..to + SLOW_START_SECONDS).contains(&second) {
+            self.count_slow_start_send(number, server, second);
+        }
+        (from..to).contains(&second)
+    }
+
+    fn count_slow_start_send(&mut self, number: u64, server: u64, second: u64) {
+        let age = self.now - self.plan.silence.to * SECOND;
+        let capacity_share = INITIAL_SHARE + SHARE_GROWTH * age as f64 / (SLOW_START_SECONDS * SECOND) as f64;
+        let capacity = self.scale.cache_rate() * capacity_share;
+        let sends = self.slow_start_sends.entry((server, second)).or_default();
+        *sends += 1.0;
+        self.day.peak_slow_start_load = self.day.peak_slow_start_load.max(*sends / capacity);
+        if self.informed.contains(&self.requests[&number].balancer) {
+            let sends = self.informed_sends.entry((server, second)).or_default();
+            *sends += 1.0;
+            let bearable = BEARABLE_LOAD * capacity;
+            let excess = *sends - (bearable + 2.0 * bearable.sqrt() + 2.0);
+            self.day.excess_over_chance = self.day.excess_over_chance.max(excess);
+        }
+    }
+
+    /// Queues work, first come first served; returns when it is done.
+    fn occupy_worker(&mut self, index: usize, server: u64, is_hit: bool, expires: u64) -> u64 {
+        let is_origin = ServerId(server) == ORIGIN;
+        let second = self.now / SECOND;
+        let origin_factor = if is_origin { self.plan.slow_origin.factor_at(second) } else { 1.0 };
+        let cache_factor = if server == 1 { self.scale.slow_cache.factor_at(second) } else { 1.0 };
+        let mean = if is_origin { FETCH_SECONDS } else { HIT_SECONDS } * (origin_factor * cache_factor);
+        let drawn = mean * (0.4 - 0.6 * (1.0 - self.rng.f64()).ln());
+        let work = (drawn * if is_hit { 1.0 } else { MISS_WORK_SHARE } * 1e6) as u64;
+        let mut free = self.workers[index].peek_mut().expect("workers");
+        let begin = free.0.max(self.now);
+        // The origin drops what nobody waits for; a cache server goes on with it.
+        if !is_origin || begin < expires {
+            *free = Reverse(begin + work);
+        }
+        begin + work
+    }
+
+    fn on_done(&mut self, number: u64, attempt: u32) {
+        let request = self.requests.get_mut(&number).expect("requested");
+        let server = request.attempts[attempt as usize].server;
+        let is_origin = ServerId(server) == ORIGIN;
+        if !is_origin && !self.cached[server as usize].contains(&request.key) {
+            request.missed_at.push(server);
+            self.end_attempt(number, attempt, AttemptResult::Miss);
+            return;
+        }
+        if request.is_open {
+            for server in request.missed_at.iter().take(2) {
+                self.cached[*server as usize].insert(request.key);
+            }
+        }
+        if request.is_write {
+            for cached in &mut self.cached {
+                cached.remove(&request.key);
+            }
+        }
+        self.end_attempt(number, attempt, AttemptResult::Served);
+    }
+
+    fn end_attempt(&mut self, number: u64, attempt: u32, result: AttemptResult) {
+        let request = self.requests.get_mut(&number).expect("requested");
+        let ended = &mut request.attempts[attempt as usize];
+        if !ended.is_in_flight {
+            return;
+        }
+        ended.is_in_flight = false;
+        let (server, latency) = (ServerId(ended.server), Micros(self.now - ended.sent));
+        if result == AttemptResult::Served && request.is_open {
+            request.is_open = false;
+            if self.now <= request.first_sent + OBJECTIVE {
+                self.day.served[(request.first_sent / SECOND - 1) as usize] += 1.0;
+            }
+        }
+        let (balancer, request_closed) = (request.balancer, !request.is_open);
+        let ended = completed_attempt(number, attempt, server, result);
+        let ended = CompletedAttempt { latency, request_closed, ..ended };
+        self.handle(balancer, Event::AttemptCompleted(ended));
+    }
+
+    /// A client whose request was rejected or failed sends it again, twice at most.
+    fn on_not_served(&mut self, number: u64, retry_after: u64) {
+        let request = self.requests.get_mut(&number).expect("requested");
+        request.is_open = false;
+        if request.retries < MAX_CLIENT_RETRIES {
+            let backoff = (100_000 << request.retries) * self.rng.u64(50..150) / 100;
+            let balancer = self.rng.usize(..self.balancers.len());
+            let at = self.now + backoff.max(retry_after);
+            self.schedule(at, Due::ClientRetry { request: number, balancer });
+        }
+    }
+}
--- /dev/null
+++ b/src/balancer/tests/zone_health.rs
@@ -0,0 +1,64 @@
+//! Zones that are unhealthy as a whole.
+
+use super::*;
+
+/// Attempts in zones 0 and 1 in turn, of which zone 0 rejects all.
+fn reject_all_in_even_zone(balancer: &mut Balancer, attempts: u32) {
+    for n in 0..attempts {
+        balancer.zones.on_attempt_completed(n % 2, n % 2 == 0);
+    }
+}
+
+/// A zone that is lost as a whole is found by a few attempts there, not by each of its servers in turn; while
+/// all zones fail alike none is avoided; and it is back after a few responses.
+#[test]
+fn zone_is_avoided_and_used_again_as_a_whole() {
+    let mut zones = ZoneHealth::default();
+    for _ in 0..12 {
+        zones.on_attempt_completed(0, true);
+        zones.on_attempt_completed(1, true);
+    }
+    assert_eq!(zones.excess_rejection_rate(0), 0.0, "all fail alike");
+    for _ in 0..12 {
+        zones.on_attempt_completed(1, false);
+    }
+    assert!(
+        zones.excess_rejection_rate(0) > 0.9
+            && zones.excess_rejection_rate(1) == 0.0
+            && zones.excess_rejection_rate(7) == 0.0
+    );
+    for _ in 0..5 {
+        zones.on_attempt_completed(0, false);
+    }
+    assert!(zones.excess_rejection_rate(0) < UNHEALTHY_EXCESS_RATE, "{}", zones.excess_rejection_rate(0));
+
+    let mut balancer = new_balancer(idempotent_settings(), &endpoints(24));
+    let (mut even, mut all) = (0, 0);
+    for n in 0..200 {
+        reject_all_in_even_zone(&mut balancer, 12);
+        let now = SECOND + n * 200_000;
+        let to = sent_to(&handle(&mut balancer, now, Event::Request(request(n, now, n)))).expect("sent");
+        all += u32::from(to != ORIGIN);
+        even += u32::from(to != ORIGIN && to.0.is_multiple_of(2));
+        let end = closing(n, 0, to, AttemptResult::Served);
+        handle(&mut balancer, now + 1_000, end);
+    }
+    assert!(even * 4 < all, "{even} of {all} to a zone in which every attempt was rejected");
+}
+
+/// However long a zone was unhealthy, one attempt in twenty still goes there: it is found again as soon as it
+/// is back.
+#[test]
+fn zone_that_is_unhealthy_for_long_still_gets_some_attempts() {
+    let mut balancer = new_balancer(idempotent_settings(), &endpoints(24));
+    let mut attempts = 0;
+    for n in 0..2000 {
+        reject_all_in_even_zone(&mut balancer, 400);
+        let now = SECOND + n * 200_000;
+        let to = sent_to(&handle(&mut balancer, now, Event::Request(request(n, now, n)))).expect("sent");
+        attempts += u32::from(to != ORIGIN && to.0.is_multiple_of(2));
+        let end = closing(n, 0, to, AttemptResult::Served);
+        handle(&mut balancer, now + 1_000, end);
+    }
+    assert!(attempts > 25, "{attempts} attempts of 2000 to a zone in which every attempt was rejected");
+}
--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -1,5 +1,6 @@
-//! What balancers share, seen from the decisions: limits that hold for all of them together, and what they report to
-//! one another of servers. Where nothing is shared, every method of [`OptionalCoordination`] lets the balancer go on.
+//! What balancers share, seen from the decisions: limits that hold for all of them together, and what they
+//! report to one another of servers. Where nothing is shared, every method of [`OptionalCoordination`] lets
+//! the balancer go on.
 
 use crate::action::RejectReason;
 use crate::endpoint::{Endpoint, EndpointState, ServerId};
@@ -28,8 +29,8 @@
     pub zone: u32,
 }
 
-/// The limits that a balancer shares with others, and what these report of servers. Without one only the balancer's
-/// own limits and observations hold.
+/// The limits that a balancer shares with others, and what these report of servers. Without one only the
+/// balancer's own limits and observations hold.
 pub trait Coordination: std::fmt::Debug {
     /// How long one more use of the limit has to wait; zero, it may begin now; none, the limit is not shared.
     fn wait_time(&mut self, limit: SharedLimit, now: Micros) -> Option<Micros>;
@@ -43,8 +44,9 @@
     fn on_endpoints_changed(&mut self, servers: &[ServingServer]);
     /// An own attempt showed that the server with this start is silent, or that it answers.
     fn on_server_observed(&mut self, server: ServerId, started: Micros, silent: bool, now: Micros);
-    /// Whether to pass over the server with this start because others report it silent. `last_response` is when it
-    /// last answered this balancer, `sends_per_s` the rate of this balancer's own attempts at a server.
+    /// Whether to pass over the server with this start because others report it silent. `last_response` is
+    /// when it last answered this balancer, `sends_per_s` the rate of this balancer's own attempts at a
+    /// server.
     fn is_suspected(
         &mut self,
         server: ServerId,
@@ -76,7 +78,8 @@
         self.0.as_mut().and_then(|shared| shared.wait_time(limit, now)).unwrap_or_default()
     }
 
-    /// Whether a hedged request is within its budget: the shared one where there is one, otherwise the balancer's own.
+    /// Whether a hedged request is within its budget: the shared one where there is one, otherwise the
+    /// balancer's own.
     pub(crate) fn allows_hedge(&mut self, now: Micros, own_budget: f64) -> bool {
         self.0
             .as_mut()
@@ -142,8 +145,8 @@
         shared.is_suspected(server.server, server.started, last_response, sends_per_s, now)
     }
 
-    /// Whether an attempt may go to this cache server by the limit that balancers share while it is in slow start. Being
-    /// denied counts as need.
+    /// Whether an attempt may go to this cache server by the limit that balancers share while it is in slow
+    /// start. Being denied counts as need.
     pub(crate) fn allows_slow_start(&mut self, now: Micros, server: &Endpoint) -> bool {
         let Some(shared) = &mut self.0 else { return true };
         let limit = SharedLimit::SlowStart(server.server, server.started);
@@ -154,8 +157,8 @@
         !is_exhausted
     }
 
-    /// Reports whether an attempt showed a server as silent. One that rejects is not silent, and what it rejects says
-    /// nothing of the other balancers' attempts.
+    /// Reports whether an attempt showed a server as silent. One that rejects is not silent, and what it
+    /// rejects says nothing of the other balancers' attempts.
     pub(crate) fn on_attempt_completed(
         &mut self,
         now: Micros,
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -45,8 +45,8 @@
     Snapshot,
     /// The complete list as last stored, possibly stale.
     Restored,
-    /// Endpoints that an operator changed. They say nothing of discovery: neither that it answers nor that a watch on
-    /// it is open.
+    /// Endpoints that an operator changed. They say nothing of discovery: neither that it answers nor that a
+    /// watch on it is open.
     OperatorOverride,
     /// A call to discovery failed or a watch broke; the list in use stays.
     Unavailable,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -154,8 +154,8 @@
         self.mode == CacheMode::Aside(endpoint.kind)
     }
 
-    /// These settings with unusable values replaced by the least harmful ones: at least one class and one balancer,
-    /// and shares that are finite numbers.
+    /// These settings with unusable values replaced by the least harmful ones: at least one class and one
+    /// balancer, and shares that are finite numbers.
     pub fn sanitized(mut self) -> Settings {
         if self.classes.is_empty() {
             self.classes.push(Class::default());
--- a/src/time.rs
+++ b/src/time.rs
@@ -4,7 +4,8 @@
 
 /// A time or a duration in whole microseconds, on the clock of the caller.
 ///
-/// Sums and differences stop at the largest value and at zero, so that times that a peer states cannot overflow.
+/// Sums and differences stop at the largest value and at zero, so that times that a peer states cannot
+/// overflow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Micros(pub u64);
 
