--- /dev/null
+++ b/simulator-adapter/src/instances.rs
@@ -0,0 +1,135 @@
+//! The balancers of one process, and the endpoint lists that their events name.
+
+use std::io::Write;
+
+use base64::Engine;
+use juniperladder::{Action, Balancer, Endpoint, EndpointUpdate, Event, Micros};
+use rustc_hash::FxHashMap;
+
+use crate::error::AdapterError;
+use crate::wire::{request_id, write_action, Batch, EndpointsForm, IncomingEvent};
+
+/// The last slot that an endpoint list may be put in.
+const LAST_SLOT: usize = 15;
+
+/// All balancers of this process. They share nothing but the endpoint lists, which the simulator sends once for all.
+#[derive(Default)]
+pub struct Instances {
+    balancers: FxHashMap<u32, Balancer>,
+    endpoint_lists: Vec<Vec<Endpoint>>,
+    /// Kept between events to save allocations.
+    actions: Vec<Action>,
+    reply: Vec<u8>,
+}
+
+impl Instances {
+    /// Answers one line of input with one line.
+    ///
+    /// # Errors
+    /// The line is malformed or names what is not there, or the reply cannot be written.
+    pub fn answer(&mut self, line: &[u8], output: &mut impl Write) -> Result<(), AdapterError> {
+        let batch: Batch = serde_json::from_slice(line).map_err(AdapterError::Batch)?;
+        let now = Micros(batch.now);
+        self.reply.clear();
+        self.reply.extend_from_slice(b"{\"do\":[");
+        for event in batch.events {
+            self.handle(now, event)?;
+        }
+        self.reply.extend_from_slice(b"]}\n");
+        output.write_all(&self.reply).map_err(AdapterError::Reply)
+    }
+
+    fn handle(&mut self, now: Micros, event: IncomingEvent) -> Result<(), AdapterError> {
+        match event {
+            IncomingEvent::Start { instance, seed, settings } => {
+                self.balancers.insert(instance, Balancer::new(settings.settings(), seed));
+                Ok(())
+            }
+            IncomingEvent::Stop { instance } => match self.balancers.remove(&instance) {
+                Some(_) => Ok(()),
+                None => Err(AdapterError::UnknownInstance { instance }),
+            },
+            IncomingEvent::EndpointList { slot, endpoints } => {
+                self.store_endpoint_list(slot, endpoints.iter().map(Endpoint::from).collect())
+            }
+            IncomingEvent::EndpointsChanged { instance, slot, form } => {
+                self.change_endpoints(now, instance, slot, form)
+            }
+            IncomingEvent::Request(request) => {
+                self.dispatch(now, request.instance, Event::Request(request.to_request()?))
+            }
+            IncomingEvent::ResponseStarted { instance, request_id: id } => {
+                self.dispatch(now, instance, Event::ResponseStarted(request_id(id)?))
+            }
+            IncomingEvent::AttemptCompleted(attempt) => {
+                let event = Event::AttemptCompleted(attempt.to_completed_attempt()?);
+                self.dispatch(now, attempt.instance, event)
+            }
+            IncomingEvent::Timer { instance, token } => self.dispatch(now, instance, Event::Timer(token)),
+            IncomingEvent::ClientDisconnected { instance, request_id: id } => {
+                self.dispatch(now, instance, Event::ClientDisconnected(request_id(id)?))
+            }
+            IncomingEvent::Message { instance, base64_text } => self.check_message(instance, base64_text),
+            IncomingEvent::LoadReport { instance } => self.check_started(instance),
+        }
+    }
+
+    fn store_endpoint_list(&mut self, slot: usize, endpoints: Vec<Endpoint>) -> Result<(), AdapterError> {
+        if slot > LAST_SLOT {
+            return Err(AdapterError::SlotOutOfRange { slot, last: LAST_SLOT });
+        }
+        if self.endpoint_lists.len() <= slot {
+            self.endpoint_lists.resize_with(slot + 1, Vec::new);
+        }
+        self.endpoint_lists[slot] = endpoints;
+        Ok(())
+    }
+
+    fn change_endpoints(
+        &mut self,
+        now: Micros,
+        instance: u32,
+        slot: usize,
+        form: EndpointsForm,
+    ) -> Result<(), AdapterError> {
+        if form == EndpointsForm::Unavailable {
+            let event = Event::EndpointsChanged(EndpointUpdate::Unavailable, &[]);
+            return self.dispatch(now, instance, event);
+        }
+        let stored = self.endpoint_lists.get_mut(slot).ok_or(AdapterError::EmptySlot { slot })?;
+        // Taken out while the balancer, which is borrowed with it, reads it.
+        let endpoints = std::mem::take(stored);
+        let result = self.dispatch(now, instance, Event::EndpointsChanged(form.into(), &endpoints));
+        self.endpoint_lists[slot] = endpoints;
+        result
+    }
+
+    /// These decisions use no messages; a malformed one is an error all the same.
+    fn check_message(&self, instance: u32, base64_text: &str) -> Result<(), AdapterError> {
+        base64::engine::general_purpose::STANDARD
+            .decode(base64_text)
+            .map_err(|source| AdapterError::Message { instance, source })?;
+        self.check_started(instance)
+    }
+
+    fn check_started(&self, instance: u32) -> Result<(), AdapterError> {
+        if self.balancers.contains_key(&instance) {
+            Ok(())
+        } else {
+            Err(AdapterError::UnknownInstance { instance })
+        }
+    }
+
+    /// Hands an event to one balancer and appends its actions to the reply.
+    fn dispatch(&mut self, now: Micros, instance: u32, event: Event) -> Result<(), AdapterError> {
+        let balancer = self.balancers.get_mut(&instance).ok_or(AdapterError::UnknownInstance { instance })?;
+        balancer.handle(now, event, &mut self.actions);
+        for action in self.actions.drain(..) {
+            if self.reply.last() != Some(&b'[') {
+                self.reply.push(b',');
+            }
+            write_action(&mut self.reply, instance, &action).map_err(AdapterError::Action)?;
+        }
+        Ok(())
+    }
+}
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,34 +1,46 @@
-//! Hosts juniperladder balancers behind the simulator's JSON lines. It translates and nothing else.
+//! Runs juniperladder balancers for the simulator: reads batches of events as JSON lines from standard input and answers
+//! each with one line of actions. It translates and decides nothing.
 
+mod error;
+mod instances;
 mod wire;
 
 use std::io::{self, BufRead, BufReader, BufWriter, Write};
 use std::process::ExitCode;
 
-fn serve() -> Result<(), String> {
-    let mut input = BufReader::with_capacity(1 << 20, io::stdin().lock());
-    let mut output = BufWriter::with_capacity(1 << 18, io::stdout().lock());
-    let mut host = wire::Host::default();
-    let mut line = Vec::new();
-    let mut number = 0u64;
-    loop {
-        line.clear();
-        number += 1;
-        let read = input.read_until(b'\n', &mut line);
-        if read.map_err(|e| format!("cannot read line {number}: {e}"))? == 0 {
-            return Ok(());
-        }
-        host.answer(&line, &mut output).map_err(|e| format!("line {number}: {e}"))?;
-        output.flush().map_err(|e| format!("cannot write the reply to line {number}: {e}"))?;
-    }
-}
+use error::RunError;
+use instances::Instances;
+
+/// Bytes read ahead; a batch may be megabytes long.
+const INPUT_BUFFER_BYTES: usize = 1 << 20;
+/// Bytes of a reply gathered before they are written.
+const OUTPUT_BUFFER_BYTES: usize = 1 << 18;
 
 fn main() -> ExitCode {
-    match serve() {
+    match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("juniperladder-simulator-adapter: {problem}");
+        Err(error) => {
+            eprintln!("juniperladder-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
+
+/// Answers lines until the end of input.
+fn run() -> Result<(), RunError> {
+    let mut input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
+    let mut output = BufWriter::with_capacity(OUTPUT_BUFFER_BYTES, io::stdout().lock());
+    let mut instances = Instances::default();
+    let mut text = Vec::new();
+    let mut line = 0;
+    loop {
+        text.clear();
+        line += 1;
+        let length = input.read_until(b'\n', &mut text).map_err(|source| RunError::Read { line, source })?;
+        if length == 0 {
+            return Ok(());
+        }
+        instances.answer(&text, &mut output).map_err(|source| RunError::Line { line, source })?;
+        output.flush().map_err(|source| RunError::Flush { line, source })?;
+    }
+}
--- a/simulator-adapter/tests/transcripts.rs
+++ b/simulator-adapter/tests/transcripts.rs
@@ -18,7 +18,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // A host that gives up on a line may close its input before all is written.
+    // An adapter that stops at a line may close its input before all is written.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_retire_and_a_start_in_one_batch_forget_the_old_life() {
+fn a_retire_and_a_start_in_one_batch_forget_the_old_incarnation() {
     let input = batch(1, &[start(1), list(3, 11), ends(1, 3, "restored"), req(1, ID)])
         + &batch(2, &[r#"{"event_type":"retire","router":1}"#.into(), start(1), ends(1, 3, "restored")]);
     let got = replies(&run(&input));
