--- a/purge/src/fill.rs
+++ b/purge/src/cache_fill.rs
@@ -1,6 +1,6 @@
 //! Keeps a fill that was overtaken by a purge out of the cache.
 //!
-//! A cache host that misses asks the origin, and keeps the answer. If a purge of the key is applied in between, the answer
+//! A cache server that misses asks the origin, and keeps the answer. If a purge of the key is applied in between, the answer
 //! may be what the purge was to remove: it is served to whoever waits for it, but not kept.
 //!
 //! # Guarantee
@@ -26,7 +26,7 @@
     Discard,
 }
 
-/// The fills under way at one cache host.
+/// The fills under way at one cache server.
 #[derive(Clone, Debug)]
 pub struct FillGuard {
     capacity: usize,
--- a/purge/src/completion.rs
+++ b/purge/src/completion.rs
@@ -8,8 +8,8 @@
 
 use std::collections::BTreeMap;
 
-use crate::flaw::{Flaw, Flaws};
 use crate::ids::{MemberId, Position, ReplicaId};
+use crate::injected_defect::{InjectedDefect, InjectedDefects};
 use crate::limits::MAX_NAMED_MEMBERS;
 use crate::registration::{Registration, RegistrationState, RegistrationTable, TableCopy};
 use crate::wire::{MemberReport, StatusReply};
@@ -56,17 +56,17 @@
 
 /// What was held by a majority at the end of a round.
 #[derive(Clone, Debug, Default)]
-struct Holders {
+struct MajorityPosition {
     through: Position,
     incarnations: BTreeMap<ReplicaId, u64>,
 }
 
-/// The last report of a home.
+/// The last report of a assigned replica.
 #[derive(Clone, Debug)]
-struct HomeReport {
+struct AssignedReplicaReport {
     incarnation: u64,
     round: u64,
-    /// What the home knew of then: its laggards are behind this.
+    /// What the assigned replica knew of then: its laggards are behind this.
     held: Position,
     change: u64,
     report: MemberReport,
@@ -113,25 +113,25 @@
 pub struct Completion {
     me: ReplicaId,
     replicas: usize,
-    flaws: Flaws,
+    injected_defects: InjectedDefects,
     round: u64,
     replies: BTreeMap<ReplicaId, RoundReply>,
-    holders: Option<Holders>,
-    reports: BTreeMap<ReplicaId, HomeReport>,
+    majority_position: Option<MajorityPosition>,
+    reports: BTreeMap<ReplicaId, AssignedReplicaReport>,
     done: Position,
     outstanding: Outstanding,
 }
 
 impl Completion {
     /// Nothing is done yet; rounds are numbered on from this one.
-    pub fn new(me: ReplicaId, replicas: usize, round: u64, flaws: Flaws) -> Completion {
+    pub fn new(me: ReplicaId, replicas: usize, round: u64, injected_defects: InjectedDefects) -> Completion {
         Completion {
             me,
             replicas,
-            flaws,
+            injected_defects,
             round,
             replies: BTreeMap::new(),
-            holders: None,
+            majority_position: None,
             reports: BTreeMap::new(),
             done: Position::ZERO,
             outstanding: Outstanding::default(),
@@ -165,7 +165,7 @@
 
     /// Begins a round: what the last one showed is what this one has to confirm.
     pub fn begin_round(&mut self, incarnation: u64, held: Position, change: u64) -> u64 {
-        self.holders = self.held_by_majority();
+        self.majority_position = self.held_by_majority();
         self.outstanding.replicas = self.missing_replicas();
         self.round += 1;
         self.replies.clear();
@@ -174,13 +174,13 @@
     }
 
     /// The greatest position that a majority showed in the current round.
-    fn held_by_majority(&self) -> Option<Holders> {
+    fn held_by_majority(&self) -> Option<MajorityPosition> {
         let mut positions: Vec<Position> = self.replies.values().map(|reply| reply.held).collect();
         positions.sort_unstable();
         let through = *positions.get(positions.len().checked_sub(self.majority())?)?;
         let holding = self.replies.iter().filter(|(_, reply)| reply.held >= through);
         let incarnations = holding.map(|(replica, reply)| (*replica, reply.incarnation)).collect();
-        Some(Holders { through, incarnations })
+        Some(MajorityPosition { through, incarnations })
     }
 
     fn missing_replicas(&self) -> Vec<ReplicaId> {
@@ -203,7 +203,7 @@
         }
         let newest = self.reports.get(&from).map(|known| (known.incarnation, known.round));
         if newest < Some((reply.incarnation, reply.round)) {
-            let report = HomeReport {
+            let report = AssignedReplicaReport {
                 incarnation: reply.incarnation,
                 round: reply.round,
                 held: reply.vector.get(self.me),
@@ -214,18 +214,18 @@
         }
     }
 
-    /// Draws the conclusion of what has come so far; `own_report` is that of the members whose home this replica is.
+    /// Draws the conclusion of what has come so far; `own_report` is that of the members whose assigned replica this replica is.
     pub fn evaluate(&mut self, tables: Tables<'_>, own_report: &MemberReport) {
-        let holders = match self.flaws.has(Flaw::SecondRoundSkipped) {
+        let majority_position = match self.injected_defects.has(InjectedDefect::SecondRoundSkipped) {
             true => self.held_by_majority(),
-            false => self.holders.clone(),
+            false => self.majority_position.clone(),
         };
-        let Some(holders) = holders else { return };
-        let quorum = self.confirmed_quorum(&holders, tables);
+        let Some(majority_position) = majority_position else { return };
+        let quorum = self.confirmed_quorum(&majority_position, tables);
         if quorum.len() < self.majority() {
             return;
         }
-        let mut through = holders.through;
+        let mut through = majority_position.through;
         let mut outstanding = Outstanding::default();
         let mut is_uncovered = false;
         for registration in self.registrations_of(&quorum, tables).values() {
@@ -233,8 +233,10 @@
                 Coverage::Released => {}
                 Coverage::AppliedThrough(position) => {
                     through = through.min(position);
-                    let home = registration.home;
-                    if position < holders.through && !self.names_laggards(home, holders.through) {
+                    let assigned_replica = registration.assigned_replica;
+                    if position < majority_position.through
+                        && !self.names_laggards(assigned_replica, majority_position.through)
+                    {
                         outstanding.add_member(registration.member);
                     }
                 }
@@ -248,8 +250,8 @@
             self.done = self.done.max(through);
         }
         outstanding.add_report(own_report);
-        for (home, known) in &self.reports {
-            if self.names_laggards(*home, holders.through) {
+        for (assigned_replica, known) in &self.reports {
+            if self.names_laggards(*assigned_replica, majority_position.through) {
                 outstanding.add_report(&known.report);
             }
         }
@@ -257,19 +259,20 @@
         self.outstanding = outstanding;
     }
 
-    /// Whether the last report of a home names those of its members that are behind this position. One that has not
+    /// Whether the last report of a assigned replica names those of its members that are behind this position. One that has not
     /// reported since it had the position names nobody: all its members are outstanding.
-    fn names_laggards(&self, home: ReplicaId, through: Position) -> bool {
-        home == self.me || self.reports.get(&home).is_some_and(|known| known.held >= through)
+    fn names_laggards(&self, assigned_replica: ReplicaId, through: Position) -> bool {
+        assigned_replica == self.me
+            || self.reports.get(&assigned_replica).is_some_and(|known| known.held >= through)
     }
 
     /// The holders that have shown in this round that they still hold it, and whose tables as of then are here.
-    fn confirmed_quorum(&self, holders: &Holders, tables: Tables<'_>) -> Vec<ReplicaId> {
+    fn confirmed_quorum(&self, majority_position: &MajorityPosition, tables: Tables<'_>) -> Vec<ReplicaId> {
         let is_confirmed = |replica: &ReplicaId, reply: &RoundReply| {
-            let held_in = holders.incarnations.get(replica);
+            let held_in = majority_position.incarnations.get(replica);
             let same = held_in == Some(&reply.incarnation)
-                || held_in.is_some() && self.flaws.has(Flaw::IncarnationIgnored);
-            same && reply.held >= holders.through
+                || held_in.is_some() && self.injected_defects.has(InjectedDefect::IncarnationIgnored);
+            same && reply.held >= majority_position.through
                 && tables.is_complete(*replica, reply.incarnation, reply.change)
         };
         let confirmed = self.replies.iter().filter(|(replica, reply)| is_confirmed(replica, reply));
@@ -279,7 +282,7 @@
     /// Each member that the tables of a quorum name, in the greatest epoch that any table has of it.
     fn registrations_of(&self, quorum: &[ReplicaId], tables: Tables<'_>) -> BTreeMap<MemberId, Registration> {
         let mut registrations: BTreeMap<MemberId, Registration> = BTreeMap::new();
-        let own_only = self.flaws.has(Flaw::OwnTableOnly);
+        let own_only = self.injected_defects.has(InjectedDefect::OwnTableOnly);
         for replica in quorum.iter().filter(|replica| !own_only || **replica == self.me) {
             for (member, registration) in tables.registrations(*replica).into_iter().flatten() {
                 let known = registrations.entry(*member).or_insert(*registration);
@@ -298,7 +301,7 @@
         registrations
     }
 
-    /// What the home of a registration says of it.
+    /// What the assigned replica of a registration says of it.
     fn coverage(
         &self,
         registration: &Registration,
@@ -308,19 +311,22 @@
         if registration.state == RegistrationState::Released {
             return Coverage::Released;
         }
-        let home = registration.home;
-        let at_home = tables.registrations(home).and_then(|table| table.get(&registration.member));
-        let Some(at_home) = at_home.filter(|at_home| at_home.epoch == registration.epoch) else {
+        let assigned_replica = registration.assigned_replica;
+        let at_assigned_replica =
+            tables.registrations(assigned_replica).and_then(|table| table.get(&registration.member));
+        let Some(at_assigned_replica) =
+            at_assigned_replica.filter(|at_assigned_replica| at_assigned_replica.epoch == registration.epoch)
+        else {
             return Coverage::Unknown;
         };
-        match at_home.state {
+        match at_assigned_replica.state {
             RegistrationState::Released => Coverage::Released,
             RegistrationState::Known => Coverage::Unknown,
-            RegistrationState::Active if home == self.me => covered(own_report.floor),
-            RegistrationState::Active => match self.reports.get(&home) {
+            RegistrationState::Active if assigned_replica == self.me => covered(own_report.floor),
+            RegistrationState::Active => match self.reports.get(&assigned_replica) {
                 Some(known)
-                    if tables.is_complete(home, known.incarnation, known.change)
-                        && at_home.change <= known.change =>
+                    if tables.is_complete(assigned_replica, known.incarnation, known.change)
+                        && at_assigned_replica.change <= known.change =>
                 {
                     covered(known.report.floor)
                 }
--- a/purge/src/config.rs
+++ b/purge/src/config.rs
@@ -4,8 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::flaw::Flaws;
 use crate::ids::{MemberId, ReplicaId};
+use crate::injected_defect::InjectedDefects;
 use crate::limits::DEFAULT_LOG_ENTRIES;
 use crate::Micros;
 
@@ -60,7 +60,7 @@
     pub void_behind: usize,
     /// Tests only.
     #[doc(hidden)]
-    pub flaws: Flaws,
+    pub injected_defects: InjectedDefects,
 }
 
 impl Default for ReplicaSettings {
@@ -76,7 +76,7 @@
             publish_burst: 200,
             max_pending: 4_096,
             void_behind: 64,
-            flaws: Flaws::default(),
+            injected_defects: InjectedDefects::default(),
         }
     }
 }
@@ -104,10 +104,10 @@
     /// Which it is. No two processes at one time may be the same member.
     pub member: MemberId,
     /// Which start of it: later starts are greater.
-    pub life: u64,
+    pub incarnation: u64,
     /// The addresses of all replicas, in the order of their identifiers.
     pub replicas: Vec<SocketAddr>,
-    /// Replicas in the order in which they are to be its home; those not named come after these.
+    /// Replicas in the order in which they are to be its assigned replica; those not named come after these.
     pub preferred: Vec<ReplicaId>,
     /// What it does when it is far behind.
     pub catch_up: CatchUp,
@@ -130,21 +130,21 @@
     pub more_pace_void: Micros,
     /// The same of a [`CatchUp::Replay`] member.
     pub more_pace_replay: Micros,
-    /// Unanswered pulls after which it looks for another home.
+    /// Unanswered pulls after which it looks for another assigned replica.
     pub losses_before_move: u32,
-    /// How long the home must have been silent for that.
+    /// How long the assigned replica must have been silent for that.
     pub silence_before_move: Micros,
-    /// How long a registration may take before another home is tried.
+    /// How long a registration may take before another assigned replica is tried.
     pub registration_timeout: Micros,
-    /// How often it asks whether its preferred home is there, while it has another.
+    /// How often it asks whether its preferred assigned replica is there, while it has another.
     pub return_probe_interval: Micros,
     /// How many answers in a row bring it back.
     pub return_probes: u32,
-    /// How long it stays with a home before it goes back.
+    /// How long it stays with a assigned replica before it goes back.
     pub return_after: Micros,
     /// Tests only.
     #[doc(hidden)]
-    pub flaws: Flaws,
+    pub injected_defects: InjectedDefects,
 }
 
 impl Default for MemberTiming {
@@ -161,7 +161,7 @@
             return_probe_interval: 5 * SECOND,
             return_probes: 3,
             return_after: 30 * SECOND,
-            flaws: Flaws::default(),
+            injected_defects: InjectedDefects::default(),
         }
     }
 }
--- a/purge/src/ids.rs
+++ b/purge/src/ids.rs
@@ -13,7 +13,7 @@
     }
 }
 
-/// A balancer or a cache host.
+/// A balancer or a cache server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u32);
 
@@ -77,13 +77,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch {
     /// The start of the member's process.
-    pub life: u64,
-    /// Counts registrations within that life.
+    pub incarnation: u64,
+    /// Counts registrations within that incarnation.
     pub counter: u64,
 }
 
 impl Epoch {
-    /// The next epoch of the same life.
+    /// The next epoch of the same incarnation.
     pub fn next(self) -> Epoch {
         Epoch { counter: self.counter.saturating_add(1), ..self }
     }
--- a/purge/src/flaw.rs
+++ b/purge/src/injected_defect.rs
@@ -3,16 +3,16 @@
 /// A step of the protocol that is left out.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Flaw {
+pub enum InjectedDefect {
     /// A purge is done by the replies of one round.
     SecondRoundSkipped,
     /// A reply of another incarnation counts in the second round.
     IncarnationIgnored,
     /// The member counts its lease from the answer, not from its question.
     LeaseFromReceipt,
-    /// A restarted home releases what it learned from others at once.
+    /// A restarted assigned replica releases what it learned from others at once.
     EarlyRelease,
-    /// The home does not wait for the end of the lease.
+    /// The assigned replica does not wait for the end of the lease.
     LeaseCutShort,
     /// A member serves before it has reached its target.
     TargetIgnored,
@@ -26,30 +26,30 @@
     OwnTableOnly,
 }
 
-/// The flaw in force, if any; always none without the feature `fault-injection`.
+/// The injected defect in force, if any; always none without the feature `fault-injection`.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Flaws {
+pub struct InjectedDefects {
     #[cfg(feature = "fault-injection")]
-    flaw: Option<Flaw>,
+    injected_defect: Option<InjectedDefect>,
 }
 
-impl Flaws {
+impl InjectedDefects {
     /// With this defect.
     #[cfg(feature = "fault-injection")]
-    pub fn with(flaw: Option<Flaw>) -> Flaws {
-        Flaws { flaw }
+    pub fn with(injected_defect: Option<InjectedDefect>) -> InjectedDefects {
+        InjectedDefects { injected_defect }
     }
 
     /// Whether this defect is in force.
     #[cfg(feature = "fault-injection")]
-    pub(crate) fn has(self, flaw: Flaw) -> bool {
-        self.flaw == Some(flaw)
+    pub(crate) fn has(self, injected_defect: InjectedDefect) -> bool {
+        self.injected_defect == Some(injected_defect)
     }
 
     /// Whether this defect is in force.
     #[cfg(not(feature = "fault-injection"))]
-    pub(crate) fn has(self, _: Flaw) -> bool {
+    pub(crate) fn has(self, _: InjectedDefect) -> bool {
         false
     }
 }
--- a/purge/src/home.rs
+++ b/purge/src/lease_table.rs
@@ -1,50 +1,50 @@
-//! Leases that a home grants to its members, and what those members have applied.
+//! Leases that a assigned replica grants to its members, and what those members have applied.
 //!
 //! # Guarantee
 //!
-//! A registration is reported as expired only when no lease of it can run at its member: the home counts from the
-//! receipt of the last pull that it answered, the member from the sending of it, and the home's count is longer by the
-//! drift of two clocks. A registration that the home learned from another replica is never granted a lease; it expires a
-//! lease after it was learned, which is not before the home's start.
+//! A registration is reported as expired only when no lease of it can run at its member: the assigned replica counts from the
+//! receipt of the last pull that it answered, the member from the sending of it, and the assigned replica's count is longer by the
+//! drift of two clocks. A registration that the assigned replica learned from another replica is never granted a lease; it expires a
+//! lease after it was learned, which is not before the assigned replica's start.
 
 use std::collections::BTreeMap;
 
 use crate::config::ReplicaSettings;
-use crate::flaw::Flaw;
 use crate::ids::{Epoch, MemberId, Position, ReplicaId};
+use crate::injected_defect::InjectedDefect;
 use crate::limits::MAX_NAMED_MEMBERS;
 use crate::version_vector::VersionVector;
 use crate::wire::MemberReport;
 use crate::Micros;
 
-/// A registration of this home.
+/// A registration of this assigned replica.
 #[derive(Clone, Debug)]
 struct Lease {
     epoch: Epoch,
-    /// It came from the member itself, in this incarnation of the home.
+    /// It came from the member itself, in this incarnation of the assigned replica.
     grantable: bool,
     /// When the last lease was granted, or the registration came.
     granted: Micros,
     applied: VersionVector,
 }
 
-/// The registrations of one home.
+/// The registrations of one assigned replica.
 #[derive(Clone, Debug, Default)]
-pub struct Home {
+pub struct LeaseTable {
     leases: BTreeMap<MemberId, Lease>,
 }
 
-impl Home {
+impl LeaseTable {
     /// A member has registered here itself.
     pub fn register(&mut self, member: MemberId, epoch: Epoch, now: Micros) {
         let lease = Lease { epoch, grantable: true, granted: now, applied: VersionVector::default() };
         self.leases.insert(member, lease);
     }
 
-    /// Another replica knows of a registration of this home; a lease of it, or of an earlier epoch, may have been
+    /// Another replica knows of a registration of this assigned replica; a lease of it, or of an earlier epoch, may have been
     /// granted until `since`.
     pub fn learn(&mut self, member: MemberId, epoch: Epoch, since: Micros, settings: &ReplicaSettings) {
-        let granted = if settings.flaws.has(Flaw::EarlyRelease) { 0 } else { since };
+        let granted = if settings.injected_defects.has(InjectedDefect::EarlyRelease) { 0 } else { since };
         self.leases
             .insert(member, Lease { epoch, grantable: false, granted, applied: VersionVector::default() });
     }
@@ -74,7 +74,7 @@
     /// Takes out the registrations of which no lease can run any more.
     pub fn take_expired(&mut self, now: Micros, settings: &ReplicaSettings) -> Vec<(MemberId, Epoch)> {
         let mut lease_time = settings.lease_with_drift();
-        if settings.flaws.has(Flaw::LeaseCutShort) {
+        if settings.injected_defects.has(InjectedDefect::LeaseCutShort) {
             lease_time = settings.lease / 2;
         }
         let is_expired = |lease: &Lease| lease.granted.saturating_add(lease_time) < now;
--- a/purge/src/lib.rs
+++ b/purge/src/lib.rs
@@ -1,6 +1,6 @@
 //! Fleet-wide purges: replicated logs, leases and acknowledgements. Pure state machines.
 //!
-//! A [`Replica`] runs on each control machine, a [`Member`] in each balancer and cache host. Both do no I/O and read no
+//! A [`Replica`] runs on each control machine, a [`Member`] in each balancer and cache server. Both do no I/O and read no
 //! clock: they are fed datagrams and times, and drained of datagrams.
 //!
 //! # Guarantee
@@ -13,13 +13,13 @@
 //! # Assumptions
 //!
 //! - Clocks differ in rate by at most the configured drift; they need not agree on the time.
-//! - A replica's incarnations and a member's lives grow with each start; no two processes are the same replica or member
+//! - A replica's incarnations and a member's incarnations grow with each start; no two processes are the same replica or member
 //!   at one time.
 //! - Never more than a minority of the replicas is without memory at one time (just started and not recovered). If a
 //!   majority is lost, the control plane is bootstrapped anew, and every member voids.
 //! - Control machines are trusted; datagrams come from the addresses that they claim.
-//! - A member's driver applies what it drains before it asks [`Member::may_serve`] again, and a cache host keeps no fill
-//!   that [`fill::FillGuard`] discards.
+//! - A member's driver applies what it drains before it asks [`Member::may_serve`] again, and a cache server keeps no fill
+//!   that [`cache_fill::FillGuard`] discards.
 //!
 //! # Bounds
 //!
@@ -29,26 +29,27 @@
 //!
 //! The protocol and the argument for it are in `docs/design/purge.md`.
 
+pub mod cache_fill;
 pub mod completion;
 pub mod config;
-pub mod figures;
-pub mod fill;
-#[doc(hidden)]
-pub mod flaw;
-pub mod home;
 pub mod ids;
+#[doc(hidden)]
+pub mod injected_defect;
+pub mod lease_table;
 pub mod limits;
 pub mod log;
 pub mod member;
+pub mod metrics;
+mod outbox;
 pub mod registration;
 pub mod replica;
 pub mod version_vector;
 pub mod wire;
 
 pub use config::{CatchUp, MemberConfig, MemberTiming, ReplicaConfig, ReplicaSettings};
-pub use figures::{MemberFigures, ReplicaFigures};
 pub use ids::{MemberId, PurgeId, ReplicaId, StreamId};
 pub use member::{Member, PurgeEvent};
+pub use metrics::{MemberMetrics, ReplicaMetrics};
 pub use replica::{PublishRejected, PurgeStatus, RejectReason, Replica};
 
 /// Microseconds on the caller's monotonic clock.
--- a/purge/src/member.rs
+++ b/purge/src/member.rs
@@ -1,12 +1,12 @@
-//! A member: a balancer or a cache host that applies purges, and serves only while its lease runs.
+//! A member: a balancer or a cache server that applies purges, and serves only while its lease runs.
 //!
-//! From its start it catches up with what its home has, registers in two phases with a majority of the replicas, pulls
+//! From its start it catches up with what its assigned replica has, registers in two phases with a majority of the replicas, pulls
 //! until it has applied the target that the majority named, and then serves as long as its pulls are answered. Once its
 //! lease has run out it begins anew with a greater epoch.
 
-mod enrolment;
-mod home_choice;
+mod enrollment;
 mod pulls;
+mod replica_choice;
 
 use std::net::SocketAddr;
 
@@ -14,17 +14,18 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::config::{CatchUp, MemberConfig};
-use crate::figures::{Dropped, MemberFigures, Outbox, Traffic};
-use crate::flaw::Flaw;
 use crate::ids::{Epoch, ReplicaId};
+use crate::injected_defect::InjectedDefect;
 use crate::limits::{MAX_REPLICAS, MAX_UNDRAINED_EVENTS};
 use crate::log::Run;
+use crate::metrics::{Dropped, MemberMetrics, Traffic};
+use crate::outbox::Outbox;
 use crate::version_vector::VersionVector;
-use crate::wire::{decode, HomeMessage, MemberMessage, Message};
+use crate::wire::{decode, MemberMessage, Message, ReplicaMessage};
 use crate::Micros;
-use enrolment::Enrolment;
-use home_choice::HomeChoice;
+use enrollment::Enrollment;
 use pulls::Pulls;
+use replica_choice::ReplicaChoice;
 
 /// What a member's driver has to apply, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -40,11 +41,11 @@
 enum Phase {
     /// It pulls without a registration.
     CatchingUp {
-        /// The home has said that there is no more.
+        /// The assigned replica has said that there is no more.
         caught_up: bool,
     },
     /// It registers with a majority.
-    Enrolling(Enrolment),
+    Enrolling(Enrollment),
     /// It is registered, and pulls until it has applied the target.
     Reaching {
         /// What it has to have applied.
@@ -53,7 +54,7 @@
     /// It serves while its lease runs.
     Serving,
     /// It has ended.
-    Left,
+    Stopped,
 }
 
 /// A member.
@@ -61,13 +62,13 @@
 pub struct Member {
     config: MemberConfig,
     rng: ChaCha8Rng,
-    homes: HomeChoice,
+    replica_choice: ReplicaChoice,
     epoch: Epoch,
     phase: Phase,
     /// The last time at which the phase got on.
     progress: Micros,
     pulls: Pulls,
-    /// Until when the home has granted a lease of the current epoch.
+    /// Until when the assigned replica has granted a lease of the current epoch.
     granted_until: Micros,
     /// Until when this member may serve, by leases of epochs that were confirmed.
     lease_until: Micros,
@@ -76,7 +77,7 @@
     applied: VersionVector,
     events: Vec<PurgeEvent>,
     outbox: Outbox,
-    figures: MemberFigures,
+    metrics: MemberMetrics,
     dropped: Dropped,
     traffic_in: Traffic,
 }
@@ -89,8 +90,8 @@
         let first_pull = now + rng.random_range(0..=config.timing.resend_after);
         let first_number = rng.random::<u32>() / 2;
         Member {
-            homes: HomeChoice::new(&config.preferred, config.replicas.len(), first_number, now),
-            epoch: Epoch { life: config.life, counter: 0 },
+            replica_choice: ReplicaChoice::new(&config.preferred, config.replicas.len(), first_number, now),
+            epoch: Epoch { incarnation: config.incarnation, counter: 0 },
             phase: Phase::CatchingUp { caught_up: false },
             progress: now,
             pulls: Pulls::new(first_number, first_pull, now),
@@ -100,7 +101,7 @@
             applied: VersionVector::default(),
             events: Vec::new(),
             outbox: Outbox::default(),
-            figures: MemberFigures::default(),
+            metrics: MemberMetrics::default(),
             dropped: Dropped::default(),
             traffic_in: Traffic::default(),
             rng,
@@ -110,7 +111,7 @@
 
     /// Whether it may serve at this moment.
     pub fn may_serve(&self, now: Micros) -> bool {
-        now < self.lease_until && !matches!(self.phase, Phase::Left)
+        now < self.lease_until && !matches!(self.phase, Phase::Stopped)
     }
 
     /// What the driver has to apply. It is taken as applied from now on, so the driver applies it before it does
@@ -129,20 +130,20 @@
 
     /// Ends: from now on it doesn't serve, and replicas need not wait for its lease.
     pub fn leave(&mut self) {
-        self.phase = Phase::Left;
+        self.phase = Phase::Stopped;
         self.lease_until = 0;
         let deregister = MemberMessage::Deregister { member: self.config.member, epoch: self.epoch };
         self.outbox.send(self.config.replicas.iter().copied(), &Message::ToReplica(deregister));
     }
 
     /// What operators see.
-    pub fn figures(&self) -> MemberFigures {
-        MemberFigures {
-            home: self.homes.current().0,
+    pub fn metrics(&self) -> MemberMetrics {
+        MemberMetrics {
+            assigned_replica: self.replica_choice.current().0,
             sent: self.outbox.sent,
             received: self.traffic_in,
-            dropped: Dropped { outbox_full: self.outbox.full, ..self.dropped },
-            ..self.figures
+            dropped: Dropped { outbox_full: self.outbox.dropped, ..self.dropped },
+            ..self.metrics
         }
     }
 
@@ -155,15 +156,15 @@
         };
         self.end_lapsed_lease(now);
         match decode(bytes) {
-            Ok(Message::ToMember(message)) => self.on_home_message(now, ReplicaId(from as u8), message),
+            Ok(Message::ToMember(message)) => self.on_replica_message(now, ReplicaId(from as u8), message),
             Ok(_) => self.dropped.unknown_sender += 1,
             Err(error) => self.dropped.add(error),
         }
     }
 
-    fn on_home_message(&mut self, now: Micros, from: ReplicaId, message: HomeMessage) {
+    fn on_replica_message(&mut self, now: Micros, from: ReplicaId, message: ReplicaMessage) {
         match message {
-            HomeMessage::Entries { number, epoch, runs, more } => {
+            ReplicaMessage::Entries { number, epoch, runs, more } => {
                 if self.events.len() >= MAX_UNDRAINED_EVENTS {
                     self.dropped.undrained += 1;
                     return;
@@ -171,24 +172,26 @@
                 self.receive_runs(runs);
                 self.on_pull_answer(now, number, epoch, more);
             }
-            HomeMessage::Void { number, epoch, vector } => {
+            ReplicaMessage::Void { number, epoch, vector } => {
                 self.receive_void(&vector);
                 self.on_pull_answer(now, number, epoch, false);
             }
-            HomeMessage::RegisterAgain { epoch } if epoch == self.epoch => self.register_again(now),
-            HomeMessage::Registered { epoch, incarnation } if epoch == self.epoch => {
+            ReplicaMessage::ReRegister { epoch } if epoch == self.epoch => self.reregister(now),
+            ReplicaMessage::Registered { epoch, incarnation } if epoch == self.epoch => {
                 self.on_registered(now, from, incarnation);
             }
-            HomeMessage::Confirmed { epoch, incarnation, vector } if epoch == self.epoch => {
+            ReplicaMessage::Confirmed { epoch, incarnation, vector } if epoch == self.epoch => {
                 self.on_confirmed(now, from, incarnation, &vector);
             }
-            HomeMessage::Superseded { epoch, known } if epoch == self.epoch && known > epoch => {
+            ReplicaMessage::Superseded { epoch, known } if epoch == self.epoch && known > epoch => {
                 self.epoch = known;
-                self.register_again(now);
+                self.reregister(now);
             }
-            HomeMessage::ProbeReply { number } => {
-                if let Some(home) = self.homes.on_probe_reply(from, number, &self.config.timing) {
-                    self.change_home(now, home);
+            ReplicaMessage::ProbeReply { number } => {
+                if let Some(assigned_replica) =
+                    self.replica_choice.on_probe_reply(from, number, &self.config.timing)
+                {
+                    self.change_assigned_replica(now, assigned_replica);
                 }
             }
             _ => self.dropped.stale += 1,
@@ -199,7 +202,7 @@
     fn receive_runs(&mut self, runs: Vec<Run>) {
         for run in runs {
             let replica = run.replica;
-            if run.rebase && self.config.timing.flaws.has(Flaw::VoidForgotten) {
+            if run.rebase && self.config.timing.injected_defects.has(InjectedDefect::VoidForgotten) {
                 self.received.raise(replica, run.previous);
             }
             for entry in run.entries() {
@@ -209,7 +212,7 @@
                 }
                 self.received.raise(replica, entry.position);
                 if !entry.position.is_start() {
-                    self.figures.purged += 1;
+                    self.metrics.purged += 1;
                     self.events.push(PurgeEvent::Key(entry.key));
                 }
             }
@@ -218,7 +221,7 @@
 
     /// Voids all: whatever was published up to the vector is then applied.
     fn receive_void(&mut self, vector: &VersionVector) {
-        self.figures.voided += 1;
+        self.metrics.voided += 1;
         self.events.clear();
         self.events.push(PurgeEvent::VoidAll);
         self.received.merge(vector);
@@ -233,12 +236,16 @@
             next = now + self.more_pace();
         }
         self.pulls.schedule(next);
-        // A home that answers, but has not what the target needs, is left after a while.
+        // A assigned replica that answers, but has not what the target needs, is left after a while.
         if more || !matches!(self.phase, Phase::Reaching { .. }) {
             self.progress = now;
         }
         if epoch == Some(self.epoch) {
-            let counted_from = if self.config.timing.flaws.has(Flaw::LeaseFromReceipt) { now } else { sent };
+            let counted_from = if self.config.timing.injected_defects.has(InjectedDefect::LeaseFromReceipt) {
+                now
+            } else {
+                sent
+            };
             self.granted_until = self.granted_until.max(counted_from + self.config.timing.lease);
         }
         match &mut self.phase {
@@ -259,16 +266,16 @@
     pub fn on_tick(&mut self, now: Micros) {
         self.end_lapsed_lease(now);
         self.advance(now);
-        self.change_silent_home(now);
+        self.change_silent_replica(now);
         self.pull(now);
-        self.resend_enrolment(now);
+        self.resend_enrollment(now);
         self.probe(now);
     }
 
     /// Once the lease has run out its epoch is never used again.
     fn end_lapsed_lease(&mut self, now: Micros) {
         if matches!(self.phase, Phase::Serving) && now >= self.lease_until {
-            self.figures.lapses += 1;
+            self.metrics.lapses += 1;
             self.catch_up(now);
         }
     }
@@ -276,10 +283,10 @@
     /// Goes on to the next phase if all for it has been applied.
     fn advance(&mut self, now: Micros) {
         match &self.phase {
-            Phase::CatchingUp { caught_up: true } if self.applied == self.received => self.enrol(now),
+            Phase::CatchingUp { caught_up: true } if self.applied == self.received => self.enroll(now),
             Phase::Reaching { target } if now < self.granted_until => {
                 let is_reached = self.applied.covers(target);
-                if is_reached || self.config.timing.flaws.has(Flaw::TargetIgnored) {
+                if is_reached || self.config.timing.injected_defects.has(InjectedDefect::TargetIgnored) {
                     self.phase = Phase::Serving;
                     self.lease_until = self.lease_until.max(self.granted_until);
                 }
@@ -299,7 +306,7 @@
         let epoch = match self.phase {
             Phase::CatchingUp { .. } => None,
             Phase::Reaching { .. } | Phase::Serving => Some(self.epoch),
-            Phase::Enrolling(_) | Phase::Left => return,
+            Phase::Enrolling(_) | Phase::Stopped => return,
         };
         if !self.pulls.is_due(now) {
             return;
@@ -312,7 +319,7 @@
             catch_up: self.config.catch_up,
             applied: self.applied.clone(),
         };
-        self.send(self.homes.current(), message);
+        self.send(self.replica_choice.current(), message);
     }
 
     fn send(&mut self, to: ReplicaId, message: MemberMessage) {
@@ -320,41 +327,45 @@
         self.outbox.send(address, &Message::ToReplica(message));
     }
 
-    /// Leaves a home that doesn't answer: at once while nothing hangs on it, else once another has answered a probe.
-    fn change_silent_home(&mut self, now: Micros) {
+    /// Leaves a assigned replica that doesn't answer: at once while nothing hangs on it, else once another has answered a probe.
+    fn change_silent_replica(&mut self, now: Micros) {
         let silent = self.pulls.is_silent(now, &self.config.timing);
         let is_late = now.saturating_sub(self.progress) >= self.config.timing.registration_timeout;
         match self.phase {
-            Phase::CatchingUp { .. } if silent => self.change_home(now, self.homes.following()),
+            Phase::CatchingUp { .. } if silent => {
+                self.change_assigned_replica(now, self.replica_choice.following())
+            }
             Phase::Enrolling(_) | Phase::Reaching { .. } if is_late => {
-                self.change_home(now, self.homes.following());
+                self.change_assigned_replica(now, self.replica_choice.following());
             }
             _ => {}
         }
     }
 
-    /// Asks other replicas whether they are there, if the home is silent or is not the preferred one.
+    /// Asks other replicas whether they are there, if the assigned replica is silent or is not the preferred one.
     fn probe(&mut self, now: Micros) {
         let is_settled = matches!(self.phase, Phase::Serving);
         let silent = is_settled && self.pulls.is_silent(now, &self.config.timing);
-        if let Some((to, number)) = self.homes.next_probe(now, is_settled, silent, &self.config.timing) {
+        if let Some((to, number)) =
+            self.replica_choice.next_probe(now, is_settled, silent, &self.config.timing)
+        {
             self.send(to, MemberMessage::Probe { number });
         }
     }
 
-    fn change_home(&mut self, now: Micros, home: ReplicaId) {
-        self.figures.moves += u64::from(home != self.homes.current());
-        self.homes.set_current(now, home);
-        self.register_again(now);
+    fn change_assigned_replica(&mut self, now: Micros, assigned_replica: ReplicaId) {
+        self.metrics.reassignments += u64::from(assigned_replica != self.replica_choice.current());
+        self.replica_choice.set_current(now, assigned_replica);
+        self.reregister(now);
     }
 
     /// Takes a greater epoch. While a lease still runs there is no need to catch up before.
-    fn register_again(&mut self, now: Micros) {
-        if matches!(self.phase, Phase::Left) {
+    fn reregister(&mut self, now: Micros) {
+        if matches!(self.phase, Phase::Stopped) {
             return;
         }
         if now < self.lease_until {
-            self.enrol(now);
+            self.enroll(now);
         } else {
             self.catch_up(now);
         }
--- a/purge/src/member/enrolment.rs
+++ b/purge/src/member/enrollment.rs
@@ -1,6 +1,6 @@
 //! The two phases of a registration.
 //!
-//! First the member registers with all replicas; once a majority, and its home among them, has stored the registration,
+//! First the member registers with all replicas; once a majority, and its assigned replica among them, has stored the registration,
 //! it asks those to confirm it. Those that still have the same incarnation held it all at the same moment, between the
 //! phases. What they know of by then is the member's target.
 
@@ -8,8 +8,8 @@
 
 use super::{Member, Phase};
 use crate::config::MILLISECOND;
-use crate::flaw::Flaw;
 use crate::ids::ReplicaId;
+use crate::injected_defect::InjectedDefect;
 use crate::version_vector::VersionVector;
 use crate::wire::MemberMessage;
 use crate::Micros;
@@ -23,7 +23,7 @@
 
 /// A registration under way.
 #[derive(Clone, Debug)]
-pub(super) struct Enrolment {
+pub(super) struct Enrollment {
     begun: Micros,
     /// Who answered the first phase, in which incarnation.
     registered: BTreeMap<ReplicaId, u64>,
@@ -34,9 +34,9 @@
     resend_at: Micros,
 }
 
-impl Enrolment {
-    fn new(now: Micros, resend_after: Micros) -> Enrolment {
-        Enrolment {
+impl Enrollment {
+    fn new(now: Micros, resend_after: Micros) -> Enrollment {
+        Enrollment {
             begun: now,
             registered: BTreeMap::new(),
             is_confirming: false,
@@ -57,9 +57,9 @@
         .collect()
     }
 
-    fn may_confirm(&self, now: Micros, home: ReplicaId, replicas: usize) -> bool {
+    fn may_confirm(&self, now: Micros, assigned_replica: ReplicaId, replicas: usize) -> bool {
         let answered = self.registered.len();
-        let is_enough = answered > replicas / 2 && self.registered.contains_key(&home);
+        let is_enough = answered > replicas / 2 && self.registered.contains_key(&assigned_replica);
         let has_waited = now.saturating_sub(self.begun) >= WAIT_FOR_ALL;
         !self.is_confirming && is_enough && (answered == replicas || has_waited)
     }
@@ -67,65 +67,67 @@
 
 impl Member {
     /// Begins a registration with the next epoch.
-    pub(super) fn enrol(&mut self, now: Micros) {
+    pub(super) fn enroll(&mut self, now: Micros) {
         self.epoch = self.epoch.next();
         self.granted_until = 0;
         self.progress = now;
-        self.figures.registrations += 1;
+        self.metrics.registrations += 1;
         self.pulls.restart(now);
-        self.phase = Phase::Enrolling(Enrolment::new(now, self.config.timing.resend_after));
-        self.send_enrolment();
+        self.phase = Phase::Enrolling(Enrollment::new(now, self.config.timing.resend_after));
+        self.send_enrollment();
     }
 
     /// Sends the message of the current phase to those that have not answered it.
-    fn send_enrolment(&mut self) {
-        let Phase::Enrolling(enrolment) = &self.phase else { return };
+    fn send_enrollment(&mut self) {
+        let Phase::Enrolling(enrollment) = &self.phase else { return };
         let (member, epoch) = (self.config.member, self.epoch);
-        let message = match enrolment.is_confirming {
+        let message = match enrollment.is_confirming {
             true => MemberMessage::Confirm { member, epoch },
-            false => MemberMessage::Register { member, epoch, home: self.homes.current() },
+            false => {
+                MemberMessage::Register { member, epoch, assigned_replica: self.replica_choice.current() }
+            }
         };
-        for replica in enrolment.unanswered(self.config.replicas.len()) {
+        for replica in enrollment.unanswered(self.config.replicas.len()) {
             self.send(replica, message.clone());
         }
     }
 
-    pub(super) fn resend_enrolment(&mut self, now: Micros) {
+    pub(super) fn resend_enrollment(&mut self, now: Micros) {
         self.begin_confirmation(now);
-        let Phase::Enrolling(enrolment) = &mut self.phase else { return };
-        if now < enrolment.resend_at {
+        let Phase::Enrolling(enrollment) = &mut self.phase else { return };
+        if now < enrollment.resend_at {
             return;
         }
-        enrolment.resends += 1;
-        let rarer = if enrolment.resends < FREQUENT_RESENDS { 1 } else { RARE_RESEND_FACTOR };
-        enrolment.resend_at = now + self.config.timing.resend_after * rarer;
-        self.send_enrolment();
+        enrollment.resends += 1;
+        let rarer = if enrollment.resends < FREQUENT_RESENDS { 1 } else { RARE_RESEND_FACTOR };
+        enrollment.resend_at = now + self.config.timing.resend_after * rarer;
+        self.send_enrollment();
     }
 
     pub(super) fn on_registered(&mut self, now: Micros, from: ReplicaId, incarnation: u64) {
-        let one_phase = self.config.timing.flaws.has(Flaw::OnePhaseRegistration);
+        let one_phase = self.config.timing.injected_defects.has(InjectedDefect::OnePhaseRegistration);
         let (member, epoch) = (self.config.member, self.epoch);
-        let Phase::Enrolling(enrolment) = &mut self.phase else { return };
+        let Phase::Enrolling(enrollment) = &mut self.phase else { return };
         if one_phase {
-            enrolment.registered.insert(from, incarnation);
+            enrollment.registered.insert(from, incarnation);
             self.send(from, MemberMessage::Confirm { member, epoch });
             return;
         }
         // Whoever answers later was not there at the moment between the phases.
-        if !enrolment.is_confirming {
-            enrolment.registered.insert(from, incarnation);
+        if !enrollment.is_confirming {
+            enrollment.registered.insert(from, incarnation);
             self.begin_confirmation(now);
         }
     }
 
     fn begin_confirmation(&mut self, now: Micros) {
-        let (home, replicas) = (self.homes.current(), self.config.replicas.len());
-        let Phase::Enrolling(enrolment) = &mut self.phase else { return };
-        if enrolment.may_confirm(now, home, replicas) {
-            enrolment.is_confirming = true;
-            enrolment.resends = 0;
-            enrolment.resend_at = now + self.config.timing.resend_after;
-            self.send_enrolment();
+        let (assigned_replica, replicas) = (self.replica_choice.current(), self.config.replicas.len());
+        let Phase::Enrolling(enrollment) = &mut self.phase else { return };
+        if enrollment.may_confirm(now, assigned_replica, replicas) {
+            enrollment.is_confirming = true;
+            enrollment.resends = 0;
+            enrollment.resend_at = now + self.config.timing.resend_after;
+            self.send_enrollment();
         }
     }
 
@@ -137,14 +139,14 @@
         vector: &VersionVector,
     ) {
         let majority = self.config.replicas.len() / 2 + 1;
-        let Phase::Enrolling(enrolment) = &mut self.phase else { return };
-        if enrolment.registered.get(&from) != Some(&incarnation) {
+        let Phase::Enrolling(enrollment) = &mut self.phase else { return };
+        if enrollment.registered.get(&from) != Some(&incarnation) {
             return;
         }
-        enrolment.confirmed.insert(from);
-        enrolment.target.merge(vector);
-        if enrolment.confirmed.len() >= majority {
-            let target = std::mem::take(&mut enrolment.target);
+        enrollment.confirmed.insert(from);
+        enrollment.target.merge(vector);
+        if enrollment.confirmed.len() >= majority {
+            let target = std::mem::take(&mut enrollment.target);
             self.phase = Phase::Reaching { target };
             self.progress = now;
             self.pulls.restart(now);
--- a/purge/src/member/pulls.rs
+++ b/purge/src/member/pulls.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Another home or another epoch: answers to earlier pulls don't count any more, and the next is due.
+    /// Another assigned replica or another epoch: answers to earlier pulls don't count any more, and the next is due.
     pub(super) fn restart(&mut self, now: Micros) {
         self.outstanding.clear();
         self.unanswered = 0;
@@ -68,7 +68,7 @@
         self.next_at = next_at;
     }
 
-    /// Whether the home has been silent for so long that another is to be looked for.
+    /// Whether the assigned replica has been silent for so long that another is to be looked for.
     pub(super) fn is_silent(&self, now: Micros, timing: &MemberTiming) -> bool {
         self.unanswered >= timing.losses_before_move
             && now.saturating_sub(self.answered_at) >= timing.silence_before_move
--- a/purge/src/member/home_choice.rs
+++ b/purge/src/member/replica_choice.rs
@@ -1,4 +1,4 @@
-//! Which replica is a member's home: the first of its preference list that answers, with hysteresis on the way back.
+//! Which replica is a member's assigned replica: the first of its preference list that answers, with hysteresis on the way back.
 
 use crate::config::MemberTiming;
 use crate::ids::ReplicaId;
@@ -11,9 +11,9 @@
     to: ReplicaId,
 }
 
-/// The choice of a home.
+/// The choice of a assigned replica.
 #[derive(Clone, Debug)]
-pub(super) struct HomeChoice {
+pub(super) struct ReplicaChoice {
     /// All replicas, the preferred ones first.
     order: Vec<ReplicaId>,
     current: ReplicaId,
@@ -21,18 +21,18 @@
     probe: Option<Probe>,
     next_number: u32,
     next_probe: Micros,
-    /// Answers in a row of the preferred home.
+    /// Answers in a row of the preferred assigned replica.
     answers: u32,
     changed: Micros,
 }
 
-impl HomeChoice {
+impl ReplicaChoice {
     pub(super) fn new(
         preferred: &[ReplicaId],
         replicas: usize,
         first_number: u32,
         now: Micros,
-    ) -> HomeChoice {
+    ) -> ReplicaChoice {
         let mut order: Vec<ReplicaId> = Vec::new();
         let all = (0..replicas).map(|index| ReplicaId(index as u8));
         for replica in preferred.iter().copied().chain(all) {
@@ -41,7 +41,7 @@
             }
         }
         let first = order.first().copied().unwrap_or_default();
-        HomeChoice {
+        ReplicaChoice {
             order,
             current: first,
             candidate: first,
@@ -57,15 +57,15 @@
         self.current
     }
 
-    pub(super) fn set_current(&mut self, now: Micros, home: ReplicaId) {
-        self.current = home;
-        self.candidate = home;
+    pub(super) fn set_current(&mut self, now: Micros, assigned_replica: ReplicaId) {
+        self.current = assigned_replica;
+        self.candidate = assigned_replica;
         self.probe = None;
         self.answers = 0;
         self.changed = now;
     }
 
-    /// The one after the current home.
+    /// The one after the current assigned replica.
     pub(super) fn following(&self) -> ReplicaId {
         self.after(self.current)
     }
@@ -75,7 +75,7 @@
         self.order.get((index + 1) % self.order.len().max(1)).copied().unwrap_or(replica)
     }
 
-    /// Whom to probe now, if anybody: others in turn while the home is silent, the preferred one while a member that has
+    /// Whom to probe now, if anybody: others in turn while the assigned replica is silent, the preferred one while a member that has
     /// settled elsewhere may go back.
     pub(super) fn next_probe(
         &mut self,
--- a/purge/src/figures.rs
+++ b/purge/src/metrics.rs
@@ -1,9 +1,6 @@
-//! What operators see of replicas and members, and the outbox that counts what leaves.
+//! What operators see of replicas and members.
 
-use std::net::SocketAddr;
-
-use crate::limits::MAX_OUTBOX;
-use crate::wire::{encode, DecodeError, Message};
+use crate::wire::DecodeError;
 
 /// Datagrams and their bytes, without the heads of IP and UDP.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -54,36 +51,9 @@
     }
 }
 
-/// Datagrams that wait to be drained.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct Outbox {
-    datagrams: Vec<(SocketAddr, Vec<u8>)>,
-    pub(crate) sent: Traffic,
-    pub(crate) full: u64,
-}
-
-impl Outbox {
-    /// Encodes a message once and sends it to all of these.
-    pub(crate) fn send(&mut self, to: impl IntoIterator<Item = SocketAddr>, message: &Message) {
-        let Some(bytes) = encode(message) else { return };
-        for address in to {
-            if self.datagrams.len() >= MAX_OUTBOX {
-                self.full += 1;
-                continue;
-            }
-            self.sent.add(bytes.len());
-            self.datagrams.push((address, bytes.clone()));
-        }
-    }
-
-    pub(crate) fn drain(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
-        std::mem::take(&mut self.datagrams)
-    }
-}
-
 /// What operators see of a replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ReplicaFigures {
+pub struct ReplicaMetrics {
     /// It has not yet taken what it needs from a majority of the others.
     pub recovering: bool,
     /// Purges published here since its start.
@@ -96,8 +66,8 @@
     pub log_trimmed: u64,
     /// Registrations in its table.
     pub registrations: usize,
-    /// Registrations whose home it is, those that it learned from others included.
-    pub homed: usize,
+    /// Registrations whose assigned replica it is, those that it learned from others included.
+    pub assigned_members: usize,
     /// Rounds begun.
     pub rounds: u64,
     /// Replicas that had not answered when a round without a majority ended.
@@ -112,13 +82,13 @@
 
 /// What operators see of a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct MemberFigures {
-    /// Its home, by index.
-    pub home: u8,
+pub struct MemberMetrics {
+    /// Its assigned replica, by index.
+    pub assigned_replica: u8,
     /// Registrations begun.
     pub registrations: u64,
-    /// Changes of home.
-    pub moves: u64,
+    /// Changes of assigned replica.
+    pub reassignments: u64,
     /// Leases that ran out while it served.
     pub lapses: u64,
     /// Keys purged.
--- a/purge/src/registration.rs
+++ b/purge/src/registration.rs
@@ -1,4 +1,4 @@
-//! Tables of registrations: which member is registered in which epoch, and which replica is its home.
+//! Tables of registrations: which member is registered in which epoch, and which replica is its assigned replica.
 //!
 //! Every replica has a table of its own and copies of those of all others. Changes are numbered, so that a copy follows
 //! by what changed since ([`RegistrationTable::changes_after`]); a copy of another incarnation begins anew.
@@ -9,7 +9,6 @@
 
 use crate::ids::{Epoch, MemberId, ReplicaId};
 use crate::limits::MAX_MEMBERS;
-use crate::wire::TableChunk;
 
 /// Registrations in one chunk: that many always fit into a datagram.
 const CHUNK_REGISTRATIONS: usize = 24;
@@ -19,9 +18,9 @@
 pub enum RegistrationState {
     /// It was registered.
     Known,
-    /// This replica is its home, has it from the member itself, and may grant it leases.
+    /// This replica is its assigned replica, has it from the member itself, and may grant it leases.
     Active,
-    /// Its home has ended it: no lease of it runs, now or later. True for ever.
+    /// Its assigned replica has ended it: no lease of it runs, now or later. True for ever.
     Released,
 }
 
@@ -33,13 +32,28 @@
     /// In which epoch.
     pub epoch: Epoch,
     /// Who grants it leases.
-    pub home: ReplicaId,
+    pub assigned_replica: ReplicaId,
     /// What is known of it.
     pub state: RegistrationState,
     /// The number of its last change in its table.
     pub change: u64,
 }
 
+/// Changes of a registration table.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct TableChunk {
+    /// Of the replica whose table it is.
+    pub incarnation: u64,
+    /// The changes begin after this one.
+    pub after: u64,
+    /// They reach to this one.
+    pub through: u64,
+    /// What changed.
+    pub registrations: Vec<Registration>,
+    /// This is the last chunk that answers a request, and there are more changes.
+    pub more: bool,
+}
+
 /// What came of storing a registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreOutcome {
@@ -84,7 +98,7 @@
         &mut self,
         member: MemberId,
         epoch: Epoch,
-        home: ReplicaId,
+        assigned_replica: ReplicaId,
         state: RegistrationState,
     ) -> StoreOutcome {
         match self.registrations.get(&member) {
@@ -102,7 +116,7 @@
                 }
             }
         }
-        self.put(Registration { member, epoch, home, state, change: 0 });
+        self.put(Registration { member, epoch, assigned_replica, state, change: 0 });
         StoreOutcome::Stored
     }
 
@@ -128,7 +142,7 @@
     }
 
     /// Makes room by forgetting the released registration that changed longest ago. If it comes back from another
-    /// table its home releases it again.
+    /// table its assigned replica releases it again.
     fn evict_released(&mut self) -> bool {
         let is_released = |member: &MemberId| {
             self.registrations
--- a/purge/src/registration/tests.rs
+++ b/purge/src/registration/tests.rs
@@ -6,7 +6,7 @@
 const HOME: ReplicaId = ReplicaId(2);
 
 fn epoch(counter: u64) -> Epoch {
-    Epoch { life: 7, counter }
+    Epoch { incarnation: 7, counter }
 }
 
 fn store(table: &mut RegistrationTable, member: u32, counter: u64) -> StoreOutcome {
--- a/purge/src/replica.rs
+++ b/purge/src/replica.rs
@@ -1,4 +1,4 @@
-//! A control machine: publishes purges, holds the log and the registrations, is the home of some members, and knows
+//! A control machine: publishes purges, holds the log and the registrations, is the assigned replica of some members, and knows
 //! which of the purges published here are done.
 //!
 //! A replica keeps nothing on disk. One that starts is *recovering* until it has taken registrations and entries from a
@@ -16,11 +16,12 @@
 
 use crate::completion::{Completion, Tables};
 use crate::config::ReplicaConfig;
-use crate::figures::{Dropped, Outbox, ReplicaFigures, Traffic};
-use crate::home::Home;
 use crate::ids::{MemberId, Position, PurgeId, ReplicaId, StreamId};
+use crate::lease_table::LeaseTable;
 use crate::limits::{TokenBucket, MAX_KEY_BYTES, MAX_REPLICAS};
 use crate::log::{Entry, Log};
+use crate::metrics::{Dropped, ReplicaMetrics, Traffic};
+use crate::outbox::Outbox;
 use crate::registration::{RegistrationState, RegistrationTable, TableCopy};
 use crate::wire::{decode, Message};
 use crate::Micros;
@@ -78,7 +79,7 @@
     table: RegistrationTable,
     copies: BTreeMap<ReplicaId, TableCopy>,
     peers: BTreeMap<ReplicaId, Peer>,
-    home: Home,
+    leases: LeaseTable,
     completion: Completion,
     /// Something has changed since the completion was last evaluated.
     needs_evaluation: bool,
@@ -100,7 +101,7 @@
         config.replicas.truncate(MAX_REPLICAS);
         let settings = &config.settings;
         let (me, count) = (config.replica, config.replicas.len());
-        let recovery = (!config.bootstrap).then(|| Recovery::new(count, settings.flaws));
+        let recovery = (!config.bootstrap).then(|| Recovery::new(count, settings.injected_defects));
         let mut replica = Replica {
             rng: ChaCha8Rng::seed_from_u64(config.seed),
             recovery,
@@ -108,8 +109,8 @@
             table: RegistrationTable::default(),
             copies: BTreeMap::new(),
             peers: BTreeMap::new(),
-            home: Home::default(),
-            completion: Completion::new(me, count, 0, settings.flaws),
+            leases: LeaseTable::default(),
+            completion: Completion::new(me, count, 0, settings.injected_defects),
             needs_evaluation: false,
             next_round: now,
             round_started: now,
@@ -178,7 +179,7 @@
 
     /// Marks what can have no lease any more, for ever.
     fn release_expired(&mut self, now: Micros) {
-        for (member, epoch) in self.home.take_expired(now, &self.config.settings) {
+        for (member, epoch) in self.leases.take_expired(now, &self.config.settings) {
             self.table.set_state(member, epoch, RegistrationState::Released);
             self.needs_evaluation = true;
         }
@@ -201,7 +202,7 @@
         if self.completion.done() >= head {
             return;
         }
-        let own_report = self.home.report(me, head);
+        let own_report = self.leases.report(me, head);
         let tables = Tables { me, own: &self.table, copies: &self.copies };
         self.completion.evaluate(tables, &own_report);
     }
@@ -269,22 +270,22 @@
     }
 
     /// What operators see.
-    pub fn figures(&self) -> ReplicaFigures {
+    pub fn metrics(&self) -> ReplicaMetrics {
         let head = self.log.head(self.config.replica);
         let is_started = self.recovery.is_none() && head.incarnation == self.config.incarnation;
-        ReplicaFigures {
+        ReplicaMetrics {
             recovering: self.recovery.is_some(),
             published: if is_started { head.sequence.saturating_sub(1) } else { 0 },
             done: if is_started { self.done_sequence() - 1 } else { 0 },
             log_entries: self.log.len(),
             log_trimmed: self.log.trimmed(),
             registrations: self.table.registrations().len(),
-            homed: self.home.len(),
+            assigned_members: self.leases.len(),
             rounds: self.completion.round(),
             missing_replicas: self.completion.outstanding().replicas.len(),
             sent: self.outbox.sent,
             received: self.received,
-            dropped: Dropped { outbox_full: self.outbox.full, ..self.dropped },
+            dropped: Dropped { outbox_full: self.outbox.dropped, ..self.dropped },
         }
     }
 
--- a/purge/src/replica/members.rs
+++ b/purge/src/replica/members.rs
@@ -4,13 +4,13 @@
 
 use super::Replica;
 use crate::config::CatchUp;
-use crate::flaw::Flaw;
 use crate::ids::{Epoch, MemberId, ReplicaId};
+use crate::injected_defect::InjectedDefect;
 use crate::limits::ENTRIES_BUDGET_BYTES;
 use crate::log::Behind;
 use crate::registration::{RegistrationState, StoreOutcome};
 use crate::version_vector::VersionVector;
-use crate::wire::{HomeMessage, MemberMessage, Message};
+use crate::wire::{MemberMessage, Message, ReplicaMessage};
 use crate::Micros;
 
 impl Replica {
@@ -23,13 +23,15 @@
             MemberMessage::Pull { member, epoch, number, catch_up, applied } => {
                 Some(self.on_pull(now, member, epoch, number, catch_up, &applied))
             }
-            MemberMessage::Register { member, epoch, home } => self.on_register(now, member, epoch, home),
+            MemberMessage::Register { member, epoch, assigned_replica } => {
+                self.on_register(now, member, epoch, assigned_replica)
+            }
             MemberMessage::Confirm { member, epoch } => self.on_confirm(member, epoch),
             MemberMessage::Deregister { member, epoch } => {
                 self.on_deregister(member, epoch);
                 None
             }
-            MemberMessage::Probe { number } => Some(HomeMessage::ProbeReply { number }),
+            MemberMessage::Probe { number } => Some(ReplicaMessage::ProbeReply { number }),
         };
         if let Some(answer) = answer {
             self.outbox.send([from], &Message::ToMember(answer));
@@ -44,22 +46,22 @@
         number: u32,
         catch_up: CatchUp,
         applied: &VersionVector,
-    ) -> HomeMessage {
+    ) -> ReplicaMessage {
         if let Some(epoch) = epoch {
-            if !self.home.grant(member, epoch, applied, now) {
-                return HomeMessage::RegisterAgain { epoch };
+            if !self.leases.grant(member, epoch, applied, now) {
+                return ReplicaMessage::ReRegister { epoch };
             }
             self.needs_evaluation = true;
         }
         let must_void = match self.log.behind(applied) {
-            Behind::BelowBase => !self.config.settings.flaws.has(Flaw::VoidForgotten),
+            Behind::BelowBase => !self.config.settings.injected_defects.has(InjectedDefect::VoidForgotten),
             Behind::Entries(behind) => catch_up == CatchUp::Void && behind > self.config.settings.void_behind,
         };
         if must_void {
-            return HomeMessage::Void { number, epoch, vector: self.log.vector() };
+            return ReplicaMessage::Void { number, epoch, vector: self.log.vector() };
         }
         let (runs, more) = self.log.runs_after(applied, ENTRIES_BUDGET_BYTES);
-        HomeMessage::Entries { number, epoch, runs, more }
+        ReplicaMessage::Entries { number, epoch, runs, more }
     }
 
     fn on_register(
@@ -67,53 +69,53 @@
         now: Micros,
         member: MemberId,
         epoch: Epoch,
-        home: ReplicaId,
-    ) -> Option<HomeMessage> {
-        if home.index() >= self.config.replicas.len() {
+        assigned_replica: ReplicaId,
+    ) -> Option<ReplicaMessage> {
+        if assigned_replica.index() >= self.config.replicas.len() {
             self.dropped.malformed += 1;
             return None;
         }
-        let is_home = home == self.config.replica;
-        let state = if is_home { RegistrationState::Active } else { RegistrationState::Known };
-        match self.table.store(member, epoch, home, state) {
+        let is_assigned_replica = assigned_replica == self.config.replica;
+        let state = if is_assigned_replica { RegistrationState::Active } else { RegistrationState::Known };
+        match self.table.store(member, epoch, assigned_replica, state) {
             // A newer epoch elsewhere ends the one here.
-            StoreOutcome::Stored if !is_home => self.home.remove(member),
-            StoreOutcome::Stored => self.home.register(member, epoch, now),
-            StoreOutcome::Present if is_home && !self.home.is_active(member, epoch) => {
+            StoreOutcome::Stored if !is_assigned_replica => self.leases.remove(member),
+            StoreOutcome::Stored => self.leases.register(member, epoch, now),
+            StoreOutcome::Present if is_assigned_replica && !self.leases.is_active(member, epoch) => {
                 self.table.set_state(member, epoch, RegistrationState::Active);
-                self.home.register(member, epoch, now);
+                self.leases.register(member, epoch, now);
             }
             StoreOutcome::Present => {}
-            StoreOutcome::Released => return Some(HomeMessage::RegisterAgain { epoch }),
-            StoreOutcome::Superseded(known) => return Some(HomeMessage::Superseded { epoch, known }),
+            StoreOutcome::Released => return Some(ReplicaMessage::ReRegister { epoch }),
+            StoreOutcome::Superseded(known) => return Some(ReplicaMessage::Superseded { epoch, known }),
             StoreOutcome::Full => {
                 self.dropped.table_full += 1;
                 return None;
             }
         }
         self.needs_evaluation = true;
-        Some(HomeMessage::Registered { epoch, incarnation: self.config.incarnation })
+        Some(ReplicaMessage::Registered { epoch, incarnation: self.config.incarnation })
     }
 
-    fn on_confirm(&mut self, member: MemberId, epoch: Epoch) -> Option<HomeMessage> {
+    fn on_confirm(&mut self, member: MemberId, epoch: Epoch) -> Option<ReplicaMessage> {
         let known = self.table.get(member)?;
         if known.epoch > epoch {
-            return Some(HomeMessage::Superseded { epoch, known: known.epoch });
+            return Some(ReplicaMessage::Superseded { epoch, known: known.epoch });
         }
         if known.epoch != epoch {
             return None;
         }
         if known.state == RegistrationState::Released {
-            return Some(HomeMessage::RegisterAgain { epoch });
+            return Some(ReplicaMessage::ReRegister { epoch });
         }
         let incarnation = self.config.incarnation;
-        Some(HomeMessage::Confirmed { epoch, incarnation, vector: self.log.vector() })
+        Some(ReplicaMessage::Confirmed { epoch, incarnation, vector: self.log.vector() })
     }
 
-    /// The member has stopped serving, for the rest of this life.
+    /// The member has stopped serving, for the rest of this incarnation.
     fn on_deregister(&mut self, member: MemberId, epoch: Epoch) {
         if self.table.set_state(member, epoch, RegistrationState::Released) {
-            self.home.remove(member);
+            self.leases.remove(member);
             self.needs_evaluation = true;
         }
     }
--- a/purge/src/replica/peers.rs
+++ b/purge/src/replica/peers.rs
@@ -6,9 +6,9 @@
 use crate::ids::{Position, ReplicaId};
 use crate::limits::ENTRIES_BUDGET_BYTES;
 use crate::log::Run;
-use crate::registration::{Registration, RegistrationState};
+use crate::registration::{Registration, RegistrationState, TableChunk};
 use crate::version_vector::VersionVector;
-use crate::wire::{Message, PeerMessage, StatusReply, TableChunk};
+use crate::wire::{Message, PeerMessage, StatusReply};
 use crate::Micros;
 
 /// Datagrams that answer one request for entries.
@@ -96,7 +96,7 @@
                 incarnation: self.config.incarnation,
                 vector: self.log.vector(),
                 change: self.table.change(),
-                report: self.home.report(from, self.log.head(from)),
+                report: self.leases.report(from, self.log.head(from)),
             };
             self.send_to_peer(from, PeerMessage::StatusReply(reply));
         }
@@ -260,23 +260,23 @@
         self.request_tables(now);
     }
 
-    /// What another table says that matters here: that a registration is released, or that this replica is the home of
+    /// What another table says that matters here: that a registration is released, or that this replica is the assigned replica of
     /// one that it has not heard of.
     fn learn(&mut self, now: Micros, registration: &Registration) {
         let (member, epoch) = (registration.member, registration.epoch);
         if registration.state == RegistrationState::Released {
             if self.table.set_state(member, epoch, RegistrationState::Released) {
-                self.home.remove(member);
+                self.leases.remove(member);
             }
             return;
         }
-        if registration.home != self.config.replica {
+        if registration.assigned_replica != self.config.replica {
             return;
         }
         if self.table.get(member).is_none_or(|known| known.epoch < epoch) {
-            self.table.store(member, epoch, registration.home, RegistrationState::Known);
+            self.table.store(member, epoch, registration.assigned_replica, RegistrationState::Known);
             if self.table.get(member).is_some_and(|known| known.epoch == epoch) {
-                self.home.learn(member, epoch, now, &self.config.settings);
+                self.leases.learn(member, epoch, now, &self.config.settings);
             }
         }
     }
--- a/purge/src/replica/recovery.rs
+++ b/purge/src/replica/recovery.rs
@@ -7,8 +7,8 @@
 
 use super::Replica;
 use crate::completion::Completion;
-use crate::flaw::{Flaw, Flaws};
 use crate::ids::ReplicaId;
+use crate::injected_defect::{InjectedDefect, InjectedDefects};
 use crate::log::Log;
 use crate::registration::{RegistrationState, TableCopy};
 use crate::version_vector::VersionVector;
@@ -32,9 +32,9 @@
 
 impl Recovery {
     /// Nothing yet.
-    pub(super) fn new(replicas: usize, flaws: Flaws) -> Recovery {
+    pub(super) fn new(replicas: usize, injected_defects: InjectedDefects) -> Recovery {
         let majority = replicas / 2 + 1;
-        let needed = if flaws.has(Flaw::RecoveryFromOne) { 1 } else { majority };
+        let needed = if injected_defects.has(InjectedDefect::RecoveryFromOne) { 1 } else { majority };
         Recovery { needed, snapshots: BTreeMap::new() }
     }
 
@@ -73,12 +73,12 @@
         self.start_stream();
         let (me, count) = (self.config.replica, self.config.replicas.len());
         let round = self.completion.round();
-        self.completion = Completion::new(me, count, round, self.config.settings.flaws);
+        self.completion = Completion::new(me, count, round, self.config.settings.injected_defects);
         self.begin_round(now);
     }
 
-    /// Takes the registrations of all copies into the own table. Those whose home this replica is may have leases of its
-    /// earlier incarnations, granted until its start, or of earlier epochs at other homes, granted until the member
+    /// Takes the registrations of all copies into the own table. Those whose assigned replica this replica is may have leases of its
+    /// earlier incarnations, granted until its start, or of earlier epochs at other assigned replicas, granted until the member
     /// registered anew: that may have been later than the start, but not later than now.
     fn take_over_registrations(&mut self, now: Micros) {
         let me = self.config.replica;
@@ -88,15 +88,15 @@
                 _ => RegistrationState::Known,
             };
             let (member, epoch) = (registration.member, registration.epoch);
-            self.table.store(member, epoch, registration.home, state);
+            self.table.store(member, epoch, registration.assigned_replica, state);
             if state == RegistrationState::Released {
                 self.table.set_state(member, epoch, state);
             }
         }
         for registration in self.table.registrations().values() {
-            if registration.home == me && registration.state != RegistrationState::Released {
+            if registration.assigned_replica == me && registration.state != RegistrationState::Released {
                 let (member, epoch) = (registration.member, registration.epoch);
-                self.home.learn(member, epoch, now, &self.config.settings);
+                self.leases.learn(member, epoch, now, &self.config.settings);
             }
         }
     }
--- a/purge/src/wire.rs
+++ b/purge/src/wire.rs
@@ -8,11 +8,11 @@
 use crate::ids::{Epoch, MemberId, Position, ReplicaId};
 use crate::limits::{MAX_DATAGRAM_BYTES, MAX_KEY_BYTES, MAX_NAMED_MEMBERS, MAX_REPLICAS};
 use crate::log::Run;
-use crate::registration::Registration;
+use crate::registration::TableChunk;
 use crate::version_vector::VersionVector;
 
 /// The first bytes of every datagram: whose, and of which version.
-const HEAD: [u8; 4] = [b'J', b'P', b'C', 1];
+const MAGIC_AND_VERSION: [u8; 4] = [b'J', b'P', b'C', 1];
 
 /// A datagram's content, by who sends it to whom.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
     /// A member to a replica.
     ToReplica(MemberMessage),
     /// A replica to a member.
-    ToMember(HomeMessage),
+    ToMember(ReplicaMessage),
     /// A replica to another.
     BetweenReplicas(PeerMessage),
 }
@@ -48,7 +48,7 @@
         /// The new epoch.
         epoch: Epoch,
         /// Which replica grants it leases from now on.
-        home: ReplicaId,
+        assigned_replica: ReplicaId,
     },
     /// Second phase, after a majority has answered the first.
     Confirm {
@@ -61,7 +61,7 @@
     Deregister {
         /// Who ends.
         member: MemberId,
-        /// The last epoch of this life.
+        /// The last epoch of this incarnation.
         epoch: Epoch,
     },
     /// Asks whether a replica is there.
@@ -73,7 +73,7 @@
 
 /// A replica to a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum HomeMessage {
+pub enum ReplicaMessage {
     /// Answers a pull.
     Entries {
         /// The pull's number.
@@ -95,7 +95,7 @@
         vector: VersionVector,
     },
     /// No lease is granted for this epoch, now or later.
-    RegisterAgain {
+    ReRegister {
         /// The epoch.
         epoch: Epoch,
     },
@@ -183,32 +183,17 @@
     pub report: MemberReport,
 }
 
-/// What the members of one home have applied of the purges of one replica.
+/// What the members of one assigned replica have applied of the purges of one replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberReport {
-    /// The least position over all active registrations of this home; none if there are none.
+    /// The least position over all active registrations of this assigned replica; none if there are none.
     pub floor: Option<Position>,
-    /// Some of those that are below what the home knows of.
+    /// Some of those that are below what the assigned replica knows of.
     pub laggards: Vec<MemberId>,
     /// How many are.
     pub laggards_total: u32,
 }
 
-/// Changes of a registration table.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TableChunk {
-    /// Of the replica whose table it is.
-    pub incarnation: u64,
-    /// The changes begin after this one.
-    pub after: u64,
-    /// They reach to this one.
-    pub through: u64,
-    /// What changed.
-    pub registrations: Vec<Registration>,
-    /// This is the last chunk that answers a request, and there are more changes.
-    pub more: bool,
-}
-
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
@@ -228,7 +213,7 @@
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DecodeError::TooLong);
     }
-    let body = bytes.strip_prefix(&HEAD).ok_or(DecodeError::Version)?;
+    let body = bytes.strip_prefix(&MAGIC_AND_VERSION).ok_or(DecodeError::Version)?;
     let (message, rest) = postcard::take_from_bytes(body).map_err(|_| DecodeError::Malformed)?;
     if rest.is_empty() && is_within_bounds(&message) {
         Ok(message)
@@ -239,17 +224,17 @@
 
 /// Writes a datagram; none if it would be too long, which no message of this crate is.
 pub fn encode(message: &Message) -> Option<Vec<u8>> {
-    let bytes = postcard::to_extend(message, HEAD.to_vec()).ok()?;
+    let bytes = postcard::to_extend(message, MAGIC_AND_VERSION.to_vec()).ok()?;
     (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
 }
 
 fn is_within_bounds(message: &Message) -> bool {
     match message {
         Message::ToReplica(MemberMessage::Pull { applied, .. }) => is_vector_bounded(applied),
-        Message::ToMember(HomeMessage::Void { vector, .. } | HomeMessage::Confirmed { vector, .. }) => {
+        Message::ToMember(ReplicaMessage::Void { vector, .. } | ReplicaMessage::Confirmed { vector, .. }) => {
             is_vector_bounded(vector)
         }
-        Message::ToMember(HomeMessage::Entries { runs, .. }) => are_runs_bounded(runs),
+        Message::ToMember(ReplicaMessage::Entries { runs, .. }) => are_runs_bounded(runs),
         Message::BetweenReplicas(message) => match message {
             PeerMessage::StatusRequest { vector, .. } | PeerMessage::Fetch { vector } => {
                 is_vector_bounded(vector)
--- a/purge/src/wire/tests.rs
+++ b/purge/src/wire/tests.rs
@@ -5,6 +5,7 @@
 
 use super::*;
 use crate::limits::MAX_KEY_BYTES;
+use crate::registration::Registration;
 use crate::registration::RegistrationState;
 
 /// The longest version vector.
@@ -18,7 +19,7 @@
 }
 
 fn all_messages() -> Vec<Message> {
-    let epoch = Epoch { life: u64::MAX, counter: u64::MAX };
+    let epoch = Epoch { incarnation: u64::MAX, counter: u64::MAX };
     let (member, number, vector) = (MemberId(u32::MAX), u32::MAX, longest_vector());
     let position = Position { incarnation: u64::MAX, sequence: u64::MAX };
     let run = Run {
@@ -32,7 +33,7 @@
     let registration = Registration {
         member,
         epoch,
-        home: ReplicaId(15),
+        assigned_replica: ReplicaId(15),
         state: RegistrationState::Released,
         change: u64::MAX,
     };
@@ -65,19 +66,19 @@
             catch_up: CatchUp::Replay,
             applied: vector.clone(),
         },
-        MemberMessage::Register { member, epoch, home: ReplicaId(3) },
+        MemberMessage::Register { member, epoch, assigned_replica: ReplicaId(3) },
         MemberMessage::Confirm { member, epoch },
         MemberMessage::Deregister { member, epoch },
         MemberMessage::Probe { number },
     ];
     let to_member = [
-        HomeMessage::Entries { number, epoch: Some(epoch), runs: runs.clone(), more: true },
-        HomeMessage::Void { number, epoch: Some(epoch), vector: vector.clone() },
-        HomeMessage::RegisterAgain { epoch },
-        HomeMessage::Registered { epoch, incarnation },
-        HomeMessage::Confirmed { epoch, incarnation, vector: vector.clone() },
-        HomeMessage::Superseded { epoch, known: epoch },
-        HomeMessage::ProbeReply { number },
+        ReplicaMessage::Entries { number, epoch: Some(epoch), runs: runs.clone(), more: true },
+        ReplicaMessage::Void { number, epoch: Some(epoch), vector: vector.clone() },
+        ReplicaMessage::ReRegister { epoch },
+        ReplicaMessage::Registered { epoch, incarnation },
+        ReplicaMessage::Confirmed { epoch, incarnation, vector: vector.clone() },
+        ReplicaMessage::Superseded { epoch, known: epoch },
+        ReplicaMessage::ProbeReply { number },
     ];
     let between = [
         PeerMessage::StatusRequest { incarnation, round: u64::MAX, vector: vector.clone() },
@@ -140,7 +141,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let messages = all_messages();
     for _ in 0..20_000 {
-        let mut random = HEAD.to_vec();
+        let mut random = MAGIC_AND_VERSION.to_vec();
         random.resize(4 + rng.random_range(0..300), 0);
         rng.fill_bytes(&mut random[4..]);
         let _ = decode(&random);
--- a/purge/tests/behaviour.rs
+++ b/purge/tests/behaviour.rs
@@ -50,11 +50,11 @@
         plane.run(100);
         assert!(plane.may_serve(5), "its lease outlasts the move");
     }
-    assert_ne!(plane.member(5).figures().home, 2);
+    assert_ne!(plane.member(5).metrics().assigned_replica, 2);
     plane.restart_replica(2);
     plane.run(60_000);
     assert!(plane.has_recovered(2) && plane.may_serve(5));
-    assert_eq!((plane.member(5).figures().home, plane.member(5).figures().lapses), (2, 0));
+    assert_eq!((plane.member(5).metrics().assigned_replica, plane.member(5).metrics().lapses), (2, 0));
 }
 
 #[test]
@@ -109,12 +109,12 @@
     let (stranger, peer) = (([127, 0, 0, 1], 9).into(), ([127, 0, 0, 1], 1_001).into());
     let status_request = [b'J', b'P', b'C', 1, 2, 0, 1, 1, 0];
     let replica = plane.replica(0);
-    let before = replica.figures().dropped;
+    let before = replica.metrics().dropped;
     replica.on_datagram(now, peer, &[0; 1_201]);
     replica.on_datagram(now, peer, b"JPC\x02");
     replica.on_datagram(now, peer, b"JPC\x01\xff");
     replica.on_datagram(now, stranger, &status_request);
-    let dropped = replica.figures().dropped;
+    let dropped = replica.metrics().dropped;
     assert_eq!((dropped.too_long, dropped.version), (before.too_long + 1, before.version + 1));
     assert_eq!(
         (dropped.malformed, dropped.unknown_sender),
@@ -123,7 +123,7 @@
     let member = plane.member(3);
     member.on_datagram(now, stranger, &status_request);
     member.on_datagram(now, peer, &status_request);
-    assert_eq!(member.figures().dropped.unknown_sender, 2);
+    assert_eq!(member.metrics().dropped.unknown_sender, 2);
 }
 
 /// A member that was away for longer than the log reaches back voids before it serves again; see also the schedules.
--- a/purge/tests/quorums.rs
+++ b/purge/tests/quorums.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use juniperladder_purge::flaw::Flaw;
+use juniperladder_purge::injected_defect::InjectedDefect;
 use juniperladder_purge::{PurgeId, PurgeStatus};
 use support::scripted::Plane;
 
@@ -17,8 +17,8 @@
 const MEMBER: usize = 5;
 
 /// The first replica holds the purge and tells so, then loses it by a restart, before the second has got it.
-fn first_forgets_before_second_holds(flaw: Option<Flaw>) -> (Plane, PurgeId) {
-    let mut plane = Plane::new(5, 1, flaw);
+fn first_forgets_before_second_holds(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
+    let mut plane = Plane::new(5, 1, injected_defect);
     plane.cut(&[ORIGIN], &OTHERS);
     plane.cut(&[FIRST], &[SECOND, 3, 4]);
     plane.hold(ORIGIN, SECOND);
@@ -63,15 +63,15 @@
     assert!(!plane.is_breached(ORIGIN, purge, KEY, MEMBER));
     assert_settles(&mut plane, ORIGIN, 5, purge, MEMBER);
 
-    let (mut plane, purge) = first_forgets_before_second_holds(Some(Flaw::SecondRoundSkipped));
+    let (mut plane, purge) = first_forgets_before_second_holds(Some(InjectedDefect::SecondRoundSkipped));
     register_member_apart(&mut plane);
     assert!(plane.is_breached(ORIGIN, purge, KEY, MEMBER), "one round is not enough");
 }
 
 /// After the first round, and in the second, both forget: the second replica once it has confirmed, the first once it
 /// has got the purge again, by a datagram that came twice, and has confirmed it in its new incarnation.
-fn both_forget_in_the_second_round(flaw: Option<Flaw>) -> (Plane, PurgeId) {
-    let (mut plane, purge) = first_forgets_before_second_holds(flaw);
+fn both_forget_in_the_second_round(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
+    let (mut plane, purge) = first_forgets_before_second_holds(injected_defect);
     plane.cut(&[ORIGIN], &[SECOND]);
     plane.restart_replica(SECOND);
     plane.join(&[SECOND], &[FIRST, 3, 4]);
@@ -101,23 +101,23 @@
     assert!(!plane.is_breached(ORIGIN, purge, KEY, MEMBER));
     assert_settles(&mut plane, ORIGIN, 5, purge, MEMBER);
 
-    let (mut plane, purge) = both_forget_in_the_second_round(Some(Flaw::IncarnationIgnored));
+    let (mut plane, purge) = both_forget_in_the_second_round(Some(InjectedDefect::IncarnationIgnored));
     register_member_apart(&mut plane);
     assert!(plane.is_breached(ORIGIN, purge, KEY, MEMBER), "incarnations must be the same");
 }
 
 /// The first replica registers a member, answers it, and forgets it by a restart before the others have registered it.
-fn registration_is_forgotten(flaw: Option<Flaw>) -> (Plane, PurgeId) {
-    let mut plane = Plane::new(5, 1, flaw);
-    let home = OTHERS[0];
+fn registration_is_forgotten(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
+    let mut plane = Plane::new(5, 1, injected_defect);
+    let assigned_replica = OTHERS[0];
     plane.cut(&[MEMBER], &[ORIGIN, SECOND, OTHERS[1]]);
-    plane.start_member(MEMBER, &[home]);
-    while plane.member(MEMBER).figures().sent.datagrams == 0 {
+    plane.start_member(MEMBER, &[assigned_replica]);
+    while plane.member(MEMBER).metrics().sent.datagrams == 0 {
         plane.step();
     }
-    // Its first pull reaches the home; what it sends there afterwards waits.
+    // Its first pull reaches the assigned replica; what it sends there afterwards waits.
     plane.step();
-    plane.hold(MEMBER, home);
+    plane.hold(MEMBER, assigned_replica);
     plane.run(60);
     plane.cut(&[MEMBER], &[FIRST]);
     plane.restart_replica(FIRST);
@@ -138,14 +138,14 @@
     assert!(!plane.may_serve(MEMBER), "two of five have it registered");
     assert_settles(&mut plane, ORIGIN, 5, purge, MEMBER);
 
-    let (plane, purge) = registration_is_forgotten(Some(Flaw::OnePhaseRegistration));
+    let (plane, purge) = registration_is_forgotten(Some(InjectedDefect::OnePhaseRegistration));
     assert!(plane.is_breached(ORIGIN, purge, KEY, MEMBER), "one phase is not enough");
 }
 
 /// Of three replicas the member has registered with the second and the third; the second restarts while it reaches
 /// nobody but the first.
-fn recovery_reaches_one(flaw: Option<Flaw>) -> (Plane, PurgeId) {
-    let mut plane = Plane::new(3, 1, flaw);
+fn recovery_reaches_one(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
+    let mut plane = Plane::new(3, 1, injected_defect);
     plane.cut(&[3], &[0]);
     plane.start_member(3, &[2]);
     plane.run(1_500);
@@ -163,18 +163,18 @@
 fn a_replica_that_reaches_no_majority_of_others_does_not_recover() {
     let (mut plane, purge) = recovery_reaches_one(None);
     assert!(!plane.has_recovered(1));
-    assert!(plane.may_serve(3), "its home answers it");
+    assert!(plane.may_serve(3), "its assigned replica answers it");
     let PurgeStatus::Pending { replicas, .. } = plane.status(0, purge) else { panic!("it is not done") };
     assert!(replicas.len() <= 2, "{replicas:?}");
     assert_settles(&mut plane, 0, 3, purge, 3);
 
-    let (plane, purge) = recovery_reaches_one(Some(Flaw::RecoveryFromOne));
+    let (plane, purge) = recovery_reaches_one(Some(InjectedDefect::RecoveryFromOne));
     assert!(plane.is_breached(0, purge, KEY, 3), "one is not enough");
 }
 
-/// A purge is done while the third replica is cut from the others; then a member starts whose home that one is.
-fn home_lacks_a_done_purge(flaw: Option<Flaw>) -> (Plane, PurgeId) {
-    let mut plane = Plane::new(3, 1, flaw);
+/// A purge is done while the third replica is cut from the others; then a member starts whose assigned replica that one is.
+fn home_lacks_a_done_purge(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
+    let mut plane = Plane::new(3, 1, injected_defect);
     plane.cut(&[2], &[0, 1]);
     let purge = plane.publish(0, KEY);
     plane.run(4_500);
@@ -187,10 +187,10 @@
 #[test]
 fn a_member_does_not_serve_before_its_target_even_if_its_home_lacks_it() {
     let (mut plane, _) = home_lacks_a_done_purge(None);
-    assert!(!plane.may_serve(3), "its home has not what the majority named");
+    assert!(!plane.may_serve(3), "its assigned replica lacks what the majority named");
     plane.run(10_000);
-    assert!(plane.may_serve(3) && plane.has_purged(3, KEY), "it has found another home");
+    assert!(plane.may_serve(3) && plane.has_purged(3, KEY), "it has found another replica");
 
-    let (plane, purge) = home_lacks_a_done_purge(Some(Flaw::TargetIgnored));
+    let (plane, purge) = home_lacks_a_done_purge(Some(InjectedDefect::TargetIgnored));
     assert!(plane.is_breached(0, purge, KEY, 3), "the target must be reached");
 }
--- a/purge/tests/schedules.rs
+++ b/purge/tests/schedules.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-use juniperladder_purge::flaw::Flaw;
+use juniperladder_purge::injected_defect::InjectedDefect;
 use support::schedule::Schedule;
 use support::simulation::{Report, Simulation, Verdict};
 
@@ -22,7 +22,7 @@
 }
 
 /// Runs schedules of these seeds until one does not hold, or all have run.
-fn run_all(first: u64, count: u64, flaw: Option<Flaw>) -> Vec<(u64, Report)> {
+fn run_all(first: u64, count: u64, injected_defect: Option<InjectedDefect>) -> Vec<(u64, Report)> {
     let next = AtomicU64::new(first);
     let reports = Mutex::new(Vec::new());
     let work = || loop {
@@ -30,7 +30,7 @@
         if seed >= first + count {
             return;
         }
-        let report = Simulation::new(Schedule::draw(seed), flaw).run();
+        let report = Simulation::new(Schedule::draw(seed), injected_defect).run();
         if matches!(report.verdict, Verdict::Breached(_)) {
             next.store(first + count, Ordering::Relaxed);
         }
@@ -75,22 +75,24 @@
 /// rare for drawn schedules, are played by hand in `quorums.rs`.
 #[test]
 fn every_defect_put_in_on_purpose_is_found() {
-    let flaws = [
-        Flaw::LeaseFromReceipt,
-        Flaw::EarlyRelease,
-        Flaw::LeaseCutShort,
-        Flaw::VoidForgotten,
-        Flaw::OwnTableOnly,
+    let injected_defects = [
+        InjectedDefect::LeaseFromReceipt,
+        InjectedDefect::EarlyRelease,
+        InjectedDefect::LeaseCutShort,
+        InjectedDefect::VoidForgotten,
+        InjectedDefect::OwnTableOnly,
     ];
     let mut missed = Vec::new();
-    for flaw in flaws {
-        let reports = run_all(0, number("CONTROL_SCHEDULES", SCHEDULES), Some(flaw));
+    for injected_defect in injected_defects {
+        let reports = run_all(0, number("CONTROL_SCHEDULES", SCHEDULES), Some(injected_defect));
         let breach = reports.iter().find(|(_, report)| matches!(report.verdict, Verdict::Breached(_)));
         let count =
             reports.iter().filter(|(_, report)| matches!(report.verdict, Verdict::Breached(_))).count();
         match breach {
-            Some((seed, report)) => println!("{flaw:?}: {count} seed {seed}, {:?}", report.verdict),
-            None => missed.push((flaw, reports.len())),
+            Some((seed, report)) => {
+                println!("{injected_defect:?}: {count} seed {seed}, {:?}", report.verdict)
+            }
+            None => missed.push((injected_defect, reports.len())),
         }
     }
     assert_eq!(missed, []);
--- a/purge/tests/support/checker.rs
+++ b/purge/tests/support/checker.rs
@@ -13,7 +13,7 @@
     pub done_at: Option<u64>,
 }
 
-/// What the driver of one life of a member has applied. It begins with nothing, whatever earlier lives had.
+/// What the driver of one incarnation of a member has applied. It begins with nothing, whatever earlier incarnations had.
 #[derive(Clone, Debug, Default)]
 pub struct Applied {
     keys: HashSet<usize>,
--- a/purge/tests/support/schedule.rs
+++ b/purge/tests/support/schedule.rs
@@ -34,8 +34,8 @@
     Mixed,
     /// Replicas restart in quick succession, in long rounds.
     ReplicaRestarts,
-    /// Members lose their homes by cuts and kills.
-    HomeChanges,
+    /// Members lose their assigned replicas by cuts and kills.
+    AssignedReplicaChanges,
     /// Members are cut off while a short log is trimmed.
     Trimming,
     /// Members restart and freeze.
@@ -47,7 +47,7 @@
 const PROFILES: [Profile; 6] = [
     Profile::Mixed,
     Profile::ReplicaRestarts,
-    Profile::HomeChanges,
+    Profile::AssignedReplicaChanges,
     Profile::Trimming,
     Profile::MemberRestarts,
     Profile::BareMajorities,
@@ -165,7 +165,7 @@
         let (replica_kills, member_kills, freezes, cuts) = match self.profile {
             Profile::Mixed => (0.2, 0.3, 0.3, 0.3),
             Profile::ReplicaRestarts => (2.0, 0.2, 0.0, 0.1),
-            Profile::HomeChanges => (0.4, 0.1, 0.2, 0.8),
+            Profile::AssignedReplicaChanges => (0.4, 0.1, 0.2, 0.8),
             Profile::Trimming => (0.1, 0.2, 0.3, 0.7),
             Profile::MemberRestarts => (0.1, 1.0, 0.8, 0.1),
             Profile::BareMajorities => (0.8, 0.8, 0.1, 1.0),
--- a/purge/tests/support/scripted.rs
+++ b/purge/tests/support/scripted.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
-use juniperladder_purge::flaw::{Flaw, Flaws};
+use juniperladder_purge::injected_defect::{InjectedDefect, InjectedDefects};
 use juniperladder_purge::{
     CatchUp, Member, MemberConfig, MemberId, MemberTiming, PurgeEvent, PurgeId, PurgeStatus, Replica,
     ReplicaConfig, ReplicaId, ReplicaSettings,
@@ -35,7 +35,7 @@
 pub struct Plane {
     pub now: u64,
     replicas: usize,
-    flaw: Option<Flaw>,
+    injected_defect: Option<InjectedDefect>,
     machines: Vec<Option<Machine>>,
     starts: Vec<u64>,
     links: HashMap<(usize, usize), LinkState>,
@@ -49,12 +49,12 @@
 
 impl Plane {
     /// Bootstrapped replicas, and places for members that don't run yet.
-    pub fn new(replicas: usize, members: usize, flaw: Option<Flaw>) -> Plane {
+    pub fn new(replicas: usize, members: usize, injected_defect: Option<InjectedDefect>) -> Plane {
         let count = replicas + members;
         let mut plane = Plane {
             now: 0,
             replicas,
-            flaw,
+            injected_defect,
             machines: (0..count).map(|_| None).collect(),
             starts: vec![0; count],
             links: HashMap::new(),
@@ -72,7 +72,7 @@
         self.starts[replica] += 1;
         let settings = ReplicaSettings {
             round_timeout: 3_000 * MILLISECOND,
-            flaws: Flaws::with(self.flaw),
+            injected_defects: InjectedDefects::with(self.injected_defect),
             ..ReplicaSettings::default()
         };
         let config = ReplicaConfig {
@@ -91,17 +91,20 @@
         self.start_replica(replica, false);
     }
 
-    /// Starts a member that prefers these homes.
+    /// Starts a member that prefers these assigned replicas.
     pub fn start_member(&mut self, node: usize, preferred: &[usize]) {
         self.starts[node] += 1;
         let config = MemberConfig {
             member: MemberId(node as u32),
-            life: self.starts[node],
+            incarnation: self.starts[node],
             replicas: (0..self.replicas).map(address).collect(),
             preferred: preferred.iter().map(|replica| ReplicaId(*replica as u8)).collect(),
             catch_up: CatchUp::Replay,
             seed: 1,
-            timing: MemberTiming { flaws: Flaws::with(self.flaw), ..MemberTiming::default() },
+            timing: MemberTiming {
+                injected_defects: InjectedDefects::with(self.injected_defect),
+                ..MemberTiming::default()
+            },
         };
         let member = Member::new(config, self.now);
         self.machines[node] = Some(Machine::Member { member, purged: Vec::new() });
@@ -228,7 +231,7 @@
     }
 
     pub fn has_recovered(&self, replica: usize) -> bool {
-        matches!(&self.machines[replica], Some(Machine::Replica(machine)) if !machine.figures().recovering)
+        matches!(&self.machines[replica], Some(Machine::Replica(machine)) if !machine.metrics().recovering)
     }
 
     pub fn replica(&mut self, node: usize) -> &mut Replica {
--- a/purge/tests/support/simulation.rs
+++ b/purge/tests/support/simulation.rs
@@ -4,9 +4,9 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
 
-use juniperladder_purge::figures::Traffic;
-use juniperladder_purge::flaw::{Flaw, Flaws};
+use juniperladder_purge::injected_defect::{InjectedDefect, InjectedDefects};
 use juniperladder_purge::limits::{MAX_DATAGRAM_BYTES, MAX_MEMBERS};
+use juniperladder_purge::metrics::Traffic;
 use juniperladder_purge::{
     Member, MemberConfig, MemberId, MemberTiming, PurgeStatus, Replica, ReplicaConfig, ReplicaId,
     ReplicaSettings,
@@ -86,7 +86,7 @@
 
 pub struct Simulation {
     schedule: Schedule,
-    flaw: Option<Flaw>,
+    injected_defect: Option<InjectedDefect>,
     rng: ChaCha8Rng,
     network: Network,
     now: u64,
@@ -106,13 +106,13 @@
 }
 
 impl Simulation {
-    pub fn new(schedule: Schedule, flaw: Option<Flaw>) -> Simulation {
+    pub fn new(schedule: Schedule, injected_defect: Option<InjectedDefect>) -> Simulation {
         let mut rng = ChaCha8Rng::seed_from_u64(schedule.seed ^ 0x5eed);
         let count = schedule.replicas + schedule.members.len();
         let nodes = (0..count).map(|_| draw_node(&mut rng, &schedule)).collect();
         let network = Network { quality: schedule.quality, cuts: Vec::new(), replicas: schedule.replicas };
         let mut simulation = Simulation {
-            flaw,
+            injected_defect,
             rng,
             network,
             now: 0,
@@ -185,13 +185,13 @@
                 round_interval: self.schedule.round_interval,
                 log_entries: self.schedule.log_entries,
                 void_behind: self.schedule.void_behind,
-                flaws: Flaws::with(self.flaw),
+                injected_defects: InjectedDefects::with(self.injected_defect),
                 ..ReplicaSettings::default()
             },
         }
     }
 
-    fn member_config(&self, node: usize, life: u64, seed: u64) -> MemberConfig {
+    fn member_config(&self, node: usize, incarnation: u64, seed: u64) -> MemberConfig {
         let replicas = self.schedule.replicas;
         let regions = &self.schedule.regions;
         let is_near = |replica: &usize| regions[*replica] == regions[node];
@@ -201,7 +201,7 @@
         }
         MemberConfig {
             member: MemberId((node - replicas) as u32),
-            life,
+            incarnation,
             replicas: (0..replicas).map(address).collect(),
             preferred: preferred.into_iter().map(|replica| ReplicaId(replica as u8)).collect(),
             catch_up: self.schedule.members[node - replicas],
@@ -210,7 +210,7 @@
                 lease: self.schedule.lease,
                 return_after: 5 * SECOND,
                 return_probe_interval: SECOND,
-                flaws: Flaws::with(self.flaw),
+                injected_defects: InjectedDefects::with(self.injected_defect),
                 ..MemberTiming::default()
             },
         }
@@ -268,16 +268,16 @@
         for node in &self.nodes {
             match &node.machine {
                 Some(Machine::Replica(replica)) => {
-                    report.log_trimmed += replica.figures().log_trimmed;
-                    let sent = with_heads(replica.figures().sent);
+                    report.log_trimmed += replica.metrics().log_trimmed;
+                    let sent = with_heads(replica.metrics().sent);
                     report.replica_bytes_per_second.push(per_second(sent));
                 }
                 Some(Machine::Member(member, _)) => {
-                    let figures = member.figures();
-                    let both = with_heads(figures.sent) + with_heads(figures.received);
+                    let metrics = member.metrics();
+                    let both = with_heads(metrics.sent) + with_heads(metrics.received);
                     report.member_bytes_per_second.push(per_second(both));
-                    report.voided += member.figures().voided;
-                    report.lapses += member.figures().lapses;
+                    report.voided += member.metrics().voided;
+                    report.lapses += member.metrics().lapses;
                 }
                 None => {}
             }
@@ -334,8 +334,8 @@
         let process = &mut self.nodes[node];
         let datagrams = match &mut process.machine {
             Some(Machine::Replica(replica)) => {
-                assert!(replica.figures().log_entries <= self.schedule.log_entries);
-                assert!(replica.figures().registrations <= MAX_MEMBERS);
+                assert!(replica.metrics().log_entries <= self.schedule.log_entries);
+                assert!(replica.metrics().registrations <= MAX_MEMBERS);
                 while let Some(purge) = process.pending.front().copied() {
                     let id = self.checker.published[purge].id;
                     if replica.status(id) != PurgeStatus::Done {
@@ -396,7 +396,7 @@
     fn replicas_without_memory(&self) -> usize {
         let replicas = self.nodes[..self.schedule.replicas].iter();
         let has_memory = |node: &&Node| match &node.machine {
-            Some(Machine::Replica(replica)) => !replica.figures().recovering,
+            Some(Machine::Replica(replica)) => !replica.metrics().recovering,
             _ => false,
         };
         self.schedule.replicas - replicas.filter(has_memory).count()
@@ -404,8 +404,8 @@
 
     fn kill(&mut self, node: usize) {
         if let Some(Machine::Member(member, _)) = &self.nodes[node].machine {
-            self.voided += member.figures().voided;
-            self.lapses += member.figures().lapses;
+            self.voided += member.metrics().voided;
+            self.lapses += member.metrics().lapses;
         }
         let process = &mut self.nodes[node];
         process.machine = None;
@@ -487,7 +487,7 @@
         for (number, node) in self.nodes.iter().enumerate() {
             match &node.machine {
                 Some(Machine::Replica(replica)) => {
-                    if replica.figures().recovering {
+                    if replica.metrics().recovering {
                         return Some(format!("replica {number} recovers"));
                     }
                     if let Some(purge) = node.pending.front() {
@@ -497,7 +497,7 @@
                 }
                 Some(Machine::Member(member, _)) => {
                     if !member.may_serve(self.local_now(number)) {
-                        return Some(format!("member {number} does not serve: {:?}", member.figures()));
+                        return Some(format!("member {number} does not serve: {:?}", member.metrics()));
                     }
                 }
                 None => return Some(format!("node {number} does not run")),
--- a/testbed/src/scale/meter.rs
+++ b/testbed/src/scale/meter.rs
@@ -6,7 +6,7 @@
 use super::calibration::CALIBRATION_HEAD;
 use super::cluster_endpoint::packet_parts;
 use super::endpoint::PacketKind;
-use super::purge_endpoint::PURGE_HEAD;
+use super::purge_endpoint::PURGE_MAGIC;
 use super::schedule::Phase;
 use super::Micros;
 
@@ -69,7 +69,7 @@
         };
         if bytes.first() == Some(&CALIBRATION_HEAD) {
             add(PacketKind::Calibration, bytes.len());
-        } else if bytes.starts_with(PURGE_HEAD) {
+        } else if bytes.starts_with(PURGE_MAGIC) {
             add(PacketKind::Purge, bytes.len());
         } else {
             packet_parts(bytes, add);
--- a/testbed/src/scale/purge_endpoint.rs
+++ b/testbed/src/scale/purge_endpoint.rs
@@ -12,7 +12,7 @@
 use super::Micros;
 
 /// The first bytes of the mechanism's packets.
-pub const PURGE_HEAD: &[u8] = b"JPC";
+pub const PURGE_MAGIC: &[u8] = b"JPC";
 /// What the keys of published purges begin with; with the number they are of a usual length.
 const KEY_PREFIX: &str = "scale:object:";
 /// [`super::Flaw::DropsChanges`] loses each change whose number leaves this remainder by this divisor.
