--- a/purge/src/wire/tests.rs
+++ b/purge/src/wire/tests.rs
@@ -18,79 +18,100 @@
     vector
 }
 
-fn all_messages() -> Vec<Message> {
-    let epoch = Epoch { incarnation: u64::MAX, counter: u64::MAX };
-    let (member, number, vector) = (MemberId(u32::MAX), u32::MAX, longest_vector());
-    let position = Position { incarnation: u64::MAX, sequence: u64::MAX };
-    let run = Run {
+const MEMBER: MemberId = MemberId(u32::MAX);
+const EPOCH: Epoch = Epoch { incarnation: u64::MAX, counter: u64::MAX };
+const NUMBER: u32 = u32::MAX;
+const INCARNATION: u64 = u64::MAX;
+const POSITION: Position = Position { incarnation: u64::MAX, sequence: u64::MAX };
+
+fn longest_runs() -> Vec<Run> {
+    vec![Run {
         replica: ReplicaId(1),
-        previous: position,
+        previous: POSITION,
         starts: Some(u64::MAX),
         rebase: true,
         keys: vec![vec![7; MAX_KEY_BYTES], vec![]],
-    };
-    let runs = vec![run];
-    let registration = Registration {
-        member,
-        epoch,
-        assigned_replica: ReplicaId(15),
-        state: RegistrationState::Released,
-        change: u64::MAX,
-    };
+    }]
+}
+
+fn longest_reply() -> StatusReply {
     let report = MemberReport {
-        floor: Some(position),
-        laggards: vec![member; MAX_NAMED_MEMBERS],
+        floor: Some(POSITION),
+        laggards: vec![MEMBER; MAX_NAMED_MEMBERS],
         laggards_total: u32::MAX,
     };
-    let reply = StatusReply {
+    StatusReply {
         asked_by: u64::MAX,
         round: u64::MAX,
-        incarnation: u64::MAX,
-        vector: vector.clone(),
+        incarnation: INCARNATION,
+        vector: longest_vector(),
         change: u64::MAX,
         report,
+    }
+}
+
+fn longest_chunk() -> TableChunk {
+    let registration = Registration {
+        member: MEMBER,
+        epoch: EPOCH,
+        assigned_replica: ReplicaId(15),
+        state: RegistrationState::Released,
+        change: u64::MAX,
     };
-    let chunk = TableChunk {
-        incarnation: u64::MAX,
+    TableChunk {
+        incarnation: INCARNATION,
         after: u64::MAX,
         through: u64::MAX,
         registrations: vec![registration; 24],
         more: true,
-    };
-    let incarnation = u64::MAX;
-    let to_replica = [
+    }
+}
+
+fn member_messages() -> Vec<MemberMessage> {
+    vec![
         MemberMessage::Pull {
-            member,
-            epoch: Some(epoch),
-            number,
+            member: MEMBER,
+            epoch: Some(EPOCH),
+            number: NUMBER,
             catch_up: CatchUp::Replay,
-            applied: vector.clone(),
+            applied: longest_vector(),
         },
-        MemberMessage::Register { member, epoch, assigned_replica: ReplicaId(3) },
-        MemberMessage::Confirm { member, epoch },
-        MemberMessage::Deregister { member, epoch },
-        MemberMessage::Probe { number },
-    ];
-    let to_member = [
-        ReplicaMessage::Entries { number, epoch: Some(epoch), runs: runs.clone(), more: true },
-        ReplicaMessage::Void { number, epoch: Some(epoch), vector: vector.clone() },
-        ReplicaMessage::ReRegister { epoch },
-        ReplicaMessage::Registered { epoch, incarnation },
-        ReplicaMessage::Confirmed { epoch, incarnation, vector: vector.clone() },
-        ReplicaMessage::Superseded { epoch, known: epoch },
+        MemberMessage::Register { member: MEMBER, epoch: EPOCH, assigned_replica: ReplicaId(3) },
+        MemberMessage::Confirm { member: MEMBER, epoch: EPOCH },
+        MemberMessage::Deregister { member: MEMBER, epoch: EPOCH },
+        MemberMessage::Probe { number: NUMBER },
+    ]
+}
+
+fn replica_messages() -> Vec<ReplicaMessage> {
+    let (number, vector) = (NUMBER, longest_vector());
+    vec![
+        ReplicaMessage::Entries { number, epoch: Some(EPOCH), runs: longest_runs(), more: true },
+        ReplicaMessage::Void { number, epoch: Some(EPOCH), vector: vector.clone() },
+        ReplicaMessage::ReRegister { epoch: EPOCH },
+        ReplicaMessage::Registered { epoch: EPOCH, incarnation: INCARNATION },
+        ReplicaMessage::Confirmed { epoch: EPOCH, incarnation: INCARNATION, vector },
+        ReplicaMessage::Superseded { epoch: EPOCH, known: EPOCH },
         ReplicaMessage::ProbeReply { number },
-    ];
-    let between = [
-        PeerMessage::StatusRequest { incarnation, round: u64::MAX, vector: vector.clone() },
-        PeerMessage::StatusReply(reply),
-        PeerMessage::Fetch { vector },
-        PeerMessage::Push { runs, more: true },
-        PeerMessage::TableRequest { incarnation, after: u64::MAX },
-        PeerMessage::TableChunk(chunk),
-    ];
-    let to_replica = to_replica.into_iter().map(Message::ToReplica);
-    let to_member = to_member.into_iter().map(Message::ToMember);
-    to_replica.chain(to_member).chain(between.into_iter().map(Message::BetweenReplicas)).collect()
+    ]
+}
+
+fn peer_messages() -> Vec<PeerMessage> {
+    vec![
+        PeerMessage::StatusRequest { incarnation: INCARNATION, round: u64::MAX, vector: longest_vector() },
+        PeerMessage::StatusReply(longest_reply()),
+        PeerMessage::Fetch { vector: longest_vector() },
+        PeerMessage::Push { runs: longest_runs(), more: true },
+        PeerMessage::TableRequest { incarnation: INCARNATION, after: u64::MAX },
+        PeerMessage::TableChunk(longest_chunk()),
+    ]
+}
+
+fn all_messages() -> Vec<Message> {
+    let to_replica = member_messages().into_iter().map(Message::ToReplica);
+    let to_member = replica_messages().into_iter().map(Message::ToMember);
+    let between = peer_messages().into_iter().map(Message::BetweenReplicas);
+    to_replica.chain(to_member).chain(between).collect()
 }
 
 #[test]
--- a/testbed/src/scale/purge_endpoint.rs
+++ b/testbed/src/scale/purge_endpoint.rs
@@ -116,7 +116,7 @@
     pub fn new(identity: MemberIdentity, now: Micros) -> MemberEndpoint {
         let config = MemberConfig {
             member: MemberId(identity.member),
-            life: now,
+            incarnation: now,
             replicas: identity.replicas,
             preferred: identity.preferred.into_iter().map(ReplicaId).collect(),
             catch_up: if identity.is_cache_host { CatchUp::Replay } else { CatchUp::Void },
