--- a/platform-model/src/cache_server.rs
+++ b/platform-model/src/cache_server.rs
@@ -1,5 +1,8 @@
 //! A cache server: cores, slots, a waiting room, work with noise, a cold start, keys kept to a size, load reports.
 
+#[cfg(test)]
+mod tests;
+
 use std::collections::{HashMap, VecDeque};
 use std::num::NonZeroUsize;
 
@@ -236,63 +239,3 @@
         self.report
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::rng::{seeded_rng, RngStream};
-
-    fn server() -> (CacheServer, SeededRng) {
-        (CacheServer::new(CacheServers::default(), 1.0, 3), seeded_rng(1, RngStream::Machines))
-    }
-
-    #[test]
-    fn keys_are_kept_to_a_size_voided_and_lost_with_a_restart() {
-        let (mut server, mut rng) = server();
-        let mut ask = |server: &mut CacheServer, now, key| server.begin(now, key, &mut rng).answer;
-        assert_eq!(ask(&mut server, 0, 1), Answer::Miss { fetching: false });
-        assert_eq!(ask(&mut server, 1, 1), Answer::Miss { fetching: true });
-        server.store(1);
-        assert_eq!(ask(&mut server, 2, 1), Answer::Hit);
-        (2..5).for_each(|key| server.store(key));
-        assert_eq!(ask(&mut server, 3, 1), Answer::Miss { fetching: false }, "three are kept");
-        assert_eq!(ask(&mut server, 4, 4), Answer::Hit);
-        server.void(4);
-        assert_eq!(ask(&mut server, 5, 4), Answer::Miss { fetching: false });
-        server.restart(6);
-        assert_eq!((server.incarnation, ask(&mut server, 7, 3)), (1, Answer::Miss { fetching: false }));
-    }
-
-    #[test]
-    fn a_core_does_one_thing_at_a_time_and_the_room_is_bounded() {
-        let (mut server, mut rng) = server();
-        server.store(1);
-        let first = server.begin(0, 1, &mut rng).at;
-        let second = server.begin(0, 1, &mut rng).at;
-        assert!(first >= 10_000 && second >= first + 10_000);
-        let answers: Vec<Answer> = (0..300).map(|_| server.begin(0, 1, &mut rng).answer).collect();
-        assert_eq!(
-            answers.iter().filter(|a| **a == Answer::Hit).count(),
-            206,
-            "8 slots and 200 places, 2 taken"
-        );
-        assert!(server.report(SECOND, &mut rng).waiting > 100.0);
-        server.closed = true;
-        assert_eq!(server.begin(100 * SECOND, 1, &mut rng).answer, Answer::Busy);
-    }
-
-    /// 50 a second when warm, 17.5 at the start, four times which it bears.
-    #[test]
-    fn a_cold_host_falls_when_pushed_and_else_warms_up() {
-        for (rate, falls) in [(60, false), (120, true)] {
-            let (mut server, mut rng) = server();
-            server.restart(SECOND);
-            assert!((server.capacity(SECOND) - 17.5).abs() < 0.01 && server.warmth(4 * SECOND) < 1.0);
-            for n in 0..rate * 2 {
-                server.begin(SECOND + n * SECOND / rate, 1, &mut rng);
-            }
-            assert_eq!(server.fallen(), falls, "{rate} a second");
-            assert_eq!(server.warmth(7 * SECOND), 1.0);
-        }
-    }
-}
--- a/platform-model/src/judge/verdicts.rs
+++ b/platform-model/src/judge/verdicts.rs
@@ -1,6 +1,9 @@
 //! How soon the whole fleet acts on a change at a server: from the change to the last send of each balancer that the
 //! change should have stopped, what was lost meanwhile, and when the server is used again.
 
+#[cfg(test)]
+mod tests;
+
 use std::collections::HashMap;
 
 use super::{percentile, Terms};
@@ -83,56 +86,3 @@
         Some(used.map_or(terms.end.saturating_sub(to), |place| (place as Us + 1) * SECOND))
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::super::hand::{attempt, terms, Hand};
-    use super::*;
-    use crate::ledger::Attempt;
-    use crate::us;
-
-    fn verdicts(ledger: &Ledger, terms: &Terms) -> Verdicts {
-        super::verdicts(ledger, terms, &super::super::series::series(ledger, terms).servers)
-    }
-
-    /// Server 0 is silent from 10 to 20 s; the others get ten a second each.
-    fn hand(at_silent: &[(u32, f64)]) -> Hand {
-        let mut hand = Hand::default();
-        hand.ledger.servers.push(Span { who: 0, ill: Ill::Silent, from: us(10.0), to: Some(us(20.0)) });
-        for n in 0..1200 {
-            hand.ledger.attempts.push(attempt(n, At::CacheServer(n as u32 % 4), 5.0 + n as f64 / 40.0));
-        }
-        hand.ledger
-            .attempts
-            .retain(|a| a.at != At::CacheServer(0) || !(us(10.0)..us(23.0)).contains(&a.begun));
-        for (balancer, at) in at_silent {
-            let became = Became::Nothing;
-            hand.ledger.attempts.push(Attempt {
-                balancer: *balancer,
-                became,
-                ..attempt(0, At::CacheServer(0), *at)
-            });
-        }
-        hand
-    }
-
-    #[test]
-    fn the_last_send_of_each_balancer_counts_from_the_change() {
-        let seen = verdicts(&hand(&[(1, 10.2), (1, 10.5), (2, 12.0)]).ledger, &terms());
-        assert_eq!((seen.spread_p50_ms, seen.spread_p99_ms, seen.lost_sends), (Some(500.0), Some(2000.0), 3));
-        let mut cut = hand(&[]);
-        cut.ledger.unheard.push(attempt(0, At::CacheServer(1), 12.0));
-        assert_eq!(verdicts(&cut.ledger, &terms()).lost_sends, 1, "what a cut link swallowed is lost, too");
-        let none = verdicts(&hand(&[]).ledger, &terms());
-        assert_eq!((none.spread_p50_ms, none.lost_sends), (None, 0));
-    }
-
-    #[test]
-    fn a_host_is_avoided_and_used_again_by_its_part() {
-        let seen = verdicts(&hand(&[]).ledger, &terms());
-        assert_eq!((seen.avoided_ms, seen.used_again_ms), (Some(0.0), Some(4000.0)));
-        let sent: Vec<(u32, f64)> = (0..3).map(|n| (1, 12.3 + f64::from(n) / 10.0)).collect();
-        assert_eq!(verdicts(&hand(&sent).ledger, &terms()).avoided_ms, Some(3000.0));
-        assert_eq!(verdicts(&hand(&sent[..0]).ledger, &terms()).avoided_ms, Some(0.0));
-    }
-}
--- a/platform-model/src/rng.rs
+++ b/platform-model/src/rng.rs
@@ -1,5 +1,8 @@
 //! Seeded random numbers: a stream for each purpose of a run, the same numbers on every machine.
 
+#[cfg(test)]
+mod tests;
+
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -42,18 +45,3 @@
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use rand::RngCore;
-
-    #[test]
-    fn the_numbers_are_the_same_everywhere_and_apart_by_purpose() {
-        let first = |seed, stream| seeded_rng(seed, stream).next_u64();
-        assert_eq!(first(1, RngStream::Load), first(1, RngStream::Load));
-        assert_ne!(first(1, RngStream::Load), first(1, RngStream::Groups));
-        assert_ne!(first(1, RngStream::Load), first(2, RngStream::Load));
-        assert_eq!(spread(0), 0xe220_a839_7b1d_cdaf);
-    }
-}
--- a/platform-model/src/schedule.rs
+++ b/platform-model/src/schedule.rs
@@ -1,5 +1,8 @@
 //! An experiment's faults as values on a schedule: what happens when, to whom.
 
+#[cfg(test)]
+mod tests;
+
 use rand::seq::SliceRandom;
 
 use crate::experiment::{Experiment, Fault, What};
@@ -140,37 +143,3 @@
         What::ListLate => pair(Change::ListLate(us(fault.seconds.unwrap_or(0.0))), Change::ListLate(0)),
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::reader::{read, tests::SOUND};
-    use crate::SECOND;
-
-    #[test]
-    fn faults_become_changes_in_order_and_the_same_for_a_seed() {
-        let text = "[[fault]]\nat = 9\nfor = 2\nwhat = \"drain\"\nwho = \"hosts:1\"\n\
-            [[fault]]\nat = 3\nwhat = \"roll\"\nwho = \"balancers\"\nshare = 0.4\nevery = 2\n\
-            [[fault]]\nat = 1\nfor = 2.5\nwhat = \"flap\"\nwho = \"hosts:30%\"\nevery = 1\n";
-        let e = read(&format!("{SOUND}{text}"), &[]).unwrap();
-        let steps = schedule(&e).steps;
-        assert_eq!(steps, schedule(&e).steps);
-        let at: Vec<Us> = steps.iter().map(|step| step.at / 100_000).collect();
-        assert_eq!(at, [10, 20, 30, 30, 30, 35, 50, 50, 70, 70, 90, 110]);
-        let ended: Vec<usize> = steps
-            .iter()
-            .filter_map(|step| match &step.change {
-                Change::Term(who) => Some(who.clone()),
-                _ => None,
-            })
-            .flatten()
-            .collect();
-        let mut sorted = ended.clone();
-        sorted.sort_unstable();
-        assert_eq!(sorted, (0..10).collect::<Vec<_>>(), "a roll ends each once");
-        assert_eq!(steps.last().unwrap().change, Change::Restart(vec![1]));
-        assert!(
-            matches!(&steps[5], Step { at, change: Change::Silent(_, false), .. } if *at == 3 * SECOND + SECOND / 2)
-        );
-    }
-}
--- a/testbed-cli/src/charts.rs
+++ b/testbed-cli/src/charts.rs
@@ -1,6 +1,9 @@
 //! Charts of a run as SVG: service over time with the faults shaded, the servers' loads as a heat map, the origin's use,
 //! latencies. Drawn by plotters; nothing in them needs a network or a script.
 
+#[cfg(test)]
+mod tests;
+
 use juniperladder_platform_model::experiment::Experiment;
 use juniperladder_platform_model::judge::series::Second;
 use plotters::coord::Shift;
@@ -233,29 +236,3 @@
         mix(white, red, (load - 1.0).min(1.0))
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn charts_are_whole_and_show_what_they_are_given() {
-        let e = juniperladder_platform_model::reader::read(include_str!("../demo.toml"), &[]).unwrap();
-        let seconds: Vec<Second> = (0..14)
-            .map(|second| Second { second, requests: 200, served: 150, ..Second::default() })
-            .collect();
-        let charts = [
-            service(&e, &seconds),
-            origin(&e, &seconds),
-            latency(&e, &seconds),
-            heat("loads", "host", &[vec![0.0, 2.5], vec![1.0]]),
-        ];
-        for chart in charts {
-            let text = chart.unwrap();
-            assert!(text.starts_with("<svg") && text.trim_end().ends_with("</svg>"));
-            assert!(!text.contains("NaN"));
-        }
-        assert!(service(&e, &seconds).unwrap().contains("refused"));
-        assert_eq!([heat_colour(0.0), heat_colour(1.0), heat_colour(9.0)].map(|c| c.1), [101, 255, 28]);
-    }
-}
--- a/testbed-cli/src/overview.rs
+++ b/testbed-cli/src/overview.rs
@@ -1,6 +1,9 @@
 //! `overview`: a table over many runs, by experiment and by the number of balancers, with the spread over seeds, and a
 //! chart of how figures change with that number.
 
+#[cfg(test)]
+mod tests;
+
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -104,16 +107,3 @@
         format!("{mean} ({least} to {most})")
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_cell_tells_mean_and_spread() {
-        let run = |service| Summary { service, ..Summary::default() };
-        assert_eq!(cell(&COLUMNS[0], &[run(0.5), run(0.7)]), "0.600 (0.500 to 0.700)");
-        assert_eq!(cell(&COLUMNS[0], &[run(0.5)]), "0.500");
-        assert_eq!(cell(&COLUMNS[9], &[run(0.5)]), "-");
-    }
-}
--- a/testbed/src/child_reaper.rs
+++ b/testbed/src/child_reaper.rs
@@ -4,6 +4,9 @@
 //! the numbers of the rig's processes from a pipe; when the pipe closes it ends those that still run, told apart from
 //! later processes of the same number by the time at which they started.
 
+#[cfg(test)]
+mod tests;
+
 use std::collections::HashMap;
 use std::io::{BufRead, Write};
 use std::path::Path;
@@ -67,22 +70,3 @@
     // The name may hold spaces and brackets; the fields after it do not. The start is the 22nd of all.
     stat.rsplit_once(')')?.1.split_whitespace().nth(19)?.parse().ok()
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use std::io::Cursor;
-
-    #[test]
-    fn what_still_runs_is_ended_and_a_later_process_of_the_number_is_not() {
-        let sleeper = || Command::new("sleep").arg("60").spawn().unwrap();
-        let (mut ours, mut other) = (sleeper(), sleeper());
-        let (pid, not) = (ours.id() as i32, other.id() as i32);
-        let text = format!("{pid} {}\n{not} 1\nnonsense\n", started(pid).unwrap());
-        reap(Cursor::new(text));
-        assert!(!ours.wait().unwrap().success());
-        assert!(other.try_wait().unwrap().is_none(), "it started at another time than the one named");
-        other.kill().unwrap();
-        other.wait().unwrap();
-    }
-}
--- a/testbed/src/doors.rs
+++ b/testbed/src/doors.rs
@@ -1,6 +1,9 @@
 //! Doors: the addresses at which balancers reach the rig's stand-ins. A door keeps its port while nobody listens there,
 //! so that a server that is gone refuses connections and can come back at its old address.
 
+#[cfg(test)]
+mod tests;
+
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 
@@ -62,30 +65,3 @@
     // Without it the close is an orderly one; the connection ends all the same.
     let _ = socket2::SockRef::from(stream).set_linger(Some(std::time::Duration::ZERO));
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use tokio::net::TcpStream;
-
-    #[tokio::test]
-    async fn a_door_refuses_while_closed_and_opens_again_at_its_address() {
-        let door = Door::new().unwrap();
-        assert!(TcpStream::connect(door.address()).await.is_err());
-        let listener = door.open().unwrap();
-        assert!(TcpStream::connect(door.address()).await.is_ok());
-        drop(listener);
-        // A process that another test starts in this moment has the listener, too, until its own program begins.
-        let mut refused = false;
-        for _ in 0..100 {
-            refused = refused || TcpStream::connect(door.address()).await.is_err();
-            if refused {
-                break;
-            }
-            tokio::time::sleep(std::time::Duration::from_millis(10)).await;
-        }
-        assert!(refused);
-        let _again = door.open().unwrap();
-        assert!(TcpStream::connect(door.address()).await.is_ok());
-    }
-}
