--- a/platform-model/src/cache_server.rs
+++ b/platform-model/src/cache_server.rs
@@ -12,10 +12,10 @@
 
 use crate::experiment::CacheServers;
 use crate::rng::SeededRng;
-use crate::{us_of_ms, Us, SECOND};
+use crate::{micros_from_millis, Micros, MICROS_PER_SECOND};
 
 /// How long a miss counts as a fetch that is out, where nobody stores the key.
-const FETCHING: Us = 3 * SECOND;
+const FETCHING: Micros = 3 * MICROS_PER_SECOND;
 
 /// How a server answers a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     /// The answer.
     pub answer: Answer,
     /// When it goes out.
-    pub at: Us,
+    pub at: Micros,
     /// Whether the server was not warm yet when it came.
     pub cold: bool,
 }
@@ -62,24 +62,24 @@
     /// How often it has started anew.
     pub incarnation: u32,
     /// When it last started; none, long ago.
-    pub started: Option<Us>,
+    pub started: Option<Micros>,
     /// Draining or gone: what comes new is turned away.
     pub closed: bool,
     slow: f64,
     failing: f64,
     /// When each core is free.
-    free: Vec<Us>,
+    free: Vec<Micros>,
     /// When what waits begins, in order.
-    begins: VecDeque<Us>,
+    begins: VecDeque<Micros>,
     /// When what has begun or waits is done.
-    ends: VecDeque<Us>,
+    ends: VecDeque<Micros>,
     kept: LruCache<u64, ()>,
-    fetching: HashMap<u64, Us>,
+    fetching: HashMap<u64, Micros>,
     /// What came in the last second, for the push that a cold server bears.
-    recent: VecDeque<Us>,
+    recent: VecDeque<Micros>,
     fallen: bool,
     report: Report,
-    reported: Us,
+    reported: Micros,
 }
 
 impl CacheServer {
@@ -106,7 +106,7 @@
     }
 
     /// Starts anew, cold and empty; what it had in hand is lost.
-    pub fn restart(&mut self, now: Us) {
+    pub fn restart(&mut self, now: Micros) {
         let (cores, keys) = (self.cores, self.kept.cap().get());
         let (slow, failing) = (self.slow, self.failing);
         let incarnation = self.incarnation + 1;
@@ -131,14 +131,14 @@
     }
 
     /// The part of its capacity that it has.
-    pub fn warmth(&self, now: Us) -> f64 {
+    pub fn warmth(&self, now: Micros) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let part = (now.saturating_sub(started)) as f64 / (self.figures.cold_s * 1e6).max(1.0);
         (self.figures.cold_from + (1.0 - self.figures.cold_from) * part).min(1.0)
     }
 
     /// Hits a second that it can serve now.
-    pub fn capacity(&self, now: Us) -> f64 {
+    pub fn capacity(&self, now: Micros) -> f64 {
         self.cores * 1e3 / self.figures.work_ms / self.slow * self.warmth(now)
     }
 
@@ -148,7 +148,7 @@
     }
 
     /// A read has come, whole.
-    pub fn begin(&mut self, now: Us, key: u64, rng: &mut SeededRng) -> Outcome {
+    pub fn begin(&mut self, now: Micros, key: u64, rng: &mut SeededRng) -> Outcome {
         let warmth = self.warmth(now);
         let cold = warmth < 1.0;
         self.pushed(now, cold);
@@ -179,12 +179,14 @@
         let part = if answer == Answer::Hit { 1.0 } else { self.figures.miss };
         let noise: f64 = Exp1.sample(rng);
         // Half of the work is always there, the other half varies.
-        let work = us_of_ms(self.figures.work_ms * part * (0.5 + 0.5 * noise.min(8.0)) * self.slow / warmth);
+        let work = micros_from_millis(
+            self.figures.work_ms * part * (0.5 + 0.5 * noise.min(8.0)) * self.slow / warmth,
+        );
         let Some(core) = self.free.iter_mut().min() else { return turned_away(Answer::Busy) };
         let begin = (*core).max(now);
         // A part of a core does its work slower.
         let whole = self.cores.ceil().max(1.0) / self.cores;
-        *core = begin + (work as f64 * whole) as Us;
+        *core = begin + (work as f64 * whole) as Micros;
         let at = *core;
         if begin > now {
             self.begins.push_back(begin);
@@ -194,17 +196,17 @@
     }
 
     /// Watches the push on a cold server: over a second with more than it bears, it falls.
-    fn pushed(&mut self, now: Us, cold: bool) {
+    fn pushed(&mut self, now: Micros, cold: bool) {
         if !cold {
             self.recent.clear();
             return;
         }
         self.recent.push_back(now);
-        while self.recent.front().is_some_and(|at| at + SECOND <= now) {
+        while self.recent.front().is_some_and(|at| at + MICROS_PER_SECOND <= now) {
             self.recent.pop_front();
         }
         let bears = self.capacity(now) * self.figures.fall_times;
-        let for_long = self.started.is_some_and(|started| started + SECOND <= now);
+        let for_long = self.started.is_some_and(|started| started + MICROS_PER_SECOND <= now);
         if for_long && self.recent.len() as f64 > bears {
             self.fallen = true;
         }
@@ -227,11 +229,11 @@
     }
 
     /// The load report that an answer carries: late and noisy.
-    pub fn report(&mut self, now: Us, rng: &mut SeededRng) -> Report {
-        if now >= self.reported + us_of_ms(self.figures.report_ms) {
+    pub fn report(&mut self, now: Micros, rng: &mut SeededRng) -> Report {
+        if now >= self.reported + micros_from_millis(self.figures.report_ms) {
             let mut noisy =
                 |value: f64| value * (1.0 + self.figures.report_noise * (2.0 * rng.random::<f64>() - 1.0));
-            let served = self.ends.iter().filter(|at| **at <= now + SECOND).count();
+            let served = self.ends.iter().filter(|at| **at <= now + MICROS_PER_SECOND).count();
             let waiting = self.begins.iter().filter(|at| **at > now).count();
             self.report = Report { served_per_s: noisy(served as f64), waiting: noisy(waiting as f64) };
             self.reported = now;
--- a/platform-model/src/cache_server/tests.rs
+++ b/platform-model/src/cache_server/tests.rs
@@ -33,9 +33,9 @@
     assert!(first >= 10_000 && second >= first + 10_000);
     let answers: Vec<Answer> = (0..300).map(|_| server.begin(0, 1, &mut rng).answer).collect();
     assert_eq!(answers.iter().filter(|a| **a == Answer::Hit).count(), 206, "8 slots and 200 places, 2 taken");
-    assert!(server.report(SECOND, &mut rng).waiting > 100.0);
+    assert!(server.report(MICROS_PER_SECOND, &mut rng).waiting > 100.0);
     server.closed = true;
-    assert_eq!(server.begin(100 * SECOND, 1, &mut rng).answer, Answer::Busy);
+    assert_eq!(server.begin(100 * MICROS_PER_SECOND, 1, &mut rng).answer, Answer::Busy);
 }
 
 /// 50 a second when warm, 17.5 at the start, four times which it bears.
@@ -43,12 +43,15 @@
 fn a_cold_host_falls_when_pushed_and_else_warms_up() {
     for (rate, falls) in [(60, false), (120, true)] {
         let (mut server, mut rng) = server();
-        server.restart(SECOND);
-        assert!((server.capacity(SECOND) - 17.5).abs() < 0.01 && server.warmth(4 * SECOND) < 1.0);
+        server.restart(MICROS_PER_SECOND);
+        assert!(
+            (server.capacity(MICROS_PER_SECOND) - 17.5).abs() < 0.01
+                && server.warmth(4 * MICROS_PER_SECOND) < 1.0
+        );
         for n in 0..rate * 2 {
-            server.begin(SECOND + n * SECOND / rate, 1, &mut rng);
+            server.begin(MICROS_PER_SECOND + n * MICROS_PER_SECOND / rate, 1, &mut rng);
         }
         assert_eq!(server.fallen(), falls, "{rate} a second");
-        assert_eq!(server.warmth(7 * SECOND), 1.0);
+        assert_eq!(server.warmth(7 * MICROS_PER_SECOND), 1.0);
     }
 }
--- a/platform-model/src/discovery.rs
+++ b/platform-model/src/discovery.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::{us, Us, SECOND};
+use crate::{micros_from_seconds, Micros, MICROS_PER_SECOND};
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     /// What it does.
     pub life: Life,
     /// When it last started; none, long ago.
-    pub started: Option<Us>,
+    pub started: Option<Micros>,
 }
 
 /// The list, with all its changes.
@@ -84,19 +84,23 @@
 /// Calls in turn: each takes its time, and one that would wait too long fails.
 #[derive(Clone, Debug)]
 pub struct Door {
-    each: Us,
-    timeout: Us,
-    free: Us,
+    each: Micros,
+    timeout: Micros,
+    free: Micros,
 }
 
 impl Door {
     /// A door for so many calls a second.
     pub fn new(calls_per_s: f64, timeout_s: f64) -> Door {
-        Door { each: (SECOND as f64 / calls_per_s) as Us, timeout: us(timeout_s), free: 0 }
+        Door {
+            each: (MICROS_PER_SECOND as f64 / calls_per_s) as Micros,
+            timeout: micros_from_seconds(timeout_s),
+            free: 0,
+        }
     }
 
     /// When a call that comes now is answered; none, it fails.
-    pub fn call(&mut self, now: Us) -> Option<Us> {
+    pub fn call(&mut self, now: Micros) -> Option<Micros> {
         let begin = self.free.max(now);
         if begin - now > self.timeout {
             return None;
--- a/platform-model/src/discovery/tests.rs
+++ b/platform-model/src/discovery/tests.rs
@@ -21,8 +21,11 @@
 #[test]
 fn calls_wait_for_each_other_and_fail_when_that_takes_too_long() {
     let mut door = Door::new(2.0, 1.0);
-    let half = SECOND / 2;
-    assert_eq!([door.call(0), door.call(0), door.call(0)], [Some(half), Some(SECOND), Some(3 * half)]);
+    let half = MICROS_PER_SECOND / 2;
+    assert_eq!(
+        [door.call(0), door.call(0), door.call(0)],
+        [Some(half), Some(MICROS_PER_SECOND), Some(3 * half)]
+    );
     assert_eq!(door.call(0), None);
-    assert_eq!(door.call(SECOND), Some(4 * half));
+    assert_eq!(door.call(MICROS_PER_SECOND), Some(4 * half));
 }
--- a/platform-model/src/judge.rs
+++ b/platform-model/src/judge.rs
@@ -21,7 +21,7 @@
 use crate::experiment::{CacheServers, Experiment};
 use crate::ledger::{ClientRequest, Ended, Ledger};
 use crate::summary::{Latency, Summary};
-use crate::{us, Us, SECOND};
+use crate::{micros_from_seconds, Micros, MICROS_PER_SECOND};
 
 /// Whether a request may run again once it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
     /// As often as one likes.
     Safe,
     /// With its idempotency key, for so long after the first attempt that may have run.
-    Keyed(Us),
+    Keyed(Micros),
     /// Never.
     Unsafe,
 }
@@ -40,9 +40,9 @@
     /// Its name on the wire.
     pub name: &'static str,
     /// An answer within this time earns its worth.
-    pub aim: Us,
+    pub aim: Micros,
     /// The longest that a client waits, over all its tries.
-    pub deadline: Us,
+    pub deadline: Micros,
     /// What one is worth.
     pub worth: f64,
     /// Whether it may run again.
@@ -53,17 +53,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Terms {
     /// The experiment's beginning: what comes before only fills the caches.
-    pub zero: Us,
+    pub zero: Micros,
     /// The end of the load.
-    pub end: Us,
+    pub end: Micros,
     /// Reads and writes.
     pub classes: [Class; 2],
     /// The most attempts of a request.
     pub attempts: usize,
     /// Sends to a server end so soon after its drain was told.
-    pub drain_grace: Us,
+    pub drain_grace: Micros,
     /// By so much each time limit grows.
-    pub slack: Us,
+    pub slack: Micros,
     /// The servers' weights.
     pub weights: Vec<f64>,
     /// Fetches a second at the origin.
@@ -81,17 +81,17 @@
 impl Terms {
     /// The terms of an experiment.
     pub fn of(e: &Experiment) -> Terms {
-        let zero = us(e.load.warm);
+        let zero = micros_from_seconds(e.load.warm);
         let class = |name, aim, deadline, worth, effect| Class { name, aim, deadline, worth, effect };
         Terms {
             zero,
-            end: zero + us(e.seconds),
+            end: zero + micros_from_seconds(e.seconds),
             classes: [
                 class("read", 750_000, 1_500_000, 1.0, Effect::Safe),
-                class("put", 1_200_000, 3_000_000, 10.0, Effect::Keyed(6 * SECOND)),
+                class("put", 1_200_000, 3_000_000, 10.0, Effect::Keyed(6 * MICROS_PER_SECOND)),
             ],
             attempts: 3,
-            drain_grace: SECOND / 2,
+            drain_grace: MICROS_PER_SECOND / 2,
             slack: 50_000,
             weights: (0..e.fleet.servers).map(|n| e.fleet.weights[n % e.fleet.weights.len()]).collect(),
             capacity: e.origin.capacity,
@@ -108,7 +108,7 @@
     }
 
     /// Whether this time counts.
-    pub fn counts(&self, at: Us) -> bool {
+    pub fn counts(&self, at: Micros) -> bool {
         (self.zero..self.end).contains(&at)
     }
 }
@@ -119,19 +119,19 @@
     /// The whole of the limit `origin`, a second.
     pub origin: f64,
     /// By how much requests may differ in the time that they take to a server or the origin.
-    pub spread: Us,
+    pub spread: Micros,
     /// Sends a second that a warm server bears, where sends to cold ones are limited.
     pub cold: Option<f64>,
     /// Second tries for each first try, and how many may be saved up in all.
     pub second: Option<(f64, f64)>,
     /// Verdicts: within which time all connected act on a change, and how long a word acts.
-    pub verdicts: Option<(Us, Us)>,
+    pub verdicts: Option<(Micros, Micros)>,
 }
 
 impl Stated {
     /// The most in any second as a multiple of what is limited to so much a second.
     pub fn bound(&self) -> f64 {
-        1.0 + self.spread as f64 / SECOND as f64
+        1.0 + self.spread as f64 / MICROS_PER_SECOND as f64
     }
 }
 
@@ -155,8 +155,8 @@
     summary.rules.attempts = count(rules::Rule::Attempts);
     summary.rules.drains = count(rules::Rule::Drains);
     summary.rules.cold = count(rules::Rule::Cold);
-    let mut late: Vec<Us> = Vec::new();
-    let mut latencies: Vec<Us> = Vec::new();
+    let mut late: Vec<Micros> = Vec::new();
+    let mut latencies: Vec<Micros> = Vec::new();
     for request in ledger.requests.iter().filter(|c| terms.counts(c.planned)) {
         summary.requests += 1;
         late.push(request.sent.saturating_sub(request.planned));
@@ -245,7 +245,7 @@
 }
 
 /// The value at this part of the sorted whole; 0 where there is none.
-pub(crate) fn percentile(values: &mut [Us], part: f64) -> Us {
+pub(crate) fn percentile(values: &mut [Micros], part: f64) -> Micros {
     values.sort_unstable();
     at_part(values, part)
 }
--- a/platform-model/src/judge/hand.rs
+++ b/platform-model/src/judge/hand.rs
@@ -2,17 +2,17 @@
 
 use super::{Class, Effect, Terms};
 use crate::ledger::{At, Attempt, Became, ClientRequest, Ended, Ledger};
-use crate::{us, SECOND};
+use crate::{micros_from_seconds, MICROS_PER_SECOND};
 
 /// Terms of a run with four servers, the last of twice the weight, and an origin of ten a second.
 pub fn terms() -> Terms {
     let class = |name, effect| Class { name, aim: 750_000, deadline: 1_500_000, worth: 1.0, effect };
     Terms {
-        zero: 5 * SECOND,
-        end: 35 * SECOND,
-        classes: [class("read", Effect::Safe), class("put", Effect::Keyed(6 * SECOND))],
+        zero: 5 * MICROS_PER_SECOND,
+        end: 35 * MICROS_PER_SECOND,
+        classes: [class("read", Effect::Safe), class("put", Effect::Keyed(6 * MICROS_PER_SECOND))],
         attempts: 3,
-        drain_grace: SECOND / 2,
+        drain_grace: MICROS_PER_SECOND / 2,
         slack: 50_000,
         weights: vec![1.0, 1.0, 1.0, 2.0],
         capacity: 10.0,
@@ -25,7 +25,7 @@
 
 /// A read sent at this second and served 100 ms later.
 pub fn served(at: f64) -> ClientRequest {
-    let sent = us(at);
+    let sent = micros_from_seconds(at);
     ClientRequest {
         id: 0,
         first: 0,
@@ -43,7 +43,7 @@
 
 /// An attempt at this second, answered 50 ms later.
 pub fn attempt(id: u64, at: At, second: f64) -> Attempt {
-    let begun = us(second);
+    let begun = micros_from_seconds(second);
     Attempt {
         id,
         balancer: 0,
--- a/platform-model/src/judge/limits.rs
+++ b/platform-model/src/judge/limits.rs
@@ -8,7 +8,7 @@
 use super::{fate, Fate, Terms};
 use crate::ledger::{At, Attempt, Became, Ended, Ill, Ledger};
 use crate::summary::{Limit, OriginFigures};
-use crate::{Us, SECOND};
+use crate::{Micros, MICROS_PER_SECOND};
 
 /// The origin's figures, as the origin's and as a limit's.
 pub struct Origin {
@@ -27,7 +27,7 @@
     let (mut near, mut most) = (VecDeque::new(), 0);
     for fetch in &fetches {
         near.push_back(fetch.begun);
-        while near.front().is_some_and(|at| at + SECOND <= fetch.begun) {
+        while near.front().is_some_and(|at| at + MICROS_PER_SECOND <= fetch.begun) {
             near.pop_front();
         }
         most = most.max(near.len());
@@ -39,7 +39,7 @@
         .filter(|c| c.end == Ended::Served && fate(c, terms) == Fate::Served)
         .map(|c| c.id)
         .collect();
-    let second = |at: Us| ((at - terms.zero) / SECOND) as usize;
+    let second = |at: Micros| ((at - terms.zero) / MICROS_PER_SECOND) as usize;
     let (mut used, mut useful, mut over, mut pressed) = (0.0, 0.0, 0, 0.0);
     let mut by_second = vec![(0.0, 0.0); demand.len()];
     for fetch in &fetches {
@@ -68,7 +68,7 @@
 const SECOND_SAVED: f64 = 10.0;
 /// For how long before a second a right to a second try may have been earned: what the program states, and what a first try
 /// takes to its balancer at the most.
-const EARNED: Us = 2 * SECOND + SECOND / 4;
+const EARNED: Micros = 2 * MICROS_PER_SECOND + MICROS_PER_SECOND / 4;
 
 /// The figures of the limit `cold`: sends in any second to a server that warms up, against what it bears by its warmth at the end
 /// of that second. Without a file that limits it, a warm server bears what it can serve.
@@ -82,18 +82,18 @@
         figures.whole = figures.whole.max(warm);
         let mut near = VecDeque::new();
         let mut over = HashSet::new();
-        let to = span.from + cold_us as Us;
+        let to = span.from + cold_us as Micros;
         let here = |a: &&Attempt| a.at == At::CacheServer(span.who) && (span.from..to).contains(&a.begun);
         for send in ledger.attempts.iter().filter(here).filter(|a| terms.counts(a.begun)) {
             near.push_back(send.begun);
-            while near.front().is_some_and(|at| at + SECOND <= send.begun) {
+            while near.front().is_some_and(|at| at + MICROS_PER_SECOND <= send.begun) {
                 near.pop_front();
             }
             let warmth = from + (1.0 - from) * (send.begun - span.from) as f64 / cold_us.max(1.0);
             let peak = near.len() as f64 / (warm * warmth);
             figures.peak = figures.peak.max(peak);
             if peak > figures.bound.unwrap_or(1.0) {
-                over.insert(send.begun / SECOND);
+                over.insert(send.begun / MICROS_PER_SECOND);
             }
         }
         figures.seconds_over += over.len() as u64;
@@ -107,13 +107,14 @@
 pub fn second(ledger: &Ledger, terms: &Terms) -> Limit {
     let limited = terms.stated.and_then(|stated| stated.second);
     let (share, saved) = limited.unwrap_or((SECOND_SHARE, SECOND_SAVED * terms.balancers as f64));
-    let mut firsts: Vec<Us> = ledger.requests.iter().filter(|c| c.id == c.first).map(|c| c.sent).collect();
+    let mut firsts: Vec<Micros> =
+        ledger.requests.iter().filter(|c| c.id == c.first).map(|c| c.sent).collect();
     firsts.sort_unstable();
     let mut all: Vec<&Attempt> = ledger.attempts.iter().chain(&ledger.unheard).collect();
     all.sort_by_key(|attempt| attempt.begun);
     // By request: whether there was a try, and whether one missed.
     let mut tried: HashMap<u64, bool> = HashMap::new();
-    let mut seconds: Vec<Us> = Vec::new();
+    let mut seconds: Vec<Micros> = Vec::new();
     for attempt in all {
         match tried.get_mut(&attempt.id) {
             Some(missed) => {
@@ -127,22 +128,22 @@
     }
     let (mut near, mut over) = (VecDeque::new(), HashSet::new());
     let counted = firsts.iter().filter(|at| terms.counts(**at)).count() as f64;
-    let length = (terms.end - terms.zero) as f64 / SECOND as f64;
+    let length = (terms.end - terms.zero) as f64 / MICROS_PER_SECOND as f64;
     let mut figures =
         Limit { whole: share * counted / length, bound: limited.map(|_| 1.0), ..Limit::default() };
     let spread = terms.stated.map_or(0, |stated| stated.spread);
     for at in seconds {
         near.push_back(at);
-        while near.front().is_some_and(|first| first + SECOND <= at) {
+        while near.front().is_some_and(|first| first + MICROS_PER_SECOND <= at) {
             near.pop_front();
         }
-        let since = at.saturating_sub(SECOND + EARNED + spread);
+        let since = at.saturating_sub(MICROS_PER_SECOND + EARNED + spread);
         let earned =
             firsts.partition_point(|first| *first <= at) - firsts.partition_point(|first| *first < since);
         let peak = near.len() as f64 / (share * earned as f64 + saved);
         figures.peak = figures.peak.max(peak);
         if peak > 1.0 {
-            over.insert(at / SECOND);
+            over.insert(at / MICROS_PER_SECOND);
         }
     }
     figures.seconds_over = over.len() as u64;
@@ -152,7 +153,7 @@
 /// What was wanted of the origin in each second: writes asked for, reads that missed at a server, and of the requests
 /// that were refused before anybody was asked the part that usually misses.
 pub fn demand(ledger: &Ledger, terms: &Terms) -> Vec<f64> {
-    let mut by_second = vec![0.0; ((terms.end - terms.zero).div_ceil(SECOND)) as usize];
+    let mut by_second = vec![0.0; ((terms.end - terms.zero).div_ceil(MICROS_PER_SECOND)) as usize];
     let mut attempts: HashMap<u64, (bool, bool)> = HashMap::new();
     for attempt in &ledger.attempts {
         let (missed, at_origin) = attempts.entry(attempt.id).or_default();
@@ -171,7 +172,7 @@
             None if request.end == Ended::Refused => usual,
             None => 0.0,
         };
-        by_second[((request.planned - terms.zero) / SECOND) as usize] += wants;
+        by_second[((request.planned - terms.zero) / MICROS_PER_SECOND) as usize] += wants;
     }
     by_second
 }
--- a/platform-model/src/judge/limits/tests.rs
+++ b/platform-model/src/judge/limits/tests.rs
@@ -4,7 +4,7 @@
 use super::super::Stated;
 use super::*;
 use crate::ledger::{ClientRequest, Span};
-use crate::us;
+use crate::micros_from_seconds;
 
 /// In the second from 10 s on, so many fetches, evenly.
 fn hand(fetches: usize, served_of_them: usize) -> Hand {
@@ -34,7 +34,8 @@
 #[test]
 fn sends_to_a_cold_host_count_against_what_its_warmth_bears() {
     let mut hand = Hand::default();
-    let span = |ill| Span { who: 1, ill, from: us(10.0), to: Some(us(20.0)) };
+    let span =
+        |ill| Span { who: 1, ill, from: micros_from_seconds(10.0), to: Some(micros_from_seconds(20.0)) };
     hand.ledger.servers = vec![span(Ill::Cold)];
     // A warm one does 50 a second; from 35% on it has all after 6 s: after 3 s it has 67.5%.
     for n in 0..27 {
--- a/platform-model/src/judge/rules.rs
+++ b/platform-model/src/judge/rules.rs
@@ -9,7 +9,7 @@
 
 use super::{Effect, Terms};
 use crate::ledger::{Attempt, ClientRequest, Ended, Ill, Ledger, Told};
-use crate::{Us, SECOND};
+use crate::{Micros, MICROS_PER_SECOND};
 
 /// A rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -31,7 +31,7 @@
     /// The rule.
     pub rule: Rule,
     /// When, from the run's beginning.
-    pub at: Us,
+    pub at: Micros,
     /// What broke it.
     pub what: String,
     /// What happened to the request, line by line.
@@ -80,7 +80,7 @@
     found
 }
 
-type Wrong = Option<(Rule, Us, String)>;
+type Wrong = Option<(Rule, Micros, String)>;
 
 /// One final answer, in time, made for the request.
 fn answer(ledger: &Ledger, terms: &Terms, request: &ClientRequest, own: &[&Attempt]) -> Wrong {
@@ -105,7 +105,8 @@
     }
     // What the rig itself was late by, in the second before, it cannot hold against the program.
     let due = request.deadline + terms.slack;
-    let near = |at: &&(Us, Us)| at.0 + SECOND >= request.sent && at.0 <= due + SECOND;
+    let near =
+        |at: &&(Micros, Micros)| at.0 + MICROS_PER_SECOND >= request.sent && at.0 <= due + MICROS_PER_SECOND;
     let stall = ledger.stalls.iter().filter(near).map(|(_, by)| *by).max().unwrap_or(0);
     match request.end {
         Ended::Silent => wrong(due, "it was taken and had no final answer".into()),
@@ -183,7 +184,7 @@
 
 /// What happened to a request, line by line.
 pub fn story(terms: &Terms, request: &ClientRequest, own: &[&Attempt]) -> Vec<String> {
-    let second = |at: Us| (at as f64 - terms.zero as f64) / 1e6;
+    let second = |at: Micros| (at as f64 - terms.zero as f64) / 1e6;
     let kind = terms.class(request.write).name;
     let mut lines = vec![(
         request.sent,
--- a/platform-model/src/judge/rules/tests.rs
+++ b/platform-model/src/judge/rules/tests.rs
@@ -3,7 +3,7 @@
 use super::super::hand::{attempt, served, terms, Hand};
 use super::*;
 use crate::ledger::{At, Became, Span};
-use crate::us;
+use crate::micros_from_seconds;
 
 fn rules(hand: &Hand) -> Vec<Rule> {
     breaches(&hand.ledger, &terms()).iter().map(|b| b.rule).collect()
@@ -61,7 +61,12 @@
 fn a_process_that_is_dead_or_frozen_and_a_rig_that_is_late_excuse_an_answer() {
     let mut hand = Hand::default();
     hand.request(ClientRequest { end: Ended::Silent, ended: None, ..served(10.0) });
-    let dead = |who, from, to| Span { who, ill: Ill::Dead, from: us(from), to: Some(us(to)) };
+    let dead = |who, from, to| Span {
+        who,
+        ill: Ill::Dead,
+        from: micros_from_seconds(from),
+        to: Some(micros_from_seconds(to)),
+    };
     for (span, breaks) in
         [(dead(0, 10.9, 12.0), 0), (dead(0, 11.1, 12.0), 1), (dead(1, 10.0, 12.0), 1), (dead(0, 5.0, 9.9), 1)]
     {
@@ -69,11 +74,11 @@
         assert_eq!(rules(&hand).len(), breaks, "{:?}", hand.ledger.processes);
     }
     let mut hand = Hand::default();
-    hand.request(ClientRequest { ended: Some(us(11.1)), ..served(10.0) });
+    hand.request(ClientRequest { ended: Some(micros_from_seconds(11.1)), ..served(10.0) });
     assert_eq!(rules(&hand), [Rule::Answers]);
-    hand.ledger.stalls = vec![(us(11.0), 49_000)];
+    hand.ledger.stalls = vec![(micros_from_seconds(11.0), 49_000)];
     assert_eq!(rules(&hand), [Rule::Answers]);
-    hand.ledger.stalls = vec![(us(11.0), 50_000)];
+    hand.ledger.stalls = vec![(micros_from_seconds(11.0), 50_000)];
     assert_eq!(rules(&hand), []);
 }
 
@@ -90,7 +95,7 @@
         breaches(&hand.ledger, &terms).len()
     };
     use Became::{Busy, Failed, Miss, Served};
-    let (safe, keyed) = (Effect::Safe, Effect::Keyed(6 * SECOND));
+    let (safe, keyed) = (Effect::Safe, Effect::Keyed(6 * MICROS_PER_SECOND));
     assert_eq!(played(safe, false, &[(10.0, Failed), (10.1, Miss), (10.2, Served)]), 0);
     assert_eq!(played(safe, false, &[(10.0, Busy), (10.1, Miss), (10.2, Busy), (10.3, Served)]), 1);
     assert_eq!(played(keyed, true, &[(10.0, Failed), (16.05, Served)]), 0);
@@ -103,7 +108,7 @@
 #[test]
 fn a_drain_holds_from_its_grace_until_the_return_is_told() {
     let mut hand = Hand::default();
-    let told = |at, in_service| Told { balancer: 0, server: 2, in_service, at: us(at) };
+    let told = |at, in_service| Told { balancer: 0, server: 2, in_service, at: micros_from_seconds(at) };
     hand.ledger.told = vec![told(10.0, false), told(10.4, false), told(20.0, true)];
     for (at, server, breaks) in
         [(10.55, 2, 0), (10.56, 2, 1), (10.56, 1, 0), (19.99, 2, 1), (20.0, 2, 0), (9.0, 2, 0)]
@@ -113,17 +118,22 @@
     }
     // Started anew at 12 s, the process was told nothing.
     hand.ledger.attempts = vec![attempt(1, At::CacheServer(2), 13.0)];
-    hand.ledger.processes = vec![Span { who: 0, ill: Ill::Dead, from: us(11.0), to: Some(us(12.0)) }];
+    hand.ledger.processes = vec![Span {
+        who: 0,
+        ill: Ill::Dead,
+        from: micros_from_seconds(11.0),
+        to: Some(micros_from_seconds(12.0)),
+    }];
     assert_eq!(rules(&hand), []);
 }
 
 #[test]
 fn cold_hosts_that_fall_and_their_misses_at_a_stopped_origin_break_the_rule() {
     let mut hand = Hand::default();
-    hand.ledger.stops = vec![(us(9.0), 0.49)];
+    hand.ledger.stops = vec![(micros_from_seconds(9.0), 0.49)];
     assert_eq!(rules(&hand), []);
-    hand.ledger.stops = vec![(us(9.0), 0.5)];
-    hand.ledger.falls = vec![(3, us(9.0))];
+    hand.ledger.stops = vec![(micros_from_seconds(9.0), 0.5)];
+    hand.ledger.falls = vec![(3, micros_from_seconds(9.0))];
     assert_eq!(rules(&hand), [Rule::Cold, Rule::Cold]);
 }
 
--- a/platform-model/src/judge/series.rs
+++ b/platform-model/src/judge/series.rs
@@ -4,7 +4,7 @@
 
 use super::{fate, limits, percentile, Fate, Terms};
 use crate::ledger::{At, Ledger};
-use crate::{Us, SECOND};
+use crate::{Micros, MICROS_PER_SECOND};
 
 /// One second of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -51,8 +51,8 @@
         .enumerate()
         .map(|(second, demand)| Second { second: second as u64, demand: *demand, ..Second::default() })
         .collect();
-    let of = |at: Us| ((at - terms.zero) / SECOND) as usize;
-    let mut times: Vec<Vec<Us>> = vec![Vec::new(); seconds.len()];
+    let of = |at: Micros| ((at - terms.zero) / MICROS_PER_SECOND) as usize;
+    let mut times: Vec<Vec<Micros>> = vec![Vec::new(); seconds.len()];
     for request in ledger.requests.iter().filter(|c| terms.counts(c.planned)) {
         let second = of(request.planned);
         let one = &mut seconds[second];
--- a/platform-model/src/judge/spread.rs
+++ b/platform-model/src/judge/spread.rs
@@ -15,12 +15,12 @@
 use crate::ledger::{At, Ledger};
 use crate::rng::{seeded_rng, RngStream, SeededRng};
 use crate::summary::Spread;
-use crate::{Us, SECOND};
+use crate::{Micros, MICROS_PER_SECOND};
 
 /// The windows' length.
-const WINDOW: Us = 5 * SECOND;
+const WINDOW: Micros = 5 * MICROS_PER_SECOND;
 /// In which a herd is counted.
-const HERD: Us = SECOND / 10;
+const HERD: Micros = MICROS_PER_SECOND / 10;
 /// How often the begins are dealt anew.
 const DRAWS: usize = 100;
 /// Where so many were due and nothing came, a server was idle.
@@ -33,7 +33,7 @@
     /// Their parts, which sum up to 1.
     parts: Vec<f64>,
     /// What they began, in order: when, and at which place of `servers`.
-    begins: Vec<(Us, usize)>,
+    begins: Vec<(Micros, usize)>,
 }
 
 /// The figures of one deal of the begins.
@@ -75,7 +75,7 @@
     let mut place_of = vec![vec![None; terms.weights.len()]; count];
     let mut all: Vec<Window> = (0..count)
         .map(|number| {
-            let from = terms.zero + number as Us * WINDOW;
+            let from = terms.zero + number as Micros * WINDOW;
             let ill = |server: usize| {
                 ledger.servers.iter().any(|s| s.who == server as u32 && s.meets(from, from + WINDOW))
             };
@@ -114,7 +114,7 @@
     let mut deal = Deal::default();
     for window in windows {
         let mut counts = vec![0.0; window.servers.len()];
-        let mut near: Vec<VecDeque<Us>> = vec![VecDeque::new(); window.servers.len()];
+        let mut near: Vec<VecDeque<Micros>> = vec![VecDeque::new(); window.servers.len()];
         let all = window.begins.len() as f64;
         for (at, place) in &window.begins {
             let place = choose(window, *place, rng);
--- a/platform-model/src/judge/spread/tests.rs
+++ b/platform-model/src/judge/spread/tests.rs
@@ -3,7 +3,7 @@
 use super::super::hand::{attempt, terms, Hand};
 use super::*;
 use crate::ledger::{Ill, Span};
-use crate::us;
+use crate::micros_from_seconds;
 
 /// Each window has 100 begins, dealt by weight (20, 20, 20, 40) but for what `moved` takes from server 0 to server 1.
 fn hand(moved: usize) -> Hand {
@@ -42,14 +42,19 @@
 #[test]
 fn hosts_that_are_not_sound_do_not_count_in_their_windows() {
     let mut hand = hand(20);
-    hand.ledger.servers.push(Span { who: 0, ill: Ill::Cold, from: us(5.0), to: Some(us(34.9)) });
+    hand.ledger.servers.push(Span {
+        who: 0,
+        ill: Ill::Cold,
+        from: micros_from_seconds(5.0),
+        to: Some(micros_from_seconds(34.9)),
+    });
     let seen = spread(&hand.ledger, &terms());
     assert_eq!(seen.idle, 0);
     assert!(
         (seen.peak - 1.6).abs() < 1e-9,
         "of 100 that three hosts of 4 parts began, host 1 had 40: {seen:?}"
     );
-    hand.ledger.servers[0].to = Some(us(29.9));
+    hand.ledger.servers[0].to = Some(micros_from_seconds(29.9));
     assert_eq!(spread(&hand.ledger, &terms()).idle, 1, "the last window counts again");
 }
 
@@ -60,7 +65,7 @@
     let even = spread(&hand.ledger, &terms());
     assert!((even.herd - 2.5).abs() < 1e-9, "one in 100 ms where 0.4 were due, two where 0.8 were: {even:?}");
     for a in hand.ledger.attempts.iter_mut().filter(|a| a.at == At::CacheServer(2) && a.id < 50) {
-        a.begun = us(6.0);
+        a.begun = micros_from_seconds(6.0);
     }
     let herd = spread(&hand.ledger, &terms());
     assert!((herd.herd - 25.0).abs() < 1e-9, "ten at once where 0.4 were due: {herd:?}");
--- a/platform-model/src/judge/told.rs
+++ b/platform-model/src/judge/told.rs
@@ -8,13 +8,13 @@
 
 use super::Terms;
 use crate::ledger::{Ill, Ledger};
-use crate::{Us, SECOND};
+use crate::{Micros, MICROS_PER_SECOND};
 
 /// What one process said.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Holder {
     /// When.
-    pub at: Us,
+    pub at: Micros,
     /// The balancer.
     pub balancer: usize,
     /// Units of the origin's limit that it may use.
@@ -45,7 +45,7 @@
 pub fn told(ledger: &Ledger, terms: &Terms, holders: &[Holder], cut: bool) -> Told {
     let expiry = terms.stated.and_then(|stated| stated.verdicts).map_or(0, |(_, expiry)| expiry);
     let holders: Vec<&Holder> = holders.iter().filter(|one| terms.counts(one.at)).collect();
-    let unwell = |at: Us| {
+    let unwell = |at: Micros| {
         let near = ledger.servers.iter().filter(|span| span.meets(at.saturating_sub(expiry), at));
         near.map(|span| span.who).collect::<std::collections::HashSet<_>>().len() as f64
     };
@@ -61,7 +61,7 @@
 
 /// The longest stretch of wrong counts of one process, from the first of them to the first right one after.
 fn wrong_for(ledger: &Ledger, terms: &Terms, holders: &[&Holder]) -> f64 {
-    let mut since: BTreeMap<usize, Us> = BTreeMap::new();
+    let mut since: BTreeMap<usize, Micros> = BTreeMap::new();
     let mut longest = 0;
     for one in holders {
         let dead = |span: &&crate::ledger::Span| span.ill == Ill::Dead && span.meets(one.at, one.at);
@@ -75,5 +75,5 @@
             longest = longest.max(one.at - *since);
         }
     }
-    longest as f64 / SECOND as f64
+    longest as f64 / MICROS_PER_SECOND as f64
 }
--- a/platform-model/src/judge/told/tests.rs
+++ b/platform-model/src/judge/told/tests.rs
@@ -4,19 +4,33 @@
 use super::super::Stated;
 use super::*;
 use crate::ledger::Span;
-use crate::us;
+use crate::micros_from_seconds;
 
 fn said(second: f64, balancer: usize, members: f64, passed_by: f64) -> Holder {
-    Holder { at: us(second), balancer, members, passed_by, oldest: passed_by, ..Holder::default() }
+    Holder {
+        at: micros_from_seconds(second),
+        balancer,
+        members,
+        passed_by,
+        oldest: passed_by,
+        ..Holder::default()
+    }
 }
 
 #[test]
 fn a_view_is_wrong_until_it_counts_those_that_are_there() {
     let mut hand = Hand::default();
-    hand.ledger.processes = vec![Span { who: 3, ill: Ill::Dead, from: us(10.0), to: Some(us(20.0)) }];
+    hand.ledger.processes = vec![Span {
+        who: 3,
+        ill: Ill::Dead,
+        from: micros_from_seconds(10.0),
+        to: Some(micros_from_seconds(20.0)),
+    }];
     let mut all: Vec<Holder> = (6..30).map(|s| said(f64::from(s), 0, 4.0, 0.0)).collect();
     // It still counts the dead one for 4 s, and counts it again at once.
-    all.iter_mut().filter(|one| (us(14.0)..us(20.5)).contains(&one.at)).for_each(|one| one.members = 3.0);
+    all.iter_mut()
+        .filter(|one| (micros_from_seconds(14.0)..micros_from_seconds(20.5)).contains(&one.at))
+        .for_each(|one| one.members = 3.0);
     let seen = told(&hand.ledger, &terms(), &all, false);
     assert_eq!(seen.members_wrong_s, Some(4.0));
     assert_eq!(told(&hand.ledger, &terms(), &all, true).members_wrong_s, None);
@@ -26,8 +40,13 @@
 #[test]
 fn hosts_passed_by_beyond_those_that_were_unwell_are_wrong() {
     let mut hand = Hand::default();
-    hand.ledger.servers = vec![Span { who: 1, ill: Ill::Silent, from: us(10.0), to: Some(us(15.0)) }];
-    let verdicts = Some((SECOND, 6 * SECOND));
+    hand.ledger.servers = vec![Span {
+        who: 1,
+        ill: Ill::Silent,
+        from: micros_from_seconds(10.0),
+        to: Some(micros_from_seconds(15.0)),
+    }];
+    let verdicts = Some((MICROS_PER_SECOND, 6 * MICROS_PER_SECOND));
     let stated = Stated { origin: 1.0, spread: 0, cold: None, second: None, verdicts };
     let terms = Terms { stated: Some(stated), ..terms() };
     let all = [said(12.0, 0, 4.0, 1.0), said(20.0, 0, 4.0, 1.0)];
--- a/platform-model/src/judge/verdicts.rs
+++ b/platform-model/src/judge/verdicts.rs
@@ -9,7 +9,7 @@
 use super::{percentile, Terms};
 use crate::ledger::{At, Became, Ill, Ledger, Span};
 use crate::summary::Verdicts;
-use crate::{Us, SECOND};
+use crate::{Micros, MICROS_PER_SECOND};
 
 /// A server is avoided once it gets less than this part of its fair part, second for second until it is back.
 const AVOIDED: f64 = 0.1;
@@ -23,10 +23,12 @@
         .servers
         .iter()
         .filter(|s| {
-            s.ill == Ill::Silent && terms.counts(s.from) && s.to.is_none_or(|to| to > s.from + SECOND)
+            s.ill == Ill::Silent
+                && terms.counts(s.from)
+                && s.to.is_none_or(|to| to > s.from + MICROS_PER_SECOND)
         })
         .collect();
-    let mut last: HashMap<(usize, u32), Us> = HashMap::new();
+    let mut last: HashMap<(usize, u32), Micros> = HashMap::new();
     let mut lost = ledger.unheard.iter().filter(|a| terms.counts(a.begun)).count() as u64;
     for attempt in &ledger.attempts {
         let At::CacheServer(server) = attempt.at else { continue };
@@ -40,16 +42,17 @@
             }
         }
     }
-    let mut spread: Vec<Us> = last.into_values().collect();
-    let (mut avoided, mut again): (Vec<Us>, Vec<Us>) = (Vec::new(), Vec::new());
+    let mut spread: Vec<Micros> = last.into_values().collect();
+    let (mut avoided, mut again): (Vec<Micros>, Vec<Micros>) = (Vec::new(), Vec::new());
     let rates = Rates { zero: terms.zero, of: rates };
     for change in &changes {
         let end = change.to.unwrap_or(terms.end).min(terms.end);
         avoided.extend(rates.avoided(change, end));
         again.extend(change.to.and_then(|to| rates.used_again(change.who, to, terms)));
     }
-    let ms = |us: Us| us as f64 / 1e3;
-    let some = |values: &mut Vec<Us>, part: f64| (!values.is_empty()).then(|| ms(percentile(values, part)));
+    let ms = |micros: Micros| micros as f64 / 1e3;
+    let some =
+        |values: &mut Vec<Micros>, part: f64| (!values.is_empty()).then(|| ms(percentile(values, part)));
     Verdicts {
         bound_ms: terms.stated.and_then(|stated| stated.verdicts).map(|(act, _)| ms(act)),
         spread_p50_ms: some(&mut spread, 0.5),
@@ -65,24 +68,25 @@
 
 /// What each server began in each second, over its fair part.
 struct Rates<'a> {
-    zero: Us,
+    zero: Micros,
     of: &'a [Vec<f64>],
 }
 
 impl Rates<'_> {
     /// How long after the change the server is avoided for good, to a second; never counts as its whole length.
-    fn avoided(&self, change: &Span, end: Us) -> Option<Us> {
-        let (from, to) = ((change.from - self.zero).div_ceil(SECOND), (end - self.zero) / SECOND);
+    fn avoided(&self, change: &Span, end: Micros) -> Option<Micros> {
+        let (from, to) =
+            ((change.from - self.zero).div_ceil(MICROS_PER_SECOND), (end - self.zero) / MICROS_PER_SECOND);
         let seconds = self.of.get(change.who as usize)?.get(from as usize..to as usize)?;
         let used = seconds.iter().rposition(|rate| *rate >= AVOIDED).map_or(0, |place| place + 1);
-        Some(used as Us * SECOND)
+        Some(used as Micros * MICROS_PER_SECOND)
     }
 
     /// How long after its return the server is used again; never counts as until the end.
-    fn used_again(&self, server: u32, to: Us, terms: &Terms) -> Option<Us> {
-        let from = to.checked_sub(self.zero)?.div_ceil(SECOND) as usize;
+    fn used_again(&self, server: u32, to: Micros, terms: &Terms) -> Option<Micros> {
+        let from = to.checked_sub(self.zero)?.div_ceil(MICROS_PER_SECOND) as usize;
         let seconds = self.of.get(server as usize)?.get(from..)?;
         let used = seconds.iter().position(|rate| *rate >= USED);
-        Some(used.map_or(terms.end.saturating_sub(to), |place| (place as Us + 1) * SECOND))
+        Some(used.map_or(terms.end.saturating_sub(to), |place| (place as Micros + 1) * MICROS_PER_SECOND))
     }
 }
--- a/platform-model/src/judge/verdicts/tests.rs
+++ b/platform-model/src/judge/verdicts/tests.rs
@@ -3,7 +3,7 @@
 use super::super::hand::{attempt, terms, Hand};
 use super::*;
 use crate::ledger::Attempt;
-use crate::us;
+use crate::micros_from_seconds;
 
 fn verdicts(ledger: &Ledger, terms: &Terms) -> Verdicts {
     super::verdicts(ledger, terms, &super::super::series::series(ledger, terms).servers)
@@ -12,11 +12,19 @@
 /// Server 0 is silent from 10 to 20 s; the others get ten a second each.
 fn hand(at_silent: &[(u32, f64)]) -> Hand {
     let mut hand = Hand::default();
-    hand.ledger.servers.push(Span { who: 0, ill: Ill::Silent, from: us(10.0), to: Some(us(20.0)) });
+    hand.ledger.servers.push(Span {
+        who: 0,
+        ill: Ill::Silent,
+        from: micros_from_seconds(10.0),
+        to: Some(micros_from_seconds(20.0)),
+    });
     for n in 0..1200 {
         hand.ledger.attempts.push(attempt(n, At::CacheServer(n as u32 % 4), 5.0 + n as f64 / 40.0));
     }
-    hand.ledger.attempts.retain(|a| a.at != At::CacheServer(0) || !(us(10.0)..us(23.0)).contains(&a.begun));
+    hand.ledger.attempts.retain(|a| {
+        a.at != At::CacheServer(0)
+            || !(micros_from_seconds(10.0)..micros_from_seconds(23.0)).contains(&a.begun)
+    });
     for (balancer, at) in at_silent {
         let became = Became::Nothing;
         hand.ledger.attempts.push(Attempt {
--- a/platform-model/src/ledger.rs
+++ b/platform-model/src/ledger.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Us;
+use crate::Micros;
 
 /// How a try ended, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -45,13 +45,13 @@
     /// Whether it writes.
     pub write: bool,
     /// When it was planned to be sent.
-    pub planned: Us,
+    pub planned: Micros,
     /// When its last byte was sent.
-    pub sent: Us,
+    pub sent: Micros,
     /// When its client's time is over.
-    pub deadline: Us,
+    pub deadline: Micros,
     /// When its answer's last byte came, or its connection ended.
-    pub ended: Option<Us>,
+    pub ended: Option<Micros>,
     /// How.
     pub end: Ended,
     /// Lines that came behind its answer and are nobody's.
@@ -105,11 +105,11 @@
     /// Who received it.
     pub at: At,
     /// Its first byte.
-    pub first_byte: Us,
+    pub first_byte: Micros,
     /// Its last byte.
-    pub begun: Us,
+    pub begun: Micros,
     /// When the answer went out.
-    pub answered: Option<Us>,
+    pub answered: Option<Micros>,
     /// What became of it.
     pub became: Became,
     /// Whether its server was cold; at the origin, whether a cold server missed for it.
@@ -136,7 +136,7 @@
     /// Whether the server is in service.
     pub in_service: bool,
     /// When.
-    pub at: Us,
+    pub at: Micros,
 }
 
 /// Why somebody was not well for a time.
@@ -169,14 +169,14 @@
     /// Why.
     pub ill: Ill,
     /// From when.
-    pub from: Us,
+    pub from: Micros,
     /// Until when; none, to the end of the run.
-    pub to: Option<Us>,
+    pub to: Option<Micros>,
 }
 
 impl Span {
     /// Whether it holds at any time from `from` to `to`.
-    pub fn meets(&self, from: Us, to: Us) -> bool {
+    pub fn meets(&self, from: Micros, to: Micros) -> bool {
         self.from <= to && self.to.is_none_or(|end| end >= from)
     }
 }
@@ -199,16 +199,16 @@
     /// When processes were not well.
     pub processes: Vec<Span>,
     /// Cold servers that fell over: who and when.
-    pub falls: Vec<(u32, Us)>,
+    pub falls: Vec<(u32, Micros)>,
     /// Times at which the origin stopped, and the share of cold servers' misses in what it had been sent.
-    pub stops: Vec<(Us, f64)>,
+    pub stops: Vec<(Micros, f64)>,
     /// How late the rig itself was: when, and by how much, where that was over a few milliseconds.
-    pub stalls: Vec<(Us, Us)>,
+    pub stalls: Vec<(Micros, Micros)>,
 }
 
 impl Ledger {
     /// Somebody is not well from now on, until [`Ledger::well`] says so.
-    pub fn ill(spans: &mut Vec<Span>, who: usize, ill: Ill, from: Us) {
+    pub fn ill(spans: &mut Vec<Span>, who: usize, ill: Ill, from: Micros) {
         let open = |span: &&Span| span.who == who as u32 && span.ill == ill && span.to.is_none();
         if spans.iter().find(open).is_none() {
             spans.push(Span { who: who as u32, ill, from, to: None });
@@ -216,7 +216,7 @@
     }
 
     /// Somebody is well again.
-    pub fn well(spans: &mut [Span], who: usize, ill: Ill, to: Us) {
+    pub fn well(spans: &mut [Span], who: usize, ill: Ill, to: Micros) {
         let open = |span: &&mut Span| span.who == who as u32 && span.ill == ill && span.to.is_none();
         spans.iter_mut().filter(open).for_each(|span| span.to = Some(to));
     }
--- a/platform-model/src/lib.rs
+++ b/platform-model/src/lib.rs
@@ -1,7 +1,7 @@
 //! The model of the platform, without I/O and without a clock: cache servers, the origin, discovery, the load and the
 //! faults of an experiment, and the judge that reads what clients sent and what servers received.
 //!
-//! Time comes in as [`Us`], microseconds since the run's beginning; random numbers come in as a seeded generator that gives
+//! Time comes in as [`Micros`], microseconds since the run's beginning; random numbers come in as a seeded generator that gives
 //! the same numbers on every machine. `fleet/` carries this world onto sockets round real processes.
 
 pub mod cache_server;
@@ -19,18 +19,18 @@
 pub mod schedule;
 pub mod summary;
 
-/// Microseconds since the run's beginning.
-pub type Us = u64;
+/// A time or a duration of a run in whole microseconds; a point in time counts from the run's beginning.
+pub type Micros = u64;
 
-/// A second.
-pub const SECOND: Us = 1_000_000;
+/// The microseconds in a second.
+pub const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// Seconds as an experiment's file has them, in microseconds. Negative ones are nothing.
-pub fn us(seconds: f64) -> Us {
-    (seconds * 1e6).max(0.0) as Us
+/// Seconds as an experiment's file has them, in whole microseconds; negative ones are 0.
+pub fn micros_from_seconds(seconds: f64) -> Micros {
+    (seconds * 1e6).max(0.0) as Micros
 }
 
-/// Milliseconds as an experiment's file has them, in microseconds. Negative ones are nothing.
-pub fn us_of_ms(ms: f64) -> Us {
-    us(ms / 1e3)
+/// Milliseconds as an experiment's file has them, in whole microseconds; negative ones are 0.
+pub fn micros_from_millis(millis: f64) -> Micros {
+    micros_from_seconds(millis / 1e3)
 }
--- a/platform-model/src/links.rs
+++ b/platform-model/src/links.rs
@@ -5,7 +5,7 @@
 
 use crate::experiment::{Direction, Experiment, Fault, What};
 use crate::group::{zone_of, Members};
-use crate::{us_of_ms, Us};
+use crate::{micros_from_millis, Micros};
 
 /// One end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -30,9 +30,9 @@
     /// The share lost.
     pub lose: f64,
     /// What it carries comes so much later.
-    pub delay: Us,
+    pub delay: Micros,
     /// And up to so much more or less.
-    pub jitter: Us,
+    pub jitter: Micros,
     /// The share that comes twice.
     pub repeat: f64,
     /// The share that comes after later ones.
@@ -49,8 +49,8 @@
     both: bool,
     what: What,
     share: f64,
-    delay: Us,
-    jitter: Us,
+    delay: Micros,
+    jitter: Micros,
     on: bool,
 }
 
@@ -70,8 +70,8 @@
             both: fault.direction.unwrap_or_default() == Direction::Both,
             what: fault.what,
             share: fault.share.unwrap_or(1.0),
-            delay: us_of_ms(fault.ms.unwrap_or(0.0)),
-            jitter: us_of_ms(fault.jitter.unwrap_or(0.0)),
+            delay: micros_from_millis(fault.ms.unwrap_or(0.0)),
+            jitter: micros_from_millis(fault.jitter.unwrap_or(0.0)),
             on: false,
         });
     }
--- a/platform-model/src/load.rs
+++ b/platform-model/src/load.rs
@@ -8,13 +8,13 @@
 
 use crate::experiment::{Experiment, Load};
 use crate::rng::{seeded_rng, spread, RngStream, SeededRng};
-use crate::{us, Us, SECOND};
+use crate::{micros_from_seconds, Micros, MICROS_PER_SECOND};
 
 /// A client's first try.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
     /// When, from the beginning of the warming up.
-    pub at: Us,
+    pub at: Micros,
     /// The balancer that it comes to.
     pub balancer: u32,
     /// The key's number.
@@ -34,19 +34,19 @@
 pub fn draw(e: &Experiment) -> Vec<Arrival> {
     let load = &e.load;
     let mut rng = seeded_rng(e.seed, RngStream::Load);
-    let warming = us(load.warm);
-    let end = warming + us(e.seconds);
+    let warming = micros_from_seconds(load.warm);
+    let end = warming + micros_from_seconds(e.seconds);
     let most = load.rate * load.ramp.max(1.0) * load.burst.iter().map(|b| b.times).fold(1.0, f64::max);
     let zipf = Zipf::new(load.keys as f64, load.zipf).ok();
     let mut keys: Vec<u64> = (0..load.keys).collect();
     let (mut drifted, mut at, mut all) = (0, 0.0, Vec::new());
     loop {
         at += -(1.0 - rng.random::<f64>()).ln() / most;
-        let now = us(at);
+        let now = micros_from_seconds(at);
         if now >= end {
             return all;
         }
-        while drifted < now / SECOND {
+        while drifted < now / MICROS_PER_SECOND {
             drift(&mut keys, load.drift, &mut rng);
             drifted += 1;
         }
--- a/platform-model/src/load/tests.rs
+++ b/platform-model/src/load/tests.rs
@@ -18,8 +18,10 @@
     assert!((part(&|a| a.write) - 0.1).abs() < 0.03);
     assert!((part(&|a| a.balancer < 2) - 0.8).abs() < 0.03);
     let hot = all.iter().filter(|a| a.key == 200).count() as f64;
-    let late = all.iter().filter(|a| a.at >= 28 * SECOND).count() as f64;
-    assert!((hot / late - 0.5).abs() < 0.05 && all.iter().all(|a| a.key != 200 || a.at >= 28 * SECOND));
+    let late = all.iter().filter(|a| a.at >= 28 * MICROS_PER_SECOND).count() as f64;
+    assert!(
+        (hot / late - 0.5).abs() < 0.05 && all.iter().all(|a| a.key != 200 || a.at >= 28 * MICROS_PER_SECOND)
+    );
     let first = all.iter().filter(|a| a.key == 0).count();
     let tenth = all.iter().filter(|a| a.key == 9).count();
     assert!(first > 3 * tenth, "Zipf: {first} and {tenth}");
@@ -29,7 +31,7 @@
 fn bursts_and_ramps_change_the_rate_when_they_should() {
     let all = drawn("burst = [{ at = 10, for = 5, times = 3 }]\nramp = 2.0\n");
     let rate = |from: u64, to: u64| {
-        let within = |a: &&Arrival| (from * SECOND..to * SECOND).contains(&a.at);
+        let within = |a: &&Arrival| (from * MICROS_PER_SECOND..to * MICROS_PER_SECOND).contains(&a.at);
         all.iter().filter(within).count() as f64 / (to - from) as f64
     };
     assert!((rate(0, 8) / 100.0 - 1.0).abs() < 0.15, "no ramp while warming up");
--- a/platform-model/src/origin.rs
+++ b/platform-model/src/origin.rs
@@ -9,12 +9,12 @@
 
 use crate::experiment::Origin as Figures;
 use crate::rng::SeededRng;
-use crate::{us, us_of_ms, Us, SECOND};
+use crate::{micros_from_millis, micros_from_seconds, Micros, MICROS_PER_SECOND};
 
 /// Sent too much for so long, it stops for as long.
-const FALL: Us = 3 * SECOND;
+const FALL: Micros = 3 * MICROS_PER_SECOND;
 /// For how long a repeat of a keyed write is known.
-const REPEATS: Us = 6 * SECOND;
+const REPEATS: Micros = 6 * MICROS_PER_SECOND;
 
 /// What becomes of a fetch or a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     /// It runs and is answered then.
     Runs {
         /// When the answer goes out.
-        at: Us,
+        at: Micros,
         /// Whether it is a write that has run before, which runs no more.
         repeat: bool,
     },
@@ -38,14 +38,14 @@
     figures: Figures,
     slow: f64,
     /// When each worker is free.
-    free: Vec<Us>,
+    free: Vec<Micros>,
     /// What came lately, and whether each was a miss of a cold server.
-    recent: VecDeque<(Us, bool)>,
-    stopped_until: Us,
+    recent: VecDeque<(Micros, bool)>,
+    stopped_until: Micros,
     /// Writes by idempotency key, and when they ran.
-    ran: HashMap<u64, Us>,
+    ran: HashMap<u64, Micros>,
     /// Each stop: when, and the share of misses of cold servers in what was sent.
-    pub stops: Vec<(Us, f64)>,
+    pub stops: Vec<(Micros, f64)>,
     /// Nothing is too much: the caches are filling before the experiment begins.
     pub unbounded: bool,
 }
@@ -75,10 +75,10 @@
     /// cold server, and nobody waits for it after `until`.
     pub fn begin(
         &mut self,
-        now: Us,
+        now: Micros,
         write: Option<u64>,
         cold: bool,
-        until: Us,
+        until: Micros,
         rng: &mut SeededRng,
     ) -> Outcome {
         let noise: f64 = Exp1.sample(rng);
@@ -86,11 +86,11 @@
         if let Some(key) = write {
             self.ran.retain(|_, at| *at + REPEATS > now);
             if self.ran.contains_key(&key) {
-                return Outcome::Runs { at: now + us_of_ms(1.0), repeat: true };
+                return Outcome::Runs { at: now + micros_from_millis(1.0), repeat: true };
             }
         }
         if self.unbounded {
-            let at = now + us_of_ms(work);
+            let at = now + micros_from_millis(work);
             self.ran.extend(write.map(|key| (key, now)));
             return Outcome::Runs { at, repeat: false };
         }
@@ -104,18 +104,18 @@
         let Some(worker) = self.free.iter_mut().min() else { return Outcome::Busy };
         let begin = (*worker).max(now);
         // It drops at once what nobody would wait for until its turn.
-        if begin >= until || begin > now + us(self.figures.queue_s) {
+        if begin >= until || begin > now + micros_from_seconds(self.figures.queue_s) {
             return Outcome::Busy;
         }
-        let full = (begin - now) as f64 / us(self.figures.queue_s).max(1) as f64;
-        *worker = begin + us_of_ms(work * self.slow * (1.0 + self.figures.thrash * full));
+        let full = (begin - now) as f64 / micros_from_seconds(self.figures.queue_s).max(1) as f64;
+        *worker = begin + micros_from_millis(work * self.slow * (1.0 + self.figures.thrash * full));
         let at = *worker;
         self.ran.extend(write.map(|key| (key, now)));
         Outcome::Runs { at, repeat: false }
     }
 
     /// Counts what is sent; far too much for three seconds stops it.
-    fn sent(&mut self, now: Us, cold: bool) {
+    fn sent(&mut self, now: Micros, cold: bool) {
         self.recent.push_back((now, cold));
         while self.recent.front().is_some_and(|(at, _)| at + FALL <= now) {
             self.recent.pop_front();
--- a/platform-model/src/origin/tests.rs
+++ b/platform-model/src/origin/tests.rs
@@ -9,8 +9,8 @@
     origin.slow(slow);
     let all = (0..rate * seconds)
         .map(|n| {
-            let now = n * SECOND / rate;
-            origin.begin(now, None, n % 4 == 0, now + SECOND, &mut rng)
+            let now = n * MICROS_PER_SECOND / rate;
+            origin.begin(now, None, n % 4 == 0, now + MICROS_PER_SECOND, &mut rng)
         })
         .collect();
     (origin, all)
@@ -40,9 +40,9 @@
 fn a_repeat_of_a_keyed_write_runs_once() {
     let (mut origin, _) = played(1, 1, 1.0);
     let mut rng = seeded_rng(1, RngStream::Machines);
-    let mut write = |now| match origin.begin(now, Some(7), false, now + SECOND, &mut rng) {
+    let mut write = |now| match origin.begin(now, Some(7), false, now + MICROS_PER_SECOND, &mut rng) {
         Outcome::Runs { repeat, .. } => repeat,
         other => panic!("{other:?}"),
     };
-    assert_eq!([write(0), write(SECOND), write(7 * SECOND)], [false, true, false]);
+    assert_eq!([write(0), write(MICROS_PER_SECOND), write(7 * MICROS_PER_SECOND)], [false, true, false]);
 }
--- a/platform-model/src/schedule.rs
+++ b/platform-model/src/schedule.rs
@@ -9,7 +9,7 @@
 use crate::group::{members, Members};
 use crate::links::Links;
 use crate::rng::{seeded_rng, spread, RngStream};
-use crate::{us, Us};
+use crate::{micros_from_seconds, Micros};
 
 /// One change of the world.
 #[derive(Clone, Debug, PartialEq)]
@@ -45,14 +45,14 @@
     /// Discovery is down, or up again.
     DiscoveryDown(bool),
     /// Discovery tells each balancer later, up to this.
-    ListLate(Us),
+    ListLate(Micros),
 }
 
 /// A change at its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
     /// When, from the beginning of the load.
-    pub at: Us,
+    pub at: Micros,
     /// The fault that it belongs to.
     pub fault: usize,
     /// What changes.
@@ -88,9 +88,9 @@
     all
 }
 
-fn changes(e: &Experiment, number: usize, fault: &Fault, who: Members) -> Vec<(Us, Change)> {
-    let from = us(fault.at);
-    let until = fault.lasts.map(|lasts| from + us(lasts));
+fn changes(e: &Experiment, number: usize, fault: &Fault, who: Members) -> Vec<(Micros, Change)> {
+    let from = micros_from_seconds(fault.at);
+    let until = fault.lasts.map(|lasts| from + micros_from_seconds(lasts));
     let (servers, balancers) = (who.servers, who.balancers);
     let (share, times) = (fault.share.unwrap_or(1.0), fault.times.unwrap_or(1.0));
     let pair = |begin: Change, end: Change| {
@@ -105,7 +105,7 @@
         What::Kill | What::Term => {
             let end = if fault.what == What::Kill { Change::Kill } else { Change::Term };
             let mut both = vec![(from, end(balancers.clone()))];
-            both.extend(fault.back.map(|back| (from + us(back), Change::Start(balancers))));
+            both.extend(fault.back.map(|back| (from + micros_from_seconds(back), Change::Start(balancers))));
             both
         }
         What::Freeze => pair(Change::Freeze(balancers.clone()), Change::Thaw(balancers)),
@@ -113,11 +113,11 @@
             let mut order = balancers;
             order.shuffle(&mut seeded_rng(spread(e.seed ^ number as u64), RngStream::Groups));
             let many = ((order.len() as f64 * share).round() as usize).max(1);
-            let every = us(fault.every.unwrap_or(1.0));
+            let every = micros_from_seconds(fault.every.unwrap_or(1.0));
             let parts = order.chunks(many).enumerate();
             parts
                 .flat_map(|(place, part)| {
-                    let at = from + place as Us * every;
+                    let at = from + place as Micros * every;
                     [(at, Change::Term(part.to_vec())), (at, Change::Start(part.to_vec()))]
                 })
                 .collect()
@@ -130,9 +130,12 @@
         What::Restart => vec![(from, Change::Restart(servers))],
         What::Replace => vec![(from, Change::Replace(servers))],
         What::Flap => {
-            let (every, end) = (us(fault.every.unwrap_or(1.0)), until.unwrap_or(us(e.seconds)));
+            let (every, end) = (
+                micros_from_seconds(fault.every.unwrap_or(1.0)),
+                until.unwrap_or(micros_from_seconds(e.seconds)),
+            );
             let mut steps: Vec<_> = (0..)
-                .map(|n: Us| (from + n * every, Change::Silent(servers.clone(), n.is_multiple_of(2))))
+                .map(|n: Micros| (from + n * every, Change::Silent(servers.clone(), n.is_multiple_of(2))))
                 .take_while(|(at, _)| *at < end)
                 .collect();
             steps.push((end, Change::Silent(servers, false)));
@@ -140,6 +143,8 @@
         }
         What::OriginSlow => pair(Change::OriginSlow(times), Change::OriginSlow(1.0)),
         What::DiscoveryDown => pair(Change::DiscoveryDown(true), Change::DiscoveryDown(false)),
-        What::ListLate => pair(Change::ListLate(us(fault.seconds.unwrap_or(0.0))), Change::ListLate(0)),
+        What::ListLate => {
+            pair(Change::ListLate(micros_from_seconds(fault.seconds.unwrap_or(0.0))), Change::ListLate(0))
+        }
     }
 }
--- a/platform-model/src/schedule/tests.rs
+++ b/platform-model/src/schedule/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::reader::{read, tests::SOUND};
-use crate::SECOND;
+use crate::MICROS_PER_SECOND;
 
 #[test]
 fn faults_become_changes_in_order_and_the_same_for_a_seed() {
@@ -12,7 +12,7 @@
     let e = read(&format!("{SOUND}{text}"), &[]).unwrap();
     let steps = schedule(&e).steps;
     assert_eq!(steps, schedule(&e).steps);
-    let at: Vec<Us> = steps.iter().map(|step| step.at / 100_000).collect();
+    let at: Vec<Micros> = steps.iter().map(|step| step.at / 100_000).collect();
     assert_eq!(at, [10, 20, 30, 30, 30, 35, 50, 50, 70, 70, 90, 110]);
     let ended: Vec<usize> = steps
         .iter()
@@ -27,6 +27,6 @@
     assert_eq!(sorted, (0..10).collect::<Vec<_>>(), "a roll ends each once");
     assert_eq!(steps.last().unwrap().change, Change::Restart(vec![1]));
     assert!(
-        matches!(&steps[5], Step { at, change: Change::Silent(_, false), .. } if *at == 3 * SECOND + SECOND / 2)
+        matches!(&steps[5], Step { at, change: Change::Silent(_, false), .. } if *at == 3 * MICROS_PER_SECOND + MICROS_PER_SECOND / 2)
     );
 }
--- a/testbed-cli/src/tables.rs
+++ b/testbed-cli/src/tables.rs
@@ -7,7 +7,7 @@
 use juniperladder_platform_model::experiment::Experiment;
 use juniperladder_platform_model::judge::{Terms, Verdict};
 use juniperladder_platform_model::ledger::{At, Ledger};
-use juniperladder_platform_model::SECOND;
+use juniperladder_platform_model::MICROS_PER_SECOND;
 use juniperladder_testbed::holders::Holder;
 use serde::Serialize;
 
@@ -59,7 +59,7 @@
     let mut table = csv::Writer::from_path(out.join("holders.csv"))?;
     table.write_record(["second", "balancer", "held", "used", "members", "passed_by"])?;
     for one in holders.iter().filter(|one| terms.counts(one.at)) {
-        let second = (one.at - terms.zero) / SECOND;
+        let second = (one.at - terms.zero) / MICROS_PER_SECOND;
         table.serialize((second, one.balancer, one.held, one.used, one.members, one.passed_by))?;
     }
     table.flush()
--- a/testbed-cli/tests/fleet.rs
+++ b/testbed-cli/tests/fleet.rs
@@ -8,7 +8,7 @@
 use juniperladder_platform_model::judge::{judge, Terms, Verdict};
 use juniperladder_platform_model::ledger::At;
 use juniperladder_platform_model::reader::read;
-use juniperladder_platform_model::SECOND;
+use juniperladder_platform_model::MICROS_PER_SECOND;
 use juniperladder_testbed::{play, Options, Played};
 
 /// Two at a time.
@@ -94,7 +94,7 @@
         play(&experiment, Options { out: folder.path(), progress: &mut |_| {}, child_reaper: None, stop })
             .unwrap();
     // Half a second is the least that a machine shared with other tests may be late by.
-    let terms = Terms { slack: SECOND / 2, stated: run.stated, ..Terms::of(&experiment) };
+    let terms = Terms { slack: MICROS_PER_SECOND / 2, stated: run.stated, ..Terms::of(&experiment) };
     let verdict = judge(&run.ledger, &terms);
     assert_eq!(run.crashes, [""; 0], "{name}");
     assert_eq!(verdict.summary.rules.sum(), 0, "{name}: {:#?}", verdict.breaches);
@@ -298,8 +298,9 @@
         // It had started by then.
         let started = cold[0];
         for (last, at) in cold.iter().enumerate() {
-            let sends = last + 1 - cold.partition_point(|before| before + SECOND <= *at);
-            let warm = COLD_FROM + (1.0 - COLD_FROM) * (at - started) as f64 / (COLD_S * SECOND as f64);
+            let sends = last + 1 - cold.partition_point(|before| before + MICROS_PER_SECOND <= *at);
+            let warm =
+                COLD_FROM + (1.0 - COLD_FROM) * (at - started) as f64 / (COLD_S * MICROS_PER_SECOND as f64);
             // A core does 50 a second.
             let n = BEARS * 50.0 * warm.min(1.0);
             let most = n + 2.0 * n.sqrt() + 2.0;
--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -8,7 +8,7 @@
 use juniperladder_platform_model::cache_server::Answer;
 use juniperladder_platform_model::ledger::{At, Attempt, Became};
 use juniperladder_platform_model::links::End;
-use juniperladder_platform_model::Us;
+use juniperladder_platform_model::Micros;
 use juniperladder_protocols::memcache::{Incoming, RequestReader};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -41,8 +41,8 @@
 
 /// A request that is on its way to the server.
 struct Coming {
-    due: Us,
-    first_byte: Us,
+    due: Micros,
+    first_byte: Micros,
     id: u64,
     key: u64,
     write: bool,
@@ -50,7 +50,7 @@
 
 /// An answer that is on its way back.
 struct Going {
-    due: Us,
+    due: Micros,
     line: Vec<u8>,
     attempt: Option<usize>,
 }
@@ -66,7 +66,7 @@
     /// Whether something that came on it was spoilt: from then on nothing on it is sure.
     spoilt: bool,
     /// When the first byte of what is not yet a whole request came.
-    first_byte: Option<Us>,
+    first_byte: Option<Micros>,
 }
 
 /// Why a connection ends.
@@ -195,7 +195,7 @@
         }
     }
 
-    fn attempt(&self, coming: &Coming, begun: Us, became: Became, cold: bool) -> Attempt {
+    fn attempt(&self, coming: &Coming, begun: Micros, became: Became, cold: bool) -> Attempt {
         let balancer = balancer_of(coming.id) as u32;
         let at = At::CacheServer(self.server as u32);
         Attempt {
@@ -212,7 +212,7 @@
     }
 
     /// A request has arrived whole.
-    fn begin(&mut self, coming: &Coming, now: Us) {
+    fn begin(&mut self, coming: &Coming, now: Micros) {
         let rig = Rc::clone(&self.rig);
         if rig.silent[self.server].get() {
             rig.received(self.attempt(coming, now, Became::Nothing, false));
@@ -247,7 +247,7 @@
     }
 
     /// Sends an answer on its way at this time; answers keep the order of their requests.
-    fn answer(&mut self, at: Us, line: String, attempt: Option<usize>) {
+    fn answer(&mut self, at: Micros, line: String, attempt: Option<usize>) {
         let back = self.rig.link(End::CacheServer(self.server), self.balancer);
         let due = at + self.rig.way(End::CacheServer(self.server), self.balancer, &back);
         let due = due.max(self.going.back().map_or(0, |last| last.due));
--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -11,7 +11,7 @@
 use juniperladder_platform_model::ledger::{ClientRequest, Ended};
 use juniperladder_platform_model::load::{key_name, Arrival};
 use juniperladder_platform_model::rng::{seeded_rng, RngStream, SeededRng};
-use juniperladder_platform_model::{us_of_ms, Us};
+use juniperladder_platform_model::{micros_from_millis, Micros};
 use rand::Rng;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
@@ -21,9 +21,9 @@
 use crate::rig::{receipt_of, request_id, value_of, Rig};
 
 /// How long after its deadline a try is still listened to: to tell a late answer from none.
-const LISTEN: Us = 1_000_000;
+const LISTEN: Micros = 1_000_000;
 /// A kept connection that ends so soon after a request was written had been closed before.
-const CROSSED: Us = 20_000;
+const CROSSED: Micros = 20_000;
 /// Idle connections that are kept to one balancer.
 const KEPT: usize = 64;
 
@@ -40,7 +40,7 @@
 }
 
 /// A client comes again only if so much of its time is left.
-const LEAST: Us = 50_000;
+const LEAST: Micros = 50_000;
 
 /// One try.
 struct Try {
@@ -51,9 +51,9 @@
     key: u64,
     write: bool,
     retry: bool,
-    wait: Us,
+    wait: Micros,
     /// After how long an impatient client leaves.
-    leaves: Option<Us>,
+    leaves: Option<Micros>,
 }
 
 impl Try {
@@ -77,14 +77,14 @@
 /// How a try went.
 struct Went {
     end: Ended,
-    at: Option<Us>,
+    at: Option<Micros>,
     more: u32,
     /// After how long a refused client may come again.
-    again: Us,
+    again: Micros,
 }
 
 impl Went {
-    fn without(end: Ended, at: Option<Us>) -> Went {
+    fn without(end: Ended, at: Option<Micros>) -> Went {
         Went { end, at, more: 0, again: 0 }
     }
 }
@@ -123,7 +123,7 @@
         for retry in 0..=self.rig.experiment.clients.retries {
             let id = request_id(balancer, self.numbers.replace(self.numbers.get() + 1));
             let left = (begun + class.deadline).saturating_sub(planned);
-            let part = |share: f64| (class.deadline as f64 * share) as Us;
+            let part = |share: f64| (class.deadline as f64 * share) as Micros;
             let one = Try {
                 id,
                 first: *first.get_or_insert(id),
@@ -159,16 +159,17 @@
     }
 
     /// How long a client waits after a try that was not served, and the balancer that a front would deal it out to.
-    fn after(&self, retry: u32, again: Us) -> (Us, usize) {
+    fn after(&self, retry: u32, again: Micros) -> (Micros, usize) {
         let figures = self.rig.experiment.clients;
         let mut rng = self.rng.borrow_mut();
-        let backoff = us_of_ms(figures.backoff_ms * f64::from(1 << retry) * rng.random_range(0.5..1.5));
+        let backoff =
+            micros_from_millis(figures.backoff_ms * f64::from(1 << retry) * rng.random_range(0.5..1.5));
         let honours = rng.random::<f64>() < figures.honour;
         (if honours { backoff.max(again) } else { backoff }, rng.random_range(0..self.addresses.len()))
     }
 
     /// Puts a try into the ledger; gives its place there.
-    fn put_down(&self, one: &Try, planned: Us) -> usize {
+    fn put_down(&self, one: &Try, planned: Micros) -> usize {
         let requests = &mut self.rig.ledger.borrow_mut().requests;
         requests.push(ClientRequest {
             id: one.id,
@@ -240,7 +241,7 @@
 }
 
 /// Reads the answer to a try; none where the connection ends before it is whole.
-async fn read(stream: &mut BufReader<TcpStream>, one: &Try) -> Option<(Ended, Us)> {
+async fn read(stream: &mut BufReader<TcpStream>, one: &Try) -> Option<(Ended, Micros)> {
     let mut line = Vec::new();
     // A balancer's line is short; one without an end is no answer.
     (&mut *stream).take(8_192).read_until(b'\n', &mut line).await.ok()?;
@@ -250,7 +251,7 @@
     let made = |right: bool| if right { Ended::Served } else { Ended::Wrong };
     Some(match words[..] {
         ["SERVER_ERROR", "busy"] => (Ended::Refused, 0),
-        ["SERVER_ERROR", "busy", ms] => (Ended::Refused, us_of_ms(ms.parse().unwrap_or(0.0))),
+        ["SERVER_ERROR", "busy", ms] => (Ended::Refused, micros_from_millis(ms.parse().unwrap_or(0.0))),
         ["VA", length, name, ..] => {
             let length: usize = length.parse().ok().filter(|length| *length <= 65_536)?;
             let mut value = vec![0; length + 2];
--- a/testbed/src/operator.rs
+++ b/testbed/src/operator.rs
@@ -6,7 +6,7 @@
 
 use juniperladder_platform_model::experiment::Experiment;
 use juniperladder_platform_model::judge::Stated;
-use juniperladder_platform_model::us_of_ms;
+use juniperladder_platform_model::micros_from_millis;
 use toml::{Table, Value};
 
 use crate::peers::Relay;
@@ -65,11 +65,11 @@
         });
         let verdicts = part(&["verdicts"]).map(|verdicts| {
             let expiry = number(verdicts, "expiry_ms").unwrap_or(EXPIRY_MS);
-            (us_of_ms(ACT_MS), us_of_ms(expiry))
+            (micros_from_millis(ACT_MS), micros_from_millis(expiry))
         });
         Stated {
             origin: Operator::whole(table, e),
-            spread: us_of_ms(spread),
+            spread: micros_from_millis(spread),
             cold: part(&["limits", "cold"]).and_then(|cold| number(cold, "per_s")),
             second,
             verdicts,
--- a/testbed/src/origin.rs
+++ b/testbed/src/origin.rs
@@ -12,7 +12,7 @@
 use juniperladder_platform_model::links::End;
 use juniperladder_platform_model::load::key_name;
 use juniperladder_platform_model::origin::Outcome;
-use juniperladder_platform_model::{us_of_ms, Us};
+use juniperladder_platform_model::{micros_from_millis, Micros};
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
@@ -136,7 +136,7 @@
     id: u64,
     key: u64,
     write: Option<u64>,
-    wait: Us,
+    wait: Micros,
 }
 
 impl Asked {
@@ -164,7 +164,7 @@
                 Method::PUT => Some(hex(property("k")?)?),
                 _ => return None,
             },
-            wait: us_of_ms(property("d")?.parse().ok()?),
+            wait: micros_from_millis(property("d")?.parse().ok()?),
         })
     }
 }
--- a/testbed/src/peers.rs
+++ b/testbed/src/peers.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 
 use juniperladder_platform_model::links::End;
-use juniperladder_platform_model::us_of_ms;
+use juniperladder_platform_model::micros_from_millis;
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
@@ -116,7 +116,7 @@
                 let lossless = juniperladder_platform_model::links::LinkState { lose: 0.0, ..state };
                 let mut way = self.rig.way(ends.0, ends.1, &lossless);
                 if self.rig.happens(state.reorder) {
-                    way += us_of_ms(LATER_MS);
+                    way += micros_from_millis(LATER_MS);
                 }
                 self.carry(from, to, bytes.clone(), way);
             }
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -13,7 +13,7 @@
 use juniperladder_platform_model::load::draw;
 use juniperladder_platform_model::rng::{seeded_rng, RngStream};
 use juniperladder_platform_model::schedule::{schedule, Change, Step};
-use juniperladder_platform_model::{us, Us};
+use juniperladder_platform_model::{micros_from_seconds, Micros};
 use nix::sys::resource::{getrusage, UsageWho};
 use nix::sys::signal::Signal;
 use rand::Rng;
@@ -33,7 +33,7 @@
 
 /// How often the rig looks whether it is late itself, and from which lateness on it notes that.
 const BEAT: Duration = Duration::from_millis(5);
-const STALL: Us = 8_000;
+const STALL: Micros = 8_000;
 
 /// How a run is played.
 pub struct Options<'a> {
@@ -77,7 +77,7 @@
     /// Whether it was stopped before its end.
     pub stopped: bool,
     /// When it ended: the end of the load, or when it was stopped.
-    pub end: Us,
+    pub end: Micros,
 }
 
 /// Plays an experiment to its end.
@@ -205,8 +205,8 @@
         load.iter_mut().for_each(|arrival| arrival.at += begun);
         let clients = Clients::new(Rc::clone(&self.rig), terms, self.processes.addresses());
         let sending = spawn_local(Rc::clone(&clients).send(Rc::new(load)));
-        let zero = begun + us(experiment.load.warm);
-        let end = zero + us(experiment.seconds);
+        let zero = begun + micros_from_seconds(experiment.load.warm);
+        let end = zero + micros_from_seconds(experiment.seconds);
         let mut steps = steps.into_iter().peekable();
         let mut warm = false;
         let mut talked = sent(&relay);
@@ -256,7 +256,7 @@
         let mut ledger = std::mem::take(&mut *self.rig.ledger.borrow_mut());
         ledger.stops = self.rig.origin.borrow().stops.clone();
         // Those still out when the run was stopped have no end to be judged by.
-        let end = if stopped { load_end.saturating_sub(us(4.0)) } else { load_end };
+        let end = if stopped { load_end.saturating_sub(micros_from_seconds(4.0)) } else { load_end };
         ledger.requests.retain(|c| !stopped || c.planned < end);
         move_times(&mut ledger, begun);
         Ok(Played {
@@ -356,7 +356,7 @@
     }
 
     /// A server's machine starts anew, cold and empty, at its old address.
-    async fn restart(&mut self, server: usize, now: Us) {
+    async fn restart(&mut self, server: usize, now: Micros) {
         self.close(server).await;
         self.rig.servers[server].borrow_mut().restart(now);
         self.rig.silent[server].set(false);
@@ -365,7 +365,9 @@
         let e = &self.rig.experiment;
         // It counts as sound once it is warm, and listed to the last balancer.
         let late = self.rig.late.borrow().iter().copied().max().unwrap_or(0);
-        let to = Some(now + us(e.servers.cold_s).max(us(e.discovery.notice_s) + late));
+        let to = Some(
+            now + micros_from_seconds(e.servers.cold_s).max(micros_from_seconds(e.discovery.notice_s) + late),
+        );
         let mut ledger = self.rig.ledger.borrow_mut();
         ledger.servers.push(Span { who: server as u32, ill: Ill::Cold, from: now, to });
     }
@@ -390,7 +392,7 @@
 /// Notes when the rig itself is late.
 async fn beat(rig: Rc<Rig>) {
     loop {
-        let due = rig.now() + BEAT.as_micros() as Us;
+        let due = rig.now() + BEAT.as_micros() as Micros;
         sleep_until(rig.instant(due)).await;
         let late = rig.now().saturating_sub(due);
         if late > STALL {
@@ -401,8 +403,8 @@
 }
 
 /// Counts all times of a ledger from the beginning of the load.
-fn move_times(ledger: &mut Ledger, by: Us) {
-    let back = |at: &mut Us| *at = at.saturating_sub(by);
+fn move_times(ledger: &mut Ledger, by: Micros) {
+    let back = |at: &mut Micros| *at = at.saturating_sub(by);
     for command in &mut ledger.requests {
         [&mut command.planned, &mut command.sent, &mut command.deadline].into_iter().for_each(back);
         command.ended.iter_mut().for_each(back);
--- a/testbed/src/rig.rs
+++ b/testbed/src/rig.rs
@@ -14,13 +14,13 @@
 use juniperladder_platform_model::load::key_name;
 use juniperladder_platform_model::origin::Origin;
 use juniperladder_platform_model::rng::{seeded_rng, spread, RngStream, SeededRng};
-use juniperladder_platform_model::{us, us_of_ms, Us};
+use juniperladder_platform_model::{micros_from_millis, micros_from_seconds, Micros};
 use rand::Rng;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
 /// The kernel's first resend of what was lost on TCP; each further loss in a row doubles it.
-const RESEND: Us = 200_000;
+const RESEND: Micros = 200_000;
 /// Misses of one request that are remembered for the origin's answer; a request has three attempts.
 const MISSES: usize = 3;
 
@@ -51,13 +51,13 @@
     /// The origin.
     pub origin: RefCell<Origin>,
     /// The list, and when each of its changes was made.
-    pub catalog: RefCell<(Catalog, Vec<Us>)>,
+    pub catalog: RefCell<(Catalog, Vec<Micros>)>,
     /// Calls to discovery, in turn.
     pub door: RefCell<Door>,
     /// Whether discovery is down.
     pub down: Cell<bool>,
     /// How much later each balancer is told.
-    pub late: RefCell<Vec<Us>>,
+    pub late: RefCell<Vec<Micros>>,
     /// The links and their faults.
     pub links: RefCell<Links>,
     /// A balancer of each side, by the side's number.
@@ -112,17 +112,17 @@
     }
 
     /// Now.
-    pub fn now(&self) -> Us {
-        self.started.elapsed().as_micros() as Us
+    pub fn now(&self) -> Micros {
+        self.started.elapsed().as_micros() as Micros
     }
 
     /// The instant of a time.
-    pub fn instant(&self, at: Us) -> Instant {
+    pub fn instant(&self, at: Micros) -> Instant {
         self.started + Duration::from_micros(at)
     }
 
     /// The Unix time in milliseconds of a time, as discovery tells a server's start.
-    pub fn unix_ms(&self, at: Us) -> u64 {
+    pub fn unix_ms(&self, at: Micros) -> u64 {
         self.epoch_ms + at / 1_000
     }
 
@@ -142,14 +142,14 @@
     }
 
     /// How long what is sent now takes over a link: the zones' part, and what its faults add.
-    pub fn way(&self, from: End, to: End, state: &LinkState) -> Us {
+    pub fn way(&self, from: End, to: End, state: &LinkState) -> Micros {
         let fleet = &self.experiment.fleet;
         let zone = |end| match end {
             End::Balancer(n) | End::CacheServer(n) => zone_of(n, fleet),
             End::Origin | End::Discovery => 0,
         };
         let net = &self.experiment.net;
-        let base = us_of_ms(if zone(from) == zone(to) { net.same_ms } else { net.cross_ms });
+        let base = micros_from_millis(if zone(from) == zone(to) { net.same_ms } else { net.cross_ms });
         let mut rng = self.wires.borrow_mut();
         let jitter = if state.jitter > 0 { rng.random_range(0..=2 * state.jitter) } else { 0 };
         let mut lost = 0;
@@ -228,8 +228,8 @@
     }
 
     /// The newest generation that this balancer may be told by now, and when the next one may be.
-    pub fn tellable(&self, balancer: usize) -> (u64, Option<Us>) {
-        let late = us(self.experiment.discovery.notice_s) + self.late.borrow()[balancer];
+    pub fn tellable(&self, balancer: usize) -> (u64, Option<Micros>) {
+        let late = micros_from_seconds(self.experiment.discovery.notice_s) + self.late.borrow()[balancer];
         let catalog = self.catalog.borrow();
         let first = self.servers.len() + 1;
         let now = self.now();
--- a/testbed/tests/controls.rs
+++ b/testbed/tests/controls.rs
@@ -6,7 +6,7 @@
 use juniperladder_platform_model::judge::{judge, Terms};
 use juniperladder_platform_model::reader::read;
 use juniperladder_platform_model::summary::Summary;
-use juniperladder_platform_model::SECOND;
+use juniperladder_platform_model::MICROS_PER_SECOND;
 use juniperladder_testbed::{play, Options, Problem};
 
 /// Plays the control that is wrong in this way; `more` is put at the end of the experiment's file.
@@ -26,7 +26,7 @@
             .unwrap();
     assert_eq!(run.crashes, [""; 0]);
     // Tests share the machine with others: an answer may be half a second late before it counts as that.
-    let terms = Terms { slack: SECOND / 2, ..Terms::of(&experiment) };
+    let terms = Terms { slack: MICROS_PER_SECOND / 2, ..Terms::of(&experiment) };
     judge(&run.ledger, &terms).summary
 }
 
