--- a/platform-model/src/judge.rs
+++ b/platform-model/src/checker.rs
@@ -1,4 +1,4 @@
-//! The judge: reads a run's ledger and counts every breach of the four rules, and the fleet's figures.
+//! The judge: reads a run's event log and counts every breach of the four rules, and the fleet's figures.
 //!
 //! Nothing here trusts what a balancer says of itself: what a limit used is counted at the origin and at the servers,
 //! what was lost at the clients.
@@ -6,20 +6,20 @@
 #[cfg(test)]
 mod tests;
 
+pub mod failure_detection;
 pub mod limits;
 pub mod rules;
+pub mod self_reports;
 pub mod series;
 pub mod spread;
-pub mod told;
-pub mod verdicts;
 
 #[cfg(test)]
-pub(crate) mod hand;
+pub(crate) mod test_log;
 
 use std::collections::HashMap;
 
+use crate::event_log::{ClientRequest, EventLog, RequestResult};
 use crate::experiment::{CacheServers, Experiment};
-use crate::ledger::{ClientRequest, Ended, Ledger};
 use crate::summary::{Latency, Summary};
 use crate::{micros_from_seconds, Micros, MICROS_PER_SECOND};
 
@@ -147,8 +147,8 @@
 }
 
 /// Judges a run. What the processes and the machine cost is filled in by the caller.
-pub fn judge(ledger: &Ledger, terms: &Terms) -> Verdict {
-    let breaches = rules::breaches(ledger, terms);
+pub fn check_run(event_log: &EventLog, terms: &Terms) -> Verdict {
+    let breaches = rules::breaches(event_log, terms);
     let mut summary = Summary::default();
     let count = |rule| breaches.iter().filter(|b| b.rule == rule).count() as u64;
     summary.rules.answers = count(rules::Rule::Answers);
@@ -157,13 +157,13 @@
     summary.rules.cold = count(rules::Rule::Cold);
     let mut late: Vec<Micros> = Vec::new();
     let mut latencies: Vec<Micros> = Vec::new();
-    for request in ledger.requests.iter().filter(|c| terms.counts(c.planned)) {
+    for request in event_log.requests.iter().filter(|c| terms.counts(c.planned_at)) {
         summary.requests += 1;
-        late.push(request.sent.saturating_sub(request.planned));
+        late.push(request.sent_at.saturating_sub(request.planned_at));
         match fate(request, terms) {
             Fate::Served => {
                 summary.served += 1;
-                latencies.extend(request.ended.map(|at| at - request.sent));
+                latencies.extend(request.ended_at.map(|at| at - request.sent_at));
             }
             Fate::Refused => summary.refused += 1,
             Fate::Failed => summary.failed += 1,
@@ -176,17 +176,18 @@
         p99: percentile(&mut latencies, 0.99) as f64 / 1e3,
         p999: percentile(&mut latencies, 0.999) as f64 / 1e3,
     };
-    summary.service = service(ledger, terms);
-    summary.attempts_per_request = ledger.attempts.iter().filter(|a| terms.counts(a.begun)).count() as f64
+    summary.service = service(event_log, terms);
+    summary.attempts_per_request = event_log.attempts.iter().filter(|a| terms.counts(a.received_at)).count()
+        as f64
         / (summary.requests.max(1)) as f64;
-    summary.spread = spread::spread(ledger, terms);
-    let origin = limits::origin(ledger, terms);
+    summary.spread = spread::spread(event_log, terms);
+    let origin = limits::origin(event_log, terms);
     summary.origin = origin.figures;
     summary.limits.insert("origin".into(), origin.limit);
-    summary.limits.insert("cold".into(), limits::cold(ledger, terms));
-    summary.limits.insert("second".into(), limits::second(ledger, terms));
-    let series = series::series(ledger, terms);
-    summary.verdicts = verdicts::verdicts(ledger, terms, &series.servers);
+    summary.limits.insert("cold".into(), limits::cold(event_log, terms));
+    summary.limits.insert("second".into(), limits::second(event_log, terms));
+    let series = series::series(event_log, terms);
+    summary.verdicts = failure_detection::verdicts(event_log, terms, &series.servers);
     Verdict { summary, breaches, series }
 }
 
@@ -205,30 +206,30 @@
 
 /// How this request counts.
 pub fn fate(request: &ClientRequest, terms: &Terms) -> Fate {
-    let late = request.ended.is_some_and(|at| at > request.deadline + terms.slack);
-    match request.end {
-        Ended::Silent | Ended::Closed | Ended::Wrong => Fate::Lost,
-        Ended::Served | Ended::Refused | Ended::Failed if late => Fate::Lost,
-        Ended::Served => Fate::Served,
-        Ended::Refused | Ended::Shut => Fate::Refused,
-        Ended::Failed | Ended::Untaken | Ended::Left => Fate::Failed,
+    let late = request.ended_at.is_some_and(|at| at > request.deadline + terms.slack);
+    match request.result {
+        RequestResult::NoAnswer | RequestResult::ConnectionClosed | RequestResult::WrongValue => Fate::Lost,
+        RequestResult::Served | RequestResult::Rejected | RequestResult::Failed if late => Fate::Lost,
+        RequestResult::Served => Fate::Served,
+        RequestResult::Rejected | RequestResult::ConnectionRejected => Fate::Refused,
+        RequestResult::Failed | RequestResult::NotAccepted | RequestResult::ClientLeft => Fate::Failed,
     }
 }
 
 /// Worth that was served within its aim over worth that was asked for; a client's tries count as one.
-fn service(ledger: &Ledger, terms: &Terms) -> f64 {
+fn service(event_log: &EventLog, terms: &Terms) -> f64 {
     let (mut asked, mut served) = (0.0, 0.0);
-    let firsts = first_tries(ledger);
-    for request in &ledger.requests {
-        let Some(first) = firsts.get(&request.first).filter(|first| terms.counts(first.planned)) else {
+    let firsts = first_tries(event_log);
+    for request in &event_log.requests {
+        let Some(first) = firsts.get(&request.first_id).filter(|first| terms.counts(first.planned_at)) else {
             continue;
         };
         let class = terms.class(request.write);
-        if request.id == request.first {
+        if request.id == request.first_id {
             asked += class.worth;
         }
-        let in_time = request.ended.is_some_and(|at| at <= first.sent + class.aim + terms.slack);
-        if request.end == Ended::Served && in_time {
+        let in_time = request.ended_at.is_some_and(|at| at <= first.sent_at + class.aim + terms.slack);
+        if request.result == RequestResult::Served && in_time {
             served += class.worth;
         }
     }
@@ -240,8 +241,8 @@
 }
 
 /// The first tries by their ids.
-fn first_tries(ledger: &Ledger) -> HashMap<u64, &ClientRequest> {
-    ledger.requests.iter().filter(|c| c.id == c.first).map(|c| (c.id, c)).collect()
+fn first_tries(event_log: &EventLog) -> HashMap<u64, &ClientRequest> {
+    event_log.requests.iter().filter(|c| c.id == c.first_id).map(|c| (c.id, c)).collect()
 }
 
 /// The value at this part of the sorted whole; 0 where there is none.
--- a/platform-model/src/judge/verdicts.rs
+++ b/platform-model/src/checker/failure_detection.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 
 use super::{percentile, Terms};
-use crate::ledger::{At, Became, Ill, Ledger, Span};
+use crate::event_log::{AttemptResult, EventLog, ImpairedSpan, Impairment, Receiver};
 use crate::summary::Verdicts;
 use crate::{Micros, MICROS_PER_SECOND};
 
@@ -18,27 +18,27 @@
 
 /// The figures of all changes that should have stopped sends: servers that fell silent. `rates` has what each server began in
 /// each second, over its fair part.
-pub fn verdicts(ledger: &Ledger, terms: &Terms, rates: &[Vec<f64>]) -> Verdicts {
-    let changes: Vec<&Span> = ledger
-        .servers
+pub fn verdicts(event_log: &EventLog, terms: &Terms, rates: &[Vec<f64>]) -> Verdicts {
+    let changes: Vec<&ImpairedSpan> = event_log
+        .server_impairments
         .iter()
         .filter(|s| {
-            s.ill == Ill::Silent
+            s.impairment == Impairment::Silent
                 && terms.counts(s.from)
                 && s.to.is_none_or(|to| to > s.from + MICROS_PER_SECOND)
         })
         .collect();
     let mut last: HashMap<(usize, u32), Micros> = HashMap::new();
-    let mut lost = ledger.unheard.iter().filter(|a| terms.counts(a.begun)).count() as u64;
-    for attempt in &ledger.attempts {
-        let At::CacheServer(server) = attempt.at else { continue };
-        lost += u64::from(attempt.became == Became::Nothing && terms.counts(attempt.begun));
+    let mut lost = event_log.undelivered.iter().filter(|a| terms.counts(a.received_at)).count() as u64;
+    for attempt in &event_log.attempts {
+        let Receiver::CacheServer(server) = attempt.receiver else { continue };
+        lost += u64::from(attempt.result == AttemptResult::NoAnswer && terms.counts(attempt.received_at));
         for (number, change) in changes.iter().enumerate() {
-            if change.who == server
-                && attempt.begun > change.from
-                && change.to.is_none_or(|to| attempt.begun < to)
+            if change.number == server
+                && attempt.received_at > change.from
+                && change.to.is_none_or(|to| attempt.received_at < to)
             {
-                last.insert((number, attempt.balancer), attempt.begun - change.from);
+                last.insert((number, attempt.balancer), attempt.received_at - change.from);
             }
         }
     }
@@ -48,7 +48,7 @@
     for change in &changes {
         let end = change.to.unwrap_or(terms.end).min(terms.end);
         avoided.extend(rates.avoided(change, end));
-        again.extend(change.to.and_then(|to| rates.used_again(change.who, to, terms)));
+        again.extend(change.to.and_then(|to| rates.used_again(change.number, to, terms)));
     }
     let ms = |micros: Micros| micros as f64 / 1e3;
     let some =
@@ -74,10 +74,10 @@
 
 impl Rates<'_> {
     /// How long after the change the server is avoided for good, to a second; never counts as its whole length.
-    fn avoided(&self, change: &Span, end: Micros) -> Option<Micros> {
+    fn avoided(&self, change: &ImpairedSpan, end: Micros) -> Option<Micros> {
         let (from, to) =
             ((change.from - self.zero).div_ceil(MICROS_PER_SECOND), (end - self.zero) / MICROS_PER_SECOND);
-        let seconds = self.of.get(change.who as usize)?.get(from as usize..to as usize)?;
+        let seconds = self.of.get(change.number as usize)?.get(from as usize..to as usize)?;
         let used = seconds.iter().rposition(|rate| *rate >= AVOIDED).map_or(0, |place| place + 1);
         Some(used as Micros * MICROS_PER_SECOND)
     }
--- /dev/null
+++ b/platform-model/src/checker/rules/tests.rs
@@ -0,0 +1,159 @@
+//! Tests of `rules`.
+
+use super::super::test_log::{attempt, served, terms, Hand};
+use super::*;
+use crate::event_log::{AttemptResult, ImpairedSpan, Receiver};
+use crate::micros_from_seconds;
+
+fn rules(hand: &Hand) -> Vec<Rule> {
+    breaches(&hand.event_log, &terms()).iter().map(|b| b.rule).collect()
+}
+
+#[test]
+fn an_answer_has_to_come_in_time_once_and_be_made_for_its_command() {
+    let sound = served(10.0);
+    let due = sound.deadline + 50_000;
+    let cases = [
+        (ClientRequest { ended_at: Some(due), ..sound.clone() }, false),
+        (ClientRequest { ended_at: Some(due + 1), ..sound.clone() }, true),
+        (ClientRequest { ended_at: Some(due + 1), result: RequestResult::Rejected, ..sound.clone() }, true),
+        (ClientRequest { result: RequestResult::NoAnswer, ended_at: None, ..sound.clone() }, true),
+        (ClientRequest { result: RequestResult::ConnectionClosed, ..sound.clone() }, true),
+        (ClientRequest { result: RequestResult::WrongValue, ..sound.clone() }, true),
+        (ClientRequest { extra_lines: 1, ..sound.clone() }, true),
+        (ClientRequest { result: RequestResult::NotAccepted, ..sound.clone() }, false),
+        (ClientRequest { result: RequestResult::ClientLeft, ..sound.clone() }, false),
+    ];
+    for (request, breaks) in cases {
+        let mut hand = Hand::default();
+        hand.request(request.clone());
+        assert_eq!(rules(&hand), vec![Rule::Answers; usize::from(breaks)], "{request:?}");
+    }
+}
+
+#[test]
+fn a_value_that_a_link_spoilt_is_not_held_against_who_passed_it_on() {
+    let mut hand = Hand::default();
+    let id = hand.request(ClientRequest { result: RequestResult::WrongValue, ..served(10.0) });
+    hand.event_log.attempts.push(Attempt { corrupted: true, ..attempt(id, Receiver::CacheServer(0), 10.0) });
+    assert_eq!(rules(&hand), []);
+    hand.event_log.attempts[0].corrupted = false;
+    assert_eq!(rules(&hand), [Rule::Answers]);
+}
+
+#[test]
+fn one_command_in_two_hundred_may_be_shut_out_at_the_door() {
+    let mut hand = Hand::default();
+    for _ in 0..398 {
+        hand.request(served(10.0));
+    }
+    hand.request(ClientRequest { result: RequestResult::ConnectionRejected, ..served(10.0) });
+    hand.request(ClientRequest { result: RequestResult::ConnectionRejected, ..served(10.0) });
+    assert_eq!(rules(&hand), []);
+    hand.event_log.requests.pop();
+    assert_eq!(rules(&hand), [], "one of 399");
+    hand.request(ClientRequest { result: RequestResult::ConnectionRejected, ..served(10.0) });
+    hand.request(ClientRequest { result: RequestResult::ConnectionRejected, ..served(10.0) });
+    assert_eq!(rules(&hand), [Rule::Answers], "three of 401");
+}
+
+#[test]
+fn a_process_that_is_dead_or_frozen_and_a_rig_that_is_late_excuse_an_answer() {
+    let mut hand = Hand::default();
+    hand.request(ClientRequest { result: RequestResult::NoAnswer, ended_at: None, ..served(10.0) });
+    let dead = |number, from, to| ImpairedSpan {
+        number,
+        impairment: Impairment::Dead,
+        from: micros_from_seconds(from),
+        to: Some(micros_from_seconds(to)),
+    };
+    for (span, breaks) in
+        [(dead(0, 10.9, 12.0), 0), (dead(0, 11.1, 12.0), 1), (dead(1, 10.0, 12.0), 1), (dead(0, 5.0, 9.9), 1)]
+    {
+        hand.event_log.process_impairments = vec![span];
+        assert_eq!(rules(&hand).len(), breaks, "{:?}", hand.event_log.process_impairments);
+    }
+    let mut hand = Hand::default();
+    hand.request(ClientRequest { ended_at: Some(micros_from_seconds(11.1)), ..served(10.0) });
+    assert_eq!(rules(&hand), [Rule::Answers]);
+    hand.event_log.testbed_stalls = vec![(micros_from_seconds(11.0), 49_000)];
+    assert_eq!(rules(&hand), [Rule::Answers]);
+    hand.event_log.testbed_stalls = vec![(micros_from_seconds(11.0), 50_000)];
+    assert_eq!(rules(&hand), []);
+}
+
+#[test]
+fn three_attempts_are_allowed_and_repeats_as_the_class_has_it() {
+    let played = |effect, write, attempts: &[(f64, AttemptResult)]| {
+        let mut hand = Hand::default();
+        let id = hand.request(ClientRequest { write, ..served(10.0) });
+        for (at, result) in attempts {
+            hand.event_log
+                .attempts
+                .push(Attempt { result: *result, ..attempt(id, Receiver::CacheServer(0), *at) });
+        }
+        let mut terms = terms();
+        terms.classes[1].effect = effect;
+        breaches(&hand.event_log, &terms).len()
+    };
+    use AttemptResult::{Failed, Miss, Rejected, Served};
+    let (safe, keyed) = (Effect::Safe, Effect::Keyed(6 * MICROS_PER_SECOND));
+    assert_eq!(played(safe, false, &[(10.0, Failed), (10.1, Miss), (10.2, Served)]), 0);
+    assert_eq!(played(safe, false, &[(10.0, Rejected), (10.1, Miss), (10.2, Rejected), (10.3, Served)]), 1);
+    assert_eq!(played(keyed, true, &[(10.0, Failed), (16.05, Served)]), 0);
+    assert_eq!(played(keyed, true, &[(10.0, Failed), (16.06, Served)]), 1);
+    assert_eq!(played(keyed, true, &[(10.0, Rejected), (16.06, Served)]), 0, "it never ran");
+    assert_eq!(played(Effect::Unsafe, true, &[(10.0, Rejected), (10.1, Served)]), 0);
+    assert_eq!(played(Effect::Unsafe, true, &[(10.0, AttemptResult::NoAnswer), (10.1, Served)]), 1);
+}
+
+#[test]
+fn a_drain_holds_from_its_grace_until_the_return_is_told() {
+    let mut hand = Hand::default();
+    let told =
+        |at, in_service| EndpointNotice { balancer: 0, server: 2, in_service, at: micros_from_seconds(at) };
+    hand.event_log.notices = vec![told(10.0, false), told(10.4, false), told(20.0, true)];
+    for (at, server, breaks) in
+        [(10.55, 2, 0), (10.56, 2, 1), (10.56, 1, 0), (19.99, 2, 1), (20.0, 2, 0), (9.0, 2, 0)]
+    {
+        hand.event_log.attempts = vec![attempt(1, Receiver::CacheServer(server), at)];
+        assert_eq!(rules(&hand), vec![Rule::Drains; breaks], "{at} {server}");
+    }
+    // Started anew at 12 s, the process was told nothing.
+    hand.event_log.attempts = vec![attempt(1, Receiver::CacheServer(2), 13.0)];
+    hand.event_log.process_impairments = vec![ImpairedSpan {
+        number: 0,
+        impairment: Impairment::Dead,
+        from: micros_from_seconds(11.0),
+        to: Some(micros_from_seconds(12.0)),
+    }];
+    assert_eq!(rules(&hand), []);
+}
+
+#[test]
+fn cold_hosts_that_fall_and_their_misses_at_a_stopped_origin_break_the_rule() {
+    let mut hand = Hand::default();
+    hand.event_log.origin_stops = vec![(micros_from_seconds(9.0), 0.49)];
+    assert_eq!(rules(&hand), []);
+    hand.event_log.origin_stops = vec![(micros_from_seconds(9.0), 0.5)];
+    hand.event_log.server_collapses = vec![(3, micros_from_seconds(9.0))];
+    assert_eq!(rules(&hand), [Rule::Cold, Rule::Cold]);
+}
+
+#[test]
+fn a_breach_tells_the_whole_story_in_order() {
+    let mut hand = Hand::default();
+    let id = hand.request(ClientRequest { result: RequestResult::NoAnswer, ended_at: None, ..served(10.0) });
+    hand.event_log
+        .attempts
+        .push(Attempt { result: AttemptResult::Miss, ..attempt(id, Receiver::CacheServer(3), 10.1) });
+    let story = &breaches(&hand.event_log, &terms())[0].story;
+    let parts = [
+        "5.000 s  0000000000000001: read",
+        "5.100 s  received by Host(3)",
+        "answers: Miss",
+        "6.000 s  its deadline",
+    ];
+    assert_eq!(story.len(), 4, "{story:?}");
+    assert!(story.iter().zip(parts).all(|(line, part)| line.contains(part)), "{story:?}");
+}
--- a/platform-model/src/judge/told.rs
+++ b/platform-model/src/checker/self_reports.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use super::Terms;
-use crate::ledger::{Ill, Ledger};
+use crate::event_log::{EventLog, Impairment};
 use crate::{Micros, MICROS_PER_SECOND};
 
 /// What one process said.
@@ -41,31 +41,36 @@
     pub oldest_ms: Option<f64>,
 }
 
-/// Holds what was said against the ledger. `cut` tells that links between balancers had a fault.
-pub fn told(ledger: &Ledger, terms: &Terms, holders: &[Holder], cut: bool) -> Told {
+/// Holds what was said against the event log. `cut` tells that links between balancers had a fault.
+pub fn told(event_log: &EventLog, terms: &Terms, holders: &[Holder], cut: bool) -> Told {
     let expiry = terms.stated.and_then(|stated| stated.verdicts).map_or(0, |(_, expiry)| expiry);
     let holders: Vec<&Holder> = holders.iter().filter(|one| terms.counts(one.at)).collect();
     let unwell = |at: Micros| {
-        let near = ledger.servers.iter().filter(|span| span.meets(at.saturating_sub(expiry), at));
-        near.map(|span| span.who).collect::<std::collections::HashSet<_>>().len() as f64
+        let near =
+            event_log.server_impairments.iter().filter(|span| span.overlaps(at.saturating_sub(expiry), at));
+        near.map(|span| span.number).collect::<std::collections::HashSet<_>>().len() as f64
     };
     let beyond = |one: &&Holder| (one.passed_by - unwell(one.at)).max(0.0) as u64;
     let oldest = holders.iter().map(|one| one.oldest * 1e3).fold(0.0, f64::max);
-    let frozen = ledger.processes.iter().any(|span| span.ill == Ill::Frozen);
+    let frozen = event_log.process_impairments.iter().any(|span| span.impairment == Impairment::Frozen);
     Told {
-        members_wrong_s: (!cut && !frozen && !holders.is_empty()).then(|| wrong_for(ledger, terms, &holders)),
+        members_wrong_s: (!cut && !frozen && !holders.is_empty())
+            .then(|| wrong_for(event_log, terms, &holders)),
         wrong: holders.iter().map(beyond).sum(),
         oldest_ms: (oldest > 0.0).then_some(oldest),
     }
 }
 
 /// The longest stretch of wrong counts of one process, from the first of them to the first right one after.
-fn wrong_for(ledger: &Ledger, terms: &Terms, holders: &[&Holder]) -> f64 {
+fn wrong_for(event_log: &EventLog, terms: &Terms, holders: &[&Holder]) -> f64 {
     let mut since: BTreeMap<usize, Micros> = BTreeMap::new();
     let mut longest = 0;
     for one in holders {
-        let dead = |span: &&crate::ledger::Span| span.ill == Ill::Dead && span.meets(one.at, one.at);
-        let there = terms.balancers - ledger.processes.iter().filter(dead).count().min(terms.balancers);
+        let dead = |span: &&crate::event_log::ImpairedSpan| {
+            span.impairment == Impairment::Dead && span.overlaps(one.at, one.at)
+        };
+        let there =
+            terms.balancers - event_log.process_impairments.iter().filter(dead).count().min(terms.balancers);
         if one.members == there as f64 {
             if let Some(since) = since.remove(&one.balancer) {
                 longest = longest.max(one.at - since);
--- a/platform-model/src/judge/told/tests.rs
+++ b/platform-model/src/checker/self_reports/tests.rs
@@ -1,9 +1,9 @@
 //! Tests of `told`.
 
-use super::super::hand::{terms, Hand};
+use super::super::test_log::{terms, Hand};
 use super::super::Stated;
 use super::*;
-use crate::ledger::Span;
+use crate::event_log::ImpairedSpan;
 use crate::micros_from_seconds;
 
 fn said(second: f64, balancer: usize, members: f64, passed_by: f64) -> Holder {
@@ -20,9 +20,9 @@
 #[test]
 fn a_view_is_wrong_until_it_counts_those_that_are_there() {
     let mut hand = Hand::default();
-    hand.ledger.processes = vec![Span {
-        who: 3,
-        ill: Ill::Dead,
+    hand.event_log.process_impairments = vec![ImpairedSpan {
+        number: 3,
+        impairment: Impairment::Dead,
         from: micros_from_seconds(10.0),
         to: Some(micros_from_seconds(20.0)),
     }];
@@ -31,18 +31,18 @@
     all.iter_mut()
         .filter(|one| (micros_from_seconds(14.0)..micros_from_seconds(20.5)).contains(&one.at))
         .for_each(|one| one.members = 3.0);
-    let seen = told(&hand.ledger, &terms(), &all, false);
+    let seen = told(&hand.event_log, &terms(), &all, false);
     assert_eq!(seen.members_wrong_s, Some(4.0));
-    assert_eq!(told(&hand.ledger, &terms(), &all, true).members_wrong_s, None);
-    assert_eq!(told(&hand.ledger, &terms(), &[], false).members_wrong_s, None);
+    assert_eq!(told(&hand.event_log, &terms(), &all, true).members_wrong_s, None);
+    assert_eq!(told(&hand.event_log, &terms(), &[], false).members_wrong_s, None);
 }
 
 #[test]
 fn hosts_passed_by_beyond_those_that_were_unwell_are_wrong() {
     let mut hand = Hand::default();
-    hand.ledger.servers = vec![Span {
-        who: 1,
-        ill: Ill::Silent,
+    hand.event_log.server_impairments = vec![ImpairedSpan {
+        number: 1,
+        impairment: Impairment::Silent,
         from: micros_from_seconds(10.0),
         to: Some(micros_from_seconds(15.0)),
     }];
@@ -50,8 +50,8 @@
     let stated = Stated { origin: 1.0, spread: 0, cold: None, second: None, verdicts };
     let terms = Terms { stated: Some(stated), ..terms() };
     let all = [said(12.0, 0, 4.0, 1.0), said(20.0, 0, 4.0, 1.0)];
-    let seen = told(&hand.ledger, &terms, &all, false);
+    let seen = told(&hand.event_log, &terms, &all, false);
     assert_eq!((seen.wrong, seen.oldest_ms), (0, Some(1000.0)));
     let late = [said(12.0, 0, 4.0, 2.0), said(22.0, 1, 4.0, 1.0)];
-    assert_eq!(told(&hand.ledger, &terms, &late, false).wrong, 2);
+    assert_eq!(told(&hand.event_log, &terms, &late, false).wrong, 2);
 }
--- a/platform-model/src/judge/series.rs
+++ b/platform-model/src/checker/series.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{fate, limits, percentile, Fate, Terms};
-use crate::ledger::{At, Ledger};
+use crate::event_log::{EventLog, Receiver};
 use crate::{Micros, MICROS_PER_SECOND};
 
 /// One second of a run.
@@ -44,8 +44,8 @@
 }
 
 /// The series of a run.
-pub fn series(ledger: &Ledger, terms: &Terms) -> Series {
-    let demand = limits::demand(ledger, terms);
+pub fn series(event_log: &EventLog, terms: &Terms) -> Series {
+    let demand = limits::demand(event_log, terms);
     let mut seconds: Vec<Second> = demand
         .iter()
         .enumerate()
@@ -53,14 +53,14 @@
         .collect();
     let of = |at: Micros| ((at - terms.zero) / MICROS_PER_SECOND) as usize;
     let mut times: Vec<Vec<Micros>> = vec![Vec::new(); seconds.len()];
-    for request in ledger.requests.iter().filter(|c| terms.counts(c.planned)) {
-        let second = of(request.planned);
+    for request in event_log.requests.iter().filter(|c| terms.counts(c.planned_at)) {
+        let second = of(request.planned_at);
         let one = &mut seconds[second];
         one.requests += 1;
         match fate(request, terms) {
             Fate::Served => {
                 one.served += 1;
-                times[second].extend(request.ended.map(|at| at - request.sent));
+                times[second].extend(request.ended_at.map(|at| at - request.sent_at));
             }
             Fate::Refused => one.refused += 1,
             Fate::Failed => one.failed += 1,
@@ -72,14 +72,14 @@
         second.p99_ms = percentile(times, 0.99) as f64 / 1e3;
     }
     let mut servers = vec![vec![0.0; seconds.len()]; terms.weights.len()];
-    for attempt in ledger.attempts.iter().filter(|a| terms.counts(a.begun)) {
-        let second = of(attempt.begun);
-        match attempt.at {
-            At::CacheServer(server) => {
+    for attempt in event_log.attempts.iter().filter(|a| terms.counts(a.received_at)) {
+        let second = of(attempt.received_at);
+        match attempt.receiver {
+            Receiver::CacheServer(server) => {
                 seconds[second].attempts += 1;
                 servers[server as usize][second] += 1.0;
             }
-            At::Origin => seconds[second].fetches += 1,
+            Receiver::Origin => seconds[second].fetches += 1,
         }
     }
     let sum: f64 = terms.weights.iter().sum();
--- a/platform-model/src/judge/spread.rs
+++ b/platform-model/src/checker/spread.rs
@@ -1,4 +1,4 @@
-//! How evenly the servers were used, from their own ledgers, beside what fair draws of the same begins would give.
+//! How evenly the servers were used, from their own event log, beside what fair draws of the same begins would give.
 //!
 //! Windows of 5 s; in each, the servers that were sound, listed and warm from end to end. A server's load is what it began
 //! over its part by weight of what all of these began. Small numbers are uneven by chance, so each figure stands beside
@@ -12,7 +12,7 @@
 use rand::Rng;
 
 use super::{quantile, Terms};
-use crate::ledger::{At, Ledger};
+use crate::event_log::{EventLog, Receiver};
 use crate::rng::{seeded_rng, RngStream, SeededRng};
 use crate::summary::Spread;
 use crate::{Micros, MICROS_PER_SECOND};
@@ -46,8 +46,8 @@
 }
 
 /// The spread of a run.
-pub fn spread(ledger: &Ledger, terms: &Terms) -> Spread {
-    let windows = windows(ledger, terms);
+pub fn spread(event_log: &EventLog, terms: &Terms) -> Spread {
+    let windows = windows(event_log, terms);
     let seen = deal(&windows, |_, place, _| place, &mut seeded_rng(terms.seed, RngStream::Fair));
     let mut fair = [0.0; 3];
     let mut draw = seeded_rng(terms.seed, RngStream::Fair);
@@ -70,14 +70,17 @@
     }
 }
 
-fn windows(ledger: &Ledger, terms: &Terms) -> Vec<Window> {
+fn windows(event_log: &EventLog, terms: &Terms) -> Vec<Window> {
     let count = (terms.end.saturating_sub(terms.zero) / WINDOW) as usize;
     let mut place_of = vec![vec![None; terms.weights.len()]; count];
     let mut all: Vec<Window> = (0..count)
         .map(|number| {
             let from = terms.zero + number as Micros * WINDOW;
             let ill = |server: usize| {
-                ledger.servers.iter().any(|s| s.who == server as u32 && s.meets(from, from + WINDOW))
+                event_log
+                    .server_impairments
+                    .iter()
+                    .any(|s| s.number == server as u32 && s.overlaps(from, from + WINDOW))
             };
             let servers: Vec<usize> = (0..terms.weights.len()).filter(|server| !ill(*server)).collect();
             let sum: f64 = servers.iter().map(|server| terms.weights[*server]).sum();
@@ -91,13 +94,13 @@
             }
         })
         .collect();
-    for attempt in &ledger.attempts {
-        let At::CacheServer(server) = attempt.at else { continue };
-        let Some(since) = attempt.begun.checked_sub(terms.zero) else { continue };
+    for attempt in &event_log.attempts {
+        let Receiver::CacheServer(server) = attempt.receiver else { continue };
+        let Some(since) = attempt.received_at.checked_sub(terms.zero) else { continue };
         let number = (since / WINDOW) as usize;
         let place = place_of.get(number).and_then(|places| places.get(server as usize)).copied().flatten();
         if let Some(place) = place {
-            all[number].begins.push((attempt.begun, place));
+            all[number].begins.push((attempt.received_at, place));
         }
     }
     all.retain(|window| window.servers.len() > 1 && !window.begins.is_empty());
--- a/platform-model/src/judge/spread/tests.rs
+++ b/platform-model/src/checker/spread/tests.rs
@@ -1,8 +1,8 @@
 //! Tests of `spread`.
 
-use super::super::hand::{attempt, terms, Hand};
+use super::super::test_log::{attempt, terms, Hand};
 use super::*;
-use crate::ledger::{Ill, Span};
+use crate::event_log::{ImpairedSpan, Impairment};
 use crate::micros_from_seconds;
 
 /// Each window has 100 begins, dealt by weight (20, 20, 20, 40) but for what `moved` takes from server 0 to server 1.
@@ -15,59 +15,61 @@
             3 | 4 => 3,
             other => other as u32,
         };
-        hand.ledger.attempts.push(attempt(n as u64, At::CacheServer(server), 5.0 + n as f64 * 0.05));
+        hand.event_log.attempts.push(attempt(n as u64, Receiver::CacheServer(server), 5.0 + n as f64 * 0.05));
     }
     hand
 }
 
 #[test]
 fn loads_are_taken_by_weight() {
-    let even = spread(&hand(0).ledger, &terms());
+    let even = spread(&hand(0).event_log, &terms());
     assert_eq!((even.peak, even.least, even.idle, even.windows), (1.0, 1.0, 0, 6));
-    let one = spread(&hand(1).ledger, &terms());
+    let one = spread(&hand(1).event_log, &terms());
     assert_eq!((one.peak, one.least), (1.05, 0.95), "one of twenty due moved from one host to another");
     assert!(even.fair_peak > 1.1 && even.fair_least < 0.9 && even.fair_peak < 1.6, "{even:?}");
 }
 
 #[test]
 fn a_host_that_had_nothing_is_idle_where_five_were_due() {
-    assert_eq!(spread(&hand(20).ledger, &terms()).idle, 6);
+    assert_eq!(spread(&hand(20).event_log, &terms()).idle, 6);
     let mut few = hand(20);
-    few.ledger.attempts.retain(|a| a.id % 20 < 5);
-    assert_eq!(spread(&few.ledger, &terms()).idle, 6, "five of 25 were due");
-    few.ledger.attempts.retain(|a| a.id % 100 != 4);
-    assert_eq!(spread(&few.ledger, &terms()).idle, 0, "4.8 of 24 were due");
+    few.event_log.attempts.retain(|a| a.id % 20 < 5);
+    assert_eq!(spread(&few.event_log, &terms()).idle, 6, "five of 25 were due");
+    few.event_log.attempts.retain(|a| a.id % 100 != 4);
+    assert_eq!(spread(&few.event_log, &terms()).idle, 0, "4.8 of 24 were due");
 }
 
 #[test]
 fn hosts_that_are_not_sound_do_not_count_in_their_windows() {
     let mut hand = hand(20);
-    hand.ledger.servers.push(Span {
-        who: 0,
-        ill: Ill::Cold,
+    hand.event_log.server_impairments.push(ImpairedSpan {
+        number: 0,
+        impairment: Impairment::SlowStart,
         from: micros_from_seconds(5.0),
         to: Some(micros_from_seconds(34.9)),
     });
-    let seen = spread(&hand.ledger, &terms());
+    let seen = spread(&hand.event_log, &terms());
     assert_eq!(seen.idle, 0);
     assert!(
         (seen.peak - 1.6).abs() < 1e-9,
         "of 100 that three hosts of 4 parts began, host 1 had 40: {seen:?}"
     );
-    hand.ledger.servers[0].to = Some(micros_from_seconds(29.9));
-    assert_eq!(spread(&hand.ledger, &terms()).idle, 1, "the last window counts again");
+    hand.event_log.server_impairments[0].to = Some(micros_from_seconds(29.9));
+    assert_eq!(spread(&hand.event_log, &terms()).idle, 1, "the last window counts again");
 }
 
 /// All begins of a second in one instant are a herd; as many apart are none.
 #[test]
 fn a_herd_is_what_comes_at_once_to_one_host() {
     let mut hand = hand(0);
-    let even = spread(&hand.ledger, &terms());
+    let even = spread(&hand.event_log, &terms());
     assert!((even.herd - 2.5).abs() < 1e-9, "one in 100 ms where 0.4 were due, two where 0.8 were: {even:?}");
-    for a in hand.ledger.attempts.iter_mut().filter(|a| a.at == At::CacheServer(2) && a.id < 50) {
-        a.begun = micros_from_seconds(6.0);
+    for a in
+        hand.event_log.attempts.iter_mut().filter(|a| a.receiver == Receiver::CacheServer(2) && a.id < 50)
+    {
+        a.received_at = micros_from_seconds(6.0);
     }
-    let herd = spread(&hand.ledger, &terms());
+    let herd = spread(&hand.event_log, &terms());
     assert!((herd.herd - 25.0).abs() < 1e-9, "ten at once where 0.4 were due: {herd:?}");
     assert!(herd.herd > 2.0 * herd.fair_herd, "fair draws of the same times have no such herd: {herd:?}");
 }
--- a/platform-model/src/judge/hand.rs
+++ b/platform-model/src/checker/test_log.rs
@@ -1,7 +1,7 @@
 //! Ledgers made by hand for the judge's tests.
 
 use super::{Class, Effect, Terms};
-use crate::ledger::{At, Attempt, Became, ClientRequest, Ended, Ledger};
+use crate::event_log::{Attempt, AttemptResult, ClientRequest, EventLog, Receiver, RequestResult};
 use crate::{micros_from_seconds, MICROS_PER_SECOND};
 
 /// Terms of a run with four servers, the last of twice the weight, and an origin of ten a second.
@@ -28,53 +28,53 @@
     let sent = micros_from_seconds(at);
     ClientRequest {
         id: 0,
-        first: 0,
+        first_id: 0,
         balancer: 0,
         key: 1,
         write: false,
-        planned: sent,
-        sent,
+        planned_at: sent,
+        sent_at: sent,
         deadline: sent + 1_000_000,
-        ended: Some(sent + 100_000),
-        end: Ended::Served,
-        more: 0,
+        ended_at: Some(sent + 100_000),
+        result: RequestResult::Served,
+        extra_lines: 0,
     }
 }
 
 /// An attempt at this second, answered 50 ms later.
-pub fn attempt(id: u64, at: At, second: f64) -> Attempt {
+pub fn attempt(id: u64, receiver: Receiver, second: f64) -> Attempt {
     let begun = micros_from_seconds(second);
     Attempt {
         id,
         balancer: 0,
-        at,
-        first_byte: begun,
-        begun,
-        answered: Some(begun + 50_000),
-        became: Became::Served,
-        cold: false,
-        spoilt: false,
+        receiver,
+        first_byte_at: begun,
+        received_at: begun,
+        answered_at: Some(begun + 50_000),
+        result: AttemptResult::Served,
+        in_slow_start: false,
+        corrupted: false,
     }
 }
 
-/// A ledger that is filled line by line.
+/// An event log that is filled line by line.
 #[derive(Default)]
 pub struct Hand {
-    pub ledger: Ledger,
+    pub event_log: EventLog,
 }
 
 impl Hand {
     /// Puts a first try in; gives its id.
     pub fn request(&mut self, request: ClientRequest) -> u64 {
-        let id = self.ledger.requests.len() as u64 + 1;
-        self.ledger.requests.push(ClientRequest { id, first: id, ..request });
+        let id = self.event_log.requests.len() as u64 + 1;
+        self.event_log.requests.push(ClientRequest { id, first_id: id, ..request });
         id
     }
 
     /// Puts a client's retry in.
     pub fn retry(&mut self, request: ClientRequest) -> u64 {
-        let id = self.ledger.requests.len() as u64 + 1;
-        self.ledger.requests.push(ClientRequest { id, ..request });
+        let id = self.event_log.requests.len() as u64 + 1;
+        self.event_log.requests.push(ClientRequest { id, ..request });
         id
     }
 }
--- a/platform-model/src/lib.rs
+++ b/platform-model/src/lib.rs
@@ -6,11 +6,11 @@
 
 pub mod cache_server;
 pub mod check;
+pub mod checker;
 pub mod discovery;
+pub mod event_log;
 pub mod experiment;
 pub mod group;
-pub mod judge;
-pub mod ledger;
 pub mod links;
 pub mod load;
 pub mod origin;
--- a/testbed-cli/src/charts.rs
+++ b/testbed-cli/src/charts.rs
@@ -4,8 +4,8 @@
 #[cfg(test)]
 mod tests;
 
+use juniperladder_platform_model::checker::series::Second;
 use juniperladder_platform_model::experiment::Experiment;
-use juniperladder_platform_model::judge::series::Second;
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
--- a/testbed-cli/src/commands.rs
+++ b/testbed-cli/src/commands.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
+use juniperladder_platform_model::checker::self_reports::told;
+use juniperladder_platform_model::checker::{check_run, Terms, Verdict};
 use juniperladder_platform_model::experiment::Experiment;
-use juniperladder_platform_model::judge::told::told;
-use juniperladder_platform_model::judge::{judge, Terms, Verdict};
 use juniperladder_platform_model::reader::read;
 use juniperladder_platform_model::schedule::schedule;
 use juniperladder_testbed::child_reaper::{reap, ChildReaper};
@@ -160,7 +160,7 @@
     let terms = Terms::of(experiment);
     let terms = Terms { end: run.end.max(terms.zero + 1), stated: run.stated, ..terms };
     let verdict = judged(experiment, &run, &terms);
-    let written = tables::write(out, experiment, &run.ledger, &terms, &verdict, &run.crashes)
+    let written = tables::write(out, experiment, &run.event_log, &terms, &verdict, &run.crashes)
         .and_then(|()| tables::holders(out, &run.holders, &terms));
     if let Err(e) = written.map_err(Into::into).and_then(|()| report::write(out)) {
         eprintln!("{}: {e}", out.display());
@@ -171,20 +171,21 @@
 
 /// Judges what a run left, and fills in what it cost.
 pub fn judged(experiment: &Experiment, run: &Played, terms: &Terms) -> Verdict {
-    let mut verdict = judge(&run.ledger, terms);
+    let mut verdict = check_run(&run.event_log, terms);
     let summary = &mut verdict.summary;
     summary.name = experiment.name.clone();
     summary.seed = experiment.seed;
     summary.processes.started = run.started;
     summary.processes.crashed = run.crashes.len() as u64;
-    summary.cpu.balancer_ms_per_request = run.balancers_cpu_s * 1e3 / run.ledger.requests.len().max(1) as f64;
+    summary.cpu.balancer_ms_per_request =
+        run.balancers_cpu_s * 1e3 / run.event_log.requests.len().max(1) as f64;
     if let Some((packets, bytes)) = run.talk {
         (summary.peers.packets_per_s, summary.peers.bytes_per_s) = (packets, bytes);
     }
     summary.cpu.rig_s = run.rig_cpu_s;
     if run.stated.is_some() {
         let cut = schedule(experiment).links.between_balancers();
-        let told = told(&run.ledger, terms, &run.holders, cut);
+        let told = told(&run.event_log, terms, &run.holders, cut);
         summary.peers.members_max_wrong_s = told.members_wrong_s;
         (summary.verdicts.wrong, summary.verdicts.stale_max_ms) = (told.wrong, told.oldest_ms);
     }
--- a/testbed-cli/src/report.rs
+++ b/testbed-cli/src/report.rs
@@ -5,9 +5,9 @@
 use std::io::BufReader;
 use std::path::Path;
 
+use juniperladder_platform_model::checker::rules::Breach;
+use juniperladder_platform_model::checker::series::Second;
 use juniperladder_platform_model::experiment::Experiment;
-use juniperladder_platform_model::judge::rules::Breach;
-use juniperladder_platform_model::judge::series::Second;
 use juniperladder_platform_model::summary::Summary;
 use serde::de::DeserializeOwned;
 
--- a/testbed-cli/src/tables.rs
+++ b/testbed-cli/src/tables.rs
@@ -4,9 +4,9 @@
 use std::io::{BufWriter, Write};
 use std::path::Path;
 
+use juniperladder_platform_model::checker::{Terms, Verdict};
+use juniperladder_platform_model::event_log::{EventLog, Receiver};
 use juniperladder_platform_model::experiment::Experiment;
-use juniperladder_platform_model::judge::{Terms, Verdict};
-use juniperladder_platform_model::ledger::{At, Ledger};
 use juniperladder_platform_model::MICROS_PER_SECOND;
 use juniperladder_testbed::holders::Holder;
 use serde::Serialize;
@@ -18,7 +18,7 @@
 pub fn write(
     out: &Path,
     experiment: &Experiment,
-    ledger: &Ledger,
+    event_log: &EventLog,
     terms: &Terms,
     verdict: &Verdict,
     crashes: &[String],
@@ -40,8 +40,8 @@
         }
     }
     servers.flush()?;
-    commands(&out.join("commands.csv"), ledger, terms)?;
-    attempts(&out.join("attempts.csv"), ledger, terms)
+    commands(&out.join("commands.csv"), event_log, terms)?;
+    attempts(&out.join("attempts.csv"), event_log, terms)
 }
 
 fn json<T: Serialize>(path: &Path, value: &T) -> std::io::Result<()> {
@@ -71,44 +71,44 @@
 }
 
 /// One line a request.
-fn commands(path: &Path, ledger: &Ledger, terms: &Terms) -> std::io::Result<()> {
+fn commands(path: &Path, event_log: &EventLog, terms: &Terms) -> std::io::Result<()> {
     let mut table = csv::Writer::from_path(path)?;
     table.write_record([
         "id", "first", "balancer", "key", "write", "planned", "sent", "deadline", "ended", "end",
     ])?;
-    for c in &ledger.requests {
+    for c in &event_log.requests {
         table.write_record([
             format!("{:x}", c.id),
-            format!("{:x}", c.first),
+            format!("{:x}", c.first_id),
             c.balancer.to_string(),
             c.key.to_string(),
             u8::from(c.write).to_string(),
-            ms(c.planned, terms),
-            ms(c.sent, terms),
+            ms(c.planned_at, terms),
+            ms(c.sent_at, terms),
             ms(c.deadline, terms),
-            c.ended.map_or(String::new(), |at| ms(at, terms)),
-            format!("{:?}", c.end),
+            c.ended_at.map_or(String::new(), |at| ms(at, terms)),
+            c.result.to_string(),
         ])?;
     }
     table.flush()
 }
 
 /// One line an attempt.
-fn attempts(path: &Path, ledger: &Ledger, terms: &Terms) -> std::io::Result<()> {
+fn attempts(path: &Path, event_log: &EventLog, terms: &Terms) -> std::io::Result<()> {
     let mut table = csv::Writer::from_path(path)?;
     table.write_record(["id", "balancer", "at", "begun", "answered", "became", "cold"])?;
-    for a in &ledger.attempts {
+    for a in &event_log.attempts {
         table.write_record([
             format!("{:x}", a.id),
             a.balancer.to_string(),
-            match a.at {
-                At::CacheServer(server) => server.to_string(),
-                At::Origin => "origin".into(),
+            match a.receiver {
+                Receiver::CacheServer(server) => server.to_string(),
+                Receiver::Origin => "origin".into(),
             },
-            ms(a.begun, terms),
-            a.answered.map_or(String::new(), |at| ms(at, terms)),
-            format!("{:?}", a.became),
-            u8::from(a.cold).to_string(),
+            ms(a.received_at, terms),
+            a.answered_at.map_or(String::new(), |at| ms(at, terms)),
+            a.result.to_string(),
+            u8::from(a.in_slow_start).to_string(),
         ])?;
     }
     table.flush()
--- a/testbed-cli/tests/fleet.rs
+++ b/testbed-cli/tests/fleet.rs
@@ -5,8 +5,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use juniperladder_platform_model::judge::{judge, Terms, Verdict};
-use juniperladder_platform_model::ledger::At;
+use juniperladder_platform_model::checker::{check_run, Terms, Verdict};
+use juniperladder_platform_model::event_log::Receiver;
 use juniperladder_platform_model::reader::read;
 use juniperladder_platform_model::MICROS_PER_SECOND;
 use juniperladder_testbed::{play, Options, Played};
@@ -95,7 +95,7 @@
             .unwrap();
     // Half a second is the least that a machine shared with other tests may be late by.
     let terms = Terms { slack: MICROS_PER_SECOND / 2, stated: run.stated, ..Terms::of(&experiment) };
-    let verdict = judge(&run.ledger, &terms);
+    let verdict = check_run(&run.event_log, &terms);
     assert_eq!(run.crashes, [""; 0], "{name}");
     assert_eq!(verdict.summary.rules.sum(), 0, "{name}: {:#?}", verdict.breaches);
     let s = &verdict.summary;
@@ -146,7 +146,7 @@
          [[fault]]\nat = 4\nfor = 2\nwhat = \"discovery-down\"\n\
          [[fault]]\nat = 5\nwhat = \"replace\"\nwho = \"hosts:0\"\n",
     );
-    assert!(run.ledger.told.iter().filter(|told| !told.in_service).count() >= 12, "drains were told");
+    assert!(run.event_log.notices.iter().filter(|told| !told.in_service).count() >= 12, "drains were told");
 }
 
 #[test]
@@ -159,7 +159,7 @@
          [[fault]]\nat = 5\nfor = 2\nwhat = \"reset\"\nbetween = [\"balancers:3-5\", \"hosts:25%\"]\n\
          [[fault]]\nat = 7\nfor = 2\nwhat = \"lose\"\nbetween = [\"balancers\", \"hosts\"]\nshare = 0.1\n",
     );
-    assert!(run.ledger.unheard.len() + run.ledger.attempts.len() > 1_500);
+    assert!(run.event_log.undelivered.len() + run.event_log.attempts.len() > 1_500);
     assert!(verdict.summary.service > 0.8, "{}", verdict.summary.service);
 }
 
@@ -183,7 +183,9 @@
         "[[fault]]\nat = 2\nfor = 2\nwhat = \"gone\"\nwho = \"hosts:25%\"\n\
          [[fault]]\nat = 6\nwhat = \"restart\"\nwho = \"zone:2\"\n",
     );
-    assert!(run.ledger.falls.is_empty() && run.ledger.attempts.iter().any(|a| a.cold));
+    assert!(
+        run.event_log.server_collapses.is_empty() && run.event_log.attempts.iter().any(|a| a.in_slow_start)
+    );
     assert!(verdict.summary.origin.peak < 2.5, "the origin is not flooded: {:?}", verdict.summary.origin);
 }
 
@@ -248,7 +250,9 @@
     let passing = run.holders.iter().filter(|said| said.passed_by >= 1.0).map(|said| said.balancer);
     let passing: std::collections::HashSet<usize> = passing.collect();
     assert!(passing.len() >= 6, "half of them at least were heard to pass a host by: {passing:?}");
-    assert!(verdict.summary.verdicts.lost_sends > 0 && run.ledger.attempts.iter().any(|a| a.cold));
+    assert!(
+        verdict.summary.verdicts.lost_sends > 0 && run.event_log.attempts.iter().any(|a| a.in_slow_start)
+    );
 }
 
 /// Talk is cut in halves, a balancer's own links are cut, some are killed and frozen: whatever they say, the bounds hold.
@@ -287,11 +291,11 @@
     assert_eq!(run.started, 44);
     for server in [2, 3] {
         let mut cold: Vec<u64> = run
-            .ledger
+            .event_log
             .attempts
             .iter()
-            .filter(|attempt| attempt.at == At::CacheServer(server) && attempt.cold)
-            .map(|attempt| attempt.begun)
+            .filter(|attempt| attempt.receiver == Receiver::CacheServer(server) && attempt.in_slow_start)
+            .map(|attempt| attempt.received_at)
             .collect();
         cold.sort_unstable();
         assert!(cold.len() > 15, "host {server}: {} sends while it warms up", cold.len());
--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -6,7 +6,7 @@
 
 use bytes::BytesMut;
 use juniperladder_platform_model::cache_server::Answer;
-use juniperladder_platform_model::ledger::{At, Attempt, Became};
+use juniperladder_platform_model::event_log::{Attempt, AttemptResult, Receiver};
 use juniperladder_platform_model::links::End;
 use juniperladder_platform_model::Micros;
 use juniperladder_protocols::memcache::{Incoming, RequestReader};
@@ -42,7 +42,7 @@
 /// A request that is on its way to the server.
 struct Coming {
     due: Micros,
-    first_byte: Micros,
+    first_byte_at: Micros,
     id: u64,
     key: u64,
     write: bool,
@@ -64,9 +64,9 @@
     coming: VecDeque<Coming>,
     going: VecDeque<Going>,
     /// Whether something that came on it was spoilt: from then on nothing on it is sure.
-    spoilt: bool,
+    corrupted: bool,
     /// When the first byte of what is not yet a whole request came.
-    first_byte: Option<Micros>,
+    first_byte_at: Option<Micros>,
 }
 
 /// Why a connection ends.
@@ -82,7 +82,7 @@
         let balancer = End::Balancer(rig.sides[side]);
         let life = rig.lives[server].get();
         let (coming, going) = (VecDeque::new(), VecDeque::new());
-        ServerConnection { rig, server, balancer, life, coming, going, spoilt: false, first_byte: None }
+        ServerConnection { rig, server, balancer, life, coming, going, corrupted: false, first_byte_at: None }
     }
 
     async fn serve(mut self, mut stream: TcpStream) {
@@ -97,8 +97,8 @@
             return;
         }
         for lost in std::mem::take(&mut self.coming) {
-            let attempt = self.attempt(&lost, lost.due, Became::Nothing, false);
-            self.rig.ledger.borrow_mut().unheard.push(attempt);
+            let attempt = self.attempt(&lost, lost.due, AttemptResult::NoAnswer, false);
+            self.rig.event_log.borrow_mut().undelivered.push(attempt);
         }
     }
 
@@ -120,14 +120,14 @@
             }
             while !back.cut && self.going.front().is_some_and(|going| going.due <= now) {
                 let Some(mut going) = self.going.pop_front() else { break };
-                let spoilt = self.rig.happens(back.spoil);
-                if spoilt {
+                let corrupted = self.rig.happens(back.spoil);
+                if corrupted {
                     self.rig.spoil(&mut going.line);
                 }
                 if let Some(place) = going.attempt {
-                    let attempt = &mut self.rig.ledger.borrow_mut().attempts[place];
-                    attempt.answered = Some(now);
-                    attempt.spoilt |= spoilt;
+                    let attempt = &mut self.rig.event_log.borrow_mut().attempts[place];
+                    attempt.answered_at = Some(now);
+                    attempt.corrupted |= corrupted;
                 }
                 write.write_all(&going.line).await.map_err(|_| Over::Closed)?;
             }
@@ -144,7 +144,7 @@
                     }
                     if self.rig.happens(there.spoil) {
                         self.rig.spoil(&mut input);
-                        self.spoilt = true;
+                        self.corrupted = true;
                     }
                     self.take(&mut requests, &mut input);
                 }
@@ -159,9 +159,9 @@
         let now = self.rig.now();
         let there = self.rig.link(self.balancer, End::CacheServer(self.server));
         loop {
-            let first_byte = *self.first_byte.get_or_insert(now);
+            let first_byte_at = *self.first_byte_at.get_or_insert(now);
             let Some(incoming) = requests.next(input) else { break };
-            self.first_byte = None;
+            self.first_byte_at = None;
             match incoming {
                 Incoming::Request(request, _) => {
                     let word = |bytes: &[u8]| std::str::from_utf8(bytes).ok().map(str::to_owned);
@@ -177,7 +177,7 @@
                     let due = due.max(self.coming.back().map_or(0, |last| last.due));
                     self.coming.push_back(Coming {
                         due,
-                        first_byte,
+                        first_byte_at,
                         id,
                         key,
                         write: request.value.is_some(),
@@ -191,23 +191,23 @@
             }
         }
         if input.is_empty() && !requests.unfinished() {
-            self.first_byte = None;
+            self.first_byte_at = None;
         }
     }
 
-    fn attempt(&self, coming: &Coming, begun: Micros, became: Became, cold: bool) -> Attempt {
+    fn attempt(&self, coming: &Coming, begun: Micros, result: AttemptResult, cold: bool) -> Attempt {
         let balancer = balancer_of(coming.id) as u32;
-        let at = At::CacheServer(self.server as u32);
+        let receiver = Receiver::CacheServer(self.server as u32);
         Attempt {
             id: coming.id,
             balancer,
-            at,
-            first_byte: coming.first_byte,
-            begun,
-            answered: None,
-            became,
-            cold,
-            spoilt: self.spoilt,
+            receiver,
+            first_byte_at: coming.first_byte_at,
+            received_at: begun,
+            answered_at: None,
+            result,
+            in_slow_start: cold,
+            corrupted: self.corrupted,
         }
     }
 
@@ -215,14 +215,14 @@
     fn begin(&mut self, coming: &Coming, now: Micros) {
         let rig = Rc::clone(&self.rig);
         if rig.silent[self.server].get() {
-            rig.received(self.attempt(coming, now, Became::Nothing, false));
+            rig.received(self.attempt(coming, now, AttemptResult::NoAnswer, false));
             return;
         }
         let mut server = rig.servers[self.server].borrow_mut();
         let fallen = server.fallen();
         let outcome = server.begin(now, coming.key, &mut rig.machines());
         if server.fallen() && !fallen {
-            rig.ledger.borrow_mut().falls.push((self.server as u32, now));
+            rig.event_log.borrow_mut().server_collapses.push((self.server as u32, now));
         }
         let report = server.report(now, &mut rig.machines());
         drop(server);
@@ -230,19 +230,22 @@
         let id = coming.id;
         // Writes go to the origin; a cache server has no answer to one but this.
         let answer = if coming.write { Answer::Failed } else { outcome.answer };
-        let (became, line) = match answer {
+        let (result, line) = match answer {
             Answer::Hit => {
                 let value = value_of(id, coming.key);
-                (Became::Served, format!("VA {} O{id:016x} h1{load}\r\n{value}\r\n", value.len()))
+                (AttemptResult::Served, format!("VA {} O{id:016x} h1{load}\r\n{value}\r\n", value.len()))
             }
             Answer::Miss { fetching } => {
                 rig.missed(id, self.server, outcome.cold);
-                (Became::Miss, format!("EN O{id:016x} h0{}{load}\r\n", if fetching { " Z" } else { "" }))
+                (
+                    AttemptResult::Miss,
+                    format!("EN O{id:016x} h0{}{load}\r\n", if fetching { " Z" } else { "" }),
+                )
             }
-            Answer::Busy => (Became::Busy, format!("SERVER_ERROR busy{load}\r\n")),
-            Answer::Failed => (Became::Failed, format!("SERVER_ERROR failed{load}\r\n")),
+            Answer::Busy => (AttemptResult::Rejected, format!("SERVER_ERROR busy{load}\r\n")),
+            Answer::Failed => (AttemptResult::Failed, format!("SERVER_ERROR failed{load}\r\n")),
         };
-        let place = rig.received(self.attempt(coming, now, became, outcome.cold));
+        let place = rig.received(self.attempt(coming, now, result, outcome.cold));
         self.answer(outcome.at, line, Some(place));
     }
 
--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use juniperladder_platform_model::judge::Terms;
-use juniperladder_platform_model::ledger::{ClientRequest, Ended};
+use juniperladder_platform_model::checker::Terms;
+use juniperladder_platform_model::event_log::{ClientRequest, RequestResult};
 use juniperladder_platform_model::load::{key_name, Arrival};
 use juniperladder_platform_model::rng::{seeded_rng, RngStream, SeededRng};
 use juniperladder_platform_model::{micros_from_millis, Micros};
@@ -76,16 +76,16 @@
 
 /// How a try went.
 struct Went {
-    end: Ended,
+    result: RequestResult,
     at: Option<Micros>,
-    more: u32,
+    extra_lines: u32,
     /// After how long a refused client may come again.
     again: Micros,
 }
 
 impl Went {
-    fn without(end: Ended, at: Option<Micros>) -> Went {
-        Went { end, at, more: 0, again: 0 }
+    fn without(result: RequestResult, at: Option<Micros>) -> Went {
+        Went { result, at, extra_lines: 0, again: 0 }
     }
 }
 
@@ -139,15 +139,19 @@
             let went = self.one(place, &one).await;
             self.rig.over(id);
             {
-                let request = &mut self.rig.ledger.borrow_mut().requests[place];
-                (request.end, request.ended, request.more) = (went.end, went.at, went.more);
+                let request = &mut self.rig.event_log.borrow_mut().requests[place];
+                (request.result, request.ended_at, request.extra_lines) =
+                    (went.result, went.at, went.extra_lines);
             }
-            if matches!(went.end, Ended::Served | Ended::Wrong | Ended::Left) {
+            if matches!(
+                went.result,
+                RequestResult::Served | RequestResult::WrongValue | RequestResult::ClientLeft
+            ) {
                 return;
             }
             let (wait, other) = self.after(retry, went.again);
             planned = self.rig.now() + wait;
-            if went.end == Ended::Untaken {
+            if went.result == RequestResult::NotAccepted {
                 // The front deals those out anew whose balancer is not there.
                 balancer = other;
             }
@@ -168,21 +172,21 @@
         (if honours { backoff.max(again) } else { backoff }, rng.random_range(0..self.addresses.len()))
     }
 
-    /// Puts a try into the ledger; gives its place there.
+    /// Puts a try into the event log; gives its place there.
     fn put_down(&self, one: &Try, planned: Micros) -> usize {
-        let requests = &mut self.rig.ledger.borrow_mut().requests;
+        let requests = &mut self.rig.event_log.borrow_mut().requests;
         requests.push(ClientRequest {
             id: one.id,
-            first: one.first,
+            first_id: one.first,
             balancer: one.balancer as u32,
             key: one.key,
             write: one.write,
-            planned,
-            sent: planned,
+            planned_at: planned,
+            sent_at: planned,
             deadline: planned + one.wait,
-            ended: None,
-            end: Ended::Untaken,
-            more: 0,
+            ended_at: None,
+            result: RequestResult::NotAccepted,
+            extra_lines: 0,
         });
         requests.len() - 1
     }
@@ -202,15 +206,15 @@
                             let _ = stream.set_nodelay(true);
                             BufReader::new(stream)
                         }
-                        _ => return Went::without(Ended::Untaken, Some(self.rig.now())),
+                        _ => return Went::without(RequestResult::NotAccepted, Some(self.rig.now())),
                     }
                 }
             };
             let written = stream.write_all(line.as_bytes()).await;
             let sent = self.rig.now();
             {
-                let request = &mut self.rig.ledger.borrow_mut().requests[place];
-                (request.sent, request.deadline) = (sent, sent + one.wait);
+                let request = &mut self.rig.event_log.borrow_mut().requests[place];
+                (request.sent_at, request.deadline) = (sent, sent + one.wait);
             }
             let until = sent + one.leaves.unwrap_or(one.wait + LISTEN);
             let read = async {
@@ -225,33 +229,35 @@
                     if more == 0 && idle.len() < KEPT {
                         idle.push(stream);
                     }
-                    return Went { end, at, more, again };
+                    return Went { result: end, at, extra_lines: more, again };
                 }
                 // The close crossed the request: once more on a new connection.
                 Ok(None) if was_kept && self.rig.now() <= sent + CROSSED => {}
                 Ok(None) if self.rig.now() <= sent + CROSSED => {
-                    return Went::without(Ended::Shut, Some(self.rig.now()))
+                    return Went::without(RequestResult::ConnectionRejected, Some(self.rig.now()))
                 }
-                Ok(None) => return Went::without(Ended::Closed, Some(self.rig.now())),
-                Err(_) if one.leaves.is_some() => return Went::without(Ended::Left, None),
-                Err(_) => return Went::without(Ended::Silent, None),
+                Ok(None) => return Went::without(RequestResult::ConnectionClosed, Some(self.rig.now())),
+                Err(_) if one.leaves.is_some() => return Went::without(RequestResult::ClientLeft, None),
+                Err(_) => return Went::without(RequestResult::NoAnswer, None),
             }
         }
     }
 }
 
 /// Reads the answer to a try; none where the connection ends before it is whole.
-async fn read(stream: &mut BufReader<TcpStream>, one: &Try) -> Option<(Ended, Micros)> {
+async fn read(stream: &mut BufReader<TcpStream>, one: &Try) -> Option<(RequestResult, Micros)> {
     let mut line = Vec::new();
     // A balancer's line is short; one without an end is no answer.
     (&mut *stream).take(8_192).read_until(b'\n', &mut line).await.ok()?;
     let line = std::str::from_utf8(line.strip_suffix(b"\r\n")?).unwrap_or_default();
     let words: Vec<&str> = line.split(' ').collect();
     let named = format!("O{:016x}", one.id);
-    let made = |right: bool| if right { Ended::Served } else { Ended::Wrong };
+    let made = |right: bool| if right { RequestResult::Served } else { RequestResult::WrongValue };
     Some(match words[..] {
-        ["SERVER_ERROR", "busy"] => (Ended::Refused, 0),
-        ["SERVER_ERROR", "busy", ms] => (Ended::Refused, micros_from_millis(ms.parse().unwrap_or(0.0))),
+        ["SERVER_ERROR", "busy"] => (RequestResult::Rejected, 0),
+        ["SERVER_ERROR", "busy", ms] => {
+            (RequestResult::Rejected, micros_from_millis(ms.parse().unwrap_or(0.0)))
+        }
         ["VA", length, name, ..] => {
             let length: usize = length.parse().ok().filter(|length| *length <= 65_536)?;
             let mut value = vec![0; length + 2];
@@ -264,6 +270,6 @@
             let right = receipt.strip_prefix('c') == Some(&receipt_of(one.first));
             (made(right && name == named && one.write), 0)
         }
-        _ => (Ended::Failed, 0),
+        _ => (RequestResult::Failed, 0),
     })
 }
--- a/testbed/src/discovery.rs
+++ b/testbed/src/discovery.rs
@@ -1,5 +1,5 @@
 //! Discovery's side of its sockets: the whole list, and watches that tell each balancer its changes when they are due
-//! for it. What was told whom, and when, goes into the ledger.
+//! for it. What was told whom, and when, goes into the event log.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,8 +13,8 @@
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use juniperladder_platform_model::discovery::{Entry, Life};
+use juniperladder_platform_model::event_log::EndpointNotice;
 use juniperladder_platform_model::group::zone_of;
-use juniperladder_platform_model::ledger::Told;
 use juniperladder_platform_model::links::End;
 use serde_json::{json, Value};
 use tokio::net::TcpListener;
@@ -164,13 +164,13 @@
 pub fn note(rig: &Rig, balancer: usize, entries: &[Entry]) {
     let at = rig.now();
     let servers = rig.servers.len();
-    let told = entries.iter().filter(|entry| entry.slot < servers).map(|entry| Told {
+    let told = entries.iter().filter(|entry| entry.slot < servers).map(|entry| EndpointNotice {
         balancer: balancer as u32,
         server: entry.slot as u32,
         in_service: entry.life == Life::InService,
         at,
     });
-    rig.ledger.borrow_mut().told.extend(told);
+    rig.event_log.borrow_mut().notices.extend(told);
 }
 
 /// A list or its changes in discovery's form, one line.
--- a/testbed/src/holders.rs
+++ b/testbed/src/holders.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-pub use juniperladder_platform_model::judge::told::Holder;
+pub use juniperladder_platform_model::checker::self_reports::Holder;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! One thread holds the cache servers, the origin, discovery and the clients; the program under test runs as processes of
 //! its own and is met through its sockets alone. What stands here decides nothing: machines, faults and the judge are
-//! `world/`'s. [`play`] plays one experiment and gives the ledger.
+//! `world/`'s. [`play`] plays one experiment and gives the event log.
 
 mod cache_servers;
 pub mod child_reaper;
--- a/testbed/src/operator.rs
+++ b/testbed/src/operator.rs
@@ -4,8 +4,8 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
+use juniperladder_platform_model::checker::Stated;
 use juniperladder_platform_model::experiment::Experiment;
-use juniperladder_platform_model::judge::Stated;
 use juniperladder_platform_model::micros_from_millis;
 use toml::{Table, Value};
 
--- a/testbed/src/origin.rs
+++ b/testbed/src/origin.rs
@@ -8,7 +8,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use juniperladder_platform_model::ledger::{At, Attempt, Became};
+use juniperladder_platform_model::event_log::{Attempt, AttemptResult, Receiver};
 use juniperladder_platform_model::links::End;
 use juniperladder_platform_model::load::key_name;
 use juniperladder_platform_model::origin::Outcome;
@@ -30,7 +30,7 @@
             let handler = service_fn(|request| answer(Rc::clone(&rig), side, request));
             let served =
                 hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), handler);
-            // A connection that breaks is the balancer's affair; the ledger has what was received.
+            // A connection that breaks is the balancer's affair; the event log has what was received.
             let _ = served.await;
         });
     }
@@ -71,7 +71,7 @@
 
 async fn answer(rig: Rc<Rig>, side: usize, request: Request<Incoming>) -> Answered {
     let balancer = End::Balancer(rig.sides[side]);
-    let first_byte = rig.now();
+    let first_byte_at = rig.now();
     let Some(asked) = Asked::of(&request) else { return Ok(plain(StatusCode::BAD_REQUEST, "not a command")) };
     // The value itself is nobody's; that it came whole is what counts.
     request.into_body().collect().await.map_err(|_| Broken)?;
@@ -83,13 +83,13 @@
     let mut attempt = Attempt {
         id: asked.id,
         balancer: balancer_of(asked.id) as u32,
-        at: At::Origin,
-        first_byte,
-        begun: now,
-        answered: None,
-        became: Became::Nothing,
-        cold,
-        spoilt: false,
+        receiver: Receiver::Origin,
+        first_byte_at,
+        received_at: now,
+        answered_at: None,
+        result: AttemptResult::NoAnswer,
+        in_slow_start: cold,
+        corrupted: false,
     };
     let response = match outcome {
         Outcome::Stopped => {
@@ -97,8 +97,8 @@
             return Err(Broken);
         }
         Outcome::Busy => {
-            attempt.became = Became::Busy;
-            attempt.answered = Some(now);
+            attempt.result = AttemptResult::Rejected;
+            attempt.answered_at = Some(now);
             rig.received(attempt);
             let response =
                 Response::builder().status(StatusCode::SERVICE_UNAVAILABLE).header("X-Never-Ran", "1");
@@ -119,10 +119,10 @@
                     value_of(asked.id, asked.key)
                 }
             };
-            let mut ledger = rig.ledger.borrow_mut();
-            ledger.attempts[place].became = Became::Served;
-            ledger.attempts[place].answered = Some(rig.now());
-            drop(ledger);
+            let mut event_log = rig.event_log.borrow_mut();
+            event_log.attempts[place].result = AttemptResult::Served;
+            event_log.attempts[place].answered_at = Some(rig.now());
+            drop(event_log);
             let response = Response::builder().header("X-Trace-Id", format!("{:016x}", asked.id));
             response.body(Full::new(Bytes::from(body))).map_err(|_| Broken)?
         }
--- a/testbed/src/peers/tests.rs
+++ b/testbed/src/peers/tests.rs
@@ -44,8 +44,8 @@
         assert_eq!(arrived("what = \"cut\"\n").await.0, [[0; 0]; 0]);
         assert_eq!(arrived("what = \"lose\"\nshare = 1.0\n").await.0.len(), 0);
         assert_eq!(arrived("what = \"repeat\"\nshare = 1.0\n").await.0.len(), 40);
-        let spoilt = arrived("what = \"spoil\"\nshare = 1.0\n").await.0;
-        assert!(spoilt.len() == 20 && spoilt != sound);
+        let corrupted = arrived("what = \"spoil\"\nshare = 1.0\n").await.0;
+        assert!(corrupted.len() == 20 && corrupted != sound);
         let mut disorder = arrived("what = \"reorder\"\nshare = 0.5\n").await.0;
         assert_ne!(disorder, sound);
         disorder.sort();
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -6,10 +6,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use juniperladder_platform_model::checker::{Stated, Terms};
 use juniperladder_platform_model::discovery::{Entry, Life};
+use juniperladder_platform_model::event_log::{EventLog, ImpairedSpan, Impairment};
 use juniperladder_platform_model::experiment::Experiment;
-use juniperladder_platform_model::judge::{Stated, Terms};
-use juniperladder_platform_model::ledger::{Ill, Ledger, Span};
 use juniperladder_platform_model::load::draw;
 use juniperladder_platform_model::rng::{seeded_rng, RngStream};
 use juniperladder_platform_model::schedule::{schedule, Change, Step};
@@ -59,7 +59,7 @@
 /// What a run leaves.
 pub struct Played {
     /// What clients, servers and discovery saw.
-    pub ledger: Ledger,
+    pub event_log: EventLog,
     /// Processes started, restarts included.
     pub started: u64,
     /// Processes that ended without being told to, each with its last log lines.
@@ -199,7 +199,7 @@
         let watching = (!operators.is_empty())
             .then(|| spawn_local(holders::watch(Rc::clone(&self.rig), operators, Rc::clone(&holders))));
         let terms = Terms::of(&experiment);
-        // The load's times count from now on, all others from the run's beginning: the ledger is moved at the end.
+        // The load's times count from now on, all others from the run's beginning: the event log is moved at the end.
         let begun = self.rig.now();
         let mut load = draw(&experiment);
         load.iter_mut().for_each(|arrival| arrival.at += begun);
@@ -253,14 +253,14 @@
         watching.iter().for_each(JoinHandle::abort);
         let mut holders = holders.take();
         holders.iter_mut().for_each(|one| one.at = one.at.saturating_sub(begun));
-        let mut ledger = std::mem::take(&mut *self.rig.ledger.borrow_mut());
-        ledger.stops = self.rig.origin.borrow().stops.clone();
+        let mut event_log = std::mem::take(&mut *self.rig.event_log.borrow_mut());
+        event_log.origin_stops = self.rig.origin.borrow().stops.clone();
         // Those still out when the run was stopped have no end to be judged by.
         let end = if stopped { load_end.saturating_sub(micros_from_seconds(4.0)) } else { load_end };
-        ledger.requests.retain(|c| !stopped || c.planned < end);
-        move_times(&mut ledger, begun);
+        event_log.requests.retain(|c| !stopped || c.planned_at < end);
+        move_times(&mut event_log, begun);
         Ok(Played {
-            ledger,
+            event_log,
             started,
             crashes,
             balancers_cpu_s: cpu(UsageWho::RUSAGE_CHILDREN) - before[0],
@@ -278,12 +278,12 @@
         let rig = Rc::clone(&self.rig);
         let now = rig.now();
         let ill = |servers: &[usize], ill, on: bool| {
-            let spans = &mut rig.ledger.borrow_mut().servers;
+            let spans = &mut rig.event_log.borrow_mut().server_impairments;
             for server in servers {
                 if on {
-                    Ledger::ill(spans, *server, ill, now);
+                    EventLog::begin_impairment(spans, *server, ill, now);
                 } else {
-                    Ledger::well(spans, *server, ill, now);
+                    EventLog::end_impairment(spans, *server, ill, now);
                 }
             }
         };
@@ -291,7 +291,7 @@
             Change::Links(on) => {
                 rig.links.borrow_mut().turn(step.fault, *on);
                 let touched = rig.links.borrow().hosts_of(step.fault);
-                ill(&touched, Ill::Links, *on);
+                ill(&touched, Impairment::LinkFault, *on);
             }
             Change::Kill(who) => self.processes.signal(who, Signal::SIGKILL),
             Change::Term(who) => self.processes.signal(who, Signal::SIGTERM),
@@ -306,36 +306,36 @@
                         rig.lives[*server].set(rig.lives[*server].get() + 1);
                     }
                 }
-                ill(who, Ill::Silent, *on);
+                ill(who, Impairment::Silent, *on);
             }
             Change::Slow(who, times) => {
                 who.iter().for_each(|server| rig.servers[*server].borrow_mut().slow(*times));
-                ill(who, Ill::Slow, *times != 1.0);
+                ill(who, Impairment::Slow, *times != 1.0);
             }
             Change::Failing(who, share) => {
                 who.iter().for_each(|server| rig.servers[*server].borrow_mut().fail(*share));
-                ill(who, Ill::Failing, *share > 0.0);
+                ill(who, Impairment::Failing, *share > 0.0);
             }
             Change::Drain(who) => {
                 for server in who {
                     rig.servers[*server].borrow_mut().closed = true;
                     self.list(*server, Life::Terminating);
                 }
-                ill(who, Ill::Closed, true);
+                ill(who, Impairment::OutOfService, true);
             }
             Change::Gone(who) => {
                 for server in who {
                     self.close(*server).await;
                     self.list(*server, Life::Terminated);
                 }
-                ill(who, Ill::Closed, true);
+                ill(who, Impairment::OutOfService, true);
             }
             Change::Restart(who) => {
                 for server in who {
                     self.restart(*server, now).await;
                     self.list(*server, Life::InService);
                 }
-                ill(who, Ill::Closed, false);
+                ill(who, Impairment::OutOfService, false);
             }
             Change::Replace(who) => {
                 for server in who {
@@ -368,8 +368,13 @@
         let to = Some(
             now + micros_from_seconds(e.servers.cold_s).max(micros_from_seconds(e.discovery.notice_s) + late),
         );
-        let mut ledger = self.rig.ledger.borrow_mut();
-        ledger.servers.push(Span { who: server as u32, ill: Ill::Cold, from: now, to });
+        let mut event_log = self.rig.event_log.borrow_mut();
+        event_log.server_impairments.push(ImpairedSpan {
+            number: server as u32,
+            impairment: Impairment::SlowStart,
+            from: now,
+            to,
+        });
     }
 
     /// Discovery's list changes for a server.
@@ -397,30 +402,30 @@
         let late = rig.now().saturating_sub(due);
         if late > STALL {
             let now = rig.now();
-            rig.ledger.borrow_mut().stalls.push((now, late));
+            rig.event_log.borrow_mut().testbed_stalls.push((now, late));
         }
     }
 }
 
-/// Counts all times of a ledger from the beginning of the load.
-fn move_times(ledger: &mut Ledger, by: Micros) {
+/// Counts all times of a event log from the beginning of the load.
+fn move_times(event_log: &mut EventLog, by: Micros) {
     let back = |at: &mut Micros| *at = at.saturating_sub(by);
-    for command in &mut ledger.requests {
-        [&mut command.planned, &mut command.sent, &mut command.deadline].into_iter().for_each(back);
-        command.ended.iter_mut().for_each(back);
+    for command in &mut event_log.requests {
+        [&mut command.planned_at, &mut command.sent_at, &mut command.deadline].into_iter().for_each(back);
+        command.ended_at.iter_mut().for_each(back);
     }
-    for attempt in ledger.attempts.iter_mut().chain(&mut ledger.unheard) {
-        [&mut attempt.first_byte, &mut attempt.begun].into_iter().for_each(back);
-        attempt.answered.iter_mut().for_each(back);
+    for attempt in event_log.attempts.iter_mut().chain(&mut event_log.undelivered) {
+        [&mut attempt.first_byte_at, &mut attempt.received_at].into_iter().for_each(back);
+        attempt.answered_at.iter_mut().for_each(back);
     }
-    ledger.told.iter_mut().for_each(|told| back(&mut told.at));
-    for span in ledger.servers.iter_mut().chain(&mut ledger.processes) {
+    event_log.notices.iter_mut().for_each(|told| back(&mut told.at));
+    for span in event_log.server_impairments.iter_mut().chain(&mut event_log.process_impairments) {
         back(&mut span.from);
         span.to.iter_mut().for_each(back);
     }
-    ledger.falls.iter_mut().for_each(|(_, at)| back(at));
-    ledger.stops.iter_mut().for_each(|(at, _)| back(at));
-    ledger.stalls.iter_mut().for_each(|(at, _)| back(at));
+    event_log.server_collapses.iter_mut().for_each(|(_, at)| back(at));
+    event_log.origin_stops.iter_mut().for_each(|(at, _)| back(at));
+    event_log.testbed_stalls.iter_mut().for_each(|(at, _)| back(at));
 }
 
 /// Processor time in seconds.
--- a/testbed/src/processes.rs
+++ b/testbed/src/processes.rs
@@ -10,10 +10,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use juniperladder_platform_model::checker::{Effect, Terms};
+use juniperladder_platform_model::event_log::{EventLog, Impairment};
 use juniperladder_platform_model::experiment::Experiment;
 use juniperladder_platform_model::group::zone_of;
-use juniperladder_platform_model::judge::{Effect, Terms};
-use juniperladder_platform_model::ledger::{Ill, Ledger};
 use juniperladder_platform_model::rng::spread;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -207,7 +207,12 @@
         let process = &self.all[number];
         process.pid.set(0);
         let now = self.rig.now();
-        Ledger::ill(&mut self.rig.ledger.borrow_mut().processes, number, Ill::Dead, now);
+        EventLog::begin_impairment(
+            &mut self.rig.event_log.borrow_mut().process_impairments,
+            number,
+            Impairment::Dead,
+            now,
+        );
         if !process.told.get() {
             let how = status.map_or_else(|e| e.to_string(), |status| status.to_string());
             let what = format!(
@@ -228,13 +233,13 @@
                 continue;
             }
             let now = self.rig.now();
-            let spans = &mut self.rig.ledger.borrow_mut().processes;
+            let spans = &mut self.rig.event_log.borrow_mut().process_impairments;
             match signal {
-                Signal::SIGSTOP => Ledger::ill(spans, *number, Ill::Frozen, now),
-                Signal::SIGCONT => Ledger::well(spans, *number, Ill::Frozen, now),
+                Signal::SIGSTOP => EventLog::begin_impairment(spans, *number, Impairment::Frozen, now),
+                Signal::SIGCONT => EventLog::end_impairment(spans, *number, Impairment::Frozen, now),
                 Signal::SIGKILL => {
                     process.told.set(true);
-                    Ledger::ill(spans, *number, Ill::Dead, now);
+                    EventLog::begin_impairment(spans, *number, Impairment::Dead, now);
                 }
                 _ => process.told.set(true),
             }
@@ -264,7 +269,12 @@
                     sleep(Duration::from_millis(10)).await;
                 }
                 let now = processes.rig.now();
-                Ledger::well(&mut processes.rig.ledger.borrow_mut().processes, number, Ill::Dead, now);
+                EventLog::end_impairment(
+                    &mut processes.rig.event_log.borrow_mut().process_impairments,
+                    number,
+                    Impairment::Dead,
+                    now,
+                );
             });
         }
     }
--- a/testbed/src/rig.rs
+++ b/testbed/src/rig.rs
@@ -1,4 +1,4 @@
-//! What all parts of the rig share: the clock, the machines, the links, the list and the ledger.
+//! What all parts of the rig share: the clock, the machines, the links, the list and the event log.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -7,9 +7,9 @@
 
 use juniperladder_platform_model::cache_server::CacheServer;
 use juniperladder_platform_model::discovery::{Catalog, Door, Entry, Life};
+use juniperladder_platform_model::event_log::{Attempt, EventLog};
 use juniperladder_platform_model::experiment::Experiment;
 use juniperladder_platform_model::group::zone_of;
-use juniperladder_platform_model::ledger::{Attempt, Ledger};
 use juniperladder_platform_model::links::{End, LinkState, Links};
 use juniperladder_platform_model::load::key_name;
 use juniperladder_platform_model::origin::Origin;
@@ -63,7 +63,7 @@
     /// A balancer of each side, by the side's number.
     pub sides: Vec<usize>,
     /// What the run leaves.
-    pub ledger: RefCell<Ledger>,
+    pub event_log: RefCell<EventLog>,
     /// Requests' misses: the servers that lack the key, and which life of theirs it was.
     missed: RefCell<HashMap<u64, Vec<Missed>>>,
     machines: RefCell<SeededRng>,
@@ -102,7 +102,7 @@
             late: RefCell::new(vec![0; e.fleet.balancers]),
             links: RefCell::new(links),
             sides,
-            ledger: RefCell::default(),
+            event_log: RefCell::default(),
             missed: RefCell::default(),
             machines: RefCell::new(seeded_rng(e.seed, RngStream::Machines)),
             wires: RefCell::new(seeded_rng(e.seed, RngStream::Links)),
@@ -179,9 +179,9 @@
         }
     }
 
-    /// Puts an attempt into the ledger; gives its place there.
+    /// Puts an attempt into the event log; gives its place there.
     pub fn received(&self, attempt: Attempt) -> usize {
-        let attempts = &mut self.ledger.borrow_mut().attempts;
+        let attempts = &mut self.event_log.borrow_mut().attempts;
         attempts.push(attempt);
         attempts.len() - 1
     }
--- a/testbed/tests/controls.rs
+++ b/testbed/tests/controls.rs
@@ -3,7 +3,7 @@
 
 use std::path::PathBuf;
 
-use juniperladder_platform_model::judge::{judge, Terms};
+use juniperladder_platform_model::checker::{check_run, Terms};
 use juniperladder_platform_model::reader::read;
 use juniperladder_platform_model::summary::Summary;
 use juniperladder_platform_model::MICROS_PER_SECOND;
@@ -27,7 +27,7 @@
     assert_eq!(run.crashes, [""; 0]);
     // Tests share the machine with others: an answer may be half a second late before it counts as that.
     let terms = Terms { slack: MICROS_PER_SECOND / 2, ..Terms::of(&experiment) };
-    judge(&run.ledger, &terms).summary
+    check_run(&run.event_log, &terms).summary
 }
 
 const DRAIN: &str = "[[fault]]\nat = 2\nfor = 6\nwhat = \"drain\"\nwho = \"hosts:3\"\n";
