--- a/platform-model/src/judge.rs
+++ b/platform-model/src/checker.rs
@@ -1,24 +1,27 @@
-//! The judge: reads a run's ledger and counts every breach of the four rules, and the fleet's figures.
+//! The judge: reads a run's event log and counts every breach of the four rules, and the fleet's figures.
 //!
 //! Nothing here trusts what a balancer says of itself: what a limit used is counted at the origin and at the servers,
 //! what was lost at the clients.
 
+#[cfg(test)]
+mod tests;
+
+pub mod failure_detection;
 pub mod limits;
 pub mod rules;
+pub mod self_reports;
 pub mod series;
 pub mod spread;
-pub mod told;
-pub mod verdicts;
 
 #[cfg(test)]
-pub(crate) mod hand;
+pub(crate) mod test_log;
 
 use std::collections::HashMap;
 
+use crate::event_log::{ClientRequest, EventLog, RequestResult};
 use crate::experiment::{CacheServers, Experiment};
-use crate::ledger::{ClientRequest, Ended, Ledger};
 use crate::summary::{Latency, Summary};
-use crate::{us, Us, SECOND};
+use crate::{micros_from_seconds, Micros, MICROS_PER_SECOND};
 
 /// Whether a request may run again once it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,7 +29,7 @@
     /// As often as one likes.
     Safe,
     /// With its idempotency key, for so long after the first attempt that may have run.
-    Keyed(Us),
+    Keyed(Micros),
     /// Never.
     Unsafe,
 }
@@ -37,9 +40,9 @@
     /// Its name on the wire.
     pub name: &'static str,
     /// An answer within this time earns its worth.
-    pub aim: Us,
+    pub aim: Micros,
     /// The longest that a client waits, over all its tries.
-    pub deadline: Us,
+    pub deadline: Micros,
     /// What one is worth.
     pub worth: f64,
     /// Whether it may run again.
@@ -50,17 +53,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Terms {
     /// The experiment's beginning: what comes before only fills the caches.
-    pub zero: Us,
+    pub zero: Micros,
     /// The end of the load.
-    pub end: Us,
+    pub end: Micros,
     /// Reads and writes.
     pub classes: [Class; 2],
     /// The most attempts of a request.
     pub attempts: usize,
     /// Sends to a server end so soon after its drain was told.
-    pub drain_grace: Us,
+    pub drain_grace: Micros,
     /// By so much each time limit grows.
-    pub slack: Us,
+    pub slack: Micros,
     /// The servers' weights.
     pub weights: Vec<f64>,
     /// Fetches a second at the origin.
@@ -78,17 +81,17 @@
 impl Terms {
     /// The terms of an experiment.
     pub fn of(e: &Experiment) -> Terms {
-        let zero = us(e.load.warm);
+        let zero = micros_from_seconds(e.load.warm);
         let class = |name, aim, deadline, worth, effect| Class { name, aim, deadline, worth, effect };
         Terms {
             zero,
-            end: zero + us(e.seconds),
+            end: zero + micros_from_seconds(e.seconds),
             classes: [
                 class("read", 750_000, 1_500_000, 1.0, Effect::Safe),
-                class("put", 1_200_000, 3_000_000, 10.0, Effect::Keyed(6 * SECOND)),
+                class("put", 1_200_000, 3_000_000, 10.0, Effect::Keyed(6 * MICROS_PER_SECOND)),
             ],
             attempts: 3,
-            drain_grace: SECOND / 2,
+            drain_grace: MICROS_PER_SECOND / 2,
             slack: 50_000,
             weights: (0..e.fleet.servers).map(|n| e.fleet.weights[n % e.fleet.weights.len()]).collect(),
             capacity: e.origin.capacity,
@@ -105,7 +108,7 @@
     }
 
     /// Whether this time counts.
-    pub fn counts(&self, at: Us) -> bool {
+    pub fn counts(&self, at: Micros) -> bool {
         (self.zero..self.end).contains(&at)
     }
 }
@@ -116,19 +119,19 @@
     /// The whole of the limit `origin`, a second.
     pub origin: f64,
     /// By how much requests may differ in the time that they take to a server or the origin.
-    pub spread: Us,
+    pub spread: Micros,
     /// Sends a second that a warm server bears, where sends to cold ones are limited.
     pub cold: Option<f64>,
     /// Second tries for each first try, and how many may be saved up in all.
     pub second: Option<(f64, f64)>,
     /// Verdicts: within which time all connected act on a change, and how long a word acts.
-    pub verdicts: Option<(Us, Us)>,
+    pub verdicts: Option<(Micros, Micros)>,
 }
 
 impl Stated {
     /// The most in any second as a multiple of what is limited to so much a second.
     pub fn bound(&self) -> f64 {
-        1.0 + self.spread as f64 / SECOND as f64
+        1.0 + self.spread as f64 / MICROS_PER_SECOND as f64
     }
 }
 
@@ -144,23 +147,23 @@
 }
 
 /// Judges a run. What the processes and the machine cost is filled in by the caller.
-pub fn judge(ledger: &Ledger, terms: &Terms) -> Verdict {
-    let breaches = rules::breaches(ledger, terms);
+pub fn check_run(event_log: &EventLog, terms: &Terms) -> Verdict {
+    let breaches = rules::breaches(event_log, terms);
     let mut summary = Summary::default();
     let count = |rule| breaches.iter().filter(|b| b.rule == rule).count() as u64;
     summary.rules.answers = count(rules::Rule::Answers);
     summary.rules.attempts = count(rules::Rule::Attempts);
     summary.rules.drains = count(rules::Rule::Drains);
     summary.rules.cold = count(rules::Rule::Cold);
-    let mut late: Vec<Us> = Vec::new();
-    let mut latencies: Vec<Us> = Vec::new();
-    for request in ledger.requests.iter().filter(|c| terms.counts(c.planned)) {
+    let mut late: Vec<Micros> = Vec::new();
+    let mut latencies: Vec<Micros> = Vec::new();
+    for request in event_log.requests.iter().filter(|c| terms.counts(c.planned_at)) {
         summary.requests += 1;
-        late.push(request.sent.saturating_sub(request.planned));
+        late.push(request.sent_at.saturating_sub(request.planned_at));
         match fate(request, terms) {
             Fate::Served => {
                 summary.served += 1;
-                latencies.extend(request.ended.map(|at| at - request.sent));
+                latencies.extend(request.ended_at.map(|at| at - request.sent_at));
             }
             Fate::Refused => summary.refused += 1,
             Fate::Failed => summary.failed += 1,
@@ -173,17 +176,18 @@
         p99: percentile(&mut latencies, 0.99) as f64 / 1e3,
         p999: percentile(&mut latencies, 0.999) as f64 / 1e3,
     };
-    summary.service = service(ledger, terms);
-    summary.attempts_per_request = ledger.attempts.iter().filter(|a| terms.counts(a.begun)).count() as f64
+    summary.service = service(event_log, terms);
+    summary.attempts_per_request = event_log.attempts.iter().filter(|a| terms.counts(a.received_at)).count()
+        as f64
         / (summary.requests.max(1)) as f64;
-    summary.spread = spread::spread(ledger, terms);
-    let origin = limits::origin(ledger, terms);
+    summary.spread = spread::spread(event_log, terms);
+    let origin = limits::origin(event_log, terms);
     summary.origin = origin.figures;
     summary.limits.insert("origin".into(), origin.limit);
-    summary.limits.insert("cold".into(), limits::cold(ledger, terms));
-    summary.limits.insert("second".into(), limits::second(ledger, terms));
-    let series = series::series(ledger, terms);
-    summary.verdicts = verdicts::verdicts(ledger, terms, &series.servers);
+    summary.limits.insert("cold".into(), limits::cold(event_log, terms));
+    summary.limits.insert("second".into(), limits::second(event_log, terms));
+    let series = series::series(event_log, terms);
+    summary.verdicts = failure_detection::verdicts(event_log, terms, &series.servers);
     Verdict { summary, breaches, series }
 }
 
@@ -202,30 +206,30 @@
 
 /// How this request counts.
 pub fn fate(request: &ClientRequest, terms: &Terms) -> Fate {
-    let late = request.ended.is_some_and(|at| at > request.deadline + terms.slack);
-    match request.end {
-        Ended::Silent | Ended::Closed | Ended::Wrong => Fate::Lost,
-        Ended::Served | Ended::Refused | Ended::Failed if late => Fate::Lost,
-        Ended::Served => Fate::Served,
-        Ended::Refused | Ended::Shut => Fate::Refused,
-        Ended::Failed | Ended::Untaken | Ended::Left => Fate::Failed,
+    let late = request.ended_at.is_some_and(|at| at > request.deadline + terms.slack);
+    match request.result {
+        RequestResult::NoAnswer | RequestResult::ConnectionClosed | RequestResult::WrongValue => Fate::Lost,
+        RequestResult::Served | RequestResult::Rejected | RequestResult::Failed if late => Fate::Lost,
+        RequestResult::Served => Fate::Served,
+        RequestResult::Rejected | RequestResult::ConnectionRejected => Fate::Refused,
+        RequestResult::Failed | RequestResult::NotAccepted | RequestResult::ClientLeft => Fate::Failed,
     }
 }
 
 /// Worth that was served within its aim over worth that was asked for; a client's tries count as one.
-fn service(ledger: &Ledger, terms: &Terms) -> f64 {
+fn service(event_log: &EventLog, terms: &Terms) -> f64 {
     let (mut asked, mut served) = (0.0, 0.0);
-    let firsts = first_tries(ledger);
-    for request in &ledger.requests {
-        let Some(first) = firsts.get(&request.first).filter(|first| terms.counts(first.planned)) else {
+    let firsts = first_tries(event_log);
+    for request in &event_log.requests {
+        let Some(first) = firsts.get(&request.first_id).filter(|first| terms.counts(first.planned_at)) else {
             continue;
         };
         let class = terms.class(request.write);
-        if request.id == request.first {
+        if request.id == request.first_id {
             asked += class.worth;
         }
-        let in_time = request.ended.is_some_and(|at| at <= first.sent + class.aim + terms.slack);
-        if request.end == Ended::Served && in_time {
+        let in_time = request.ended_at.is_some_and(|at| at <= first.sent_at + class.aim + terms.slack);
+        if request.result == RequestResult::Served && in_time {
             served += class.worth;
         }
     }
@@ -237,12 +241,12 @@
 }
 
 /// The first tries by their ids.
-fn first_tries(ledger: &Ledger) -> HashMap<u64, &ClientRequest> {
-    ledger.requests.iter().filter(|c| c.id == c.first).map(|c| (c.id, c)).collect()
+fn first_tries(event_log: &EventLog) -> HashMap<u64, &ClientRequest> {
+    event_log.requests.iter().filter(|c| c.id == c.first_id).map(|c| (c.id, c)).collect()
 }
 
 /// The value at this part of the sorted whole; 0 where there is none.
-pub(crate) fn percentile(values: &mut [Us], part: f64) -> Us {
+pub(crate) fn percentile(values: &mut [Micros], part: f64) -> Micros {
     values.sort_unstable();
     at_part(values, part)
 }
@@ -257,51 +261,3 @@
     let place = ((sorted.len() as f64 * part).ceil() as usize).clamp(1, sorted.len().max(1)) - 1;
     sorted.get(place).copied().unwrap_or_default()
 }
-
-#[cfg(test)]
-mod tests {
-    use super::hand::{served, terms, Hand};
-    use super::*;
-
-    #[test]
-    fn commands_count_by_how_their_clients_saw_them_end() {
-        let mut hand = Hand::default();
-        use Ended::{Closed, Failed, Refused, Served, Shut, Silent, Untaken};
-        for end in [Served, Refused, Failed, Untaken, Silent, Closed, Shut] {
-            hand.request(ClientRequest { end, ..served(10.0) });
-        }
-        let deadline = served(10.0).deadline;
-        hand.request(ClientRequest { ended: Some(deadline + 50_000), ..served(10.0) });
-        hand.request(ClientRequest { ended: Some(deadline + 50_001), ..served(10.0) });
-        hand.request(ClientRequest { planned: 0, ..served(10.0) });
-        let summary = judge(&hand.ledger, &terms()).summary;
-        let counts = (summary.requests, summary.served, summary.refused, summary.failed, summary.lost);
-        assert_eq!(counts, (9, 2, 2, 2, 3), "one that came while the caches filled does not count");
-    }
-
-    #[test]
-    fn a_retry_serves_its_first_try_while_the_aim_lasts() {
-        let mut hand = Hand::default();
-        let first = hand.request(ClientRequest { end: Ended::Refused, ..served(10.0) });
-        let sent = served(10.0).sent;
-        let again =
-            ClientRequest { first, sent: sent + 300_000, ended: Some(sent + 800_000), ..served(10.3) };
-        hand.retry(again.clone());
-        assert_eq!(judge(&hand.ledger, &terms()).summary.service, 1.0);
-        hand.ledger.requests[1].ended = Some(sent + 800_001);
-        assert_eq!(judge(&hand.ledger, &terms()).summary.service, 0.0);
-    }
-
-    #[test]
-    fn lag_is_that_of_the_sends_behind_their_plan() {
-        let mut hand = Hand::default();
-        for n in 0..100 {
-            let one = served(10.0);
-            let late = if n < 2 { 30_000 } else { 1_000 };
-            hand.request(ClientRequest { planned: one.sent - late, ..one });
-        }
-        assert_eq!(judge(&hand.ledger, &terms()).summary.lag_p99_ms, 30.0);
-        hand.ledger.requests[0].planned += 29_000;
-        assert_eq!(judge(&hand.ledger, &terms()).summary.lag_p99_ms, 1.0);
-    }
-}
