--- a/cluster/src/cluster.rs
+++ b/cluster/src/cluster.rs
@@ -1,5 +1,8 @@
 //! One balancer's side of all that balancers agree on: packets and times in, packets and figures out.
 
+#[cfg(test)]
+mod tests;
+
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
@@ -297,115 +300,3 @@
     }
     (sum >> 32) as u32 ^ sum as u32
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::SECOND;
-
-    fn cluster(number: u16, whole: u32) -> Cluster {
-        let address = |number: u16| SocketAddr::from(([127, 0, 0, 1], 1_000 + number));
-        let terms = Terms { whole, spread: 0, holders: 2, lease: 2 * SECOND, drift: 0.001 };
-        let limits = vec![("origin".to_owned(), terms)];
-        let (position, seed) = (u32::from(number), u64::from(number));
-        let cold = Some(cold::Terms { shares: terms, share: 0.25, warm_up: 10 * SECOND });
-        let second = Some(budget::Terms { share: 0.5, saved: 20.0, holders: 2 });
-        let verdicts =
-            verdicts::Terms { witnesses: 2, expiry: 6 * SECOND, most: 0.5, tries: 1.0, drift: 0.001 };
-        let (address, seeds) = (address(number), vec![address(0)]);
-        let verdicts = Some(verdicts);
-        let zone = 0;
-        let plan = Plan { address, life: 1, position, zone, seeds, limits, cold, second, verdicts, seed };
-        Cluster::new(plan, 0)
-    }
-
-    /// A tick of one balancer, with what it says to the other.
-    fn carry(all: &mut [Cluster; 2], from: usize, now: Us) {
-        all[from].tick(now);
-        for (_, bytes) in all[from].drain() {
-            let address = SocketAddr::from(([127, 0, 0, 1], 1_000 + from as u16));
-            all[1 - from].heard(now, address, &bytes);
-        }
-    }
-
-    /// Carries packets between two balancers for so long; the first of them wants six requests a second.
-    fn run(all: &mut [Cluster; 2], seconds: u64) {
-        for now in (0..seconds * SECOND).step_by(20_000) {
-            (0..2).for_each(|from| carry(all, from, now));
-            if now % 160_000 == 0 {
-                let shares = all[0].limit("origin").unwrap();
-                match shares.wait(now) {
-                    0 => shares.took(now),
-                    _ => shares.denied(now),
-                }
-            }
-        }
-    }
-
-    #[test]
-    fn two_balancers_share_what_one_of_them_needs() {
-        let mut all = [cluster(0, 8), cluster(1, 8)];
-        run(&mut all, 8);
-        let figures = all[0].figures(8 * SECOND);
-        assert_eq!(figures.members.alive, 2);
-        let (name, limit) = &figures.limits[0];
-        assert!(name == "origin" && limit.borrowed >= 2 && limit.held >= 6, "{limit:?}");
-        assert_eq!(all[1].figures(8 * SECOND).limits[0].1.lent, limit.borrowed);
-        assert_eq!((figures.dropped, figures.differ), (0, 0));
-    }
-
-    #[test]
-    fn retry_budget_and_slow_start_tokens_reach_who_needs_them() {
-        let mut all = [cluster(0, 8), cluster(1, 8)];
-        run(&mut all, 8);
-        let start = Start { server: 7, started: 4 * SECOND };
-        let mut took = 0;
-        for now in (8 * SECOND..12 * SECOND).step_by(20_000) {
-            all[1].second().unwrap().first();
-            let second = all[0].second().unwrap();
-            match second.has(now) {
-                true => second.spend(now),
-                false => second.denied(now),
-            }
-            let (shares, shut) = all[0].cold(start, now);
-            let shares = shares.unwrap();
-            assert!(!shut);
-            match shares.wait(now) {
-                0 => {
-                    shares.took(now);
-                    took += 1;
-                }
-                _ => shares.denied(now),
-            }
-            if now % 60_000 == 0 {
-                (0..2).for_each(|from| carry(&mut all, from, now));
-            }
-        }
-        let second = all[0].figures(12 * SECOND).second.unwrap();
-        assert!(second.spent > 10 && second.first == 0, "it has earned none itself: {second:?}");
-        // From 4 to 7 units in these four seconds, of which it owns half.
-        assert!((15..=24).contains(&took), "{took}");
-    }
-
-    #[test]
-    fn members_with_different_files_share_nothing() {
-        let mut all = [cluster(0, 8), cluster(1, 9)];
-        run(&mut all, 8);
-        let figures = all[1].figures(8 * SECOND);
-        assert!(figures.differ > 0 && figures.limits[0].1.lent == 0, "{figures:?}");
-        assert_eq!(figures.members.alive, 2);
-    }
-
-    #[test]
-    fn a_stranger_and_nonsense_are_dropped_and_counted() {
-        let mut one = cluster(0, 8);
-        let hold = shares::Hold { life: 1, sent: 1, units: 4 };
-        let about = About::Limit(0, shares::Message::Hold(hold));
-        let item = Item { terms: one.limits[0].brief, about };
-        let bytes = packet::talk([(SocketAddr::from(([127, 0, 0, 1], 9)), item)]).remove(0).1;
-        one.heard(10 * SECOND, SocketAddr::from(([127, 0, 0, 1], 9)), &bytes);
-        one.heard(10 * SECOND, SocketAddr::from(([127, 0, 0, 1], 9)), b"nonsense");
-        let figures = one.figures(10 * SECOND);
-        assert_eq!((figures.dropped, figures.limits[0].1.lent), (2, 0));
-    }
-}
--- a/cluster/src/packet.rs
+++ b/cluster/src/packet.rs
@@ -3,6 +3,9 @@
 //!
 //! A packet that is truncated, too long, of another version or nonsense is an error of its reader, and nothing else.
 
+#[cfg(test)]
+mod tests;
+
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
@@ -120,83 +123,3 @@
     }
     packets.into_iter().map(|(to, packet, _)| (to, packet)).collect()
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::shares::{Hold, Lent, Message};
-
-    fn all() -> Vec<Item> {
-        let start = Start { server: u64::MAX, started: u64::MAX };
-        let hold = Message::Hold(Hold { life: u64::MAX, sent: 12, units: 7 });
-        let lent = Message::Lent(Lent { life: 1, sent: u64::MAX, units: 0, spare: u32::MAX });
-        let entry = verdicts::Entry {
-            start,
-            witness: 7,
-            zone: 1,
-            stamp: u64::MAX,
-            age: 9,
-            silent: true,
-            back: false,
-        };
-        let told = verdicts::Message::Told { sent: 1, entries: vec![entry; verdicts::MOST_TOLD] };
-        let give = budget::Message::Give { life: 3, sent: 4, rights: 5 };
-        let abouts = [
-            About::Limit(3, hold),
-            About::Cold(start, lent),
-            About::Second(give),
-            About::Verdicts(told),
-            About::Verdicts(verdicts::Message::Ask {
-                sent: 1,
-                digest: u64::MAX,
-                about: verdicts::What::HotBack,
-            }),
-        ];
-        abouts.into_iter().map(|about| Item { terms: u32::MAX, about }).collect()
-    }
-
-    #[test]
-    fn packets_are_read_as_they_were_written() {
-        let to = SocketAddr::from(([127, 0, 0, 1], 9));
-        let packets = talk(all().into_iter().map(|item| (to, item)));
-        let read_back = packets.iter().flat_map(|(_, bytes)| match read(bytes) {
-            Ok(Packet::Talk(items)) => items,
-            other => panic!("{other:?}"),
-        });
-        let mut read_back: Vec<Item> = read_back.collect();
-        // What fits goes into an earlier packet: the order between packets is free.
-        read_back.sort_by_key(|item| format!("{item:?}"));
-        let mut sent = all();
-        sent.sort_by_key(|item| format!("{item:?}"));
-        assert_eq!(read_back, sent);
-        assert!(packets.len() <= 2 && packets.iter().all(|(_, bytes)| bytes.len() <= LONGEST));
-    }
-
-    #[test]
-    fn what_is_truncated_longer_or_nonsense_is_an_error() {
-        let to = SocketAddr::from(([127, 0, 0, 1], 9));
-        for item in all() {
-            let bytes = talk([(to, item)]).remove(0).1;
-            for cut in 0..bytes.len() {
-                assert!(read(&bytes[..cut]).is_err(), "truncated at {cut}");
-            }
-            let longer = [&bytes[..], &[0xff; 3]].concat();
-            assert_eq!(read(&longer), Err(Wrong::Nonsense));
-        }
-        assert_eq!(read(&membership(b"abc")), Ok(Packet::Membership(b"abc")));
-        assert_eq!(read(&[b'J'; LONGEST + 1]), Err(Wrong::TooLong));
-        assert_eq!(read(b"JL\x01\x00"), Err(Wrong::Version));
-        assert_eq!(read(b"JL\x02\x09"), Err(Wrong::Nonsense));
-    }
-
-    #[test]
-    fn more_items_than_are_ever_sent_are_nonsense() {
-        let to = SocketAddr::from(([127, 0, 0, 1], 9));
-        let give = budget::Message::Give { life: 3, sent: 4, rights: 5 };
-        let item = Item { terms: 1, about: About::Second(give) };
-        let packets = talk(std::iter::repeat_n((to, item), MOST_ITEMS + 1));
-        assert_eq!(packets.len(), 2);
-        let both = [&packets[0].1[..], &packets[1].1[HEAD.len() + 1..]].concat();
-        assert_eq!(read(&both), Err(Wrong::Nonsense));
-    }
-}
