--- a/cluster/src/budget.rs
+++ b/cluster/src/budget.rs
@@ -24,12 +24,12 @@
 
 use crate::interval::Interval;
 use crate::open_requests::OpenRequests;
-use crate::{Us, SECOND};
+use juniperladder::Micros;
 
 /// How long a question may wait for its answer, and how long what came by it is kept.
-pub const OPEN: Us = SECOND;
+pub const OPEN: Micros = Micros::SECOND;
 /// Between two rounds of questions.
-const EVERY: Us = 200_000;
+const EVERY: Micros = Micros::from_millis(200);
 /// Members asked in a round, and the most rights asked for.
 const ASKED: usize = 2;
 const MOST: u32 = 16;
@@ -55,7 +55,8 @@
         /// The asker's life.
         life: u64,
         /// When, by the asker's clock.
-        sent: Us,
+        #[serde(with = "crate::wire_micros")]
+        sent: Micros,
         /// How many.
         rights: u32,
     },
@@ -64,7 +65,8 @@
         /// The asker's life, as asked.
         life: u64,
         /// The time in the question, as asked.
-        sent: Us,
+        #[serde(with = "crate::wire_micros")]
+        sent: Micros,
         /// How many.
         rights: u32,
     },
@@ -94,11 +96,11 @@
     life: u64,
     own: f64,
     most: f64,
-    got: VecDeque<(Us, f64)>,
+    got: VecDeque<(Micros, f64)>,
     requests: OpenRequests,
     rounds: Interval,
     /// When one was last wanted and there was none.
-    short: Option<Us>,
+    short: Option<Micros>,
     out: Vec<(SocketAddr, Message)>,
     figures: Figures,
 }
@@ -129,15 +131,15 @@
     }
 
     /// What has come from others and is not too old.
-    fn got(&mut self, now: Us) -> f64 {
-        while self.got.front().is_some_and(|(at, _)| now >= at + OPEN) {
+    fn got(&mut self, now: Micros) -> f64 {
+        while self.got.front().is_some_and(|(at, _)| now >= *at + OPEN) {
             self.got.pop_front();
         }
         self.got.iter().map(|(_, rights)| rights).sum()
     }
 
     /// Whether one more second try may begin.
-    pub fn has(&mut self, now: Us) -> bool {
+    pub fn has(&mut self, now: Micros) -> bool {
         let has = self.own >= 1.0 || self.got(now) >= 1.0;
         if !has {
             self.short = Some(now);
@@ -146,7 +148,7 @@
     }
 
     /// One begins; what came from others goes first.
-    pub fn spend(&mut self, now: Us) {
+    pub fn spend(&mut self, now: Micros) {
         self.figures.spent += 1;
         if self.got(now) < 1.0 {
             self.own = (self.own - 1.0).max(0.0);
@@ -157,13 +159,13 @@
     }
 
     /// One was given up for want of a right.
-    pub fn denied(&mut self, now: Us) {
+    pub fn denied(&mut self, now: Micros) {
         self.figures.denied += 1;
         self.short = Some(now);
     }
 
     /// Asks others while there was lately none; to be called every 50 ms or so.
-    pub fn tick(&mut self, now: Us, mut peer: impl FnMut() -> Option<SocketAddr>) {
+    pub fn tick(&mut self, now: Micros, mut peer: impl FnMut() -> Option<SocketAddr>) {
         self.requests.expire(now);
         let short = self.short.is_some_and(|at| now < at + OPEN);
         if !short || self.own >= 1.0 || self.got(now) >= 1.0 || !self.rounds.is_due(now, EVERY) {
@@ -177,7 +179,7 @@
     }
 
     /// A message has come.
-    pub fn heard(&mut self, now: Us, from: SocketAddr, message: Message) {
+    pub fn heard(&mut self, now: Micros, from: SocketAddr, message: Message) {
         match message {
             Message::Ask { life, sent, rights } => {
                 // Half of what can be done without: who asks next finds some, too.
@@ -202,7 +204,7 @@
     }
 
     /// What operators see.
-    pub fn figures(&mut self, now: Us) -> Figures {
+    pub fn figures(&mut self, now: Micros) -> Figures {
         Figures { own: self.own, got: self.got(now), ..self.figures }
     }
 }
--- a/cluster/src/budget/tests.rs
+++ b/cluster/src/budget/tests.rs
@@ -11,8 +11,10 @@
 struct Moment;
 
 /// Between two moments.
-const MOMENTS_APART: Us = 5_000;
-const END: Us = 20 * SECOND;
+const MOMENTS_APART: Micros = Micros::from_millis(5);
+/// By how much at most a late packet is late.
+const LATE_DELAYS: &[Micros] = &[Micros::from_secs(4)];
+const END: Micros = Micros::from_secs(20);
 
 /// A fleet with losses, repeats, late packets, new lives and freezes.
 struct Fleet {
@@ -20,8 +22,8 @@
     network: VirtualNetwork<Message, Moment>,
     members: Vec<Budget>,
     /// When first and second tries began.
-    firsts: Vec<Us>,
-    seconds: Vec<Us>,
+    firsts: Vec<Micros>,
+    seconds: Vec<Micros>,
     denied: usize,
     /// Whether the bound has held.
     kept: bool,
@@ -34,10 +36,10 @@
     let conditions = Conditions {
         loss: 0.2,
         repeat: if twice { 1.0 } else { 0.1 },
-        least_delay: 0,
-        delay: 50_000,
+        least_delay: Micros::ZERO,
+        delay: Micros::from_millis(50),
         late: 0.05,
-        latest: &[4 * SECOND],
+        latest: LATE_DELAYS,
         drift: 0.0,
     };
     let terms = Terms { share, saved: 10.0 * members as f64, holders: members as u32 };
@@ -57,7 +59,7 @@
 impl Fleet {
     fn run(&mut self) {
         (0..self.members.len()).for_each(|one| self.network.start(one));
-        self.network.schedule(0, Moment);
+        self.network.schedule(Micros::ZERO, Moment);
         while let Some(arrival) = self.network.next(END) {
             self.step(arrival);
         }
@@ -69,7 +71,7 @@
                 let now = self.network.clock(one);
                 self.members[one].tick(now, || self.network.draw_peer(one));
                 self.network.send(one, self.members[one].drain());
-                self.network.tick_after(one, 50_000);
+                self.network.tick_after(one, Micros::from_millis(50));
             }
             Arrival::Packet { from, to, message } => {
                 let now = self.network.clock(to);
@@ -89,7 +91,7 @@
         match self.network.rng.random_range(0..1_000) {
             0 => self.network.schedule_kill(self.network.now(), one),
             1 => {
-                let lasts = self.network.draw(3 * SECOND);
+                let lasts = self.network.draw(Micros::from_secs(3));
                 self.network.freeze(one, lasts);
             }
             _ => {}
@@ -114,11 +116,11 @@
         }
         self.members[0].spend(clock);
         self.seconds.push(now);
-        for window in [SECOND, 30 * SECOND] {
-            let from = now.checked_sub(window);
-            let is_within = |at: Us| from.is_none_or(|from| at > from);
+        for window in [Micros::SECOND, Micros::from_secs(30)] {
+            let from = now.0.checked_sub(window.0).map(Micros);
+            let is_within = |at: Micros| from.is_none_or(|from| at > from);
             let went = self.seconds.iter().rev().take_while(|at| is_within(**at)).count() as f64;
-            let earned = self.firsts.iter().rev().take_while(|at| is_within(**at + 2 * OPEN)).count() as f64;
+            let earned = self.firsts.iter().rev().take_while(|at| is_within(**at + OPEN * 2)).count() as f64;
             self.kept &= went <= self.terms.share * earned + self.terms.saved + 1e-6;
         }
     }
@@ -141,20 +143,20 @@
 fn a_repeated_or_late_gift_does_not_count() {
     let terms = Terms { share: 0.5, saved: 40.0, holders: 2 };
     let mut one = Budget::new(terms, 0, 1);
-    assert!(!one.has(0));
-    one.tick(SECOND / 2, || Some(address(1)));
+    assert!(!one.has(Micros::ZERO));
+    one.tick(Micros::from_millis(500), || Some(address(1)));
     let asked: Vec<_> = one.drain().collect();
     let Message::Ask { life, sent, .. } = asked[0].1 else { panic!("{asked:?}") };
     let give = Message::Give { life, sent, rights: 3 };
-    one.heard(SECOND, address(2), give);
-    assert_eq!(one.figures(SECOND).got, 0.0, "it was not asked");
-    one.heard(SECOND, address(1), give);
-    one.heard(SECOND, address(1), give);
-    assert_eq!(one.figures(SECOND).got, 3.0);
-    one.spend(SECOND);
-    assert_eq!(one.figures(SECOND).got, 2.0);
-    assert_eq!(one.figures(2 * SECOND).got, 0.0, "kept for a second");
+    one.heard(Micros::SECOND, address(2), give);
+    assert_eq!(one.figures(Micros::SECOND).got, 0.0, "it was not asked");
+    one.heard(Micros::SECOND, address(1), give);
+    one.heard(Micros::SECOND, address(1), give);
+    assert_eq!(one.figures(Micros::SECOND).got, 3.0);
+    one.spend(Micros::SECOND);
+    assert_eq!(one.figures(Micros::SECOND).got, 2.0);
+    assert_eq!(one.figures(Micros::from_secs(2)).got, 0.0, "kept for a second");
     let Message::Ask { life, sent, .. } = asked[1].1 else { panic!("{asked:?}") };
-    one.heard(3 * SECOND, address(1), Message::Give { life, sent, rights: 3 });
-    assert_eq!(one.figures(3 * SECOND).got, 0.0, "too late");
+    one.heard(Micros::from_secs(3), address(1), Message::Give { life, sent, rights: 3 });
+    assert_eq!(one.figures(Micros::from_secs(3)).got, 0.0, "too late");
 }
--- a/cluster/src/cluster.rs
+++ b/cluster/src/cluster.rs
@@ -12,7 +12,8 @@
 use crate::packet::{self, About, Item, Packet};
 use crate::shares::{self, Shares, Terms};
 use crate::verdicts::{self, Verdicts};
-use crate::{Us, LONGEST};
+use crate::LONGEST;
+use juniperladder::Micros;
 
 /// Packets out between two ticks: far more than a balancer has to say, and an end to what a wrong peer can make it say.
 const MOST_OUT: usize = 256;
@@ -93,7 +94,7 @@
 
 impl Cluster {
     /// A balancer that starts now.
-    pub fn new(plan: Plan, now: Us) -> Cluster {
+    pub fn new(plan: Plan, now: Micros) -> Cluster {
         let Plan { address, life, position, zone, seeds, limits, cold, second, verdicts, seed } = plan;
         let one = |(name, terms): (String, Terms)| One {
             name,
@@ -105,7 +106,7 @@
             membership: Membership::new(Name { address, life }, seeds, seed, now),
             limits: limits.into_iter().map(one).collect(),
             cold: cold.map(|terms| {
-                let numbers = [terms_in_brief(&terms.shares).into(), terms.share.to_bits(), terms.warm_up];
+                let numbers = [terms_in_brief(&terms.shares).into(), terms.share.to_bits(), terms.warm_up.0];
                 (Cold::new(terms, position, life, now), brief(&numbers))
             }),
             second: second.map(|terms| {
@@ -113,7 +114,7 @@
                 (Budget::new(terms, position, life), brief)
             }),
             verdicts: verdicts.map(|terms| {
-                let numbers = [terms.witnesses as u64, terms.expiry, terms.most.to_bits()];
+                let numbers = [terms.witnesses as u64, terms.expiry.0, terms.most.to_bits()];
                 (Verdicts::new(terms, position, zone, seed ^ 1, now), brief(&numbers))
             }),
             figures: Figures::default(),
@@ -122,7 +123,7 @@
     }
 
     /// A packet has come.
-    pub fn heard(&mut self, now: Us, from: SocketAddr, bytes: &[u8]) {
+    pub fn heard(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
         self.figures.heard.0 += 1;
         self.figures.heard.1 += bytes.len() as u64;
         match packet::read(bytes) {
@@ -136,7 +137,7 @@
     }
 
     /// One item of a member's talk.
-    fn item(&mut self, now: Us, from: SocketAddr, item: Item) {
+    fn item(&mut self, now: Micros, from: SocketAddr, item: Item) {
         let terms = item.terms;
         match item.about {
             About::Limit(number, message) => match self.limits.get_mut(usize::from(number)) {
@@ -162,7 +163,7 @@
     }
 
     /// Does what is due; to be called every 50 ms or so.
-    pub fn tick(&mut self, now: Us) {
+    pub fn tick(&mut self, now: Micros) {
         self.membership.tick(now);
         let members = self.verdicts.as_ref().map_or(1, |_| self.membership.counts().alive);
         // Each that asks begins with the first that was drawn; one is drawn only where somebody asks.
@@ -188,7 +189,7 @@
     }
 
     /// Says that this balancer leaves. Its own part rests until it is back; what it has borrowed goes back at once.
-    pub fn leave(&mut self, now: Us) {
+    pub fn leave(&mut self, now: Micros) {
         self.membership.leave(now);
         self.limits.iter_mut().for_each(|one| one.shares.leave(now));
         let parts = self.cold.iter_mut().flat_map(|(cold, _)| cold.parts());
@@ -239,7 +240,7 @@
 
     /// This balancer's part of the sends to a server that warms up; none where they are not limited, or the server is warm. Where
     /// there is no room for one more such server, nothing may be sent to it: the second value.
-    pub fn cold(&mut self, start: Start, now: Us) -> (Option<&mut Shares>, bool) {
+    pub fn cold(&mut self, start: Start, now: Micros) -> (Option<&mut Shares>, bool) {
         match &mut self.cold {
             Some((cold, _)) if !cold.is_warm(start, now) => {
                 let part = cold.part(start, now);
@@ -271,7 +272,7 @@
     }
 
     /// What operators see.
-    pub fn figures(&mut self, now: Us) -> Figures {
+    pub fn figures(&mut self, now: Micros) -> Figures {
         let limits = self.limits.iter_mut();
         let limits =
             limits.map(|one| (one.name.clone(), one.shares.figures(now, one.terms.units()))).collect();
@@ -290,7 +291,7 @@
 /// A limit's terms in brief, the same at every balancer whose file says the same.
 fn terms_in_brief(terms: &Terms) -> u32 {
     let Terms { whole, spread, holders, lease, drift } = *terms;
-    brief(&[u64::from(whole), spread, u64::from(holders), lease, drift.to_bits()])
+    brief(&[u64::from(whole), spread.0, u64::from(holders), lease.0, drift.to_bits()])
 }
 
 fn brief(numbers: &[u64]) -> u32 {
--- a/cluster/src/cold.rs
+++ b/cluster/src/cold.rs
@@ -20,7 +20,8 @@
 use std::net::SocketAddr;
 
 use crate::shares::{self, Shares};
-use crate::{Us, MAX_SERVERS};
+use crate::MAX_SERVERS;
+use juniperladder::Micros;
 
 /// The terms, the same at every member.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -30,32 +31,32 @@
     /// The part of it that a server has at its start.
     pub share: f64,
     /// After how long it has all of it.
-    pub warm_up: Us,
+    pub warm_up: Micros,
 }
 
 impl Terms {
     /// The part of its capacity that a server has.
-    fn warmth(&self, started: Us, now: Us) -> f64 {
-        let part = now.saturating_sub(started) as f64 / (self.warm_up.max(1)) as f64;
-        if started == 0 || part >= 1.0 {
+    fn warmth(&self, started: Micros, now: Micros) -> f64 {
+        let part = (now - started).as_f64() / self.warm_up.max(Micros(1)).as_f64();
+        if started.is_zero() || part >= 1.0 {
             return 1.0;
         }
         self.share + (1.0 - self.share) * part
     }
 
     /// Units of a server with this start that there are now.
-    pub fn whole(&self, started: Us, now: Us) -> u32 {
+    pub fn whole(&self, started: Micros, now: Micros) -> u32 {
         self.shares.units_of(f64::from(self.shares.whole) * self.warmth(started, now))
     }
 
     /// Those of them that belong to a position.
-    pub fn own(&self, server: Start, position: u32, now: Us) -> u32 {
+    pub fn own(&self, server: Start, position: u32, now: Micros) -> u32 {
         let holders = self.shares.holders.max(1);
         if position >= holders {
             return 0;
         }
         let whole = self.whole(server.started, now);
-        let first = mix(server.server ^ mix(server.started)) % u64::from(holders);
+        let first = mix(server.server ^ mix(server.started.0)) % u64::from(holders);
         let turn = (position + holders - first as u32) % holders;
         whole / holders + u32::from(turn < whole % holders)
     }
@@ -73,7 +74,8 @@
     /// The server.
     pub server: u64,
     /// When it started, by the list.
-    pub started: Us,
+    #[serde(with = "crate::wire_micros")]
+    pub started: Micros,
 }
 
 /// One member's parts of all such limits.
@@ -84,7 +86,7 @@
     position: u32,
     life: u64,
     /// From when on what is its own may be used.
-    from: Us,
+    from: Micros,
     servers: BTreeMap<Start, Shares>,
     /// Times at which there was no room for one more server.
     pub full: u64,
@@ -92,17 +94,17 @@
 
 impl Cold {
     /// Those of the member at this position, which starts its life now.
-    pub fn new(terms: Terms, position: u32, life: u64, now: Us) -> Cold {
+    pub fn new(terms: Terms, position: u32, life: u64, now: Micros) -> Cold {
         Cold { terms, position, life, from: now + terms.shares.lock(), servers: BTreeMap::new(), full: 0 }
     }
 
     /// Whether a server with this start is warm, so that nothing is limited.
-    pub fn is_warm(&self, start: Start, now: Us) -> bool {
+    pub fn is_warm(&self, start: Start, now: Micros) -> bool {
         self.terms.warmth(start.started, now) >= 1.0
     }
 
     /// This member's part of a server that warms up; none where it is warm, or where there is no room for one more.
-    pub fn part(&mut self, start: Start, now: Us) -> Option<&mut Shares> {
+    pub fn part(&mut self, start: Start, now: Micros) -> Option<&mut Shares> {
         if self.is_warm(start, now) {
             return None;
         }
@@ -124,7 +126,7 @@
 
     /// Does what is due at each, and forgets those that are warm and have nothing lent any more. `peers` gives the members to
     /// ask, from the first for each server.
-    pub fn tick<P: FnMut() -> Option<SocketAddr>>(&mut self, now: Us, peers: impl Fn() -> P) {
+    pub fn tick<P: FnMut() -> Option<SocketAddr>>(&mut self, now: Micros, peers: impl Fn() -> P) {
         let (terms, position) = (self.terms, self.position);
         let over = |start: Start| now >= start.started + terms.warm_up + terms.shares.lock();
         self.servers.retain(|start, _| !over(*start));
--- a/cluster/src/interval.rs
+++ b/cluster/src/interval.rs
@@ -3,17 +3,17 @@
 #[cfg(test)]
 mod tests;
 
-use crate::Us;
+use juniperladder::Micros;
 
 /// Keeps rounds an interval apart; the first is due at once.
 #[derive(Debug, Default)]
 pub(crate) struct Interval {
-    last: Us,
+    last: Micros,
 }
 
 impl Interval {
     /// Whether a round is due, at least `interval` after the one before. One that is due counts as begun.
-    pub(crate) fn is_due(&mut self, now: Us, interval: Us) -> bool {
+    pub(crate) fn is_due(&mut self, now: Micros, interval: Micros) -> bool {
         let due = now >= self.last + interval;
         if due {
             self.last = now;
@@ -25,26 +25,26 @@
 /// Keeps rounds apart by an interval that doubles, up to a longest one, while they bring nothing.
 #[derive(Debug)]
 pub(crate) struct Backoff {
-    shortest: Us,
-    longest: Us,
-    current: Us,
+    shortest: Micros,
+    longest: Micros,
+    current: Micros,
     rounds: Interval,
 }
 
 impl Backoff {
     /// Rounds that are `shortest` apart at first.
-    pub(crate) fn new(shortest: Us, longest: Us) -> Backoff {
+    pub(crate) fn new(shortest: Micros, longest: Micros) -> Backoff {
         Backoff { shortest, longest, current: shortest, rounds: Interval::default() }
     }
 
     /// Whether a round is due; one that is due counts as begun.
-    pub(crate) fn is_due(&mut self, now: Us) -> bool {
+    pub(crate) fn is_due(&mut self, now: Micros) -> bool {
         self.rounds.is_due(now, self.current)
     }
 
     /// The next round comes after twice the interval, but no more than the longest.
     pub(crate) fn lengthen(&mut self) {
-        self.current = (2 * self.current).min(self.longest);
+        self.current = (self.current * 2).min(self.longest);
     }
 
     /// The next round comes after the shortest interval.
--- a/cluster/src/interval/tests.rs
+++ b/cluster/src/interval/tests.rs
@@ -5,19 +5,19 @@
 #[test]
 fn a_round_is_due_an_interval_after_the_one_before() {
     let mut interval = Interval::default();
-    assert!(interval.is_due(1_000, 100));
-    assert!(!interval.is_due(1_099, 100));
-    assert!(interval.is_due(1_100, 100));
+    assert!(interval.is_due(Micros(1_000), Micros(100)));
+    assert!(!interval.is_due(Micros(1_099), Micros(100)));
+    assert!(interval.is_due(Micros(1_100), Micros(100)));
 }
 
 #[test]
 fn a_backoff_doubles_up_to_the_longest_and_starts_anew() {
-    let mut backoff = Backoff::new(100, 300);
-    assert!(backoff.is_due(1_000));
+    let mut backoff = Backoff::new(Micros(100), Micros(300));
+    assert!(backoff.is_due(Micros(1_000)));
     backoff.lengthen();
-    assert!(!backoff.is_due(1_199) && backoff.is_due(1_200));
+    assert!(!backoff.is_due(Micros(1_199)) && backoff.is_due(Micros(1_200)));
     (0..3).for_each(|_| backoff.lengthen());
-    assert!(!backoff.is_due(1_499) && backoff.is_due(1_500));
+    assert!(!backoff.is_due(Micros(1_499)) && backoff.is_due(Micros(1_500)));
     backoff.reset();
-    assert!(!backoff.is_due(1_599) && backoff.is_due(1_600));
+    assert!(!backoff.is_due(Micros(1_599)) && backoff.is_due(Micros(1_600)));
 }
--- a/cluster/src/lib.rs
+++ b/cluster/src/lib.rs
@@ -17,14 +17,10 @@
 pub mod verdicts;
 #[cfg(test)]
 mod virtual_network;
+mod wire_micros;
 
 pub use cluster::{Cluster, Figures, Plan};
-
-/// Microseconds on the caller's clock, which never goes back.
-pub type Us = u64;
-
-/// A second.
-pub const SECOND: Us = 1_000_000;
+pub use juniperladder::Micros;
 
 /// The longest packet, out and in.
 pub const LONGEST: usize = 1_200;
--- a/cluster/src/membership.rs
+++ b/cluster/src/membership.rs
@@ -24,16 +24,17 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-use crate::{Us, LONGEST, MOST_MEMBERS, SECOND};
+use crate::{LONGEST, MOST_MEMBERS};
+use juniperladder::Micros;
 
 /// Names that are remembered, those of members that are gone included.
 const MOST_KNOWN: usize = 2 * MOST_MEMBERS;
 /// What a packet's head takes.
 const HEAD: usize = 4;
 /// How often a member that knows nobody calls its seeds.
-const SEEDS_EVERY: Us = SECOND;
+const SEEDS_EVERY: Micros = Micros::SECOND;
 /// How often one that knows others calls a seed all the same: parts of a fleet that were cut find each other by it.
-const SEED_EVERY: Us = 3 * SECOND;
+const SEED_EVERY: Micros = Micros::from_secs(3);
 /// Timers that are kept; far more than the protocol sets.
 const MOST_TIMERS: usize = 8 * MOST_KNOWN;
 
@@ -79,10 +80,10 @@
 pub struct Membership {
     swim: Swim,
     runtime: AccumulatingRuntime<Name>,
-    timers: BinaryHeap<Reverse<(Us, u64, Due)>>,
+    timers: BinaryHeap<Reverse<(Micros, u64, Due)>>,
     count: u64,
     seeds: Vec<SocketAddr>,
-    called: Us,
+    called: Micros,
     chance: ChaCha8Rng,
     out: Vec<(SocketAddr, Vec<u8>)>,
     /// Packets that made no sense to the protocol.
@@ -138,7 +139,7 @@
 
 impl Membership {
     /// A member that knows its seeds alone.
-    pub fn new(name: Name, seeds: Vec<SocketAddr>, seed: u64, now: Us) -> Membership {
+    pub fn new(name: Name, seeds: Vec<SocketAddr>, seed: u64, now: Micros) -> Membership {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         let swim =
             Foca::new(name.clone(), config(), ChaCha8Rng::seed_from_u64(chance.random()), PostcardCodec);
@@ -149,7 +150,7 @@
             timers: BinaryHeap::new(),
             count: 0,
             seeds,
-            called: 0,
+            called: Micros::ZERO,
             chance,
             out: Vec::new(),
             dropped: 0,
@@ -160,7 +161,7 @@
     }
 
     /// Calls so many seeds at the most.
-    fn call(&mut self, now: Us, most: usize) {
+    fn call(&mut self, now: Micros, most: usize) {
         self.called = now;
         let from = self.chance.random_range(0..self.seeds.len().max(1));
         let order = self.seeds.iter().cycle().skip(from).take(self.seeds.len().min(most)).copied();
@@ -173,7 +174,7 @@
     }
 
     /// A packet has come.
-    pub fn heard(&mut self, now: Us, bytes: &[u8]) {
+    pub fn heard(&mut self, now: Micros, bytes: &[u8]) {
         let result = self.swim.handle_data(bytes, &mut self.runtime);
         self.dropped += u64::from(result.is_err());
         self.collect(now);
@@ -183,7 +184,7 @@
     }
 
     /// Forgets everybody and begins with the seeds: no flood of names fills the memory.
-    fn start_anew(&mut self, now: Us) {
+    fn start_anew(&mut self, now: Micros) {
         self.restarts += 1;
         let name = self.swim.identity().renew().unwrap_or_else(|| self.swim.identity().clone());
         let seed = self.chance.random();
@@ -194,7 +195,7 @@
     }
 
     /// Does what is due; to be called every 50 ms or so.
-    pub fn tick(&mut self, now: Us) {
+    pub fn tick(&mut self, now: Micros) {
         while self.timers.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
             let Some(Reverse((_, _, Due(timer)))) = self.timers.pop() else { break };
             // After a freeze a probe's stages may come out of order; the protocol goes on with the next one.
@@ -209,19 +210,19 @@
     }
 
     /// Says that it leaves.
-    pub fn leave(&mut self, now: Us) {
+    pub fn leave(&mut self, now: Micros) {
         let _ = self.swim.leave_cluster(&mut self.runtime);
         self.collect(now);
     }
 
-    fn collect(&mut self, now: Us) {
+    fn collect(&mut self, now: Micros) {
         while let Some((to, bytes)) = self.runtime.to_send() {
             self.out.push((to.address, bytes.to_vec()));
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.count += 1;
             if self.timers.len() < MOST_TIMERS {
-                self.timers.push(Reverse((now + after.as_micros() as Us, self.count, Due(timer))));
+                self.timers.push(Reverse((now + Micros(after.as_micros() as u64), self.count, Due(timer))));
             }
         }
         while self.runtime.to_notify().is_some() {}
--- a/cluster/src/open_requests/tests.rs
+++ b/cluster/src/open_requests/tests.rs
@@ -1,7 +1,6 @@
 //! Which responses count.
 
 use super::*;
-use crate::SECOND;
 
 fn peer(number: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], number))
@@ -9,24 +8,24 @@
 
 #[test]
 fn a_response_counts_once_in_time_and_from_the_peer_that_was_asked() {
-    let mut requests = OpenRequests::new(SECOND);
-    let first = requests.open(5, peer(1));
-    let second = requests.open(5, peer(2));
+    let mut requests = OpenRequests::new(Micros::SECOND);
+    let first = requests.open(Micros(5), peer(1));
+    let second = requests.open(Micros(5), peer(2));
     assert_ne!(first, second, "two requests of one moment have names of their own");
-    assert!(!requests.close(6, peer(2), first), "another peer was asked that");
-    assert!(requests.close(6, peer(1), first));
-    assert!(!requests.close(6, peer(1), first), "a repeat");
-    assert!(!requests.close(second + SECOND, peer(2), second), "too late");
+    assert!(!requests.close(Micros(6), peer(2), first), "another peer was asked that");
+    assert!(requests.close(Micros(6), peer(1), first));
+    assert!(!requests.close(Micros(6), peer(1), first), "a repeat");
+    assert!(!requests.close(second + Micros::SECOND, peer(2), second), "too late");
 }
 
 #[test]
 fn open_requests_are_bounded_and_forgotten_when_they_time_out() {
-    let mut requests = OpenRequests::new(SECOND);
+    let mut requests = OpenRequests::new(Micros::SECOND);
     for _ in 0..200 {
-        requests.open(10, peer(1));
+        requests.open(Micros(10), peer(1));
     }
-    requests.expire(20);
+    requests.expire(Micros(20));
     assert_eq!(requests.open.len(), MOST_OPEN);
-    requests.expire(2 * SECOND);
+    requests.expire(Micros::from_secs(2));
     assert!(requests.open.is_empty());
 }
--- a/cluster/src/packet/tests.rs
+++ b/cluster/src/packet/tests.rs
@@ -1,22 +1,35 @@
 //! What is read is what was written, and nothing else is read.
 
+use juniperladder::Micros;
+
 use super::*;
 use crate::shares::{Hold, Lent, Message};
 
 fn all() -> Vec<Item> {
-    let start = Start { server: u64::MAX, started: u64::MAX };
-    let hold = Message::Hold(Hold { life: u64::MAX, sent: 12, units: 7 });
-    let lent = Message::Lent(Lent { life: 1, sent: u64::MAX, units: 0, spare: u32::MAX });
-    let entry =
-        verdicts::Entry { start, witness: 7, zone: 1, stamp: u64::MAX, age: 9, silent: true, back: false };
-    let told = verdicts::Message::Told { sent: 1, entries: vec![entry; verdicts::MOST_TOLD] };
-    let give = budget::Message::Give { life: 3, sent: 4, rights: 5 };
+    let start = Start { server: u64::MAX, started: Micros(u64::MAX) };
+    let hold = Message::Hold(Hold { life: u64::MAX, sent: Micros(12), units: 7 });
+    let lent = Message::Lent(Lent { life: 1, sent: Micros(u64::MAX), units: 0, spare: u32::MAX });
+    let entry = verdicts::Entry {
+        start,
+        witness: 7,
+        zone: 1,
+        stamp: Micros(u64::MAX),
+        age: Micros(9),
+        silent: true,
+        back: false,
+    };
+    let told = verdicts::Message::Told { sent: Micros(1), entries: vec![entry; verdicts::MOST_TOLD] };
+    let give = budget::Message::Give { life: 3, sent: Micros(4), rights: 5 };
     let abouts = [
         About::Limit(3, hold),
         About::Cold(start, lent),
         About::Second(give),
         About::Verdicts(told),
-        About::Verdicts(verdicts::Message::Ask { sent: 1, digest: u64::MAX, about: verdicts::What::HotBack }),
+        About::Verdicts(verdicts::Message::Ask {
+            sent: Micros(1),
+            digest: u64::MAX,
+            about: verdicts::What::HotBack,
+        }),
     ];
     abouts.into_iter().map(|about| Item { terms: u32::MAX, about }).collect()
 }
@@ -58,7 +71,7 @@
 #[test]
 fn more_items_than_are_ever_sent_are_nonsense() {
     let to = SocketAddr::from(([127, 0, 0, 1], 9));
-    let give = budget::Message::Give { life: 3, sent: 4, rights: 5 };
+    let give = budget::Message::Give { life: 3, sent: Micros(4), rights: 5 };
     let item = Item { terms: 1, about: About::Second(give) };
     let packets = talk(std::iter::repeat_n((to, item), MOST_ITEMS + 1));
     assert_eq!(packets.len(), 2);
@@ -69,20 +82,27 @@
 /// Balancers of two versions talk to each other while one replaces the other: the bytes of an item are part of the protocol.
 #[test]
 fn items_keep_their_bytes_on_the_wire() {
-    let start = Start { server: 300, started: 70_000_000 };
-    let entry =
-        verdicts::Entry { start, witness: 7, zone: 1, stamp: 128, age: 16_384, silent: true, back: false };
-    let ask = |about| verdicts::Message::Ask { sent: 200, digest: 1_000_000, about };
+    let start = Start { server: 300, started: Micros(70_000_000) };
+    let entry = verdicts::Entry {
+        start,
+        witness: 7,
+        zone: 1,
+        stamp: Micros(128),
+        age: Micros(16_384),
+        silent: true,
+        back: false,
+    };
+    let ask = |about| verdicts::Message::Ask { sent: Micros(200), digest: 1_000_000, about };
     let abouts = [
-        About::Limit(3, Message::Hold(Hold { life: 1, sent: 200, units: 7 })),
-        About::Cold(start, Message::Lent(Lent { life: 300, sent: 2, units: 0, spare: 129 })),
-        About::Second(budget::Message::Ask { life: 5, sent: 130, rights: 16 }),
-        About::Second(budget::Message::Give { life: 5, sent: 131, rights: 4 }),
+        About::Limit(3, Message::Hold(Hold { life: 1, sent: Micros(200), units: 7 })),
+        About::Cold(start, Message::Lent(Lent { life: 300, sent: Micros(2), units: 0, spare: 129 })),
+        About::Second(budget::Message::Ask { life: 5, sent: Micros(130), rights: 16 }),
+        About::Second(budget::Message::Give { life: 5, sent: Micros(131), rights: 4 }),
         About::Verdicts(ask(verdicts::What::All)),
         About::Verdicts(ask(verdicts::What::Own)),
         About::Verdicts(ask(verdicts::What::Hot)),
         About::Verdicts(ask(verdicts::What::HotBack)),
-        About::Verdicts(verdicts::Message::Told { sent: 201, entries: vec![entry] }),
+        About::Verdicts(verdicts::Message::Told { sent: Micros(201), entries: vec![entry] }),
     ];
     let to = SocketAddr::from(([127, 0, 0, 1], 9));
     let written = abouts.map(|about| talk([(to, Item { terms: 5, about })]).remove(0).1);
--- a/cluster/src/shares.rs
+++ b/cluster/src/shares.rs
@@ -36,17 +36,17 @@
 
 use crate::injected_defect::InjectedDefect;
 use crate::interval::{Backoff, Interval};
-use crate::{Us, SECOND};
+use juniperladder::Micros;
 use loan::{Borrowed, Loan};
 pub use message::{Hold, Lent, Message, Terms};
 
 /// Between two rounds of asking, doubled up to the longest while a round brings nothing.
-const ASK_EVERY: Us = 100_000;
-const ASK_SELDOM: Us = 800_000;
+const ASK_EVERY: Micros = Micros::from_millis(100);
+const ASK_SELDOM: Micros = Micros::from_millis(800);
 /// How long what is not needed any more is kept, in case it is needed again.
-const KEEP: Us = SECOND;
+const KEEP: Micros = Micros::SECOND;
 /// How long a request waits at first where there is no unit at all.
-const MOMENT: Us = 50_000;
+const MOMENT: Micros = Micros::from_millis(50);
 /// Units that a member asks for beyond those it has while a request waits for one.
 const BURST: u32 = 2;
 /// Over how long the demand is averaged.
@@ -70,9 +70,9 @@
     /// What it lately needed.
     pub wanted: u32,
     /// Microseconds since a lender or borrower was last heard; none, never.
-    pub contact: Option<Us>,
+    pub contact: Option<Micros>,
     /// Microseconds spent with less than was wanted.
-    pub short: Us,
+    pub short: Micros,
     /// Requests that found no unit free, all told.
     pub denied: u64,
 }
@@ -102,20 +102,20 @@
     life: u64,
     own: u32,
     /// From when on what is its own may be used: all that an earlier life may have lent has lapsed by then.
-    from: Us,
+    from: Micros,
     lent: Vec<Loan>,
     borrowed: Vec<Borrowed>,
     /// The uses of the last window, in order.
-    uses: VecDeque<Us>,
+    uses: VecDeque<Micros>,
     rate: f64,
-    counted: Us,
+    counted: Micros,
     asking: Backoff,
     held_then: u32,
     recalls: Interval,
-    surplus: Option<Us>,
-    contact: Option<Us>,
-    short: Us,
-    ticked: Us,
+    surplus: Option<Micros>,
+    contact: Option<Micros>,
+    short: Micros,
+    ticked: Micros,
     denied: u64,
     /// Whether a request has found no unit free since the last tick.
     pressed: bool,
@@ -125,13 +125,13 @@
 
 impl Shares {
     /// The part of the member at this position, which starts its life now. `life` is another in each life.
-    pub fn new(terms: Terms, position: u32, life: u64, now: Us) -> Shares {
+    pub fn new(terms: Terms, position: u32, life: u64, now: Micros) -> Shares {
         Shares::of(terms, terms.own(position), life, now + terms.lock(), now)
     }
 
     /// The part of a member that owns so many units, and may use them from a time on at which all that an earlier life of it
     /// may have used or lent of this limit has lapsed.
-    pub fn of(terms: Terms, own: u32, life: u64, from: Us, now: Us) -> Shares {
+    pub fn of(terms: Terms, own: u32, life: u64, from: Micros, now: Micros) -> Shares {
         Shares {
             terms,
             life,
@@ -147,7 +147,7 @@
             recalls: Interval::default(),
             surplus: None,
             contact: None,
-            short: 0,
+            short: Micros::ZERO,
             ticked: now,
             denied: 0,
             pressed: false,
@@ -163,54 +163,54 @@
 
     /// How long a request has to wait for a unit; zero, one may begin now. Without any unit it is a moment: something may
     /// be lent by then.
-    pub fn wait(&mut self, now: Us) -> Us {
+    pub fn wait(&mut self, now: Micros) -> Micros {
         let (used, held) = (self.used(now), self.held(now) as usize);
         if used < held {
-            return 0;
+            return Micros::ZERO;
         }
         self.pressed = true;
         let window = self.terms.window();
         match held {
             0 => MOMENT,
             // As many have to be over as are too many, and one.
-            _ => (self.uses[used - held] + window).saturating_sub(now).max(1),
+            _ => (self.uses[used - held] + window).saturating_sub(now).max(Micros(1)),
         }
     }
 
     /// A request begins. The caller has asked [`Shares::wait`] at the same time.
-    pub fn took(&mut self, now: Us) {
+    pub fn took(&mut self, now: Micros) {
         self.demand(now);
         self.uses.push_back(now);
     }
 
     /// A request that needed a unit was given up for want of one.
-    pub fn denied(&mut self, now: Us) {
+    pub fn denied(&mut self, now: Micros) {
         self.demand(now);
         self.denied += 1;
     }
 
-    fn demand(&mut self, now: Us) {
+    fn demand(&mut self, now: Micros) {
         self.settle(now);
         self.rate += 1.0 / DEMAND;
     }
 
     /// Lets the average of the demand fall with time.
-    fn settle(&mut self, now: Us) {
-        self.rate *= (-(now.saturating_sub(self.counted) as f64) / DEMAND).exp();
+    fn settle(&mut self, now: Micros) {
+        self.rate *= (-((now - self.counted).as_f64()) / DEMAND).exp();
         self.counted = now;
     }
 
     /// Requests begun within the last window.
-    fn used(&mut self, now: Us) -> usize {
+    fn used(&mut self, now: Micros) -> usize {
         let window = self.terms.window();
-        while self.uses.front().is_some_and(|at| at + window <= now) {
+        while self.uses.front().is_some_and(|at| *at + window <= now) {
             self.uses.pop_front();
         }
         self.uses.len()
     }
 
     /// Units that belong to this member and may be used by it now.
-    fn own_usable(&self, now: Us) -> u32 {
+    fn own_usable(&self, now: Micros) -> u32 {
         if now < self.from {
             return 0;
         }
@@ -218,23 +218,23 @@
     }
 
     /// Units that are lent or locked.
-    fn lent_out(&self, now: Us) -> u32 {
+    fn lent_out(&self, now: Micros) -> u32 {
         self.lent.iter().filter(|loan| loan.until > now).map(|loan| loan.units).sum()
     }
 
     /// Units that are borrowed under a live lease.
-    fn borrowed_usable(&self, now: Us) -> u32 {
+    fn borrowed_usable(&self, now: Micros) -> u32 {
         self.borrowed.iter().map(|one| one.usable(now)).sum()
     }
 
     /// Units that this member may use now.
-    pub fn held(&self, now: Us) -> u32 {
+    pub fn held(&self, now: Micros) -> u32 {
         self.own_usable(now) + self.borrowed_usable(now)
     }
 
     /// What this member lately needed, in units.
     fn wanted(&self) -> u32 {
-        (self.rate * (SECOND + self.terms.spread) as f64 * 1.05 + 0.3) as u32
+        (self.rate * (Micros::SECOND + self.terms.spread).as_f64() * 1.05 + 0.3) as u32
     }
 
     /// What goes out.
@@ -243,7 +243,7 @@
     }
 
     /// What operators see.
-    pub fn figures(&mut self, now: Us, whole: u32) -> Figures {
+    pub fn figures(&mut self, now: Micros, whole: u32) -> Figures {
         self.settle(now);
         Figures {
             whole,
@@ -260,7 +260,7 @@
     }
 
     /// A message has come from a member.
-    pub fn heard(&mut self, now: Us, from: SocketAddr, message: Message) {
+    pub fn heard(&mut self, now: Micros, from: SocketAddr, message: Message) {
         self.contact = Some(now);
         match message {
             Message::Hold(hold) => self.asked_for(now, from, hold),
@@ -269,13 +269,13 @@
     }
 
     /// This member leaves: what it has borrowed is given back where its uses of the last window allow it.
-    pub fn leave(&mut self, now: Us) {
+    pub fn leave(&mut self, now: Micros) {
         self.own = 0;
         self.give_all_back(now);
     }
 
     /// Does what is due: renews, asks, gives back. To be called every 50 ms or so; `peer` draws a member to ask.
-    pub fn tick(&mut self, now: Us, mut peer: impl FnMut() -> Option<SocketAddr>) {
+    pub fn tick(&mut self, now: Micros, mut peer: impl FnMut() -> Option<SocketAddr>) {
         self.settle(now);
         self.lent.retain(|loan| loan.until > now);
         let held = self.held(now);
--- a/cluster/src/shares/lending.rs
+++ b/cluster/src/shares/lending.rs
@@ -6,30 +6,30 @@
 use super::loan::{Borrowed, Loan};
 use super::message::{Hold, Lent, Message};
 use super::{Flaw, Shares};
-use crate::Us;
+use juniperladder::Micros;
 
 /// How many lenders are asked in one round.
 const ASKED: usize = 2;
 /// How long a borrower waits before it asks the same lender again that gave it nothing.
-const ASK_AGAIN: Us = 600_000;
+const ASK_AGAIN: Micros = Micros::from_millis(600);
 /// Renewals within a lease with a lender whose answers come, and with one of whom some are lost; one that is not answered is
 /// repeated sooner.
 const RENEWALS: u64 = 2;
 const RENEWALS_LOST: u64 = 3;
 /// Between two times at which an owner asks back what it has lent.
-const RECALL_AGAIN: Us = 200_000;
+const RECALL_AGAIN: Micros = Micros::from_millis(200);
 /// The most lenders of one borrower.
 const LENDERS: usize = 64;
 /// Questions of a borrower that are remembered: those of one lease, and more than enough of them.
 const QUESTIONS: usize = 32;
 
 /// After how long a question that was not answered is asked again, and given up.
-const UNANSWERED: Us = 200_000;
-const GIVEN_UP: Us = 1_000_000;
+const UNANSWERED: Micros = Micros::from_millis(200);
+const GIVEN_UP: Micros = Micros::from_millis(1_000);
 
 impl Shares {
     /// What may leave now: not needed here, and the uses of the last window fit into what stays.
-    pub(super) fn lendable(&mut self, now: Us) -> u32 {
+    pub(super) fn lendable(&mut self, now: Micros) -> u32 {
         let own = self.own_usable(now);
         let keep = self.wanted().max(1).min(own);
         let free = (self.held(now) as usize).saturating_sub(self.used(now)) as u32;
@@ -37,7 +37,7 @@
     }
 
     /// A borrower says how many it wants or still holds.
-    pub(super) fn asked_for(&mut self, now: Us, from: SocketAddr, hold: Hold) {
+    pub(super) fn asked_for(&mut self, now: Micros, from: SocketAddr, hold: Hold) {
         let lendable = self.lendable(now);
         let same =
             |loan: &Loan| loan.to == from && (loan.life == hold.life || self.flaw.is(Flaw::OldLifeObeyed));
@@ -46,7 +46,7 @@
             // What was sent before the newest question is old: it must neither give back nor take.
             Some(place) if self.is_old(&self.lent[place], &hold) => return,
             Some(place) => self.lent.swap_remove(place),
-            None => Loan { to: from, life: hold.life, sent: 0, units: 0, until: 0 },
+            None => Loan { to: from, life: hold.life, sent: Micros::ZERO, units: 0, until: Micros::ZERO },
         };
         let before = loan.units;
         loan.units =
@@ -68,7 +68,7 @@
 
     /// How many an owner that is short itself asks back now: the answer names so many fewer, and they stay locked until
     /// the borrower has said that it holds no more. Not of all borrowers at once.
-    fn recalled(&mut self, now: Us) -> u32 {
+    fn recalled(&mut self, now: Micros) -> u32 {
         let short = self.wanted().saturating_sub(self.held(now));
         if short == 0 || !self.recalls.is_due(now, RECALL_AGAIN) {
             return 0;
@@ -77,7 +77,7 @@
     }
 
     /// A lender has answered.
-    pub(super) fn answered(&mut self, now: Us, from: SocketAddr, lent: Lent) {
+    pub(super) fn answered(&mut self, now: Micros, from: SocketAddr, lent: Lent) {
         let lease = self.terms.lease;
         let from_receipt = self.flaw.is(Flaw::LeaseFromReceipt);
         let Some(one) = self.borrowed.iter_mut().find(|one| one.from == from) else { return };
@@ -99,7 +99,7 @@
     }
 
     /// Asks for more: those who said that they have some, then others as they are drawn.
-    pub(super) fn ask(&mut self, now: Us, mut short: u32, peer: &mut impl FnMut() -> Option<SocketAddr>) {
+    pub(super) fn ask(&mut self, now: Micros, mut short: u32, peer: &mut impl FnMut() -> Option<SocketAddr>) {
         let mut known: Vec<usize> =
             (0..self.borrowed.len()).filter(|at| self.borrowed[*at].spare > 0).collect();
         known.sort_unstable_by_key(|at| std::cmp::Reverse(self.borrowed[*at].spare));
@@ -127,8 +127,16 @@
             }
             let at = at.unwrap_or_else(|| {
                 let asked = VecDeque::new();
-                let one =
-                    Borrowed { from, units: 0, want: 0, until: 0, heard: 0, asked, spare: 0, lossy: false };
+                let one = Borrowed {
+                    from,
+                    units: 0,
+                    want: 0,
+                    until: Micros::ZERO,
+                    heard: Micros::ZERO,
+                    asked,
+                    spare: 0,
+                    lossy: false,
+                };
                 self.borrowed.push(one);
                 self.borrowed.len() - 1
             });
@@ -138,7 +146,7 @@
     }
 
     /// Asks one lender for so many more than are held of it.
-    fn question(&mut self, now: Us, at: usize, more: u32) {
+    fn question(&mut self, now: Micros, at: usize, more: u32) {
         let one = &mut self.borrowed[at];
         one.want = one.usable(now) + more;
         self.tell(now, at);
@@ -146,7 +154,7 @@
 
     /// Tells a lender what is wanted of it. Less than it has been told is told only when the uses of the last window fit
     /// into what is left: the lender frees the rest at once.
-    fn tell(&mut self, now: Us, at: usize) {
+    fn tell(&mut self, now: Micros, at: usize) {
         let fits = self.used(now) <= self.held(now) as usize;
         let life = self.life;
         let one = &mut self.borrowed[at];
@@ -155,7 +163,7 @@
             return;
         }
         // Two questions of one moment could not be told apart.
-        let sent = now.max(one.last_asked() + 1);
+        let sent = now.max(one.last_asked() + Micros(1));
         one.asked.push_back((sent, one.want));
         if one.asked.len() > QUESTIONS {
             one.asked.pop_front();
@@ -166,13 +174,13 @@
     }
 
     /// Gives everything back that can be given back now; the rest lapses.
-    pub(super) fn give_all_back(&mut self, now: Us) {
+    pub(super) fn give_all_back(&mut self, now: Micros) {
         self.borrowed.iter_mut().for_each(|one| one.want = 0);
         (0..self.borrowed.len()).for_each(|at| self.tell(now, at));
     }
 
     /// Wants so many less of its lenders, the smallest loans first: fewer lenders are fewer packets.
-    pub(super) fn give_back(&mut self, now: Us, mut surplus: u32) {
+    pub(super) fn give_back(&mut self, now: Micros, mut surplus: u32) {
         self.borrowed.sort_unstable_by_key(|one| one.usable(now));
         for at in 0..self.borrowed.len() {
             let one = &mut self.borrowed[at];
@@ -185,7 +193,7 @@
     }
 
     /// Renews what is held, asks again where no answer came, and says what is given back.
-    pub(super) fn renew(&mut self, now: Us) {
+    pub(super) fn renew(&mut self, now: Micros) {
         let (lease, window) = (self.terms.lease, self.terms.window());
         for at in 0..self.borrowed.len() {
             let one = &mut self.borrowed[at];
--- a/cluster/src/shares/loan.rs
+++ b/cluster/src/shares/loan.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-use crate::Us;
+use juniperladder::Micros;
 
 /// The owner's side of a loan.
 #[derive(Clone, Copy, Debug)]
@@ -11,10 +11,10 @@
     pub(super) to: SocketAddr,
     pub(super) life: u64,
     /// The newest question of this borrower.
-    pub(super) sent: Us,
+    pub(super) sent: Micros,
     pub(super) units: u32,
     /// Until then they are not the owner's to use.
-    pub(super) until: Us,
+    pub(super) until: Micros,
 }
 
 /// The borrower's side.
@@ -25,11 +25,11 @@
     pub(super) units: u32,
     /// What is to be held: more than `units` while it is asked for, less while it is given back.
     pub(super) want: u32,
-    pub(super) until: Us,
+    pub(super) until: Micros,
     /// The newest question that was answered.
-    pub(super) heard: Us,
+    pub(super) heard: Micros,
     /// The questions of the last lease: when, and for how many.
-    pub(super) asked: VecDeque<(Us, u32)>,
+    pub(super) asked: VecDeque<(Micros, u32)>,
     /// How many more the lender said it could lend.
     pub(super) spare: u32,
     /// Whether a question of the last ones had to be repeated.
@@ -38,7 +38,7 @@
 
 impl Borrowed {
     /// What may be used now.
-    pub(super) fn usable(&self, now: Us) -> u32 {
+    pub(super) fn usable(&self, now: Micros) -> u32 {
         if now < self.until {
             self.units.min(self.want)
         } else {
@@ -47,12 +47,12 @@
     }
 
     /// Since when a question has waited for its answer.
-    pub(super) fn unanswered(&self) -> Option<Us> {
+    pub(super) fn unanswered(&self) -> Option<Micros> {
         self.asked.iter().map(|(at, _)| *at).find(|at| *at > self.heard)
     }
 
     /// When it was last asked; zero, never.
-    pub(super) fn last_asked(&self) -> Us {
-        self.asked.back().map_or(0, |(at, _)| *at)
+    pub(super) fn last_asked(&self) -> Micros {
+        self.asked.back().map_or(Micros::ZERO, |(at, _)| *at)
     }
 }
--- a/cluster/src/shares/message.rs
+++ b/cluster/src/shares/message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Us, SECOND};
+use juniperladder::Micros;
 
 /// A limit's terms, the same at every member.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -10,11 +10,11 @@
     /// Requests a second, of all together.
     pub whole: u32,
     /// By how much requests differ in the time that they take to whoever counts them.
-    pub spread: Us,
+    pub spread: Micros,
     /// Among how many positions the whole is divided.
     pub holders: u32,
     /// How long a loan holds after it was last asked for.
-    pub lease: Us,
+    pub lease: Micros,
     /// By which part clocks may run faster or slower than each other.
     pub drift: f64,
 }
@@ -22,7 +22,7 @@
 impl Terms {
     /// The units that so many requests a second are cut into.
     pub fn units_of(&self, per_s: f64) -> u32 {
-        (per_s * (SECOND + self.spread) as f64 / SECOND as f64 + 1e-9) as u32
+        (per_s * (Micros::SECOND + self.spread).as_f64() / Micros::SECOND.as_f64() + 1e-9) as u32
     }
 
     /// All units.
@@ -42,17 +42,17 @@
     }
 
     /// The window of a unit: a second and the spread, by whichever clock.
-    pub fn window(&self) -> Us {
-        self.beyond(SECOND + self.spread)
+    pub fn window(&self) -> Micros {
+        self.beyond(Micros::SECOND + self.spread)
     }
 
     /// A span that is over by every clock once it is over by one.
-    fn beyond(&self, span: Us) -> Us {
-        (span as f64 * (1.0 + 2.0 * self.drift)).ceil() as Us
+    fn beyond(&self, span: Micros) -> Micros {
+        Micros((span.as_f64() * (1.0 + 2.0 * self.drift)).ceil() as u64)
     }
 
     /// From its receipt, how long an owner locks what it has lent.
-    pub fn lock(&self) -> Us {
+    pub fn lock(&self) -> Micros {
         self.beyond(self.lease) + self.beyond(self.window())
     }
 }
@@ -63,7 +63,8 @@
     /// The borrower's life: a process that starts anew has another.
     pub life: u64,
     /// When it was sent, by the borrower's clock.
-    pub sent: Us,
+    #[serde(with = "crate::wire_micros")]
+    pub sent: Micros,
     /// How many.
     pub units: u32,
 }
@@ -74,7 +75,8 @@
     /// The borrower's life, as asked.
     pub life: u64,
     /// The time in the question, as asked: the lease counts from then.
-    pub sent: Us,
+    #[serde(with = "crate::wire_micros")]
+    pub sent: Micros,
     /// How many are lent.
     pub units: u32,
     /// How many more the lender could lend.
--- a/cluster/src/shares/tests.rs
+++ b/cluster/src/shares/tests.rs
@@ -12,13 +12,16 @@
 #[derive(Debug)]
 enum Scheduled {
     /// A request of a member, which waits until then.
-    Command(usize, Us),
+    Command(usize, Micros),
     /// A process that was killed starts anew.
     Start(usize),
 }
 
 /// How long a request waits for a unit, as a read does at the origin.
-const WAITS: Us = 200_000;
+const WAITS: Micros = Micros::from_millis(200);
+
+/// By how much at most a late packet is late: half by little more than a lease bears, half by far more.
+const LATE_DELAYS: &[Micros] = &[Micros::from_secs(2), Micros::from_secs(8)];
 
 /// How bad a fleet's world is.
 #[derive(Clone, Copy, Debug)]
@@ -27,7 +30,7 @@
     holders: u32,
     whole: u32,
     /// By how much requests differ in the time that they take.
-    spread: Us,
+    spread: Micros,
     seconds: u64,
     /// Requests a second of all members, and the share of the first fifth of them.
     rate: f64,
@@ -35,7 +38,7 @@
     loss: f64,
     repeat: f64,
     /// The longest usual delay, and the share of packets that come up to eight seconds late.
-    delay: Us,
+    delay: Micros,
     late: f64,
     drift: f64,
     kills: usize,
@@ -51,7 +54,7 @@
 /// What a fleet did.
 #[derive(Debug, Default)]
 struct Played {
-    begun: Vec<(Us, usize)>,
+    begun: Vec<(Micros, usize)>,
     denied: u64,
     packets: u64,
     /// The most that arrived in any second.
@@ -63,24 +66,23 @@
     network: VirtualNetwork<Message, Scheduled>,
     /// Each member's part; none while its process is killed.
     members: Vec<Option<Shares>>,
-    near: VecDeque<Us>,
+    near: VecDeque<Micros>,
     played: Played,
 }
 
 fn terms(world: &World) -> Terms {
-    let spread = if world.one_second { 0 } else { world.spread };
-    Terms { whole: world.whole, spread, holders: world.holders, lease: 2 * SECOND, drift: 0.001 }
+    let spread = if world.one_second { Micros::ZERO } else { world.spread };
+    Terms { whole: world.whole, spread, holders: world.holders, lease: Micros::from_secs(2), drift: 0.001 }
 }
 
 fn play(seed: u64, world: World) -> Played {
     let conditions = Conditions {
         loss: world.loss,
         repeat: world.repeat,
-        least_delay: 500,
+        least_delay: Micros(500),
         delay: world.delay,
         late: world.late,
-        // Half by little more than a lease bears, half by far more.
-        latest: &[2 * SECOND, 8 * SECOND],
+        latest: LATE_DELAYS,
         drift: world.drift,
     };
     let mut fleet = Fleet {
@@ -98,16 +100,16 @@
 impl Fleet {
     fn run(&mut self) {
         let world = self.world;
-        let end = world.seconds * SECOND;
+        let end = Micros::from_secs(world.seconds);
         for one in 0..world.members {
             self.start(one);
         }
         self.network.schedule_kills(world.kills, end);
-        self.network.schedule_freezes(world.freezes, end, 6 * SECOND);
+        self.network.schedule_freezes(world.freezes, end, Micros::from_secs(6));
         for _ in 0..world.cuts {
             let at = self.network.draw(end);
             let (second_side, one_way) = (self.network.rng.random(), self.network.rng.random());
-            let lasts = self.network.draw(5 * SECOND);
+            let lasts = self.network.draw(Micros::from_secs(5));
             self.network.schedule_cut(at, at + lasts, Partition { second_side, one_way });
         }
         self.schedule_commands(end);
@@ -116,16 +118,20 @@
         }
     }
 
-    fn schedule_commands(&mut self, end: Us) {
+    fn schedule_commands(&mut self, end: Micros) {
         let World { members, rate, uneven, .. } = self.world;
         let mut at = 0.0;
-        while at < end as f64 {
+        while at < end.as_f64() {
             let rng = &mut self.network.rng;
             at += -(1.0 - rng.random::<f64>()).ln() / rate * 1e6;
             let first = (members / 5).max(1);
             let many = if rng.random::<f64>() < uneven { 0..first } else { 0..members };
             let who = rng.random_range(many);
-            self.network.schedule_for(at as Us, who, Scheduled::Command(who, at as Us + WAITS));
+            self.network.schedule_for(
+                Micros(at as u64),
+                who,
+                Scheduled::Command(who, Micros(at as u64) + WAITS),
+            );
         }
     }
 
@@ -150,7 +156,7 @@
                     shares.tick(now, || self.network.draw_peer(who));
                 }
                 self.send(who);
-                let rest = 45_000 + self.network.draw(10_000);
+                let rest = Micros::from_millis(45) + self.network.draw(Micros::from_millis(10));
                 self.network.tick_after(who, rest);
             }
             Arrival::Packet { from, to, message } => {
@@ -162,7 +168,7 @@
             }
             Arrival::Killed(who) => {
                 self.members[who] = None;
-                let back = self.network.now() + self.network.draw(2 * SECOND);
+                let back = self.network.now() + self.network.draw(Micros::from_secs(2));
                 self.network.schedule(back, Scheduled::Start(who));
             }
             Arrival::Scheduled(Scheduled::Command(who, until)) => self.command(who, until),
@@ -171,29 +177,29 @@
     }
 
     /// A request wants to begin: the bound is asserted here, at each of them, by the fleet's own time.
-    fn command(&mut self, who: usize, until: Us) {
+    fn command(&mut self, who: usize, until: Micros) {
         let (now, true_now) = (self.network.clock(who), self.network.now());
         let Some(shares) = &mut self.members[who] else { return };
-        let wait = shares.wait(now).min(20_000);
-        if wait > 0 && true_now + wait < until {
+        let wait = shares.wait(now).min(Micros::from_millis(20));
+        if !wait.is_zero() && true_now + wait < until {
             self.network.schedule_for(true_now + wait, who, Scheduled::Command(who, until));
             return;
         }
-        if wait > 0 {
+        if !wait.is_zero() {
             shares.denied(now);
             self.played.denied += 1;
             return;
         }
         shares.took(now);
         // What arrives up to the spread later is counted by the windows that begin at it, once all of them are known.
-        let arrives = true_now + self.network.draw(self.world.spread + 1);
+        let arrives = true_now + self.network.draw(self.world.spread + Micros(1));
         let at = self.near.partition_point(|at| *at <= arrives);
         self.near.insert(at, arrives);
         for (place, begin) in self.near.iter().enumerate() {
-            let end = self.near.partition_point(|at| *at < begin + SECOND);
+            let end = self.near.partition_point(|at| *at < *begin + Micros::SECOND);
             self.played.most = self.played.most.max(end - place);
         }
-        let over = true_now.saturating_sub(SECOND + self.world.spread);
+        let over = true_now.saturating_sub(Micros::SECOND + self.world.spread);
         while self.near.front().is_some_and(|at| *at < over) {
             self.near.pop_front();
         }
@@ -211,13 +217,13 @@
     members: 10,
     holders: 10,
     whole: 40,
-    spread: 0,
+    spread: Micros::ZERO,
     seconds: 20,
     rate: 80.0,
     uneven: 0.0,
     loss: 0.0,
     repeat: 0.0,
-    delay: 5_000,
+    delay: Micros::from_millis(5),
     late: 0.0,
     drift: 0.0,
     kills: 0,
@@ -235,12 +241,12 @@
     let mut up_to = |most: f64| most * chance.random::<f64>();
     let (rate, uneven) = (up_to(150.0) + 10.0, up_to(1.0));
     let (loss, repeat, late) = (up_to(0.5), up_to(0.2), up_to(0.4));
-    let (delay, drift) = (up_to(300_000.0) as Us + 1, up_to(0.001));
+    let (delay, drift) = (Micros(up_to(300_000.0) as u64 + 1), up_to(0.001));
     World {
         members,
         holders: chance.random_range(1..2 * members as u32),
         whole: chance.random_range(1..60),
-        spread: if chance.random() { 0 } else { chance.random_range(0..200_000) },
+        spread: if chance.random() { Micros::ZERO } else { Micros(chance.random_range(0..200_000)) },
         seconds: 14,
         rate,
         uneven,
@@ -291,14 +297,18 @@
 }
 
 fn share_used(played: &Played, world: &World, from: u64, to: u64) -> f64 {
-    let within = played.begun.iter().filter(|(at, _)| (from * SECOND..to * SECOND).contains(at)).count();
+    let within = played
+        .begun
+        .iter()
+        .filter(|(at, _)| (Micros::from_secs(from)..Micros::from_secs(to)).contains(at))
+        .count();
     within as f64 / (f64::from(world.whole) * (to - from) as f64)
 }
 
 /// Where requests differ in the time that they take, units for one second let more arrive in one than a bound by rates says.
 #[test]
 fn units_for_one_second_would_not_hold_where_commands_arrive() {
-    let world = World { spread: 100_000, whole: 20, rate: 60.0, ..CALM };
+    let world = World { spread: Micros::from_millis(100), whole: 20, rate: 60.0, ..CALM };
     let over = |world: World| {
         let allowed = |most: usize| most as f64 > 1.1 * f64::from(world.whole);
         (0..20).filter(|seed| allowed(play(*seed, world).most)).count()
@@ -315,7 +325,7 @@
     let used = share_used(&played, &world, 4, 20);
     println!("{used} {}", played.packets as f64 / 20.0 / 50.0);
     assert!(used > 0.85, "{used}");
-    let lossy = World { loss: 0.3, repeat: 0.05, delay: 50_000, ..world };
+    let lossy = World { loss: 0.3, repeat: 0.05, delay: Micros::from_millis(50), ..world };
     let used = share_used(&play(1, lossy), &lossy, 4, 20);
     assert!(used > 0.8, "with loss: {used}");
 }
@@ -333,7 +343,7 @@
 #[test]
 fn positions_divide_the_whole_and_none_beyond_the_holders_owns_any() {
     for (whole, holders) in [(400, 300), (7, 3), (3, 7), (1, 1), (600, 100)] {
-        let terms = Terms { whole, spread: 0, holders, lease: SECOND, drift: 0.0 };
+        let terms = Terms { whole, spread: Micros::ZERO, holders, lease: Micros::SECOND, drift: 0.0 };
         let owned: Vec<u32> = (0..2 * holders).map(|position| terms.own(position)).collect();
         assert_eq!(owned.iter().sum::<u32>(), whole);
         let (least, most) = (owned[..holders as usize].iter().min(), owned.iter().max());
@@ -356,7 +366,16 @@
         for loss in [0.0, 0.3] {
             let rate = 2.0 * f64::from(whole);
             let holders = members as u32;
-            let world = World { members, holders, whole, rate, uneven: 0.75, loss, delay: 25_000, ..CALM };
+            let world = World {
+                members,
+                holders,
+                whole,
+                rate,
+                uneven: 0.75,
+                loss,
+                delay: Micros::from_millis(25),
+                ..CALM
+            };
             let played: Vec<Played> = (1..4).map(|seed| play(seed, world)).collect();
             let used: Vec<String> =
                 played.iter().map(|p| format!("{:.3}", share_used(p, &world, 4, 20))).collect();
@@ -367,7 +386,7 @@
     }
     // Where less is wanted than there is, what is given up is lost to the units' small numbers.
     for (share, uneven) in [(0.5, 0.0), (0.7, 0.0), (0.9, 0.0), (0.5, 0.5), (0.7, 0.5)] {
-        let world = World { members: 100, holders: 100, whole: 500, delay: 25_000, ..CALM };
+        let world = World { members: 100, holders: 100, whole: 500, delay: Micros::from_millis(25), ..CALM };
         let world = World { rate: share * 500.0, uneven, ..world };
         let played: Vec<Played> = (1..=3).map(|seed| play(seed, world)).collect();
         let given_up = |p: &Played| p.denied as f64 / (p.denied + p.begun.len() as u64) as f64;
--- a/cluster/src/verdicts.rs
+++ b/cluster/src/verdicts.rs
@@ -36,21 +36,22 @@
 
 use crate::cold::Start;
 use crate::injected_defect::InjectedDefect;
-use crate::{Us, MAX_SERVERS, SECOND};
+use crate::MAX_SERVERS;
 use dissemination::Dissemination;
+use juniperladder::Micros;
 use known::{Known, Servers};
 pub use message::{Entry, Message, Terms, What, MOST_TOLD};
 use own_results::OwnResults;
 use selection::{Listed, PassedBy, Selection};
 
 /// Between two entries of one witness on one server.
-const AGAIN: Us = 500_000;
+const AGAIN: Micros = Micros::from_millis(500);
 /// A server's silence is not told once more where so many told of it within the last second.
 const ENOUGH: usize = 5;
 /// A server that has answered here within this time is not passed by.
-const FRESH: Us = SECOND;
+const FRESH: Micros = Micros::SECOND;
 /// How long it is remembered when a server that is passed by was tried.
-const TRIES_KEPT: Us = 10 * SECOND;
+const TRIES_KEPT: Micros = Micros::from_secs(10);
 
 /// What operators see.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -72,7 +73,7 @@
     /// Entries of its own.
     pub told: u64,
     /// The oldest entry that has acted, in microseconds.
-    pub oldest: Us,
+    pub oldest: Micros,
 }
 
 /// One member's verdicts.
@@ -85,7 +86,7 @@
     servers: Servers,
     listed: Listed,
     against: PassedBy,
-    tried: BTreeMap<Start, Us>,
+    tried: BTreeMap<Start, Micros>,
     own: OwnResults,
     dissemination: Dissemination,
     members: usize,
@@ -98,7 +99,7 @@
 
 impl Verdicts {
     /// Those of a member at this position and in this zone, which starts now.
-    pub fn new(terms: Terms, position: u32, zone: u32, seed: u64, now: Us) -> Verdicts {
+    pub fn new(terms: Terms, position: u32, zone: u32, seed: u64, now: Micros) -> Verdicts {
         Verdicts {
             terms,
             position,
@@ -126,7 +127,7 @@
     }
 
     /// An own send told of this start of a server.
-    pub fn saw(&mut self, start: Start, silent: bool, now: Us) {
+    pub fn saw(&mut self, start: Start, silent: bool, now: Micros) {
         let start = self.name(start);
         self.own.record(now, start.server, silent);
         if self.is_worth_telling(start, silent, now) {
@@ -135,7 +136,7 @@
     }
 
     /// Whether others are told of the end of an own send.
-    fn is_worth_telling(&self, start: Start, silent: bool, now: Us) -> bool {
+    fn is_worth_telling(&self, start: Start, silent: bool, now: Micros) -> bool {
         let known = self.known(start);
         let told_lately =
             self.own_entry(start).is_some_and(|own| own.silent == silent && now < own.born + AGAIN);
@@ -145,17 +146,17 @@
         if !silent {
             return known::spoken_against(known);
         }
-        let lately = |known: &&Known| known.silent && now < known.born + SECOND;
+        let lately = |known: &&Known| known.silent && now < known.born + Micros::SECOND;
         known.iter().filter(lately).count() < ENOUGH
             && self.own.link_works()
             && !self.own.has_just_answered(start.server, now)
     }
 
     /// Takes in an entry of its own, which others are told with haste.
-    fn tell(&mut self, start: Start, silent: bool, now: Us) {
+    fn tell(&mut self, start: Start, silent: bool, now: Micros) {
         self.figures.told += 1;
         let own = self.own_entry(start);
-        let stamp = own.map_or(now, |own| now.max(own.stamp + 1));
+        let stamp = own.map_or(now, |own| now.max(own.stamp + Micros(1)));
         let found_silent_here = |known: &Known| known.zone == self.zone && known.silent;
         let back =
             !silent && (self.known(start).iter().any(found_silent_here) || own.is_some_and(|own| own.back));
@@ -175,7 +176,7 @@
     }
 
     /// Takes an entry in, beyond [`MAX_SERVERS`] none on a server that is new; what is new and changes something is spread with haste.
-    fn take(&mut self, start: Start, known: Known, now: Us) {
+    fn take(&mut self, start: Start, known: Known, now: Micros) {
         if !self.servers.contains_key(&start) && self.servers.len() >= MAX_SERVERS {
             return;
         }
@@ -193,7 +194,7 @@
     }
 
     /// A message has come.
-    pub fn heard(&mut self, now: Us, from: SocketAddr, message: Message) {
+    pub fn heard(&mut self, now: Micros, from: SocketAddr, message: Message) {
         match message {
             Message::Ask { sent, digest, about } => self.asked(now, from, sent, digest, about),
             Message::Told { sent, entries } => {
@@ -208,7 +209,7 @@
     }
 
     /// A member asks; it is answered where it holds something else, and asked in turn where there is haste.
-    fn asked(&mut self, now: Us, from: SocketAddr, sent: Us, digest: u64, about: What) {
+    fn asked(&mut self, now: Micros, from: SocketAddr, sent: Micros, digest: u64, about: What) {
         if digest == self.dissemination.digest(about) || !self.dissemination.may_answer() {
             return;
         }
@@ -223,29 +224,30 @@
     }
 
     /// An entry has come in the answer to the question of that time.
-    fn told(&mut self, now: Us, sent: Us, entry: Entry) {
+    fn told(&mut self, now: Micros, sent: Micros, entry: Entry) {
         let Entry { start, witness, zone, stamp, age, silent, back } = entry;
         // It was written after the question was sent: no younger than this can be proven.
-        let age = if self.flaw.is(Flaw::AgeNotCarried) { 0.0 } else { age as f64 };
-        let mut born = (sent as f64 - age * (1.0 + 2.0 * self.terms.drift)) as i64;
+        let age = if self.flaw.is(Flaw::AgeNotCarried) { 0.0 } else { age.as_f64() };
+        let mut born = (sent.as_f64() - age * (1.0 + 2.0 * self.terms.drift)) as i64;
         if self.flaw.is(Flaw::RenewedByHearsay) {
-            born = now as i64;
+            born = now.0 as i64;
         }
         // Of itself a member knows better; what is over does not come back.
-        if witness == self.position || born + (self.terms.own_expiry() as i64) <= now as i64 {
+        if witness == self.position || born + (self.terms.own_expiry().0 as i64) <= now.0 as i64 {
             return;
         }
-        let known = Known { witness, zone, stamp, born: born.max(0) as Us, silent, back: back && !silent };
+        let known =
+            Known { witness, zone, stamp, born: Micros(born.max(0) as u64), silent, back: back && !silent };
         self.take(start, known, now);
     }
 
-    fn ask(&mut self, now: Us, to: SocketAddr, about: What) {
+    fn ask(&mut self, now: Micros, to: SocketAddr, about: What) {
         let sent = self.dissemination.open(now, to);
         self.out.push((to, Message::Ask { sent, digest: self.dissemination.digest(about), about }));
     }
 
     /// Does what is due; to be called every 50 ms or so. `members` are there now, this one included.
-    pub fn tick(&mut self, now: Us, members: usize, peer: impl FnMut() -> Option<SocketAddr>) {
+    pub fn tick(&mut self, now: Micros, members: usize, peer: impl FnMut() -> Option<SocketAddr>) {
         self.members = members.max(1);
         self.dissemination.on_tick(now);
         self.expire(now);
@@ -261,7 +263,7 @@
     }
 
     /// Drops the entries that act no more.
-    fn expire(&mut self, now: Us) {
+    fn expire(&mut self, now: Micros) {
         let expiry = self.terms.own_expiry();
         for all in self.servers.values_mut() {
             let before = all.len();
@@ -272,7 +274,7 @@
     }
 
     /// Decides which servers are passed by from now on.
-    fn decide(&mut self, now: Us) {
+    fn decide(&mut self, now: Micros) {
         let Selection { passed_by, beyond, refused } = selection::select(
             &self.terms,
             self.zone,
@@ -289,13 +291,13 @@
 
     /// Whether to pass by this start of a server. `heard` is when it last answered here, `per_s` how many sends a
     /// server gets from here.
-    pub fn warned(&mut self, start: Start, heard: Us, per_s: f64, now: Us) -> bool {
+    pub fn warned(&mut self, start: Start, heard: Micros, per_s: f64, now: Micros) -> bool {
         let start = self.name(start);
         if !self.against.contains_key(&start) || now < heard + FRESH {
             return false;
         }
         let newest = self.known(start).iter().filter(|one| one.silent).map(|one| one.born).max();
-        let Some(born) = newest.filter(|born| now < born + self.terms.own_expiry()) else { return false };
+        let Some(born) = newest.filter(|born| now < *born + self.terms.own_expiry()) else { return false };
         if self.draws_a_try(start, per_s, now) {
             return false;
         }
@@ -306,9 +308,9 @@
 
     /// Whether a server that is passed by is tried all the same: all members together make so many tries a second; this one's
     /// part is drawn, at most one a second.
-    fn draws_a_try(&mut self, start: Start, per_s: f64, now: Us) -> bool {
+    fn draws_a_try(&mut self, start: Start, per_s: f64, now: Micros) -> bool {
         let all = (self.members as f64 * per_s).max(1e-3);
-        let rested = self.tried.get(&start).is_none_or(|at| now >= at + SECOND);
+        let rested = self.tried.get(&start).is_none_or(|at| now >= *at + Micros::SECOND);
         let tries = rested && self.rng.random::<f64>() < self.terms.tries / all;
         if tries {
             self.tried.insert(start, now);
@@ -331,7 +333,7 @@
     /// The start as it is looked up.
     fn name(&self, start: Start) -> Start {
         if self.flaw.is(Flaw::AddressForStart) {
-            Start { started: 0, ..start }
+            Start { started: Micros::ZERO, ..start }
         } else {
             start
         }
--- a/cluster/src/verdicts/dissemination.rs
+++ b/cluster/src/verdicts/dissemination.rs
@@ -6,7 +6,7 @@
 use super::message::{Entry, What, MOST_TOLD};
 use crate::interval::Interval;
 use crate::open_requests::OpenRequests;
-use crate::{Us, SECOND};
+use juniperladder::Micros;
 
 /// Answers between two ticks: a flood of questions is not answered beyond.
 pub(super) const MOST_ANSWERS: usize = 12;
@@ -15,18 +15,18 @@
 /// Members asked in a round with haste.
 const ASKED: usize = 2;
 /// Between two rounds of questions: while something new spreads, while something is held, and else.
-const URGENT: Us = 100_000;
-const HELD: Us = 500_000;
-const CALM: Us = 2_000_000;
+const URGENT: Micros = Micros::from_millis(100);
+const HELD: Micros = Micros::from_millis(500);
+const CALM: Micros = Micros::from_millis(2_000);
 /// How long something new is spread with haste: an own first word, and what changes which servers are passed by.
-const OWN_HASTE: Us = 200_000;
-const HASTE: Us = 500_000;
+const OWN_HASTE: Micros = Micros::from_millis(200);
+const HASTE: Micros = Micros::from_millis(500);
 /// After its start a member asks with haste for so long.
-const START_HASTE: Us = 2 * SECOND;
+const START_HASTE: Micros = Micros::from_secs(2);
 /// Words against a server from which on they are spread with haste: one alone is mostly a server that is slow for a moment.
 const HASTY: usize = 2;
 /// A question is answered within this time or not at all.
-const OPEN: Us = SECOND;
+const OPEN: Micros = Micros::SECOND;
 
 /// One member's questions and answers.
 #[derive(Debug)]
@@ -35,8 +35,8 @@
     rounds: Interval,
     hasty_rounds: Interval,
     /// Until then what is new is spread with haste, and until then an own word is.
-    haste_until: Us,
-    own_haste_until: Us,
+    haste_until: Micros,
+    own_haste_until: Micros,
     /// Questions answered since the last tick.
     answered: usize,
     /// All that is held in brief, and what of it is worth haste.
@@ -46,13 +46,13 @@
 
 impl Dissemination {
     /// That of a member which starts now.
-    pub(super) fn new(now: Us) -> Dissemination {
+    pub(super) fn new(now: Micros) -> Dissemination {
         Dissemination {
             requests: OpenRequests::new(OPEN),
             rounds: Interval::default(),
             hasty_rounds: Interval::default(),
             haste_until: now + START_HASTE,
-            own_haste_until: 0,
+            own_haste_until: Micros::ZERO,
             answered: 0,
             digest: 0,
             hot_digest: 0,
@@ -60,12 +60,12 @@
     }
 
     /// An own word has to meet others.
-    pub(super) fn hurry_own(&mut self, now: Us) {
+    pub(super) fn hurry_own(&mut self, now: Micros) {
         self.own_haste_until = now + OWN_HASTE;
     }
 
     /// An entry of a server was new here: it has haste where it may change whether the server is passed by.
-    pub(super) fn on_news(&mut self, now: Us, silent: bool, words: usize, passed_by: bool) {
+    pub(super) fn on_news(&mut self, now: Micros, silent: bool, words: usize, passed_by: bool) {
         let urgent = if silent { !passed_by && words >= HASTY } else { passed_by };
         if urgent {
             self.haste_until = now + HASTE;
@@ -105,17 +105,17 @@
     }
 
     /// Opens a question to a member; gives the time that names it.
-    pub(super) fn open(&mut self, now: Us, to: SocketAddr) -> Us {
+    pub(super) fn open(&mut self, now: Micros, to: SocketAddr) -> Micros {
         self.requests.open(now, to)
     }
 
     /// Closes the question that an answer names; false where it does not count.
-    pub(super) fn close(&mut self, now: Us, from: SocketAddr, sent: Us) -> bool {
+    pub(super) fn close(&mut self, now: Micros, from: SocketAddr, sent: Micros) -> bool {
         self.requests.close(now, from, sent)
     }
 
     /// A tick begins.
-    pub(super) fn on_tick(&mut self, now: Us) {
+    pub(super) fn on_tick(&mut self, now: Micros) {
         self.answered = 0;
         self.requests.expire(now);
     }
@@ -123,7 +123,7 @@
     /// The questions that are due now.
     pub(super) fn due(
         &mut self,
-        now: Us,
+        now: Micros,
         servers: &Servers,
         witnesses: usize,
         mut peer: impl FnMut() -> Option<SocketAddr>,
@@ -142,7 +142,7 @@
 
     /// What a question with haste is about. Words that are missing may be with members that have but one and no haste: they are
     /// asked for all that they hold.
-    fn hasty_question(&self, now: Us, servers: &Servers, witnesses: usize) -> What {
+    fn hasty_question(&self, now: Micros, servers: &Servers, witnesses: usize) -> What {
         let is_missing = |all: &Vec<Known>| known::is_hot(all, HASTY) && !known::is_decided(all, witnesses);
         let all = now < self.own_haste_until || self.hot_digest == 0 || servers.values().any(is_missing);
         if all {
@@ -155,7 +155,13 @@
 
 /// The entries of an answer, with their ages. Where it has no room for all: the newest of each server, as many as have to agree,
 /// of servers from the `first` on, and then the others.
-pub(super) fn answer(servers: &Servers, now: Us, about: What, first: usize, witnesses: usize) -> Vec<Entry> {
+pub(super) fn answer(
+    servers: &Servers,
+    now: Micros,
+    about: What,
+    first: usize,
+    witnesses: usize,
+) -> Vec<Entry> {
     let mut ranked: Vec<((usize, usize, usize), Entry)> = Vec::new();
     let is_whole = matches!(about, What::All | What::Own);
     let is_asked = |all: &[Known]| is_whole || known::is_hot(all, HASTY);
--- a/cluster/src/verdicts/known.rs
+++ b/cluster/src/verdicts/known.rs
@@ -4,7 +4,7 @@
 
 use super::message::Entry;
 use crate::cold::{mix, Start};
-use crate::Us;
+use juniperladder::Micros;
 
 /// Entries of silence that are kept of one server and zone: the newest. Of either kind of answer it is one.
 const SILENT_KEPT: usize = 4;
@@ -21,9 +21,9 @@
 pub(super) struct Known {
     pub(super) witness: u32,
     pub(super) zone: u32,
-    pub(super) stamp: Us,
+    pub(super) stamp: Micros,
     /// The earliest that it can have been seen, by the own clock.
-    pub(super) born: Us,
+    pub(super) born: Micros,
     pub(super) silent: bool,
     /// An answer where its own zone had found the server silent: news of the server, not of a path.
     pub(super) back: bool,
@@ -31,12 +31,12 @@
 
 impl Known {
     /// What a later state of the same witness is compared by.
-    fn rank(&self) -> (Us, Us) {
+    fn rank(&self) -> (Micros, Micros) {
         (self.stamp, self.born)
     }
 
     /// It as it is told to another member now.
-    pub(super) fn entry(&self, start: Start, now: Us) -> Entry {
+    pub(super) fn entry(&self, start: Start, now: Micros) -> Entry {
         let Known { witness, zone, stamp, born, silent, back } = *self;
         Entry { start, witness, zone, stamp, age: now.saturating_sub(born), silent, back }
     }
@@ -77,9 +77,9 @@
 pub(super) fn digest(servers: &Servers) -> u64 {
     let mut sum: u64 = 0;
     for (start, all) in servers {
-        let server = mix(start.server ^ mix(start.started));
+        let server = mix(start.server ^ mix(start.started.0));
         for one in all {
-            sum ^= mix(server ^ mix(one.stamp ^ (u64::from(one.witness) << 40)));
+            sum ^= mix(server ^ mix(one.stamp.0 ^ (u64::from(one.witness) << 40)));
         }
     }
     sum
@@ -101,12 +101,12 @@
     let none = BTreeSet::new();
     let mut sum: u64 = 0;
     for (start, all) in servers.iter().filter(|(_, all)| is_hot(all, hasty)) {
-        let server = mix(start.server ^ mix(start.started));
+        let server = mix(start.server ^ mix(start.started.0));
         let words: Vec<&Known> = uncleared(all, &none).collect();
         if words.len() >= witnesses {
             sum ^= server;
         } else {
-            words.iter().for_each(|one| sum ^= mix(server ^ mix(one.stamp ^ u64::from(one.witness))));
+            words.iter().for_each(|one| sum ^= mix(server ^ mix(one.stamp.0 ^ u64::from(one.witness))));
         }
         if words.is_empty() {
             sum ^= mix(!server);
--- a/cluster/src/verdicts/message.rs
+++ b/cluster/src/verdicts/message.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::cold::Start;
-use crate::Us;
+use juniperladder::Micros;
 
 /// Entries in one answer: what a packet has room for, with the rest of it.
 pub const MOST_TOLD: usize = 24;
@@ -14,7 +14,7 @@
     /// How many have to say so.
     pub witnesses: usize,
     /// How long an entry acts.
-    pub expiry: Us,
+    pub expiry: Micros,
     /// The part of all servers that is passed by at the most.
     pub most: f64,
     /// Tries a second of one server by all members together.
@@ -25,8 +25,8 @@
 
 impl Terms {
     /// How long an entry acts by the own clock, so that by every clock it is no longer than stated.
-    pub(super) fn own_expiry(&self) -> Us {
-        (self.expiry as f64 * (1.0 - 2.0 * self.drift)) as Us
+    pub(super) fn own_expiry(&self) -> Micros {
+        self.expiry.mul_f64(1.0 - 2.0 * self.drift)
     }
 }
 
@@ -40,9 +40,11 @@
     /// The witness's zone.
     pub zone: u32,
     /// When, by the witness's clock: a later one replaces an earlier one.
-    pub stamp: Us,
+    #[serde(with = "crate::wire_micros")]
+    pub stamp: Micros,
     /// How old it was at the most when it was written down here.
-    pub age: Us,
+    #[serde(with = "crate::wire_micros")]
+    pub age: Micros,
     /// Whether the server was silent; else it answered.
     pub silent: bool,
     /// Of an answer, whether the witness's zone had found the server silent.
@@ -68,7 +70,8 @@
     /// What is held here in brief; whoever holds something else answers.
     Ask {
         /// When, by the asker's clock.
-        sent: Us,
+        #[serde(with = "crate::wire_micros")]
+        sent: Micros,
         /// Of what it is about.
         digest: u64,
         /// What it is about.
@@ -77,7 +80,8 @@
     /// What is held, for the question of that time.
     Told {
         /// The time in the question.
-        sent: Us,
+        #[serde(with = "crate::wire_micros")]
+        sent: Micros,
         /// Its entries.
         entries: Vec<Entry>,
     },
--- a/cluster/src/verdicts/own_results.rs
+++ b/cluster/src/verdicts/own_results.rs
@@ -2,19 +2,19 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::{Us, SECOND};
+use juniperladder::Micros;
 
 /// How long results are kept, and how many.
-const KEPT_FOR: Us = 2 * SECOND;
+const KEPT_FOR: Micros = Micros::from_secs(2);
 const MOST_KEPT: usize = 64;
 /// A server that has answered here within this time is not told to be silent: a time-out takes about as long, so that the server
 /// has answered since.
-const ANSWERED: Us = SECOND / 2;
+const ANSWERED: Micros = Micros::from_millis(500);
 
 /// The end of one own send.
 #[derive(Clone, Copy, Debug)]
 struct SendResult {
-    at: Us,
+    at: Micros,
     server: u64,
     silent: bool,
 }
@@ -27,7 +27,7 @@
 
 impl OwnResults {
     /// A send to a server has ended, without an answer where the server was silent.
-    pub(super) fn record(&mut self, now: Us, server: u64, silent: bool) {
+    pub(super) fn record(&mut self, now: Micros, server: u64, silent: bool) {
         self.results.push_back(SendResult { at: now, server, silent });
         let is_old = |result: &SendResult| result.at + KEPT_FOR < now;
         while self.results.len() > MOST_KEPT || self.results.front().is_some_and(is_old) {
@@ -44,7 +44,7 @@
     }
 
     /// Whether a server has answered here a moment ago.
-    pub(super) fn has_just_answered(&self, server: u64, now: Us) -> bool {
+    pub(super) fn has_just_answered(&self, server: u64, now: Micros) -> bool {
         self.results
             .iter()
             .any(|result| !result.silent && result.server == server && now < result.at + ANSWERED)
--- a/cluster/src/verdicts/selection.rs
+++ b/cluster/src/verdicts/selection.rs
@@ -9,18 +9,18 @@
 use super::known::{self, Servers};
 use super::message::Terms;
 use crate::cold::Start;
-use crate::Us;
+use juniperladder::Micros;
 
 /// The part of a zone's servers that is passed by at the most.
 const OF_ZONE: f64 = 0.5;
 /// The longest that a member waits until it uses a server again.
-const APART: Us = 400_000;
+const APART: Micros = Micros::from_millis(400);
 
 /// The servers that serve, by their numbers: when they started, and their zones.
-pub(super) type Listed = BTreeMap<u64, (Us, u32)>;
+pub(super) type Listed = BTreeMap<u64, (Micros, u32)>;
 
 /// Servers that are passed by, and until when they stay so though others say that they answer.
-pub(super) type PassedBy = BTreeMap<Start, Option<Us>>;
+pub(super) type PassedBy = BTreeMap<Start, Option<Micros>>;
 
 /// What was decided.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
     servers: &Servers,
     listed: &Listed,
     before: &PassedBy,
-    now: Us,
+    now: Micros,
     rng: &mut ChaCha8Rng,
 ) -> Selection {
     let refused = known::refused(servers, listed.len());
@@ -58,7 +58,7 @@
     // What is cleared is used again after a wait that each draws for itself; what has run out, at once.
     for (start, until) in before {
         let held = servers.get(start).is_some_and(|all| !all.is_empty());
-        let until = until.unwrap_or_else(|| now + rng.random_range(0..APART));
+        let until = until.unwrap_or_else(|| now + Micros(rng.random_range(0..APART.0)));
         if held && !passed_by.contains_key(start) && now < until {
             passed_by.insert(*start, Some(until));
         }
--- a/cluster/src/verdicts/tests.rs
+++ b/cluster/src/verdicts/tests.rs
@@ -7,6 +7,9 @@
 use super::*;
 use crate::virtual_network::{address, Arrival, Conditions, Partition, VirtualNetwork};
 
+/// By how much at most a late packet is late.
+const LATE_DELAYS: &[Micros] = &[Micros::from_secs(9)];
+
 /// How bad a fleet's world is.
 #[derive(Clone, Copy, Debug)]
 struct World {
@@ -18,7 +21,7 @@
     rate: f64,
     loss: f64,
     repeat: f64,
-    delay: Us,
+    delay: Micros,
     /// The share of packets that come up to nine seconds late.
     late: f64,
     kills: usize,
@@ -39,7 +42,7 @@
     rate: 10.0,
     loss: 0.0,
     repeat: 0.0,
-    delay: 20_000,
+    delay: Micros::from_millis(20),
     late: 0.0,
     kills: 0,
     freezes: 0,
@@ -65,7 +68,7 @@
 struct Member {
     verdicts: Verdicts,
     /// When each server last answered here.
-    heard: Vec<Us>,
+    heard: Vec<Micros>,
 }
 
 #[derive(Debug, Default)]
@@ -79,9 +82,9 @@
     wrong: usize,
     packets: u64,
     /// From the moment at which enough had seen a server silent until nearly all passed it by.
-    spread: Vec<Us>,
+    spread: Vec<Micros>,
     /// From the first answer of a server that is back until nearly all used it.
-    back: Vec<Us>,
+    back: Vec<Micros>,
 }
 
 struct Fleet {
@@ -89,27 +92,27 @@
     network: VirtualNetwork<Message, Scheduled>,
     members: Vec<Member>,
     silent: Vec<bool>,
-    started: Vec<Us>,
+    started: Vec<Micros>,
     ill: BTreeSet<usize>,
     /// Who truly saw a start silent, and when last.
-    seen: BTreeMap<Start, (Us, BTreeSet<u32>)>,
-    raised: BTreeMap<Start, Us>,
-    cleared: BTreeMap<Start, Us>,
+    seen: BTreeMap<Start, (Micros, BTreeSet<u32>)>,
+    raised: BTreeMap<Start, Micros>,
+    cleared: BTreeMap<Start, Micros>,
     played: Played,
 }
 
 fn terms() -> Terms {
-    Terms { witnesses: 3, expiry: 6 * SECOND, most: 0.34, tries: 1.0, drift: 0.001 }
+    Terms { witnesses: 3, expiry: Micros::from_secs(6), most: 0.34, tries: 1.0, drift: 0.001 }
 }
 
 fn play(seed: u64, world: World) -> Played {
     let conditions = Conditions {
         loss: world.loss,
         repeat: world.repeat,
-        least_delay: 0,
+        least_delay: Micros::ZERO,
         delay: world.delay,
         late: world.late,
-        latest: &[9 * SECOND],
+        latest: LATE_DELAYS,
         drift: 0.0005,
     };
     let mut fleet = Fleet {
@@ -117,7 +120,7 @@
         network: VirtualNetwork::new(seed, world.members, conditions),
         members: Vec::new(),
         silent: vec![false; world.servers],
-        started: vec![1; world.servers],
+        started: vec![Micros(1); world.servers],
         ill: BTreeSet::new(),
         seen: BTreeMap::new(),
         raised: BTreeMap::new(),
@@ -138,7 +141,7 @@
         verdicts.flaw = InjectedDefect::given(self.world.flaw);
         verdicts.listed(self.list());
         self.network.start(one);
-        Member { verdicts, heard: vec![0; self.world.servers] }
+        Member { verdicts, heard: vec![Micros::ZERO; self.world.servers] }
     }
 
     fn list(&self) -> Vec<(Start, u32)> {
@@ -148,23 +151,23 @@
 
     fn run(&mut self) {
         let world = self.world;
-        let end = world.seconds * SECOND;
+        let end = Micros::from_secs(world.seconds);
         for one in 0..world.members {
             let member = self.start(one);
             self.members.push(member);
-            let first = self.network.draw(SECOND / 5);
+            let first = self.network.draw(Micros::SECOND / 5);
             self.network.schedule_for(first, one, Scheduled::Send(one));
         }
         self.network.schedule_kills(world.kills, end);
-        self.network.schedule_freezes(world.freezes, end, 8 * SECOND);
+        self.network.schedule_freezes(world.freezes, end, Micros::from_secs(8));
         for _ in 0..world.cuts {
-            let (at, lasts) = (self.network.draw(end), self.network.draw(8 * SECOND));
+            let (at, lasts) = (self.network.draw(end), self.network.draw(Micros::from_secs(8)));
             let second_side = self.network.rng.random();
             self.network.schedule_cut(at, at + lasts, Partition { second_side, one_way: false });
         }
         for server in 0..world.falls {
-            let at = 4 * SECOND + self.network.draw(end / 4);
-            let back = at + 6 * SECOND + self.network.draw(6 * SECOND);
+            let at = Micros::from_secs(4) + self.network.draw(end / 4);
+            let back = at + Micros::from_secs(6) + self.network.draw(Micros::from_secs(6));
             self.ill.insert(server);
             self.network.schedule(at, Scheduled::Silent(server, true));
             self.network.schedule(back, Scheduled::Silent(server, false));
@@ -189,7 +192,7 @@
             }
             Arrival::Killed(one) => {
                 self.members[one] = self.start(one);
-                self.network.schedule_for(self.network.now() + 1, one, Scheduled::Send(one));
+                self.network.schedule_for(self.network.now() + Micros(1), one, Scheduled::Send(one));
             }
             Arrival::Scheduled(Scheduled::Send(one)) => self.send(one),
             Arrival::Scheduled(Scheduled::Ended { member, server, silent, start }) => {
@@ -207,11 +210,11 @@
     /// How many members at least make nearly all, and since when each server that enough have seen silent is passed by by them.
     fn watch(&mut self) {
         let nearly = self.world.members - self.world.members / 100;
-        for (start, since) in self.raised.iter_mut().filter(|(_, since)| **since < Us::MAX) {
+        for (start, since) in self.raised.iter_mut().filter(|(_, since)| **since < Micros(u64::MAX)) {
             let all = self.members.iter().filter(|one| one.verdicts.against.contains_key(start)).count();
             if all >= nearly {
                 self.played.spread.push(self.network.now() - *since);
-                *since = Us::MAX;
+                *since = Micros(u64::MAX);
             }
         }
     }
@@ -228,11 +231,11 @@
             self.lie(one, now);
         }
         self.carry(one);
-        self.network.tick_after(one, 50_000);
+        self.network.tick_after(one, Micros::from_millis(50));
     }
 
     /// A liar speaks against every server, anew at each tick.
-    fn lie(&mut self, one: usize, now: Us) {
+    fn lie(&mut self, one: usize, now: Micros) {
         for server in 0..self.world.servers {
             let start = Start { server: server as u64, started: self.started[server] };
             let zone = one as u32 % self.world.zones;
@@ -247,7 +250,7 @@
 
     /// A member sends to a server, unless it passes it by.
     fn send(&mut self, one: usize) {
-        let rest = (self.network.draw(2 * SECOND) as f64 / self.world.rate) as Us;
+        let rest = Micros((self.network.draw(Micros::from_secs(2)).as_f64() / self.world.rate) as u64);
         self.network.schedule_for(self.network.now() + rest, one, Scheduled::Send(one));
         let server = self.network.rng.random_range(0..self.world.servers);
         let start = Start { server: server as u64, started: self.started[server] };
@@ -261,7 +264,7 @@
         }
         let silent = self.silent[server];
         self.played.lost += usize::from(silent);
-        let after = if silent { 400_000 } else { 5_000 };
+        let after = if silent { Micros::from_millis(400) } else { Micros::from_millis(5) };
         let ended = Scheduled::Ended { member: one, server, silent, start };
         self.network.schedule_for(self.network.now() + after, one, ended);
     }
@@ -292,13 +295,13 @@
         let (last, who) = self.seen.get(&start).cloned().unwrap_or_default();
         let said = who.len() + liars;
         // Clocks may differ by the drift; a microsecond is lost to rounding.
-        let oldest = (terms().expiry as f64 * 1.0005) as Us + 2;
+        let oldest = terms().expiry.mul_f64(1.0005) + Micros(2);
         if said < terms().witnesses {
             self.played.broken = Some(format!("{one} passed by {start:?} on the word of {who:?}"));
         }
         let now = self.network.now();
         if liars == 0 && now > last + oldest {
-            let age = now - last;
+            let age = (now - last).0;
             self.played.broken = Some(format!("{one} passed by {start:?}, last seen silent {age} us ago"));
         }
         let verdicts = &self.members[one].verdicts;
@@ -309,7 +312,7 @@
             self.played.broken = Some(format!("{one} passes by {against} of {listed} hosts"));
         }
         if let Some(since) = self.cleared.get(&start) {
-            self.played.back.push(now - since);
+            self.played.back.push(now - *since);
         }
     }
 }
@@ -370,27 +373,27 @@
 
 #[test]
 fn a_member_that_finds_most_servers_silent_reports_nothing() {
-    let mut one = Verdicts::new(terms(), 0, 0, 1, 0);
+    let mut one = Verdicts::new(terms(), 0, 0, 1, Micros::ZERO);
     for server in 0..10 {
-        one.saw(Start { server, started: 1 }, true, 1_000 * server);
+        one.saw(Start { server, started: Micros(1) }, true, Micros(1_000 * server));
     }
     assert_eq!(one.figures().told, 0);
     for server in 10..21 {
-        one.saw(Start { server, started: 1 }, false, 20_000 + server);
+        one.saw(Start { server, started: Micros(1) }, false, Micros(20_000 + server));
     }
-    one.saw(Start { server: 5, started: 1 }, true, 30_000);
+    one.saw(Start { server: 5, started: Micros(1) }, true, Micros(30_000));
     assert_eq!(one.figures().told, 1, "now most answer");
-    one.saw(Start { server: 6, started: 1 }, true, 30_000 + 3 * SECOND);
+    one.saw(Start { server: 6, started: Micros(1) }, true, Micros(30_000) + Micros::from_secs(3));
     assert_eq!(one.figures().told, 1, "and that is long ago");
 }
 
 /// Of four zones' members in a full view: a path that is cut for one zone tells the others nothing.
 #[test]
 fn a_zone_that_cannot_reach_a_server_reports_for_itself_alone() {
-    let start = Start { server: 3, started: 1 };
+    let start = Start { server: 3, started: Micros(1) };
     let word = |witness, zone, born, silent| {
         // Zone 2 had found it silent before it answered there.
-        Known { witness, zone, stamp: born, born, silent, back: !silent && zone == 2 }
+        Known { witness, zone, stamp: Micros(born), born: Micros(born), silent, back: !silent && zone == 2 }
     };
     let none = BTreeSet::new();
     let mut all = Vec::new();
@@ -422,12 +425,19 @@
     for _ in 0..200 {
         let mut words: Vec<Known> = (0..30)
             .map(|n| {
-                let (witness, stamp): (u32, Us) = (chance.random_range(0..24), chance.random_range(0..50));
+                let (witness, stamp): (u32, u64) = (chance.random_range(0..24), chance.random_range(0..50));
                 let silent = chance.random_range(0..50) != stamp;
                 let back = !silent && witness % 2 == 0;
                 // Of one stamp of a witness there is one entry, proven more or less tightly.
                 let born = 1_000 * stamp + 10 * u64::from(witness) + n % 2;
-                Known { witness, zone: witness % 3, stamp: born / 10, born, silent, back }
+                Known {
+                    witness,
+                    zone: witness % 3,
+                    stamp: Micros(born / 10),
+                    born: Micros(born),
+                    silent,
+                    back,
+                }
             })
             .collect();
         let joined = |words: &[Known]| {
@@ -450,22 +460,26 @@
 
 #[test]
 fn a_flood_fills_nothing_and_is_answered_within_bounds() {
-    let mut one = Verdicts::new(terms(), 0, 0, 1, 0);
-    one.tick(2 * SECOND, 2, || Some(address(1)));
+    let mut one = Verdicts::new(terms(), 0, 0, 1, Micros::ZERO);
+    one.tick(Micros::from_secs(2), 2, || Some(address(1)));
     let Some((_, Message::Ask { sent, .. })) = one.drain().next() else { panic!("it asks when it starts") };
     let entry = |server| Entry {
-        start: Start { server, started: 1 },
+        start: Start { server, started: Micros(1) },
         witness: 9,
         zone: 0,
-        stamp: 5,
-        age: 0,
+        stamp: Micros(5),
+        age: Micros::ZERO,
         silent: true,
         back: false,
     };
     for turn in 0..1_000 {
         let entries = (0..100).map(|n| entry(100 * turn + n)).collect();
-        one.heard(2 * SECOND, address(1), Message::Told { sent, entries });
-        one.heard(2 * SECOND, address(1), Message::Ask { sent: turn, digest: turn, about: What::Hot });
+        one.heard(Micros::from_secs(2), address(1), Message::Told { sent, entries });
+        one.heard(
+            Micros::from_secs(2),
+            address(1),
+            Message::Ask { sent: Micros(turn), digest: turn, about: What::Hot },
+        );
     }
     assert!(one.servers.len() <= MOST_TOLD, "one question, one answer: {}", one.servers.len());
     assert!(one.drain().count() <= MOST_ANSWERS + ASKED_BACK);
@@ -484,13 +498,13 @@
             assert_eq!(played.broken, None);
             (lost, packets) = (lost + played.lost, packets + played.packets);
             spread.append(&mut played.spread);
-            back.push(played.back.into_iter().max().unwrap_or(0));
+            back.push(played.back.into_iter().max().unwrap_or_default());
         }
         spread.sort_unstable();
         let part =
-            |part: f64| spread.get((part * (spread.len() - 1) as f64) as usize).map_or(0, |us| us / 1_000);
+            |part: f64| spread.get((part * (spread.len() - 1) as f64) as usize).map_or(0, |us| us.0 / 1_000);
         let rate = packets as f64 / 3.0 / 24.0 / members as f64;
-        let back = back.into_iter().max().unwrap_or(0) / 1_000;
+        let back = back.into_iter().max().unwrap_or_default().0 / 1_000;
         println!(
             "| {members} | {loss} | {} {} {} of {} | {back} | {:.1} | {rate:.1} |",
             part(0.5),
--- a/cluster/src/virtual_network.rs
+++ b/cluster/src/virtual_network.rs
@@ -10,14 +10,14 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::{Us, SECOND};
+use juniperladder::Micros;
 
 /// The port of the first member.
 const FIRST_PORT: u16 = 1_000;
 /// The first tick of a process comes within this time of its start.
-const FIRST_TICK: Us = 50_000;
+const FIRST_TICK: Micros = Micros::from_millis(50);
 /// Members' clocks show up to this time when a run begins.
-const CLOCKS_APART: Us = 1_000 * SECOND;
+const CLOCKS_APART: Micros = Micros::from_secs(1_000);
 
 /// The address of a member.
 pub(crate) fn address(member: usize) -> SocketAddr {
@@ -29,6 +29,11 @@
     usize::from(address.port() - FIRST_PORT)
 }
 
+/// The times from one until another, a step apart.
+pub(crate) fn times(from: Micros, until: Micros, step: Micros) -> impl Iterator<Item = Micros> {
+    (from.0..until.0).step_by(step.0 as usize).map(Micros)
+}
+
 /// How packets fare, and how far clocks run apart.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Conditions {
@@ -37,11 +42,11 @@
     /// The share of packets that come twice; either copy may be lost.
     pub(crate) repeat: f64,
     /// The shortest delay, and how much longer a packet usually takes at most.
-    pub(crate) least_delay: Us,
-    pub(crate) delay: Us,
+    pub(crate) least_delay: Micros,
+    pub(crate) delay: Micros,
     /// The share of packets that come far later, and by how much at most: one of these, drawn for each.
     pub(crate) late: f64,
-    pub(crate) latest: &'static [Us],
+    pub(crate) latest: &'static [Micros],
     /// By which part clocks run faster or slower than the network's time, at most.
     pub(crate) drift: f64,
 }
@@ -98,7 +103,7 @@
         message: M,
     },
     Kill(usize),
-    Freeze(usize, Us),
+    Freeze(usize, Micros),
     Thaw(usize),
     Cut(Partition),
     /// What a test has scheduled; a member that is frozen meets it when it thaws.
@@ -126,7 +131,7 @@
     /// What waits until it thaws.
     waiting: Vec<Event<M, E>>,
     clock_rate: f64,
-    clock_offset: Us,
+    clock_offset: Micros,
 }
 
 /// The network. `M` is what its members send, `E` what a test puts on its schedule.
@@ -137,9 +142,9 @@
     /// Packets sent so far.
     pub(crate) packets: u64,
     conditions: Conditions,
-    now: Us,
+    now: Micros,
     scheduled: u64,
-    queue: BTreeMap<(Us, u64), Event<M, E>>,
+    queue: BTreeMap<(Micros, u64), Event<M, E>>,
     processes: Vec<Process<M, E>>,
     partition: Partition,
 }
@@ -154,14 +159,14 @@
             is_frozen: false,
             waiting: Vec::new(),
             clock_rate: 1.0 + conditions.drift * (2.0 * rng.random::<f64>() - 1.0),
-            clock_offset: rng.random_range(0..CLOCKS_APART),
+            clock_offset: Micros(rng.random_range(0..CLOCKS_APART.0)),
         });
         let processes = processes.collect();
         VirtualNetwork {
             rng,
             packets: 0,
             conditions,
-            now: 0,
+            now: Micros::ZERO,
             scheduled: 0,
             queue: BTreeMap::new(),
             processes,
@@ -170,14 +175,14 @@
     }
 
     /// The time that is everybody's, from the beginning of the run.
-    pub(crate) fn now(&self) -> Us {
+    pub(crate) fn now(&self) -> Micros {
         self.now
     }
 
     /// What a member's clock shows.
-    pub(crate) fn clock(&self, member: usize) -> Us {
+    pub(crate) fn clock(&self, member: usize) -> Micros {
         let Process { clock_rate, clock_offset, .. } = &self.processes[member];
-        clock_offset + (self.now as f64 * clock_rate) as Us
+        *clock_offset + self.now.mul_f64(*clock_rate)
     }
 
     /// How often a member has been started.
@@ -186,8 +191,8 @@
     }
 
     /// A drawn time below this.
-    pub(crate) fn draw(&mut self, most: Us) -> Us {
-        self.rng.random_range(0..most.max(1))
+    pub(crate) fn draw(&mut self, most: Micros) -> Micros {
+        Micros(self.rng.random_range(0..most.0.max(1)))
     }
 
     /// A drawn member.
@@ -210,18 +215,18 @@
     }
 
     /// The next tick of a member's process comes after this time.
-    pub(crate) fn tick_after(&mut self, member: usize, rest: Us) {
+    pub(crate) fn tick_after(&mut self, member: usize, rest: Micros) {
         let life = self.processes[member].life;
         self.push(self.now + rest, Event::Tick { member, life });
     }
 
     /// At that time something happens that needs no member's process.
-    pub(crate) fn schedule(&mut self, at: Us, event: E) {
+    pub(crate) fn schedule(&mut self, at: Micros, event: E) {
         self.push(at, Event::Scheduled(None, event));
     }
 
     /// At that time something happens at a member, or when it thaws.
-    pub(crate) fn schedule_for(&mut self, at: Us, member: usize, event: E) {
+    pub(crate) fn schedule_for(&mut self, at: Micros, member: usize, event: E) {
         self.push(at, Event::Scheduled(Some(member), event));
     }
 
@@ -231,12 +236,12 @@
     }
 
     /// A member's process is killed at that time.
-    pub(crate) fn schedule_kill(&mut self, at: Us, member: usize) {
+    pub(crate) fn schedule_kill(&mut self, at: Micros, member: usize) {
         self.push(at, Event::Kill(member));
     }
 
     /// Drawn members are killed at drawn times until `end`.
-    pub(crate) fn schedule_kills(&mut self, count: usize, end: Us) {
+    pub(crate) fn schedule_kills(&mut self, count: usize, end: Micros) {
         for _ in 0..count {
             let (at, member) = (self.draw(end), self.draw_member());
             self.schedule_kill(at, member);
@@ -244,7 +249,7 @@
     }
 
     /// Drawn members are frozen at drawn times until `end`, each for up to `longest`.
-    pub(crate) fn schedule_freezes(&mut self, count: usize, end: Us, longest: Us) {
+    pub(crate) fn schedule_freezes(&mut self, count: usize, end: Micros, longest: Micros) {
         for _ in 0..count {
             let (at, member, lasts) = (self.draw(end), self.draw_member(), self.draw(longest));
             self.push(at, Event::Freeze(member, lasts));
@@ -252,12 +257,12 @@
     }
 
     /// The network is cut from one time until another.
-    pub(crate) fn schedule_cut(&mut self, from: Us, until: Us, partition: Partition) {
+    pub(crate) fn schedule_cut(&mut self, from: Micros, until: Micros, partition: Partition) {
         self.push(from, Event::Cut(partition));
         self.push(until, Event::Cut(Partition::default()));
     }
 
-    fn push(&mut self, at: Us, event: Event<M, E>) {
+    fn push(&mut self, at: Micros, event: Event<M, E>) {
         self.scheduled += 1;
         self.queue.insert((at, self.scheduled), event);
     }
@@ -279,7 +284,7 @@
         }
     }
 
-    fn draw_delay(&mut self) -> Us {
+    fn draw_delay(&mut self) -> Micros {
         let Conditions { least_delay, delay, late, latest, .. } = self.conditions;
         let most = match latest {
             [] => delay,
@@ -295,7 +300,7 @@
     }
 
     /// Goes on to what a test has to do next; nothing until `end`.
-    pub(crate) fn next(&mut self, end: Us) -> Option<Arrival<M, E>> {
+    pub(crate) fn next(&mut self, end: Micros) -> Option<Arrival<M, E>> {
         loop {
             let ((at, _), event) = self.queue.pop_first()?;
             if at > end {
@@ -346,7 +351,7 @@
     }
 
     /// A process stands still from now on, for so long.
-    pub(crate) fn freeze(&mut self, member: usize, lasts: Us) {
+    pub(crate) fn freeze(&mut self, member: usize, lasts: Micros) {
         self.processes[member].is_frozen = true;
         self.push(self.now + lasts, Event::Thaw(member));
     }
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use juniperladder::Settings;
+use juniperladder::{Micros, Settings};
 use juniperladder_cluster::shares::Terms;
 use juniperladder_cluster::{budget, cold, verdicts, Plan, MOST_MEMBERS};
 use serde::Deserialize;
@@ -231,12 +231,12 @@
         let position = self.peers.position.or(position);
         let position = position.ok_or("peers.position: the settings name no position; give one here")?;
         let holders = self.limits.holders.unwrap_or(settings.balancers).max(1);
-        let (drift, spread) = (self.limits.drift, self.limits.spread_ms * 1_000);
+        let (drift, spread) = (self.limits.drift, Micros::from_millis(self.limits.spread_ms));
         let terms = |rate: &Rate| Terms {
             whole: rate.per_s,
             spread,
             holders,
-            lease: self.limits.lease_ms * 1_000,
+            lease: Micros::from_millis(self.limits.lease_ms),
             drift,
         };
         let rules = &settings.rules;
@@ -246,7 +246,7 @@
             LEAST_SHARE
         };
         let cold =
-            |rate: &Rate| cold::Terms { shares: terms(rate), share, warm_up: rules.slow_start_duration.0 };
+            |rate: &Rate| cold::Terms { shares: terms(rate), share, warm_up: rules.slow_start_duration };
         let second = |second: &Second| budget::Terms {
             share: second.share,
             saved: second.saved * f64::from(holders),
@@ -254,7 +254,7 @@
         };
         let verdicts = |verdicts: &Verdicts| verdicts::Terms {
             witnesses: verdicts.witnesses,
-            expiry: verdicts.expiry_ms * 1_000,
+            expiry: Micros::from_millis(verdicts.expiry_ms),
             most: verdicts.most,
             tries: verdicts.tries_per_s,
             drift,
@@ -395,9 +395,9 @@
         let operator = Operator::parse(&uncommented()).unwrap();
         let plan = operator.plan("127.0.0.1:7946".parse().unwrap(), None, &settings(), 1, 1).unwrap();
         let (cold, second) = (plan.cold.unwrap(), plan.second.unwrap());
-        assert_eq!((cold.shares.whole, cold.share, cold.warm_up), (100, 0.25, 10_000_000));
+        assert_eq!((cold.shares.whole, cold.share, cold.warm_up), (100, 0.25, Micros::from_secs(10)));
         assert_eq!((second.share, second.saved, second.holders), (0.4, 1_000.0, 100));
-        assert_eq!((plan.verdicts.unwrap().expiry, plan.zone), (6_000_000, 1));
+        assert_eq!((plan.verdicts.unwrap().expiry, plan.zone), (Micros::from_secs(6), 1));
     }
 
     #[test]
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -57,7 +57,7 @@
         // The clock counts Unix time, so that a later life has a greater number.
         let plan = operator.plan(here, position, settings, now.0, seed)?;
         info!(log, "talk between balancers"; "address" => plan.address.to_string(), "position" => plan.position);
-        let cluster = Rc::new(RefCell::new(Cluster::new(plan, now.0)));
+        let cluster = Rc::new(RefCell::new(Cluster::new(plan, now)));
         Ok(Rc::new(Peers { cluster, socket, clock, bound: operator.bound(), log }))
     }
 
@@ -81,7 +81,7 @@
             if Instant::now() >= next {
                 // A turn that was missed is not made up for.
                 next = Instant::now() + TICK;
-                self.cluster.borrow_mut().tick(self.clock.now().0);
+                self.cluster.borrow_mut().tick(self.clock.now());
                 let alive = self.cluster.borrow().members().alive;
                 if alive != members {
                     members = alive;
@@ -98,7 +98,7 @@
         for _ in 0..TURN {
             // Word that an earlier packet found nobody is no packet; an empty buffer ends the turn.
             let Ok((length, from)) = self.socket.try_recv_from(&mut packet) else { return };
-            self.cluster.borrow_mut().heard(self.clock.now().0, from, &packet[..length]);
+            self.cluster.borrow_mut().heard(self.clock.now(), from, &packet[..length]);
         }
     }
 
@@ -111,13 +111,13 @@
 
     /// Says that this balancer leaves.
     pub fn leave(&self) {
-        self.cluster.borrow_mut().leave(self.clock.now().0);
+        self.cluster.borrow_mut().leave(self.clock.now());
         self.write();
     }
 
     /// The figures.
     pub fn figures(&self) -> Figures {
-        self.cluster.borrow_mut().figures(self.clock.now().0)
+        self.cluster.borrow_mut().figures(self.clock.now())
     }
 
     /// The figures in the Prometheus text format.
--- a/node/src/together.rs
+++ b/node/src/together.rs
@@ -30,7 +30,7 @@
         match of {
             SharedLimit::OriginRate => cluster.limit(ORIGIN).map(act),
             SharedLimit::SlowStart(listed_server, started) => {
-                cluster.cold(start(listed_server, started), now.0).0.map(act)
+                cluster.cold(start(listed_server, started), now).0.map(act)
             }
             SharedLimit::RetryBudget => None,
         }
@@ -38,41 +38,41 @@
 }
 
 fn start(server: ServerId, started: Micros) -> Start {
-    Start { server: server.0, started: started.0 }
+    Start { server: server.0, started }
 }
 
 impl Coordination for Together {
     fn wait_time(&mut self, of: SharedLimit, now: Micros) -> Option<Micros> {
         match of {
             SharedLimit::RetryBudget => {
-                let has = self.0.borrow_mut().second()?.has(now.0);
+                let has = self.0.borrow_mut().second()?.has(now);
                 Some(if has { Micros(0) } else { MOMENT })
             }
             SharedLimit::SlowStart(listed_server, started) => {
-                match self.0.borrow_mut().cold(start(listed_server, started), now.0) {
-                    (Some(shares), _) => Some(Micros(shares.wait(now.0))),
+                match self.0.borrow_mut().cold(start(listed_server, started), now) {
+                    (Some(shares), _) => Some(shares.wait(now)),
                     (None, shut) => shut.then_some(MOMENT),
                 }
             }
-            SharedLimit::OriginRate => self.units(of, now, |shares| Micros(shares.wait(now.0))),
+            SharedLimit::OriginRate => self.units(of, now, |shares| shares.wait(now)),
         }
     }
 
     fn acquire(&mut self, of: SharedLimit, now: Micros) {
         match of {
             SharedLimit::RetryBudget => {
-                self.0.borrow_mut().second().into_iter().for_each(|budget| budget.spend(now.0))
+                self.0.borrow_mut().second().into_iter().for_each(|budget| budget.spend(now))
             }
-            _ => drop(self.units(of, now, |shares| shares.took(now.0))),
+            _ => drop(self.units(of, now, |shares| shares.took(now))),
         }
     }
 
     fn on_rejected(&mut self, of: SharedLimit, now: Micros) {
         match of {
             SharedLimit::RetryBudget => {
-                self.0.borrow_mut().second().into_iter().for_each(|budget| budget.denied(now.0))
+                self.0.borrow_mut().second().into_iter().for_each(|budget| budget.denied(now))
             }
-            _ => drop(self.units(of, now, |shares| shares.denied(now.0))),
+            _ => drop(self.units(of, now, |shares| shares.denied(now))),
         }
     }
 
@@ -87,7 +87,7 @@
 
     fn on_server_observed(&mut self, listed_server: ServerId, started: Micros, silent: bool, now: Micros) {
         let start = start(listed_server, started);
-        self.0.borrow_mut().verdicts().into_iter().for_each(|verdicts| verdicts.saw(start, silent, now.0));
+        self.0.borrow_mut().verdicts().into_iter().for_each(|verdicts| verdicts.saw(start, silent, now));
     }
 
     fn is_suspected(
@@ -100,7 +100,7 @@
     ) -> bool {
         let start = start(listed_server, started);
         let mut cluster = self.0.borrow_mut();
-        cluster.verdicts().is_some_and(|verdicts| verdicts.warned(start, heard.0, per_s, now.0))
+        cluster.verdicts().is_some_and(|verdicts| verdicts.warned(start, heard, per_s, now))
     }
 }
 
@@ -153,7 +153,7 @@
             ("sends_spared", verdicts.passed as f64),
             ("tries", verdicts.tried as f64),
             ("told", verdicts.told as f64),
-            ("oldest_acted_seconds", verdicts.oldest as f64 / 1e6),
+            ("oldest_acted_seconds", verdicts.oldest.as_f64() / 1e6),
         ];
         for (figure, value) in figures {
             let _ = writeln!(text, "app_verdicts_{figure} {value}");
@@ -163,7 +163,7 @@
 }
 
 fn of_limit(text: &mut String, name: &str, limit: &shares::Figures) {
-    let contact = limit.contact.map_or(-1.0, |age| age as f64 / 1e6);
+    let contact = limit.contact.map_or(-1.0, |age| age.as_f64() / 1e6);
     let gauges = [
         ("whole", f64::from(limit.whole)),
         ("own", f64::from(limit.own)),
@@ -173,7 +173,7 @@
         ("borrowed", f64::from(limit.borrowed)),
         ("wanted", f64::from(limit.wanted)),
         ("contact_age_seconds", contact),
-        ("short_seconds", limit.short as f64 / 1e6),
+        ("short_seconds", limit.short.as_f64() / 1e6),
         ("denied", limit.denied as f64),
     ];
     for (figure, value) in gauges {
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,6 +1,6 @@
 //! Time as the decisions see it.
 
-use std::ops::{Add, AddAssign, Sub};
+use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
 /// A time or a duration in whole microseconds, on the clock of the caller.
 ///
@@ -24,6 +24,11 @@
         Micros(seconds * Micros::SECOND.0)
     }
 
+    /// Whether this is no time at all.
+    pub const fn is_zero(self) -> bool {
+        self.0 == 0
+    }
+
     /// Sum, stopping at the largest value.
     pub const fn saturating_add(self, other: Micros) -> Micros {
         Micros(self.0.saturating_add(other.0))
@@ -66,3 +71,21 @@
         self.saturating_sub(other)
     }
 }
+
+/// A multiple, stopping at the largest value.
+impl Mul<u64> for Micros {
+    type Output = Micros;
+
+    fn mul(self, factor: u64) -> Micros {
+        Micros(self.0.saturating_mul(factor))
+    }
+}
+
+/// A part, in whole microseconds.
+impl Div<u64> for Micros {
+    type Output = Micros;
+
+    fn div(self, divisor: u64) -> Micros {
+        Micros(self.0 / divisor)
+    }
+}
--- a/testbed/src/scale/cluster_endpoint.rs
+++ b/testbed/src/scale/cluster_endpoint.rs
@@ -4,7 +4,8 @@
 
 use juniperladder_cluster::membership::{Membership, Name};
 use juniperladder_cluster::packet::{self, About, Item, Packet};
-use juniperladder_cluster::{budget, cold, shares, verdicts, Cluster, Plan, SECOND};
+use juniperladder_cluster::Micros as Time;
+use juniperladder_cluster::{budget, cold, shares, verdicts, Cluster, Plan};
 
 use super::endpoint::{Datagram, Endpoint, PacketKind, StateQuery};
 use super::workload::{Workload, WorkloadConfig, ORIGIN_LIMIT};
@@ -13,16 +14,16 @@
 /// The length of a packet's head.
 const HEAD_LENGTH: usize = 4;
 /// The figures of `deploy/operator.example.toml`.
-const LEASE: Micros = 2 * SECOND;
+const LEASE: Time = Time::from_secs(2);
 const DRIFT: f64 = 0.001;
-const SPREAD: Micros = 50_000;
+const SPREAD: Time = Time::from_millis(50);
 const COLD_PER_S: u32 = 100;
 const COLD_SHARE: f64 = 0.25;
-const WARM_UP: Micros = 10 * SECOND;
+const WARM_UP: Time = Time::from_secs(10);
 const RETRY_SHARE: f64 = 0.4;
 const RETRIES_SAVED: f64 = 10.0;
 const REPORTERS: usize = 3;
-const REPORT_EXPIRY: Micros = 6 * SECOND;
+const REPORT_EXPIRY: Time = Time::from_secs(6);
 const AVOIDED_SHARE: f64 = 0.34;
 const TRIES_PER_S: f64 = 1.0;
 
@@ -50,19 +51,19 @@
     /// A member that starts now.
     pub fn new(identity: Identity, now: Micros) -> MembershipEndpoint {
         let name = Name { address: identity.address, life: identity.life };
-        MembershipEndpoint(Membership::new(name, identity.seeds, identity.seed, now))
+        MembershipEndpoint(Membership::new(name, identity.seeds, identity.seed, Time(now)))
     }
 }
 
 impl Endpoint for MembershipEndpoint {
     fn on_datagram(&mut self, now: Micros, _from: SocketAddr, bytes: &[u8]) {
         if let Ok(Packet::Membership(bytes)) = packet::read(bytes) {
-            self.0.heard(now, bytes);
+            self.0.heard(Time(now), bytes);
         }
     }
 
     fn on_tick(&mut self, now: Micros) {
-        self.0.tick(now);
+        self.0.tick(Time(now));
     }
 
     fn drain(&mut self) -> Vec<Datagram> {
@@ -94,7 +95,7 @@
         now: Micros,
     ) -> ClusterEndpoint {
         let seed = identity.seed;
-        let mut cluster = Cluster::new(plan(identity, members, &config), now);
+        let mut cluster = Cluster::new(plan(identity, members, &config), Time(now));
         let workload = Workload::new(config, seed ^ 0x10ad, now);
         if let Some(verdicts) = cluster.verdicts() {
             verdicts.listed(workload.servers(zones));
@@ -105,12 +106,12 @@
 
 impl Endpoint for ClusterEndpoint {
     fn on_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
-        self.cluster.heard(now, from, bytes);
+        self.cluster.heard(Time(now), from, bytes);
     }
 
     fn on_tick(&mut self, now: Micros) {
         self.workload.play(&mut self.cluster, now);
-        self.cluster.tick(now);
+        self.cluster.tick(Time(now));
     }
 
     fn drain(&mut self) -> Vec<Datagram> {
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -37,7 +37,7 @@
 use run::Run;
 
 /// Microseconds on the run's clock.
-pub type Micros = juniperladder_cluster::Us;
+pub type Micros = u64;
 
 /// The fewest members of a run.
 const MEMBERS_MIN: usize = 2;
--- a/testbed/src/scale/tests.rs
+++ b/testbed/src/scale/tests.rs
@@ -56,10 +56,14 @@
 #[test]
 fn every_byte_of_a_packet_is_counted_for_one_kind() {
     let to = SocketAddr::from(([127, 0, 0, 1], 9));
-    let hold = shares::Message::Hold(shares::Hold { life: 1, sent: 2, units: 3 });
-    let give = budget::Message::Give { life: 3, sent: 4, rights: 5 };
-    let abouts =
-        [About::Limit(0, hold), About::Cold(Start { server: 1, started: 2 }, hold), About::Second(give)];
+    let hold =
+        shares::Message::Hold(shares::Hold { life: 1, sent: juniperladder_cluster::Micros(2), units: 3 });
+    let give = budget::Message::Give { life: 3, sent: juniperladder_cluster::Micros(4), rights: 5 };
+    let abouts = [
+        About::Limit(0, hold),
+        About::Cold(Start { server: 1, started: juniperladder_cluster::Micros(2) }, hold),
+        About::Second(give),
+    ];
     let items = abouts.map(|about| (to, Item { terms: u32::MAX, about }));
     let packets = packet::talk(items);
     let mut counts = MemberCounts::default();
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -5,6 +5,7 @@
 
 use juniperladder_cluster::cold::Start;
 use juniperladder_cluster::Cluster;
+use juniperladder_cluster::Micros as Time;
 
 use super::Micros;
 
@@ -97,13 +98,13 @@
         while self.waiting.front().is_some_and(|(due, _)| *due <= now) {
             let Some((_, server)) = self.waiting.pop_front() else { break };
             if let Some(verdicts) = cluster.verdicts() {
-                verdicts.saw(start(server), true, now);
+                verdicts.saw(start(server), true, Time(now));
             }
             if let Some(retries) = cluster.second() {
-                if retries.has(now) {
-                    retries.spend(now);
+                if retries.has(Time(now)) {
+                    retries.spend(Time(now));
                 } else {
-                    retries.denied(now);
+                    retries.denied(Time(now));
                 }
             }
         }
@@ -117,17 +118,18 @@
         let server = self.rng.u64(0..self.config.servers.max(1) as u64);
         let heard = self.answered.get(server as usize).copied().unwrap_or(0);
         let per_s = self.requests_per_s / self.config.servers.max(1) as f64;
-        let avoided =
-            cluster.verdicts().is_some_and(|reports| reports.warned(start(server), heard, per_s, now));
+        let avoided = cluster
+            .verdicts()
+            .is_some_and(|reports| reports.warned(start(server), Time(heard), per_s, Time(now)));
         if !avoided {
             self.attempt(cluster, server, now);
         }
         if self.rng.f64() < MISS_SHARE {
             if let Some(limit) = cluster.limit(ORIGIN_LIMIT) {
-                if limit.wait(now) == 0 {
-                    limit.took(now);
+                if limit.wait(Time(now)).is_zero() {
+                    limit.took(Time(now));
                 } else {
-                    limit.denied(now);
+                    limit.denied(Time(now));
                 }
             }
         }
@@ -142,11 +144,11 @@
             *heard = now;
         }
         if let Some(verdicts) = cluster.verdicts() {
-            verdicts.saw(start(server), false, now);
+            verdicts.saw(start(server), false, Time(now));
         }
     }
 }
 
 fn start(server: u64) -> Start {
-    Start { server: server, started: SERVER_START }
+    Start { server: server, started: Time(SERVER_START) }
 }
