--- a/cluster/src/cluster.rs
+++ b/cluster/src/cluster.rs
@@ -1,5 +1,8 @@
 //! One balancer's side of all that balancers agree on: packets and times in, packets and figures out.
 
+#[cfg(test)]
+mod tests;
+
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
@@ -9,7 +12,8 @@
 use crate::packet::{self, About, Item, Packet};
 use crate::shares::{self, Shares, Terms};
 use crate::verdicts::{self, Verdicts};
-use crate::{Us, LONGEST};
+use crate::LONGEST;
+use juniperladder::Micros;
 
 /// Packets out between two ticks: far more than a balancer has to say, and an end to what a wrong peer can make it say.
 const MOST_OUT: usize = 256;
@@ -90,7 +94,7 @@
 
 impl Cluster {
     /// A balancer that starts now.
-    pub fn new(plan: Plan, now: Us) -> Cluster {
+    pub fn new(plan: Plan, now: Micros) -> Cluster {
         let Plan { address, life, position, zone, seeds, limits, cold, second, verdicts, seed } = plan;
         let one = |(name, terms): (String, Terms)| One {
             name,
@@ -102,7 +106,7 @@
             membership: Membership::new(Name { address, life }, seeds, seed, now),
             limits: limits.into_iter().map(one).collect(),
             cold: cold.map(|terms| {
-                let numbers = [terms_in_brief(&terms.shares).into(), terms.share.to_bits(), terms.warm_up];
+                let numbers = [terms_in_brief(&terms.shares).into(), terms.share.to_bits(), terms.warm_up.0];
                 (Cold::new(terms, position, life, now), brief(&numbers))
             }),
             second: second.map(|terms| {
@@ -110,7 +114,7 @@
                 (Budget::new(terms, position, life), brief)
             }),
             verdicts: verdicts.map(|terms| {
-                let numbers = [terms.witnesses as u64, terms.expiry, terms.most.to_bits()];
+                let numbers = [terms.witnesses as u64, terms.expiry.0, terms.most.to_bits()];
                 (Verdicts::new(terms, position, zone, seed ^ 1, now), brief(&numbers))
             }),
             figures: Figures::default(),
@@ -119,7 +123,7 @@
     }
 
     /// A packet has come.
-    pub fn heard(&mut self, now: Us, from: SocketAddr, bytes: &[u8]) {
+    pub fn heard(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
         self.figures.heard.0 += 1;
         self.figures.heard.1 += bytes.len() as u64;
         match packet::read(bytes) {
@@ -133,7 +137,7 @@
     }
 
     /// One item of a member's talk.
-    fn item(&mut self, now: Us, from: SocketAddr, item: Item) {
+    fn item(&mut self, now: Micros, from: SocketAddr, item: Item) {
         let terms = item.terms;
         match item.about {
             About::Limit(number, message) => match self.limits.get_mut(usize::from(number)) {
@@ -159,7 +163,7 @@
     }
 
     /// Does what is due; to be called every 50 ms or so.
-    pub fn tick(&mut self, now: Us) {
+    pub fn tick(&mut self, now: Micros) {
         self.membership.tick(now);
         let members = self.verdicts.as_ref().map_or(1, |_| self.membership.counts().alive);
         // Each that asks begins with the first that was drawn; one is drawn only where somebody asks.
@@ -185,7 +189,7 @@
     }
 
     /// Says that this balancer leaves. Its own part rests until it is back; what it has borrowed goes back at once.
-    pub fn leave(&mut self, now: Us) {
+    pub fn leave(&mut self, now: Micros) {
         self.membership.leave(now);
         self.limits.iter_mut().for_each(|one| one.shares.leave(now));
         let parts = self.cold.iter_mut().flat_map(|(cold, _)| cold.parts());
@@ -236,7 +240,7 @@
 
     /// This balancer's part of the sends to a server that warms up; none where they are not limited, or the server is warm. Where
     /// there is no room for one more such server, nothing may be sent to it: the second value.
-    pub fn cold(&mut self, start: Start, now: Us) -> (Option<&mut Shares>, bool) {
+    pub fn cold(&mut self, start: Start, now: Micros) -> (Option<&mut Shares>, bool) {
         match &mut self.cold {
             Some((cold, _)) if !cold.is_warm(start, now) => {
                 let part = cold.part(start, now);
@@ -268,7 +272,7 @@
     }
 
     /// What operators see.
-    pub fn figures(&mut self, now: Us) -> Figures {
+    pub fn figures(&mut self, now: Micros) -> Figures {
         let limits = self.limits.iter_mut();
         let limits =
             limits.map(|one| (one.name.clone(), one.shares.figures(now, one.terms.units()))).collect();
@@ -287,7 +291,7 @@
 /// A limit's terms in brief, the same at every balancer whose file says the same.
 fn terms_in_brief(terms: &Terms) -> u32 {
     let Terms { whole, spread, holders, lease, drift } = *terms;
-    brief(&[u64::from(whole), spread, u64::from(holders), lease, drift.to_bits()])
+    brief(&[u64::from(whole), spread.0, u64::from(holders), lease.0, drift.to_bits()])
 }
 
 fn brief(numbers: &[u64]) -> u32 {
@@ -297,115 +301,3 @@
     }
     (sum >> 32) as u32 ^ sum as u32
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::SECOND;
-
-    fn cluster(number: u16, whole: u32) -> Cluster {
-        let address = |number: u16| SocketAddr::from(([127, 0, 0, 1], 1_000 + number));
-        let terms = Terms { whole, spread: 0, holders: 2, lease: 2 * SECOND, drift: 0.001 };
-        let limits = vec![("origin".to_owned(), terms)];
-        let (position, seed) = (u32::from(number), u64::from(number));
-        let cold = Some(cold::Terms { shares: terms, share: 0.25, warm_up: 10 * SECOND });
-        let second = Some(budget::Terms { share: 0.5, saved: 20.0, holders: 2 });
-        let verdicts =
-            verdicts::Terms { witnesses: 2, expiry: 6 * SECOND, most: 0.5, tries: 1.0, drift: 0.001 };
-        let (address, seeds) = (address(number), vec![address(0)]);
-        let verdicts = Some(verdicts);
-        let zone = 0;
-        let plan = Plan { address, life: 1, position, zone, seeds, limits, cold, second, verdicts, seed };
-        Cluster::new(plan, 0)
-    }
-
-    /// A tick of one balancer, with what it says to the other.
-    fn carry(all: &mut [Cluster; 2], from: usize, now: Us) {
-        all[from].tick(now);
-        for (_, bytes) in all[from].drain() {
-            let address = SocketAddr::from(([127, 0, 0, 1], 1_000 + from as u16));
-            all[1 - from].heard(now, address, &bytes);
-        }
-    }
-
-    /// Carries packets between two balancers for so long; the first of them wants six requests a second.
-    fn run(all: &mut [Cluster; 2], seconds: u64) {
-        for now in (0..seconds * SECOND).step_by(20_000) {
-            (0..2).for_each(|from| carry(all, from, now));
-            if now % 160_000 == 0 {
-                let shares = all[0].limit("origin").unwrap();
-                match shares.wait(now) {
-                    0 => shares.took(now),
-                    _ => shares.denied(now),
-                }
-            }
-        }
-    }
-
-    #[test]
-    fn two_balancers_share_what_one_of_them_needs() {
-        let mut all = [cluster(0, 8), cluster(1, 8)];
-        run(&mut all, 8);
-        let figures = all[0].figures(8 * SECOND);
-        assert_eq!(figures.members.alive, 2);
-        let (name, limit) = &figures.limits[0];
-        assert!(name == "origin" && limit.borrowed >= 2 && limit.held >= 6, "{limit:?}");
-        assert_eq!(all[1].figures(8 * SECOND).limits[0].1.lent, limit.borrowed);
-        assert_eq!((figures.dropped, figures.differ), (0, 0));
-    }
-
-    #[test]
-    fn retry_budget_and_slow_start_tokens_reach_who_needs_them() {
-        let mut all = [cluster(0, 8), cluster(1, 8)];
-        run(&mut all, 8);
-        let start = Start { server: 7, started: 4 * SECOND };
-        let mut took = 0;
-        for now in (8 * SECOND..12 * SECOND).step_by(20_000) {
-            all[1].second().unwrap().first();
-            let second = all[0].second().unwrap();
-            match second.has(now) {
-                true => second.spend(now),
-                false => second.denied(now),
-            }
-            let (shares, shut) = all[0].cold(start, now);
-            let shares = shares.unwrap();
-            assert!(!shut);
-            match shares.wait(now) {
-                0 => {
-                    shares.took(now);
-                    took += 1;
-                }
-                _ => shares.denied(now),
-            }
-            if now % 60_000 == 0 {
-                (0..2).for_each(|from| carry(&mut all, from, now));
-            }
-        }
-        let second = all[0].figures(12 * SECOND).second.unwrap();
-        assert!(second.spent > 10 && second.first == 0, "it has earned none itself: {second:?}");
-        // From 4 to 7 units in these four seconds, of which it owns half.
-        assert!((15..=24).contains(&took), "{took}");
-    }
-
-    #[test]
-    fn members_with_different_files_share_nothing() {
-        let mut all = [cluster(0, 8), cluster(1, 9)];
-        run(&mut all, 8);
-        let figures = all[1].figures(8 * SECOND);
-        assert!(figures.differ > 0 && figures.limits[0].1.lent == 0, "{figures:?}");
-        assert_eq!(figures.members.alive, 2);
-    }
-
-    #[test]
-    fn a_stranger_and_nonsense_are_dropped_and_counted() {
-        let mut one = cluster(0, 8);
-        let hold = shares::Hold { life: 1, sent: 1, units: 4 };
-        let about = About::Limit(0, shares::Message::Hold(hold));
-        let item = Item { terms: one.limits[0].brief, about };
-        let bytes = packet::talk([(SocketAddr::from(([127, 0, 0, 1], 9)), item)]).remove(0).1;
-        one.heard(10 * SECOND, SocketAddr::from(([127, 0, 0, 1], 9)), &bytes);
-        one.heard(10 * SECOND, SocketAddr::from(([127, 0, 0, 1], 9)), b"nonsense");
-        let figures = one.figures(10 * SECOND);
-        assert_eq!((figures.dropped, figures.limits[0].1.lent), (2, 0));
-    }
-}
