--- a/purge/src/config.rs
+++ b/purge/src/config.rs
@@ -9,13 +9,8 @@
 use crate::limits::DEFAULT_LOG_ENTRIES;
 use crate::Micros;
 
-/// A millisecond.
-pub const MILLISECOND: Micros = 1_000;
-/// A second.
-pub const SECOND: Micros = 1_000_000;
-
 /// How long a lease runs. Replicas and members must have the same.
-pub const DEFAULT_LEASE: Micros = 2 * SECOND;
+pub const DEFAULT_LEASE: Micros = Micros::from_secs(2);
 
 /// What one control machine is told.
 #[derive(Clone, Debug)]
@@ -68,9 +63,9 @@
         ReplicaSettings {
             lease: DEFAULT_LEASE,
             drift_ppm: 1_000,
-            round_interval: 250 * MILLISECOND,
-            round_timeout: SECOND,
-            request_timeout: 200 * MILLISECOND,
+            round_interval: Micros::from_millis(250),
+            round_timeout: Micros::SECOND,
+            request_timeout: Micros::from_millis(200),
             log_entries: DEFAULT_LOG_ENTRIES,
             publish_rate: 50,
             publish_burst: 200,
@@ -84,8 +79,8 @@
 impl ReplicaSettings {
     /// How long after the last grant a lease may run, on any clock.
     pub(crate) fn lease_with_drift(&self) -> Micros {
-        let drift = self.lease.saturating_mul(2 * u64::from(self.drift_ppm)) / 1_000_000;
-        self.lease + drift + 1
+        let drift = self.lease * (2 * u64::from(self.drift_ppm)) / 1_000_000;
+        self.lease + drift + Micros(1)
     }
 }
 
@@ -151,16 +146,16 @@
     fn default() -> MemberTiming {
         MemberTiming {
             lease: DEFAULT_LEASE,
-            pull_interval: 500 * MILLISECOND,
-            resend_after: 250 * MILLISECOND,
-            more_pace_void: 100 * MILLISECOND,
-            more_pace_replay: 20 * MILLISECOND,
+            pull_interval: Micros::from_millis(500),
+            resend_after: Micros::from_millis(250),
+            more_pace_void: Micros::from_millis(100),
+            more_pace_replay: Micros::from_millis(20),
             losses_before_move: 3,
-            silence_before_move: 900 * MILLISECOND,
-            registration_timeout: 3 * SECOND,
-            return_probe_interval: 5 * SECOND,
+            silence_before_move: Micros::from_millis(900),
+            registration_timeout: Micros::from_secs(3),
+            return_probe_interval: Micros::from_secs(5),
             return_probes: 3,
-            return_after: 30 * SECOND,
+            return_after: Micros::from_secs(30),
             injected_defects: InjectedDefects::default(),
         }
     }
--- a/purge/src/lease_table.rs
+++ b/purge/src/lease_table.rs
@@ -44,7 +44,8 @@
     /// Another replica knows of a registration of this assigned replica; a lease of it, or of an earlier epoch, may have been
     /// granted until `since`.
     pub fn learn(&mut self, member: MemberId, epoch: Epoch, since: Micros, settings: &ReplicaSettings) {
-        let granted = if settings.injected_defects.has(InjectedDefect::EarlyRelease) { 0 } else { since };
+        let granted =
+            if settings.injected_defects.has(InjectedDefect::EarlyRelease) { Micros::ZERO } else { since };
         self.leases
             .insert(member, Lease { epoch, grantable: false, granted, applied: VersionVector::default() });
     }
--- a/purge/src/lib.rs
+++ b/purge/src/lib.rs
@@ -52,5 +52,5 @@
 pub use metrics::{MemberMetrics, ReplicaMetrics};
 pub use replica::{PublishRejected, PurgeStatus, RejectReason, Replica};
 
-/// Microseconds on the caller's monotonic clock.
-pub type Micros = u64;
+/// Times are on the caller's monotonic clock.
+pub use juniperladder::Micros;
--- a/purge/src/limits.rs
+++ b/purge/src/limits.rs
@@ -21,6 +21,9 @@
 /// Room for entries in a datagram: the rest is for the head and the fields beside them.
 pub const ENTRIES_BUDGET_BYTES: usize = MAX_DATAGRAM_BYTES - 100;
 
+/// The millionths of a token: what a rate of one a second refills in a microsecond.
+const MICRO_TOKENS: u64 = 1_000_000;
+
 /// Admits so many a second, and a burst.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
@@ -35,7 +38,7 @@
     /// A full bucket.
     pub fn new(rate_per_second: u32, burst: u32, now: Micros) -> TokenBucket {
         let (rate_per_second, burst) = (u64::from(rate_per_second.max(1)), u64::from(burst.max(1)));
-        TokenBucket { micro_tokens: burst * 1_000_000, rate_per_second, burst, refilled: now }
+        TokenBucket { micro_tokens: burst * MICRO_TOKENS, rate_per_second, burst, refilled: now }
     }
 
     /// Takes a token.
@@ -45,14 +48,14 @@
     pub fn try_take(&mut self, now: Micros) -> Result<(), Micros> {
         let elapsed = now.saturating_sub(self.refilled);
         self.refilled = self.refilled.max(now);
-        let refill = elapsed.saturating_mul(self.rate_per_second);
-        self.micro_tokens = self.micro_tokens.saturating_add(refill).min(self.burst * 1_000_000);
-        match self.micro_tokens.checked_sub(1_000_000) {
+        let refill = elapsed.0.saturating_mul(self.rate_per_second);
+        self.micro_tokens = self.micro_tokens.saturating_add(refill).min(self.burst * MICRO_TOKENS);
+        match self.micro_tokens.checked_sub(MICRO_TOKENS) {
             Some(rest) => {
                 self.micro_tokens = rest;
                 Ok(())
             }
-            None => Err((1_000_000 - self.micro_tokens).div_ceil(self.rate_per_second)),
+            None => Err(Micros((MICRO_TOKENS - self.micro_tokens).div_ceil(self.rate_per_second))),
         }
     }
 }
--- a/purge/src/limits/tests.rs
+++ b/purge/src/limits/tests.rs
@@ -3,24 +3,25 @@
 use super::*;
 
 #[test]
-fn a_burst_is_admitted_then_the_rate_and_the_wait_told_suffices() {
-    let mut bucket = TokenBucket::new(10, 5, 0);
+fn a_burst_is_admitted_then_the_rate_and_the_retry_after_suffices() {
+    let mut bucket = TokenBucket::new(10, 5, Micros::ZERO);
     for _ in 0..5 {
-        assert_eq!(bucket.try_take(0), Ok(()));
+        assert_eq!(bucket.try_take(Micros::ZERO), Ok(()));
     }
-    let wait = bucket.try_take(0).expect_err("the burst is used up");
-    assert_eq!(wait, 100_000);
-    assert!(bucket.try_take(wait - 1).is_err());
+    let wait = bucket.try_take(Micros::ZERO).expect_err("the burst is used up");
+    assert_eq!(wait, Micros(100_000));
+    assert!(bucket.try_take(wait - Micros(1)).is_err());
     assert_eq!(bucket.try_take(wait), Ok(()));
-    let admitted = (0..10_000u64).filter(|step| bucket.try_take(wait + step * 1_000).is_ok()).count();
+    let admitted =
+        (0..10_000u64).filter(|step| bucket.try_take(wait + Micros::from_millis(*step)).is_ok()).count();
     assert!((95..=105).contains(&admitted), "{admitted} in ten seconds");
 }
 
 #[test]
 fn a_clock_that_goes_back_admits_nothing_more() {
-    let mut bucket = TokenBucket::new(1, 1, 1_000_000);
-    assert_eq!(bucket.try_take(1_000_000), Ok(()));
-    assert!(bucket.try_take(0).is_err());
-    assert!(bucket.try_take(1_900_000).is_err());
-    assert_eq!(bucket.try_take(2_000_000), Ok(()));
+    let mut bucket = TokenBucket::new(1, 1, Micros::SECOND);
+    assert_eq!(bucket.try_take(Micros::SECOND), Ok(()));
+    assert!(bucket.try_take(Micros::ZERO).is_err());
+    assert!(bucket.try_take(Micros(1_900_000)).is_err());
+    assert_eq!(bucket.try_take(Micros(2_000_000)), Ok(()));
 }
--- a/purge/src/member.rs
+++ b/purge/src/member.rs
@@ -87,7 +87,7 @@
     pub fn new(mut config: MemberConfig, now: Micros) -> Member {
         config.replicas.truncate(MAX_REPLICAS);
         let mut rng = ChaCha8Rng::seed_from_u64(config.seed);
-        let first_pull = now + rng.random_range(0..=config.timing.resend_after);
+        let first_pull = now + Micros(rng.random_range(0..=config.timing.resend_after.0));
         let first_number = rng.random::<u32>() / 2;
         Member {
             replica_choice: ReplicaChoice::new(&config.preferred, config.replicas.len(), first_number, now),
@@ -95,8 +95,8 @@
             phase: Phase::CatchingUp { caught_up: false },
             progress: now,
             pulls: Pulls::new(first_number, first_pull, now),
-            granted_until: 0,
-            lease_until: 0,
+            granted_until: Micros::ZERO,
+            lease_until: Micros::ZERO,
             received: VersionVector::default(),
             applied: VersionVector::default(),
             events: Vec::new(),
@@ -131,7 +131,7 @@
     /// Ends: from now on it doesn't serve, and replicas need not wait for its lease.
     pub fn leave(&mut self) {
         self.phase = Phase::Stopped;
-        self.lease_until = 0;
+        self.lease_until = Micros::ZERO;
         let deregister = MemberMessage::Deregister { member: self.config.member, epoch: self.epoch };
         self.outbox.send(self.config.replicas.iter().copied(), &Message::ToReplica(deregister));
     }
@@ -231,7 +231,7 @@
         let Some(sent) = self.pulls.on_answer(now, number) else { return };
         let timing = &self.config.timing;
         let jitter = timing.pull_interval / 10;
-        let mut next = sent + timing.pull_interval - jitter + self.rng.random_range(0..=2 * jitter);
+        let mut next = sent + timing.pull_interval - jitter + Micros(self.rng.random_range(0..=2 * jitter.0));
         if more || !matches!(self.phase, Phase::Serving) {
             next = now + self.more_pace();
         }
--- a/purge/src/member/enrollment.rs
+++ b/purge/src/member/enrollment.rs
@@ -7,7 +7,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{Member, Phase};
-use crate::config::MILLISECOND;
 use crate::ids::ReplicaId;
 use crate::injected_defect::InjectedDefect;
 use crate::version_vector::VersionVector;
@@ -15,7 +14,7 @@
 use crate::Micros;
 
 /// How long the first phase waits for others after a majority.
-const WAIT_FOR_ALL: Micros = 100 * MILLISECOND;
+const WAIT_FOR_ALL: Micros = Micros::from_millis(100);
 /// Resends before they become rarer.
 const FREQUENT_RESENDS: u32 = 4;
 /// By how much rarer.
@@ -69,7 +68,7 @@
     /// Begins a registration with the next epoch.
     pub(super) fn enroll(&mut self, now: Micros) {
         self.epoch = self.epoch.next();
-        self.granted_until = 0;
+        self.granted_until = Micros::ZERO;
         self.progress = now;
         self.metrics.registrations += 1;
         self.pulls.restart(now);
--- a/purge/src/replica.rs
+++ b/purge/src/replica.rs
@@ -221,7 +221,7 @@
         let settings = &self.config.settings;
         let reject = |reason, retry_after| Err(PublishRejected { reason, retry_after });
         if key.len() > MAX_KEY_BYTES {
-            return reject(RejectReason::KeyTooLong, 0);
+            return reject(RejectReason::KeyTooLong, Micros::ZERO);
         }
         if self.recovery.is_some() {
             return reject(RejectReason::Recovering, settings.round_timeout);
@@ -293,6 +293,6 @@
     fn round_after(&mut self, now: Micros) -> Micros {
         let interval = self.config.settings.round_interval;
         // A little earlier or later, so that replicas that started together don't ask together for ever.
-        now + interval - interval / 20 + self.rng.random_range(0..=interval / 10)
+        now + interval - interval / 20 + Micros(self.rng.random_range(0..=interval.0 / 10))
     }
 }
--- a/purge/tests/behaviour.rs
+++ b/purge/tests/behaviour.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use juniperladder_purge::{MemberId, PurgeStatus, RejectReason, ReplicaId};
+use juniperladder_purge::{MemberId, Micros, PurgeStatus, RejectReason, ReplicaId};
 use support::schedule::{MILLISECOND, SECOND};
 use support::scripted::Plane;
 
@@ -84,7 +84,7 @@
     assert_eq!(taken, 200, "the burst");
     let rejected = replica.publish(now, KEY).expect_err("the burst is used up");
     assert_eq!(rejected.reason, RejectReason::RateLimited);
-    assert!(replica.publish(now + rejected.retry_after - 1, KEY).is_err());
+    assert!(replica.publish(now + rejected.retry_after - Micros(1), KEY).is_err());
     assert!(replica.publish(now + rejected.retry_after, KEY).is_ok());
     let rejected = replica.publish(now, &[b'k'; 251]).expect_err("longer than any key");
     assert_eq!(rejected.reason, RejectReason::KeyTooLong);
--- a/purge/tests/support/scripted.rs
+++ b/purge/tests/support/scripted.rs
@@ -5,13 +5,12 @@
 
 use juniperladder_purge::injected_defect::{InjectedDefect, InjectedDefects};
 use juniperladder_purge::{
-    CatchUp, Member, MemberConfig, MemberId, MemberTiming, PurgeEvent, PurgeId, PurgeStatus, Replica,
+    CatchUp, Member, MemberConfig, MemberId, MemberTiming, Micros, PurgeEvent, PurgeId, PurgeStatus, Replica,
     ReplicaConfig, ReplicaId, ReplicaSettings,
 };
 
-use super::schedule::MILLISECOND;
-
-const STEP: u64 = 10 * MILLISECOND;
+const STEP_MILLIS: u64 = 10;
+const STEP: Micros = Micros::from_millis(STEP_MILLIS);
 const FIRST_PORT: u16 = 1_000;
 /// Datagrams that a link remembers, so that they can come again.
 const REMEMBERED: usize = 64;
@@ -33,7 +32,7 @@
 
 /// Replicas first, then members.
 pub struct Plane {
-    pub now: u64,
+    pub now: Micros,
     replicas: usize,
     injected_defect: Option<InjectedDefect>,
     machines: Vec<Option<Machine>>,
@@ -52,7 +51,7 @@
     pub fn new(replicas: usize, members: usize, injected_defect: Option<InjectedDefect>) -> Plane {
         let count = replicas + members;
         let mut plane = Plane {
-            now: 0,
+            now: Micros::ZERO,
             replicas,
             injected_defect,
             machines: (0..count).map(|_| None).collect(),
@@ -71,7 +70,7 @@
     fn start_replica(&mut self, replica: usize, bootstrap: bool) {
         self.starts[replica] += 1;
         let settings = ReplicaSettings {
-            round_timeout: 3_000 * MILLISECOND,
+            round_timeout: Micros::from_secs(3),
             injected_defects: InjectedDefects::with(self.injected_defect),
             ..ReplicaSettings::default()
         };
@@ -151,12 +150,12 @@
 
     /// Runs for one step: what was sent in the last one arrives.
     pub fn step(&mut self) {
-        self.run(STEP / MILLISECOND);
+        self.run(STEP_MILLIS);
     }
 
     /// Runs for so many milliseconds.
     pub fn run(&mut self, milliseconds: u64) {
-        let end = self.now + milliseconds * MILLISECOND;
+        let end = self.now + Micros::from_millis(milliseconds);
         while self.now < end {
             self.now += STEP;
             self.deliver();
--- a/purge/tests/support/simulation.rs
+++ b/purge/tests/support/simulation.rs
@@ -8,7 +8,7 @@
 use juniperladder_purge::limits::{MAX_DATAGRAM_BYTES, MAX_MEMBERS};
 use juniperladder_purge::metrics::Traffic;
 use juniperladder_purge::{
-    Member, MemberConfig, MemberId, MemberTiming, PurgeStatus, Replica, ReplicaConfig, ReplicaId,
+    Member, MemberConfig, MemberId, MemberTiming, Micros, PurgeStatus, Replica, ReplicaConfig, ReplicaId,
     ReplicaSettings,
 };
 use rand::{RngExt, SeedableRng};
@@ -158,10 +158,13 @@
         let seed = self.rng.random();
         let now = self.local_now(node);
         let machine = match node < self.schedule.replicas {
-            true => Machine::Replica(Replica::new(self.replica_config(node, start, bootstrap, seed), now)),
-            false => {
-                Machine::Member(Member::new(self.member_config(node, start, seed), now), Applied::default())
+            true => {
+                Machine::Replica(Replica::new(self.replica_config(node, start, bootstrap, seed), Micros(now)))
             }
+            false => Machine::Member(
+                Member::new(self.member_config(node, start, seed), Micros(now)),
+                Applied::default(),
+            ),
         };
         let process = &mut self.nodes[node];
         process.machine = Some(machine);
@@ -181,8 +184,8 @@
             bootstrap,
             seed,
             settings: ReplicaSettings {
-                lease: self.schedule.lease,
-                round_interval: self.schedule.round_interval,
+                lease: Micros(self.schedule.lease),
+                round_interval: Micros(self.schedule.round_interval),
                 log_entries: self.schedule.log_entries,
                 void_behind: self.schedule.void_behind,
                 injected_defects: InjectedDefects::with(self.injected_defect),
@@ -207,9 +210,9 @@
             catch_up: self.schedule.members[node - replicas],
             seed,
             timing: MemberTiming {
-                lease: self.schedule.lease,
-                return_after: 5 * SECOND,
-                return_probe_interval: SECOND,
+                lease: Micros(self.schedule.lease),
+                return_after: Micros::from_secs(5),
+                return_probe_interval: Micros::SECOND,
                 injected_defects: InjectedDefects::with(self.injected_defect),
                 ..MemberTiming::default()
             },
@@ -308,8 +311,8 @@
         }
         let now = self.local_now(node);
         match &mut self.nodes[node].machine {
-            Some(Machine::Replica(replica)) => replica.on_tick(now),
-            Some(Machine::Member(member, _)) => member.on_tick(now),
+            Some(Machine::Replica(replica)) => replica.on_tick(Micros(now)),
+            Some(Machine::Member(member, _)) => member.on_tick(Micros(now)),
             None => {}
         }
         self.after(node);
@@ -322,8 +325,8 @@
         }
         let now = self.local_now(to);
         match &mut self.nodes[to].machine {
-            Some(Machine::Replica(replica)) => replica.on_datagram(now, address(from), &bytes),
-            Some(Machine::Member(member, _)) => member.on_datagram(now, address(from), &bytes),
+            Some(Machine::Replica(replica)) => replica.on_datagram(Micros(now), address(from), &bytes),
+            Some(Machine::Member(member, _)) => member.on_datagram(Micros(now), address(from), &bytes),
             None => {}
         }
         self.after(to);
@@ -445,13 +448,13 @@
                 return;
             }
             let Some(Machine::Replica(replica)) = &mut self.nodes[node].machine else { return };
-            match replica.publish(now, &key) {
+            match replica.publish(Micros(now), &key) {
                 Ok(id) => {
                     let purge = self.checker.on_published(id, self.now);
                     self.nodes[node].pending.push_back(purge);
                 }
                 Err(rejected) => {
-                    assert!(rejected.retry_after > 0);
+                    assert!(rejected.retry_after > Micros::ZERO);
                     self.rejected += 1;
                 }
             }
@@ -474,7 +477,7 @@
         for node in self.schedule.replicas..self.nodes.len() {
             let now = self.local_now(node);
             if let Some(Machine::Member(member, applied)) = &mut self.nodes[node].machine {
-                if member.may_serve(now) {
+                if member.may_serve(Micros(now)) {
                     self.checker.check(self.now, node, applied)?;
                 }
             }
@@ -496,7 +499,7 @@
                     }
                 }
                 Some(Machine::Member(member, _)) => {
-                    if !member.may_serve(self.local_now(number)) {
+                    if !member.may_serve(Micros(self.local_now(number))) {
                         return Some(format!("member {number} does not serve: {:?}", member.metrics()));
                     }
                 }
--- a/testbed/src/scale/purge_endpoint.rs
+++ b/testbed/src/scale/purge_endpoint.rs
@@ -8,6 +8,8 @@
     ReplicaConfig, ReplicaId, ReplicaSettings,
 };
 
+use juniperladder_purge::Micros as Time;
+
 use super::endpoint::{Datagram, Endpoint, EndpointEvent};
 use super::Micros;
 
@@ -44,17 +46,21 @@
             seed,
             settings: ReplicaSettings::default(),
         };
-        ReplicaEndpoint { replica: Replica::new(config, now), pending: VecDeque::new(), events: Vec::new() }
+        ReplicaEndpoint {
+            replica: Replica::new(config, Time(now)),
+            pending: VecDeque::new(),
+            events: Vec::new(),
+        }
     }
 }
 
 impl Endpoint for ReplicaEndpoint {
     fn on_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
-        self.replica.on_datagram(now, from, bytes);
+        self.replica.on_datagram(Time(now), from, bytes);
     }
 
     fn on_tick(&mut self, now: Micros) {
-        self.replica.on_tick(now);
+        self.replica.on_tick(Time(now));
     }
 
     fn drain(&mut self) -> Vec<Datagram> {
@@ -63,7 +69,7 @@
 
     fn publish(&mut self, now: Micros, number: u32) {
         let key = format!("{KEY_PREFIX}{number}");
-        let event = match self.replica.publish(now, key.as_bytes()) {
+        let event = match self.replica.publish(Time(now), key.as_bytes()) {
             Ok(id) => {
                 self.pending.push_back((number, id));
                 EndpointEvent::Accepted(number)
@@ -123,7 +129,7 @@
             seed: identity.seed,
             timing: MemberTiming::default(),
         };
-        let member = Member::new(config, now);
+        let member = Member::new(config, Time(now));
         MemberEndpoint { member, drops_changes: identity.drops_changes, served: None }
     }
 
@@ -137,11 +143,11 @@
 
 impl Endpoint for MemberEndpoint {
     fn on_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
-        self.member.on_datagram(now, from, bytes);
+        self.member.on_datagram(Time(now), from, bytes);
     }
 
     fn on_tick(&mut self, now: Micros) {
-        self.member.on_tick(now);
+        self.member.on_tick(Time(now));
     }
 
     fn drain(&mut self) -> Vec<Datagram> {
@@ -156,7 +162,7 @@
                 PurgeEvent::VoidAll => events.push(EndpointEvent::Voided),
             }
         }
-        let serves = self.member.may_serve(now);
+        let serves = self.member.may_serve(Time(now));
         match (self.served, serves) {
             (None, true) => events.push(EndpointEvent::ServesNow),
             (Some(last), false) => events.push(EndpointEvent::ServedUntil(last)),
