--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -84,7 +84,7 @@
 
     /// Why a request is shed whatever the servers can do; none, it is worth another attempt.
     pub(super) fn shed_reason(&mut self, now: Micros, open: &OpenRequest) -> Option<RejectReason> {
-        if !self.may_attempt_again(now, open) {
+        if !self.may_attempt(now, open) {
             return Some(RejectReason::AttemptsExhausted);
         }
         let is_too_late = now >= open.useful_until;
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -20,7 +20,7 @@
 /// What a time-out leaves of the limit.
 const LIMIT_DECREASE_FACTOR: f64 = 0.8;
 /// Share of the recent peak limit that time-outs leave at a server that drops abandoned work.
-const PEAK_SHARE_KEPT: f64 = 0.9;
+const RETAINED_PEAK_SHARE: f64 = 0.9;
 /// What the recent peak loses by a response, for a balancer that is alone.
 const PEAK_DECAY_SHARE: f64 = 0.001;
 /// Share of the limit that reads may use while writes take all that they can.
@@ -181,7 +181,7 @@
         if sent < self.last_decrease {
             return;
         }
-        let kept = if drops_abandoned { self.recent_peak_limit * PEAK_SHARE_KEPT } else { 0.0 };
+        let kept = if drops_abandoned { self.recent_peak_limit * RETAINED_PEAK_SHARE } else { 0.0 };
         self.limit = (self.limit * LIMIT_DECREASE_FACTOR).max(kept).max(self.minimum_limit);
         self.last_decrease = now;
     }
--- a/src/balancer/endpoint_set.rs
+++ b/src/balancer/endpoint_set.rs
@@ -96,7 +96,7 @@
         servers.filter(|(index, _)| Some(*index) != self.origin).map(|(_, server)| &server.endpoint)
     }
 
-    /// Brings the list up to date. What is known of a server stays, unless it is gone or has started anew.
+    /// Applies an update of the list. What is known of a server is kept unless it is gone or has restarted.
     pub(super) fn apply_update(
         &mut self,
         update: EndpointUpdate,
@@ -132,7 +132,8 @@
         }
     }
 
-    /// A server that has started anew is another process: nothing known of the old one holds.
+    /// Replaces a server's entry. One that has restarted is another process: nothing known of the old one
+    /// holds.
     fn replace(&mut self, index: usize, endpoint: &Endpoint) {
         let server = &mut self.servers[index];
         if endpoint.started > server.endpoint.started {
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -1,8 +1,8 @@
-//! When an attempt without an answer is hedged or given up, and who pays for a hedged request.
+//! When an attempt without a response is hedged or times out, and which budget pays for a hedged request.
 //!
-//! Inputs are the time that an answer is still worth something, and how long ago the server last responded:
-//! one that has not been heard of lately may be anything. Hedged requests are paid from the retry budget that
-//! balancers share, or else from this balancer's own, which first attempts fill.
+//! Inputs are the time for which an answer is still useful, and how long ago the server last responded: the
+//! longer ago, the less is known of it, and the sooner the request is hedged. Hedged requests are paid from
+//! the retry budget that balancers share, or else from this balancer's own, which first attempts refill.
 
 use super::endpoint_set::Server;
 use super::gap_ladder::{GapLadder, SendOutcome, EVIDENCE_LIFETIME_IN_WINDOWS};
@@ -12,7 +12,7 @@
 use crate::coordination::Evidence;
 use crate::*;
 
-/// Share of the useful time left after which an attempt without an answer is hedged or given up.
+/// Share of the useful time left after which an attempt without a response is hedged or times out.
 const HEDGE_AFTER_SHARE: f64 = 0.65;
 /// What is taken off that share for a server that has not responded for as long as evidence lasts.
 const MAX_HEDGE_SHARE_REDUCTION: f64 = 0.22;
@@ -45,39 +45,39 @@
     }
 }
 
-/// What happens to an attempt that has no answer for a while.
+/// What happens to an attempt that stays without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum WithoutAnswer {
-    /// It goes on until the request's deadline.
-    GoOn,
-    /// It goes on, and after this time the request is hedged.
-    Hedge(Micros),
-    /// It is given up after this time.
-    TimeOut(Micros),
+pub(super) enum SilencePolicy {
+    /// It may take until the request's deadline.
+    KeepWaiting,
+    /// The request is hedged after this time, while the attempt goes on.
+    HedgeAfter(Micros),
+    /// It times out after this time.
+    TimeOutAfter(Micros),
 }
 
 impl Balancer {
-    /// What to do if an attempt that goes to this server now has no answer for a while. Only what is
-    /// idempotent can be sent a second time, and nothing stands in for the origin.
-    pub(super) fn without_answer(&self, now: Micros, open: &OpenRequest, server: &Server) -> WithoutAnswer {
+    /// What to do about an attempt at this server that stays without a response. Only what is idempotent can
+    /// be sent a second time, and no other server stands in for the origin.
+    pub(super) fn silence_policy(&self, now: Micros, open: &OpenRequest, server: &Server) -> SilencePolicy {
         let class = self.settings.class(open.request.class);
         let is_origin = self.settings.is_origin(&server.endpoint);
         if class.idempotency != Idempotency::Idempotent || is_origin {
-            return WithoutAnswer::GoOn;
+            return SilencePolicy::KeepWaiting;
         }
         let evidence_lifetime = EVIDENCE_LIFETIME_IN_WINDOWS * self.cache_ladder.window.as_f64();
         let silent_share = ((now - server.last_response).as_f64() / evidence_lifetime).min(1.0);
         let share = HEDGE_AFTER_SHARE - MAX_HEDGE_SHARE_REDUCTION * silent_share;
         let delay = (open.useful_until - now).mul_f64(share).max(Micros(1));
         if self.settings.limits.may_duplicate {
-            WithoutAnswer::Hedge(delay)
+            SilencePolicy::HedgeAfter(delay)
         } else {
-            WithoutAnswer::TimeOut(delay)
+            SilencePolicy::TimeOutAfter(delay)
         }
     }
 
-    /// The time to hedge a request has come: sends it to another server as well, if one can take it and the
-    /// budget allows it.
+    /// Sends a request whose attempt has no response yet to another server as well, if one can take it and
+    /// the budget allows it.
     pub(super) fn hedge(&mut self, now: Micros, open: OpenRequest, actions: &mut Vec<Action>) {
         self.count_silence(now, &open);
         if let Route::Forward { server } = self.choose_route(now, &open) {
@@ -95,8 +95,8 @@
         self.origin_queue.is_empty() && self.coordination.allows_hedge(now, self.hedge_budget.hedges)
     }
 
-    /// Counts the silence of the attempt in flight against its server, where one outcome is a window: who
-    /// sends there once in seconds cannot wait for the end of the attempt.
+    /// Counts the silence of the attempt in flight as a rejection by its server, where one outcome is a
+    /// window: a balancer that sends there once in seconds cannot wait for the end of the attempt.
     fn count_silence(&mut self, now: Micros, open: &OpenRequest) {
         if !self.cache_ladder.is_one_outcome_enough() {
             return;
--- a/src/balancer/open_request.rs
+++ b/src/balancer/open_request.rs
@@ -50,11 +50,11 @@
 pub(super) enum QueueState {
     /// It has not been queued since its last attempt.
     NotQueued,
-    /// It waits; routed anew, it has waited for as long as it may.
+    /// It waits. If it is routed again in this state, it has waited for as long as it may.
     Waiting,
-    /// It was taken out for requests of higher priority.
+    /// It was taken out in favour of requests of higher priority.
     Preempted,
-    /// It was taken out, as there is capacity for it.
+    /// It was taken out because there is capacity for it.
     CapacityReserved,
 }
 
--- a/src/balancer/origin.rs
+++ b/src/balancer/origin.rs
@@ -1,8 +1,8 @@
 //! Whether a request may go to the origin now, waits for it, or is preempted.
 //!
 //! Inputs are the origin's gap and concurrency limit, the limit that balancers share, and the queue before
-//! it. Nothing stands in for the origin: what may not go there waits for as long as an answer can still be in
-//! time.
+//! the origin. No other server can stand in for it, so a request that may not go there yet waits, but only
+//! for as long as an answer can still be in time.
 
 use super::open_request::{OpenRequest, QueueState};
 use super::origin_queue::OriginCapacity;
@@ -14,10 +14,10 @@
 const READ_MAX_WAIT_SHARE: f64 = 0.3;
 /// Share of the useful time left that a write waits for the origin at most.
 const WRITE_MAX_WAIT_SHARE: f64 = 0.8;
-/// Time in which the origin has to be able to take all that waits; what is more is preempted.
+/// The queue holds no more requests than the origin can complete within this time, plus the allowance below.
 const MAX_QUEUE_TIME: Micros = Micros::from_millis(400);
-/// Requests that may wait however slow the origin is.
-const MIN_QUEUE_LENGTH: usize = 2;
+/// Requests that may wait beyond that, however slow the origin is.
+const QUEUE_LENGTH_ALLOWANCE: usize = 2;
 /// The source at the origin's gap that the queue is drained as.
 const QUEUE_SOURCE: u32 = 0;
 
@@ -51,21 +51,21 @@
         }
     }
 
-    /// Reads do not overtake what waits.
+    /// Whether requests wait already that this one must not overtake: a read overtakes none.
     fn must_queue_behind_others(&self, open: &OpenRequest) -> bool {
         !open.request.is_write && !self.origin_queue.is_empty()
     }
 
-    /// How long the origin's gap, or the own part of the limit that balancers share there, keeps the next
-    /// send of this source back; zero, it may go.
+    /// How long the origin's gap, or the limit on its requests that balancers share, holds back the next send
+    /// of this source; zero, it may go now.
     pub(super) fn origin_wait(&mut self, now: Micros, source: u32) -> Micros {
         let shared_wait = self.coordination.wait_time(SharedLimit::OriginRate, now);
         let Some(origin) = self.endpoints.origin_mut() else { return shared_wait };
         origin.gap.wait(now, source, &self.origin_ladder).max(shared_wait)
     }
 
-    /// Queues a request before the origin. What a queue that is too long is worth least is preempted, and
-    /// told so at once.
+    /// Queues a request before the origin. If the queue is too long then, its lowest priority is preempted
+    /// and rejected at once, so that its client need not wait for a timeout.
     pub(super) fn enqueue(
         &mut self,
         now: Micros,
@@ -88,7 +88,7 @@
     fn max_queue_length(&mut self) -> usize {
         let origin = self.endpoints.origin_mut();
         let completions = origin.map_or(0, |origin| origin.concurrency.completions_within(MAX_QUEUE_TIME));
-        completions + MIN_QUEUE_LENGTH
+        completions + QUEUE_LENGTH_ALLOWANCE
     }
 
     /// Sends what waits for the origin, by priority, for as long as there is capacity for it.
@@ -113,7 +113,7 @@
         self.origin_queue.take_highest(capacity)
     }
 
-    /// Routes a request anew that was taken out of the queue.
+    /// Routes a request again that was taken out of the queue.
     fn resume(&mut self, now: Micros, id: RequestId, queue_state: QueueState, actions: &mut Vec<Action>) {
         if let Some(mut open) = self.open_requests.take(&id) {
             open.queue_state = queue_state;
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -1,8 +1,8 @@
 //! What follows a completed attempt.
 //!
-//! Inputs are the attempt's result and latency, and its request. First the server's gap, concurrency limit
-//! and zone learn from it; then the request is answered, waits for another attempt, or is routed anew; last
-//! what waits for the origin may go. Retries are paid from the retry budget that balancers share, if they
+//! Inputs are the attempt's result and latency, and its request. First the state of its server and zone is
+//! updated; then the request is closed, waits for another attempt, or is routed again; last, requests that
+//! wait for the origin may be sent. Retries are paid from the retry budget that balancers share, if they
 //! share one.
 
 use super::concurrency_limit::ConcurrencyLimit;
@@ -19,13 +19,13 @@
     Close,
     /// Another attempt is in flight, or a response has begun.
     Wait,
-    /// It is routed anew: to another server, into the queue or to its end.
-    RouteAnew,
+    /// It is routed again: to another server, into the queue, or it is rejected.
+    RouteAgain,
 }
 
 impl Balancer {
     /// Whether a request may have one more attempt, and the retry budget pays for it if it is a retry.
-    pub(super) fn may_attempt_again(&mut self, now: Micros, open: &OpenRequest) -> bool {
+    pub(super) fn may_attempt(&mut self, now: Micros, open: &OpenRequest) -> bool {
         if open.attempts_left(&self.settings.limits) == 0 {
             return false;
         }
@@ -46,15 +46,15 @@
     ) {
         let open = self.open_requests.take(&completed.id);
         let is_write = open.as_ref().is_some_and(|open| open.request.is_write);
-        self.learn(now, completed, is_write);
+        self.update_server(now, completed, is_write);
         if let Some(open) = open {
             self.continue_request(now, open, completed, actions);
         }
         self.admit_waiting(now, actions);
     }
 
-    /// Updates what is known of the server that an attempt went to.
-    fn learn(&mut self, now: Micros, completed: &CompletedAttempt, is_write: bool) {
+    /// Updates the gap, the concurrency limit and the zone of the server that an attempt went to.
+    fn update_server(&mut self, now: Micros, completed: &CompletedAttempt, is_write: bool) {
         let CompletedAttempt { result, latency, .. } = *completed;
         let Some(server) = self.endpoints.server_mut(completed.server) else { return };
         let is_origin = self.settings.is_origin(&server.endpoint);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Does with a request what follows its completed attempt.
+    /// Closes a request after its completed attempt, keeps it open or routes it again.
     fn continue_request(
         &mut self,
         now: Micros,
@@ -101,19 +101,19 @@
         match next_step(&open, completed) {
             NextStep::Close => {}
             NextStep::Wait => self.open_requests.insert(open),
-            NextStep::RouteAnew => self.route(now, open, actions),
+            NextStep::RouteAgain => self.route(now, open, actions),
         }
     }
 }
 
-/// What follows for a request, once the attempt's result stands in it.
+/// What follows for a request that has recorded the attempt's result.
 fn next_step(open: &OpenRequest, completed: &CompletedAttempt) -> NextStep {
     if completed.request_closed {
         NextStep::Close
     } else if open.attempt_in_flight().is_some() || open.has_response_started {
         NextStep::Wait
     } else {
-        NextStep::RouteAnew
+        NextStep::RouteAgain
     }
 }
 
@@ -132,8 +132,7 @@
 impl AttemptEnding {
     /// Updates the concurrency limit of the attempt's server.
     fn update(self, now: Micros, concurrency: &mut ConcurrencyLimit) {
-        // The origin drops what nobody waits for; a cache server goes on with it, for as long again as it has
-        // had.
+        // The origin drops abandoned work. A cache server goes on with it, probably for as long again.
         let goes_on = self.result == AttemptResult::Timeout && !self.is_origin;
         concurrency.release(now, self.is_write, goes_on.then_some(self.latency));
         if self.is_meaningful_timeout {
@@ -149,7 +148,7 @@
     fn evidence(self) -> Evidence {
         match self.result {
             AttemptResult::Rejected | AttemptResult::ConnectFailed => Evidence::Rejected,
-            // A connection that breaks tells of itself; a server that is gone, by the next one.
+            // A broken connection does not show overload; if the server is gone, the next connection fails.
             AttemptResult::Served | AttemptResult::Miss | AttemptResult::Error | AttemptResult::Reset => {
                 Evidence::Accepted
             }
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -1,10 +1,10 @@
 //! Which server a request goes to next.
 //!
 //! Inputs are the candidates that placement ranks for its key, and the state of each. The first one that no
-//! reason speaks against gets the request; reads that no cache server can take and writes go to the origin,
-//! see `origin`.
+//! [`PassedOver`] reason excludes gets the request. Writes, and reads that no cache server can take, go to
+//! the origin; see `origin.rs`.
 
-use super::hedging::WithoutAnswer;
+use super::hedging::SilencePolicy;
 use super::open_request::OpenRequest;
 use super::placement::MAX_CACHE_ATTEMPTS;
 use super::Balancer;
@@ -37,22 +37,22 @@
 enum PassedOver {
     /// Its zone is unhealthy, and this attempt is not one of those that find out whether it is back.
     ZoneUnhealthy,
-    /// The request has been there.
+    /// An attempt of the request has gone there.
     AlreadyTried,
     /// Its gap holds the next send back for this time.
     Gapped(Micros),
     /// As many attempts as it can take are in flight.
     NoCapacity,
-    /// It has started lately and has got its share.
+    /// It has started lately and has had its share of attempts.
     SlowStart,
     /// Other balancers report it silent.
     Suspected,
-    /// Being executed there might make the request take effect twice, or its server takes nothing new.
+    /// It is draining, or executing the request there might make it take effect twice.
     NotPermitted,
 }
 
 impl Balancer {
-    /// Decides where a request goes next, and sees to it.
+    /// Decides where a request goes next, and does it.
     pub(super) fn route(&mut self, now: Micros, open: OpenRequest, actions: &mut Vec<Action>) {
         match self.choose_route(now, &open) {
             Route::Forward { server } => self.forward(now, server, open, actions),
@@ -70,8 +70,8 @@
         to_cache.unwrap_or_else(|| self.choose_origin(now, open))
     }
 
-    /// Whether a cache server may be asked. With a fetching balancer writes, misses, hedged requests and last
-    /// attempts go to the origin.
+    /// Whether the request may go to a cache server. With cache-aside, writes, misses, hedged requests and
+    /// last attempts go to the origin.
     fn may_go_to_cache(&self, open: &OpenRequest) -> bool {
         if self.settings.mode == CacheMode::ReadThrough {
             return true;
@@ -83,10 +83,10 @@
         !open.request.is_write && !has_had_cache && !is_last_attempt
     }
 
-    /// The first candidate that no reason speaks against. With none left, a request is rejected where there
-    /// is no origin to go to and a gap is what holds it back; otherwise the result is none.
+    /// The first candidate that is not passed over. If all are, a read-through request is rejected if a gap
+    /// is among the reasons; otherwise there is no result.
     fn choose_cache_server(&mut self, now: Micros, open: &OpenRequest) -> Option<Route> {
-        // Drawn for requests with a key too: the sequence of draws must not depend on it.
+        // Drawn for requests with a key too, so that the sequence of draws does not depend on it.
         let random_key = Key(self.rng.u64(..));
         let key = open.request.key.unwrap_or(random_key);
         let owners = self.placement.rank(key, now, &self.endpoints.servers, &self.settings);
@@ -132,7 +132,7 @@
         if gap > Micros::ZERO {
             return Some(PassedOver::Gapped(gap));
         }
-        // Reads and writes are alike at a cache server: neither has a part of the limit to itself.
+        // Asked as for a write: at a cache server no share of the limit is kept for reads.
         if server.concurrency.is_paced(now) || !server.concurrency.has_capacity(now, true) {
             return Some(PassedOver::NoCapacity);
         }
@@ -160,21 +160,21 @@
         actions: &mut Vec<Action>,
     ) {
         let server = &self.endpoints.servers[server_index];
-        let without_answer = self.without_answer(now, &open, server);
+        let silence_policy = self.silence_policy(now, &open, server);
         let is_origin = self.settings.is_origin(&server.endpoint);
         self.coordination.on_send(now, &server.endpoint, is_origin, open.is_retry());
 
         let server = &mut self.endpoints.servers[server_index];
         server.on_send(now, open.request.tenant, open.request.is_write);
         open.on_send(now, &server.endpoint);
-        let timeout = match without_answer {
-            WithoutAnswer::TimeOut(after) => after,
-            WithoutAnswer::GoOn | WithoutAnswer::Hedge(_) => Micros::ZERO,
+        let timeout = match silence_policy {
+            SilencePolicy::TimeOutAfter(after) => after,
+            SilencePolicy::KeepWaiting | SilencePolicy::HedgeAfter(_) => Micros::ZERO,
         };
         actions.push(Action::Send { id: open.request.id, server: server.endpoint.server, timeout });
-        match without_answer {
-            WithoutAnswer::Hedge(after) => self.park(now, after, open, actions),
-            WithoutAnswer::GoOn | WithoutAnswer::TimeOut(_) => self.open_requests.insert(open),
+        match silence_policy {
+            SilencePolicy::HedgeAfter(after) => self.park(now, after, open, actions),
+            SilencePolicy::KeepWaiting | SilencePolicy::TimeOutAfter(_) => self.open_requests.insert(open),
         }
     }
 }
