--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -7,6 +7,7 @@
 mod concurrency_limit;
 mod discovery_schedule;
 mod endpoint_set;
+mod forwarding;
 mod gap_ladder;
 mod hedging;
 mod limit_view;
@@ -27,8 +28,13 @@
 };
 pub use limit_view::{BindingLimit, LimitView, LimitsView};
 
-use crate::coordination::OptionalCoordination;
-use crate::*;
+use crate::action::Action;
+use crate::coordination::{Coordination, OptionalCoordination};
+use crate::endpoint::{Endpoint, EndpointUpdate, ServerId};
+use crate::event::Event;
+use crate::request::RequestId;
+use crate::settings::Settings;
+use crate::time::Micros;
 use admission::Admission;
 use discovery_schedule::DiscoverySchedule;
 use endpoint_set::EndpointSet;
@@ -88,7 +94,7 @@
             origin_queue: OriginQueue::default(),
             admission: Admission::new(settings.classes.len()),
             hedge_budget: HedgeBudget::new(),
-            open_requests: RequestTable::new(),
+            open_requests: RequestTable::new(FIRST_REQUEST_TIMER),
             settings,
         }
     }
@@ -179,7 +185,7 @@
         self.origin_queue.remove(id);
         let Some(attempt) = open.attempt_in_flight() else { return };
         if let Some(server) = self.endpoints.server_mut(attempt.endpoint.server) {
-            // The end of the attempt will release a read, as its request is no longer known then.
+            // The end of the attempt will release a read, since its request is not known any more then.
             server.concurrency.release(now, open.request.is_write, None);
             server.concurrency.reserve(false);
         }
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -5,7 +5,10 @@
 
 use super::open_request::OpenRequest;
 use super::Balancer;
-use crate::*;
+use crate::action::{Action, RejectReason};
+use crate::request::Request;
+use crate::settings::Settings;
+use crate::time::Micros;
 
 /// Time over which the retries of clients that are rejected together are spread.
 pub(super) const RETRY_AFTER_SPREAD: Micros = Micros::from_millis(250);
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -5,7 +5,7 @@
 //! responses while it is in use, and shrinks by time-outs; it needs no word from the server or from other
 //! balancers. Latencies are in microseconds; the limit counts attempts and may be a fraction.
 
-use crate::*;
+use crate::time::Micros;
 
 /// Limit for a server of which nothing is known: one, and this divided among all balancers.
 const INITIAL_LIMIT_OF_ALL: f64 = 6.0;
@@ -28,11 +28,11 @@
 
 /// Latency up to which a response is fast, as a ratio to the baseline.
 const FAST_RESPONSE_RATIO: f64 = 1.6;
-/// Latency from which a time-out tells of the server, as a ratio to the baseline.
+/// Latency from which a timeout says something about the server, as a ratio to the baseline.
 const MEANINGFUL_TIMEOUT_RATIO: f64 = 1.5;
 /// Time that must be left to send at all, as a ratio to the baseline.
 const MIN_TIME_LEFT_RATIO: f64 = 0.3;
-/// Mean latency from which it is an outlier that hardly moves the baseline, as a ratio to the baseline.
+/// Mean latency from which a sample is an outlier that hardly moves the baseline, as a ratio to the baseline.
 const OUTLIER_RATIO: f64 = 2.0;
 
 /// Responses whose mean moves the baseline.
@@ -47,7 +47,7 @@
 const RECENT_LATENCY_WEIGHT: f64 = 0.15;
 /// Share of the limit in flight from which latencies may hold a queue's delay.
 const CROWDED_SHARE: f64 = 0.5;
-/// Least latency to reckon with where few or none are known, in microseconds.
+/// Lower bound on the recent latency in estimates, in microseconds: it is zero while unknown.
 const MIN_RECENT_LATENCY_MICROS: f64 = 1e5;
 
 /// The mean of the latest latencies, until there are enough of them to move the baseline.
@@ -66,9 +66,9 @@
 pub(super) struct ConcurrencyLimit {
     reads_in_flight: f64,
     writes_in_flight: f64,
-    /// Until when the server is taken to work on attempts that were abandoned.
+    /// Until when the server is assumed to work on each attempt that was abandoned.
     abandoned_until: Vec<Micros>,
-    /// Attempts that may be in flight; at least one of reads or writes may, see `paced_until`.
+    /// Attempts that may be in flight. One always may; a limit below one is kept by `paced_until`.
     pub(super) limit: f64,
     /// The limit never falls below this.
     minimum_limit: f64,
@@ -150,12 +150,13 @@
         }
     }
 
-    /// Whether a time-out after this time tells of the server: its client may have been about to leave.
+    /// Whether a timeout after this time says something about the server: an earlier one may be due to a
+    /// client that was about to leave.
     pub(super) fn is_timeout_meaningful(&self, latency: Micros) -> bool {
         latency.as_f64() >= MEANINGFUL_TIMEOUT_RATIO * self.baseline_latency
     }
 
-    /// Whether a response within this time is likely enough to send at all.
+    /// Whether a response within this time is likely enough to send the request at all.
     pub(super) fn can_respond_within(&self, time_left: Micros) -> bool {
         time_left.as_f64() >= MIN_TIME_LEFT_RATIO * self.baseline_latency
     }
--- a/src/balancer/discovery_schedule.rs
+++ b/src/balancer/discovery_schedule.rs
@@ -5,7 +5,9 @@
 //! together, does not call discovery all at once. A list that comes in ends all waits: its watch is open
 //! then.
 
-use crate::*;
+use crate::endpoint::EndpointUpdate;
+use crate::settings::Settings;
+use crate::time::Micros;
 
 /// Longest poll interval that is reckoned with; the shares below are of the site's interval up to this.
 pub const MAX_POLL_INTERVAL: Micros = Micros::from_secs(10);
--- a/src/balancer/endpoint_set.rs
+++ b/src/balancer/endpoint_set.rs
@@ -3,7 +3,9 @@
 use super::concurrency_limit::ConcurrencyLimit;
 use super::gap_ladder::Gap;
 use super::slow_start::{slow_start_weight, SlowStartCredit};
-use crate::*;
+use crate::endpoint::{Endpoint, EndpointState, EndpointUpdate, ServerId};
+use crate::settings::{Rules, Settings};
+use crate::time::Micros;
 
 /// A server of the list, and what this balancer's own attempts there have shown.
 #[derive(Debug)]
--- a/src/balancer/gap_ladder.rs
+++ b/src/balancer/gap_ladder.rs
@@ -1,14 +1,15 @@
 //! The gap of one server: how long each source leaves between two sends to it, while it rejects too many of
 //! them.
 //!
-//! Input are the outcomes of this balancer's own attempts at the server. Their rejected share r moves the gap
-//! on a ladder of lengths that grow by [`RUNG_RATIO`]: up where r is high, down where it is low (the paper,
-//! section 3.2). Rung 0 is no gap. The source of a send is its tenant, or the balancer where no tenant is
-//! named. A gap that nothing renews ends by itself.
+//! Inputs are the outcomes of this balancer's own attempts at the server. Their rejected share r moves the
+//! gap on a ladder of lengths that grow by [`RUNG_RATIO`]: up where r is high, down where it is low (the
+//! paper, section 3.2). Rung 0 is no gap. The source of a send is its tenant, or the balancer where no tenant
+//! is named. A gap that nothing renews ends by itself.
 
 use rustc_hash::FxHashMap;
 
-use crate::*;
+use crate::settings::Settings;
+use crate::time::Micros;
 
 /// Ratio y between the lengths of two rungs: a smaller one settles nearer the right gap, a larger one gets
 /// there sooner.
@@ -21,7 +22,7 @@
 const RUNGS_PER_DECREASE: u32 = 3;
 /// Duration d of a gap, in lengths of it: long enough that the outcomes of what still passes renew it.
 const DURATION_IN_GAPS: f64 = 4.0;
-/// Longest time after a rise during which sends still belong to the time before it, as a share of the gap.
+/// Longest time after a raise in which sends are not counted as evidence for it, as a share of the gap.
 const SETTLING_SHARE_OF_GAP: f64 = 0.5;
 
 /// Outcomes that the first window needs, of all balancers together.
@@ -31,13 +32,13 @@
 const MAX_WINDOW_OUTCOMES: f64 = 4.0;
 /// Share of the window's length that a first window has to last for each outcome that it needs.
 const MIN_WINDOW_SHARE_PER_OUTCOME: f64 = 0.25;
-/// Windows after which evidence is forgotten that no outcome has added to.
+/// Windows after which a first window that is not complete starts again.
 pub(super) const EVIDENCE_LIFETIME_IN_WINDOWS: f64 = 8.0;
 /// Outcomes added to a window in which all were rejected: it may have hidden a few that would have been
 /// served.
 const UNSEEN_OUTCOMES: f64 = 0.25;
 
-/// Largest number of balancers whose longest gap is the longest deadline itself.
+/// Up to this number of balancers the longest gap is the longest deadline.
 pub(super) const MAX_BALANCERS_AT_SHORTEST_TOP: u32 = 3;
 /// Window's length as a share of the shortest latency objective.
 const WINDOW_SHARE_OF_OBJECTIVE: f64 = 0.5;
@@ -51,7 +52,7 @@
 /// The lengths that a gap may have and the evidence that moves it: the same for all servers of a kind.
 #[derive(Debug)]
 pub(super) struct GapLadder {
-    /// Length of rung 0 if it were one, in microseconds.
+    /// Length that the ladder starts from, in microseconds; rung 1 is longer by the ratio.
     base: f64,
     /// Length of a window of outcomes.
     pub(super) window: Micros,
@@ -112,7 +113,7 @@
     pub(super) sent: Micros,
     /// When it ended.
     pub(super) completed: Micros,
-    /// Whether the server rejected it or is taken to be unable to serve.
+    /// Whether the server rejected it, was out of reach or did not respond in time.
     pub(super) is_rejected: bool,
 }
 
@@ -123,7 +124,7 @@
     pub(super) rung: u32,
     /// When the gap ends if nothing renews it.
     pub(super) until: Micros,
-    /// Only what was sent from here on tells of the current rung.
+    /// Only sends from this time on are evidence for the current rung.
     settled_from: Micros,
     /// When the current window opened.
     window_opened: Micros,
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -9,8 +9,11 @@
 use super::open_request::OpenRequest;
 use super::routing::Route;
 use super::Balancer;
+use crate::action::Action;
 use crate::coordination::Evidence;
-use crate::*;
+use crate::request::AttemptResult;
+use crate::settings::Idempotency;
+use crate::time::Micros;
 
 /// Share of the useful time left after which an attempt without a response is hedged or times out.
 const HEDGE_AFTER_SHARE: f64 = 0.65;
--- a/src/balancer/limit_view.rs
+++ b/src/balancer/limit_view.rs
@@ -3,7 +3,8 @@
 
 use super::endpoint_set::Server;
 use super::Balancer;
-use crate::{Micros, ServerId};
+use crate::endpoint::ServerId;
+use crate::time::Micros;
 
 /// A limit that holds attempts at a server back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/balancer/open_request.rs
+++ b/src/balancer/open_request.rs
@@ -4,7 +4,10 @@
 //! is never executed a second time, and one that may have been executed is rejected only where repeating it
 //! is harmless.
 
-use crate::*;
+use crate::endpoint::{Endpoint, EndpointState, ServerId};
+use crate::request::{AttemptResult, Request};
+use crate::settings::{Class, DeduplicationScope, Idempotency, Limits};
+use crate::time::Micros;
 
 /// How far an attempt has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/balancer/origin.rs
+++ b/src/balancer/origin.rs
@@ -8,7 +8,10 @@
 use super::origin_queue::OriginCapacity;
 use super::routing::Route;
 use super::{Balancer, ORIGIN_QUEUE_TIMER};
-use crate::*;
+use crate::action::{Action, RejectReason};
+use crate::coordination::SharedLimit;
+use crate::request::RequestId;
+use crate::time::Micros;
 
 /// Share of the useful time left that a read waits for the origin at most.
 const READ_MAX_WAIT_SHARE: f64 = 0.3;
--- a/src/balancer/origin_queue.rs
+++ b/src/balancer/origin_queue.rs
@@ -3,7 +3,7 @@
 //! Writes come before reads; among each, what more requests are about comes first, since a popular key that
 //! is refilled serves many.
 
-use crate::RequestId;
+use crate::request::RequestId;
 
 /// What a write's priority is above that of a read.
 const WRITE_PRIORITY: f64 = 1.0;
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -8,12 +8,15 @@
 
 use super::endpoint_set::Server;
 use super::slow_start::slow_start_weight;
-use crate::*;
+use crate::endpoint::{Endpoint, EndpointState, ServerId};
+use crate::request::Key;
+use crate::settings::Settings;
+use crate::time::Micros;
 
-/// Requests counted before all popularity counts are halved: bounds the table, ages old favourites.
-pub(super) const MAX_COUNTED_REQUESTS: f64 = 2048.0;
-/// Requests added to the total, so that the first few requests make no key popular.
-const PRIOR_REQUESTS: f64 = 8.0;
+/// Reads counted before all counts are halved: this bounds the table and lets old popularity fade.
+pub(super) const MAX_COUNTED_READS: f64 = 2048.0;
+/// Reads added to the total, so that the first few reads make no key popular.
+const PRIOR_READS: f64 = 8.0;
 /// Share of one average server's requests that one key may bring before it gets one more owner.
 pub(super) const OWNER_REQUEST_SHARE: f64 = 0.25;
 /// Attempts at cache servers before a request goes to the origin outright; as many candidates are ranked
@@ -45,7 +48,7 @@
     pub(super) fn on_read(&mut self, key: Key) {
         *self.read_counts.entry(key).or_insert(0.0) += 1.0;
         self.total_reads += 1.0;
-        if self.total_reads >= MAX_COUNTED_REQUESTS {
+        if self.total_reads >= MAX_COUNTED_READS {
             self.halve_counts();
         }
     }
@@ -61,7 +64,7 @@
     /// The key's share of this balancer's reads, from 0 to 1, less what chance alone would show.
     pub(super) fn popularity(&self, key: Key) -> f64 {
         let count = self.read_counts.get(&key).copied().unwrap_or(0.0);
-        (count - 1.0).max(0.0) / (self.total_reads + PRIOR_REQUESTS)
+        (count - 1.0).max(0.0) / (self.total_reads + PRIOR_READS)
     }
 
     /// Fills `candidates` with servers for the key, best first; returns how many of them own it.
@@ -130,7 +133,7 @@
     }
 }
 
-/// A number between 0 and 1 for a key at a server, both excluded; the same at every balancer.
+/// A pseudorandom number for a key at a server, between 0 and 1 (both excluded); the same at every balancer.
 fn rendezvous_hash(key: Key, server: ServerId) -> f64 {
     let hash = mix(mix(key.0).wrapping_add(server.0));
     ((hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64
--- a/src/balancer/rate_estimator.rs
+++ b/src/balancer/rate_estimator.rs
@@ -1,8 +1,8 @@
 //! A rate of events, as a mean that forgets exponentially: how often cache servers answer this balancer.
 
-use crate::Micros;
+use crate::time::Micros;
 
-/// Time constant of the mean, in microseconds: some requests even at a quiet balancer.
+/// Time constant of the mean, in microseconds: long enough for some requests even at a balancer with few.
 const TIME_CONSTANT_MICROS: f64 = 8e6;
 /// Shortest age of the estimator that a rate is computed over, in microseconds.
 const MIN_AGE_MICROS: f64 = 1e6;
@@ -20,7 +20,7 @@
 }
 
 impl RateEstimator {
-    /// Events a second. Young estimators are corrected for what they cannot have counted yet.
+    /// Events a second. While the estimator is young, the rate is corrected for the time it has not seen.
     pub(super) fn per_second(&mut self, now: Micros) -> f64 {
         self.decay(now);
         let age = (now - self.first).as_f64().max(MIN_AGE_MICROS);
--- a/src/balancer/request_table.rs
+++ b/src/balancer/request_table.rs
@@ -5,8 +5,8 @@
 use rustc_hash::FxHashMap;
 
 use super::open_request::OpenRequest;
-use super::FIRST_REQUEST_TIMER;
-use crate::{Micros, RequestId};
+use crate::request::RequestId;
+use crate::time::Micros;
 
 /// All requests without a final answer.
 #[derive(Debug)]
@@ -19,13 +19,9 @@
 }
 
 impl RequestTable {
-    /// An empty table.
-    pub(super) fn new() -> RequestTable {
-        RequestTable {
-            requests: FxHashMap::default(),
-            parked: FxHashMap::default(),
-            next_token: FIRST_REQUEST_TIMER,
-        }
+    /// An empty table, whose timers are numbered from this token on.
+    pub(super) fn new(first_token: u64) -> RequestTable {
+        RequestTable { requests: FxHashMap::default(), parked: FxHashMap::default(), next_token: first_token }
     }
 
     /// Puts a request in that waits for a result of an attempt.
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -9,8 +9,10 @@
 use super::gap_ladder::SendOutcome;
 use super::open_request::OpenRequest;
 use super::Balancer;
-use crate::coordination::Evidence;
-use crate::*;
+use crate::action::Action;
+use crate::coordination::{Evidence, SharedLimit};
+use crate::request::{AttemptResult, CompletedAttempt};
+use crate::time::Micros;
 
 /// What follows a completed attempt for its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -4,11 +4,13 @@
 //! [`PassedOver`] reason excludes gets the request. Writes, and reads that no cache server can take, go to
 //! the origin; see `origin.rs`.
 
-use super::hedging::SilencePolicy;
 use super::open_request::OpenRequest;
 use super::placement::MAX_CACHE_ATTEMPTS;
 use super::Balancer;
-use crate::*;
+use crate::action::{Action, RejectReason};
+use crate::request::Key;
+use crate::settings::CacheMode;
+use crate::time::Micros;
 
 /// Where a request goes next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -150,31 +152,4 @@
         let is_permitted = open.may_send(now, &server.endpoint, class, &self.settings.limits);
         (!is_permitted).then_some(PassedOver::NotPermitted)
     }
-
-    /// Sends a request to the server with this index.
-    pub(super) fn forward(
-        &mut self,
-        now: Micros,
-        server_index: usize,
-        mut open: OpenRequest,
-        actions: &mut Vec<Action>,
-    ) {
-        let server = &self.endpoints.servers[server_index];
-        let silence_policy = self.silence_policy(now, &open, server);
-        let is_origin = self.settings.is_origin(&server.endpoint);
-        self.coordination.on_send(now, &server.endpoint, is_origin, open.is_retry());
-
-        let server = &mut self.endpoints.servers[server_index];
-        server.on_send(now, open.request.tenant, open.request.is_write);
-        open.on_send(now, &server.endpoint);
-        let timeout = match silence_policy {
-            SilencePolicy::TimeOutAfter(after) => after,
-            SilencePolicy::KeepWaiting | SilencePolicy::HedgeAfter(_) => Micros::ZERO,
-        };
-        actions.push(Action::Send { id: open.request.id, server: server.endpoint.server, timeout });
-        match silence_policy {
-            SilencePolicy::HedgeAfter(after) => self.park(now, after, open, actions),
-            SilencePolicy::KeepWaiting | SilencePolicy::TimeOutAfter(_) => self.open_requests.insert(open),
-        }
-    }
 }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,12 +1,14 @@
 //! How much may be sent to a server that has started lately.
 //!
-//! Its capacity is taken to grow evenly with its age alone, so that every balancer ramps it alike without a
-//! word from the others. The weight takes part in placement; the credit bounds this balancer's own attempts.
+//! Its capacity is assumed to grow linearly with its age, so that all balancers ramp it alike without any
+//! coordination. The weight is a factor in placement; the credit bounds this balancer's own attempts.
 
-use crate::*;
+use crate::endpoint::Endpoint;
+use crate::settings::Rules;
+use crate::time::Micros;
 
-/// Attempts at a server in slow start relative to what its weight allows: above one, as chance bunches few
-/// attempts.
+/// Attempts at a server in slow start relative to what its weight allows: above one, as few
+/// attempts are not evenly spread.
 pub(super) const CREDIT_FACTOR: f64 = 1.25;
 /// Most attempts that may be saved up.
 const MAX_CREDIT: f64 = 1.0;
@@ -14,7 +16,7 @@
 const DEFAULT_INITIAL_SHARE: f64 = 0.05;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The share of its capacity that a server is taken to have, from the site's initial share up to 1.
+/// The share of its capacity that a server is assumed to have, from the site's initial share up to 1.
 pub(super) fn slow_start_weight(endpoint: &Endpoint, now: Micros, rules: &Rules) -> f64 {
     let started_long_ago = endpoint.started == Micros::ZERO;
     let elapsed_share = if started_long_ago {
--- a/src/balancer/tests.rs
+++ b/src/balancer/tests.rs
@@ -9,6 +9,7 @@
 use super::slow_start::*;
 use super::zone_health::*;
 use super::*;
+use crate::*;
 use proptest::prelude::*;
 
 mod admission;
--- a/src/balancer/tests/history.rs
+++ b/src/balancer/tests/history.rs
@@ -232,7 +232,7 @@
         prop_assert!(balancer.open_requests.parked_len() <= open.len());
         prop_assert!(balancer.endpoints.servers.len() as u64 <= CACHE_SERVERS + 1);
         prop_assert!(balancer.origin_queue.len() <= open.len(), "only open requests wait");
-        prop_assert!((balancer.placement.read_counts.len() as f64) < MAX_COUNTED_REQUESTS);
+        prop_assert!((balancer.placement.read_counts.len() as f64) < MAX_COUNTED_READS);
         Ok(())
     }
 }
--- a/src/balancer/zone_health.rs
+++ b/src/balancer/zone_health.rs
@@ -9,7 +9,7 @@
 const ATTEMPT_WEIGHT: f64 = 0.25;
 /// Excess rejection rate above which servers of a zone are passed over.
 pub(super) const UNHEALTHY_EXCESS_RATE: f64 = 0.4;
-/// Largest share of the attempts that pass over an unhealthy zone; the rest find out whether it is back.
+/// Largest share of the attempts that avoid an unhealthy zone; the rest find out whether it has recovered.
 const MAX_AVOIDED_SHARE: f64 = 0.95;
 
 /// The rejection rates of all zones.
