--- a/cluster/src/budget/tests.rs
+++ b/cluster/src/budget/tests.rs
@@ -36,10 +36,10 @@
     let conditions = Conditions {
         loss: 0.2,
         repeat: if twice { 1.0 } else { 0.1 },
-        least_delay: Micros::ZERO,
+        min_delay: Micros::ZERO,
         delay: Micros::from_millis(50),
         late: 0.05,
-        latest: LATE_DELAYS,
+        late_delays: LATE_DELAYS,
         drift: 0.0,
     };
     let terms = Terms { share, saved: 10.0 * members as f64, holders: members as u32 };
@@ -80,7 +80,8 @@
             }
             Arrival::Killed(one) => {
                 self.network.start(one);
-                self.members[one] = Budget::new(self.terms, one as u32, u64::from(self.network.life(one)));
+                self.members[one] =
+                    Budget::new(self.terms, one as u32, u64::from(self.network.incarnation(one)));
             }
             Arrival::Scheduled(Moment) => self.moment(),
         }
--- a/cluster/src/cluster.rs
+++ b/cluster/src/cluster.rs
@@ -10,7 +10,7 @@
 use crate::cold::{self, Cold, Start};
 use crate::membership::{Counts, Membership, Name};
 use crate::packet::{self, About, Item, Packet};
-use crate::shares::{self, Shares, Terms};
+use crate::rate_limit::{self, RateLimit, RateLimitTerms};
 use crate::verdicts::{self, Verdicts};
 use crate::LONGEST;
 use juniperladder::Micros;
@@ -34,7 +34,7 @@
     /// Members that are called first.
     pub seeds: Vec<SocketAddr>,
     /// The limits, in the order in which the file has them.
-    pub limits: Vec<(String, Terms)>,
+    pub limits: Vec<(String, RateLimitTerms)>,
     /// The limit on sends to each server that warms up.
     pub cold: Option<cold::Terms>,
     /// The budget of second tries.
@@ -51,9 +51,9 @@
     /// Members by state.
     pub members: Counts,
     /// The limits, by name.
-    pub limits: Vec<(String, shares::Figures)>,
+    pub limits: Vec<(String, rate_limit::RateLimitMetrics)>,
     /// The limits of servers that warm up, summed, and how many such servers there are.
-    pub cold: Option<(shares::Figures, usize)>,
+    pub cold: Option<(rate_limit::RateLimitMetrics, usize)>,
     /// The budget of second tries.
     pub second: Option<budget::Figures>,
     /// Verdicts on servers.
@@ -70,9 +70,8 @@
 
 struct One {
     name: String,
-    terms: Terms,
     brief: u32,
-    shares: Shares,
+    limit: RateLimit,
 }
 
 /// A balancer's side of it.
@@ -96,17 +95,17 @@
     /// A balancer that starts now.
     pub fn new(plan: Plan, now: Micros) -> Cluster {
         let Plan { address, life, position, zone, seeds, limits, cold, second, verdicts, seed } = plan;
-        let one = |(name, terms): (String, Terms)| One {
+        let one = |(name, terms): (String, RateLimitTerms)| One {
             name,
-            terms,
             brief: terms_in_brief(&terms),
-            shares: Shares::new(terms, position, life, now),
+            limit: RateLimit::new(terms, position, life, now),
         };
         Cluster {
             membership: Membership::new(Name { address, life }, seeds, seed, now),
             limits: limits.into_iter().map(one).collect(),
             cold: cold.map(|terms| {
-                let numbers = [terms_in_brief(&terms.shares).into(), terms.share.to_bits(), terms.warm_up.0];
+                let numbers =
+                    [terms_in_brief(&terms.rate_limit).into(), terms.share.to_bits(), terms.warm_up.0];
                 (Cold::new(terms, position, life, now), brief(&numbers))
             }),
             second: second.map(|terms| {
@@ -141,13 +140,13 @@
         let terms = item.terms;
         match item.about {
             About::Limit(number, message) => match self.limits.get_mut(usize::from(number)) {
-                Some(one) if one.brief == terms => one.shares.heard(now, from, message),
+                Some(one) if one.brief == terms => one.limit.on_message(now, from, message),
                 _ => self.figures.differ += 1,
             },
             About::Cold(start, message) => match &mut self.cold {
                 Some((cold, brief)) if *brief == terms => {
                     // A server that is warm by now, or one that the list cannot have told, has no part here.
-                    cold.part(start, now).into_iter().for_each(|shares| shares.heard(now, from, message));
+                    cold.part(start, now).into_iter().for_each(|limit| limit.on_message(now, from, message));
                 }
                 _ => self.figures.differ += 1,
             },
@@ -180,7 +179,7 @@
             }
         };
         for one in &mut self.limits {
-            one.shares.tick(now, peers());
+            one.limit.tick(now, peers());
         }
         self.cold.iter_mut().for_each(|(cold, _)| cold.tick(now, peers));
         self.second.iter_mut().for_each(|(budget, _)| budget.tick(now, peers()));
@@ -191,9 +190,9 @@
     /// Says that this balancer leaves. Its own part rests until it is back; what it has borrowed goes back at once.
     pub fn leave(&mut self, now: Micros) {
         self.membership.leave(now);
-        self.limits.iter_mut().for_each(|one| one.shares.leave(now));
+        self.limits.iter_mut().for_each(|one| one.limit.leave(now));
         let parts = self.cold.iter_mut().flat_map(|(cold, _)| cold.parts());
-        parts.for_each(|(_, shares)| shares.leave(now));
+        parts.for_each(|(_, limit)| limit.leave(now));
         self.collect();
     }
 
@@ -204,12 +203,12 @@
         for (number, one) in self.limits.iter_mut().enumerate() {
             let terms = one.brief;
             let about = |message| About::Limit(number as u8, message);
-            items.extend(one.shares.drain().map(|(to, message)| (to, Item { terms, about: about(message) })));
+            items.extend(one.limit.drain().map(|(to, message)| (to, Item { terms, about: about(message) })));
         }
         if let Some((cold, terms)) = &mut self.cold {
-            for (start, shares) in cold.parts() {
+            for (start, limit) in cold.parts() {
                 let item = |message| Item { terms: *terms, about: About::Cold(start, message) };
-                items.extend(shares.drain().map(|(to, message)| (to, item(message))));
+                items.extend(limit.drain().map(|(to, message)| (to, item(message))));
             }
         }
         if let Some((budget, terms)) = &mut self.second {
@@ -234,13 +233,13 @@
     }
 
     /// This balancer's part of a limit, by name; none where the file does not name it.
-    pub fn limit(&mut self, name: &str) -> Option<&mut Shares> {
-        self.limits.iter_mut().find(|one| one.name == name).map(|one| &mut one.shares)
+    pub fn limit(&mut self, name: &str) -> Option<&mut RateLimit> {
+        self.limits.iter_mut().find(|one| one.name == name).map(|one| &mut one.limit)
     }
 
     /// This balancer's part of the sends to a server that warms up; none where they are not limited, or the server is warm. Where
     /// there is no room for one more such server, nothing may be sent to it: the second value.
-    pub fn cold(&mut self, start: Start, now: Micros) -> (Option<&mut Shares>, bool) {
+    pub fn cold(&mut self, start: Start, now: Micros) -> (Option<&mut RateLimit>, bool) {
         match &mut self.cold {
             Some((cold, _)) if !cold.is_warm(start, now) => {
                 let part = cold.part(start, now);
@@ -274,13 +273,13 @@
     /// What operators see.
     pub fn figures(&mut self, now: Micros) -> Figures {
         let limits = self.limits.iter_mut();
-        let limits =
-            limits.map(|one| (one.name.clone(), one.shares.figures(now, one.terms.units()))).collect();
+        let limits = limits.map(|one| (one.name.clone(), one.limit.metrics(now))).collect();
         let dropped = self.figures.dropped + self.membership.dropped;
         let cold = self.cold.as_mut().map(|(cold, _)| {
-            let whole = cold.terms.shares.units();
-            let parts = cold.parts().map(|(_, shares)| shares.figures(now, whole));
-            parts.fold((shares::Figures::default(), 0), |(sum, count), one| (sum.with(&one), count + 1))
+            let parts = cold.parts().map(|(_, limit)| limit.metrics(now));
+            parts.fold((rate_limit::RateLimitMetrics::default(), 0), |(sum, count), one| {
+                (sum.combined_with(&one), count + 1)
+            })
         });
         let second = self.second.as_mut().map(|(budget, _)| budget.figures(now));
         let verdicts = self.verdicts.as_ref().map(|(verdicts, _)| verdicts.figures());
@@ -289,9 +288,14 @@
 }
 
 /// A limit's terms in brief, the same at every balancer whose file says the same.
-fn terms_in_brief(terms: &Terms) -> u32 {
-    let Terms { whole, spread, holders, lease, drift } = *terms;
-    brief(&[u64::from(whole), spread.0, u64::from(holders), lease.0, drift.to_bits()])
+fn terms_in_brief(terms: &RateLimitTerms) -> u32 {
+    brief(&[
+        u64::from(terms.requests_per_s),
+        terms.arrival_spread.0,
+        u64::from(terms.owners),
+        terms.lease.0,
+        terms.clock_drift.to_bits(),
+    ])
 }
 
 fn brief(numbers: &[u64]) -> u32 {
--- a/cluster/src/cold.rs
+++ b/cluster/src/cold.rs
@@ -4,7 +4,7 @@
 //!
 //! With `per_s` sends a second that a warm server bears and a warmth that grows from `share` to 1 over `warm_up`: in no second do
 //! more sends arrive at a server than `per_s` times its warmth at the end of that second, times 1 + s, as long as what
-//! [`crate::shares`] assumes holds and balancers' clocks of the day agree; clocks that differ by d make it the warmth of d later.
+//! [`crate::rate_limit`] assumes holds and balancers' clocks of the day agree; clocks that differ by d make it the warmth of d later.
 //!
 //! # Why
 //!
@@ -19,15 +19,15 @@
 use std::collections::btree_map::{BTreeMap, Entry};
 use std::net::SocketAddr;
 
-use crate::shares::{self, Shares};
+use crate::rate_limit::{self, RateLimit};
 use crate::MAX_SERVERS;
 use juniperladder::Micros;
 
 /// The terms, the same at every member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// Of the shares; `whole` is what a warm server bears a second.
-    pub shares: shares::Terms,
+    /// Of the tokens; `requests_per_s` is what a warm server bears a second.
+    pub rate_limit: rate_limit::RateLimitTerms,
     /// The part of it that a server has at its start.
     pub share: f64,
     /// After how long it has all of it.
@@ -46,12 +46,12 @@
 
     /// Units of a server with this start that there are now.
     pub fn whole(&self, started: Micros, now: Micros) -> u32 {
-        self.shares.units_of(f64::from(self.shares.whole) * self.warmth(started, now))
+        self.rate_limit.tokens_for_rate(f64::from(self.rate_limit.requests_per_s) * self.warmth(started, now))
     }
 
     /// Those of them that belong to a position.
     pub fn own(&self, server: Start, position: u32, now: Micros) -> u32 {
-        let holders = self.shares.holders.max(1);
+        let holders = self.rate_limit.owners.max(1);
         if position >= holders {
             return 0;
         }
@@ -87,7 +87,7 @@
     life: u64,
     /// From when on what is its own may be used.
     from: Micros,
-    servers: BTreeMap<Start, Shares>,
+    servers: BTreeMap<Start, RateLimit>,
     /// Times at which there was no room for one more server.
     pub full: u64,
 }
@@ -95,7 +95,14 @@
 impl Cold {
     /// Those of the member at this position, which starts its life now.
     pub fn new(terms: Terms, position: u32, life: u64, now: Micros) -> Cold {
-        Cold { terms, position, life, from: now + terms.shares.lock(), servers: BTreeMap::new(), full: 0 }
+        Cold {
+            terms,
+            position,
+            life,
+            from: now + terms.rate_limit.lock_time(),
+            servers: BTreeMap::new(),
+            full: 0,
+        }
     }
 
     /// Whether a server with this start is warm, so that nothing is limited.
@@ -104,13 +111,13 @@
     }
 
     /// This member's part of a server that warms up; none where it is warm, or where there is no room for one more.
-    pub fn part(&mut self, start: Start, now: Micros) -> Option<&mut Shares> {
+    pub fn part(&mut self, start: Start, now: Micros) -> Option<&mut RateLimit> {
         if self.is_warm(start, now) {
             return None;
         }
         let full = self.servers.len() >= MAX_SERVERS;
         let own = self.terms.own(start, self.position, now);
-        let shares = match self.servers.entry(start) {
+        let limit = match self.servers.entry(start) {
             Entry::Occupied(known) => known.into_mut(),
             // What has not started by this clock, and by far, is no start that the list told.
             Entry::Vacant(_) if start.started > now + self.terms.warm_up => return None,
@@ -118,26 +125,32 @@
                 self.full += 1;
                 return None;
             }
-            Entry::Vacant(new) => new.insert(Shares::of(self.terms.shares, own, self.life, self.from, now)),
+            Entry::Vacant(new) => new.insert(RateLimit::with_owned_tokens(
+                self.terms.rate_limit,
+                own,
+                self.life,
+                self.from,
+                now,
+            )),
         };
-        shares.grow(own);
-        Some(shares)
+        limit.raise_owned_tokens(own);
+        Some(limit)
     }
 
     /// Does what is due at each, and forgets those that are warm and have nothing lent any more. `peers` gives the members to
     /// ask, from the first for each server.
     pub fn tick<P: FnMut() -> Option<SocketAddr>>(&mut self, now: Micros, peers: impl Fn() -> P) {
         let (terms, position) = (self.terms, self.position);
-        let over = |start: Start| now >= start.started + terms.warm_up + terms.shares.lock();
+        let over = |start: Start| now >= start.started + terms.warm_up + terms.rate_limit.lock_time();
         self.servers.retain(|start, _| !over(*start));
-        for (start, shares) in &mut self.servers {
-            shares.grow(terms.own(*start, position, now));
-            shares.tick(now, peers());
+        for (start, limit) in &mut self.servers {
+            limit.raise_owned_tokens(terms.own(*start, position, now));
+            limit.tick(now, peers());
         }
     }
 
     /// All parts, by their starts.
-    pub fn parts(&mut self) -> impl Iterator<Item = (Start, &mut Shares)> {
-        self.servers.iter_mut().map(|(start, shares)| (*start, shares))
+    pub fn parts(&mut self) -> impl Iterator<Item = (Start, &mut RateLimit)> {
+        self.servers.iter_mut().map(|(start, limit)| (*start, limit))
     }
 }
--- a/cluster/src/cold/tests.rs
+++ b/cluster/src/cold/tests.rs
@@ -4,14 +4,14 @@
 use crate::virtual_network::times;
 
 fn terms() -> Terms {
-    let shares = shares::Terms {
-        whole: 50,
-        spread: Micros::ZERO,
-        holders: 7,
+    let rate_limit = rate_limit::RateLimitTerms {
+        requests_per_s: 50,
+        arrival_spread: Micros::ZERO,
+        owners: 7,
         lease: Micros::from_secs(2),
-        drift: 0.001,
+        clock_drift: 0.001,
     };
-    Terms { shares, share: 0.1, warm_up: Micros::from_secs(10) }
+    Terms { rate_limit, share: 0.1, warm_up: Micros::from_secs(10) }
 }
 
 #[test]
@@ -61,7 +61,7 @@
     let start = Start { server: 9, started: Micros::from_secs(100) };
     let own = |born: Micros, at: Micros| {
         let mut cold = Cold::new(terms(), 3, 1, born);
-        cold.part(start, at).unwrap().held(at)
+        cold.part(start, at).unwrap().usable_tokens(at)
     };
     let at = Micros::from_secs(109);
     assert!(own(Micros::from_secs(50), at) > 0);
--- a/cluster/src/lib.rs
+++ b/cluster/src/lib.rs
@@ -1,5 +1,5 @@
 //! What balancers that may talk agree on: who is there ([`membership`]), who may use which part of a limit that holds for all
-//! of them together ([`shares`]; [`cold`] for each server that warms up; [`budget`] for second tries), and what they saw of servers
+//! of them together ([`rate_limit`]; [`cold`] for each server that warms up; [`budget`] for second tries), and what they saw of servers
 //! ([`verdicts`]). All are state machines without I/O and without a clock: they are fed packets and times and drained of
 //! packets; `node/` carries those by UDP.
 //!
@@ -13,7 +13,7 @@
 pub mod membership;
 mod open_requests;
 pub mod packet;
-pub mod shares;
+pub mod rate_limit;
 pub mod verdicts;
 #[cfg(test)]
 mod virtual_network;
--- a/cluster/src/packet.rs
+++ b/cluster/src/packet.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::cold::Start;
-use crate::{budget, shares, verdicts, LONGEST};
+use crate::{budget, rate_limit, verdicts, LONGEST};
 
 /// The first bytes of every packet: whose, and of which version.
 const HEAD: [u8; 3] = [b'J', b'L', 2];
@@ -25,9 +25,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum About {
     /// A limit, by its number.
-    Limit(u8, shares::Message),
+    Limit(u8, rate_limit::Message),
     /// The limit of one start of a server that warms up.
-    Cold(Start, shares::Message),
+    Cold(Start, rate_limit::Message),
     /// The budget of second tries.
     Second(budget::Message),
     /// Verdicts on servers.
--- a/cluster/src/packet/tests.rs
+++ b/cluster/src/packet/tests.rs
@@ -3,12 +3,13 @@
 use juniperladder::Micros;
 
 use super::*;
-use crate::shares::{Hold, Lent, Message};
+use crate::rate_limit::{LeaseGrant, LeaseRequest, Message};
 
 fn all() -> Vec<Item> {
     let start = Start { server: u64::MAX, started: Micros(u64::MAX) };
-    let hold = Message::Hold(Hold { life: u64::MAX, sent: Micros(12), units: 7 });
-    let lent = Message::Lent(Lent { life: 1, sent: Micros(u64::MAX), units: 0, spare: u32::MAX });
+    let hold = Message::Request(LeaseRequest { incarnation: u64::MAX, sent: Micros(12), tokens: 7 });
+    let lent =
+        Message::Grant(LeaseGrant { incarnation: 1, sent: Micros(u64::MAX), tokens: 0, available: u32::MAX });
     let entry = verdicts::Entry {
         start,
         witness: 7,
@@ -94,8 +95,11 @@
     };
     let ask = |about| verdicts::Message::Ask { sent: Micros(200), digest: 1_000_000, about };
     let abouts = [
-        About::Limit(3, Message::Hold(Hold { life: 1, sent: Micros(200), units: 7 })),
-        About::Cold(start, Message::Lent(Lent { life: 300, sent: Micros(2), units: 0, spare: 129 })),
+        About::Limit(3, Message::Request(LeaseRequest { incarnation: 1, sent: Micros(200), tokens: 7 })),
+        About::Cold(
+            start,
+            Message::Grant(LeaseGrant { incarnation: 300, sent: Micros(2), tokens: 0, available: 129 }),
+        ),
         About::Second(budget::Message::Ask { life: 5, sent: Micros(130), rights: 16 }),
         About::Second(budget::Message::Give { life: 5, sent: Micros(131), rights: 4 }),
         About::Verdicts(ask(verdicts::What::All)),
--- /dev/null
+++ b/cluster/src/rate_limit/borrower.rs
@@ -0,0 +1,164 @@
+//! The borrower's side of a lease: which owners are asked, and what may be used until when.
+
+use std::cmp::Reverse;
+use std::net::SocketAddr;
+
+use juniperladder::Micros;
+
+use super::lease::HeldLease;
+use super::message::{LeaseGrant, LeaseRequest, Message};
+use super::{Defect, RateLimit};
+
+/// Owners that are asked in one round.
+const OWNERS_PER_ROUND: usize = 2;
+/// Members that are drawn in one round, some of which may have been asked just now.
+const DRAWS_PER_ROUND: usize = 2 * OWNERS_PER_ROUND;
+/// How long a borrower waits before it asks a drawn owner again.
+const SAME_OWNER_INTERVAL: Micros = Micros::from_millis(600);
+/// Owners of whom one borrower holds or requests leases at once.
+const MAX_HELD_LEASES: usize = 64;
+
+/// One round of requests for more tokens.
+struct RequestRound {
+    /// Tokens that are still missing.
+    shortfall: u32,
+    /// Owners that have been asked.
+    asked: usize,
+}
+
+impl RequestRound {
+    fn is_over(&self) -> bool {
+        self.asked == OWNERS_PER_ROUND || self.shortfall == 0
+    }
+}
+
+impl RateLimit {
+    /// An owner has answered.
+    pub(super) fn on_lease_grant(&mut self, now: Micros, owner: SocketAddr, grant: LeaseGrant) {
+        let counted_from = if self.defect.is(Defect::LeaseFromReceipt) { now } else { grant.sent };
+        let expires = counted_from + self.terms.lease;
+        let is_for_this_incarnation = grant.incarnation == self.incarnation;
+        let Some(lease) = self.held.iter_mut().find(|lease| lease.owner == owner) else { return };
+        if !is_for_this_incarnation || !lease.awaits(&grant) {
+            return;
+        }
+        lease.record_answer(&grant);
+        if now < expires {
+            lease.extend(&grant, expires);
+        }
+    }
+
+    /// Requests the missing tokens: of owners that said that they have some, then of members as they are drawn.
+    pub(super) fn request_tokens(
+        &mut self,
+        now: Micros,
+        shortfall: u32,
+        draw_peer: &mut impl FnMut() -> Option<SocketAddr>,
+    ) {
+        let mut round = RequestRound { shortfall, asked: 0 };
+        self.request_from_known_owners(now, &mut round);
+        self.request_from_drawn_members(now, &mut round, draw_peer);
+    }
+
+    fn request_from_known_owners(&mut self, now: Micros, round: &mut RequestRound) {
+        let mut known: Vec<usize> =
+            (0..self.held.len()).filter(|index| self.held[*index].available_at_owner > 0).collect();
+        known.sort_unstable_by_key(|index| Reverse(self.held[*index].available_at_owner));
+        for index in known {
+            if round.is_over() {
+                return;
+            }
+            let additional = self.held[index].available_at_owner.min(round.shortfall);
+            self.held[index].available_at_owner = 0;
+            self.request_additional(now, index, additional);
+            round.asked += 1;
+            round.shortfall -= additional;
+        }
+    }
+
+    fn request_from_drawn_members(
+        &mut self,
+        now: Micros,
+        round: &mut RequestRound,
+        draw_peer: &mut impl FnMut() -> Option<SocketAddr>,
+    ) {
+        for _ in 0..DRAWS_PER_ROUND {
+            if round.is_over() {
+                return;
+            }
+            let Some(owner) = draw_peer() else { return };
+            let known = self.held.iter().position(|lease| lease.owner == owner);
+            if known.is_some_and(|index| now < self.held[index].last_request() + SAME_OWNER_INTERVAL) {
+                continue;
+            }
+            if known.is_none() && self.held.len() >= MAX_HELD_LEASES {
+                return;
+            }
+            let index = known.unwrap_or_else(|| self.add_empty_lease(owner));
+            self.request_additional(now, index, round.shortfall);
+            round.asked += 1;
+        }
+    }
+
+    /// Adds a record for an owner; returns its index.
+    fn add_empty_lease(&mut self, owner: SocketAddr) -> usize {
+        self.held.push(HeldLease::empty(owner));
+        self.held.len() - 1
+    }
+
+    /// Requests so many tokens more of an owner than are held of it.
+    fn request_additional(&mut self, now: Micros, index: usize, additional: u32) {
+        let lease = &mut self.held[index];
+        lease.target_tokens = lease.usable_tokens(now) + additional;
+        self.send_request(now, index);
+    }
+
+    /// Tells an owner the target. One that is less than the owner knows of is told only when the uses of the last window fit
+    /// into what is left, because the owner frees the rest at once.
+    fn send_request(&mut self, now: Micros, index: usize) {
+        let uses_fit = self.uses.count(now) <= self.usable_tokens(now) as usize;
+        let lease = &mut self.held[index];
+        if lease.target_tokens < lease.most_known_to_owner() && !uses_fit {
+            return;
+        }
+        let sent = lease.record_request(now);
+        let request = LeaseRequest { incarnation: self.incarnation, sent, tokens: lease.target_tokens };
+        self.outgoing.push((lease.owner, Message::Request(request)));
+    }
+
+    /// Gives back all that can be given back now; the rest expires.
+    pub(super) fn release_all(&mut self, now: Micros) {
+        for lease in &mut self.held {
+            lease.target_tokens = 0;
+        }
+        for index in 0..self.held.len() {
+            self.send_request(now, index);
+        }
+    }
+
+    /// Lowers the targets by so many tokens, the smallest leases first: fewer owners are fewer packets.
+    pub(super) fn lower_targets(&mut self, now: Micros, mut surplus: u32) {
+        self.held.sort_unstable_by_key(|lease| lease.usable_tokens(now));
+        for lease in &mut self.held {
+            let usable = lease.usable_tokens(now);
+            let given_back = usable.min(surplus);
+            if given_back > 0 {
+                lease.target_tokens = usable - given_back;
+                surplus -= given_back;
+            }
+        }
+    }
+
+    /// Renews leases, repeats requests without an answer, and says what is given back.
+    pub(super) fn renew_leases(&mut self, now: Micros) {
+        for index in 0..self.held.len() {
+            let lease = &mut self.held[index];
+            lease.abandon_if_unanswered(now);
+            if lease.is_request_due(now, self.terms.lease) {
+                self.send_request(now, index);
+            }
+        }
+        let window = self.terms.window();
+        self.held.retain(|lease| !lease.is_forgotten(now, window));
+    }
+}
--- /dev/null
+++ b/cluster/src/rate_limit/use_window.rs
@@ -0,0 +1,39 @@
+//! The requests that a member began within the last window.
+
+use std::collections::VecDeque;
+
+use juniperladder::Micros;
+
+/// When requests began, oldest first.
+#[derive(Debug)]
+pub(super) struct UseWindow {
+    window: Micros,
+    uses: VecDeque<Micros>,
+}
+
+impl UseWindow {
+    /// No request has begun.
+    pub(super) fn new(window: Micros) -> UseWindow {
+        UseWindow { window, uses: VecDeque::new() }
+    }
+
+    /// A request begins.
+    pub(super) fn add(&mut self, now: Micros) {
+        self.uses.push_back(now);
+    }
+
+    /// How many requests began within the last window.
+    pub(super) fn count(&mut self, now: Micros) -> usize {
+        while self.uses.front().is_some_and(|begun| *begun + self.window <= now) {
+            self.uses.pop_front();
+        }
+        self.uses.len()
+    }
+
+    /// How long until fewer than `tokens` of the counted requests are within the window, at least a microsecond. `tokens` lies
+    /// from one to their count.
+    pub(super) fn time_until_below(&self, tokens: usize, now: Micros) -> Micros {
+        let last_to_leave = self.uses[self.uses.len() - tokens];
+        (last_to_leave + self.window - now).max(Micros(1))
+    }
+}
--- a/cluster/src/verdicts/tests.rs
+++ b/cluster/src/verdicts/tests.rs
@@ -5,7 +5,7 @@
 
 use super::dissemination::{ASKED_BACK, MOST_ANSWERS};
 use super::*;
-use crate::virtual_network::{address, Arrival, Conditions, Partition, VirtualNetwork};
+use crate::virtual_network::{address, Arrival, Conditions, Faults, Partition, VirtualNetwork};
 
 /// By how much at most a late packet is late.
 const LATE_DELAYS: &[Micros] = &[Micros::from_secs(9)];
@@ -24,9 +24,7 @@
     delay: Micros,
     /// The share of packets that come up to nine seconds late.
     late: f64,
-    kills: usize,
-    freezes: usize,
-    cuts: usize,
+    faults: Faults,
     /// Servers that fall silent for some seconds, and servers that start anew at their address while they are spoken against.
     falls: usize,
     /// Members that speak against every server all the time.
@@ -44,9 +42,7 @@
     repeat: 0.0,
     delay: Micros::from_millis(20),
     late: 0.0,
-    kills: 0,
-    freezes: 0,
-    cuts: 0,
+    faults: Faults::NONE,
     falls: 3,
     liars: 0,
     flaw: None,
@@ -109,10 +105,10 @@
     let conditions = Conditions {
         loss: world.loss,
         repeat: world.repeat,
-        least_delay: Micros::ZERO,
+        min_delay: Micros::ZERO,
         delay: world.delay,
         late: world.late,
-        latest: LATE_DELAYS,
+        late_delays: LATE_DELAYS,
         drift: 0.0005,
     };
     let mut fleet = Fleet {
@@ -158,9 +154,8 @@
             let first = self.network.draw(Micros::SECOND / 5);
             self.network.schedule_for(first, one, Scheduled::Send(one));
         }
-        self.network.schedule_kills(world.kills, end);
-        self.network.schedule_freezes(world.freezes, end, Micros::from_secs(8));
-        for _ in 0..world.cuts {
+        self.network.schedule_process_faults(world.faults, end, Micros::from_secs(8));
+        for _ in 0..world.faults.cuts {
             let (at, lasts) = (self.network.draw(end), self.network.draw(Micros::from_secs(8)));
             let second_side = self.network.rng.random();
             self.network.schedule_cut(at, at + lasts, Partition { second_side, one_way: false });
@@ -329,9 +324,11 @@
         loss: 0.5 * chance.random::<f64>(),
         repeat: 0.2 * chance.random::<f64>(),
         late: 0.2 * chance.random::<f64>(),
-        kills: chance.random_range(0..4),
-        freezes: chance.random_range(0..4),
-        cuts: chance.random_range(0..3),
+        faults: Faults {
+            kills: chance.random_range(0..4),
+            freezes: chance.random_range(0..4),
+            cuts: chance.random_range(0..3),
+        },
         falls: chance.random_range(1..5),
         ..MILD
     }
--- a/cluster/src/virtual_network.rs
+++ b/cluster/src/virtual_network.rs
@@ -42,15 +42,31 @@
     /// The share of packets that come twice; either copy may be lost.
     pub(crate) repeat: f64,
     /// The shortest delay, and how much longer a packet usually takes at most.
-    pub(crate) least_delay: Micros,
+    pub(crate) min_delay: Micros,
     pub(crate) delay: Micros,
     /// The share of packets that come far later, and by how much at most: one of these, drawn for each.
     pub(crate) late: f64,
-    pub(crate) latest: &'static [Micros],
+    pub(crate) late_delays: &'static [Micros],
     /// By which part clocks run faster or slower than the network's time, at most.
     pub(crate) drift: f64,
 }
 
+/// What goes wrong during a run beside lost and late packets.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Faults {
+    /// Processes that are killed.
+    pub(crate) kills: usize,
+    /// Processes that are frozen for a while.
+    pub(crate) freezes: usize,
+    /// Cuts of the network for a while.
+    pub(crate) cuts: usize,
+}
+
+impl Faults {
+    /// Nothing goes wrong.
+    pub(crate) const NONE: Faults = Faults { kills: 0, freezes: 0, cuts: 0 };
+}
+
 /// Who is cut off from whom.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Partition {
@@ -95,7 +111,7 @@
 enum Event<M, E> {
     Tick {
         member: usize,
-        life: u32,
+        incarnation: u32,
     },
     Packet {
         from: usize,
@@ -125,7 +141,7 @@
 #[derive(Debug)]
 struct Process<M, E> {
     /// Counts the starts.
-    life: u32,
+    incarnation: u32,
     is_running: bool,
     is_frozen: bool,
     /// What waits until it thaws.
@@ -154,7 +170,7 @@
     pub(crate) fn new(seed: u64, members: usize, conditions: Conditions) -> VirtualNetwork<M, E> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let processes = (0..members).map(|_| Process {
-            life: 0,
+            incarnation: 0,
             is_running: false,
             is_frozen: false,
             waiting: Vec::new(),
@@ -186,8 +202,8 @@
     }
 
     /// How often a member has been started.
-    pub(crate) fn life(&self, member: usize) -> u32 {
-        self.processes[member].life
+    pub(crate) fn incarnation(&self, member: usize) -> u32 {
+        self.processes[member].incarnation
     }
 
     /// A drawn time below this.
@@ -208,7 +224,7 @@
     /// A member's process starts, with its first tick to come.
     pub(crate) fn start(&mut self, member: usize) {
         let process = &mut self.processes[member];
-        process.life += 1;
+        process.incarnation += 1;
         process.is_running = true;
         let rest = self.draw(FIRST_TICK);
         self.tick_after(member, rest);
@@ -216,8 +232,8 @@
 
     /// The next tick of a member's process comes after this time.
     pub(crate) fn tick_after(&mut self, member: usize, rest: Micros) {
-        let life = self.processes[member].life;
-        self.push(self.now + rest, Event::Tick { member, life });
+        let incarnation = self.processes[member].incarnation;
+        self.push(self.now + rest, Event::Tick { member, incarnation });
     }
 
     /// At that time something happens that needs no member's process.
@@ -240,8 +256,14 @@
         self.push(at, Event::Kill(member));
     }
 
+    /// Drawn members are killed and frozen at drawn times until `end`, frozen for up to `max_freeze` each.
+    pub(crate) fn schedule_process_faults(&mut self, faults: Faults, end: Micros, max_freeze: Micros) {
+        self.schedule_kills(faults.kills, end);
+        self.schedule_freezes(faults.freezes, end, max_freeze);
+    }
+
     /// Drawn members are killed at drawn times until `end`.
-    pub(crate) fn schedule_kills(&mut self, count: usize, end: Micros) {
+    fn schedule_kills(&mut self, count: usize, end: Micros) {
         for _ in 0..count {
             let (at, member) = (self.draw(end), self.draw_member());
             self.schedule_kill(at, member);
@@ -249,7 +271,7 @@
     }
 
     /// Drawn members are frozen at drawn times until `end`, each for up to `longest`.
-    pub(crate) fn schedule_freezes(&mut self, count: usize, end: Micros, longest: Micros) {
+    fn schedule_freezes(&mut self, count: usize, end: Micros, longest: Micros) {
         for _ in 0..count {
             let (at, member, lasts) = (self.draw(end), self.draw_member(), self.draw(longest));
             self.push(at, Event::Freeze(member, lasts));
@@ -285,14 +307,14 @@
     }
 
     fn draw_delay(&mut self) -> Micros {
-        let Conditions { least_delay, delay, late, latest, .. } = self.conditions;
-        let most = match latest {
+        let Conditions { min_delay, delay, late, late_delays, .. } = self.conditions;
+        let most = match late_delays {
             [] => delay,
             _ if !self.happens(late) => delay,
             [latest] => *latest,
-            _ => latest[self.rng.random_range(0..latest.len())],
+            _ => late_delays[self.rng.random_range(0..late_delays.len())],
         };
-        least_delay + self.draw(most)
+        min_delay + self.draw(most)
     }
 
     fn happens(&mut self, share: f64) -> bool {
@@ -317,9 +339,9 @@
 
     fn happen(&mut self, event: Event<M, E>) -> Option<Arrival<M, E>> {
         match event {
-            Event::Tick { member, life } => {
+            Event::Tick { member, incarnation } => {
                 let process = &self.processes[member];
-                (process.is_running && process.life == life).then_some(Arrival::Tick(member))
+                (process.is_running && process.incarnation == incarnation).then_some(Arrival::Tick(member))
             }
             Event::Packet { from, to, message } => Some(Arrival::Packet { from, to, message }),
             Event::Scheduled(_, event) => Some(Arrival::Scheduled(event)),
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 
 use juniperladder::{Micros, Settings};
-use juniperladder_cluster::shares::Terms;
+use juniperladder_cluster::rate_limit::RateLimitTerms;
 use juniperladder_cluster::{budget, cold, verdicts, Plan, MOST_MEMBERS};
 use serde::Deserialize;
 
@@ -232,12 +232,12 @@
         let position = position.ok_or("peers.position: the settings name no position; give one here")?;
         let holders = self.limits.holders.unwrap_or(settings.balancers).max(1);
         let (drift, spread) = (self.limits.drift, Micros::from_millis(self.limits.spread_ms));
-        let terms = |rate: &Rate| Terms {
-            whole: rate.per_s,
-            spread,
-            holders,
+        let terms = |rate: &Rate| RateLimitTerms {
+            requests_per_s: rate.per_s,
+            arrival_spread: spread,
+            owners: holders,
             lease: Micros::from_millis(self.limits.lease_ms),
-            drift,
+            clock_drift: drift,
         };
         let rules = &settings.rules;
         let share = if rules.slow_start_initial_share > 0.0 {
@@ -246,7 +246,7 @@
             LEAST_SHARE
         };
         let cold =
-            |rate: &Rate| cold::Terms { shares: terms(rate), share, warm_up: rules.slow_start_duration };
+            |rate: &Rate| cold::Terms { rate_limit: terms(rate), share, warm_up: rules.slow_start_duration };
         let second = |second: &Second| budget::Terms {
             share: second.share,
             saved: second.saved * f64::from(holders),
@@ -395,7 +395,10 @@
         let operator = Operator::parse(&uncommented()).unwrap();
         let plan = operator.plan("127.0.0.1:7946".parse().unwrap(), None, &settings(), 1, 1).unwrap();
         let (cold, second) = (plan.cold.unwrap(), plan.second.unwrap());
-        assert_eq!((cold.shares.whole, cold.share, cold.warm_up), (100, 0.25, Micros::from_secs(10)));
+        assert_eq!(
+            (cold.rate_limit.requests_per_s, cold.share, cold.warm_up),
+            (100, 0.25, Micros::from_secs(10))
+        );
         assert_eq!((second.share, second.saved, second.holders), (0.4, 1_000.0, 100));
         assert_eq!((plan.verdicts.unwrap().expiry, plan.zone), (Micros::from_secs(6), 1));
     }
@@ -408,7 +411,7 @@
         let settings = settings();
         let plan = operator.plan(bound, Some(3), &settings, 1, 1).unwrap();
         assert!(plan.cold.is_none() && plan.second.is_none() && plan.verdicts.is_none());
-        assert_eq!((plan.position, plan.limits[0].1.holders, plan.limits[0].1.own(3)), (3, 100, 4));
+        assert_eq!((plan.position, plan.limits[0].1.owners, plan.limits[0].1.owned_tokens(3)), (3, 100, 4));
         assert!(operator.plan(bound, None, &settings, 1, 1).unwrap_err().contains("position"));
         assert_eq!(operator.bound(), 1.05);
     }
--- a/node/src/together.rs
+++ b/node/src/together.rs
@@ -6,8 +6,8 @@
 
 use juniperladder::{Coordination, Micros, ServerId, ServingServer, SharedLimit};
 use juniperladder_cluster::cold::Start;
-use juniperladder_cluster::shares::Shares;
-use juniperladder_cluster::{shares, Cluster, Figures};
+use juniperladder_cluster::rate_limit::RateLimit;
+use juniperladder_cluster::{rate_limit, Cluster, Figures};
 
 use crate::operator::ORIGIN;
 
@@ -25,7 +25,7 @@
     }
 
     /// Does something with the part of a limit in units; none where there is no such limit, or the server is warm.
-    fn units<T>(&self, of: SharedLimit, now: Micros, act: impl FnOnce(&mut Shares) -> T) -> Option<T> {
+    fn units<T>(&self, of: SharedLimit, now: Micros, act: impl FnOnce(&mut RateLimit) -> T) -> Option<T> {
         let mut cluster = self.0.borrow_mut();
         match of {
             SharedLimit::OriginRate => cluster.limit(ORIGIN).map(act),
@@ -50,11 +50,11 @@
             }
             SharedLimit::SlowStart(listed_server, started) => {
                 match self.0.borrow_mut().cold(start(listed_server, started), now) {
-                    (Some(shares), _) => Some(shares.wait(now)),
+                    (Some(limit), _) => Some(limit.wait_time(now)),
                     (None, shut) => shut.then_some(MOMENT),
                 }
             }
-            SharedLimit::OriginRate => self.units(of, now, |shares| shares.wait(now)),
+            SharedLimit::OriginRate => self.units(of, now, |limit| limit.wait_time(now)),
         }
     }
 
@@ -63,7 +63,7 @@
             SharedLimit::RetryBudget => {
                 self.0.borrow_mut().second().into_iter().for_each(|budget| budget.spend(now))
             }
-            _ => drop(self.units(of, now, |shares| shares.took(now))),
+            _ => drop(self.units(of, now, |limit| limit.acquire(now))),
         }
     }
 
@@ -72,7 +72,7 @@
             SharedLimit::RetryBudget => {
                 self.0.borrow_mut().second().into_iter().for_each(|budget| budget.denied(now))
             }
-            _ => drop(self.units(of, now, |shares| shares.denied(now))),
+            _ => drop(self.units(of, now, |limit| limit.on_rejected(now))),
         }
     }
 
@@ -162,19 +162,19 @@
     text
 }
 
-fn of_limit(text: &mut String, name: &str, limit: &shares::Figures) {
-    let contact = limit.contact.map_or(-1.0, |age| age.as_f64() / 1e6);
+fn of_limit(text: &mut String, name: &str, limit: &rate_limit::RateLimitMetrics) {
+    let contact = limit.since_contact.map_or(-1.0, |age| age.as_f64() / 1e6);
     let gauges = [
-        ("whole", f64::from(limit.whole)),
-        ("own", f64::from(limit.own)),
-        ("held", f64::from(limit.held)),
-        ("used", f64::from(limit.used)),
-        ("lent", f64::from(limit.lent)),
-        ("borrowed", f64::from(limit.borrowed)),
-        ("wanted", f64::from(limit.wanted)),
+        ("whole", f64::from(limit.total_tokens)),
+        ("own", f64::from(limit.owned_tokens)),
+        ("held", f64::from(limit.usable_tokens)),
+        ("used", f64::from(limit.used_tokens)),
+        ("lent", f64::from(limit.leased_out_tokens)),
+        ("borrowed", f64::from(limit.borrowed_tokens)),
+        ("wanted", f64::from(limit.demanded_tokens)),
         ("contact_age_seconds", contact),
-        ("short_seconds", limit.short.as_f64() / 1e6),
-        ("denied", limit.denied as f64),
+        ("short_seconds", limit.short_time.as_f64() / 1e6),
+        ("denied", limit.rejected as f64),
     ];
     for (figure, value) in gauges {
         let _ = writeln!(text, "app_limit_{figure}{{limit=\"{name}\"}} {value}");
--- a/testbed/src/scale/cluster_endpoint.rs
+++ b/testbed/src/scale/cluster_endpoint.rs
@@ -5,7 +5,7 @@
 use juniperladder_cluster::membership::{Membership, Name};
 use juniperladder_cluster::packet::{self, About, Item, Packet};
 use juniperladder_cluster::Micros as Time;
-use juniperladder_cluster::{budget, cold, shares, verdicts, Cluster, Plan};
+use juniperladder_cluster::{budget, cold, rate_limit, verdicts, Cluster, Plan};
 
 use super::endpoint::{Datagram, Endpoint, PacketKind, StateQuery};
 use super::workload::{Workload, WorkloadConfig, ORIGIN_LIMIT};
@@ -143,7 +143,13 @@
 /// What a balancer is told at its start, with the defaults of the operators' example file.
 fn plan(identity: Identity, members: usize, config: &WorkloadConfig) -> Plan {
     let holders = members as u32;
-    let terms = |whole| shares::Terms { whole, spread: SPREAD, holders, lease: LEASE, drift: DRIFT };
+    let terms = |whole| rate_limit::RateLimitTerms {
+        requests_per_s: whole,
+        arrival_spread: SPREAD,
+        owners: holders,
+        lease: LEASE,
+        clock_drift: DRIFT,
+    };
     Plan {
         address: identity.address,
         life: identity.life,
@@ -151,7 +157,7 @@
         zone: identity.zone as u32,
         seeds: identity.seeds,
         limits: vec![(ORIGIN_LIMIT.to_owned(), terms(config.origin_limit(members)))],
-        cold: Some(cold::Terms { shares: terms(COLD_PER_S), share: COLD_SHARE, warm_up: WARM_UP }),
+        cold: Some(cold::Terms { rate_limit: terms(COLD_PER_S), share: COLD_SHARE, warm_up: WARM_UP }),
         second: Some(budget::Terms {
             share: RETRY_SHARE,
             saved: RETRIES_SAVED * f64::from(holders),
--- a/testbed/src/scale/tests.rs
+++ b/testbed/src/scale/tests.rs
@@ -4,7 +4,7 @@
 
 use juniperladder_cluster::cold::Start;
 use juniperladder_cluster::packet::{self, About, Item};
-use juniperladder_cluster::{budget, shares};
+use juniperladder_cluster::{budget, rate_limit};
 
 use super::endpoint::PacketKind;
 use super::meter::{Lateness, MemberCounts};
@@ -56,8 +56,11 @@
 #[test]
 fn every_byte_of_a_packet_is_counted_for_one_kind() {
     let to = SocketAddr::from(([127, 0, 0, 1], 9));
-    let hold =
-        shares::Message::Hold(shares::Hold { life: 1, sent: juniperladder_cluster::Micros(2), units: 3 });
+    let hold = rate_limit::Message::Request(rate_limit::LeaseRequest {
+        incarnation: 1,
+        sent: juniperladder_cluster::Micros(2),
+        tokens: 3,
+    });
     let give = budget::Message::Give { life: 3, sent: juniperladder_cluster::Micros(4), rights: 5 };
     let abouts = [
         About::Limit(0, hold),
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -126,10 +126,10 @@
         }
         if self.rng.f64() < MISS_SHARE {
             if let Some(limit) = cluster.limit(ORIGIN_LIMIT) {
-                if limit.wait(Time(now)).is_zero() {
-                    limit.took(Time(now));
+                if limit.wait_time(Time(now)).is_zero() {
+                    limit.acquire(Time(now));
                 } else {
-                    limit.denied(Time(now));
+                    limit.on_rejected(Time(now));
                 }
             }
         }
