--- a/node/src/operators.rs
+++ b/node/src/operators.rs
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 
 use crate::dispatcher::Dispatcher;
-use crate::keeper::Keeper;
+use crate::override_store::{OverrideState, OverrideStore};
 use crate::peers::Peers;
 use crate::shutdown::Shutdown;
 use crate::socket::Socket;
@@ -45,7 +45,7 @@
     dispatcher: Rc<Dispatcher>,
     classes: Vec<String>,
     shutdown: Rc<Shutdown>,
-    keeper: Rc<Keeper>,
+    overrides: Rc<OverrideStore>,
     peers: Option<Rc<Peers>>,
     callers: Callers,
     log: Logger,
@@ -63,8 +63,7 @@
         peers: Option<Rc<Peers>>,
         log: Logger,
     ) -> (Rc<Operators>, bool) {
-        let file = std::env::temp_dir().join(format!("juniperladder-{}.bans", crate::state::safe(name)));
-        Operators::over(dispatcher, classes, shutdown, file, callers, peers, log)
+        Operators::over(dispatcher, classes, shutdown, OverrideStore::path_for(name), callers, peers, log)
     }
 
     fn over(
@@ -76,11 +75,12 @@
         peers: Option<Rc<Peers>>,
         log: Logger,
     ) -> (Rc<Operators>, bool) {
-        let (keeper, successor) = Keeper::new(Rc::clone(&dispatcher), file, log.clone());
+        let overrides = OverrideStore::open(Rc::clone(&dispatcher), file, log.clone());
         // The file is there from the start, so that a successor knows that it replaces a process.
-        let keeps = Rc::clone(&keeper);
-        spawn_local(async move { keeps.run().await });
-        (Rc::new(Operators { dispatcher, classes, shutdown, keeper, peers, callers, log }), successor)
+        let store = Rc::clone(&overrides);
+        spawn_local(async move { store.run().await });
+        let successor = overrides.follows_another_process();
+        (Rc::new(Operators { dispatcher, classes, shutdown, overrides, peers, callers, log }), successor)
     }
 
     /// Answers callers for as long as it is polled.
@@ -139,8 +139,12 @@
             Call::Health if self.dispatcher.ready() => ack("ready"),
             Call::Health => nak("not ready: no cache host is listed yet"),
             Call::Dump => format!("{}{}", ack("figures follow"), self.figures()),
-            Call::Offline(name) => self.changed(self.dispatcher.offline(&name), &name, true).await,
-            Call::Online(name) => self.changed(self.dispatcher.online(&name), &name, false).await,
+            Call::Offline(name) => {
+                self.changed(self.dispatcher.offline(&name), &name, OverrideState::Offline).await
+            }
+            Call::Online(name) => {
+                self.changed(self.dispatcher.online(&name), &name, OverrideState::Online).await
+            }
         }
     }
 
@@ -151,15 +155,18 @@
     }
 
     /// The change holds here already; the answer waits a moment for it to be kept, too.
-    async fn changed(&self, result: Result<(), &'static str>, name: &str, out: bool) -> String {
+    async fn changed(&self, result: Result<(), &'static str>, name: &str, state: OverrideState) -> String {
         if let Err(why) = result {
             return nak(why);
         }
-        let now = if out { "out by hand" } else { "may serve again" };
+        let now = match state {
+            OverrideState::Offline => "out by hand",
+            OverrideState::Online => "may serve again",
+        };
         info!(self.log, "operator"; "host" => name, "now" => now);
-        let change = self.keeper.changed(name, out);
-        let _ = timeout(KEPT, self.keeper.kept(change)).await;
-        if self.keeper.is_pending(name) {
+        let change = self.overrides.record(name, state);
+        let _ = timeout(KEPT, self.overrides.wait_until_attempted(change)).await;
+        if self.overrides.is_pending(name) {
             warn!(self.log, "bans not kept yet"; "host" => name);
             return ack(&format!("{name} {now}; {NOT_KEPT}"));
         }
@@ -171,6 +178,7 @@
 mod tests {
     use super::*;
     use crate::dispatcher::{Answer, End, Reply};
+    use crate::override_store::ChangeId;
     use crate::testing::{self, log, request, Recorder};
     use juniperladder::Idempotency;
     use tokio::io::{duplex, DuplexStream};
@@ -300,8 +308,9 @@
             assert_eq!(operators.answer(Call::Health).await, "ACK ready\n");
             assert_eq!(operators.dispatcher.banned(), [SERVER]);
             lock.unlock().unwrap();
-            operators.keeper.kept(1).await;
-            assert_eq!(crate::state::read(&dir.path().join("n0.bans")).unwrap(), [SERVER]);
+            operators.overrides.wait_until_attempted(ChangeId::default().next()).await;
+            let stored = std::fs::read_to_string(dir.path().join("n0.bans")).unwrap();
+            assert_eq!(stored, format!("juniperladder bans 1\n{SERVER}\nend\n"));
             let promised = operators.answer(Call::Offline(SERVER.into())).await;
             assert_eq!(promised, format!("ACK {SERVER} out by hand\n"), "now it is in the file");
         });
--- /dev/null
+++ b/node/src/override_store/file/tests.rs
@@ -0,0 +1,66 @@
+//! The file's format against fixtures, and what is read after a write.
+
+use super::*;
+
+/// A file of overrides as every released version writes it, to the letter.
+const STORED: &str = "juniperladder bans 1\ns-00000009\ns-0000000a\nend\n";
+/// The same without any override.
+const STORED_EMPTY: &str = "juniperladder bans 1\nend\n";
+
+/// The format is an interface: the process before or after this one may be of another version.
+#[test]
+fn reads_and_writes_the_stored_form_to_the_letter() {
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("n0.bans");
+    for (stored, names) in
+        [(STORED, vec!["s-00000009".to_owned(), "s-0000000a".into()]), (STORED_EMPTY, vec![])]
+    {
+        std::fs::write(&path, stored).unwrap();
+        assert_eq!(read(&path).unwrap(), names);
+        std::fs::remove_file(&path).unwrap();
+        write(&path, &names).unwrap();
+        assert_eq!(std::fs::read_to_string(&path).unwrap(), stored);
+    }
+}
+
+#[test]
+fn changes_are_written_in_the_order_of_the_names() {
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("n0.bans");
+    std::fs::write(&path, STORED).unwrap();
+    let changes = BTreeMap::from([
+        ("s-00000009".to_owned(), OverrideState::Online),
+        ("s-00000001".to_owned(), OverrideState::Offline),
+    ]);
+    let content = update(&path, &[], &changes, None).unwrap().unwrap();
+    assert_eq!(content.offline, ["s-00000001", "s-0000000a"]);
+    assert_eq!(
+        std::fs::read_to_string(&path).unwrap(),
+        "juniperladder bans 1\ns-00000001\ns-0000000a\nend\n"
+    );
+    let unchanged = update(&path, &[], &BTreeMap::new(), Some(content.version)).unwrap();
+    assert!(unchanged.is_none(), "the file is the one last seen");
+}
+
+#[test]
+fn overrides_outlive_the_process_that_wrote_them() {
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("n0.bans");
+    assert!(matches!(read(&path), Err(OverrideFileError::Missing)), "none yet");
+    write(&path, &["s-1".into(), "s-2".into()]).unwrap();
+    assert_eq!(read(&path).unwrap(), ["s-1", "s-2"]);
+    write(&path, &[]).unwrap();
+    assert!(read(&path).unwrap().is_empty());
+}
+
+#[test]
+fn a_file_that_is_cut_off_or_foreign_is_malformed() {
+    let complete = format!("{HEADER}\ns-1\n{TRAILER}\n");
+    assert_eq!(parse(complete.as_bytes()).unwrap(), ["s-1"]);
+    for cut in 0..complete.len() {
+        assert!(parse(&complete.as_bytes()[..cut]).is_none(), "cut at {cut}");
+    }
+    for foreign in ["juniperladder bans 2\nend\n", "{}\n", "juniperladder bans 1\ns 1\nend\n", "\u{ff}"] {
+        assert!(parse(foreign.as_bytes()).is_none(), "{foreign:?}");
+    }
+}
--- /dev/null
+++ b/node/src/override_store/tests.rs
@@ -0,0 +1,123 @@
+//! Two processes of one balancer on one file, and files that are lost, malformed or can't be read or written.
+
+use juniperladder::Idempotency;
+
+use super::*;
+use crate::testing::{self, log, Recorder};
+
+const ONE: &str = "s-00000009";
+const TWO: &str = "s-0000000a";
+
+struct Process {
+    dispatcher: Rc<Dispatcher>,
+    store: Rc<OverrideStore>,
+}
+
+impl Process {
+    fn start(path: &std::path::Path) -> Process {
+        let settings = testing::settings(1, Idempotency::Idempotent);
+        let dispatcher = testing::dispatcher(settings, Rc::new(Recorder::default()), 2);
+        let store = OverrideStore::open(Rc::clone(&dispatcher), path.to_owned(), log());
+        Process { dispatcher, store }
+    }
+
+    fn offline(&self, server: &str) -> ChangeId {
+        self.dispatcher.offline(server).unwrap();
+        self.store.record(server, OverrideState::Offline)
+    }
+
+    fn online(&self, server: &str) -> ChangeId {
+        self.dispatcher.online(server).unwrap();
+        self.store.record(server, OverrideState::Online)
+    }
+
+    fn offline_servers(&self) -> Vec<String> {
+        self.dispatcher.banned()
+    }
+}
+
+/// What an operator tells either process holds at both, also what is told both at once, and a third takes all of it over.
+#[test]
+fn a_call_at_either_process_holds_at_both() {
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("n0.bans");
+    testing::run_on_sockets(async {
+        let first = Process::start(&path);
+        assert!(!first.store.follows_another_process());
+        first.store.synchronize().await;
+        let second = Process::start(&path);
+        assert!(second.store.follows_another_process(), "the file is there from the first one's start");
+        first.offline(ONE);
+        second.offline(TWO);
+        tokio::join!(first.store.synchronize(), second.store.synchronize());
+        tokio::join!(first.store.synchronize(), second.store.synchronize());
+        assert_eq!(first.offline_servers(), [ONE, TWO]);
+        assert_eq!(second.offline_servers(), [ONE, TWO]);
+        let change = second.online(ONE);
+        second.store.synchronize().await;
+        second.store.wait_until_attempted(change).await;
+        first.store.synchronize().await;
+        assert_eq!(first.offline_servers(), [TWO]);
+        assert_eq!(second.offline_servers(), [TWO]);
+        assert_eq!(Process::start(&path).offline_servers(), [TWO]);
+    });
+}
+
+#[test]
+fn a_lost_or_malformed_file_ends_no_override_and_is_written_anew() {
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("n0.bans");
+    testing::run_on_sockets(async {
+        let process = Process::start(&path);
+        process.offline(ONE);
+        process.store.synchronize().await;
+        for malformed in [None, Some("juniperladder bans 1\ns-000"), Some("another program's")] {
+            match malformed {
+                None => std::fs::remove_file(&path).unwrap(),
+                Some(text) => std::fs::write(&path, text).unwrap(),
+            }
+            process.store.synchronize().await;
+            assert_eq!(process.offline_servers(), [ONE]);
+            assert_eq!(file::read(&path).unwrap(), [ONE]);
+        }
+    });
+}
+
+/// A file that can't be read for a while is not a missing one: what it holds is taken over once it can.
+#[test]
+fn a_file_that_cannot_be_read_now_is_not_written_over() {
+    let directory = tempfile::tempdir().unwrap();
+    let (path, aside) = (directory.path().join("n0.bans"), directory.path().join("aside"));
+    testing::run_on_sockets(async {
+        file::write(&path, &[ONE.into()]).unwrap();
+        // A link to itself can't be read, with an error that is not that there is no file, but could be written over.
+        std::fs::rename(&path, &aside).unwrap();
+        std::os::unix::fs::symlink(&path, &path).unwrap();
+        let process = Process::start(&path);
+        process.offline(TWO);
+        process.store.synchronize().await;
+        assert!(path.is_symlink() && process.offline_servers() == [TWO]);
+        std::fs::remove_file(&path).unwrap();
+        std::fs::rename(&aside, &path).unwrap();
+        process.store.synchronize().await;
+        assert_eq!(process.offline_servers(), [ONE, TWO], "the process before is still listened to");
+        assert_eq!(file::read(&path).unwrap(), [ONE, TWO]);
+        let left: Vec<_> =
+            std::fs::read_dir(directory.path()).unwrap().map(|entry| entry.unwrap().file_name()).collect();
+        assert_eq!(left.len(), 2, "the file and its lock: {left:?}");
+    });
+}
+
+/// Calls are answered all the same, and what they ask for holds here.
+#[test]
+fn a_disk_that_cannot_be_written_holds_nobody_up() {
+    testing::run_on_sockets(async {
+        let process = Process::start(std::path::Path::new("/proc/none/n0.bans"));
+        let change = process.offline(ONE);
+        process.store.synchronize().await;
+        process.store.wait_until_attempted(change).await;
+        assert_eq!(process.offline_servers(), [ONE]);
+        assert!(process.store.is_pending(ONE), "it is tried again");
+        assert_eq!(process.store.pending.borrow().len(), 1);
+    });
+}
