--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -13,7 +13,7 @@
 use crate::bounds::Limits;
 use crate::clock::duration;
 use crate::discovery::budget::pushed_again;
-use crate::name_table::{Catalog, Names};
+use crate::endpoint_list::{EndpointList, SiteNames};
 use crate::operator::Operator;
 use crate::retry::for_a_moment_blocking;
 use crate::service::Labels;
@@ -36,7 +36,7 @@
     /// What the process may take of its machine.
     pub limits: Limits,
     /// The list as this balancer last had it.
-    pub known: Catalog,
+    pub known: EndpointList,
     /// What the decisions is told.
     pub settings: Settings,
     /// This balancer's place among all, where the settings name it.
@@ -44,7 +44,7 @@
     /// The operators' file, read; none where none is named.
     pub operator: Option<Operator>,
     /// The names that stand for the settings' numbers.
-    pub names: Names,
+    pub names: SiteNames,
     /// The names that clients use.
     pub labels: Labels,
     /// How long a connection may take to come up.
@@ -71,7 +71,7 @@
     #[serde(default)]
     limits: FileLimits,
     #[serde(default)]
-    known: Catalog,
+    known: EndpointList,
     settings: Env,
 }
 
@@ -144,7 +144,7 @@
             discovery: address("discovery", &file.discovery)?,
             name: file.name,
             seed: u64::from_str_radix(&file.seed, 16)
-                .unwrap_or_else(|_| crate::name_table::hash(file.seed.as_bytes())),
+                .unwrap_or_else(|_| juniperladder_dispatch::numbers::hash(file.seed.as_bytes())),
             limits: Limits {
                 memory: (file.limits.memory_mb * f64::from(1 << 20)) as usize,
                 sockets: file.limits.sockets,
@@ -156,7 +156,7 @@
             },
             connect_timeout: duration(Micros(env.limits.connect_timeout)),
             idle: duration(Micros(env.limits.conn_idle)),
-            names: Names { zones: env.zones, kinds: env.kinds },
+            names: SiteNames { zones: env.zones, kinds: env.kinds },
         })
     }
 }
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -22,7 +22,7 @@
 use crate::clock::to_ms;
 use crate::counters::increment;
 use crate::dispatcher::Dispatcher;
-use crate::name_table::{watch_path, Catalog, NameTable};
+use crate::endpoint_list::{watch_path, EndpointList, EndpointListReader};
 use budget::turn_again;
 use call::{Call, Message, News};
 use watches::{ListUse, NoChange, WatchId, Watches};
@@ -60,7 +60,7 @@
 /// called at once, and what the old one's watch says is taken in until the new one has told its list. `known` is the version
 /// of the list in hand.
 pub async fn follow(
-    table: NameTable,
+    table: EndpointListReader,
     known: Option<u64>,
     mut address: watch::Receiver<SocketAddr>,
     dispatcher: Rc<Dispatcher>,
@@ -92,7 +92,7 @@
 
 /// What [`follow`] keeps.
 struct Follower {
-    table: NameTable,
+    table: EndpointListReader,
     watches: Watches<Call>,
     address: SocketAddr,
     /// When the next call is made that the decisions does not ask for.
@@ -109,7 +109,7 @@
 
 impl Follower {
     fn new(
-        table: NameTable,
+        table: EndpointListReader,
         known: Option<u64>,
         address: SocketAddr,
         dispatcher: Rc<Dispatcher>,
@@ -189,9 +189,9 @@
         }
     }
 
-    fn on_list(&mut self, watch: WatchId, catalog: Catalog) {
-        let generation = catalog.generation;
-        let kind = match self.watches.on_list(watch, generation, catalog.reset, Instant::now()) {
+    fn on_list(&mut self, watch: WatchId, catalog: EndpointList) {
+        let generation = catalog.version;
+        let kind = match self.watches.on_list(watch, generation, catalog.is_complete, Instant::now()) {
             ListUse::Whole => EndpointUpdate::Snapshot,
             ListUse::Changes => EndpointUpdate::Delta,
             ListUse::Outdated | ListUse::Unknown => {
--- a/node/src/discovery/call.rs
+++ b/node/src/discovery/call.rs
@@ -13,8 +13,8 @@
 
 use super::budget::CONNECT;
 use super::watches::WatchId;
+use crate::endpoint_list::EndpointList;
 use crate::http::{write_call, Response};
-use crate::name_table::Catalog;
 use crate::socket::Socket;
 
 /// The longest list.
@@ -26,7 +26,7 @@
     /// The connection is up.
     Connected,
     /// A list, or the changes to one.
-    List(Catalog),
+    List(EndpointList),
     /// An empty line, which stands for no change, has come to its end.
     NoChange,
     /// The connection has ended, or what came made no sense.
@@ -110,7 +110,7 @@
         let brought = response.body.len() > before;
         let mut lists = 0;
         while let Some(mut object) = objects.next(&mut response.body)? {
-            let catalog = simd_json::from_slice::<Catalog>(&mut object);
+            let catalog = simd_json::from_slice::<EndpointList>(&mut object);
             let catalog = catalog.map_err(|e| format!("not a list: {e}"))?;
             sender.send(News::List(catalog)).await;
             lists += 1;
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -209,7 +209,7 @@
     let timers = Rc::clone(&dispatcher);
     spawn_local(async move { timers.run().await });
     let (address, turns) = watch::channel(address);
-    spawn_local(follow(NameTable::default(), None, turns, Rc::clone(&dispatcher), calls, log()));
+    spawn_local(follow(EndpointListReader::default(), None, turns, Rc::clone(&dispatcher), calls, log()));
     Balancer { dispatcher, address }
 }
 
--- a/node/src/name_table/tests.rs
+++ b/node/src/endpoint_list/tests.rs
@@ -1,26 +1,29 @@
+//! Lists in discovery's form, and the numbers of names and keys.
+
 use juniperladder::{Key, ServerId};
+use juniperladder_dispatch::numbers::{hash, key, server};
 
 use super::*;
 use crate::testing::log;
 use std::collections::HashSet;
 
-fn names() -> Names {
-    Names { zones: vec!["east".into(), "west".into()], kinds: vec!["m1".into(), "origin".into()] }
+fn site_names() -> SiteNames {
+    SiteNames { zones: vec!["east".into(), "west".into()], kinds: vec!["m1".into(), "origin".into()] }
 }
 
-fn catalog(text: &str) -> Catalog {
+fn list(text: &str) -> EndpointList {
     simd_json::from_slice(&mut text.as_bytes().to_vec()).unwrap()
 }
 
 #[test]
-fn entries_are_mapped_as_the_settings_have_them() {
+fn entries_have_the_numbers_of_the_settings_and_those_without_an_address_are_left_out() {
     let text = r#"{"generation":41,"reset":true,"more":1,"instances":[
         {"instanceId":"s-5be2a07c","hostPort":"127.0.0.1:5","zone":"west","machineType":"origin","cell":3,
          "lifecycle":"terminating","weight":1.5,"startedAtMs":7},
         {"instanceId":"s-00000001","hostPort":"nowhere","zone":"west"},
         {"instanceId":"s-00000002","hostPort":"127.0.0.1:6","zone":"north","lifecycle":"terminated"}]}"#;
-    let table = NameTable::new(names());
-    let servers = table.read(catalog(text), &log());
+    let reader = EndpointListReader::new(site_names());
+    let servers = reader.read(list(text), &log());
     let [origin, gone] = &servers[..] else { panic!("one has no address: {servers:?}") };
     let endpoint = &origin.endpoint;
     assert_eq!(
@@ -38,7 +41,7 @@
 
 /// Placement hashes these numbers: another value after an update would move every key.
 #[test]
-fn numbers_of_names_and_keys_stay_the_same() {
+fn numbers_of_names_and_keys_do_not_change() {
     assert_eq!(server("s-5be2a07c"), ServerId(0x5be2_a07c));
     let others = ["origin", "t-5be2a07c", "s-5BE2A07C", "s-5be2a07c0", "s-05be2a07c", "5be2a07c", ""];
     let numbers: HashSet<u64> = others.iter().map(|name| server(name).0).collect();
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod config;
 pub mod connect;
 pub mod discovery;
-pub mod name_table;
+pub mod endpoint_list;
 pub mod operator;
 pub mod operators;
 pub mod override_store;
@@ -122,9 +122,9 @@
         }
         None => None,
     };
-    let table = name_table::NameTable::new(config.names);
-    let known_generation = config.known.generation;
-    let servers = table.read(config.known, &log);
+    let list_reader = endpoint_list::EndpointListReader::new(config.names);
+    let known_generation = config.known.version;
+    let servers = list_reader.read(config.known, &log);
     dispatcher.listed(EndpointUpdate::Restored, &servers);
 
     let shutdown = Rc::new(shutdown::Shutdown::default());
@@ -169,7 +169,7 @@
     let (discovery_address, turns) = watch::channel(config.discovery);
     let calls = discovery::Calls { at_once: successor, pushed: config.pushed, seed: config.seed };
     let known = Some(known_generation);
-    spawn_local(discovery::follow(table, known, turns, Rc::clone(&dispatcher), calls, log.clone()));
+    spawn_local(discovery::follow(list_reader, known, turns, Rc::clone(&dispatcher), calls, log.clone()));
     let reloader = Rc::new(Reloader {
         file: config.file,
         discovery: discovery_address,
