--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -12,7 +12,7 @@
 
 use crate::bounds::Limits;
 use crate::clock::duration;
-use crate::discovery::budget::pushed_again;
+use crate::discovery::timing::pushed_list_backoff;
 use crate::endpoint_list::{EndpointList, SiteNames};
 use crate::operator::Operator;
 use crate::retry::for_a_moment_blocking;
@@ -138,7 +138,7 @@
             log_level: file.log_level.map_or(Ok(Level::Info), |text| log_level(&text))?,
             operator: None,
             position: env.position,
-            pushed: (!settings.subscribe).then(|| pushed_again(duration(env.drain_grace()))),
+            pushed: (!settings.subscribe).then(|| pushed_list_backoff(duration(env.drain_grace()))),
             settings,
             listen,
             discovery: address("discovery", &file.discovery)?,
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -1,10 +1,14 @@
-//! Discovery: when it is called, and the watch on its changes.
+//! Discovery: when it is polled, and the watch on its changes.
 //!
-//! [`follow`] owns all that is known of discovery here. Each call runs in a task of its own ([`call`]) and sends what comes;
-//! which calls are open, and what is due of them, is kept by [`watches`], and all times stand in [`budget`].
+//! [`follow`] owns all that is known of discovery here. Each poll runs in a task of its own ([`poll`]) and sends its events;
+//! [`watches`] keeps which polls are open and what is overdue, and [`timing`] has all times.
+//!
+//! Guarantee: a change is known here before it counts as notified, 6 s after discovery had it. It fails where discovery cannot
+//! be reached; the list in hand stays in use then, and polls go on after each backoff. The waits between polls come from the
+//! decisions, except at a new address and where discovery pushes its lists.
 
-pub mod budget;
-mod call;
+mod poll;
+pub mod timing;
 mod watches;
 
 use std::net::SocketAddr;
@@ -21,219 +25,216 @@
 
 use crate::clock::to_ms;
 use crate::counters::increment;
-use crate::dispatcher::Dispatcher;
+use crate::dispatcher::{Dispatcher, ListedServer};
 use crate::endpoint_list::{watch_path, EndpointList, EndpointListReader};
-use budget::turn_again;
-use call::{Call, Message, News};
-use watches::{ListUse, NoChange, WatchId, Watches};
+use poll::{Poll, PollEvent, PollMessage};
+use timing::new_address_backoff;
+use watches::{Heartbeat, ListUse, WatchId, Watches};
 
-/// News of calls that may wait to be taken in.
-const INBOX: usize = 4;
+/// How many events of polls may wait to be handled.
+const INBOX_EVENTS: usize = 4;
 
-/// When discovery is called.
+/// When discovery is polled.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Calls {
-    /// At the start, not when the decisions would: a process that replaces another starts from a list that may be old, and what
-    /// discovery says binds it soon after its start.
-    pub at_once: bool,
-    /// Where lists are pushed: at once, and so long after each call or watch that failed. What discovery has counts as told from
-    /// the first moment on there, whether a watch is open or not, and the decisions does not ask for one.
-    pub pushed: Option<Duration>,
-    /// For the waits of the calls at a new address.
+pub struct PollPolicy {
+    /// At the start, not when the decisions would: a process that replaces another starts from a list that may be old, and
+    /// what discovery says binds it soon after its start.
+    pub at_start: bool,
+    /// Where lists are pushed: at the start, and so long after each poll or watch that failed. What discovery has counts as
+    /// notified at once there, whether a watch is open or not, and the decisions do not ask for one.
+    pub pushed_list_backoff: Option<Duration>,
+    /// For the backoffs at a new address.
     pub seed: u64,
 }
 
-/// Why a call is made.
+/// Why a poll is made.
 #[derive(Clone, Copy, Debug)]
-enum Reason {
+enum PollReason {
     /// The process has started, and its list may be old.
     Start,
-    /// The decision module asks for it.
-    Due,
+    /// The decisions ask for it.
+    Requested,
     /// A new configuration names another address.
     NewAddress,
-    /// The last one failed, and the decisions does not space the calls out.
-    Again,
+    /// The last one failed, and the decisions do not space the polls out.
+    Backoff,
 }
 
-/// Watches discovery whenever the decisions asks for it, and tells the decisions what comes. When the address changes the new one is
-/// called at once, and what the old one's watch says is taken in until the new one has told its list. `known` is the version
-/// of the list in hand.
+/// Watches discovery whenever the decisions ask for it, and reports what comes to them. When the address changes the new one
+/// is polled at once, and what the old one's watch sends is used until the new one has sent its list. `known_version` is that
+/// of the list in hand. Runs for as long as the address has a sender.
 pub async fn follow(
-    table: EndpointListReader,
-    known: Option<u64>,
+    reader: EndpointListReader,
+    known_version: Option<u64>,
     mut address: watch::Receiver<SocketAddr>,
     dispatcher: Rc<Dispatcher>,
-    calls: Calls,
+    policy: PollPolicy,
     log: Logger,
 ) {
-    let (inbox, mut news) = mpsc::channel(INBOX);
-    let at = *address.borrow_and_update();
-    let mut follower = Follower::new(table, known, at, Rc::clone(&dispatcher), calls, inbox, log);
-    if calls.at_once || calls.pushed.is_some() {
-        follower.call(Reason::Start);
+    let (inbox, mut events) = mpsc::channel(INBOX_EVENTS);
+    let mut follower = Follower {
+        reader,
+        watches: Watches::new(known_version),
+        address: *address.borrow_and_update(),
+        next_poll: None,
+        new_address_failures: 0,
+        pushed_list_backoff: policy.pushed_list_backoff,
+        rng: Rng::with_seed(policy.seed),
+        dispatcher: Rc::clone(&dispatcher),
+        inbox,
+        log_throttle: LogThrottle::default(),
+        log,
+    };
+    if policy.at_start || policy.pushed_list_backoff.is_some() {
+        follower.start_poll(PollReason::Start);
     }
     loop {
         let due = follower.deadline();
         tokio::select! {
-            turned = address.changed() => {
-                if turned.is_err() {
+            changed = address.changed() => {
+                if changed.is_err() {
                     return;
                 }
                 let address = *address.borrow_and_update();
-                follower.turn(address);
+                follower.on_new_address(address);
             }
-            Some(message) = news.recv() => follower.on_message(message),
-            () = dispatcher.watch_wanted() => follower.on_wanted(),
+            Some(message) = events.recv() => follower.on_poll_event(message),
+            () = dispatcher.watch_wanted() => follower.on_watch_requested(),
             () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => follower.on_deadline(),
         }
     }
 }
 
-/// What [`follow`] keeps.
+/// The state of [`follow`].
 struct Follower {
-    table: EndpointListReader,
-    watches: Watches<Call>,
+    reader: EndpointListReader,
+    watches: Watches<Poll>,
     address: SocketAddr,
-    /// When the next call is made that the decisions does not ask for.
-    again: Option<Instant>,
-    /// Calls that failed at a new address that has told no list yet.
-    turn_failures: u32,
-    pushed: Option<Duration>,
+    /// When the next poll is made that the decisions do not ask for.
+    next_poll: Option<Instant>,
+    /// Polls that failed at a new address that has sent no list yet.
+    new_address_failures: u32,
+    pushed_list_backoff: Option<Duration>,
     rng: Rng,
     dispatcher: Rc<Dispatcher>,
-    inbox: mpsc::Sender<Message>,
+    inbox: mpsc::Sender<PollMessage>,
     log_throttle: LogThrottle,
     log: Logger,
 }
 
 impl Follower {
-    fn new(
-        table: EndpointListReader,
-        known: Option<u64>,
-        address: SocketAddr,
-        dispatcher: Rc<Dispatcher>,
-        calls: Calls,
-        inbox: mpsc::Sender<Message>,
-        log: Logger,
-    ) -> Follower {
-        Follower {
-            table,
-            watches: Watches::new(known),
-            address,
-            again: None,
-            turn_failures: 0,
-            pushed: calls.pushed,
-            rng: Rng::with_seed(calls.seed),
-            dispatcher,
-            inbox,
-            log_throttle: LogThrottle::default(),
-            log,
-        }
-    }
-
-    fn call(&mut self, reason: Reason) {
-        self.again = None;
+    fn start_poll(&mut self, reason: PollReason) {
+        self.next_poll = None;
         let id = self.watches.next_id();
-        let since = self.watches.generation();
-        info!(self.log, "discovery call begins"; "call" => ?id, "reason" => ?reason,
+        let since = self.watches.version();
+        info!(self.log, "discovery poll started"; "poll" => ?id, "reason" => ?reason,
             "address" => %self.address, "since" => since);
-        let call = Call::begin(id, self.address, watch_path(since), self.inbox.clone());
-        self.watches.begin(id, call, Instant::now());
+        let poll = Poll::start(id, self.address, watch_path(since), self.inbox.clone());
+        self.watches.on_poll_started(id, poll, Instant::now());
     }
 
-    fn turn(&mut self, address: SocketAddr) {
+    fn on_new_address(&mut self, address: SocketAddr) {
         self.address = address;
-        self.watches.turn();
-        self.turn_failures = 0;
-        self.call(Reason::NewAddress);
+        self.watches.on_new_address();
+        self.new_address_failures = 0;
+        self.start_poll(PollReason::NewAddress);
     }
 
-    /// The module wants a watch. At a new address the calls are spaced out here until it has told its list.
-    fn on_wanted(&mut self) {
-        if !self.watches.turning() && self.watches.need_call() {
-            self.call(Reason::Due);
+    /// The decisions ask for a watch. At a new address the polls are spaced out here until it has sent its list.
+    fn on_watch_requested(&mut self) {
+        if !self.watches.awaits_new_address() && self.watches.needs_poll() {
+            self.start_poll(PollReason::Requested);
         }
     }
 
     fn deadline(&self) -> Option<Instant> {
-        self.watches.deadline().into_iter().chain(self.again).min()
+        self.watches.deadline().into_iter().chain(self.next_poll).min()
     }
 
     fn on_deadline(&mut self) {
         let now = Instant::now();
-        for (overdue, lasted) in self.watches.take_overdue(now) {
-            self.failed(overdue.label(), lasted);
+        for overdue in self.watches.take_overdue(now) {
+            self.on_failure(overdue.kind.label(), overdue.age);
         }
-        if self.again.is_some_and(|again| again <= now) {
-            self.call(Reason::Again);
+        if self.next_poll.is_some_and(|due| due <= now) {
+            self.start_poll(PollReason::Backoff);
         }
     }
 
-    fn on_message(&mut self, Message { watch, news }: Message) {
-        match news {
-            News::Connected => debug!(self.log, "discovery connected"; "call" => ?watch),
-            News::List(catalog) => self.on_list(watch, catalog),
-            News::NoChange => match self.watches.on_no_change(watch, Instant::now()) {
-                // It has answered, though with nothing: the decisions need not ask again.
-                NoChange::Answered => self.dispatcher.listed(EndpointUpdate::Delta, &[]),
-                NoChange::Confirmed => self.dispatcher.list_confirmed(),
-                NoChange::Nothing => {}
-            },
-            News::Ended(problem) => {
-                debug!(self.log, "discovery call ended"; "call" => ?watch, "problem" => &problem);
-                if let Some(lasted) = self.watches.on_end(watch, Instant::now()) {
-                    self.failed(&problem, lasted);
+    fn on_poll_event(&mut self, PollMessage { watch, event }: PollMessage) {
+        match event {
+            PollEvent::Connected => debug!(self.log, "discovery connected"; "poll" => ?watch),
+            PollEvent::List(list) => self.on_list(watch, list),
+            PollEvent::Heartbeat => self.on_heartbeat(watch),
+            PollEvent::Ended(error) => {
+                debug!(self.log, "discovery poll ended"; "poll" => ?watch, "reason" => %error);
+                if let Some(age) = self.watches.on_ended(watch, Instant::now()) {
+                    self.on_failure(&error.to_string(), age);
                 }
             }
         }
     }
 
-    fn on_list(&mut self, watch: WatchId, catalog: EndpointList) {
-        let generation = catalog.version;
-        let kind = match self.watches.on_list(watch, generation, catalog.is_complete, Instant::now()) {
-            ListUse::Whole => EndpointUpdate::Snapshot,
-            ListUse::Changes => EndpointUpdate::Delta,
-            ListUse::Outdated | ListUse::Unknown => {
-                info!(self.log, "list passed over"; "call" => ?watch, "generation" => generation);
+    fn on_heartbeat(&mut self, watch: WatchId) {
+        match self.watches.on_heartbeat(watch, Instant::now()) {
+            // Discovery has answered, though without a change: the decisions need not ask again.
+            Heartbeat::Answered => self.dispatcher.listed(EndpointUpdate::Delta, &[]),
+            Heartbeat::Confirmed => self.dispatcher.list_confirmed(),
+            Heartbeat::Ignored => {}
+        }
+    }
+
+    fn on_list(&mut self, watch: WatchId, list: EndpointList) {
+        let version = list.version;
+        let update = match self.watches.on_list(watch, version, list.is_complete, Instant::now()) {
+            ListUse::Snapshot => EndpointUpdate::Snapshot,
+            ListUse::Delta => EndpointUpdate::Delta,
+            ListUse::Outdated | ListUse::UnknownPoll => {
+                info!(self.log, "outdated endpoint list ignored"; "poll" => ?watch,
+                    "endpoint_list_version" => version);
                 return;
             }
-            ListUse::Contradicts(known) => {
-                // The list stands, and the whole one is asked for when the decisions asks again.
-                let problem = format!("generation {generation} after {known} without a reset");
-                return self.failed(&problem, Duration::ZERO);
+            ListUse::Contradictory { known } => {
+                // The list in hand stays in use, and the complete one is asked for when the decisions ask again.
+                let reason = format!("endpoint list version {version} after {known} without a reset");
+                return self.on_failure(&reason, Duration::ZERO);
             }
         };
-        if !self.watches.turning() {
-            self.again = None;
-        }
-        let servers = self.table.read(catalog, &self.log);
-        for listed_server in &servers {
-            debug!(self.log, "list entry"; "server" => %ServerLabel(listed_server.endpoint.server),
-                "state" => ?listed_server.endpoint.state, "started-ms" => to_ms(listed_server.endpoint.started));
+        if !self.watches.awaits_new_address() {
+            self.next_poll = None;
         }
+        let servers = self.reader.read(list, &self.log);
+        self.log_list(watch, version, update, &servers);
         increment(&self.dispatcher.counters().endpoint_updates);
-        info!(self.log, "list"; "call" => ?watch, "generation" => generation,
-            "whole" => kind == EndpointUpdate::Snapshot, "entries" => servers.len());
-        self.dispatcher.listed(kind, &servers);
+        self.dispatcher.listed(update, &servers);
+    }
+
+    fn log_list(&self, watch: WatchId, version: u64, update: EndpointUpdate, servers: &[ListedServer]) {
+        for server in servers {
+            let endpoint = &server.endpoint;
+            debug!(self.log, "endpoint list entry"; "server" => %ServerLabel(endpoint.server),
+                "state" => ?endpoint.state, "started_ms" => to_ms(endpoint.started));
+        }
+        info!(self.log, "endpoint list received"; "poll" => ?watch, "endpoint_list_version" => version,
+            "is_complete" => update == EndpointUpdate::Snapshot, "entries" => servers.len());
     }
 
-    /// A call or a watch has failed: another call is due after a wait.
-    fn failed(&mut self, problem: &str, lasted: Duration) {
+    /// A poll or a watch has failed, `age` after the poll started: another poll is due after a backoff.
+    fn on_failure(&mut self, reason: &str, age: Duration) {
         let failures = &self.dispatcher.counters().discovery_failures;
         increment(failures);
         if self.log_throttle.allows() {
-            warn!(self.log, "discovery"; "problem" => problem, "after-ms" => lasted.as_millis(),
-                "so far" => failures.get());
+            warn!(self.log, "discovery poll failed"; "reason" => reason, "age_ms" => age.as_millis(),
+                "discovery_failures" => failures.get());
         }
         let now = Instant::now();
-        if self.watches.turning() {
-            self.again = Some(now + turn_again(self.turn_failures, &mut self.rng));
-            self.turn_failures += 1;
+        if self.watches.awaits_new_address() {
+            self.next_poll = Some(now + new_address_backoff(self.new_address_failures, &mut self.rng));
+            self.new_address_failures += 1;
             return;
         }
-        self.again = self.pushed.map(|wait| now + wait);
-        // From here on the decisions spaces the calls out: it asks again after a wait of its own.
+        self.next_poll = self.pushed_list_backoff.map(|backoff| now + backoff);
+        // From here on the decisions space the polls out: they ask again after a backoff of their own.
         self.dispatcher.listed(EndpointUpdate::Unavailable, &[]);
     }
 }
--- a/node/src/discovery/watches.rs
+++ b/node/src/discovery/watches.rs
@@ -1,25 +1,27 @@
-//! The calls to discovery that are open, which of them is in force, and what is due of them; no I/O, and time is passed in.
+//! The polls of discovery that are open, which watch is in force, and what is overdue; no I/O, and time is passed in.
 //!
-//! A call that has been answered is a watch. The guarantee: a watch in force ends only when a later call has been answered, so
-//! that nothing discovery writes in between is missed, and a call is not given up while it may still have its turn.
+//! A poll that has been answered is a watch. Guarantee: the watch in force ends only when a later poll has been answered, so
+//! that no change that discovery writes in between is missed; a poll is not abandoned while it may still have its turn; at
+//! most [`MAX_OPEN`] are open, whatever discovery does. A caller that does not poll again when [`Watches::needs_poll`] says so
+//! misses changes.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use super::budget::{ANSWER, LATE, SILENCE};
+use super::timing::{ANSWER_TIMEOUT, OVERDUE_GRACE, WATCH_SILENCE_TIMEOUT};
 
-/// How many may be open at once: the watch in force, a call that waits, and one beside it.
+/// How many may be open at once: the watch in force, a poll that waits, and one beside it.
 pub const MAX_OPEN: usize = 3;
 
-/// Names one call and the watch that it becomes.
+/// Names one poll and the watch that it becomes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchId(u64);
 
-/// Why a call or a watch counts as failed while its connection stands.
+/// Why a poll or a watch counts as failed while its connection stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Overdue {
-    /// The call has no answer yet.
+    /// The poll has no answer yet.
     NoAnswer,
     /// The watch has fallen silent.
     Silent,
@@ -35,199 +37,228 @@
     }
 }
 
-/// One call, or the watch that it has become. `T` is what keeps its connection.
+/// Something overdue, to be reported once.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct OverdueReport {
+    /// What it is.
+    pub kind: Overdue,
+    /// How long ago the poll started.
+    pub age: Duration,
+}
+
+/// One poll, or the watch that it has become. `T` is what keeps its connection open.
 #[derive(Debug)]
 struct Watch<T> {
     id: WatchId,
-    /// Which of the addresses that followed each other it was made to.
-    turn: u32,
-    begun: Instant,
+    /// Which of the addresses that followed each other it polls.
+    address_number: u32,
+    started: Instant,
     /// When its last line ended; none, it has not been answered.
-    heard: Option<Instant>,
-    /// The version that was known when it began, and the one that it told last.
-    asked_since: Option<u64>,
-    generation: Option<u64>,
+    last_line: Option<Instant>,
+    /// The list's version that was known when it started.
+    requested_since: Option<u64>,
+    /// The version that it sent last, or that was known when it started.
+    version: Option<u64>,
     /// When it was reported as failed.
-    overdue: Option<Instant>,
+    reported: Option<Instant>,
     _connection: T,
 }
 
 impl<T> Watch<T> {
     /// When it counts as failed, or is let go of where it does already.
     fn deadline(&self) -> Instant {
-        match (self.overdue, self.heard) {
-            (Some(overdue), _) => overdue + LATE,
-            (None, Some(heard)) => heard + SILENCE,
-            (None, None) => self.begun + ANSWER,
+        match (self.reported, self.last_line) {
+            (Some(reported), _) => reported + OVERDUE_GRACE,
+            (None, Some(last_line)) => last_line + WATCH_SILENCE_TIMEOUT,
+            (None, None) => self.started + ANSWER_TIMEOUT,
         }
     }
+
+    /// Reported ones come first, those reported longest ago before others.
+    fn eviction_order(&self) -> (bool, Option<Instant>, Instant) {
+        (self.reported.is_none(), self.reported, self.started)
+    }
+
+    fn on_line(&mut self, now: Instant) {
+        self.last_line = Some(now);
+        self.reported = None;
+    }
 }
 
-/// What a list is to be taken for.
+/// What a received list is to be used as.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUse {
-    /// The whole list.
-    Whole,
+    /// The complete list.
+    Snapshot,
     /// Changes to the list in hand.
-    Changes,
-    /// An older one than what another watch has told: nothing.
+    Delta,
+    /// Nothing: it is older than what another watch has sent.
     Outdated,
-    /// Changes to an older list than the watch itself has told: nothing of it can be used, nor of the version in hand.
-    Contradicts(u64),
-    /// It belongs to a call that is over.
-    Unknown,
+    /// Nothing, nor can the version in hand be used any more: it holds changes to an older list than the watch itself has sent.
+    Contradictory {
+        /// The version that the watch had sent.
+        known: u64,
+    },
+    /// Nothing: it belongs to a poll that is over.
+    UnknownPoll,
 }
 
-/// What a line says that tells no change.
+/// What a heartbeat says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoChange {
+pub enum Heartbeat {
     /// Nothing of the list in hand.
-    Nothing,
-    /// It is the answer to its call, which is in force now.
+    Ignored,
+    /// It is the answer to its poll, which is the watch in force now.
     Answered,
     /// The list in hand is what discovery has.
     Confirmed,
 }
 
-/// All calls and watches that are open.
+/// All polls and watches that are open.
 #[derive(Debug)]
 pub struct Watches<T> {
     open: Vec<Watch<T>>,
-    last: u64,
-    turn: u32,
-    /// The version of the list in hand, as the address in force counts them; none, the whole list is wanted.
-    generation: Option<u64>,
-    /// Whether the address in force has told no list yet, after another one had been in force.
-    turning: bool,
+    last_id: u64,
+    /// How many new addresses there were.
+    address_number: u32,
+    /// The version of the list in hand, as the address in force counts them; none, the complete list is wanted.
+    version: Option<u64>,
+    /// Whether the address in force has sent no list yet, after another one had been in force.
+    awaits_new_address: bool,
 }
 
 impl<T> Watches<T> {
     /// None yet; a list of this version is in hand.
-    pub fn new(generation: Option<u64>) -> Watches<T> {
-        Watches { open: Vec::new(), last: 0, turn: 0, generation, turning: false }
+    pub fn new(version: Option<u64>) -> Watches<T> {
+        Watches { open: Vec::new(), last_id: 0, address_number: 0, version, awaits_new_address: false }
     }
 
     /// The version of the list in hand.
-    pub fn generation(&self) -> Option<u64> {
-        self.generation
+    pub fn version(&self) -> Option<u64> {
+        self.version
     }
 
-    /// Whether a new address has told no list yet.
-    pub fn turning(&self) -> bool {
-        self.turning
+    /// Whether a new address has sent no list yet.
+    pub fn awaits_new_address(&self) -> bool {
+        self.awaits_new_address
     }
 
-    /// Whether a call is needed: no watch is in force at this address, and no call waits for its answer in time.
-    pub fn need_call(&self) -> bool {
-        !self.open.iter().any(|watch| watch.turn == self.turn && watch.overdue.is_none())
+    /// Whether a poll is needed: no watch is in force at this address, and no poll waits for its answer in time.
+    pub fn needs_poll(&self) -> bool {
+        !self.open.iter().any(|watch| watch.address_number == self.address_number && watch.reported.is_none())
     }
 
-    /// A name for the next call.
+    /// A name for the next poll.
     pub fn next_id(&mut self) -> WatchId {
-        self.last += 1;
-        WatchId(self.last)
+        self.last_id += 1;
+        WatchId(self.last_id)
     }
 
-    /// A call has begun. Where too many are open, the one that has been overdue for longest is let go of.
-    pub fn begin(&mut self, id: WatchId, connection: T, now: Instant) {
+    /// A poll has started. Where too many are open, the one that has been overdue for longest is let go of.
+    pub fn on_poll_started(&mut self, id: WatchId, connection: T, now: Instant) {
         while self.open.len() >= MAX_OPEN {
-            let first = |watch: &Watch<T>| (watch.overdue.is_none(), watch.overdue, watch.begun);
-            let oldest = (0..self.open.len()).min_by_key(|at| first(&self.open[*at]));
-            oldest.into_iter().for_each(|at| drop(self.open.remove(at)));
+            self.evict_one();
         }
         self.open.push(Watch {
             id,
-            turn: self.turn,
-            begun: now,
-            heard: None,
-            asked_since: self.generation,
-            generation: self.generation,
-            overdue: None,
+            address_number: self.address_number,
+            started: now,
+            last_line: None,
+            requested_since: self.version,
+            version: self.version,
+            reported: None,
             _connection: connection,
         });
     }
 
-    /// Another address is in force: it may count its versions otherwise, and is asked for the whole list. Until it tells one
-    /// the old one's watch stays; calls there that have no answer yet are over.
-    pub fn turn(&mut self) {
-        self.turn += 1;
-        self.generation = None;
-        self.turning = true;
-        self.open.retain(|watch| watch.heard.is_some());
+    fn evict_one(&mut self) {
+        let first = (0..self.open.len()).min_by_key(|index| self.open[*index].eviction_order());
+        if let Some(index) = first {
+            self.open.remove(index);
+        }
+    }
+
+    /// Another address is in force: it may count its versions otherwise, and is asked for the complete list. Until it sends
+    /// one the old address's watch stays; polls there that have no answer yet are over.
+    pub fn on_new_address(&mut self) {
+        self.address_number += 1;
+        self.version = None;
+        self.awaits_new_address = true;
+        self.open.retain(|watch| watch.last_line.is_some());
     }
 
-    /// A line that tells no change has ended; what that says.
-    pub fn on_no_change(&mut self, id: WatchId, now: Instant) -> NoChange {
-        let (turn, in_hand) = (self.turn, self.generation);
-        let Some(watch) = self.open.iter_mut().find(|watch| watch.id == id) else { return NoChange::Nothing };
-        if watch.generation.is_none() {
-            // Where the whole list was asked for, only that is an answer.
-            return NoChange::Nothing;
+    /// A line that holds no change has ended; what that says.
+    pub fn on_heartbeat(&mut self, id: WatchId, now: Instant) -> Heartbeat {
+        let Some(watch) = self.open.iter_mut().find(|watch| watch.id == id) else {
+            return Heartbeat::Ignored;
+        };
+        if watch.version.is_none() {
+            // Where the complete list was asked for, only that is an answer.
+            return Heartbeat::Ignored;
         }
-        watch.overdue = None;
-        let first = watch.heard.replace(now).is_none();
-        let newest = watch.generation == in_hand;
-        if watch.turn != turn {
-            return NoChange::Nothing;
+        let is_answer = watch.last_line.is_none();
+        watch.on_line(now);
+        if watch.address_number != self.address_number {
+            return Heartbeat::Ignored;
         }
-        if first {
+        if is_answer {
             self.keep_only(id);
-            return NoChange::Answered;
+            return Heartbeat::Answered;
         }
-        if newest {
-            NoChange::Confirmed
+        if watch.version == self.version {
+            Heartbeat::Confirmed
         } else {
-            NoChange::Nothing
+            Heartbeat::Ignored
         }
     }
 
-    /// A list of this version has come; tells what it is to be taken for, and notes it.
-    pub fn on_list(&mut self, id: WatchId, generation: u64, reset: bool, now: Instant) -> ListUse {
-        let Some(at) = self.open.iter().position(|watch| watch.id == id) else { return ListUse::Unknown };
-        let (turn, in_hand) = (self.turn, self.generation);
-        let watch = &mut self.open[at];
-        let whole = reset || watch.generation.is_none();
-        if let Some(known) = watch.generation.filter(|known| !whole && generation < *known) {
-            let current = self.open.remove(at).turn == turn;
-            if !current {
-                return ListUse::Unknown;
-            }
-            self.generation = None;
-            return ListUse::Contradicts(known);
+    /// A list of this version has come, complete or not; notes it, and returns what it is to be used as.
+    pub fn on_list(&mut self, id: WatchId, version: u64, is_complete: bool, now: Instant) -> ListUse {
+        let Some(index) = self.open.iter().position(|watch| watch.id == id) else {
+            return ListUse::UnknownPoll;
+        };
+        let watch = &mut self.open[index];
+        let is_snapshot = is_complete || watch.version.is_none();
+        if let Some(known) = watch.version.filter(|known| !is_snapshot && version < *known) {
+            return self.on_contradiction(index, known);
         }
-        // One that began while a newer list came on another watch: it will tell the rest itself. A list that is older than what
-        // was known at its begin is another matter: discovery counts anew.
-        let began_before = watch.asked_since.is_some_and(|since| since <= generation);
-        let outdated = watch.turn == turn && began_before && in_hand.is_some_and(|known| generation < known);
-        watch.generation = Some(generation);
-        watch.heard = Some(now);
-        watch.overdue = None;
-        if watch.turn != turn {
-            return if whole { ListUse::Whole } else { ListUse::Changes };
+        let is_outdated = is_older_than_in_hand(watch, version, self.version);
+        watch.version = Some(version);
+        watch.on_line(now);
+        let usual = if is_snapshot { ListUse::Snapshot } else { ListUse::Delta };
+        if watch.address_number != self.address_number {
+            return usual;
         }
-        self.turning = false;
+        self.awaits_new_address = false;
         self.keep_only(id);
-        if outdated {
+        if is_outdated {
             return ListUse::Outdated;
         }
-        self.generation = Some(generation);
-        if whole {
-            ListUse::Whole
-        } else {
-            ListUse::Changes
+        self.version = Some(version);
+        usual
+    }
+
+    /// A watch has contradicted itself: it is over, and the complete list is asked for next.
+    fn on_contradiction(&mut self, index: usize, known: u64) -> ListUse {
+        let watch = self.open.remove(index);
+        if watch.address_number != self.address_number {
+            return ListUse::UnknownPoll;
         }
+        self.version = None;
+        ListUse::Contradictory { known }
     }
 
-    /// This one has been answered: the others that began before it, and calls that wait for the same, are over.
+    /// This one has been answered: the others that started before it, and polls that wait for the same, are over.
     fn keep_only(&mut self, id: WatchId) {
         self.open.retain(|watch| watch.id == id);
     }
 
-    /// A connection has ended. How long it stood, where that is a failure that has not been told yet.
-    pub fn on_end(&mut self, id: WatchId, now: Instant) -> Option<Duration> {
-        let at = self.open.iter().position(|watch| watch.id == id)?;
-        let ended = self.open.remove(at);
-        (ended.overdue.is_none() && ended.turn == self.turn).then(|| now - ended.begun)
+    /// A connection has ended. How long it stood, where that is a failure that has not been reported yet.
+    pub fn on_ended(&mut self, id: WatchId, now: Instant) -> Option<Duration> {
+        let index = self.open.iter().position(|watch| watch.id == id)?;
+        let ended = self.open.remove(index);
+        let is_new_failure = ended.reported.is_none() && ended.address_number == self.address_number;
+        is_new_failure.then(|| now - ended.started)
     }
 
     /// When something is due next.
@@ -235,19 +266,28 @@
         self.open.iter().map(Watch::deadline).min()
     }
 
-    /// Notes what is overdue now, and returns it where it is to be told; what has been so for long is let go of.
-    pub fn take_overdue(&mut self, now: Instant) -> Vec<(Overdue, Duration)> {
-        let turn = self.turn;
-        self.open.retain(|watch| watch.deadline() > now || watch.overdue.is_none());
-        let due = self.open.iter_mut().filter(|watch| watch.deadline() <= now);
-        let told = due.filter_map(|watch| {
-            watch.overdue = Some(now);
-            let problem = if watch.heard.is_some() { Overdue::Silent } else { Overdue::NoAnswer };
-            (watch.turn == turn).then(|| (problem, now - watch.begun))
-        });
-        told.collect()
+    /// Notes what is overdue now, and returns it where it is to be reported; what has been so for long is let go of.
+    pub fn take_overdue(&mut self, now: Instant) -> Vec<OverdueReport> {
+        self.open.retain(|watch| watch.deadline() > now || watch.reported.is_none());
+        let mut reports = Vec::new();
+        for watch in self.open.iter_mut().filter(|watch| watch.deadline() <= now) {
+            watch.reported = Some(now);
+            let kind = if watch.last_line.is_some() { Overdue::Silent } else { Overdue::NoAnswer };
+            if watch.address_number == self.address_number {
+                reports.push(OverdueReport { kind, age: now - watch.started });
+            }
+        }
+        reports
     }
 }
 
+/// Whether this version is older than the one in hand because a newer list came on another watch while this one's poll was
+/// open: it will send the rest itself. A list that is older than what was known when its poll started is another matter:
+/// discovery counts anew.
+fn is_older_than_in_hand<T>(watch: &Watch<T>, version: u64, in_hand: Option<u64>) -> bool {
+    let started_before = watch.requested_since.is_some_and(|since| since <= version);
+    started_before && in_hand.is_some_and(|known| version < known)
+}
+
 #[cfg(test)]
 mod tests;
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -167,9 +167,10 @@
         spawn_local(operators.accept(listener));
     }
     let (discovery_address, turns) = watch::channel(config.discovery);
-    let calls = discovery::Calls { at_once: successor, pushed: config.pushed, seed: config.seed };
+    let policy =
+        discovery::PollPolicy { at_start: successor, pushed_list_backoff: config.pushed, seed: config.seed };
     let known = Some(known_generation);
-    spawn_local(discovery::follow(list_reader, known, turns, Rc::clone(&dispatcher), calls, log.clone()));
+    spawn_local(discovery::follow(list_reader, known, turns, Rc::clone(&dispatcher), policy, log.clone()));
     let reloader = Rc::new(Reloader {
         file: config.file,
         discovery: discovery_address,
