--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -10,13 +10,13 @@
 use serde::Deserialize;
 use slog::Level;
 
-use crate::bounds::Limits;
 use crate::clock::duration;
 use crate::discovery::budget::pushed_again;
 use crate::name_table::{Catalog, Names};
 use crate::operator::Operator;
-use crate::retry::for_a_moment_blocking;
+use crate::resource_limits::ConfiguredLimits;
 use crate::service::Labels;
+use crate::transient_errors::retry_transient_blocking;
 
 /// Everything that the file says.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     /// For random numbers, new with each start.
     pub seed: u64,
     /// What the process may take of its machine.
-    pub limits: Limits,
+    pub limits: ConfiguredLimits,
     /// The list as this balancer last had it.
     pub known: Catalog,
     /// What the decisions is told.
@@ -108,7 +108,7 @@
 
     /// Reads this file. A problem is told in one line.
     pub fn read(path: OsString) -> Result<Config, String> {
-        let text = for_a_moment_blocking(|| std::fs::read(&path));
+        let text = retry_transient_blocking(|| std::fs::read(&path));
         Config::of_file(path, text)
     }
 
@@ -145,9 +145,9 @@
             name: file.name,
             seed: u64::from_str_radix(&file.seed, 16)
                 .unwrap_or_else(|_| crate::name_table::hash(file.seed.as_bytes())),
-            limits: Limits {
-                memory: (file.limits.memory_mb * f64::from(1 << 20)) as usize,
-                sockets: file.limits.sockets,
+            limits: ConfiguredLimits {
+                memory_bytes: (file.limits.memory_mb * f64::from(1 << 20)) as usize,
+                descriptors: file.limits.sockets,
             },
             known: file.known,
             labels: Labels {
@@ -207,7 +207,7 @@
     fn a_sound_configuration_is_read() {
         let config = Config::parse(SOUND.into()).unwrap();
         assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
-        assert_eq!(config.limits, Limits { memory: 192 << 20, sockets: 512 });
+        assert_eq!(config.limits, ConfiguredLimits { memory_bytes: 192 << 20, descriptors: 512 });
         assert_eq!((config.settings.mode, config.settings.zone), (CacheMode::Aside(2), 1));
         assert_eq!(
             (config.idle, config.connect_timeout),
--- /dev/null
+++ b/node/src/daemon.rs
@@ -0,0 +1,231 @@
+//! The life of the daemon: it builds its parts, starts them, and serves until a signal ends it.
+//!
+//! Guarantee: from the first signal to end on, no request that was taken is left without an answer, as
+//! [`crate::graceful_shutdown`] says. A part that cannot be had at the start, such as an address, ends the start
+//! with an error; nothing ends the daemon later but a signal.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use juniperladder::EndpointUpdate;
+use slog::{info, Logger};
+use tokio::net::TcpListener;
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+use tokio::time::{Instant, MissedTickBehavior};
+
+use crate::clock::{self, Clock};
+use crate::config::Config;
+use crate::connect::Tcp;
+use crate::counters::Counters;
+use crate::discovery::{self, Calls};
+use crate::dispatcher::{Carrier, Dispatcher};
+use crate::error::StartError;
+use crate::graceful_shutdown::{self, GracefulShutdown};
+use crate::listener::listen;
+use crate::name_table::NameTable;
+use crate::operators::{Callers, Operators};
+use crate::peers::Peers;
+use crate::reload::Reloader;
+use crate::resource_limits::ResourceLimits;
+use crate::service::Service;
+use crate::signals::Signals;
+use crate::transient_errors::retry_transient;
+use crate::upstream::{self, Upstream};
+
+/// How often the counters go to the log: a process that is killed writes none at its end.
+const COUNTERS_LOG_INTERVAL: Duration = Duration::from_secs(5);
+
+/// Runs a balancer until a signal ends it.
+///
+/// # Errors
+/// A part of the daemon cannot be started: its address is in use, or the operators' file does not fit it.
+pub async fn run(config: Config, log: Logger) -> Result<(), StartError> {
+    // The default of each of these signals would end the program, so that they are caught before the rest.
+    let mut signals = Signals::catch()?;
+    let daemon = Daemon::start(config, log).await?;
+    daemon.serve_until_stopped(&mut signals).await;
+    daemon.stop().await;
+    Ok(())
+}
+
+/// The parts that are needed while the daemon runs and when it ends.
+struct Daemon {
+    dispatcher: Rc<Dispatcher>,
+    peers: Option<Rc<Peers>>,
+    shutdown: Rc<GracefulShutdown>,
+    reloader: Rc<Reloader>,
+    longest_deadline: Duration,
+    log: Logger,
+}
+
+impl Daemon {
+    /// Builds every part and starts its tasks.
+    async fn start(config: Config, log: Logger) -> Result<Daemon, StartError> {
+        let resource_limits = ResourceLimits::from_configured(config.limits);
+        let longest_deadline = longest_deadline(&config);
+        let dispatcher = build_dispatcher(&config, &resource_limits, longest_deadline, &log);
+        let peers = join_peers(&config, &dispatcher, &log)?;
+
+        let endpoint_list = NameTable::new(config.names);
+        let known_generation = config.known.generation;
+        let known_servers = endpoint_list.read(config.known, &log);
+        dispatcher.listed(EndpointUpdate::Restored, &known_servers);
+
+        let shutdown = Rc::new(GracefulShutdown::default());
+        let listener = bind_client_listener(config.listen).await?;
+        let class_names = config.labels.classes.clone();
+        let service = Service::new(
+            Rc::clone(&dispatcher),
+            config.labels,
+            Rc::clone(&shutdown),
+            resource_limits,
+            log.clone(),
+        );
+        let address = listener.local_addr().unwrap_or(config.listen);
+        info!(log, "listening"; "address" => address.to_string(), "servers" => known_servers.len());
+        info!(log, "settings"; "generation" => known_generation,
+            "discovery_poll_interval_ms" => clock::to_ms(config.settings.rules.discovery_poll_interval),
+            "lists" => if config.pushed.is_some() { "pushed" } else { "polled" },
+            "longest_deadline_ms" => longest_deadline.as_millis(),
+            "unix_ms" => clock::to_ms(dispatcher.clock().now()));
+
+        start_timers(&dispatcher);
+        let mut is_successor = false;
+        if let Some(address) = config.mgmt {
+            let listener = bind_admin_listener(address).await?;
+            let callers = Callers { now: service.callers(), most: resource_limits.admin_connections };
+            let (operators, replaces_another) = Operators::new(
+                Rc::clone(&dispatcher),
+                class_names,
+                Rc::clone(&shutdown),
+                &config.name,
+                callers,
+                peers.clone(),
+                log.clone(),
+            );
+            is_successor = replaces_another;
+            let address = listener.local_addr().unwrap_or(address);
+            info!(log, "operators' address"; "address" => address.to_string());
+            spawn_local(operators.accept(listener));
+        }
+
+        let calls = Calls { at_once: is_successor, pushed: config.pushed, seed: config.seed };
+        let (discovery_address, address_changes) = watch::channel(config.discovery);
+        spawn_local(discovery::follow(
+            endpoint_list,
+            Some(known_generation),
+            address_changes,
+            Rc::clone(&dispatcher),
+            calls,
+            log.clone(),
+        ));
+        let reloader =
+            Rc::new(Reloader::new(config.file, discovery_address, Rc::clone(&dispatcher), log.clone()));
+        spawn_local(service.accept(listener));
+        Ok(Daemon { dispatcher, peers, shutdown, reloader, longest_deadline, log })
+    }
+
+    /// Serves until a signal to end has come; the other signals are obeyed meanwhile.
+    async fn serve_until_stopped(&self, signals: &mut Signals) {
+        let mut counters_due = tokio::time::interval(COUNTERS_LOG_INTERVAL);
+        counters_due.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        loop {
+            tokio::select! {
+                _ = counters_due.tick() => self.log_counters(),
+                () = signals.end.recv() => return,
+                _ = signals.report.recv() => {
+                    self.log_counters();
+                    self.dispatcher.tell_limits();
+                }
+                _ = signals.reload.recv() => {
+                    // The file may have to be read for a moment, which must not hold up a signal to end.
+                    spawn_local(Rc::clone(&self.reloader).run());
+                }
+            }
+        }
+    }
+
+    /// Ends the service after a signal; returns when every request that was taken has its answer.
+    async fn stop(self) {
+        info!(self.log, "stopping");
+        let signalled_at = Instant::now();
+        let time_for_answers = graceful_shutdown::time_for_answers(self.longest_deadline);
+        let clock = self.dispatcher.clock();
+        self.dispatcher.end_by(clock.now().saturating_add(clock::micros(time_for_answers)));
+        self.shutdown.run(signalled_at, time_for_answers + graceful_shutdown::EXIT_DELAY).await;
+        self.dispatcher.idle().await;
+        if let Some(peers) = &self.peers {
+            peers.leave();
+        }
+        info!(self.log, "stopped"; "counters" => self.dispatcher.counters().to_string());
+    }
+
+    fn log_counters(&self) {
+        info!(self.log, "counters"; "all" => self.dispatcher.counters().to_string());
+    }
+}
+
+/// The longest deadline of the classes.
+fn longest_deadline(config: &Config) -> Duration {
+    let deadlines = config.settings.classes.iter().map(|class| class.deadline);
+    clock::duration(deadlines.max().unwrap_or_default())
+}
+
+/// The dispatcher, with the connections to the servers below it.
+fn build_dispatcher(
+    config: &Config,
+    resource_limits: &ResourceLimits,
+    longest_deadline: Duration,
+    log: &Logger,
+) -> Rc<Dispatcher> {
+    let clock = Clock::start();
+    let counters = Rc::new(Counters::default());
+    let limits = upstream::Limits {
+        connections: resource_limits.server_connections,
+        piece: resource_limits.chunk_bytes,
+        connect_timeout: config.connect_timeout,
+        idle: config.idle,
+        late: longest_deadline,
+        may_duplicate: config.settings.limits.may_duplicate,
+        origin: config.settings.mode.origin(),
+    };
+    let upstream = Upstream::new(limits, Rc::new(Tcp), clock, Rc::clone(&counters), log.clone());
+    let carrier = Rc::clone(&upstream) as Rc<dyn Carrier>;
+    let dispatcher =
+        Dispatcher::new(config.settings.clone(), config.seed, carrier, clock, counters, log.clone());
+    upstream.attach(&dispatcher);
+    dispatcher
+}
+
+/// Joins the other balancers where the operators' file says so.
+fn join_peers(
+    config: &Config,
+    dispatcher: &Rc<Dispatcher>,
+    log: &Logger,
+) -> Result<Option<Rc<Peers>>, StartError> {
+    let Some(operator) = &config.operator else { return Ok(None) };
+    let clock = *dispatcher.clock();
+    let peers = Peers::start(operator, config.position, &config.settings, config.seed, clock, log.clone())
+        .map_err(|error| StartError::Peers(error.into()))?;
+    dispatcher.join(peers.fleet());
+    let running = Rc::clone(&peers);
+    spawn_local(async move { running.run().await });
+    Ok(Some(peers))
+}
+
+fn start_timers(dispatcher: &Rc<Dispatcher>) {
+    let dispatcher = Rc::clone(dispatcher);
+    spawn_local(async move { dispatcher.run().await });
+}
+
+async fn bind_client_listener(address: SocketAddr) -> Result<TcpListener, StartError> {
+    let listener = retry_transient(|| listen(address)).await;
+    listener.map_err(|source| StartError::ClientAddress { address, source })
+}
+
+async fn bind_admin_listener(address: SocketAddr) -> Result<TcpListener, StartError> {
+    let listener = retry_transient(|| listen(address)).await;
+    listener.map_err(|source| StartError::AdminAddress { address, source })
+}
--- /dev/null
+++ b/node/src/graceful_shutdown/tests.rs
@@ -0,0 +1,44 @@
+use super::*;
+use crate::testing;
+
+/// The front deals out connections for up to 0.4 s after the signal; to close those that are open
+/// meanwhile would only bring more.
+#[test]
+fn connections_close_once_no_new_ones_come() {
+    testing::run(async {
+        let shutdown = GracefulShutdown::default();
+        let start = Instant::now();
+        let clients = async {
+            shutdown.set_open_connections(1);
+            sleep_until(start + QUIET_PERIOD - Duration::from_millis(50)).await;
+            shutdown.on_connection_accepted();
+            shutdown.set_open_connections(2);
+            shutdown.wait_for_closing().await;
+            assert_eq!(start.elapsed(), MAX_DRAIN_TIME);
+            shutdown.set_open_connections(0);
+        };
+        tokio::join!(shutdown.run(start, Duration::from_secs(3)), clients);
+    });
+}
+
+/// What the protocol leaves a process after the signal covers its last answer and the way out of it.
+#[test]
+fn the_last_answer_comes_before_the_protocols_time_is_up() {
+    for (longest, there) in [(600, 1300), (1200, 1900), (3000, 3700), (9000, 3700)] {
+        let end = time_for_answers(Duration::from_millis(longest)) + EXIT_DELAY;
+        let there = Duration::from_millis(there);
+        assert!(end < there && end + EXIT_DELAY * 2 > there, "{end:?}");
+    }
+}
+
+/// A client that stops in the middle of a request must not keep the program for ever.
+#[test]
+fn the_shutdown_ends_though_a_connection_stands_still() {
+    testing::run(async {
+        let shutdown = GracefulShutdown::default();
+        shutdown.set_open_connections(1);
+        let start = Instant::now();
+        shutdown.run(start, Duration::from_secs(3)).await;
+        assert_eq!(start.elapsed(), Duration::from_secs(3));
+    });
+}
--- a/node/src/operators.rs
+++ b/node/src/operators.rs
@@ -17,9 +17,9 @@
 use tokio::time::timeout;
 
 use crate::dispatcher::Dispatcher;
+use crate::graceful_shutdown::GracefulShutdown;
 use crate::keeper::Keeper;
 use crate::peers::Peers;
-use crate::shutdown::Shutdown;
 use crate::socket::Socket;
 
 /// How long a caller may take to bring its whole line.
@@ -44,7 +44,7 @@
 pub struct Operators {
     dispatcher: Rc<Dispatcher>,
     classes: Vec<String>,
-    shutdown: Rc<Shutdown>,
+    shutdown: Rc<GracefulShutdown>,
     keeper: Rc<Keeper>,
     peers: Option<Rc<Peers>>,
     callers: Callers,
@@ -57,7 +57,7 @@
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         classes: Vec<String>,
-        shutdown: Rc<Shutdown>,
+        shutdown: Rc<GracefulShutdown>,
         name: &str,
         callers: Callers,
         peers: Option<Rc<Peers>>,
@@ -70,7 +70,7 @@
     fn over(
         dispatcher: Rc<Dispatcher>,
         classes: Vec<String>,
-        shutdown: Rc<Shutdown>,
+        shutdown: Rc<GracefulShutdown>,
         file: PathBuf,
         callers: Callers,
         peers: Option<Rc<Peers>>,
@@ -135,7 +135,7 @@
     /// What a call is answered.
     pub async fn answer(&self, call: Call) -> String {
         match call {
-            Call::Health if self.shutdown.stopping() => nak("stopping: this process has been told to end"),
+            Call::Health if self.shutdown.is_stopping() => nak("stopping: this process has been told to end"),
             Call::Health if self.dispatcher.ready() => ack("ready"),
             Call::Health => nak("not ready: no cache host is listed yet"),
             Call::Dump => format!("{}{}", ack("figures follow"), self.figures()),
--- /dev/null
+++ b/node/src/resource_limits/tests.rs
@@ -0,0 +1,19 @@
+use super::*;
+
+/// The descriptors are not overdrawn, clients have more than the third that they hold for requests, and what is
+/// buffered for them leaves most of the memory.
+#[test]
+fn parts_stay_within_the_configured_limits_whatever_these_are() {
+    for (megabytes, descriptors) in [(32, 256), (48, 384), (192, 1024), (32, 1024)] {
+        let configured = ConfiguredLimits { memory_bytes: megabytes << 20, descriptors };
+        let limits = ResourceLimits::from_configured(configured);
+        assert!(limits.client_connections + limits.server_connections + OWN_DESCRIPTORS <= descriptors);
+        assert!(limits.client_connections > descriptors / 3 && limits.server_connections > descriptors / 2);
+        assert!(limits.chunk_bytes * 4 * limits.client_connections <= (megabytes << 20) / 2);
+        assert!(limits.idle_client_connections > 0 && limits.idle_client_connections < descriptors / 3);
+        assert!(limits.client_buffer_bytes <= (megabytes << 20) / 4);
+        assert!(
+            limits.unread_answer_bytes * limits.client_connections <= limits.client_buffer_bytes.max(4 << 20)
+        );
+    }
+}
--- a/node/src/service.rs
+++ b/node/src/service.rs
@@ -13,10 +13,10 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep, timeout, Duration, Instant};
 
-use crate::bounds::{Bounds, OPERATORS};
 use crate::counters::increment;
 use crate::dispatcher::Dispatcher;
-use crate::shutdown::Shutdown;
+use crate::graceful_shutdown::GracefulShutdown;
+use crate::resource_limits::{ResourceLimits, RESERVED_ADMIN_CONNECTIONS};
 use crate::socket::Socket;
 use backlog::{Accepted, Backlog};
 pub use connection::{Connection, Reader};
@@ -52,8 +52,8 @@
 pub struct Service {
     dispatcher: Rc<Dispatcher>,
     labels: Labels,
-    shutdown: Rc<Shutdown>,
-    bounds: Bounds,
+    shutdown: Rc<GracefulShutdown>,
+    resource_limits: ResourceLimits,
     held: Cell<usize>,
     seats: RefCell<Vec<Rc<Seat>>>,
     callers: Rc<Cell<usize>>,
@@ -109,7 +109,7 @@
         let reader = DownstreamConnection::new(&self.service, &self.seat).serve(stream).await?;
         // The seat is free at once; the descriptor is still counted.
         let service = Rc::clone(&self.service);
-        let room = service.lingering.get() <= service.bounds.clients / SPARE_PART;
+        let room = service.lingering.get() <= service.resource_limits.client_connections / SPARE_PART;
         if let Some(reader) = reader.filter(|_| room) {
             let _one = Lingering::one(&service);
             drop(self);
@@ -150,8 +150,8 @@
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         labels: Labels,
-        shutdown: Rc<Shutdown>,
-        bounds: Bounds,
+        shutdown: Rc<GracefulShutdown>,
+        resource_limits: ResourceLimits,
         log: Logger,
     ) -> Rc<Service> {
         let (held, seats, callers, lingering, left, log_throttle) = Default::default();
@@ -159,7 +159,7 @@
             dispatcher,
             labels,
             shutdown,
-            bounds,
+            resource_limits,
             held,
             seats,
             callers,
@@ -182,7 +182,7 @@
             }
             let accepted = tokio::select! {
                 accepted = backlog.accept() => accepted,
-                () = self.shutdown.closing() => {
+                () = self.shutdown.wait_for_closing() => {
                     self.last_ones(&mut backlog).await;
                     // Closed, the listener leaves new connections to a balancer that shares its address.
                     return;
@@ -190,9 +190,11 @@
             };
             match accepted {
                 Ok(accepted) => {
-                    self.shutdown.accepted();
+                    self.shutdown.on_connection_accepted();
                     self.take_accepted(accepted);
-                    if self.taken() + self.bounds.clients / SPARE_PART > self.bounds.clients {
+                    if self.taken() + self.resource_limits.client_connections / SPARE_PART
+                        > self.resource_limits.client_connections
+                    {
                         self.make_room();
                     }
                 }
@@ -236,11 +238,13 @@
 
     /// Whether there is no seat for one more: operators' callers beyond those that have descriptors of their own sit here too.
     fn full(&self) -> bool {
-        self.taken() >= self.bounds.clients
+        self.taken() >= self.resource_limits.client_connections
     }
 
     fn taken(&self) -> usize {
-        self.seats.borrow().len() + self.lingering.get() + self.callers.get().saturating_sub(OPERATORS)
+        self.seats.borrow().len()
+            + self.lingering.get()
+            + self.callers.get().saturating_sub(RESERVED_ADMIN_CONNECTIONS)
     }
 
     /// Counts the operators' callers, who share the descriptors.
@@ -277,13 +281,13 @@
     }
 
     fn tell_open(&self) {
-        self.shutdown.connections(self.seats.borrow().len() + self.lingering.get());
+        self.shutdown.set_open_connections(self.seats.borrow().len() + self.lingering.get());
     }
 
     /// Waits until this connection, which owes nothing, should close.
     async fn closing(&self, seat: &Seat, patience: Option<Instant>) -> Look {
         tokio::select! {
-            () = self.shutdown.closing() => Look::Long,
+            () = self.shutdown.wait_for_closing() => Look::Long,
             () = seat.leave.notified() => {
                 debug!(self.log, "downstream connection closes: others need its place");
                 Look::Short
@@ -301,7 +305,7 @@
     fn thin_out(&self) {
         let seats = self.seats.borrow();
         let spoken = seats.iter().filter(|seat| seat.spoke.get());
-        let more = spoken.clone().count().saturating_sub(self.bounds.kept);
+        let more = spoken.clone().count().saturating_sub(self.resource_limits.idle_client_connections);
         if more > 0 {
             let mut quiet: Vec<_> = spoken.filter(|seat| !seat.busy.get() && !seat.half.get()).collect();
             quiet.sort_by_key(|seat| seat.quiet.get());
--- a/node/src/service/backlog/tests.rs
+++ b/node/src/service/backlog/tests.rs
@@ -46,7 +46,7 @@
 fn a_flood_of_silent_connections_is_accepted_in_few_turns() {
     testing::run(async {
         let service = service(&Rc::new(Recorder::default()));
-        let listener = crate::listen("127.0.0.1:0".parse().unwrap()).unwrap();
+        let listener = crate::listener::listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
         spawn_local(Rc::clone(&service).accept(listener));
         settle().await;
--- a/node/src/service/downstream.rs
+++ b/node/src/service/downstream.rs
@@ -142,7 +142,7 @@
     /// Whether more may be read. Where clients hold too much together, those that hold much themselves wait
     /// until the others are done or run out of time.
     fn may_hold_more(&self) -> bool {
-        self.held <= SMALL || self.service.held.get() < self.service.bounds.held
+        self.held <= SMALL || self.service.held.get() < self.service.resource_limits.client_buffer_bytes
     }
 
     /// Keeps the times by which the connection is judged.
@@ -181,7 +181,7 @@
             let room =
                 !self.ended && !self.last && !blocked && self.owed.len() < MAX_OWED && self.may_hold_more();
             // Answers to a client that does not read them wait in their small form.
-            let drained = self.output.len() < self.service.bounds.unread;
+            let drained = self.output.len() < self.service.resource_limits.unread_answer_bytes;
             let unread = !(room && drained || self.ended || self.left);
             if unread && reader.has_left() {
                 self.has_left();
@@ -191,12 +191,16 @@
             let patience = self.patience();
             let service = self.service;
             if room && drained {
-                self.input.reserve(if self.writing.is_some() { service.bounds.piece } else { READ });
+                self.input.reserve(if self.writing.is_some() {
+                    service.resource_limits.chunk_bytes
+                } else {
+                    READ
+                });
             }
             tokio::select! {
                 biased;
                 // Before all that a client which never stops to send keeps ready.
-                () = service.shutdown.last(), if !self.ended && !self.last => self.last = true,
+                () = service.shutdown.wait_for_end_of_reading(), if !self.ended && !self.last => self.last = true,
                 answered = next_answer(&mut self.owed), if drained && self.long.is_none() => {
                     self.write(answered)
                 }
@@ -205,7 +209,7 @@
                     self.read = Instant::now();
                     self.wrote = Some(self.read);
                 }
-                piece = next_piece(&self.long), if self.output.len() < service.bounds.piece => {
+                piece = next_piece(&self.long), if self.output.len() < service.resource_limits.chunk_bytes => {
                     self.pass_on(piece)?;
                 }
                 () = writing::room(&self.writing), if blocked => {}
@@ -260,7 +264,7 @@
         while !self.ended
             && !self.blocked()
             && self.owed.len() < MAX_OWED
-            && self.output.len() < self.service.bounds.unread
+            && self.output.len() < self.service.resource_limits.unread_answer_bytes
         {
             match self.requests.next(&mut self.input) {
                 None => return,
--- a/node/src/service/tests.rs
+++ b/node/src/service/tests.rs
@@ -34,17 +34,17 @@
 pub(super) fn service(recorder: &Rc<Recorder>) -> Rc<Service> {
     let dispatcher =
         testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
-    let bounds = Bounds {
-        clients: 8,
-        kept: 4,
-        servers: 8,
-        callers: 8,
-        held: 1 << 17,
-        unread: 1 << 16,
-        piece: 1 << 10,
+    let resource_limits = ResourceLimits {
+        client_connections: 8,
+        idle_client_connections: 4,
+        server_connections: 8,
+        admin_connections: 8,
+        client_buffer_bytes: 1 << 17,
+        unread_answer_bytes: 1 << 16,
+        chunk_bytes: 1 << 10,
     };
     let labels = Labels { classes: vec!["read".into()], tenants: vec!["acme".into(), "beta".into()] };
-    Service::new(dispatcher, labels, Rc::default(), bounds, testing::log())
+    Service::new(dispatcher, labels, Rc::default(), resource_limits, testing::log())
 }
 
 async fn serve(service: Rc<Service>, stream: impl Connection) -> io::Result<()> {
@@ -167,7 +167,7 @@
             sleep(Duration::from_millis(5)).await;
         }
         let open = service.seats.borrow().len();
-        assert_eq!(open, service.bounds.kept);
+        assert_eq!(open, service.resource_limits.idle_client_connections);
         let start = Instant::now();
         for mut far in clients.drain(..2) {
             let mut got = String::new();
@@ -228,7 +228,10 @@
         }
         settle().await;
         let held = service.held.get();
-        assert!(held <= service.bounds.held + 8 * (SMALL + 2 * READ) + 60_000, "{held}");
+        assert!(
+            held <= service.resource_limits.client_buffer_bytes + 8 * (SMALL + 2 * READ) + 60_000,
+            "{held}"
+        );
         let (near, mut far) = duplex(1 << 10);
         spawn_local(serve(Rc::clone(&service), near));
         far.write_all(b"mn\r\n").await.unwrap();
@@ -439,7 +442,7 @@
         let task = spawn_local(serve(Rc::clone(&service), Socket(near)));
         settle().await;
         io::Write::write_all(&mut far, b"mn\r\n").unwrap();
-        service.shutdown.close();
+        service.shutdown.begin_closing();
         task.await.unwrap().unwrap();
         assert_eq!(io::read_to_string(far).unwrap(), "MN\r\n");
     });
@@ -555,7 +558,7 @@
         const LENGTH: usize = 200 << 10;
         let value = Bytes::from(vec![b'v'; LENGTH]);
         service.dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value(value))));
-        service.shutdown.close();
+        service.shutdown.begin_closing();
         // The connection is shut for writing by now, and its client, who has read nothing yet, sends one more.
         while !service.seats.borrow().is_empty() {
             sleep(Duration::from_millis(1)).await;
@@ -596,10 +599,10 @@
             reader.read_to_end(&mut got).await.map(|_| got)
         });
         // The time for answers is up in a moment.
-        let last = crate::shutdown::last_answer(Duration::from_millis(600));
+        let last = crate::graceful_shutdown::time_for_answers(Duration::from_millis(600));
         let signal = Instant::now() - (last - Duration::from_millis(100));
         dispatcher.end_by(dispatcher.clock().now().saturating_add(juniperladder::Micros(100_000)));
-        service.shutdown.run(signal, last + crate::shutdown::WAY_OUT).await;
+        service.shutdown.run(signal, last + crate::graceful_shutdown::EXIT_DELAY).await;
         let got = timeout(Duration::from_secs(5), end).await.expect("the connection ends").unwrap().unwrap();
         assert!(got.ends_with(b"\r\n"));
         let answers =
--- a/node/src/storm.rs
+++ b/node/src/storm.rs
@@ -22,12 +22,12 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::bounds::Bounds;
 use crate::connect::Connect;
 use crate::counters::Counters;
 use crate::dispatcher::{Carrier, Dispatcher, ListedServer};
+use crate::graceful_shutdown::{time_for_answers, GracefulShutdown, EXIT_DELAY};
+use crate::resource_limits::ResourceLimits;
 use crate::service::{Labels, Service};
-use crate::shutdown::{last_answer, Shutdown, WAY_OUT};
 use crate::testing::{self, log, ORIGIN};
 use crate::upstream::{Limits, Upstream};
 use servers::Servers;
@@ -129,7 +129,7 @@
 struct World {
     dispatcher: Rc<Dispatcher>,
     service: Rc<Service>,
-    shutdown: Rc<Shutdown>,
+    shutdown: Rc<GracefulShutdown>,
     servers: Rc<Servers>,
     ledger: Rc<Ledger>,
 }
@@ -157,19 +157,20 @@
         let dispatcher = Dispatcher::new(settings(), seed, carrier, clock, counters, log());
         upstream.attach(&dispatcher);
         dispatcher.listed(EndpointUpdate::Restored, &servers.listed());
-        let shutdown = Rc::new(Shutdown::default());
+        let shutdown = Rc::new(GracefulShutdown::default());
         let classes = CLASSES.map(|(name, ..)| name.to_owned()).into();
         let labels = Labels { classes, tenants: vec![] };
-        let bounds = Bounds {
-            clients: 16,
-            kept: 12,
-            servers: 24,
-            callers: 8,
-            held: 1 << 17,
-            unread: 1 << 16,
-            piece: 1 << 12,
+        let resource_limits = ResourceLimits {
+            client_connections: 16,
+            idle_client_connections: 12,
+            server_connections: 24,
+            admin_connections: 8,
+            client_buffer_bytes: 1 << 17,
+            unread_answer_bytes: 1 << 16,
+            chunk_bytes: 1 << 12,
         };
-        let service = Service::new(Rc::clone(&dispatcher), labels, Rc::clone(&shutdown), bounds, log());
+        let service =
+            Service::new(Rc::clone(&dispatcher), labels, Rc::clone(&shutdown), resource_limits, log());
         // The pools live as long as the dispatcher, which holds them.
         World { dispatcher, service, shutdown, servers, ledger }
     }
@@ -206,9 +207,9 @@
         sleep(Duration::from_millis(rng.u64(1500..3000))).await;
         let signal = Instant::now();
         let longest = Duration::from_millis(CLASSES.iter().map(|(.., ms)| *ms).max().unwrap_or(0));
-        let last = last_answer(longest);
+        let last = time_for_answers(longest);
         world.dispatcher.end_by(world.dispatcher.clock().now().saturating_add(crate::clock::micros(last)));
-        world.shutdown.run(signal, last + WAY_OUT).await;
+        world.shutdown.run(signal, last + EXIT_DELAY).await;
         world.dispatcher.idle().await;
         // The protocol's time for a planned end: whoever waits still has lost its request.
         sleep_until(signal + longest + Duration::from_millis(700)).await;
--- a/node/src/storm/clients.rs
+++ b/node/src/storm/clients.rs
@@ -27,7 +27,7 @@
 /// A client that asks, waits and asks again, until the balancer takes no more.
 pub async fn serve(world: Rc<World>, client: usize, mut rng: Rng) {
     let mut asked = 0;
-    while !world.shutdown.stopping() {
+    while !world.shutdown.is_stopping() {
         let mut far = open(&world);
         for _ in 0..rng.usize(1..12) {
             let Ok(requests) = ask(&world, client, &mut asked, &mut far, &mut rng).await else { break };
@@ -60,7 +60,7 @@
 /// A client that harms: noise, halves of requests, and whole ones behind them; then it goes.
 pub async fn harm(world: Rc<World>, client: usize, mut rng: Rng) {
     let mut asked = 0;
-    while !world.shutdown.stopping() {
+    while !world.shutdown.is_stopping() {
         let mut far = open(&world);
         world.ledger.met("noise");
         for _ in 0..rng.usize(1..40) {
@@ -87,7 +87,7 @@
 
 fn open(world: &World) -> DuplexStream {
     let (near, far) = duplex(1 << 16);
-    world.shutdown.accepted();
+    world.shutdown.on_connection_accepted();
     world.service.take_in(near, std::time::Duration::ZERO);
     far
 }
--- a/node/src/upstream/uploads.rs
+++ b/node/src/upstream/uploads.rs
@@ -104,7 +104,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::bounds::Bounds;
+    use crate::resource_limits::ResourceLimits;
     use crate::service::{Labels, Service};
     use crate::testing::{self, listed_server, log, ORIGIN, SERVER};
     use juniperladder::{CacheMode, EndpointState, EndpointUpdate, Idempotency, ServerId};
@@ -126,17 +126,17 @@
         let mut up = listed_server(ServerId(SERVER.0 + 1), EndpointState::Serving);
         (up.endpoint.kind, up.address) = (ORIGIN, origin.local_addr().ok());
         dispatcher.listed(EndpointUpdate::Snapshot, &[up]);
-        let bounds = Bounds {
-            clients: 8,
-            kept: 4,
-            servers: 8,
-            callers: 8,
-            held: 1 << 17,
-            unread: 1 << 16,
-            piece: 1 << 12,
+        let resource_limits = ResourceLimits {
+            client_connections: 8,
+            idle_client_connections: 4,
+            server_connections: 8,
+            admin_connections: 8,
+            client_buffer_bytes: 1 << 17,
+            unread_answer_bytes: 1 << 16,
+            chunk_bytes: 1 << 12,
         };
         let labels = Labels { classes: vec!["read".into()], tenants: vec![] };
-        let service = Service::new(dispatcher, labels, Rc::default(), bounds, log());
+        let service = Service::new(dispatcher, labels, Rc::default(), resource_limits, log());
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         tokio::task::spawn_local(service.accept(listener));
--- a/node/tests/two_deployments.rs
+++ b/node/tests/two_deployments.rs
@@ -5,8 +5,8 @@
 use juniperladder::Micros;
 use juniperladder_dispatch::dispatcher::{Attempt, Dispatcher, End};
 use juniperladder_dispatch::testing::{self, Recorder};
-use juniperladder_node::bounds::Bounds;
 use juniperladder_node::config::Config;
+use juniperladder_node::resource_limits::ResourceLimits;
 use juniperladder_node::service::Service;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufStream};
 use tokio::net::{TcpListener, TcpStream};
@@ -41,9 +41,14 @@
         let dispatcher = testing::dispatcher(config.settings, recorder.clone(), 3);
         let timers = Rc::clone(&dispatcher);
         spawn_local(async move { timers.run().await });
-        let bounds = Bounds::of(config.limits);
-        let service =
-            Service::new(Rc::clone(&dispatcher), config.labels, Rc::default(), bounds, testing::log());
+        let resource_limits = ResourceLimits::from_configured(config.limits);
+        let service = Service::new(
+            Rc::clone(&dispatcher),
+            config.labels,
+            Rc::default(),
+            resource_limits,
+            testing::log(),
+        );
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
         spawn_local(service.accept(listener));
