--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -12,10 +12,10 @@
 
 use crate::clock::duration;
 use crate::discovery::budget::pushed_again;
+use crate::downstream::Labels;
 use crate::name_table::{Catalog, Names};
 use crate::operator::Operator;
 use crate::resource_limits::ConfiguredLimits;
-use crate::service::Labels;
 use crate::transient_errors::retry_transient_blocking;
 
 /// Everything that the file says.
--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -21,6 +21,7 @@
 use crate::counters::Counters;
 use crate::discovery::{self, Calls};
 use crate::dispatcher::{Carrier, Dispatcher};
+use crate::downstream::Downstream;
 use crate::error::StartError;
 use crate::graceful_shutdown::{self, GracefulShutdown};
 use crate::listener::listen;
@@ -29,7 +30,6 @@
 use crate::peers::Peers;
 use crate::reload::Reloader;
 use crate::resource_limits::ResourceLimits;
-use crate::service::Service;
 use crate::signals::Signals;
 use crate::transient_errors::retry_transient;
 use crate::upstream::{self, Upstream};
@@ -76,7 +76,7 @@
         let shutdown = Rc::new(GracefulShutdown::default());
         let listener = bind_client_listener(config.listen).await?;
         let class_names = config.labels.classes.clone();
-        let service = Service::new(
+        let downstream = Downstream::new(
             Rc::clone(&dispatcher),
             config.labels,
             Rc::clone(&shutdown),
@@ -95,7 +95,8 @@
         let mut is_successor = false;
         if let Some(address) = config.mgmt {
             let listener = bind_admin_listener(address).await?;
-            let callers = Callers { now: service.callers(), most: resource_limits.admin_connections };
+            let callers =
+                Callers { now: downstream.admin_connections(), most: resource_limits.admin_connections };
             let (operators, replaces_another) = Operators::new(
                 Rc::clone(&dispatcher),
                 class_names,
@@ -123,7 +124,7 @@
         ));
         let reloader =
             Rc::new(Reloader::new(config.file, discovery_address, Rc::clone(&dispatcher), log.clone()));
-        spawn_local(service.accept(listener));
+        spawn_local(downstream.accept(listener));
         Ok(Daemon { dispatcher, peers, shutdown, reloader, longest_deadline, log })
     }
 
--- a/node/src/service/backlog/tests.rs
+++ b/node/src/downstream/backlog/tests.rs
@@ -9,7 +9,7 @@
 use tokio::time::advance;
 
 use super::*;
-use crate::service::tests::{serve_after, service};
+use crate::downstream::tests::{downstream, serve_after};
 use crate::testing::{self, settle, Recorder};
 
 const CLIENTS: usize = 200;
@@ -22,7 +22,7 @@
 
 /// One that was awaited has not waited; one that was there already may have come right after the queue was last empty.
 #[test]
-fn a_wait_is_counted_from_when_the_queue_was_last_empty() {
+fn backlog_wait_counts_from_when_the_queue_was_last_empty() {
     testing::run(async {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -30,11 +30,11 @@
         let wait = Duration::from_millis(300);
         for _ in 0..2 {
             let (first, awaited) = tokio::join!(backlog.accept(), async { connect(address) });
-            assert_eq!(first.unwrap().waited, Duration::ZERO);
+            assert_eq!(first.unwrap().backlog_wait, Duration::ZERO);
             let behind = [connect(address), connect(address)];
             advance(wait).await;
-            assert_eq!(backlog.accept().await.unwrap().waited, wait);
-            assert_eq!(backlog.accept_waiting().unwrap().waited, wait);
+            assert_eq!(backlog.accept().await.unwrap().backlog_wait, wait);
+            assert_eq!(backlog.accept_waiting().unwrap().backlog_wait, wait);
             assert!(backlog.accept_waiting().is_none());
             drop((awaited, behind));
         }
@@ -43,12 +43,12 @@
 
 /// In a flood of silent connections several leave at once, so that the queue is worked off in few turns of the event loop.
 #[test]
-fn a_flood_of_silent_connections_is_accepted_in_few_turns() {
+fn several_silent_connections_are_evicted_at_once_in_a_flood() {
     testing::run(async {
-        let service = service(&Rc::new(Recorder::default()));
+        let downstream = downstream(&Rc::new(Recorder::default()));
         let listener = crate::listener::listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
-        spawn_local(Rc::clone(&service).accept(listener));
+        spawn_local(Rc::clone(&downstream).accept(listener));
         settle().await;
         let flood: Vec<_> = (0..CLIENTS).map(|_| connect(address)).collect();
         let turns = Rc::new(Cell::new(0));
@@ -59,7 +59,7 @@
                 counted.set(counted.get() + 1);
             }
         });
-        while (service.dispatcher.counters().connections_accepted.get() as usize) < CLIENTS {
+        while (downstream.dispatcher.counters().connections_accepted.get() as usize) < CLIENTS {
             yield_now().await;
         }
         assert!(
@@ -74,14 +74,14 @@
 /// What a connection brings right behind its accept may have waited as long as that did, and its time ends sooner by it; what
 /// comes later has all its time. A wait that may be far over the truth leaves half of the time.
 #[test]
-fn a_wait_to_be_accepted_comes_off_the_time_of_a_request() {
+fn the_backlog_wait_is_subtracted_from_the_deadline() {
     for (waited, early) in [(0, 0), (100, 100), (2_000, 240)] {
         testing::run(async {
             let recorder = Rc::new(Recorder::default());
-            let service = service(&recorder);
+            let downstream = downstream(&recorder);
             let (near, mut far) = duplex(1 << 10);
-            spawn_local(serve_after(Rc::clone(&service), near, Duration::from_millis(waited)));
-            let now = service.dispatcher.clock().now();
+            spawn_local(serve_after(Rc::clone(&downstream), near, Duration::from_millis(waited)));
+            let now = downstream.dispatcher.clock().now();
             far.write_all(b"mg a v O1 Pc=read,d=480\r\nmg b v O2 Pc=read,d=480\r\n").await.unwrap();
             settle().await;
             advance(Duration::from_millis(50)).await;
--- /dev/null
+++ b/node/src/downstream/connection.rs
@@ -0,0 +1,352 @@
+//! One downstream connection: its requests, taken as they come, and their answers in the same order.
+//!
+//! Guarantee: each request that was read whole gets its one answer, in the order of the requests, unless its client has
+//! gone. What is buffered for the connection is bounded, and so is the time for which it may hold its slot without an
+//! open request.
+
+mod answers;
+mod requests;
+mod timing;
+
+use std::collections::VecDeque;
+use std::io;
+
+use bytes::{Bytes, BytesMut};
+use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt};
+use tokio::time::{sleep_until, timeout, Duration, Instant};
+
+use super::slots::Slot;
+use super::stream::{wait_for_disconnect, ClientReader, ClientStream};
+use super::{Downstream, FinalRead};
+use crate::dispatcher::Answer;
+use crate::memcache::RequestReader;
+use crate::writing::{self, Writing};
+use answers::{next_answer, next_chunk, Download, PendingAnswer};
+
+/// Requests that one connection may have open: enough for any pipeline, a bound for one that runs away.
+pub(super) const MAX_PENDING_ANSWERS: usize = 128;
+/// Malformed requests on one connection before it ends: more is noise, or a client that reads no answers.
+pub(super) const MAX_MALFORMED_REQUESTS: usize = 64;
+/// Bytes reserved for each read.
+pub(super) const READ_BYTES: usize = 2048;
+/// Bytes that a connection may buffer whatever the others do: a request as clients send it.
+pub(super) const ALWAYS_ALLOWED_BYTES: usize = 8 * 1024;
+/// For how long what a client still sends is read off after its last answer, as a close over unread bytes would reset
+/// the connection and might take that answer with it.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// How many bytes are read off then at most.
+const LINGER_BYTES: u64 = 256 * 1024;
+
+/// One downstream connection.
+pub(super) struct DownstreamConnection<'a> {
+    downstream: &'a Downstream,
+    slot: &'a Slot,
+    request_reader: RequestReader,
+    input: BytesMut,
+    output: BytesMut,
+    /// What the client is owed, in order.
+    pending: VecDeque<PendingAnswer>,
+    /// Bytes of the values of its open requests.
+    request_bytes: usize,
+    /// Bytes that the connection was last counted with in [`Downstream::buffered_bytes`].
+    counted_bytes: usize,
+    /// How many malformed requests it has brought.
+    malformed_requests: usize,
+    /// Since when a request has been coming that is not complete.
+    incomplete_since: Option<Instant>,
+    /// When bytes came last, or were last kept from coming.
+    last_received: Instant,
+    /// When the client last read a part of what waits for it.
+    last_drained: Instant,
+    /// When a part of an answer was last written to the client.
+    last_written: Option<Instant>,
+    /// The streamed value that is on its way to the client.
+    download: Option<Download>,
+    /// The streamed value that the client is writing.
+    upload: Option<Writing>,
+    /// The client sends no more, or nothing after this can be understood.
+    has_input_ended: bool,
+    /// The client has left, though not all that it sent has been read: none of that is forwarded.
+    has_client_left: bool,
+    /// The process ends: what has been read is answered, and no more is read.
+    has_reading_stopped: bool,
+}
+
+/// What the connection waits for next, as its state allows.
+struct Interests {
+    /// Whether there is room for more answers: those to a client that does not read them wait in their small form.
+    can_answer: bool,
+    /// Whether more may be read.
+    can_read: bool,
+    /// Whether the client's leaving has to be noticed without a read.
+    must_watch_disconnect: bool,
+    /// Whether the upload waits for the origin's side.
+    is_upload_blocked: bool,
+    /// Whether the client is owed nothing and has sent no part of a request.
+    is_idle: bool,
+    /// Until when the connection may go on as it is.
+    deadline: Option<Instant>,
+}
+
+/// What happened on the connection.
+enum ConnectionEvent {
+    /// The process ends, and reads no more.
+    ReadingStopped,
+    /// The first pending answer is there.
+    Answered(PendingAnswer, Answer),
+    /// Some of the output was written.
+    Written,
+    /// A chunk of the download; none where it broke off.
+    Chunk(Option<Bytes>),
+    /// The upload goes on.
+    UploadUnblocked,
+    /// So many bytes came.
+    Received(usize),
+    /// The client left while nothing was read.
+    Disconnected,
+    /// The idle connection is to close.
+    CloseRequested(FinalRead),
+    /// The time of the connection is up.
+    TimedOut,
+    /// The slot is needed though a part of a request has come.
+    EvictedMidRequest,
+}
+
+impl<'a> DownstreamConnection<'a> {
+    pub(super) fn new(downstream: &'a Downstream, slot: &'a Slot) -> DownstreamConnection<'a> {
+        let now = Instant::now();
+        DownstreamConnection {
+            downstream,
+            slot,
+            request_reader: RequestReader::default(),
+            input: BytesMut::new(),
+            output: BytesMut::new(),
+            pending: VecDeque::new(),
+            request_bytes: 0,
+            counted_bytes: 0,
+            malformed_requests: 0,
+            incomplete_since: None,
+            last_received: now,
+            last_drained: now,
+            last_written: None,
+            download: None,
+            upload: None,
+            has_input_ended: false,
+            has_client_left: false,
+            has_reading_stopped: false,
+        }
+    }
+
+    /// Serves the connection until its end. The reader that is returned may still bring something that crossed the close.
+    pub(super) async fn serve<S: ClientStream>(&mut self, stream: S) -> io::Result<Option<S::Reader>> {
+        let (mut reader, mut writer) = stream.halves();
+        loop {
+            self.take_requests();
+            self.update_times();
+            self.count_buffered_bytes();
+            if (self.has_input_ended || self.has_reading_stopped) && self.owes_nothing() {
+                writer.shutdown().await?;
+                return Ok(Some(reader));
+            }
+            let interests = self.interests();
+            if interests.must_watch_disconnect && reader.has_disconnected() {
+                self.on_disconnected();
+                continue;
+            }
+            self.reserve_input(&interests);
+            match self.next_event::<S>(&mut reader, &mut writer, &interests).await? {
+                ConnectionEvent::CloseRequested(final_read) => {
+                    if self.read_before_close(&mut reader, final_read).await? {
+                        writer.shutdown().await?;
+                        return Ok(Some(reader).filter(|_| self.has_answered_lately()));
+                    }
+                }
+                event => self.on_event(event)?,
+            }
+        }
+    }
+
+    fn is_idle(&self) -> bool {
+        self.owes_nothing() && self.input.is_empty() && !self.request_reader.unfinished()
+    }
+
+    fn owes_nothing(&self) -> bool {
+        self.pending.is_empty() && self.output.is_empty() && self.download.is_none()
+    }
+
+    fn is_upload_blocked(&self) -> bool {
+        self.upload.as_ref().is_some_and(Writing::blocked)
+    }
+
+    fn interests(&self) -> Interests {
+        let limits = &self.downstream.resource_limits;
+        let is_upload_blocked = self.is_upload_blocked();
+        // With room here every whole request has been taken, so that the end of the client's side, which
+        // is only read then, never comes before a request that it had sent.
+        let has_room_for_requests = !self.has_input_ended
+            && !self.has_reading_stopped
+            && !is_upload_blocked
+            && self.pending.len() < MAX_PENDING_ANSWERS
+            && self.may_buffer_more();
+        let can_answer = self.output.len() < limits.unread_answer_bytes;
+        let can_read = has_room_for_requests && can_answer;
+        Interests {
+            can_answer,
+            can_read,
+            must_watch_disconnect: !(can_read || self.has_input_ended || self.has_client_left),
+            is_upload_blocked,
+            is_idle: self.is_idle(),
+            deadline: self.deadline(),
+        }
+    }
+
+    fn reserve_input(&mut self, interests: &Interests) {
+        if interests.can_read {
+            let chunk_bytes = self.downstream.resource_limits.chunk_bytes;
+            self.input.reserve(if self.upload.is_some() { chunk_bytes } else { READ_BYTES });
+        }
+    }
+
+    /// Waits for the first thing that happens. The end of the process comes before all that a client which never stops
+    /// to send keeps ready.
+    async fn next_event<S: ClientStream>(
+        &mut self,
+        reader: &mut S::Reader,
+        writer: &mut S::Writer,
+        interests: &Interests,
+    ) -> io::Result<ConnectionEvent> {
+        let downstream = self.downstream;
+        let chunk_bytes = downstream.resource_limits.chunk_bytes;
+        let has_all_read = self.has_input_ended || self.has_reading_stopped;
+        let watch = interests.must_watch_disconnect;
+        Ok(tokio::select! {
+            biased;
+            () = downstream.shutdown.wait_for_end_of_reading(), if !has_all_read => ConnectionEvent::ReadingStopped,
+            (pending, answer) = next_answer(&mut self.pending), if interests.can_answer && self.download.is_none() => {
+                ConnectionEvent::Answered(pending, answer)
+            }
+            written = writer.write_buf(&mut self.output), if !self.output.is_empty() => {
+                written?;
+                ConnectionEvent::Written
+            }
+            chunk = next_chunk(&self.download), if self.output.len() < chunk_bytes => ConnectionEvent::Chunk(chunk),
+            () = writing::room(&self.upload), if interests.is_upload_blocked => ConnectionEvent::UploadUnblocked,
+            received = receive(reader, &mut self.input, watch), if interests.can_read || watch => received?,
+            final_read = downstream.wait_for_close(self.slot, interests.deadline), if interests.is_idle => {
+                ConnectionEvent::CloseRequested(final_read)
+            }
+            () = wait_until(interests.deadline), if !interests.is_idle => ConnectionEvent::TimedOut,
+            // A connection in the middle of a request gives its slot up too, but only when no other can.
+            () = self.slot.evicted_mid_request.notified(), if !interests.is_idle && !self.slot.is_busy.get() => {
+                ConnectionEvent::EvictedMidRequest
+            }
+        })
+    }
+
+    fn on_event(&mut self, event: ConnectionEvent) -> io::Result<()> {
+        match event {
+            ConnectionEvent::ReadingStopped => self.has_reading_stopped = true,
+            ConnectionEvent::Answered(pending, answer) => self.write_answer(pending, answer),
+            ConnectionEvent::Written => self.on_written(),
+            ConnectionEvent::Chunk(chunk) => self.write_chunk(chunk)?,
+            ConnectionEvent::Received(0) => self.on_input_ended(),
+            ConnectionEvent::Received(_) => self.last_received = Instant::now(),
+            ConnectionEvent::Disconnected => self.on_disconnected(),
+            ConnectionEvent::TimedOut if !self.output.is_empty() => {
+                return Err(io::ErrorKind::TimedOut.into());
+            }
+            ConnectionEvent::TimedOut | ConnectionEvent::EvictedMidRequest => self.end_mid_request(),
+            // The first has done its work by being awaited; `serve` has the second.
+            ConnectionEvent::UploadUnblocked | ConnectionEvent::CloseRequested(_) => {}
+        }
+        Ok(())
+    }
+
+    /// Reads an idle connection once more before it closes, and tells whether it may close. A request may have come that
+    /// the runtime has not looked for yet: it is taken, and a close over unread bytes would reset the connection.
+    async fn read_before_close(
+        &mut self,
+        reader: &mut (impl AsyncRead + Unpin),
+        final_read: FinalRead,
+    ) -> io::Result<bool> {
+        tokio::select! {
+            biased;
+            read = reader.read_buf(&mut self.input) => {
+                if read? == 0 {
+                    self.on_input_ended();
+                }
+                Ok(false)
+            }
+            () = final_read.time_out() => Ok(true),
+        }
+    }
+
+    /// Whether an answer may still be on its way, which must not be lost to what crosses the close.
+    fn has_answered_lately(&self) -> bool {
+        self.last_written.is_some_and(|written| written.elapsed() < LINGER_TIMEOUT)
+    }
+
+    /// The client has closed its side, and that has been read: it is gone, or waits for the answers that it is owed.
+    fn on_input_ended(&mut self) {
+        self.has_input_ended = true;
+        self.half_close_pending();
+    }
+
+    /// The client has closed its side behind what stands unread. That is still read and answered, as it was taken.
+    fn on_disconnected(&mut self) {
+        self.has_client_left = true;
+        if let Some(upload) = &mut self.upload {
+            upload.let_go();
+        }
+        self.half_close_pending();
+    }
+
+    /// Nothing new begins for the requests that are open.
+    fn half_close_pending(&self) {
+        for pending in &self.pending {
+            if let PendingAnswer::Request(request) = pending {
+                self.downstream.dispatcher.left(request.id);
+            }
+        }
+    }
+}
+
+impl Drop for DownstreamConnection<'_> {
+    /// The connection has ended: clients of what is still pending are gone.
+    fn drop(&mut self) {
+        let buffered_bytes = &self.downstream.buffered_bytes;
+        buffered_bytes.set(buffered_bytes.get() - self.counted_bytes);
+        for pending in &self.pending {
+            if let PendingAnswer::Request(request) = pending {
+                self.downstream.dispatcher.gone(request.id);
+            }
+        }
+    }
+}
+
+/// Waits until this time, or for ever.
+pub(super) async fn wait_until(time: Option<Instant>) {
+    match time {
+        Some(time) => sleep_until(time).await,
+        None => std::future::pending().await,
+    }
+}
+
+/// Reads more. Where nothing may be read: waits until the client has left.
+async fn receive(
+    reader: &mut impl ClientReader,
+    input: &mut BytesMut,
+    must_watch_disconnect: bool,
+) -> io::Result<ConnectionEvent> {
+    if must_watch_disconnect {
+        wait_for_disconnect(reader).await;
+        return Ok(ConnectionEvent::Disconnected);
+    }
+    reader.read_buf(input).await.map(ConnectionEvent::Received)
+}
+
+/// Reads off for a moment what a client still sends that has its last answer.
+pub(super) async fn linger(reader: impl AsyncRead + Unpin) {
+    let (mut rest, mut sink) = (reader.take(LINGER_BYTES), tokio::io::sink());
+    let _ = timeout(LINGER_TIMEOUT, tokio::io::copy(&mut rest, &mut sink)).await;
+}
--- /dev/null
+++ b/node/src/downstream/connection/requests.rs
@@ -0,0 +1,149 @@
+//! The requests of a connection: what was read is taken, rejected, or passed on while it comes.
+
+use bytes::Bytes;
+use juniperladder::Micros;
+use tokio::time::Duration;
+
+use super::answers::{PendingAnswer, PendingRequest};
+use super::{DownstreamConnection, MAX_MALFORMED_REQUESTS, MAX_PENDING_ANSWERS};
+use crate::clock;
+use crate::counters::increment;
+use crate::dispatcher::ClientRequest;
+use crate::memcache::Incoming;
+use crate::writing::Writing;
+
+/// For how long after the accept of a connection what it brings is taken to have come before that.
+const CAME_BEFORE_ACCEPT: Duration = Duration::from_millis(20);
+
+impl DownstreamConnection<'_> {
+    /// Takes every complete request off the input, as far as there is room for their answers.
+    pub(super) fn take_requests(&mut self) {
+        while self.can_take_request() {
+            let Some(incoming) = self.request_reader.next(&mut self.input) else { return };
+            self.on_incoming(incoming);
+        }
+    }
+
+    fn can_take_request(&self) -> bool {
+        !self.has_input_ended
+            && !self.is_upload_blocked()
+            && self.pending.len() < MAX_PENDING_ANSWERS
+            && self.output.len() < self.downstream.resource_limits.unread_answer_bytes
+    }
+
+    fn on_incoming(&mut self, incoming: Incoming) {
+        match incoming {
+            Incoming::Ready => self.answer_readiness(),
+            Incoming::Request(request, class) => {
+                if let Some(request) = self.classify(request, &class) {
+                    self.take_complete(*request);
+                }
+            }
+            Incoming::Long(request, class, length) => self.begin_upload(request, &class, length),
+            Incoming::Piece(chunk, is_last) => self.on_upload_chunk(chunk, is_last),
+            Incoming::Malformed(line) => self.reject_malformed(line),
+            Incoming::Lost(line) => {
+                self.reject_malformed(line);
+                self.has_input_ended = true;
+            }
+            Incoming::Quit => self.has_input_ended = true,
+        }
+    }
+
+    fn answer_readiness(&mut self) {
+        let is_ready = self.downstream.dispatcher.ready();
+        self.pending.push_back(PendingAnswer::Line(if is_ready { "MN" } else { "SERVER_ERROR not ready" }));
+    }
+
+    fn begin_upload(&mut self, request: Box<ClientRequest>, class: &[u8], length: usize) {
+        if !self.downstream.dispatcher.takes_long() {
+            return self.reject_malformed("SERVER_ERROR object too large for cache");
+        }
+        let request = self.classify(request, class);
+        self.upload = request.map(|request| Writing::new(request, length));
+        if let Some(upload) = self.upload.as_mut().filter(|_| self.has_client_left) {
+            upload.let_go();
+        }
+    }
+
+    /// Passes a chunk on. Where the request was rejected at its line the value is read past.
+    fn on_upload_chunk(&mut self, chunk: Bytes, is_last: bool) {
+        if let Some(upload) = &mut self.upload {
+            upload.add(&self.downstream.dispatcher, chunk, is_last);
+        }
+        if let Some(upload) = self.upload.take_if(|_| is_last) {
+            self.take_complete(upload.whole());
+        }
+    }
+
+    /// The request with its class and tenant; none if there is no such class in the settings, which the client is told: such
+    /// a one has no deadline and no idempotency, and servers reject it too. One that names no tenant of the settings, or none
+    /// at all, is served like all others and counts for nobody's quota.
+    fn classify(&mut self, mut request: Box<ClientRequest>, class: &[u8]) -> Option<Box<ClientRequest>> {
+        let labels = &self.downstream.labels;
+        let Some(class) = position_of(&labels.classes, class) else {
+            self.reject_malformed("CLIENT_ERROR unknown class");
+            return None;
+        };
+        request.class = class;
+        let named = request.properties.iter().find(|(name, _)| name.as_ref() == b"t");
+        let tenant = named.and_then(|(_, tenant)| position_of(&labels.tenants, tenant));
+        request.tenant = tenant.unwrap_or(labels.tenants.len() as u32);
+        Some(request)
+    }
+
+    /// Takes a request whose last byte has come.
+    fn take_complete(&mut self, request: ClientRequest) {
+        self.incomplete_since = None;
+        if self.has_client_left {
+            return self.answer_abandoned();
+        }
+        let client_id = request.id.clone();
+        let value_bytes = request.value.as_ref().map_or(0, Bytes::len);
+        let taken = self.downstream.dispatcher.take_after(request, self.longest_unread_wait());
+        let Some((id, answer)) = taken else { return self.reject_malformed("CLIENT_ERROR id in use") };
+        self.request_bytes += value_bytes;
+        let pending = PendingRequest { id, client_id, answer, value_bytes };
+        self.pending.push_back(PendingAnswer::Request(pending));
+        self.slot.is_busy.set(true);
+        if !self.slot.has_had_request.replace(true) {
+            self.downstream.close_surplus_idle_connections();
+        }
+    }
+
+    /// The longest that a request which is read now may have waited before: what comes right behind the accept of its
+    /// connection may have come long before that.
+    fn longest_unread_wait(&self) -> Micros {
+        if self.slot.accepted.elapsed() < CAME_BEFORE_ACCEPT {
+            clock::micros(self.slot.backlog_wait)
+        } else {
+            Micros(0)
+        }
+    }
+
+    /// Owes this line for what was no request. A client that goes on sending such things loses the connection.
+    fn reject_malformed(&mut self, line: &'static str) {
+        increment(&self.downstream.dispatcher.counters().malformed_requests);
+        self.pending.push_back(PendingAnswer::Line(line));
+        self.malformed_requests += 1;
+        self.has_input_ended |= self.malformed_requests >= MAX_MALFORMED_REQUESTS;
+    }
+
+    /// Owes a client that has left the answer to what it had sent before: it is not forwarded.
+    fn answer_abandoned(&mut self) {
+        increment(&self.downstream.dispatcher.counters().requests_abandoned);
+        self.pending.push_back(PendingAnswer::Line("SERVER_ERROR busy"));
+    }
+
+    /// Ends a connection whose client is owed nothing and has sent a part of a request.
+    pub(super) fn end_mid_request(&mut self) {
+        increment(&self.downstream.dispatcher.counters().connections_cut);
+        self.pending.push_back(PendingAnswer::Line("CLIENT_ERROR command not finished in time"));
+        self.has_input_ended = true;
+    }
+}
+
+/// The position of this name in the settings.
+fn position_of(names: &[String], name: &[u8]) -> Option<u32> {
+    names.iter().position(|known| known.as_bytes() == name).map(|position| position as u32)
+}
--- /dev/null
+++ b/node/src/downstream/connection/timing.rs
@@ -0,0 +1,73 @@
+//! How long a connection may go on as it is, and how much it may buffer.
+
+use tokio::time::{Duration, Instant};
+
+use super::{DownstreamConnection, ALWAYS_ALLOWED_BYTES};
+use crate::writing::Writing;
+
+/// How long a connection may go without an open request: one that is silent, kept for good or in the middle
+/// of a request holds a descriptor that others need. Incomplete requests do not set it back.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2200);
+/// How long a request may take from its first byte to its last, if that is longer.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
+/// How long a value may take to come to its end while chunks of it keep coming.
+const VALUE_TIMEOUT: Duration = Duration::from_secs(15);
+/// How long a client may take to read any part of the answers that wait for it.
+const UNREAD_ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+
+impl DownstreamConnection<'_> {
+    /// Until when this connection may go on as it is; none while its client waits for the dispatcher.
+    pub(super) fn deadline(&self) -> Option<Instant> {
+        if !self.output.is_empty() {
+            return Some(self.last_drained + UNREAD_ANSWER_TIMEOUT);
+        }
+        if !self.pending.is_empty() || self.download.is_some() {
+            return None;
+        }
+        let idle_until = self.slot.idle_since.get() + IDLE_TIMEOUT;
+        let incomplete_until = match self.incomplete_since {
+            // A value may come slowly, but it has to come.
+            Some(since) if self.request_reader.unfinished() => {
+                (self.last_received + IDLE_TIMEOUT).min(since + VALUE_TIMEOUT)
+            }
+            Some(since) => since + REQUEST_TIMEOUT,
+            None => idle_until,
+        };
+        Some(incomplete_until.max(idle_until))
+    }
+
+    /// Updates the times on which the connection's deadline stands.
+    pub(super) fn update_times(&mut self) {
+        let now = Instant::now();
+        let is_busy = !self.owes_nothing();
+        if self.slot.is_busy.replace(is_busy) && !is_busy {
+            self.slot.idle_since.set(now);
+        }
+        let has_incomplete_request = !self.input.is_empty() || self.request_reader.unfinished();
+        self.slot.has_incomplete_request.set(has_incomplete_request);
+        self.incomplete_since = has_incomplete_request.then(|| self.incomplete_since.unwrap_or(now));
+        if self.is_upload_blocked() {
+            // It is not the client who is waited for.
+            self.last_received = now;
+        }
+        if self.output.is_empty() {
+            self.last_drained = now;
+        }
+    }
+
+    /// Counts what this connection buffers.
+    pub(super) fn count_buffered_bytes(&mut self) {
+        let upload_bytes = self.upload.as_ref().map_or(0, Writing::ahead);
+        let bytes = self.input.len() + self.output.len() + self.request_bytes + upload_bytes;
+        let buffered_bytes = &self.downstream.buffered_bytes;
+        buffered_bytes.set(buffered_bytes.get() + bytes - self.counted_bytes);
+        self.counted_bytes = bytes;
+    }
+
+    /// Whether more may be read. Where clients' connections buffer too much together, those that buffer much themselves
+    /// wait until the others are done or run out of time.
+    pub(super) fn may_buffer_more(&self) -> bool {
+        self.counted_bytes <= ALWAYS_ALLOWED_BYTES
+            || self.downstream.buffered_bytes.get() < self.downstream.resource_limits.client_buffer_bytes
+    }
+}
--- /dev/null
+++ b/node/src/downstream/tests.rs
@@ -0,0 +1,225 @@
+//! The client side, against clients played in memory and on loopback.
+
+mod closing;
+mod slots;
+
+use std::io;
+
+use super::connection::{
+    DownstreamConnection, ALWAYS_ALLOWED_BYTES, MAX_MALFORMED_REQUESTS, MAX_PENDING_ANSWERS, READ_BYTES,
+};
+use super::*;
+use crate::dispatcher::{Answer, End, Reply};
+use crate::testing::{self, settle, Recorder};
+use bytes::Bytes;
+use juniperladder::Idempotency;
+use proptest::prelude::*;
+use tokio::io::{duplex, AsyncReadExt, AsyncWriteExt};
+
+/// A step on a client's connection.
+#[derive(Clone, Debug)]
+enum Step {
+    /// The client sends this; the answer is known at once where there is one.
+    Line(&'static str, Option<&'static str>),
+    /// The oldest attempt that is out, or the newest, ends.
+    End { newest: bool, served: bool },
+}
+
+fn step() -> impl Strategy<Value = Step> {
+    let lines = prop_oneof![
+        Just(Step::Line("mn\r\n", Some("MN\r\n"))),
+        Just(Step::Line("nonsense\r\n", Some("ERROR\r\n"))),
+        Just(Step::Line("mg\r\n", Some("CLIENT_ERROR bad command line format\r\n"))),
+        Just(Step::Line("mg k v Oid Pc=read,d=480\r\n", None)),
+        Just(Step::Line("ms k 5 Oid Pc=read,d=480,k=1\r\na\r\nmg\r\n", None)),
+    ];
+    prop_oneof![3 => lines, 2 => any::<(bool, bool)>().prop_map(|(newest, served)| Step::End { newest, served })]
+}
+
+pub(super) fn downstream(recorder: &Rc<Recorder>) -> Rc<Downstream> {
+    let dispatcher =
+        testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
+    let resource_limits = ResourceLimits {
+        client_connections: 8,
+        idle_client_connections: 4,
+        server_connections: 8,
+        admin_connections: 8,
+        client_buffer_bytes: 1 << 17,
+        unread_answer_bytes: 1 << 16,
+        chunk_bytes: 1 << 10,
+    };
+    let labels = Labels { classes: vec!["read".into()], tenants: vec!["acme".into(), "beta".into()] };
+    Downstream::new(dispatcher, labels, Rc::default(), resource_limits, testing::log())
+}
+
+async fn serve(downstream: Rc<Downstream>, stream: impl ClientStream) -> io::Result<()> {
+    serve_after(downstream, stream, Duration::ZERO).await
+}
+
+/// Serves a connection that may have waited so long to be accepted.
+pub(super) async fn serve_after(
+    downstream: Rc<Downstream>,
+    stream: impl ClientStream,
+    waited: Duration,
+) -> io::Result<()> {
+    downstream.occupy_slot(waited).serve(stream).await
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None,
+        rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..ProptestConfig::default() })]
+
+    /// Whatever comes in whatever pieces, each request gets its one answer, in the order of the
+    /// requests, and a client that closes its side still gets all of them.
+    #[test]
+    fn answers_keep_the_order_of_requests(steps in prop::collection::vec(step(), 1..24), cut in 1..40usize) {
+        let (got, want) = testing::run(async {
+            let recorder = Rc::new(Recorder::default());
+            let downstream = downstream(&recorder);
+            let (near, mut far) = duplex(1 << 16);
+            let task = spawn_local(serve(Rc::clone(&downstream), near));
+            // The model: the answers owed, and which attempts they wait for.
+            let mut owed: Vec<Option<String>> = Vec::new();
+            let mut out: Vec<usize> = Vec::new();
+            for step in steps {
+                match step {
+                    Step::Line(text, answer) => {
+                        // Ids in use are rejected: each request has its own, of one length.
+                        let text = text.replace("Oid", &format!("O{:02}", owed.len()));
+                        for piece in text.as_bytes().chunks(cut) {
+                            far.write_all(piece).await.unwrap();
+                            settle().await;
+                        }
+                        if answer.is_none() {
+                            out.push(owed.len());
+                        }
+                        owed.push(answer.map(str::to_owned));
+                    }
+                    Step::End { newest, served } if !out.is_empty() => {
+                        let at = if newest { out.len() - 1 } else { 0 };
+                        let attempt = recorder.begun.borrow_mut().remove(at);
+                        let value = Bytes::from_static(b"x\r\ny");
+                        let place = out.remove(at);
+                        let (reply, answer) = if served {
+                            let answer = format!("VA 4 O{place:02}\r\nx\r\ny\r\n");
+                            (Reply::Served(Answer::Value(value)), answer)
+                        } else {
+                            (Reply::Error, "SERVER_ERROR failed\r\n".into())
+                        };
+                        downstream.dispatcher.ended(attempt.id, End::Reply(reply));
+                        owed[place] = Some(answer);
+                    }
+                    Step::End { .. } => {}
+                }
+                settle().await;
+            }
+            far.shutdown().await.unwrap();
+            settle().await;
+            for attempt in recorder.begun.take() {
+                downstream.dispatcher.ended(attempt.id, End::Broken);
+            }
+            let mut got = String::new();
+            far.read_to_string(&mut got).await.unwrap();
+            task.await.unwrap().unwrap();
+            (got, owed.into_iter().map(|a| a.unwrap_or("SERVER_ERROR failed\r\n".into())).collect::<String>())
+        });
+        prop_assert_eq!(got, want);
+    }
+}
+
+/// Values that never come to their end hold a bounded part of the memory, and small requests go on.
+#[test]
+fn incomplete_values_hold_a_bounded_part_of_the_memory() {
+    testing::run(async {
+        let recorder = Rc::new(Recorder::default());
+        let downstream = downstream(&recorder);
+        let mut clients = Vec::new();
+        for _ in 0..8 {
+            let (near, mut far) = duplex(1 << 20);
+            spawn_local(serve(Rc::clone(&downstream), near));
+            far.write_all(b"ms k 65536 Oid Pc=read,d=480\r\n").await.unwrap();
+            far.write_all(&[b'x'; 60_000]).await.unwrap();
+            clients.push(far);
+        }
+        settle().await;
+        let held = downstream.buffered_bytes.get();
+        assert!(
+            held <= downstream.resource_limits.client_buffer_bytes
+                + 8 * (ALWAYS_ALLOWED_BYTES + 2 * READ_BYTES)
+                + 60_000,
+            "{held}"
+        );
+        let (near, mut far) = duplex(1 << 10);
+        spawn_local(serve(Rc::clone(&downstream), near));
+        far.write_all(b"mn\r\n").await.unwrap();
+        let mut got = [0; 4];
+        far.read_exact(&mut got).await.unwrap();
+        drop(far);
+        for mut far in clients {
+            let mut got = String::new();
+            far.read_to_string(&mut got).await.unwrap();
+            assert_eq!(got, "CLIENT_ERROR command not finished in time\r\n");
+        }
+        settle().await;
+        assert_eq!(downstream.buffered_bytes.get(), 0);
+    });
+}
+
+/// What is no request is told so and never taken: an unknown class, an id that another request has, no
+/// deadline, and noise without end, whose connection ends.
+#[test]
+fn malformed_requests_are_rejected_and_never_taken() {
+    testing::run(async {
+        let recorder = Rc::new(Recorder::default());
+        let downstream = downstream(&recorder);
+        let (near, mut far) = duplex(1 << 16);
+        spawn_local(serve(Rc::clone(&downstream), near));
+        let (other, mut honest) = duplex(1 << 16);
+        spawn_local(serve(Rc::clone(&downstream), other));
+        honest.write_all(b"mg k v O1 Pc=read,d=480\r\n").await.unwrap();
+        settle().await;
+        for (line, told) in [
+            ("mg k v O2 Pc=reads,d=480", "CLIENT_ERROR unknown class\r\n"),
+            ("mg k v O2 Pd=480", "CLIENT_ERROR unknown class\r\n"),
+            ("mg k v O1 Pc=read,d=480", "CLIENT_ERROR id in use\r\n"),
+            ("mg k v O2 Pc=read", "CLIENT_ERROR no deadline\r\n"),
+            ("mg k v O2 Pc=read,d=-1", "CLIENT_ERROR bad properties\r\n"),
+        ] {
+            far.write_all(format!("{line}\r\n").as_bytes()).await.unwrap();
+            let mut got = vec![0; told.len()];
+            far.read_exact(&mut got).await.unwrap();
+            assert_eq!(String::from_utf8(got).unwrap(), told);
+        }
+        assert_eq!(recorder.begun.borrow().len(), 1, "only the honest client's has begun");
+        far.write_all(&b"\n".repeat(MAX_MALFORMED_REQUESTS * 2)).await.unwrap();
+        let mut got = String::new();
+        far.read_to_string(&mut got).await.unwrap();
+        assert_eq!(got, "ERROR\r\n".repeat(MAX_MALFORMED_REQUESTS - 5));
+        let attempt = recorder.begun.borrow_mut().pop().unwrap();
+        downstream.dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value("v".into()))));
+        let mut got = [0; 12];
+        honest.read_exact(&mut got).await.unwrap();
+        assert_eq!(&got, b"VA 1 O1\r\nv\r\n");
+    });
+}
+
+/// A request counts for the tenant that it names; one that the settings lack, or none, is nobody's and served all the same.
+#[test]
+fn a_request_counts_for_the_tenant_that_it_names() {
+    testing::run(async {
+        let recorder = Rc::new(Recorder::default());
+        let downstream = downstream(&recorder);
+        let (near, mut far) = duplex(1 << 10);
+        spawn_local(serve(Rc::clone(&downstream), near));
+        for (named, place) in [(",t=beta", 1), (",t=acme", 0), (",t=acm", 2), (",t=", 2), ("", 2)] {
+            far.write_all(format!("mg k v O1 Pc=read{named},d=480\r\n").as_bytes()).await.unwrap();
+            settle().await;
+            let attempt = recorder.begun.borrow_mut().pop().unwrap();
+            assert_eq!(attempt.request.tenant, place, "{named}");
+            downstream.dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value("v".into()))));
+            let mut got = [0; 12];
+            far.read_exact(&mut got).await.unwrap();
+            assert_eq!(&got, b"VA 1 O1\r\nv\r\n");
+        }
+    });
+}
--- /dev/null
+++ b/node/src/downstream/tests/closing.rs
@@ -0,0 +1,259 @@
+//! Connections that end, by their client or by the graceful shutdown, and what becomes of their requests.
+
+use super::*;
+
+/// A client whose connection breaks has gone away: nothing is sent for it any more.
+#[test]
+fn a_broken_connection_abandons_its_requests() {
+    testing::run(async {
+        let recorder = Rc::new(Recorder::default());
+        let downstream = downstream(&recorder);
+        let (near, mut far) = duplex(1 << 16);
+        far.write_all(b"mg a v O1 Pc=read,d=480\r\nmg b v O2 Pc=read,d=480\r\n").await.unwrap();
+        let occupied = downstream.occupy_slot(Duration::ZERO);
+        let mut client = DownstreamConnection::new(&occupied.downstream, &occupied.slot);
+        tokio::select! {
+            biased;
+            _ = client.serve(near) => panic!("it still owes answers"),
+            () = settle() => {}
+        }
+        assert_eq!(recorder.begun.borrow().len(), 2);
+        drop(client);
+        downstream.dispatcher.idle().await;
+        assert_eq!(downstream.dispatcher.counters().requests_abandoned.get(), 2);
+    });
+}
+
+/// Requests that a bound kept from being taken at once are answered too, though the client has closed
+/// its side meanwhile.
+#[test]
+fn a_long_pipeline_is_answered_after_a_half_close() {
+    testing::run(async {
+        let recorder = Rc::new(Recorder::default());
+        let downstream = downstream(&recorder);
+        let (near, mut far) = duplex(1 << 20);
+        let requests = MAX_PENDING_ANSWERS * 2 + 7;
+        let text: String = (0..requests).map(|id| format!("mg a v O{id} Pc=read,d=480\r\n")).collect();
+        far.write_all(text.as_bytes()).await.unwrap();
+        far.shutdown().await.unwrap();
+        let task = spawn_local(serve(Rc::clone(&downstream), near));
+        while !task.is_finished() {
+            settle().await;
+            for attempt in recorder.begun.take() {
+                downstream.dispatcher.ended(attempt.id, End::Reply(Reply::Error));
+            }
+        }
+        let mut got = String::new();
+        far.read_to_string(&mut got).await.unwrap();
+        // What no server has a place for is turned away, and told so in its place as well.
+        let told = |line: &&str| *line == "SERVER_ERROR failed" || line.starts_with("SERVER_ERROR busy");
+        assert_eq!(got.lines().filter(told).count(), requests);
+        assert!(got.contains("failed") && got.lines().count() == requests);
+    });
+}
+
+/// On a planned end a connection closes between requests, never with one owed or half read.
+#[test]
+fn a_closing_connection_answers_its_open_requests_first() {
+    testing::run(async {
+        let recorder = Rc::new(Recorder::default());
+        let downstream = downstream(&recorder);
+        let (near, mut far) = duplex(1 << 16);
+        spawn_local(serve(Rc::clone(&downstream), near));
+        far.write_all(b"mg a v O1 Pc=read,d=480\r\n").await.unwrap();
+        settle().await;
+        downstream.shutdown.run(Instant::now(), Duration::from_secs(3)).await;
+        settle().await;
+        let attempt = recorder.begun.borrow_mut().pop().unwrap();
+        let value = Answer::Value(Bytes::from_static(b"v"));
+        downstream.dispatcher.ended(attempt.id, End::Reply(Reply::Served(value)));
+        let mut got = String::new();
+        far.read_to_string(&mut got).await.unwrap();
+        assert_eq!(got, "VA 1 O1\r\nv\r\n");
+    });
+}
+
+/// A request that stands unread in the kernel when the closing begins was taken, and is answered.
+#[test]
+fn a_closing_connection_is_read_once_more() {
+    testing::run_on_sockets(async {
+        let recorder = Rc::new(Recorder::default());
+        let downstream = downstream(&recorder);
+        let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
+        let mut far = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        let (near, _) = listener.accept().await.unwrap();
+        let task = spawn_local(serve(Rc::clone(&downstream), Socket(near)));
+        settle().await;
+        io::Write::write_all(&mut far, b"mn\r\n").unwrap();
+        downstream.shutdown.begin_closing();
+        task.await.unwrap().unwrap();
+        assert_eq!(io::read_to_string(far).unwrap(), "MN\r\n");
+    });
+}
+
+async fn connected(downstream: &Rc<Downstream>) -> tokio::net::TcpStream {
+    let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
+    let far = tokio::net::TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let (near, _) = listener.accept().await.unwrap();
+    spawn_local(serve(Rc::clone(downstream), Socket(near)));
+    far
+}
+
+/// How a client leaves whose answers are still owed.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Leaves {
+    Closes,
+    Resets,
+    EndsItsSide,
+}
+
+async fn leave(mut far: tokio::net::TcpStream, how: Leaves) -> Option<tokio::net::TcpStream> {
+    match how {
+        Leaves::Closes => drop(far),
+        Leaves::Resets => far.set_zero_linger().unwrap(),
+        Leaves::EndsItsSide => {
+            far.shutdown().await.unwrap();
+            return Some(far);
+        }
+    }
+    None
+}
+
+/// A client that leaves while nothing of it is read, as its pipeline is full or it does not take its answers, has gone all the
+/// same: what waits is let go of at once, and what it had sent behind it never begins.
+#[test]
+fn a_disconnect_is_noticed_while_nothing_is_read() {
+    assert!(stream::DISCONNECT_CHECK_INTERVAL * 2 < Duration::from_millis(100));
+    for how in [Leaves::Closes, Leaves::Resets, Leaves::EndsItsSide] {
+        for answers in [false, true] {
+            testing::run_on_sockets(async {
+                let recorder = Rc::new(Recorder::default());
+                let downstream = downstream(&recorder);
+                let mut far = connected(&downstream).await;
+                let all = MAX_PENDING_ANSWERS + 40;
+                let text: String = (0..all).map(|id| format!("mg k v O{id} Pc=read,d=1400\r\n")).collect();
+                far.write_all(text.as_bytes()).await.unwrap();
+                // It is read up to its bound and no further.
+                let taken = || downstream.dispatcher.counters().requests.get();
+                while taken() < MAX_PENDING_ANSWERS as u64 {
+                    settle().await;
+                }
+                settle().await;
+                let begun = recorder.begun.borrow().len();
+                assert_eq!(taken(), MAX_PENDING_ANSWERS as u64);
+                if answers {
+                    // The first answers are more than the client, who takes none, has room for.
+                    let attempt = recorder.begun.borrow_mut().remove(0);
+                    let value = Bytes::from(vec![b'v'; 16 << 20]);
+                    downstream.dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value(value))));
+                    settle().await;
+                }
+                let far = leave(far, how).await;
+                let over = |recorder: &Recorder| {
+                    let now = downstream.dispatcher.clock().now();
+                    recorder.begun.borrow().iter().all(|attempt| attempt.over(now))
+                };
+                let start = Instant::now();
+                while !over(&recorder) {
+                    sleep(Duration::from_millis(1)).await;
+                    assert!(start.elapsed() < Duration::from_secs(1), "{how:?}, {answers}: not noticed");
+                }
+                // What is out still ends; nothing begins any more.
+                let out: Vec<_> = recorder.begun.take();
+                assert_eq!(out.len() + usize::from(answers), begun);
+                for attempt in out {
+                    downstream.dispatcher.ended(attempt.id, End::CalledOff);
+                }
+                if let Some(mut far) = far {
+                    // Who only ended its side has an answer for each all the same.
+                    let mut got = Vec::new();
+                    far.read_to_end(&mut got).await.unwrap();
+                    let told =
+                        got.split(|byte| *byte == b'\n').filter(|line| line.starts_with(b"SERVER_ERROR"));
+                    assert_eq!(told.count() + usize::from(answers), all);
+                }
+                while !downstream.slots.borrow().is_empty() {
+                    sleep(Duration::from_millis(1)).await;
+                }
+                assert!(recorder.begun.borrow().is_empty(), "{how:?}, {answers}: begun for nobody");
+                assert_eq!(downstream.dispatcher.in_progress(), 0);
+            });
+        }
+    }
+}
+
+/// A request that comes in the moment in which its resting connection is closed is not sent on, and its crossing takes nothing of
+/// the answer before it: the client has that whole, and an end that is no reset.
+#[test]
+fn a_request_that_crosses_the_close_takes_no_answer_with_it() {
+    testing::run_on_sockets(async {
+        let recorder = Rc::new(Recorder::default());
+        let downstream = downstream(&recorder);
+        let mut far = connected(&downstream).await;
+        far.write_all(b"mg a v O1 Pc=read,d=1400\r\n").await.unwrap();
+        let attempt = loop {
+            settle().await;
+            if let Some(attempt) = recorder.begun.borrow_mut().pop() {
+                break attempt;
+            }
+        };
+        // More than the client's machine takes while its client does not read, and less than the own one does.
+        const LENGTH: usize = 200 << 10;
+        let value = Bytes::from(vec![b'v'; LENGTH]);
+        downstream.dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value(value))));
+        downstream.shutdown.begin_closing();
+        // The connection is shut for writing by now, and its client, who has read nothing yet, sends one more.
+        while !downstream.slots.borrow().is_empty() {
+            sleep(Duration::from_millis(1)).await;
+        }
+        far.write_all(b"mg b v O2 Pc=read,d=1400\r\n").await.unwrap();
+        let mut got = Vec::new();
+        far.read_to_end(&mut got).await.unwrap();
+        assert_eq!(got.len(), "VA 204800 O1\r\n".len() + LENGTH + 2);
+        assert!(recorder.begun.borrow().is_empty(), "nothing that came after the close is sent on");
+    });
+}
+
+/// At the very end no more is read, what has been read is answered, and the connection ends in a way that takes no answer with it,
+/// though its client never stops to send.
+#[test]
+fn a_connection_that_never_rests_is_answered_and_ended_at_the_shutdown() {
+    testing::run_on_sockets(async {
+        let recorder = Rc::new(Recorder::default());
+        let downstream = downstream(&recorder);
+        let far = connected(&downstream).await;
+        let dispatcher = Rc::clone(&downstream.dispatcher);
+        let timers = Rc::clone(&dispatcher);
+        spawn_local(async move { timers.run().await });
+        let (mut reader, mut writer) = far.into_split();
+        spawn_local(async move {
+            for id in 0.. {
+                let some = format!("mg a v O{id} Pc=read,d=1400\r\n");
+                if writer.write_all(some.as_bytes()).await.is_err() {
+                    return;
+                }
+            }
+        });
+        while dispatcher.counters().requests.get() < 50 {
+            settle().await;
+        }
+        let end = spawn_local(async move {
+            let mut got = Vec::new();
+            reader.read_to_end(&mut got).await.map(|_| got)
+        });
+        // The time for answers is up in a moment.
+        let last = crate::graceful_shutdown::time_for_answers(Duration::from_millis(600));
+        let signal = Instant::now() - (last - Duration::from_millis(100));
+        dispatcher.end_by(dispatcher.clock().now().saturating_add(juniperladder::Micros(100_000)));
+        downstream.shutdown.run(signal, last + crate::graceful_shutdown::EXIT_DELAY).await;
+        let got = timeout(Duration::from_secs(5), end).await.expect("the connection ends").unwrap().unwrap();
+        assert!(got.ends_with(b"\r\n"));
+        let answers =
+            got.split(|byte| *byte == b'\n').filter(|line| line.starts_with(b"SERVER_ERROR")).count();
+        assert_eq!(
+            answers as u64,
+            dispatcher.counters().requests.get(),
+            "one answer for each that was taken"
+        );
+    });
+}
--- /dev/null
+++ b/node/src/downstream/tests/slots.rs
@@ -0,0 +1,146 @@
+//! Which connections close, and when, while others need their slots.
+
+use super::*;
+
+/// Whoever says nothing, keeps a connection for good or stops half-way through a request gives it up, and
+/// one that is half-way is told why.
+#[test]
+fn an_idle_or_stalled_connection_closes_in_time() {
+    testing::run(async {
+        let recorder = Rc::new(Recorder::default());
+        for (sent, told) in [
+            ("", ""),
+            ("mn\r\n", "MN\r\n"),
+            ("mg a v O1 Pc=re", "CLIENT_ERROR command not finished in time\r\n"),
+            ("ms k 5 Oid Pc=read,d=480\r\nab", "CLIENT_ERROR command not finished in time\r\n"),
+        ] {
+            let (near, mut far) = duplex(1 << 16);
+            spawn_local(serve(downstream(&recorder), near));
+            let start = Instant::now();
+            for piece in sent.as_bytes().chunks(4) {
+                far.write_all(piece).await.unwrap();
+                sleep(Duration::from_millis(1)).await;
+            }
+            let mut got = String::new();
+            far.read_to_string(&mut got).await.unwrap();
+            assert_eq!(got, told);
+            assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
+        }
+    });
+}
+
+/// Connections that asked once and stay close, the longest quiet first, before clients run out of them.
+#[test]
+fn surplus_idle_connections_close_longest_idle_first() {
+    testing::run(async {
+        let recorder = Rc::new(Recorder::default());
+        let downstream = downstream(&recorder);
+        let mut clients = Vec::new();
+        for id in 0..6 {
+            let (near, mut far) = duplex(1 << 10);
+            spawn_local(serve(Rc::clone(&downstream), near));
+            far.write_all(format!("mg k v O{id} Pc=read,d=480\r\n").as_bytes()).await.unwrap();
+            settle().await;
+            let attempt = recorder.begun.borrow_mut().pop().unwrap();
+            downstream.dispatcher.ended(attempt.id, End::Reply(Reply::Error));
+            clients.push(far);
+            sleep(Duration::from_millis(5)).await;
+        }
+        let open = downstream.slots.borrow().len();
+        assert_eq!(open, downstream.resource_limits.idle_client_connections);
+        let start = Instant::now();
+        for mut far in clients.drain(..2) {
+            let mut got = String::new();
+            far.read_to_string(&mut got).await.unwrap();
+            assert_eq!(got, "SERVER_ERROR failed\r\n");
+        }
+        assert_eq!(start.elapsed(), Duration::ZERO);
+    });
+}
+
+/// One told to close while idle that begins a request at that moment may finish it.
+#[test]
+fn a_request_begun_during_eviction_is_answered() {
+    testing::run(async {
+        let downstream = downstream(&Rc::new(Recorder::default()));
+        let (near, mut far) = duplex(1 << 10);
+        spawn_local(serve(Rc::clone(&downstream), near));
+        settle().await;
+        downstream.evict(1);
+        far.write_all(b"m").await.unwrap();
+        settle().await;
+        far.write_all(b"n\r\n").await.unwrap();
+        let mut got = String::new();
+        far.read_to_string(&mut got).await.unwrap();
+        assert_eq!(got, "MN\r\n");
+    });
+}
+
+/// Giving up a seat takes no time: in a flood of connections a request must not wait behind each of them.
+#[test]
+fn an_evicted_connection_closes_at_once() {
+    testing::run(async {
+        let downstream = downstream(&Rc::new(Recorder::default()));
+        let (near, mut far) = duplex(1 << 10);
+        spawn_local(serve(Rc::clone(&downstream), near));
+        settle().await;
+        let start = Instant::now();
+        downstream.evict(1);
+        assert_eq!(far.read(&mut [0; 8]).await.unwrap(), 0);
+        downstream.connection_closed.notified().await;
+        assert_eq!(start.elapsed(), Duration::ZERO);
+    });
+}
+
+/// Where seats run out, who has just come and not spoken yet stays, who is idle after an answer goes first, and
+/// who has been silent for long before that.
+#[test]
+fn a_new_connection_is_evicted_last() {
+    testing::run(async {
+        let downstream = downstream(&Rc::new(Recorder::default()));
+        let mut clients = Vec::new();
+        for (spoke, wait) in [(false, 900), (true, 100), (true, 100), (false, 0)] {
+            let (near, mut far) = duplex(1 << 10);
+            let occupied = downstream.occupy_slot(Duration::ZERO);
+            occupied.slot.has_had_request.set(spoke);
+            spawn_local(async move {
+                let _ = DownstreamConnection::new(&occupied.downstream, &occupied.slot).serve(near).await;
+            });
+            far.write_all(b"").await.unwrap();
+            clients.push(far);
+            sleep(Duration::from_millis(wait)).await;
+        }
+        let mut fresh = clients.pop().unwrap();
+        for (gone, mut client) in clients.into_iter().enumerate() {
+            downstream.evict(1);
+            settle().await;
+            assert_eq!(client.read(&mut [0; 8]).await.unwrap(), 0);
+            assert_eq!(downstream.slots.borrow().len(), 3 - gone);
+        }
+        fresh.write_all(b"mn\r\n").await.unwrap();
+        let mut got = [0; 4];
+        fresh.read_exact(&mut got).await.unwrap();
+        assert_eq!(&got, b"MN\r\n");
+    });
+}
+
+/// Silent connections by the hundred must not shut out a client that has something to say.
+#[test]
+fn a_silent_connection_is_evicted_for_a_new_one() {
+    testing::run_on_sockets(async {
+        let recorder = Rc::new(Recorder::default());
+        let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
+        let address = listener.local_addr().unwrap();
+        spawn_local(downstream(&recorder).accept(listener));
+        let mut silent = Vec::new();
+        for _ in 0..40 {
+            silent.push(tokio::net::TcpStream::connect(address).await.unwrap());
+        }
+        let mut far = tokio::net::TcpStream::connect(address).await.unwrap();
+        far.write_all(b"mn\r\n").await.unwrap();
+        let mut got = [0; 4];
+        far.read_exact(&mut got).await.unwrap();
+        assert_eq!(&got, b"MN\r\n");
+        assert_eq!(silent[0].read(&mut got).await.unwrap(), 0, "the first was told to leave");
+    });
+}
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,12 +1,13 @@
 //! The daemon as a library: juniperladder's decisions on real sockets.
 //!
-//! The client side ([`service`]) and the server side ([`upstream`]) meet only in the [`dispatcher`]; [`daemon`]
+//! The client side ([`downstream`]) and the server side ([`upstream`]) meet only in the [`dispatcher`]; [`daemon`]
 //! builds and starts all parts.
 
 pub mod config;
 pub mod connect;
 pub mod daemon;
 pub mod discovery;
+pub mod downstream;
 pub mod error;
 pub mod graceful_shutdown;
 mod keeper;
@@ -19,7 +20,6 @@
 pub mod peers;
 mod reload;
 pub mod resource_limits;
-pub mod service;
 mod signals;
 pub mod socket;
 pub mod state;
--- a/node/src/storm.rs
+++ b/node/src/storm.rs
@@ -25,9 +25,9 @@
 use crate::connect::Connect;
 use crate::counters::Counters;
 use crate::dispatcher::{Carrier, Dispatcher, ListedServer};
+use crate::downstream::{Downstream, Labels};
 use crate::graceful_shutdown::{time_for_answers, GracefulShutdown, EXIT_DELAY};
 use crate::resource_limits::ResourceLimits;
-use crate::service::{Labels, Service};
 use crate::testing::{self, log, ORIGIN};
 use crate::upstream::{Limits, Upstream};
 use servers::Servers;
@@ -128,7 +128,7 @@
 /// A balancer, its clients and its servers.
 struct World {
     dispatcher: Rc<Dispatcher>,
-    service: Rc<Service>,
+    downstream: Rc<Downstream>,
     shutdown: Rc<GracefulShutdown>,
     servers: Rc<Servers>,
     ledger: Rc<Ledger>,
@@ -169,10 +169,10 @@
             unread_answer_bytes: 1 << 16,
             chunk_bytes: 1 << 12,
         };
-        let service =
-            Service::new(Rc::clone(&dispatcher), labels, Rc::clone(&shutdown), resource_limits, log());
+        let downstream =
+            Downstream::new(Rc::clone(&dispatcher), labels, Rc::clone(&shutdown), resource_limits, log());
         // The pools live as long as the dispatcher, which holds them.
-        World { dispatcher, service, shutdown, servers, ledger }
+        World { dispatcher, downstream, shutdown, servers, ledger }
     }
 
     /// Discovery's news: servers drain, end, and others start at their addresses; now and then nothing is heard of it.
--- a/node/src/storm/clients.rs
+++ b/node/src/storm/clients.rs
@@ -88,7 +88,7 @@
 fn open(world: &World) -> DuplexStream {
     let (near, far) = duplex(1 << 16);
     world.shutdown.on_connection_accepted();
-    world.service.take_in(near, std::time::Duration::ZERO);
+    world.downstream.serve(near, std::time::Duration::ZERO);
     far
 }
 
--- a/node/src/testing.rs
+++ b/node/src/testing.rs
@@ -8,7 +8,7 @@
 
 use crate::clock::Clock;
 use crate::counters::Counters;
-use crate::service::{Connection, Reader};
+use crate::downstream::{ClientReader, ClientStream};
 use crate::upstream::Upstream;
 
 /// Pools with room for so many connections.
@@ -26,7 +26,7 @@
     Upstream::new(limits, Rc::new(crate::connect::Tcp), Clock::start(), Rc::new(Counters::default()), log())
 }
 
-impl Connection for DuplexStream {
+impl ClientStream for DuplexStream {
     type Reader = ReadHalf<DuplexStream>;
     type Writer = WriteHalf<DuplexStream>;
 
@@ -35,9 +35,9 @@
     }
 }
 
-impl Reader for ReadHalf<DuplexStream> {
+impl ClientReader for ReadHalf<DuplexStream> {
     /// What is in memory is only read in its order.
-    fn has_left(&self) -> bool {
+    fn has_disconnected(&self) -> bool {
         false
     }
 }
--- a/node/src/upstream/uploads.rs
+++ b/node/src/upstream/uploads.rs
@@ -104,8 +104,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+    use crate::downstream::{Downstream, Labels};
     use crate::resource_limits::ResourceLimits;
-    use crate::service::{Labels, Service};
     use crate::testing::{self, listed_server, log, ORIGIN, SERVER};
     use juniperladder::{CacheMode, EndpointState, EndpointUpdate, Idempotency, ServerId};
     use tokio::io::AsyncReadExt;
@@ -136,10 +136,10 @@
             chunk_bytes: 1 << 12,
         };
         let labels = Labels { classes: vec!["read".into()], tenants: vec![] };
-        let service = Service::new(dispatcher, labels, Rc::default(), resource_limits, log());
+        let downstream = Downstream::new(dispatcher, labels, Rc::default(), resource_limits, log());
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-        tokio::task::spawn_local(service.accept(listener));
+        tokio::task::spawn_local(downstream.accept(listener));
         (upstream, client, origin)
     }
 
--- a/node/tests/two_deployments.rs
+++ b/node/tests/two_deployments.rs
@@ -6,8 +6,8 @@
 use juniperladder_dispatch::dispatcher::{Attempt, Dispatcher, End};
 use juniperladder_dispatch::testing::{self, Recorder};
 use juniperladder_node::config::Config;
+use juniperladder_node::downstream::Downstream;
 use juniperladder_node::resource_limits::ResourceLimits;
-use juniperladder_node::service::Service;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufStream};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
@@ -42,7 +42,7 @@
         let timers = Rc::clone(&dispatcher);
         spawn_local(async move { timers.run().await });
         let resource_limits = ResourceLimits::from_configured(config.limits);
-        let service = Service::new(
+        let downstream = Downstream::new(
             Rc::clone(&dispatcher),
             config.labels,
             Rc::default(),
@@ -51,7 +51,7 @@
         );
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-        spawn_local(service.accept(listener));
+        spawn_local(downstream.accept(listener));
         Deployment { dispatcher, recorder, client: BufStream::new(client) }
     }
 
