--- a/dispatch/src/carrier.rs
+++ b/dispatch/src/carrier.rs
@@ -1,51 +1,56 @@
-//! What stands between the dispatcher and the network: who carries attempts, and how they end there.
+//! What the dispatcher asks of the network: to carry attempts to servers, and how an attempt may end there.
 
 use std::rc::Rc;
 
 use juniperladder::{EndpointUpdate, ServerId};
 
-use crate::long::Long;
-use crate::numbers::AttemptId;
-use crate::request::{Attempt, ClientRequest, Going};
+use crate::identifiers::AttemptId;
+use crate::request::{Attempt, ClientRequest, LastByteReceiver};
+use crate::streamed_value::ChunkReceiver;
 use crate::values::{ListedServer, Reply};
 
 /// How an attempt ended on the network.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum AttemptEnd {
     /// With a reply.
     Reply(Reply),
-    /// Before its last byte was written: it never ran.
+    /// Before its last byte was written: it was not executed.
     NotSent,
-    /// After its last byte was written: it may have run.
+    /// The connection broke after its last byte was written: it may have been executed.
     Broken,
-    /// With an answer that makes no sense or is another request's: it may have run.
-    Spoilt,
-    /// Before its first byte, since the server drains or is gone.
-    CalledOff,
+    /// With an answer that is malformed or another request's: it may have been executed.
+    Malformed,
+    /// Before its first byte, since the server drains or is gone, or nobody waits for the attempt.
+    Cancelled,
 }
 
-/// A long value that a client writes, to be sent to the origin while it still comes: all but its last byte, which
+/// A streamed value that a client writes, to be sent to the origin while it still comes: all but its last byte, which
 /// waits for the attempt.
 #[derive(Debug)]
 pub struct Upload {
-    /// What it is about: a write, whose value is the one below.
+    /// The write, whose value is the one below.
     pub request: Rc<ClientRequest>,
     /// Where to.
     pub server: ServerId,
-    /// The value. Whoever lets go of it takes no more.
-    pub value: Long,
+    /// The value. Dropped, it takes no more.
+    pub value: ChunkReceiver,
     /// Brings the attempt that sends the last byte. If none comes the connection has to end as it is.
-    pub going: Going,
+    pub last_byte: LastByteReceiver,
 }
 
-/// Carries attempts to servers. No method may call the dispatcher: what is to be told comes from a task.
+/// Carries attempts to servers.
+///
+/// An implementation guarantees that each attempt that was begun ends exactly once, by a call of
+/// [`crate::dispatcher::Dispatcher::on_attempt_ended`], unless it was abandoned before its last byte was written; that no byte of
+/// a cancelled attempt is written; and that nothing begins at a server that does not serve. No method may call the
+/// dispatcher, which is the caller: the end of an attempt is reported from a task.
 pub trait Carrier {
-    /// The endpoint list has news.
-    fn listed(&self, kind: EndpointUpdate, servers: &[ListedServer]);
-    /// Start an attempt.
-    fn begin(&self, attempt: Attempt);
-    /// Begin to send a long value. The attempt that ends it comes by its ticket.
-    fn upload(&self, upload: Upload);
-    /// Its answer is not waited for any longer. Tells whether its last byte has been written.
+    /// The endpoint list has changed.
+    fn on_endpoints_changed(&self, kind: EndpointUpdate, servers: &[ListedServer]);
+    /// Begins an attempt.
+    fn begin_attempt(&self, attempt: Attempt);
+    /// Begins to send a streamed value. The attempt that ends it comes by its handle.
+    fn begin_upload(&self, upload: Upload);
+    /// Stops to wait for the answer to an attempt. Returns whether its last byte has been written; only then it may still end.
     fn abandon(&self, id: AttemptId, server: ServerId) -> bool;
 }
--- a/dispatch/src/clock.rs
+++ b/dispatch/src/clock.rs
@@ -1,4 +1,4 @@
-//! The one place where clocks and units meet: the decisions counts Unix microseconds.
+//! The one place where clocks and units meet: the decisions count Unix microseconds.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -9,25 +9,27 @@
 /// system's clock moves no deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    unix: Micros,
+    /// Unix time at the start.
+    unix_start: Micros,
+    /// The start by the monotonic clock.
     start: Instant,
 }
 
 impl Clock {
     /// A clock that agrees with the system's clock now.
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix: micros(unix), start: Instant::now() }
+        let unix_start = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { unix_start: micros(unix_start), start: Instant::now() }
     }
 
     /// The time now.
     pub fn now(&self) -> Micros {
-        self.unix.saturating_add(micros(self.start.elapsed()))
+        self.unix_start.saturating_add(micros(self.start.elapsed()))
     }
 
     /// When the runtime's clock shows this time.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.start + duration(at.saturating_sub(self.unix))
+        self.start + duration(at.saturating_sub(self.unix_start))
     }
 }
 
@@ -46,7 +48,7 @@
     Micros(ms.saturating_mul(1000))
 }
 
-/// Whole milliseconds for the wire, rounded up: a wait is never told as shorter than it is.
+/// Whole milliseconds for the wire, rounded up: a wait is never written as shorter than it is.
 pub fn to_ms(micros: Micros) -> u64 {
     micros.0.div_ceil(1000)
 }
--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -1,8 +1,8 @@
 //! Where the client side and the server side meet. The dispatcher owns the decisions, the open requests, the
 //! attempts and the timers; it knows no protocol, and neither side knows the other.
-
-#[cfg(test)]
-mod tests;
+//!
+//! Guarantee: each request that was taken gets exactly one answer, before its deadline, unless its client is gone.
+//! No method may be called from a [`Carrier`], which is called while the state is borrowed.
 
 mod attempts;
 mod endpoints;
@@ -21,39 +21,46 @@
 use tokio::sync::{oneshot, Notify};
 
 use crate::bans::Bans;
-pub use crate::carrier::{Carrier, End, Upload};
+pub use crate::carrier::{AttemptEnd, Carrier, Upload};
 use crate::clock::{to_ms, Clock};
 use crate::counters::{increment, Counters};
+pub use crate::identifiers::AttemptId;
 use crate::log_throttle::LogThrottle;
-use crate::long::{long, Feed};
-pub use crate::numbers::AttemptId;
-use crate::request::{ticket, Over, Ticket};
+use crate::request::{upload_handle, ClosedFlag, UploadHandle};
 pub use crate::request::{Attempt, ClientRequest, ClientRequestId};
+use crate::request_metrics::{RequestMetrics, RequestOutcome};
 use crate::start_times::StartTimes;
-use crate::tally::{Ended, Tally};
+use crate::streamed_value::{streamed_value, ChunkSender};
 pub use crate::values::{Answer, ListedServer, Reply};
-use state::{Due, Inner, Open, NEVER};
+use state::{DispatcherState, OpenRequest, Timer, NEVER};
 
 /// How long before its client gives up a request is over here: the way of the answer back, and of the
 /// request here, which nothing tells.
-const MARGIN: Micros = Micros(10_000);
+const DEADLINE_MARGIN: Micros = Micros(10_000);
+/// The deadline of a request where the settings have no class at all.
+const DEFAULT_DEADLINE: Micros = Micros(1_000_000);
+/// The share of a request's time that a wait before it was read may take at most.
+const MAX_WAIT_SHARE: f64 = 0.5;
 
 /// The object through which all parts meet.
 pub struct Dispatcher {
-    pub(crate) inner: RefCell<Inner>,
+    pub(crate) state: RefCell<DispatcherState>,
+    /// The kind of the origin.
     pub(crate) origin: Option<u32>,
     clock: Clock,
-    longest: Vec<Micros>,
-    /// For how long repeats are dropped, for each class whose repeats are.
-    windows: Vec<Option<Micros>>,
+    /// The longest time of a request, for each class.
+    class_deadlines: Vec<Micros>,
+    /// For how long servers drop repeats of a request, for each class whose repeats they drop.
+    deduplication_windows: Vec<Option<Micros>>,
     counters: Rc<Counters>,
-    pub(crate) tally: Rc<Tally>,
+    pub(crate) request_metrics: Rc<RequestMetrics>,
     timer_set: Notify,
-    watch: Notify,
-    idle: Notify,
+    watch_requested: Notify,
+    last_request_closed: Notify,
+    /// When the timers fire next.
     next_timer: Cell<Micros>,
     /// When the last request has to be answered.
-    last: Cell<Micros>,
+    final_deadline: Cell<Micros>,
     log_throttle: LogThrottle,
     log: Logger,
 }
@@ -68,63 +75,60 @@
         counters: Rc<Counters>,
         log: Logger,
     ) -> Rc<Dispatcher> {
-        let longest = settings.classes.iter().map(|class| class.deadline).collect();
-        let keyed = |class: &Class| {
-            (class.idempotency == Idempotency::WithIdempotencyKey).then_some(class.deduplication_window)
-        };
-        let windows = settings.classes.iter().map(keyed).collect();
+        let class_deadlines = settings.classes.iter().map(|class| class.deadline).collect();
+        let deduplication_windows = settings.classes.iter().map(deduplication_window).collect();
         let origin = settings.mode.origin();
-        let tally = Tally::new(settings.classes.len());
-        let inner = Inner {
+        let request_metrics = RequestMetrics::new(settings.classes.len());
+        let state = DispatcherState {
             balancer: Balancer::new(settings, seed),
             carrier,
             requests: FxHashMap::default(),
-            ids: HashSet::new(),
+            client_ids: HashSet::new(),
             attempts: FxHashMap::default(),
-            late: FxHashMap::default(),
+            timed_out: FxHashMap::default(),
             timers: BinaryHeap::new(),
             actions: Vec::new(),
-            last: 0,
-            serving: FxHashMap::default(),
+            last_id: 0,
+            servers: FxHashMap::default(),
             bans: Bans::default(),
             start_times: StartTimes::default(),
         };
         Rc::new(Dispatcher {
-            inner: RefCell::new(inner),
+            state: RefCell::new(state),
             origin,
             clock,
-            longest,
-            windows,
+            class_deadlines,
+            deduplication_windows,
             counters,
-            tally,
+            request_metrics,
             timer_set: Notify::new(),
-            watch: Notify::new(),
-            idle: Notify::new(),
+            watch_requested: Notify::new(),
+            last_request_closed: Notify::new(),
             next_timer: Cell::new(NEVER),
-            last: Cell::new(NEVER),
+            final_deadline: Cell::new(NEVER),
             log_throttle: LogThrottle::default(),
             log,
         })
     }
 
-    /// From now on this balancer keeps to the limits that it shares with others, and hears what they tell.
-    pub fn join(&self, fleet: Box<dyn Coordination>) {
-        let mut inner = self.inner.borrow_mut();
-        inner.start_times.trust_clock();
-        inner.balancer.join(fleet);
+    /// From now on this balancer obeys the limits that it shares with others, and uses what they report.
+    pub fn join(&self, coordination: Box<dyn Coordination>) {
+        let mut state = self.state.borrow_mut();
+        state.start_times.trust_wall_clock();
+        state.balancer.join(coordination);
     }
 
-    /// The program's counters.
+    /// The process's counters.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Requests taken and not yet answered in full.
-    pub fn in_progress(&self) -> usize {
-        self.inner.borrow().requests.len() + self.tally.passing()
+    /// How many requests were taken and are not yet answered in full.
+    pub fn requests_in_progress(&self) -> usize {
+        self.state.borrow().requests.len() + self.request_metrics.downloads_in_progress()
     }
 
-    /// The program's clock.
+    /// The process's clock.
     pub fn clock(&self) -> &Clock {
         &self.clock
     }
@@ -132,166 +136,188 @@
     /// Takes a request; its one answer comes on the receiver. None if a request with its id is open: servers
     /// could not tell the two apart, and one would be answered for the other.
     pub fn take(&self, request: ClientRequest) -> Option<(ClientRequestId, oneshot::Receiver<Answer>)> {
-        self.take_after(request, Micros(0))
+        self.take_after_wait(request, Micros(0))
     }
 
     /// Takes a request that may have waited for so long, at most, before it could be read. That comes off its time, by half of
     /// it where the wait may have been longer: it is a bound and may be far over the truth.
-    pub fn take_after(
+    pub fn take_after_wait(
         &self,
         request: ClientRequest,
-        waited: Micros,
+        longest_wait: Micros,
     ) -> Option<(ClientRequestId, oneshot::Receiver<Answer>)> {
-        if !self.inner.borrow_mut().ids.insert(request.id.clone()) {
+        let mut state = self.state.borrow_mut();
+        if !state.client_ids.insert(request.id.clone()) {
             return None;
         }
         increment(&self.counters.requests);
         let now = self.clock.now();
-        let (answer, receiver) = oneshot::channel();
-        let mut inner = self.inner.borrow_mut();
-        inner.last += 1;
-        let id = ClientRequestId(inner.last);
-        // A client that names no wait, or one longer than its class allows, waits as the class has it.
-        let most = self.longest.get(request.class as usize).or(self.longest.last());
-        let most = most.copied().unwrap_or(Micros(1_000_000));
-        let wait = request.wait.map_or(most, |wait| wait.min(most));
-        let left = wait.saturating_sub(waited.min(wait.mul_f64(0.5)));
-        let deadline = now.saturating_add(left.saturating_sub(MARGIN)).min(self.last.get());
+        let id = ClientRequestId(state.next_id());
+        let deadline = self.deadline_of(&request, now, longest_wait);
+        debug!(self.log, "request taken"; "request" => id.0, "client_id" => %ClientText(&request.id),
+            "class" => request.class, "time_left_ms" => to_ms(deadline.saturating_sub(now)));
         let event = Event::Request(Request {
             id: id.to_request_id(),
             deadline,
             expected_work: None,
-            key: Some(crate::numbers::key(&request.key)),
+            key: Some(crate::identifiers::key(&request.key)),
             is_write: request.value.is_some(),
             class: request.class,
             tenant: request.tenant,
             is_client_retry: request.retry,
         });
-        debug!(self.log, "request taken"; "request" => id.0, "id" => %ClientText(&request.id),
-            "class" => request.class, "left-ms" => to_ms(deadline.saturating_sub(now)));
-        let (request, over) = (Rc::new(request), Over::default());
-        inner.requests.insert(
-            id,
-            Open { request, answer, deadline, attempts: 0, out: 0, left: false, by: NEVER, over },
-        );
-        inner.timers.push(Reverse((deadline, Due::Request(id))));
-        self.handle(&mut inner, now, event);
+        let (answer, receiver) = oneshot::channel();
+        let open = OpenRequest {
+            request: Rc::new(request),
+            answer,
+            deadline,
+            attempts: 0,
+            attempts_in_flight: 0,
+            is_half_closed: false,
+            retry_write_deadline: NEVER,
+            closed: ClosedFlag::default(),
+        };
+        state.requests.insert(id, open);
+        state.add_timer(deadline, Timer::Request(id));
+        self.handle(&mut state, now, event);
         Some((id, receiver))
     }
 
-    /// From now on every request is answered by this time, those that are open already too: this process has no more.
-    pub fn end_by(&self, last: Micros) {
-        self.last.set(last);
-        let mut inner = self.inner.borrow_mut();
-        let open = inner.requests.iter().filter(|(_, open)| open.deadline > last);
-        let ends: Vec<_> = open.map(|(id, _)| Reverse((last, Due::Request(*id)))).collect();
-        inner.timers.extend(ends);
+    /// Until when a request has to be answered. A client that names no time-out, or one longer than its class allows, waits
+    /// as the class has it.
+    fn deadline_of(&self, request: &ClientRequest, now: Micros, longest_wait: Micros) -> Micros {
+        let class_deadline = self.class_deadlines.get(request.class as usize);
+        let class_deadline = class_deadline.or(self.class_deadlines.last()).copied();
+        let longest = class_deadline.unwrap_or(DEFAULT_DEADLINE);
+        let timeout = request.wait.map_or(longest, |timeout| timeout.min(longest));
+        let time_left = timeout.saturating_sub(longest_wait.min(timeout.mul_f64(MAX_WAIT_SHARE)));
+        let deadline = now.saturating_add(time_left.saturating_sub(DEADLINE_MARGIN));
+        deadline.min(self.final_deadline.get())
+    }
+
+    /// From now on every request is answered by this time, those that are open already too: the process ends then.
+    pub fn set_final_deadline(&self, deadline: Micros) {
+        self.final_deadline.set(deadline);
+        let mut state = self.state.borrow_mut();
+        let longer = state.requests.iter().filter(|(_, open)| open.deadline > deadline);
+        let longer: Vec<ClientRequestId> = longer.map(|(id, _)| *id).collect();
+        for id in longer {
+            state.add_timer(deadline, Timer::Request(id));
+        }
         self.timer_set.notify_one();
     }
 
-    /// Whether a client may write long values: they go to the origin while they come.
-    pub fn takes_long(&self) -> bool {
+    /// Whether a client may write streamed values: they go to the origin while they come.
+    pub fn can_upload(&self) -> bool {
         self.origin.is_some()
     }
 
-    /// Begins to send a long value that this request writes, though the request is not whole and not taken yet: a
+    /// Begins to send a streamed value that this request writes, though the request is not complete and not taken yet: a
     /// server begins a request with its last byte. None where there is nowhere to send it now.
-    pub fn upload(&self, request: &ClientRequest, length: usize) -> Option<(Ticket, Feed)> {
-        let inner = self.inner.borrow();
-        let server = inner.balancer.origin()?;
-        let (value, feed) = long(length);
-        let (ticket, going) = ticket(server);
+    pub fn begin_upload(
+        &self,
+        request: &ClientRequest,
+        length: usize,
+    ) -> Option<(UploadHandle, ChunkSender)> {
+        let state = self.state.borrow();
+        let server = state.balancer.origin()?;
+        let (sender, value) = streamed_value(length);
+        let (handle, last_byte) = upload_handle(server);
         increment(&self.counters.uploads);
-        inner.carrier.upload(Upload { request: Rc::new(request.clone()), server, value, going });
-        Some((ticket, feed))
+        let request = Rc::new(request.clone());
+        state.carrier.begin_upload(Upload { request, server, value, last_byte });
+        Some((handle, sender))
     }
 
     /// The client is gone: nothing is owed any more.
-    pub fn gone(&self, id: ClientRequestId) {
-        let mut inner = self.inner.borrow_mut();
-        if let Some(open) = inner.close(id) {
+    pub fn on_client_gone(&self, id: ClientRequestId) {
+        let mut state = self.state.borrow_mut();
+        if let Some(open) = state.remove_request(id) {
             increment(&self.counters.requests_abandoned);
             debug!(self.log, "request abandoned: the client is gone"; "request" => id.0,
-                "id" => %ClientText(&open.request.id));
-            if !open.left {
-                self.handle(&mut inner, self.clock.now(), Event::ClientDisconnected(id.to_request_id()));
+                "client_id" => %ClientText(&open.request.id));
+            if !open.is_half_closed {
+                let event = Event::ClientDisconnected(id.to_request_id());
+                self.handle(&mut state, self.clock.now(), event);
             }
         }
-        self.check_idle(&inner);
+        self.notify_if_idle(&state);
     }
 
     /// The client sends no more. It may be gone or wait for its answer, which cannot be told apart: no
-    /// new attempt begins for it, and what is out already may still answer it.
-    pub fn left(&self, id: ClientRequestId) {
-        let mut inner = self.inner.borrow_mut();
-        let Some(open) = inner.requests.get_mut(&id) else { return };
-        if open.left {
-            return;
-        }
-        open.left = true;
+    /// new attempt begins for it, and what is in flight already may still answer it.
+    pub fn on_client_half_closed(&self, id: ClientRequestId) {
+        let mut state = self.state.borrow_mut();
+        let Some(open) = state.requests.get_mut(&id).filter(|open| !open.is_half_closed) else { return };
+        open.is_half_closed = true;
         debug!(self.log, "request half-closed: the client sends no more"; "request" => id.0,
-            "id" => %ClientText(&open.request.id));
-        // What no byte has gone out of does not begin any more.
-        open.over.set(true);
-        let out = open.out;
-        self.handle(&mut inner, self.clock.now(), Event::ClientDisconnected(id.to_request_id()));
-        if out == 0 {
-            self.finish(&mut inner, id, Answer::Failed);
+            "client_id" => %ClientText(&open.request.id));
+        // What no byte was written of does not begin any more.
+        open.closed.set(true);
+        let attempts_in_flight = open.attempts_in_flight;
+        self.handle(&mut state, self.clock.now(), Event::ClientDisconnected(id.to_request_id()));
+        if attempts_in_flight == 0 {
+            self.answer(&mut state, id, Answer::Failed);
         }
     }
 
-    /// Waits until the decisions wants discovery's changes.
-    pub async fn watch_wanted(&self) {
-        self.watch.notified().await;
+    /// Waits until the decisions want the changes of the endpoint list.
+    pub async fn wait_for_watch_request(&self) {
+        self.watch_requested.notified().await;
     }
 
     /// Waits until no request is open.
-    pub async fn idle(&self) {
-        while !self.inner.borrow().requests.is_empty() {
-            self.idle.notified().await;
+    pub async fn wait_until_idle(&self) {
+        while !self.state.borrow().requests.is_empty() {
+            self.last_request_closed.notified().await;
         }
     }
 
-    /// Gives a request its final answer.
-    pub(super) fn finish(&self, inner: &mut Inner, id: ClientRequestId, answer: Answer) {
-        if let Some(open) = inner.close(id) {
-            let class = open.request.class;
-            debug!(self.log, "request answered"; "request" => id.0, "id" => %ClientText(&open.request.id),
-                "answer" => answer.label(), "attempts" => open.attempts, "out" => open.out);
-            let (counter, how) = match answer {
-                Answer::Value(_) | Answer::Receipt(_) => (&self.counters.served, Some(Ended::Passed)),
-                // It has passed, or failed, once its client has it or it broke off.
-                Answer::Long(_) => (&self.counters.served, None),
-                Answer::Rejected(_) => (&self.counters.rejected, Some(Ended::Dropped)),
-                Answer::Failed => (&self.counters.failed, Some(Ended::Failed)),
-            };
-            increment(counter);
-            how.into_iter().for_each(|how| self.tally.count(class, how));
-            let answer = match answer {
-                Answer::Long(long) => Answer::Long(long.counted(&self.tally, class)),
-                other => other,
-            };
+    /// Gives a request its final answer, and removes it.
+    fn answer(&self, state: &mut DispatcherState, id: ClientRequestId, answer: Answer) {
+        if let Some(open) = state.remove_request(id) {
+            debug!(self.log, "request answered"; "request" => id.0,
+                "client_id" => %ClientText(&open.request.id), "answer" => answer.label(),
+                "attempts" => open.attempts, "attempts_in_flight" => open.attempts_in_flight);
+            let answer = self.count_answer(open.request.class, answer);
             // The connection may have ended in this very moment; then nobody waits for it.
             let _ = open.answer.send(answer);
         }
-        self.check_idle(inner);
+        self.notify_if_idle(state);
+    }
+
+    /// Counts an answer. A streamed value is counted once its client has it or it broke off, and so goes on with a
+    /// counter of its own.
+    fn count_answer(&self, class: u32, answer: Answer) -> Answer {
+        let (counter, outcome) = match answer {
+            Answer::Streamed(value) => {
+                increment(&self.counters.served);
+                return Answer::Streamed(value.count_in(&self.request_metrics, class));
+            }
+            Answer::Value(_) | Answer::Receipt(_) => (&self.counters.served, RequestOutcome::Served),
+            Answer::Rejected(_) => (&self.counters.rejected, RequestOutcome::Rejected),
+            Answer::Failed => (&self.counters.failed, RequestOutcome::Failed),
+        };
+        increment(counter);
+        self.request_metrics.record(class, outcome);
+        answer
     }
 
-    fn check_idle(&self, inner: &Inner) {
-        if inner.requests.is_empty() {
-            self.idle.notify_waiters();
+    fn notify_if_idle(&self, state: &DispatcherState) {
+        if state.requests.is_empty() {
+            self.last_request_closed.notify_waiters();
         }
     }
 
-    /// Tells the decisions an event and does what it says.
-    pub(super) fn handle(&self, inner: &mut Inner, now: Micros, event: Event) {
-        let mut actions = std::mem::take(&mut inner.actions);
-        inner.balancer.handle(now, event, &mut actions);
+    /// Tells the decisions an event and carries their actions out.
+    fn handle(&self, state: &mut DispatcherState, now: Micros, event: Event) {
+        let mut actions = std::mem::take(&mut state.actions);
+        state.balancer.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(inner, now, action);
+            self.execute(state, now, action);
         }
-        inner.actions = actions;
-        if let Some(Reverse((at, _))) = inner.timers.peek() {
+        state.actions = actions;
+        if let Some(Reverse((at, _))) = state.timers.peek() {
             if *at < self.next_timer.get() {
                 self.timer_set.notify_one();
             }
@@ -299,7 +325,12 @@
     }
 }
 
-/// A client's text as the log shows it, looked at only where a line is written.
+/// For how long servers drop repeats of this class's requests; none where they do not.
+fn deduplication_window(class: &Class) -> Option<Micros> {
+    (class.idempotency == Idempotency::WithIdempotencyKey).then_some(class.deduplication_window)
+}
+
+/// A client's text as the log shows it, formatted only where a line is written.
 struct ClientText<'a>(&'a [u8]);
 
 impl fmt::Display for ClientText<'_> {
@@ -307,3 +338,6 @@
         out.write_str(&String::from_utf8_lossy(self.0))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -1,75 +1,117 @@
-//! The dispatcher and its attempts: what the decisions says begins, and how each attempt ends.
+//! The attempts of the dispatcher: the decisions' actions begin them, and their ends go back to the decisions.
 
-use std::cmp::Reverse;
 use std::rc::Rc;
 
-use juniperladder::{Action, AttemptResult, CompletedAttempt, Event, Micros};
+use juniperladder::{Action, AttemptResult, CompletedAttempt, Event, Micros, ServerId};
 use slog::{debug, info};
 
-use super::state::{Due, Inner, Running, NEVER};
+use super::state::{DispatcherState, InFlightAttempt, Timer, NEVER};
 use super::Dispatcher;
-use crate::carrier::End;
+use crate::carrier::AttemptEnd;
 use crate::clock::to_ms;
 use crate::counters::increment;
-use crate::numbers::{AttemptId, ServerLabel};
+use crate::identifiers::{AttemptId, ServerLabel};
 use crate::request::{Attempt, ClientRequestId};
 use crate::values::{Answer, Reply};
 
-impl Dispatcher {
-    /// An attempt has ended.
-    pub fn ended(&self, id: AttemptId, end: End) {
-        let mut inner = self.inner.borrow_mut();
-        let Some(running) = inner.attempts.remove(&id) else { return self.ended_late(&mut inner, id, end) };
-        let fetch_in_progress = matches!(end, End::Reply(Reply::Miss { fetch_in_progress: true }));
-        let (result, answer) = match end {
-            End::Reply(Reply::Served(answer)) => (AttemptResult::Served, Some(answer)),
-            End::Reply(Reply::Miss { .. }) => (AttemptResult::Miss, None),
+/// How an attempt was completed, in the decisions' terms.
+struct Completion {
+    result: AttemptResult,
+    /// On a miss: whether another fetch of the key is out.
+    fetch_in_progress: bool,
+    /// The answer, if it was served.
+    answer: Option<Answer>,
+}
+
+impl Completion {
+    fn without_answer(result: AttemptResult) -> Completion {
+        Completion { result, fetch_in_progress: false, answer: None }
+    }
+
+    fn from_end(end: AttemptEnd) -> Completion {
+        let result = match end {
+            AttemptEnd::Reply(Reply::Served(answer)) => {
+                let result = AttemptResult::Served;
+                return Completion { result, fetch_in_progress: false, answer: Some(answer) };
+            }
+            AttemptEnd::Reply(Reply::Miss { fetch_in_progress }) => {
+                return Completion { result: AttemptResult::Miss, fetch_in_progress, answer: None };
+            }
             // The server is at work, so that its connections and its load are not in question.
-            End::Reply(Reply::Error) | End::Spoilt => (AttemptResult::Error, None),
-            End::Reply(Reply::Full) => (AttemptResult::Rejected, None),
-            End::NotSent => (AttemptResult::ConnectFailed, None),
-            End::Broken => (AttemptResult::Reset, None),
-            End::CalledOff => (AttemptResult::NotSent, None),
+            AttemptEnd::Reply(Reply::Error) | AttemptEnd::Malformed => AttemptResult::Error,
+            AttemptEnd::Reply(Reply::Rejected) => AttemptResult::Rejected,
+            AttemptEnd::NotSent => AttemptResult::ConnectFailed,
+            AttemptEnd::Broken => AttemptResult::Reset,
+            AttemptEnd::Cancelled => AttemptResult::NotSent,
         };
-        self.conclude(&mut inner, running, result, fetch_in_progress, answer);
+        Completion::without_answer(result)
+    }
+}
+
+impl Dispatcher {
+    /// An attempt has ended on the network. Its request is answered if that is final, and the decisions are told.
+    pub fn on_attempt_ended(&self, id: AttemptId, end: AttemptEnd) {
+        let mut state = self.state.borrow_mut();
+        match state.attempts.remove(&id) {
+            Some(attempt) => self.complete_attempt(&mut state, attempt, Completion::from_end(end)),
+            None => self.on_late_end(&mut state, id, end),
+        }
     }
 
     /// An attempt has ended that had timed out before. Its answer was made for the request all the same:
-    /// where that is open, while it is tried elsewhere, a client that waits is better served than not.
-    fn ended_late(&self, inner: &mut Inner, id: AttemptId, end: End) {
-        let Some(request) = inner.late.remove(&id) else { return };
-        let End::Reply(Reply::Served(answer)) = end else { return };
+    /// where that is open, while a retry is out, a client that waits is better served than not.
+    fn on_late_end(&self, state: &mut DispatcherState, id: AttemptId, end: AttemptEnd) {
+        let Some(request) = state.timed_out.remove(&id) else { return };
+        let AttemptEnd::Reply(Reply::Served(answer)) = end else { return };
         increment(&self.counters.late_responses);
-        let Some(open) = inner.requests.get(&request) else { return };
-        let left = open.left;
+        let Some(open) = state.requests.get(&request) else { return };
+        let is_half_closed = open.is_half_closed;
         increment(&self.counters.served_late);
-        self.finish(inner, request, answer);
-        if !left {
-            self.handle(inner, self.clock.now(), Event::ClientDisconnected(request.to_request_id()));
+        self.answer(state, request, answer);
+        if !is_half_closed {
+            self.handle(state, self.clock.now(), Event::ClientDisconnected(request.to_request_id()));
         }
     }
 
-    /// The time of an attempt has run out.
-    pub(super) fn expire(&self, inner: &mut Inner, id: AttemptId) {
-        let Some(running) = inner.attempts.remove(&id) else { return };
-        // What was never written whole cannot have run.
-        let written = inner.carrier.abandon(id, running.server);
-        let result = if written { AttemptResult::Timeout } else { AttemptResult::ConnectFailed };
-        if written {
-            inner.late.insert(id, running.request);
+    /// The deadline of an attempt has come.
+    pub(super) fn on_attempt_timeout(&self, state: &mut DispatcherState, id: AttemptId) {
+        let Some(attempt) = state.attempts.remove(&id) else { return };
+        let is_written = state.carrier.abandon(id, attempt.server);
+        // What was never written whole cannot have been executed.
+        let result = if is_written { AttemptResult::Timeout } else { AttemptResult::ConnectFailed };
+        if is_written {
+            state.timed_out.insert(id, attempt.request);
         }
-        self.conclude(inner, running, result, false, None);
+        self.complete_attempt(state, attempt, Completion::without_answer(result));
     }
 
-    /// Counts how an attempt ended, answers its request where that is over, and tells the decisions.
-    fn conclude(
+    /// Counts a completed attempt, answers its request where that is over, and tells the decisions.
+    fn complete_attempt(
         &self,
-        inner: &mut Inner,
-        running: Running,
-        result: AttemptResult,
-        fetch_in_progress: bool,
-        answer: Option<Answer>,
+        state: &mut DispatcherState,
+        attempt: InFlightAttempt,
+        completion: Completion,
     ) {
+        let Completion { result, fetch_in_progress, answer } = completion;
+        self.count_attempt(result);
+        let now = self.clock.now();
+        let latency = now.saturating_sub(attempt.begun);
+        debug!(self.log, "attempt completed"; "request" => attempt.request.0, "attempt" => attempt.attempt,
+            "server" => %ServerLabel(attempt.server), "result" => ?result, "latency_ms" => to_ms(latency));
+        let request_closed = self.close_if_over(state, attempt.request, answer);
+        let completed = CompletedAttempt {
+            id: attempt.request.to_request_id(),
+            server: attempt.server,
+            attempt: attempt.attempt,
+            latency,
+            result,
+            request_closed,
+            fetch_in_progress,
+        };
+        self.handle(state, now, Event::AttemptCompleted(completed));
+    }
+
+    fn count_attempt(&self, result: AttemptResult) {
         increment(match result {
             AttemptResult::Served => &self.counters.attempts_served,
             AttemptResult::Miss => &self.counters.misses,
@@ -80,81 +122,96 @@
             AttemptResult::NotSent | AttemptResult::Cancelled => &self.counters.attempts_not_sent,
             AttemptResult::Error => &self.counters.errors,
         });
-        let now = self.clock.now();
-        debug!(self.log, "attempt ended"; "request" => running.request.0, "attempt" => running.attempt,
-            "server" => %ServerLabel(running.server), "result" => ?result,
-            "after-ms" => to_ms(now.saturating_sub(running.sent)));
-        let mut request_closed = true;
-        if let Some(open) = inner.requests.get_mut(&running.request) {
-            open.out -= 1;
-            request_closed = open.left;
-            let last = open.left && open.out == 0;
-            if let Some(answer) = answer {
-                request_closed = true;
-                self.finish(inner, running.request, answer);
-            } else if last {
-                self.finish(inner, running.request, Answer::Failed);
-            }
+    }
+
+    /// Answers the request of a completed attempt with what the attempt brought, or with a failure where its client sends no
+    /// more and no other attempt is in flight. Returns whether the decisions have nothing more to do with the request.
+    fn close_if_over(
+        &self,
+        state: &mut DispatcherState,
+        request: ClientRequestId,
+        answer: Option<Answer>,
+    ) -> bool {
+        let Some(open) = state.requests.get_mut(&request) else { return true };
+        open.attempts_in_flight -= 1;
+        let is_half_closed = open.is_half_closed;
+        let is_abandoned = is_half_closed && open.attempts_in_flight == 0;
+        if let Some(answer) = answer {
+            self.answer(state, request, answer);
+            return true;
         }
-        let outcome = CompletedAttempt {
-            id: running.request.to_request_id(),
-            server: running.server,
-            attempt: running.attempt,
-            latency: now.saturating_sub(running.sent),
-            result,
-            request_closed,
-            fetch_in_progress,
-        };
-        self.handle(inner, now, Event::AttemptCompleted(outcome));
+        if is_abandoned {
+            self.answer(state, request, Answer::Failed);
+        }
+        is_half_closed
     }
 
-    /// Does what the decisions says.
-    pub(super) fn act(&self, inner: &mut Inner, now: Micros, action: Action) {
+    /// Carries one of the decisions' actions out.
+    pub(super) fn execute(&self, state: &mut DispatcherState, now: Micros, action: Action) {
         match action {
             Action::Send { id, server, timeout } => {
-                let request_id = ClientRequestId::from_request_id(&id);
-                let Some(open) = inner.requests.get_mut(&request_id) else { return };
-                let until = if timeout.0 == 0 {
-                    open.deadline
-                } else {
-                    now.saturating_add(timeout).min(open.deadline)
-                };
-                let running = Running { request: request_id, server, attempt: open.attempts, sent: now };
-                let by = open.by;
-                if open.attempts == 0 {
-                    let window = self.windows.get(open.request.class as usize).copied().flatten();
-                    open.by = window.map_or(NEVER, |window| now.saturating_add(window));
-                }
-                open.attempts += 1;
-                open.out += 1;
-                let (request, over) = (Rc::clone(&open.request), Rc::clone(&open.over));
-                inner.last += 1;
-                let id = AttemptId(inner.last);
-                increment(&self.counters.attempts);
-                let state = inner.serving.get(&server).map(|(state, _)| *state);
-                debug!(self.log, "attempt begins"; "request" => request_id.0, "attempt" => running.attempt,
-                    "number" => id.0, "server" => %ServerLabel(server), "state" => ?state,
-                    "list-age-ms" => inner.start_times.confirmed().map(|at| to_ms(now.saturating_sub(at))),
-                    "until-ms" => to_ms(until.saturating_sub(now)));
-                inner.attempts.insert(id, running);
-                inner.timers.push(Reverse((until, Due::Attempt(id))));
-                inner.carrier.begin(Attempt { id, request, server, until, by, over });
+                self.begin_attempt(state, now, ClientRequestId::from_request_id(&id), server, timeout);
             }
             Action::Reject { id, retry_after, reason } => {
+                let id = ClientRequestId::from_request_id(&id);
                 increment(self.counters.rejections(reason));
-                debug!(self.log, "request refused"; "request" => ClientRequestId::from_request_id(&id).0, "reason" => ?reason,
-                    "retry-after-ms" => to_ms(retry_after));
-                self.finish(inner, ClientRequestId::from_request_id(&id), Answer::Rejected(retry_after));
+                debug!(self.log, "request rejected"; "request" => id.0, "reason" => ?reason,
+                    "retry_after_ms" => to_ms(retry_after));
+                self.answer(state, id, Answer::Rejected(retry_after));
             }
-            Action::Fail { id } => self.finish(inner, ClientRequestId::from_request_id(&id), Answer::Failed),
-            Action::Timer { at, token } => {
-                inner.timers.push(Reverse((at, Due::Module(token))));
+            Action::Fail { id } => {
+                self.answer(state, ClientRequestId::from_request_id(&id), Answer::Failed);
             }
+            Action::Timer { at, token } => state.add_timer(at, Timer::Decisions(token)),
             Action::WatchEndpoints => {
                 debug!(self.log, "discovery is due");
-                self.watch.notify_one();
+                self.watch_requested.notify_one();
             }
-            Action::Log(line) => info!(self.log, "module"; "line" => line),
+            Action::Log(line) => info!(self.log, "decision"; "line" => line),
         }
     }
+
+    /// Begins an attempt at an open request. A time-out of zero stands for the request's deadline.
+    fn begin_attempt(
+        &self,
+        state: &mut DispatcherState,
+        now: Micros,
+        request_id: ClientRequestId,
+        server: ServerId,
+        timeout: Micros,
+    ) {
+        let Some(open) = state.requests.get_mut(&request_id) else { return };
+        let deadline = match timeout {
+            Micros(0) => open.deadline,
+            timeout => now.saturating_add(timeout).min(open.deadline),
+        };
+        let write_deadline = open.retry_write_deadline;
+        if open.attempts == 0 {
+            let class = open.request.class as usize;
+            let window = self.deduplication_windows.get(class).copied().flatten();
+            open.retry_write_deadline = window.map_or(NEVER, |window| now.saturating_add(window));
+        }
+        let attempt = open.attempts;
+        open.attempts += 1;
+        open.attempts_in_flight += 1;
+        let (request, request_closed) = (Rc::clone(&open.request), Rc::clone(&open.closed));
+        let id = AttemptId(state.next_id());
+        increment(&self.counters.attempts);
+        let confirmed = state.start_times.last_confirmed();
+        debug!(self.log, "attempt begins"; "request" => request_id.0, "attempt" => attempt,
+            "attempt_id" => id.0, "server" => %ServerLabel(server),
+            "state" => ?state.servers.get(&server).map(|known| known.state),
+            "endpoint_list_age_ms" => confirmed.map(|at| to_ms(now.saturating_sub(at))),
+            "timeout_ms" => to_ms(deadline.saturating_sub(now)));
+        state.attempts.insert(id, InFlightAttempt { request: request_id, server, attempt, begun: now });
+        state.add_timer(deadline, Timer::Attempt(id));
+        state.carrier.begin_attempt(Attempt {
+            id,
+            request,
+            server,
+            deadline,
+            write_deadline,
+            request_closed,
+        });
+    }
 }
--- a/dispatch/src/dispatcher/endpoints.rs
+++ b/dispatch/src/dispatcher/endpoints.rs
@@ -1,9 +1,9 @@
-//! The dispatcher and the servers: discovery's news to the decisions and the carrier, and what operators are told of them.
+//! The endpoint list in the dispatcher: its changes go to the decisions and the carrier, operators' bans laid over.
 
 use juniperladder::{Endpoint, EndpointState, EndpointUpdate, Event};
 use slog::{info, warn};
 
-use super::state::Inner;
+use super::state::{DispatcherState, KnownServer};
 use super::Dispatcher;
 use crate::clock::to_ms;
 use crate::values::ListedServer;
@@ -14,98 +14,121 @@
 
 impl Dispatcher {
     /// Whether requests can be served: some server is known.
-    pub fn ready(&self) -> bool {
-        self.inner.borrow().serving.values().any(|(state, _)| *state == EndpointState::Serving)
+    pub fn is_ready(&self) -> bool {
+        self.state.borrow().servers.values().any(|known| known.state == EndpointState::Serving)
     }
 
-    /// Tells the log which limits hold something back, and why.
-    pub fn tell_limits(&self) {
-        let inner = self.inner.borrow();
-        let (limits, waiting) = inner.balancer.limits(self.clock.now());
-        let mut held = 0;
+    /// Logs which limits hold something back, and why.
+    pub fn log_limits(&self) {
+        let state = self.state.borrow();
+        let (limits, waiting) = state.balancer.limits(self.clock.now());
+        let mut limiting = 0;
         for limit in &limits {
-            let Some(by) = limit.holds() else { continue };
-            held += 1;
-            let address = inner.serving.get(&limit.server).and_then(|(_, address)| *address);
-            info!(self.log, "limit"; "held-by" => by,
-                "host" => address.map_or_else(|| "unknown".into(), |a| a.to_string()),
-                "out" => limit.out, "most" => limit.most, "gap-ms" => to_ms(limit.gap),
-                "usual-ms" => to_ms(limit.usual), "lately-ms" => to_ms(limit.lately));
+            let Some(reason) = limit.holds() else { continue };
+            limiting += 1;
+            let address = state.servers.get(&limit.server).and_then(|known| known.address);
+            info!(self.log, "limit"; "reason" => reason,
+                "server" => address.map_or_else(|| "unknown".into(), |address| address.to_string()),
+                "in_flight" => limit.out, "limit" => limit.most, "gap_ms" => to_ms(limit.gap),
+                "baseline_latency_ms" => to_ms(limit.usual), "recent_latency_ms" => to_ms(limit.lately));
         }
-        info!(self.log, "limits"; "hosts" => limits.len(), "held" => held, "waiting" => waiting);
+        info!(self.log, "limits"; "servers" => limits.len(), "limiting" => limiting, "waiting" => waiting);
     }
 
-    /// The endpoint list has news.
-    pub fn listed(&self, kind: EndpointUpdate, servers: &[ListedServer]) {
-        let mut inner = self.inner.borrow_mut();
+    /// The endpoint list has changed, as `kind` says.
+    pub fn on_endpoints_changed(&self, kind: EndpointUpdate, servers: &[ListedServer]) {
+        let mut state = self.state.borrow_mut();
         let servers = match kind {
             EndpointUpdate::Unavailable => Vec::new(),
-            _ => {
-                let now = self.clock.now();
-                let mut known = self.within_bounds(&inner, kind, servers);
-                let Inner { start_times, bans, serving, .. } = &mut *inner;
-                start_times.translate(&mut known, now);
-                start_times.forget(|server| serving.contains_key(server));
-                if matches!(kind, EndpointUpdate::Delta | EndpointUpdate::Snapshot) {
-                    start_times.confirm(now);
-                }
-                bans.over(kind.is_complete(), &known)
-            }
+            _ => self.prepare_update(&mut state, kind, servers),
         };
-        self.tell(&mut inner, kind, &servers);
+        self.apply_endpoints(&mut state, kind, &servers);
     }
 
-    /// Discovery has said that the list in hand is what it has.
-    pub fn list_confirmed(&self) {
+    /// Discovery has said that the list in use is the current one.
+    pub fn on_endpoints_confirmed(&self) {
         let now = self.clock.now();
-        self.inner.borrow_mut().start_times.confirm(now);
+        self.state.borrow_mut().start_times.on_list_confirmed(now);
+    }
+
+    /// The update as the decisions are to see it: bounded, with starts on the own clock, and with operators' bans.
+    fn prepare_update(
+        &self,
+        state: &mut DispatcherState,
+        kind: EndpointUpdate,
+        servers: &[ListedServer],
+    ) -> Vec<ListedServer> {
+        let now = self.clock.now();
+        let mut servers = self.drop_surplus_servers(state, kind, servers);
+        let DispatcherState { start_times, bans, servers: known, .. } = state;
+        start_times.set_to_own_clock(&mut servers, now);
+        start_times.forget_unlisted(|server| known.contains_key(server));
+        if matches!(kind, EndpointUpdate::Delta | EndpointUpdate::Snapshot) {
+            start_times.on_list_confirmed(now);
+        }
+        bans.over(kind.is_complete(), &servers)
     }
 
-    /// The news without the servers that are more than may be known; they are counted, and told in one line.
-    fn within_bounds(
+    /// The update without the servers that are more than may be known; they are counted, and logged in one line.
+    fn drop_surplus_servers(
         &self,
-        inner: &Inner,
+        state: &DispatcherState,
         kind: EndpointUpdate,
         servers: &[ListedServer],
     ) -> Vec<ListedServer> {
-        let known = |server| !kind.is_complete() && inner.serving.contains_key(&server);
-        let mut room = MAX_SERVERS.saturating_sub(if kind.is_complete() { 0 } else { inner.serving.len() });
+        let is_complete = kind.is_complete();
+        let is_known = |server| !is_complete && state.servers.contains_key(&server);
+        let mut capacity = MAX_SERVERS.saturating_sub(if is_complete { 0 } else { state.servers.len() });
         let mut left_out = 0;
-        let fits = |listed_server: &&ListedServer| {
-            let Endpoint { server, state, kind, .. } = listed_server.endpoint;
-            if state == EndpointState::Deleted || known(server) || Some(kind) == self.origin {
-                return true;
+        let mut kept = Vec::with_capacity(servers.len().min(MAX_SERVERS));
+        for server in servers {
+            let endpoint = &server.endpoint;
+            let takes_no_capacity = endpoint.state == EndpointState::Deleted
+                || is_known(endpoint.server)
+                || Some(endpoint.kind) == self.origin;
+            if takes_no_capacity {
+                kept.push(server.clone());
+            } else if capacity > 0 {
+                capacity -= 1;
+                kept.push(server.clone());
+            } else {
+                left_out += 1;
             }
-            left_out += u64::from(room == 0);
-            let fits = room > 0;
-            room = room.saturating_sub(1);
-            fits
-        };
-        let kept = servers.iter().filter(fits).cloned().collect();
+        }
         if left_out > 0 {
-            self.counters.endpoints_left_out.set(self.counters.endpoints_left_out.get() + left_out);
-            if self.log_throttle.allows() {
-                warn!(self.log, "more hosts than can be known; the rest is left out"; "most" => MAX_SERVERS,
-                    "left out" => left_out);
-            }
+            self.on_servers_left_out(left_out);
         }
         kept
     }
 
-    /// Tells the decisions and the carrier a list as it is to be seen, bans laid over.
-    pub(crate) fn tell(&self, inner: &mut Inner, kind: EndpointUpdate, servers: &[ListedServer]) {
+    fn on_servers_left_out(&self, left_out: u64) {
+        let counter = &self.counters.endpoints_left_out;
+        counter.set(counter.get() + left_out);
+        if self.log_throttle.allows() {
+            warn!(self.log, "endpoint list too long: the rest is left out"; "max_servers" => MAX_SERVERS,
+                "left_out" => left_out);
+        }
+    }
+
+    /// Puts a prepared update in force, for the decisions and for the carrier.
+    pub(crate) fn apply_endpoints(
+        &self,
+        state: &mut DispatcherState,
+        kind: EndpointUpdate,
+        servers: &[ListedServer],
+    ) {
         if kind != EndpointUpdate::Unavailable {
             if kind.is_complete() {
-                inner.serving.clear();
+                state.servers.clear();
             }
             for ListedServer { endpoint, address } in servers {
-                inner.serving.insert(endpoint.server, (endpoint.state, *address));
+                let known = KnownServer { state: endpoint.state, address: *address };
+                state.servers.insert(endpoint.server, known);
             }
-            inner.serving.retain(|_, (state, _)| *state != EndpointState::Deleted);
-            inner.carrier.listed(kind, servers);
+            state.servers.retain(|_, known| known.state != EndpointState::Deleted);
+            state.carrier.on_endpoints_changed(kind, servers);
         }
-        let endpoints: Vec<Endpoint> =
-            servers.iter().map(|listed_server| listed_server.endpoint.clone()).collect();
-        self.handle(inner, self.clock.now(), Event::EndpointsChanged(kind, &endpoints));
+        let endpoints: Vec<Endpoint> = servers.iter().map(|server| server.endpoint.clone()).collect();
+        self.handle(state, self.clock.now(), Event::EndpointsChanged(kind, &endpoints));
     }
 }
--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -13,13 +13,13 @@
     let recorder = Rc::new(Recorder::default());
     let dispatcher = dispatcher(settings(attempts, idempotency), recorder.clone(), servers);
     let timers = Rc::clone(&dispatcher);
-    spawn_local(async move { timers.run().await });
+    spawn_local(async move { timers.run_timers().await });
     (dispatcher, recorder)
 }
 
 /// Rule 1: silent servers or not, the one answer comes before the client gives up.
 #[test]
-fn every_command_is_answered_before_its_deadline() {
+fn every_request_is_answered_before_its_deadline() {
     testing::run(async {
         for (attempts, idempotency) in [
             (1, Idempotency::NotIdempotent),
@@ -32,21 +32,25 @@
             assert!(matches!(answer.await, Ok(Answer::Failed | Answer::Rejected(_))));
             assert!(start.elapsed() < Duration::from_millis(480), "{:?}", start.elapsed());
             assert!(!recorder.begun.borrow().is_empty());
-            assert!(dispatcher.inner.borrow().attempts.is_empty() || dispatcher.counters.timeouts.get() > 0);
-            assert_eq!(dispatcher.counters.overdue.get(), 0, "the module ends it, not the net below it");
+            assert!(dispatcher.state.borrow().attempts.is_empty() || dispatcher.counters.timeouts.get() > 0);
+            assert_eq!(
+                dispatcher.counters.overdue.get(),
+                0,
+                "the decisions end it, not the deadline behind them"
+            );
         }
     });
 }
 
 /// What the decisions gives up is answered at once, not at its deadline.
 #[test]
-fn a_command_that_is_given_up_is_answered_at_once() {
+fn a_rejected_request_is_answered_at_once() {
     testing::run(async {
         let (dispatcher, recorder) = with_timers(1, Idempotency::Idempotent, 1);
         let start = Instant::now();
         let (_, answer) = dispatcher.take(request("1", None)).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
-        dispatcher.ended(attempt.id, End::NotSent);
+        dispatcher.on_attempt_ended(attempt.id, AttemptEnd::NotSent);
         assert!(matches!(answer.await, Ok(Answer::Rejected(_))));
         assert_eq!(start.elapsed(), Duration::ZERO);
     });
@@ -54,16 +58,16 @@
 
 /// A client that half-closes may be gone: nothing begins for it, what is out still answers it.
 #[test]
-fn a_half_closed_client_is_answered_by_what_is_out() {
+fn a_half_closed_client_is_answered_by_attempts_in_flight() {
     testing::run(async {
         for served in [true, false] {
             let (dispatcher, recorder) = with_timers(3, Idempotency::Idempotent, 3);
             let (id, answer) = dispatcher.take(request("1", None)).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
-            dispatcher.left(id);
+            dispatcher.on_client_half_closed(id);
             let value = Answer::Value(Bytes::from_static(b"v"));
             let reply = if served { Reply::Served(value.clone()) } else { Reply::Error };
-            dispatcher.ended(attempt.id, End::Reply(reply));
+            dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(reply));
             assert_eq!(answer.await, Ok(if served { value } else { Answer::Failed }));
             settle().await;
             assert!(recorder.begun.borrow().is_empty());
@@ -73,32 +77,32 @@
 
 /// What comes after its time-out, while the request is tried elsewhere, is an answer all the same.
 #[test]
-fn a_late_answer_serves_a_command_that_is_still_open() {
+fn a_late_answer_serves_a_request_that_is_still_open() {
     testing::run(async {
         let recorder = Rc::new(Recorder::default());
         let mut settings = settings(3, Idempotency::Idempotent);
         settings.limits.may_duplicate = false;
         let dispatcher = dispatcher(settings, recorder.clone(), 3);
         let timers = Rc::clone(&dispatcher);
-        spawn_local(async move { timers.run().await });
+        spawn_local(async move { timers.run_timers().await });
         let (_, answer) = dispatcher.take(request("1", None)).unwrap();
         while dispatcher.counters.timeouts.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let [first, second] = &recorder.begun.take()[..] else { panic!("it is tried elsewhere") };
         let value = Answer::Value(Bytes::from_static(b"v"));
-        dispatcher.ended(first.id, End::Reply(Reply::Served(value.clone())));
+        dispatcher.on_attempt_ended(first.id, AttemptEnd::Reply(Reply::Served(value.clone())));
         assert_eq!(answer.await, Ok(value.clone()));
-        dispatcher.ended(second.id, End::Reply(Reply::Served(value)));
+        dispatcher.on_attempt_ended(second.id, AttemptEnd::Reply(Reply::Served(value)));
         assert_eq!((dispatcher.counters.served.get(), dispatcher.counters.served_late.get()), (1, 1));
-        assert!(dispatcher.inner.borrow().late.is_empty());
+        assert!(dispatcher.state.borrow().timed_out.is_empty());
     });
 }
 
 /// With a request's final answer, or its client's end, all its attempts are over: those that no byte has gone out of
 /// must never begin.
 #[test]
-fn what_is_out_is_over_with_its_command() {
+fn attempts_are_cancelled_once_their_request_is_closed() {
     testing::run(async {
         for gone in [false, true] {
             let (dispatcher, recorder) = with_timers(3, Idempotency::Idempotent, 3);
@@ -108,22 +112,22 @@
             }
             let [first, second] = &recorder.begun.take()[..] else { panic!("a second copy is out") };
             let now = dispatcher.clock.now();
-            assert!(!first.over(now) && !second.over(now));
+            assert!(!first.is_cancelled(now) && !second.is_cancelled(now));
             if gone {
-                dispatcher.gone(id);
+                dispatcher.on_client_gone(id);
             } else {
                 let value = Answer::Value(Bytes::from_static(b"v"));
-                dispatcher.ended(first.id, End::Reply(Reply::Served(value)));
+                dispatcher.on_attempt_ended(first.id, AttemptEnd::Reply(Reply::Served(value)));
                 assert!(answer.await.is_ok());
             }
-            assert!(first.over(now) && second.over(now));
+            assert!(first.is_cancelled(now) && second.is_cancelled(now));
         }
     });
 }
 
 /// Servers drop a repeat for a while after the first attempt: one that still waits for a connection then must not go out.
 #[test]
-fn a_repeat_goes_out_while_hosts_drop_it() {
+fn a_retry_is_written_only_within_the_deduplication_window() {
     testing::run(async {
         let recorder = Rc::new(Recorder::default());
         let mut settings = settings(3, Idempotency::WithIdempotencyKey);
@@ -134,52 +138,57 @@
         let _answer = dispatcher.take(request("1", Some(vec![]))).unwrap();
         tokio::time::sleep(Duration::from_millis(100)).await;
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
-        dispatcher.ended(attempt.id, End::Broken);
+        dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Broken);
         let repeat = recorder.begun.borrow_mut().pop().unwrap();
         let end = first.saturating_add(window);
-        assert!(!attempt.over(end) && !repeat.over(end.saturating_sub(Micros(1))) && repeat.over(end));
+        assert!(
+            !attempt.is_cancelled(end)
+                && !repeat.is_cancelled(end.saturating_sub(Micros(1)))
+                && repeat.is_cancelled(end)
+        );
     });
 }
 
 /// A list as long as a fleet's is known whole; of one that is far too long a bounded part is, with the origin at its end,
 /// and servers that go make room.
 #[test]
-fn a_list_is_bounded_far_over_a_fleets() {
+fn an_endless_endpoint_list_is_bounded() {
     let recorder = Rc::new(Recorder::default());
     let mode = juniperladder::CacheMode::Aside(testing::ORIGIN);
     let dispatcher = dispatcher(Settings { mode, ..settings(3, Idempotency::Idempotent) }, recorder, 0);
     let up = |n| testing::listed_server(ServerId(n), EndpointState::Serving);
     let mut origin = up(u64::MAX);
     origin.endpoint.kind = testing::ORIGIN;
-    let known = || dispatcher.inner.borrow().serving.len();
-    dispatcher.listed(EndpointUpdate::Snapshot, &(0..1_024).map(up).collect::<Vec<_>>());
+    let known = || dispatcher.state.borrow().servers.len();
+    dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &(0..1_024).map(up).collect::<Vec<_>>());
     assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (1_024, 0));
     let most = MAX_SERVERS as u64;
-    dispatcher.listed(
+    dispatcher.on_endpoints_changed(
         EndpointUpdate::Snapshot,
         &(0..most + 10).map(up).chain([origin.clone()]).collect::<Vec<_>>(),
     );
-    assert!(dispatcher.inner.borrow().balancer.origin() == Some(origin.endpoint.server));
-    dispatcher.listed(EndpointUpdate::Delta, &[up(most * 2)]);
+    assert!(dispatcher.state.borrow().balancer.origin() == Some(origin.endpoint.server));
+    dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[up(most * 2)]);
     assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (MAX_SERVERS + 1, 11));
     let gone: Vec<ListedServer> =
         (0..5).map(|n| testing::listed_server(ServerId(n), EndpointState::Deleted)).collect();
-    dispatcher.listed(EndpointUpdate::Delta, &gone);
-    dispatcher.listed(EndpointUpdate::Delta, &(most * 2..most * 2 + 9).map(up).collect::<Vec<_>>());
+    dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &gone);
+    dispatcher
+        .on_endpoints_changed(EndpointUpdate::Delta, &(most * 2..most * 2 + 9).map(up).collect::<Vec<_>>());
     assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (MAX_SERVERS, 16));
 }
 
 /// A process that is told to end has an answer for all that it took before its time is up: what was open then, what
 /// connections that are not closed yet still bring, and at once for what comes after.
 #[test]
-fn a_process_that_ends_answers_all_that_it_took() {
+fn every_open_request_is_answered_by_the_final_deadline() {
     testing::run(async {
         let (dispatcher, recorder) = with_timers(3, Idempotency::NotIdempotent, 3);
         let start = Instant::now();
         let (_, first) = dispatcher.take(request("1", None)).unwrap();
         settle().await;
         let last = Duration::from_millis(200);
-        dispatcher.end_by(dispatcher.clock.now().saturating_add(crate::clock::micros(last)));
+        dispatcher.set_final_deadline(dispatcher.clock.now().saturating_add(crate::clock::micros(last)));
         tokio::time::sleep(last / 2).await;
         let (_, second) = dispatcher.take(request("2", None)).unwrap();
         assert!(first.await.is_ok() && second.await.is_ok());
@@ -192,23 +201,23 @@
 
 /// An id names one open request; once that is over it may come again.
 #[test]
-fn an_id_in_use_is_not_taken() {
+fn a_request_with_an_id_in_use_is_not_taken() {
     testing::run(async {
         let (dispatcher, recorder) = with_timers(1, Idempotency::Idempotent, 1);
         for _ in 0..2 {
             let (_, answer) = dispatcher.take(request("1", None)).unwrap();
             assert!(dispatcher.take(request("1", None)).is_none());
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
-            dispatcher.ended(attempt.id, End::Spoilt);
+            dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Malformed);
             assert!(matches!(answer.await, Ok(Answer::Rejected(_) | Answer::Failed)));
         }
-        assert!(dispatcher.inner.borrow().ids.is_empty());
+        assert!(dispatcher.state.borrow().client_ids.is_empty());
     });
 }
 
 /// A server that joins is cold, and one that joined long ago warm, however far off the wall clock is that tells its start.
 #[test]
-fn a_wall_clock_that_is_off_makes_no_server_warm_or_cold() {
+fn a_wrong_wall_clock_changes_no_slow_start() {
     const WARM_UP: Duration = Duration::from_secs(9);
     const HOUR: u64 = 3_600_000_000;
     let sends_in_a_second = |told: &dyn Fn(u64) -> u64, age: Duration| {
@@ -216,12 +225,12 @@
             let (dispatcher, recorder) = with_timers(1, Idempotency::Idempotent, 3);
             let old: Vec<ListedServer> =
                 (0..3).map(|n| testing::listed_server(ServerId(9 + n), EndpointState::Serving)).collect();
-            dispatcher.listed(EndpointUpdate::Snapshot, &old);
+            dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &old);
             tokio::time::sleep(Duration::from_secs(2)).await;
-            dispatcher.list_confirmed();
+            dispatcher.on_endpoints_confirmed();
             let mut joined = testing::listed_server(ServerId(50), EndpointState::Serving);
             joined.endpoint.started = juniperladder::Micros(told(dispatcher.clock().now().0));
-            dispatcher.listed(EndpointUpdate::Delta, &[joined]);
+            dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[joined]);
             tokio::time::sleep(age).await;
             recorder.begun.borrow_mut().clear();
             for number in 0..400 {
@@ -230,7 +239,10 @@
                 let _answer = dispatcher.take(one);
                 for attempt in recorder.begun.borrow().iter().filter(|a| a.request.id == format!("c{number}"))
                 {
-                    dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value(Bytes::new()))));
+                    dispatcher.on_attempt_ended(
+                        attempt.id,
+                        AttemptEnd::Reply(Reply::Served(Answer::Value(Bytes::new()))),
+                    );
                 }
                 tokio::time::sleep(Duration::from_micros(2_500)).await;
             }
--- a/dispatch/src/dispatcher/timers.rs
+++ b/dispatch/src/dispatcher/timers.rs
@@ -1,57 +1,68 @@
-//! The dispatcher's timers: the decisions' own, the end of each attempt's time, and each request's deadline behind them.
+//! The dispatcher's timers: the decisions' own, the deadline of each attempt, and each request's deadline behind them.
 
 use std::cmp::Reverse;
 
 use juniperladder::{Event, Micros};
 use tokio::time::sleep_until;
 
-use super::state::{Due, NEVER};
+use super::state::{DispatcherState, Timer, NEVER};
 use super::Dispatcher;
 use crate::counters::increment;
+use crate::identifiers::AttemptId;
+use crate::request::ClientRequestId;
 use crate::values::Answer;
 
+/// The longest sleep without a look at the timers: the runtime's clock reaches less far than [`NEVER`].
+const MAX_SLEEP: Micros = Micros(3_600_000_000);
+
 impl Dispatcher {
     /// Fires the timers, for as long as it is polled.
-    pub async fn run(&self) {
+    pub async fn run_timers(&self) {
         loop {
-            let next = self.fire();
+            let next = self.fire_due_timers();
             self.next_timer.set(next);
+            let wake_at = next.min(self.clock.now().saturating_add(MAX_SLEEP));
             tokio::select! {
-                () = sleep_until(self.clock.instant(next.min(self.clock.now().saturating_add(Micros(3_600_000_000))))) => {}
+                () = sleep_until(self.clock.instant(wake_at)) => {}
                 () = self.timer_set.notified() => {}
             }
         }
     }
 
-    /// Fires what is due and tells when the next timer is.
-    fn fire(&self) -> Micros {
+    /// Fires what is due and returns when the next timer is.
+    fn fire_due_timers(&self) -> Micros {
         loop {
-            let mut inner = self.inner.borrow_mut();
+            let mut state = self.state.borrow_mut();
             let now = self.clock.now();
-            match inner.timers.peek() {
+            match state.timers.peek() {
                 Some(Reverse((at, _))) if *at <= now => {}
                 Some(Reverse((at, _))) => return *at,
                 None => return NEVER,
             }
-            let Some(Reverse((_, due))) = inner.timers.pop() else { continue };
-            match due {
-                Due::Module(token) => self.handle(&mut inner, now, Event::Timer(token)),
-                Due::Attempt(id) => self.expire(&mut inner, id),
-                // Most are over by now.
-                Due::Request(id) if !inner.requests.contains_key(&id) => {}
-                Due::Request(id) => {
-                    // The attempts' time-outs come first and let the decisions end it; this guards against
-                    // a request that it has forgotten.
-                    let out: Vec<_> =
-                        inner.attempts.iter().filter(|(_, r)| r.request == id).map(|(id, _)| *id).collect();
-                    out.into_iter().for_each(|id| self.expire(&mut inner, id));
-                    if inner.requests.contains_key(&id) {
-                        increment(&self.counters.overdue);
-                        self.finish(&mut inner, id, Answer::Failed);
-                        self.handle(&mut inner, now, Event::ClientDisconnected(id.to_request_id()));
-                    }
-                }
+            let Some(Reverse((_, timer))) = state.timers.pop() else { continue };
+            match timer {
+                Timer::Decisions(token) => self.handle(&mut state, now, Event::Timer(token)),
+                Timer::Attempt(id) => self.on_attempt_timeout(&mut state, id),
+                Timer::Request(id) => self.on_request_deadline(&mut state, now, id),
             }
         }
     }
+
+    /// The deadline of a request has come; most are over by then. The attempts' time-outs come first and let the
+    /// decisions end it: this guards against a request that they have forgotten.
+    fn on_request_deadline(&self, state: &mut DispatcherState, now: Micros, id: ClientRequestId) {
+        if !state.requests.contains_key(&id) {
+            return;
+        }
+        let attempts = state.attempts.iter().filter(|(_, attempt)| attempt.request == id);
+        let attempts: Vec<AttemptId> = attempts.map(|(id, _)| *id).collect();
+        for attempt in attempts {
+            self.on_attempt_timeout(state, attempt);
+        }
+        if state.requests.contains_key(&id) {
+            increment(&self.counters.overdue);
+            self.answer(state, id, Answer::Failed);
+            self.handle(state, now, Event::ClientDisconnected(id.to_request_id()));
+        }
+    }
 }
--- a/dispatch/src/numbers.rs
+++ b/dispatch/src/identifiers.rs
@@ -1,11 +1,13 @@
-//! The numbers of servers and keys: the same at every balancer and after every restart, from the names alone. And
-//! those of attempts, which are this process's own.
+//! The identifiers of servers, keys and attempts.
+//!
+//! Guarantee: those of servers and keys are made from their names alone, and so are the same at every balancer and after
+//! every restart. Those of attempts are this process's own.
 
 use std::fmt;
 
 use juniperladder::{Key, ServerId};
 
-/// Names one attempt for as long as the program runs.
+/// Identifies one attempt for as long as the process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId(pub u64);
 
@@ -18,22 +20,22 @@
     mixed ^ (mixed >> 33)
 }
 
-/// A key's number: its own value where it is sixteen hexadecimal digits, so that no two of them meet,
+/// A key's identifier: its own value where it is sixteen hexadecimal digits, so that no two of them meet,
 /// and a hash otherwise. Placement rests on its being the same everywhere.
 pub fn key(text: &[u8]) -> Key {
     Key(hexadecimal(text, 16).unwrap_or_else(|| hash(text)))
 }
 
-/// A server's number, from its name alone: nothing is kept for servers that have gone, and every balancer has the
-/// same number whatever it has seen before. Names of the usual form have the value of their digits, below
+/// A server's identifier, from its name alone: nothing is stored for servers that have gone, and every balancer has the
+/// same one whatever it has seen before. Names of the usual form have the value of their digits, below
 /// 2^32; the others have a hash above 2^63, so that the two kinds never meet.
-pub fn server(name: &str) -> ServerId {
+pub fn server_id(name: &str) -> ServerId {
     let digits = name.strip_prefix("s-").and_then(|digits| hexadecimal(digits.as_bytes(), 8));
     ServerId(digits.unwrap_or_else(|| hash(name.as_bytes()) | 1 << 63))
 }
 
-/// How the log names a server: by the name itself where it has the usual form, and by its number otherwise. Written only where
-/// a line is, as the lines of single requests mostly are not.
+/// How the log names a server: by the name itself where it has the usual form, and by its identifier otherwise. Formatted only
+/// where a line is written, as the lines of single requests mostly are not.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLabel(pub ServerId);
 
--- a/dispatch/src/log_throttle.rs
+++ b/dispatch/src/log_throttle.rs
@@ -1,4 +1,4 @@
-//! Limits the log to one line a cause and second, as peers can bring things about as fast as they like.
+//! Limits the log to one line for each cause and second, as peers can bring things about as fast as they like.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -11,18 +11,18 @@
 /// Limits the lines of one cause.
 #[derive(Debug, Default)]
 pub struct LogThrottle {
-    last: Cell<Option<Instant>>,
+    last_line: Cell<Option<Instant>>,
 }
 
 impl LogThrottle {
-    /// Whether a line may be written now. It is taken to be.
+    /// Whether a line may be written now. It is taken to be written.
     pub fn allows(&self) -> bool {
         let now = Instant::now();
-        let allowed = self.last.get().is_none_or(|last| now.duration_since(last) >= LINE_INTERVAL);
-        if allowed {
-            self.last.set(Some(now));
+        let is_allowed = self.last_line.get().is_none_or(|last| now.duration_since(last) >= LINE_INTERVAL);
+        if is_allowed {
+            self.last_line.set(Some(now));
         }
-        allowed
+        is_allowed
     }
 }
 
--- a/dispatch/src/log_throttle/tests.rs
+++ b/dispatch/src/log_throttle/tests.rs
@@ -3,7 +3,7 @@
 
 /// What a peer does without end fills no log: one line at once, and then one a second.
 #[test]
-fn a_flood_is_told_of_once_a_second() {
+fn a_flood_is_logged_once_a_second() {
     testing::run(async {
         let (throttle, mut written) = (LogThrottle::default(), 0);
         for _ in 0..3_500 {
--- a/dispatch/src/operators.rs
+++ b/dispatch/src/operators.rs
@@ -10,8 +10,8 @@
 use rustc_hash::FxHashSet;
 
 use crate::dispatcher::Dispatcher;
-use crate::numbers::server;
-use crate::tally::Ended;
+use crate::identifiers::server_id;
+use crate::request_metrics::RequestOutcome;
 
 /// Why an operator is told no.
 pub const NEVER_LISTED: &str = "no such cache host has been listed; give an instanceId of the list";
@@ -29,10 +29,10 @@
 
     fn ban(&self, name: &str, must_be_known: bool) -> Result<(), &'static str> {
         let now = self.clock().now();
-        let mut inner = self.inner.borrow_mut();
-        let told = inner.bans.ban(server(name), name, now, must_be_known).map_err(|_| NEVER_LISTED)?;
+        let mut state = self.state.borrow_mut();
+        let told = state.bans.ban(server_id(name), name, now, must_be_known).map_err(|_| NEVER_LISTED)?;
         if let Some(listed_server) = told {
-            self.tell(&mut inner, EndpointUpdate::OperatorOverride, &[listed_server]);
+            self.apply_endpoints(&mut state, EndpointUpdate::OperatorOverride, &[listed_server]);
         }
         Ok(())
     }
@@ -40,44 +40,47 @@
     /// Ends a ban: the server serves again as discovery has it, cold as one that has just started.
     pub fn online(&self, name: &str) -> Result<(), &'static str> {
         let now = self.clock().now();
-        let mut inner = self.inner.borrow_mut();
-        let told = inner.bans.unban(server(name), now).map_err(|_| NEVER_LISTED)?;
+        let mut state = self.state.borrow_mut();
+        let told = state.bans.unban(server_id(name), now).map_err(|_| NEVER_LISTED)?;
         if let Some(listed_server) = told {
-            self.tell(&mut inner, EndpointUpdate::OperatorOverride, &[listed_server]);
+            self.apply_endpoints(&mut state, EndpointUpdate::OperatorOverride, &[listed_server]);
         }
         Ok(())
     }
 
     /// The names of the servers out by hand.
     pub fn banned(&self) -> Vec<String> {
-        self.inner.borrow().bans.names()
+        self.state.borrow().bans.names()
     }
 
     /// The figures in the Prometheus text format, one class a label, then `more` and the line `--`.
     pub fn figures(&self, classes: &[String], more: &str) -> String {
-        let in_progress = self.in_progress() as u64;
-        let inner = self.inner.borrow();
+        let in_progress = self.requests_in_progress() as u64;
+        let state = self.state.borrow();
         let mut text = String::new();
-        let endings =
-            [("passed", Ended::Passed), ("dropped", Ended::Dropped), ("bad_gateway", Ended::Failed)];
+        let endings = [
+            ("passed", RequestOutcome::Served),
+            ("dropped", RequestOutcome::Rejected),
+            ("bad_gateway", RequestOutcome::Failed),
+        ];
         for (name, how) in endings {
             let _ = writeln!(text, "# TYPE app_{name} counter");
-            for (class, count) in self.tally.ended(how).into_iter().enumerate() {
+            for (class, count) in self.request_metrics.count_by_class(how).into_iter().enumerate() {
                 let category = classes.get(class).map_or("unknown", String::as_str);
                 let _ = writeln!(text, "app_{name}{{category=\"{}\"}} {count}", escape(category));
             }
         }
-        let (limits, _) = inner.balancer.limits(self.clock().now());
+        let (limits, _) = state.balancer.limits(self.clock().now());
         let gapped: FxHashSet<ServerId> =
             limits.iter().filter(|limit| limit.gap.0 > 0).map(|limit| limit.server).collect();
-        let known: Vec<ServerId> = inner
+        let known: Vec<ServerId> = state
             .bans
             .listed()
             .filter(|listed_server| self.origin != Some(listed_server.endpoint.kind))
             .map(|listed_server| listed_server.endpoint.server)
             .collect();
         let skipped =
-            known.iter().filter(|server| inner.bans.banned(**server) || gapped.contains(server)).count();
+            known.iter().filter(|server| state.bans.banned(**server) || gapped.contains(server)).count();
         let gauges = [
             ("upstream_tries", "counter", self.counters().attempts_written.get()),
             ("in_progress", "gauge", in_progress),
--- a/dispatch/src/operators/tests.rs
+++ b/dispatch/src/operators/tests.rs
@@ -8,17 +8,17 @@
 use tokio::time::{timeout, Duration};
 
 use super::*;
-use crate::dispatcher::{Answer, End, ListedServer, Reply};
+use crate::dispatcher::{Answer, AttemptEnd, ListedServer, Reply};
 use crate::testing::{self, dispatcher, listed_server, request, settings, Recorder, SERVER};
 
 const NAME: &str = "s-00000009";
 
 fn balancer() -> (Rc<Dispatcher>, Rc<Recorder>) {
-    assert_eq!(server(NAME), SERVER);
+    assert_eq!(server_id(NAME), SERVER);
     let recorder = Rc::new(Recorder::default());
     let dispatcher = dispatcher(settings(3, Idempotency::Idempotent), recorder.clone(), 4);
     let timers = Rc::clone(&dispatcher);
-    spawn_local(async move { timers.run().await });
+    spawn_local(async move { timers.run_timers().await });
     (dispatcher, recorder)
 }
 
@@ -31,7 +31,8 @@
         let (_, answer) = dispatcher.take(asked).unwrap();
         for attempt in recorder.begun.take() {
             there += usize::from(attempt.server == SERVER);
-            dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value("v".into()))));
+            dispatcher
+                .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value("v".into()))));
         }
         assert!(matches!(answer.await, Ok(Answer::Value(_) | Answer::Rejected(_))));
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -58,9 +59,11 @@
             dispatcher.online(NAME).unwrap();
             dispatcher.restore_ban(NAME);
             dispatcher.online(NAME).unwrap();
-            timeout(within, dispatcher.watch_wanted()).await.expect("the list has to be asked for in time");
-            dispatcher.listed(EndpointUpdate::Delta, &[]);
-            dispatcher.listed(EndpointUpdate::Unavailable, &[]);
+            timeout(within, dispatcher.wait_for_watch_request())
+                .await
+                .expect("the list has to be asked for in time");
+            dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[]);
+            dispatcher.on_endpoints_changed(EndpointUpdate::Unavailable, &[]);
         }
     });
 }
@@ -91,11 +94,11 @@
         }
         for (kind, servers) in news {
             for (dispatcher, recorder) in &fleet {
-                dispatcher.listed(kind, &servers);
+                dispatcher.on_endpoints_changed(kind, &servers);
                 assert_eq!(sent_there(dispatcher, recorder, 40).await, 0, "{kind:?} {servers:?}");
                 dispatcher.offline(NAME).expect("a second call is the same");
                 if dispatcher
-                    .inner
+                    .state
                     .borrow()
                     .bans
                     .listed()
--- a/dispatch/src/request.rs
+++ b/dispatch/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests and the attempts at them, with the ticket by which an attempt sends the last byte of a long value.
+//! Requests and the attempts at them, with the handle by which an attempt sends the last byte of a streamed value.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -7,14 +7,15 @@
 use juniperladder::{Micros, RequestId, ServerId};
 use tokio::sync::oneshot;
 
-use crate::numbers::AttemptId;
+use crate::identifiers::AttemptId;
 
 /// Names one request for as long as the program runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClientRequestId(pub(crate) u64);
 
 impl ClientRequestId {
-    // The module's id is one of the dispatcher's own: a client that gives one id twice confuses nobody.
+    /// The id by which the decisions know it. It is one of the dispatcher's own: a client that gives one id twice
+    /// confuses nobody.
     pub(crate) fn to_request_id(self) -> RequestId {
         let mut bytes = [0; 36];
         bytes[..8].copy_from_slice(&self.0.to_le_bytes());
@@ -31,15 +32,15 @@
 pub struct ClientRequest {
     /// The client's id for it.
     pub id: Bytes,
-    /// What it is about.
+    /// The key that it reads or writes.
     pub key: Bytes,
-    /// The value that it writes; none for a read, and empty for a long one.
+    /// The value that it writes; none for a read, and empty for a streamed one.
     pub value: Option<Bytes>,
-    /// For a long value that it writes: what sends the last byte of it, where the rest is on its way already.
-    pub ticket: Option<Ticket>,
-    /// Its class, by its place in the settings.
+    /// For a streamed value that it writes: what sends the last byte of it, where the rest is on its way already.
+    pub upload: Option<UploadHandle>,
+    /// Its class, by its position in the settings.
     pub class: u32,
-    /// Whose it is, by the tenant's place in the settings; beyond them for one that they do not name, and for nobody's.
+    /// Its tenant, by its position in the settings; beyond them for one that they do not name, and for none.
     pub tenant: u32,
     /// Whether the client marked it as a retry of its own.
     pub retry: bool,
@@ -52,78 +53,79 @@
 /// One attempt at a request at one server.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Its name.
+    /// Its id.
     pub id: AttemptId,
     /// What to send.
     pub request: Rc<ClientRequest>,
     /// Where to.
     pub server: ServerId,
     /// Until when its answer is waited for.
-    pub until: Micros,
-    /// Until when it may go out.
-    pub(crate) by: Micros,
-    pub(crate) over: Over,
+    pub deadline: Micros,
+    /// Until when its bytes may be written.
+    pub(crate) write_deadline: Micros,
+    pub(crate) request_closed: ClosedFlag,
 }
 
 /// Set once a request has its final answer, or its client is gone or sends no more: shared by all its attempts.
-pub(crate) type Over = Rc<Cell<bool>>;
+pub(crate) type ClosedFlag = Rc<Cell<bool>>;
 
 impl Attempt {
     /// Whether no byte of it may be written any more: nobody waits for it, so that a server would do work that is for nobody,
-    /// after the request's final answer; or it is a repeat, and servers may no longer know the request to drop it. Whoever
+    /// after the request's final answer; or it is a retry, and servers may no longer know the request to drop it. Whoever
     /// carries it asks before each write.
-    pub fn over(&self, now: Micros) -> bool {
-        self.over.get() || now >= self.by
+    pub fn is_cancelled(&self, now: Micros) -> bool {
+        self.request_closed.get() || now >= self.write_deadline
     }
 }
 
-/// The attempt that a long value waits for, to send its last byte.
+/// The attempt that a streamed value waits for, to send its last byte.
 #[derive(Debug)]
-pub struct Go {
+pub struct LastByte {
     /// What to send, where to and until when.
     pub attempt: Attempt,
     /// The last byte.
-    pub last: Bytes,
+    pub byte: Bytes,
 }
 
-/// Where a connection that has all but the last byte of a value hears of the attempt.
-pub type Going = oneshot::Receiver<Go>;
+/// Where a connection that has all but the last byte of a value receives that.
+pub type LastByteReceiver = oneshot::Receiver<LastByte>;
 
-/// Stands in a request for a long value, all of which but the last byte is on its way to one server. The way ends
-/// where the last holder lets go of it unused: that value never ran.
+/// Stands in a request for a streamed value, all of which but the last byte is on its way to one server. The connection ends
+/// where the last clone is dropped unused: that value was never executed.
 #[derive(Clone, Debug)]
-pub struct Ticket {
+pub struct UploadHandle {
     server: ServerId,
-    last: Bytes,
-    go: Rc<RefCell<Option<oneshot::Sender<Go>>>>,
+    last_byte: Bytes,
+    connection: Rc<RefCell<Option<oneshot::Sender<LastByte>>>>,
 }
 
-/// A ticket to this server, and what it leads to.
-pub fn ticket(server: ServerId) -> (Ticket, Going) {
+/// A handle of an upload to this server, and the receiver for its connection.
+pub fn upload_handle(server: ServerId) -> (UploadHandle, LastByteReceiver) {
     let (sender, receiver) = oneshot::channel();
-    (Ticket { server, last: Bytes::new(), go: Rc::new(RefCell::new(Some(sender))) }, receiver)
+    let connection = Rc::new(RefCell::new(Some(sender)));
+    (UploadHandle { server, last_byte: Bytes::new(), connection }, receiver)
 }
 
-impl Ticket {
-    /// The whole value has come, and this is its last byte.
-    pub fn whole(self, last: Bytes) -> Ticket {
-        Ticket { last, ..self }
+impl UploadHandle {
+    /// The same handle with the last byte, once the complete value has come.
+    pub fn with_last_byte(self, last_byte: Bytes) -> UploadHandle {
+        UploadHandle { last_byte, ..self }
     }
 
     /// Sends the last byte as this attempt. False where that cannot be: it has been used, leads to another
     /// server, or its connection has ended.
-    pub fn give(&self, attempt: Attempt) -> bool {
-        if attempt.server != self.server || self.last.is_empty() {
+    pub fn send_last_byte(&self, attempt: Attempt) -> bool {
+        if attempt.server != self.server || self.last_byte.is_empty() {
             return false;
         }
-        let go = Go { attempt, last: self.last.clone() };
-        self.go.take().is_some_and(|sender| sender.send(go).is_ok())
+        let last_byte = LastByte { attempt, byte: self.last_byte.clone() };
+        self.connection.take().is_some_and(|sender| sender.send(last_byte).is_ok())
     }
 }
 
-/// Two are the same if they lead to the same connection.
-impl PartialEq for Ticket {
-    fn eq(&self, other: &Ticket) -> bool {
-        Rc::ptr_eq(&self.go, &other.go)
+/// Two handles are equal if they lead to the same connection.
+impl PartialEq for UploadHandle {
+    fn eq(&self, other: &UploadHandle) -> bool {
+        Rc::ptr_eq(&self.connection, &other.connection)
     }
 }
--- /dev/null
+++ b/dispatch/src/streamed_value/tests.rs
@@ -0,0 +1,45 @@
+use super::*;
+use crate::testing;
+
+/// The client gets the last byte only once the end was found right, whatever the chunks.
+#[test]
+fn the_last_byte_is_sent_only_after_a_well_formed_end() {
+    testing::run(async {
+        for chunk_bytes in [1, 3, 10] {
+            for is_end_well_formed in [true, false] {
+                let (mut sender, receiver) = streamed_value(10);
+                let server = async move {
+                    for chunk in b"0123456789".chunks(chunk_bytes) {
+                        sender.send(Bytes::copy_from_slice(chunk)).await.unwrap();
+                    }
+                    if is_end_well_formed {
+                        sender.finish().await.unwrap();
+                    }
+                };
+                let client = async {
+                    let mut received = Vec::new();
+                    while let Some(chunk) = receiver.next().await {
+                        received.extend_from_slice(&chunk);
+                    }
+                    received
+                };
+                let (received, ()) = tokio::join!(client, server);
+                assert_eq!(received, if is_end_well_formed { &b"0123456789"[..] } else { b"012345678" });
+            }
+        }
+    });
+}
+
+/// The server's side waits for the client, and ends when the client is gone.
+#[test]
+fn a_slow_client_holds_the_sender_back_until_it_is_gone() {
+    testing::run(async {
+        let (mut sender, receiver) = streamed_value(100);
+        sender.send(Bytes::from_static(b"a")).await.unwrap();
+        let second = sender.send(Bytes::from_static(b"b"));
+        assert!(tokio::time::timeout(std::time::Duration::from_secs(9), second).await.is_err());
+        drop(receiver);
+        assert_eq!(sender.send(Bytes::from_static(b"c")).await, Err(ReceiverGone));
+        sender.wait_for_receiver_gone().await;
+    });
+}
--- a/dispatch/src/testing.rs
+++ b/dispatch/src/testing.rs
@@ -1,4 +1,4 @@
-//! The one helper of the tests of requests and of the network: a dispatcher over one server whose attempts are only written down.
+//! Fixtures for the tests of requests and of the network: a dispatcher whose carrier only records the attempts.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -16,23 +16,23 @@
 /// The only server.
 pub const SERVER: ServerId = ServerId(9);
 
-/// A carrier that carries nothing.
+/// A carrier that only records what it is asked for.
 #[derive(Default)]
 pub struct Recorder {
-    /// What has begun, oldest first.
+    /// Attempts that have begun, oldest first.
     pub begun: RefCell<Vec<Attempt>>,
-    /// The long values that are being written.
+    /// Uploads that have begun.
     pub uploads: RefCell<Vec<Upload>>,
-    /// What was abandoned.
+    /// Attempts that were abandoned.
     pub abandoned: RefCell<Vec<AttemptId>>,
 }
 
 impl Carrier for Recorder {
-    fn listed(&self, _: EndpointUpdate, _: &[ListedServer]) {}
-    fn begin(&self, attempt: Attempt) {
+    fn on_endpoints_changed(&self, _: EndpointUpdate, _: &[ListedServer]) {}
+    fn begin_attempt(&self, attempt: Attempt) {
         self.begun.borrow_mut().push(attempt);
     }
-    fn upload(&self, upload: Upload) {
+    fn begin_upload(&self, upload: Upload) {
         self.uploads.borrow_mut().push(upload);
     }
     fn abandon(&self, id: AttemptId, _: ServerId) -> bool {
@@ -87,11 +87,11 @@
 
 /// A dispatcher by this carrier that knows so many servers, the first of which is `SERVER`.
 pub fn dispatcher(settings: Settings, carrier: Rc<dyn Carrier>, servers: u32) -> Rc<Dispatcher> {
-    seeded_exchange(settings, 7, carrier, servers)
+    seeded_dispatcher(settings, 7, carrier, servers)
 }
 
 /// The same with a seed of its own, as each process of a fleet has.
-pub fn seeded_exchange(
+pub fn seeded_dispatcher(
     settings: Settings,
     seed: u64,
     carrier: Rc<dyn Carrier>,
@@ -102,7 +102,7 @@
     let servers: Vec<ListedServer> = (0..servers)
         .map(|n| listed_server(ServerId(SERVER.0 + u64::from(n)), EndpointState::Serving))
         .collect();
-    dispatcher.listed(EndpointUpdate::Restored, &servers);
+    dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &servers);
     dispatcher
 }
 
@@ -112,7 +112,7 @@
         id: Bytes::copy_from_slice(id.as_bytes()),
         key: Bytes::from_static(b"7f3a9c21e0b4d655"),
         value: value.map(Bytes::from),
-        ticket: None,
+        upload: None,
         class: 0,
         tenant: 0,
         retry: false,
--- a/dispatch/src/values.rs
+++ b/dispatch/src/values.rs
@@ -1,11 +1,11 @@
-//! The values that every protocol and every side shares: answers, replies and servers.
+//! The values that every protocol and both sides share: answers, replies and servers.
 
 use std::net::SocketAddr;
 
 use bytes::Bytes;
 use juniperladder::{Endpoint, Micros};
 
-use crate::long::Long;
+use crate::streamed_value::ChunkReceiver;
 
 /// A request's final answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -13,21 +13,21 @@
     /// Served: the value read.
     Value(Bytes),
     /// Served: a value read that is passed on while it still comes.
-    Long(Long),
+    Streamed(ChunkReceiver),
     /// Served: the receipt of a write.
     Receipt(Bytes),
-    /// A rejection: trying again is harmless, after this time if it is not zero.
+    /// Rejected: a retry is harmless, after this time if it is not zero.
     Rejected(Micros),
     /// Failed.
     Failed,
 }
 
 impl Answer {
-    /// What the log calls it.
+    /// Its name in the log.
     pub fn label(&self) -> &'static str {
         match self {
             Answer::Value(_) => "value",
-            Answer::Long(_) => "streamed value",
+            Answer::Streamed(_) => "streamed value",
             Answer::Receipt(_) => "receipt",
             Answer::Rejected(_) => "busy",
             Answer::Failed => "failed",
@@ -45,17 +45,17 @@
         /// Whether another fetch of the key is out.
         fetch_in_progress: bool,
     },
-    /// It failed; it may have run.
+    /// It failed; the attempt may have been executed.
     Error,
-    /// Turned away; it never ran.
-    Full,
+    /// It rejected the attempt, which was not executed.
+    Rejected,
 }
 
 /// A server of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListedServer {
-    /// What the decisions is told of it.
+    /// What the decisions know of it.
     pub endpoint: Endpoint,
-    /// Where it listens.
+    /// Where it listens; none if discovery names no address.
     pub address: Option<SocketAddr>,
 }
--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -71,7 +71,7 @@
         let endpoint_list = NameTable::new(config.names);
         let known_generation = config.known.generation;
         let known_servers = endpoint_list.read(config.known, &log);
-        dispatcher.listed(EndpointUpdate::Restored, &known_servers);
+        dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &known_servers);
 
         let shutdown = Rc::new(GracefulShutdown::default());
         let listener = bind_client_listener(config.listen).await?;
@@ -138,7 +138,7 @@
                 () = signals.end.recv() => return,
                 _ = signals.report.recv() => {
                     self.log_counters();
-                    self.dispatcher.tell_limits();
+                    self.dispatcher.log_limits();
                 }
                 _ = signals.reload.recv() => {
                     // The file may have to be read for a moment, which must not hold up a signal to end.
@@ -154,9 +154,9 @@
         let signalled_at = Instant::now();
         let time_for_answers = graceful_shutdown::time_for_answers(self.longest_deadline);
         let clock = self.dispatcher.clock();
-        self.dispatcher.end_by(clock.now().saturating_add(clock::micros(time_for_answers)));
+        self.dispatcher.set_final_deadline(clock.now().saturating_add(clock::micros(time_for_answers)));
         self.shutdown.run(signalled_at, time_for_answers + graceful_shutdown::EXIT_DELAY).await;
-        self.dispatcher.idle().await;
+        self.dispatcher.wait_until_idle().await;
         if let Some(peers) = &self.peers {
             peers.leave();
         }
@@ -218,7 +218,7 @@
 
 fn start_timers(dispatcher: &Rc<Dispatcher>) {
     let dispatcher = Rc::clone(dispatcher);
-    spawn_local(async move { dispatcher.run().await });
+    spawn_local(async move { dispatcher.run_timers().await });
 }
 
 async fn bind_client_listener(address: SocketAddr) -> Result<TcpListener, StartError> {
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -13,8 +13,8 @@
 
 use fastrand::Rng;
 use juniperladder::EndpointUpdate;
+use juniperladder_dispatch::identifiers::ServerLabel;
 use juniperladder_dispatch::log_throttle::LogThrottle;
-use juniperladder_dispatch::numbers::ServerLabel;
 use slog::{debug, info, warn, Logger};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep_until, Instant};
@@ -84,7 +84,7 @@
                 follower.turn(address);
             }
             Some(message) = news.recv() => follower.on_message(message),
-            () = dispatcher.watch_wanted() => follower.on_wanted(),
+            () = dispatcher.wait_for_watch_request() => follower.on_wanted(),
             () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => follower.on_deadline(),
         }
     }
@@ -176,8 +176,8 @@
             News::List(catalog) => self.on_list(watch, catalog),
             News::NoChange => match self.watches.on_no_change(watch, Instant::now()) {
                 // It has answered, though with nothing: the decisions need not ask again.
-                NoChange::Answered => self.dispatcher.listed(EndpointUpdate::Delta, &[]),
-                NoChange::Confirmed => self.dispatcher.list_confirmed(),
+                NoChange::Answered => self.dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[]),
+                NoChange::Confirmed => self.dispatcher.on_endpoints_confirmed(),
                 NoChange::Nothing => {}
             },
             News::Ended(problem) => {
@@ -215,7 +215,7 @@
         increment(&self.dispatcher.counters().endpoint_updates);
         info!(self.log, "list"; "call" => ?watch, "generation" => generation,
             "whole" => kind == EndpointUpdate::Snapshot, "entries" => servers.len());
-        self.dispatcher.listed(kind, &servers);
+        self.dispatcher.on_endpoints_changed(kind, &servers);
     }
 
     /// A call or a watch has failed: another call is due after a wait.
@@ -234,7 +234,7 @@
         }
         self.again = self.pushed.map(|wait| now + wait);
         // From here on the decisions spaces the calls out: it asks again after a wait of its own.
-        self.dispatcher.listed(EndpointUpdate::Unavailable, &[]);
+        self.dispatcher.on_endpoints_changed(EndpointUpdate::Unavailable, &[]);
     }
 }
 
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -205,9 +205,9 @@
 fn balancer_at(address: SocketAddr, calls: Calls, subscribe: bool) -> Balancer {
     let mut settings = testing::settings(1, Idempotency::Idempotent);
     settings.subscribe = subscribe;
-    let dispatcher = testing::seeded_exchange(settings, calls.seed, Rc::new(Recorder::default()), 1);
+    let dispatcher = testing::seeded_dispatcher(settings, calls.seed, Rc::new(Recorder::default()), 1);
     let timers = Rc::clone(&dispatcher);
-    spawn_local(async move { timers.run().await });
+    spawn_local(async move { timers.run_timers().await });
     let (address, turns) = watch::channel(address);
     spawn_local(follow(NameTable::default(), None, turns, Rc::clone(&dispatcher), calls, log()));
     Balancer { dispatcher, address }
--- a/node/src/passing.rs
+++ b/node/src/download.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::{BufMut, Bytes, BytesMut};
-use juniperladder_dispatch::long::Feed;
+use juniperladder_dispatch::streamed_value::ChunkSender;
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::time::timeout;
 
@@ -43,12 +43,12 @@
     stream: &mut S,
     input: &mut BytesMut,
     body: &mut Body,
-    mut feed: Feed,
+    mut feed: ChunkSender,
     most: usize,
 ) -> Result<(), Option<String>> {
     loop {
         let (piece, end) = body.take(input).map_err(Some)?;
-        feed.push(piece).await.map_err(|_| None)?;
+        feed.send(piece).await.map_err(|_| None)?;
         if end {
             if matches!(body, Body::Http(_)) {
                 nothing_behind(stream, input).await?;
@@ -59,7 +59,7 @@
         let mut room = (&mut *input).limit(most);
         let read = tokio::select! {
             read = timeout(STALLED, stream.read_buf(&mut room)) => read,
-            () = feed.unwanted() => return Err(None),
+            () = feed.wait_for_receiver_gone() => return Err(None),
         };
         if !matches!(read, Ok(Ok(1..))) {
             return Err(None);
@@ -92,7 +92,7 @@
     use super::*;
     use crate::memcache::{answered, Answered};
     use crate::testing::{self, request, settle};
-    use juniperladder_dispatch::long::long;
+    use juniperladder_dispatch::streamed_value::streamed_value;
     use tokio::io::{duplex, AsyncWriteExt};
     use tokio::task::spawn_local;
 
@@ -107,7 +107,7 @@
     /// Both protocols' bodies of a value, and what ends them.
     fn bodies() -> [(Body, &'static [u8]); 2] {
         let mut line = BytesMut::from(format!("VA {LENGTH} O7 h1\r\n").as_bytes());
-        let Ok(Some(Answered::Long(LENGTH, rest))) = answered(&mut line, &request("7", None)) else {
+        let Ok(Some(Answered::Streamed(LENGTH, rest))) = answered(&mut line, &request("7", None)) else {
             panic!()
         };
         let mut response = Response::default();
@@ -123,7 +123,7 @@
     fn a_value_far_over_the_memory_passes_through_a_few_pieces() {
         testing::run(async {
             for (mut body, end) in bodies() {
-                let (long, feed) = long(LENGTH);
+                let (feed, long) = streamed_value(LENGTH);
                 let (mut near, mut far) = duplex(PIPE);
                 let given = std::rc::Rc::new(std::cell::Cell::new(0));
                 let so_far = std::rc::Rc::clone(&given);
@@ -167,7 +167,7 @@
             ] {
                 for stays in [true, false] {
                     let [(mut body, _), _] = bodies();
-                    let (long, feed) = long(LENGTH);
+                    let (feed, long) = streamed_value(LENGTH);
                     let (mut near, mut far) = duplex(PIPE);
                     spawn_local(async move {
                         far.write_all(&vec![b'v'; sent]).await.unwrap();
--- a/node/src/downstream/backlog/tests.rs
+++ b/node/src/downstream/backlog/tests.rs
@@ -88,7 +88,7 @@
             far.write_all(b"mg c v O3 Pc=read,d=480\r\n").await.unwrap();
             settle().await;
             let times: Vec<_> =
-                recorder.begun.borrow().iter().map(|attempt| attempt.until.saturating_sub(now)).collect();
+                recorder.begun.borrow().iter().map(|attempt| attempt.deadline.saturating_sub(now)).collect();
             let right_behind = Micros((480 - 10 - early) * 1_000);
             assert_eq!(times, [right_behind, right_behind, Micros((480 - 10 + 50) * 1_000)]);
         });
--- a/node/src/downstream/connection.rs
+++ b/node/src/downstream/connection.rs
@@ -20,7 +20,7 @@
 use super::{Downstream, FinalRead};
 use crate::dispatcher::Answer;
 use crate::memcache::RequestReader;
-use crate::writing::{self, Writing};
+use crate::upload::{self, StreamedUpload};
 use answers::{next_answer, next_chunk, Download, PendingAnswer};
 
 /// Requests that one connection may have open: enough for any pipeline, a bound for one that runs away.
@@ -63,7 +63,7 @@
     /// The streamed value that is on its way to the client.
     download: Option<Download>,
     /// The streamed value that the client is writing.
-    upload: Option<Writing>,
+    upload: Option<StreamedUpload>,
     /// The client sends no more, or nothing after this can be understood.
     has_input_ended: bool,
     /// The client has left, though not all that it sent has been read: none of that is forwarded.
@@ -175,7 +175,7 @@
     }
 
     fn is_upload_blocked(&self) -> bool {
-        self.upload.as_ref().is_some_and(Writing::blocked)
+        self.upload.as_ref().is_some_and(StreamedUpload::is_blocked)
     }
 
     fn interests(&self) -> Interests {
@@ -230,7 +230,7 @@
                 ConnectionEvent::Written
             }
             chunk = next_chunk(&self.download), if self.output.len() < chunk_bytes => ConnectionEvent::Chunk(chunk),
-            () = writing::room(&self.upload), if interests.is_upload_blocked => ConnectionEvent::UploadUnblocked,
+            () = upload::wait_until_unblocked(&self.upload), if interests.is_upload_blocked => ConnectionEvent::UploadUnblocked,
             received = receive(reader, &mut self.input, watch), if interests.can_read || watch => received?,
             final_read = downstream.wait_for_close(self.slot, interests.deadline), if interests.is_idle => {
                 ConnectionEvent::CloseRequested(final_read)
@@ -296,7 +296,7 @@
     fn on_disconnected(&mut self) {
         self.has_client_left = true;
         if let Some(upload) = &mut self.upload {
-            upload.let_go();
+            upload.discard();
         }
         self.half_close_pending();
     }
@@ -305,7 +305,7 @@
     fn half_close_pending(&self) {
         for pending in &self.pending {
             if let PendingAnswer::Request(request) = pending {
-                self.downstream.dispatcher.left(request.id);
+                self.downstream.dispatcher.on_client_half_closed(request.id);
             }
         }
     }
@@ -318,7 +318,7 @@
         buffered_bytes.set(buffered_bytes.get() - self.counted_bytes);
         for pending in &self.pending {
             if let PendingAnswer::Request(request) = pending {
-                self.downstream.dispatcher.gone(request.id);
+                self.downstream.dispatcher.on_client_gone(request.id);
             }
         }
     }
--- a/node/src/downstream/connection/answers.rs
+++ b/node/src/downstream/connection/answers.rs
@@ -5,7 +5,7 @@
 use std::io;
 
 use bytes::{BufMut, Bytes};
-use juniperladder_dispatch::long::Long;
+use juniperladder_dispatch::streamed_value::ChunkReceiver;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -37,7 +37,7 @@
 
 /// A streamed value on its way to the client.
 pub(super) struct Download {
-    value: Long,
+    value: ChunkReceiver,
     remaining_bytes: usize,
 }
 
@@ -54,7 +54,7 @@
         };
         self.request_bytes -= request.value_bytes;
         memcache::write_answer(&mut self.output, &request.client_id, &answer);
-        if let Answer::Long(value) = answer {
+        if let Answer::Streamed(value) = answer {
             let remaining_bytes = value.length();
             self.download = Some(Download { value, remaining_bytes });
         }
@@ -71,7 +71,7 @@
         download.remaining_bytes = download.remaining_bytes.saturating_sub(chunk.len());
         self.output.put_slice(&chunk);
         if download.remaining_bytes == 0 {
-            download.value.whole();
+            download.value.on_complete();
             self.download = None;
             self.output.put_slice(b"\r\n");
         }
--- a/node/src/downstream/connection/requests.rs
+++ b/node/src/downstream/connection/requests.rs
@@ -10,7 +10,7 @@
 use crate::counters::increment;
 use crate::dispatcher::ClientRequest;
 use crate::memcache::Incoming;
-use crate::writing::Writing;
+use crate::upload::StreamedUpload;
 
 /// For how long after the accept of a connection what it brings is taken to have come before that.
 const CAME_BEFORE_ACCEPT: Duration = Duration::from_millis(20);
@@ -39,7 +39,7 @@
                     self.take_complete(*request);
                 }
             }
-            Incoming::Long(request, class, length) => self.begin_upload(request, &class, length),
+            Incoming::Upload(request, class, length) => self.begin_upload(request, &class, length),
             Incoming::Piece(chunk, is_last) => self.on_upload_chunk(chunk, is_last),
             Incoming::Malformed(line) => self.reject_malformed(line),
             Incoming::Lost(line) => {
@@ -51,28 +51,28 @@
     }
 
     fn answer_readiness(&mut self) {
-        let is_ready = self.downstream.dispatcher.ready();
+        let is_ready = self.downstream.dispatcher.is_ready();
         self.pending.push_back(PendingAnswer::Line(if is_ready { "MN" } else { "SERVER_ERROR not ready" }));
     }
 
     fn begin_upload(&mut self, request: Box<ClientRequest>, class: &[u8], length: usize) {
-        if !self.downstream.dispatcher.takes_long() {
+        if !self.downstream.dispatcher.can_upload() {
             return self.reject_malformed("SERVER_ERROR object too large for cache");
         }
         let request = self.classify(request, class);
-        self.upload = request.map(|request| Writing::new(request, length));
+        self.upload = request.map(|request| StreamedUpload::new(request, length));
         if let Some(upload) = self.upload.as_mut().filter(|_| self.has_client_left) {
-            upload.let_go();
+            upload.discard();
         }
     }
 
     /// Passes a chunk on. Where the request was rejected at its line the value is read past.
     fn on_upload_chunk(&mut self, chunk: Bytes, is_last: bool) {
         if let Some(upload) = &mut self.upload {
-            upload.add(&self.downstream.dispatcher, chunk, is_last);
+            upload.on_chunk(&self.downstream.dispatcher, chunk, is_last);
         }
         if let Some(upload) = self.upload.take_if(|_| is_last) {
-            self.take_complete(upload.whole());
+            self.take_complete(upload.into_request());
         }
     }
 
@@ -100,7 +100,7 @@
         }
         let client_id = request.id.clone();
         let value_bytes = request.value.as_ref().map_or(0, Bytes::len);
-        let taken = self.downstream.dispatcher.take_after(request, self.longest_unread_wait());
+        let taken = self.downstream.dispatcher.take_after_wait(request, self.longest_unread_wait());
         let Some((id, answer)) = taken else { return self.reject_malformed("CLIENT_ERROR id in use") };
         self.request_bytes += value_bytes;
         let pending = PendingRequest { id, client_id, answer, value_bytes };
--- a/node/src/downstream/connection/timing.rs
+++ b/node/src/downstream/connection/timing.rs
@@ -3,7 +3,7 @@
 use tokio::time::{Duration, Instant};
 
 use super::{DownstreamConnection, ALWAYS_ALLOWED_BYTES};
-use crate::writing::Writing;
+use crate::upload::StreamedUpload;
 
 /// How long a connection may go without an open request: one that is silent, kept for good or in the middle
 /// of a request holds a descriptor that others need. Incomplete requests do not set it back.
@@ -57,7 +57,7 @@
 
     /// Counts what this connection buffers.
     pub(super) fn count_buffered_bytes(&mut self) {
-        let upload_bytes = self.upload.as_ref().map_or(0, Writing::ahead);
+        let upload_bytes = self.upload.as_ref().map_or(0, StreamedUpload::buffered_bytes);
         let bytes = self.input.len() + self.output.len() + self.request_bytes + upload_bytes;
         let buffered_bytes = &self.downstream.buffered_bytes;
         buffered_bytes.set(buffered_bytes.get() + bytes - self.counted_bytes);
--- a/node/src/downstream/tests.rs
+++ b/node/src/downstream/tests.rs
@@ -9,7 +9,7 @@
     DownstreamConnection, ALWAYS_ALLOWED_BYTES, MAX_MALFORMED_REQUESTS, MAX_PENDING_ANSWERS, READ_BYTES,
 };
 use super::*;
-use crate::dispatcher::{Answer, End, Reply};
+use crate::dispatcher::{Answer, AttemptEnd, Reply};
 use crate::testing::{self, settle, Recorder};
 use bytes::Bytes;
 use juniperladder::Idempotency;
@@ -22,7 +22,7 @@
     /// The client sends this; the answer is known at once where there is one.
     Line(&'static str, Option<&'static str>),
     /// The oldest attempt that is out, or the newest, ends.
-    End { newest: bool, served: bool },
+    AttemptEnd { newest: bool, served: bool },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -33,7 +33,7 @@
         Just(Step::Line("mg k v Oid Pc=read,d=480\r\n", None)),
         Just(Step::Line("ms k 5 Oid Pc=read,d=480,k=1\r\na\r\nmg\r\n", None)),
     ];
-    prop_oneof![3 => lines, 2 => any::<(bool, bool)>().prop_map(|(newest, served)| Step::End { newest, served })]
+    prop_oneof![3 => lines, 2 => any::<(bool, bool)>().prop_map(|(newest, served)| Step::AttemptEnd { newest, served })]
 }
 
 pub(super) fn downstream(recorder: &Rc<Recorder>) -> Rc<Downstream> {
@@ -95,7 +95,7 @@
                         }
                         owed.push(answer.map(str::to_owned));
                     }
-                    Step::End { newest, served } if !out.is_empty() => {
+                    Step::AttemptEnd { newest, served } if !out.is_empty() => {
                         let at = if newest { out.len() - 1 } else { 0 };
                         let attempt = recorder.begun.borrow_mut().remove(at);
                         let value = Bytes::from_static(b"x\r\ny");
@@ -106,17 +106,17 @@
                         } else {
                             (Reply::Error, "SERVER_ERROR failed\r\n".into())
                         };
-                        downstream.dispatcher.ended(attempt.id, End::Reply(reply));
+                        downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(reply));
                         owed[place] = Some(answer);
                     }
-                    Step::End { .. } => {}
+                    Step::AttemptEnd { .. } => {}
                 }
                 settle().await;
             }
             far.shutdown().await.unwrap();
             settle().await;
             for attempt in recorder.begun.take() {
-                downstream.dispatcher.ended(attempt.id, End::Broken);
+                downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Broken);
             }
             let mut got = String::new();
             far.read_to_string(&mut got).await.unwrap();
@@ -196,7 +196,9 @@
         far.read_to_string(&mut got).await.unwrap();
         assert_eq!(got, "ERROR\r\n".repeat(MAX_MALFORMED_REQUESTS - 5));
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
-        downstream.dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value("v".into()))));
+        downstream
+            .dispatcher
+            .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value("v".into()))));
         let mut got = [0; 12];
         honest.read_exact(&mut got).await.unwrap();
         assert_eq!(&got, b"VA 1 O1\r\nv\r\n");
@@ -216,7 +218,9 @@
             settle().await;
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             assert_eq!(attempt.request.tenant, place, "{named}");
-            downstream.dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value("v".into()))));
+            downstream
+                .dispatcher
+                .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value("v".into()))));
             let mut got = [0; 12];
             far.read_exact(&mut got).await.unwrap();
             assert_eq!(&got, b"VA 1 O1\r\nv\r\n");
--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -19,7 +19,7 @@
         }
         assert_eq!(recorder.begun.borrow().len(), 2);
         drop(client);
-        downstream.dispatcher.idle().await;
+        downstream.dispatcher.wait_until_idle().await;
         assert_eq!(downstream.dispatcher.counters().requests_abandoned.get(), 2);
     });
 }
@@ -40,7 +40,7 @@
         while !task.is_finished() {
             settle().await;
             for attempt in recorder.begun.take() {
-                downstream.dispatcher.ended(attempt.id, End::Reply(Reply::Error));
+                downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Error));
             }
         }
         let mut got = String::new();
@@ -66,7 +66,7 @@
         settle().await;
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         let value = Answer::Value(Bytes::from_static(b"v"));
-        downstream.dispatcher.ended(attempt.id, End::Reply(Reply::Served(value)));
+        downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(value)));
         let mut got = String::new();
         far.read_to_string(&mut got).await.unwrap();
         assert_eq!(got, "VA 1 O1\r\nv\r\n");
@@ -145,13 +145,15 @@
                     // The first answers are more than the client, who takes none, has room for.
                     let attempt = recorder.begun.borrow_mut().remove(0);
                     let value = Bytes::from(vec![b'v'; 16 << 20]);
-                    downstream.dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value(value))));
+                    downstream
+                        .dispatcher
+                        .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value(value))));
                     settle().await;
                 }
                 let far = leave(far, how).await;
                 let over = |recorder: &Recorder| {
                     let now = downstream.dispatcher.clock().now();
-                    recorder.begun.borrow().iter().all(|attempt| attempt.over(now))
+                    recorder.begun.borrow().iter().all(|attempt| attempt.is_cancelled(now))
                 };
                 let start = Instant::now();
                 while !over(&recorder) {
@@ -162,7 +164,7 @@
                 let out: Vec<_> = recorder.begun.take();
                 assert_eq!(out.len() + usize::from(answers), begun);
                 for attempt in out {
-                    downstream.dispatcher.ended(attempt.id, End::CalledOff);
+                    downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Cancelled);
                 }
                 if let Some(mut far) = far {
                     // Who only ended its side has an answer for each all the same.
@@ -176,7 +178,7 @@
                     sleep(Duration::from_millis(1)).await;
                 }
                 assert!(recorder.begun.borrow().is_empty(), "{how:?}, {answers}: begun for nobody");
-                assert_eq!(downstream.dispatcher.in_progress(), 0);
+                assert_eq!(downstream.dispatcher.requests_in_progress(), 0);
             });
         }
     }
@@ -200,7 +202,9 @@
         // More than the client's machine takes while its client does not read, and less than the own one does.
         const LENGTH: usize = 200 << 10;
         let value = Bytes::from(vec![b'v'; LENGTH]);
-        downstream.dispatcher.ended(attempt.id, End::Reply(Reply::Served(Answer::Value(value))));
+        downstream
+            .dispatcher
+            .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value(value))));
         downstream.shutdown.begin_closing();
         // The connection is shut for writing by now, and its client, who has read nothing yet, sends one more.
         while !downstream.slots.borrow().is_empty() {
@@ -224,7 +228,7 @@
         let far = connected(&downstream).await;
         let dispatcher = Rc::clone(&downstream.dispatcher);
         let timers = Rc::clone(&dispatcher);
-        spawn_local(async move { timers.run().await });
+        spawn_local(async move { timers.run_timers().await });
         let (mut reader, mut writer) = far.into_split();
         spawn_local(async move {
             for id in 0.. {
@@ -244,7 +248,8 @@
         // The time for answers is up in a moment.
         let last = crate::graceful_shutdown::time_for_answers(Duration::from_millis(600));
         let signal = Instant::now() - (last - Duration::from_millis(100));
-        dispatcher.end_by(dispatcher.clock().now().saturating_add(juniperladder::Micros(100_000)));
+        dispatcher
+            .set_final_deadline(dispatcher.clock().now().saturating_add(juniperladder::Micros(100_000)));
         downstream.shutdown.run(signal, last + crate::graceful_shutdown::EXIT_DELAY).await;
         let got = timeout(Duration::from_secs(5), end).await.expect("the connection ends").unwrap().unwrap();
         assert!(got.ends_with(b"\r\n"));
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -7,6 +7,7 @@
 pub mod connect;
 pub mod daemon;
 pub mod discovery;
+mod download;
 pub mod downstream;
 pub mod error;
 pub mod graceful_shutdown;
@@ -16,7 +17,6 @@
 pub mod name_table;
 pub mod operator;
 pub mod operators;
-mod passing;
 pub mod peers;
 mod reload;
 pub mod resource_limits;
@@ -25,8 +25,8 @@
 pub mod state;
 pub mod together;
 pub mod transient_errors;
+mod upload;
 pub mod upstream;
-mod writing;
 
 #[cfg(test)]
 mod storm;
--- a/node/src/name_table.rs
+++ b/node/src/name_table.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use juniperladder::{Endpoint, EndpointState};
-pub use juniperladder_dispatch::numbers::{hash, key, server};
+pub use juniperladder_dispatch::identifiers::{hash, key, server_id};
 use serde::Deserialize;
 use slog::{warn, Logger};
 
@@ -106,7 +106,7 @@
                 names.iter().position(|n| n == name).map_or(u32::MAX, |place| place as u32)
             };
             let endpoint = Endpoint {
-                server: server(&instance.instance_id),
+                server: server_id(&instance.instance_id),
                 zone: place(&self.names.zones, &instance.zone),
                 kind: place(&self.names.kinds, &instance.machine_type),
                 cell: instance.cell,
--- a/node/src/name_table/tests.rs
+++ b/node/src/name_table/tests.rs
@@ -39,12 +39,12 @@
 /// Placement hashes these numbers: another value after an update would move every key.
 #[test]
 fn numbers_of_names_and_keys_stay_the_same() {
-    assert_eq!(server("s-5be2a07c"), ServerId(0x5be2_a07c));
+    assert_eq!(server_id("s-5be2a07c"), ServerId(0x5be2_a07c));
     let others = ["origin", "t-5be2a07c", "s-5BE2A07C", "s-5be2a07c0", "s-05be2a07c", "5be2a07c", ""];
-    let numbers: HashSet<u64> = others.iter().map(|name| server(name).0).collect();
-    assert_eq!(numbers.len(), others.len(), "two names are two hosts");
-    assert!(numbers.iter().all(|number| *number > u64::from(u32::MAX)));
-    assert_eq!(server("origin"), ServerId(hash(b"origin") | 1 << 63), "whatever came before");
+    let identifiers: HashSet<u64> = others.iter().map(|name| server_id(name).0).collect();
+    assert_eq!(identifiers.len(), others.len(), "two names are two hosts");
+    assert!(identifiers.iter().all(|number| *number > u64::from(u32::MAX)));
+    assert_eq!(server_id("origin"), ServerId(hash(b"origin") | 1 << 63), "whatever came before");
     assert_eq!(key(b"7f3a9c21e0b4d655"), Key(0x7f3a_9c21_e0b4_d655));
     assert_eq!(key(b"7F3A9C21E0B4D655"), Key(hash(b"7F3A9C21E0B4D655")), "another key than in lower case");
 }
--- a/node/src/operators.rs
+++ b/node/src/operators.rs
@@ -136,7 +136,7 @@
     pub async fn answer(&self, call: Call) -> String {
         match call {
             Call::Health if self.shutdown.is_stopping() => nak("stopping: this process has been told to end"),
-            Call::Health if self.dispatcher.ready() => ack("ready"),
+            Call::Health if self.dispatcher.is_ready() => ack("ready"),
             Call::Health => nak("not ready: no cache host is listed yet"),
             Call::Dump => format!("{}{}", ack("figures follow"), self.figures()),
             Call::Offline(name) => self.changed(self.dispatcher.offline(&name), &name, true).await,
@@ -170,7 +170,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::dispatcher::{Answer, End, Reply};
+    use crate::dispatcher::{Answer, AttemptEnd, Reply};
     use crate::testing::{self, log, request, Recorder};
     use juniperladder::Idempotency;
     use tokio::io::{duplex, DuplexStream};
@@ -263,12 +263,13 @@
             let dispatcher = &operators.dispatcher;
             let value = Reply::Served(Answer::Value("v".into()));
             let mut answers = Vec::new();
-            for (n, end) in
-                [End::Reply(value.clone()), End::NotSent, End::Reply(value)].into_iter().enumerate()
+            for (n, end) in [AttemptEnd::Reply(value.clone()), AttemptEnd::NotSent, AttemptEnd::Reply(value)]
+                .into_iter()
+                .enumerate()
             {
                 answers.push(dispatcher.take(request(&n.to_string(), None)).unwrap());
                 let attempt = recorder.begun.borrow_mut().pop().unwrap();
-                dispatcher.ended(attempt.id, end);
+                dispatcher.on_attempt_ended(attempt.id, end);
             }
             let _open = dispatcher.take(request("9", None)).unwrap();
             assert!(operators.answer(Call::Offline(SERVER.into())).await.starts_with("ACK"));
--- a/node/src/storm.rs
+++ b/node/src/storm.rs
@@ -156,7 +156,7 @@
         let carrier = Rc::clone(&upstream) as Rc<dyn Carrier>;
         let dispatcher = Dispatcher::new(settings(), seed, carrier, clock, counters, log());
         upstream.attach(&dispatcher);
-        dispatcher.listed(EndpointUpdate::Restored, &servers.listed());
+        dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &servers.listed());
         let shutdown = Rc::new(GracefulShutdown::default());
         let classes = CLASSES.map(|(name, ..)| name.to_owned()).into();
         let labels = Labels { classes, tenants: vec![] };
@@ -180,11 +180,11 @@
         loop {
             sleep(Duration::from_millis(rng.u64(50..400))).await;
             if rng.u8(..8) == 0 {
-                self.dispatcher.listed(EndpointUpdate::Unavailable, &[]);
+                self.dispatcher.on_endpoints_changed(EndpointUpdate::Unavailable, &[]);
             }
             let news: ListedServer = self.servers.turn(rng.usize(1..servers::PLACES));
             self.ledger.met("lists");
-            self.dispatcher.listed(EndpointUpdate::Delta, &[news]);
+            self.dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[news]);
         }
     }
 
@@ -193,7 +193,7 @@
         let mut rng = Rng::with_seed(seed ^ 0x5eed);
         let world = Rc::new(self);
         let (timers, news) = (Rc::clone(&world), Rc::clone(&world));
-        spawn_local(async move { timers.dispatcher.run().await });
+        spawn_local(async move { timers.dispatcher.run_timers().await });
         let draw = rng.fork();
         spawn_local(async move { news.discovery(draw).await });
         let mut clients: Vec<JoinHandle<()>> = Vec::new();
@@ -208,9 +208,11 @@
         let signal = Instant::now();
         let longest = Duration::from_millis(CLASSES.iter().map(|(.., ms)| *ms).max().unwrap_or(0));
         let last = time_for_answers(longest);
-        world.dispatcher.end_by(world.dispatcher.clock().now().saturating_add(crate::clock::micros(last)));
+        world
+            .dispatcher
+            .set_final_deadline(world.dispatcher.clock().now().saturating_add(crate::clock::micros(last)));
         world.shutdown.run(signal, last + EXIT_DELAY).await;
-        world.dispatcher.idle().await;
+        world.dispatcher.wait_until_idle().await;
         // The protocol's time for a planned end: whoever waits still has lost its request.
         sleep_until(signal + longest + Duration::from_millis(700)).await;
         if world.ledger.waiting.get() > 0 {
--- /dev/null
+++ b/node/src/upload.rs
@@ -0,0 +1,107 @@
+//! The client's side of a streamed value that is being written: its chunks go on to the origin as they come.
+//!
+//! Whoever carries attempts has the origin's side of it; the two meet in the dispatcher. A value that cannot go on is
+//! still read to its end, and its request is taken then: the attempt at it fails as not sent.
+
+use bytes::{BufMut, Bytes, BytesMut};
+use juniperladder::ServerId;
+use juniperladder_dispatch::request::{upload_handle, UploadHandle};
+use juniperladder_dispatch::streamed_value::ChunkSender;
+
+use crate::dispatcher::{ClientRequest, Dispatcher};
+
+/// How many bytes of a value a client has brought before a connection to the origin is opened for it.
+const BYTES_BEFORE_CONNECTION: usize = 16 * 1024;
+
+/// Where the value goes.
+enum UploadState {
+    /// Nowhere yet: what came before it was worth a connection is buffered.
+    Buffering(BytesMut),
+    /// To a connection to the origin.
+    Sending(UploadHandle, ChunkSender),
+    /// Nowhere any more: the origin's side has ended, or the client has left.
+    Discarding,
+}
+
+/// A request whose streamed value is coming.
+pub struct StreamedUpload {
+    request: Box<ClientRequest>,
+    /// The length of the value in bytes.
+    length: usize,
+    state: UploadState,
+}
+
+impl StreamedUpload {
+    /// A request whose line has come, and then a value of so many bytes.
+    pub fn new(mut request: Box<ClientRequest>, length: usize) -> StreamedUpload {
+        // A write all the same, whose value goes another way.
+        request.value = Some(Bytes::new());
+        StreamedUpload { request, length, state: UploadState::Buffering(BytesMut::new()) }
+    }
+
+    /// Discards the value: its client has left. It is still read to its end.
+    pub fn discard(&mut self) {
+        self.state = UploadState::Discarding;
+    }
+
+    /// How many bytes of it are buffered here.
+    pub fn buffered_bytes(&self) -> usize {
+        match &self.state {
+            UploadState::Buffering(bytes) => bytes.len(),
+            UploadState::Sending(..) | UploadState::Discarding => 0,
+        }
+    }
+
+    /// Whether the next chunk has to wait for the origin's side.
+    pub fn is_blocked(&self) -> bool {
+        matches!(&self.state, UploadState::Sending(_, sender) if !sender.is_ready())
+    }
+
+    /// Takes a chunk of the value. Where nobody receives the value any longer it is discarded: the request is answered at its
+    /// end.
+    pub fn on_chunk(&mut self, dispatcher: &Dispatcher, chunk: Bytes, is_last: bool) {
+        let chunk = match &mut self.state {
+            UploadState::Buffering(buffered) => {
+                buffered.put_slice(&chunk);
+                if !is_last && buffered.len() < BYTES_BEFORE_CONNECTION {
+                    return;
+                }
+                let buffered = buffered.split().freeze();
+                self.state = match dispatcher.begin_upload(&self.request, self.length) {
+                    Some((handle, sender)) => UploadState::Sending(handle, sender),
+                    None => UploadState::Discarding,
+                };
+                buffered
+            }
+            UploadState::Sending(..) | UploadState::Discarding => chunk,
+        };
+        self.send(chunk);
+    }
+
+    fn send(&mut self, chunk: Bytes) {
+        if let UploadState::Sending(_, sender) = &mut self.state {
+            if sender.try_send(chunk).is_err() {
+                self.state = UploadState::Discarding;
+            }
+        }
+    }
+
+    /// The request, once its value is complete.
+    pub fn into_request(self) -> ClientRequest {
+        let (handle, last_byte) = match self.state {
+            UploadState::Sending(handle, sender) => (handle, sender.last_byte()),
+            // It is taken all the same with a handle that leads nowhere, and the decisions hear that it was not sent.
+            UploadState::Buffering(_) | UploadState::Discarding => (upload_handle(ServerId(0)).0, None),
+        };
+        let upload = Some(handle.with_last_byte(last_byte.unwrap_or_default()));
+        ClientRequest { upload, ..*self.request }
+    }
+}
+
+/// Waits until the next chunk of the value that a client writes can go on; for ever where none is on its way.
+pub async fn wait_until_unblocked(upload: &Option<StreamedUpload>) {
+    match upload.as_ref().map(|upload| &upload.state) {
+        Some(UploadState::Sending(_, sender)) => sender.wait_until_ready().await,
+        _ => std::future::pending().await,
+    }
+}
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -18,7 +18,7 @@
 use crate::clock::Clock;
 use crate::connect::Connect;
 use crate::counters::{increment, Counters};
-use crate::dispatcher::{Attempt, AttemptId, Carrier, Dispatcher, End, ListedServer, Upload};
+use crate::dispatcher::{Attempt, AttemptEnd, AttemptId, Carrier, Dispatcher, ListedServer, Upload};
 use connection::{NoConnection, UpstreamConnection};
 use juniperladder_dispatch::log_throttle::LogThrottle;
 
@@ -150,14 +150,14 @@
         *self.dispatcher.borrow_mut() = Rc::downgrade(dispatcher);
     }
 
-    fn ended(&self, id: AttemptId, end: End) {
+    fn ended(&self, id: AttemptId, end: AttemptEnd) {
         if let Some(dispatcher) = self.dispatcher.borrow().upgrade() {
-            dispatcher.ended(id, end);
+            dispatcher.on_attempt_ended(id, end);
         }
     }
 
     /// Ends an attempt from a task of its own, as the dispatcher may be the caller.
-    fn end_later(&self, id: AttemptId, end: End) {
+    fn end_later(&self, id: AttemptId, end: AttemptEnd) {
         if let Some(this) = self.this.upgrade() {
             spawn_local(async move { this.ended(id, end) });
         }
@@ -184,7 +184,7 @@
     }
 
     fn over(&self, attempt: &Attempt) -> bool {
-        attempt.over(self.clock.now())
+        attempt.is_cancelled(self.clock.now())
     }
 
     /// Ends those of the attempts that are like this, none of which has begun.
@@ -192,7 +192,7 @@
         waiting.retain(|attempt| {
             let stays = !like(attempt);
             if !stays {
-                self.end_later(attempt.id, End::CalledOff);
+                self.end_later(attempt.id, AttemptEnd::Cancelled);
             }
             stays
         });
@@ -219,10 +219,12 @@
     /// Puts an attempt back of which nothing was written.
     fn put_back(&self, server: ServerId, attempt: Attempt) {
         let mut pools = self.pools.borrow_mut();
-        let Some(pool) = pools.get_mut(&server) else { return self.end_later(attempt.id, End::CalledOff) };
+        let Some(pool) = pools.get_mut(&server) else {
+            return self.end_later(attempt.id, AttemptEnd::Cancelled);
+        };
         pool.running.remove(&attempt.id);
         if !pool.open {
-            return self.end_later(attempt.id, End::CalledOff);
+            return self.end_later(attempt.id, AttemptEnd::Cancelled);
         }
         pool.waiting.push_front(attempt);
         self.connect(server, pool);
@@ -281,7 +283,7 @@
         }
     }
 
-    fn stopped(&self, server: ServerId, id: AttemptId, end: End) {
+    fn stopped(&self, server: ServerId, id: AttemptId, end: AttemptEnd) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(&server) {
             pool.running.remove(&id);
         }
@@ -308,7 +310,7 @@
 }
 
 impl Carrier for Upstream {
-    fn listed(&self, kind: EndpointUpdate, servers: &[ListedServer]) {
+    fn on_endpoints_changed(&self, kind: EndpointUpdate, servers: &[ListedServer]) {
         let mut pools = self.pools.borrow_mut();
         if kind.is_complete() {
             pools.values_mut().for_each(|pool| pool.open = false);
@@ -330,19 +332,19 @@
         pools.retain(|_, pool| pool.open || pool.connecting > 0 || !pool.running.is_empty());
     }
 
-    fn begin(&self, attempt: Attempt) {
+    fn begin_attempt(&self, attempt: Attempt) {
         let mut pools = self.pools.borrow_mut();
         let server = attempt.server;
         let Some(pool) = pools.get_mut(&server).filter(|pool| pool.open && pool.address.is_some()) else {
-            return self.end_later(attempt.id, End::CalledOff);
+            return self.end_later(attempt.id, AttemptEnd::Cancelled);
         };
-        if let Some(ticket) = &attempt.request.ticket {
+        if let Some(handle) = &attempt.request.upload {
             // All else is written; where that has failed it never ran, and nobody has it to send it again.
             let id = attempt.id;
-            if ticket.give(attempt.clone()) {
+            if handle.send_last_byte(attempt.clone()) {
                 pool.running.insert(id, Carried::default());
             } else {
-                self.end_later(id, End::CalledOff);
+                self.end_later(id, AttemptEnd::Cancelled);
             }
             return;
         }
@@ -368,8 +370,8 @@
         }
     }
 
-    fn upload(&self, upload: Upload) {
-        self.begin_upload(upload);
+    fn begin_upload(&self, upload: Upload) {
+        self.start_upload(upload);
     }
 
     fn abandon(&self, id: AttemptId, server: ServerId) -> bool {
--- a/node/src/upstream/connection.rs
+++ b/node/src/upstream/connection.rs
@@ -9,8 +9,8 @@
 
 use bytes::BytesMut;
 use juniperladder::{Micros, ServerId};
-use juniperladder_dispatch::long::{long, Feed};
-use juniperladder_dispatch::numbers::ServerLabel;
+use juniperladder_dispatch::identifiers::ServerLabel;
+use juniperladder_dispatch::streamed_value::{streamed_value, ChunkSender};
 use slog::debug;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite};
 use tokio::task::yield_now;
@@ -19,10 +19,10 @@
 use super::Upstream;
 use crate::connect::Stream;
 use crate::counters::increment;
-use crate::dispatcher::{Answer, Attempt, End, Reply};
+use crate::dispatcher::{Answer, Attempt, AttemptEnd, Reply};
+use crate::download::{self, Body};
 use crate::http::{self, Response};
 use crate::memcache;
-use crate::passing::{self, Body};
 
 /// A connection that was let go of is reset as soon as it is written to; later it is another matter.
 const AT_ONCE: Duration = Duration::from_millis(10);
@@ -69,10 +69,10 @@
     }
 
     /// How an attempt ends that waited for it. Neither was sent, and only the first tells of the server.
-    pub(super) fn end(self) -> End {
+    pub(super) fn end(self) -> AttemptEnd {
         match self {
-            NoConnection::Server => End::NotSent,
-            NoConnection::Local => End::CalledOff,
+            NoConnection::Server => AttemptEnd::NotSent,
+            NoConnection::Local => AttemptEnd::Cancelled,
         }
     }
 }
@@ -85,7 +85,7 @@
     /// Its whole reply.
     Whole(Reply, After),
     /// That a long value of so many bytes follows.
-    Long(usize, Body),
+    Streamed(usize, Body),
 }
 
 /// What a connection does after an attempt.
@@ -152,7 +152,7 @@
             if !quiet(&mut stream, &mut input) {
                 // One that has only just come up tells of its server, which would do so again without end.
                 return match fresh {
-                    true => upstream.stopped(self.server, attempt.id, End::NotSent),
+                    true => upstream.stopped(self.server, attempt.id, AttemptEnd::NotSent),
                     false => upstream.put_back(self.server, attempt),
                 };
             }
@@ -196,10 +196,10 @@
         input: &mut BytesMut,
         attempt: Attempt,
     ) -> After {
-        let wait = attempt.until.saturating_sub(upstream.clock.now());
+        let wait = attempt.deadline.saturating_sub(upstream.clock.now());
         if wait.0 == 0 || upstream.over(&attempt) {
             // It timed out on its way here, or its request was answered; to write it now would be work for nobody.
-            let end = if wait.0 == 0 { End::NotSent } else { End::CalledOff };
+            let end = if wait.0 == 0 { AttemptEnd::NotSent } else { AttemptEnd::Cancelled };
             upstream.stopped(self.server, attempt.id, end);
             return After::Keep;
         }
@@ -225,7 +225,7 @@
         let id = attempt.id;
         let most = crate::clock::duration(wait);
         if !timeout(most, write(upstream, stream, output, &attempt)).await.unwrap_or(false) {
-            let end = if upstream.over(&attempt) { End::CalledOff } else { End::NotSent };
+            let end = if upstream.over(&attempt) { AttemptEnd::Cancelled } else { AttemptEnd::NotSent };
             upstream.stopped(self.server, id, end);
             return After::Close;
         }
@@ -240,18 +240,18 @@
             () = stop.notified() => Err(Stopped),
         };
         let (end, after) = match read {
-            Ok(Ok(Heard::Whole(reply, after))) => (End::Reply(reply), after),
-            Ok(Ok(Heard::Long(length, body))) => {
-                let (long, feed) = long(length);
-                upstream.stopped(self.server, id, End::Reply(Reply::Served(Answer::Long(long))));
+            Ok(Ok(Heard::Whole(reply, after))) => (AttemptEnd::Reply(reply), after),
+            Ok(Ok(Heard::Streamed(length, body))) => {
+                let (feed, long) = streamed_value(length);
+                upstream.stopped(self.server, id, AttemptEnd::Reply(Reply::Served(Answer::Streamed(long))));
                 return self.pass_on(upstream, stream, input, body, feed).await;
             }
             Ok(Err(Some(problem))) => {
                 upstream.tell_bad(&self.address, &problem);
-                (End::Spoilt, After::Close)
+                (AttemptEnd::Malformed, After::Close)
             }
-            Ok(Err(None)) if input.is_empty() => (End::Broken, After::Broke),
-            Ok(Err(None)) | Err(Stopped) => (End::Broken, After::Close),
+            Ok(Err(None)) if input.is_empty() => (AttemptEnd::Broken, After::Broke),
+            Ok(Err(None)) | Err(Stopped) => (AttemptEnd::Broken, After::Close),
         };
         debug!(upstream.log, "attempt over on its connection"; "number" => id.0, "address" => %self.address,
             "then" => ?after);
@@ -281,20 +281,20 @@
                     return Err(Some("a response for another id".into()));
                 }
                 if let Some(length) = response.long().filter(|_| !write) {
-                    return Ok(Heard::Long(length, Body::Http(response)));
+                    return Ok(Heard::Streamed(length, Body::Http(response)));
                 }
                 if response.too_large() {
                     return Err(Some("a body longer than any value".into()));
                 }
                 if response.done {
-                    passing::nothing_behind(stream, input).await?;
+                    download::nothing_behind(stream, input).await?;
                     let reply = http::reply(&response, write).map_err(Some)?;
                     return Ok(Heard::Whole(reply, after(&response)));
                 }
             } else if let Some(heard) = memcache::answered(input, &attempt.request).map_err(Some)? {
                 return Ok(match heard {
                     memcache::Answered::Whole(reply) => Heard::Whole(reply, After::Keep),
-                    memcache::Answered::Long(length, rest) => Heard::Long(length, Body::Meta(rest)),
+                    memcache::Answered::Streamed(length, rest) => Heard::Streamed(length, Body::Meta(rest)),
                 });
             }
             if read == 0 {
@@ -311,9 +311,9 @@
         stream: &mut S,
         input: &mut BytesMut,
         mut body: Body,
-        feed: Feed,
+        feed: ChunkSender,
     ) -> After {
-        let passed = passing::pump(stream, input, &mut body, feed, upstream.limits.piece).await;
+        let passed = download::pump(stream, input, &mut body, feed, upstream.limits.piece).await;
         increment(if passed.is_ok() {
             &upstream.counters.downloads
         } else {
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -116,7 +116,8 @@
         let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
         settle().await;
         assert_eq!(dispatcher.counters().attempts_not_sent.get(), 0, "it waits for a connection");
-        dispatcher.listed(EndpointUpdate::Delta, &[listed_server(SERVER, EndpointState::Draining)]);
+        dispatcher
+            .on_endpoints_changed(EndpointUpdate::Delta, &[listed_server(SERVER, EndpointState::Draining)]);
         assert!(matches!(answer.await, Ok(Answer::Rejected(_))));
         assert_eq!(dispatcher.counters().attempts_not_sent.get(), 1);
     });
@@ -129,7 +130,7 @@
     testing::run_on_sockets(async {
         let (dispatcher, upstream, listener) = world(1).await;
         let (id, _answer) = dispatcher.take(testing::request("1", None)).unwrap();
-        dispatcher.gone(id);
+        dispatcher.on_client_gone(id);
         let (mut stream, _) = listener.accept().await.unwrap();
         settle().await;
         let (_, answer) = dispatcher.take(testing::request("2", None)).unwrap();
@@ -160,7 +161,7 @@
             UpstreamConnection { server: SERVER, origin: false, address: ([127, 0, 0, 1], 1).into() };
         let listed_server = async {
             settle().await;
-            dispatcher.gone(id);
+            dispatcher.on_client_gone(id);
             let mut got = Vec::new();
             far.read_to_end(&mut got).await.unwrap();
             got.len()
@@ -191,7 +192,7 @@
             let mut up = listed_server(SERVER, EndpointState::Serving);
             up.address = listener.local_addr().ok();
             up.endpoint.server = ServerId(up.address.unwrap().port().into());
-            dispatcher.listed(EndpointUpdate::Snapshot, &[up]);
+            dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[up]);
             let (_, answer) = dispatcher.take(testing::request("7", Some(vec![]))).unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
             stream.read_buf(&mut BytesMut::new()).await.unwrap();
@@ -279,7 +280,7 @@
             let upstream = testing::upstream(4);
             let mut listed = listed_server(SERVER, EndpointState::Serving);
             listed.endpoint.kind = kind;
-            upstream.listed(EndpointUpdate::Snapshot, &[listed]);
+            upstream.on_endpoints_changed(EndpointUpdate::Snapshot, &[listed]);
             let id = AttemptId(1);
             upstream.pools.borrow_mut().entry(SERVER).or_default().running.insert(id, Carried::default());
             let stop = upstream.written(SERVER, id);
@@ -319,7 +320,7 @@
     testing::run(async {
         let upstream = testing::upstream(4);
         let moved = listed_server(SERVER, EndpointState::Serving);
-        upstream.listed(EndpointUpdate::Snapshot, std::slice::from_ref(&moved));
+        upstream.on_endpoints_changed(EndpointUpdate::Snapshot, std::slice::from_ref(&moved));
         let connection = |port| UpstreamConnection {
             server: SERVER,
             origin: false,
@@ -342,7 +343,7 @@
         let dispatcher =
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), upstream.clone(), 0);
         upstream.attach(&dispatcher);
-        dispatcher.listed(EndpointUpdate::Restored, &[down]);
+        dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &[down]);
         let (_, first) = dispatcher.take(testing::request("7", None)).unwrap();
         let (_, second) = dispatcher.take(testing::request("8", None)).unwrap();
         assert!(matches!((first.await, second.await), (Ok(Answer::Rejected(_)), Ok(Answer::Rejected(_)))));
@@ -360,7 +361,7 @@
     upstream.attach(&dispatcher);
     let mut up = listed_server(SERVER, EndpointState::Serving);
     up.address = listener.local_addr().ok();
-    dispatcher.listed(EndpointUpdate::Snapshot, &[up]);
+    dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[up]);
     (dispatcher, upstream, listener)
 }
 
@@ -374,7 +375,7 @@
             let accepted = Rc::new(Cell::new(0));
             let so_far = Rc::clone(&accepted);
             let timers = Rc::clone(&dispatcher);
-            spawn_local(async move { timers.run().await });
+            spawn_local(async move { timers.run_timers().await });
             spawn_local(async move {
                 let mut kept = Vec::new();
                 loop {
@@ -438,7 +439,7 @@
             let mut origin = listed_server(SERVER, EndpointState::Serving);
             origin.address = listener.local_addr().ok();
             origin.endpoint.kind = testing::ORIGIN;
-            dispatcher.listed(EndpointUpdate::Snapshot, &[origin]);
+            dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[origin]);
             let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
             let mut got = BytesMut::new();
@@ -487,7 +488,7 @@
             let (_, second) = dispatcher.take(testing::request("2", None)).unwrap();
             let mut listed = listed_server(SERVER, change);
             listed.address = new.local_addr().ok();
-            dispatcher.listed(EndpointUpdate::Delta, &[listed]);
+            dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[listed]);
             if change == EndpointState::Serving {
                 let accepted = timeout(Duration::from_secs(5), new.accept()).await;
                 let (mut stream, _) = accepted.expect("it goes to the new place").unwrap();
--- a/node/src/upstream/uploads.rs
+++ b/node/src/upstream/uploads.rs
@@ -13,9 +13,9 @@
 use super::connection::{After, UpstreamConnection};
 use super::{Counted, Upstream};
 use crate::connect::Stream;
-use crate::dispatcher::{End, Upload};
+use crate::dispatcher::{AttemptEnd, Upload};
+use crate::download::STALLED;
 use crate::http;
-use crate::passing::STALLED;
 
 /// The part of the connections to servers that long values may hold: clients may be slow, and others need theirs.
 const PART: usize = 4;
@@ -38,7 +38,7 @@
 
 impl Upstream {
     /// Begins to send a long value, if there is room. Who lets go of it, at once or later, takes no more of it.
-    pub(super) fn begin_upload(&self, upload: Upload) {
+    pub(super) fn start_upload(&self, upload: Upload) {
         let Some(this) = self.this.upgrade() else { return };
         let full = self.uploads.get() >= (self.limits.connections / PART).max(1);
         if full || self.connections.get() >= self.limits.connections {
@@ -64,20 +64,20 @@
         // From here on the client's side is told that no more is taken, if more there is.
         drop(upload.value);
         let Some(mut stream) = stream else {
-            upload.going.close();
-            if let Ok(go) = upload.going.try_recv() {
-                upstream.stopped(self.server, go.attempt.id, End::NotSent);
+            upload.last_byte.close();
+            if let Ok(go) = upload.last_byte.try_recv() {
+                upstream.stopped(self.server, go.attempt.id, AttemptEnd::NotSent);
             }
             return;
         };
-        let Ok(go) = upload.going.await else { return };
+        let Ok(go) = upload.last_byte.await else { return };
         drop(on_its_way);
-        let wait = go.attempt.until.saturating_sub(upstream.clock.now());
+        let wait = go.attempt.deadline.saturating_sub(upstream.clock.now());
         if wait.0 == 0 || !upstream.is_at(self) {
-            return upstream.stopped(self.server, go.attempt.id, End::CalledOff);
+            return upstream.stopped(self.server, go.attempt.id, AttemptEnd::Cancelled);
         }
         let input = &mut BytesMut::new();
-        let after = self.send(upstream, &mut stream, input, go.attempt, &go.last, wait).await;
+        let after = self.send(upstream, &mut stream, input, go.attempt, &go.byte, wait).await;
         if after == After::Keep {
             self.carry(upstream, stream).await;
         }
@@ -125,7 +125,7 @@
         upstream.attach(&dispatcher);
         let mut up = listed_server(ServerId(SERVER.0 + 1), EndpointState::Serving);
         (up.endpoint.kind, up.address) = (ORIGIN, origin.local_addr().ok());
-        dispatcher.listed(EndpointUpdate::Snapshot, &[up]);
+        dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[up]);
         let resource_limits = ResourceLimits {
             client_connections: 8,
             idle_client_connections: 4,
@@ -213,10 +213,10 @@
         testing::run_on_sockets(async {
             let (upstream, _client, _origin) = world().await;
             let dispatcher = upstream.dispatcher.borrow().upgrade().unwrap();
-            let begin = |_| dispatcher.upload(&testing::request("7", None), LENGTH).unwrap();
+            let begin = |_| dispatcher.begin_upload(&testing::request("7", None), LENGTH).unwrap();
             let mut ways: Vec<_> = (0..5).map(begin).collect();
             assert_eq!((upstream.uploads.get(), upstream.connections.get()), (2, 2));
-            let mut taken = |place: usize| ways[place].1.push_now("v".into()).is_ok();
+            let mut taken = |place: usize| ways[place].1.try_send("v".into()).is_ok();
             assert_eq!([0, 1, 2, 3, 4].map(&mut taken), [true, true, false, false, false]);
         });
     }
--- a/node/tests/two_deployments.rs
+++ b/node/tests/two_deployments.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use juniperladder::Micros;
-use juniperladder_dispatch::dispatcher::{Attempt, Dispatcher, End};
+use juniperladder_dispatch::dispatcher::{Attempt, AttemptEnd, Dispatcher};
 use juniperladder_dispatch::testing::{self, Recorder};
 use juniperladder_node::config::Config;
 use juniperladder_node::downstream::Downstream;
@@ -40,7 +40,7 @@
         let recorder = Rc::new(Recorder::default());
         let dispatcher = testing::dispatcher(config.settings, recorder.clone(), 3);
         let timers = Rc::clone(&dispatcher);
-        spawn_local(async move { timers.run().await });
+        spawn_local(async move { timers.run_timers().await });
         let resource_limits = ResourceLimits::from_configured(config.limits);
         let downstream = Downstream::new(
             Rc::clone(&dispatcher),
@@ -88,13 +88,13 @@
         assert_eq!((at_first.request.class, at_first.request.tenant), (1, 0));
         assert_eq!((at_second.request.class, at_second.request.tenant), (0, 1));
         let left =
-            |of: &Deployment, attempt: &Attempt| attempt.until.saturating_sub(of.dispatcher.clock().now());
+            |of: &Deployment, attempt: &Attempt| attempt.deadline.saturating_sub(of.dispatcher.clock().now());
         let (left_first, left_second) = (left(&first, &at_first), left(&second, &at_second));
         assert!(left_first > Micros(400_000) && left_first < Micros(3_000_000), "{left_first:?}");
         assert!(left_second < Micros(400_000), "{left_second:?}");
         // Broken off, a keyed write may be repeated at the first; at the second nothing may.
-        first.dispatcher.ended(at_first.id, End::Broken);
-        second.dispatcher.ended(at_second.id, End::Broken);
+        first.dispatcher.on_attempt_ended(at_first.id, AttemptEnd::Broken);
+        second.dispatcher.on_attempt_ended(at_second.id, AttemptEnd::Broken);
         assert_eq!(first.begun().await.request.id, "1");
         assert_eq!(second.answer().await, "SERVER_ERROR failed\r\n");
         assert!(second.recorder.begun.borrow().is_empty());
--- a/protocols/src/http.rs
+++ b/protocols/src/http.rs
@@ -260,7 +260,7 @@
             Reply::Served(Answer::Receipt(receipt.ok_or_else(strange)?))
         }
         200 => Reply::Served(Answer::Value(Bytes::copy_from_slice(&response.body))),
-        503 | 504 if head.never_ran => Reply::Full,
+        503 | 504 if head.never_ran => Reply::Rejected,
         _ => Reply::Error,
     })
 }
@@ -327,7 +327,7 @@
         assert_eq!(says(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1"), receipt);
         assert_eq!(says(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Reply::Error);
         assert_eq!(says(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), Reply::Error);
-        assert_eq!(says(b"HTTP/1.1 504 No\r\nx-never-ran: 1\r\nContent-Length: 0\r\n\r\n"), Reply::Full);
+        assert_eq!(says(b"HTTP/1.1 504 No\r\nx-never-ran: 1\r\nContent-Length: 0\r\n\r\n"), Reply::Rejected);
     }
 
     /// A receipt goes into a line of its client's connection: more than one word there would be more than one answer.
--- a/protocols/src/memcache.rs
+++ b/protocols/src/memcache.rs
@@ -31,7 +31,7 @@
     /// A request, and its class by name.
     Request(Box<ClientRequest>, Bytes),
     /// The line of a write whose value is long: its class, and the value's length. Its pieces follow.
-    Long(Box<ClientRequest>, Bytes, usize),
+    Upload(Box<ClientRequest>, Bytes, usize),
     /// A piece of a long value, and whether the value is whole with it.
     Piece(Bytes, bool),
     /// No request; this is the whole answer.
@@ -129,7 +129,7 @@
                 Ok(Line::Whole(incoming)) => return Some(incoming),
                 Ok(Line::Write(request, class, length)) if length > MAX_VALUE => {
                     self.rest = Some(Rest(length));
-                    return Some(Incoming::Long(request, class, length));
+                    return Some(Incoming::Upload(request, class, length));
                 }
                 Ok(Line::Write(request, class, length)) => self.pending = Some((request, class, length)),
                 Ok(Line::TooLarge(length)) if length <= MAX_SKIPPED => {
@@ -208,7 +208,7 @@
         id,
         key: text.slice_ref(key),
         value: None,
-        ticket: None,
+        upload: None,
         class: 0,
         tenant: 0,
         retry,
@@ -227,7 +227,7 @@
             out.put_slice(b"\r\n");
             out.put_slice(value);
         }
-        Answer::Long(long) => {
+        Answer::Streamed(long) => {
             // The value follows by pieces, and then the end of its line.
             out.put_slice(format!("VA {} O", long.length()).as_bytes());
             out.put_slice(id);
@@ -288,7 +288,7 @@
     /// Whole.
     Whole(Reply),
     /// The line of a value that goes on while it comes: its length, and what takes the rest off the input.
-    Long(usize, Rest),
+    Streamed(usize, Rest),
 }
 
 /// The rest of a long value whose line has been read.
@@ -324,7 +324,7 @@
 pub fn answer(input: &mut BytesMut, request: &ClientRequest) -> Result<Option<Reply>, String> {
     match answered(input, request)? {
         Some(Answered::Whole(reply)) => Ok(Some(reply)),
-        Some(Answered::Long(length, _)) => {
+        Some(Answered::Streamed(length, _)) => {
             Err(format!("a value of {length} bytes, too long to be taken whole"))
         }
         None => Ok(None),
@@ -357,7 +357,7 @@
             }
             if length > MAX_VALUE {
                 input.advance(whole);
-                return Ok(Some(Answered::Long(length, Rest(length))));
+                return Ok(Some(Answered::Streamed(length, Rest(length))));
             }
             if input.len() < whole + length + 2 {
                 return Ok(None);
@@ -374,7 +374,7 @@
         }
         (b"EN", _) => Some(Reply::Miss { fetch_in_progress: flags.contains(&&b"Z"[..]) }),
         (b"SERVER_ERROR", Some(b"failed")) => Some(Reply::Error),
-        (b"SERVER_ERROR", Some(b"busy")) => Some(Reply::Full),
+        (b"SERVER_ERROR", Some(b"busy")) => Some(Reply::Rejected),
         _ => return Err(strange(text)),
     };
     input.advance(whole);
@@ -408,7 +408,7 @@
             out.put_slice(b"EN");
             named(out);
         }
-        Reply::Full => out.put_slice(b"SERVER_ERROR busy"),
+        Reply::Rejected => out.put_slice(b"SERVER_ERROR busy"),
         Reply::Error | Reply::Served(_) => out.put_slice(b"SERVER_ERROR failed"),
     }
     if let Some(hit) = hit {
--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -187,7 +187,7 @@
                 Incoming::Malformed(line) | Incoming::Lost(line) => {
                     self.answer(now, format!("{line}\r\n"), None)
                 }
-                Incoming::Long(..) | Incoming::Piece(..) | Incoming::Quit => {}
+                Incoming::Upload(..) | Incoming::Piece(..) | Incoming::Quit => {}
             }
         }
         if input.is_empty() && !requests.unfinished() {
