--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -221,9 +221,9 @@
 fn balancer_at(address: SocketAddr, policy: PollPolicy, subscribe: bool) -> Balancer {
     let mut settings = testing::settings(1, Idempotency::Idempotent);
     settings.subscribe = subscribe;
-    let dispatcher = testing::seeded_exchange(settings, policy.seed, Rc::new(Recorder::default()), 1);
+    let dispatcher = testing::seeded_dispatcher(settings, policy.seed, Rc::new(Recorder::default()), 1);
     let timers = Rc::clone(&dispatcher);
-    spawn_local(async move { timers.run().await });
+    spawn_local(async move { timers.run_timers().await });
     let (address, turns) = watch::channel(address);
     spawn_local(follow(EndpointListReader::default(), None, turns, Rc::clone(&dispatcher), policy, log()));
     Balancer { dispatcher, address }
--- a/node/src/endpoint_list.rs
+++ b/node/src/endpoint_list.rs
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 
 use juniperladder::{Endpoint, EndpointState};
+use juniperladder_dispatch::identifiers;
 use juniperladder_dispatch::log_throttle::LogThrottle;
-use juniperladder_dispatch::numbers;
 use serde::Deserialize;
 use slog::{warn, Logger};
 
@@ -120,7 +120,7 @@
             return None;
         }
         let endpoint = Endpoint {
-            server: numbers::server(&entry.name),
+            server: identifiers::server_id(&entry.name),
             zone: self.names.zone_number(&entry.zone),
             kind: self.names.kind_number(&entry.kind),
             cell: entry.cell,
--- a/node/src/operators.rs
+++ b/node/src/operators.rs
@@ -17,9 +17,9 @@
 use tokio::time::timeout;
 
 use crate::dispatcher::Dispatcher;
+use crate::graceful_shutdown::GracefulShutdown;
 use crate::override_store::{OverrideState, OverrideStore};
 use crate::peers::Peers;
-use crate::shutdown::Shutdown;
 use crate::socket::Socket;
 
 /// How long a caller may take to bring its whole line.
@@ -44,7 +44,7 @@
 pub struct Operators {
     dispatcher: Rc<Dispatcher>,
     classes: Vec<String>,
-    shutdown: Rc<Shutdown>,
+    shutdown: Rc<GracefulShutdown>,
     overrides: Rc<OverrideStore>,
     peers: Option<Rc<Peers>>,
     callers: Callers,
@@ -57,7 +57,7 @@
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         classes: Vec<String>,
-        shutdown: Rc<Shutdown>,
+        shutdown: Rc<GracefulShutdown>,
         name: &str,
         callers: Callers,
         peers: Option<Rc<Peers>>,
@@ -69,7 +69,7 @@
     fn over(
         dispatcher: Rc<Dispatcher>,
         classes: Vec<String>,
-        shutdown: Rc<Shutdown>,
+        shutdown: Rc<GracefulShutdown>,
         file: PathBuf,
         callers: Callers,
         peers: Option<Rc<Peers>>,
@@ -135,8 +135,8 @@
     /// What a call is answered.
     pub async fn answer(&self, call: Call) -> String {
         match call {
-            Call::Health if self.shutdown.stopping() => nak("stopping: this process has been told to end"),
-            Call::Health if self.dispatcher.ready() => ack("ready"),
+            Call::Health if self.shutdown.is_stopping() => nak("stopping: this process has been told to end"),
+            Call::Health if self.dispatcher.is_ready() => ack("ready"),
             Call::Health => nak("not ready: no cache host is listed yet"),
             Call::Dump => format!("{}{}", ack("figures follow"), self.figures()),
             Call::Offline(name) => {
@@ -177,7 +177,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::dispatcher::{Answer, End, Reply};
+    use crate::dispatcher::{Answer, AttemptEnd, Reply};
     use crate::override_store::ChangeId;
     use crate::testing::{self, log, request, Recorder};
     use juniperladder::Idempotency;
@@ -271,12 +271,13 @@
             let dispatcher = &operators.dispatcher;
             let value = Reply::Served(Answer::Value("v".into()));
             let mut answers = Vec::new();
-            for (n, end) in
-                [End::Reply(value.clone()), End::NotSent, End::Reply(value)].into_iter().enumerate()
+            for (n, end) in [AttemptEnd::Reply(value.clone()), AttemptEnd::NotSent, AttemptEnd::Reply(value)]
+                .into_iter()
+                .enumerate()
             {
                 answers.push(dispatcher.take(request(&n.to_string(), None)).unwrap());
                 let attempt = recorder.begun.borrow_mut().pop().unwrap();
-                dispatcher.ended(attempt.id, end);
+                dispatcher.on_attempt_ended(attempt.id, end);
             }
             let _open = dispatcher.take(request("9", None)).unwrap();
             assert!(operators.answer(Call::Offline(SERVER.into())).await.starts_with("ACK"));
--- a/node/src/storm.rs
+++ b/node/src/storm.rs
@@ -22,12 +22,12 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::bounds::Bounds;
 use crate::connect::Connect;
 use crate::counters::Counters;
 use crate::dispatcher::{Carrier, Dispatcher, ListedServer};
-use crate::service::{Labels, Service};
-use crate::shutdown::{last_answer, Shutdown, WAY_OUT};
+use crate::downstream::{Downstream, Labels};
+use crate::graceful_shutdown::{time_for_answers, GracefulShutdown, EXIT_DELAY};
+use crate::resource_limits::ResourceLimits;
 use crate::testing::{self, log, ORIGIN};
 use crate::upstream::{Limits, Upstream};
 use servers::Servers;
@@ -128,8 +128,8 @@
 /// A balancer, its clients and its servers.
 struct World {
     dispatcher: Rc<Dispatcher>,
-    service: Rc<Service>,
-    shutdown: Rc<Shutdown>,
+    downstream: Rc<Downstream>,
+    shutdown: Rc<GracefulShutdown>,
     servers: Rc<Servers>,
     ledger: Rc<Ledger>,
 }
@@ -156,22 +156,23 @@
         let carrier = Rc::clone(&upstream) as Rc<dyn Carrier>;
         let dispatcher = Dispatcher::new(settings(), seed, carrier, clock, counters, log());
         upstream.attach(&dispatcher);
-        dispatcher.listed(EndpointUpdate::Restored, &servers.listed());
-        let shutdown = Rc::new(Shutdown::default());
+        dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &servers.listed());
+        let shutdown = Rc::new(GracefulShutdown::default());
         let classes = CLASSES.map(|(name, ..)| name.to_owned()).into();
         let labels = Labels { classes, tenants: vec![] };
-        let bounds = Bounds {
-            clients: 16,
-            kept: 12,
-            servers: 24,
-            callers: 8,
-            held: 1 << 17,
-            unread: 1 << 16,
-            piece: 1 << 12,
+        let resource_limits = ResourceLimits {
+            client_connections: 16,
+            idle_client_connections: 12,
+            server_connections: 24,
+            admin_connections: 8,
+            client_buffer_bytes: 1 << 17,
+            unread_answer_bytes: 1 << 16,
+            chunk_bytes: 1 << 12,
         };
-        let service = Service::new(Rc::clone(&dispatcher), labels, Rc::clone(&shutdown), bounds, log());
+        let downstream =
+            Downstream::new(Rc::clone(&dispatcher), labels, Rc::clone(&shutdown), resource_limits, log());
         // The pools live as long as the dispatcher, which holds them.
-        World { dispatcher, service, shutdown, servers, ledger }
+        World { dispatcher, downstream, shutdown, servers, ledger }
     }
 
     /// Discovery's news: servers drain, end, and others start at their addresses; now and then nothing is heard of it.
@@ -179,11 +180,11 @@
         loop {
             sleep(Duration::from_millis(rng.u64(50..400))).await;
             if rng.u8(..8) == 0 {
-                self.dispatcher.listed(EndpointUpdate::Unavailable, &[]);
+                self.dispatcher.on_endpoints_changed(EndpointUpdate::Unavailable, &[]);
             }
             let news: ListedServer = self.servers.turn(rng.usize(1..servers::PLACES));
             self.ledger.met("lists");
-            self.dispatcher.listed(EndpointUpdate::Delta, &[news]);
+            self.dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[news]);
         }
     }
 
@@ -192,7 +193,7 @@
         let mut rng = Rng::with_seed(seed ^ 0x5eed);
         let world = Rc::new(self);
         let (timers, news) = (Rc::clone(&world), Rc::clone(&world));
-        spawn_local(async move { timers.dispatcher.run().await });
+        spawn_local(async move { timers.dispatcher.run_timers().await });
         let draw = rng.fork();
         spawn_local(async move { news.discovery(draw).await });
         let mut clients: Vec<JoinHandle<()>> = Vec::new();
@@ -206,10 +207,12 @@
         sleep(Duration::from_millis(rng.u64(1500..3000))).await;
         let signal = Instant::now();
         let longest = Duration::from_millis(CLASSES.iter().map(|(.., ms)| *ms).max().unwrap_or(0));
-        let last = last_answer(longest);
-        world.dispatcher.end_by(world.dispatcher.clock().now().saturating_add(crate::clock::micros(last)));
-        world.shutdown.run(signal, last + WAY_OUT).await;
-        world.dispatcher.idle().await;
+        let last = time_for_answers(longest);
+        world
+            .dispatcher
+            .set_final_deadline(world.dispatcher.clock().now().saturating_add(crate::clock::micros(last)));
+        world.shutdown.run(signal, last + EXIT_DELAY).await;
+        world.dispatcher.wait_until_idle().await;
         // The protocol's time for a planned end: whoever waits still has lost its request.
         sleep_until(signal + longest + Duration::from_millis(700)).await;
         if world.ledger.waiting.get() > 0 {
