--- a/node/src/operators.rs
+++ b/node/src/operators.rs
@@ -17,9 +17,9 @@
 use tokio::time::timeout;
 
 use crate::dispatcher::Dispatcher;
-use crate::keeper::Keeper;
+use crate::graceful_shutdown::GracefulShutdown;
+use crate::override_store::{OverrideState, OverrideStore};
 use crate::peers::Peers;
-use crate::shutdown::Shutdown;
 use crate::socket::Socket;
 
 /// How long a caller may take to bring its whole line.
@@ -44,8 +44,8 @@
 pub struct Operators {
     dispatcher: Rc<Dispatcher>,
     classes: Vec<String>,
-    shutdown: Rc<Shutdown>,
-    keeper: Rc<Keeper>,
+    shutdown: Rc<GracefulShutdown>,
+    overrides: Rc<OverrideStore>,
     peers: Option<Rc<Peers>>,
     callers: Callers,
     log: Logger,
@@ -57,30 +57,30 @@
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         classes: Vec<String>,
-        shutdown: Rc<Shutdown>,
+        shutdown: Rc<GracefulShutdown>,
         name: &str,
         callers: Callers,
         peers: Option<Rc<Peers>>,
         log: Logger,
     ) -> (Rc<Operators>, bool) {
-        let file = std::env::temp_dir().join(format!("juniperladder-{}.bans", crate::state::safe(name)));
-        Operators::over(dispatcher, classes, shutdown, file, callers, peers, log)
+        Operators::over(dispatcher, classes, shutdown, OverrideStore::path_for(name), callers, peers, log)
     }
 
     fn over(
         dispatcher: Rc<Dispatcher>,
         classes: Vec<String>,
-        shutdown: Rc<Shutdown>,
+        shutdown: Rc<GracefulShutdown>,
         file: PathBuf,
         callers: Callers,
         peers: Option<Rc<Peers>>,
         log: Logger,
     ) -> (Rc<Operators>, bool) {
-        let (keeper, successor) = Keeper::new(Rc::clone(&dispatcher), file, log.clone());
+        let overrides = OverrideStore::open(Rc::clone(&dispatcher), file, log.clone());
         // The file is there from the start, so that a successor knows that it replaces a process.
-        let keeps = Rc::clone(&keeper);
-        spawn_local(async move { keeps.run().await });
-        (Rc::new(Operators { dispatcher, classes, shutdown, keeper, peers, callers, log }), successor)
+        let store = Rc::clone(&overrides);
+        spawn_local(async move { store.run().await });
+        let successor = overrides.follows_another_process();
+        (Rc::new(Operators { dispatcher, classes, shutdown, overrides, peers, callers, log }), successor)
     }
 
     /// Answers callers for as long as it is polled.
@@ -135,12 +135,16 @@
     /// What a call is answered.
     pub async fn answer(&self, call: Call) -> String {
         match call {
-            Call::Health if self.shutdown.stopping() => nak("stopping: this process has been told to end"),
-            Call::Health if self.dispatcher.ready() => ack("ready"),
+            Call::Health if self.shutdown.is_stopping() => nak("stopping: this process has been told to end"),
+            Call::Health if self.dispatcher.is_ready() => ack("ready"),
             Call::Health => nak("not ready: no cache host is listed yet"),
             Call::Dump => format!("{}{}", ack("figures follow"), self.figures()),
-            Call::Offline(name) => self.changed(self.dispatcher.offline(&name), &name, true).await,
-            Call::Online(name) => self.changed(self.dispatcher.online(&name), &name, false).await,
+            Call::Offline(name) => {
+                self.changed(self.dispatcher.offline(&name), &name, OverrideState::Offline).await
+            }
+            Call::Online(name) => {
+                self.changed(self.dispatcher.online(&name), &name, OverrideState::Online).await
+            }
         }
     }
 
@@ -151,15 +155,18 @@
     }
 
     /// The change holds here already; the answer waits a moment for it to be kept, too.
-    async fn changed(&self, result: Result<(), &'static str>, name: &str, out: bool) -> String {
+    async fn changed(&self, result: Result<(), &'static str>, name: &str, state: OverrideState) -> String {
         if let Err(why) = result {
             return nak(why);
         }
-        let now = if out { "out by hand" } else { "may serve again" };
+        let now = match state {
+            OverrideState::Offline => "out by hand",
+            OverrideState::Online => "may serve again",
+        };
         info!(self.log, "operator"; "host" => name, "now" => now);
-        let change = self.keeper.changed(name, out);
-        let _ = timeout(KEPT, self.keeper.kept(change)).await;
-        if self.keeper.is_pending(name) {
+        let change = self.overrides.record(name, state);
+        let _ = timeout(KEPT, self.overrides.wait_until_attempted(change)).await;
+        if self.overrides.is_pending(name) {
             warn!(self.log, "bans not kept yet"; "host" => name);
             return ack(&format!("{name} {now}; {NOT_KEPT}"));
         }
@@ -170,7 +177,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::dispatcher::{Answer, End, Reply};
+    use crate::dispatcher::{Answer, AttemptEnd, Reply};
+    use crate::override_store::ChangeId;
     use crate::testing::{self, log, request, Recorder};
     use juniperladder::Idempotency;
     use tokio::io::{duplex, DuplexStream};
@@ -263,12 +271,13 @@
             let dispatcher = &operators.dispatcher;
             let value = Reply::Served(Answer::Value("v".into()));
             let mut answers = Vec::new();
-            for (n, end) in
-                [End::Reply(value.clone()), End::NotSent, End::Reply(value)].into_iter().enumerate()
+            for (n, end) in [AttemptEnd::Reply(value.clone()), AttemptEnd::NotSent, AttemptEnd::Reply(value)]
+                .into_iter()
+                .enumerate()
             {
                 answers.push(dispatcher.take(request(&n.to_string(), None)).unwrap());
                 let attempt = recorder.begun.borrow_mut().pop().unwrap();
-                dispatcher.ended(attempt.id, end);
+                dispatcher.on_attempt_ended(attempt.id, end);
             }
             let _open = dispatcher.take(request("9", None)).unwrap();
             assert!(operators.answer(Call::Offline(SERVER.into())).await.starts_with("ACK"));
@@ -300,8 +309,9 @@
             assert_eq!(operators.answer(Call::Health).await, "ACK ready\n");
             assert_eq!(operators.dispatcher.banned(), [SERVER]);
             lock.unlock().unwrap();
-            operators.keeper.kept(1).await;
-            assert_eq!(crate::state::read(&dir.path().join("n0.bans")).unwrap(), [SERVER]);
+            operators.overrides.wait_until_attempted(ChangeId::default().next()).await;
+            let stored = std::fs::read_to_string(dir.path().join("n0.bans")).unwrap();
+            assert_eq!(stored, format!("juniperladder bans 1\n{SERVER}\nend\n"));
             let promised = operators.answer(Call::Offline(SERVER.into())).await;
             assert_eq!(promised, format!("ACK {SERVER} out by hand\n"), "now it is in the file");
         });
