--- a/src/action.rs
+++ b/src/action.rs
@@ -32,7 +32,7 @@
         id: RequestId,
         /// Where to.
         server: ServerId,
-        /// The attempt's time-out; zero is the request's deadline.
+        /// The attempt's timeout; zero is the request's deadline.
         timeout: Micros,
     },
     /// Final answer: not served, and trying again is harmless.
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -12,12 +12,12 @@
 
 /// Time over which the retries of clients that are rejected together are spread.
 pub(super) const RETRY_AFTER_SPREAD: Micros = Micros::from_millis(250);
-/// Ticks by which a client retry's time left must fall short of a first attempt's to count as known.
+/// Ticks by which a client retry must have less time left than first attempts for this to be conclusive.
 const TIME_LEFT_TOLERANCE_IN_TICKS: f64 = 2.0;
-/// Share of the time that a client retry seems to have lost, where its time left alone does not show it.
+/// Share of the apparent time since the first attempt that counts where it is not conclusive.
 const UNCERTAIN_ELAPSED_SHARE: f64 = 0.5;
 
-/// What the first attempts of clients have shown of how long they wait.
+/// How long clients wait, as their first attempts have shown.
 #[derive(Debug)]
 pub(super) struct Admission {
     /// The longest time that a first attempt had left when it came in, by class.
@@ -37,8 +37,8 @@
         *longest = time_left.max(*longest);
     }
 
-    /// Until when an answer is worth anything: the latency objective, or the deadline where later answers
-    /// count too.
+    /// Until when an answer is useful: within the latency objective, or within the deadline where later
+    /// answers have a priority weight too.
     fn useful_until(&self, now: Micros, request: &Request, settings: &Settings) -> Micros {
         let class = settings.class(request.class);
         if class.late_priority_weight > 0.0 {
@@ -51,8 +51,8 @@
         (now + objective_left).min(request.deadline)
     }
 
-    /// The time since the client's first attempt. A client waits as long as its class says over all its
-    /// attempts, so that the time that a retry has left tells how much is gone, if it has less than first
+    /// The time since the client's first attempt. Over all its attempts a client waits for the deadline of
+    /// its class, so the time that a retry has left shows how much has passed, if it is less than first
     /// attempts have.
     fn elapsed_before_arrival(&self, now: Micros, request: &Request, settings: &Settings) -> Micros {
         if !request.is_client_retry {
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -1,8 +1,8 @@
 //! How many of this balancer's own attempts may be in flight at one server: the paper's internal control
 //! (section 2).
 //!
-//! Inputs are the latencies of the attempts there and which of them timed out. The limit grows by fast
-//! responses while it is in use, and shrinks by time-outs; it needs no word from the server or from other
+//! Inputs are the latencies of the attempts there and which of them timed out. Fast responses raise the limit
+//! while it is in use, and timeouts lower it; it needs no information from the server or from other
 //! balancers. Latencies are in microseconds; the limit counts attempts and may be a fraction.
 
 use crate::time::Micros;
@@ -11,17 +11,18 @@
 const INITIAL_LIMIT_OF_ALL: f64 = 6.0;
 /// Smallest limit of all balancers together.
 const MINIMUM_LIMIT_OF_ALL: f64 = 3.0;
-/// What a fast response adds to a limit in use until the first time-out.
+/// What a fast response adds to a limit in use until the first timeout.
 const INITIAL_LIMIT_INCREASE: f64 = 1.0;
 /// What it adds from then on.
 const LIMIT_INCREASE: f64 = 0.12;
-/// Attempts under the limit from where on it counts as in use.
-const UNUSED_WHILE_IN_USE: f64 = 2.0;
-/// What a time-out leaves of the limit.
+/// The limit counts as in use if this many more attempts would exceed it.
+const IN_USE_MARGIN: f64 = 2.0;
+/// What a timeout leaves of the limit.
 const LIMIT_DECREASE_FACTOR: f64 = 0.8;
-/// Share of the recent peak limit that time-outs leave at a server that drops abandoned work.
+/// Share of the recent peak limit that timeouts leave at a server that drops abandoned work.
 const RETAINED_PEAK_SHARE: f64 = 0.9;
-/// What the recent peak loses by a response, for a balancer that is alone.
+/// Share that the recent peak loses with each response where the minimum limit is one; more in proportion
+/// where it is less, as a balancer sees fewer of the server's responses then.
 const PEAK_DECAY_SHARE: f64 = 0.001;
 /// Share of the limit that reads may use while writes take all that they can.
 const READ_SHARE: f64 = 0.3;
@@ -61,10 +62,12 @@
     is_crowded: bool,
 }
 
-/// The limit on one server's attempts in flight, and what it is learnt from.
+/// The limit on one server's attempts in flight, and the observations that move it.
 #[derive(Debug, Default)]
 pub(super) struct ConcurrencyLimit {
+    /// Reads that the server works on for this balancer.
     reads_in_flight: f64,
+    /// Writes that the server works on for this balancer.
     writes_in_flight: f64,
     /// Until when the server is assumed to work on each attempt that was abandoned.
     abandoned_until: Vec<Micros>,
@@ -83,6 +86,7 @@
     pub(super) baseline_latency: f64,
     /// Mean latency of late, in microseconds; zero while unknown.
     pub(super) recent_latency: f64,
+    /// The latencies since the baseline last moved.
     sample: LatencySample,
     /// When the baseline last moved.
     baseline_updated: Micros,
@@ -166,7 +170,7 @@
         self.record_latency(now, latency);
         let is_fast =
             self.baseline_latency == 0.0 || latency.as_f64() < FAST_RESPONSE_RATIO * self.baseline_latency;
-        let is_in_use = self.in_flight() + UNUSED_WHILE_IN_USE > self.limit;
+        let is_in_use = self.in_flight() + IN_USE_MARGIN > self.limit;
         if is_fast && is_in_use {
             let was_never_cut = self.last_decrease == Micros::ZERO;
             self.limit += if was_never_cut { INITIAL_LIMIT_INCREASE } else { LIMIT_INCREASE };
@@ -174,7 +178,7 @@
         }
     }
 
-    /// The server has not responded within this time. A time-out of an attempt that went out after the last
+    /// The server has not responded within this time. A timeout of an attempt that went out after the last
     /// decrease cuts the limit, less so at a server that drops abandoned work.
     pub(super) fn on_timeout(&mut self, now: Micros, latency: Micros, drops_abandoned: bool) {
         self.record_latency(now, latency);
--- a/src/balancer/origin_queue.rs
+++ b/src/balancer/origin_queue.rs
@@ -1,7 +1,7 @@
 //! The requests that wait for capacity at the origin, by priority.
 //!
-//! Writes come before reads; among each, what more requests are about comes first, since a popular key that
-//! is refilled serves many.
+//! Writes come before reads; within each, popular keys come first, since a refilled copy of one serves many
+//! requests.
 
 use crate::request::RequestId;
 
--- a/src/balancer/rate_estimator.rs
+++ b/src/balancer/rate_estimator.rs
@@ -6,7 +6,6 @@
 const TIME_CONSTANT_MICROS: f64 = 8e6;
 /// Shortest age of the estimator that a rate is computed over, in microseconds.
 const MIN_AGE_MICROS: f64 = 1e6;
-const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Counts events with exponentially decaying weight.
 #[derive(Debug, Default)]
@@ -25,7 +24,7 @@
         self.decay(now);
         let age = (now - self.first).as_f64().max(MIN_AGE_MICROS);
         let counted_share = 1.0 - (-age / TIME_CONSTANT_MICROS).exp();
-        self.decayed_count / (TIME_CONSTANT_MICROS * counted_share) * MICROS_PER_SECOND
+        self.decayed_count / (TIME_CONSTANT_MICROS * counted_share) * Micros::SECOND.as_f64()
     }
 
     /// One more event.
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -68,7 +68,7 @@
             is_meaningful_timeout: result == AttemptResult::Timeout
                 && server.concurrency.is_timeout_meaningful(latency),
         };
-        ending.update(now, &mut server.concurrency);
+        ending.apply_to(&mut server.concurrency, now);
 
         let evidence = ending.evidence();
         if evidence != Evidence::Inconclusive {
@@ -126,14 +126,15 @@
     /// Time since it was sent.
     latency: Micros,
     is_write: bool,
+    /// Whether it went to the origin.
     is_origin: bool,
-    /// Whether it timed out after a time that tells of the server.
+    /// Whether it timed out after a time that says something about the server.
     is_meaningful_timeout: bool,
 }
 
 impl AttemptEnding {
     /// Updates the concurrency limit of the attempt's server.
-    fn update(self, now: Micros, concurrency: &mut ConcurrencyLimit) {
+    fn apply_to(self, concurrency: &mut ConcurrencyLimit, now: Micros) {
         // The origin drops abandoned work. A cache server goes on with it, probably for as long again.
         let goes_on = self.result == AttemptResult::Timeout && !self.is_origin;
         concurrency.release(now, self.is_write, goes_on.then_some(self.latency));
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -14,7 +14,6 @@
 const MAX_CREDIT: f64 = 1.0;
 /// Share of its capacity that a server has when it starts, where the site names none.
 const DEFAULT_INITIAL_SHARE: f64 = 0.05;
-const MICROS_PER_SECOND: f64 = 1e6;
 
 /// The share of its capacity that a server is assumed to have, from the site's initial share up to 1.
 pub(super) fn slow_start_weight(endpoint: &Endpoint, now: Micros, rules: &Rules) -> f64 {
@@ -46,7 +45,7 @@
     /// Adds what has been earned since the last count: the rate at which other servers answer, cut by the
     /// weight.
     pub(super) fn refill(&mut self, now: Micros, weight: f64, responses_per_second: f64) {
-        let elapsed_seconds = (now - self.updated).as_f64() / MICROS_PER_SECOND;
+        let elapsed_seconds = (now - self.updated).as_f64() / Micros::SECOND.as_f64();
         let earned = elapsed_seconds * responses_per_second * weight * CREDIT_FACTOR;
         self.attempts = (self.attempts + earned).min(MAX_CREDIT);
         self.updated = now;
--- a/src/balancer/tests/capacity.rs
+++ b/src/balancer/tests/capacity.rs
@@ -177,7 +177,7 @@
 }
 
 impl CallQueue {
-    /// The longest wait before a caller gives up, as in `node/src/discovery/budget.rs`.
+    /// The longest wait before a caller gives up, as in `node/src/discovery/timing.rs`.
     const PATIENCE: u64 = 1_900_000;
 
     /// When a call that comes now is answered, or given up.
