--- a/cluster/src/budget.rs
+++ b/cluster/src/budget.rs
@@ -55,7 +55,7 @@
         /// The asker's life.
         life: u64,
         /// When, by the asker's clock.
-        #[serde(with = "crate::wire_micros")]
+        #[serde(with = "crate::wire::micros")]
         sent: Micros,
         /// How many.
         rights: u32,
@@ -65,7 +65,7 @@
         /// The asker's life, as asked.
         life: u64,
         /// The time in the question, as asked.
-        #[serde(with = "crate::wire_micros")]
+        #[serde(with = "crate::wire::micros")]
         sent: Micros,
         /// How many.
         rights: u32,
--- a/cluster/src/cluster.rs
+++ b/cluster/src/cluster.rs
@@ -7,10 +7,11 @@
 use std::net::SocketAddr;
 
 use crate::budget::{self, Budget};
-use crate::cold::{self, Cold, Start};
 use crate::membership::{Counts, Membership, Name};
 use crate::packet::{self, About, Item, Packet};
 use crate::rate_limit::{self, RateLimit, RateLimitTerms};
+use crate::server_incarnation::ServerIncarnation;
+use crate::slow_start_limit::{SlowStartAccess, SlowStartLimits, SlowStartMetrics, SlowStartTerms};
 use crate::verdicts::{self, Verdicts};
 use crate::LONGEST;
 use juniperladder::Micros;
@@ -36,7 +37,7 @@
     /// The limits, in the order in which the file has them.
     pub limits: Vec<(String, RateLimitTerms)>,
     /// The limit on sends to each server that warms up.
-    pub cold: Option<cold::Terms>,
+    pub cold: Option<SlowStartTerms>,
     /// The budget of second tries.
     pub second: Option<budget::Terms>,
     /// Verdicts on servers.
@@ -53,7 +54,7 @@
     /// The limits, by name.
     pub limits: Vec<(String, rate_limit::RateLimitMetrics)>,
     /// The limits of servers that warm up, summed, and how many such servers there are.
-    pub cold: Option<(rate_limit::RateLimitMetrics, usize)>,
+    pub cold: Option<SlowStartMetrics>,
     /// The budget of second tries.
     pub second: Option<budget::Figures>,
     /// Verdicts on servers.
@@ -78,7 +79,7 @@
 pub struct Cluster {
     membership: Membership,
     limits: Vec<One>,
-    cold: Option<(Cold, u32)>,
+    cold: Option<(SlowStartLimits, u32)>,
     second: Option<(Budget, u32)>,
     verdicts: Option<(Verdicts, u32)>,
     figures: Figures,
@@ -104,9 +105,12 @@
             membership: Membership::new(Name { address, life }, seeds, seed, now),
             limits: limits.into_iter().map(one).collect(),
             cold: cold.map(|terms| {
-                let numbers =
-                    [terms_in_brief(&terms.rate_limit).into(), terms.share.to_bits(), terms.warm_up.0];
-                (Cold::new(terms, position, life, now), brief(&numbers))
+                let numbers = [
+                    terms_in_brief(&terms.rate_limit).into(),
+                    terms.initial_share.to_bits(),
+                    terms.duration.0,
+                ];
+                (SlowStartLimits::new(terms, position, life, now), brief(&numbers))
             }),
             second: second.map(|terms| {
                 let brief = brief(&[terms.share.to_bits(), terms.saved.to_bits(), u64::from(terms.holders)]);
@@ -145,8 +149,7 @@
             },
             About::Cold(start, message) => match &mut self.cold {
                 Some((cold, brief)) if *brief == terms => {
-                    // A server that is warm by now, or one that the list cannot have told, has no part here.
-                    cold.part(start, now).into_iter().for_each(|limit| limit.on_message(now, from, message));
+                    cold.on_message(now, from, start, message);
                 }
                 _ => self.figures.differ += 1,
             },
@@ -191,8 +194,9 @@
     pub fn leave(&mut self, now: Micros) {
         self.membership.leave(now);
         self.limits.iter_mut().for_each(|one| one.limit.leave(now));
-        let parts = self.cold.iter_mut().flat_map(|(cold, _)| cold.parts());
-        parts.for_each(|(_, limit)| limit.leave(now));
+        if let Some((cold, _)) = &mut self.cold {
+            cold.leave(now);
+        }
         self.collect();
     }
 
@@ -206,10 +210,8 @@
             items.extend(one.limit.drain().map(|(to, message)| (to, Item { terms, about: about(message) })));
         }
         if let Some((cold, terms)) = &mut self.cold {
-            for (start, limit) in cold.parts() {
-                let item = |message| Item { terms: *terms, about: About::Cold(start, message) };
-                items.extend(limit.drain().map(|(to, message)| (to, item(message))));
-            }
+            let item = |start, message| Item { terms: *terms, about: About::Cold(start, message) };
+            items.extend(cold.drain().map(|(to, start, message)| (to, item(start, message))));
         }
         if let Some((budget, terms)) = &mut self.second {
             let item = |message| Item { terms: *terms, about: About::Second(message) };
@@ -237,16 +239,11 @@
         self.limits.iter_mut().find(|one| one.name == name).map(|one| &mut one.limit)
     }
 
-    /// This balancer's part of the sends to a server that warms up; none where they are not limited, or the server is warm. Where
-    /// there is no room for one more such server, nothing may be sent to it: the second value.
-    pub fn cold(&mut self, start: Start, now: Micros) -> (Option<&mut RateLimit>, bool) {
+    /// Whether and how requests to a server are limited because it is in slow start.
+    pub fn slow_start(&mut self, server: ServerIncarnation, now: Micros) -> SlowStartAccess<'_> {
         match &mut self.cold {
-            Some((cold, _)) if !cold.is_warm(start, now) => {
-                let part = cold.part(start, now);
-                let shut = part.is_none();
-                (part, shut)
-            }
-            _ => (None, false),
+            Some((limits, _)) => limits.access(server, now),
+            None => SlowStartAccess::Unlimited,
         }
     }
 
@@ -275,12 +272,7 @@
         let limits = self.limits.iter_mut();
         let limits = limits.map(|one| (one.name.clone(), one.limit.metrics(now))).collect();
         let dropped = self.figures.dropped + self.membership.dropped;
-        let cold = self.cold.as_mut().map(|(cold, _)| {
-            let parts = cold.parts().map(|(_, limit)| limit.metrics(now));
-            parts.fold((rate_limit::RateLimitMetrics::default(), 0), |(sum, count), one| {
-                (sum.combined_with(&one), count + 1)
-            })
-        });
+        let cold = self.cold.as_mut().map(|(cold, _)| cold.metrics(now));
         let second = self.second.as_mut().map(|(budget, _)| budget.figures(now));
         let verdicts = self.verdicts.as_ref().map(|(verdicts, _)| verdicts.figures());
         Figures { members: self.members(), limits, cold, second, verdicts, dropped, ..self.figures.clone() }
--- a/cluster/src/cluster/tests.rs
+++ b/cluster/src/cluster/tests.rs
@@ -1,5 +1,7 @@
 //! Two balancers that exchange packets, and what is dropped.
 
+use juniperladder::ServerId;
+
 use super::*;
 use crate::virtual_network::times;
 
@@ -14,7 +16,8 @@
     };
     let limits = vec![("origin".to_owned(), terms)];
     let (position, seed) = (u32::from(number), u64::from(number));
-    let cold = Some(cold::Terms { rate_limit: terms, share: 0.25, warm_up: Micros::from_secs(10) });
+    let cold =
+        Some(SlowStartTerms { rate_limit: terms, initial_share: 0.25, duration: Micros::from_secs(10) });
     let second = Some(budget::Terms { share: 0.5, saved: 20.0, holders: 2 });
     let verdicts =
         verdicts::Terms { witnesses: 2, expiry: Micros::from_secs(6), most: 0.5, tries: 1.0, drift: 0.001 };
@@ -64,7 +67,7 @@
 fn retry_budget_and_slow_start_tokens_reach_who_needs_them() {
     let mut all = [cluster(0, 8), cluster(1, 8)];
     run(&mut all, 8);
-    let start = Start { server: 7, started: Micros::from_secs(4) };
+    let start = ServerIncarnation { server: ServerId(7), started: Micros::from_secs(4) };
     let mut took = 0;
     for now in times(Micros::from_secs(8), Micros::from_secs(12), Micros::from_millis(20)) {
         all[1].second().unwrap().first();
@@ -73,9 +76,9 @@
             true => second.spend(now),
             false => second.denied(now),
         }
-        let (limit, shut) = all[0].cold(start, now);
-        let limit = limit.unwrap();
-        assert!(!shut);
+        let SlowStartAccess::Limited(limit) = all[0].slow_start(start, now) else {
+            panic!("it is in slow start")
+        };
         match limit.wait_time(now) {
             Micros::ZERO => {
                 limit.acquire(now);
--- a/cluster/src/lib.rs
+++ b/cluster/src/lib.rs
@@ -1,5 +1,5 @@
 //! What balancers that may talk agree on: who is there ([`membership`]), who may use which part of a limit that holds for all
-//! of them together ([`rate_limit`]; [`cold`] for each server that warms up; [`budget`] for second tries), and what they saw of servers
+//! of them together ([`rate_limit`]; [`slow_start_limit`] for each server that warms up; [`budget`] for second tries), and what they saw of servers
 //! ([`verdicts`]). All are state machines without I/O and without a clock: they are fed packets and times and drained of
 //! packets; `node/` carries those by UDP.
 //!
@@ -7,20 +7,22 @@
 
 pub mod budget;
 pub mod cluster;
-pub mod cold;
 mod injected_defect;
 mod interval;
 pub mod membership;
 mod open_requests;
 pub mod packet;
 pub mod rate_limit;
+pub mod server_incarnation;
+pub mod slow_start_limit;
 pub mod verdicts;
 #[cfg(test)]
 mod virtual_network;
-mod wire_micros;
+mod wire;
 
 pub use cluster::{Cluster, Figures, Plan};
-pub use juniperladder::Micros;
+pub use juniperladder::{Micros, ServerId, ServingServer};
+pub use server_incarnation::ServerIncarnation;
 
 /// The longest packet, out and in.
 pub const LONGEST: usize = 1_200;
--- a/cluster/src/packet.rs
+++ b/cluster/src/packet.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::cold::Start;
+use crate::server_incarnation::ServerIncarnation;
 use crate::{budget, rate_limit, verdicts, LONGEST};
 
 /// The first bytes of every packet: whose, and of which version.
@@ -27,7 +27,7 @@
     /// A limit, by its number.
     Limit(u8, rate_limit::Message),
     /// The limit of one start of a server that warms up.
-    Cold(Start, rate_limit::Message),
+    Cold(ServerIncarnation, rate_limit::Message),
     /// The budget of second tries.
     Second(budget::Message),
     /// Verdicts on servers.
--- a/cluster/src/packet/tests.rs
+++ b/cluster/src/packet/tests.rs
@@ -1,12 +1,12 @@
 //! What is read is what was written, and nothing else is read.
 
-use juniperladder::Micros;
+use juniperladder::{Micros, ServerId};
 
 use super::*;
 use crate::rate_limit::{LeaseGrant, LeaseRequest, Message};
 
 fn all() -> Vec<Item> {
-    let start = Start { server: u64::MAX, started: Micros(u64::MAX) };
+    let start = ServerIncarnation { server: ServerId(u64::MAX), started: Micros(u64::MAX) };
     let hold = Message::Request(LeaseRequest { incarnation: u64::MAX, sent: Micros(12), tokens: 7 });
     let lent =
         Message::Grant(LeaseGrant { incarnation: 1, sent: Micros(u64::MAX), tokens: 0, available: u32::MAX });
@@ -83,7 +83,7 @@
 /// Balancers of two versions talk to each other while one replaces the other: the bytes of an item are part of the protocol.
 #[test]
 fn items_keep_their_bytes_on_the_wire() {
-    let start = Start { server: 300, started: Micros(70_000_000) };
+    let start = ServerIncarnation { server: ServerId(300), started: Micros(70_000_000) };
     let entry = verdicts::Entry {
         start,
         witness: 7,
--- a/cluster/src/rate_limit/message.rs
+++ b/cluster/src/rate_limit/message.rs
@@ -11,7 +11,7 @@
     /// The borrower's incarnation: a process that starts again has another.
     pub incarnation: u64,
     /// When it was sent, by the borrower's clock; no two requests to one owner have the same.
-    #[serde(with = "crate::wire_micros")]
+    #[serde(with = "crate::wire::micros")]
     pub sent: Micros,
     /// How many tokens.
     pub tokens: u32,
@@ -23,7 +23,7 @@
     /// The borrower's incarnation, as in the request.
     pub incarnation: u64,
     /// The time in the request: the lease counts from then.
-    #[serde(with = "crate::wire_micros")]
+    #[serde(with = "crate::wire::micros")]
     pub sent: Micros,
     /// How many tokens the lease covers.
     pub tokens: u32,
--- /dev/null
+++ b/cluster/src/slow_start_limit/tests.rs
@@ -0,0 +1,74 @@
+//! What positions own of a server in slow start, how long its limit is kept, and what a new process may use.
+
+use juniperladder::ServerId;
+
+use super::*;
+use crate::virtual_network::times;
+
+/// When the servers of these tests start.
+const STARTED: Micros = Micros::from_secs(100);
+
+fn terms() -> SlowStartTerms {
+    let rate_limit = RateLimitTerms {
+        requests_per_s: 50,
+        arrival_spread: Micros::ZERO,
+        owners: 7,
+        lease: Micros::from_secs(2),
+        clock_drift: 0.001,
+    };
+    SlowStartTerms { rate_limit, initial_share: 0.1, duration: Micros::from_secs(10) }
+}
+
+fn server(number: u64) -> ServerIncarnation {
+    ServerIncarnation { server: ServerId(number), started: STARTED }
+}
+
+#[test]
+fn what_positions_own_only_grows_and_sums_up_to_the_tokens_of_the_share() {
+    let terms = terms();
+    for number in 0..50 {
+        let server = server(number);
+        let mut before = [0; 9];
+        for now in times(STARTED, STARTED + Micros::from_secs(12), Micros::from_millis(100)) {
+            let owned: Vec<u32> = (0..9).map(|position| terms.owned_tokens(server, position, now)).collect();
+            assert_eq!(owned.iter().sum::<u32>(), terms.total_tokens(STARTED, now));
+            assert!(owned[7..] == [0, 0] && owned.iter().zip(before).all(|(owned, before)| *owned >= before));
+            before = owned.try_into().unwrap();
+        }
+        assert_eq!(before.iter().sum::<u32>(), 50);
+    }
+    assert_eq!(terms.total_tokens(Micros::ZERO, Micros(5)), 50);
+    assert_eq!(terms.total_tokens(STARTED, STARTED), 5);
+}
+
+#[test]
+fn limits_are_forgotten_once_servers_are_warm_and_their_number_is_bounded() {
+    let mut limits = SlowStartLimits::new(terms(), 3, 1, Micros::ZERO);
+    for number in 0..MAX_SERVERS as u64 + 5 {
+        let access = limits.access(server(number), STARTED);
+        assert_eq!(matches!(access, SlowStartAccess::Limited(_)), number < MAX_SERVERS as u64);
+    }
+    assert_eq!(limits.unavailable, 5);
+    let far_later = ServerIncarnation { server: ServerId(1), started: STARTED + Micros::from_secs(60) };
+    assert!(matches!(limits.access(far_later, STARTED), SlowStartAccess::Unavailable), "no such start");
+    limits.tick(STARTED + Micros::from_secs(12), || || None);
+    assert_eq!(limits.limits.len(), MAX_SERVERS, "what was leased out is locked still");
+    let warm = limits.access(server(1), STARTED + Micros::from_secs(10));
+    assert!(matches!(warm, SlowStartAccess::Unlimited), "it is warm");
+    limits.tick(STARTED + Micros::from_secs(14), || || None);
+    assert_eq!(limits.limits.len(), 0);
+}
+
+#[test]
+fn an_incarnation_that_began_after_the_server_waits_and_one_from_before_does_not() {
+    let usable_tokens = |process_started: Micros, now: Micros| {
+        let mut limits = SlowStartLimits::new(terms(), 3, 1, process_started);
+        match limits.access(server(9), now) {
+            SlowStartAccess::Limited(limit) => limit.usable_tokens(now),
+            other => panic!("{other:?}"),
+        }
+    };
+    let now = STARTED + Micros::from_secs(9);
+    assert!(usable_tokens(STARTED - Micros::from_secs(50), now) > 0);
+    assert_eq!(usable_tokens(STARTED + Micros::from_secs(8), now), 0);
+}
--- a/cluster/src/verdicts.rs
+++ b/cluster/src/verdicts.rs
@@ -34,8 +34,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::cold::Start;
 use crate::injected_defect::InjectedDefect;
+use crate::server_incarnation::ServerIncarnation;
 use crate::MAX_SERVERS;
 use dissemination::Dissemination;
 use juniperladder::Micros;
@@ -86,7 +86,7 @@
     servers: Servers,
     listed: Listed,
     against: PassedBy,
-    tried: BTreeMap<Start, Micros>,
+    tried: BTreeMap<ServerIncarnation, Micros>,
     own: OwnResults,
     dissemination: Dissemination,
     members: usize,
@@ -120,14 +120,14 @@
     }
 
     /// The servers that serve, each with its zone, by the list in hand.
-    pub fn listed(&mut self, servers: impl IntoIterator<Item = (Start, u32)>) {
+    pub fn listed(&mut self, servers: impl IntoIterator<Item = (ServerIncarnation, u32)>) {
         let servers = servers.into_iter().map(|(start, zone)| (self.name(start), zone));
         self.listed = servers.map(|(start, zone)| (start.server, (start.started, zone))).collect();
         self.changed = true;
     }
 
     /// An own send told of this start of a server.
-    pub fn saw(&mut self, start: Start, silent: bool, now: Micros) {
+    pub fn saw(&mut self, start: ServerIncarnation, silent: bool, now: Micros) {
         let start = self.name(start);
         self.own.record(now, start.server, silent);
         if self.is_worth_telling(start, silent, now) {
@@ -136,7 +136,7 @@
     }
 
     /// Whether others are told of the end of an own send.
-    fn is_worth_telling(&self, start: Start, silent: bool, now: Micros) -> bool {
+    fn is_worth_telling(&self, start: ServerIncarnation, silent: bool, now: Micros) -> bool {
         let known = self.known(start);
         let told_lately =
             self.own_entry(start).is_some_and(|own| own.silent == silent && now < own.born + AGAIN);
@@ -153,7 +153,7 @@
     }
 
     /// Takes in an entry of its own, which others are told with haste.
-    fn tell(&mut self, start: Start, silent: bool, now: Micros) {
+    fn tell(&mut self, start: ServerIncarnation, silent: bool, now: Micros) {
         self.figures.told += 1;
         let own = self.own_entry(start);
         let stamp = own.map_or(now, |own| now.max(own.stamp + Micros(1)));
@@ -166,17 +166,17 @@
     }
 
     /// What is known of a start of a server.
-    fn known(&self, start: Start) -> &[Known] {
+    fn known(&self, start: ServerIncarnation) -> &[Known] {
         self.servers.get(&start).map_or(&[], Vec::as_slice)
     }
 
     /// The own entry on a start of a server.
-    fn own_entry(&self, start: Start) -> Option<&Known> {
+    fn own_entry(&self, start: ServerIncarnation) -> Option<&Known> {
         self.known(start).iter().find(|known| known.witness == self.position)
     }
 
     /// Takes an entry in, beyond [`MAX_SERVERS`] none on a server that is new; what is new and changes something is spread with haste.
-    fn take(&mut self, start: Start, known: Known, now: Micros) {
+    fn take(&mut self, start: ServerIncarnation, known: Known, now: Micros) {
         if !self.servers.contains_key(&start) && self.servers.len() >= MAX_SERVERS {
             return;
         }
@@ -291,7 +291,7 @@
 
     /// Whether to pass by this start of a server. `heard` is when it last answered here, `per_s` how many sends a
     /// server gets from here.
-    pub fn warned(&mut self, start: Start, heard: Micros, per_s: f64, now: Micros) -> bool {
+    pub fn warned(&mut self, start: ServerIncarnation, heard: Micros, per_s: f64, now: Micros) -> bool {
         let start = self.name(start);
         if !self.against.contains_key(&start) || now < heard + FRESH {
             return false;
@@ -308,7 +308,7 @@
 
     /// Whether a server that is passed by is tried all the same: all members together make so many tries a second; this one's
     /// part is drawn, at most one a second.
-    fn draws_a_try(&mut self, start: Start, per_s: f64, now: Micros) -> bool {
+    fn draws_a_try(&mut self, start: ServerIncarnation, per_s: f64, now: Micros) -> bool {
         let all = (self.members as f64 * per_s).max(1e-3);
         let rested = self.tried.get(&start).is_none_or(|at| now >= *at + Micros::SECOND);
         let tries = rested && self.rng.random::<f64>() < self.terms.tries / all;
@@ -331,9 +331,9 @@
     }
 
     /// The start as it is looked up.
-    fn name(&self, start: Start) -> Start {
+    fn name(&self, start: ServerIncarnation) -> ServerIncarnation {
         if self.flaw.is(Flaw::AddressForStart) {
-            Start { started: Micros::ZERO, ..start }
+            ServerIncarnation { started: Micros::ZERO, ..start }
         } else {
             start
         }
--- a/cluster/src/verdicts/known.rs
+++ b/cluster/src/verdicts/known.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::message::Entry;
-use crate::cold::{mix, Start};
+use crate::server_incarnation::{mix, ServerIncarnation};
 use juniperladder::Micros;
 
 /// Entries of silence that are kept of one server and zone: the newest. Of either kind of answer it is one.
@@ -14,7 +14,7 @@
 const FEW: usize = 2;
 
 /// What is known of servers, by their starts.
-pub(super) type Servers = BTreeMap<Start, Vec<Known>>;
+pub(super) type Servers = BTreeMap<ServerIncarnation, Vec<Known>>;
 
 /// One witness's entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
     }
 
     /// It as it is told to another member now.
-    pub(super) fn entry(&self, start: Start, now: Micros) -> Entry {
+    pub(super) fn entry(&self, start: ServerIncarnation, now: Micros) -> Entry {
         let Known { witness, zone, stamp, born, silent, back } = *self;
         Entry { start, witness, zone, stamp, age: now.saturating_sub(born), silent, back }
     }
@@ -77,7 +77,7 @@
 pub(super) fn digest(servers: &Servers) -> u64 {
     let mut sum: u64 = 0;
     for (start, all) in servers {
-        let server = mix(start.server ^ mix(start.started.0));
+        let server = start.hash();
         for one in all {
             sum ^= mix(server ^ mix(one.stamp.0 ^ (u64::from(one.witness) << 40)));
         }
@@ -101,7 +101,7 @@
     let none = BTreeSet::new();
     let mut sum: u64 = 0;
     for (start, all) in servers.iter().filter(|(_, all)| is_hot(all, hasty)) {
-        let server = mix(start.server ^ mix(start.started.0));
+        let server = start.hash();
         let words: Vec<&Known> = uncleared(all, &none).collect();
         if words.len() >= witnesses {
             sum ^= server;
--- a/cluster/src/verdicts/message.rs
+++ b/cluster/src/verdicts/message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::cold::Start;
+use crate::server_incarnation::ServerIncarnation;
 use juniperladder::Micros;
 
 /// Entries in one answer: what a packet has room for, with the rest of it.
@@ -34,16 +34,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// The server and its start.
-    pub start: Start,
+    pub start: ServerIncarnation,
     /// The witness's place in the fleet.
     pub witness: u32,
     /// The witness's zone.
     pub zone: u32,
     /// When, by the witness's clock: a later one replaces an earlier one.
-    #[serde(with = "crate::wire_micros")]
+    #[serde(with = "crate::wire::micros")]
     pub stamp: Micros,
     /// How old it was at the most when it was written down here.
-    #[serde(with = "crate::wire_micros")]
+    #[serde(with = "crate::wire::micros")]
     pub age: Micros,
     /// Whether the server was silent; else it answered.
     pub silent: bool,
@@ -70,7 +70,7 @@
     /// What is held here in brief; whoever holds something else answers.
     Ask {
         /// When, by the asker's clock.
-        #[serde(with = "crate::wire_micros")]
+        #[serde(with = "crate::wire::micros")]
         sent: Micros,
         /// Of what it is about.
         digest: u64,
@@ -80,7 +80,7 @@
     /// What is held, for the question of that time.
     Told {
         /// The time in the question.
-        #[serde(with = "crate::wire_micros")]
+        #[serde(with = "crate::wire::micros")]
         sent: Micros,
         /// Its entries.
         entries: Vec<Entry>,
--- a/cluster/src/verdicts/own_results.rs
+++ b/cluster/src/verdicts/own_results.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use juniperladder::Micros;
+use juniperladder::{Micros, ServerId};
 
 /// How long results are kept, and how many.
 const KEPT_FOR: Micros = Micros::from_secs(2);
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug)]
 struct SendResult {
     at: Micros,
-    server: u64,
+    server: ServerId,
     silent: bool,
 }
 
@@ -27,7 +27,7 @@
 
 impl OwnResults {
     /// A send to a server has ended, without an answer where the server was silent.
-    pub(super) fn record(&mut self, now: Micros, server: u64, silent: bool) {
+    pub(super) fn record(&mut self, now: Micros, server: ServerId, silent: bool) {
         self.results.push_back(SendResult { at: now, server, silent });
         let is_old = |result: &SendResult| result.at + KEPT_FOR < now;
         while self.results.len() > MOST_KEPT || self.results.front().is_some_and(is_old) {
@@ -37,14 +37,14 @@
 
     /// Whether the results tell of servers and not of the own link: no more than half of the servers are silent.
     pub(super) fn link_works(&self) -> bool {
-        let mut last: BTreeMap<u64, bool> = BTreeMap::new();
+        let mut last: BTreeMap<ServerId, bool> = BTreeMap::new();
         last.extend(self.results.iter().map(|result| (result.server, result.silent)));
         let silent = last.values().filter(|silent| **silent).count();
         2 * silent <= last.len()
     }
 
     /// Whether a server has answered here a moment ago.
-    pub(super) fn has_just_answered(&self, server: u64, now: Micros) -> bool {
+    pub(super) fn has_just_answered(&self, server: ServerId, now: Micros) -> bool {
         self.results
             .iter()
             .any(|result| !result.silent && result.server == server && now < result.at + ANSWERED)
--- a/cluster/src/verdicts/selection.rs
+++ b/cluster/src/verdicts/selection.rs
@@ -8,8 +8,8 @@
 
 use super::known::{self, Servers};
 use super::message::Terms;
-use crate::cold::Start;
-use juniperladder::Micros;
+use crate::server_incarnation::ServerIncarnation;
+use juniperladder::{Micros, ServerId};
 
 /// The part of a zone's servers that is passed by at the most.
 const OF_ZONE: f64 = 0.5;
@@ -17,10 +17,10 @@
 const APART: Micros = Micros::from_millis(400);
 
 /// The servers that serve, by their numbers: when they started, and their zones.
-pub(super) type Listed = BTreeMap<u64, (Micros, u32)>;
+pub(super) type Listed = BTreeMap<ServerId, (Micros, u32)>;
 
 /// Servers that are passed by, and until when they stay so though others say that they answer.
-pub(super) type PassedBy = BTreeMap<Start, Option<Micros>>;
+pub(super) type PassedBy = BTreeMap<ServerIncarnation, Option<Micros>>;
 
 /// What was decided.
 #[derive(Debug)]
@@ -43,7 +43,7 @@
     rng: &mut ChaCha8Rng,
 ) -> Selection {
     let refused = known::refused(servers, listed.len());
-    let mut ranked: Vec<(usize, Start)> = Vec::new();
+    let mut ranked: Vec<(usize, ServerIncarnation)> = Vec::new();
     for (start, all) in servers {
         let latched = before.contains_key(start);
         let count = known::against(all, &refused, zone, terms.witnesses, latched);
@@ -67,7 +67,11 @@
 }
 
 /// Of servers in the order in which they are to be passed by, those that may be, and how many may not.
-fn within_bounds(terms: &Terms, ranked: impl Iterator<Item = Start>, listed: &Listed) -> (PassedBy, usize) {
+fn within_bounds(
+    terms: &Terms,
+    ranked: impl Iterator<Item = ServerIncarnation>,
+    listed: &Listed,
+) -> (PassedBy, usize) {
     #[derive(Default)]
     struct Zone {
         servers: usize,
--- a/cluster/src/verdicts/tests.rs
+++ b/cluster/src/verdicts/tests.rs
@@ -4,6 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::dissemination::{ASKED_BACK, MOST_ANSWERS};
+use juniperladder::ServerId;
+
 use super::*;
 use crate::virtual_network::{address, Arrival, Conditions, Faults, Partition, VirtualNetwork};
 
@@ -54,7 +56,7 @@
     /// A member sends to a server.
     Send(usize),
     /// A member learns how a send ended.
-    Ended { member: usize, server: usize, silent: bool, start: Start },
+    Ended { member: usize, server: usize, silent: bool, start: ServerIncarnation },
     /// A server falls silent, or speaks again.
     Silent(usize, bool),
     /// Another process starts at a server's address.
@@ -91,9 +93,9 @@
     started: Vec<Micros>,
     ill: BTreeSet<usize>,
     /// Who truly saw a start silent, and when last.
-    seen: BTreeMap<Start, (Micros, BTreeSet<u32>)>,
-    raised: BTreeMap<Start, Micros>,
-    cleared: BTreeMap<Start, Micros>,
+    seen: BTreeMap<ServerIncarnation, (Micros, BTreeSet<u32>)>,
+    raised: BTreeMap<ServerIncarnation, Micros>,
+    cleared: BTreeMap<ServerIncarnation, Micros>,
     played: Played,
 }
 
@@ -140,8 +142,9 @@
         Member { verdicts, heard: vec![Micros::ZERO; self.world.servers] }
     }
 
-    fn list(&self) -> Vec<(Start, u32)> {
-        let start = |server| Start { server: server as u64, started: self.started[server] };
+    fn list(&self) -> Vec<(ServerIncarnation, u32)> {
+        let start =
+            |server| ServerIncarnation { server: ServerId(server as u64), started: self.started[server] };
         (0..self.world.servers).map(|server| (start(server), server as u32 % 3)).collect()
     }
 
@@ -232,7 +235,7 @@
     /// A liar speaks against every server, anew at each tick.
     fn lie(&mut self, one: usize, now: Micros) {
         for server in 0..self.world.servers {
-            let start = Start { server: server as u64, started: self.started[server] };
+            let start = ServerIncarnation { server: ServerId(server as u64), started: self.started[server] };
             let zone = one as u32 % self.world.zones;
             let known = Known { witness: one as u32, zone, stamp: now, born: now, silent: true, back: false };
             self.members[one].verdicts.take(start, known, now);
@@ -248,7 +251,7 @@
         let rest = Micros((self.network.draw(Micros::from_secs(2)).as_f64() / self.world.rate) as u64);
         self.network.schedule_for(self.network.now() + rest, one, Scheduled::Send(one));
         let server = self.network.rng.random_range(0..self.world.servers);
-        let start = Start { server: server as u64, started: self.started[server] };
+        let start = ServerIncarnation { server: ServerId(server as u64), started: self.started[server] };
         let now = self.network.clock(one);
         let per_s = self.world.rate / self.world.servers as f64;
         let member = &mut self.members[one];
@@ -264,7 +267,7 @@
         self.network.schedule_for(self.network.now() + after, one, ended);
     }
 
-    fn ended(&mut self, one: usize, server: usize, silent: bool, start: Start) {
+    fn ended(&mut self, one: usize, server: usize, silent: bool, start: ServerIncarnation) {
         let now = self.network.clock(one);
         if silent {
             let (at, who) = self.seen.entry(start).or_default();
@@ -283,7 +286,7 @@
     }
 
     /// Somebody was passed by: it must have been seen silent, by enough, and lately.
-    fn passed(&mut self, one: usize, server: usize, start: Start) {
+    fn passed(&mut self, one: usize, server: usize, start: ServerIncarnation) {
         self.played.passed += 1;
         self.played.wrong += usize::from(!self.ill.contains(&server));
         let liars = self.world.liars;
@@ -372,22 +375,34 @@
 fn a_member_that_finds_most_servers_silent_reports_nothing() {
     let mut one = Verdicts::new(terms(), 0, 0, 1, Micros::ZERO);
     for server in 0..10 {
-        one.saw(Start { server, started: Micros(1) }, true, Micros(1_000 * server));
+        one.saw(
+            ServerIncarnation { server: ServerId(server), started: Micros(1) },
+            true,
+            Micros(1_000 * server),
+        );
     }
     assert_eq!(one.figures().told, 0);
     for server in 10..21 {
-        one.saw(Start { server, started: Micros(1) }, false, Micros(20_000 + server));
+        one.saw(
+            ServerIncarnation { server: ServerId(server), started: Micros(1) },
+            false,
+            Micros(20_000 + server),
+        );
     }
-    one.saw(Start { server: 5, started: Micros(1) }, true, Micros(30_000));
+    one.saw(ServerIncarnation { server: ServerId(5), started: Micros(1) }, true, Micros(30_000));
     assert_eq!(one.figures().told, 1, "now most answer");
-    one.saw(Start { server: 6, started: Micros(1) }, true, Micros(30_000) + Micros::from_secs(3));
+    one.saw(
+        ServerIncarnation { server: ServerId(6), started: Micros(1) },
+        true,
+        Micros(30_000) + Micros::from_secs(3),
+    );
     assert_eq!(one.figures().told, 1, "and that is long ago");
 }
 
 /// Of four zones' members in a full view: a path that is cut for one zone tells the others nothing.
 #[test]
 fn a_zone_that_cannot_reach_a_server_reports_for_itself_alone() {
-    let start = Start { server: 3, started: Micros(1) };
+    let start = ServerIncarnation { server: ServerId(3), started: Micros(1) };
     let word = |witness, zone, born, silent| {
         // Zone 2 had found it silent before it answered there.
         Known { witness, zone, stamp: Micros(born), born: Micros(born), silent, back: !silent && zone == 2 }
@@ -461,7 +476,7 @@
     one.tick(Micros::from_secs(2), 2, || Some(address(1)));
     let Some((_, Message::Ask { sent, .. })) = one.drain().next() else { panic!("it asks when it starts") };
     let entry = |server| Entry {
-        start: Start { server, started: Micros(1) },
+        start: ServerIncarnation { server: ServerId(server), started: Micros(1) },
         witness: 9,
         zone: 0,
         stamp: Micros(5),
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -8,7 +8,8 @@
 
 use juniperladder::{Micros, Settings};
 use juniperladder_cluster::rate_limit::RateLimitTerms;
-use juniperladder_cluster::{budget, cold, verdicts, Plan, MOST_MEMBERS};
+use juniperladder_cluster::slow_start_limit::SlowStartTerms;
+use juniperladder_cluster::{budget, verdicts, Plan, MOST_MEMBERS};
 use serde::Deserialize;
 
 /// The whole file.
@@ -245,8 +246,11 @@
         } else {
             LEAST_SHARE
         };
-        let cold =
-            |rate: &Rate| cold::Terms { rate_limit: terms(rate), share, warm_up: rules.slow_start_duration };
+        let cold = |rate: &Rate| SlowStartTerms {
+            rate_limit: terms(rate),
+            initial_share: share,
+            duration: rules.slow_start_duration,
+        };
         let second = |second: &Second| budget::Terms {
             share: second.share,
             saved: second.saved * f64::from(holders),
@@ -396,7 +400,7 @@
         let plan = operator.plan("127.0.0.1:7946".parse().unwrap(), None, &settings(), 1, 1).unwrap();
         let (cold, second) = (plan.cold.unwrap(), plan.second.unwrap());
         assert_eq!(
-            (cold.rate_limit.requests_per_s, cold.share, cold.warm_up),
+            (cold.rate_limit.requests_per_s, cold.initial_share, cold.duration),
             (100, 0.25, Micros::from_secs(10))
         );
         assert_eq!((second.share, second.saved, second.holders), (0.4, 1_000.0, 100));
--- a/node/src/together.rs
+++ b/node/src/together.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 
 use juniperladder::{Coordination, Micros, ServerId, ServingServer, SharedLimit};
-use juniperladder_cluster::cold::Start;
 use juniperladder_cluster::rate_limit::RateLimit;
-use juniperladder_cluster::{rate_limit, Cluster, Figures};
+use juniperladder_cluster::slow_start_limit::SlowStartAccess;
+use juniperladder_cluster::{rate_limit, Cluster, Figures, ServerIncarnation};
 
 use crate::operator::ORIGIN;
 
@@ -30,15 +30,18 @@
         match of {
             SharedLimit::OriginRate => cluster.limit(ORIGIN).map(act),
             SharedLimit::SlowStart(listed_server, started) => {
-                cluster.cold(start(listed_server, started), now).0.map(act)
+                match cluster.slow_start(incarnation(listed_server, started), now) {
+                    SlowStartAccess::Limited(limit) => Some(act(limit)),
+                    SlowStartAccess::Unlimited | SlowStartAccess::Unavailable => None,
+                }
             }
             SharedLimit::RetryBudget => None,
         }
     }
 }
 
-fn start(server: ServerId, started: Micros) -> Start {
-    Start { server: server.0, started }
+fn incarnation(server: ServerId, started: Micros) -> ServerIncarnation {
+    ServerIncarnation { server, started }
 }
 
 impl Coordination for Together {
@@ -49,9 +52,10 @@
                 Some(if has { Micros(0) } else { MOMENT })
             }
             SharedLimit::SlowStart(listed_server, started) => {
-                match self.0.borrow_mut().cold(start(listed_server, started), now) {
-                    (Some(limit), _) => Some(limit.wait_time(now)),
-                    (None, shut) => shut.then_some(MOMENT),
+                match self.0.borrow_mut().slow_start(incarnation(listed_server, started), now) {
+                    SlowStartAccess::Unlimited => None,
+                    SlowStartAccess::Limited(limit) => Some(limit.wait_time(now)),
+                    SlowStartAccess::Unavailable => Some(MOMENT),
                 }
             }
             SharedLimit::OriginRate => self.units(of, now, |limit| limit.wait_time(now)),
@@ -81,12 +85,12 @@
     }
 
     fn on_endpoints_changed(&mut self, servers: &[ServingServer]) {
-        let servers = servers.iter().map(|serving| (start(serving.server, serving.started), serving.zone));
+        let servers = servers.iter().map(|serving| (ServerIncarnation::from(serving), serving.zone));
         self.0.borrow_mut().verdicts().into_iter().for_each(|verdicts| verdicts.listed(servers.clone()));
     }
 
     fn on_server_observed(&mut self, listed_server: ServerId, started: Micros, silent: bool, now: Micros) {
-        let start = start(listed_server, started);
+        let start = incarnation(listed_server, started);
         self.0.borrow_mut().verdicts().into_iter().for_each(|verdicts| verdicts.saw(start, silent, now));
     }
 
@@ -98,7 +102,7 @@
         per_s: f64,
         now: Micros,
     ) -> bool {
-        let start = start(listed_server, started);
+        let start = incarnation(listed_server, started);
         let mut cluster = self.0.borrow_mut();
         cluster.verdicts().is_some_and(|verdicts| verdicts.warned(start, heard, per_s, now))
     }
@@ -126,9 +130,9 @@
         let _ = writeln!(text, "app_limit_bound{{limit=\"{name}\"}} {bound}");
         of_limit(&mut text, name, limit);
     }
-    if let Some((limit, servers)) = cold {
-        of_limit(&mut text, "cold", limit);
-        let _ = writeln!(text, "app_limit_cold_hosts {servers}");
+    if let Some(slow_start) = cold {
+        of_limit(&mut text, "cold", &slow_start.rate_limits);
+        let _ = writeln!(text, "app_limit_cold_hosts {}", slow_start.servers);
     }
     if let Some(budget) = second {
         let figures = [
--- a/testbed/src/scale/cluster_endpoint.rs
+++ b/testbed/src/scale/cluster_endpoint.rs
@@ -4,8 +4,9 @@
 
 use juniperladder_cluster::membership::{Membership, Name};
 use juniperladder_cluster::packet::{self, About, Item, Packet};
+use juniperladder_cluster::slow_start_limit::SlowStartTerms;
 use juniperladder_cluster::Micros as Time;
-use juniperladder_cluster::{budget, cold, rate_limit, verdicts, Cluster, Plan};
+use juniperladder_cluster::{budget, rate_limit, verdicts, Cluster, Plan};
 
 use super::endpoint::{Datagram, Endpoint, PacketKind, StateQuery};
 use super::workload::{Workload, WorkloadConfig, ORIGIN_LIMIT};
@@ -157,7 +158,11 @@
         zone: identity.zone as u32,
         seeds: identity.seeds,
         limits: vec![(ORIGIN_LIMIT.to_owned(), terms(config.origin_limit(members)))],
-        cold: Some(cold::Terms { rate_limit: terms(COLD_PER_S), share: COLD_SHARE, warm_up: WARM_UP }),
+        cold: Some(SlowStartTerms {
+            rate_limit: terms(COLD_PER_S),
+            initial_share: COLD_SHARE,
+            duration: WARM_UP,
+        }),
         second: Some(budget::Terms {
             share: RETRY_SHARE,
             saved: RETRIES_SAVED * f64::from(holders),
--- a/testbed/src/scale/tests.rs
+++ b/testbed/src/scale/tests.rs
@@ -2,9 +2,8 @@
 
 use std::net::SocketAddr;
 
-use juniperladder_cluster::cold::Start;
 use juniperladder_cluster::packet::{self, About, Item};
-use juniperladder_cluster::{budget, rate_limit};
+use juniperladder_cluster::{budget, rate_limit, ServerIncarnation};
 
 use super::endpoint::PacketKind;
 use super::meter::{Lateness, MemberCounts};
@@ -64,7 +63,13 @@
     let give = budget::Message::Give { life: 3, sent: juniperladder_cluster::Micros(4), rights: 5 };
     let abouts = [
         About::Limit(0, hold),
-        About::Cold(Start { server: 1, started: juniperladder_cluster::Micros(2) }, hold),
+        About::Cold(
+            ServerIncarnation {
+                server: juniperladder_cluster::ServerId(1),
+                started: juniperladder_cluster::Micros(2),
+            },
+            hold,
+        ),
         About::Second(give),
     ];
     let items = abouts.map(|about| (to, Item { terms: u32::MAX, about }));
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -3,9 +3,8 @@
 use std::collections::VecDeque;
 use std::ops::Range;
 
-use juniperladder_cluster::cold::Start;
-use juniperladder_cluster::Cluster;
 use juniperladder_cluster::Micros as Time;
+use juniperladder_cluster::{Cluster, ServerId, ServerIncarnation};
 
 use super::Micros;
 
@@ -77,7 +76,7 @@
     }
 
     /// The cache servers as discovery would list them, with their zones.
-    pub fn servers(&self, zones: usize) -> impl Iterator<Item = (Start, u32)> {
+    pub fn servers(&self, zones: usize) -> impl Iterator<Item = (ServerIncarnation, u32)> {
         (0..self.config.servers as u64)
             .map(move |server| (start(server), (server % zones.max(1) as u64) as u32))
     }
@@ -149,6 +148,6 @@
     }
 }
 
-fn start(server: u64) -> Start {
-    Start { server: server, started: Time(SERVER_START) }
+fn start(server: u64) -> ServerIncarnation {
+    ServerIncarnation { server: ServerId(server), started: Time(SERVER_START) }
 }
