--- a/cluster/src/cluster.rs
+++ b/cluster/src/cluster.rs
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 
 use crate::budget::{self, Budget};
+use crate::failure_detector::{FailureDetector, FailureDetectorMetrics, FailureDetectorTerms};
 use crate::membership::{Counts, Membership, Name};
 use crate::packet::{self, About, Item, Packet};
 use crate::rate_limit::{self, RateLimit, RateLimitTerms};
 use crate::server_incarnation::ServerIncarnation;
 use crate::slow_start_limit::{SlowStartAccess, SlowStartLimits, SlowStartMetrics, SlowStartTerms};
-use crate::verdicts::{self, Verdicts};
 use crate::LONGEST;
 use juniperladder::Micros;
 
@@ -41,7 +41,7 @@
     /// The budget of second tries.
     pub second: Option<budget::Terms>,
     /// Verdicts on servers.
-    pub verdicts: Option<verdicts::Terms>,
+    pub verdicts: Option<FailureDetectorTerms>,
     /// For random numbers.
     pub seed: u64,
 }
@@ -58,7 +58,7 @@
     /// The budget of second tries.
     pub second: Option<budget::Figures>,
     /// Verdicts on servers.
-    pub verdicts: Option<verdicts::Figures>,
+    pub verdicts: Option<FailureDetectorMetrics>,
     /// Packets out, and their bytes.
     pub sent: (u64, u64),
     /// Packets in, and their bytes.
@@ -81,7 +81,7 @@
     limits: Vec<One>,
     cold: Option<(SlowStartLimits, u32)>,
     second: Option<(Budget, u32)>,
-    verdicts: Option<(Verdicts, u32)>,
+    verdicts: Option<(FailureDetector, u32)>,
     figures: Figures,
     out: Vec<(SocketAddr, Vec<u8>)>,
 }
@@ -117,8 +117,12 @@
                 (Budget::new(terms, position, life), brief)
             }),
             verdicts: verdicts.map(|terms| {
-                let numbers = [terms.witnesses as u64, terms.expiry.0, terms.most.to_bits()];
-                (Verdicts::new(terms, position, zone, seed ^ 1, now), brief(&numbers))
+                let numbers = [
+                    terms.min_reporters as u64,
+                    terms.report_lifetime.0,
+                    terms.max_suspected_share.to_bits(),
+                ];
+                (FailureDetector::new(terms, position, zone, seed ^ 1, now), brief(&numbers))
             }),
             figures: Figures::default(),
             out: Vec::new(),
@@ -158,7 +162,7 @@
                 _ => self.figures.differ += 1,
             },
             About::Verdicts(message) => match &mut self.verdicts {
-                Some((verdicts, brief)) if *brief == terms => verdicts.heard(now, from, message),
+                Some((verdicts, brief)) if *brief == terms => verdicts.on_message(now, from, message),
                 _ => self.figures.differ += 1,
             },
         }
@@ -252,8 +256,8 @@
         self.second.as_mut().map(|(budget, _)| budget)
     }
 
-    /// This balancer's verdicts on servers.
-    pub fn verdicts(&mut self) -> Option<&mut Verdicts> {
+    /// This balancer's failure detector of servers.
+    pub fn failure_detector(&mut self) -> Option<&mut FailureDetector> {
         self.verdicts.as_mut().map(|(verdicts, _)| verdicts)
     }
 
@@ -274,7 +278,7 @@
         let dropped = self.figures.dropped + self.membership.dropped;
         let cold = self.cold.as_mut().map(|(cold, _)| cold.metrics(now));
         let second = self.second.as_mut().map(|(budget, _)| budget.figures(now));
-        let verdicts = self.verdicts.as_ref().map(|(verdicts, _)| verdicts.figures());
+        let verdicts = self.verdicts.as_ref().map(|(verdicts, _)| verdicts.metrics());
         Figures { members: self.members(), limits, cold, second, verdicts, dropped, ..self.figures.clone() }
     }
 }
--- a/cluster/src/cluster/tests.rs
+++ b/cluster/src/cluster/tests.rs
@@ -19,8 +19,13 @@
     let cold =
         Some(SlowStartTerms { rate_limit: terms, initial_share: 0.25, duration: Micros::from_secs(10) });
     let second = Some(budget::Terms { share: 0.5, saved: 20.0, holders: 2 });
-    let verdicts =
-        verdicts::Terms { witnesses: 2, expiry: Micros::from_secs(6), most: 0.5, tries: 1.0, drift: 0.001 };
+    let verdicts = FailureDetectorTerms {
+        min_reporters: 2,
+        report_lifetime: Micros::from_secs(6),
+        max_suspected_share: 0.5,
+        trials_per_s: 1.0,
+        clock_drift: 0.001,
+    };
     let (address, seeds) = (address(number), vec![address(0)]);
     let verdicts = Some(verdicts);
     let zone = 0;
--- /dev/null
+++ b/cluster/src/failure_detector/own_observations.rs
@@ -0,0 +1,58 @@
+//! How the own requests of late ended: whether a server is silent, or the own link is down.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use juniperladder::{Micros, ServerId};
+
+/// How long observations are kept.
+const KEPT_FOR: Micros = Micros::from_secs(2);
+/// How many observations are kept.
+const MAX_OBSERVATIONS: usize = 64;
+/// A server that has answered here within this time is not reported silent: a time-out takes about as long, so that the
+/// server has answered since the request was sent.
+const RECENT_ANSWER: Micros = Micros::from_millis(500);
+
+/// The end of one own request.
+#[derive(Clone, Copy, Debug)]
+struct Observation {
+    at: Micros,
+    server: ServerId,
+    is_silent: bool,
+}
+
+/// The ends of the own requests of late, oldest first.
+#[derive(Debug, Default)]
+pub(super) struct OwnObservations {
+    observations: VecDeque<Observation>,
+}
+
+impl OwnObservations {
+    /// A request to a server has ended, without an answer where the server was silent.
+    pub(super) fn add(&mut self, now: Micros, server: ServerId, is_silent: bool) {
+        self.observations.push_back(Observation { at: now, server, is_silent });
+        while self.observations.len() > MAX_OBSERVATIONS || self.is_oldest_outdated(now) {
+            self.observations.pop_front();
+        }
+    }
+
+    fn is_oldest_outdated(&self, now: Micros) -> bool {
+        self.observations.front().is_some_and(|oldest| oldest.at + KEPT_FOR < now)
+    }
+
+    /// Whether the observations tell of servers and not of the own link: no more than half of the servers are silent.
+    pub(super) fn is_link_healthy(&self) -> bool {
+        let mut is_silent_by_server: BTreeMap<ServerId, bool> = BTreeMap::new();
+        for observation in &self.observations {
+            is_silent_by_server.insert(observation.server, observation.is_silent);
+        }
+        let silent = is_silent_by_server.values().filter(|is_silent| **is_silent).count();
+        2 * silent <= is_silent_by_server.len()
+    }
+
+    /// Whether a server has answered here a moment ago.
+    pub(super) fn has_just_answered(&self, server: ServerId, now: Micros) -> bool {
+        self.observations.iter().any(|observation| {
+            !observation.is_silent && observation.server == server && now < observation.at + RECENT_ANSWER
+        })
+    }
+}
--- /dev/null
+++ b/cluster/src/failure_detector/tests.rs
@@ -0,0 +1,225 @@
+//! What fleets in virtual time do, and what follows from reports that are given by hand.
+
+mod fleet;
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use juniperladder::ServerId;
+
+use super::dissemination::{MAX_ANSWERS, MAX_QUERIES_IN_TURN};
+use super::*;
+use crate::virtual_network::{address, Conditions};
+use fleet::{drawn_scenario, run_fleet, terms, Scenario, MILD, MILD_CONDITIONS};
+
+fn server(number: u64) -> ServerIncarnation {
+    ServerIncarnation { server: ServerId(number), started: Micros(1) }
+}
+
+#[test]
+fn no_report_outlives_its_end_or_is_believed_of_too_few_in_two_thousand_drawn_fleets() {
+    let mut avoided = 0;
+    let mut lost = 0;
+    for seed in 0..2_000 {
+        let result = run_fleet(seed, drawn_scenario(seed));
+        assert_eq!(result.violation, None, "seed {seed}: {:?}", drawn_scenario(seed));
+        assert_eq!(result.wrongly_avoided, 0, "seed {seed}: a server that was never silent was passed over");
+        avoided += result.avoided;
+        lost += result.lost;
+    }
+    assert!(avoided > 100_000 && lost > 10_000, "{avoided} {lost}");
+}
+
+#[test]
+fn injected_defects_are_caught() {
+    for defect in [Defect::AgeNotCarried, Defect::RenewedByHearsay, Defect::AddressForIncarnation] {
+        let caught = (0..200).find(|seed| {
+            let scenario = Scenario { defect: Some(defect), ..drawn_scenario(*seed) };
+            run_fleet(*seed, scenario).violation.is_some()
+        });
+        assert!(caught.is_some(), "{defect:?}");
+    }
+}
+
+#[test]
+fn liars_alone_get_no_server_passed_over_and_cannot_hide_a_healthy_one() {
+    for seed in 0..20 {
+        let scenario = Scenario { members: 20, servers: 12, silent_servers: 1, liars: 2, ..MILD };
+        let result = run_fleet(seed, scenario);
+        assert_eq!(result.wrongly_avoided, 0, "seed {seed}: two of three needed");
+        assert!(result.avoided > 0, "seed {seed}: the one that is silent is passed over all the same");
+        assert_eq!(result.violation, None, "seed {seed}");
+    }
+}
+
+#[test]
+fn a_member_that_finds_most_servers_silent_reports_nothing() {
+    let mut detector = FailureDetector::new(terms(), 0, 0, 1, Micros::ZERO);
+    for number in 0..10 {
+        detector.on_server_observed(server(number), true, Micros(1_000 * number));
+    }
+    assert_eq!(detector.metrics().own_reports, 0);
+    for number in 10..21 {
+        detector.on_server_observed(server(number), false, Micros(20_000 + number));
+    }
+    detector.on_server_observed(server(5), true, Micros(30_000));
+    assert_eq!(detector.metrics().own_reports, 1, "now most answer");
+    detector.on_server_observed(server(6), true, Micros(30_000) + Micros::from_secs(3));
+    assert_eq!(detector.metrics().own_reports, 1, "and that is long ago");
+}
+
+/// Of four zones' members in a full view: a path that is cut for one zone tells the others nothing.
+#[test]
+fn a_zone_that_cannot_reach_a_server_reports_for_itself_alone() {
+    let report = |reporter, zone, seen: u64, is_silent| StoredReport {
+        reporter,
+        zone,
+        stamp: Micros(seen),
+        seen: Micros(seen),
+        is_silent,
+        // Zone 2 had found it silent before it answered there.
+        is_recovery: !is_silent && zone == 2,
+    };
+    let all_believed = BTreeSet::new();
+    let believed = |reports: &[StoredReport], zone, is_suspected| {
+        evidence::believed_reporters(reports, &all_believed, zone, 3, is_suspected)
+    };
+    let mut reports = Vec::new();
+    for reporter in 0..3 {
+        reports::merge(&mut reports, report(reporter, 0, 100 + u64::from(reporter), true));
+    }
+    assert_eq!((believed(&reports, 0, false), believed(&reports, 1, false)), (3, 0));
+    // An answer in another zone, which had never found it silent, clears nothing here.
+    reports::merge(&mut reports, report(7, 1, 200, false));
+    assert_eq!((believed(&reports, 0, true), believed(&reports, 1, true)), (3, 0));
+    // One more zone finds it silent: that is the server, for a third zone as well.
+    reports::merge(&mut reports, report(8, 2, 210, true));
+    assert_eq!((believed(&reports, 0, false), believed(&reports, 3, false)), (4, 4));
+    // And an answer in that zone is news of the server.
+    reports::merge(&mut reports, report(9, 2, 220, false));
+    assert_eq!((believed(&reports, 0, true), believed(&reports, 3, true)), (0, 0));
+    let discredited = BTreeSet::from([0, 1]);
+    assert_eq!(evidence::believed_reporters(&reports, &discredited, 0, 1, false), 0);
+    let mut table = BTreeMap::from([(server(3), reports)]);
+    let before = reports::digest(&table);
+    reports::merge(table.get_mut(&server(3)).unwrap(), report(9, 2, 230, false));
+    assert_ne!(reports::digest(&table), before);
+}
+
+/// A drawn report. Of one stamp of a reporter there is one report, whose age is bounded more or less tightly.
+fn drawn_report(rng: &mut ChaCha8Rng, number: u64) -> StoredReport {
+    let reporter: u32 = rng.random_range(0..24);
+    let stamp: u64 = rng.random_range(0..50);
+    let is_silent = rng.random_range(0..50) != stamp;
+    let seen = 1_000 * stamp + 10 * u64::from(reporter) + number % 2;
+    StoredReport {
+        reporter,
+        zone: reporter % 3,
+        stamp: Micros(seen / 10),
+        seen: Micros(seen),
+        is_silent,
+        is_recovery: !is_silent && reporter % 2 == 0,
+    }
+}
+
+#[test]
+fn reports_merge_to_the_same_in_any_order_and_with_any_repeats() {
+    let merged = |drawn: &[StoredReport]| {
+        let mut reports = Vec::new();
+        for report in drawn.iter().chain(drawn.iter().rev()) {
+            reports::merge(&mut reports, *report);
+        }
+        // What has been cleared or is not among the newest may stay behind here and not there; it does not act.
+        reports.retain(|report| report.is_silent);
+        let believed = |report: &StoredReport| {
+            evidence::believed_reporters(&reports, &BTreeSet::new(), report.zone, 3, false)
+        };
+        reports.iter().map(|report| (*report, believed(report))).collect::<Vec<_>>()
+    };
+    let mut rng = ChaCha8Rng::seed_from_u64(5);
+    for _ in 0..200 {
+        let mut drawn: Vec<StoredReport> = (0..30).map(|number| drawn_report(&mut rng, number)).collect();
+        let in_order = merged(&drawn);
+        drawn.reverse();
+        let reversed = merged(&drawn);
+        assert_eq!(in_order, reversed);
+    }
+}
+
+#[test]
+fn a_flood_fills_nothing_and_is_answered_within_bounds() {
+    let now = Micros::from_secs(2);
+    let mut detector = FailureDetector::new(terms(), 0, 0, 1, Micros::ZERO);
+    detector.tick(now, 2, || Some(address(1)));
+    let Some((_, Message::Query { sent, .. })) = detector.drain().next() else {
+        panic!("it asks when it starts")
+    };
+    let report = |number| Report {
+        server: server(number),
+        reporter: 9,
+        zone: 0,
+        stamp: Micros(5),
+        age: Micros::ZERO,
+        is_silent: true,
+        is_recovery: false,
+    };
+    for turn in 0..1_000 {
+        let reports = (0..100).map(|number| report(100 * turn + number)).collect();
+        detector.on_message(now, address(1), Message::Reports { sent, reports });
+        let query = Message::Query { sent: Micros(turn), digest: turn, scope: QueryScope::UrgentMutual };
+        detector.on_message(now, address(1), query);
+    }
+    let stored = detector.reports.len();
+    assert!(stored <= MAX_REPORTS, "one query, one answer: {stored}");
+    assert!(detector.drain().count() <= MAX_ANSWERS + MAX_QUERIES_IN_TURN);
+}
+
+/// Detection times by fleet size, by hand:
+/// `cargo test --release -p juniperladder-cluster failure_detector_tables -- --ignored --nocapture`.
+#[test]
+#[ignore = "prints a table, run by hand"]
+fn failure_detector_tables() {
+    println!("| members | loss | detection p50, p99, max (ms) | recovery, max (ms) | lost a server | packets a second a member |");
+    for (members, loss) in [(12, 0.0), (100, 0.0), (100, 0.3), (300, 0.0), (300, 0.3), (500, 0.0)] {
+        let scenario = Scenario {
+            members,
+            servers: 60,
+            silent_servers: 7,
+            requests_per_s: 1500.0 / members as f64,
+            conditions: Conditions { loss, ..MILD_CONDITIONS },
+            ..MILD
+        };
+        print_detection_times(scenario);
+    }
+}
+
+fn print_detection_times(scenario: Scenario) {
+    let mut detection_times = Vec::new();
+    let mut longest_recovery = Micros::ZERO;
+    let mut lost = 0;
+    let mut packets = 0;
+    for seed in 1..=3 {
+        let mut result = run_fleet(seed, scenario);
+        assert_eq!(result.violation, None);
+        lost += result.lost;
+        packets += result.packets;
+        detection_times.append(&mut result.detection_times);
+        longest_recovery = longest_recovery.max(result.recovery_times.into_iter().max().unwrap_or_default());
+    }
+    detection_times.sort_unstable();
+    let quantile = |quantile: f64| {
+        let index = (quantile * (detection_times.len() - 1) as f64) as usize;
+        detection_times.get(index).map_or(0, |time| time.0 / 1_000)
+    };
+    println!(
+        "| {} | {} | {} {} {} of {} | {} | {:.1} | {:.1} |",
+        scenario.members,
+        scenario.conditions.loss,
+        quantile(0.5),
+        quantile(0.99),
+        quantile(1.0),
+        detection_times.len(),
+        longest_recovery.0 / 1_000,
+        lost as f64 / 21.0,
+        packets as f64 / 3.0 / 24.0 / scenario.members as f64
+    );
+}
--- /dev/null
+++ b/cluster/src/failure_detector/tests/fleet.rs
@@ -0,0 +1,419 @@
+//! A fleet in virtual time: servers that fall silent, start again and recover, and members that are killed, frozen, cut off or
+//! lie. What acts is held against what was truly seen, whenever a server is passed over.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use juniperladder::ServerId;
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+
+use super::super::suspicion::Suspicion;
+use super::super::*;
+use crate::virtual_network::{address, Arrival, Conditions, Faults, Partition, VirtualNetwork};
+
+/// By how much at most a late packet is late.
+const LATE_DELAYS: &[Micros] = &[Micros::from_secs(9)];
+/// The longest freeze of a process.
+const MAX_FREEZE: Micros = Micros::from_secs(8);
+/// The longest cut of the network.
+const MAX_CUT: Micros = Micros::from_secs(8);
+/// The zones of the servers; members have as many as the scenario says.
+const SERVER_ZONES: u32 = 3;
+/// After how long a request to a silent server ends.
+const REQUEST_TIMEOUT: Micros = Micros::from_millis(400);
+/// After how long a server that is not silent answers.
+const RESPONSE_TIME: Micros = Micros::from_millis(5);
+/// When each server started first.
+const FIRST_START: Micros = Micros(1);
+
+/// A fleet, its servers, and what goes wrong in it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Scenario {
+    pub(super) members: usize,
+    pub(super) servers: usize,
+    /// The zones of the members.
+    pub(super) zones: u32,
+    pub(super) seconds: u64,
+    /// Requests a second of each member.
+    pub(super) requests_per_s: f64,
+    pub(super) conditions: Conditions,
+    pub(super) faults: Faults,
+    /// Servers that fall silent for some seconds; at every second of them another process starts at its address meanwhile.
+    pub(super) silent_servers: usize,
+    /// Members that report every server silent all the time.
+    pub(super) liars: usize,
+    pub(super) defect: Option<Defect>,
+}
+
+pub(super) const MILD_CONDITIONS: Conditions = Conditions {
+    loss: 0.0,
+    repeat: 0.0,
+    min_delay: Micros::ZERO,
+    delay: Micros::from_millis(20),
+    late: 0.0,
+    late_delays: LATE_DELAYS,
+    drift: 0.0005,
+};
+
+pub(super) const MILD: Scenario = Scenario {
+    members: 60,
+    servers: 24,
+    zones: 3,
+    seconds: 24,
+    requests_per_s: 10.0,
+    conditions: MILD_CONDITIONS,
+    faults: Faults::NONE,
+    silent_servers: 3,
+    liars: 0,
+    defect: None,
+};
+
+/// A drawn scenario with everything in it that can go wrong between members.
+pub(super) fn drawn_scenario(seed: u64) -> Scenario {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
+    Scenario {
+        members: rng.random_range(6..14),
+        servers: rng.random_range(6..14),
+        zones: rng.random_range(1..4),
+        seconds: 22,
+        requests_per_s: 12.0,
+        conditions: Conditions {
+            loss: 0.5 * rng.random::<f64>(),
+            repeat: 0.2 * rng.random::<f64>(),
+            late: 0.2 * rng.random::<f64>(),
+            ..MILD_CONDITIONS
+        },
+        faults: Faults {
+            kills: rng.random_range(0..4),
+            freezes: rng.random_range(0..4),
+            cuts: rng.random_range(0..3),
+        },
+        silent_servers: rng.random_range(1..5),
+        ..MILD
+    }
+}
+
+/// What is scheduled beside what the network does.
+#[derive(Debug)]
+enum Scheduled {
+    /// A member sends a request to a server.
+    Request(usize),
+    /// A member learns how a request ended.
+    RequestEnded { member: usize, server: usize, is_silent: bool, incarnation: ServerIncarnation },
+    /// A server falls silent, or answers again.
+    SetSilent(usize, bool),
+    /// Another process starts at a server's address.
+    ServerStarted(usize),
+}
+
+struct Member {
+    detector: FailureDetector,
+    /// When each server last answered here.
+    last_responses: Vec<Micros>,
+}
+
+/// What a fleet did.
+#[derive(Debug, Default)]
+pub(super) struct RunResult {
+    /// The first guarantee that did not hold.
+    pub(super) violation: Option<String>,
+    /// Requests to silent servers.
+    pub(super) lost: usize,
+    /// Requests that passed over a server.
+    pub(super) avoided: usize,
+    /// Those of them that passed over a server that was never silent.
+    pub(super) wrongly_avoided: usize,
+    pub(super) packets: u64,
+    /// From the moment at which enough had seen a server silent until nearly all members suspected it.
+    pub(super) detection_times: Vec<Micros>,
+    /// From the first answer of a server that recovered until the last members passed over it.
+    pub(super) recovery_times: Vec<Micros>,
+}
+
+/// Who truly saw an incarnation silent, and when last.
+#[derive(Clone, Debug, Default)]
+struct TrueSilence {
+    last_seen: Micros,
+    seen_by: BTreeSet<u32>,
+}
+
+struct Fleet {
+    scenario: Scenario,
+    network: VirtualNetwork<Message, Scheduled>,
+    members: Vec<Member>,
+    is_silent: Vec<bool>,
+    started: Vec<Micros>,
+    /// Servers that fall silent at some time.
+    faulty: BTreeSet<usize>,
+    true_silence: BTreeMap<ServerIncarnation, TrueSilence>,
+    /// When enough members had seen an incarnation silent; none, once nearly all suspected it.
+    detectable_since: BTreeMap<ServerIncarnation, Option<Micros>>,
+    /// When an incarnation first answered again.
+    recovered_at: BTreeMap<ServerIncarnation, Micros>,
+    result: RunResult,
+}
+
+pub(super) fn terms() -> FailureDetectorTerms {
+    FailureDetectorTerms {
+        min_reporters: 3,
+        report_lifetime: Micros::from_secs(6),
+        max_suspected_share: 0.34,
+        trials_per_s: 1.0,
+        clock_drift: 0.001,
+    }
+}
+
+pub(super) fn run_fleet(seed: u64, scenario: Scenario) -> RunResult {
+    let mut fleet = Fleet {
+        scenario,
+        network: VirtualNetwork::new(seed, scenario.members, scenario.conditions),
+        members: Vec::new(),
+        is_silent: vec![false; scenario.servers],
+        started: vec![FIRST_START; scenario.servers],
+        faulty: BTreeSet::new(),
+        true_silence: BTreeMap::new(),
+        detectable_since: BTreeMap::new(),
+        recovered_at: BTreeMap::new(),
+        result: RunResult::default(),
+    };
+    fleet.run();
+    fleet.result.packets = fleet.network.packets;
+    fleet.result
+}
+
+impl Fleet {
+    fn run(&mut self) {
+        let end = Micros::from_secs(self.scenario.seconds);
+        for member in 0..self.scenario.members {
+            let started = self.start_member(member);
+            self.members.push(started);
+            let first_request = self.network.draw(Micros::from_millis(200));
+            self.network.schedule_for(first_request, member, Scheduled::Request(member));
+        }
+        self.schedule_faults(end);
+        while self.result.violation.is_none() {
+            let Some(arrival) = self.network.next(end) else { break };
+            self.on_arrival(arrival);
+        }
+    }
+
+    fn schedule_faults(&mut self, end: Micros) {
+        self.network.schedule_process_faults(self.scenario.faults, end, MAX_FREEZE);
+        for _ in 0..self.scenario.faults.cuts {
+            let at = self.network.draw(end);
+            let duration = self.network.draw(MAX_CUT);
+            let second_side = self.network.rng.random();
+            self.network.schedule_cut(at, at + duration, Partition { second_side, one_way: false });
+        }
+        for server in 0..self.scenario.silent_servers {
+            let silent_from = Micros::from_secs(4) + self.network.draw(end / 4);
+            let silent_until = silent_from + Micros::from_secs(6) + self.network.draw(Micros::from_secs(6));
+            self.faulty.insert(server);
+            self.network.schedule(silent_from, Scheduled::SetSilent(server, true));
+            self.network.schedule(silent_until, Scheduled::SetSilent(server, false));
+            if server % 2 == 1 {
+                // While it is suspected another process starts at its address, and that one is healthy.
+                self.network.schedule(silent_until, Scheduled::ServerStarted(server));
+            }
+        }
+    }
+
+    /// The process of a member as it starts.
+    fn start_member(&mut self, member: usize) -> Member {
+        let seed = self.network.rng.random();
+        let zone = self.zone_of(member);
+        let now = self.network.clock(member);
+        let mut detector = FailureDetector::new(terms(), member as u32, zone, seed, now);
+        detector.defect = InjectedDefect::given(self.scenario.defect);
+        detector.on_endpoints_changed(&self.serving_servers());
+        self.network.start(member);
+        Member { detector, last_responses: vec![Micros::ZERO; self.scenario.servers] }
+    }
+
+    fn zone_of(&self, member: usize) -> u32 {
+        member as u32 % self.scenario.zones
+    }
+
+    fn serving_servers(&self) -> Vec<ServingServer> {
+        let serving = |server: usize| ServingServer {
+            server: ServerId(server as u64),
+            started: self.started[server],
+            zone: server as u32 % SERVER_ZONES,
+        };
+        (0..self.scenario.servers).map(serving).collect()
+    }
+
+    fn incarnation(&self, server: usize) -> ServerIncarnation {
+        ServerIncarnation { server: ServerId(server as u64), started: self.started[server] }
+    }
+
+    fn on_arrival(&mut self, arrival: Arrival<Message, Scheduled>) {
+        match arrival {
+            Arrival::Tick(member) => self.tick(member),
+            Arrival::Packet { from, to, message } => {
+                let now = self.network.clock(to);
+                self.members[to].detector.on_message(now, address(from), message);
+                self.send(to);
+            }
+            Arrival::Killed(member) => {
+                self.members[member] = self.start_member(member);
+                let next = self.network.now() + Micros(1);
+                self.network.schedule_for(next, member, Scheduled::Request(member));
+            }
+            Arrival::Scheduled(event) => self.on_scheduled(event),
+        }
+    }
+
+    fn on_scheduled(&mut self, event: Scheduled) {
+        match event {
+            Scheduled::Request(member) => self.request(member),
+            Scheduled::RequestEnded { member, server, is_silent, incarnation } => {
+                self.on_request_ended(member, server, is_silent, incarnation);
+            }
+            Scheduled::SetSilent(server, is_silent) => self.is_silent[server] = is_silent,
+            Scheduled::ServerStarted(server) => {
+                self.started[server] = self.network.now();
+                let serving = self.serving_servers();
+                for member in &mut self.members {
+                    member.detector.on_endpoints_changed(&serving);
+                }
+            }
+        }
+    }
+
+    /// Measures how long it takes until nearly all members suspect a server that enough have seen silent.
+    fn measure_detection(&mut self) {
+        let nearly_all = self.scenario.members - self.scenario.members / 100;
+        for (incarnation, detectable_since) in &mut self.detectable_since {
+            let Some(since) = *detectable_since else { continue };
+            let suspects = |member: &&Member| member.detector.suspected.contains_key(incarnation);
+            if self.members.iter().filter(suspects).count() >= nearly_all {
+                self.result.detection_times.push(self.network.now() - since);
+                *detectable_since = None;
+            }
+        }
+    }
+
+    fn tick(&mut self, member: usize) {
+        if member == 0 {
+            self.measure_detection();
+        }
+        let now = self.network.clock(member);
+        let drawn = [self.network.draw_peer(member), self.network.draw_peer(member)];
+        let mut peers = drawn.into_iter().flatten();
+        self.members[member].detector.tick(now, self.scenario.members, || peers.next());
+        if member < self.scenario.liars {
+            self.lie(member, now);
+        }
+        self.send(member);
+        self.network.tick_after(member, Micros::from_millis(50));
+    }
+
+    /// A liar reports every server silent, anew at each tick.
+    fn lie(&mut self, member: usize, now: Micros) {
+        let report = StoredReport {
+            reporter: member as u32,
+            zone: self.zone_of(member),
+            stamp: now,
+            seen: now,
+            is_silent: true,
+            is_recovery: false,
+        };
+        for server in 0..self.scenario.servers {
+            let incarnation = self.incarnation(server);
+            self.members[member].detector.add_report(incarnation, report, now);
+        }
+    }
+
+    fn send(&mut self, member: usize) {
+        self.network.send(member, self.members[member].detector.drain());
+    }
+
+    /// A member sends a request to a server, unless it passes over it.
+    fn request(&mut self, number: usize) {
+        let twice_average = self.network.draw(Micros::from_secs(2)).as_f64() / self.scenario.requests_per_s;
+        let next = self.network.now() + Micros(twice_average as u64);
+        self.network.schedule_for(next, number, Scheduled::Request(number));
+        let server = self.network.rng.random_range(0..self.scenario.servers);
+        let incarnation = self.incarnation(server);
+        let now = self.network.clock(number);
+        let requests_per_s = self.scenario.requests_per_s / self.scenario.servers as f64;
+        let member = &mut self.members[number];
+        let last_response = member.last_responses[server];
+        if member.detector.is_suspected(incarnation, last_response, requests_per_s, now) {
+            self.on_avoided(number, server, incarnation);
+            return;
+        }
+        let is_silent = self.is_silent[server];
+        self.result.lost += usize::from(is_silent);
+        let duration = if is_silent { REQUEST_TIMEOUT } else { RESPONSE_TIME };
+        let ended = Scheduled::RequestEnded { member: number, server, is_silent, incarnation };
+        self.network.schedule_for(self.network.now() + duration, number, ended);
+    }
+
+    fn on_request_ended(
+        &mut self,
+        member: usize,
+        server: usize,
+        is_silent: bool,
+        incarnation: ServerIncarnation,
+    ) {
+        let now = self.network.clock(member);
+        let true_now = self.network.now();
+        if is_silent {
+            let silence = self.true_silence.entry(incarnation).or_default();
+            silence.last_seen = true_now;
+            silence.seen_by.insert(member as u32);
+            if silence.seen_by.len() == terms().min_reporters {
+                self.detectable_since.entry(incarnation).or_insert(Some(true_now));
+            }
+        } else {
+            self.members[member].last_responses[server] = now;
+            if !self.is_silent[server] && self.detectable_since.contains_key(&incarnation) {
+                self.recovered_at.entry(incarnation).or_insert(true_now);
+            }
+        }
+        self.members[member].detector.on_server_observed(incarnation, is_silent, now);
+    }
+
+    /// A request passed over a server: it must have been seen silent, by enough, and lately.
+    fn on_avoided(&mut self, member: usize, server: usize, incarnation: ServerIncarnation) {
+        self.result.avoided += 1;
+        self.result.wrongly_avoided += usize::from(!self.faulty.contains(&server));
+        self.check_evidence(member, incarnation);
+        self.check_suspected_share(member);
+        if let Some(recovered_at) = self.recovered_at.get(&incarnation) {
+            self.result.recovery_times.push(self.network.now() - *recovered_at);
+        }
+    }
+
+    fn check_evidence(&mut self, member: usize, incarnation: ServerIncarnation) {
+        let liars = self.scenario.liars;
+        let TrueSilence { last_seen, seen_by } =
+            self.true_silence.get(&incarnation).cloned().unwrap_or_default();
+        if seen_by.len() + liars < terms().min_reporters {
+            let violation = format!("{member} passed over {incarnation:?} on the reports of {seen_by:?}");
+            self.result.violation = Some(violation);
+        }
+        // Clocks may differ by the drift; a microsecond is lost to rounding.
+        let max_age = terms().report_lifetime.mul_f64(1.0005) + Micros(2);
+        let now = self.network.now();
+        if liars == 0 && now > last_seen + max_age {
+            let age = (now - last_seen).0;
+            let violation = format!("{member} passed over {incarnation:?}, last seen silent {age} us ago");
+            self.result.violation = Some(violation);
+        }
+    }
+
+    fn check_suspected_share(&mut self, member: usize) {
+        let detector = &self.members[member].detector;
+        // Servers that are cleared and wait for their return come on top.
+        let is_reported = |suspicion: &&Suspicion| **suspicion == Suspicion::Reported;
+        let reported = detector.suspected.values().filter(is_reported).count();
+        let serving = detector.serving.len();
+        if reported as f64 > terms().max_suspected_share * serving as f64 {
+            let suspected = detector.suspected.len();
+            self.result.violation = Some(format!("{member} suspects {suspected} of {serving} servers"));
+        }
+    }
+}
--- a/cluster/src/packet.rs
+++ b/cluster/src/packet.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::server_incarnation::ServerIncarnation;
-use crate::{budget, rate_limit, verdicts, LONGEST};
+use crate::{budget, failure_detector, rate_limit, LONGEST};
 
 /// The first bytes of every packet: whose, and of which version.
 const HEAD: [u8; 3] = [b'J', b'L', 2];
@@ -31,7 +31,7 @@
     /// The budget of second tries.
     Second(budget::Message),
     /// Verdicts on servers.
-    Verdicts(verdicts::Message),
+    Verdicts(failure_detector::Message),
 }
 
 /// One item of talk.
--- a/cluster/src/packet/tests.rs
+++ b/cluster/src/packet/tests.rs
@@ -10,26 +10,29 @@
     let hold = Message::Request(LeaseRequest { incarnation: u64::MAX, sent: Micros(12), tokens: 7 });
     let lent =
         Message::Grant(LeaseGrant { incarnation: 1, sent: Micros(u64::MAX), tokens: 0, available: u32::MAX });
-    let entry = verdicts::Entry {
-        start,
-        witness: 7,
+    let entry = failure_detector::Report {
+        server: start,
+        reporter: 7,
         zone: 1,
         stamp: Micros(u64::MAX),
         age: Micros(9),
-        silent: true,
-        back: false,
+        is_silent: true,
+        is_recovery: false,
+    };
+    let told = failure_detector::Message::Reports {
+        sent: Micros(1),
+        reports: vec![entry; failure_detector::MAX_REPORTS],
     };
-    let told = verdicts::Message::Told { sent: Micros(1), entries: vec![entry; verdicts::MOST_TOLD] };
     let give = budget::Message::Give { life: 3, sent: Micros(4), rights: 5 };
     let abouts = [
         About::Limit(3, hold),
         About::Cold(start, lent),
         About::Second(give),
         About::Verdicts(told),
-        About::Verdicts(verdicts::Message::Ask {
+        About::Verdicts(failure_detector::Message::Query {
             sent: Micros(1),
             digest: u64::MAX,
-            about: verdicts::What::HotBack,
+            scope: failure_detector::QueryScope::Urgent,
         }),
     ];
     abouts.into_iter().map(|about| Item { terms: u32::MAX, about }).collect()
@@ -84,16 +87,16 @@
 #[test]
 fn items_keep_their_bytes_on_the_wire() {
     let start = ServerIncarnation { server: ServerId(300), started: Micros(70_000_000) };
-    let entry = verdicts::Entry {
-        start,
-        witness: 7,
+    let entry = failure_detector::Report {
+        server: start,
+        reporter: 7,
         zone: 1,
         stamp: Micros(128),
         age: Micros(16_384),
-        silent: true,
-        back: false,
+        is_silent: true,
+        is_recovery: false,
     };
-    let ask = |about| verdicts::Message::Ask { sent: Micros(200), digest: 1_000_000, about };
+    let query = |scope| failure_detector::Message::Query { sent: Micros(200), digest: 1_000_000, scope };
     let abouts = [
         About::Limit(3, Message::Request(LeaseRequest { incarnation: 1, sent: Micros(200), tokens: 7 })),
         About::Cold(
@@ -102,11 +105,11 @@
         ),
         About::Second(budget::Message::Ask { life: 5, sent: Micros(130), rights: 16 }),
         About::Second(budget::Message::Give { life: 5, sent: Micros(131), rights: 4 }),
-        About::Verdicts(ask(verdicts::What::All)),
-        About::Verdicts(ask(verdicts::What::Own)),
-        About::Verdicts(ask(verdicts::What::Hot)),
-        About::Verdicts(ask(verdicts::What::HotBack)),
-        About::Verdicts(verdicts::Message::Told { sent: Micros(201), entries: vec![entry] }),
+        About::Verdicts(query(failure_detector::QueryScope::All)),
+        About::Verdicts(query(failure_detector::QueryScope::AllMutual)),
+        About::Verdicts(query(failure_detector::QueryScope::UrgentMutual)),
+        About::Verdicts(query(failure_detector::QueryScope::Urgent)),
+        About::Verdicts(failure_detector::Message::Reports { sent: Micros(201), reports: vec![entry] }),
     ];
     let to = SocketAddr::from(([127, 0, 0, 1], 9));
     let written = abouts.map(|about| talk([(to, Item { terms: 5, about })]).remove(0).1);
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -7,9 +7,10 @@
 use std::path::Path;
 
 use juniperladder::{Micros, Settings};
+use juniperladder_cluster::failure_detector::FailureDetectorTerms;
 use juniperladder_cluster::rate_limit::RateLimitTerms;
 use juniperladder_cluster::slow_start_limit::SlowStartTerms;
-use juniperladder_cluster::{budget, verdicts, Plan, MOST_MEMBERS};
+use juniperladder_cluster::{budget, Plan, MOST_MEMBERS};
 use serde::Deserialize;
 
 /// The whole file.
@@ -256,12 +257,12 @@
             saved: second.saved * f64::from(holders),
             holders,
         };
-        let verdicts = |verdicts: &Verdicts| verdicts::Terms {
-            witnesses: verdicts.witnesses,
-            expiry: Micros::from_millis(verdicts.expiry_ms),
-            most: verdicts.most,
-            tries: verdicts.tries_per_s,
-            drift,
+        let verdicts = |verdicts: &Verdicts| FailureDetectorTerms {
+            min_reporters: verdicts.witnesses,
+            report_lifetime: Micros::from_millis(verdicts.expiry_ms),
+            max_suspected_share: verdicts.most,
+            trials_per_s: verdicts.tries_per_s,
+            clock_drift: drift,
         };
         Ok(Plan {
             address: self.peers.address.unwrap_or(bound),
@@ -404,7 +405,7 @@
             (100, 0.25, Micros::from_secs(10))
         );
         assert_eq!((second.share, second.saved, second.holders), (0.4, 1_000.0, 100));
-        assert_eq!((plan.verdicts.unwrap().expiry, plan.zone), (Micros::from_secs(6), 1));
+        assert_eq!((plan.verdicts.unwrap().report_lifetime, plan.zone), (Micros::from_secs(6), 1));
     }
 
     #[test]
--- a/node/src/together.rs
+++ b/node/src/together.rs
@@ -85,13 +85,16 @@
     }
 
     fn on_endpoints_changed(&mut self, servers: &[ServingServer]) {
-        let servers = servers.iter().map(|serving| (ServerIncarnation::from(serving), serving.zone));
-        self.0.borrow_mut().verdicts().into_iter().for_each(|verdicts| verdicts.listed(servers.clone()));
+        if let Some(detector) = self.0.borrow_mut().failure_detector() {
+            detector.on_endpoints_changed(servers);
+        }
     }
 
     fn on_server_observed(&mut self, listed_server: ServerId, started: Micros, silent: bool, now: Micros) {
         let start = incarnation(listed_server, started);
-        self.0.borrow_mut().verdicts().into_iter().for_each(|verdicts| verdicts.saw(start, silent, now));
+        if let Some(detector) = self.0.borrow_mut().failure_detector() {
+            detector.on_server_observed(start, silent, now);
+        }
     }
 
     fn is_suspected(
@@ -104,7 +107,7 @@
     ) -> bool {
         let start = incarnation(listed_server, started);
         let mut cluster = self.0.borrow_mut();
-        cluster.verdicts().is_some_and(|verdicts| verdicts.warned(start, heard, per_s, now))
+        cluster.failure_detector().is_some_and(|detector| detector.is_suspected(start, heard, per_s, now))
     }
 }
 
@@ -149,15 +152,15 @@
     }
     if let Some(verdicts) = verdicts {
         let figures = [
-            ("held{kind=\"silent\"}", verdicts.silent as f64),
-            ("held{kind=\"answers\"}", verdicts.sound as f64),
-            ("hosts_passed_by", verdicts.against as f64),
-            ("hosts_beyond_the_most", verdicts.beyond as f64),
-            ("witnesses_refused", verdicts.refused as f64),
-            ("sends_spared", verdicts.passed as f64),
-            ("tries", verdicts.tried as f64),
-            ("told", verdicts.told as f64),
-            ("oldest_acted_seconds", verdicts.oldest.as_f64() / 1e6),
+            ("held{kind=\"silent\"}", verdicts.silent_reports as f64),
+            ("held{kind=\"answers\"}", verdicts.answer_reports as f64),
+            ("hosts_passed_by", verdicts.suspected_servers as f64),
+            ("hosts_beyond_the_most", verdicts.servers_beyond_limit as f64),
+            ("witnesses_refused", verdicts.discredited_reporters as f64),
+            ("sends_spared", verdicts.avoided_requests as f64),
+            ("tries", verdicts.trials as f64),
+            ("told", verdicts.own_reports as f64),
+            ("oldest_acted_seconds", verdicts.oldest_used_report.as_f64() / 1e6),
         ];
         for (figure, value) in figures {
             let _ = writeln!(text, "app_verdicts_{figure} {value}");
--- a/testbed/src/scale/cluster_endpoint.rs
+++ b/testbed/src/scale/cluster_endpoint.rs
@@ -2,11 +2,12 @@
 
 use std::net::SocketAddr;
 
+use juniperladder_cluster::failure_detector::FailureDetectorTerms;
 use juniperladder_cluster::membership::{Membership, Name};
 use juniperladder_cluster::packet::{self, About, Item, Packet};
 use juniperladder_cluster::slow_start_limit::SlowStartTerms;
 use juniperladder_cluster::Micros as Time;
-use juniperladder_cluster::{budget, rate_limit, verdicts, Cluster, Plan};
+use juniperladder_cluster::{budget, rate_limit, Cluster, Plan};
 
 use super::endpoint::{Datagram, Endpoint, PacketKind, StateQuery};
 use super::workload::{Workload, WorkloadConfig, ORIGIN_LIMIT};
@@ -98,8 +99,8 @@
         let seed = identity.seed;
         let mut cluster = Cluster::new(plan(identity, members, &config), Time(now));
         let workload = Workload::new(config, seed ^ 0x10ad, now);
-        if let Some(verdicts) = cluster.verdicts() {
-            verdicts.listed(workload.servers(zones));
+        if let Some(detector) = cluster.failure_detector() {
+            detector.on_endpoints_changed(&workload.servers(zones));
         }
         ClusterEndpoint { cluster, workload }
     }
@@ -121,9 +122,10 @@
 
     fn satisfies(&mut self, query: &StateQuery) -> bool {
         match query {
-            StateQuery::HostAvoided => {
-                self.cluster.verdicts().is_some_and(|verdicts| verdicts.figures().against > 0)
-            }
+            StateQuery::HostAvoided => self
+                .cluster
+                .failure_detector()
+                .is_some_and(|detector| detector.metrics().suspected_servers > 0),
             query => about_members(self.cluster.membership(), query),
         }
     }
@@ -168,12 +170,12 @@
             saved: RETRIES_SAVED * f64::from(holders),
             holders,
         }),
-        verdicts: Some(verdicts::Terms {
-            witnesses: REPORTERS,
-            expiry: REPORT_EXPIRY,
-            most: AVOIDED_SHARE,
-            tries: TRIES_PER_S,
-            drift: DRIFT,
+        verdicts: Some(FailureDetectorTerms {
+            min_reporters: REPORTERS,
+            report_lifetime: REPORT_EXPIRY,
+            max_suspected_share: AVOIDED_SHARE,
+            trials_per_s: TRIES_PER_S,
+            clock_drift: DRIFT,
         }),
         seed: identity.seed,
     }
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -4,7 +4,7 @@
 use std::ops::Range;
 
 use juniperladder_cluster::Micros as Time;
-use juniperladder_cluster::{Cluster, ServerId, ServerIncarnation};
+use juniperladder_cluster::{Cluster, ServerId, ServerIncarnation, ServingServer};
 
 use super::Micros;
 
@@ -76,9 +76,13 @@
     }
 
     /// The cache servers as discovery would list them, with their zones.
-    pub fn servers(&self, zones: usize) -> impl Iterator<Item = (ServerIncarnation, u32)> {
-        (0..self.config.servers as u64)
-            .map(move |server| (start(server), (server % zones.max(1) as u64) as u32))
+    pub fn servers(&self, zones: usize) -> Vec<ServingServer> {
+        let serving = |server: u64| ServingServer {
+            server: ServerId(server),
+            started: Time(SERVER_START),
+            zone: (server % zones.max(1) as u64) as u32,
+        };
+        (0..self.config.servers as u64).map(serving).collect()
     }
 
     /// Plays the requests since the last call on a member's control code.
@@ -96,8 +100,8 @@
     fn time_out(&mut self, cluster: &mut Cluster, now: Micros) {
         while self.waiting.front().is_some_and(|(due, _)| *due <= now) {
             let Some((_, server)) = self.waiting.pop_front() else { break };
-            if let Some(verdicts) = cluster.verdicts() {
-                verdicts.saw(start(server), true, Time(now));
+            if let Some(detector) = cluster.failure_detector() {
+                detector.on_server_observed(start(server), true, Time(now));
             }
             if let Some(retries) = cluster.second() {
                 if retries.has(Time(now)) {
@@ -118,8 +122,8 @@
         let heard = self.answered.get(server as usize).copied().unwrap_or(0);
         let per_s = self.requests_per_s / self.config.servers.max(1) as f64;
         let avoided = cluster
-            .verdicts()
-            .is_some_and(|reports| reports.warned(start(server), Time(heard), per_s, Time(now)));
+            .failure_detector()
+            .is_some_and(|detector| detector.is_suspected(start(server), Time(heard), per_s, Time(now)));
         if !avoided {
             self.attempt(cluster, server, now);
         }
@@ -142,8 +146,8 @@
         if let Some(heard) = self.answered.get_mut(server as usize) {
             *heard = now;
         }
-        if let Some(verdicts) = cluster.verdicts() {
-            verdicts.saw(start(server), false, Time(now));
+        if let Some(detector) = cluster.failure_detector() {
+            detector.on_server_observed(start(server), false, Time(now));
         }
     }
 }
