--- a/cluster/src/cluster.rs
+++ b/cluster/src/cluster.rs
@@ -6,11 +6,11 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
-use crate::budget::{self, Budget};
 use crate::failure_detector::{FailureDetector, FailureDetectorMetrics, FailureDetectorTerms};
 use crate::membership::{Counts, Membership, Name};
 use crate::packet::{self, About, Item, Packet};
 use crate::rate_limit::{self, RateLimit, RateLimitTerms};
+use crate::retry_budget::{RetryBudget, RetryBudgetMetrics, RetryBudgetTerms};
 use crate::server_incarnation::ServerIncarnation;
 use crate::slow_start_limit::{SlowStartAccess, SlowStartLimits, SlowStartMetrics, SlowStartTerms};
 use crate::LONGEST;
@@ -39,7 +39,7 @@
     /// The limit on sends to each server that warms up.
     pub cold: Option<SlowStartTerms>,
     /// The budget of second tries.
-    pub second: Option<budget::Terms>,
+    pub second: Option<RetryBudgetTerms>,
     /// Verdicts on servers.
     pub verdicts: Option<FailureDetectorTerms>,
     /// For random numbers.
@@ -56,7 +56,7 @@
     /// The limits of servers that warm up, summed, and how many such servers there are.
     pub cold: Option<SlowStartMetrics>,
     /// The budget of second tries.
-    pub second: Option<budget::Figures>,
+    pub second: Option<RetryBudgetMetrics>,
     /// Verdicts on servers.
     pub verdicts: Option<FailureDetectorMetrics>,
     /// Packets out, and their bytes.
@@ -80,7 +80,7 @@
     membership: Membership,
     limits: Vec<One>,
     cold: Option<(SlowStartLimits, u32)>,
-    second: Option<(Budget, u32)>,
+    second: Option<(RetryBudget, u32)>,
     verdicts: Option<(FailureDetector, u32)>,
     figures: Figures,
     out: Vec<(SocketAddr, Vec<u8>)>,
@@ -113,8 +113,12 @@
                 (SlowStartLimits::new(terms, position, life, now), brief(&numbers))
             }),
             second: second.map(|terms| {
-                let brief = brief(&[terms.share.to_bits(), terms.saved.to_bits(), u64::from(terms.holders)]);
-                (Budget::new(terms, position, life), brief)
+                let brief = brief(&[
+                    terms.retries_per_first_attempt.to_bits(),
+                    terms.max_saved_credits.to_bits(),
+                    u64::from(terms.holders),
+                ]);
+                (RetryBudget::new(terms, position, life), brief)
             }),
             verdicts: verdicts.map(|terms| {
                 let numbers = [
@@ -158,7 +162,7 @@
                 _ => self.figures.differ += 1,
             },
             About::Second(message) => match &mut self.second {
-                Some((budget, brief)) if *brief == terms => budget.heard(now, from, message),
+                Some((budget, brief)) if *brief == terms => budget.on_message(now, from, message),
                 _ => self.figures.differ += 1,
             },
             About::Verdicts(message) => match &mut self.verdicts {
@@ -251,8 +255,8 @@
         }
     }
 
-    /// This balancer's part of the budget of second tries.
-    pub fn second(&mut self) -> Option<&mut Budget> {
+    /// This balancer's part of the retry budget.
+    pub fn retry_budget(&mut self) -> Option<&mut RetryBudget> {
         self.second.as_mut().map(|(budget, _)| budget)
     }
 
@@ -277,7 +281,7 @@
         let limits = limits.map(|one| (one.name.clone(), one.limit.metrics(now))).collect();
         let dropped = self.figures.dropped + self.membership.dropped;
         let cold = self.cold.as_mut().map(|(cold, _)| cold.metrics(now));
-        let second = self.second.as_mut().map(|(budget, _)| budget.figures(now));
+        let second = self.second.as_mut().map(|(budget, _)| budget.metrics(now));
         let verdicts = self.verdicts.as_ref().map(|(verdicts, _)| verdicts.metrics());
         Figures { members: self.members(), limits, cold, second, verdicts, dropped, ..self.figures.clone() }
     }
--- a/cluster/src/cluster/tests.rs
+++ b/cluster/src/cluster/tests.rs
@@ -18,7 +18,8 @@
     let (position, seed) = (u32::from(number), u64::from(number));
     let cold =
         Some(SlowStartTerms { rate_limit: terms, initial_share: 0.25, duration: Micros::from_secs(10) });
-    let second = Some(budget::Terms { share: 0.5, saved: 20.0, holders: 2 });
+    let second =
+        Some(RetryBudgetTerms { retries_per_first_attempt: 0.5, max_saved_credits: 20.0, holders: 2 });
     let verdicts = FailureDetectorTerms {
         min_reporters: 2,
         report_lifetime: Micros::from_secs(6),
@@ -75,11 +76,11 @@
     let start = ServerIncarnation { server: ServerId(7), started: Micros::from_secs(4) };
     let mut took = 0;
     for now in times(Micros::from_secs(8), Micros::from_secs(12), Micros::from_millis(20)) {
-        all[1].second().unwrap().first();
-        let second = all[0].second().unwrap();
-        match second.has(now) {
-            true => second.spend(now),
-            false => second.denied(now),
+        all[1].retry_budget().unwrap().on_first_attempt();
+        let second = all[0].retry_budget().unwrap();
+        match second.has_credit(now) {
+            true => second.acquire(now),
+            false => second.on_rejected(now),
         }
         let SlowStartAccess::Limited(limit) = all[0].slow_start(start, now) else {
             panic!("it is in slow start")
@@ -96,7 +97,7 @@
         }
     }
     let second = all[0].figures(Micros::from_secs(12)).second.unwrap();
-    assert!(second.spent > 10 && second.first == 0, "it has earned none itself: {second:?}");
+    assert!(second.retries > 10 && second.first_attempts == 0, "it has earned none itself: {second:?}");
     // From 4 to 7 units in these four seconds, of which it owns half.
     assert!((15..=24).contains(&took), "{took}");
 }
--- a/cluster/src/lib.rs
+++ b/cluster/src/lib.rs
@@ -1,11 +1,10 @@
 //! What balancers that may talk agree on: who is there ([`membership`]), who may use which part of a limit that holds for all
-//! of them together ([`rate_limit`]; [`slow_start_limit`] for each server that warms up; [`budget`] for second tries), and what they saw of servers
+//! of them together ([`rate_limit`]; [`slow_start_limit`] for each server that warms up; [`retry_budget`] for second tries), and what they saw of servers
 //! ([`failure_detector`]). All are state machines without I/O and without a clock: they are fed packets and times and drained of
 //! packets; `node/` carries those by UDP.
 //!
 //! What each guarantees stands on its page; the argument is in `docs/design/cluster.md`.
 
-pub mod budget;
 pub mod cluster;
 pub mod failure_detector;
 mod injected_defect;
@@ -14,6 +13,7 @@
 mod open_requests;
 pub mod packet;
 pub mod rate_limit;
+pub mod retry_budget;
 pub mod server_incarnation;
 pub mod slow_start_limit;
 #[cfg(test)]
--- a/cluster/src/packet.rs
+++ b/cluster/src/packet.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::server_incarnation::ServerIncarnation;
-use crate::{budget, failure_detector, rate_limit, LONGEST};
+use crate::{failure_detector, rate_limit, retry_budget, LONGEST};
 
 /// The first bytes of every packet: whose, and of which version.
 const HEAD: [u8; 3] = [b'J', b'L', 2];
@@ -29,7 +29,7 @@
     /// The limit of one start of a server that warms up.
     Cold(ServerIncarnation, rate_limit::Message),
     /// The budget of second tries.
-    Second(budget::Message),
+    Second(retry_budget::Message),
     /// Verdicts on servers.
     Verdicts(failure_detector::Message),
 }
--- a/cluster/src/packet/tests.rs
+++ b/cluster/src/packet/tests.rs
@@ -23,11 +23,11 @@
         sent: Micros(1),
         reports: vec![entry; failure_detector::MAX_REPORTS],
     };
-    let give = budget::Message::Give { life: 3, sent: Micros(4), rights: 5 };
+    let transfer = retry_budget::Message::Transfer { incarnation: 3, sent: Micros(4), credits: 5 };
     let abouts = [
         About::Limit(3, hold),
         About::Cold(start, lent),
-        About::Second(give),
+        About::Second(transfer),
         About::Verdicts(told),
         About::Verdicts(failure_detector::Message::Query {
             sent: Micros(1),
@@ -75,8 +75,8 @@
 #[test]
 fn more_items_than_are_ever_sent_are_nonsense() {
     let to = SocketAddr::from(([127, 0, 0, 1], 9));
-    let give = budget::Message::Give { life: 3, sent: Micros(4), rights: 5 };
-    let item = Item { terms: 1, about: About::Second(give) };
+    let transfer = retry_budget::Message::Transfer { incarnation: 3, sent: Micros(4), credits: 5 };
+    let item = Item { terms: 1, about: About::Second(transfer) };
     let packets = talk(std::iter::repeat_n((to, item), MOST_ITEMS + 1));
     assert_eq!(packets.len(), 2);
     let both = [&packets[0].1[..], &packets[1].1[HEAD.len() + 1..]].concat();
@@ -103,8 +103,8 @@
             start,
             Message::Grant(LeaseGrant { incarnation: 300, sent: Micros(2), tokens: 0, available: 129 }),
         ),
-        About::Second(budget::Message::Ask { life: 5, sent: Micros(130), rights: 16 }),
-        About::Second(budget::Message::Give { life: 5, sent: Micros(131), rights: 4 }),
+        About::Second(retry_budget::Message::Request { incarnation: 5, sent: Micros(130), credits: 16 }),
+        About::Second(retry_budget::Message::Transfer { incarnation: 5, sent: Micros(131), credits: 4 }),
         About::Verdicts(query(failure_detector::QueryScope::All)),
         About::Verdicts(query(failure_detector::QueryScope::AllMutual)),
         About::Verdicts(query(failure_detector::QueryScope::UrgentMutual)),
--- /dev/null
+++ b/cluster/src/retry_budget/tests.rs
@@ -0,0 +1,187 @@
+//! Fleets in virtual time, the bound asserted at each retry, and transfers that do not count.
+
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+
+use super::*;
+use crate::virtual_network::{address, Arrival, Conditions, VirtualNetwork};
+
+/// What is scheduled beside what the network does: members may begin attempts, and be killed or frozen.
+#[derive(Debug)]
+struct Step;
+
+const STEP_INTERVAL: Micros = Micros::from_millis(5);
+const END: Micros = Micros::from_secs(20);
+/// The longest freeze of a process.
+const MAX_FREEZE: Micros = Micros::from_secs(3);
+/// The windows against which the bound is asserted: a second, and the complete run.
+const WINDOWS: [Micros; 2] = [Micros::SECOND, Micros::from_secs(30)];
+/// How long before a window the first attempts count whose credits may be spent in it.
+const CREDIT_AGE: Micros = Micros::from_secs(2);
+/// By how much at most a late packet is late.
+const LATE_DELAYS: &[Micros] = &[Micros::from_secs(4)];
+
+/// A fleet with losses, repeats, late packets, new incarnations and freezes, in which only the first member needs retries, and
+/// more of them than it earns.
+struct Fleet {
+    terms: RetryBudgetTerms,
+    network: VirtualNetwork<Message, Step>,
+    members: Vec<RetryBudget>,
+    first_attempts: Vec<Micros>,
+    retries: Vec<Micros>,
+    rejected: usize,
+    is_bound_kept: bool,
+}
+
+/// What a fleet did.
+struct RunResult {
+    retries: usize,
+    rejected: usize,
+    /// Whether the bound held at each retry.
+    is_bound_kept: bool,
+}
+
+fn run_fleet(seed: u64, retries_per_first_attempt: f64, repeats_all: bool) -> RunResult {
+    let members = ChaCha8Rng::seed_from_u64(seed).random_range(2..9);
+    let conditions = Conditions {
+        loss: 0.2,
+        repeat: if repeats_all { 1.0 } else { 0.1 },
+        min_delay: Micros::ZERO,
+        delay: Micros::from_millis(50),
+        late: 0.05,
+        late_delays: LATE_DELAYS,
+        drift: 0.0,
+    };
+    let max_saved_credits = 10.0 * members as f64;
+    let terms = RetryBudgetTerms { retries_per_first_attempt, max_saved_credits, holders: members as u32 };
+    let mut fleet = Fleet {
+        terms,
+        network: VirtualNetwork::new(seed, members, conditions),
+        members: (0..members).map(|member| RetryBudget::new(terms, member as u32, 1)).collect(),
+        first_attempts: Vec::new(),
+        retries: Vec::new(),
+        rejected: 0,
+        is_bound_kept: true,
+    };
+    fleet.run();
+    RunResult { retries: fleet.retries.len(), rejected: fleet.rejected, is_bound_kept: fleet.is_bound_kept }
+}
+
+impl Fleet {
+    fn run(&mut self) {
+        for member in 0..self.members.len() {
+            self.network.start(member);
+        }
+        self.network.schedule(Micros::ZERO, Step);
+        while let Some(arrival) = self.network.next(END) {
+            self.on_arrival(arrival);
+        }
+    }
+
+    fn on_arrival(&mut self, arrival: Arrival<Message, Step>) {
+        match arrival {
+            Arrival::Tick(member) => {
+                let now = self.network.clock(member);
+                self.members[member].tick(now, || self.network.draw_peer(member));
+                self.network.send(member, self.members[member].drain());
+                self.network.tick_after(member, Micros::from_millis(50));
+            }
+            Arrival::Packet { from, to, message } => {
+                let now = self.network.clock(to);
+                self.members[to].on_message(now, address(from), message);
+                self.network.send(to, self.members[to].drain());
+            }
+            Arrival::Killed(member) => {
+                self.network.start(member);
+                let incarnation = u64::from(self.network.incarnation(member));
+                self.members[member] = RetryBudget::new(self.terms, member as u32, incarnation);
+            }
+            Arrival::Scheduled(Step) => self.step(),
+        }
+    }
+
+    fn step(&mut self) {
+        let member = self.network.draw_member();
+        match self.network.rng.random_range(0..1_000) {
+            0 => self.network.schedule_kill(self.network.now(), member),
+            1 => {
+                let duration = self.network.draw(MAX_FREEZE);
+                self.network.freeze(member, duration);
+            }
+            _ => {}
+        }
+        if !self.network.is_frozen(member) && self.network.rng.random::<f64>() < 0.5 {
+            self.members[member].on_first_attempt();
+            self.first_attempts.push(self.network.now());
+        }
+        if !self.network.is_frozen(0) && self.network.rng.random::<f64>() < 0.3 {
+            self.retry();
+        }
+        self.network.schedule(self.network.now() + STEP_INTERVAL, Step);
+    }
+
+    /// A retry at the first member.
+    fn retry(&mut self) {
+        let clock = self.network.clock(0);
+        if !self.members[0].has_credit(clock) {
+            self.members[0].on_rejected(clock);
+            self.rejected += 1;
+            return;
+        }
+        self.members[0].acquire(clock);
+        self.retries.push(self.network.now());
+        self.check_bound();
+    }
+
+    fn check_bound(&mut self) {
+        let now = self.network.now();
+        for window in WINDOWS {
+            let from = now.0.checked_sub(window.0).map(Micros);
+            let is_within = |at: Micros| from.is_none_or(|from| at > from);
+            let retries = self.retries.iter().rev().take_while(|at| is_within(**at)).count() as f64;
+            let may_be_spent = |at: &&Micros| is_within(**at + CREDIT_AGE);
+            let first_attempts = self.first_attempts.iter().rev().take_while(may_be_spent).count() as f64;
+            let bound = self.terms.retries_per_first_attempt * first_attempts + self.terms.max_saved_credits;
+            self.is_bound_kept &= retries <= bound + 1e-6;
+        }
+    }
+}
+
+#[test]
+fn retries_never_exceed_the_budget_in_a_thousand_drawn_fleets() {
+    let mut retries = 0;
+    let mut rejected = 0;
+    for seed in 0..1_000 {
+        let result = run_fleet(seed, 0.1, seed % 2 == 0);
+        assert!(result.is_bound_kept, "seed {seed}");
+        retries += result.retries;
+        rejected += result.rejected;
+    }
+    assert!(rejected > 50_000, "more was wanted than there is: {rejected}");
+    // Of the 200 credits of a run the first member earns about 40 itself; most of the others' reach it as well.
+    assert!(retries > 100_000, "{retries}");
+}
+
+#[test]
+fn a_repeated_or_late_transfer_does_not_count() {
+    let now = Micros::SECOND;
+    let terms = RetryBudgetTerms { retries_per_first_attempt: 0.5, max_saved_credits: 40.0, holders: 2 };
+    let mut budget = RetryBudget::new(terms, 0, 1);
+    assert!(!budget.has_credit(Micros::ZERO));
+    budget.tick(Micros::from_millis(500), || Some(address(1)));
+    let requests: Vec<_> = budget.drain().collect();
+    let Message::Request { incarnation, sent, .. } = requests[0].1 else { panic!("{requests:?}") };
+    let transfer = Message::Transfer { incarnation, sent, credits: 3 };
+    budget.on_message(now, address(2), transfer);
+    assert_eq!(budget.metrics(now).received_credits, 0.0, "it was not asked");
+    budget.on_message(now, address(1), transfer);
+    budget.on_message(now, address(1), transfer);
+    assert_eq!(budget.metrics(now).received_credits, 3.0);
+    budget.acquire(now);
+    assert_eq!(budget.metrics(now).received_credits, 2.0);
+    assert_eq!(budget.metrics(Micros::from_secs(2)).received_credits, 0.0, "kept for a second");
+    let Message::Request { incarnation, sent, .. } = requests[1].1 else { panic!("{requests:?}") };
+    let late = Micros::from_secs(3);
+    budget.on_message(late, address(1), Message::Transfer { incarnation, sent, credits: 3 });
+    assert_eq!(budget.metrics(late).received_credits, 0.0, "too late");
+}
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -9,8 +9,9 @@
 use juniperladder::{Micros, Settings};
 use juniperladder_cluster::failure_detector::FailureDetectorTerms;
 use juniperladder_cluster::rate_limit::RateLimitTerms;
+use juniperladder_cluster::retry_budget::RetryBudgetTerms;
 use juniperladder_cluster::slow_start_limit::SlowStartTerms;
-use juniperladder_cluster::{budget, Plan, MOST_MEMBERS};
+use juniperladder_cluster::{Plan, MOST_MEMBERS};
 use serde::Deserialize;
 
 /// The whole file.
@@ -252,9 +253,9 @@
             initial_share: share,
             duration: rules.slow_start_duration,
         };
-        let second = |second: &Second| budget::Terms {
-            share: second.share,
-            saved: second.saved * f64::from(holders),
+        let second = |second: &Second| RetryBudgetTerms {
+            retries_per_first_attempt: second.share,
+            max_saved_credits: second.saved * f64::from(holders),
             holders,
         };
         let verdicts = |verdicts: &Verdicts| FailureDetectorTerms {
@@ -404,7 +405,10 @@
             (cold.rate_limit.requests_per_s, cold.initial_share, cold.duration),
             (100, 0.25, Micros::from_secs(10))
         );
-        assert_eq!((second.share, second.saved, second.holders), (0.4, 1_000.0, 100));
+        assert_eq!(
+            (second.retries_per_first_attempt, second.max_saved_credits, second.holders),
+            (0.4, 1_000.0, 100)
+        );
         assert_eq!((plan.verdicts.unwrap().report_lifetime, plan.zone), (Micros::from_secs(6), 1));
     }
 
--- a/node/src/together.rs
+++ b/node/src/together.rs
@@ -48,7 +48,7 @@
     fn wait_time(&mut self, of: SharedLimit, now: Micros) -> Option<Micros> {
         match of {
             SharedLimit::RetryBudget => {
-                let has = self.0.borrow_mut().second()?.has(now);
+                let has = self.0.borrow_mut().retry_budget()?.has_credit(now);
                 Some(if has { Micros(0) } else { MOMENT })
             }
             SharedLimit::SlowStart(listed_server, started) => {
@@ -65,7 +65,9 @@
     fn acquire(&mut self, of: SharedLimit, now: Micros) {
         match of {
             SharedLimit::RetryBudget => {
-                self.0.borrow_mut().second().into_iter().for_each(|budget| budget.spend(now))
+                if let Some(budget) = self.0.borrow_mut().retry_budget() {
+                    budget.acquire(now);
+                }
             }
             _ => drop(self.units(of, now, |limit| limit.acquire(now))),
         }
@@ -74,14 +76,18 @@
     fn on_rejected(&mut self, of: SharedLimit, now: Micros) {
         match of {
             SharedLimit::RetryBudget => {
-                self.0.borrow_mut().second().into_iter().for_each(|budget| budget.denied(now))
+                if let Some(budget) = self.0.borrow_mut().retry_budget() {
+                    budget.on_rejected(now);
+                }
             }
             _ => drop(self.units(of, now, |limit| limit.on_rejected(now))),
         }
     }
 
     fn on_first_attempt(&mut self, _now: Micros) {
-        self.0.borrow_mut().second().into_iter().for_each(|budget| budget.first());
+        if let Some(budget) = self.0.borrow_mut().retry_budget() {
+            budget.on_first_attempt();
+        }
     }
 
     fn on_endpoints_changed(&mut self, servers: &[ServingServer]) {
@@ -139,12 +145,12 @@
     }
     if let Some(budget) = second {
         let figures = [
-            ("own", budget.own),
-            ("from_others", budget.got),
-            ("spent", budget.spent as f64),
-            ("first_tries", budget.first as f64),
-            ("given", budget.given as f64),
-            ("denied", budget.denied as f64),
+            ("own", budget.own_credits),
+            ("from_others", budget.received_credits),
+            ("spent", budget.retries as f64),
+            ("first_tries", budget.first_attempts as f64),
+            ("given", budget.transferred_credits as f64),
+            ("denied", budget.rejected as f64),
         ];
         for (figure, value) in figures {
             let _ = writeln!(text, "app_second_tries_{figure} {value}");
--- a/testbed/src/scale/cluster_endpoint.rs
+++ b/testbed/src/scale/cluster_endpoint.rs
@@ -5,9 +5,10 @@
 use juniperladder_cluster::failure_detector::FailureDetectorTerms;
 use juniperladder_cluster::membership::{Membership, Name};
 use juniperladder_cluster::packet::{self, About, Item, Packet};
+use juniperladder_cluster::retry_budget::RetryBudgetTerms;
 use juniperladder_cluster::slow_start_limit::SlowStartTerms;
 use juniperladder_cluster::Micros as Time;
-use juniperladder_cluster::{budget, rate_limit, Cluster, Plan};
+use juniperladder_cluster::{rate_limit, Cluster, Plan};
 
 use super::endpoint::{Datagram, Endpoint, PacketKind, StateQuery};
 use super::workload::{Workload, WorkloadConfig, ORIGIN_LIMIT};
@@ -165,9 +166,9 @@
             initial_share: COLD_SHARE,
             duration: WARM_UP,
         }),
-        second: Some(budget::Terms {
-            share: RETRY_SHARE,
-            saved: RETRIES_SAVED * f64::from(holders),
+        second: Some(RetryBudgetTerms {
+            retries_per_first_attempt: RETRY_SHARE,
+            max_saved_credits: RETRIES_SAVED * f64::from(holders),
             holders,
         }),
         verdicts: Some(FailureDetectorTerms {
--- a/testbed/src/scale/tests.rs
+++ b/testbed/src/scale/tests.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use juniperladder_cluster::packet::{self, About, Item};
-use juniperladder_cluster::{budget, rate_limit, ServerIncarnation};
+use juniperladder_cluster::{rate_limit, retry_budget, ServerIncarnation};
 
 use super::endpoint::PacketKind;
 use super::meter::{Lateness, MemberCounts};
@@ -60,7 +60,11 @@
         sent: juniperladder_cluster::Micros(2),
         tokens: 3,
     });
-    let give = budget::Message::Give { life: 3, sent: juniperladder_cluster::Micros(4), rights: 5 };
+    let give = retry_budget::Message::Transfer {
+        incarnation: 3,
+        sent: juniperladder_cluster::Micros(4),
+        credits: 5,
+    };
     let abouts = [
         About::Limit(0, hold),
         About::Cold(
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -103,11 +103,11 @@
             if let Some(detector) = cluster.failure_detector() {
                 detector.on_server_observed(start(server), true, Time(now));
             }
-            if let Some(retries) = cluster.second() {
-                if retries.has(Time(now)) {
-                    retries.spend(Time(now));
+            if let Some(retries) = cluster.retry_budget() {
+                if retries.has_credit(Time(now)) {
+                    retries.acquire(Time(now));
                 } else {
-                    retries.denied(Time(now));
+                    retries.on_rejected(Time(now));
                 }
             }
         }
@@ -115,8 +115,8 @@
 
     /// One request: an attempt at a cache server, and at times a fetch from the origin.
     fn request(&mut self, cluster: &mut Cluster, now: Micros) {
-        if let Some(retries) = cluster.second() {
-            retries.first();
+        if let Some(retries) = cluster.retry_budget() {
+            retries.on_first_attempt();
         }
         let server = self.rng.u64(0..self.config.servers.max(1) as u64);
         let heard = self.answered.get(server as usize).copied().unwrap_or(0);
