--- a/cluster/src/cluster.rs
+++ b/cluster/src/cluster.rs
@@ -1,89 +1,64 @@
-//! One balancer's side of all that balancers agree on: packets and times in, packets and figures out.
+//! One balancer's side of all that balancers coordinate: packets and times in, packets and metrics out.
+//!
+//! It guarantees what its modules guarantee, and that whatever others send, it neither fails nor says more than
+//! `MAX_OUTGOING_PACKETS` packets between two calls of [`Cluster::drain`]. Packets that cannot be read, or come from nobody
+//! that is known, are counted and dropped; so are messages of members with other terms. Times are on the caller's clock, which
+//! never goes back.
 
+mod config;
+mod metrics;
+mod peer_sampler;
+mod terms_digest;
 #[cfg(test)]
 mod tests;
 
-use std::cell::RefCell;
 use std::net::SocketAddr;
 
-use crate::failure_detector::{FailureDetector, FailureDetectorMetrics, FailureDetectorTerms};
-use crate::membership::{Counts, Membership, Name};
-use crate::packet::{self, About, Item, Packet};
-use crate::rate_limit::{self, RateLimit, RateLimitTerms};
-use crate::retry_budget::{RetryBudget, RetryBudgetMetrics, RetryBudgetTerms};
-use crate::server_incarnation::ServerIncarnation;
-use crate::slow_start_limit::{SlowStartAccess, SlowStartLimits, SlowStartMetrics, SlowStartTerms};
-use crate::LONGEST;
 use juniperladder::Micros;
 
-/// Packets out between two ticks: far more than a balancer has to say, and an end to what a wrong peer can make it say.
-const MOST_OUT: usize = 256;
-/// Members drawn in one tick: all that ask then ask the same, so that their questions go in one packet.
-const DRAWN: usize = 4;
+use crate::failure_detector::FailureDetector;
+use crate::membership::{MemberCounts, MemberId, Membership};
+use crate::packet::{self, CoordinationMessage, Packet, Payload};
+use crate::rate_limit::RateLimit;
+use crate::retry_budget::RetryBudget;
+use crate::server_incarnation::ServerIncarnation;
+use crate::slow_start_limit::{SlowStartAccess, SlowStartLimits};
+use crate::MAX_PACKET_BYTES;
+pub use config::{ClusterConfig, NamedRateLimit};
+pub use metrics::{ClusterMetrics, NamedRateLimitMetrics, PacketCounts};
+use peer_sampler::PeerSampler;
 
-/// What a balancer is told once, at its start.
-#[derive(Clone, Debug)]
-pub struct Plan {
-    /// The address that others know it by.
-    pub address: SocketAddr,
-    /// Which life of the process this is: a later one is greater.
-    pub life: u64,
-    /// Its place in the fleet, from 0; no two processes may have the same.
-    pub position: u32,
-    /// Its zone.
-    pub zone: u32,
-    /// Members that are called first.
-    pub seeds: Vec<SocketAddr>,
-    /// The limits, in the order in which the file has them.
-    pub limits: Vec<(String, RateLimitTerms)>,
-    /// The limit on sends to each server that warms up.
-    pub cold: Option<SlowStartTerms>,
-    /// The budget of second tries.
-    pub second: Option<RetryBudgetTerms>,
-    /// Verdicts on servers.
-    pub verdicts: Option<FailureDetectorTerms>,
-    /// For random numbers.
-    pub seed: u64,
-}
+/// Packets out between two drains: far more than a balancer has to say, and an end to what a faulty peer can make it say.
+const MAX_OUTGOING_PACKETS: usize = 256;
+/// Sets the random numbers of the failure detector apart from those of the membership.
+const FAILURE_DETECTOR_SEED_MASK: u64 = 1;
 
-/// What operators see.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
-    /// Members by state.
-    pub members: Counts,
-    /// The limits, by name.
-    pub limits: Vec<(String, rate_limit::RateLimitMetrics)>,
-    /// The limits of servers that warm up, summed, and how many such servers there are.
-    pub cold: Option<SlowStartMetrics>,
-    /// The budget of second tries.
-    pub second: Option<RetryBudgetMetrics>,
-    /// Verdicts on servers.
-    pub verdicts: Option<FailureDetectorMetrics>,
-    /// Packets out, and their bytes.
-    pub sent: (u64, u64),
-    /// Packets in, and their bytes.
-    pub heard: (u64, u64),
-    /// Packets in that made no sense, were of another version, or came from nobody that is known.
-    pub dropped: u64,
-    /// Packets about a limit whose terms differ: another file is in force there.
-    pub differ: u64,
+/// A module's state and the digest of its terms.
+struct Coordinated<T> {
+    terms_digest: u32,
+    state: T,
 }
 
-struct One {
-    name: String,
-    brief: u32,
-    limit: RateLimit,
+impl<T> Coordinated<T> {
+    fn has_terms(&self, terms_digest: u32) -> bool {
+        self.terms_digest == terms_digest
+    }
 }
 
-/// A balancer's side of it.
+/// A balancer's side of the cluster.
 pub struct Cluster {
     membership: Membership,
-    limits: Vec<One>,
-    cold: Option<(SlowStartLimits, u32)>,
-    second: Option<(RetryBudget, u32)>,
-    verdicts: Option<(FailureDetector, u32)>,
-    figures: Figures,
-    out: Vec<(SocketAddr, Vec<u8>)>,
+    /// In the order of the configuration; a rate limit's number in messages is its index.
+    rate_limits: Vec<Coordinated<RateLimit>>,
+    rate_limit_names: Vec<String>,
+    slow_start: Option<Coordinated<SlowStartLimits>>,
+    retry_budget: Option<Coordinated<RetryBudget>>,
+    failure_detector: Option<Coordinated<FailureDetector>>,
+    sent: PacketCounts,
+    received: PacketCounts,
+    dropped_packets: u64,
+    terms_mismatches: u64,
+    outgoing: Vec<(SocketAddr, Vec<u8>)>,
 }
 
 impl std::fmt::Debug for Cluster {
@@ -93,176 +68,204 @@
 }
 
 impl Cluster {
-    /// A balancer that starts now.
-    pub fn new(plan: Plan, now: Micros) -> Cluster {
-        let Plan { address, life, position, zone, seeds, limits, cold, second, verdicts, seed } = plan;
-        let one = |(name, terms): (String, RateLimitTerms)| One {
-            name,
-            brief: terms_in_brief(&terms),
-            limit: RateLimit::new(terms, position, life, now),
-        };
+    /// A balancer's side of the cluster, whose process starts now.
+    pub fn new(config: ClusterConfig, now: Micros) -> Cluster {
+        let ClusterConfig { address, incarnation, position, zone, random_seed, .. } = config;
+        let member = MemberId { address, incarnation };
+        let rate_limits = config.rate_limits.iter().map(|limit| Coordinated {
+            terms_digest: terms_digest::of_rate_limit(&limit.terms),
+            state: RateLimit::new(limit.terms, position, incarnation, now),
+        });
+        let slow_start = config.slow_start.map(|terms| Coordinated {
+            terms_digest: terms_digest::of_slow_start(&terms),
+            state: SlowStartLimits::new(terms, position, incarnation, now),
+        });
+        let retry_budget = config.retry_budget.map(|terms| Coordinated {
+            terms_digest: terms_digest::of_retry_budget(&terms),
+            state: RetryBudget::new(terms, position, incarnation),
+        });
+        let detector_seed = random_seed ^ FAILURE_DETECTOR_SEED_MASK;
+        let failure_detector = config.failure_detector.map(|terms| Coordinated {
+            terms_digest: terms_digest::of_failure_detector(&terms),
+            state: FailureDetector::new(terms, position, zone, detector_seed, now),
+        });
         Cluster {
-            membership: Membership::new(Name { address, life }, seeds, seed, now),
-            limits: limits.into_iter().map(one).collect(),
-            cold: cold.map(|terms| {
-                let numbers = [
-                    terms_in_brief(&terms.rate_limit).into(),
-                    terms.initial_share.to_bits(),
-                    terms.duration.0,
-                ];
-                (SlowStartLimits::new(terms, position, life, now), brief(&numbers))
-            }),
-            second: second.map(|terms| {
-                let brief = brief(&[
-                    terms.retries_per_first_attempt.to_bits(),
-                    terms.max_saved_credits.to_bits(),
-                    u64::from(terms.holders),
-                ]);
-                (RetryBudget::new(terms, position, life), brief)
-            }),
-            verdicts: verdicts.map(|terms| {
-                let numbers = [
-                    terms.min_reporters as u64,
-                    terms.report_lifetime.0,
-                    terms.max_suspected_share.to_bits(),
-                ];
-                (FailureDetector::new(terms, position, zone, seed ^ 1, now), brief(&numbers))
-            }),
-            figures: Figures::default(),
-            out: Vec::new(),
+            membership: Membership::new(member, config.seeds, random_seed, now),
+            rate_limits: rate_limits.collect(),
+            rate_limit_names: config.rate_limits.into_iter().map(|limit| limit.name).collect(),
+            slow_start,
+            retry_budget,
+            failure_detector,
+            sent: PacketCounts::default(),
+            received: PacketCounts::default(),
+            dropped_packets: 0,
+            terms_mismatches: 0,
+            outgoing: Vec::new(),
         }
     }
 
     /// A packet has come.
-    pub fn heard(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
-        self.figures.heard.0 += 1;
-        self.figures.heard.1 += bytes.len() as u64;
-        match packet::read(bytes) {
-            Ok(Packet::Membership(bytes)) => self.membership.heard(now, bytes),
-            Ok(Packet::Talk(items)) if self.membership.knows(from) => {
-                items.into_iter().for_each(|item| self.item(now, from, item));
+    pub fn on_packet(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
+        self.received.add(bytes);
+        match packet::decode(bytes) {
+            Ok(Packet::Membership(bytes)) => self.membership.on_packet(now, bytes),
+            Ok(Packet::Coordination(messages)) if self.membership.is_known(from) => {
+                for message in messages {
+                    self.on_message(now, from, message);
+                }
             }
-            Ok(Packet::Talk(_)) | Err(_) => self.figures.dropped += 1,
+            Ok(Packet::Coordination(_)) | Err(_) => self.dropped_packets += 1,
         }
-        self.collect();
+        self.collect_outgoing();
     }
 
-    /// One item of a member's talk.
-    fn item(&mut self, now: Micros, from: SocketAddr, item: Item) {
-        let terms = item.terms;
-        match item.about {
-            About::Limit(number, message) => match self.limits.get_mut(usize::from(number)) {
-                Some(one) if one.brief == terms => one.limit.on_message(now, from, message),
-                _ => self.figures.differ += 1,
-            },
-            About::Cold(start, message) => match &mut self.cold {
-                Some((cold, brief)) if *brief == terms => {
-                    cold.on_message(now, from, start, message);
-                }
-                _ => self.figures.differ += 1,
-            },
-            About::Second(message) => match &mut self.second {
-                Some((budget, brief)) if *brief == terms => budget.on_message(now, from, message),
-                _ => self.figures.differ += 1,
-            },
-            About::Verdicts(message) => match &mut self.verdicts {
-                Some((verdicts, brief)) if *brief == terms => verdicts.on_message(now, from, message),
-                _ => self.figures.differ += 1,
-            },
+    fn on_message(&mut self, now: Micros, from: SocketAddr, message: CoordinationMessage) {
+        let is_accepted = self.accept(now, from, message);
+        self.terms_mismatches += u64::from(!is_accepted);
+    }
+
+    /// Hands a message to its module; false where there is none with the sender's terms.
+    fn accept(&mut self, now: Micros, from: SocketAddr, message: CoordinationMessage) -> bool {
+        let CoordinationMessage { terms_digest, payload } = message;
+        match payload {
+            Payload::RateLimit(number, message) => {
+                let limit = self.rate_limits.get_mut(usize::from(number));
+                let Some(limit) = limit.filter(|limit| limit.has_terms(terms_digest)) else { return false };
+                limit.state.on_message(now, from, message);
+            }
+            Payload::SlowStart(server, message) => {
+                let limits = self.slow_start.as_mut();
+                let Some(limits) = limits.filter(|limits| limits.has_terms(terms_digest)) else {
+                    return false;
+                };
+                limits.state.on_message(now, from, server, message);
+            }
+            Payload::RetryBudget(message) => {
+                let budget = self.retry_budget.as_mut();
+                let Some(budget) = budget.filter(|budget| budget.has_terms(terms_digest)) else {
+                    return false;
+                };
+                budget.state.on_message(now, from, message);
+            }
+            Payload::FailureDetector(message) => {
+                let detector = self.failure_detector.as_mut();
+                let Some(detector) = detector.filter(|detector| detector.has_terms(terms_digest)) else {
+                    return false;
+                };
+                detector.state.on_message(now, from, message);
+            }
         }
+        true
     }
 
-    /// Does what is due; to be called every 50 ms or so.
+    /// Does what is due; to be called about every 50 ms.
     pub fn tick(&mut self, now: Micros) {
         self.membership.tick(now);
-        let members = self.verdicts.as_ref().map_or(1, |_| self.membership.counts().alive);
-        // Each that asks begins with the first that was drawn; one is drawn only where somebody asks.
-        let drawn = RefCell::new((Vec::new(), &mut self.membership));
-        let peers = || {
-            let (mut turn, drawn) = (0, &drawn);
-            move || {
-                let (drawn, membership) = &mut *drawn.borrow_mut();
-                if turn == drawn.len() && turn < DRAWN {
-                    drawn.extend(membership.draw());
-                }
-                turn += 1;
-                drawn.get(turn - 1).copied()
-            }
-        };
-        for one in &mut self.limits {
-            one.limit.tick(now, peers());
+        self.tick_modules(now);
+        self.collect_outgoing();
+    }
+
+    fn tick_modules(&mut self, now: Micros) {
+        // Counting the members takes time, and the failure detector alone needs it.
+        let members = if self.failure_detector.is_some() { self.membership.counts().alive } else { 1 };
+        let sampler = PeerSampler::new(&mut self.membership);
+        for limit in &mut self.rate_limits {
+            limit.state.tick(now, sampler.peers());
+        }
+        if let Some(limits) = &mut self.slow_start {
+            limits.state.tick(now, || sampler.peers());
+        }
+        if let Some(budget) = &mut self.retry_budget {
+            budget.state.tick(now, sampler.peers());
+        }
+        if let Some(detector) = &mut self.failure_detector {
+            detector.state.tick(now, members, sampler.peers());
         }
-        self.cold.iter_mut().for_each(|(cold, _)| cold.tick(now, peers));
-        self.second.iter_mut().for_each(|(budget, _)| budget.tick(now, peers()));
-        self.verdicts.iter_mut().for_each(|(verdicts, _)| verdicts.tick(now, members, peers()));
-        self.collect();
     }
 
-    /// Says that this balancer leaves. Its own part rests until it is back; what it has borrowed goes back at once.
+    /// Tells the others that this balancer leaves. What it owns is not used until it is back; what it has leased goes back at
+    /// once where its uses allow it.
     pub fn leave(&mut self, now: Micros) {
         self.membership.leave(now);
-        self.limits.iter_mut().for_each(|one| one.limit.leave(now));
-        if let Some((cold, _)) = &mut self.cold {
-            cold.leave(now);
+        for limit in &mut self.rate_limits {
+            limit.state.leave(now);
+        }
+        if let Some(limits) = &mut self.slow_start {
+            limits.state.leave(now);
         }
-        self.collect();
+        self.collect_outgoing();
     }
 
-    fn collect(&mut self) {
-        let members = self.membership.drain().map(|(to, bytes)| (to, packet::membership(&bytes)));
-        self.out.extend(members);
-        let mut items: Vec<(SocketAddr, Item)> = Vec::new();
-        for (number, one) in self.limits.iter_mut().enumerate() {
-            let terms = one.brief;
-            let about = |message| About::Limit(number as u8, message);
-            items.extend(one.limit.drain().map(|(to, message)| (to, Item { terms, about: about(message) })));
+    /// Takes what the modules send and makes packets of it.
+    fn collect_outgoing(&mut self) {
+        for (to, bytes) in self.membership.drain() {
+            self.outgoing.push((to, packet::encode_membership(&bytes)));
         }
-        if let Some((cold, terms)) = &mut self.cold {
-            let item = |start, message| Item { terms: *terms, about: About::Cold(start, message) };
-            items.extend(cold.drain().map(|(to, start, message)| (to, item(start, message))));
+        let messages = self.drain_messages();
+        self.outgoing.extend(packet::encode_messages(messages));
+        self.outgoing.truncate(MAX_OUTGOING_PACKETS);
+    }
+
+    fn drain_messages(&mut self) -> Vec<(SocketAddr, CoordinationMessage)> {
+        let mut messages = Vec::new();
+        let mut add = |to, terms_digest, payload| {
+            messages.push((to, CoordinationMessage { terms_digest, payload }));
+        };
+        for (number, limit) in self.rate_limits.iter_mut().enumerate() {
+            for (to, message) in limit.state.drain() {
+                add(to, limit.terms_digest, Payload::RateLimit(number as u8, message));
+            }
+        }
+        if let Some(limits) = &mut self.slow_start {
+            for (to, server, message) in limits.state.drain() {
+                add(to, limits.terms_digest, Payload::SlowStart(server, message));
+            }
         }
-        if let Some((budget, terms)) = &mut self.second {
-            let item = |message| Item { terms: *terms, about: About::Second(message) };
-            items.extend(budget.drain().map(|(to, message)| (to, item(message))));
+        if let Some(budget) = &mut self.retry_budget {
+            for (to, message) in budget.state.drain() {
+                add(to, budget.terms_digest, Payload::RetryBudget(message));
+            }
         }
-        if let Some((verdicts, terms)) = &mut self.verdicts {
-            let item = |message| Item { terms: *terms, about: About::Verdicts(message) };
-            items.extend(verdicts.drain().map(|(to, message)| (to, item(message))));
+        if let Some(detector) = &mut self.failure_detector {
+            for (to, message) in detector.state.drain() {
+                add(to, detector.terms_digest, Payload::FailureDetector(message));
+            }
         }
-        self.out.extend(packet::talk(items));
-        self.out.truncate(MOST_OUT);
+        messages
     }
 
-    /// What goes out, no packet longer than [`LONGEST`].
+    /// The packets that go out with their receivers, none longer than [`MAX_PACKET_BYTES`].
     pub fn drain(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
-        let out = std::mem::take(&mut self.out);
-        self.figures.sent.0 += out.len() as u64;
-        self.figures.sent.1 += out.iter().map(|(_, bytes)| bytes.len() as u64).sum::<u64>();
-        debug_assert!(out.iter().all(|(_, bytes)| bytes.len() <= LONGEST));
-        out
+        let outgoing = std::mem::take(&mut self.outgoing);
+        for (_, bytes) in &outgoing {
+            debug_assert!(bytes.len() <= MAX_PACKET_BYTES);
+            self.sent.add(bytes);
+        }
+        outgoing
     }
 
-    /// This balancer's part of a limit, by name; none where the file does not name it.
-    pub fn limit(&mut self, name: &str) -> Option<&mut RateLimit> {
-        self.limits.iter_mut().find(|one| one.name == name).map(|one| &mut one.limit)
+    /// This balancer's part of a rate limit, by name; none where the configuration does not name it.
+    pub fn rate_limit(&mut self, name: &str) -> Option<&mut RateLimit> {
+        let index = self.rate_limit_names.iter().position(|known| known == name)?;
+        self.rate_limits.get_mut(index).map(|limit| &mut limit.state)
     }
 
     /// Whether and how requests to a server are limited because it is in slow start.
     pub fn slow_start(&mut self, server: ServerIncarnation, now: Micros) -> SlowStartAccess<'_> {
-        match &mut self.cold {
-            Some((limits, _)) => limits.access(server, now),
+        match &mut self.slow_start {
+            Some(limits) => limits.state.access(server, now),
             None => SlowStartAccess::Unlimited,
         }
     }
 
-    /// This balancer's part of the retry budget.
+    /// This balancer's part of the retry budget; none where retries are not limited here.
     pub fn retry_budget(&mut self) -> Option<&mut RetryBudget> {
-        self.second.as_mut().map(|(budget, _)| budget)
+        self.retry_budget.as_mut().map(|budget| &mut budget.state)
     }
 
-    /// This balancer's failure detector of servers.
+    /// This balancer's failure detector; none where there is none here.
     pub fn failure_detector(&mut self) -> Option<&mut FailureDetector> {
-        self.verdicts.as_mut().map(|(verdicts, _)| verdicts)
+        self.failure_detector.as_mut().map(|detector| &mut detector.state)
     }
 
     /// Who is there.
@@ -271,37 +274,27 @@
     }
 
     /// Members by state, this one included.
-    pub fn members(&self) -> Counts {
+    pub fn member_counts(&self) -> MemberCounts {
         self.membership.counts()
     }
 
     /// What operators see.
-    pub fn figures(&mut self, now: Micros) -> Figures {
-        let limits = self.limits.iter_mut();
-        let limits = limits.map(|one| (one.name.clone(), one.limit.metrics(now))).collect();
-        let dropped = self.figures.dropped + self.membership.dropped;
-        let cold = self.cold.as_mut().map(|(cold, _)| cold.metrics(now));
-        let second = self.second.as_mut().map(|(budget, _)| budget.metrics(now));
-        let verdicts = self.verdicts.as_ref().map(|(verdicts, _)| verdicts.metrics());
-        Figures { members: self.members(), limits, cold, second, verdicts, dropped, ..self.figures.clone() }
-    }
-}
-
-/// A limit's terms in brief, the same at every balancer whose file says the same.
-fn terms_in_brief(terms: &RateLimitTerms) -> u32 {
-    brief(&[
-        u64::from(terms.requests_per_s),
-        terms.arrival_spread.0,
-        u64::from(terms.owners),
-        terms.lease.0,
-        terms.clock_drift.to_bits(),
-    ])
-}
-
-fn brief(numbers: &[u64]) -> u32 {
-    let mut sum: u64 = 0xcbf2_9ce4_8422_2325;
-    for byte in numbers.iter().flat_map(|part| part.to_le_bytes()) {
-        sum = (sum ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
+    pub fn metrics(&mut self, now: Micros) -> ClusterMetrics {
+        let names = self.rate_limit_names.iter().cloned();
+        let limits = self.rate_limits.iter_mut();
+        let rate_limits = names
+            .zip(limits)
+            .map(|(name, limit)| NamedRateLimitMetrics { name, metrics: limit.state.metrics(now) });
+        ClusterMetrics {
+            members: self.membership.counts(),
+            rate_limits: rate_limits.collect(),
+            slow_start: self.slow_start.as_mut().map(|limits| limits.state.metrics(now)),
+            retry_budget: self.retry_budget.as_mut().map(|budget| budget.state.metrics(now)),
+            failure_detector: self.failure_detector.as_ref().map(|detector| detector.state.metrics()),
+            sent: self.sent,
+            received: self.received,
+            dropped_packets: self.dropped_packets + self.membership.dropped_packets(),
+            terms_mismatches: self.terms_mismatches,
+        }
     }
-    (sum >> 32) as u32 ^ sum as u32
 }
--- a/cluster/src/cluster/tests.rs
+++ b/cluster/src/cluster/tests.rs
@@ -3,123 +3,155 @@
 use juniperladder::ServerId;
 
 use super::*;
+use crate::failure_detector::FailureDetectorTerms;
+use crate::rate_limit::{LeaseRequest, Message, RateLimitTerms};
+use crate::retry_budget::RetryBudgetTerms;
+use crate::slow_start_limit::SlowStartTerms;
 use crate::virtual_network::times;
 
-fn cluster(number: u16, whole: u32) -> Cluster {
-    let address = |number: u16| SocketAddr::from(([127, 0, 0, 1], 1_000 + number));
+const TICK: Micros = Micros::from_millis(20);
+const LIMIT: &str = "origin";
+
+fn address(number: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 1_000 + number))
+}
+
+fn cluster(number: u16, requests_per_s: u32) -> Cluster {
     let terms = RateLimitTerms {
-        requests_per_s: whole,
+        requests_per_s,
         arrival_spread: Micros::ZERO,
         owners: 2,
         lease: Micros::from_secs(2),
         clock_drift: 0.001,
     };
-    let limits = vec![("origin".to_owned(), terms)];
-    let (position, seed) = (u32::from(number), u64::from(number));
-    let cold =
-        Some(SlowStartTerms { rate_limit: terms, initial_share: 0.25, duration: Micros::from_secs(10) });
-    let second =
-        Some(RetryBudgetTerms { retries_per_first_attempt: 0.5, max_saved_credits: 20.0, holders: 2 });
-    let verdicts = FailureDetectorTerms {
-        min_reporters: 2,
-        report_lifetime: Micros::from_secs(6),
-        max_suspected_share: 0.5,
-        trials_per_s: 1.0,
-        clock_drift: 0.001,
+    let config = ClusterConfig {
+        address: address(number),
+        incarnation: 1,
+        position: u32::from(number),
+        zone: 0,
+        seeds: vec![address(0)],
+        rate_limits: vec![NamedRateLimit { name: LIMIT.to_owned(), terms }],
+        slow_start: Some(SlowStartTerms {
+            rate_limit: terms,
+            initial_share: 0.25,
+            duration: Micros::from_secs(10),
+        }),
+        retry_budget: Some(RetryBudgetTerms {
+            retries_per_first_attempt: 0.5,
+            max_saved_credits: 20.0,
+            holders: 2,
+        }),
+        failure_detector: Some(FailureDetectorTerms {
+            min_reporters: 2,
+            report_lifetime: Micros::from_secs(6),
+            max_suspected_share: 0.5,
+            trials_per_s: 1.0,
+            clock_drift: 0.001,
+        }),
+        random_seed: u64::from(number),
     };
-    let (address, seeds) = (address(number), vec![address(0)]);
-    let verdicts = Some(verdicts);
-    let zone = 0;
-    let plan = Plan { address, life: 1, position, zone, seeds, limits, cold, second, verdicts, seed };
-    Cluster::new(plan, Micros::ZERO)
+    Cluster::new(config, Micros::ZERO)
+}
+
+/// A tick of one balancer, whose packets reach the other at once.
+fn tick_and_deliver(balancers: &mut [Cluster; 2], from: usize, now: Micros) {
+    balancers[from].tick(now);
+    for (_, bytes) in balancers[from].drain() {
+        balancers[1 - from].on_packet(now, address(from as u16), &bytes);
+    }
 }
 
-/// A tick of one balancer, with what it says to the other.
-fn carry(all: &mut [Cluster; 2], from: usize, now: Micros) {
-    all[from].tick(now);
-    for (_, bytes) in all[from].drain() {
-        let address = SocketAddr::from(([127, 0, 0, 1], 1_000 + from as u16));
-        all[1 - from].heard(now, address, &bytes);
+fn use_token(limit: &mut RateLimit, now: Micros) -> bool {
+    let may_begin = limit.wait_time(now).is_zero();
+    if may_begin {
+        limit.acquire(now);
+    } else {
+        limit.on_rejected(now);
     }
+    may_begin
 }
 
-/// Carries packets between two balancers for so long; the first of them wants six requests a second.
-fn run(all: &mut [Cluster; 2], seconds: u64) {
-    for now in times(Micros::ZERO, Micros::from_secs(seconds), Micros::from_millis(20)) {
-        (0..2).for_each(|from| carry(all, from, now));
+/// Runs two balancers for so long; the first of them wants six requests a second.
+fn run(balancers: &mut [Cluster; 2], seconds: u64) {
+    for now in times(Micros::ZERO, Micros::from_secs(seconds), TICK) {
+        for from in 0..2 {
+            tick_and_deliver(balancers, from, now);
+        }
         if now.0 % 160_000 == 0 {
-            let limit = all[0].limit("origin").unwrap();
-            match limit.wait_time(now) {
-                Micros::ZERO => limit.acquire(now),
-                _ => limit.on_rejected(now),
-            }
+            use_token(balancers[0].rate_limit(LIMIT).unwrap(), now);
         }
     }
 }
 
 #[test]
 fn two_balancers_share_what_one_of_them_needs() {
-    let mut all = [cluster(0, 8), cluster(1, 8)];
-    run(&mut all, 8);
-    let figures = all[0].figures(Micros::from_secs(8));
-    assert_eq!(figures.members.alive, 2);
-    let (name, limit) = &figures.limits[0];
-    assert!(name == "origin" && limit.borrowed_tokens >= 2 && limit.usable_tokens >= 6, "{limit:?}");
-    assert_eq!(all[1].figures(Micros::from_secs(8)).limits[0].1.leased_out_tokens, limit.borrowed_tokens);
-    assert_eq!((figures.dropped, figures.differ), (0, 0));
+    let mut balancers = [cluster(0, 8), cluster(1, 8)];
+    run(&mut balancers, 8);
+    let now = Micros::from_secs(8);
+    let metrics = balancers[0].metrics(now);
+    assert_eq!(metrics.members.alive, 2);
+    assert_eq!(metrics.rate_limits[0].name, LIMIT);
+    let limit = &metrics.rate_limits[0].metrics;
+    assert!(limit.borrowed_tokens >= 2 && limit.usable_tokens >= 6, "{limit:?}");
+    let of_other = &balancers[1].metrics(now).rate_limits[0].metrics;
+    assert_eq!(of_other.leased_out_tokens, limit.borrowed_tokens);
+    assert_eq!((metrics.dropped_packets, metrics.terms_mismatches), (0, 0));
 }
 
 #[test]
-fn retry_budget_and_slow_start_tokens_reach_who_needs_them() {
-    let mut all = [cluster(0, 8), cluster(1, 8)];
-    run(&mut all, 8);
-    let start = ServerIncarnation { server: ServerId(7), started: Micros::from_secs(4) };
-    let mut took = 0;
-    for now in times(Micros::from_secs(8), Micros::from_secs(12), Micros::from_millis(20)) {
-        all[1].retry_budget().unwrap().on_first_attempt();
-        let second = all[0].retry_budget().unwrap();
-        match second.has_credit(now) {
-            true => second.acquire(now),
-            false => second.on_rejected(now),
+fn retry_credits_and_slow_start_tokens_reach_who_needs_them() {
+    let mut balancers = [cluster(0, 8), cluster(1, 8)];
+    run(&mut balancers, 8);
+    let server = ServerIncarnation { server: ServerId(7), started: Micros::from_secs(4) };
+    let mut begun = 0;
+    for now in times(Micros::from_secs(8), Micros::from_secs(12), TICK) {
+        balancers[1].retry_budget().unwrap().on_first_attempt();
+        let budget = balancers[0].retry_budget().unwrap();
+        if budget.has_credit(now) {
+            budget.acquire(now);
+        } else {
+            budget.on_rejected(now);
         }
-        let SlowStartAccess::Limited(limit) = all[0].slow_start(start, now) else {
+        let SlowStartAccess::Limited(limit) = balancers[0].slow_start(server, now) else {
             panic!("it is in slow start")
         };
-        match limit.wait_time(now) {
-            Micros::ZERO => {
-                limit.acquire(now);
-                took += 1;
-            }
-            _ => limit.on_rejected(now),
-        }
+        begun += usize::from(use_token(limit, now));
         if now.0 % 60_000 == 0 {
-            (0..2).for_each(|from| carry(&mut all, from, now));
+            for from in 0..2 {
+                tick_and_deliver(&mut balancers, from, now);
+            }
         }
     }
-    let second = all[0].figures(Micros::from_secs(12)).second.unwrap();
-    assert!(second.retries > 10 && second.first_attempts == 0, "it has earned none itself: {second:?}");
-    // From 4 to 7 units in these four seconds, of which it owns half.
-    assert!((15..=24).contains(&took), "{took}");
+    let budget = balancers[0].metrics(Micros::from_secs(12)).retry_budget.unwrap();
+    assert!(budget.retries > 10 && budget.first_attempts == 0, "it has earned none itself: {budget:?}");
+    // From 4 to 7 tokens in these four seconds, of which it owns half.
+    assert!((15..=24).contains(&begun), "{begun}");
 }
 
 #[test]
-fn members_with_different_files_share_nothing() {
-    let mut all = [cluster(0, 8), cluster(1, 9)];
-    run(&mut all, 8);
-    let figures = all[1].figures(Micros::from_secs(8));
-    assert!(figures.differ > 0 && figures.limits[0].1.leased_out_tokens == 0, "{figures:?}");
-    assert_eq!(figures.members.alive, 2);
+fn members_with_different_terms_share_nothing() {
+    let mut balancers = [cluster(0, 8), cluster(1, 9)];
+    run(&mut balancers, 8);
+    let metrics = balancers[1].metrics(Micros::from_secs(8));
+    let leased_out = metrics.rate_limits[0].metrics.leased_out_tokens;
+    assert!(metrics.terms_mismatches > 0 && leased_out == 0, "{metrics:?}");
+    assert_eq!(metrics.members.alive, 2);
 }
 
 #[test]
-fn a_stranger_and_nonsense_are_dropped_and_counted() {
-    let mut one = cluster(0, 8);
-    let hold = rate_limit::LeaseRequest { incarnation: 1, sent: Micros(1), tokens: 4 };
-    let about = About::Limit(0, rate_limit::Message::Request(hold));
-    let item = Item { terms: one.limits[0].brief, about };
-    let bytes = packet::talk([(SocketAddr::from(([127, 0, 0, 1], 9)), item)]).remove(0).1;
-    one.heard(Micros::from_secs(10), SocketAddr::from(([127, 0, 0, 1], 9)), &bytes);
-    one.heard(Micros::from_secs(10), SocketAddr::from(([127, 0, 0, 1], 9)), b"nonsense");
-    let figures = one.figures(Micros::from_secs(10));
-    assert_eq!((figures.dropped, figures.limits[0].1.leased_out_tokens), (2, 0));
+fn packets_of_a_stranger_and_malformed_ones_are_dropped_and_counted() {
+    let mut balancer = cluster(0, 8);
+    let now = Micros::from_secs(10);
+    let stranger = SocketAddr::from(([127, 0, 0, 1], 9));
+    let request = Message::Request(LeaseRequest { incarnation: 1, sent: Micros(1), tokens: 4 });
+    let message = CoordinationMessage {
+        terms_digest: balancer.rate_limits[0].terms_digest,
+        payload: Payload::RateLimit(0, request),
+    };
+    let packet = packet::encode_messages([(stranger, message)]).remove(0).1;
+    balancer.on_packet(now, stranger, &packet);
+    balancer.on_packet(now, stranger, b"nonsense");
+    let metrics = balancer.metrics(now);
+    assert_eq!(metrics.dropped_packets, 2);
+    assert_eq!(metrics.rate_limits[0].metrics.leased_out_tokens, 0);
 }
--- a/cluster/src/failure_detector.rs
+++ b/cluster/src/failure_detector.rs
@@ -44,7 +44,7 @@
 
 use crate::injected_defect::InjectedDefect;
 use crate::server_incarnation::ServerIncarnation;
-use crate::MAX_SERVERS;
+use crate::MAX_SERVER_INCARNATIONS;
 use dissemination::{Dissemination, DueQuery};
 pub use message::{Message, QueryScope, Report, MAX_REPORTS};
 pub use metrics::FailureDetectorMetrics;
@@ -186,9 +186,9 @@
         self.reports_on(server).iter().find(|report| report.reporter == self.position)
     }
 
-    /// Stores a report, beyond [`MAX_SERVERS`] none on a server that is new. News that changes something is spread urgently.
+    /// Stores a report, beyond [`MAX_SERVER_INCARNATIONS`] none on a server that is new. News that changes something is spread urgently.
     fn add_report(&mut self, server: ServerIncarnation, report: StoredReport, now: Micros) {
-        if !self.reports.contains_key(&server) && self.reports.len() >= MAX_SERVERS {
+        if !self.reports.contains_key(&server) && self.reports.len() >= MAX_SERVER_INCARNATIONS {
             return;
         }
         let reports = self.reports.entry(server).or_default();
--- a/cluster/src/failure_detector/tests.rs
+++ b/cluster/src/failure_detector/tests.rs
@@ -117,7 +117,7 @@
         stamp: Micros(seen / 10),
         seen: Micros(seen),
         is_silent,
-        is_recovery: !is_silent && reporter % 2 == 0,
+        is_recovery: !is_silent && reporter.is_multiple_of(2),
     }
 }
 
--- a/cluster/src/interval.rs
+++ b/cluster/src/interval.rs
@@ -8,17 +8,18 @@
 /// Keeps rounds an interval apart; the first is due at once.
 #[derive(Debug, Default)]
 pub(crate) struct Interval {
-    last: Micros,
+    /// When the last round began; zero, there was none.
+    last_round: Micros,
 }
 
 impl Interval {
     /// Whether a round is due, at least `interval` after the one before. One that is due counts as begun.
     pub(crate) fn is_due(&mut self, now: Micros, interval: Micros) -> bool {
-        let due = now >= self.last + interval;
-        if due {
-            self.last = now;
+        let is_due = now >= self.last_round + interval;
+        if is_due {
+            self.last_round = now;
         }
-        due
+        is_due
     }
 }
 
--- a/cluster/src/membership/tests.rs
+++ b/cluster/src/membership/tests.rs
@@ -1,90 +1,136 @@
-//! Members that join, leave and come back, halves that were cut, and a flood of made-up names.
+//! Members that join, leave and come back, halves that were cut off, and a flood of made-up members.
 
 use std::net::Ipv4Addr;
 
 use super::*;
 use crate::virtual_network::times;
 
+const FIRST_PORT: u16 = 1_000;
+const PACKET_DELAY: Micros = Micros::from_millis(5);
+/// Members of a test have numbers below this, made-up ones greater ones.
+const MAX_TEST_MEMBERS: usize = 64;
+
 fn address(number: usize) -> SocketAddr {
-    (Ipv4Addr::LOCALHOST, 1_000 + number as u16).into()
+    (Ipv4Addr::LOCALHOST, FIRST_PORT + number as u16).into()
+}
+
+fn member(number: usize, incarnation: u64) -> Membership {
+    let member = MemberId { address: address(number), incarnation };
+    let seeds = vec![address(0), address(1)];
+    Membership::new(member, seeds, number as u64 ^ incarnation << 32, Micros::ZERO)
+}
+
+/// A packet on its way; those that arrive at one time do so in the order in which they were sent.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct PacketInFlight {
+    arrives: Micros,
+    sequence: u64,
+    to: usize,
+    bytes: Vec<u8>,
 }
 
-fn member(number: usize, life: u64) -> Membership {
-    let name = Name { address: address(number), life };
-    Membership::new(name, vec![address(0), address(1)], number as u64 ^ life << 32, Micros::ZERO)
+/// Members, none where a process is gone, and the packets between them.
+struct Fleet {
+    members: Vec<Option<Membership>>,
+    packets: BinaryHeap<Reverse<PacketInFlight>>,
+    sent: u64,
 }
 
-/// Runs them for so long, 5 ms a packet; `cut` tells which pairs do not hear each other.
-fn run(all: &mut [Option<Membership>], from: Micros, to: Micros, cut: impl Fn(usize, usize) -> bool) -> u64 {
-    type Packet = Reverse<(Micros, u64, usize, Vec<u8>)>;
-    let mut packets: BinaryHeap<Packet> = BinaryHeap::new();
-    let mut sent = 0;
-    for now in times(from, to, Micros::from_millis(10)) {
-        while packets.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
-            let Some(Reverse((_, _, whom, bytes))) = packets.pop() else { break };
-            all[whom].iter_mut().for_each(|one| one.heard(now, &bytes));
+impl Fleet {
+    fn new(members: usize) -> Fleet {
+        let members = (0..members).map(|number| Some(member(number, 1))).collect();
+        Fleet { members, packets: BinaryHeap::new(), sent: 0 }
+    }
+
+    /// Runs the members from one second to another; `is_cut` tells which pairs do not reach each other. Returns the number of
+    /// packets sent.
+    fn run(&mut self, from_s: u64, until_s: u64, is_cut: impl Fn(usize, usize) -> bool) -> u64 {
+        self.packets.clear();
+        self.sent = 0;
+        for now in times(Micros::from_secs(from_s), Micros::from_secs(until_s), Micros::from_millis(10)) {
+            self.deliver(now);
+            for number in 0..self.members.len() {
+                self.tick(now, number, &is_cut);
+            }
         }
-        for (number, one) in all.iter_mut().enumerate() {
-            let Some(one) = one else { continue };
-            one.tick(now);
-            for (to, bytes) in one.drain().collect::<Vec<_>>() {
-                let whom = usize::from(to.port()) - 1_000;
-                sent += 1;
-                assert!(bytes.len() + HEAD <= LONGEST);
-                if whom < 64 && !cut(number, whom) {
-                    packets.push(Reverse((now + Micros::from_millis(5), sent, whom, bytes)));
-                }
+        self.sent
+    }
+
+    fn deliver(&mut self, now: Micros) {
+        while self.packets.peek().is_some_and(|Reverse(packet)| packet.arrives <= now) {
+            let Some(Reverse(packet)) = self.packets.pop() else { break };
+            if let Some(member) = &mut self.members[packet.to] {
+                member.on_packet(now, &packet.bytes);
+            }
+        }
+    }
+
+    fn tick(&mut self, now: Micros, number: usize, is_cut: impl Fn(usize, usize) -> bool) {
+        let Some(member) = &mut self.members[number] else { return };
+        member.tick(now);
+        for (to, bytes) in member.drain() {
+            let to = usize::from(to.port() - FIRST_PORT);
+            self.sent += 1;
+            assert!(bytes.len() + HEADER_BYTES <= MAX_PACKET_BYTES);
+            if to < MAX_TEST_MEMBERS && !is_cut(number, to) {
+                let packet = PacketInFlight { arrives: now + PACKET_DELAY, sequence: self.sent, to, bytes };
+                self.packets.push(Reverse(packet));
             }
         }
     }
-    sent
-}
 
-fn alive(all: &[Option<Membership>]) -> Vec<usize> {
-    all.iter().flatten().map(|one| one.counts().alive).collect()
+    /// How many members each process finds alive.
+    fn alive(&self) -> Vec<usize> {
+        self.members.iter().flatten().map(|member| member.counts().alive).collect()
+    }
 }
 
 #[test]
-fn members_join_by_seeds_are_forgotten_when_gone_and_come_back_in_a_new_life() {
-    let mut all: Vec<_> = (0..20).map(|number| Some(member(number, 1))).collect();
-    run(&mut all, Micros::ZERO, Micros::from_secs(3), |_, _| false);
-    assert_eq!(alive(&all), [20; 20], "all know all within three seconds");
-    all[5] = None;
-    all[0] = None;
-    run(&mut all, Micros::from_secs(3), Micros::from_secs(20), |_, _| false);
-    assert_eq!(alive(&all), [18; 18]);
-    all[5] = Some(member(5, 2));
-    all[0] = Some(member(0, 2));
-    let sent = run(&mut all, Micros::from_secs(20), Micros::from_secs(30), |_, _| false);
-    assert_eq!(alive(&all), [20; 20]);
+fn members_join_by_seeds_are_forgotten_when_gone_and_come_back_in_a_new_incarnation() {
+    let mut fleet = Fleet::new(20);
+    fleet.run(0, 3, |_, _| false);
+    assert_eq!(fleet.alive(), [20; 20], "all know all within three seconds");
+    fleet.members[5] = None;
+    fleet.members[0] = None;
+    fleet.run(3, 20, |_, _| false);
+    assert_eq!(fleet.alive(), [18; 18]);
+    fleet.members[5] = Some(member(5, 2));
+    fleet.members[0] = Some(member(0, 2));
+    let sent = fleet.run(20, 30, |_, _| false);
+    assert_eq!(fleet.alive(), [20; 20]);
     assert!(sent < 20 * 10 * 7, "{} packets a second a member", sent as f64 / 200.0);
 }
 
 #[test]
-fn halves_that_were_cut_find_each_other_again() {
-    let mut all: Vec<_> = (0..16).map(|number| Some(member(number, 1))).collect();
-    run(&mut all, Micros::ZERO, Micros::from_secs(4), |_, _| false);
-    run(&mut all, Micros::from_secs(4), Micros::from_secs(30), |a, b| a < 8 && b >= 8 || a >= 8 && b < 8);
-    assert_eq!(alive(&all), [8; 16]);
-    run(&mut all, Micros::from_secs(30), Micros::from_secs(42), |_, _| false);
-    assert_eq!(alive(&all), [16; 16]);
+fn halves_that_were_cut_off_find_each_other_again() {
+    let mut fleet = Fleet::new(16);
+    fleet.run(0, 4, |_, _| false);
+    fleet.run(4, 30, |from, to| (from < 8) != (to < 8));
+    assert_eq!(fleet.alive(), [8; 16]);
+    fleet.run(30, 42, |_, _| false);
+    assert_eq!(fleet.alive(), [16; 16]);
 }
 
 /// Members that do not exist, made up by the hundred, packet after packet.
 #[test]
-fn a_flood_of_names_and_of_nonsense_fills_nothing() {
-    let mut one = member(0, 1);
-    let mut chance = ChaCha8Rng::seed_from_u64(1);
+fn a_flood_of_members_and_of_malformed_packets_fills_nothing() {
+    let mut flooded = member(0, 1);
+    let mut rng = ChaCha8Rng::seed_from_u64(1);
     for number in 0..20_000u64 {
-        let made_up = Name { address: address(64 + number as usize % 60_000), life: 1 };
+        let now = Micros(number * 100);
+        let made_up = address(MAX_TEST_MEMBERS + number as usize % 60_000);
+        let made_up = MemberId { address: made_up, incarnation: 1 };
         let mut liar = Membership::new(made_up, vec![address(0)], number, Micros::ZERO);
-        let packets: Vec<_> = liar.drain().collect();
-        packets.iter().for_each(|(_, bytes)| one.heard(Micros(number * 100), bytes));
-        let nonsense: Vec<u8> = (0..chance.random_range(0..300)).map(|_| chance.random()).collect();
-        one.heard(Micros(number * 100), &nonsense);
-        assert!(one.swim.iter_membership_state().len() <= MOST_KNOWN + 100);
-        assert!(one.timers.len() <= MOST_TIMERS);
-        one.drain();
+        for (_, bytes) in liar.drain() {
+            flooded.on_packet(now, &bytes);
+        }
+        let malformed: Vec<u8> = (0..rng.random_range(0..300)).map(|_| rng.random()).collect();
+        flooded.on_packet(now, &malformed);
+        assert!(flooded.swim.iter_membership_state().len() <= MAX_KNOWN_MEMBERS + 100);
+        assert!(flooded.timers.len() <= MAX_TIMERS);
+        flooded.drain();
     }
-    assert!(one.restarts > 0 && one.dropped > 10_000, "{} {}", one.restarts, one.dropped);
+    let restarts = flooded.restarts();
+    let dropped = flooded.dropped_packets();
+    assert!(restarts > 0 && dropped > 10_000, "{restarts} {dropped}");
 }
--- a/cluster/src/open_requests.rs
+++ b/cluster/src/open_requests.rs
@@ -9,14 +9,23 @@
 use juniperladder::Micros;
 
 /// The most requests that are open at once; beyond it the oldest are forgotten.
-const MOST_OPEN: usize = 64;
+const MAX_OPEN_REQUESTS: usize = 64;
 
-/// The open requests of one state machine, oldest first.
+/// A request that waits for its response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct OpenRequest {
+    sent: Micros,
+    to: SocketAddr,
+}
+
+/// The open requests of one state machine.
 #[derive(Debug)]
 pub(crate) struct OpenRequests {
     timeout: Micros,
+    /// The send time of the last request; no two have the same.
     last_sent: Micros,
-    open: VecDeque<(Micros, SocketAddr)>,
+    /// Oldest first.
+    open: VecDeque<OpenRequest>,
 }
 
 impl OpenRequests {
@@ -29,23 +38,33 @@
     pub(crate) fn open(&mut self, now: Micros, to: SocketAddr) -> Micros {
         let sent = now.max(self.last_sent + Micros(1));
         self.last_sent = sent;
-        self.open.push_back((sent, to));
+        self.open.push_back(OpenRequest { sent, to });
         sent
     }
 
     /// Closes the request that a response of this peer names; false where there is none, or it has timed out.
     pub(crate) fn close(&mut self, now: Micros, from: SocketAddr, sent: Micros) -> bool {
-        let place = self.open.iter().position(|request| *request == (sent, from));
-        let Some(place) = place.filter(|_| now < sent + self.timeout) else { return false };
-        self.open.remove(place);
+        let request = OpenRequest { sent, to: from };
+        let Some(index) = self.open.iter().position(|open| *open == request) else { return false };
+        if self.has_timed_out(&request, now) {
+            return false;
+        }
+        self.open.remove(index);
         true
     }
 
     /// Forgets the requests that have timed out.
     pub(crate) fn expire(&mut self, now: Micros) {
-        let timed_out = |(sent, _): &(Micros, SocketAddr)| now >= *sent + self.timeout;
-        while self.open.front().is_some_and(timed_out) || self.open.len() > MOST_OPEN {
+        while self.open.len() > MAX_OPEN_REQUESTS || self.has_oldest_timed_out(now) {
             self.open.pop_front();
         }
     }
+
+    fn has_oldest_timed_out(&self, now: Micros) -> bool {
+        self.open.front().is_some_and(|oldest| self.has_timed_out(oldest, now))
+    }
+
+    fn has_timed_out(&self, request: &OpenRequest, now: Micros) -> bool {
+        now >= request.sent + self.timeout
+    }
 }
--- a/cluster/src/open_requests/tests.rs
+++ b/cluster/src/open_requests/tests.rs
@@ -25,7 +25,7 @@
         requests.open(Micros(10), peer(1));
     }
     requests.expire(Micros(20));
-    assert_eq!(requests.open.len(), MOST_OPEN);
+    assert_eq!(requests.open.len(), MAX_OPEN_REQUESTS);
     requests.expire(Micros::from_secs(2));
     assert!(requests.open.is_empty());
 }
--- a/cluster/src/packet.rs
+++ b/cluster/src/packet.rs
@@ -1,7 +1,10 @@
-//! Packets between balancers: a head of four bytes, then what `postcard` makes of the values. What goes to one member at one
-//! time goes in as few packets as hold it.
+//! Packets between balancers: a header of four bytes, then what `postcard` makes of the values. Messages to one member go in as
+//! few packets as hold them.
 //!
-//! A packet that is truncated, too long, of another version or nonsense is an error of its reader, and nothing else.
+//! A packet that is truncated, too long, of another version or malformed is an error of its reader, and nothing else: none of
+//! its messages is taken.
+//!
+//! The order of fields and variants is part of the protocol.
 
 #[cfg(test)]
 mod tests;
@@ -11,115 +14,149 @@
 use serde::{Deserialize, Serialize};
 
 use crate::server_incarnation::ServerIncarnation;
-use crate::{failure_detector, rate_limit, retry_budget, LONGEST};
+use crate::{failure_detector, rate_limit, retry_budget, MAX_PACKET_BYTES};
 
-/// The first bytes of every packet: whose, and of which version.
-const HEAD: [u8; 3] = [b'J', b'L', 2];
-/// What follows the head.
-const MEMBERSHIP: u8 = 0;
-const TALK: u8 = 1;
-/// Items in a packet; more than those that are sent have.
-const MOST_ITEMS: usize = 64;
+/// The first bytes of every packet: two for the program, one for the version.
+const MAGIC: [u8; 3] = [b'J', b'L', 2];
+/// The length of a packet's header: the magic bytes and the kind.
+pub const HEADER_BYTES: usize = MAGIC.len() + 1;
+/// The kind of a packet of the membership.
+const KIND_MEMBERSHIP: u8 = 0;
+/// The kind of a packet of coordination messages.
+const KIND_COORDINATION: u8 = 1;
+/// The most messages in a packet; those that are sent have no more.
+const MAX_MESSAGES: usize = 64;
 
-/// What one item is about.
+/// What a coordination message is for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum About {
-    /// A limit, by its number.
-    Limit(u8, rate_limit::Message),
-    /// The limit of one start of a server that warms up.
-    Cold(ServerIncarnation, rate_limit::Message),
-    /// The budget of second tries.
-    Second(retry_budget::Message),
-    /// Verdicts on servers.
-    Verdicts(failure_detector::Message),
+pub enum Payload {
+    /// A rate limit, by its number in the configuration.
+    RateLimit(u8, rate_limit::Message),
+    /// The limit of a server in slow start.
+    SlowStart(ServerIncarnation, rate_limit::Message),
+    /// The retry budget.
+    RetryBudget(retry_budget::Message),
+    /// The failure detector.
+    FailureDetector(failure_detector::Message),
 }
 
-/// One item of talk.
+/// A message from one balancer to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Item {
-    /// The terms in brief: members whose files differ do not share.
-    pub terms: u32,
+pub struct CoordinationMessage {
+    /// A digest of the terms: members whose configurations differ do not coordinate.
+    pub terms_digest: u32,
     /// What it says.
-    pub about: About,
+    pub payload: Payload,
 }
 
 /// What a packet holds.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Packet<'a> {
-    /// The membership's own bytes.
+    /// The membership protocol's own bytes.
     Membership(&'a [u8]),
-    /// Items of talk, in order.
-    Talk(Vec<Item>),
+    /// Coordination messages, in order.
+    Coordination(Vec<CoordinationMessage>),
 }
 
 /// Why a packet was dropped.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrong {
-    /// Longer than any that is sent.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum PacketError {
+    /// It is longer than any that is sent.
+    #[error("the packet is longer than {MAX_PACKET_BYTES} bytes")]
     TooLong,
-    /// Another program's, or another version's.
-    Version,
-    /// It makes no sense.
-    Nonsense,
+    /// Another program or another version sent it.
+    #[error("the packet is not of this version of the protocol")]
+    UnknownVersion,
+    /// Its kind is none of this version.
+    #[error("the packet is of an unknown kind")]
+    UnknownKind,
+    /// It has no message.
+    #[error("the packet holds no message")]
+    Empty,
+    /// It has more messages than any that is sent.
+    #[error("the packet holds more than {MAX_MESSAGES} messages")]
+    TooManyMessages,
+    /// Its bytes are no messages.
+    #[error("the packet's messages cannot be decoded")]
+    Malformed(#[from] postcard::Error),
 }
 
-/// Reads a packet.
+/// Decodes a packet.
 ///
 /// # Errors
 /// Why it is dropped.
-pub fn read(bytes: &[u8]) -> Result<Packet<'_>, Wrong> {
-    if bytes.len() > LONGEST {
-        return Err(Wrong::TooLong);
+pub fn decode(bytes: &[u8]) -> Result<Packet<'_>, PacketError> {
+    if bytes.len() > MAX_PACKET_BYTES {
+        return Err(PacketError::TooLong);
     }
-    let rest = bytes.strip_prefix(&HEAD).ok_or(Wrong::Version)?;
+    let rest = bytes.strip_prefix(&MAGIC).ok_or(PacketError::UnknownVersion)?;
     match rest {
-        [MEMBERSHIP, rest @ ..] => Ok(Packet::Membership(rest)),
-        [TALK, rest @ ..] => items(rest).map(Packet::Talk),
-        _ => Err(Wrong::Nonsense),
+        [KIND_MEMBERSHIP, rest @ ..] => Ok(Packet::Membership(rest)),
+        [KIND_COORDINATION, rest @ ..] => decode_messages(rest).map(Packet::Coordination),
+        _ => Err(PacketError::UnknownKind),
     }
 }
 
-/// All items, or nothing: half a packet is no packet.
-fn items(mut rest: &[u8]) -> Result<Vec<Item>, Wrong> {
-    let mut items = Vec::new();
+/// All messages, or an error: half a packet is no packet.
+fn decode_messages(mut rest: &[u8]) -> Result<Vec<CoordinationMessage>, PacketError> {
+    let mut messages = Vec::new();
     while !rest.is_empty() {
-        let (item, more) = postcard::take_from_bytes(rest).map_err(|_| Wrong::Nonsense)?;
-        if items.len() == MOST_ITEMS {
-            return Err(Wrong::Nonsense);
+        let (message, more) = postcard::take_from_bytes(rest)?;
+        if messages.len() == MAX_MESSAGES {
+            return Err(PacketError::TooManyMessages);
         }
-        items.push(item);
+        messages.push(message);
         rest = more;
     }
-    if items.is_empty() {
-        return Err(Wrong::Nonsense);
+    if messages.is_empty() {
+        return Err(PacketError::Empty);
     }
-    Ok(items)
+    Ok(messages)
+}
+
+/// Encodes a packet of the membership.
+pub fn encode_membership(bytes: &[u8]) -> Vec<u8> {
+    [&MAGIC[..], &[KIND_MEMBERSHIP], bytes].concat()
+}
+
+/// A packet that is filled with messages to one member.
+struct OpenPacket {
+    to: SocketAddr,
+    bytes: Vec<u8>,
+    messages: usize,
 }
 
-/// Writes a packet of the membership.
-pub fn membership(bytes: &[u8]) -> Vec<u8> {
-    [&HEAD[..], &[MEMBERSHIP], bytes].concat()
+impl OpenPacket {
+    fn with_message(to: SocketAddr, message: &[u8]) -> OpenPacket {
+        let bytes = [&MAGIC[..], &[KIND_COORDINATION], message].concat();
+        OpenPacket { to, bytes, messages: 1 }
+    }
+
+    fn has_room_for(&self, message: &[u8]) -> bool {
+        self.bytes.len() + message.len() <= MAX_PACKET_BYTES && self.messages < MAX_MESSAGES
+    }
+
+    fn add(&mut self, message: &[u8]) {
+        self.bytes.extend_from_slice(message);
+        self.messages += 1;
+    }
 }
 
-/// Writes items into packets, those to one member together as far as they fit.
-pub fn talk(items: impl IntoIterator<Item = (SocketAddr, Item)>) -> Vec<(SocketAddr, Vec<u8>)> {
-    let mut packets: Vec<(SocketAddr, Vec<u8>, usize)> = Vec::new();
-    for (to, item) in items {
-        // Neither can happen with what the modules say; what cannot be sent is lost, as any packet may be.
-        let Ok(bytes) = postcard::to_stdvec(&item) else { continue };
-        if HEAD.len() + 1 + bytes.len() > LONGEST {
+/// Encodes messages into packets, those to one member together as far as they fit.
+pub fn encode_messages(
+    messages: impl IntoIterator<Item = (SocketAddr, CoordinationMessage)>,
+) -> Vec<(SocketAddr, Vec<u8>)> {
+    let mut packets: Vec<OpenPacket> = Vec::new();
+    for (to, message) in messages {
+        // Neither can happen with what the modules send; what cannot be sent is lost, as any packet may be.
+        let Ok(message) = postcard::to_stdvec(&message) else { continue };
+        if HEADER_BYTES + message.len() > MAX_PACKET_BYTES {
             continue;
         }
-        let room = |packet: &&mut (SocketAddr, Vec<u8>, usize)| {
-            packet.0 == to && packet.1.len() + bytes.len() <= LONGEST && packet.2 < MOST_ITEMS
-        };
-        match packets.iter_mut().find(room) {
-            Some((_, packet, count)) => {
-                packet.extend_from_slice(&bytes);
-                *count += 1;
-            }
-            None => packets.push((to, [&HEAD[..], &[TALK], &bytes].concat(), 1)),
+        match packets.iter_mut().find(|packet| packet.to == to && packet.has_room_for(&message)) {
+            Some(packet) => packet.add(&message),
+            None => packets.push(OpenPacket::with_message(to, &message)),
         }
     }
-    packets.into_iter().map(|(to, packet, _)| (to, packet)).collect()
+    packets.into_iter().map(|packet| (packet.to, packet.bytes)).collect()
 }
--- a/cluster/src/packet/tests.rs
+++ b/cluster/src/packet/tests.rs
@@ -1,17 +1,39 @@
-//! What is read is what was written, and nothing else is read.
+//! What is decoded is what was encoded, and nothing else is.
 
 use juniperladder::{Micros, ServerId};
 
 use super::*;
-use crate::rate_limit::{LeaseGrant, LeaseRequest, Message};
+use crate::failure_detector::{QueryScope, Report, MAX_REPORTS};
+use crate::rate_limit::{LeaseGrant, LeaseRequest};
 
-fn all() -> Vec<Item> {
-    let start = ServerIncarnation { server: ServerId(u64::MAX), started: Micros(u64::MAX) };
-    let hold = Message::Request(LeaseRequest { incarnation: u64::MAX, sent: Micros(12), tokens: 7 });
-    let lent =
-        Message::Grant(LeaseGrant { incarnation: 1, sent: Micros(u64::MAX), tokens: 0, available: u32::MAX });
-    let entry = failure_detector::Report {
-        server: start,
+fn receiver() -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 9))
+}
+
+fn rate_limit_request(incarnation: u64, sent: u64, tokens: u32) -> rate_limit::Message {
+    rate_limit::Message::Request(LeaseRequest { incarnation, sent: Micros(sent), tokens })
+}
+
+fn rate_limit_grant(incarnation: u64, sent: u64, tokens: u32, available: u32) -> rate_limit::Message {
+    rate_limit::Message::Grant(LeaseGrant { incarnation, sent: Micros(sent), tokens, available })
+}
+
+fn transfer(incarnation: u64, sent: u64, credits: u32) -> retry_budget::Message {
+    retry_budget::Message::Transfer { incarnation, sent: Micros(sent), credits }
+}
+
+fn query(sent: u64, digest: u64, scope: QueryScope) -> failure_detector::Message {
+    failure_detector::Message::Query { sent: Micros(sent), digest, scope }
+}
+
+fn reports(sent: u64, reports: Vec<Report>) -> failure_detector::Message {
+    failure_detector::Message::Reports { sent: Micros(sent), reports }
+}
+
+fn all_messages() -> Vec<CoordinationMessage> {
+    let server = ServerIncarnation { server: ServerId(u64::MAX), started: Micros(u64::MAX) };
+    let report = Report {
+        server,
         reporter: 7,
         zone: 1,
         stamp: Micros(u64::MAX),
@@ -19,76 +41,64 @@
         is_silent: true,
         is_recovery: false,
     };
-    let told = failure_detector::Message::Reports {
-        sent: Micros(1),
-        reports: vec![entry; failure_detector::MAX_REPORTS],
-    };
-    let transfer = retry_budget::Message::Transfer { incarnation: 3, sent: Micros(4), credits: 5 };
-    let abouts = [
-        About::Limit(3, hold),
-        About::Cold(start, lent),
-        About::Second(transfer),
-        About::Verdicts(told),
-        About::Verdicts(failure_detector::Message::Query {
-            sent: Micros(1),
-            digest: u64::MAX,
-            scope: failure_detector::QueryScope::Urgent,
-        }),
+    let payloads = [
+        Payload::RateLimit(3, rate_limit_request(u64::MAX, 12, 7)),
+        Payload::SlowStart(server, rate_limit_grant(1, u64::MAX, 0, u32::MAX)),
+        Payload::RetryBudget(transfer(3, 4, 5)),
+        Payload::FailureDetector(reports(1, vec![report; MAX_REPORTS])),
+        Payload::FailureDetector(query(1, u64::MAX, QueryScope::Urgent)),
     ];
-    abouts.into_iter().map(|about| Item { terms: u32::MAX, about }).collect()
+    payloads.into_iter().map(|payload| CoordinationMessage { terms_digest: u32::MAX, payload }).collect()
 }
 
 #[test]
-fn packets_are_read_as_they_were_written() {
-    let to = SocketAddr::from(([127, 0, 0, 1], 9));
-    let packets = talk(all().into_iter().map(|item| (to, item)));
-    let read_back = packets.iter().flat_map(|(_, bytes)| match read(bytes) {
-        Ok(Packet::Talk(items)) => items,
+fn packets_are_decoded_as_they_were_encoded() {
+    let packets = encode_messages(all_messages().into_iter().map(|message| (receiver(), message)));
+    let decoded = packets.iter().flat_map(|(_, bytes)| match decode(bytes) {
+        Ok(Packet::Coordination(messages)) => messages,
         other => panic!("{other:?}"),
     });
-    let mut read_back: Vec<Item> = read_back.collect();
+    let mut decoded: Vec<CoordinationMessage> = decoded.collect();
     // What fits goes into an earlier packet: the order between packets is free.
-    read_back.sort_by_key(|item| format!("{item:?}"));
-    let mut sent = all();
-    sent.sort_by_key(|item| format!("{item:?}"));
-    assert_eq!(read_back, sent);
-    assert!(packets.len() <= 2 && packets.iter().all(|(_, bytes)| bytes.len() <= LONGEST));
+    decoded.sort_by_key(|message| format!("{message:?}"));
+    let mut sent = all_messages();
+    sent.sort_by_key(|message| format!("{message:?}"));
+    assert_eq!(decoded, sent);
+    assert!(packets.len() <= 2 && packets.iter().all(|(_, bytes)| bytes.len() <= MAX_PACKET_BYTES));
 }
 
 #[test]
-fn what_is_truncated_longer_or_nonsense_is_an_error() {
-    let to = SocketAddr::from(([127, 0, 0, 1], 9));
-    for item in all() {
-        let bytes = talk([(to, item)]).remove(0).1;
-        for cut in 0..bytes.len() {
-            assert!(read(&bytes[..cut]).is_err(), "truncated at {cut}");
+fn packets_that_are_truncated_longer_or_malformed_are_errors() {
+    for message in all_messages() {
+        let bytes = encode_messages([(receiver(), message)]).remove(0).1;
+        for length in 0..bytes.len() {
+            assert!(decode(&bytes[..length]).is_err(), "truncated at {length}");
         }
         let longer = [&bytes[..], &[0xff; 3]].concat();
-        assert_eq!(read(&longer), Err(Wrong::Nonsense));
+        assert!(matches!(decode(&longer), Err(PacketError::Malformed(_))));
     }
-    assert_eq!(read(&membership(b"abc")), Ok(Packet::Membership(b"abc")));
-    assert_eq!(read(&[b'J'; LONGEST + 1]), Err(Wrong::TooLong));
-    assert_eq!(read(b"JL\x01\x00"), Err(Wrong::Version));
-    assert_eq!(read(b"JL\x02\x09"), Err(Wrong::Nonsense));
+    assert_eq!(decode(&encode_membership(b"abc")), Ok(Packet::Membership(b"abc")));
+    assert_eq!(decode(&[b'J'; MAX_PACKET_BYTES + 1]), Err(PacketError::TooLong));
+    assert_eq!(decode(b"JL\x01\x00"), Err(PacketError::UnknownVersion));
+    assert_eq!(decode(b"JL\x02\x09"), Err(PacketError::UnknownKind));
+    assert_eq!(decode(b"JL\x02\x01"), Err(PacketError::Empty));
 }
 
 #[test]
-fn more_items_than_are_ever_sent_are_nonsense() {
-    let to = SocketAddr::from(([127, 0, 0, 1], 9));
-    let transfer = retry_budget::Message::Transfer { incarnation: 3, sent: Micros(4), credits: 5 };
-    let item = Item { terms: 1, about: About::Second(transfer) };
-    let packets = talk(std::iter::repeat_n((to, item), MOST_ITEMS + 1));
+fn more_messages_than_are_ever_sent_are_an_error() {
+    let message = CoordinationMessage { terms_digest: 1, payload: Payload::RetryBudget(transfer(3, 4, 5)) };
+    let packets = encode_messages(std::iter::repeat_n((receiver(), message), MAX_MESSAGES + 1));
     assert_eq!(packets.len(), 2);
-    let both = [&packets[0].1[..], &packets[1].1[HEAD.len() + 1..]].concat();
-    assert_eq!(read(&both), Err(Wrong::Nonsense));
+    let both = [&packets[0].1[..], &packets[1].1[HEADER_BYTES..]].concat();
+    assert_eq!(decode(&both), Err(PacketError::TooManyMessages));
 }
 
-/// Balancers of two versions talk to each other while one replaces the other: the bytes of an item are part of the protocol.
+/// Balancers of two versions talk to each other while one replaces the other: the bytes of a message are part of the protocol.
 #[test]
-fn items_keep_their_bytes_on_the_wire() {
-    let start = ServerIncarnation { server: ServerId(300), started: Micros(70_000_000) };
-    let entry = failure_detector::Report {
-        server: start,
+fn messages_keep_their_bytes_on_the_wire() {
+    let server = ServerIncarnation { server: ServerId(300), started: Micros(70_000_000) };
+    let report = Report {
+        server,
         reporter: 7,
         zone: 1,
         stamp: Micros(128),
@@ -96,24 +106,23 @@
         is_silent: true,
         is_recovery: false,
     };
-    let query = |scope| failure_detector::Message::Query { sent: Micros(200), digest: 1_000_000, scope };
-    let abouts = [
-        About::Limit(3, Message::Request(LeaseRequest { incarnation: 1, sent: Micros(200), tokens: 7 })),
-        About::Cold(
-            start,
-            Message::Grant(LeaseGrant { incarnation: 300, sent: Micros(2), tokens: 0, available: 129 }),
-        ),
-        About::Second(retry_budget::Message::Request { incarnation: 5, sent: Micros(130), credits: 16 }),
-        About::Second(retry_budget::Message::Transfer { incarnation: 5, sent: Micros(131), credits: 4 }),
-        About::Verdicts(query(failure_detector::QueryScope::All)),
-        About::Verdicts(query(failure_detector::QueryScope::AllMutual)),
-        About::Verdicts(query(failure_detector::QueryScope::UrgentMutual)),
-        About::Verdicts(query(failure_detector::QueryScope::Urgent)),
-        About::Verdicts(failure_detector::Message::Reports { sent: Micros(201), reports: vec![entry] }),
+    let credit_request = retry_budget::Message::Request { incarnation: 5, sent: Micros(130), credits: 16 };
+    let payloads = [
+        Payload::RateLimit(3, rate_limit_request(1, 200, 7)),
+        Payload::SlowStart(server, rate_limit_grant(300, 2, 0, 129)),
+        Payload::RetryBudget(credit_request),
+        Payload::RetryBudget(transfer(5, 131, 4)),
+        Payload::FailureDetector(query(200, 1_000_000, QueryScope::All)),
+        Payload::FailureDetector(query(200, 1_000_000, QueryScope::AllMutual)),
+        Payload::FailureDetector(query(200, 1_000_000, QueryScope::UrgentMutual)),
+        Payload::FailureDetector(query(200, 1_000_000, QueryScope::Urgent)),
+        Payload::FailureDetector(reports(201, vec![report])),
     ];
-    let to = SocketAddr::from(([127, 0, 0, 1], 9));
-    let written = abouts.map(|about| talk([(to, Item { terms: 5, about })]).remove(0).1);
-    let written = written.map(|bytes| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>());
+    let encoded = payloads.map(|payload| {
+        let message = CoordinationMessage { terms_digest: 5, payload };
+        let bytes = encode_messages([(receiver(), message)]).remove(0).1;
+        bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>()
+    });
     let expected = [
         "4a4c02010500030001c80107",
         "4a4c02010501ac0280bbb02101ac0202008101",
@@ -125,5 +134,5 @@
         "4a4c0201050300c801c0843d03",
         "4a4c0201050301c90101ac0280bbb021070180018080010100",
     ];
-    assert_eq!(written, expected);
+    assert_eq!(encoded, expected);
 }
--- a/cluster/src/slow_start_limit.rs
+++ b/cluster/src/slow_start_limit.rs
@@ -24,7 +24,7 @@
 
 use crate::rate_limit::{Message, RateLimit, RateLimitMetrics, RateLimitTerms};
 use crate::server_incarnation::ServerIncarnation;
-use crate::MAX_SERVERS;
+use crate::MAX_SERVER_INCARNATIONS;
 
 /// The terms. They have to be the same at every member.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -95,7 +95,7 @@
     /// From when on own tokens may be used: all that an earlier incarnation of this member used or leased out has expired.
     own_usable_from: Micros,
     limits: BTreeMap<ServerIncarnation, RateLimit>,
-    /// Requests for which no limit could be kept, because there were [`MAX_SERVERS`] already.
+    /// Requests for which no limit could be kept, because there were [`MAX_SERVER_INCARNATIONS`] already.
     pub unavailable: u64,
 }
 
@@ -118,7 +118,7 @@
             return SlowStartAccess::Unlimited;
         }
         let owned = self.terms.owned_tokens(server, self.position, now);
-        let is_full = self.limits.len() >= MAX_SERVERS;
+        let is_full = self.limits.len() >= MAX_SERVER_INCARNATIONS;
         let limit = match self.limits.entry(server) {
             Entry::Occupied(known) => known.into_mut(),
             // No endpoint list names a server that is to start so much later than now.
--- a/cluster/src/slow_start_limit/tests.rs
+++ b/cluster/src/slow_start_limit/tests.rs
@@ -44,15 +44,15 @@
 #[test]
 fn limits_are_forgotten_once_servers_are_warm_and_their_number_is_bounded() {
     let mut limits = SlowStartLimits::new(terms(), 3, 1, Micros::ZERO);
-    for number in 0..MAX_SERVERS as u64 + 5 {
+    for number in 0..MAX_SERVER_INCARNATIONS as u64 + 5 {
         let access = limits.access(server(number), STARTED);
-        assert_eq!(matches!(access, SlowStartAccess::Limited(_)), number < MAX_SERVERS as u64);
+        assert_eq!(matches!(access, SlowStartAccess::Limited(_)), number < MAX_SERVER_INCARNATIONS as u64);
     }
     assert_eq!(limits.unavailable, 5);
     let far_later = ServerIncarnation { server: ServerId(1), started: STARTED + Micros::from_secs(60) };
     assert!(matches!(limits.access(far_later, STARTED), SlowStartAccess::Unavailable), "no such start");
     limits.tick(STARTED + Micros::from_secs(12), || || None);
-    assert_eq!(limits.limits.len(), MAX_SERVERS, "what was leased out is locked still");
+    assert_eq!(limits.limits.len(), MAX_SERVER_INCARNATIONS, "what was leased out is locked still");
     let warm = limits.access(server(1), STARTED + Micros::from_secs(10));
     assert!(matches!(warm, SlowStartAccess::Unlimited), "it is warm");
     limits.tick(STARTED + Micros::from_secs(14), || || None);
--- a/cluster/src/virtual_network.rs
+++ b/cluster/src/virtual_network.rs
@@ -295,10 +295,10 @@
             self.packets += 1;
             let to = member_at(to);
             let is_cut = self.partition.separates(from, to);
-            let copies = 1 + usize::from(self.happens(self.conditions.repeat));
+            let copies = 1 + usize::from(self.draws(self.conditions.repeat));
             for _ in 0..copies {
                 let delay = self.draw_delay();
-                if !is_cut && !self.happens(self.conditions.loss) {
+                if !is_cut && !self.draws(self.conditions.loss) {
                     let message = message.clone();
                     self.push(self.now + delay, Event::Packet { from, to, message });
                 }
@@ -310,14 +310,15 @@
         let Conditions { min_delay, delay, late, late_delays, .. } = self.conditions;
         let most = match late_delays {
             [] => delay,
-            _ if !self.happens(late) => delay,
+            _ if !self.draws(late) => delay,
             [latest] => *latest,
             _ => late_delays[self.rng.random_range(0..late_delays.len())],
         };
         min_delay + self.draw(most)
     }
 
-    fn happens(&mut self, share: f64) -> bool {
+    /// Whether something happens that does so in this share of cases.
+    fn draws(&mut self, share: f64) -> bool {
         self.rng.random::<f64>() < share
     }
 
@@ -331,13 +332,14 @@
             self.now = at;
             if let Some(member) = event.member().filter(|member| self.processes[*member].is_frozen) {
                 self.processes[member].waiting.push(event);
-            } else if let Some(arrival) = self.happen(event) {
+            } else if let Some(arrival) = self.handle(event) {
                 return Some(arrival);
             }
         }
     }
 
-    fn happen(&mut self, event: Event<M, E>) -> Option<Arrival<M, E>> {
+    /// Does what an event does here; returns what is left to the test.
+    fn handle(&mut self, event: Event<M, E>) -> Option<Arrival<M, E>> {
         match event {
             Event::Tick { member, incarnation } => {
                 let process = &self.processes[member];
--- a/node/src/operator.rs
+++ b/node/src/operator.rs
@@ -11,7 +11,7 @@
 use juniperladder_cluster::rate_limit::RateLimitTerms;
 use juniperladder_cluster::retry_budget::RetryBudgetTerms;
 use juniperladder_cluster::slow_start_limit::SlowStartTerms;
-use juniperladder_cluster::{Plan, MOST_MEMBERS};
+use juniperladder_cluster::{ClusterConfig, NamedRateLimit, MAX_MEMBERS};
 use serde::Deserialize;
 
 /// The whole file.
@@ -183,8 +183,8 @@
         if limits.spread_ms > 1_000 {
             return Err(("limits.spread_ms", "at most 1000 ms".into()));
         }
-        if limits.holders.is_some_and(|holders| holders == 0 || holders as usize > MOST_MEMBERS) {
-            return Err(("limits.holders", format!("from 1 to {MOST_MEMBERS}")));
+        if limits.holders.is_some_and(|holders| holders == 0 || holders as usize > MAX_MEMBERS) {
+            return Err(("limits.holders", format!("from 1 to {MAX_MEMBERS}")));
         }
         let wrong =
             |rate: &Option<Rate>| rate.as_ref().is_some_and(|rate| !(1..=1_000_000).contains(&rate.per_s));
@@ -230,7 +230,7 @@
         settings: &Settings,
         life: u64,
         seed: u64,
-    ) -> Result<Plan, String> {
+    ) -> Result<ClusterConfig, String> {
         let position = self.peers.position.or(position);
         let position = position.ok_or("peers.position: the settings name no position; give one here")?;
         let holders = self.limits.holders.unwrap_or(settings.balancers).max(1);
@@ -265,17 +265,22 @@
             trials_per_s: verdicts.tries_per_s,
             clock_drift: drift,
         };
-        Ok(Plan {
+        Ok(ClusterConfig {
             address: self.peers.address.unwrap_or(bound),
-            life,
+            incarnation: life,
             position,
             zone: settings.zone,
             seeds: self.peers.seeds.clone(),
-            limits: self.limits.origin.iter().map(|rate| (ORIGIN.to_owned(), terms(rate))).collect(),
-            cold: self.limits.cold.as_ref().map(cold),
-            second: self.limits.second.as_ref().map(second),
-            verdicts: self.verdicts.as_ref().map(verdicts),
-            seed,
+            rate_limits: self
+                .limits
+                .origin
+                .iter()
+                .map(|rate| NamedRateLimit { name: ORIGIN.to_owned(), terms: terms(rate) })
+                .collect(),
+            slow_start: self.limits.cold.as_ref().map(cold),
+            retry_budget: self.limits.second.as_ref().map(second),
+            failure_detector: self.verdicts.as_ref().map(verdicts),
+            random_seed: seed,
         })
     }
 
@@ -400,7 +405,7 @@
     fn all_that_the_file_names_is_in_the_plan() {
         let operator = Operator::parse(&uncommented()).unwrap();
         let plan = operator.plan("127.0.0.1:7946".parse().unwrap(), None, &settings(), 1, 1).unwrap();
-        let (cold, second) = (plan.cold.unwrap(), plan.second.unwrap());
+        let (cold, second) = (plan.slow_start.unwrap(), plan.retry_budget.unwrap());
         assert_eq!(
             (cold.rate_limit.requests_per_s, cold.initial_share, cold.duration),
             (100, 0.25, Micros::from_secs(10))
@@ -409,7 +414,7 @@
             (second.retries_per_first_attempt, second.max_saved_credits, second.holders),
             (0.4, 1_000.0, 100)
         );
-        assert_eq!((plan.verdicts.unwrap().report_lifetime, plan.zone), (Micros::from_secs(6), 1));
+        assert_eq!((plan.failure_detector.unwrap().report_lifetime, plan.zone), (Micros::from_secs(6), 1));
     }
 
     #[test]
@@ -419,8 +424,11 @@
         let bound = "127.0.0.1:7946".parse().unwrap();
         let settings = settings();
         let plan = operator.plan(bound, Some(3), &settings, 1, 1).unwrap();
-        assert!(plan.cold.is_none() && plan.second.is_none() && plan.verdicts.is_none());
-        assert_eq!((plan.position, plan.limits[0].1.owners, plan.limits[0].1.owned_tokens(3)), (3, 100, 4));
+        assert!(plan.slow_start.is_none() && plan.retry_budget.is_none() && plan.failure_detector.is_none());
+        assert_eq!(
+            (plan.position, plan.rate_limits[0].terms.owners, plan.rate_limits[0].terms.owned_tokens(3)),
+            (3, 100, 4)
+        );
         assert!(operator.plan(bound, None, &settings, 1, 1).unwrap_err().contains("position"));
         assert_eq!(operator.bound(), 1.05);
     }
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use juniperladder::{Coordination, Settings};
-use juniperladder_cluster::{Cluster, Figures, LONGEST};
+use juniperladder_cluster::{Cluster, ClusterMetrics, MAX_PACKET_BYTES};
 use slog::{info, Logger};
 use tokio::net::UdpSocket;
 use tokio::time::{sleep_until, Instant};
@@ -82,7 +82,7 @@
                 // A turn that was missed is not made up for.
                 next = Instant::now() + TICK;
                 self.cluster.borrow_mut().tick(self.clock.now());
-                let alive = self.cluster.borrow().members().alive;
+                let alive = self.cluster.borrow().member_counts().alive;
                 if alive != members {
                     members = alive;
                     info!(self.log, "members"; "alive" => alive);
@@ -94,11 +94,11 @@
 
     /// Takes what has come, up to a turn's worth.
     fn read(&self) {
-        let mut packet = [0; LONGEST + 1];
+        let mut packet = [0; MAX_PACKET_BYTES + 1];
         for _ in 0..TURN {
             // Word that an earlier packet found nobody is no packet; an empty buffer ends the turn.
             let Ok((length, from)) = self.socket.try_recv_from(&mut packet) else { return };
-            self.cluster.borrow_mut().heard(self.clock.now(), from, &packet[..length]);
+            self.cluster.borrow_mut().on_packet(self.clock.now(), from, &packet[..length]);
         }
     }
 
@@ -116,8 +116,8 @@
     }
 
     /// The figures.
-    pub fn figures(&self) -> Figures {
-        self.cluster.borrow_mut().figures(self.clock.now())
+    pub fn figures(&self) -> ClusterMetrics {
+        self.cluster.borrow_mut().metrics(self.clock.now())
     }
 
     /// The figures in the Prometheus text format.
--- a/node/src/together.rs
+++ b/node/src/together.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 
 use juniperladder::{Coordination, Micros, ServerId, ServingServer, SharedLimit};
-use juniperladder_cluster::rate_limit::RateLimit;
+use juniperladder_cluster::rate_limit::{RateLimit, RateLimitMetrics};
 use juniperladder_cluster::slow_start_limit::SlowStartAccess;
-use juniperladder_cluster::{rate_limit, Cluster, Figures, ServerIncarnation};
+use juniperladder_cluster::{Cluster, ClusterMetrics, ServerIncarnation};
 
 use crate::operator::ORIGIN;
 
@@ -28,7 +28,7 @@
     fn units<T>(&self, of: SharedLimit, now: Micros, act: impl FnOnce(&mut RateLimit) -> T) -> Option<T> {
         let mut cluster = self.0.borrow_mut();
         match of {
-            SharedLimit::OriginRate => cluster.limit(ORIGIN).map(act),
+            SharedLimit::OriginRate => cluster.rate_limit(ORIGIN).map(act),
             SharedLimit::SlowStart(listed_server, started) => {
                 match cluster.slow_start(incarnation(listed_server, started), now) {
                     SlowStartAccess::Limited(limit) => Some(act(limit)),
@@ -118,32 +118,33 @@
 }
 
 /// The figures in the Prometheus text format. `bound` is what is stated of the origin's limit.
-pub fn text(figures: &Figures, bound: f64) -> String {
-    let Figures { members, limits, cold, second, verdicts, sent, heard, dropped, differ } = figures;
+pub fn text(metrics: &ClusterMetrics, bound: f64) -> String {
+    let members = &metrics.members;
     let mut text = String::from("# TYPE app_members gauge\n");
     for (state, count) in [("alive", members.alive), ("suspect", members.suspect), ("down", members.down)] {
         let _ = writeln!(text, "app_members{{state=\"{state}\"}} {count}");
     }
     let counts = [
-        ("packets_sent", sent.0),
-        ("packet_bytes_sent", sent.1),
-        ("packets_heard", heard.0),
-        ("packet_bytes_heard", heard.1),
-        ("packets_dropped", *dropped),
-        ("packets_of_other_files", *differ),
+        ("packets_sent", metrics.sent.packets),
+        ("packet_bytes_sent", metrics.sent.bytes),
+        ("packets_heard", metrics.received.packets),
+        ("packet_bytes_heard", metrics.received.bytes),
+        ("packets_dropped", metrics.dropped_packets),
+        ("packets_of_other_files", metrics.terms_mismatches),
     ];
     for (name, count) in counts {
         let _ = writeln!(text, "# TYPE app_peer_{name} counter\napp_peer_{name} {count}");
     }
-    for (name, limit) in limits {
+    for limit in &metrics.rate_limits {
+        let name = &limit.name;
         let _ = writeln!(text, "app_limit_bound{{limit=\"{name}\"}} {bound}");
-        of_limit(&mut text, name, limit);
+        of_limit(&mut text, name, &limit.metrics);
     }
-    if let Some(slow_start) = cold {
+    if let Some(slow_start) = &metrics.slow_start {
         of_limit(&mut text, "cold", &slow_start.rate_limits);
         let _ = writeln!(text, "app_limit_cold_hosts {}", slow_start.servers);
     }
-    if let Some(budget) = second {
+    if let Some(budget) = &metrics.retry_budget {
         let figures = [
             ("own", budget.own_credits),
             ("from_others", budget.received_credits),
@@ -156,7 +157,7 @@
             let _ = writeln!(text, "app_second_tries_{figure} {value}");
         }
     }
-    if let Some(verdicts) = verdicts {
+    if let Some(verdicts) = &metrics.failure_detector {
         let figures = [
             ("held{kind=\"silent\"}", verdicts.silent_reports as f64),
             ("held{kind=\"answers\"}", verdicts.answer_reports as f64),
@@ -175,7 +176,7 @@
     text
 }
 
-fn of_limit(text: &mut String, name: &str, limit: &rate_limit::RateLimitMetrics) {
+fn of_limit(text: &mut String, name: &str, limit: &RateLimitMetrics) {
     let contact = limit.since_contact.map_or(-1.0, |age| age.as_f64() / 1e6);
     let gauges = [
         ("whole", f64::from(limit.total_tokens)),
--- a/testbed/src/scale/cluster_endpoint.rs
+++ b/testbed/src/scale/cluster_endpoint.rs
@@ -3,19 +3,17 @@
 use std::net::SocketAddr;
 
 use juniperladder_cluster::failure_detector::FailureDetectorTerms;
-use juniperladder_cluster::membership::{Membership, Name};
-use juniperladder_cluster::packet::{self, About, Item, Packet};
+use juniperladder_cluster::membership::{MemberId, Membership};
+use juniperladder_cluster::packet::{self, CoordinationMessage, Packet, Payload, HEADER_BYTES};
 use juniperladder_cluster::retry_budget::RetryBudgetTerms;
 use juniperladder_cluster::slow_start_limit::SlowStartTerms;
 use juniperladder_cluster::Micros as Time;
-use juniperladder_cluster::{rate_limit, Cluster, Plan};
+use juniperladder_cluster::{rate_limit, Cluster, ClusterConfig, NamedRateLimit};
 
 use super::endpoint::{Datagram, Endpoint, PacketKind, StateQuery};
 use super::workload::{Workload, WorkloadConfig, ORIGIN_LIMIT};
 use super::Micros;
 
-/// The length of a packet's head.
-const HEAD_LENGTH: usize = 4;
 /// The figures of `deploy/operator.example.toml`.
 const LEASE: Time = Time::from_secs(2);
 const DRIFT: f64 = 0.001;
@@ -53,15 +51,15 @@
 impl MembershipEndpoint {
     /// A member that starts now.
     pub fn new(identity: Identity, now: Micros) -> MembershipEndpoint {
-        let name = Name { address: identity.address, life: identity.life };
-        MembershipEndpoint(Membership::new(name, identity.seeds, identity.seed, Time(now)))
+        let member = MemberId { address: identity.address, incarnation: identity.life };
+        MembershipEndpoint(Membership::new(member, identity.seeds, identity.seed, Time(now)))
     }
 }
 
 impl Endpoint for MembershipEndpoint {
     fn on_datagram(&mut self, now: Micros, _from: SocketAddr, bytes: &[u8]) {
-        if let Ok(Packet::Membership(bytes)) = packet::read(bytes) {
-            self.0.heard(Time(now), bytes);
+        if let Ok(Packet::Membership(bytes)) = packet::decode(bytes) {
+            self.0.on_packet(Time(now), bytes);
         }
     }
 
@@ -70,7 +68,7 @@
     }
 
     fn drain(&mut self) -> Vec<Datagram> {
-        self.0.drain().map(|(to, bytes)| (to, packet::membership(&bytes))).collect()
+        self.0.drain().map(|(to, bytes)| (to, packet::encode_membership(&bytes))).collect()
     }
 
     fn satisfies(&mut self, query: &StateQuery) -> bool {
@@ -109,7 +107,7 @@
 
 impl Endpoint for ClusterEndpoint {
     fn on_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
-        self.cluster.heard(Time(now), from, bytes);
+        self.cluster.on_packet(Time(now), from, bytes);
     }
 
     fn on_tick(&mut self, now: Micros) {
@@ -132,7 +130,7 @@
     }
 
     fn known_members(&self) -> Option<usize> {
-        Some(self.cluster.members().alive)
+        Some(self.cluster.member_counts().alive)
     }
 }
 
@@ -145,7 +143,7 @@
 }
 
 /// What a balancer is told at its start, with the defaults of the operators' example file.
-fn plan(identity: Identity, members: usize, config: &WorkloadConfig) -> Plan {
+fn plan(identity: Identity, members: usize, config: &WorkloadConfig) -> ClusterConfig {
     let holders = members as u32;
     let terms = |whole| rate_limit::RateLimitTerms {
         requests_per_s: whole,
@@ -154,42 +152,45 @@
         lease: LEASE,
         clock_drift: DRIFT,
     };
-    Plan {
+    ClusterConfig {
         address: identity.address,
-        life: identity.life,
+        incarnation: identity.life,
         position: identity.number as u32,
         zone: identity.zone as u32,
         seeds: identity.seeds,
-        limits: vec![(ORIGIN_LIMIT.to_owned(), terms(config.origin_limit(members)))],
-        cold: Some(SlowStartTerms {
+        rate_limits: vec![NamedRateLimit {
+            name: ORIGIN_LIMIT.to_owned(),
+            terms: terms(config.origin_limit(members)),
+        }],
+        slow_start: Some(SlowStartTerms {
             rate_limit: terms(COLD_PER_S),
             initial_share: COLD_SHARE,
             duration: WARM_UP,
         }),
-        second: Some(RetryBudgetTerms {
+        retry_budget: Some(RetryBudgetTerms {
             retries_per_first_attempt: RETRY_SHARE,
             max_saved_credits: RETRIES_SAVED * f64::from(holders),
             holders,
         }),
-        verdicts: Some(FailureDetectorTerms {
+        failure_detector: Some(FailureDetectorTerms {
             min_reporters: REPORTERS,
             report_lifetime: REPORT_EXPIRY,
             max_suspected_share: AVOIDED_SHARE,
             trials_per_s: TRIES_PER_S,
             clock_drift: DRIFT,
         }),
-        seed: identity.seed,
+        random_seed: identity.seed,
     }
 }
 
 /// Divides a packet's bytes among what they are for; the head goes to the first part.
 pub fn packet_parts(bytes: &[u8], mut add: impl FnMut(PacketKind, usize)) {
-    match packet::read(bytes) {
+    match packet::decode(bytes) {
         Ok(Packet::Membership(_)) => add(PacketKind::Membership, bytes.len()),
-        Ok(Packet::Talk(_)) => {
-            let (mut rest, mut head) = (&bytes[HEAD_LENGTH..], HEAD_LENGTH);
-            while let Ok((item, more)) = postcard::take_from_bytes::<Item>(rest) {
-                add(kind_of(&item.about), rest.len() - more.len() + head);
+        Ok(Packet::Coordination(_)) => {
+            let (mut rest, mut head) = (&bytes[HEADER_BYTES..], HEADER_BYTES);
+            while let Ok((message, more)) = postcard::take_from_bytes::<CoordinationMessage>(rest) {
+                add(kind_of(&message.payload), rest.len() - more.len() + head);
                 (rest, head) = (more, 0);
                 if rest.is_empty() {
                     break;
@@ -200,11 +201,11 @@
     }
 }
 
-fn kind_of(about: &About) -> PacketKind {
-    match about {
-        About::Limit(..) => PacketKind::Limits,
-        About::Cold(..) => PacketKind::WarmUp,
-        About::Second(_) => PacketKind::Retries,
-        About::Verdicts(_) => PacketKind::Verdicts,
+fn kind_of(payload: &Payload) -> PacketKind {
+    match payload {
+        Payload::RateLimit(..) => PacketKind::Limits,
+        Payload::SlowStart(..) => PacketKind::WarmUp,
+        Payload::RetryBudget(_) => PacketKind::Retries,
+        Payload::FailureDetector(_) => PacketKind::Verdicts,
     }
 }
--- a/testbed/src/scale/tests.rs
+++ b/testbed/src/scale/tests.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use juniperladder_cluster::packet::{self, About, Item};
+use juniperladder_cluster::packet::{self, CoordinationMessage, Payload};
 use juniperladder_cluster::{rate_limit, retry_budget, ServerIncarnation};
 
 use super::endpoint::PacketKind;
@@ -65,22 +65,22 @@
         sent: juniperladder_cluster::Micros(4),
         credits: 5,
     };
-    let abouts = [
-        About::Limit(0, hold),
-        About::Cold(
+    let payloads = [
+        Payload::RateLimit(0, hold),
+        Payload::SlowStart(
             ServerIncarnation {
                 server: juniperladder_cluster::ServerId(1),
                 started: juniperladder_cluster::Micros(2),
             },
             hold,
         ),
-        About::Second(give),
+        Payload::RetryBudget(give),
     ];
-    let items = abouts.map(|about| (to, Item { terms: u32::MAX, about }));
-    let packets = packet::talk(items);
+    let messages = payloads.map(|payload| (to, CoordinationMessage { terms_digest: u32::MAX, payload }));
+    let packets = packet::encode_messages(messages);
     let mut counts = MemberCounts::default();
     packets.iter().for_each(|(_, bytes)| counts.on_sent(bytes));
-    counts.on_sent(&packet::membership(&[7; 100]));
+    counts.on_sent(&packet::encode_membership(&[7; 100]));
     counts.on_sent(b"nonsense");
     let sent = |kind: PacketKind| counts.sent[kind as usize];
     let length: u64 = packets.iter().map(|(_, bytes)| bytes.len() as u64).sum();
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -128,7 +128,7 @@
             self.attempt(cluster, server, now);
         }
         if self.rng.f64() < MISS_SHARE {
-            if let Some(limit) = cluster.limit(ORIGIN_LIMIT) {
+            if let Some(limit) = cluster.rate_limit(ORIGIN_LIMIT) {
                 if limit.wait_time(Time(now)).is_zero() {
                     limit.acquire(Time(now));
                 } else {
