--- a/node/src/socket.rs
+++ b/node/src/socket.rs
@@ -14,101 +14,103 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 
-/// A whole connection.
+/// A connection, or one half of it.
 #[derive(Debug)]
-pub struct Socket(pub TcpStream);
+pub struct Socket<S = TcpStream>(pub S);
 
-/// The side of a connection that is read.
-#[derive(Debug)]
-pub struct SocketReader(pub OwnedReadHalf);
+/// The half of a connection that is read.
+pub type SocketReader = Socket<OwnedReadHalf>;
 
-/// The side of a connection that is written.
-#[derive(Debug)]
-pub struct SocketWriter(pub OwnedWriteHalf);
+/// The half of a connection that is written.
+pub type SocketWriter = Socket<OwnedWriteHalf>;
 
-impl Socket {
-    /// Its two sides.
-    pub fn into_split(self) -> (SocketReader, SocketWriter) {
-        let (reader, writer) = self.0.into_split();
-        (SocketReader(reader), SocketWriter(writer))
-    }
+/// A connection or a half of one.
+pub trait AsTcpStream {
+    /// The connection.
+    fn as_tcp_stream(&self) -> &TcpStream;
 }
 
-fn poll_read(stream: &TcpStream, cx: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-    loop {
-        ready!(stream.poll_read_ready(cx))?;
-        let room = buffer.initialize_unfilled();
-        match stream.try_io(Interest::READABLE, || (&*SockRef::from(stream)).read(room)) {
-            Ok(length) => {
-                buffer.advance(length);
-                return Poll::Ready(Ok(()));
-            }
-            Err(problem) if is_to_be_tried_again(&problem) => {}
-            Err(problem) => return Poll::Ready(Err(problem)),
-        }
+impl AsTcpStream for TcpStream {
+    fn as_tcp_stream(&self) -> &TcpStream {
+        self
     }
 }
 
-fn poll_write(stream: &TcpStream, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-    loop {
-        ready!(stream.poll_write_ready(cx))?;
-        match stream.try_io(Interest::WRITABLE, || (&*SockRef::from(stream)).write(bytes)) {
-            Ok(length) => return Poll::Ready(Ok(length)),
-            Err(problem) if is_to_be_tried_again(&problem) => {}
-            Err(problem) => return Poll::Ready(Err(problem)),
-        }
+impl AsTcpStream for OwnedReadHalf {
+    fn as_tcp_stream(&self) -> &TcpStream {
+        self.as_ref()
     }
 }
 
-/// A call that would block has cleared the readiness, so that the next turn waits; one that was interrupted has done nothing.
-fn is_to_be_tried_again(problem: &io::Error) -> bool {
-    matches!(problem.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
+impl AsTcpStream for OwnedWriteHalf {
+    fn as_tcp_stream(&self) -> &TcpStream {
+        self.as_ref()
+    }
 }
 
-impl AsyncRead for Socket {
-    fn poll_read(
-        self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-        buffer: &mut ReadBuf<'_>,
-    ) -> Poll<io::Result<()>> {
-        poll_read(&self.0, cx, buffer)
+impl Socket {
+    /// Its two halves.
+    pub fn into_split(self) -> (SocketReader, SocketWriter) {
+        let (reader, writer) = self.0.into_split();
+        (Socket(reader), Socket(writer))
     }
 }
 
-impl AsyncRead for SocketReader {
+impl<S: AsTcpStream + Unpin> AsyncRead for Socket<S> {
     fn poll_read(
         self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
+        context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        poll_read(self.0.as_ref(), cx, buffer)
+        poll_read(self.0.as_tcp_stream(), context, buffer)
     }
 }
 
-impl AsyncWrite for Socket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        poll_write(&self.0, cx, bytes)
+impl<S: AsTcpStream + AsyncWrite + Unpin> AsyncWrite for Socket<S> {
+    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        poll_write(self.0.as_tcp_stream(), context, bytes)
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
 
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.0).poll_shutdown(cx)
+    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.0).poll_shutdown(context)
     }
 }
 
-impl AsyncWrite for SocketWriter {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        poll_write(self.0.as_ref(), cx, bytes)
+fn poll_read(
+    stream: &TcpStream,
+    context: &mut Context<'_>,
+    buffer: &mut ReadBuf<'_>,
+) -> Poll<io::Result<()>> {
+    loop {
+        ready!(stream.poll_read_ready(context))?;
+        let unfilled = buffer.initialize_unfilled();
+        match stream.try_io(Interest::READABLE, || (&*SockRef::from(stream)).read(unfilled)) {
+            Ok(length) => {
+                buffer.advance(length);
+                return Poll::Ready(Ok(()));
+            }
+            Err(error) if is_retryable(&error) => {}
+            Err(error) => return Poll::Ready(Err(error)),
+        }
     }
+}
 
-    fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(Ok(()))
+fn poll_write(stream: &TcpStream, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    loop {
+        ready!(stream.poll_write_ready(context))?;
+        match stream.try_io(Interest::WRITABLE, || (&*SockRef::from(stream)).write(bytes)) {
+            Ok(length) => return Poll::Ready(Ok(length)),
+            Err(error) if is_retryable(&error) => {}
+            Err(error) => return Poll::Ready(Err(error)),
+        }
     }
+}
 
-    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.0).poll_shutdown(cx)
-    }
+/// A call that would block has cleared the readiness, so that the next turn of the loop waits; one that was interrupted has done nothing.
+fn is_retryable(error: &io::Error) -> bool {
+    matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
