--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -17,7 +17,7 @@
 
 use crate::clock::{self, Clock};
 use crate::config::Config;
-use crate::connect::Tcp;
+use crate::connect::TcpConnector;
 use crate::counters::Counters;
 use crate::discovery::{self, Calls};
 use crate::dispatcher::{Carrier, Dispatcher};
@@ -32,7 +32,7 @@
 use crate::resource_limits::ResourceLimits;
 use crate::signals::Signals;
 use crate::transient_errors::retry_transient;
-use crate::upstream::{self, Upstream};
+use crate::upstream::{Upstream, UpstreamLimits};
 
 /// How often the counters go to the log: a process that is killed writes none at its end.
 const COUNTERS_LOG_INTERVAL: Duration = Duration::from_secs(5);
@@ -183,16 +183,16 @@
 ) -> Rc<Dispatcher> {
     let clock = Clock::start();
     let counters = Rc::new(Counters::default());
-    let limits = upstream::Limits {
-        connections: resource_limits.server_connections,
-        piece: resource_limits.chunk_bytes,
+    let limits = UpstreamLimits {
+        max_connections: resource_limits.server_connections,
+        chunk_bytes: resource_limits.chunk_bytes,
         connect_timeout: config.connect_timeout,
-        idle: config.idle,
-        late: longest_deadline,
+        server_idle_timeout: config.idle,
+        late_answer_timeout: longest_deadline,
         may_duplicate: config.settings.limits.may_duplicate,
-        origin: config.settings.mode.origin(),
+        origin_kind: config.settings.mode.origin(),
     };
-    let upstream = Upstream::new(limits, Rc::new(Tcp), clock, Rc::clone(&counters), log.clone());
+    let upstream = Upstream::new(limits, Rc::new(TcpConnector), clock, Rc::clone(&counters), log.clone());
     let carrier = Rc::clone(&upstream) as Rc<dyn Carrier>;
     let dispatcher =
         Dispatcher::new(config.settings.clone(), config.seed, carrier, clock, counters, log.clone());
--- a/node/src/discovery/call.rs
+++ b/node/src/discovery/call.rs
@@ -13,7 +13,7 @@
 
 use super::budget::CONNECT;
 use super::watches::WatchId;
-use crate::http::{write_call, Response};
+use crate::http::{write_discovery_call, Response};
 use crate::name_table::Catalog;
 use crate::socket::Socket;
 
@@ -95,7 +95,7 @@
 ) -> Result<(), String> {
     let lost = |e: std::io::Error| e.to_string();
     let mut call = BytesMut::new();
-    write_call(&mut call, path, name);
+    write_discovery_call(&mut call, path, name);
     stream.write_all(&call).await.map_err(lost)?;
     let (mut response, mut input, mut objects) = (Response::default(), BytesMut::new(), Objects::default());
     loop {
@@ -103,13 +103,13 @@
             return Ok(());
         }
         let before = response.body.len();
-        response.read(&mut input)?;
+        response.read(&mut input).map_err(|error| error.to_string())?;
         if let Some(head) = response.head.as_ref().filter(|head| head.status != 200) {
             return Err(format!("status {}", head.status));
         }
         let brought = response.body.len() > before;
         let mut lists = 0;
-        while let Some(mut object) = objects.next(&mut response.body)? {
+        while let Some(mut object) = objects.next(&mut response.body).map_err(|error| error.to_string())? {
             let catalog = simd_json::from_slice::<Catalog>(&mut object);
             let catalog = catalog.map_err(|e| format!("not a list: {e}"))?;
             sender.send(News::List(catalog)).await;
--- a/node/src/downstream.rs
+++ b/node/src/downstream.rs
@@ -7,6 +7,7 @@
 mod connection;
 mod slots;
 mod stream;
+mod upload;
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/node/src/downstream/connection.rs
+++ b/node/src/downstream/connection.rs
@@ -19,8 +19,8 @@
 use super::stream::{wait_for_disconnect, ClientReader, ClientStream};
 use super::{Downstream, FinalRead};
 use crate::dispatcher::Answer;
+use crate::downstream::upload::{self, StreamedUpload};
 use crate::memcache::RequestReader;
-use crate::upload::{self, StreamedUpload};
 use answers::{next_answer, next_chunk, Download, PendingAnswer};
 
 /// Requests that one connection may have open: enough for any pipeline, a bound for one that runs away.
@@ -167,7 +167,7 @@
     }
 
     fn is_idle(&self) -> bool {
-        self.owes_nothing() && self.input.is_empty() && !self.request_reader.unfinished()
+        self.owes_nothing() && self.input.is_empty() && !self.request_reader.has_incomplete_request()
     }
 
     fn owes_nothing(&self) -> bool {
--- a/node/src/downstream/connection/requests.rs
+++ b/node/src/downstream/connection/requests.rs
@@ -9,8 +9,8 @@
 use crate::clock;
 use crate::counters::increment;
 use crate::dispatcher::ClientRequest;
+use crate::downstream::upload::StreamedUpload;
 use crate::memcache::Incoming;
-use crate::upload::StreamedUpload;
 
 /// For how long after the accept of a connection what it brings is taken to have come before that.
 const CAME_BEFORE_ACCEPT: Duration = Duration::from_millis(20);
@@ -34,15 +34,15 @@
     fn on_incoming(&mut self, incoming: Incoming) {
         match incoming {
             Incoming::Ready => self.answer_readiness(),
-            Incoming::Request(request, class) => {
+            Incoming::Request { request, class } => {
                 if let Some(request) = self.classify(request, &class) {
                     self.take_complete(*request);
                 }
             }
-            Incoming::Upload(request, class, length) => self.begin_upload(request, &class, length),
-            Incoming::Piece(chunk, is_last) => self.on_upload_chunk(chunk, is_last),
+            Incoming::Upload { request, class, length } => self.begin_upload(request, &class, length),
+            Incoming::UploadChunk { chunk, is_last } => self.on_upload_chunk(chunk, is_last),
             Incoming::Malformed(line) => self.reject_malformed(line),
-            Incoming::Lost(line) => {
+            Incoming::Unrecoverable(line) => {
                 self.reject_malformed(line);
                 self.has_input_ended = true;
             }
--- a/node/src/downstream/connection/timing.rs
+++ b/node/src/downstream/connection/timing.rs
@@ -3,7 +3,7 @@
 use tokio::time::{Duration, Instant};
 
 use super::{DownstreamConnection, ALWAYS_ALLOWED_BYTES};
-use crate::upload::StreamedUpload;
+use crate::downstream::upload::StreamedUpload;
 
 /// How long a connection may go without an open request: one that is silent, kept for good or in the middle
 /// of a request holds a descriptor that others need. Incomplete requests do not set it back.
@@ -27,7 +27,7 @@
         let idle_until = self.slot.idle_since.get() + IDLE_TIMEOUT;
         let incomplete_until = match self.incomplete_since {
             // A value may come slowly, but it has to come.
-            Some(since) if self.request_reader.unfinished() => {
+            Some(since) if self.request_reader.has_incomplete_request() => {
                 (self.last_received + IDLE_TIMEOUT).min(since + VALUE_TIMEOUT)
             }
             Some(since) => since + REQUEST_TIMEOUT,
@@ -43,7 +43,7 @@
         if self.slot.is_busy.replace(is_busy) && !is_busy {
             self.slot.idle_since.set(now);
         }
-        let has_incomplete_request = !self.input.is_empty() || self.request_reader.unfinished();
+        let has_incomplete_request = !self.input.is_empty() || self.request_reader.has_incomplete_request();
         self.slot.has_incomplete_request.set(has_incomplete_request);
         self.incomplete_since = has_incomplete_request.then(|| self.incomplete_since.unwrap_or(now));
         if self.is_upload_blocked() {
--- a/node/src/downstream/tests.rs
+++ b/node/src/downstream/tests.rs
@@ -39,15 +39,7 @@
 pub(super) fn downstream(recorder: &Rc<Recorder>) -> Rc<Downstream> {
     let dispatcher =
         testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
-    let resource_limits = ResourceLimits {
-        client_connections: 8,
-        idle_client_connections: 4,
-        server_connections: 8,
-        admin_connections: 8,
-        client_buffer_bytes: 1 << 17,
-        unread_answer_bytes: 1 << 16,
-        chunk_bytes: 1 << 10,
-    };
+    let resource_limits = testing::resource_limits(1 << 10);
     let labels = Labels { classes: vec!["read".into()], tenants: vec!["acme".into(), "beta".into()] };
     Downstream::new(dispatcher, labels, Rc::default(), resource_limits, testing::log())
 }
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -7,7 +7,6 @@
 pub mod connect;
 pub mod daemon;
 pub mod discovery;
-mod download;
 pub mod downstream;
 pub mod error;
 pub mod graceful_shutdown;
@@ -25,7 +24,6 @@
 pub mod state;
 pub mod together;
 pub mod transient_errors;
-mod upload;
 pub mod upstream;
 
 #[cfg(test)]
--- a/node/src/operators.rs
+++ b/node/src/operators.rs
@@ -1,6 +1,6 @@
 //! The operators' address: a second listener, one call a connection, answered from the dispatcher at once.
 //!
-//! The codec is `protocols::mgmt`; what a call decides is the dispatcher's. Each caller takes one of a bounded
+//! The codec is `protocols::admin`; what a call decides is the dispatcher's. Each caller takes one of a bounded
 //! number of slots and is closed by a read deadline, so that callers who say nothing cost little and never
 //! delay the data path or each other.
 
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use juniperladder_protocols::mgmt::{ack, nak, read, Call, Read, MAX_LINE};
+use juniperladder_protocols::admin::{ack, nak, read_call, Call, Input, MAX_LINE_BYTES};
 use slog::{info, warn, Logger};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -110,12 +110,12 @@
 
     async fn serve<S: AsyncRead + AsyncWrite + Unpin>(&self, mut stream: S) -> std::io::Result<()> {
         let mut input = Vec::with_capacity(64);
-        let mut piece = [0; MAX_LINE];
+        let mut piece = [0; MAX_LINE_BYTES];
         let call = loop {
-            match read(&input) {
-                Read::Call(call) => break call,
-                Read::TooLong => break Err("the line is longer than 256 bytes"),
-                Read::More => {}
+            match read_call(&input) {
+                Input::Line(call) => break call.map_err(|error| error.to_string()),
+                Input::TooLong => break Err("the line is longer than 256 bytes".to_owned()),
+                Input::Incomplete => {}
             }
             let Ok(got) = timeout(DEADLINE, stream.read(&mut piece)).await else { return Ok(()) };
             let got = got?;
@@ -126,7 +126,7 @@
         };
         let reply = match call {
             Ok(call) => self.answer(call).await,
-            Err(why) => nak(why),
+            Err(why) => nak(&why),
         };
         timeout(WRITE, stream.write_all(reply.as_bytes())).await??;
         stream.shutdown().await
--- a/node/src/storm.rs
+++ b/node/src/storm.rs
@@ -22,14 +22,14 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::connect::Connect;
+use crate::connect::Connector;
 use crate::counters::Counters;
 use crate::dispatcher::{Carrier, Dispatcher, ListedServer};
 use crate::downstream::{Downstream, Labels};
 use crate::graceful_shutdown::{time_for_answers, GracefulShutdown, EXIT_DELAY};
 use crate::resource_limits::ResourceLimits;
 use crate::testing::{self, log, ORIGIN};
-use crate::upstream::{Limits, Upstream};
+use crate::upstream::{Upstream, UpstreamLimits};
 use servers::Servers;
 
 const SEEDS: u64 = 250;
@@ -140,18 +140,18 @@
         let servers = Rc::new(Servers::new(Rng::with_seed(seed), Rc::clone(&ledger)));
         let (connect_timeout, idle) = (Duration::from_millis(150), Duration::from_secs(2));
         let (connections, late) = (24, Duration::from_millis(900));
-        let limits = Limits {
-            connections,
-            piece: 1024,
+        let limits = UpstreamLimits {
+            max_connections: connections,
+            chunk_bytes: 1024,
             connect_timeout,
-            idle,
-            late,
+            server_idle_timeout: idle,
+            late_answer_timeout: late,
             may_duplicate: true,
-            origin: Some(ORIGIN),
+            origin_kind: Some(ORIGIN),
         };
         let counters = Rc::new(Counters::default());
         let clock = crate::clock::Clock::start();
-        let ways = Rc::clone(&servers) as Rc<dyn Connect>;
+        let ways = Rc::clone(&servers) as Rc<dyn Connector>;
         let upstream = Upstream::new(limits, ways, clock, Rc::clone(&counters), log());
         let carrier = Rc::clone(&upstream) as Rc<dyn Carrier>;
         let dispatcher = Dispatcher::new(settings(), seed, carrier, clock, counters, log());
--- a/node/src/storm/clients.rs
+++ b/node/src/storm/clients.rs
@@ -11,7 +11,7 @@
 
 use super::{World, CLASSES};
 use crate::dispatcher::{Answer, ClientRequest};
-use crate::memcache::{client_answer, write_command};
+use crate::memcache::{read_answer, write_request};
 use crate::testing;
 
 /// A request that crosses the close of its connection is sent once more; it is no loss. So long may it have been on its way.
@@ -124,7 +124,7 @@
             ],
             ..testing::request(&id, None)
         };
-        write_command(&mut text, &request, request.wait.unwrap_or_default());
+        write_request(&mut text, &request, request.wait.unwrap_or_default());
         world.ledger.sends(&id, class);
         // The wait for the answers before it does not count.
         until = until.max(Instant::now() + Duration::from_millis(wait));
@@ -151,7 +151,7 @@
     let mut input = BytesMut::new();
     while let Some(Out { request, sent, until }) = requests.front() {
         let id = String::from_utf8_lossy(&request.id).into_owned();
-        match client_answer(&mut input, request) {
+        match read_answer(&mut input, request) {
             Ok(Some(answer)) => {
                 world.ledger.over(&id);
                 world.ledger.met(match &answer {
@@ -168,7 +168,7 @@
                 continue;
             }
             Ok(None) => {}
-            Err(problem) => world.ledger.broken(&id, problem),
+            Err(problem) => world.ledger.broken(&id, problem.to_string()),
         }
         let read = timeout_at(*until, far.read_buf(&mut input)).await;
         match read {
--- a/node/src/storm/servers.rs
+++ b/node/src/storm/servers.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
 use super::Ledger;
-use crate::connect::{Connect, Connecting, Stream};
+use crate::connect::{Connecting, Connector, ServerStream};
 use crate::dispatcher::ListedServer;
 use crate::memcache::{Incoming, RequestReader};
 use crate::testing::ORIGIN;
@@ -111,7 +111,7 @@
     }
 }
 
-impl Connect for Servers {
+impl Connector for Servers {
     fn connect(&self, address: SocketAddr) -> Connecting {
         let place = usize::from(address.port()) - 1;
         let mut rng = self.rng.borrow_mut().fork();
@@ -143,7 +143,7 @@
                 came: Instant::now(),
             };
             spawn_local(peer.serve());
-            Ok(Box::new(near) as Box<dyn Stream>)
+            Ok(Box::new(near) as Box<dyn ServerStream>)
         })
     }
 }
@@ -267,7 +267,7 @@
             if let Some(got) = self.take(&mut requests) {
                 return Some(got);
             }
-            self.read(requests.unfinished()).await?;
+            self.read(requests.has_incomplete_request()).await?;
         }
     }
 
@@ -286,7 +286,7 @@
     fn take(&mut self, requests: &mut RequestReader) -> Option<Got> {
         if !self.origin {
             return match requests.next(&mut self.input)? {
-                Incoming::Request(request, _) => {
+                Incoming::Request { request, .. } => {
                     let id = String::from_utf8_lossy(&request.id).into_owned();
                     Some(Got(id, request.value.is_some()))
                 }
--- a/node/src/testing.rs
+++ b/node/src/testing.rs
@@ -1,4 +1,4 @@
-//! What the tests of the network share, beside what those of the dispatcher do.
+//! Fixtures of the daemon's tests, beside those of the dispatcher's.
 
 use std::rc::Rc;
 
@@ -9,21 +9,28 @@
 use crate::clock::Clock;
 use crate::counters::Counters;
 use crate::downstream::{ClientReader, ClientStream};
-use crate::upstream::Upstream;
+use crate::resource_limits::ResourceLimits;
+use crate::upstream::{Upstream, UpstreamLimits};
 
-/// Pools with room for so many connections.
+/// Pools that may have this many connections.
 pub fn upstream(connections: usize) -> Rc<Upstream> {
     let second = std::time::Duration::from_secs(1);
-    let limits = crate::upstream::Limits {
-        connections,
-        piece: 1024,
+    let limits = UpstreamLimits {
+        max_connections: connections,
+        chunk_bytes: 1024,
         connect_timeout: second / 4,
-        idle: second * 5,
-        late: second * 3,
+        server_idle_timeout: second * 5,
+        late_answer_timeout: second * 3,
         may_duplicate: true,
-        origin: Some(ORIGIN),
+        origin_kind: Some(ORIGIN),
     };
-    Upstream::new(limits, Rc::new(crate::connect::Tcp), Clock::start(), Rc::new(Counters::default()), log())
+    Upstream::new(
+        limits,
+        Rc::new(crate::connect::TcpConnector),
+        Clock::start(),
+        Rc::new(Counters::default()),
+        log(),
+    )
 }
 
 impl ClientStream for DuplexStream {
@@ -36,8 +43,21 @@
 }
 
 impl ClientReader for ReadHalf<DuplexStream> {
-    /// What is in memory is only read in its order.
+    /// A stream in memory shows its end only to who reads it.
     fn has_disconnected(&self) -> bool {
         false
     }
 }
+
+/// Limits of a small balancer.
+pub fn resource_limits(chunk_bytes: usize) -> ResourceLimits {
+    ResourceLimits {
+        client_connections: 8,
+        idle_client_connections: 4,
+        server_connections: 8,
+        admin_connections: 8,
+        client_buffer_bytes: 1 << 17,
+        unread_answer_bytes: 1 << 16,
+        chunk_bytes,
+    }
+}
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -1,218 +1,195 @@
 //! The server side: pools of connections to the cache servers and the origin, and the attempts on them.
+//!
+//! Guarantee: each attempt ends once, as the [`Carrier`] trait says; no byte goes to a server that does not serve, and none of
+//! an attempt that is cancelled. Connections to all servers together stay within a limit.
 
 mod connection;
-mod uploads;
+mod download;
+mod idle_timeout;
+mod pool;
+mod response;
+mod upload;
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
+use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
 use juniperladder::{EndpointState, EndpointUpdate, ServerId};
+use juniperladder_dispatch::log_throttle::LogThrottle;
 use rustc_hash::FxHashMap;
 use slog::{warn, Logger};
 use tokio::sync::{oneshot, Notify};
 use tokio::task::spawn_local;
 
 use crate::clock::Clock;
-use crate::connect::Connect;
+use crate::connect::Connector;
 use crate::counters::{increment, Counters};
 use crate::dispatcher::{Attempt, AttemptEnd, AttemptId, Carrier, Dispatcher, ListedServer, Upload};
-use connection::{NoConnection, UpstreamConnection};
-use juniperladder_dispatch::log_throttle::LogThrottle;
+use connection::{ConnectError, UpstreamConnection};
+use idle_timeout::IdleTimeout;
+use pool::{CarriedAttempt, IdleConnection, IdleId, Pool};
+use response::MalformedResponse;
 
-/// The part of the idle time that the settings tell after which a connection is closed here: a write must never
-/// cross the server's close, which comes by its clock and after the way there. What lies between is kept open: one
-/// of a hundred balancers comes back to a server after seconds.
-const IDLE_PART: f64 = 0.95;
-/// The same of an idle time that was learnt from a connection that broke.
-const LEARNT_PART: f64 = 0.7;
-/// What is learnt of shorter idle times than the settings tell: never less than this, and forgotten by so much
-/// with each connection that was used again after as long.
-const LEAST_IDLE: Duration = Duration::from_millis(25);
-const FORGET: f64 = 1.02;
-/// What the pools are told at the start.
+/// The limits of the connections to servers.
 #[derive(Clone, Debug)]
-pub struct Limits {
+pub struct UpstreamLimits {
     /// Connections to all servers together.
-    pub connections: usize,
-    /// How much of a long value is read from its server at once.
-    pub piece: usize,
-    /// How long one may take to come up.
+    pub max_connections: usize,
+    /// How many bytes of a streamed value are read from its server at once.
+    pub chunk_bytes: usize,
+    /// How long a connection may take to come up.
     pub connect_timeout: Duration,
-    /// How long a server keeps an idle one.
-    pub idle: Duration,
+    /// After what time servers close an idle connection.
+    pub server_idle_timeout: Duration,
     /// How long an answer is awaited whose attempt has timed out.
-    pub late: Duration,
+    pub late_answer_timeout: Duration,
     /// Whether an attempt may go on elsewhere while an earlier one is out on an open connection.
     pub may_duplicate: bool,
     /// The kind of the origin, which speaks HTTP.
-    pub origin: Option<u32>,
-}
-
-/// An idle connection: it is given its next attempt here.
-struct Idle {
-    id: u64,
-    next: oneshot::Sender<Attempt>,
-}
-
-/// An attempt that a connection has.
-#[derive(Default)]
-struct Carried {
-    /// Whether its last byte is written.
-    written: bool,
-    /// Told when the connection is to close rather than to wait for a late answer.
-    stop: Rc<Notify>,
-}
-
-#[derive(Default)]
-struct Pool {
-    address: Option<SocketAddr>,
-    origin: bool,
-    open: bool,
-    waiting: VecDeque<Attempt>,
-    idle: Vec<Idle>,
-    connecting: usize,
-    running: FxHashMap<AttemptId, Carried>,
-}
-
-impl Pool {
-    /// Whether its server may be sent to, and stands where this connection leads.
-    fn is_at(&self, connection: &UpstreamConnection) -> bool {
-        self.open && self.address == Some(connection.address)
-    }
+    pub origin_kind: Option<u32>,
 }
 
-/// All pools.
+/// The pools of all servers.
 pub struct Upstream {
     pools: RefCell<FxHashMap<ServerId, Pool>>,
-    ways: Rc<dyn Connect>,
+    connector: Rc<dyn Connector>,
     dispatcher: RefCell<Weak<Dispatcher>>,
     this: Weak<Upstream>,
-    limits: Limits,
+    limits: UpstreamLimits,
     clock: Clock,
     counters: Rc<Counters>,
-    connections: Cell<usize>,
-    /// How many of them have a long value on its way.
-    uploads: Cell<usize>,
-    /// How long a connection may now stand idle here.
-    keep: Cell<Duration>,
-    last: Cell<u64>,
+    /// Connections, those that are coming up among them.
+    connections: Rc<Cell<usize>>,
+    /// Connections that have an upload on its way.
+    uploads: Rc<Cell<usize>>,
+    idle_timeout: IdleTimeout,
+    last_idle_id: Cell<IdleId>,
     log_throttle: LogThrottle,
     log: Logger,
 }
 
-/// Counts a connection for as long as it lives.
-struct Counted(Rc<Upstream>);
+/// Adds one to a counter for as long as it lives.
+struct Counted(Rc<Cell<usize>>);
 
 impl Counted {
-    fn one(upstream: &Rc<Upstream>) -> Counted {
-        upstream.connections.set(upstream.connections.get() + 1);
-        Counted(Rc::clone(upstream))
+    fn one(counter: &Rc<Cell<usize>>) -> Counted {
+        counter.set(counter.get() + 1);
+        Counted(Rc::clone(counter))
     }
 }
 
 impl Drop for Counted {
     fn drop(&mut self) {
-        self.0.connections.set(self.0.connections.get() - 1);
+        self.0.set(self.0.get() - 1);
     }
 }
 
 impl Upstream {
-    /// Pools without any server yet, whose connections come up this way.
+    /// Pools without any server, whose connections come up by this connector.
     pub fn new(
-        limits: Limits,
-        ways: Rc<dyn Connect>,
+        limits: UpstreamLimits,
+        connector: Rc<dyn Connector>,
         clock: Clock,
         counters: Rc<Counters>,
         log: Logger,
     ) -> Rc<Upstream> {
         Rc::new_cyclic(|this| Upstream {
             pools: RefCell::default(),
-            ways,
+            connector,
             dispatcher: RefCell::default(),
             this: this.clone(),
-            keep: Cell::new(limits.idle.mul_f64(IDLE_PART)),
+            idle_timeout: IdleTimeout::new(limits.server_idle_timeout),
             limits,
             clock,
             counters,
-            connections: Cell::new(0),
-            uploads: Cell::new(0),
-            last: Cell::new(0),
+            connections: Rc::default(),
+            uploads: Rc::default(),
+            last_idle_id: Cell::new(0),
             log_throttle: LogThrottle::default(),
             log,
         })
     }
 
-    /// Tells which dispatcher hears of the attempts' ends.
+    /// Sets the dispatcher to which the ends of attempts are reported.
     pub fn attach(&self, dispatcher: &Rc<Dispatcher>) {
         *self.dispatcher.borrow_mut() = Rc::downgrade(dispatcher);
     }
 
-    fn ended(&self, id: AttemptId, end: AttemptEnd) {
+    fn report_end(&self, id: AttemptId, end: AttemptEnd) {
         if let Some(dispatcher) = self.dispatcher.borrow().upgrade() {
             dispatcher.on_attempt_ended(id, end);
         }
     }
 
-    /// Ends an attempt from a task of its own, as the dispatcher may be the caller.
-    fn end_later(&self, id: AttemptId, end: AttemptEnd) {
+    /// Reports the end of an attempt from a task of its own, as the dispatcher may be the caller.
+    fn report_end_later(&self, id: AttemptId, end: AttemptEnd) {
         if let Some(this) = self.this.upgrade() {
-            spawn_local(async move { this.ended(id, end) });
+            spawn_local(async move { this.report_end(id, end) });
         }
     }
 
-    /// Opens connections for the attempts that wait, one for each, as far as there is room.
-    fn connect(&self, server: ServerId, pool: &mut Pool) {
+    /// Runs a connection from its beginning to its end. It is counted from here on, as more may begin before its task does;
+    /// when it has ended, attempts that wait may have another.
+    fn spawn_connection(self: &Rc<Upstream>, connection: impl Future<Output = ()> + 'static) {
+        let counted = Counted::one(&self.connections);
+        let this = Rc::clone(self);
+        spawn_local(async move {
+            connection.await;
+            drop(counted);
+            this.open_connections();
+        });
+    }
+
+    /// Opens connections for the attempts that wait at any server, as far as the limit allows.
+    fn open_connections(&self) {
+        for (server, pool) in self.pools.borrow_mut().iter_mut() {
+            self.open_connections_to(*server, pool);
+        }
+    }
+
+    /// Opens connections for the attempts that wait at this server, one for each, as far as the limit allows.
+    fn open_connections_to(&self, server: ServerId, pool: &mut Pool) {
         let (Some(this), Some(address)) = (self.this.upgrade(), pool.address) else { return };
-        if pool.connecting < pool.waiting.len() {
+        if pool.lacks_connections() {
             // No connection is opened for what nobody waits for. One that is on its way already still tells of its server.
-            self.call_off(&mut pool.waiting, |attempt| self.over(attempt));
+            self.cancel_waiting(&mut pool.waiting, |attempt| self.is_cancelled(attempt));
         }
-        while pool.connecting < pool.waiting.len() && self.connections.get() < self.limits.connections {
+        while pool.lacks_connections() && self.connections.get() < self.limits.max_connections {
             pool.connecting += 1;
-            let this = Rc::clone(&this);
-            let counted = Counted::one(&this);
-            let connection = UpstreamConnection { server, origin: pool.origin, address };
-            spawn_local(async move {
-                connection.open(&counted.0).await;
-                drop(counted);
-                this.make_use_of_room();
-            });
+            let connection = UpstreamConnection { server, is_origin: pool.is_origin, address };
+            let upstream = Rc::clone(&this);
+            this.spawn_connection(async move { connection.open(&upstream).await });
         }
     }
 
-    fn over(&self, attempt: &Attempt) -> bool {
+    fn is_cancelled(&self, attempt: &Attempt) -> bool {
         attempt.is_cancelled(self.clock.now())
     }
 
-    /// Ends those of the attempts that are like this, none of which has begun.
-    fn call_off(&self, waiting: &mut VecDeque<Attempt>, like: impl Fn(&Attempt) -> bool) {
+    /// Ends those of the waiting attempts for which this holds; none of them has begun.
+    fn cancel_waiting(&self, waiting: &mut VecDeque<Attempt>, is_cancelled: impl Fn(&Attempt) -> bool) {
         waiting.retain(|attempt| {
-            let stays = !like(attempt);
-            if !stays {
-                self.end_later(attempt.id, AttemptEnd::Cancelled);
+            let is_cancelled = is_cancelled(attempt);
+            if is_cancelled {
+                self.report_end_later(attempt.id, AttemptEnd::Cancelled);
             }
-            stays
+            !is_cancelled
         });
     }
 
-    /// A connection has ended: what waits for room may open one.
-    fn make_use_of_room(&self) {
-        for (server, pool) in self.pools.borrow_mut().iter_mut() {
-            self.connect(*server, pool);
-        }
-    }
-
     /// The next attempt for a connection that has nothing to do.
-    fn next(&self, connection: &UpstreamConnection) -> Option<Attempt> {
+    fn next_attempt(&self, connection: &UpstreamConnection) -> Option<Attempt> {
         let mut pools = self.pools.borrow_mut();
-        let pool =
-            pools.get_mut(&connection.server).filter(|pool| pool.address == Some(connection.address))?;
-        self.call_off(&mut pool.waiting, |attempt| self.over(attempt));
+        let pool = pools.get_mut(&connection.server)?;
+        if pool.address != Some(connection.address) {
+            return None;
+        }
+        self.cancel_waiting(&mut pool.waiting, |attempt| self.is_cancelled(attempt));
         let attempt = pool.waiting.pop_front()?;
-        pool.running.insert(attempt.id, Carried::default());
+        pool.carried.insert(attempt.id, CarriedAttempt::default());
         Some(attempt)
     }
 
@@ -220,150 +197,153 @@
     fn put_back(&self, server: ServerId, attempt: Attempt) {
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(&server) else {
-            return self.end_later(attempt.id, AttemptEnd::Cancelled);
+            return self.report_end_later(attempt.id, AttemptEnd::Cancelled);
         };
-        pool.running.remove(&attempt.id);
-        if !pool.open {
-            return self.end_later(attempt.id, AttemptEnd::Cancelled);
+        pool.carried.remove(&attempt.id);
+        if !pool.is_open {
+            return self.report_end_later(attempt.id, AttemptEnd::Cancelled);
         }
         pool.waiting.push_front(attempt);
-        self.connect(server, pool);
+        self.open_connections_to(server, pool);
     }
 
-    /// Whether this server may be sent to, and stands where this connection leads.
-    fn is_at(&self, connection: &UpstreamConnection) -> bool {
-        self.pools.borrow().get(&connection.server).is_some_and(|pool| pool.is_at(connection))
+    /// Whether the server may be sent to, and stands where this connection leads.
+    fn may_send_on(&self, connection: &UpstreamConnection) -> bool {
+        self.pools.borrow().get(&connection.server).is_some_and(|pool| pool.is_reached_by(connection))
     }
 
     /// A connection did not come up: one attempt fails if fewer connections than attempts are left.
-    fn not_up(&self, server: ServerId, cause: NoConnection) {
+    fn on_connect_failed(&self, server: ServerId, error: ConnectError) {
         let failed = {
             let mut pools = self.pools.borrow_mut();
             let Some(pool) = pools.get_mut(&server) else { return };
             pool.connecting -= 1;
-            if pool.waiting.len() > pool.connecting {
+            if pool.lacks_connections() {
                 pool.waiting.pop_front()
             } else {
                 None
             }
         };
         if let Some(attempt) = failed {
-            self.ended(attempt.id, cause.end());
+            self.report_end(attempt.id, error.attempt_end());
         }
     }
 
-    /// Notes that an attempt's last byte is written, and returns what tells its connection to close.
-    fn written(&self, server: ServerId, id: AttemptId) -> Rc<Notify> {
-        match self.pools.borrow_mut().get_mut(&server).and_then(|pool| pool.running.get_mut(&id)) {
+    fn on_connected(&self, server: ServerId) {
+        if let Some(pool) = self.pools.borrow_mut().get_mut(&server) {
+            pool.connecting -= 1;
+        }
+    }
+
+    /// The last byte of an attempt is written. Returns what is notified when its connection is to close.
+    fn on_attempt_written(&self, server: ServerId, id: AttemptId) -> Rc<Notify> {
+        let mut pools = self.pools.borrow_mut();
+        match pools.get_mut(&server).and_then(|pool| pool.carried.get_mut(&id)) {
             Some(carried) => {
-                carried.written = true;
+                carried.is_written = true;
                 Rc::clone(&carried.stop)
             }
             None => Rc::default(),
         }
     }
 
-    /// Learns from a connection that stood idle for so long and was used again. Servers, and what stands between,
-    /// may let go of idle connections sooner than the settings tell, and say so only at the next write.
-    fn learn(&self, idle: Duration, broke: bool) {
-        let keep = self.keep.get();
-        if broke && idle >= LEAST_IDLE {
-            self.keep.set(keep.min(idle.mul_f64(LEARNT_PART)).max(LEAST_IDLE));
-        } else if !broke && idle * 2 > keep {
-            self.keep.set(keep.mul_f64(FORGET).min(self.limits.idle.mul_f64(IDLE_PART)));
-        }
-    }
-
-    /// Counts an answer that made no sense, and logs it where no other has been in this second.
-    fn tell_bad(&self, listed_server: &SocketAddr, problem: &str) {
-        let bad = &self.counters.malformed_responses;
-        increment(bad);
+    /// Counts a malformed response, and logs it where no other was logged in this second.
+    fn on_malformed_response(&self, server: &SocketAddr, error: &MalformedResponse) {
+        let malformed = &self.counters.malformed_responses;
+        increment(malformed);
         if self.log_throttle.allows() {
-            warn!(self.log, "bad answer"; "host" => listed_server.to_string(), "problem" => problem, "so far" => bad.get());
+            warn!(self.log, "malformed response"; "server" => server.to_string(),
+                "reason" => error.to_string(), "malformed_responses" => malformed.get());
         }
     }
 
-    fn stopped(&self, server: ServerId, id: AttemptId, end: AttemptEnd) {
+    /// A connection is done with an attempt.
+    fn end_attempt(&self, server: ServerId, id: AttemptId, end: AttemptEnd) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(&server) {
-            pool.running.remove(&id);
+            pool.carried.remove(&id);
         }
-        self.ended(id, end);
+        self.report_end(id, end);
     }
 
-    /// Waits for the next attempt on an idle connection.
-    fn rest(&self, connection: &UpstreamConnection) -> Option<(u64, oneshot::Receiver<Attempt>)> {
+    /// Adds an idle connection to its pool, which gives it its next attempt; none if the connection has to close.
+    fn add_idle(&self, connection: &UpstreamConnection) -> Option<(IdleId, oneshot::Receiver<Attempt>)> {
         let mut pools = self.pools.borrow_mut();
         // A server that has moved has nothing to do with whoever listens at its old address now.
-        let pool = pools.get_mut(&connection.server).filter(|pool| pool.is_at(connection))?;
+        let pool = pools.get_mut(&connection.server).filter(|pool| pool.is_reached_by(connection))?;
         let (next, receiver) = oneshot::channel();
-        let id = self.last.get() + 1;
-        self.last.set(id);
-        pool.idle.push(Idle { id, next });
+        let id = self.last_idle_id.get() + 1;
+        self.last_idle_id.set(id);
+        pool.idle.push(IdleConnection { id, next });
         Some((id, receiver))
     }
 
-    fn unrest(&self, server: ServerId, id: u64) {
+    fn remove_idle(&self, server: ServerId, id: IdleId) {
         if let Some(pool) = self.pools.borrow_mut().get_mut(&server) {
             pool.idle.retain(|idle| idle.id != id);
         }
     }
+
+    /// Sends the last byte of an upload as its attempt. All else is written; where that has failed it was not executed,
+    /// and nobody has the value to send it again.
+    fn finish_upload(&self, pool: &mut Pool, attempt: Attempt) {
+        let id = attempt.id;
+        let is_sent =
+            attempt.request.upload.as_ref().is_some_and(|handle| handle.send_last_byte(attempt.clone()));
+        if is_sent {
+            pool.carried.insert(id, CarriedAttempt::default());
+        } else {
+            self.report_end_later(id, AttemptEnd::Cancelled);
+        }
+    }
+
+    /// A late answer is read off as long as there are connections: it may still serve its request, and a new connection costs
+    /// the server work. The origin does no work that nobody waits for, which only a close tells it.
+    fn must_close_on_timeout(&self, pool: &Pool) -> bool {
+        let is_crowded = self.connections.get() * 4 > self.limits.max_connections * 3;
+        is_crowded || pool.is_origin || !self.limits.may_duplicate
+    }
 }
 
 impl Carrier for Upstream {
     fn on_endpoints_changed(&self, kind: EndpointUpdate, servers: &[ListedServer]) {
         let mut pools = self.pools.borrow_mut();
         if kind.is_complete() {
-            pools.values_mut().for_each(|pool| pool.open = false);
+            for pool in pools.values_mut() {
+                pool.is_open = false;
+            }
         }
         for ListedServer { endpoint, address } in servers {
             let pool = pools.entry(endpoint.server).or_default();
-            pool.open = endpoint.state == EndpointState::Serving;
-            pool.origin = self.limits.origin == Some(endpoint.kind);
+            pool.is_open = endpoint.state == EndpointState::Serving;
+            pool.is_origin = self.limits.origin_kind == Some(endpoint.kind);
             if address.is_some() && pool.address != *address {
                 pool.address = *address;
                 pool.idle.clear();
             }
         }
-        for pool in pools.values_mut().filter(|pool| !pool.open) {
+        for pool in pools.values_mut().filter(|pool| !pool.is_open) {
             // Nothing may begin at a server that drains or is gone: its first byte would count.
             pool.idle.clear();
-            self.call_off(&mut pool.waiting, |_| true);
+            self.cancel_waiting(&mut pool.waiting, |_| true);
         }
-        pools.retain(|_, pool| pool.open || pool.connecting > 0 || !pool.running.is_empty());
+        pools.retain(|_, pool| !pool.is_unused());
     }
 
     fn begin_attempt(&self, attempt: Attempt) {
         let mut pools = self.pools.borrow_mut();
         let server = attempt.server;
-        let Some(pool) = pools.get_mut(&server).filter(|pool| pool.open && pool.address.is_some()) else {
-            return self.end_later(attempt.id, AttemptEnd::Cancelled);
+        let pool = pools.get_mut(&server).filter(|pool| pool.is_open && pool.address.is_some());
+        let Some(pool) = pool else {
+            return self.report_end_later(attempt.id, AttemptEnd::Cancelled);
         };
-        if let Some(handle) = &attempt.request.upload {
-            // All else is written; where that has failed it never ran, and nobody has it to send it again.
-            let id = attempt.id;
-            if handle.send_last_byte(attempt.clone()) {
-                pool.running.insert(id, Carried::default());
-            } else {
-                self.end_later(id, AttemptEnd::Cancelled);
-            }
-            return;
-        }
-        let mut attempt = attempt;
-        // The connection used last is taken first, so that those that are not needed grow old.
-        while let Some(idle) = pool.idle.pop() {
-            let id = attempt.id;
-            match idle.next.send(attempt) {
-                Ok(()) => {
-                    pool.running.insert(id, Carried::default());
-                    return;
-                }
-                Err(back) => attempt = back,
-            }
+        if attempt.request.upload.is_some() {
+            return self.finish_upload(pool, attempt);
         }
+        let Some(attempt) = pool.give_to_idle(attempt) else { return };
         pool.waiting.push_back(attempt);
-        self.connect(server, pool);
-        if pool.connecting < pool.waiting.len() {
-            // All connections that may be are: one that is idle elsewhere makes room.
+        self.open_connections_to(server, pool);
+        if pool.lacks_connections() {
+            // All connections that may be are open: one that is idle elsewhere closes for this server.
             if let Some(other) = pools.values_mut().find(|pool| !pool.idle.is_empty()) {
                 other.idle.remove(0);
             }
@@ -378,15 +358,11 @@
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(&server) else { return false };
         pool.waiting.retain(|attempt| attempt.id != id);
-        let Some(carried) = pool.running.get(&id) else { return false };
-        // A late answer is read off as long as there is room: it may still serve its request, and a new
-        // connection costs the server work.
-        // The origin does no work that nobody waits for, which only a close tells it.
-        let crowded = self.connections.get() * 4 > self.limits.connections * 3;
-        if crowded || pool.origin || !self.limits.may_duplicate {
+        let Some(carried) = pool.carried.get(&id) else { return false };
+        if self.must_close_on_timeout(pool) {
             carried.stop.notify_one();
         }
-        carried.written
+        carried.is_written
     }
 }
 
--- a/node/src/upstream/connection.rs
+++ b/node/src/upstream/connection.rs
@@ -1,9 +1,9 @@
-//! One connection to a server: it comes up, carries attempts one after the other, and rests between them.
+//! One connection to a server: it comes up, carries attempts one after the other, and is idle between them.
 
-use std::future::poll_fn;
+use std::future::{poll_fn, Future};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
-use std::pin::Pin;
+use std::pin::{pin, Pin};
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
 
@@ -16,43 +16,43 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout, Instant};
 
+use super::download::{forward_value, ValueBody};
+use super::response::{read_cache_response, read_origin_response, ReadError, ServerResponse};
 use super::Upstream;
-use crate::connect::Stream;
+use crate::clock::duration;
+use crate::connect::ServerStream;
 use crate::counters::increment;
 use crate::dispatcher::{Answer, Attempt, AttemptEnd, Reply};
-use crate::download::{self, Body};
-use crate::http::{self, Response};
-use crate::memcache;
+use crate::{http, memcache};
 
-/// A connection that was let go of is reset as soon as it is written to; later it is another matter.
-const AT_ONCE: Duration = Duration::from_millis(10);
-
-/// Room made for each read.
-const READ: usize = 4096;
+/// A connection that the server had closed is reset within this time when it is written to; what breaks later has
+/// another cause.
+const IMMEDIATE_RESET: Duration = Duration::from_millis(10);
 
 /// One connection to a server.
 pub(super) struct UpstreamConnection {
     pub(super) server: ServerId,
-    pub(super) origin: bool,
+    pub(super) is_origin: bool,
     pub(super) address: SocketAddr,
 }
 
-/// Why there is no connection.
+/// Why a connection did not come up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NoConnection {
-    /// The server refused it, or did not answer.
+pub(super) enum ConnectError {
+    /// The server rejected it, or did not answer.
     Server,
-    /// This machine could not open one now, whatever the server would have said: it lacks ports, descriptors, buffers or a way.
+    /// This machine could not open one now, whatever the server would have said: it lacks ports, descriptors, buffers or a
+    /// route.
     Local,
 }
 
-impl NoConnection {
-    fn of(problem: &io::Error) -> NoConnection {
+impl ConnectError {
+    fn from_io(error: &io::Error) -> ConnectError {
         const ENFILE: i32 = 23;
         const EMFILE: i32 = 24;
         const ENOBUFS: i32 = 105;
-        let local = matches!(
-            problem.kind(),
+        let is_local = matches!(
+            error.kind(),
             ErrorKind::AddrNotAvailable
                 | ErrorKind::AddrInUse
                 | ErrorKind::NetworkUnreachable
@@ -60,159 +60,170 @@
                 | ErrorKind::OutOfMemory
                 | ErrorKind::WouldBlock
                 | ErrorKind::Interrupted
-        ) || matches!(problem.raw_os_error(), Some(ENFILE | EMFILE | ENOBUFS));
-        if local {
-            NoConnection::Local
+        ) || matches!(error.raw_os_error(), Some(ENFILE | EMFILE | ENOBUFS));
+        if is_local {
+            ConnectError::Local
         } else {
-            NoConnection::Server
+            ConnectError::Server
         }
     }
 
-    /// How an attempt ends that waited for it. Neither was sent, and only the first tells of the server.
-    pub(super) fn end(self) -> AttemptEnd {
+    /// How an attempt ends that waited for the connection. Neither was sent, and only the first tells of the server.
+    pub(super) fn attempt_end(self) -> AttemptEnd {
         match self {
-            NoConnection::Server => AttemptEnd::NotSent,
-            NoConnection::Local => AttemptEnd::Cancelled,
+            ConnectError::Server => AttemptEnd::NotSent,
+            ConnectError::Local => AttemptEnd::Cancelled,
         }
     }
 }
 
-/// An answer is not waited for any longer.
-struct Stopped;
-
-/// What was heard from a server.
-enum Heard {
-    /// Its whole reply.
-    Whole(Reply, After),
-    /// That a long value of so many bytes follows.
-    Streamed(usize, Body),
-}
-
-/// What a connection does after an attempt.
-#[derive(Debug, PartialEq, Eq)]
-pub(super) enum After {
-    Keep,
+/// What becomes of a connection after an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum AfterAttempt {
+    /// It carries more.
+    KeepOpen,
+    /// It closes.
     Close,
     /// It broke before the first byte of an answer.
-    Broke,
+    Broken,
+}
+
+impl AfterAttempt {
+    /// After a response that was read to its end.
+    fn complete(closes_connection: bool) -> AfterAttempt {
+        if closes_connection {
+            AfterAttempt::Close
+        } else {
+            AfterAttempt::KeepOpen
+        }
+    }
 }
 
 impl UpstreamConnection {
+    /// Opens the connection and carries attempts on it until it closes.
     pub(super) async fn open(self, upstream: &Upstream) {
-        let stream = match self.connect(upstream).await {
-            Ok(stream) => stream,
-            Err(cause) => return upstream.not_up(self.server, cause),
-        };
-        if let Some(pool) = upstream.pools.borrow_mut().get_mut(&self.server) {
-            pool.connecting -= 1;
+        match self.connect(upstream).await {
+            Ok(stream) => {
+                upstream.on_connected(self.server);
+                self.carry_attempts(upstream, stream).await;
+            }
+            Err(error) => upstream.on_connect_failed(self.server, error),
         }
-        self.carry(upstream, stream).await;
     }
 
     /// A connection to the server, if one comes up in time.
-    pub(super) async fn connect(&self, upstream: &Upstream) -> Result<Box<dyn Stream>, NoConnection> {
-        let connect = timeout(upstream.limits.connect_timeout, upstream.ways.connect(self.address));
-        let stream = match connect.await {
+    pub(super) async fn connect(&self, upstream: &Upstream) -> Result<Box<dyn ServerStream>, ConnectError> {
+        let connecting = upstream.connector.connect(self.address);
+        let stream = match timeout(upstream.limits.connect_timeout, connecting).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(problem)) => {
-                let cause = NoConnection::of(&problem);
+            Ok(Err(error)) => {
+                let reason = ConnectError::from_io(&error);
                 debug!(upstream.log, "no connection"; "server" => %ServerLabel(self.server),
-                    "problem" => %problem, "cause" => ?cause);
-                return Err(cause);
+                    "error" => %error, "reason" => ?reason);
+                return Err(reason);
             }
             Err(_) => {
                 debug!(upstream.log, "no connection in time"; "server" => %ServerLabel(self.server));
-                return Err(NoConnection::Server);
+                return Err(ConnectError::Server);
             }
         };
         increment(&upstream.counters.connections_opened);
         Ok(stream)
     }
 
-    pub(super) async fn carry(&self, upstream: &Upstream, mut stream: Box<dyn Stream>) {
-        let (mut input, mut used) = (BytesMut::new(), false);
+    /// Carries attempts one after the other, for as long as the connection can.
+    pub(super) async fn carry_attempts(&self, upstream: &Upstream, mut stream: Box<dyn ServerStream>) {
+        let mut input = BytesMut::new();
+        let mut has_carried = false;
         loop {
-            let (since, mut fresh) = (Instant::now(), false);
-            let attempt = match upstream.next(self) {
-                Some(attempt) => {
-                    fresh = !used;
-                    attempt
-                }
-                None => match self.rest(upstream, &mut stream, &mut input).await {
-                    Some(attempt) => attempt,
+            let idle_since = Instant::now();
+            let (attempt, is_new_connection) = match upstream.next_attempt(self) {
+                Some(attempt) => (attempt, !has_carried),
+                None => match self.wait_for_attempt(upstream, &mut stream, &mut input).await {
+                    Some(attempt) => (attempt, false),
                     None => return,
                 },
             };
             // The runtime looks for news of the connection first: some servers close right behind an answer.
             yield_now().await;
-            // A connection that ended meanwhile is no try: nothing of the attempt was written.
-            if !upstream.is_at(self) {
+            // A connection that ended meanwhile is no attempt: nothing was written.
+            if !upstream.may_send_on(self) {
                 return upstream.put_back(self.server, attempt);
             }
-            if !quiet(&mut stream, &mut input) {
-                // One that has only just come up tells of its server, which would do so again without end.
-                return match fresh {
-                    true => upstream.stopped(self.server, attempt.id, AttemptEnd::NotSent),
-                    false => upstream.put_back(self.server, attempt),
-                };
+            if !is_quiet(&mut stream, &mut input) {
+                return self.on_ended_before_attempt(upstream, attempt, is_new_connection);
             }
-            let (idle, begun) = (since.elapsed(), Instant::now());
+            let (idle, begun) = (idle_since.elapsed(), Instant::now());
             match self.execute(upstream, &mut stream, &mut input, attempt).await {
-                After::Keep => upstream.learn(idle, false),
-                After::Broke if used && begun.elapsed() < AT_ONCE => return upstream.learn(idle, true),
-                After::Broke | After::Close => return,
+                AfterAttempt::KeepOpen => upstream.idle_timeout.on_reused(idle),
+                AfterAttempt::Broken if has_carried && begun.elapsed() < IMMEDIATE_RESET => {
+                    return upstream.idle_timeout.on_broken(idle);
+                }
+                AfterAttempt::Broken | AfterAttempt::Close => return,
             }
-            used = true;
+            has_carried = true;
+        }
+    }
+
+    /// The connection has ended, or brought stray bytes, before anything of this attempt was written. One that has only just
+    /// come up tells of its server, which would do so again without end.
+    fn on_ended_before_attempt(&self, upstream: &Upstream, attempt: Attempt, is_new_connection: bool) {
+        if is_new_connection {
+            upstream.end_attempt(self.server, attempt.id, AttemptEnd::NotSent);
+        } else {
+            upstream.put_back(self.server, attempt);
         }
     }
 
     /// Waits idle for an attempt; none when the connection has to close.
-    async fn rest<S: AsyncRead + Unpin>(
+    async fn wait_for_attempt<S: AsyncRead + Unpin>(
         &self,
         upstream: &Upstream,
         stream: &mut S,
         input: &mut BytesMut,
     ) -> Option<Attempt> {
-        let (id, mut next) = upstream.rest(self)?;
-        let old = sleep(upstream.keep.get());
+        let (id, mut next) = upstream.add_idle(self)?;
+        let idle_timeout = sleep(upstream.idle_timeout.current());
         tokio::select! {
             biased;
             given = &mut next => return given.ok(),
-            // An end, or stray bytes: nothing is owed here.
+            // An end, or stray bytes: no answer is awaited here.
             _ = stream.read_buf(input) => {}
-            () = old => {}
+            () = idle_timeout => {}
         }
-        upstream.unrest(self.server, id);
+        upstream.remove_idle(self.server, id);
         if let Ok(attempt) = next.try_recv() {
             upstream.put_back(self.server, attempt);
         }
         None
     }
 
+    /// Writes an attempt and waits for its answer.
     pub(super) async fn execute<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         upstream: &Upstream,
         stream: &mut S,
         input: &mut BytesMut,
         attempt: Attempt,
-    ) -> After {
-        let wait = attempt.deadline.saturating_sub(upstream.clock.now());
-        if wait.0 == 0 || upstream.over(&attempt) {
+    ) -> AfterAttempt {
+        let time_left = attempt.deadline.saturating_sub(upstream.clock.now());
+        if time_left.0 == 0 || upstream.is_cancelled(&attempt) {
             // It timed out on its way here, or its request was answered; to write it now would be work for nobody.
-            let end = if wait.0 == 0 { AttemptEnd::NotSent } else { AttemptEnd::Cancelled };
-            upstream.stopped(self.server, attempt.id, end);
-            return After::Keep;
+            let has_timed_out = time_left.0 == 0;
+            let end = if has_timed_out { AttemptEnd::NotSent } else { AttemptEnd::Cancelled };
+            upstream.end_attempt(self.server, attempt.id, end);
+            return AfterAttempt::KeepOpen;
         }
         let mut output = BytesMut::new();
-        if self.origin {
-            http::write_command(&mut output, &attempt.request, &self.address.to_string(), wait);
+        if self.is_origin {
+            http::write_request(&mut output, &attempt.request, &self.address.to_string(), time_left);
         } else {
-            memcache::write_command(&mut output, &attempt.request, wait);
+            memcache::write_request(&mut output, &attempt.request, time_left);
         }
-        self.send(upstream, stream, input, attempt, &output, wait).await
+        self.send(upstream, stream, input, attempt, &output, time_left).await
     }
 
-    /// Writes the last that is to be written of an attempt, and waits for its reply.
+    /// Writes the last that is to be written of an attempt, and waits for its answer.
     pub(super) async fn send<S: AsyncRead + AsyncWrite + Unpin>(
         &self,
         upstream: &Upstream,
@@ -220,142 +231,131 @@
         input: &mut BytesMut,
         attempt: Attempt,
         output: &[u8],
-        wait: Micros,
-    ) -> After {
+        time_left: Micros,
+    ) -> AfterAttempt {
         let id = attempt.id;
-        let most = crate::clock::duration(wait);
-        if !timeout(most, write(upstream, stream, output, &attempt)).await.unwrap_or(false) {
-            let end = if upstream.over(&attempt) { AttemptEnd::Cancelled } else { AttemptEnd::NotSent };
-            upstream.stopped(self.server, id, end);
-            return After::Close;
+        let write_timeout = duration(time_left);
+        let written = timeout(write_timeout, write_unless_cancelled(upstream, stream, output, &attempt));
+        if !written.await.unwrap_or(false) {
+            let is_cancelled = upstream.is_cancelled(&attempt);
+            let end = if is_cancelled { AttemptEnd::Cancelled } else { AttemptEnd::NotSent };
+            upstream.end_attempt(self.server, id, end);
+            return AfterAttempt::Close;
         }
         increment(&upstream.counters.attempts_written);
-        debug!(upstream.log, "attempt written"; "number" => id.0, "address" => %self.address);
-        let stop = upstream.written(self.server, id);
-        let read = tokio::select! {
-            biased;
-            read = timeout(most + upstream.limits.late, self.reply(stream, input, &attempt)) => {
-                read.map_err(|_| Stopped)
+        debug!(upstream.log, "attempt written"; "attempt_id" => id.0, "address" => %self.address);
+        let answer_timeout = write_timeout + upstream.limits.late_answer_timeout;
+        let response = self.wait_for_response(upstream, stream, input, &attempt, answer_timeout).await;
+        let (end, after) = match response {
+            Some(Ok(ServerResponse::Complete { reply, closes_connection })) => {
+                (AttemptEnd::Reply(reply), AfterAttempt::complete(closes_connection))
             }
-            () = stop.notified() => Err(Stopped),
-        };
-        let (end, after) = match read {
-            Ok(Ok(Heard::Whole(reply, after))) => (AttemptEnd::Reply(reply), after),
-            Ok(Ok(Heard::Streamed(length, body))) => {
-                let (feed, long) = streamed_value(length);
-                upstream.stopped(self.server, id, AttemptEnd::Reply(Reply::Served(Answer::Streamed(long))));
-                return self.pass_on(upstream, stream, input, body, feed).await;
-            }
-            Ok(Err(Some(problem))) => {
-                upstream.tell_bad(&self.address, &problem);
-                (AttemptEnd::Malformed, After::Close)
+            Some(Ok(ServerResponse::Streamed { length, body })) => {
+                let (sender, value) = streamed_value(length);
+                let reply = Reply::Served(Answer::Streamed(value));
+                upstream.end_attempt(self.server, id, AttemptEnd::Reply(reply));
+                return self.forward(upstream, stream, input, body, sender).await;
             }
-            Ok(Err(None)) if input.is_empty() => (AttemptEnd::Broken, After::Broke),
-            Ok(Err(None)) | Err(Stopped) => (AttemptEnd::Broken, After::Close),
+            Some(Err(error)) => self.on_read_failed(upstream, &error, input.is_empty()),
+            None => (AttemptEnd::Broken, AfterAttempt::Close),
         };
-        debug!(upstream.log, "attempt over on its connection"; "number" => id.0, "address" => %self.address,
-            "then" => ?after);
-        upstream.stopped(self.server, id, end);
+        debug!(upstream.log, "attempt over on its connection"; "attempt_id" => id.0,
+            "address" => %self.address, "after" => ?after);
+        upstream.end_attempt(self.server, id, end);
         after
     }
 
-    /// Reads the reply; an error holds what was wrong with it, and nothing if the connection broke.
-    async fn reply<S: AsyncRead + Unpin>(
+    /// The response to an attempt whose last byte is written; none if it is not awaited any longer.
+    async fn wait_for_response<S: AsyncRead + Unpin>(
         &self,
+        upstream: &Upstream,
         stream: &mut S,
         input: &mut BytesMut,
         attempt: &Attempt,
-    ) -> Result<Heard, Option<String>> {
-        let write = attempt.request.value.is_some();
-        let mut response = Response::default();
-        loop {
-            input.reserve(READ);
-            let read = stream.read_buf(input).await.map_err(|_| None)?;
-            if self.origin {
-                response.read(input).map_err(Some)?;
-                if read == 0 {
-                    response.ended();
-                }
-                let id = response.head.as_ref().and_then(|head| head.id.as_ref());
-                if id.is_some_and(|id| *id != attempt.request.id) {
-                    return Err(Some("a response for another id".into()));
-                }
-                if let Some(length) = response.long().filter(|_| !write) {
-                    return Ok(Heard::Streamed(length, Body::Http(response)));
-                }
-                if response.too_large() {
-                    return Err(Some("a body longer than any value".into()));
-                }
-                if response.done {
-                    download::nothing_behind(stream, input).await?;
-                    let reply = http::reply(&response, write).map_err(Some)?;
-                    return Ok(Heard::Whole(reply, after(&response)));
-                }
-            } else if let Some(heard) = memcache::answered(input, &attempt.request).map_err(Some)? {
-                return Ok(match heard {
-                    memcache::Answered::Whole(reply) => Heard::Whole(reply, After::Keep),
-                    memcache::Answered::Streamed(length, rest) => Heard::Streamed(length, Body::Meta(rest)),
-                });
-            }
-            if read == 0 {
-                return Err(None);
-            }
+        answer_timeout: Duration,
+    ) -> Option<Result<ServerResponse, ReadError>> {
+        let stop = upstream.on_attempt_written(self.server, attempt.id);
+        tokio::select! {
+            biased;
+            response = timeout(answer_timeout, self.read_response(stream, input, attempt)) => response.ok(),
+            () = stop.notified() => None,
         }
     }
 
-    /// Passes a long value on while it comes, as fast as its client takes it. Where it breaks off the client has
-    /// not had its last byte.
-    async fn pass_on<S: AsyncRead + Unpin>(
+    async fn read_response<S: AsyncRead + Unpin>(
         &self,
-        upstream: &Upstream,
         stream: &mut S,
         input: &mut BytesMut,
-        mut body: Body,
-        feed: ChunkSender,
-    ) -> After {
-        let passed = download::pump(stream, input, &mut body, feed, upstream.limits.piece).await;
-        increment(if passed.is_ok() {
-            &upstream.counters.downloads
+        attempt: &Attempt,
+    ) -> Result<ServerResponse, ReadError> {
+        if self.is_origin {
+            read_origin_response(stream, input, &attempt.request).await
         } else {
-            &upstream.counters.downloads_broken
-        });
-        match (passed, body) {
-            (Ok(()), Body::Http(response)) => after(&response),
-            (Ok(()), Body::Meta(_)) => After::Keep,
-            (Err(problem), _) => {
-                problem.iter().for_each(|problem| upstream.tell_bad(&self.address, problem));
-                After::Close
+            read_cache_response(stream, input, &attempt.request).await
+        }
+    }
+
+    /// How an attempt ends whose response could not be read, and what becomes of its connection.
+    fn on_read_failed(
+        &self,
+        upstream: &Upstream,
+        error: &ReadError,
+        is_input_empty: bool,
+    ) -> (AttemptEnd, AfterAttempt) {
+        match error {
+            ReadError::Malformed(malformed) => {
+                upstream.on_malformed_response(&self.address, malformed);
+                (AttemptEnd::Malformed, AfterAttempt::Close)
             }
+            ReadError::Disconnected if is_input_empty => (AttemptEnd::Broken, AfterAttempt::Broken),
+            ReadError::Disconnected => (AttemptEnd::Broken, AfterAttempt::Close),
         }
     }
-}
 
-/// What a connection does after this whole response.
-fn after(response: &Response) -> After {
-    let close = response.head.as_ref().is_none_or(|head| head.close);
-    if close {
-        After::Close
-    } else {
-        After::Keep
+    /// Passes a streamed value on while it comes, as fast as its client takes it.
+    async fn forward<S: AsyncRead + Unpin>(
+        &self,
+        upstream: &Upstream,
+        stream: &mut S,
+        input: &mut BytesMut,
+        mut body: ValueBody,
+        sender: ChunkSender,
+    ) -> AfterAttempt {
+        let chunk_bytes = upstream.limits.chunk_bytes;
+        match forward_value(stream, input, &mut body, sender, chunk_bytes).await {
+            Ok(()) => {
+                increment(&upstream.counters.downloads);
+                AfterAttempt::complete(body.closes_connection())
+            }
+            Err(error) => {
+                increment(&upstream.counters.downloads_broken);
+                if let ReadError::Malformed(malformed) = &error {
+                    upstream.on_malformed_response(&self.address, malformed);
+                }
+                AfterAttempt::Close
+            }
+        }
     }
 }
 
-/// Writes this of an attempt, and tells whether all of it has gone out: no byte goes once the attempt is over, though
-/// the way were full until then.
-async fn write<S: AsyncWrite + Unpin>(
+/// Writes these bytes of an attempt, and tells whether all of them were written: none is once the attempt is cancelled,
+/// though the socket was full until then.
+async fn write_unless_cancelled<S: AsyncWrite + Unpin>(
     upstream: &Upstream,
     stream: &mut S,
     output: &[u8],
     attempt: &Attempt,
 ) -> bool {
-    let mut left = output;
-    while !left.is_empty() {
-        let written = poll_fn(|cx| match upstream.over(attempt) {
-            true => Poll::Ready(Ok(0)),
-            false => Pin::new(&mut *stream).poll_write(cx, left),
+    let mut remaining = output;
+    while !remaining.is_empty() {
+        let written = poll_fn(|context| {
+            if upstream.is_cancelled(attempt) {
+                return Poll::Ready(Ok(0));
+            }
+            Pin::new(&mut *stream).poll_write(context, remaining)
         });
         match written.await {
-            Ok(length @ 1..) => left = &left[length..],
+            Ok(length @ 1..) => remaining = &remaining[length..],
             _ => return false,
         }
     }
@@ -363,9 +363,8 @@
 }
 
 /// Whether an idle connection is still up and silent: it has neither ended nor brought anything.
-fn quiet<S: AsyncRead + Unpin>(stream: &mut S, input: &mut BytesMut) -> bool {
-    let mut read = std::pin::pin!(stream.read_buf(input));
-    let silent =
-        std::future::Future::poll(read.as_mut(), &mut Context::from_waker(Waker::noop())).is_pending();
-    silent && input.is_empty()
+fn is_quiet<S: AsyncRead + Unpin>(stream: &mut S, input: &mut BytesMut) -> bool {
+    let mut context = Context::from_waker(Waker::noop());
+    let is_silent = pin!(stream.read_buf(input)).poll(&mut context).is_pending();
+    is_silent && input.is_empty()
 }
--- /dev/null
+++ b/node/src/upstream/download/tests.rs
@@ -0,0 +1,108 @@
+use super::*;
+use crate::memcache::{read_response, Response};
+use crate::testing::{self, request, settle};
+use juniperladder_dispatch::streamed_value::streamed_value;
+use tokio::io::{duplex, AsyncWriteExt};
+use tokio::task::spawn_local;
+
+const VALUE_BYTES: usize = 4 << 20;
+const CHUNK_BYTES: usize = 8 << 10;
+const PIPE_BYTES: usize = 4 << 10;
+
+fn byte(at: usize) -> u8 {
+    (at % 251) as u8
+}
+
+/// Both protocols' bodies of a value, and what ends them.
+fn bodies() -> [(ValueBody, &'static [u8]); 2] {
+    let mut line = BytesMut::from(format!("VA {VALUE_BYTES} O7 h1\r\n").as_bytes());
+    let Ok(Some(Response::Streamed { length: VALUE_BYTES, remaining })) =
+        read_response(&mut line, &request("7", None))
+    else {
+        panic!()
+    };
+    let mut response = http::Response::default();
+    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {VALUE_BYTES}\r\n\r\n");
+    response.read(&mut BytesMut::from(head.as_bytes())).unwrap();
+    assert_eq!(response.streamed_length(), Some(VALUE_BYTES));
+    [(ValueBody::Memcache(remaining), b"\r\n"), (ValueBody::Http(response), b"")]
+}
+
+/// A value of four megabytes passes whole, and a client that does not read holds the server back at a few
+/// pieces: the value is never in hand.
+#[test]
+fn a_large_value_passes_in_a_few_bounded_chunks() {
+    testing::run(async {
+        for (mut body, end) in bodies() {
+            let (sender, receiver) = streamed_value(VALUE_BYTES);
+            let (mut near, mut far) = duplex(PIPE_BYTES);
+            let given = std::rc::Rc::new(std::cell::Cell::new(0));
+            let so_far = std::rc::Rc::clone(&given);
+            spawn_local(async move {
+                while so_far.get() < VALUE_BYTES {
+                    let some: Vec<u8> =
+                        (so_far.get()..VALUE_BYTES.min(so_far.get() + 1000)).map(byte).collect();
+                    far.write_all(&some).await.unwrap();
+                    so_far.set(so_far.get() + some.len());
+                }
+                far.write_all(end).await.unwrap();
+                std::future::pending::<()>().await;
+            });
+            let forwarded = spawn_local(async move {
+                forward_value(&mut near, &mut BytesMut::new(), &mut body, sender, CHUNK_BYTES).await
+            });
+            settle().await;
+            assert!(
+                given.get() <= PIPE_BYTES + 3 * CHUNK_BYTES + 1000,
+                "{} with nobody reading",
+                given.get()
+            );
+            let mut got = 0;
+            while let Some(piece) = receiver.next().await {
+                assert!(
+                    piece.len() <= CHUNK_BYTES && piece.iter().enumerate().all(|(n, b)| *b == byte(got + n))
+                );
+                got += piece.len();
+                assert!(given.get() <= got + PIPE_BYTES + 3 * CHUNK_BYTES + 1000);
+            }
+            assert_eq!(got, VALUE_BYTES);
+            assert_eq!(forwarded.await.unwrap(), Ok(()));
+        }
+    });
+}
+
+/// A server that leaves, stands still or brings a wrong end: the client never has the last byte.
+#[test]
+fn a_value_that_breaks_off_is_never_complete() {
+    testing::run(async {
+        let without_end = MalformedResponse::from(memcache::ResponseError::ValueWithoutEnd);
+        assert_eq!(without_end.to_string(), "a value without its end");
+        for (sent, end, error) in [
+            (VALUE_BYTES - 1, &b""[..], ReadError::Disconnected),
+            (1000, b"", ReadError::Disconnected),
+            (VALUE_BYTES, b"xx", ReadError::Malformed(without_end)),
+        ] {
+            for stays in [true, false] {
+                let [(mut body, _), _] = bodies();
+                let (sender, receiver) = streamed_value(VALUE_BYTES);
+                let (mut near, mut far) = duplex(PIPE_BYTES);
+                spawn_local(async move {
+                    far.write_all(&vec![b'v'; sent]).await.unwrap();
+                    far.write_all(end).await.unwrap();
+                    if stays {
+                        std::future::pending::<()>().await;
+                    }
+                });
+                let forwarded = spawn_local(async move {
+                    forward_value(&mut near, &mut BytesMut::new(), &mut body, sender, CHUNK_BYTES).await
+                });
+                let mut got = 0;
+                while let Some(piece) = receiver.next().await {
+                    got += piece.len();
+                }
+                assert!(got < VALUE_BYTES, "{got}");
+                assert_eq!(forwarded.await.unwrap(), Err(error.clone()));
+            }
+        }
+    });
+}
--- /dev/null
+++ b/node/src/upstream/response.rs
@@ -0,0 +1,140 @@
+//! Responses of servers to attempts, read from their connections.
+
+use bytes::BytesMut;
+use thiserror::Error;
+use tokio::io::{AsyncRead, AsyncReadExt};
+
+use super::download::{check_nothing_behind, ValueBody};
+use crate::dispatcher::{ClientRequest, Reply};
+use crate::{http, memcache};
+
+/// Bytes reserved for each read.
+pub(super) const READ_BYTES: usize = 4096;
+
+/// What is malformed in a response. Its connection closes.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub(super) enum MalformedResponse {
+    /// A cache server's response.
+    #[error(transparent)]
+    Memcache(#[from] memcache::ResponseError),
+    /// The origin's response.
+    #[error(transparent)]
+    Http(#[from] http::ResponseError),
+    /// The origin's response names another request.
+    #[error("a response for another id")]
+    OtherRequest,
+    /// The origin's body is longer than what is buffered.
+    #[error("a body longer than any value")]
+    BodyTooLong,
+    /// Something else than another response stands behind the origin's body.
+    #[error("a body longer than its length")]
+    TrailingBytes,
+}
+
+/// Why there is no complete response.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub(super) enum ReadError {
+    /// A connection ended: the server's, or that of the client for whom a value is streamed.
+    #[error("a connection ended")]
+    Disconnected,
+    /// The response is malformed.
+    #[error(transparent)]
+    Malformed(#[from] MalformedResponse),
+}
+
+impl From<memcache::ResponseError> for ReadError {
+    fn from(error: memcache::ResponseError) -> ReadError {
+        ReadError::Malformed(error.into())
+    }
+}
+
+impl From<http::ResponseError> for ReadError {
+    fn from(error: http::ResponseError) -> ReadError {
+        ReadError::Malformed(error.into())
+    }
+}
+
+/// A response as far as an attempt is concerned.
+pub(super) enum ServerResponse {
+    /// The complete reply.
+    Complete {
+        /// What it says.
+        reply: Reply,
+        /// Whether its connection ends with it.
+        closes_connection: bool,
+    },
+    /// The beginning of a value that is streamed.
+    Streamed {
+        /// The length of the value in bytes.
+        length: usize,
+        /// What takes the value off the input.
+        body: ValueBody,
+    },
+}
+
+/// Reads a cache server's response to this request.
+///
+/// # Errors
+/// The connection ended before, or the response is malformed.
+pub(super) async fn read_cache_response<S: AsyncRead + Unpin>(
+    stream: &mut S,
+    input: &mut BytesMut,
+    request: &ClientRequest,
+) -> Result<ServerResponse, ReadError> {
+    loop {
+        let has_ended = read_more(stream, input).await? == 0;
+        match memcache::read_response(input, request)? {
+            Some(memcache::Response::Complete(reply)) => {
+                return Ok(ServerResponse::Complete { reply, closes_connection: false });
+            }
+            Some(memcache::Response::Streamed { length, remaining }) => {
+                return Ok(ServerResponse::Streamed { length, body: ValueBody::Memcache(remaining) });
+            }
+            None if has_ended => return Err(ReadError::Disconnected),
+            None => {}
+        }
+    }
+}
+
+/// Reads the origin's response to this request.
+///
+/// # Errors
+/// The connection ended before, or the response is malformed.
+pub(super) async fn read_origin_response<S: AsyncRead + Unpin>(
+    stream: &mut S,
+    input: &mut BytesMut,
+    request: &ClientRequest,
+) -> Result<ServerResponse, ReadError> {
+    let is_write = request.value.is_some();
+    let mut response = http::Response::default();
+    loop {
+        let has_ended = read_more(stream, input).await? == 0;
+        response.read(input)?;
+        if has_ended {
+            response.on_connection_ended();
+        }
+        let named = response.head.as_ref().and_then(|head| head.request_id.as_ref());
+        if named.is_some_and(|id| *id != request.id) {
+            return Err(MalformedResponse::OtherRequest.into());
+        }
+        if let Some(length) = response.streamed_length().filter(|_| !is_write) {
+            return Ok(ServerResponse::Streamed { length, body: ValueBody::Http(response) });
+        }
+        if response.is_too_large() {
+            return Err(MalformedResponse::BodyTooLong.into());
+        }
+        if response.done {
+            check_nothing_behind(stream, input).await?;
+            let reply = response.reply(is_write)?;
+            return Ok(ServerResponse::Complete { reply, closes_connection: response.closes_connection() });
+        }
+        if has_ended {
+            return Err(ReadError::Disconnected);
+        }
+    }
+}
+
+async fn read_more<S: AsyncRead + Unpin>(stream: &mut S, input: &mut BytesMut) -> Result<usize, ReadError> {
+    input.reserve(READ_BYTES);
+    stream.read_buf(input).await.map_err(|_| ReadError::Disconnected)
+}
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -1,6 +1,6 @@
 //! Pools and connections, against servers played in memory and on loopback.
 
-use super::connection::{After, UpstreamConnection};
+use super::connection::{AfterAttempt, UpstreamConnection};
 use super::*;
 use crate::dispatcher::Answer;
 use crate::memcache;
@@ -55,9 +55,9 @@
             let (_, answer) = dispatcher.take(testing::request("7", Some(vec![b'x'; size]))).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             let (mut near, mut far) = duplex(room);
-            let connection = UpstreamConnection { server: SERVER, origin: false, address: ([127, 0, 0, 1], 1).into() };
+            let connection = UpstreamConnection { server: SERVER, is_origin: false, address: ([127, 0, 0, 1], 1).into() };
             let mut wire = BytesMut::new();
-            memcache::write_command(&mut wire, &attempt.request, juniperladder::Micros(470_000));
+            memcache::write_request(&mut wire, &attempt.request, juniperladder::Micros(470_000));
             let length = wire.len();
             let want = match &peer {
                 Peer::Leaves(n) if n + room >= length => "resets",
@@ -96,9 +96,9 @@
                 .filter(|(name, n)| *n > 0 && !name.starts_with("rejected_") && !["commands", "attempts", "served", "rejected", "failed", "bad_answers"].contains(name))
                 .collect();
             assert_eq!(counted, [(want, 1)]);
-            assert_eq!(after == After::Broke, leaves && want == "resets");
+            assert_eq!(after == AfterAttempt::Broken, leaves && want == "resets");
             let spoilt = upstream.counters.malformed_responses.get() > 0;
-            assert_eq!(after == After::Keep, !spoilt && ["ok", "misses", "full", "errors"].contains(&want));
+            assert_eq!(after == AfterAttempt::KeepOpen, !spoilt && ["ok", "misses", "full", "errors"].contains(&want));
             let served = matches!(answer.await, Ok(Answer::Receipt(_)));
             assert_eq!(served, want == "ok");
         });
@@ -107,7 +107,7 @@
 
 /// The drain rule counts a send's first byte: what still waits for a connection must not begin.
 #[test]
-fn a_draining_host_gets_nothing_that_waits() {
+fn a_draining_server_gets_no_waiting_attempt() {
     testing::run(async {
         let upstream = testing::upstream(0);
         let dispatcher =
@@ -126,7 +126,7 @@
 /// A connection that comes up when its request is over, its client gone or answered from elsewhere, gets nothing of
 /// that request, and the next request can use it.
 #[test]
-fn a_connection_that_comes_up_late_gets_nothing_of_a_command_that_is_over() {
+fn a_late_connection_gets_nothing_of_a_closed_request() {
     testing::run_on_sockets(async {
         let (dispatcher, upstream, listener) = world(1).await;
         let (id, _answer) = dispatcher.take(testing::request("1", None)).unwrap();
@@ -134,7 +134,7 @@
         let (mut stream, _) = listener.accept().await.unwrap();
         settle().await;
         let (_, answer) = dispatcher.take(testing::request("2", None)).unwrap();
-        let got = command_at(&mut stream).await;
+        let got = request_at(&mut stream).await;
         assert!(got.starts_with("mg ") && got.contains(" O2 ") && !got.contains(" O1 "), "{got}");
         stream.write_all(b"VA 1 O2\r\nv\r\n").await.unwrap();
         assert_eq!(answer.await, Ok(Answer::Value("v".into())));
@@ -147,7 +147,7 @@
 
 /// A write that stands still half-way is not carried on once its request is over, though the way clears.
 #[test]
-fn what_is_half_written_ends_with_its_command() {
+fn a_half_written_attempt_ends_with_its_request() {
     testing::run(async {
         let recorder = Rc::new(Recorder::default());
         let dispatcher =
@@ -158,7 +158,7 @@
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         let (mut near, mut far) = duplex(100);
         let connection =
-            UpstreamConnection { server: SERVER, origin: false, address: ([127, 0, 0, 1], 1).into() };
+            UpstreamConnection { server: SERVER, is_origin: false, address: ([127, 0, 0, 1], 1).into() };
         let listed_server = async {
             settle().await;
             dispatcher.on_client_gone(id);
@@ -171,14 +171,14 @@
             drop(near);
             after
         };
-        assert_eq!(tokio::join!(carry, listed_server), (After::Close, 100));
+        assert_eq!(tokio::join!(carry, listed_server), (AfterAttempt::Close, 100));
         assert_eq!(upstream.counters.attempts_written.get(), 0);
     });
 }
 
 /// Connections are bounded over all servers: one that is idle gives way to an attempt elsewhere.
 #[test]
-fn an_idle_connection_makes_room() {
+fn an_idle_connection_closes_for_another_server() {
     testing::run_on_sockets(async {
         let servers = [
             tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap(),
@@ -206,7 +206,7 @@
 
 /// What the origin does with the one answer on a connection, and what it means.
 #[test]
-fn an_origins_response_is_good_or_spoilt() {
+fn an_origins_response_is_complete_or_malformed() {
     let good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab";
     let behind = |more: &str| (format!("{good}{more}"), 0);
     let cases = [
@@ -234,7 +234,7 @@
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             let (mut near, mut far) = duplex(1 << 12);
             let connection =
-                UpstreamConnection { server: SERVER, origin: true, address: ([127, 0, 0, 1], 1).into() };
+                UpstreamConnection { server: SERVER, is_origin: true, address: ([127, 0, 0, 1], 1).into() };
             far.write_all(text.as_bytes()).await.unwrap();
             let mut input = BytesMut::new();
             connection.execute(&upstream, &mut near, &mut input, attempt).await;
@@ -259,14 +259,14 @@
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         let (mut near, mut far) = duplex(1 << 12);
         let connection =
-            UpstreamConnection { server: SERVER, origin: true, address: ([127, 0, 0, 1], 1).into() };
+            UpstreamConnection { server: SERVER, is_origin: true, address: ([127, 0, 0, 1], 1).into() };
         spawn_local(async move {
             let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nb2d05e00\r\n";
             far.write_all(head).await.unwrap();
             while far.write_all(&[b'x'; 4096]).await.is_ok() {}
         });
         let mut input = BytesMut::new();
-        assert_eq!(connection.execute(&upstream, &mut near, &mut input, attempt).await, After::Close);
+        assert_eq!(connection.execute(&upstream, &mut near, &mut input, attempt).await, AfterAttempt::Close);
         assert_eq!(upstream.counters.malformed_responses.get(), 1);
     });
 }
@@ -274,7 +274,7 @@
 /// The origin does no work that nobody waits for, and only a close tells it. At a cache server the answer is
 /// read off, as nothing stops there.
 #[test]
-fn a_time_out_closes_the_connection_to_the_origin() {
+fn a_timeout_closes_only_connections_to_the_origin() {
     testing::run(async {
         for kind in [0, testing::ORIGIN] {
             let upstream = testing::upstream(4);
@@ -282,8 +282,14 @@
             listed.endpoint.kind = kind;
             upstream.on_endpoints_changed(EndpointUpdate::Snapshot, &[listed]);
             let id = AttemptId(1);
-            upstream.pools.borrow_mut().entry(SERVER).or_default().running.insert(id, Carried::default());
-            let stop = upstream.written(SERVER, id);
+            upstream
+                .pools
+                .borrow_mut()
+                .entry(SERVER)
+                .or_default()
+                .carried
+                .insert(id, CarriedAttempt::default());
+            let stop = upstream.on_attempt_written(SERVER, id);
             assert!(upstream.abandon(id, SERVER));
             let told = timeout(Duration::from_secs(1), stop.notified()).await.is_ok();
             assert_eq!(told, kind == testing::ORIGIN);
@@ -293,24 +299,26 @@
 
 /// Idle connections that break at their next use are kept for a shorter time from then on, which wears off.
 #[test]
-fn a_shorter_idle_time_is_learnt_and_forgotten() {
+fn a_shorter_idle_timeout_is_learnt_and_forgotten() {
     testing::run(async {
         let upstream = testing::upstream(4);
-        let told = upstream.keep.get();
-        assert_eq!(told, upstream.limits.idle.mul_f64(IDLE_PART));
-        let spare = upstream.limits.idle - told;
-        assert!(told > upstream.limits.idle.mul_f64(0.9), "one of many balancers comes back after seconds");
-        assert!(spare >= upstream.limits.idle / 25, "the way there and back: {spare:?}");
-        upstream.learn(Duration::from_millis(1), true);
-        assert_eq!(upstream.keep.get(), told, "a connection that was hardly idle tells nothing");
-        upstream.learn(Duration::from_millis(100), true);
-        assert_eq!(upstream.keep.get(), Duration::from_millis(70));
-        upstream.learn(Duration::from_millis(60), false);
-        assert!(upstream.keep.get() > Duration::from_millis(70));
+        let idle_timeout = &upstream.idle_timeout;
+        let longest = idle_timeout.current();
+        let configured = upstream.limits.server_idle_timeout;
+        assert_eq!(longest, configured.mul_f64(0.95));
+        let spare = configured - longest;
+        assert!(longest > configured.mul_f64(0.9), "one of many balancers comes back after seconds");
+        assert!(spare >= configured / 25, "the way there and back: {spare:?}");
+        idle_timeout.on_broken(Duration::from_millis(1));
+        assert_eq!(idle_timeout.current(), longest, "a connection that was hardly idle tells nothing");
+        idle_timeout.on_broken(Duration::from_millis(100));
+        assert_eq!(idle_timeout.current(), Duration::from_millis(70));
+        idle_timeout.on_reused(Duration::from_millis(60));
+        assert!(idle_timeout.current() > Duration::from_millis(70));
         for _ in 0..1000 {
-            upstream.learn(told, false);
+            idle_timeout.on_reused(longest);
         }
-        assert_eq!(upstream.keep.get(), told);
+        assert_eq!(idle_timeout.current(), longest);
     });
 }
 
@@ -323,17 +331,19 @@
         upstream.on_endpoints_changed(EndpointUpdate::Snapshot, std::slice::from_ref(&moved));
         let connection = |port| UpstreamConnection {
             server: SERVER,
-            origin: false,
+            is_origin: false,
             address: ([127, 0, 0, 1], port).into(),
         };
-        assert!(upstream.rest(&connection(1)).is_some());
-        assert!(upstream.rest(&connection(2)).is_none() && upstream.next(&connection(2)).is_none());
+        assert!(upstream.add_idle(&connection(1)).is_some());
+        assert!(
+            upstream.add_idle(&connection(2)).is_none() && upstream.next_attempt(&connection(2)).is_none()
+        );
     });
 }
 
 /// A server that refuses connections fails each attempt once, as one that never ran.
 #[test]
-fn a_refused_connection_never_ran() {
+fn a_refused_connection_ends_the_attempt_as_not_sent() {
     testing::run_on_sockets(async {
         let closed = std::net::TcpListener::bind(("127.0.0.1", 0)).unwrap();
         let mut down = listed_server(SERVER, EndpointState::Serving);
@@ -368,7 +378,7 @@
 /// A server that takes connections and ends them at once, or greets whoever comes, is no server that may be tried without end: each
 /// attempt opens one connection, and the request is told that it never ran.
 #[test]
-fn a_host_that_ends_new_connections_is_not_tried_without_end() {
+fn a_server_that_closes_new_connections_gets_no_endless_attempts() {
     for greets in [false, true] {
         testing::run_on_sockets(async {
             let (dispatcher, upstream, listener) = world(3).await;
@@ -398,13 +408,13 @@
 /// Half a line that comes on a resting connection spoils that connection and nothing else: the next request goes out on a new
 /// one, whether the bytes come before it or in the moment in which the connection is given to it.
 #[test]
-fn half_a_line_spoils_its_connection_and_no_command() {
+fn half_a_line_closes_its_connection_and_fails_no_request() {
     for at_once in [false, true] {
         testing::run_on_sockets(async {
             let (dispatcher, upstream, listener) = world(3).await;
             let (_, first) = dispatcher.take(testing::request("1", None)).unwrap();
             let (mut resting, _) = listener.accept().await.unwrap();
-            command_at(&mut resting).await;
+            request_at(&mut resting).await;
             resting.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
             assert!(first.await.is_ok());
             settle().await;
@@ -419,7 +429,7 @@
                 dispatcher.take(testing::request("2", None)).unwrap().1
             };
             let (mut fresh, _) = listener.accept().await.unwrap();
-            command_at(&mut fresh).await;
+            request_at(&mut fresh).await;
             fresh.write_all(b"VA 1 O2\r\nw\r\n").await.unwrap();
             assert_eq!(second.await, Ok(Answer::Value("w".into())));
             assert_eq!(
@@ -461,7 +471,7 @@
 }
 
 /// Reads one request's line.
-async fn command_at(stream: &mut tokio::net::TcpStream) -> String {
+async fn request_at(stream: &mut tokio::net::TcpStream) -> String {
     let mut got = BytesMut::new();
     while !got.ends_with(b"\r\n") {
         assert!(stream.read_buf(&mut got).await.unwrap() > 0, "it ends");
@@ -472,14 +482,14 @@
 /// A list that crosses a hand-over: the resting connection has been given its next request, and before a byte of that is written
 /// the server drains, is gone, or stands elsewhere. Nothing goes out on the old connection.
 #[test]
-fn a_list_that_crosses_a_hand_over_comes_first() {
+fn an_endpoint_update_that_crosses_a_hand_over_comes_first() {
     for change in [EndpointState::Draining, EndpointState::Deleted, EndpointState::Serving] {
         testing::run_on_sockets(async {
             let (dispatcher, upstream, old) = world(3).await;
             let new = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
             let (_, first) = dispatcher.take(testing::request("1", None)).unwrap();
             let (mut resting, _) = old.accept().await.unwrap();
-            command_at(&mut resting).await;
+            request_at(&mut resting).await;
             resting.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
             assert!(first.await.is_ok());
             settle().await;
@@ -492,7 +502,7 @@
             if change == EndpointState::Serving {
                 let accepted = timeout(Duration::from_secs(5), new.accept()).await;
                 let (mut stream, _) = accepted.expect("it goes to the new place").unwrap();
-                assert!(command_at(&mut stream).await.contains(" O2 "));
+                assert!(request_at(&mut stream).await.contains(" O2 "));
                 stream.write_all(b"VA 1 O2\r\nw\r\n").await.unwrap();
                 assert_eq!(second.await, Ok(Answer::Value("w".into())));
             } else {
--- /dev/null
+++ b/node/src/upstream/upload/tests.rs
@@ -0,0 +1,151 @@
+use super::*;
+use crate::downstream::{Downstream, Labels};
+use crate::testing::{self, listed_server, log, ORIGIN, SERVER};
+use juniperladder::{CacheMode, EndpointState, EndpointUpdate, Idempotency, ServerId};
+use tokio::io::AsyncReadExt;
+use tokio::net::{TcpListener, TcpStream};
+
+const LENGTH: usize = 4 << 20;
+
+/// A balancer on loopback between a client and a stand-in for the origin, whose connections come here.
+async fn balancer_and_origin() -> (Rc<Upstream>, TcpStream, TcpListener) {
+    let origin = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
+    let upstream = testing::upstream(8);
+    let settings = juniperladder::Settings {
+        mode: CacheMode::Aside(ORIGIN),
+        ..testing::settings(3, Idempotency::WithIdempotencyKey)
+    };
+    let dispatcher = testing::dispatcher(settings, upstream.clone(), 0);
+    upstream.attach(&dispatcher);
+    let mut up = listed_server(ServerId(SERVER.0 + 1), EndpointState::Serving);
+    (up.endpoint.kind, up.address) = (ORIGIN, origin.local_addr().ok());
+    dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[up]);
+    let resource_limits = testing::resource_limits(1 << 12);
+    let labels = Labels { classes: vec!["read".into()], tenants: vec![] };
+    let downstream = Downstream::new(dispatcher, labels, Rc::default(), resource_limits, log());
+    let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
+    let client = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    tokio::task::spawn_local(downstream.accept(listener));
+    (upstream, client, origin)
+}
+
+fn byte(at: usize) -> u8 {
+    (at % 251) as u8
+}
+
+async fn line(client: &mut TcpStream) -> String {
+    let mut told = Vec::new();
+    while !told.ends_with(b"\r\n") {
+        told.push(client.read_u8().await.unwrap());
+    }
+    String::from_utf8(told).unwrap()
+}
+
+/// Reads the head of a write off.
+async fn head(origin: &mut TcpStream) -> String {
+    let mut head = Vec::new();
+    while !head.ends_with(b"\r\n\r\n") {
+        head.push(origin.read_u8().await.unwrap());
+    }
+    String::from_utf8(head).unwrap()
+}
+
+/// A value of four megabytes reaches the origin while the client is still writing, all but its last byte, which
+/// is the attempt. The connection is good for the next one.
+#[test]
+fn a_streamed_write_is_forwarded_while_it_comes() {
+    testing::run_on_sockets(async {
+        let (upstream, client, origin) = balancer_and_origin().await;
+        let (mut reads, mut writes) = client.into_split();
+        let value: Vec<u8> = (0..LENGTH).map(byte).collect();
+        let (all, last) = (value.clone(), tokio::sync::oneshot::channel::<()>());
+        let (go, going) = last;
+        tokio::task::spawn_local(async move {
+            writes.write_all(format!("ms k {LENGTH} O7 Pc=read,d=480,k=5c\r\n").as_bytes()).await.unwrap();
+            writes.write_all(&all[..LENGTH - 1]).await.unwrap();
+            going.await.unwrap();
+            writes.write_all(&all[LENGTH - 1..]).await.unwrap();
+            writes.write_all(b"\r\nmn\r\n").await.unwrap();
+            std::future::pending::<()>().await;
+        });
+        let (mut at_origin, _) = origin.accept().await.unwrap();
+        let head = head(&mut at_origin).await;
+        assert!(head.starts_with("PUT /k HTTP/1.1\r\n") && head.contains("X-Trace-Id: 7\r\n"), "{head}");
+        assert!(head.contains(&format!("Content-Length: {LENGTH}\r\n")), "{head}");
+        let mut got = vec![0; LENGTH - 1];
+        at_origin.read_exact(&mut got).await.unwrap();
+        assert!(got == value[..LENGTH - 1]);
+        assert_eq!(
+            (upstream.counters.attempts_written.get(), upstream.uploads.get()),
+            (0, 1),
+            "nothing has run yet"
+        );
+        go.send(()).unwrap();
+        assert_eq!(at_origin.read_u8().await.unwrap(), value[LENGTH - 1]);
+        at_origin.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1").await.unwrap();
+        let mut told = [0; 14];
+        reads.read_exact(&mut told).await.unwrap();
+        assert_eq!(&told, b"HD O7 cr1\r\nMN\r");
+        assert_eq!((upstream.counters.attempts_written.get(), upstream.uploads.get()), (1, 0));
+    });
+}
+
+/// However many begin at one moment, a quarter of the connections is all that they hold; the others are told so.
+#[test]
+fn uploads_hold_at_most_a_quarter_of_the_connections() {
+    testing::run_on_sockets(async {
+        let (upstream, _client, _origin) = balancer_and_origin().await;
+        let dispatcher = upstream.dispatcher.borrow().upgrade().unwrap();
+        let begin = |_| dispatcher.begin_upload(&testing::request("7", None), LENGTH).unwrap();
+        let mut ways: Vec<_> = (0..5).map(begin).collect();
+        assert_eq!((upstream.uploads.get(), upstream.connections.get()), (2, 2));
+        let mut taken = |place: usize| ways[place].1.try_send("v".into()).is_ok();
+        assert_eq!([0, 1, 2, 3, 4].map(&mut taken), [true, true, false, false, false]);
+    });
+}
+
+/// Where the origin's side ends early the value never ran; the client is told so at its end, at once.
+#[test]
+fn a_streamed_write_that_cannot_go_on_is_rejected() {
+    testing::run_on_sockets(async {
+        let (upstream, mut client, origin) = balancer_and_origin().await;
+        let leaves = tokio::task::spawn_local(async move {
+            let (mut at_origin, _) = origin.accept().await.unwrap();
+            head(&mut at_origin).await;
+        });
+        client.write_all(format!("ms k {LENGTH} O7 Pc=read,d=480,k=5c\r\n").as_bytes()).await.unwrap();
+        client.write_all(&vec![b'v'; LENGTH]).await.unwrap();
+        client.write_all(b"\r\n").await.unwrap();
+        leaves.await.unwrap();
+        assert!(line(&mut client).await.starts_with("SERVER_ERROR busy"));
+        assert_eq!((upstream.counters.attempts_written.get(), upstream.counters.resets.get()), (0, 0));
+    });
+}
+
+/// A client that leaves, or ends its value wrongly: the origin never has the last byte.
+#[test]
+fn a_streamed_write_that_breaks_off_is_not_executed() {
+    testing::run_on_sockets(async {
+        for (sent, behind) in [(LENGTH / 2, &b""[..]), (LENGTH, b"xx")] {
+            let (upstream, mut client, origin) = balancer_and_origin().await;
+            let text = format!("ms k {LENGTH} O7 Pc=read,d=480,k=5c\r\n");
+            let writes = tokio::task::spawn_local(async move {
+                client.write_all(text.as_bytes()).await.unwrap();
+                client.write_all(&vec![b'v'; sent]).await.unwrap();
+                client.write_all(behind).await.unwrap();
+                let _ = client.shutdown().await;
+                let mut told = String::new();
+                let _ = client.read_to_string(&mut told).await;
+                told
+            });
+            let (mut at_origin, _) = origin.accept().await.unwrap();
+            head(&mut at_origin).await;
+            let mut got = Vec::new();
+            let _ = at_origin.read_to_end(&mut got).await;
+            assert!(got.len() < LENGTH, "{}", got.len());
+            let told = writes.await.unwrap();
+            assert!(!told.contains("HD") && (sent < LENGTH || told.starts_with("CLIENT_ERROR")), "{told}");
+            assert_eq!(upstream.counters.attempts_written.get(), 0);
+        }
+    });
+}
--- a/protocols/src/admin.rs
+++ b/protocols/src/admin.rs
@@ -1,17 +1,18 @@
-//! The operators' calls: one line in, one line out, and nothing else on the connection.
+//! The admin line protocol: one line in, one answer out, and nothing else on the connection. Without I/O.
 //!
 //! A call is `HEALTH`, `DUMP`, `OFFLINE ID` or `ONLINE ID`, ended by `\n` (a `\r` before it is allowed). The
 //! reply is one line that starts with `ACK` or `NAK`; `DUMP` follows its `ACK` with the figures and a line `--`.
 
+use thiserror::Error;
 use winnow::ascii::space1;
 use winnow::combinator::{alt, eof, opt, preceded, terminated};
 use winnow::prelude::*;
 use winnow::token::take_while;
 
-/// The longest line that a call may be, its end included.
-pub const MAX_LINE: usize = 256;
+/// The longest line in bytes that a call may be, its end included.
+pub const MAX_LINE_BYTES: usize = 256;
 
-/// What an operator asks for.
+/// A call of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
     /// Whether this process is ready to serve.
@@ -24,29 +25,43 @@
     Online(String),
 }
 
-/// Where a line stands that comes in pieces.
+/// Why a line is no call. The text names the calls.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum CallError {
+    /// Nothing but blanks.
+    #[error("empty line; calls are HEALTH, DUMP, OFFLINE ID and ONLINE ID")]
+    Empty,
+    /// Bytes that are not ASCII.
+    #[error("not text; calls are HEALTH, DUMP, OFFLINE ID and ONLINE ID")]
+    NotText,
+    /// Another word, or an id that is missing or malformed.
+    #[error("unknown call or a malformed id; calls are HEALTH, DUMP, OFFLINE ID and ONLINE ID")]
+    Unknown,
+}
+
+/// What the bytes hold that came so far.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Read {
-    /// A whole line: the call, or why it is none.
-    Call(Result<Call, &'static str>),
-    /// Not whole yet; more may come.
-    More,
+pub enum Input {
+    /// A complete line: the call, or why it is none.
+    Line(Result<Call, CallError>),
+    /// No complete line; more may come.
+    Incomplete,
     /// Too long to be a call, whatever comes.
     TooLong,
 }
 
-/// Looks for a whole call at the start of what came so far.
-pub fn read(input: &[u8]) -> Read {
+/// Looks for a complete call at the start of what came so far.
+pub fn read_call(input: &[u8]) -> Input {
     match memchr::memchr(b'\n', input) {
-        Some(end) if end < MAX_LINE => Read::Call(parse(&input[..end])),
-        Some(_) => Read::TooLong,
-        None if input.len() >= MAX_LINE => Read::TooLong,
-        None => Read::More,
+        Some(end) if end < MAX_LINE_BYTES => Input::Line(parse(&input[..end])),
+        Some(_) => Input::TooLong,
+        None if input.len() >= MAX_LINE_BYTES => Input::TooLong,
+        None => Input::Incomplete,
     }
 }
 
 fn id<'a>(input: &mut &'a [u8]) -> winnow::Result<&'a [u8]> {
-    take_while(1..=MAX_LINE, |b: u8| b.is_ascii_graphic()).parse_next(input)
+    take_while(1..=MAX_LINE_BYTES, |b: u8| b.is_ascii_graphic()).parse_next(input)
 }
 
 fn call(input: &mut &[u8]) -> winnow::Result<Call> {
@@ -63,26 +78,28 @@
     .parse_next(input)
 }
 
-/// Reads one line without its `\n`.
-pub fn parse(line: &[u8]) -> Result<Call, &'static str> {
+/// Parses one line without its `\n`.
+///
+/// # Errors
+/// The line is no call.
+pub fn parse(line: &[u8]) -> Result<Call, CallError> {
     if line.trim_ascii().is_empty() {
-        return Err("empty line; calls are HEALTH, DUMP, OFFLINE ID and ONLINE ID");
+        return Err(CallError::Empty);
     }
     if !line.is_ascii() {
-        return Err("not text; calls are HEALTH, DUMP, OFFLINE ID and ONLINE ID");
+        return Err(CallError::NotText);
     }
-    call.parse(line)
-        .map_err(|_| "unknown call or a malformed id; calls are HEALTH, DUMP, OFFLINE ID and ONLINE ID")
+    call.parse(line).map_err(|_| CallError::Unknown)
 }
 
-/// A yes, with what it says.
+/// A positive answer, with what it says.
 pub fn ack(text: &str) -> String {
     format!("ACK {}\n", one_line(text))
 }
 
-/// A no, with why.
-pub fn nak(why: &str) -> String {
-    format!("NAK {}\n", one_line(why))
+/// A negative answer, with the reason.
+pub fn nak(reason: &str) -> String {
+    format!("NAK {}\n", one_line(reason))
 }
 
 fn one_line(text: &str) -> String {
@@ -90,47 +107,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    #[test]
-    fn the_four_calls_are_read() {
-        assert_eq!(read(b"HEALTH\n"), Read::Call(Ok(Call::Health)));
-        assert_eq!(read(b"DUMP\r\nmore"), Read::Call(Ok(Call::Dump)));
-        assert_eq!(read(b"OFFLINE s-5be2a07c\n"), Read::Call(Ok(Call::Offline("s-5be2a07c".into()))));
-        assert_eq!(read(b"ONLINE  s-1\n"), Read::Call(Ok(Call::Online("s-1".into()))));
-    }
-
-    #[test]
-    fn what_is_no_call_is_told_why() {
-        for line in
-            [&b"\n"[..], b"health\n", b"OFFLINE\n", b"OFFLINE a b\n", b"ONLINE \xff\n", b"DUMPS\n", b"\0\n"]
-        {
-            let Read::Call(Err(why)) = read(line) else { panic!("{line:?} was taken") };
-            assert!(why.contains("HEALTH"), "{why}");
-        }
-        assert_eq!(read(b"HEAL"), Read::More);
-        assert_eq!(read(&[b'x'; MAX_LINE]), Read::TooLong);
-        assert_eq!(read(&[&[b'x'; MAX_LINE][..], b"\n"].concat()), Read::TooLong);
-    }
-
-    #[test]
-    fn a_reply_is_one_line() {
-        assert_eq!(nak("no\nsuch\rhost"), "NAK no such host\n");
-        assert_eq!(ack("ready"), "ACK ready\n");
-    }
-
-    proptest! {
-        /// However a call is cut, its first pieces are never taken for a call, and the whole is the same call.
-        #[test]
-        fn a_call_cut_anywhere_is_read_whole_or_not_at_all(id in "[a-z0-9-]{1,40}", cut in 0usize..60, junk in proptest::collection::vec(any::<u8>(), 0..300)) {
-            let line = format!("OFFLINE {id}\n");
-            let cut = cut.min(line.len() - 1);
-            prop_assert_eq!(read(&line.as_bytes()[..cut]), Read::More);
-            prop_assert_eq!(read(line.as_bytes()), Read::Call(Ok(Call::Offline(id))));
-            // Nothing that a peer sends panics the reader.
-            let _ = read(&junk);
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/protocols/src/http/request_writer.rs
@@ -0,0 +1,54 @@
+//! Requests to the origin, and calls to discovery.
+
+use bytes::{BufMut, Bytes, BytesMut};
+use juniperladder::Micros;
+use juniperladder_dispatch::request::ClientRequest;
+
+use crate::memcache::write_properties;
+
+/// Graphic ASCII characters that would end a path, or are no URI characters.
+const ESCAPED_IN_PATH: &[u8] = b"%?#\"<>\\^`{|}";
+
+/// Writes a request to the origin, which is told that its answer is awaited for so long.
+pub fn write_request(output: &mut BytesMut, request: &ClientRequest, host: &str, time_left: Micros) {
+    write_request_head(output, request, host, time_left, request.value.as_ref().map(Bytes::len));
+    if let Some(value) = &request.value {
+        output.put_slice(value);
+    }
+}
+
+/// Writes the head of a request to the origin: a write, if there is the length of a value that follows.
+pub fn write_request_head(
+    output: &mut BytesMut,
+    request: &ClientRequest,
+    host: &str,
+    time_left: Micros,
+    value_length: Option<usize>,
+) {
+    output.put_slice(if value_length.is_some() { b"PUT /" } else { b"GET /" });
+    write_path(output, &request.key);
+    output.put_slice(format!(" HTTP/1.1\r\nHost: {host}\r\nX-Trace-Id: ").as_bytes());
+    output.put_slice(&request.id);
+    output.put_slice(b"\r\nX-Props: ");
+    write_properties(output, request, time_left);
+    if let Some(length) = value_length {
+        output.put_slice(format!("\r\nContent-Length: {length}").as_bytes());
+    }
+    output.put_slice(b"\r\n\r\n");
+}
+
+fn write_path(output: &mut BytesMut, key: &[u8]) {
+    for byte in key {
+        if byte.is_ascii_graphic() && !ESCAPED_IN_PATH.contains(byte) {
+            output.put_u8(*byte);
+        } else {
+            output.put_slice(format!("%{byte:02X}").as_bytes());
+        }
+    }
+}
+
+/// Writes a call to discovery.
+pub fn write_discovery_call(output: &mut BytesMut, path: &str, host: &str) {
+    let call = format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n");
+    output.put_slice(call.as_bytes());
+}
--- a/protocols/src/lib.rs
+++ b/protocols/src/lib.rs
@@ -1,6 +1,6 @@
 //! Codecs: bytes to values and back, without I/O.
 
+pub mod admin;
 pub mod http;
 pub mod memcache;
-pub mod mgmt;
 pub mod objects;
--- /dev/null
+++ b/protocols/src/memcache/answer_writer.rs
@@ -0,0 +1,74 @@
+//! Answers as they go to clients, and replies as cache servers write them.
+
+use bytes::{BufMut, BytesMut};
+use juniperladder::Micros;
+use juniperladder_dispatch::clock::to_ms;
+use juniperladder_dispatch::values::{Answer, Reply};
+
+use super::LINE_END;
+
+/// Writes a final answer to a client. Behind the line of a streamed value its chunks follow, and then the end of a line.
+pub fn write_answer(output: &mut BytesMut, id: &[u8], answer: &Answer) {
+    match answer {
+        Answer::Value(value) => {
+            write_value_line(output, id, value.len());
+            output.put_slice(LINE_END);
+            output.put_slice(value);
+        }
+        Answer::Streamed(value) => write_value_line(output, id, value.length()),
+        Answer::Receipt(receipt) => write_receipt(output, id, receipt),
+        Answer::Rejected(Micros(0)) => output.put_slice(b"SERVER_ERROR busy"),
+        Answer::Rejected(retry_after) => {
+            output.put_slice(format!("SERVER_ERROR busy {}", to_ms(*retry_after)).as_bytes());
+        }
+        Answer::Failed => output.put_slice(b"SERVER_ERROR failed"),
+    }
+    output.put_slice(LINE_END);
+}
+
+/// Writes a cache server's reply, which [`super::read_reply`] reads. `hit` says how a read went where servers tell that,
+/// and `load` is the load report that may end the line.
+pub fn write_reply(output: &mut BytesMut, id: &[u8], reply: &Reply, hit: Option<bool>, load: Option<&str>) {
+    match reply {
+        Reply::Served(Answer::Value(value)) => write_value_line(output, id, value.len()),
+        Reply::Served(Answer::Receipt(receipt)) => write_receipt(output, id, receipt),
+        Reply::Miss { .. } => {
+            output.put_slice(b"EN");
+            write_id(output, id);
+        }
+        Reply::Rejected => output.put_slice(b"SERVER_ERROR busy"),
+        Reply::Error | Reply::Served(_) => output.put_slice(b"SERVER_ERROR failed"),
+    }
+    if let Some(hit) = hit {
+        output.put_slice(if hit { b" h1" } else { b" h0" });
+    }
+    if matches!(reply, Reply::Miss { fetch_in_progress: true }) {
+        output.put_slice(b" Z");
+    }
+    if let Some(load) = load {
+        output.put_slice(b" L");
+        output.put_slice(load.as_bytes());
+    }
+    output.put_slice(LINE_END);
+    if let Reply::Served(Answer::Value(value)) = reply {
+        output.put_slice(value);
+        output.put_slice(LINE_END);
+    }
+}
+
+fn write_value_line(output: &mut BytesMut, id: &[u8], length: usize) {
+    output.put_slice(format!("VA {length}").as_bytes());
+    write_id(output, id);
+}
+
+fn write_receipt(output: &mut BytesMut, id: &[u8], receipt: &[u8]) {
+    output.put_slice(b"HD");
+    write_id(output, id);
+    output.put_slice(b" c");
+    output.put_slice(receipt);
+}
+
+fn write_id(output: &mut BytesMut, id: &[u8]) {
+    output.put_slice(b" O");
+    output.put_slice(id);
+}
--- /dev/null
+++ b/protocols/src/memcache/request_reader.rs
@@ -0,0 +1,256 @@
+//! The requests on a client's connection, found in the bytes as they come.
+
+use bytes::{Buf, Bytes, BytesMut};
+use juniperladder_dispatch::clock::from_ms;
+use juniperladder_dispatch::request::ClientRequest;
+use winnow::combinator::separated_pair;
+use winnow::prelude::*;
+use winnow::token::take_while;
+
+use super::line::{first_line, number, request_words};
+use super::response_reader::RemainingValue;
+use super::{
+    LINE_END, MAX_BUFFERED_VALUE_BYTES, MAX_KEY_BYTES, MAX_LINE_BYTES, MAX_SKIPPED_BYTES, MAX_VALUE_BYTES,
+};
+
+const BAD_DATA_CHUNK: &str = "CLIENT_ERROR bad data chunk";
+const BAD_PROPERTIES: &str = "CLIENT_ERROR bad properties";
+const LINE_TOO_LONG: &str = "CLIENT_ERROR line too long";
+const VALUE_TOO_LARGE: &str = "SERVER_ERROR object too large for cache";
+
+/// What a client's connection brought next.
+#[derive(Debug, PartialEq)]
+pub enum Incoming {
+    /// `mn`: the client asks whether requests are served.
+    Ready,
+    /// A complete request.
+    Request {
+        /// The request.
+        request: Box<ClientRequest>,
+        /// Its class, by name.
+        class: Bytes,
+    },
+    /// The line of a write whose value is streamed. Its chunks follow.
+    Upload {
+        /// The request, without its value.
+        request: Box<ClientRequest>,
+        /// Its class, by name.
+        class: Bytes,
+        /// The length of the value in bytes.
+        length: usize,
+    },
+    /// A chunk of a streamed value.
+    UploadChunk {
+        /// The bytes.
+        chunk: Bytes,
+        /// Whether the value is complete with it.
+        is_last: bool,
+    },
+    /// No request; this line is the whole answer.
+    Malformed(&'static str),
+    /// The same, and what follows cannot be told apart from it: the connection has to end.
+    Unrecoverable(&'static str),
+    /// `quit`.
+    Quit,
+}
+
+/// A write whose line was read.
+#[derive(Debug)]
+struct Write {
+    request: Box<ClientRequest>,
+    class: Bytes,
+    length: usize,
+}
+
+/// Finds the requests on one connection.
+#[derive(Debug, Default)]
+pub struct RequestReader {
+    /// Bytes of a rejected value that are still to come.
+    skipped_bytes: usize,
+    /// A write whose value has not come, so that its line is read once.
+    pending_write: Option<Write>,
+    /// A streamed value that is coming.
+    upload: Option<RemainingValue>,
+}
+
+impl RequestReader {
+    /// Whether a request has begun that is not complete.
+    pub fn has_incomplete_request(&self) -> bool {
+        self.pending_write.is_some() || self.upload.is_some() || self.skipped_bytes > 0
+    }
+
+    /// Takes the next request off the input; none until more has come.
+    pub fn next(&mut self, input: &mut BytesMut) -> Option<Incoming> {
+        self.skip(input);
+        if self.skipped_bytes > 0 {
+            return None;
+        }
+        if self.upload.is_some() {
+            return self.next_chunk(input);
+        }
+        if self.pending_write.is_none() {
+            if let Some(incoming) = self.next_line(input)? {
+                return Some(incoming);
+            }
+        }
+        self.complete_write(input)
+    }
+
+    /// Drops what has come of a rejected value.
+    fn skip(&mut self, input: &mut BytesMut) {
+        let skipped = self.skipped_bytes.min(input.len());
+        input.advance(skipped);
+        self.skipped_bytes -= skipped;
+    }
+
+    fn next_chunk(&mut self, input: &mut BytesMut) -> Option<Incoming> {
+        let Ok((chunk, is_last)) = self.upload.as_mut()?.take(input) else {
+            self.upload = None;
+            return Some(Incoming::Unrecoverable(BAD_DATA_CHUNK));
+        };
+        if is_last {
+            self.upload = None;
+        }
+        (is_last || !chunk.is_empty()).then_some(Incoming::UploadChunk { chunk, is_last })
+    }
+
+    /// Reads a line, if one has come. Without an incoming request it was that of a write, which now waits for its value.
+    fn next_line(&mut self, input: &mut BytesMut) -> Option<Option<Incoming>> {
+        let Some(line) = first_line(input) else {
+            // A line that never ends must not fill the memory.
+            let is_too_long = input.len() > MAX_LINE_BYTES;
+            return is_too_long.then_some(Some(Incoming::Unrecoverable(LINE_TOO_LONG)));
+        };
+        let text = input.split_to(line.total).freeze().slice(..line.text);
+        if line.text > MAX_LINE_BYTES {
+            return Some(Some(Incoming::Malformed(LINE_TOO_LONG)));
+        }
+        Some(match parse_line(&text) {
+            Line::Incoming(incoming) => Some(incoming),
+            Line::Write(write) => self.begin_write(write),
+            Line::WriteTooLarge(length) => Some(self.reject_value(length)),
+        })
+    }
+
+    fn begin_write(&mut self, write: Write) -> Option<Incoming> {
+        if write.length > MAX_BUFFERED_VALUE_BYTES {
+            let Write { request, class, length } = write;
+            self.upload = Some(RemainingValue::new(length));
+            return Some(Incoming::Upload { request, class, length });
+        }
+        self.pending_write = Some(write);
+        None
+    }
+
+    fn reject_value(&mut self, length: usize) -> Incoming {
+        if length > MAX_SKIPPED_BYTES {
+            return Incoming::Unrecoverable(VALUE_TOO_LARGE);
+        }
+        self.skipped_bytes = length + LINE_END.len();
+        Incoming::Malformed(VALUE_TOO_LARGE)
+    }
+
+    /// Completes the write whose line was read, if its value has come.
+    fn complete_write(&mut self, input: &mut BytesMut) -> Option<Incoming> {
+        let length = self.pending_write.as_ref()?.length;
+        if input.len() < length + LINE_END.len() {
+            return None;
+        }
+        let Write { mut request, class, .. } = self.pending_write.take()?;
+        if !input[length..].starts_with(LINE_END) {
+            return Some(Incoming::Unrecoverable(BAD_DATA_CHUNK));
+        }
+        request.value = Some(input.split_to(length).freeze());
+        input.advance(LINE_END.len());
+        Some(Incoming::Request { request, class })
+    }
+}
+
+/// What a line is.
+enum Line {
+    /// Complete by itself.
+    Incoming(Incoming),
+    /// The line of a write, whose value follows.
+    Write(Write),
+    /// The line of a write whose value has too many bytes.
+    WriteTooLarge(usize),
+}
+
+fn parse_line(text: &Bytes) -> Line {
+    let Some((name, words)) = request_words(text) else {
+        return Line::Incoming(Incoming::Malformed("ERROR"));
+    };
+    match (name, words.as_slice()) {
+        (b"mn", []) => Line::Incoming(Incoming::Ready),
+        (b"quit", []) => Line::Incoming(Incoming::Quit),
+        (b"mg", [key, flags @ ..]) => Line::Incoming(match parse_request(text, key, flags) {
+            Ok((request, class)) => Incoming::Request { request, class },
+            Err(answer) => Incoming::Malformed(answer),
+        }),
+        (b"ms", [key, length, flags @ ..]) => parse_write(text, key, length, flags),
+        (b"mg" | b"ms", _) => Line::Incoming(Incoming::Malformed("CLIENT_ERROR bad command line format")),
+        _ => Line::Incoming(Incoming::Malformed("ERROR")),
+    }
+}
+
+fn parse_write(text: &Bytes, key: &[u8], length: &[u8], flags: &[&[u8]]) -> Line {
+    // Without a length nobody can tell where the value ends.
+    let Some(length) = number(length) else {
+        return Line::Incoming(Incoming::Unrecoverable(BAD_DATA_CHUNK));
+    };
+    let length = usize::try_from(length).unwrap_or(usize::MAX);
+    if length > MAX_VALUE_BYTES {
+        return Line::WriteTooLarge(length);
+    }
+    match parse_request(text, key, flags) {
+        Ok((request, class)) => Line::Write(Write { request, class, length }),
+        // The value follows all the same, and read as a line it would be another error.
+        Err(answer) => Line::Incoming(Incoming::Unrecoverable(answer)),
+    }
+}
+
+/// The request that a line describes, and its class by name; an error is the answer to a malformed one.
+fn parse_request(
+    text: &Bytes,
+    key: &[u8],
+    flags: &[&[u8]],
+) -> Result<(Box<ClientRequest>, Bytes), &'static str> {
+    let flag = |name: u8| flags.iter().find(|flag| flag[0] == name).map(|flag| text.slice_ref(&flag[1..]));
+    if key.len() > MAX_KEY_BYTES {
+        return Err("CLIENT_ERROR key too long");
+    }
+    let id = flag(b'O').filter(|id| !id.is_empty()).ok_or("CLIENT_ERROR no id")?;
+    let properties = parse_properties(&flag(b'P').unwrap_or_default())?;
+    let property =
+        |name: &[u8]| properties.iter().find(|(known, _)| known == name).map(|(_, value)| value.clone());
+    let wait = property(b"d").ok_or("CLIENT_ERROR no deadline")?;
+    let wait = number(&wait).ok_or(BAD_PROPERTIES)?;
+    let class = property(b"c").unwrap_or_default();
+    let retry = property(b"r").is_some_and(|mark| mark.as_ref() == b"1");
+    let request = ClientRequest {
+        id,
+        key: text.slice_ref(key),
+        value: None,
+        upload: None,
+        class: 0,
+        tenant: 0,
+        retry,
+        wait: Some(from_ms(wait)),
+        properties,
+    };
+    Ok((Box::new(request), class))
+}
+
+/// The names and values of a list like `c=read,d=480`.
+fn parse_properties(list: &Bytes) -> Result<Vec<(Bytes, Bytes)>, &'static str> {
+    let mut properties = Vec::new();
+    for item in list.split(|byte| *byte == b',').filter(|item| !item.is_empty()) {
+        let (name, value) = property.parse(item).map_err(|_| BAD_PROPERTIES)?;
+        properties.push((list.slice_ref(name), list.slice_ref(value)));
+    }
+    Ok(properties)
+}
+
+fn property<'a>(input: &mut &'a [u8]) -> winnow::Result<(&'a [u8], &'a [u8])> {
+    separated_pair(take_while(1.., |byte| byte != b'='), b'=', take_while(0.., |_| true)).parse_next(input)
+}
--- /dev/null
+++ b/protocols/src/memcache/request_writer.rs
@@ -0,0 +1,45 @@
+//! Requests as they go to cache servers.
+
+use bytes::{BufMut, BytesMut};
+use juniperladder::Micros;
+use juniperladder_dispatch::clock::to_ms;
+use juniperladder_dispatch::request::ClientRequest;
+
+use super::LINE_END;
+
+/// Writes a request to a cache server, which is told that its answer is awaited for so long.
+pub fn write_request(output: &mut BytesMut, request: &ClientRequest, time_left: Micros) {
+    output.put_slice(if request.value.is_some() { b"ms " } else { b"mg " });
+    output.put_slice(&request.key);
+    match &request.value {
+        Some(value) => output.put_slice(format!(" {}", value.len()).as_bytes()),
+        None => output.put_slice(b" v"),
+    }
+    output.put_slice(b" O");
+    output.put_slice(&request.id);
+    if !request.properties.is_empty() {
+        output.put_slice(b" P");
+        write_properties(output, request, time_left);
+    }
+    output.put_slice(LINE_END);
+    if let Some(value) = &request.value {
+        output.put_slice(value);
+        output.put_slice(LINE_END);
+    }
+}
+
+/// Writes the list of names and values as it came, but for `d`, which says for how long the answer is awaited.
+pub fn write_properties(output: &mut BytesMut, request: &ClientRequest, time_left: Micros) {
+    for (position, (name, value)) in request.properties.iter().enumerate() {
+        if position > 0 {
+            output.put_u8(b',');
+        }
+        output.put_slice(name);
+        output.put_u8(b'=');
+        if name.as_ref() == b"d" {
+            output.put_slice(to_ms(time_left).max(1).to_string().as_bytes());
+        } else {
+            output.put_slice(value);
+        }
+    }
+}
--- /dev/null
+++ b/protocols/src/memcache/response_reader.rs
@@ -0,0 +1,207 @@
+//! Cache servers' responses, and a balancer's answers as its client reads them.
+
+use bytes::{Buf, Bytes, BytesMut};
+use juniperladder::Micros;
+use juniperladder_dispatch::clock::from_ms;
+use juniperladder_dispatch::request::ClientRequest;
+use juniperladder_dispatch::values::{Answer, Reply};
+use thiserror::Error;
+
+use super::line::{first_line, number, response_words, LineBounds};
+use super::{LINE_END, MAX_BUFFERED_VALUE_BYTES, MAX_LINE_BYTES, MAX_RECEIPT_BYTES, MAX_VALUE_BYTES};
+
+/// How much of a malformed line an error shows: the beginning and not all of it.
+const SHOWN_BYTES: usize = 80;
+
+/// Why a response is malformed. Its connection has to end.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub enum ResponseError {
+    /// The line is longer than any answer's.
+    #[error("an answer's line has no end")]
+    EndlessLine,
+    /// The line is no answer to this request.
+    #[error("not an answer: {0:?}")]
+    NotAnAnswer(String),
+    /// The line answers another request.
+    #[error("an answer for another id: {0:?}")]
+    OtherRequest(String),
+    /// Behind the value stands something else than the end of a line.
+    #[error("a value without its end")]
+    ValueWithoutEnd,
+    /// A value came where only one that is buffered can be used.
+    #[error("a value of {0} bytes, too long to be taken whole")]
+    ValueTooLong(usize),
+}
+
+/// A cache server's response, as far as it has come.
+#[derive(Debug, PartialEq)]
+pub enum Response {
+    /// The complete reply.
+    Complete(Reply),
+    /// The line of a value that is streamed.
+    Streamed {
+        /// The length of the value in bytes.
+        length: usize,
+        /// Takes the value off the input.
+        remaining: RemainingValue,
+    },
+}
+
+/// The rest of a streamed value whose line has been read: how many bytes are still to come.
+#[derive(Debug, PartialEq)]
+pub struct RemainingValue(usize);
+
+impl RemainingValue {
+    /// All of a value of this many bytes.
+    pub(super) fn new(length: usize) -> RemainingValue {
+        RemainingValue(length)
+    }
+
+    /// Takes off what has come of the value, and tells whether its end has been seen.
+    ///
+    /// # Errors
+    /// Something else stands where the value should end.
+    pub fn take(&mut self, input: &mut BytesMut) -> Result<(Bytes, bool), ResponseError> {
+        let chunk = input.split_to(self.0.min(input.len())).freeze();
+        self.0 -= chunk.len();
+        if self.0 > 0 || input.len() < LINE_END.len() {
+            return Ok((chunk, false));
+        }
+        if !input.starts_with(LINE_END) {
+            return Err(ResponseError::ValueWithoutEnd);
+        }
+        input.advance(LINE_END.len());
+        Ok((chunk, true))
+    }
+}
+
+/// A receipt as it may stand in an answer's line, where it is one word: with anything else in it the line would be another
+/// answer to its client, or several.
+pub fn receipt(text: &[u8]) -> Option<Bytes> {
+    let has_valid_length = (1..=MAX_RECEIPT_BYTES).contains(&text.len());
+    let is_word = has_valid_length && text.iter().all(u8::is_ascii_graphic);
+    is_word.then(|| Bytes::copy_from_slice(text))
+}
+
+/// Takes a cache server's reply to this request off the input; none until it is complete.
+///
+/// # Errors
+/// It is malformed, or holds a value that has to be streamed.
+pub fn read_reply(input: &mut BytesMut, request: &ClientRequest) -> Result<Option<Reply>, ResponseError> {
+    match read_response(input, request)? {
+        Some(Response::Complete(reply)) => Ok(Some(reply)),
+        Some(Response::Streamed { length, .. }) => Err(ResponseError::ValueTooLong(length)),
+        None => Ok(None),
+    }
+}
+
+/// Takes a cache server's response to this request off the input, of a streamed value its line; none until it is complete.
+///
+/// # Errors
+/// It is malformed.
+pub fn read_response(
+    input: &mut BytesMut,
+    request: &ClientRequest,
+) -> Result<Option<Response>, ResponseError> {
+    let Some(bounds) = first_line(input) else { return incomplete_line(input) };
+    let reply = match parse_line(&input[..bounds.text], request)? {
+        Line::Reply(reply) => reply,
+        Line::Value(length) => return read_value(input, &bounds, length),
+    };
+    input.advance(bounds.total);
+    Ok(Some(Response::Complete(reply)))
+}
+
+/// Takes a balancer's answer to this request off the input, as its client reads it; none until it is complete.
+///
+/// # Errors
+/// It is malformed.
+pub fn read_answer(input: &mut BytesMut, request: &ClientRequest) -> Result<Option<Answer>, ResponseError> {
+    let Some(bounds) = first_line(input) else { return incomplete_line(input) };
+    let words = input[..bounds.text].split(|byte| *byte == b' ').filter(|word| !word.is_empty());
+    let words: Vec<&[u8]> = words.collect();
+    let answer = match words[..] {
+        [b"SERVER_ERROR", b"busy"] => Answer::Rejected(Micros(0)),
+        [b"SERVER_ERROR", b"busy", ms] => Answer::Rejected(number(ms).map_or(Micros(0), from_ms)),
+        [b"VA" | b"HD", ..] => {
+            return Ok(read_reply(input, request)?.map(|reply| match reply {
+                Reply::Served(answer) => answer,
+                _ => Answer::Failed,
+            }));
+        }
+        _ => Answer::Failed,
+    };
+    input.advance(bounds.total);
+    Ok(Some(answer))
+}
+
+/// What a line means whose end has not come.
+fn incomplete_line<T>(input: &[u8]) -> Result<Option<T>, ResponseError> {
+    if input.len() > MAX_LINE_BYTES {
+        Err(ResponseError::EndlessLine)
+    } else {
+        Ok(None)
+    }
+}
+
+/// What the line of a response says.
+enum Line {
+    /// The complete reply.
+    Reply(Reply),
+    /// That a value of so many bytes follows.
+    Value(usize),
+}
+
+fn parse_line(text: &[u8], request: &ClientRequest) -> Result<Line, ResponseError> {
+    let not_an_answer = || ResponseError::NotAnAnswer(shown(text));
+    let (name, flags) = response_words(text).ok_or_else(not_an_answer)?;
+    let flag = |name: u8| flags.iter().find(|flag| flag[0] == name).map(|flag| &flag[1..]);
+    if matches!(name, b"VA" | b"HD" | b"EN") && flag(b'O') != Some(&request.id[..]) {
+        return Err(ResponseError::OtherRequest(shown(text)));
+    }
+    let is_write = request.value.is_some();
+    Ok(Line::Reply(match (name, flags.first().copied()) {
+        (b"VA", Some(length)) if !is_write => {
+            let length = number(length).and_then(|length| usize::try_from(length).ok());
+            // A value far too long is rejected at its line: it would keep coming and fill the memory.
+            let length = length.filter(|length| *length <= MAX_VALUE_BYTES);
+            return length.map(Line::Value).ok_or_else(not_an_answer);
+        }
+        (b"HD", _) if is_write => {
+            let receipt = flag(b'c').and_then(receipt).ok_or_else(not_an_answer)?;
+            Reply::Served(Answer::Receipt(receipt))
+        }
+        (b"EN", _) => Reply::Miss { fetch_in_progress: flags.contains(&&b"Z"[..]) },
+        (b"SERVER_ERROR", Some(b"failed")) => Reply::Error,
+        (b"SERVER_ERROR", Some(b"busy")) => Reply::Rejected,
+        _ => return Err(not_an_answer()),
+    }))
+}
+
+/// Takes the value behind this line off the input, or the line alone where the value is streamed.
+fn read_value(
+    input: &mut BytesMut,
+    line: &LineBounds,
+    length: usize,
+) -> Result<Option<Response>, ResponseError> {
+    if length > MAX_BUFFERED_VALUE_BYTES {
+        input.advance(line.total);
+        return Ok(Some(Response::Streamed { length, remaining: RemainingValue(length) }));
+    }
+    let value_end = line.total + length;
+    if input.len() < value_end + LINE_END.len() {
+        return Ok(None);
+    }
+    if !input[value_end..].starts_with(LINE_END) {
+        return Err(ResponseError::ValueWithoutEnd);
+    }
+    input.advance(line.total);
+    let value = input.split_to(length).freeze();
+    input.advance(LINE_END.len());
+    Ok(Some(Response::Complete(Reply::Served(Answer::Value(value)))))
+}
+
+/// The beginning of a malformed line.
+fn shown(text: &[u8]) -> String {
+    String::from_utf8_lossy(&text[..text.len().min(SHOWN_BYTES)]).into_owned()
+}
--- a/protocols/src/objects.rs
+++ b/protocols/src/objects.rs
@@ -1,50 +1,71 @@
 //! JSON objects one behind another, found in the bytes as they come: one a line, or indented over many.
+//!
+//! Guarantee: each byte is looked at once. What stands in an object is not checked.
 
 use bytes::BytesMut;
+use thiserror::Error;
 
-/// Finds where an object ends. It looks at each byte once and says nothing of what stands in it.
+/// How many bytes an error shows.
+const SHOWN_BYTES: usize = 40;
+
+/// Something else stands where an object should begin.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+#[error("no object: {0:?}")]
+pub struct NotAnObject(String);
+
+/// Finds where each object ends.
 #[derive(Debug, Default)]
 pub struct Objects {
-    /// How far the first object has been looked through, and how many brackets are open there.
-    seen: usize,
-    open: usize,
-    in_text: bool,
-    escaped: bool,
+    /// How many bytes of the first object have been scanned.
+    scanned_bytes: usize,
+    /// How many brackets are open there.
+    open_brackets: usize,
+    in_string: bool,
+    /// Whether a backslash stands before the next byte of a string.
+    is_escaped: bool,
 }
 
 impl Objects {
-    /// Takes the next object off the input; none until it is whole.
+    /// Takes the next object off the input; none until it is complete.
     ///
     /// # Errors
     /// Something stands there that begins no object.
-    pub fn next(&mut self, input: &mut BytesMut) -> Result<Option<BytesMut>, String> {
-        if self.open == 0 {
+    pub fn next(&mut self, input: &mut BytesMut) -> Result<Option<BytesMut>, NotAnObject> {
+        if self.open_brackets == 0 {
             let blank = input.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
             let _ = input.split_to(blank);
         }
-        while let Some(byte) = input.get(self.seen) {
-            if self.open == 0 && *byte != b'{' {
-                let shown = String::from_utf8_lossy(&input[..input.len().min(40)]).into_owned();
-                return Err(format!("no object: {shown:?}"));
+        while let Some(byte) = input.get(self.scanned_bytes).copied() {
+            if self.open_brackets == 0 && byte != b'{' {
+                let shown = &input[..input.len().min(SHOWN_BYTES)];
+                return Err(NotAnObject(String::from_utf8_lossy(shown).into_owned()));
             }
-            self.seen += 1;
-            if self.in_text {
-                self.in_text = self.escaped || *byte != b'"';
-                self.escaped = !self.escaped && *byte == b'\\';
-                continue;
+            self.scanned_bytes += 1;
+            if self.in_string {
+                self.scan_string_byte(byte);
+            } else {
+                self.scan_byte(byte);
             }
-            match byte {
-                b'"' => self.in_text = true,
-                b'{' | b'[' => self.open += 1,
-                b'}' | b']' => self.open -= 1,
-                _ => {}
-            }
-            if self.open == 0 {
-                return Ok(Some(input.split_to(std::mem::take(&mut self.seen))));
+            if self.open_brackets == 0 {
+                return Ok(Some(input.split_to(std::mem::take(&mut self.scanned_bytes))));
             }
         }
         Ok(None)
     }
+
+    fn scan_string_byte(&mut self, byte: u8) {
+        self.in_string = self.is_escaped || byte != b'"';
+        self.is_escaped = !self.is_escaped && byte == b'\\';
+    }
+
+    fn scan_byte(&mut self, byte: u8) {
+        match byte {
+            b'"' => self.in_string = true,
+            b'{' | b'[' => self.open_brackets += 1,
+            b'}' | b']' => self.open_brackets -= 1,
+            _ => {}
+        }
+    }
 }
 
 #[cfg(test)]
--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -163,7 +163,7 @@
             let Some(incoming) = requests.next(input) else { break };
             self.first_byte = None;
             match incoming {
-                Incoming::Request(request, _) => {
+                Incoming::Request { request, .. } => {
                     let word = |bytes: &[u8]| std::str::from_utf8(bytes).ok().map(str::to_owned);
                     let hex = |text: Option<String>| text.and_then(|t| u64::from_str_radix(&t, 16).ok());
                     let key = request.properties.iter().find(|(name, _)| name.as_ref() == b"q");
@@ -184,13 +184,13 @@
                     });
                 }
                 Incoming::Ready => self.answer(now, "MN\r\n".into(), None),
-                Incoming::Malformed(line) | Incoming::Lost(line) => {
+                Incoming::Malformed(line) | Incoming::Unrecoverable(line) => {
                     self.answer(now, format!("{line}\r\n"), None)
                 }
-                Incoming::Upload(..) | Incoming::Piece(..) | Incoming::Quit => {}
+                Incoming::Upload { .. } | Incoming::UploadChunk { .. } | Incoming::Quit => {}
             }
         }
-        if input.is_empty() && !requests.unfinished() {
+        if input.is_empty() && !requests.has_incomplete_request() {
             self.first_byte = None;
         }
     }
