--- a/cluster/src/cold.rs
+++ b/cluster/src/cold.rs
@@ -13,11 +13,15 @@
 //! that warmth. A server's start is another limit than an earlier one, so that no life of a process that ended before it can have
 //! used of it; a life that began after it waits as with every limit.
 
+#[cfg(test)]
+mod tests;
+
 use std::collections::btree_map::{BTreeMap, Entry};
 use std::net::SocketAddr;
 
 use crate::shares::{self, Shares};
-use crate::{Us, MAX_SERVERS};
+use crate::MAX_SERVERS;
+use juniperladder::Micros;
 
 /// The terms, the same at every member.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -27,32 +31,32 @@
     /// The part of it that a server has at its start.
     pub share: f64,
     /// After how long it has all of it.
-    pub warm_up: Us,
+    pub warm_up: Micros,
 }
 
 impl Terms {
     /// The part of its capacity that a server has.
-    fn warmth(&self, started: Us, now: Us) -> f64 {
-        let part = now.saturating_sub(started) as f64 / (self.warm_up.max(1)) as f64;
-        if started == 0 || part >= 1.0 {
+    fn warmth(&self, started: Micros, now: Micros) -> f64 {
+        let part = (now - started).as_f64() / self.warm_up.max(Micros(1)).as_f64();
+        if started.is_zero() || part >= 1.0 {
             return 1.0;
         }
         self.share + (1.0 - self.share) * part
     }
 
     /// Units of a server with this start that there are now.
-    pub fn whole(&self, started: Us, now: Us) -> u32 {
+    pub fn whole(&self, started: Micros, now: Micros) -> u32 {
         self.shares.units_of(f64::from(self.shares.whole) * self.warmth(started, now))
     }
 
     /// Those of them that belong to a position.
-    pub fn own(&self, server: Start, position: u32, now: Us) -> u32 {
+    pub fn own(&self, server: Start, position: u32, now: Micros) -> u32 {
         let holders = self.shares.holders.max(1);
         if position >= holders {
             return 0;
         }
         let whole = self.whole(server.started, now);
-        let first = mix(server.server ^ mix(server.started)) % u64::from(holders);
+        let first = mix(server.server ^ mix(server.started.0)) % u64::from(holders);
         let turn = (position + holders - first as u32) % holders;
         whole / holders + u32::from(turn < whole % holders)
     }
@@ -70,7 +74,8 @@
     /// The server.
     pub server: u64,
     /// When it started, by the list.
-    pub started: Us,
+    #[serde(with = "crate::wire_micros")]
+    pub started: Micros,
 }
 
 /// One member's parts of all such limits.
@@ -81,7 +86,7 @@
     position: u32,
     life: u64,
     /// From when on what is its own may be used.
-    from: Us,
+    from: Micros,
     servers: BTreeMap<Start, Shares>,
     /// Times at which there was no room for one more server.
     pub full: u64,
@@ -89,17 +94,17 @@
 
 impl Cold {
     /// Those of the member at this position, which starts its life now.
-    pub fn new(terms: Terms, position: u32, life: u64, now: Us) -> Cold {
+    pub fn new(terms: Terms, position: u32, life: u64, now: Micros) -> Cold {
         Cold { terms, position, life, from: now + terms.shares.lock(), servers: BTreeMap::new(), full: 0 }
     }
 
     /// Whether a server with this start is warm, so that nothing is limited.
-    pub fn is_warm(&self, start: Start, now: Us) -> bool {
+    pub fn is_warm(&self, start: Start, now: Micros) -> bool {
         self.terms.warmth(start.started, now) >= 1.0
     }
 
     /// This member's part of a server that warms up; none where it is warm, or where there is no room for one more.
-    pub fn part(&mut self, start: Start, now: Us) -> Option<&mut Shares> {
+    pub fn part(&mut self, start: Start, now: Micros) -> Option<&mut Shares> {
         if self.is_warm(start, now) {
             return None;
         }
@@ -121,7 +126,7 @@
 
     /// Does what is due at each, and forgets those that are warm and have nothing lent any more. `peers` gives the members to
     /// ask, from the first for each server.
-    pub fn tick<P: FnMut() -> Option<SocketAddr>>(&mut self, now: Us, peers: impl Fn() -> P) {
+    pub fn tick<P: FnMut() -> Option<SocketAddr>>(&mut self, now: Micros, peers: impl Fn() -> P) {
         let (terms, position) = (self.terms, self.position);
         let over = |start: Start| now >= start.started + terms.warm_up + terms.shares.lock();
         self.servers.retain(|start, _| !over(*start));
@@ -136,59 +141,3 @@
         self.servers.iter_mut().map(|(start, shares)| (*start, shares))
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::SECOND;
-
-    fn terms() -> Terms {
-        let shares = shares::Terms { whole: 50, spread: 0, holders: 7, lease: 2 * SECOND, drift: 0.001 };
-        Terms { shares, share: 0.1, warm_up: 10 * SECOND }
-    }
-
-    #[test]
-    fn what_positions_own_only_grows_and_sums_up_to_the_whole_of_the_warmth() {
-        let terms = terms();
-        for server in 0..50 {
-            let start = Start { server, started: 100 * SECOND };
-            let mut before = [0; 9];
-            for now in (100 * SECOND..112 * SECOND).step_by(100_000) {
-                let own: Vec<u32> = (0..9).map(|position| terms.own(start, position, now)).collect();
-                assert_eq!(own.iter().sum::<u32>(), terms.whole(start.started, now));
-                assert!(own[7..] == [0, 0] && own.iter().zip(before).all(|(own, before)| *own >= before));
-                before = own.try_into().unwrap();
-            }
-            assert_eq!(before.iter().sum::<u32>(), 50);
-        }
-        assert_eq!((terms.whole(0, 5), terms.whole(100 * SECOND, 100 * SECOND)), (50, 5));
-    }
-
-    #[test]
-    fn servers_are_forgotten_once_warm_and_their_number_is_bounded() {
-        let mut cold = Cold::new(terms(), 3, 1, 0);
-        let now = 100 * SECOND;
-        for server in 0..MAX_SERVERS as u64 + 5 {
-            assert_eq!(cold.part(Start { server, started: now }, now).is_some(), server < MAX_SERVERS as u64);
-        }
-        assert_eq!(cold.full, 5);
-        assert!(cold.part(Start { server: 1, started: now + 60 * SECOND }, now).is_none(), "no such start");
-        cold.tick(now + 12 * SECOND, || || None);
-        assert_eq!(cold.parts().count(), MAX_SERVERS, "what was lent is locked still");
-        assert!(cold.part(Start { server: 1, started: now }, now + 10 * SECOND).is_none(), "it is warm");
-        cold.tick(now + 14 * SECOND, || || None);
-        assert_eq!(cold.parts().count(), 0);
-    }
-
-    #[test]
-    fn an_incarnation_that_began_after_the_server_waits_and_one_from_before_does_not() {
-        let start = Start { server: 9, started: 100 * SECOND };
-        let own = |born: Us, at: Us| {
-            let mut cold = Cold::new(terms(), 3, 1, born);
-            cold.part(start, at).unwrap().held(at)
-        };
-        let at = 109 * SECOND;
-        assert!(own(50 * SECOND, at) > 0);
-        assert_eq!(own(108 * SECOND, at), 0);
-    }
-}
--- a/platform-model/src/schedule.rs
+++ b/platform-model/src/schedule.rs
@@ -1,12 +1,15 @@
 //! An experiment's faults as values on a schedule: what happens when, to whom.
 
+#[cfg(test)]
+mod tests;
+
 use rand::seq::SliceRandom;
 
 use crate::experiment::{Experiment, Fault, What};
 use crate::group::{members, Members};
 use crate::links::Links;
 use crate::rng::{seeded_rng, spread, RngStream};
-use crate::{us, Us};
+use crate::{micros_from_seconds, Micros};
 
 /// One change of the world.
 #[derive(Clone, Debug, PartialEq)]
@@ -42,14 +45,14 @@
     /// Discovery is down, or up again.
     DiscoveryDown(bool),
     /// Discovery tells each balancer later, up to this.
-    ListLate(Us),
+    ListLate(Micros),
 }
 
 /// A change at its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
     /// When, from the beginning of the load.
-    pub at: Us,
+    pub at: Micros,
     /// The fault that it belongs to.
     pub fault: usize,
     /// What changes.
@@ -85,9 +88,9 @@
     all
 }
 
-fn changes(e: &Experiment, number: usize, fault: &Fault, who: Members) -> Vec<(Us, Change)> {
-    let from = us(fault.at);
-    let until = fault.lasts.map(|lasts| from + us(lasts));
+fn changes(e: &Experiment, number: usize, fault: &Fault, who: Members) -> Vec<(Micros, Change)> {
+    let from = micros_from_seconds(fault.at);
+    let until = fault.lasts.map(|lasts| from + micros_from_seconds(lasts));
     let (servers, balancers) = (who.servers, who.balancers);
     let (share, times) = (fault.share.unwrap_or(1.0), fault.times.unwrap_or(1.0));
     let pair = |begin: Change, end: Change| {
@@ -102,7 +105,7 @@
         What::Kill | What::Term => {
             let end = if fault.what == What::Kill { Change::Kill } else { Change::Term };
             let mut both = vec![(from, end(balancers.clone()))];
-            both.extend(fault.back.map(|back| (from + us(back), Change::Start(balancers))));
+            both.extend(fault.back.map(|back| (from + micros_from_seconds(back), Change::Start(balancers))));
             both
         }
         What::Freeze => pair(Change::Freeze(balancers.clone()), Change::Thaw(balancers)),
@@ -110,11 +113,11 @@
             let mut order = balancers;
             order.shuffle(&mut seeded_rng(spread(e.seed ^ number as u64), RngStream::Groups));
             let many = ((order.len() as f64 * share).round() as usize).max(1);
-            let every = us(fault.every.unwrap_or(1.0));
+            let every = micros_from_seconds(fault.every.unwrap_or(1.0));
             let parts = order.chunks(many).enumerate();
             parts
                 .flat_map(|(place, part)| {
-                    let at = from + place as Us * every;
+                    let at = from + place as Micros * every;
                     [(at, Change::Term(part.to_vec())), (at, Change::Start(part.to_vec()))]
                 })
                 .collect()
@@ -127,9 +130,12 @@
         What::Restart => vec![(from, Change::Restart(servers))],
         What::Replace => vec![(from, Change::Replace(servers))],
         What::Flap => {
-            let (every, end) = (us(fault.every.unwrap_or(1.0)), until.unwrap_or(us(e.seconds)));
+            let (every, end) = (
+                micros_from_seconds(fault.every.unwrap_or(1.0)),
+                until.unwrap_or(micros_from_seconds(e.seconds)),
+            );
             let mut steps: Vec<_> = (0..)
-                .map(|n: Us| (from + n * every, Change::Silent(servers.clone(), n.is_multiple_of(2))))
+                .map(|n: Micros| (from + n * every, Change::Silent(servers.clone(), n.is_multiple_of(2))))
                 .take_while(|(at, _)| *at < end)
                 .collect();
             steps.push((end, Change::Silent(servers, false)));
@@ -137,40 +143,8 @@
         }
         What::OriginSlow => pair(Change::OriginSlow(times), Change::OriginSlow(1.0)),
         What::DiscoveryDown => pair(Change::DiscoveryDown(true), Change::DiscoveryDown(false)),
-        What::ListLate => pair(Change::ListLate(us(fault.seconds.unwrap_or(0.0))), Change::ListLate(0)),
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::reader::{read, tests::SOUND};
-    use crate::SECOND;
-
-    #[test]
-    fn faults_become_changes_in_order_and_the_same_for_a_seed() {
-        let text = "[[fault]]\nat = 9\nfor = 2\nwhat = \"drain\"\nwho = \"hosts:1\"\n\
-            [[fault]]\nat = 3\nwhat = \"roll\"\nwho = \"balancers\"\nshare = 0.4\nevery = 2\n\
-            [[fault]]\nat = 1\nfor = 2.5\nwhat = \"flap\"\nwho = \"hosts:30%\"\nevery = 1\n";
-        let e = read(&format!("{SOUND}{text}"), &[]).unwrap();
-        let steps = schedule(&e).steps;
-        assert_eq!(steps, schedule(&e).steps);
-        let at: Vec<Us> = steps.iter().map(|step| step.at / 100_000).collect();
-        assert_eq!(at, [10, 20, 30, 30, 30, 35, 50, 50, 70, 70, 90, 110]);
-        let ended: Vec<usize> = steps
-            .iter()
-            .filter_map(|step| match &step.change {
-                Change::Term(who) => Some(who.clone()),
-                _ => None,
-            })
-            .flatten()
-            .collect();
-        let mut sorted = ended.clone();
-        sorted.sort_unstable();
-        assert_eq!(sorted, (0..10).collect::<Vec<_>>(), "a roll ends each once");
-        assert_eq!(steps.last().unwrap().change, Change::Restart(vec![1]));
-        assert!(
-            matches!(&steps[5], Step { at, change: Change::Silent(_, false), .. } if *at == 3 * SECOND + SECOND / 2)
-        );
+        What::ListLate => {
+            pair(Change::ListLate(micros_from_seconds(fault.seconds.unwrap_or(0.0))), Change::ListLate(0))
+        }
     }
 }
