--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -44,92 +44,118 @@
 pub async fn run(config: Config, log: Logger) -> Result<(), StartError> {
     // The default of each of these signals would end the program, so that they are caught before the rest.
     let mut signals = Signals::catch()?;
-    let daemon = Daemon::start(config, log).await?;
-    daemon.serve_until_stopped(&mut signals).await;
+    let (daemon, reloader) = Daemon::start(config, log).await?;
+    daemon.serve_until_stopped(&mut signals, &reloader).await;
     daemon.stop().await;
     Ok(())
 }
 
-/// The parts that are needed while the daemon runs and when it ends.
+/// The parts of the daemon that other parts, its run and its end need.
 struct Daemon {
     dispatcher: Rc<Dispatcher>,
+    downstream: Rc<Downstream>,
     peers: Option<Rc<Peers>>,
     shutdown: Rc<GracefulShutdown>,
-    reloader: Rc<Reloader>,
+    resource_limits: ResourceLimits,
     longest_deadline: Duration,
     log: Logger,
 }
 
 impl Daemon {
     /// Builds every part and starts its tasks.
-    async fn start(config: Config, log: Logger) -> Result<Daemon, StartError> {
+    async fn start(mut config: Config, log: Logger) -> Result<(Daemon, Rc<Reloader>), StartError> {
         let resource_limits = ResourceLimits::from_configured(config.limits);
         let longest_deadline = longest_deadline(&config);
         let dispatcher = build_dispatcher(&config, &resource_limits, longest_deadline, &log);
         let peers = join_peers(&config, &dispatcher, &log)?;
-
-        let endpoint_list = NameTable::new(config.names);
         let known_generation = config.known.generation;
-        let known_servers = endpoint_list.read(config.known, &log);
+        let endpoint_list = NameTable::new(std::mem::take(&mut config.names));
+        let known_servers = endpoint_list.read(std::mem::take(&mut config.known), &log);
         dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &known_servers);
 
         let shutdown = Rc::new(GracefulShutdown::default());
         let listener = bind_client_listener(config.listen).await?;
-        let class_names = config.labels.classes.clone();
         let downstream = Downstream::new(
             Rc::clone(&dispatcher),
-            config.labels,
+            config.labels.clone(),
             Rc::clone(&shutdown),
             resource_limits,
             log.clone(),
         );
+        let daemon =
+            Daemon { dispatcher, downstream, peers, shutdown, resource_limits, longest_deadline, log };
         let address = listener.local_addr().unwrap_or(config.listen);
-        info!(log, "listening"; "address" => address.to_string(), "servers" => known_servers.len());
-        info!(log, "settings"; "generation" => known_generation,
-            "discovery_poll_interval_ms" => clock::to_ms(config.settings.rules.discovery_poll_interval),
+        daemon.log_start(&config, address, known_servers.len(), known_generation);
+        daemon.start_timers();
+        let is_successor = daemon.start_admin(&config).await?;
+        let reloader = daemon.start_discovery(config, endpoint_list, known_generation, is_successor);
+        spawn_local(Rc::clone(&daemon.downstream).accept(listener));
+        Ok((daemon, reloader))
+    }
+
+    fn log_start(&self, config: &Config, address: SocketAddr, servers: usize, generation: u64) {
+        let poll_interval = config.settings.rules.discovery_poll_interval;
+        info!(self.log, "listening"; "address" => address.to_string(), "servers" => servers);
+        info!(self.log, "settings"; "generation" => generation,
+            "discovery_poll_interval_ms" => clock::to_ms(poll_interval),
             "lists" => if config.pushed.is_some() { "pushed" } else { "polled" },
-            "longest_deadline_ms" => longest_deadline.as_millis(),
-            "unix_ms" => clock::to_ms(dispatcher.clock().now()));
-
-        start_timers(&dispatcher);
-        let mut is_successor = false;
-        if let Some(address) = config.mgmt {
-            let listener = bind_admin_listener(address).await?;
-            let callers =
-                Callers { now: downstream.admin_connections(), most: resource_limits.admin_connections };
-            let (operators, replaces_another) = Operators::new(
-                Rc::clone(&dispatcher),
-                class_names,
-                Rc::clone(&shutdown),
-                &config.name,
-                callers,
-                peers.clone(),
-                log.clone(),
-            );
-            is_successor = replaces_another;
-            let address = listener.local_addr().unwrap_or(address);
-            info!(log, "operators' address"; "address" => address.to_string());
-            spawn_local(operators.accept(listener));
-        }
+            "longest_deadline_ms" => self.longest_deadline.as_millis(),
+            "unix_ms" => clock::to_ms(self.dispatcher.clock().now()));
+    }
+
+    fn start_timers(&self) {
+        let dispatcher = Rc::clone(&self.dispatcher);
+        spawn_local(async move { dispatcher.run_timers().await });
+    }
 
+    /// Starts to answer operators, if the configuration names an address for that. Returns whether this process replaces
+    /// another.
+    async fn start_admin(&self, config: &Config) -> Result<bool, StartError> {
+        let Some(address) = config.mgmt else { return Ok(false) };
+        let listener = bind_admin_listener(address).await?;
+        let callers = Callers {
+            now: self.downstream.admin_connections(),
+            most: self.resource_limits.admin_connections,
+        };
+        let (operators, is_successor) = Operators::new(
+            Rc::clone(&self.dispatcher),
+            config.labels.classes.clone(),
+            Rc::clone(&self.shutdown),
+            &config.name,
+            callers,
+            self.peers.clone(),
+            self.log.clone(),
+        );
+        let address = listener.local_addr().unwrap_or(address);
+        info!(self.log, "operators' address"; "address" => address.to_string());
+        spawn_local(operators.accept(listener));
+        Ok(is_successor)
+    }
+
+    /// Starts to follow the endpoint list. The reloader that is returned can change discovery's address.
+    fn start_discovery(
+        &self,
+        config: Config,
+        endpoint_list: NameTable,
+        known_generation: u64,
+        is_successor: bool,
+    ) -> Rc<Reloader> {
+        let (discovery, address_changes) = watch::channel(config.discovery);
         let calls = Calls { at_once: is_successor, pushed: config.pushed, seed: config.seed };
-        let (discovery_address, address_changes) = watch::channel(config.discovery);
+        let dispatcher = Rc::clone(&self.dispatcher);
         spawn_local(discovery::follow(
             endpoint_list,
             Some(known_generation),
             address_changes,
             Rc::clone(&dispatcher),
             calls,
-            log.clone(),
+            self.log.clone(),
         ));
-        let reloader =
-            Rc::new(Reloader::new(config.file, discovery_address, Rc::clone(&dispatcher), log.clone()));
-        spawn_local(downstream.accept(listener));
-        Ok(Daemon { dispatcher, peers, shutdown, reloader, longest_deadline, log })
+        Rc::new(Reloader::new(config.file, discovery, dispatcher, self.log.clone()))
     }
 
     /// Serves until a signal to end has come; the other signals are obeyed meanwhile.
-    async fn serve_until_stopped(&self, signals: &mut Signals) {
+    async fn serve_until_stopped(&self, signals: &mut Signals, reloader: &Rc<Reloader>) {
         let mut counters_due = tokio::time::interval(COUNTERS_LOG_INTERVAL);
         counters_due.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -142,7 +168,7 @@
                 }
                 _ = signals.reload.recv() => {
                     // The file may have to be read for a moment, which must not hold up a signal to end.
-                    spawn_local(Rc::clone(&self.reloader).run());
+                    spawn_local(Rc::clone(reloader).run());
                 }
             }
         }
@@ -216,11 +242,6 @@
     Ok(Some(peers))
 }
 
-fn start_timers(dispatcher: &Rc<Dispatcher>) {
-    let dispatcher = Rc::clone(dispatcher);
-    spawn_local(async move { dispatcher.run_timers().await });
-}
-
 async fn bind_client_listener(address: SocketAddr) -> Result<TcpListener, StartError> {
     let listener = retry_transient(|| listen(address)).await;
     listener.map_err(|source| StartError::ClientAddress { address, source })
