--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -119,67 +119,78 @@
     None
 }
 
-/// A client that leaves while nothing of it is read, as its pipeline is full or it does not take its answers, has gone all the
-/// same: what waits is let go of at once, and what it had sent behind it never begins.
+/// Sends more requests than are read at once, and waits until as many are open as may be.
+async fn fill_pipeline(downstream: &Downstream, stream: &mut tokio::net::TcpStream, requests: usize) {
+    let text: String = (0..requests).map(|id| format!("mg k v O{id} Pc=read,d=1400\r\n")).collect();
+    stream.write_all(text.as_bytes()).await.unwrap();
+    let taken = || downstream.dispatcher.counters().requests.get();
+    while taken() < MAX_PENDING_ANSWERS as u64 {
+        settle().await;
+    }
+    settle().await;
+    assert_eq!(taken(), MAX_PENDING_ANSWERS as u64);
+}
+
+/// Waits until no byte of any attempt may be written any more.
+async fn wait_until_cancelled(downstream: &Downstream, recorder: &Recorder, case: &str) {
+    let is_cancelled = || {
+        let now = downstream.dispatcher.clock().now();
+        recorder.begun.borrow().iter().all(|attempt| attempt.is_cancelled(now))
+    };
+    let start = Instant::now();
+    while !is_cancelled() {
+        sleep(Duration::from_millis(1)).await;
+        assert!(start.elapsed() < Duration::from_secs(1), "{case}: not noticed");
+    }
+}
+
+/// A client leaves while nothing of it is read, as its pipeline is full or, with `has_answers`, it does not take its answers.
+async fn leave_unread(leaves: Leaves, has_answers: bool) {
+    let case = format!("{leaves:?}, {has_answers}");
+    let recorder = Rc::new(Recorder::default());
+    let downstream = downstream(&recorder);
+    let mut far = connected(&downstream).await;
+    let requests = MAX_PENDING_ANSWERS + 40;
+    fill_pipeline(&downstream, &mut far, requests).await;
+    let begun = recorder.begun.borrow().len();
+    if has_answers {
+        // The first answers are more than the client, who takes none, has room for.
+        let attempt = recorder.begun.borrow_mut().remove(0);
+        let value = Answer::Value(Bytes::from(vec![b'v'; 16 << 20]));
+        downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(value)));
+        settle().await;
+    }
+    let far = leave(far, leaves).await;
+    wait_until_cancelled(&downstream, &recorder, &case).await;
+    // What is in flight still ends; nothing begins any more.
+    let in_flight: Vec<_> = recorder.begun.take();
+    assert_eq!(in_flight.len() + usize::from(has_answers), begun);
+    for attempt in in_flight {
+        downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Cancelled);
+    }
+    if let Some(mut far) = far {
+        // A client that only ended its side has an answer for each all the same.
+        let mut received = Vec::new();
+        far.read_to_end(&mut received).await.unwrap();
+        let lines = received.split(|byte| *byte == b'\n');
+        let failed = lines.filter(|line| line.starts_with(b"SERVER_ERROR")).count();
+        assert_eq!(failed + usize::from(has_answers), requests);
+    }
+    while !downstream.slots.borrow().is_empty() {
+        sleep(Duration::from_millis(1)).await;
+    }
+    assert!(recorder.begun.borrow().is_empty(), "{case}: begun for nobody");
+    assert_eq!(downstream.dispatcher.requests_in_progress(), 0);
+}
+
+/// A client that leaves while nothing of it is read has gone all the same: what waits is cancelled at once, and what it had
+/// sent behind it never begins.
 #[test]
 fn a_disconnect_is_noticed_while_nothing_is_read() {
     assert!(stream::DISCONNECT_CHECK_INTERVAL * 2 < Duration::from_millis(100));
-    for how in [Leaves::Closes, Leaves::Resets, Leaves::EndsItsSide] {
-        for answers in [false, true] {
-            testing::run_on_sockets(async {
-                let recorder = Rc::new(Recorder::default());
-                let downstream = downstream(&recorder);
-                let mut far = connected(&downstream).await;
-                let all = MAX_PENDING_ANSWERS + 40;
-                let text: String = (0..all).map(|id| format!("mg k v O{id} Pc=read,d=1400\r\n")).collect();
-                far.write_all(text.as_bytes()).await.unwrap();
-                // It is read up to its bound and no further.
-                let taken = || downstream.dispatcher.counters().requests.get();
-                while taken() < MAX_PENDING_ANSWERS as u64 {
-                    settle().await;
-                }
-                settle().await;
-                let begun = recorder.begun.borrow().len();
-                assert_eq!(taken(), MAX_PENDING_ANSWERS as u64);
-                if answers {
-                    // The first answers are more than the client, who takes none, has room for.
-                    let attempt = recorder.begun.borrow_mut().remove(0);
-                    let value = Bytes::from(vec![b'v'; 16 << 20]);
-                    downstream
-                        .dispatcher
-                        .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value(value))));
-                    settle().await;
-                }
-                let far = leave(far, how).await;
-                let over = |recorder: &Recorder| {
-                    let now = downstream.dispatcher.clock().now();
-                    recorder.begun.borrow().iter().all(|attempt| attempt.is_cancelled(now))
-                };
-                let start = Instant::now();
-                while !over(&recorder) {
-                    sleep(Duration::from_millis(1)).await;
-                    assert!(start.elapsed() < Duration::from_secs(1), "{how:?}, {answers}: not noticed");
-                }
-                // What is out still ends; nothing begins any more.
-                let out: Vec<_> = recorder.begun.take();
-                assert_eq!(out.len() + usize::from(answers), begun);
-                for attempt in out {
-                    downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Cancelled);
-                }
-                if let Some(mut far) = far {
-                    // Who only ended its side has an answer for each all the same.
-                    let mut got = Vec::new();
-                    far.read_to_end(&mut got).await.unwrap();
-                    let told =
-                        got.split(|byte| *byte == b'\n').filter(|line| line.starts_with(b"SERVER_ERROR"));
-                    assert_eq!(told.count() + usize::from(answers), all);
-                }
-                while !downstream.slots.borrow().is_empty() {
-                    sleep(Duration::from_millis(1)).await;
-                }
-                assert!(recorder.begun.borrow().is_empty(), "{how:?}, {answers}: begun for nobody");
-                assert_eq!(downstream.dispatcher.requests_in_progress(), 0);
-            });
+    for leaves in [Leaves::Closes, Leaves::Resets, Leaves::EndsItsSide] {
+        for has_answers in [false, true] {
+            testing::run_on_sockets(leave_unread(leaves, has_answers));
         }
     }
 }
--- a/protocols/src/admin/tests.rs
+++ b/protocols/src/admin/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn each_call_is_read_call() {
+fn each_call_is_read() {
     assert_eq!(read_call(b"HEALTH\n"), Input::Line(Ok(Call::Health)));
     assert_eq!(read_call(b"DUMP\r\nmore"), Input::Line(Ok(Call::Dump)));
     assert_eq!(read_call(b"OFFLINE s-5be2a07c\n"), Input::Line(Ok(Call::Offline("s-5be2a07c".into()))));
