--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -27,7 +27,7 @@
 pub mod upstream;
 
 #[cfg(test)]
-mod storm;
+mod simulation;
 #[cfg(test)]
 mod testing;
 
--- a/node/src/simulation.rs
+++ b/node/src/simulation.rs
@@ -1,13 +1,13 @@
-//! A whole balancer on a clock that stands still, between clients and servers that do what real ones do on bad days, all drawn
-//! from a seed. It is judged by what clients and servers see, and by nothing that it tells of itself.
+//! A deterministic simulation of the whole daemon in virtual time, between clients and servers that do what real ones do on bad
+//! days, all drawn from a seed. It is judged by what clients and servers see, and by nothing that it says of itself.
 //!
 //! # The invariant
 //!
-//! Every request whose last byte has come on a connection that was accepted gets one whole final answer, made for it by a
-//! server or the origin or saying that there is none, before its client's time is up, wherever the balancer is in its life; or
-//! its client can tell that a value is not whole. No byte of it reaches a server after that answer, after its client has gone,
-//! or after that server's end was told; no more attempts than the settings say; never again once one may have run, but as its
-//! class allows.
+//! Every request whose last byte has come on a connection that was accepted gets one complete final answer, made for it by a
+//! server or the origin or saying that there is none, before its client's time is up, whether the daemon has just started, runs
+//! or shuts down; or its client can tell that a value is not complete. No byte of it reaches a server after that answer, after
+//! its client has gone, or after the balancer was notified of that server's end; there are no more attempts than the settings
+//! say, and none once one may have been executed, but as its class allows.
 
 mod clients;
 mod servers;
@@ -30,135 +30,166 @@
 use crate::resource_limits::ResourceLimits;
 use crate::testing::{self, log, ORIGIN};
 use crate::upstream::{Upstream, UpstreamLimits};
-use servers::Servers;
-
-const SEEDS: u64 = 250;
-/// Classes by their effect: their names, and their deadlines in milliseconds.
-const CLASSES: [(&str, Idempotency, u64); 3] = [
-    ("read", Idempotency::Idempotent, 400),
-    ("put", Idempotency::WithIdempotencyKey, 900),
-    ("once", Idempotency::NotIdempotent, 700),
+use servers::{Behaviour, Servers};
+
+/// How many simulations are run.
+const SEED_COUNT: u64 = 250;
+/// A class of requests.
+struct SimulatedClass {
+    name: &'static str,
+    idempotency: Idempotency,
+    deadline_ms: u64,
+}
+
+const CLASSES: [SimulatedClass; 3] = [
+    SimulatedClass { name: "read", idempotency: Idempotency::Idempotent, deadline_ms: 400 },
+    SimulatedClass { name: "put", idempotency: Idempotency::WithIdempotencyKey, deadline_ms: 900 },
+    SimulatedClass { name: "once", idempotency: Idempotency::NotIdempotent, deadline_ms: 700 },
 ];
-const ATTEMPTS: u32 = 3;
-const WINDOW: Duration = Duration::from_millis(250);
+const MAX_ATTEMPTS: u32 = 3;
+const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(250);
+/// For how long after the longest deadline the protocol lets a process stay.
+const TIME_AFTER_LONGEST_DEADLINE: Duration = Duration::from_millis(700);
 
 /// What is known of one request from outside.
 #[derive(Debug, Default)]
-struct Seen {
+struct RequestRecord {
     class: usize,
     /// When its client had its answer, or left.
     over: Option<Instant>,
-    /// When it reached servers whole, and whether it may have run there.
-    runs: Vec<(Instant, Rc<Cell<bool>>)>,
+    arrivals: Vec<Arrival>,
+}
+
+/// The arrival of a complete request at a server.
+#[derive(Debug)]
+struct Arrival {
+    at: Instant,
+    /// Whether the server may have executed it.
+    may_have_been_executed: Rc<Cell<bool>>,
+}
+
+/// What may happen, counted so that a simulation in which it never happens is found out.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+enum Occurrence {
+    Served,
+    Rejected,
+    Failed,
+    UnexpectedAnswer,
+    ClientLeft,
+    ClientHalfClosed,
+    ConnectionClosed,
+    EndpointListChanged,
+    MalformedRequests,
+    Server(Behaviour),
 }
 
 /// What clients and servers see.
 #[derive(Debug, Default)]
-struct Ledger {
-    seen: RefCell<HashMap<String, Seen>>,
-    broken: RefCell<Vec<String>>,
+struct EventLog {
+    requests: RefCell<HashMap<String, RequestRecord>>,
+    violations: RefCell<Vec<String>>,
     /// Clients that wait for answers.
-    waiting: Cell<usize>,
-    /// How often something took place, so that a test that meets nothing is found out.
-    met: RefCell<HashMap<&'static str, u64>>,
+    waiting_clients: Cell<usize>,
+    counts: RefCell<HashMap<Occurrence, u64>>,
 }
 
-impl Ledger {
-    fn broken(&self, id: &str, what: impl Into<String>) {
-        self.broken.borrow_mut().push(format!("{id}: {}", what.into()));
+impl EventLog {
+    fn violation(&self, id: &str, what: impl Into<String>) {
+        self.violations.borrow_mut().push(format!("{id}: {}", what.into()));
     }
 
-    fn met(&self, what: &'static str) {
-        *self.met.borrow_mut().entry(what).or_default() += 1;
+    fn count(&self, occurrence: Occurrence) {
+        *self.counts.borrow_mut().entry(occurrence).or_default() += 1;
     }
 
-    fn sends(&self, id: &str, class: usize) {
-        self.seen.borrow_mut().insert(id.to_owned(), Seen { class, ..Seen::default() });
+    fn on_request_sent(&self, id: &str, class: usize) {
+        self.requests.borrow_mut().insert(id.to_owned(), RequestRecord { class, ..RequestRecord::default() });
     }
 
-    fn over(&self, id: &str) {
-        self.seen.borrow_mut().entry(id.to_owned()).or_default().over.get_or_insert(Instant::now());
+    /// A request has its answer, or its client has left.
+    fn on_request_over(&self, id: &str) {
+        self.requests.borrow_mut().entry(id.to_owned()).or_default().over.get_or_insert(Instant::now());
     }
 
-    /// A server has it whole. What is returned says whether it may have run there, until the server knows better.
-    fn arrives(&self, id: &str, now: Instant) -> Rc<Cell<bool>> {
-        let mut seen = self.seen.borrow_mut();
-        let Some(seen) = seen.get_mut(id) else {
-            self.broken(id, "no client sent it");
+    /// A server has the complete request. The cell that is returned says whether it may have been executed there, until the
+    /// server knows better.
+    fn on_request_arrived(&self, id: &str, now: Instant) -> Rc<Cell<bool>> {
+        let mut requests = self.requests.borrow_mut();
+        let Some(request) = requests.get_mut(id) else {
+            self.violation(id, "no client sent it");
             return Rc::default();
         };
-        if seen.over.is_some_and(|over| over < now) {
-            self.broken(id, "reached a host after it was over");
+        if request.over.is_some_and(|over| over < now) {
+            self.violation(id, "reached a server after it was over");
         }
-        if seen.runs.len() >= ATTEMPTS as usize {
-            self.broken(id, "more attempts than the settings say");
+        if request.arrivals.len() >= MAX_ATTEMPTS as usize {
+            self.violation(id, "more attempts than the settings say");
         }
-        let earlier =
-            seen.runs.iter().filter(|(_, may_have_run)| may_have_run.get()).map(|(at, _)| *at).min();
-        let allowed = match CLASSES[seen.class].1 {
+        let executed = request.arrivals.iter().filter(|arrival| arrival.may_have_been_executed.get());
+        let earlier = executed.map(|arrival| arrival.at).min();
+        let is_allowed = match CLASSES[request.class].idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::WithIdempotencyKey => earlier.is_none_or(|first| now - first < WINDOW),
+            Idempotency::WithIdempotencyKey => earlier.is_none_or(|first| now - first < DEDUPLICATION_WINDOW),
             Idempotency::NotIdempotent => earlier.is_none(),
         };
-        if !allowed {
-            self.broken(id, "sent again though it may have run");
+        if !is_allowed {
+            self.violation(id, "sent again though it may have been executed");
         }
-        let may_have_run = Rc::new(Cell::new(true));
-        seen.runs.push((now, Rc::clone(&may_have_run)));
-        may_have_run
+        let may_have_been_executed = Rc::new(Cell::new(true));
+        let arrival = Arrival { at: now, may_have_been_executed: Rc::clone(&may_have_been_executed) };
+        request.arrivals.push(arrival);
+        may_have_been_executed
     }
 }
 
 fn settings() -> Settings {
-    let class = |(_, effect, ms)| Class {
-        latency_objective: Micros(ms * 800),
-        deadline: Micros(ms * 1000),
-        idempotency: effect,
-        deduplication_window: Micros(WINDOW.as_micros() as u64),
+    let class = |class: SimulatedClass| Class {
+        latency_objective: Micros(class.deadline_ms * 800),
+        deadline: Micros(class.deadline_ms * 1000),
+        idempotency: class.idempotency,
+        deduplication_window: Micros(DEDUPLICATION_WINDOW.as_micros() as u64),
         ..Class::default()
     };
     let mode = CacheMode::Aside(ORIGIN);
     Settings {
         classes: CLASSES.map(class).into(),
         mode,
-        ..testing::settings(ATTEMPTS, Idempotency::Idempotent)
+        ..testing::settings(MAX_ATTEMPTS, Idempotency::Idempotent)
     }
 }
 
 /// A balancer, its clients and its servers.
-struct World {
+struct Simulation {
     dispatcher: Rc<Dispatcher>,
     downstream: Rc<Downstream>,
     shutdown: Rc<GracefulShutdown>,
     servers: Rc<Servers>,
-    ledger: Rc<Ledger>,
+    event_log: Rc<EventLog>,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
-        let ledger = Rc::new(Ledger::default());
-        let servers = Rc::new(Servers::new(Rng::with_seed(seed), Rc::clone(&ledger)));
-        let (connect_timeout, idle) = (Duration::from_millis(150), Duration::from_secs(2));
-        let (connections, late) = (24, Duration::from_millis(900));
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
+        let event_log = Rc::new(EventLog::default());
+        let servers = Rc::new(Servers::new(Rng::with_seed(seed), Rc::clone(&event_log)));
         let limits = UpstreamLimits {
-            max_connections: connections,
+            max_connections: 24,
             chunk_bytes: 1024,
-            connect_timeout,
-            server_idle_timeout: idle,
-            late_answer_timeout: late,
+            connect_timeout: Duration::from_millis(150),
+            server_idle_timeout: Duration::from_secs(2),
+            late_answer_timeout: Duration::from_millis(900),
             may_duplicate: true,
             origin_kind: Some(ORIGIN),
         };
         let counters = Rc::new(Counters::default());
         let clock = crate::clock::Clock::start();
-        let ways = Rc::clone(&servers) as Rc<dyn Connector>;
-        let upstream = Upstream::new(limits, ways, clock, Rc::clone(&counters), log());
+        let connector = Rc::clone(&servers) as Rc<dyn Connector>;
+        let upstream = Upstream::new(limits, connector, clock, Rc::clone(&counters), log());
         let carrier = Rc::clone(&upstream) as Rc<dyn Carrier>;
         let dispatcher = Dispatcher::new(settings(), seed, carrier, clock, counters, log());
         upstream.attach(&dispatcher);
         dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &servers.listed());
         let shutdown = Rc::new(GracefulShutdown::default());
-        let classes = CLASSES.map(|(name, ..)| name.to_owned()).into();
+        let classes = CLASSES.map(|class| class.name.to_owned()).into();
         let labels = Labels { classes, tenants: vec![] };
         let resource_limits = ResourceLimits {
             client_connections: 16,
@@ -172,69 +203,91 @@
         let downstream =
             Downstream::new(Rc::clone(&dispatcher), labels, Rc::clone(&shutdown), resource_limits, log());
         // The pools live as long as the dispatcher, which holds them.
-        World { dispatcher, downstream, shutdown, servers, ledger }
+        Simulation { dispatcher, downstream, shutdown, servers, event_log }
     }
 
-    /// Discovery's news: servers drain, end, and others start at their addresses; now and then nothing is heard of it.
-    async fn discovery(&self, mut rng: Rng) {
+    /// Changes of the endpoint list: servers drain, end, and others start at their addresses; now and then discovery is
+    /// unavailable.
+    async fn change_endpoints(&self, mut rng: Rng) {
         loop {
             sleep(Duration::from_millis(rng.u64(50..400))).await;
             if rng.u8(..8) == 0 {
                 self.dispatcher.on_endpoints_changed(EndpointUpdate::Unavailable, &[]);
             }
-            let news: ListedServer = self.servers.turn(rng.usize(1..servers::PLACES));
-            self.ledger.met("lists");
-            self.dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[news]);
+            let changed: ListedServer = self.servers.next_state(rng.usize(1..servers::SERVERS));
+            self.event_log.count(Occurrence::EndpointListChanged);
+            self.dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[changed]);
         }
     }
 
-    /// Plays one life of the balancer to its end.
-    async fn play(self, seed: u64) -> Rc<Ledger> {
+    /// Runs the daemon from its start to its end.
+    async fn run(self, seed: u64) -> Rc<EventLog> {
         let mut rng = Rng::with_seed(seed ^ 0x5eed);
-        let world = Rc::new(self);
-        let (timers, news) = (Rc::clone(&world), Rc::clone(&world));
+        let simulation = Rc::new(self);
+        let (timers, endpoints) = (Rc::clone(&simulation), Rc::clone(&simulation));
         spawn_local(async move { timers.dispatcher.run_timers().await });
         let draw = rng.fork();
-        spawn_local(async move { news.discovery(draw).await });
+        spawn_local(async move { endpoints.change_endpoints(draw).await });
         let mut clients: Vec<JoinHandle<()>> = Vec::new();
         for n in 0..7 {
-            let (world, draw) = (Rc::clone(&world), rng.fork());
+            let (simulation, draw) = (Rc::clone(&simulation), rng.fork());
             clients.push(match n {
-                0..5 => spawn_local(clients::serve(world, n, draw)),
-                _ => spawn_local(clients::harm(world, n, draw)),
+                0..5 => spawn_local(clients::behave(simulation, n, draw)),
+                _ => spawn_local(clients::misbehave(simulation, n, draw)),
             });
         }
         sleep(Duration::from_millis(rng.u64(1500..3000))).await;
-        let signal = Instant::now();
-        let longest = Duration::from_millis(CLASSES.iter().map(|(.., ms)| *ms).max().unwrap_or(0));
-        let last = time_for_answers(longest);
-        world
-            .dispatcher
-            .set_final_deadline(world.dispatcher.clock().now().saturating_add(crate::clock::micros(last)));
-        world.shutdown.run(signal, last + EXIT_DELAY).await;
-        world.dispatcher.wait_until_idle().await;
-        // The protocol's time for a planned end: whoever waits still has lost its request.
-        sleep_until(signal + longest + Duration::from_millis(700)).await;
-        if world.ledger.waiting.get() > 0 {
-            world.ledger.broken("-", "a client still waits at the end of the process");
+        simulation.shut_down().await;
+        for client in clients {
+            client.abort();
+        }
+        Rc::clone(&simulation.event_log)
+    }
+
+    /// Shuts the daemon down, and checks that no client waits at the end of its time.
+    async fn shut_down(&self) {
+        let signalled_at = Instant::now();
+        let longest_deadline =
+            Duration::from_millis(CLASSES.iter().map(|class| class.deadline_ms).max().unwrap_or(0));
+        let time_for_answers = time_for_answers(longest_deadline);
+        let now = self.dispatcher.clock().now();
+        self.dispatcher.set_final_deadline(now.saturating_add(crate::clock::micros(time_for_answers)));
+        self.shutdown.run(signalled_at, time_for_answers + EXIT_DELAY).await;
+        self.dispatcher.wait_until_idle().await;
+        // The protocol's time for a planned end: a client that still waits has lost its request.
+        sleep_until(signalled_at + longest_deadline + TIME_AFTER_LONGEST_DEADLINE).await;
+        if self.event_log.waiting_clients.get() > 0 {
+            self.event_log.violation("-", "a client still waits at the end of the process");
         }
-        clients.iter().for_each(JoinHandle::abort);
-        Rc::clone(&world.ledger)
     }
 }
 
-/// The invariant, in lives drawn from seeds.
+/// The invariant, in simulations drawn from seeds.
 #[test]
-fn every_command_taken_has_one_whole_answer_in_time() {
-    let mut met: HashMap<&'static str, u64> = HashMap::new();
-    for seed in 0..SEEDS {
-        let ledger = testing::run(async move { World::new(seed).play(seed).await });
-        let broken = ledger.broken.take();
-        assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
-        ledger.met.take().into_iter().for_each(|(what, n)| *met.entry(what).or_default() += n);
+fn every_request_taken_has_one_complete_answer_in_time() {
+    let mut counts: HashMap<Occurrence, u64> = HashMap::new();
+    for seed in 0..SEED_COUNT {
+        let event_log = testing::run(async move { Simulation::new(seed).run(seed).await });
+        let violations = event_log.violations.take();
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
+        for (occurrence, count) in event_log.counts.take() {
+            *counts.entry(occurrence).or_default() += count;
+        }
     }
-    let ends = ["served", "refused", "failed", "left", "closed", "lists", "half-closed", "noise"];
-    for what in ends.into_iter().chain(servers::DEEDS.map(|(what, _)| what)) {
-        assert!(met.get(what).is_some_and(|n| *n >= SEEDS / 10), "{what}: {met:?}");
+    let expected = [
+        Occurrence::Served,
+        Occurrence::Rejected,
+        Occurrence::Failed,
+        Occurrence::ClientLeft,
+        Occurrence::ConnectionClosed,
+        Occurrence::EndpointListChanged,
+        Occurrence::ClientHalfClosed,
+        Occurrence::MalformedRequests,
+    ];
+    let request_behaviours = servers::REQUEST_BEHAVIOURS.map(|(behaviour, _)| behaviour);
+    let behaviours = request_behaviours.into_iter().chain(servers::CONNECT_BEHAVIOURS);
+    for occurrence in expected.into_iter().chain(behaviours.map(Occurrence::Server)) {
+        let has_occurred = counts.get(&occurrence).is_some_and(|count| *count >= SEED_COUNT / 10);
+        assert!(has_occurred, "{occurrence:?}: {counts:?}");
     }
 }
--- a/node/src/simulation/clients.rs
+++ b/node/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: most ask and wait, some leave, half-close, pipeline or send noise.
+//! Simulated clients: most send requests and wait, some leave, half-close, pipeline or send noise.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -9,42 +9,46 @@
 use tokio::io::{duplex, AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::time::{sleep, timeout_at, Instant};
 
-use super::{World, CLASSES};
+use super::{EventLog, Occurrence, SimulatedClass, Simulation, CLASSES};
 use crate::dispatcher::{Answer, ClientRequest};
 use crate::memcache::{read_answer, write_request};
 use crate::testing;
 
-/// A request that crosses the close of its connection is sent once more; it is no loss. So long may it have been on its way.
-const CROSSING: Duration = Duration::from_millis(2);
+/// How long a request may have been on its way that crosses the close of its connection: it is sent once more, and no loss.
+const MAX_CROSSING_TIME: Duration = Duration::from_millis(2);
 
-/// One request that is out on a connection.
-struct Out {
+/// A request that waits for its answer.
+struct OpenRequest {
     request: ClientRequest,
     sent: Instant,
-    until: Instant,
+    deadline: Instant,
 }
 
-/// A client that asks, waits and asks again, until the balancer takes no more.
-pub async fn serve(world: Rc<World>, client: usize, mut rng: Rng) {
-    let mut asked = 0;
-    while !world.shutdown.is_stopping() {
-        let mut far = open(&world);
+/// A client that sends requests, waits and sends others, until the daemon shuts down.
+pub async fn behave(simulation: Rc<Simulation>, client: usize, mut rng: Rng) {
+    let mut sent_requests = 0;
+    while !simulation.shutdown.is_stopping() {
+        let mut stream = open(&simulation);
         for _ in 0..rng.usize(1..12) {
-            let Ok(requests) = ask(&world, client, &mut asked, &mut far, &mut rng).await else { break };
+            let Ok(requests) =
+                send_requests(&simulation, client, &mut sent_requests, &mut stream, &mut rng).await
+            else {
+                break;
+            };
             match rng.u8(..100) {
                 0..8 => {
                     // It leaves with its answers owed.
                     sleep(Duration::from_millis(rng.u64(..300))).await;
-                    leave(&world, requests);
+                    leave(&simulation, requests);
                     break;
                 }
                 8..12 => {
-                    world.ledger.met("half-closed");
-                    let _ = far.shutdown().await;
-                    hear(&world, requests, &mut far).await;
+                    simulation.event_log.count(Occurrence::ClientHalfClosed);
+                    let _ = stream.shutdown().await;
+                    read_answers(&simulation, requests, &mut stream).await;
                     break;
                 }
-                _ if !hear(&world, requests, &mut far).await => break,
+                _ if !read_answers(&simulation, requests, &mut stream).await => break,
                 _ => {}
             }
             // Some come again at once, also to a balancer that is about to end.
@@ -52,17 +56,17 @@
                 sleep(Duration::from_millis(rng.u64(..60))).await;
             }
         }
-        drop(far);
+        drop(stream);
         sleep(Duration::from_millis(rng.u64(1..30))).await;
     }
 }
 
-/// A client that harms: noise, halves of requests, and whole ones behind them; then it goes.
-pub async fn harm(world: Rc<World>, client: usize, mut rng: Rng) {
-    let mut asked = 0;
-    while !world.shutdown.is_stopping() {
-        let mut far = open(&world);
-        world.ledger.met("noise");
+/// A client that misbehaves: noise, halves of requests, and whole ones behind them; then it goes.
+pub async fn misbehave(simulation: Rc<Simulation>, client: usize, mut rng: Rng) {
+    let mut sent_requests = 0;
+    while !simulation.shutdown.is_stopping() {
+        let mut stream = open(&simulation);
+        simulation.event_log.count(Occurrence::MalformedRequests);
         for _ in 0..rng.usize(1..40) {
             let noise: &[u8] = match rng.u8(..6) {
                 0 => b"\r\n",
@@ -72,47 +76,49 @@
                 4 => b"\x00\xff\xfe\n",
                 _ => b"mg k v O1 Pc=none,d=400\r\n",
             };
-            if far.write_all(noise).await.is_err() {
+            if stream.write_all(noise).await.is_err() {
                 break;
             }
         }
-        let requests = ask(&world, client, &mut asked, &mut far, &mut rng).await;
+        let requests = send_requests(&simulation, client, &mut sent_requests, &mut stream, &mut rng).await;
         sleep(Duration::from_millis(rng.u64(..200))).await;
-        let _ = far.write_all(b"mg half v O").await;
+        let _ = stream.write_all(b"mg half v O").await;
         sleep(Duration::from_millis(rng.u64(..100))).await;
-        leave(&world, requests.unwrap_or_default());
-        drop(far);
+        leave(&simulation, requests.unwrap_or_default());
+        drop(stream);
     }
 }
 
-fn open(world: &World) -> DuplexStream {
-    let (near, far) = duplex(1 << 16);
-    world.shutdown.on_connection_accepted();
-    world.downstream.serve(near, std::time::Duration::ZERO);
-    far
+fn open(simulation: &Simulation) -> DuplexStream {
+    let (near, stream) = duplex(1 << 16);
+    simulation.shutdown.on_connection_accepted();
+    simulation.downstream.serve(near, Duration::ZERO);
+    stream
 }
 
-fn leave(world: &World, requests: VecDeque<Out>) {
-    world.ledger.met("left");
+fn leave(simulation: &Simulation, requests: VecDeque<OpenRequest>) {
+    simulation.event_log.count(Occurrence::ClientLeft);
     // The connection goes in this very moment.
-    requests.iter().for_each(|out| world.ledger.over(&String::from_utf8_lossy(&out.request.id)));
+    for open in &requests {
+        simulation.event_log.on_request_over(&String::from_utf8_lossy(&open.request.id));
+    }
 }
 
 /// Sends some requests in one go. An error if the connection has closed.
-async fn ask(
-    world: &World,
+async fn send_requests(
+    simulation: &Simulation,
     client: usize,
-    asked: &mut u64,
-    far: &mut DuplexStream,
+    sent_requests: &mut u64,
+    stream: &mut DuplexStream,
     rng: &mut Rng,
-) -> std::io::Result<VecDeque<Out>> {
-    let (mut text, mut requests, mut until) = (BytesMut::new(), VecDeque::new(), Instant::now());
+) -> std::io::Result<VecDeque<OpenRequest>> {
+    let (mut text, mut requests, mut deadline) = (BytesMut::new(), VecDeque::new(), Instant::now());
     for _ in 0..if rng.u8(..4) == 0 { rng.usize(2..5) } else { 1 } {
-        *asked += 1;
+        *sent_requests += 1;
         let class = rng.usize(..CLASSES.len() * 2).saturating_sub(CLASSES.len());
-        let (name, _, deadline) = CLASSES[class];
-        let id = format!("{client:02x}{asked:06x}");
-        let wait = rng.u64(deadline * 7 / 10..=deadline);
+        let SimulatedClass { name, deadline_ms, .. } = CLASSES[class];
+        let id = format!("{client:02x}{sent_requests:06x}");
+        let wait = rng.u64(deadline_ms * 7 / 10..=deadline_ms);
         let request = ClientRequest {
             key: Bytes::from(format!("{:016x}", rng.u64(..20))),
             value: (class > 0).then(|| vec![b'w'; rng.usize(..3000)].into()),
@@ -125,72 +131,84 @@
             ..testing::request(&id, None)
         };
         write_request(&mut text, &request, request.wait.unwrap_or_default());
-        world.ledger.sends(&id, class);
+        simulation.event_log.on_request_sent(&id, class);
         // The wait for the answers before it does not count.
-        until = until.max(Instant::now() + Duration::from_millis(wait));
-        requests.push_back(Out { request, sent: Instant::now(), until });
+        deadline = deadline.max(Instant::now() + Duration::from_millis(wait));
+        requests.push_back(OpenRequest { request, sent: Instant::now(), deadline });
     }
-    let sent = far.write_all(&text).await;
+    let sent = stream.write_all(&text).await;
     if sent.is_err() {
         // Nothing of it was read.
-        world.ledger.met("closed");
+        simulation.event_log.count(Occurrence::ConnectionClosed);
     }
     sent.map(|()| requests)
 }
 
 /// Reads the answers, and tells whether the connection can go on.
-async fn hear(world: &World, requests: VecDeque<Out>, far: &mut DuplexStream) -> bool {
-    let waiting = &world.ledger.waiting;
+async fn read_answers(
+    simulation: &Simulation,
+    requests: VecDeque<OpenRequest>,
+    stream: &mut DuplexStream,
+) -> bool {
+    let waiting = &simulation.event_log.waiting_clients;
     waiting.set(waiting.get() + 1);
-    let goes_on = answers(world, requests, far).await;
+    let goes_on = read_each_answer(simulation, requests, stream).await;
     waiting.set(waiting.get() - 1);
     goes_on
 }
 
-async fn answers(world: &World, mut requests: VecDeque<Out>, far: &mut DuplexStream) -> bool {
+async fn read_each_answer(
+    simulation: &Simulation,
+    mut requests: VecDeque<OpenRequest>,
+    stream: &mut DuplexStream,
+) -> bool {
+    let event_log = &simulation.event_log;
     let mut input = BytesMut::new();
-    while let Some(Out { request, sent, until }) = requests.front() {
-        let id = String::from_utf8_lossy(&request.id).into_owned();
-        match read_answer(&mut input, request) {
+    while let Some(open) = requests.front() {
+        let id = String::from_utf8_lossy(&open.request.id).into_owned();
+        match read_answer(&mut input, &open.request) {
             Ok(Some(answer)) => {
-                world.ledger.over(&id);
-                world.ledger.met(match &answer {
-                    Answer::Value(value) if value.starts_with(format!("v-{id}").as_bytes()) => "served",
-                    Answer::Receipt(receipt) if receipt.as_ref() == format!("r-{id}").as_bytes() => "served",
-                    Answer::Rejected(_) => "refused",
-                    Answer::Failed => "failed",
-                    other => {
-                        world.ledger.broken(&id, format!("no host made this for it: {other:?}"));
-                        "strange"
-                    }
-                });
+                event_log.on_request_over(&id);
+                event_log.count(judge_answer(event_log, &id, &answer));
                 requests.pop_front();
                 continue;
             }
             Ok(None) => {}
-            Err(problem) => world.ledger.broken(&id, problem.to_string()),
+            Err(error) => event_log.violation(&id, error.to_string()),
         }
-        let read = timeout_at(*until, far.read_buf(&mut input)).await;
-        match read {
+        match timeout_at(open.deadline, stream.read_buf(&mut input)).await {
             Err(_) => {
-                world.ledger.broken(&id, format!("no answer in time, sent {:?} before", sent.elapsed()));
+                let waited = open.sent.elapsed();
+                event_log.violation(&id, format!("no answer in time, sent {waited:?} before"));
                 return false;
             }
             Ok(Ok(1..)) => {}
             Ok(_) => {
-                if !input.is_empty() || sent.elapsed() > CROSSING {
-                    world.ledger.broken(
-                        &id,
-                        format!("its connection ended with {:?} in {:?}", input, sent.elapsed()),
-                    );
+                let waited = open.sent.elapsed();
+                if !input.is_empty() || waited > MAX_CROSSING_TIME {
+                    event_log.violation(&id, format!("its connection ended with {input:?} in {waited:?}"));
                 }
-                world.ledger.met("closed");
+                event_log.count(Occurrence::ConnectionClosed);
                 return false;
             }
         }
     }
     if !input.is_empty() {
-        world.ledger.broken("-", format!("more than was owed: {input:?}"));
+        event_log.violation("-", format!("more than was owed: {input:?}"));
     }
     true
 }
+
+/// What this answer is, and whether a server made it for the request.
+fn judge_answer(event_log: &EventLog, id: &str, answer: &Answer) -> Occurrence {
+    match answer {
+        Answer::Value(value) if value.starts_with(format!("v-{id}").as_bytes()) => Occurrence::Served,
+        Answer::Receipt(receipt) if receipt.as_ref() == format!("r-{id}").as_bytes() => Occurrence::Served,
+        Answer::Rejected(_) => Occurrence::Rejected,
+        Answer::Failed => Occurrence::Failed,
+        other => {
+            event_log.violation(id, format!("no server made this for it: {other:?}"));
+            Occurrence::UnexpectedAnswer
+        }
+    }
+}
--- a/node/src/simulation/servers.rs
+++ b/node/src/simulation/servers.rs
@@ -1,6 +1,7 @@
 //! Cache servers and an origin that are slow, silent, gone or wrong, by draw.
 
 use std::cell::{Cell, RefCell};
+use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,135 +13,165 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
-use super::Ledger;
+use super::{EventLog, Occurrence};
 use crate::connect::{Connecting, Connector, ServerStream};
 use crate::dispatcher::ListedServer;
 use crate::memcache::{Incoming, RequestReader};
 use crate::testing::ORIGIN;
 
-/// The origin, at the first, and cache servers.
-pub const PLACES: usize = 6;
+/// The origin, which is the first, and cache servers.
+pub const SERVERS: usize = 6;
 
-/// What a server does with a request, or a connection on its way, and how often in a hundred, beside what is right.
-pub const DEEDS: [(&str, u8); 15] = [
-    ("misses", 25),
-    ("busy", 4),
-    ("fails", 4),
-    ("silent", 9),
-    ("slow", 6),
-    ("resets", 4),
-    ("spoils", 5),
-    ("answers another", 3),
-    ("answers twice", 4),
-    ("never ends", 1),
-    ("stops short", 3),
-    ("comes in pieces", 4),
-    ("up late", 9),
-    ("refused", 4),
-    ("never up", 3),
+/// What a server does with a request, or with a connection that comes up.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum Behaviour {
+    /// It answers as it should.
+    Correct,
+    /// It lacks the key; the origin never does.
+    Miss,
+    Busy,
+    Fail,
+    Silent,
+    Slow,
+    Reset,
+    Malformed,
+    /// It answers with another request's id.
+    OtherRequest,
+    AnswerTwice,
+    /// It answers with bytes without end.
+    EndlessAnswer,
+    /// It closes in the middle of the answer.
+    TruncatedAnswer,
+    AnswerInPieces,
+    ConnectLate,
+    ConnectRefused,
+    ConnectNever,
+}
+
+/// What a server does with a request beside what is correct, and how often in a hundred.
+pub const REQUEST_BEHAVIOURS: [(Behaviour, u8); 12] = [
+    (Behaviour::Miss, 25),
+    (Behaviour::Busy, 4),
+    (Behaviour::Fail, 4),
+    (Behaviour::Silent, 9),
+    (Behaviour::Slow, 6),
+    (Behaviour::Reset, 4),
+    (Behaviour::Malformed, 5),
+    (Behaviour::OtherRequest, 3),
+    (Behaviour::AnswerTwice, 4),
+    (Behaviour::EndlessAnswer, 1),
+    (Behaviour::TruncatedAnswer, 3),
+    (Behaviour::AnswerInPieces, 4),
 ];
 
-/// One of the first twelve, or nothing wrong.
-fn deed(rng: &mut Rng) -> &'static str {
+/// What a server does with a connection that comes up beside what is correct; [`Servers::connect`] draws it.
+pub const CONNECT_BEHAVIOURS: [Behaviour; 3] =
+    [Behaviour::ConnectLate, Behaviour::ConnectRefused, Behaviour::ConnectNever];
+
+/// What a server does with a request.
+fn draw_behaviour(rng: &mut Rng) -> Behaviour {
     let mut draw = rng.u8(..100);
-    for (what, often) in &DEEDS[..12] {
-        if draw < *often {
-            return what;
+    for (behaviour, percent) in REQUEST_BEHAVIOURS {
+        if draw < percent {
+            return behaviour;
         }
-        draw -= often;
+        draw -= percent;
     }
-    ""
+    Behaviour::Correct
 }
 
-/// When a life of a server was told to drain or to end.
-type Told = Rc<Cell<Option<Instant>>>;
+/// When the balancer was notified that an incarnation of a server drains or has ended.
+type NotifiedAt = Rc<Cell<Option<Instant>>>;
 
-struct Place {
-    life: u64,
+/// The server at one address.
+struct ServerSlot {
+    incarnation: u64,
     state: EndpointState,
-    told: Told,
+    notified_at: NotifiedAt,
 }
 
 /// All servers.
 pub struct Servers {
-    places: RefCell<Vec<Place>>,
+    slots: RefCell<Vec<ServerSlot>>,
     rng: RefCell<Rng>,
-    ledger: Rc<Ledger>,
+    event_log: Rc<EventLog>,
 }
 
 impl Servers {
-    pub fn new(rng: Rng, ledger: Rc<Ledger>) -> Servers {
-        let place = |_| Place { life: 1, state: EndpointState::Serving, told: Rc::default() };
-        Servers { places: RefCell::new((0..PLACES).map(place).collect()), rng: RefCell::new(rng), ledger }
+    pub fn new(rng: Rng, event_log: Rc<EventLog>) -> Servers {
+        let slot =
+            |_| ServerSlot { incarnation: 1, state: EndpointState::Serving, notified_at: Rc::default() };
+        Servers { slots: RefCell::new((0..SERVERS).map(slot).collect()), rng: RefCell::new(rng), event_log }
     }
 
-    fn listed_server(&self, place: usize) -> ListedServer {
-        let Place { life, state, .. } = &self.places.borrow()[place];
+    fn listed_server(&self, slot: usize) -> ListedServer {
+        let ServerSlot { incarnation, state, .. } = &self.slots.borrow()[slot];
         let endpoint = Endpoint {
-            server: ServerId(place as u64 * 1000 + life),
-            zone: place as u32 % 2,
-            kind: if place == 0 { ORIGIN } else { 0 },
+            server: ServerId(slot as u64 * 1000 + incarnation),
+            zone: slot as u32 % 2,
+            kind: if slot == 0 { ORIGIN } else { 0 },
             cell: 0,
             state: *state,
             weight: 1.0,
             started: Micros(0),
         };
-        ListedServer { endpoint, address: Some(([127, 0, 0, 1], place as u16 + 1).into()) }
+        ListedServer { endpoint, address: Some(([127, 0, 0, 1], slot as u16 + 1).into()) }
     }
 
     pub fn listed(&self) -> Vec<ListedServer> {
-        (0..PLACES).map(|place| self.listed_server(place)).collect()
+        (0..SERVERS).map(|slot| self.listed_server(slot)).collect()
     }
 
-    /// The next thing that happens to the server at this place, as discovery tells it: it drains, it ends, and another starts
+    /// The next thing that happens to the server in this slot, as discovery reports it: it drains, it ends, and another starts
     /// at its address.
-    pub fn turn(&self, place: usize) -> ListedServer {
-        if let Some(place) = self.places.borrow_mut().get_mut(place) {
-            place.state = match place.state {
+    pub fn next_state(&self, slot: usize) -> ListedServer {
+        if let Some(slot) = self.slots.borrow_mut().get_mut(slot) {
+            slot.state = match slot.state {
                 EndpointState::Serving => EndpointState::Draining,
                 EndpointState::Draining => EndpointState::Deleted,
                 EndpointState::Deleted => EndpointState::Serving,
             };
-            if place.state == EndpointState::Serving {
-                (place.life, place.told) = (place.life + 1, Rc::default());
+            if slot.state == EndpointState::Serving {
+                (slot.incarnation, slot.notified_at) = (slot.incarnation + 1, Rc::default());
             } else {
-                place.told.set(place.told.get().or(Some(Instant::now())));
+                slot.notified_at.set(slot.notified_at.get().or(Some(Instant::now())));
             }
         }
-        self.listed_server(place)
+        self.listed_server(slot)
     }
 }
 
 impl Connector for Servers {
     fn connect(&self, address: SocketAddr) -> Connecting {
-        let place = usize::from(address.port()) - 1;
+        let slot = usize::from(address.port()) - 1;
         let mut rng = self.rng.borrow_mut().fork();
-        let (ledger, told) = (Rc::clone(&self.ledger), Rc::clone(&self.places.borrow()[place].told));
+        let (event_log, notified_at) =
+            (Rc::clone(&self.event_log), Rc::clone(&self.slots.borrow()[slot].notified_at));
         Box::pin(async move {
             match rng.u8(..100) {
                 0..9 => {
-                    ledger.met("up late");
+                    event_log.count(Occurrence::Server(Behaviour::ConnectLate));
                     sleep(Duration::from_millis(rng.u64(1..300))).await;
                 }
                 9..13 => {
-                    ledger.met("refused");
-                    return Err(std::io::ErrorKind::ConnectionRefused.into());
+                    event_log.count(Occurrence::Server(Behaviour::ConnectRefused));
+                    return Err(ErrorKind::ConnectionRefused.into());
                 }
                 13..16 => {
-                    ledger.met("never up");
+                    event_log.count(Occurrence::Server(Behaviour::ConnectNever));
                     std::future::pending().await
                 }
                 _ => {}
             }
-            let (near, far) = duplex(rng.usize(16..4096));
-            let peer = Peer {
-                origin: place == 0,
-                told,
-                ledger,
+            let (near, stream) = duplex(rng.usize(16..4096));
+            let peer = ServerConnection {
+                is_origin: slot == 0,
+                notified_at,
+                event_log,
                 rng,
-                far,
+                stream,
                 input: BytesMut::new(),
-                came: Instant::now(),
+                last_received: Instant::now(),
             };
             spawn_local(peer.serve());
             Ok(Box::new(near) as Box<dyn ServerStream>)
@@ -148,96 +179,107 @@
     }
 }
 
-/// What a server got: the request's id, and whether it writes.
-struct Got(String, bool);
+/// A request that a server received.
+struct ReceivedRequest {
+    id: String,
+    is_write: bool,
+}
 
 /// The server's side of one connection.
-struct Peer {
-    origin: bool,
-    told: Told,
-    ledger: Rc<Ledger>,
+struct ServerConnection {
+    is_origin: bool,
+    notified_at: NotifiedAt,
+    event_log: Rc<EventLog>,
     rng: Rng,
-    far: DuplexStream,
+    stream: DuplexStream,
     input: BytesMut,
     /// When something came last.
-    came: Instant,
+    last_received: Instant,
 }
 
-impl Peer {
+impl ServerConnection {
     async fn serve(mut self) {
-        while let Some(Got(id, write)) = self.next().await {
-            let may_have_run = self.ledger.arrives(&id, self.came);
-            let what = deed(&mut self.rng);
-            self.ledger.met(what);
-            let answer = match what {
-                "misses" if !self.origin => {
-                    may_have_run.set(false);
-                    format!("EN O{id} h0\r\n").into_bytes()
-                }
-                "busy" => {
-                    may_have_run.set(false);
-                    self.wrong("SERVER_ERROR busy\r\n", "503 No\r\nX-Never-Ran: 1")
-                }
-                "fails" => self.wrong("SERVER_ERROR failed\r\n", "500 No"),
-                "silent" => std::future::pending().await,
-                "resets" => return,
-                "spoils" => self.spoilt(&id, write),
-                "answers another" => self.good("ffff", write),
-                _ => self.good(&id, write),
-            };
+        while let Some(ReceivedRequest { id, is_write }) = self.next().await {
+            let may_have_been_executed = self.event_log.on_request_arrived(&id, self.last_received);
+            let behaviour = draw_behaviour(&mut self.rng);
+            self.event_log.count(Occurrence::Server(behaviour));
+            if matches!(behaviour, Behaviour::Busy) || self.misses(behaviour) {
+                may_have_been_executed.set(false);
+            }
+            let Some(answer) = self.answer(behaviour, &id, is_write).await else { return };
             sleep(Duration::from_millis(self.rng.u64(1..20))).await;
-            let told = match what {
-                "slow" => {
-                    sleep(Duration::from_millis(self.rng.u64(20..1200))).await;
-                    self.far.write_all(&answer).await
-                }
-                "stops short" => {
-                    let _ = self.far.write_all(&answer[..answer.len() / 2]).await;
-                    return;
-                }
-                "comes in pieces" => self.in_pieces(&answer).await,
-                "answers twice" => {
-                    let first = self.far.write_all(&answer).await;
-                    // The next request may begin to come before the second.
-                    let until = Instant::now() + Duration::from_millis(self.rng.u64(..20));
-                    while let Ok(Some(())) = timeout_at(until, self.read(false)).await {}
-                    sleep_until(until).await;
-                    first.and(self.far.write_all(&answer).await)
-                }
-                "never ends" => {
-                    while self.far.write_all(&[b'x'; 512]).await.is_ok() {
-                        sleep(Duration::from_millis(1)).await;
-                    }
-                    return;
-                }
-                _ => self.far.write_all(&answer).await,
-            };
-            if told.is_err() {
+            if self.write_answer(behaviour, &answer).await.is_err() {
                 return;
             }
         }
     }
 
-    async fn in_pieces(&mut self, answer: &[u8]) -> std::io::Result<()> {
+    fn misses(&self, behaviour: Behaviour) -> bool {
+        behaviour == Behaviour::Miss && !self.is_origin
+    }
+
+    /// The answer to a request; none where the connection closes without one.
+    async fn answer(&mut self, behaviour: Behaviour, id: &str, is_write: bool) -> Option<Vec<u8>> {
+        Some(match behaviour {
+            Behaviour::Miss if !self.is_origin => format!("EN O{id} h0\r\n").into_bytes(),
+            Behaviour::Busy => self.error_response("SERVER_ERROR busy\r\n", "503 No\r\nX-Never-Ran: 1"),
+            Behaviour::Fail => self.error_response("SERVER_ERROR failed\r\n", "500 No"),
+            Behaviour::Silent => std::future::pending().await,
+            Behaviour::Reset => return None,
+            Behaviour::Malformed => self.malformed_response(id, is_write),
+            Behaviour::OtherRequest => self.well_formed_response("ffff", is_write),
+            _ => self.well_formed_response(id, is_write),
+        })
+    }
+
+    /// Writes an answer; an error ends the connection.
+    async fn write_answer(&mut self, behaviour: Behaviour, answer: &[u8]) -> std::io::Result<()> {
+        match behaviour {
+            Behaviour::Slow => {
+                sleep(Duration::from_millis(self.rng.u64(20..1200))).await;
+                self.stream.write_all(answer).await
+            }
+            Behaviour::TruncatedAnswer => {
+                let _ = self.stream.write_all(&answer[..answer.len() / 2]).await;
+                Err(ErrorKind::UnexpectedEof.into())
+            }
+            Behaviour::AnswerInPieces => self.write_in_pieces(answer).await,
+            Behaviour::AnswerTwice => {
+                let first = self.stream.write_all(answer).await;
+                // The next request may begin to come before the second.
+                let second_at = Instant::now() + Duration::from_millis(self.rng.u64(..20));
+                while let Ok(Some(())) = timeout_at(second_at, self.read(false)).await {}
+                sleep_until(second_at).await;
+                first.and(self.stream.write_all(answer).await)
+            }
+            Behaviour::EndlessAnswer => loop {
+                self.stream.write_all(&[b'x'; 512]).await?;
+                sleep(Duration::from_millis(1)).await;
+            },
+            _ => self.stream.write_all(answer).await,
+        }
+    }
+
+    async fn write_in_pieces(&mut self, answer: &[u8]) -> std::io::Result<()> {
         for piece in answer.chunks(7) {
             sleep(Duration::from_millis(self.rng.u64(..4))).await;
-            self.far.write_all(piece).await?;
+            self.stream.write_all(piece).await?;
         }
         Ok(())
     }
 
-    /// An answer in this server's own protocol.
-    fn wrong(&self, meta: &str, status: &str) -> Vec<u8> {
-        if self.origin {
+    /// An answer without a value, in this server's own protocol.
+    fn error_response(&self, meta: &str, status: &str) -> Vec<u8> {
+        if self.is_origin {
             return format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").into_bytes();
         }
         meta.as_bytes().to_vec()
     }
 
-    /// What is right: a value that says whose it is, or a receipt.
-    fn good(&self, id: &str, write: bool) -> Vec<u8> {
-        let body = if write { format!("r-{id}") } else { format!("v-{id}\r\nHD O{id}") };
-        match (self.origin, write) {
+    /// The correct answer: a value that says whose it is, or a receipt.
+    fn well_formed_response(&self, id: &str, is_write: bool) -> Vec<u8> {
+        let body = if is_write { format!("r-{id}") } else { format!("v-{id}\r\nHD O{id}") };
+        match (self.is_origin, is_write) {
             (true, _) => {
                 let head = format!("HTTP/1.1 200 OK\r\nX-Trace-Id: {id}\r\nContent-Length: {}", body.len());
                 format!("{head}\r\n\r\n{body}").into_bytes()
@@ -247,51 +289,51 @@
         }
     }
 
-    /// What can be told to be wrong.
-    fn spoilt(&mut self, id: &str, write: bool) -> Vec<u8> {
-        let good = self.good(id, write);
-        match (self.origin, write, self.rng.bool()) {
+    /// An answer that can be told to be malformed.
+    fn malformed_response(&mut self, id: &str, is_write: bool) -> Vec<u8> {
+        let well_formed_response = self.well_formed_response(id, is_write);
+        match (self.is_origin, is_write, self.rng.bool()) {
             (true, true, true) => {
                 b"HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nr1\r\nHD O1 cr\r\nx".to_vec()
             }
-            (true, ..) => [&b"HTTP/1.1 abc\r\n"[..], &good].concat(),
+            (true, ..) => [&b"HTTP/1.1 abc\r\n"[..], &well_formed_response].concat(),
             (false, _, true) => b"VA 3000000000 O1\r\n".to_vec(),
             (false, _, false) => format!("VA 1 O{id}\r\nab\r\n").into_bytes(),
         }
     }
 
-    /// The next request; none once the balancer has let go of the connection.
-    async fn next(&mut self) -> Option<Got> {
+    /// The next request; none once the balancer has closed the connection.
+    async fn next(&mut self) -> Option<ReceivedRequest> {
         let mut requests = RequestReader::default();
         loop {
-            if let Some(got) = self.take(&mut requests) {
-                return Some(got);
+            if let Some(request) = self.take(&mut requests) {
+                return Some(request);
             }
             self.read(requests.has_incomplete_request()).await?;
         }
     }
 
-    async fn read(&mut self, unfinished: bool) -> Option<()> {
-        let fresh = self.input.is_empty() && !unfinished;
-        if self.far.read_buf(&mut self.input).await.ok()? == 0 {
+    async fn read(&mut self, has_incomplete_request: bool) -> Option<()> {
+        let is_first_byte = self.input.is_empty() && !has_incomplete_request;
+        if self.stream.read_buf(&mut self.input).await.ok()? == 0 {
             return None;
         }
-        self.came = Instant::now();
-        if fresh && self.told.get().is_some_and(|told| told < Instant::now()) {
-            self.ledger.broken("-", "a first byte to a host after its end was told");
+        self.last_received = Instant::now();
+        if is_first_byte && self.notified_at.get().is_some_and(|notified_at| notified_at < Instant::now()) {
+            self.event_log.violation("-", "a first byte to a server after its end was notified");
         }
         Some(())
     }
 
-    fn take(&mut self, requests: &mut RequestReader) -> Option<Got> {
-        if !self.origin {
+    fn take(&mut self, requests: &mut RequestReader) -> Option<ReceivedRequest> {
+        if !self.is_origin {
             return match requests.next(&mut self.input)? {
                 Incoming::Request { request, .. } => {
                     let id = String::from_utf8_lossy(&request.id).into_owned();
-                    Some(Got(id, request.value.is_some()))
+                    Some(ReceivedRequest { id, is_write: request.value.is_some() })
                 }
                 other => {
-                    self.ledger.broken("-", format!("a host got {other:?}"));
+                    self.event_log.violation("-", format!("a server got {other:?}"));
                     None
                 }
             };
@@ -303,9 +345,10 @@
         if body.len() < length {
             return None;
         }
-        let got = Got(field("X-Trace-Id: ")?.to_owned(), head.starts_with("PUT"));
-        let whole = head.len() + 4 + length;
-        let _ = self.input.split_to(whole);
-        Some(got)
+        let id = field("X-Trace-Id: ")?.to_owned();
+        let is_write = head.starts_with("PUT");
+        let total = head.len() + b"\r\n\r\n".len() + length;
+        let _ = self.input.split_to(total);
+        Some(ReceivedRequest { id, is_write })
     }
 }
