--- a/dispatch/src/dispatcher/endpoints.rs
+++ b/dispatch/src/dispatcher/endpoints.rs
@@ -21,18 +21,20 @@
     /// Logs which limits hold something back, and why.
     pub fn log_limits(&self) {
         let state = self.state.borrow();
-        let (limits, waiting) = state.balancer.limits(self.clock.now());
+        let limits = state.balancer.limits(self.clock.now());
         let mut limiting = 0;
-        for limit in &limits {
-            let Some(reason) = limit.holds() else { continue };
+        for limit in &limits.servers {
+            let Some(reason) = limit.binding_limit() else { continue };
             limiting += 1;
             let address = state.servers.get(&limit.server).and_then(|known| known.address);
-            info!(self.log, "limit"; "reason" => reason,
+            info!(self.log, "limit"; "reason" => reason.label(),
                 "server" => address.map_or_else(|| "unknown".into(), |address| address.to_string()),
-                "in_flight" => limit.out, "limit" => limit.most, "gap_ms" => to_ms(limit.gap),
-                "baseline_latency_ms" => to_ms(limit.usual), "recent_latency_ms" => to_ms(limit.lately));
+                "in_flight" => limit.in_flight, "limit" => limit.limit, "gap_ms" => to_ms(limit.gap),
+                "baseline_latency_ms" => to_ms(limit.baseline_latency),
+                "recent_latency_ms" => to_ms(limit.recent_latency));
         }
-        info!(self.log, "limits"; "servers" => limits.len(), "limiting" => limiting, "waiting" => waiting);
+        info!(self.log, "limits"; "servers" => limits.servers.len(), "limiting" => limiting,
+            "waiting" => limits.waiting_for_origin);
     }
 
     /// The endpoint list has changed, as `kind` says.
--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -19,13 +19,13 @@
 use crate::config::Config;
 use crate::connect::TcpConnector;
 use crate::counters::Counters;
-use crate::discovery::{self, Calls};
+use crate::discovery::{self, PollPolicy};
 use crate::dispatcher::{Carrier, Dispatcher};
 use crate::downstream::Downstream;
+use crate::endpoint_list::EndpointListReader;
 use crate::error::StartError;
 use crate::graceful_shutdown::{self, GracefulShutdown};
 use crate::listener::listen;
-use crate::name_table::NameTable;
 use crate::operators::{Callers, Operators};
 use crate::peers::Peers;
 use crate::reload::Reloader;
@@ -68,9 +68,9 @@
         let longest_deadline = longest_deadline(&config);
         let dispatcher = build_dispatcher(&config, &resource_limits, longest_deadline, &log);
         let peers = join_peers(&config, &dispatcher, &log)?;
-        let known_generation = config.known.generation;
-        let endpoint_list = NameTable::new(std::mem::take(&mut config.names));
-        let known_servers = endpoint_list.read(std::mem::take(&mut config.known), &log);
+        let known_version = config.known.version;
+        let list_reader = EndpointListReader::new(std::mem::take(&mut config.names));
+        let known_servers = list_reader.read(std::mem::take(&mut config.known), &log);
         dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &known_servers);
 
         let shutdown = Rc::new(GracefulShutdown::default());
@@ -85,18 +85,18 @@
         let daemon =
             Daemon { dispatcher, downstream, peers, shutdown, resource_limits, longest_deadline, log };
         let address = listener.local_addr().unwrap_or(config.listen);
-        daemon.log_start(&config, address, known_servers.len(), known_generation);
+        daemon.log_start(&config, address, known_servers.len(), known_version);
         daemon.start_timers();
         let is_successor = daemon.start_admin(&config).await?;
-        let reloader = daemon.start_discovery(config, endpoint_list, known_generation, is_successor);
+        let reloader = daemon.start_discovery(config, list_reader, known_version, is_successor);
         spawn_local(Rc::clone(&daemon.downstream).accept(listener));
         Ok((daemon, reloader))
     }
 
-    fn log_start(&self, config: &Config, address: SocketAddr, servers: usize, generation: u64) {
+    fn log_start(&self, config: &Config, address: SocketAddr, servers: usize, list_version: u64) {
         let poll_interval = config.settings.rules.discovery_poll_interval;
         info!(self.log, "listening"; "address" => address.to_string(), "servers" => servers);
-        info!(self.log, "settings"; "generation" => generation,
+        info!(self.log, "settings"; "endpoint_list_version" => list_version,
             "discovery_poll_interval_ms" => clock::to_ms(poll_interval),
             "lists" => if config.pushed.is_some() { "pushed" } else { "polled" },
             "longest_deadline_ms" => self.longest_deadline.as_millis(),
@@ -136,19 +136,20 @@
     fn start_discovery(
         &self,
         config: Config,
-        endpoint_list: NameTable,
-        known_generation: u64,
+        list_reader: EndpointListReader,
+        known_version: u64,
         is_successor: bool,
     ) -> Rc<Reloader> {
         let (discovery, address_changes) = watch::channel(config.discovery);
-        let calls = Calls { at_once: is_successor, pushed: config.pushed, seed: config.seed };
+        let policy =
+            PollPolicy { at_start: is_successor, pushed_list_backoff: config.pushed, seed: config.seed };
         let dispatcher = Rc::clone(&self.dispatcher);
         spawn_local(discovery::follow(
-            endpoint_list,
-            Some(known_generation),
+            list_reader,
+            Some(known_version),
             address_changes,
             Rc::clone(&dispatcher),
-            calls,
+            policy,
             self.log.clone(),
         ));
         Rc::new(Reloader::new(config.file, discovery, dispatcher, self.log.clone()))
