--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -32,7 +32,7 @@
 use crate::start_times::StartTimes;
 use crate::streamed_value::{streamed_value, ChunkSender};
 pub use crate::values::{Answer, ListedServer, Reply};
-use state::{DispatcherState, OpenRequest, Timer, NEVER};
+use state::{DispatcherState, OpenRequest, Timer, NO_DEADLINE};
 
 /// How long before its client gives up a request is over here: the way of the answer back, and of the
 /// request here, which nothing tells.
@@ -104,8 +104,8 @@
             timer_set: Notify::new(),
             watch_requested: Notify::new(),
             last_request_closed: Notify::new(),
-            next_timer: Cell::new(NEVER),
-            final_deadline: Cell::new(NEVER),
+            next_timer: Cell::new(NO_DEADLINE),
+            final_deadline: Cell::new(NO_DEADLINE),
             log_throttle: LogThrottle::default(),
             log,
         })
@@ -164,7 +164,7 @@
             is_write: request.value.is_some(),
             class: request.class,
             tenant: request.tenant,
-            is_client_retry: request.retry,
+            is_client_retry: request.is_client_retry,
         });
         let (answer, receiver) = oneshot::channel();
         let open = OpenRequest {
@@ -174,7 +174,7 @@
             attempts: 0,
             attempts_in_flight: 0,
             is_half_closed: false,
-            retry_write_deadline: NEVER,
+            retry_write_deadline: NO_DEADLINE,
             closed: ClosedFlag::default(),
         };
         state.requests.insert(id, open);
@@ -189,7 +189,7 @@
         let class_deadline = self.class_deadlines.get(request.class as usize);
         let class_deadline = class_deadline.or(self.class_deadlines.last()).copied();
         let longest = class_deadline.unwrap_or(DEFAULT_DEADLINE);
-        let timeout = request.wait.map_or(longest, |timeout| timeout.min(longest));
+        let timeout = request.timeout.map_or(longest, |timeout| timeout.min(longest));
         let time_left = timeout.saturating_sub(longest_wait.min(timeout.mul_f64(MAX_WAIT_SHARE)));
         let deadline = now.saturating_add(time_left.saturating_sub(DEADLINE_MARGIN));
         deadline.min(self.final_deadline.get())
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -5,7 +5,7 @@
 use juniperladder::{Action, AttemptResult, CompletedAttempt, Event, Micros, ServerId};
 use slog::{debug, info};
 
-use super::state::{DispatcherState, InFlightAttempt, Timer, NEVER};
+use super::state::{DispatcherState, InFlightAttempt, Timer, NO_DEADLINE};
 use super::Dispatcher;
 use crate::carrier::AttemptEnd;
 use crate::clock::to_ms;
@@ -189,7 +189,7 @@
         if open.attempts == 0 {
             let class = open.request.class as usize;
             let window = self.deduplication_windows.get(class).copied().flatten();
-            open.retry_write_deadline = window.map_or(NEVER, |window| now.saturating_add(window));
+            open.retry_write_deadline = window.map_or(NO_DEADLINE, |window| now.saturating_add(window));
         }
         let attempt = open.attempts;
         open.attempts += 1;
--- a/dispatch/src/dispatcher/state.rs
+++ b/dispatch/src/dispatcher/state.rs
@@ -18,7 +18,7 @@
 use crate::values::Answer;
 
 /// A time that does not come.
-pub(super) const NEVER: Micros = Micros(u64::MAX);
+pub(super) const NO_DEADLINE: Micros = Micros(u64::MAX);
 
 /// A request that has no final answer yet.
 pub(super) struct OpenRequest {
--- a/dispatch/src/dispatcher/timers.rs
+++ b/dispatch/src/dispatcher/timers.rs
@@ -5,14 +5,14 @@
 use juniperladder::{Event, Micros};
 use tokio::time::sleep_until;
 
-use super::state::{DispatcherState, Timer, NEVER};
+use super::state::{DispatcherState, Timer, NO_DEADLINE};
 use super::Dispatcher;
 use crate::counters::increment;
 use crate::identifiers::AttemptId;
 use crate::request::ClientRequestId;
 use crate::values::Answer;
 
-/// The longest sleep without a look at the timers: the runtime's clock reaches less far than [`NEVER`].
+/// The longest sleep without a look at the timers: the runtime's clock reaches less far than [`NO_DEADLINE`].
 const MAX_SLEEP: Micros = Micros(3_600_000_000);
 
 impl Dispatcher {
@@ -37,7 +37,7 @@
             match state.timers.peek() {
                 Some(Reverse((at, _))) if *at <= now => {}
                 Some(Reverse((at, _))) => return *at,
-                None => return NEVER,
+                None => return NO_DEADLINE,
             }
             let Some(Reverse((_, timer))) = state.timers.pop() else { continue };
             match timer {
--- a/dispatch/src/request.rs
+++ b/dispatch/src/request.rs
@@ -43,9 +43,9 @@
     /// Its tenant, by its position in the settings; beyond them for one that they do not name, and for none.
     pub tenant: u32,
     /// Whether the client marked it as a retry of its own.
-    pub retry: bool,
+    pub is_client_retry: bool,
     /// How long the client waits; none if it does not say.
-    pub wait: Option<Micros>,
+    pub timeout: Option<Micros>,
     /// All names and values that came with it.
     pub properties: Vec<(Bytes, Bytes)>,
 }
--- a/dispatch/src/request_metrics.rs
+++ b/dispatch/src/request_metrics.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 /// How many outcomes there are.
-const OUTCOMES: usize = 3;
+const OUTCOME_COUNT: usize = 3;
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,14 +24,14 @@
 #[derive(Debug)]
 pub struct RequestMetrics {
     /// For each class, a count for each [`RequestOutcome`] in its order.
-    outcomes: RefCell<Vec<[u64; OUTCOMES]>>,
+    outcomes: RefCell<Vec<[u64; OUTCOME_COUNT]>>,
     downloads_in_progress: Cell<usize>,
 }
 
 impl RequestMetrics {
     /// Metrics of this many classes, in which nothing has ended yet.
     pub fn new(classes: usize) -> Rc<RequestMetrics> {
-        let outcomes = RefCell::new(vec![[0; OUTCOMES]; classes.max(1)]);
+        let outcomes = RefCell::new(vec![[0; OUTCOME_COUNT]; classes.max(1)]);
         Rc::new(RequestMetrics { outcomes, downloads_in_progress: Cell::new(0) })
     }
 
--- a/dispatch/src/testing.rs
+++ b/dispatch/src/testing.rs
@@ -115,8 +115,8 @@
         upload: None,
         class: 0,
         tenant: 0,
-        retry: false,
-        wait: Some(Micros(480_000)),
+        is_client_retry: false,
+        timeout: Some(Micros(480_000)),
         properties: vec![("c".into(), "read".into()), ("d".into(), "480".into())],
     }
 }
--- a/node/src/discovery/poll.rs
+++ b/node/src/discovery/poll.rs
@@ -151,7 +151,7 @@
         if response.body.len() > MAX_LIST_BYTES {
             return Err(PollError::ListTooLong);
         }
-        if response.done {
+        if response.is_complete {
             return Ok(());
         }
     }
--- a/node/src/simulation.rs
+++ b/node/src/simulation.rs
@@ -41,7 +41,7 @@
     deadline_ms: u64,
 }
 
-const CLASSES: [SimulatedClass; 3] = [
+const SIMULATED_CLASSES: [SimulatedClass; 3] = [
     SimulatedClass { name: "read", idempotency: Idempotency::Idempotent, deadline_ms: 400 },
     SimulatedClass { name: "put", idempotency: Idempotency::WithIdempotencyKey, deadline_ms: 900 },
     SimulatedClass { name: "once", idempotency: Idempotency::NotIdempotent, deadline_ms: 700 },
@@ -127,7 +127,7 @@
         }
         let executed = request.arrivals.iter().filter(|arrival| arrival.may_have_been_executed.get());
         let earlier = executed.map(|arrival| arrival.at).min();
-        let is_allowed = match CLASSES[request.class].idempotency {
+        let is_allowed = match SIMULATED_CLASSES[request.class].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::WithIdempotencyKey => earlier.is_none_or(|first| now - first < DEDUPLICATION_WINDOW),
             Idempotency::NotIdempotent => earlier.is_none(),
@@ -152,7 +152,7 @@
     };
     let mode = CacheMode::Aside(ORIGIN);
     Settings {
-        classes: CLASSES.map(class).into(),
+        classes: SIMULATED_CLASSES.map(class).into(),
         mode,
         ..testing::settings(MAX_ATTEMPTS, Idempotency::Idempotent)
     }
@@ -189,7 +189,7 @@
         upstream.attach(&dispatcher);
         dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &servers.listed());
         let shutdown = Rc::new(GracefulShutdown::default());
-        let classes = CLASSES.map(|class| class.name.to_owned()).into();
+        let classes = SIMULATED_CLASSES.map(|class| class.name.to_owned()).into();
         let labels = Labels { classes, tenants: vec![] };
         let resource_limits = ResourceLimits {
             client_connections: 16,
@@ -214,7 +214,7 @@
             if rng.u8(..8) == 0 {
                 self.dispatcher.on_endpoints_changed(EndpointUpdate::Unavailable, &[]);
             }
-            let changed: ListedServer = self.servers.next_state(rng.usize(1..servers::SERVERS));
+            let changed: ListedServer = self.servers.next_state(rng.usize(1..servers::SERVER_COUNT));
             self.event_log.count(Occurrence::EndpointListChanged);
             self.dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[changed]);
         }
@@ -248,7 +248,7 @@
     async fn shut_down(&self) {
         let signalled_at = Instant::now();
         let longest_deadline =
-            Duration::from_millis(CLASSES.iter().map(|class| class.deadline_ms).max().unwrap_or(0));
+            Duration::from_millis(SIMULATED_CLASSES.iter().map(|class| class.deadline_ms).max().unwrap_or(0));
         let time_for_answers = time_for_answers(longest_deadline);
         let now = self.dispatcher.clock().now();
         self.dispatcher.set_final_deadline(now.saturating_add(crate::clock::micros(time_for_answers)));
--- a/node/src/simulation/clients.rs
+++ b/node/src/simulation/clients.rs
@@ -9,7 +9,7 @@
 use tokio::io::{duplex, AsyncReadExt, AsyncWriteExt, DuplexStream};
 use tokio::time::{sleep, timeout_at, Instant};
 
-use super::{EventLog, Occurrence, SimulatedClass, Simulation, CLASSES};
+use super::{EventLog, Occurrence, SimulatedClass, Simulation, SIMULATED_CLASSES};
 use crate::dispatcher::{Answer, ClientRequest};
 use crate::memcache::{read_answer, write_request};
 use crate::testing;
@@ -115,14 +115,14 @@
     let (mut text, mut requests, mut deadline) = (BytesMut::new(), VecDeque::new(), Instant::now());
     for _ in 0..if rng.u8(..4) == 0 { rng.usize(2..5) } else { 1 } {
         *sent_requests += 1;
-        let class = rng.usize(..CLASSES.len() * 2).saturating_sub(CLASSES.len());
-        let SimulatedClass { name, deadline_ms, .. } = CLASSES[class];
+        let class = rng.usize(..SIMULATED_CLASSES.len() * 2).saturating_sub(SIMULATED_CLASSES.len());
+        let SimulatedClass { name, deadline_ms, .. } = SIMULATED_CLASSES[class];
         let id = format!("{client:02x}{sent_requests:06x}");
         let wait = rng.u64(deadline_ms * 7 / 10..=deadline_ms);
         let request = ClientRequest {
             key: Bytes::from(format!("{:016x}", rng.u64(..20))),
             value: (class > 0).then(|| vec![b'w'; rng.usize(..3000)].into()),
-            wait: Some(juniperladder::Micros(wait * 1000)),
+            timeout: Some(juniperladder::Micros(wait * 1000)),
             properties: vec![
                 ("c".into(), name.into()),
                 ("d".into(), wait.to_string().into()),
@@ -130,7 +130,7 @@
             ],
             ..testing::request(&id, None)
         };
-        write_request(&mut text, &request, request.wait.unwrap_or_default());
+        write_request(&mut text, &request, request.timeout.unwrap_or_default());
         simulation.event_log.on_request_sent(&id, class);
         // The wait for the answers before it does not count.
         deadline = deadline.max(Instant::now() + Duration::from_millis(wait));
@@ -169,7 +169,7 @@
         match read_answer(&mut input, &open.request) {
             Ok(Some(answer)) => {
                 event_log.on_request_over(&id);
-                event_log.count(judge_answer(event_log, &id, &answer));
+                event_log.count(check_answer(event_log, &id, &answer));
                 requests.pop_front();
                 continue;
             }
@@ -200,7 +200,7 @@
 }
 
 /// What this answer is, and whether a server made it for the request.
-fn judge_answer(event_log: &EventLog, id: &str, answer: &Answer) -> Occurrence {
+fn check_answer(event_log: &EventLog, id: &str, answer: &Answer) -> Occurrence {
     match answer {
         Answer::Value(value) if value.starts_with(format!("v-{id}").as_bytes()) => Occurrence::Served,
         Answer::Receipt(receipt) if receipt.as_ref() == format!("r-{id}").as_bytes() => Occurrence::Served,
--- a/node/src/simulation/servers.rs
+++ b/node/src/simulation/servers.rs
@@ -20,7 +20,7 @@
 use crate::testing::ORIGIN;
 
 /// The origin, which is the first, and cache servers.
-pub const SERVERS: usize = 6;
+pub const SERVER_COUNT: usize = 6;
 
 /// What a server does with a request, or with a connection that comes up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -101,7 +101,11 @@
     pub fn new(rng: Rng, event_log: Rc<EventLog>) -> Servers {
         let slot =
             |_| ServerSlot { incarnation: 1, state: EndpointState::Serving, notified_at: Rc::default() };
-        Servers { slots: RefCell::new((0..SERVERS).map(slot).collect()), rng: RefCell::new(rng), event_log }
+        Servers {
+            slots: RefCell::new((0..SERVER_COUNT).map(slot).collect()),
+            rng: RefCell::new(rng),
+            event_log,
+        }
     }
 
     fn listed_server(&self, slot: usize) -> ListedServer {
@@ -119,7 +123,7 @@
     }
 
     pub fn listed(&self) -> Vec<ListedServer> {
-        (0..SERVERS).map(|slot| self.listed_server(slot)).collect()
+        (0..SERVER_COUNT).map(|slot| self.listed_server(slot)).collect()
     }
 
     /// The next thing that happens to the server in this slot, as discovery reports it: it drains, it ends, and another starts
--- a/node/src/upstream/download.rs
+++ b/node/src/upstream/download.rs
@@ -32,7 +32,7 @@
             ValueBody::Memcache(remaining) => Ok(remaining.take(input)?),
             ValueBody::Http(response) => {
                 response.read(input)?;
-                Ok((response.body.split().freeze(), response.done))
+                Ok((response.body.split().freeze(), response.is_complete))
             }
         }
     }
--- a/node/src/upstream/response.rs
+++ b/node/src/upstream/response.rs
@@ -123,7 +123,7 @@
         if response.is_too_large() {
             return Err(MalformedResponse::BodyTooLong.into());
         }
-        if response.done {
+        if response.is_complete {
             check_nothing_behind(stream, input).await?;
             let reply = response.reply(is_write)?;
             return Ok(ServerResponse::Complete { reply, closes_connection: response.closes_connection() });
--- a/node/src/upstream/upload.rs
+++ b/node/src/upstream/upload.rs
@@ -76,7 +76,7 @@
         let mut stream = self.connect(upstream).await.ok()?;
         let length = upload.value.length();
         let (mut head, host) = (BytesMut::new(), self.address.to_string());
-        let time_left = upload.request.wait.unwrap_or_default();
+        let time_left = upload.request.timeout.unwrap_or_default();
         http::write_request_head(&mut head, &upload.request, &host, time_left, Some(length));
         write_in_time(&mut stream, &head).await?;
         let mut remaining_bytes = length - 1;
--- a/protocols/src/http/response.rs
+++ b/protocols/src/http/response.rs
@@ -158,7 +158,7 @@
     /// The body so far, or what was not taken of it.
     pub body: BytesMut,
     /// Whether the response is complete.
-    pub done: bool,
+    pub is_complete: bool,
     /// Bytes of the body, or of the chunk in progress, that are still to come.
     remaining_bytes: usize,
     chunk_state: ChunkState,
@@ -177,7 +177,7 @@
             None => {}
             Some(Framing::Length(_)) => {
                 self.read_body(input);
-                self.done = self.remaining_bytes == 0;
+                self.is_complete = self.remaining_bytes == 0;
             }
             Some(Framing::Chunked) => self.read_chunks(input)?,
             Some(Framing::UntilClose) => self.body.unsplit(input.split()),
@@ -210,7 +210,7 @@
 
     /// The connection has ended: a body without a length is complete by that.
     pub fn on_connection_ended(&mut self) {
-        self.done |= self.head.as_ref().is_some_and(|head| head.framing == Framing::UntilClose);
+        self.is_complete |= self.head.as_ref().is_some_and(|head| head.framing == Framing::UntilClose);
     }
 
     /// The length of the value that this response brings, where it has to be streamed. One without a length cannot, as
@@ -261,7 +261,7 @@
     }
 
     fn read_chunks(&mut self, input: &mut BytesMut) -> Result<(), ResponseError> {
-        while !self.done {
+        while !self.is_complete {
             self.read_body(input);
             if self.remaining_bytes > 0 {
                 return Ok(());
@@ -281,7 +281,7 @@
         match self.chunk_state {
             ChunkState::ChunkEnd if !is_blank => return Err(ResponseError::ChunkWithoutEnd),
             ChunkState::ChunkEnd => self.chunk_state = ChunkState::Size,
-            ChunkState::Trailer => self.done = is_blank,
+            ChunkState::Trailer => self.is_complete = is_blank,
             ChunkState::Size => {
                 let size = parse_chunk_size(line).ok_or(ResponseError::NotAChunkSize)?;
                 self.remaining_bytes = size;
@@ -299,8 +299,8 @@
 
 /// Whether these bytes may be the beginning of a response, or none at all.
 pub fn may_begin_response(input: &[u8]) -> bool {
-    const BEGINNING: &[u8] = b"HTTP/1.";
-    input.iter().zip(BEGINNING).all(|(byte, expected)| byte == expected)
+    const VERSION_PREFIX: &[u8] = b"HTTP/1.";
+    input.iter().zip(VERSION_PREFIX).all(|(byte, expected)| byte == expected)
 }
 
 /// The length of the first head with its empty line; none until that has come.
--- a/protocols/src/http/tests.rs
+++ b/protocols/src/http/tests.rs
@@ -11,7 +11,7 @@
         input.extend_from_slice(piece);
         response.read(&mut input)?;
     }
-    assert!(!response.done || input.is_empty());
+    assert!(!response.is_complete || input.is_empty());
     Ok(response)
 }
 
@@ -24,18 +24,18 @@
     for text in [plain, chunked] {
         for cut in 1..text.len() {
             let response = read(text, cut).unwrap();
-            assert!(response.done && response.body == b"hello"[..], "cut at {cut}");
+            assert!(response.is_complete && response.body == b"hello"[..], "cut at {cut}");
         }
-        assert!(!read(&text[..text.len() - 1], 7).unwrap().done);
+        assert!(!read(&text[..text.len() - 1], 7).unwrap().is_complete);
     }
 }
 
 #[test]
 fn a_body_without_a_length_ends_with_its_connection() {
     let mut response = read(b"HTTP/1.1 200 OK\r\n\r\nhello", 4).unwrap();
-    assert!(!response.done);
+    assert!(!response.is_complete);
     response.on_connection_ended();
-    assert!(response.done && response.head.unwrap().closes_connection);
+    assert!(response.is_complete && response.head.unwrap().closes_connection);
 }
 
 #[test]
@@ -66,7 +66,7 @@
     for body in ["", "r1 r2", "r1\r\n", "r1\nHD O8 cr2", "r1\u{7f}", "r1\u{e9}", &"r".repeat(5000)] {
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         let response = read(text.as_bytes(), 99).unwrap();
-        assert!(response.done && response.reply(true).is_err(), "{body:?}");
+        assert!(response.is_complete && response.reply(true).is_err(), "{body:?}");
         assert!(matches!(response.reply(false), Ok(Reply::Served(Answer::Value(_)))), "{body:?}");
     }
 }
--- a/protocols/src/memcache/line.rs
+++ b/protocols/src/memcache/line.rs
@@ -1,11 +1,11 @@
-//! Lines and the words in them.
+//! Lines and the tokens in them.
 
 use winnow::combinator::{preceded, repeat, terminated};
 use winnow::prelude::*;
 use winnow::token::take_while;
 
-/// The first word of a line, and the others.
-pub(super) type Words<'a> = (&'a [u8], Vec<&'a [u8]>);
+/// The first token of a line, and the others.
+pub(super) type Tokens<'a> = (&'a [u8], Vec<&'a [u8]>);
 
 /// Where a line stands in the input.
 pub(super) struct LineBounds {
@@ -27,32 +27,32 @@
     winnow::ascii::dec_uint::<_, u64, winnow::error::ContextError>.parse(text).ok()
 }
 
-/// The words of a client's line; none if there are bytes in it that no word has.
-pub(super) fn request_words(text: &[u8]) -> Option<Words<'_>> {
-    (word, words(word)).parse(text).ok()
+/// The tokens of a client's line; none if there are bytes in it that no token has.
+pub(super) fn request_tokens(text: &[u8]) -> Option<Tokens<'_>> {
+    (token, tokens(token)).parse(text).ok()
 }
 
-/// The words of a server's line, whatever their bytes but for the first: a load report that cannot be read makes no
+/// The tokens of a server's line, whatever their bytes but for the first: a load report that cannot be read makes no
 /// answer malformed.
-pub(super) fn response_words(text: &[u8]) -> Option<Words<'_>> {
-    (word, words(any_word)).parse(text).ok()
+pub(super) fn response_tokens(text: &[u8]) -> Option<Tokens<'_>> {
+    (token, tokens(any_token)).parse(text).ok()
 }
 
-fn word<'a>(input: &mut &'a [u8]) -> winnow::Result<&'a [u8]> {
+fn token<'a>(input: &mut &'a [u8]) -> winnow::Result<&'a [u8]> {
     take_while(1.., |byte: u8| byte > b' ' && byte != 0x7f).parse_next(input)
 }
 
-fn any_word<'a>(input: &mut &'a [u8]) -> winnow::Result<&'a [u8]> {
+fn any_token<'a>(input: &mut &'a [u8]) -> winnow::Result<&'a [u8]> {
     take_while(1.., |byte: u8| byte != b' ').parse_next(input)
 }
 
-/// Words of one kind, each behind spaces, up to the end of the line.
-fn words<'a>(
-    word: impl FnMut(&mut &'a [u8]) -> winnow::Result<&'a [u8]>,
+/// Tokens of one kind, each behind spaces, up to the end of the line.
+fn tokens<'a>(
+    token: impl FnMut(&mut &'a [u8]) -> winnow::Result<&'a [u8]>,
 ) -> impl FnMut(&mut &'a [u8]) -> winnow::Result<Vec<&'a [u8]>> {
-    let mut word = word;
+    let mut token = token;
     move |input| {
-        let separated = preceded(take_while(1.., b' '), &mut word);
+        let separated = preceded(take_while(1.., b' '), &mut token);
         terminated(repeat(0.., separated), take_while(0.., b' ')).parse_next(input)
     }
 }
--- a/protocols/src/memcache/request_reader.rs
+++ b/protocols/src/memcache/request_reader.rs
@@ -7,7 +7,7 @@
 use winnow::prelude::*;
 use winnow::token::take_while;
 
-use super::line::{first_line, number, request_words};
+use super::line::{first_line, number, request_tokens};
 use super::response_reader::RemainingValue;
 use super::{
     LINE_END, MAX_BUFFERED_VALUE_BYTES, MAX_KEY_BYTES, MAX_LINE_BYTES, MAX_SKIPPED_BYTES, MAX_VALUE_BYTES,
@@ -177,10 +177,10 @@
 }
 
 fn parse_line(text: &Bytes) -> Line {
-    let Some((name, words)) = request_words(text) else {
+    let Some((name, tokens)) = request_tokens(text) else {
         return Line::Incoming(Incoming::Malformed("ERROR"));
     };
-    match (name, words.as_slice()) {
+    match (name, tokens.as_slice()) {
         (b"mn", []) => Line::Incoming(Incoming::Ready),
         (b"quit", []) => Line::Incoming(Incoming::Quit),
         (b"mg", [key, flags @ ..]) => Line::Incoming(match parse_request(text, key, flags) {
@@ -223,10 +223,10 @@
     let properties = parse_properties(&flag(b'P').unwrap_or_default())?;
     let property =
         |name: &[u8]| properties.iter().find(|(known, _)| known == name).map(|(_, value)| value.clone());
-    let wait = property(b"d").ok_or("CLIENT_ERROR no deadline")?;
-    let wait = number(&wait).ok_or(BAD_PROPERTIES)?;
+    let timeout = property(b"d").ok_or("CLIENT_ERROR no deadline")?;
+    let timeout = number(&timeout).ok_or(BAD_PROPERTIES)?;
     let class = property(b"c").unwrap_or_default();
-    let retry = property(b"r").is_some_and(|mark| mark.as_ref() == b"1");
+    let is_client_retry = property(b"r").is_some_and(|mark| mark.as_ref() == b"1");
     let request = ClientRequest {
         id,
         key: text.slice_ref(key),
@@ -234,8 +234,8 @@
         upload: None,
         class: 0,
         tenant: 0,
-        retry,
-        wait: Some(from_ms(wait)),
+        is_client_retry,
+        timeout: Some(from_ms(timeout)),
         properties,
     };
     Ok((Box::new(request), class))
--- a/protocols/src/memcache/response_reader.rs
+++ b/protocols/src/memcache/response_reader.rs
@@ -7,7 +7,7 @@
 use juniperladder_dispatch::values::{Answer, Reply};
 use thiserror::Error;
 
-use super::line::{first_line, number, response_words, LineBounds};
+use super::line::{first_line, number, response_tokens, LineBounds};
 use super::{LINE_END, MAX_BUFFERED_VALUE_BYTES, MAX_LINE_BYTES, MAX_RECEIPT_BYTES, MAX_VALUE_BYTES};
 
 /// How much of a malformed line an error shows: the beginning and not all of it.
@@ -118,9 +118,9 @@
 /// It is malformed.
 pub fn read_answer(input: &mut BytesMut, request: &ClientRequest) -> Result<Option<Answer>, ResponseError> {
     let Some(bounds) = first_line(input) else { return incomplete_line(input) };
-    let words = input[..bounds.text].split(|byte| *byte == b' ').filter(|word| !word.is_empty());
-    let words: Vec<&[u8]> = words.collect();
-    let answer = match words[..] {
+    let tokens = input[..bounds.text].split(|byte| *byte == b' ').filter(|token| !token.is_empty());
+    let tokens: Vec<&[u8]> = tokens.collect();
+    let answer = match tokens[..] {
         [b"SERVER_ERROR", b"busy"] => Answer::Rejected(Micros(0)),
         [b"SERVER_ERROR", b"busy", ms] => Answer::Rejected(number(ms).map_or(Micros(0), from_ms)),
         [b"VA" | b"HD", ..] => {
@@ -154,7 +154,7 @@
 
 fn parse_line(text: &[u8], request: &ClientRequest) -> Result<Line, ResponseError> {
     let not_an_answer = || ResponseError::NotAnAnswer(shown(text));
-    let (name, flags) = response_words(text).ok_or_else(not_an_answer)?;
+    let (name, flags) = response_tokens(text).ok_or_else(not_an_answer)?;
     let flag = |name: u8| flags.iter().find(|flag| flag[0] == name).map(|flag| &flag[1..]);
     if matches!(name, b"VA" | b"HD" | b"EN") && flag(b'O') != Some(&request.id[..]) {
         return Err(ResponseError::OtherRequest(shown(text)));
--- a/protocols/src/memcache/tests.rs
+++ b/protocols/src/memcache/tests.rs
@@ -29,7 +29,7 @@
     else {
         panic!("{whole:?}")
     };
-    assert_eq!((&class[..], &read.id[..], read.wait), (&b"read"[..], &b"9b1f"[..], Some(Micros(480_000))));
+    assert_eq!((&class[..], &read.id[..], read.timeout), (&b"read"[..], &b"9b1f"[..], Some(Micros(480_000))));
     assert_eq!(write.value.as_deref(), Some(&b"a\r\nmn\r\n"[..7]));
 }
 
