--- /dev/null
+++ b/node/src/upstream/upload.rs
@@ -0,0 +1,98 @@
+//! Streamed values that clients write, on their way to the origin while they still come.
+//!
+//! A server begins a request with its last byte. So all of a streamed value but that byte can go ahead, at the pace of its
+//! client and a few chunks at a time, before the request is complete and before the decisions hear of it; the last byte
+//! is the attempt. A value that breaks off, or whose request is rejected, was not executed: its connection ends.
+
+use std::rc::Rc;
+
+use bytes::BytesMut;
+use tokio::io::AsyncWriteExt;
+use tokio::time::timeout;
+
+use super::connection::{AfterAttempt, UpstreamConnection};
+use super::download::STALL_TIMEOUT;
+use super::{Counted, Upstream};
+use crate::connect::ServerStream;
+use crate::dispatcher::{AttemptEnd, Upload};
+use crate::http;
+
+/// The part of the connections to servers (one in so many) that uploads may hold: clients may be slow, and others need
+/// connections.
+const UPLOAD_CONNECTION_DIVISOR: usize = 4;
+
+impl Upstream {
+    /// Begins to send a streamed value, if there is a connection for it. Where the value is dropped, at once or later, no
+    /// more of it is taken.
+    pub(super) fn start_upload(&self, upload: Upload) {
+        let Some(this) = self.this.upgrade() else { return };
+        let max_uploads = (self.limits.max_connections / UPLOAD_CONNECTION_DIVISOR).max(1);
+        if self.uploads.get() >= max_uploads || self.connections.get() >= self.limits.max_connections {
+            return;
+        }
+        let pools = self.pools.borrow();
+        let pool = pools.get(&upload.server).filter(|pool| pool.is_open && pool.is_origin);
+        let Some(address) = pool.and_then(|pool| pool.address) else { return };
+        let connection = UpstreamConnection { server: upload.server, is_origin: true, address };
+        let counted_upload = Counted::one(&self.uploads);
+        let upstream = Rc::clone(&this);
+        this.spawn_connection(async move { connection.upload(&upstream, upload, counted_upload).await });
+    }
+}
+
+impl UpstreamConnection {
+    /// Sends the value, and with its last byte the attempt; then the connection carries others.
+    async fn upload(&self, upstream: &Upstream, mut upload: Upload, counted_upload: Counted) {
+        let stream = self.send_all_but_last_byte(upstream, &upload).await;
+        // From here on the client's side is told that no more is taken, if more there is.
+        drop(upload.value);
+        let Some(mut stream) = stream else {
+            upload.last_byte.close();
+            if let Ok(last_byte) = upload.last_byte.try_recv() {
+                upstream.end_attempt(self.server, last_byte.attempt.id, AttemptEnd::NotSent);
+            }
+            return;
+        };
+        let Ok(last_byte) = upload.last_byte.await else { return };
+        drop(counted_upload);
+        let attempt = last_byte.attempt;
+        let time_left = attempt.deadline.saturating_sub(upstream.clock.now());
+        if time_left.0 == 0 || !upstream.may_send_on(self) {
+            return upstream.end_attempt(self.server, attempt.id, AttemptEnd::Cancelled);
+        }
+        let input = &mut BytesMut::new();
+        let after = self.send(upstream, &mut stream, input, attempt, &last_byte.byte, time_left).await;
+        if after == AfterAttempt::KeepOpen {
+            self.carry_attempts(upstream, stream).await;
+        }
+    }
+
+    /// Sends all but the last byte, on a connection of its own; none if that did not come to its end.
+    async fn send_all_but_last_byte(
+        &self,
+        upstream: &Upstream,
+        upload: &Upload,
+    ) -> Option<Box<dyn ServerStream>> {
+        let mut stream = self.connect(upstream).await.ok()?;
+        let length = upload.value.length();
+        let (mut head, host) = (BytesMut::new(), self.address.to_string());
+        let time_left = upload.request.timeout.unwrap_or_default();
+        http::write_request_head(&mut head, &upload.request, &host, time_left, Some(length));
+        write_in_time(&mut stream, &head).await?;
+        let mut remaining_bytes = length - 1;
+        while remaining_bytes > 0 {
+            let chunk = upload.value.next().await?;
+            remaining_bytes = remaining_bytes.checked_sub(chunk.len())?;
+            write_in_time(&mut stream, &chunk).await?;
+        }
+        Some(stream)
+    }
+}
+
+/// Writes these bytes; none if the server takes too long or the connection breaks.
+async fn write_in_time(stream: &mut Box<dyn ServerStream>, bytes: &[u8]) -> Option<()> {
+    timeout(STALL_TIMEOUT, stream.write_all(bytes)).await.ok()?.ok()
+}
+
+#[cfg(test)]
+mod tests;
