--- a/platform-model/src/cache_server.rs
+++ b/platform-model/src/cache_server.rs
@@ -1,4 +1,7 @@
-//! A cache server: cores, slots, a waiting room, work with noise, a cold start, keys kept to a size, load reports.
+//! A cache server: cores, slots, a queue, work with noise, slow start, cached keys up to a size, load reports.
+//!
+//! A pure model: it takes the time of each request, no earlier than those before, and says when the answer goes out. The
+//! same requests with the same generator give the same answers. Times are [`Micros`].
 
 #[cfg(test)]
 mod tests;
@@ -14,39 +17,43 @@
 use crate::rng::SeededRng;
 use crate::{micros_from_millis, Micros, MICROS_PER_SECOND};
 
-/// How long a miss counts as a fetch that is out, where nobody stores the key.
-const FETCHING: Micros = 3 * MICROS_PER_SECOND;
+/// How long a miss counts as a fetch in flight, where nobody stores the key.
+const FETCH_TIMEOUT: Micros = 3 * MICROS_PER_SECOND;
+/// The longest work as a multiple of the mean of its varying half: beyond, the exponential draw is cut off.
+const MAX_WORK_NOISE: f64 = 8.0;
+/// Fetches in flight are forgotten where there are so many for each key that can be cached.
+const MAX_FETCHES_PER_CACHED_KEY: usize = 4;
 
 /// How a server answers a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The key is kept.
+    /// The key is cached.
     Hit,
-    /// It is not; whether another fetch of it is out.
+    /// It is not.
     Miss {
-        /// Another fetch is out.
+        /// Whether another fetch of it is in flight.
         fetching: bool,
     },
-    /// Turned away; it never ran.
-    Busy,
+    /// Rejected; it was not executed.
+    Rejected,
     /// It failed.
     Failed,
 }
 
-/// What becomes of a request that has come.
+/// What becomes of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Outcome {
+pub struct Response {
     /// The answer.
     pub answer: Answer,
     /// When it goes out.
     pub at: Micros,
-    /// Whether the server was not warm yet when it came.
-    pub cold: bool,
+    /// Whether the server was in slow start when the request came.
+    pub in_slow_start: bool,
 }
 
 /// A load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests served in the last second.
     pub served_per_s: f64,
     /// Requests that wait for a core.
@@ -56,188 +63,210 @@
 /// One cache server, through its restarts.
 #[derive(Debug)]
 pub struct CacheServer {
-    figures: CacheServers,
-    /// Cores; its weight in the list.
+    model: CacheServers,
+    /// Cores; its weight in the endpoint list.
     pub cores: f64,
     /// How often it has started anew.
     pub incarnation: u32,
     /// When it last started; none, long ago.
-    pub started: Option<Micros>,
-    /// Draining or gone: what comes new is turned away.
+    pub started_at: Option<Micros>,
+    /// Draining or gone: new requests are rejected.
     pub closed: bool,
-    slow: f64,
-    failing: f64,
+    /// How many times as long its work takes.
+    slowdown: f64,
+    /// The share of its requests that fail.
+    failure_share: f64,
     /// When each core is free.
-    free: Vec<Micros>,
-    /// When what waits begins, in order.
-    begins: VecDeque<Micros>,
-    /// When what has begun or waits is done.
-    ends: VecDeque<Micros>,
-    kept: LruCache<u64, ()>,
-    fetching: HashMap<u64, Micros>,
-    /// What came in the last second, for the push that a cold server bears.
-    recent: VecDeque<Micros>,
-    fallen: bool,
-    report: Report,
-    reported: Micros,
+    core_free_at: Vec<Micros>,
+    /// When the requests that wait for a core begin, in order.
+    waiting_until: VecDeque<Micros>,
+    /// When the requests in flight are done.
+    in_flight_until: VecDeque<Micros>,
+    cached_keys: LruCache<u64, ()>,
+    /// Keys that missed and are being fetched, and since when.
+    fetching_since: HashMap<u64, Micros>,
+    /// When the requests of the last second came; in slow start alone.
+    recent_requests: VecDeque<Micros>,
+    has_collapsed: bool,
+    last_report: LoadReport,
+    last_report_at: Micros,
 }
 
 impl CacheServer {
-    /// A server that has run for long and keeps `keys` keys at the most; it keeps none yet.
-    pub fn new(figures: CacheServers, cores: f64, keys: usize) -> CacheServer {
+    /// A server that has run for long and caches `max_keys` keys at the most; it has none yet.
+    pub fn new(model: CacheServers, cores: f64, max_keys: usize) -> CacheServer {
         CacheServer {
-            figures,
+            model,
             cores,
             incarnation: 0,
-            started: None,
+            started_at: None,
             closed: false,
-            slow: 1.0,
-            failing: 0.0,
-            free: vec![0; (cores.ceil() as usize).max(1)],
-            begins: VecDeque::new(),
-            ends: VecDeque::new(),
-            kept: LruCache::new(NonZeroUsize::new(keys).unwrap_or(NonZeroUsize::MIN)),
-            fetching: HashMap::new(),
-            recent: VecDeque::new(),
-            fallen: false,
-            report: Report::default(),
-            reported: 0,
+            slowdown: 1.0,
+            failure_share: 0.0,
+            core_free_at: vec![0; (cores.ceil() as usize).max(1)],
+            waiting_until: VecDeque::new(),
+            in_flight_until: VecDeque::new(),
+            cached_keys: LruCache::new(NonZeroUsize::new(max_keys).unwrap_or(NonZeroUsize::MIN)),
+            fetching_since: HashMap::new(),
+            recent_requests: VecDeque::new(),
+            has_collapsed: false,
+            last_report: LoadReport::default(),
+            last_report_at: 0,
         }
     }
 
-    /// Starts anew, cold and empty; what it had in hand is lost.
+    /// Starts anew, in slow start and with nothing cached; requests in flight are lost. Faults stay.
     pub fn restart(&mut self, now: Micros) {
-        let (cores, keys) = (self.cores, self.kept.cap().get());
-        let (slow, failing) = (self.slow, self.failing);
-        let incarnation = self.incarnation + 1;
+        let max_keys = self.cached_keys.cap().get();
         *self = CacheServer {
-            incarnation,
-            started: Some(now),
-            slow,
-            failing,
-            ..CacheServer::new(self.figures, cores, keys)
+            incarnation: self.incarnation + 1,
+            started_at: Some(now),
+            slowdown: self.slowdown,
+            failure_share: self.failure_share,
+            ..CacheServer::new(self.model, self.cores, max_keys)
         };
-        self.free.fill(now);
+        self.core_free_at.fill(now);
     }
 
-    /// From now on it takes so many times as long.
-    pub fn slow(&mut self, times: f64) {
-        self.slow = times;
+    /// From now on its work takes so many times as long.
+    pub fn set_slowdown(&mut self, times: f64) {
+        self.slowdown = times;
     }
 
     /// From now on it fails this share of its requests.
-    pub fn fail(&mut self, share: f64) {
-        self.failing = share;
+    pub fn set_failure_share(&mut self, share: f64) {
+        self.failure_share = share;
     }
 
-    /// The part of its capacity that it has.
-    pub fn warmth(&self, now: Micros) -> f64 {
-        let Some(started) = self.started else { return 1.0 };
-        let part = (now.saturating_sub(started)) as f64 / (self.figures.cold_s * 1e6).max(1.0);
-        (self.figures.cold_from + (1.0 - self.figures.cold_from) * part).min(1.0)
+    /// The share of its capacity that it has: below 1 in slow start.
+    pub fn capacity_share(&self, now: Micros) -> f64 {
+        let Some(started_at) = self.started_at else { return 1.0 };
+        let progress = (now.saturating_sub(started_at)) as f64 / (self.model.cold_s * 1e6).max(1.0);
+        (self.model.cold_from + (1.0 - self.model.cold_from) * progress).min(1.0)
     }
 
     /// Hits a second that it can serve now.
     pub fn capacity(&self, now: Micros) -> f64 {
-        self.cores * 1e3 / self.figures.work_ms / self.slow * self.warmth(now)
+        self.cores * 1e3 / self.model.work_ms / self.slowdown * self.capacity_share(now)
     }
 
-    /// Whether it was pushed over while it was cold, and lies there.
-    pub fn fallen(&self) -> bool {
-        self.fallen
+    /// Whether it was sent too much in slow start, and rejects everything since.
+    pub fn has_collapsed(&self) -> bool {
+        self.has_collapsed
     }
 
-    /// A read has come, whole.
-    pub fn begin(&mut self, now: Micros, key: u64, rng: &mut SeededRng) -> Outcome {
-        let warmth = self.warmth(now);
-        let cold = warmth < 1.0;
-        self.pushed(now, cold);
-        let turned_away = |answer| Outcome { answer, at: now, cold };
-        if self.closed || self.fallen {
-            return turned_away(Answer::Busy);
+    /// A read has come complete.
+    pub fn on_request(&mut self, now: Micros, key: u64, rng: &mut SeededRng) -> Response {
+        let capacity_share = self.capacity_share(now);
+        let in_slow_start = capacity_share < 1.0;
+        self.watch_slow_start_load(now, in_slow_start);
+        let at_once = |answer| Response { answer, at: now, in_slow_start };
+        if self.closed || self.has_collapsed {
+            return at_once(Answer::Rejected);
         }
-        while self.begins.front().is_some_and(|at| *at <= now) {
-            self.begins.pop_front();
+        self.forget_done(now);
+        if self.in_flight_until.len() >= self.max_in_flight() {
+            return at_once(Answer::Rejected);
         }
-        while self.ends.front().is_some_and(|at| *at <= now) {
-            self.ends.pop_front();
+        if rng.random::<f64>() < self.failure_share {
+            return at_once(Answer::Failed);
         }
-        let room = (self.cores * self.figures.slots as f64) as usize + self.figures.queue;
-        if self.ends.len() >= room {
-            return turned_away(Answer::Busy);
+        let answer = self.look_up(now, key);
+        let work = self.draw_work(answer, capacity_share, rng);
+        match self.run(now, work) {
+            Some(at) => Response { answer, at, in_slow_start },
+            None => at_once(Answer::Rejected),
         }
-        if rng.random::<f64>() < self.failing {
-            return turned_away(Answer::Failed);
+    }
+
+    /// Over a second in slow start with more than it bears, a server collapses.
+    fn watch_slow_start_load(&mut self, now: Micros, in_slow_start: bool) {
+        if !in_slow_start {
+            self.recent_requests.clear();
+            return;
         }
-        let answer = if self.kept.get(&key).is_some() {
-            Answer::Hit
-        } else {
-            let out = self.fetching.get(&key).is_some_and(|since| now < since + FETCHING);
-            self.fetching.insert(key, now);
-            Answer::Miss { fetching: out }
-        };
-        let part = if answer == Answer::Hit { 1.0 } else { self.figures.miss };
-        let noise: f64 = Exp1.sample(rng);
-        // Half of the work is always there, the other half varies.
-        let work = micros_from_millis(
-            self.figures.work_ms * part * (0.5 + 0.5 * noise.min(8.0)) * self.slow / warmth,
-        );
-        let Some(core) = self.free.iter_mut().min() else { return turned_away(Answer::Busy) };
-        let begin = (*core).max(now);
-        // A part of a core does its work slower.
-        let whole = self.cores.ceil().max(1.0) / self.cores;
-        *core = begin + (work as f64 * whole) as Micros;
-        let at = *core;
-        if begin > now {
-            self.begins.push_back(begin);
+        self.recent_requests.push_back(now);
+        while self.recent_requests.front().is_some_and(|at| at + MICROS_PER_SECOND <= now) {
+            self.recent_requests.pop_front();
+        }
+        let max_requests = self.capacity(now) * self.model.fall_times;
+        let is_up_for_a_second = self.started_at.is_some_and(|at| at + MICROS_PER_SECOND <= now);
+        if is_up_for_a_second && self.recent_requests.len() as f64 > max_requests {
+            self.has_collapsed = true;
         }
-        self.ends.push_back(at);
-        Outcome { answer, at, cold }
     }
 
-    /// Watches the push on a cold server: over a second with more than it bears, it falls.
-    fn pushed(&mut self, now: Micros, cold: bool) {
-        if !cold {
-            self.recent.clear();
-            return;
+    fn forget_done(&mut self, now: Micros) {
+        for times in [&mut self.waiting_until, &mut self.in_flight_until] {
+            while times.front().is_some_and(|at| *at <= now) {
+                times.pop_front();
+            }
         }
-        self.recent.push_back(now);
-        while self.recent.front().is_some_and(|at| at + MICROS_PER_SECOND <= now) {
-            self.recent.pop_front();
+    }
+
+    /// How many requests may run or wait at once.
+    fn max_in_flight(&self) -> usize {
+        (self.cores * self.model.slots as f64) as usize + self.model.queue
+    }
+
+    fn look_up(&mut self, now: Micros, key: u64) -> Answer {
+        if self.cached_keys.get(&key).is_some() {
+            return Answer::Hit;
         }
-        let bears = self.capacity(now) * self.figures.fall_times;
-        let for_long = self.started.is_some_and(|started| started + MICROS_PER_SECOND <= now);
-        if for_long && self.recent.len() as f64 > bears {
-            self.fallen = true;
+        let since = self.fetching_since.insert(key, now);
+        Answer::Miss { fetching: since.is_some_and(|since| now < since + FETCH_TIMEOUT) }
+    }
+
+    /// The work of one request on a complete core.
+    fn draw_work(&self, answer: Answer, capacity_share: f64, rng: &mut SeededRng) -> Micros {
+        let part = if answer == Answer::Hit { 1.0 } else { self.model.miss };
+        let noise: f64 = Exp1.sample(rng);
+        // Half of the work is always there, the other half varies.
+        let varied = 0.5 + 0.5 * noise.min(MAX_WORK_NOISE);
+        micros_from_millis(self.model.work_ms * part * varied * self.slowdown / capacity_share)
+    }
+
+    /// Runs work on the core that is free first; gives when it is done.
+    fn run(&mut self, now: Micros, work: Micros) -> Option<Micros> {
+        let core_free_at = self.core_free_at.iter_mut().min()?;
+        let begin = (*core_free_at).max(now);
+        // A part of a core does its work slower.
+        let slower = self.cores.ceil().max(1.0) / self.cores;
+        let done_at = begin + (work as f64 * slower) as Micros;
+        *core_free_at = done_at;
+        if begin > now {
+            self.waiting_until.push_back(begin);
         }
+        self.in_flight_until.push_back(done_at);
+        Some(done_at)
     }
 
-    /// The origin's answer has come here: the key is kept from now on.
+    /// The origin's answer has come here: the key is cached from now on.
     pub fn store(&mut self, key: u64) {
-        self.fetching.remove(&key);
+        self.fetching_since.remove(&key);
         if !self.closed {
-            self.kept.put(key, ());
+            self.cached_keys.put(key, ());
         }
-        if self.fetching.len() > 4 * self.kept.cap().get() {
-            self.fetching.clear();
+        if self.fetching_since.len() > MAX_FETCHES_PER_CACHED_KEY * self.cached_keys.cap().get() {
+            self.fetching_since.clear();
         }
     }
 
-    /// A write has voided the copy.
-    pub fn void(&mut self, key: u64) {
-        self.kept.pop(&key);
+    /// A write has made the cached value void.
+    pub fn invalidate(&mut self, key: u64) {
+        self.cached_keys.pop(&key);
     }
 
     /// The load report that an answer carries: late and noisy.
-    pub fn report(&mut self, now: Micros, rng: &mut SeededRng) -> Report {
-        if now >= self.reported + micros_from_millis(self.figures.report_ms) {
-            let mut noisy =
-                |value: f64| value * (1.0 + self.figures.report_noise * (2.0 * rng.random::<f64>() - 1.0));
-            let served = self.ends.iter().filter(|at| **at <= now + MICROS_PER_SECOND).count();
-            let waiting = self.begins.iter().filter(|at| **at > now).count();
-            self.report = Report { served_per_s: noisy(served as f64), waiting: noisy(waiting as f64) };
-            self.reported = now;
+    pub fn load_report(&mut self, now: Micros, rng: &mut SeededRng) -> LoadReport {
+        if now >= self.last_report_at + micros_from_millis(self.model.report_ms) {
+            let served = self.in_flight_until.iter().filter(|at| **at <= now + MICROS_PER_SECOND).count();
+            let waiting = self.waiting_until.iter().filter(|at| **at > now).count();
+            let noise = self.model.report_noise;
+            let mut noisy = |value: usize| value as f64 * (1.0 + noise * (2.0 * rng.random::<f64>() - 1.0));
+            self.last_report = LoadReport { served_per_s: noisy(served), waiting: noisy(waiting) };
+            self.last_report_at = now;
         }
-        self.report
+        self.last_report
     }
 }
--- a/platform-model/src/cache_server/tests.rs
+++ b/platform-model/src/cache_server/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `cache_server`.
+//! Cached keys, cores and slow start of a server.
 
 use super::*;
 use crate::rng::{seeded_rng, RngStream};
@@ -8,9 +8,9 @@
 }
 
 #[test]
-fn keys_are_kept_to_a_size_voided_and_lost_with_a_restart() {
+fn keys_are_cached_to_a_size_invalidated_and_lost_with_a_restart() {
     let (mut server, mut rng) = server();
-    let mut ask = |server: &mut CacheServer, now, key| server.begin(now, key, &mut rng).answer;
+    let mut ask = |server: &mut CacheServer, now, key| server.on_request(now, key, &mut rng).answer;
     assert_eq!(ask(&mut server, 0, 1), Answer::Miss { fetching: false });
     assert_eq!(ask(&mut server, 1, 1), Answer::Miss { fetching: true });
     server.store(1);
@@ -18,40 +18,40 @@
     (2..5).for_each(|key| server.store(key));
     assert_eq!(ask(&mut server, 3, 1), Answer::Miss { fetching: false }, "three are kept");
     assert_eq!(ask(&mut server, 4, 4), Answer::Hit);
-    server.void(4);
+    server.invalidate(4);
     assert_eq!(ask(&mut server, 5, 4), Answer::Miss { fetching: false });
     server.restart(6);
     assert_eq!((server.incarnation, ask(&mut server, 7, 3)), (1, Answer::Miss { fetching: false }));
 }
 
 #[test]
-fn a_core_does_one_thing_at_a_time_and_the_room_is_bounded() {
+fn core_runs_one_request_at_a_time_and_capacity_is_bounded() {
     let (mut server, mut rng) = server();
     server.store(1);
-    let first = server.begin(0, 1, &mut rng).at;
-    let second = server.begin(0, 1, &mut rng).at;
+    let first = server.on_request(0, 1, &mut rng).at;
+    let second = server.on_request(0, 1, &mut rng).at;
     assert!(first >= 10_000 && second >= first + 10_000);
-    let answers: Vec<Answer> = (0..300).map(|_| server.begin(0, 1, &mut rng).answer).collect();
+    let answers: Vec<Answer> = (0..300).map(|_| server.on_request(0, 1, &mut rng).answer).collect();
     assert_eq!(answers.iter().filter(|a| **a == Answer::Hit).count(), 206, "8 slots and 200 places, 2 taken");
-    assert!(server.report(MICROS_PER_SECOND, &mut rng).waiting > 100.0);
+    assert!(server.load_report(MICROS_PER_SECOND, &mut rng).waiting > 100.0);
     server.closed = true;
-    assert_eq!(server.begin(100 * MICROS_PER_SECOND, 1, &mut rng).answer, Answer::Busy);
+    assert_eq!(server.on_request(100 * MICROS_PER_SECOND, 1, &mut rng).answer, Answer::Rejected);
 }
 
 /// 50 a second when warm, 17.5 at the start, four times which it bears.
 #[test]
-fn a_cold_host_falls_when_pushed_and_else_warms_up() {
+fn server_in_slow_start_collapses_under_overload_and_else_warms_up() {
     for (rate, falls) in [(60, false), (120, true)] {
         let (mut server, mut rng) = server();
         server.restart(MICROS_PER_SECOND);
         assert!(
             (server.capacity(MICROS_PER_SECOND) - 17.5).abs() < 0.01
-                && server.warmth(4 * MICROS_PER_SECOND) < 1.0
+                && server.capacity_share(4 * MICROS_PER_SECOND) < 1.0
         );
         for n in 0..rate * 2 {
-            server.begin(MICROS_PER_SECOND + n * MICROS_PER_SECOND / rate, 1, &mut rng);
+            server.on_request(MICROS_PER_SECOND + n * MICROS_PER_SECOND / rate, 1, &mut rng);
         }
-        assert_eq!(server.fallen(), falls, "{rate} a second");
-        assert_eq!(server.warmth(7 * MICROS_PER_SECOND), 1.0);
+        assert_eq!(server.has_collapsed(), falls, "{rate} a second");
+        assert_eq!(server.capacity_share(7 * MICROS_PER_SECOND), 1.0);
     }
 }
--- /dev/null
+++ b/platform-model/src/check/faults.rs
@@ -0,0 +1,246 @@
+//! Checks of an experiment's faults: times, fields, values, who they are on, and what cannot be at once.
+
+use super::Problems;
+use crate::experiment::{Experiment, Fault, FaultKind};
+use crate::group::{resolve_group, GroupMembers};
+use crate::rng::{seeded_rng, RngStream, SeededRng};
+
+/// Checks each fault, then all of them against each other.
+pub fn check_faults(problems: &mut Problems<'_>, experiment: &Experiment) {
+    let mut rng = seeded_rng(experiment.seed, RngStream::Groups);
+    let mut members = Vec::new();
+    for (number, fault) in experiment.fault.iter().enumerate() {
+        let mut check = FaultCheck { problems, experiment, number, fault };
+        check.check_times();
+        check.check_fields();
+        check.check_values();
+        let groups = check.resolve_groups(&mut rng);
+        check.check_link_ends(&groups);
+        members.push(groups);
+    }
+    check_contradictions(problems, experiment, &members);
+}
+
+/// One fault under check.
+struct FaultCheck<'a, 'b> {
+    problems: &'a mut Problems<'b>,
+    experiment: &'a Experiment,
+    number: usize,
+    fault: &'a Fault,
+}
+
+impl FaultCheck<'_, '_> {
+    fn add(&mut self, field: &str, description: impl Into<String>) {
+        self.problems.add_to_fault(self.number, field, description);
+    }
+
+    fn check_times(&mut self) {
+        let at = self.fault.at;
+        let seconds = self.experiment.seconds;
+        if !(at >= 0.0 && at.is_finite()) {
+            self.add("at", "it begins at 0 s or later");
+        } else if at > seconds {
+            self.add("at", format!("it begins after the load has ended, at {seconds} s"));
+        }
+        if self.fault.lasts.is_some_and(|lasts| lasts.is_nan() || lasts <= 0.0) {
+            self.add("for", "it lasts longer than 0 s");
+        }
+    }
+
+    /// Fields that the kind needs and that are not there, and fields that it does not have.
+    fn check_fields(&mut self) {
+        let kind = self.fault.what;
+        let (required, optional) = fields_of(kind);
+        for (field, is_given) in given_fields(self.fault) {
+            if required.contains(&field) && !is_given {
+                self.add(field, format!("{kind:?} needs it"));
+            }
+            if is_given && !required.contains(&field) && !optional.contains(&field) {
+                self.add(field, format!("{kind:?} has no such field"));
+            }
+        }
+    }
+
+    fn check_values(&mut self) {
+        let fault = self.fault;
+        if fault.share.is_some_and(|share| !(share > 0.0 && share <= 1.0)) {
+            self.add("share", "a share lies over 0 and up to 1");
+        }
+        let not_negative =
+            [("ms", fault.ms), ("jitter", fault.jitter), ("back", fault.back), ("seconds", fault.seconds)];
+        for (field, value) in not_negative {
+            if value.is_some_and(|value| value.is_nan() || value < 0.0) {
+                self.add(field, "it is a number from 0 up");
+            }
+        }
+        for (field, value) in [("times", fault.times), ("every", fault.every)] {
+            if value.is_some_and(|value| value.is_nan() || value <= 0.0) {
+                self.add(field, "it is a number over 0");
+            }
+        }
+    }
+
+    /// The members of the groups that the fault names, without those that do not exist.
+    fn resolve_groups(&mut self, rng: &mut SeededRng) -> Vec<GroupMembers> {
+        let fault = self.fault;
+        let between = fault.between.iter().flatten().map(|text| ("between", text));
+        let who = fault.who.iter().map(|text| ("who", text));
+        let mut groups = Vec::new();
+        for (field, text) in between.chain(who) {
+            match resolve_group(text, &self.experiment.fleet, rng) {
+                Ok(group) => {
+                    if let Some(problem) = wrong_target(fault.what, &group) {
+                        self.add(field, format!("{text:?}: {problem}"));
+                    }
+                    groups.push(group);
+                }
+                Err(error) => self.add(field, error.to_string()),
+            }
+        }
+        groups
+    }
+
+    fn check_link_ends(&mut self, groups: &[GroupMembers]) {
+        let is_on_packets = matches!(self.fault.what, FaultKind::Repeat | FaultKind::Reorder);
+        let speaks_tcp = |group: &GroupMembers| !group.servers.is_empty() || group.origin || group.discovery;
+        if is_on_packets && groups.iter().any(speaks_tcp) {
+            let why = "TCP hides repeats and disorder from both ends: name balancers on both sides";
+            self.add("between", why);
+        }
+        if let (false, [first, second]) = (is_on_packets, groups) {
+            if first.balancers.is_empty() && second.balancers.is_empty() {
+                let why = "no link leads from the one to the other: one side has to name balancers";
+                self.add("between", why);
+            }
+        }
+    }
+}
+
+/// The fields of a fault beside `at` and `what`, and whether each is given.
+fn given_fields(fault: &Fault) -> [(&'static str, bool); 11] {
+    [
+        ("for", fault.lasts.is_some()),
+        ("between", fault.between.is_some()),
+        ("direction", fault.direction.is_some()),
+        ("who", fault.who.is_some()),
+        ("share", fault.share.is_some()),
+        ("ms", fault.ms.is_some()),
+        ("jitter", fault.jitter.is_some()),
+        ("times", fault.times.is_some()),
+        ("back", fault.back.is_some()),
+        ("every", fault.every.is_some()),
+        ("seconds", fault.seconds.is_some()),
+    ]
+}
+
+/// Names of fields.
+type FieldNames = &'static [&'static str];
+
+/// The fields that a kind of fault has beside `at` and `what`: those that it needs, and those that may be left out.
+fn fields_of(kind: FaultKind) -> (FieldNames, FieldNames) {
+    match kind {
+        FaultKind::Cut | FaultKind::Reset => (&["between"], &["for", "direction"]),
+        FaultKind::Lose | FaultKind::Repeat | FaultKind::Reorder | FaultKind::Spoil => {
+            (&["between", "share"], &["for", "direction"])
+        }
+        FaultKind::Delay => (&["between", "ms"], &["for", "direction", "jitter"]),
+        FaultKind::Kill | FaultKind::Term => (&["who"], &["back"]),
+        FaultKind::Freeze => (&["for", "who"], &[]),
+        FaultKind::Roll => (&["who", "share", "every"], &[]),
+        FaultKind::Silent | FaultKind::Drain | FaultKind::Gone => (&["who"], &["for"]),
+        FaultKind::Slow => (&["who", "times"], &["for"]),
+        FaultKind::Failing => (&["who", "share"], &["for"]),
+        FaultKind::Restart | FaultKind::Replace => (&["who"], &[]),
+        FaultKind::Flap => (&["who", "every"], &["for"]),
+        FaultKind::OriginSlow => (&["times"], &["for"]),
+        FaultKind::DiscoveryDown => (&[], &["for"]),
+        FaultKind::ListLate => (&["seconds"], &["for"]),
+    }
+}
+
+/// Why this fault cannot be on these.
+fn wrong_target(kind: FaultKind, group: &GroupMembers) -> Option<&'static str> {
+    match kind {
+        FaultKind::Kill | FaultKind::Term | FaultKind::Freeze | FaultKind::Roll => {
+            (group.balancers.is_empty()).then_some("it is a fault of processes: name balancers")
+        }
+        FaultKind::Silent
+        | FaultKind::Slow
+        | FaultKind::Failing
+        | FaultKind::Drain
+        | FaultKind::Gone
+        | FaultKind::Restart
+        | FaultKind::Replace
+        | FaultKind::Flap => {
+            (group.servers.is_empty()).then_some("it is a fault of cache hosts: name hosts or a zone")
+        }
+        _ => None,
+    }
+}
+
+/// What a fault sets, where only one fault can set it at a time.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum ExclusiveState {
+    /// Whether a server is in the endpoint list.
+    ServerLifecycle,
+    /// Whether a server answers.
+    ServerSilence,
+    /// Whether a process runs.
+    Process,
+}
+
+fn exclusive_state(kind: FaultKind) -> Option<ExclusiveState> {
+    match kind {
+        FaultKind::Drain | FaultKind::Gone | FaultKind::Restart | FaultKind::Replace => {
+            Some(ExclusiveState::ServerLifecycle)
+        }
+        FaultKind::Silent | FaultKind::Flap => Some(ExclusiveState::ServerSilence),
+        FaultKind::Kill | FaultKind::Term | FaultKind::Freeze | FaultKind::Roll => {
+            Some(ExclusiveState::Process)
+        }
+        _ => None,
+    }
+}
+
+/// What a server or a process cannot be at once: out of the list and in it, frozen and killed.
+fn check_contradictions(problems: &mut Problems<'_>, experiment: &Experiment, members: &[Vec<GroupMembers>]) {
+    for (later, second) in experiment.fault.iter().enumerate() {
+        for (earlier, first) in experiment.fault[..later].iter().enumerate() {
+            let Some(state) = exclusive_state(first.what) else { continue };
+            let is_same_state = exclusive_state(second.what) == Some(state);
+            if is_same_state
+                && overlap(first, second)
+                && share_members(state, &members[earlier], &members[later])
+            {
+                let (number, kind) = (earlier + 1, first.what);
+                let why =
+                    format!("contradicts fault {number} ({kind:?}): both name the same at the same time");
+                problems.add_to_fault(later, "what", why);
+            }
+        }
+    }
+}
+
+fn overlap(first: &Fault, second: &Fault) -> bool {
+    first.at <= end_of(second) && second.at <= end_of(first)
+}
+
+/// When a fault ends, in seconds; infinity where it lasts to the end of the run.
+fn end_of(fault: &Fault) -> f64 {
+    match fault.what {
+        FaultKind::Restart | FaultKind::Replace | FaultKind::Kill | FaultKind::Term | FaultKind::Roll => {
+            fault.at + fault.back.unwrap_or(0.0)
+        }
+        _ => fault.at + fault.lasts.unwrap_or(f64::INFINITY),
+    }
+}
+
+/// Whether the groups of two faults share a member whose state this is.
+fn share_members(state: ExclusiveState, first: &[GroupMembers], second: &[GroupMembers]) -> bool {
+    let members = |group: &GroupMembers| match state {
+        ExclusiveState::Process => group.balancers.clone(),
+        ExclusiveState::ServerLifecycle | ExclusiveState::ServerSilence => group.servers.clone(),
+    };
+    let second: Vec<usize> = second.iter().flat_map(members).collect();
+    first.iter().flat_map(members).any(|member| second.contains(&member))
+}
--- a/platform-model/src/check/tests.rs
+++ b/platform-model/src/check/tests.rs
@@ -1,13 +1,18 @@
 //! Each problem that a file can have.
 
-use crate::reader::{read, tests::SOUND};
+use crate::reader::{read, tests::VALID_EXPERIMENT};
 
 fn problems(more: &str) -> Vec<String> {
-    read(&format!("{SOUND}{more}"), &[]).err().unwrap_or_default().iter().map(ToString::to_string).collect()
+    read(&format!("{VALID_EXPERIMENT}{more}"), &[])
+        .err()
+        .unwrap_or_default()
+        .iter()
+        .map(ToString::to_string)
+        .collect()
 }
 
 #[test]
-fn sound_faults_are_taken() {
+fn valid_faults_have_no_problems() {
     let text = "[[fault]]\nat = 1\nfor = 2\nwhat = \"cut\"\nbetween = [\"balancers:0-4\", \"hosts\"]\n\
         [[fault]]\nat = 5\nwhat = \"kill\"\nwho = \"balancers:70%\"\nback = 1\n\
         [[fault]]\nat = 9\nfor = 2\nwhat = \"freeze\"\nwho = \"balancers:70%\"\n";
@@ -49,7 +54,7 @@
         let found = problems(text);
         assert!(found.iter().any(|p| p.contains(place) && p.contains(remedy)), "{text}\n{found:?}");
     }
-    let wrong = SOUND.replace("rate = 100", "rate = -3").replace("zones = 3", "zones = 0");
+    let wrong = VALID_EXPERIMENT.replace("rate = 100", "rate = -3").replace("zones = 3", "zones = 0");
     let found: Vec<String> = read(&wrong, &[]).unwrap_err().iter().map(ToString::to_string).collect();
     assert!(
         found[0].starts_with("line 6: fleet.zones") && found[1].starts_with("line 8: load.rate"),
--- a/platform-model/src/checker/terms.rs
+++ b/platform-model/src/checker/terms.rs
@@ -67,7 +67,7 @@
         CheckTerms {
             measured_from,
             measured_until: measured_from + micros_from_seconds(experiment.seconds),
-            classes: [READ, WRITE],
+            classes: [READ_CLASS, WRITE_CLASS],
             max_attempts: 3,
             drain_grace: MICROS_PER_SECOND / 2,
             tolerance: 50_000,
@@ -96,7 +96,7 @@
     }
 }
 
-const READ: RequestClass = RequestClass {
+const READ_CLASS: RequestClass = RequestClass {
     name: "read",
     latency_objective: 750_000,
     deadline: 1_500_000,
@@ -104,7 +104,7 @@
     idempotency: Idempotency::Idempotent,
 };
 
-const WRITE: RequestClass = RequestClass {
+const WRITE_CLASS: RequestClass = RequestClass {
     name: "put",
     latency_objective: 1_200_000,
     deadline: 3_000_000,
--- a/platform-model/src/experiment.rs
+++ b/platform-model/src/experiment.rs
@@ -1,11 +1,15 @@
-//! The experiment's file: what is played, in the form that the laboratory's page states. An unknown field is an error.
+//! The experiment's file: what is run, in the form that `docs/operate/laboratory.md` states. An unknown field is an error.
 //!
-//! [`read`] parses a file and checks it; what is wrong comes back as [`Problem`]s that name the line, the field and
-//! what would be right. Nothing is started before that.
+//! [`read`](crate::reader::read) parses a file and checks it; what is wrong comes back as [`FileProblem`]s that name the
+//! line, the field and what would be right. Nothing is started before that.
+
+mod fault;
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
+pub use fault::{Direction, Fault, FaultKind};
+
 /// One experiment.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
@@ -13,7 +17,7 @@
     /// Its name, which the report and the comparison show.
     pub name: String,
     /// From it follow the load, the targets of faults and the processes' seeds.
-    #[serde(default = "one")]
+    #[serde(default = "default_seed")]
     pub seed: u64,
     /// Seconds of load; starting and ending come on top.
     pub seconds: f64,
@@ -51,18 +55,18 @@
     #[serde(rename = "hosts")]
     pub servers: usize,
     /// Zones; processes and servers are dealt out to them in turn.
-    #[serde(default = "one_zone")]
+    #[serde(default = "default_zones")]
     pub zones: usize,
     /// `balancers` in the settings, if it is to be wrong; by default the real number.
     #[serde(default)]
     pub told: Option<usize>,
     /// Cores of the servers' kinds, in turn.
-    #[serde(default = "one_core")]
+    #[serde(default = "default_weights")]
     pub weights: Vec<f64>,
-    /// The program, from the folder that the laboratory is run in.
-    #[serde(default = "program")]
+    /// The program, from the folder that the testbed is run in.
+    #[serde(default = "default_program")]
     pub program: String,
-    /// The operators' file given to every process; left out, as on the platform, no talk.
+    /// The operators' file given to every process; left out, as on the platform, balancers do not talk.
     #[serde(default)]
     pub operator: Option<String>,
 }
@@ -71,12 +75,12 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Requests a second, first tries of all clients together.
+    /// Requests a second, first requests of all clients together.
     pub rate: f64,
     /// How many keys there are.
     pub keys: u64,
     /// The exponent of Zipf's law for the keys' popularity; 0 makes all alike.
-    #[serde(default = "zipf")]
+    #[serde(default = "default_zipf")]
     pub zipf: f64,
     /// The share of the requests that write.
     #[serde(default)]
@@ -91,14 +95,14 @@
     #[serde(default)]
     pub burst: Vec<Burst>,
     /// The rate at the end over the rate at the beginning, linear in between.
-    #[serde(default = "one_times")]
+    #[serde(default = "default_ramp")]
     pub ramp: f64,
     /// The share of the keys that change places in popularity each second.
     #[serde(default)]
     pub drift: f64,
     /// Seconds of load before the experiment's beginning, in which the caches fill. The origin bears all of it then, so
     /// that what servers keep is what the program's own placement made of the load. Nothing of them counts but breaches.
-    #[serde(default = "warm")]
+    #[serde(default = "default_warm_s")]
     pub warm: f64,
 }
 
@@ -139,13 +143,13 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// How often a client tries again at the most.
+    /// How often a client retries at the most.
     pub retries: u32,
     /// The wait before the first retry; doubled with each.
     pub backoff_ms: f64,
-    /// The share of clients that honour a time to come back.
+    /// The share of clients that honour a Retry-After.
     pub honour: f64,
-    /// The share of first tries whose client gives up after a tenth of its time.
+    /// The share of first requests whose client leaves after a tenth of its time.
     pub impatient: f64,
 }
 
@@ -158,6 +162,7 @@
 /// What a cache server can do.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
+#[schemars(rename = "Hosts")]
 pub struct CacheServers {
     /// The mean work of a hit on one core.
     pub work_ms: f64,
@@ -209,7 +214,7 @@
     pub capacity: f64,
     /// The mean time of a fetch.
     pub work_ms: f64,
-    /// How long a fetch may wait at the most; beyond it is turned away.
+    /// How long a fetch may wait at the most; beyond it is rejected.
     pub queue_s: f64,
     /// How much slower each fetch is when all the queue is full.
     pub thrash: f64,
@@ -231,7 +236,7 @@
     pub calls_per_s: f64,
     /// A call that would wait longer fails.
     pub timeout_s: f64,
-    /// Seconds from a change to its telling.
+    /// Seconds from a change to the notice of it.
     pub notice_s: f64,
 }
 
@@ -257,122 +262,25 @@
     }
 }
 
-/// What goes wrong.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
-#[serde(rename_all = "kebab-case")]
-pub enum What {
-    /// A link says nothing.
-    Cut,
-    /// A link's connections are reset, and new ones too.
-    Reset,
-    /// A share of what a link carries is lost; on TCP it comes late by the resend.
-    Lose,
-    /// What a link carries comes late.
-    Delay,
-    /// A share of the packets comes twice.
-    Repeat,
-    /// A share of the packets comes after later ones.
-    Reorder,
-    /// A share of what a link carries has wrong bytes.
-    Spoil,
-    /// Processes get SIGKILL.
-    Kill,
-    /// Processes get SIGTERM.
-    Term,
-    /// Processes get SIGSTOP, and SIGCONT at the end.
-    Freeze,
-    /// Processes are killed and started again, a share at a time.
-    Roll,
-    /// Servers say nothing.
-    Silent,
-    /// Servers take longer.
-    Slow,
-    /// Servers fail a share of their requests.
-    Failing,
-    /// Servers drain, and are back at the end.
-    Drain,
-    /// Servers end, and are back at the end.
-    Gone,
-    /// Servers start anew at once.
-    Restart,
-    /// Servers are replaced by others at the same addresses.
-    Replace,
-    /// Servers are silent and well in turn.
-    Flap,
-    /// The origin takes longer.
-    OriginSlow,
-    /// Discovery refuses calls, and its watches end.
-    DiscoveryDown,
-    /// Discovery tells each balancer later, by a time of its own.
-    ListLate,
-}
-
-/// Which way a link's fault goes.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize, JsonSchema)]
-#[serde(rename_all = "kebab-case")]
-pub enum Direction {
-    /// Both.
-    #[default]
-    Both,
-    /// From the first group to the second.
-    OneWay,
-}
-
-/// One fault.
-#[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
-#[serde(deny_unknown_fields)]
-pub struct Fault {
-    /// From when on, in seconds.
-    pub at: f64,
-    /// For how long, in seconds; left out, to the end.
-    #[serde(rename = "for", default, skip_serializing_if = "Option::is_none")]
-    pub lasts: Option<f64>,
-    /// What it is.
-    pub what: What,
-    /// On links: the two groups.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub between: Option<[String; 2]>,
-    /// On links: which way.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub direction: Option<Direction>,
-    /// On processes and servers: the group.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub who: Option<String>,
-    /// The share lost, repeated, reordered, spoilt or failed; of a roll, the share at a time.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub share: Option<f64>,
-    /// Of a delay: how much later.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub ms: Option<f64>,
-    /// Of a delay: how much that varies, either way.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub jitter: Option<f64>,
-    /// How many times as long.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub times: Option<f64>,
-    /// Of a killed process: after how many seconds it is started again; left out, never.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub back: Option<f64>,
-    /// Of a roll or a flapping server: seconds from one step to the next.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub every: Option<f64>,
-    /// Of late lists: the latest.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub seconds: Option<f64>,
-}
-
-/// One thing wrong with a file, as its reader is told.
+/// One thing wrong with a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Problem {
-    /// The line, where it can be told.
+pub struct FileProblem {
+    /// The line, where it is known.
     pub line: Option<usize>,
     /// The field.
     pub field: String,
     /// What is wrong and what would be right.
-    pub what: String,
+    pub description: String,
+}
+
+impl FileProblem {
+    /// A problem of the file that has no line and no field.
+    pub fn of_file(description: impl std::fmt::Display) -> FileProblem {
+        FileProblem { line: None, field: String::new(), description: description.to_string() }
+    }
 }
 
-impl std::fmt::Display for Problem {
+impl std::fmt::Display for FileProblem {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         if let Some(line) = self.line {
             write!(f, "line {line}: ")?;
@@ -380,34 +288,34 @@
         if !self.field.is_empty() {
             write!(f, "{}: ", self.field)?;
         }
-        f.write_str(&self.what)
+        f.write_str(&self.description)
     }
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
-fn one_zone() -> usize {
+fn default_zones() -> usize {
     1
 }
 
-fn one_core() -> Vec<f64> {
+fn default_weights() -> Vec<f64> {
     vec![1.0]
 }
 
-fn program() -> String {
+fn default_program() -> String {
     "target/release/juniperladder".into()
 }
 
-fn warm() -> f64 {
+fn default_warm_s() -> f64 {
     8.0
 }
 
-fn zipf() -> f64 {
+fn default_zipf() -> f64 {
     0.9
 }
 
-fn one_times() -> f64 {
+fn default_ramp() -> f64 {
     1.0
 }
--- a/platform-model/src/group.rs
+++ b/platform-model/src/group.rs
@@ -1,4 +1,4 @@
-//! Groups of an experiment's file: `balancers:0-49`, `servers:12.5%`, `zone:1`, `origin`, `discovery`.
+//! Groups of an experiment's file: `balancers:0-49`, `hosts:12.5%`, `zone:1`, `origin`, `discovery`.
 
 #[cfg(test)]
 mod tests;
@@ -10,7 +10,7 @@
 
 /// What a group names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Members {
+pub struct GroupMembers {
     /// Processes, by number, in order.
     pub balancers: Vec<usize>,
     /// Cache servers, by number, in order.
@@ -21,6 +21,46 @@
     pub discovery: bool,
 }
 
+/// What is wrong with a group's text, and what would be right.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum GroupError {
+    /// The text before the colon names no kind of group.
+    #[error(
+        "{0:?} is no group: write balancers:0-49, balancers:10%, hosts:3, hosts:12.5%, zone:1, origin or discovery"
+    )]
+    UnknownKind(String),
+    /// A zone that is no number.
+    #[error("{0:?}: a zone is a number, as in zone:1")]
+    ZoneIsNoNumber(String),
+    /// A zone that does not exist.
+    #[error("{group:?}: there are zones 0 to {last}")]
+    NoSuchZone {
+        /// The group's text.
+        group: String,
+        /// The last zone.
+        last: usize,
+    },
+    /// Members that are neither a number nor a range nor a share.
+    #[error("{0}: write a number, a range as 0-49, or a share as 10%")]
+    MalformedMembers(String),
+    /// A share of none or of more than all.
+    #[error("{0}: a share lies over 0% and up to 100%")]
+    ShareOutOfRange(String),
+    /// A range whose end comes first.
+    #[error("{0}: the range ends before it begins")]
+    ReversedRange(String),
+    /// A number beyond the last member.
+    #[error("{group}: there is no {number}, they are 0 to {last}")]
+    NoSuchMember {
+        /// The group's text.
+        group: String,
+        /// The number that it names.
+        number: usize,
+        /// The last number.
+        last: usize,
+    },
+}
+
 /// The zone of the balancer or the server with this number.
 pub fn zone_of(number: usize, fleet: &Fleet) -> usize {
     number % fleet.zones.max(1)
@@ -29,58 +69,73 @@
 /// The members that a group's text names; a share is drawn.
 ///
 /// # Errors
-/// One line that says what is wrong with the text and what would be right.
-pub fn members(text: &str, fleet: &Fleet, rng: &mut SeededRng) -> Result<Members, String> {
+/// What is wrong with the text.
+pub fn resolve_group(text: &str, fleet: &Fleet, rng: &mut SeededRng) -> Result<GroupMembers, GroupError> {
     let (kind, which) = text.split_once(':').unwrap_or((text, ""));
-    let all = |count: usize| (0..count).collect::<Vec<_>>();
-    let mut found = Members::default();
+    let mut members = GroupMembers::default();
     match (kind, which) {
-        ("origin", "") => found.origin = true,
-        ("discovery", "") => found.discovery = true,
-        ("balancers", "") => found.balancers = all(fleet.balancers),
-        ("hosts", "") => found.servers = all(fleet.servers),
-        ("balancers", which) => found.balancers = some(kind, which, fleet.balancers, rng)?,
-        ("hosts", which) => found.servers = some(kind, which, fleet.servers, rng)?,
+        ("origin", "") => members.origin = true,
+        ("discovery", "") => members.discovery = true,
+        ("balancers", "") => members.balancers = (0..fleet.balancers).collect(),
+        ("hosts", "") => members.servers = (0..fleet.servers).collect(),
+        ("balancers", which) => members.balancers = resolve_numbers(text, which, fleet.balancers, rng)?,
+        ("hosts", which) => members.servers = resolve_numbers(text, which, fleet.servers, rng)?,
         ("zone", which) => {
-            let zone: usize = which.parse().map_err(|_| format!("{text:?}: a zone is a number, as in zone:1"))?;
-            if zone >= fleet.zones {
-                return Err(format!("{text:?}: there are zones 0 to {}", fleet.zones.max(1) - 1));
-            }
-            found.balancers = all(fleet.balancers).into_iter().filter(|n| zone_of(*n, fleet) == zone).collect();
-            found.servers = all(fleet.servers).into_iter().filter(|n| zone_of(*n, fleet) == zone).collect();
-        }
-        _ => {
-            return Err(format!(
-                "{text:?} is no group: write balancers:0-49, balancers:10%, hosts:3, hosts:12.5%, zone:1, origin or \
-                 discovery"
-            ))
+            let zone = parse_zone(text, which, fleet)?;
+            let of_zone = |number: &usize| zone_of(*number, fleet) == zone;
+            members.balancers = (0..fleet.balancers).filter(of_zone).collect();
+            members.servers = (0..fleet.servers).filter(of_zone).collect();
         }
+        _ => return Err(GroupError::UnknownKind(text.to_owned())),
+    }
+    Ok(members)
+}
+
+fn parse_zone(group: &str, which: &str, fleet: &Fleet) -> Result<usize, GroupError> {
+    let zone: usize = which.parse().map_err(|_| GroupError::ZoneIsNoNumber(group.to_owned()))?;
+    if zone >= fleet.zones {
+        return Err(GroupError::NoSuchZone { group: group.to_owned(), last: fleet.zones.max(1) - 1 });
     }
-    Ok(found)
+    Ok(zone)
 }
 
 /// The numbers of `3`, `0-49` or `12.5%` of so many.
-fn some(kind: &str, which: &str, count: usize, rng: &mut SeededRng) -> Result<Vec<usize>, String> {
-    let wrong = || format!("{kind}:{which}: write a number, a range as 0-49, or a share as 10%");
-    let beyond = |number: usize| format!("{kind}:{which}: there is no {number}, they are 0 to {}", count - 1);
+fn resolve_numbers(
+    group: &str,
+    which: &str,
+    count: usize,
+    rng: &mut SeededRng,
+) -> Result<Vec<usize>, GroupError> {
     if let Some(share) = which.strip_suffix('%') {
-        let share: f64 = share.parse().map_err(|_| wrong())?;
-        if !(share > 0.0 && share <= 100.0) {
-            return Err(format!("{kind}:{which}: a share lies over 0% and up to 100%"));
-        }
-        // At least one: a share of a small fleet still names somebody.
-        let many = ((count as f64 * share / 100.0).round() as usize).clamp(1, count);
-        let mut numbers = sample(rng, count, many).into_vec();
-        numbers.sort_unstable();
-        return Ok(numbers);
+        return draw_share(group, share, count, rng);
     }
+    let malformed = |_| GroupError::MalformedMembers(group.to_owned());
     let (from, to) = which.split_once('-').unwrap_or((which, which));
-    let (from, to): (usize, usize) = (from.parse().map_err(|_| wrong())?, to.parse().map_err(|_| wrong())?);
+    let from: usize = from.parse().map_err(malformed)?;
+    let to: usize = to.parse().map_err(malformed)?;
     if from > to {
-        return Err(format!("{kind}:{which}: the range ends before it begins"));
+        return Err(GroupError::ReversedRange(group.to_owned()));
     }
     if to >= count {
-        return Err(beyond(to));
+        return Err(GroupError::NoSuchMember { group: group.to_owned(), number: to, last: count - 1 });
     }
     Ok((from..=to).collect())
 }
+
+/// Draws a share, given in percent, of so many numbers; in order.
+fn draw_share(
+    group: &str,
+    percent: &str,
+    count: usize,
+    rng: &mut SeededRng,
+) -> Result<Vec<usize>, GroupError> {
+    let percent: f64 = percent.parse().map_err(|_| GroupError::MalformedMembers(group.to_owned()))?;
+    if !(percent > 0.0 && percent <= 100.0) {
+        return Err(GroupError::ShareOutOfRange(group.to_owned()));
+    }
+    // At least one: a share of a small fleet still names somebody.
+    let amount = ((count as f64 * percent / 100.0).round() as usize).clamp(1, count);
+    let mut numbers = sample(rng, count, amount).into_vec();
+    numbers.sort_unstable();
+    Ok(numbers)
+}
--- a/platform-model/src/group/tests.rs
+++ b/platform-model/src/group/tests.rs
@@ -1,13 +1,13 @@
 //! Groups and who they name.
 
 use super::*;
-use crate::reader::{read, tests::SOUND};
+use crate::reader::{read, tests::VALID_EXPERIMENT};
 use crate::rng::{seeded_rng, RngStream};
 
 #[test]
 fn groups_name_their_members() {
-    let fleet = read(SOUND, &[]).unwrap().fleet;
-    let of = |text: &str| members(text, &fleet, &mut seeded_rng(1, RngStream::Groups));
+    let fleet = read(VALID_EXPERIMENT, &[]).unwrap().fleet;
+    let of = |text: &str| resolve_group(text, &fleet, &mut seeded_rng(1, RngStream::Groups));
     assert_eq!(of("balancers:2-4").unwrap().balancers, [2, 3, 4]);
     assert_eq!(of("hosts:5").unwrap().servers, [5]);
     assert_eq!(of("hosts:50%").unwrap().servers.len(), 3);
@@ -19,6 +19,6 @@
         ["hosts:6", "hosts:4-2", "zone:3", "balancers:0%", "balancers:120%", "host:1", "hosts:x", "zone:"]
     {
         let problem = of(wrong).unwrap_err();
-        assert!(problem.contains(wrong), "{problem}");
+        assert!(problem.to_string().contains(wrong), "{problem}");
     }
 }
--- a/platform-model/src/lib.rs
+++ b/platform-model/src/lib.rs
@@ -1,8 +1,8 @@
-//! The model of the platform, without I/O and without a clock: cache servers, the origin, discovery, the load and the
-//! faults of an experiment, and the judge that reads what clients sent and what servers received.
+//! The model of the platform, without I/O and without a clock: cache servers, the origin, discovery, the workload and the
+//! faults of an experiment, and the checker of what clients sent and what servers received.
 //!
-//! Time comes in as [`Micros`], microseconds since the run's beginning; random numbers come in as a seeded generator that gives
-//! the same numbers on every machine. `fleet/` carries this world onto sockets round real processes.
+//! Time comes in as [`Micros`] since the run's beginning; random numbers come in as a seeded generator that gives the same
+//! numbers on every machine. The testbed puts this model on sockets round real processes.
 
 pub mod cache_server;
 pub mod check;
@@ -12,12 +12,12 @@
 pub mod experiment;
 pub mod group;
 pub mod links;
-pub mod load;
 pub mod origin;
 pub mod reader;
 pub mod rng;
 pub mod schedule;
 pub mod summary;
+pub mod workload;
 
 /// A time or a duration of a run in whole microseconds; a point in time counts from the run's beginning.
 pub type Micros = u64;
--- a/platform-model/src/links.rs
+++ b/platform-model/src/links.rs
@@ -1,15 +1,15 @@
-//! Links between a balancer and whoever it talks with, and what is wrong with them at a moment.
+//! Links between a balancer and whoever it talks with, and the faults on them at a moment.
 
 #[cfg(test)]
 mod tests;
 
-use crate::experiment::{Direction, Experiment, Fault, What};
-use crate::group::{zone_of, Members};
+use crate::experiment::{Direction, Experiment, Fault, FaultKind};
+use crate::group::{zone_of, GroupMembers};
 use crate::{micros_from_millis, Micros};
 
 /// One end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum End {
+pub enum LinkEnd {
     /// A process of the program.
     Balancer(usize),
     /// A cache server.
@@ -20,131 +20,154 @@
     Discovery,
 }
 
-/// What is wrong with one direction of a link; the default is a sound one.
+/// The faults on one direction of a link; the default is a healthy one. Shares run from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkState {
-    /// It says nothing.
+    /// It carries nothing.
     pub cut: bool,
     /// Its connections are reset.
     pub reset: bool,
     /// The share lost.
-    pub lose: f64,
+    pub lost_share: f64,
     /// What it carries comes so much later.
     pub delay: Micros,
     /// And up to so much more or less.
     pub jitter: Micros,
     /// The share that comes twice.
-    pub repeat: f64,
+    pub repeated_share: f64,
     /// The share that comes after later ones.
-    pub reorder: f64,
+    pub reordered_share: f64,
     /// The share with wrong bytes.
-    pub spoil: f64,
+    pub corrupted_share: f64,
+}
+
+impl LinkState {
+    /// Adds a fault to those that are there.
+    fn add(&mut self, fault: &LinkFault) {
+        match fault.kind {
+            FaultKind::Cut => self.cut = true,
+            FaultKind::Reset => self.reset = true,
+            FaultKind::Lose => combine(&mut self.lost_share, fault.share),
+            FaultKind::Delay => {
+                self.delay += fault.delay;
+                self.jitter += fault.jitter;
+            }
+            FaultKind::Repeat => combine(&mut self.repeated_share, fault.share),
+            FaultKind::Reorder => combine(&mut self.reordered_share, fault.share),
+            FaultKind::Spoil => combine(&mut self.corrupted_share, fault.share),
+            _ => {}
+        }
+    }
+}
+
+/// Two losses on one link are independent of each other.
+fn combine(share: &mut f64, other: f64) {
+    *share = 1.0 - (1.0 - *share) * (1.0 - other);
 }
 
 #[derive(Clone, Debug)]
 struct LinkFault {
-    fault: usize,
-    from: Members,
-    to: Members,
-    both: bool,
-    what: What,
+    number: usize,
+    from: GroupMembers,
+    to: GroupMembers,
+    both_ways: bool,
+    kind: FaultKind,
     share: f64,
     delay: Micros,
     jitter: Micros,
-    on: bool,
+    is_active: bool,
 }
 
-/// All links of a run, with the faults that are on.
+impl LinkFault {
+    /// Whether it is on the way from one end to the other.
+    fn is_on(&self, from: LinkEnd, to: LinkEnd) -> bool {
+        let there = contains(&self.from, from) && contains(&self.to, to);
+        let back = self.both_ways && contains(&self.from, to) && contains(&self.to, from);
+        there || back
+    }
+}
+
+/// All links of a run, with their faults.
 #[derive(Clone, Debug, Default)]
 pub struct Links {
     faults: Vec<LinkFault>,
 }
 
 impl Links {
-    /// Takes a link's fault in; it is off.
-    pub fn add(&mut self, number: usize, fault: &Fault, from: Members, to: Members) {
+    /// Adds a link's fault; it is not active.
+    pub fn add_fault(&mut self, number: usize, fault: &Fault, from: GroupMembers, to: GroupMembers) {
         self.faults.push(LinkFault {
-            fault: number,
+            number,
             from,
             to,
-            both: fault.direction.unwrap_or_default() == Direction::Both,
-            what: fault.what,
+            both_ways: fault.direction.unwrap_or_default() == Direction::Both,
+            kind: fault.what,
             share: fault.share.unwrap_or(1.0),
             delay: micros_from_millis(fault.ms.unwrap_or(0.0)),
             jitter: micros_from_millis(fault.jitter.unwrap_or(0.0)),
-            on: false,
+            is_active: false,
         });
     }
 
     /// Turns the fault with this number on or off.
-    pub fn turn(&mut self, number: usize, on: bool) {
-        self.faults.iter_mut().filter(|f| f.fault == number).for_each(|f| f.on = on);
+    pub fn set_active(&mut self, number: usize, is_active: bool) {
+        for fault in self.faults.iter_mut().filter(|fault| fault.number == number) {
+            fault.is_active = is_active;
+        }
     }
 
-    /// What is wrong with the way from one end to the other now.
-    pub fn state(&self, from: End, to: End) -> LinkState {
+    /// The faults on the way from one end to the other now.
+    pub fn state(&self, from: LinkEnd, to: LinkEnd) -> LinkState {
         let mut state = LinkState::default();
-        for fault in self.faults.iter().filter(|f| f.on) {
-            let there = holds(&fault.from, from) && holds(&fault.to, to);
-            let back = fault.both && holds(&fault.from, to) && holds(&fault.to, from);
-            if !there && !back {
-                continue;
-            }
-            // Two losses on one link are independent of each other.
-            let and = |old: f64| 1.0 - (1.0 - old) * (1.0 - fault.share);
-            match fault.what {
-                What::Cut => state.cut = true,
-                What::Reset => state.reset = true,
-                What::Lose => state.lose = and(state.lose),
-                What::Delay => {
-                    state.delay += fault.delay;
-                    state.jitter += fault.jitter;
-                }
-                What::Repeat => state.repeat = and(state.repeat),
-                What::Reorder => state.reorder = and(state.reorder),
-                What::Spoil => state.spoil = and(state.spoil),
-                _ => {}
-            }
+        for fault in self.faults.iter().filter(|fault| fault.is_active && fault.is_on(from, to)) {
+            state.add(fault);
         }
         state
     }
 
-    /// The servers that a fault's links lead to.
-    pub fn hosts_of(&self, number: usize) -> Vec<usize> {
-        let of = |f: &LinkFault| f.from.servers.iter().chain(&f.to.servers).copied().collect::<Vec<_>>();
-        let mut servers: Vec<usize> = self.faults.iter().filter(|f| f.fault == number).flat_map(of).collect();
+    /// The servers that a fault's links lead to, in order.
+    pub fn servers_of(&self, number: usize) -> Vec<usize> {
+        let faults = self.faults.iter().filter(|fault| fault.number == number);
+        let mut servers: Vec<usize> =
+            faults.flat_map(|fault| fault.from.servers.iter().chain(&fault.to.servers)).copied().collect();
         servers.sort_unstable();
         servers.dedup();
         servers
     }
 
-    /// Whether a fault is on links between balancers, on or off now.
-    pub fn between_balancers(&self) -> bool {
-        self.faults.iter().any(|f| !f.from.balancers.is_empty() && !f.to.balancers.is_empty())
+    /// Whether a fault is on links between balancers, active or not.
+    pub fn has_faults_between_balancers(&self) -> bool {
+        let mut faults = self.faults.iter();
+        faults.any(|fault| !fault.from.balancers.is_empty() && !fault.to.balancers.is_empty())
     }
 
     /// The side of each balancer: balancers of one side are told apart by no link's fault and by no zone, so that they
-    /// may share the doors through which they reach the servers. Sides are numbered from 0.
-    pub fn sides(&self, e: &Experiment) -> Vec<usize> {
-        let mut seen: Vec<(usize, Vec<bool>)> = Vec::new();
-        (0..e.fleet.balancers)
-            .map(|n| {
-                let groups = self.faults.iter().flat_map(|f| [&f.from, &f.to]);
-                let mark = (zone_of(n, &e.fleet), groups.map(|g| holds(g, End::Balancer(n))).collect());
-                seen.iter().position(|other| *other == mark).unwrap_or_else(|| {
-                    seen.push(mark);
-                    seen.len() - 1
-                })
+    /// may share the listeners through which they reach the servers. Sides are numbered from 0.
+    pub fn sides(&self, experiment: &Experiment) -> Vec<usize> {
+        let mut known: Vec<(usize, Vec<bool>)> = Vec::new();
+        let balancers = 0..experiment.fleet.balancers;
+        let side = |balancer| {
+            let mark = (zone_of(balancer, &experiment.fleet), self.groups_of(balancer));
+            known.iter().position(|other| *other == mark).unwrap_or_else(|| {
+                known.push(mark);
+                known.len() - 1
             })
-            .collect()
+        };
+        balancers.map(side).collect()
+    }
+
+    /// For each group that a fault names, whether it has this balancer.
+    fn groups_of(&self, balancer: usize) -> Vec<bool> {
+        let groups = self.faults.iter().flat_map(|fault| [&fault.from, &fault.to]);
+        groups.map(|group| contains(group, LinkEnd::Balancer(balancer))).collect()
     }
 }
 
-fn holds(group: &Members, end: End) -> bool {
+fn contains(group: &GroupMembers, end: LinkEnd) -> bool {
     match end {
-        End::Balancer(n) => group.balancers.binary_search(&n).is_ok(),
-        End::CacheServer(n) => group.servers.binary_search(&n).is_ok(),
-        End::Origin => group.origin,
-        End::Discovery => group.discovery,
+        LinkEnd::Balancer(number) => group.balancers.binary_search(&number).is_ok(),
+        LinkEnd::CacheServer(number) => group.servers.binary_search(&number).is_ok(),
+        LinkEnd::Origin => group.origin,
+        LinkEnd::Discovery => group.discovery,
     }
 }
--- a/platform-model/src/reader.rs
+++ b/platform-model/src/reader.rs
@@ -3,25 +3,33 @@
 #[cfg(test)]
 pub(crate) mod tests;
 
-use crate::check::check;
-use crate::experiment::{Experiment, Problem};
+use crate::check::find_problems;
+use crate::experiment::{Experiment, FileProblem};
+
+/// Why a value cannot be set over a file's.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum OverrideError {
+    /// It has no equals sign.
+    #[error("--set {0}: write it as path=value, as in load.rate=300")]
+    NoValue(String),
+    /// Its path leads through something that is no table.
+    #[error("--set {text}: {name} is no table")]
+    NoTable {
+        /// What was to be set.
+        text: String,
+        /// The name on its path.
+        name: String,
+    },
+}
 
 /// Reads a file's text with these values set over it (`load.rate=300`), and checks it.
 ///
 /// # Errors
 /// All that is wrong, at least one problem.
-pub fn read(text: &str, set: &[String]) -> Result<Experiment, Vec<Problem>> {
-    let mut experiment: Experiment = toml::from_str(text).map_err(|e| vec![parse_problem(text, &e)])?;
-    if !set.is_empty() {
-        let plain = |what: String| vec![Problem { line: None, field: String::new(), what }];
-        let mut table: toml::Table = toml::from_str(text).map_err(|e| plain(e.message().to_owned()))?;
-        for one in set {
-            override_value(&mut table, one).map_err(plain)?;
-        }
-        experiment =
-            table.try_into().map_err(|e: toml::de::Error| plain(format!("--set: {}", e.message())))?;
-    }
-    let problems = check(&experiment, text);
+pub fn read(text: &str, overrides: &[String]) -> Result<Experiment, Vec<FileProblem>> {
+    let from_file: Experiment = toml::from_str(text).map_err(|error| vec![parse_problem(text, &error)])?;
+    let experiment = if overrides.is_empty() { from_file } else { read_overridden(text, overrides)? };
+    let problems = find_problems(&experiment, text);
     if problems.is_empty() {
         Ok(experiment)
     } else {
@@ -29,32 +37,47 @@
     }
 }
 
+fn read_overridden(text: &str, overrides: &[String]) -> Result<Experiment, Vec<FileProblem>> {
+    let mut table: toml::Table =
+        toml::from_str(text).map_err(|error| vec![FileProblem::of_file(error.message())])?;
+    for text in overrides {
+        override_value(&mut table, text).map_err(|error| vec![FileProblem::of_file(error)])?;
+    }
+    let problem = |error: toml::de::Error| vec![FileProblem::of_file(format!("--set: {}", error.message()))];
+    table.try_into().map_err(problem)
+}
+
 /// Sets one value, given as `path=value`, in a file's table.
-fn override_value(table: &mut toml::Table, text: &str) -> Result<(), String> {
-    let (path, value) =
-        text.split_once('=').ok_or(format!("--set {text}: write it as path=value, as in load.rate=300"))?;
-    // What is no value of TOML is a plain word.
-    let value = toml::from_str::<toml::Table>(&format!("x = {value}"))
-        .ok()
-        .and_then(|mut table| table.remove("x"))
-        .unwrap_or_else(|| toml::Value::String(value.to_owned()));
-    let mut names: Vec<&str> = path.trim().split('.').collect();
-    let last = names.pop().unwrap_or_default();
+fn override_value(table: &mut toml::Table, text: &str) -> Result<(), OverrideError> {
+    let (path, value) = text.split_once('=').ok_or_else(|| OverrideError::NoValue(text.to_owned()))?;
+    let (parents, name) = match path.trim().rsplit_once('.') {
+        Some((parents, name)) => (Some(parents), name),
+        None => (None, path.trim()),
+    };
     let mut table = table;
-    for name in names {
-        let inner = table.entry(name).or_insert_with(|| toml::Value::Table(toml::Table::new()));
-        table = inner.as_table_mut().ok_or(format!("--set {text}: {name} is no table"))?;
+    for parent in parents.into_iter().flat_map(|parents| parents.split('.')) {
+        let inner = table.entry(parent).or_insert_with(|| toml::Value::Table(toml::Table::new()));
+        table = inner
+            .as_table_mut()
+            .ok_or_else(|| OverrideError::NoTable { text: text.to_owned(), name: parent.to_owned() })?;
     }
-    // A rate given as 300 stays a number with a fraction where the file has one.
-    let value = match (table.get(last), value) {
+    let value = match (table.get(name), parse_value(value)) {
+        // A rate given as 300 stays a number with a fraction where the file has one.
         (Some(toml::Value::Float(_)), toml::Value::Integer(whole)) => toml::Value::Float(whole as f64),
         (_, value) => value,
     };
-    table.insert(last.to_owned(), value);
+    table.insert(name.to_owned(), value);
     Ok(())
 }
 
-fn parse_problem(text: &str, error: &toml::de::Error) -> Problem {
+/// A value of TOML; what is none is a plain word.
+fn parse_value(text: &str) -> toml::Value {
+    let table = toml::from_str::<toml::Table>(&format!("x = {text}"));
+    let value = table.ok().and_then(|mut table| table.remove("x"));
+    value.unwrap_or_else(|| toml::Value::String(text.to_owned()))
+}
+
+fn parse_problem(text: &str, error: &toml::de::Error) -> FileProblem {
     let line = error.span().map(|span| text[..span.start.min(text.len())].matches('\n').count() + 1);
-    Problem { line, field: String::new(), what: error.message().replace('\n', " ") }
+    FileProblem { line, ..FileProblem::of_file(error.message().replace('\n', " ")) }
 }
--- a/platform-model/src/reader/tests.rs
+++ b/platform-model/src/reader/tests.rs
@@ -2,24 +2,25 @@
 
 use super::*;
 
-pub const SOUND: &str = "name = \"t\"\nseconds = 40\n[fleet]\nbalancers = 10\nhosts = 6\nzones = 3\n\
+pub const VALID_EXPERIMENT: &str =
+    "name = \"t\"\nseconds = 40\n[fleet]\nbalancers = 10\nhosts = 6\nzones = 3\n\
                          [load]\nrate = 100\nkeys = 200\n";
 
 #[test]
-fn a_file_is_read_and_values_are_set_over_it() {
+fn file_is_read_and_values_are_set_over_it() {
     let set = ["load.rate=300", "seed=7", "fleet.program=x/y", "origin.capacity=55"].map(String::from);
-    let e = read(SOUND, &set).unwrap();
+    let e = read(VALID_EXPERIMENT, &set).unwrap();
     assert_eq!((e.load.rate, e.seed, e.fleet.program.as_str(), e.origin.capacity), (300.0, 7, "x/y", 55.0));
-    assert_eq!(read(SOUND, &[]).unwrap().fleet.weights, [1.0]);
-    assert!(read(SOUND, &["rate".into()]).unwrap_err()[0].what.contains("path=value"));
+    assert_eq!(read(VALID_EXPERIMENT, &[]).unwrap().fleet.weights, [1.0]);
+    assert!(read(VALID_EXPERIMENT, &["rate".into()]).unwrap_err()[0].description.contains("path=value"));
 }
 
 #[test]
-fn an_unknown_field_is_told_with_its_line() {
-    let text = SOUND.replace("rate = 100", "rats = 100");
+fn unknown_field_is_reported_with_its_line() {
+    let text = VALID_EXPERIMENT.replace("rate = 100", "rats = 100");
     let problem = &read(&text, &[]).unwrap_err()[0];
     assert_eq!(problem.line, Some(8));
-    assert!(problem.what.contains("rats") && problem.what.contains("rate"), "{problem}");
-    let problem = &read(SOUND, &["load.rats=1".into()]).unwrap_err()[0];
-    assert!(problem.what.contains("rats"), "{problem}");
+    assert!(problem.description.contains("rats") && problem.description.contains("rate"), "{problem}");
+    let problem = &read(VALID_EXPERIMENT, &["load.rats=1".into()]).unwrap_err()[0];
+    assert!(problem.description.contains("rats"), "{problem}");
 }
--- a/platform-model/src/rng.rs
+++ b/platform-model/src/rng.rs
@@ -23,11 +23,11 @@
     Clients = 4,
     /// Delays and losses on links.
     Links = 5,
-    /// When discovery tells each balancer.
+    /// When discovery notifies each balancer.
     Lists = 6,
     /// The seeds that the processes are given.
     Processes = 7,
-    /// The judge's fair draws.
+    /// The checker's fair draws.
     Fair = 8,
 }
 
@@ -38,8 +38,8 @@
     rng
 }
 
-/// Spreads a number over 64 bits, the same everywhere: names of keys and servers are made of it.
-pub fn spread(number: u64) -> u64 {
+/// Mixes the bits of a number (the finalizer of SplitMix64), the same everywhere: names of keys and servers are made of it.
+pub fn mix_bits(number: u64) -> u64 {
     let mut x = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/platform-model/src/schedule.rs
+++ b/platform-model/src/schedule.rs
@@ -1,20 +1,23 @@
-//! An experiment's faults as values on a schedule: what happens when, to whom.
+//! An experiment's faults as values on a schedule: what changes when, and for whom.
 
 #[cfg(test)]
 mod tests;
 
 use rand::seq::SliceRandom;
 
-use crate::experiment::{Experiment, Fault, What};
-use crate::group::{members, Members};
+use crate::experiment::{Experiment, Fault, FaultKind};
+use crate::group::{resolve_group, GroupMembers};
 use crate::links::Links;
-use crate::rng::{seeded_rng, spread, RngStream};
+use crate::rng::{mix_bits, seeded_rng, RngStream};
 use crate::{micros_from_seconds, Micros};
 
-/// One change of the world.
+/// The time from one step of a roll or a flapping server to the next, in seconds, where the file does not say it.
+const DEFAULT_STEP_S: f64 = 1.0;
+
+/// One change of the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// The links of this fault go wrong, or are well again.
+    /// The links of this fault become faulty, or are healthy again.
     Links(bool),
     /// Processes are killed.
     Kill(Vec<usize>),
@@ -26,7 +29,7 @@
     Freeze(Vec<usize>),
     /// Processes go on.
     Thaw(Vec<usize>),
-    /// Servers say nothing, or speak again.
+    /// Servers do not answer, or do again.
     Silent(Vec<usize>, bool),
     /// Servers take so many times as long.
     Slow(Vec<usize>, f64),
@@ -36,7 +39,7 @@
     Drain(Vec<usize>),
     /// Servers end.
     Gone(Vec<usize>),
-    /// Servers start anew, cold and empty.
+    /// Servers start anew, in slow start and with nothing cached.
     Restart(Vec<usize>),
     /// Other servers start at the addresses of these.
     Replace(Vec<usize>),
@@ -44,16 +47,16 @@
     OriginSlow(f64),
     /// Discovery is down, or up again.
     DiscoveryDown(bool),
-    /// Discovery tells each balancer later, up to this.
+    /// Discovery notifies each balancer later, up to this.
     ListLate(Micros),
 }
 
 /// A change at its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// When, from the beginning of the load.
+    /// When, from the experiment's beginning.
     pub at: Micros,
-    /// The fault that it belongs to.
+    /// The number of the fault that it belongs to, from 0.
     pub fault: usize,
     /// What changes.
     pub change: Change,
@@ -64,87 +67,157 @@
 pub struct Schedule {
     /// All changes, in order.
     pub steps: Vec<Step>,
-    /// The links with their faults, all off.
+    /// The links with their faults, none active.
     pub links: Links,
 }
 
 /// Compiles a checked experiment's faults. The same seed gives the same targets.
-pub fn schedule(e: &Experiment) -> Schedule {
-    let mut rng = seeded_rng(e.seed, RngStream::Groups);
-    let mut all = Schedule::default();
-    for (number, fault) in e.fault.iter().enumerate() {
+pub fn schedule(experiment: &Experiment) -> Schedule {
+    let mut rng = seeded_rng(experiment.seed, RngStream::Groups);
+    let mut schedule = Schedule::default();
+    for (number, fault) in experiment.fault.iter().enumerate() {
         // A checked file has groups that name somebody.
-        let mut group = |text: &String| members(text, &e.fleet, &mut rng).unwrap_or_default();
+        let mut members =
+            |text: &String| resolve_group(text, &experiment.fleet, &mut rng).unwrap_or_default();
         if let Some([first, second]) = &fault.between {
-            let (from, to) = (group(first), group(second));
-            all.links.add(number, fault, from, to);
-        }
-        let who = fault.who.as_ref().map(group).unwrap_or_default();
-        for (at, change) in changes(e, number, fault, who) {
-            all.steps.push(Step { at, fault: number, change });
+            let from = members(first);
+            let to = members(second);
+            schedule.links.add_fault(number, fault, from, to);
         }
+        let targets = fault.who.as_ref().map(members).unwrap_or_default();
+        let compiler = FaultCompiler { experiment, number, fault, targets };
+        let steps = compiler.changes().into_iter();
+        schedule.steps.extend(steps.map(|(at, change)| Step { at, fault: number, change }));
     }
-    all.steps.sort_by_key(|step| step.at);
-    all
+    schedule.steps.sort_by_key(|step| step.at);
+    schedule
 }
 
-fn changes(e: &Experiment, number: usize, fault: &Fault, who: Members) -> Vec<(Micros, Change)> {
-    let from = micros_from_seconds(fault.at);
-    let until = fault.lasts.map(|lasts| from + micros_from_seconds(lasts));
-    let (servers, balancers) = (who.servers, who.balancers);
-    let (share, times) = (fault.share.unwrap_or(1.0), fault.times.unwrap_or(1.0));
-    let pair = |begin: Change, end: Change| {
-        let mut both = vec![(from, begin)];
-        both.extend(until.map(|at| (at, end)));
-        both
-    };
-    match fault.what {
-        What::Cut | What::Reset | What::Lose | What::Delay | What::Repeat | What::Reorder | What::Spoil => {
-            pair(Change::Links(true), Change::Links(false))
-        }
-        What::Kill | What::Term => {
-            let end = if fault.what == What::Kill { Change::Kill } else { Change::Term };
-            let mut both = vec![(from, end(balancers.clone()))];
-            both.extend(fault.back.map(|back| (from + micros_from_seconds(back), Change::Start(balancers))));
-            both
+/// Changes with their times.
+type TimedChanges = Vec<(Micros, Change)>;
+
+/// One fault, with the members of its group.
+struct FaultCompiler<'a> {
+    experiment: &'a Experiment,
+    number: usize,
+    fault: &'a Fault,
+    targets: GroupMembers,
+}
+
+impl FaultCompiler<'_> {
+    fn changes(&self) -> TimedChanges {
+        match self.fault.what {
+            FaultKind::Cut
+            | FaultKind::Reset
+            | FaultKind::Lose
+            | FaultKind::Delay
+            | FaultKind::Repeat
+            | FaultKind::Reorder
+            | FaultKind::Spoil => self.for_its_time(Change::Links(true), Change::Links(false)),
+            FaultKind::Kill | FaultKind::Term | FaultKind::Freeze | FaultKind::Roll => self.process_changes(),
+            FaultKind::OriginSlow => {
+                let times = self.fault.times.unwrap_or(1.0);
+                self.for_its_time(Change::OriginSlow(times), Change::OriginSlow(1.0))
+            }
+            FaultKind::DiscoveryDown => {
+                self.for_its_time(Change::DiscoveryDown(true), Change::DiscoveryDown(false))
+            }
+            FaultKind::ListLate => {
+                let latest = micros_from_seconds(self.fault.seconds.unwrap_or(0.0));
+                self.for_its_time(Change::ListLate(latest), Change::ListLate(0))
+            }
+            _ => self.server_changes(),
         }
-        What::Freeze => pair(Change::Freeze(balancers.clone()), Change::Thaw(balancers)),
-        What::Roll => {
-            let mut order = balancers;
-            order.shuffle(&mut seeded_rng(spread(e.seed ^ number as u64), RngStream::Groups));
-            let many = ((order.len() as f64 * share).round() as usize).max(1);
-            let every = micros_from_seconds(fault.every.unwrap_or(1.0));
-            let parts = order.chunks(many).enumerate();
-            parts
-                .flat_map(|(place, part)| {
-                    let at = from + place as Micros * every;
-                    [(at, Change::Term(part.to_vec())), (at, Change::Start(part.to_vec()))]
-                })
-                .collect()
+    }
+
+    fn process_changes(&self) -> TimedChanges {
+        let balancers = || self.targets.balancers.clone();
+        match self.fault.what {
+            FaultKind::Kill => self.end_and_start(Change::Kill(balancers())),
+            FaultKind::Term => self.end_and_start(Change::Term(balancers())),
+            FaultKind::Roll => self.roll(),
+            _ => self.for_its_time(Change::Freeze(balancers()), Change::Thaw(balancers())),
         }
-        What::Silent => pair(Change::Silent(servers.clone(), true), Change::Silent(servers, false)),
-        What::Slow => pair(Change::Slow(servers.clone(), times), Change::Slow(servers, 1.0)),
-        What::Failing => pair(Change::Failing(servers.clone(), share), Change::Failing(servers, 0.0)),
-        What::Drain => pair(Change::Drain(servers.clone()), Change::Restart(servers)),
-        What::Gone => pair(Change::Gone(servers.clone()), Change::Restart(servers)),
-        What::Restart => vec![(from, Change::Restart(servers))],
-        What::Replace => vec![(from, Change::Replace(servers))],
-        What::Flap => {
-            let (every, end) = (
-                micros_from_seconds(fault.every.unwrap_or(1.0)),
-                until.unwrap_or(micros_from_seconds(e.seconds)),
-            );
-            let mut steps: Vec<_> = (0..)
-                .map(|n: Micros| (from + n * every, Change::Silent(servers.clone(), n.is_multiple_of(2))))
-                .take_while(|(at, _)| *at < end)
-                .collect();
-            steps.push((end, Change::Silent(servers, false)));
-            steps
+    }
+
+    fn server_changes(&self) -> TimedChanges {
+        let servers = || self.targets.servers.clone();
+        let times = self.fault.times.unwrap_or(1.0);
+        let share = self.fault.share.unwrap_or(1.0);
+        match self.fault.what {
+            FaultKind::Silent => {
+                self.for_its_time(Change::Silent(servers(), true), Change::Silent(servers(), false))
+            }
+            FaultKind::Slow => {
+                self.for_its_time(Change::Slow(servers(), times), Change::Slow(servers(), 1.0))
+            }
+            FaultKind::Failing => {
+                self.for_its_time(Change::Failing(servers(), share), Change::Failing(servers(), 0.0))
+            }
+            FaultKind::Drain => self.for_its_time(Change::Drain(servers()), Change::Restart(servers())),
+            FaultKind::Gone => self.for_its_time(Change::Gone(servers()), Change::Restart(servers())),
+            FaultKind::Restart => vec![(self.begin(), Change::Restart(servers()))],
+            FaultKind::Replace => vec![(self.begin(), Change::Replace(servers()))],
+            _ => self.flap(),
         }
-        What::OriginSlow => pair(Change::OriginSlow(times), Change::OriginSlow(1.0)),
-        What::DiscoveryDown => pair(Change::DiscoveryDown(true), Change::DiscoveryDown(false)),
-        What::ListLate => {
-            pair(Change::ListLate(micros_from_seconds(fault.seconds.unwrap_or(0.0))), Change::ListLate(0))
+    }
+
+    fn begin(&self) -> Micros {
+        micros_from_seconds(self.fault.at)
+    }
+
+    /// None where it lasts to the end of the run.
+    fn end(&self) -> Option<Micros> {
+        self.fault.lasts.map(|lasts| self.begin() + micros_from_seconds(lasts))
+    }
+
+    fn step_time(&self) -> Micros {
+        micros_from_seconds(self.fault.every.unwrap_or(DEFAULT_STEP_S))
+    }
+
+    /// One change at the fault's beginning and one at its end, if it has one.
+    fn for_its_time(&self, begin: Change, end: Change) -> TimedChanges {
+        let mut changes = vec![(self.begin(), begin)];
+        changes.extend(self.end().map(|at| (at, end)));
+        changes
+    }
+
+    /// Processes end, and start again if the file says when.
+    fn end_and_start(&self, end: Change) -> TimedChanges {
+        let mut changes = vec![(self.begin(), end)];
+        let start = Change::Start(self.targets.balancers.clone());
+        changes.extend(self.fault.back.map(|back| (self.begin() + micros_from_seconds(back), start)));
+        changes
+    }
+
+    /// Processes end and start again, a share at a time, in an order drawn by the seed.
+    fn roll(&self) -> TimedChanges {
+        let mut order = self.targets.balancers.clone();
+        let seed = mix_bits(self.experiment.seed ^ self.number as u64);
+        order.shuffle(&mut seeded_rng(seed, RngStream::Groups));
+        let share = self.fault.share.unwrap_or(1.0);
+        let at_a_time = ((order.len() as f64 * share).round() as usize).max(1);
+        let mut changes = Vec::new();
+        for (place, part) in order.chunks(at_a_time).enumerate() {
+            let at = self.begin() + place as Micros * self.step_time();
+            changes.push((at, Change::Term(part.to_vec())));
+            changes.push((at, Change::Start(part.to_vec())));
         }
+        changes
+    }
+
+    /// Servers stop answering and answer again in turn; at the end they answer.
+    fn flap(&self) -> TimedChanges {
+        let servers = || self.targets.servers.clone();
+        let end = self.end().unwrap_or(micros_from_seconds(self.experiment.seconds));
+        let mut changes: TimedChanges = (0..)
+            .map(|step: Micros| {
+                let is_silent = step.is_multiple_of(2);
+                (self.begin() + step * self.step_time(), Change::Silent(servers(), is_silent))
+            })
+            .take_while(|(at, _)| *at < end)
+            .collect();
+        changes.push((end, Change::Silent(servers(), false)));
+        changes
     }
 }
--- a/platform-model/src/schedule/tests.rs
+++ b/platform-model/src/schedule/tests.rs
@@ -1,7 +1,7 @@
-//! Tests of `schedule`.
+//! Faults compiled to steps.
 
 use super::*;
-use crate::reader::{read, tests::SOUND};
+use crate::reader::{read, tests::VALID_EXPERIMENT};
 use crate::MICROS_PER_SECOND;
 
 #[test]
@@ -9,7 +9,7 @@
     let text = "[[fault]]\nat = 9\nfor = 2\nwhat = \"drain\"\nwho = \"hosts:1\"\n\
         [[fault]]\nat = 3\nwhat = \"roll\"\nwho = \"balancers\"\nshare = 0.4\nevery = 2\n\
         [[fault]]\nat = 1\nfor = 2.5\nwhat = \"flap\"\nwho = \"hosts:30%\"\nevery = 1\n";
-    let e = read(&format!("{SOUND}{text}"), &[]).unwrap();
+    let e = read(&format!("{VALID_EXPERIMENT}{text}"), &[]).unwrap();
     let steps = schedule(&e).steps;
     assert_eq!(steps, schedule(&e).steps);
     let at: Vec<Micros> = steps.iter().map(|step| step.at / 100_000).collect();
--- a/platform-model/src/summary.rs
+++ b/platform-model/src/summary.rs
@@ -1,4 +1,4 @@
-//! `summary.json`: the names that stay, and how each figure is meant.
+//! `summary.json`: the figures of a run. The names of the file stay whatever the fields are called here.
 
 use std::collections::BTreeMap;
 
@@ -13,28 +13,28 @@
     pub seed: u64,
     /// The processes.
     pub processes: Processes,
-    /// Tries of clients.
+    /// Requests of clients, retries included.
     #[serde(rename = "commands")]
     pub requests: u64,
     /// Of those, served before their deadline.
     pub served: u64,
-    /// Of those, refused.
+    /// Of those, rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Of those, failed, never taken, or left by their client.
+    /// Of those, failed, never accepted, or left by their client.
     pub failed: u64,
-    /// Of those, taken and never finally answered, or after the deadline.
+    /// Of those, accepted and never finally answered, or after the deadline.
     pub lost: u64,
-    /// Worth served within its aim over worth asked for, a client's tries counted as one.
+    /// Priority weight served within the latency objective over that asked for, a client's requests counted as one.
     pub service: f64,
-    /// Attempts that servers and the origin received, a try.
+    /// Attempts that servers and the origin received, over requests.
     #[serde(rename = "attempts_per_command")]
     pub attempts_per_request: f64,
-    /// Times of those served.
+    /// Latencies of those served, in milliseconds.
     pub latency_ms: Latency,
-    /// Breaches.
+    /// Violations of the rules.
     pub rules: RuleViolations,
-    /// The rig's sends behind their plan; over 20 the run is late.
+    /// The testbed's sends behind their plan, in milliseconds; over 20 the run is late.
     pub lag_p99_ms: f64,
     /// What it cost.
     pub cpu: Cpu,
@@ -47,7 +47,7 @@
     /// How soon the fleet acted on changes at servers.
     #[serde(rename = "verdicts")]
     pub failure_detection: FailureDetection,
-    /// Talk between balancers.
+    /// Traffic between balancers.
     pub peers: PeerTraffic,
 }
 
@@ -56,11 +56,11 @@
 pub struct Processes {
     /// Started, restarts included.
     pub started: u64,
-    /// Ended without being told to.
+    /// Ended by themselves.
     pub crashed: u64,
 }
 
-/// Times of the requests served.
+/// Latencies of the requests served, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Latency {
     /// Median.
@@ -71,7 +71,7 @@
     pub p999: f64,
 }
 
-/// Breaches of the four rules.
+/// Violations of the four rules.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RuleViolations {
     /// One final answer before the deadline.
@@ -80,7 +80,7 @@
     pub attempts: u64,
     /// Drains.
     pub drains: u64,
-    /// Cold servers.
+    /// Servers in slow start.
     pub cold: u64,
 }
 
@@ -94,10 +94,10 @@
 /// What a run cost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cpu {
-    /// Processor time of all balancers over all requests.
+    /// Processor time of all balancers over all requests, in milliseconds.
     #[serde(rename = "balancer_ms_per_command")]
     pub balancer_ms_per_request: f64,
-    /// Processor time of the rig.
+    /// Processor time of the testbed, in seconds.
     #[serde(rename = "rig_s")]
     pub testbed_s: f64,
 }
@@ -120,9 +120,9 @@
     pub peak: f64,
     /// The 5th percentile of the smallest.
     pub least: f64,
-    /// Server-windows with nothing begun where 5 or more were due.
+    /// Server-windows without an attempt where 5 or more were due.
     pub idle: u64,
-    /// The most begun at one server in any 100 ms over what is due in 100 ms.
+    /// The most attempts at one server in any 100 ms over what is due in 100 ms.
     pub herd: f64,
     /// The same as `peak` for fair draws.
     pub fair_peak: f64,
@@ -134,37 +134,37 @@
     pub windows: u64,
 }
 
-/// A limit of the whole fleet.
+/// What a limit of the whole fleet was used for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitUsage {
-    /// The whole.
+    /// The limit, in what it counts a second.
     #[serde(rename = "whole")]
     pub limit: f64,
-    /// What the program states, as a multiple of the whole; none without talk.
+    /// What the program states, as a multiple of the limit; none where balancers do not talk.
     pub bound: Option<f64>,
-    /// The most used in any second over the whole.
+    /// The most used in any second over the limit.
     pub peak: f64,
-    /// Used over the whole while demand was above it; none where it never was.
+    /// Used over the limit while demand was above it; none where it never was.
     #[serde(rename = "use")]
     pub usage: Option<f64>,
-    /// Seconds in which more than the whole was used.
+    /// Seconds in which more than the limit was used.
     pub seconds_over: u64,
 }
 
 /// How soon the fleet acted on changes at servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FailureDetection {
-    /// What the program states; none without talk.
+    /// The reaction time that the program states; none where balancers do not talk.
     pub bound_ms: Option<f64>,
     /// From a change to the last send of a balancer that it should have stopped, median.
     pub spread_p50_ms: Option<f64>,
     /// The 99th percentile.
     pub spread_p99_ms: Option<f64>,
-    /// The stated age up to which a verdict acts.
+    /// The stated age up to which a report acts.
     pub stale_bound_ms: Option<f64>,
     /// The oldest that acted.
     pub stale_max_ms: Option<f64>,
-    /// Sound servers passed by on others' word.
+    /// Healthy servers avoided on others' reports.
     #[serde(rename = "wrong")]
     pub wrongly_avoided: u64,
     /// Attempts at silent servers.
@@ -175,12 +175,12 @@
     pub used_again_ms: Option<f64>,
 }
 
-/// Talk between balancers, a member.
+/// Traffic between balancers, a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PeerTraffic {
-    /// Packets out.
+    /// Packets sent.
     pub packets_per_s: f64,
-    /// Bytes out.
+    /// Bytes sent.
     pub bytes_per_s: f64,
     /// The longest time in which a connected member's view was wrong.
     pub members_max_wrong_s: Option<f64>,
--- a/platform-model/src/load/tests.rs
+++ b/platform-model/src/workload/tests.rs
@@ -1,14 +1,14 @@
-//! Tests of `load`.
+//! The load drawn from an experiment.
 
 use super::*;
-use crate::reader::{read, tests::SOUND};
+use crate::reader::{read, tests::VALID_EXPERIMENT};
 
 fn drawn(more: &str) -> Vec<Arrival> {
-    draw(&read(&format!("{SOUND}{more}"), &[]).unwrap())
+    draw_arrivals(&read(&format!("{VALID_EXPERIMENT}{more}"), &[]).unwrap())
 }
 
 #[test]
-fn the_load_is_as_asked_and_the_same_for_a_seed() {
+fn load_is_as_the_file_says_and_the_same_for_a_seed() {
     let all = drawn("writes = 0.1\nuneven = { share = 0.8, at = 0.2 }\nhot = [{ at = 20.0, share = 0.5 }]\n");
     let again =
         drawn("writes = 0.1\nuneven = { share = 0.8, at = 0.2 }\nhot = [{ at = 20.0, share = 0.5 }]\n");
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn bursts_and_ramps_change_the_rate_when_they_should() {
+fn bursts_and_ramps_change_the_rate_at_their_times() {
     let all = drawn("burst = [{ at = 10, for = 5, times = 3 }]\nramp = 2.0\n");
     let rate = |from: u64, to: u64| {
         let within = |a: &&Arrival| (from * MICROS_PER_SECOND..to * MICROS_PER_SECOND).contains(&a.at);
--- a/testbed-cli/src/commands.rs
+++ b/testbed-cli/src/commands.rs
@@ -185,7 +185,7 @@
     }
     summary.cpu.testbed_s = run.rig_cpu_s;
     if run.stated.is_some() {
-        let cut = schedule(experiment).links.between_balancers();
+        let cut = schedule(experiment).links.has_faults_between_balancers();
         let told = check_self_reports(&run.event_log, terms, &run.holders, cut);
         summary.peers.members_max_wrong_s = told.members_wrong_s;
         (summary.failure_detection.wrongly_avoided, summary.failure_detection.stale_max_ms) =
--- a/testbed-cli/src/replay.rs
+++ b/testbed-cli/src/replay.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 
 use juniperladder_platform_model::experiment::Experiment;
-use juniperladder_platform_model::rng::{seeded_rng, spread, RngStream, SeededRng};
+use juniperladder_platform_model::rng::{mix_bits, seeded_rng, RngStream, SeededRng};
 use rand::Rng;
 
 use crate::exit::{KEPT, NOT_ALLOWED};
@@ -148,7 +148,7 @@
     /// A key's servers, best first.
     fn ranked(&self, key: u64) -> impl Iterator<Item = usize> {
         let mut order: Vec<usize> = (0..self.servers).collect();
-        order.sort_unstable_by_key(|server| spread(spread(key) ^ *server as u64));
+        order.sort_unstable_by_key(|server| mix_bits(mix_bits(key) ^ *server as u64));
         order.into_iter()
     }
 }
--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -7,7 +7,7 @@
 use bytes::BytesMut;
 use juniperladder_platform_model::cache_server::Answer;
 use juniperladder_platform_model::event_log::{Attempt, AttemptResult, Receiver};
-use juniperladder_platform_model::links::End;
+use juniperladder_platform_model::links::LinkEnd;
 use juniperladder_platform_model::Micros;
 use juniperladder_protocols::memcache::{Incoming, RequestReader};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -59,7 +59,7 @@
 struct ServerConnection {
     rig: Rc<Rig>,
     server: usize,
-    balancer: End,
+    balancer: LinkEnd,
     life: u32,
     coming: VecDeque<Coming>,
     going: VecDeque<Going>,
@@ -79,7 +79,7 @@
 
 impl ServerConnection {
     fn new(rig: Rc<Rig>, server: usize, side: usize) -> ServerConnection {
-        let balancer = End::Balancer(rig.sides[side]);
+        let balancer = LinkEnd::Balancer(rig.sides[side]);
         let life = rig.lives[server].get();
         let (coming, going) = (VecDeque::new(), VecDeque::new());
         ServerConnection { rig, server, balancer, life, coming, going, corrupted: false, first_byte_at: None }
@@ -93,7 +93,7 @@
         }
         // What went into a link that stayed cut was sent and never heard. What is on its way over a sound one when its
         // connection closes is given up by the balancer, and tells nothing of the server.
-        if !self.rig.link(self.balancer, End::CacheServer(self.server)).cut {
+        if !self.rig.link(self.balancer, LinkEnd::CacheServer(self.server)).cut {
             return;
         }
         for lost in std::mem::take(&mut self.coming) {
@@ -107,8 +107,8 @@
         let (mut requests, mut input) = (RequestReader::default(), BytesMut::new());
         let (mut read, mut write) = stream.split();
         loop {
-            let there = self.rig.link(self.balancer, End::CacheServer(self.server));
-            let back = self.rig.link(End::CacheServer(self.server), self.balancer);
+            let there = self.rig.link(self.balancer, LinkEnd::CacheServer(self.server));
+            let back = self.rig.link(LinkEnd::CacheServer(self.server), self.balancer);
             if there.reset || back.reset || self.rig.lives[self.server].get() != self.life {
                 return Err(Over::Reset);
             }
@@ -120,7 +120,7 @@
             }
             while !back.cut && self.going.front().is_some_and(|going| going.due <= now) {
                 let Some(mut going) = self.going.pop_front() else { break };
-                let corrupted = self.rig.happens(back.spoil);
+                let corrupted = self.rig.happens(back.corrupted_share);
                 if corrupted {
                     self.rig.spoil(&mut going.line);
                 }
@@ -142,7 +142,7 @@
                     if got.map_err(|_| Over::Closed)? == 0 {
                         return Err(Over::Closed);
                     }
-                    if self.rig.happens(there.spoil) {
+                    if self.rig.happens(there.corrupted_share) {
                         self.rig.spoil(&mut input);
                         self.corrupted = true;
                     }
@@ -157,7 +157,7 @@
     /// Takes whole requests off the input and sends them on their way.
     fn take(&mut self, requests: &mut RequestReader, input: &mut BytesMut) {
         let now = self.rig.now();
-        let there = self.rig.link(self.balancer, End::CacheServer(self.server));
+        let there = self.rig.link(self.balancer, LinkEnd::CacheServer(self.server));
         loop {
             let first_byte_at = *self.first_byte_at.get_or_insert(now);
             let Some(incoming) = requests.next(input) else { break };
@@ -173,7 +173,7 @@
                         continue;
                     };
                     // What was sent first arrives first.
-                    let due = now + self.rig.way(self.balancer, End::CacheServer(self.server), &there);
+                    let due = now + self.rig.way(self.balancer, LinkEnd::CacheServer(self.server), &there);
                     let due = due.max(self.coming.back().map_or(0, |last| last.due));
                     self.coming.push_back(Coming {
                         due,
@@ -219,12 +219,12 @@
             return;
         }
         let mut server = rig.servers[self.server].borrow_mut();
-        let fallen = server.fallen();
-        let outcome = server.begin(now, coming.key, &mut rig.machines());
-        if server.fallen() && !fallen {
+        let fallen = server.has_collapsed();
+        let outcome = server.on_request(now, coming.key, &mut rig.machines());
+        if server.has_collapsed() && !fallen {
             rig.event_log.borrow_mut().server_collapses.push((self.server as u32, now));
         }
-        let report = server.report(now, &mut rig.machines());
+        let report = server.load_report(now, &mut rig.machines());
         drop(server);
         let load = format!(" Lserved_ps={:.1},pending={:.1}", report.served_per_s, report.waiting);
         let id = coming.id;
@@ -236,23 +236,23 @@
                 (AttemptResult::Served, format!("VA {} O{id:016x} h1{load}\r\n{value}\r\n", value.len()))
             }
             Answer::Miss { fetching } => {
-                rig.missed(id, self.server, outcome.cold);
+                rig.missed(id, self.server, outcome.in_slow_start);
                 (
                     AttemptResult::Miss,
                     format!("EN O{id:016x} h0{}{load}\r\n", if fetching { " Z" } else { "" }),
                 )
             }
-            Answer::Busy => (AttemptResult::Rejected, format!("SERVER_ERROR busy{load}\r\n")),
+            Answer::Rejected => (AttemptResult::Rejected, format!("SERVER_ERROR busy{load}\r\n")),
             Answer::Failed => (AttemptResult::Failed, format!("SERVER_ERROR failed{load}\r\n")),
         };
-        let place = rig.received(self.attempt(coming, now, result, outcome.cold));
+        let place = rig.received(self.attempt(coming, now, result, outcome.in_slow_start));
         self.answer(outcome.at, line, Some(place));
     }
 
     /// Sends an answer on its way at this time; answers keep the order of their requests.
     fn answer(&mut self, at: Micros, line: String, attempt: Option<usize>) {
-        let back = self.rig.link(End::CacheServer(self.server), self.balancer);
-        let due = at + self.rig.way(End::CacheServer(self.server), self.balancer, &back);
+        let back = self.rig.link(LinkEnd::CacheServer(self.server), self.balancer);
+        let due = at + self.rig.way(LinkEnd::CacheServer(self.server), self.balancer, &back);
         let due = due.max(self.going.back().map_or(0, |last| last.due));
         self.going.push_back(Going { due, line: line.into_bytes(), attempt });
     }
--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -9,8 +9,8 @@
 
 use juniperladder_platform_model::checker::CheckTerms;
 use juniperladder_platform_model::event_log::{ClientRequest, RequestResult};
-use juniperladder_platform_model::load::{key_name, Arrival};
 use juniperladder_platform_model::rng::{seeded_rng, RngStream, SeededRng};
+use juniperladder_platform_model::workload::{key_name, Arrival};
 use juniperladder_platform_model::{micros_from_millis, Micros};
 use rand::Rng;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
--- a/testbed/src/discovery.rs
+++ b/testbed/src/discovery.rs
@@ -12,10 +12,10 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use juniperladder_platform_model::discovery::{Entry, Life};
+use juniperladder_platform_model::discovery::{Endpoint, Lifecycle};
 use juniperladder_platform_model::event_log::EndpointNotice;
 use juniperladder_platform_model::group::zone_of;
-use juniperladder_platform_model::links::End;
+use juniperladder_platform_model::links::LinkEnd;
 use serde_json::{json, Value};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -55,12 +55,12 @@
     addresses: Addresses,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Broken> {
-    let link = (End::Balancer(balancer), End::Discovery);
+    let link = (LinkEnd::Balancer(balancer), LinkEnd::Discovery);
     carried(&rig, link.0, link.1).await?;
     if rig.down.get() {
         return refused();
     }
-    let ready = rig.door.borrow_mut().call(rig.now());
+    let ready = rig.door.borrow_mut().on_call(rig.now());
     let Some(ready) = ready else { return refused() };
     sleep_until(rig.instant(ready)).await;
     carried(&rig, link.1, link.0).await?;
@@ -115,13 +115,13 @@
         if rig.down.get() || lines.is_closed() {
             return;
         }
-        let state = rig.link(End::Discovery, End::Balancer(balancer));
+        let state = rig.link(LinkEnd::Discovery, LinkEnd::Balancer(balancer));
         if state.reset {
             return;
         }
         let (generation, next) = rig.tellable(balancer);
         if !state.cut && generation > told {
-            let entries = rig.catalog.borrow().0.between(told, generation).to_vec();
+            let entries = rig.catalog.borrow().0.changes_between(told, generation).to_vec();
             let line = text(&rig, generation, false, &entries, &addresses);
             note(&rig, balancer, &entries);
             told = generation;
@@ -152,8 +152,8 @@
     let (generation, _) = rig.tellable(balancer);
     let catalog = rig.catalog.borrow();
     let (reset, entries) = match since {
-        Some(since) if since <= generation => (false, catalog.0.between(since, generation).to_vec()),
-        _ => (true, catalog.0.whole(generation)),
+        Some(since) if since <= generation => (false, catalog.0.changes_between(since, generation).to_vec()),
+        _ => (true, catalog.0.snapshot(generation)),
     };
     drop(catalog);
     note(rig, balancer, &entries);
@@ -161,28 +161,28 @@
 }
 
 /// Puts down what a balancer has been told.
-pub fn note(rig: &Rig, balancer: usize, entries: &[Entry]) {
+pub fn note(rig: &Rig, balancer: usize, entries: &[Endpoint]) {
     let at = rig.now();
     let servers = rig.servers.len();
     let told = entries.iter().filter(|entry| entry.slot < servers).map(|entry| EndpointNotice {
         balancer: balancer as u32,
         server: entry.slot as u32,
-        in_service: entry.life == Life::InService,
+        in_service: entry.lifecycle == Lifecycle::InService,
         at,
     });
     rig.event_log.borrow_mut().notices.extend(told);
 }
 
 /// A list or its changes in discovery's form, one line.
-fn text(rig: &Rig, generation: u64, reset: bool, entries: &[Entry], addresses: &Addresses) -> String {
+fn text(rig: &Rig, generation: u64, reset: bool, entries: &[Endpoint], addresses: &Addresses) -> String {
     format!("{}\n", list(rig, generation, reset, entries, addresses))
 }
 
 /// The same as a value, as a configuration's `known` holds it.
-pub fn list(rig: &Rig, generation: u64, reset: bool, entries: &[Entry], addresses: &Addresses) -> Value {
+pub fn list(rig: &Rig, generation: u64, reset: bool, entries: &[Endpoint], addresses: &Addresses) -> Value {
     let fleet = &rig.experiment.fleet;
     let servers = rig.servers.len();
-    let instance = |entry: &Entry| {
+    let instance = |entry: &Endpoint| {
         let origin = entry.slot >= servers;
         let kind = entry.slot % fleet.weights.len();
         json!({
@@ -191,9 +191,9 @@
             "zone": zone_name(if origin { 0 } else { zone_of(entry.slot, fleet) }),
             "machineType": if origin { "origin".into() } else { kind_name(kind) },
             "cell": entry.slot / 8,
-            "lifecycle": entry.life.word(),
+            "lifecycle": entry.lifecycle.wire_name(),
             "weight": if origin { 1.0 } else { fleet.weights[kind] },
-            "startedAtMs": entry.started.map_or(0, |at| rig.unix_ms(at)),
+            "startedAtMs": entry.started_at.map_or(0, |at| rig.unix_ms(at)),
         })
     };
     json!({"generation": generation, "reset": reset, "instances": entries.iter().map(instance).collect::<Vec<_>>()})
--- a/testbed/src/origin.rs
+++ b/testbed/src/origin.rs
@@ -9,9 +9,9 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use juniperladder_platform_model::event_log::{Attempt, AttemptResult, Receiver};
-use juniperladder_platform_model::links::End;
-use juniperladder_platform_model::load::key_name;
-use juniperladder_platform_model::origin::Outcome;
+use juniperladder_platform_model::links::LinkEnd;
+use juniperladder_platform_model::origin::{OriginRequest, Outcome};
+use juniperladder_platform_model::workload::key_name;
 use juniperladder_platform_model::{micros_from_millis, Micros};
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
@@ -49,7 +49,7 @@
 impl std::error::Error for Broken {}
 
 /// Holds until the link carries what is sent over it; an error where it is reset.
-pub async fn carried(rig: &Rig, from: End, to: End) -> Result<(), Broken> {
+pub async fn carried(rig: &Rig, from: LinkEnd, to: LinkEnd) -> Result<(), Broken> {
     let mut weather = rig.weather.subscribe();
     let sent = rig.now();
     loop {
@@ -70,16 +70,17 @@
 type Answered = Result<Response<Full<Bytes>>, Broken>;
 
 async fn answer(rig: Rc<Rig>, side: usize, request: Request<Incoming>) -> Answered {
-    let balancer = End::Balancer(rig.sides[side]);
+    let balancer = LinkEnd::Balancer(rig.sides[side]);
     let first_byte_at = rig.now();
     let Some(asked) = Asked::of(&request) else { return Ok(plain(StatusCode::BAD_REQUEST, "not a command")) };
     // The value itself is nobody's; that it came whole is what counts.
     request.into_body().collect().await.map_err(|_| Broken)?;
-    carried(&rig, balancer, End::Origin).await?;
+    carried(&rig, balancer, LinkEnd::Origin).await?;
     let now = rig.now();
     let cold = rig.missed_cold(asked.id);
-    let until = now + asked.wait;
-    let outcome = rig.origin.borrow_mut().begin(now, asked.write, cold, until, &mut rig.machines());
+    let received =
+        OriginRequest { idempotency_key: asked.write, in_slow_start: cold, deadline: now + asked.wait };
+    let outcome = rig.origin.borrow_mut().on_request(now, received, &mut rig.machines());
     let mut attempt = Attempt {
         id: asked.id,
         balancer: balancer_of(asked.id) as u32,
@@ -96,7 +97,7 @@
             rig.received(attempt);
             return Err(Broken);
         }
-        Outcome::Busy => {
+        Outcome::Rejected => {
             attempt.result = AttemptResult::Rejected;
             attempt.answered_at = Some(now);
             rig.received(attempt);
@@ -127,7 +128,7 @@
             response.body(Full::new(Bytes::from(body))).map_err(|_| Broken)?
         }
     };
-    carried(&rig, End::Origin, balancer).await?;
+    carried(&rig, LinkEnd::Origin, balancer).await?;
     Ok(response)
 }
 
--- a/testbed/src/peers.rs
+++ b/testbed/src/peers.rs
@@ -13,7 +13,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 
-use juniperladder_platform_model::links::End;
+use juniperladder_platform_model::links::LinkEnd;
 use juniperladder_platform_model::micros_from_millis;
 use tokio::net::UdpSocket;
 use tokio::task::spawn_local;
@@ -102,20 +102,20 @@
                 sent.packets += 1;
                 sent.bytes += length as u64;
             }
-            let ends = (End::Balancer(from), End::Balancer(to));
+            let ends = (LinkEnd::Balancer(from), LinkEnd::Balancer(to));
             let state = self.rig.link(ends.0, ends.1);
-            if state.cut || state.reset || self.rig.happens(state.lose) {
+            if state.cut || state.reset || self.rig.happens(state.lost_share) {
                 continue;
             }
             let mut bytes = packet[..length].to_vec();
-            if self.rig.happens(state.spoil) {
+            if self.rig.happens(state.corrupted_share) {
                 self.rig.spoil(&mut bytes);
             }
-            let copies = 1 + usize::from(self.rig.happens(state.repeat));
+            let copies = 1 + usize::from(self.rig.happens(state.repeated_share));
             for _ in 0..copies {
-                let lossless = juniperladder_platform_model::links::LinkState { lose: 0.0, ..state };
+                let lossless = juniperladder_platform_model::links::LinkState { lost_share: 0.0, ..state };
                 let mut way = self.rig.way(ends.0, ends.1, &lossless);
-                if self.rig.happens(state.reorder) {
+                if self.rig.happens(state.reordered_share) {
                     way += micros_from_millis(LATER_MS);
                 }
                 self.carry(from, to, bytes.clone(), way);
--- a/testbed/src/peers/tests.rs
+++ b/testbed/src/peers/tests.rs
@@ -15,7 +15,7 @@
     );
     let e = read(&text, &[]).unwrap();
     let mut links = schedule(&e).links;
-    links.turn(0, true);
+    links.set_active(0, true);
     let relay = Relay::new(Rig::new(e, links), 2).await.unwrap();
     let [a, b] = [0, 1].map(|_| std::net::UdpSocket::bind("127.0.0.1:0").unwrap());
     [&a, &b].into_iter().for_each(|socket| socket.set_nonblocking(true).unwrap());
--- a/testbed/src/play.rs
+++ b/testbed/src/play.rs
@@ -7,12 +7,12 @@
 use std::time::Duration;
 
 use juniperladder_platform_model::checker::{CheckTerms, StatedBounds};
-use juniperladder_platform_model::discovery::{Entry, Life};
+use juniperladder_platform_model::discovery::{Endpoint, Lifecycle};
 use juniperladder_platform_model::event_log::{EventLog, ImpairedSpan, Impairment};
 use juniperladder_platform_model::experiment::Experiment;
-use juniperladder_platform_model::load::draw;
 use juniperladder_platform_model::rng::{seeded_rng, RngStream};
 use juniperladder_platform_model::schedule::{schedule, Change, Step};
+use juniperladder_platform_model::workload::draw_arrivals;
 use juniperladder_platform_model::{micros_from_seconds, Micros};
 use nix::sys::resource::{getrusage, UsageWho};
 use nix::sys::signal::Signal;
@@ -201,7 +201,7 @@
         let terms = CheckTerms::of(&experiment);
         // The load's times count from now on, all others from the run's beginning: the event log is moved at the end.
         let begun = self.rig.now();
-        let mut load = draw(&experiment);
+        let mut load = draw_arrivals(&experiment);
         load.iter_mut().for_each(|arrival| arrival.at += begun);
         let clients = Clients::new(Rc::clone(&self.rig), terms, self.processes.addresses());
         let sending = spawn_local(Rc::clone(&clients).send(Rc::new(load)));
@@ -289,8 +289,8 @@
         };
         match &step.change {
             Change::Links(on) => {
-                rig.links.borrow_mut().turn(step.fault, *on);
-                let touched = rig.links.borrow().hosts_of(step.fault);
+                rig.links.borrow_mut().set_active(step.fault, *on);
+                let touched = rig.links.borrow().servers_of(step.fault);
                 ill(&touched, Impairment::LinkFault, *on);
             }
             Change::Kill(who) => self.processes.signal(who, Signal::SIGKILL),
@@ -309,43 +309,43 @@
                 ill(who, Impairment::Silent, *on);
             }
             Change::Slow(who, times) => {
-                who.iter().for_each(|server| rig.servers[*server].borrow_mut().slow(*times));
+                who.iter().for_each(|server| rig.servers[*server].borrow_mut().set_slowdown(*times));
                 ill(who, Impairment::Slow, *times != 1.0);
             }
             Change::Failing(who, share) => {
-                who.iter().for_each(|server| rig.servers[*server].borrow_mut().fail(*share));
+                who.iter().for_each(|server| rig.servers[*server].borrow_mut().set_failure_share(*share));
                 ill(who, Impairment::Failing, *share > 0.0);
             }
             Change::Drain(who) => {
                 for server in who {
                     rig.servers[*server].borrow_mut().closed = true;
-                    self.list(*server, Life::Terminating);
+                    self.list(*server, Lifecycle::Terminating);
                 }
                 ill(who, Impairment::OutOfService, true);
             }
             Change::Gone(who) => {
                 for server in who {
                     self.close(*server).await;
-                    self.list(*server, Life::Terminated);
+                    self.list(*server, Lifecycle::Terminated);
                 }
                 ill(who, Impairment::OutOfService, true);
             }
             Change::Restart(who) => {
                 for server in who {
                     self.restart(*server, now).await;
-                    self.list(*server, Life::InService);
+                    self.list(*server, Lifecycle::InService);
                 }
                 ill(who, Impairment::OutOfService, false);
             }
             Change::Replace(who) => {
                 for server in who {
-                    self.list(*server, Life::Terminated);
+                    self.list(*server, Lifecycle::Terminated);
                     rig.replaced[*server].set(rig.replaced[*server].get() + 1);
                     self.restart(*server, now).await;
-                    self.list(*server, Life::InService);
+                    self.list(*server, Lifecycle::InService);
                 }
             }
-            Change::OriginSlow(times) => rig.origin.borrow_mut().slow(*times),
+            Change::OriginSlow(times) => rig.origin.borrow_mut().set_slowdown(*times),
             Change::DiscoveryDown(on) => rig.down.set(*on),
             Change::ListLate(most) => {
                 let mut rng = seeded_rng(rig.experiment.seed, RngStream::Lists);
@@ -378,10 +378,10 @@
     }
 
     /// Discovery's list changes for a server.
-    fn list(&self, server: usize, life: Life) {
+    fn list(&self, server: usize, life: Lifecycle) {
         let id = host_id(self.rig.experiment.seed, server, self.rig.replaced[server].get());
-        let started = self.rig.servers[server].borrow().started;
-        self.rig.list(Entry { id, slot: server, life, started });
+        let started = self.rig.servers[server].borrow().started_at;
+        self.rig.list(Endpoint { id, slot: server, lifecycle: life, started_at: started });
     }
 }
 
--- a/testbed/src/processes.rs
+++ b/testbed/src/processes.rs
@@ -14,7 +14,7 @@
 use juniperladder_platform_model::event_log::{EventLog, Impairment};
 use juniperladder_platform_model::experiment::Experiment;
 use juniperladder_platform_model::group::zone_of;
-use juniperladder_platform_model::rng::spread;
+use juniperladder_platform_model::rng::mix_bits;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::{json, Value};
@@ -125,13 +125,13 @@
         let e = &rig.experiment;
         let process = &self.all[number];
         let first = (rig.servers.len() + 1) as u64;
-        let known = rig.catalog.borrow().0.whole(first);
+        let known = rig.catalog.borrow().0.snapshot(first);
         let config = json!({
             "name": format!("b{number}"),
             "listen": process.door.address().to_string(),
             "discovery": discovery.to_string(),
             "mgmt": process.mgmt.as_ref().map(|door| door.address().to_string()),
-            "seed": format!("{:016x}", spread(spread(e.seed) ^ number as u64)),
+            "seed": format!("{:016x}", mix_bits(mix_bits(e.seed) ^ number as u64)),
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "known": list(rig, first, true, &known, addresses),
             "settings": settings(e, number),
--- a/testbed/src/rig.rs
+++ b/testbed/src/rig.rs
@@ -6,14 +6,14 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use juniperladder_platform_model::cache_server::CacheServer;
-use juniperladder_platform_model::discovery::{Catalog, Door, Entry, Life};
+use juniperladder_platform_model::discovery::{CallQueue, Endpoint, EndpointList, Lifecycle};
 use juniperladder_platform_model::event_log::{Attempt, EventLog};
 use juniperladder_platform_model::experiment::Experiment;
 use juniperladder_platform_model::group::zone_of;
-use juniperladder_platform_model::links::{End, LinkState, Links};
-use juniperladder_platform_model::load::key_name;
+use juniperladder_platform_model::links::{LinkEnd, LinkState, Links};
 use juniperladder_platform_model::origin::Origin;
-use juniperladder_platform_model::rng::{seeded_rng, spread, RngStream, SeededRng};
+use juniperladder_platform_model::rng::{mix_bits, seeded_rng, RngStream, SeededRng};
+use juniperladder_platform_model::workload::key_name;
 use juniperladder_platform_model::{micros_from_millis, micros_from_seconds, Micros};
 use rand::Rng;
 use tokio::sync::watch;
@@ -51,9 +51,9 @@
     /// The origin.
     pub origin: RefCell<Origin>,
     /// The list, and when each of its changes was made.
-    pub catalog: RefCell<(Catalog, Vec<Micros>)>,
+    pub catalog: RefCell<(EndpointList, Vec<Micros>)>,
     /// Calls to discovery, in turn.
-    pub door: RefCell<Door>,
+    pub door: RefCell<CallQueue>,
     /// Whether discovery is down.
     pub down: Cell<bool>,
     /// How much later each balancer is told.
@@ -79,8 +79,13 @@
         let count = e.fleet.servers;
         let kept = (e.servers.keep * e.load.keys as f64 / count as f64).ceil().max(1.0) as usize;
         let weight = |n: usize| e.fleet.weights[n % e.fleet.weights.len()];
-        let entry = |slot| Entry { id: host_id(e.seed, slot, 0), slot, life: Life::InService, started: None };
-        let entries: Vec<Entry> = (0..=count).map(entry).collect();
+        let entry = |slot| Endpoint {
+            id: host_id(e.seed, slot, 0),
+            slot,
+            lifecycle: Lifecycle::InService,
+            started_at: None,
+        };
+        let entries: Vec<Endpoint> = (0..=count).map(entry).collect();
         let times = vec![0; entries.len()];
         let of_balancers = links.sides(e);
         let sides = (0..=of_balancers.iter().copied().max().unwrap_or(0))
@@ -96,8 +101,8 @@
             silent: vec![Cell::new(false); count],
             connections: vec![Cell::new(0); count],
             origin: RefCell::new(Origin::new(e.origin)),
-            catalog: RefCell::new((Catalog::new(entries), times)),
-            door: RefCell::new(Door::new(e.discovery.calls_per_s, e.discovery.timeout_s)),
+            catalog: RefCell::new((EndpointList::new(entries), times)),
+            door: RefCell::new(CallQueue::new(e.discovery.calls_per_s, e.discovery.timeout_s)),
             down: Cell::new(false),
             late: RefCell::new(vec![0; e.fleet.balancers]),
             links: RefCell::new(links),
@@ -137,26 +142,26 @@
     }
 
     /// What is wrong with a link, from one end to the other.
-    pub fn link(&self, from: End, to: End) -> LinkState {
+    pub fn link(&self, from: LinkEnd, to: LinkEnd) -> LinkState {
         self.links.borrow().state(from, to)
     }
 
     /// How long what is sent now takes over a link: the zones' part, and what its faults add.
-    pub fn way(&self, from: End, to: End, state: &LinkState) -> Micros {
+    pub fn way(&self, from: LinkEnd, to: LinkEnd, state: &LinkState) -> Micros {
         let fleet = &self.experiment.fleet;
         let zone = |end| match end {
-            End::Balancer(n) | End::CacheServer(n) => zone_of(n, fleet),
-            End::Origin | End::Discovery => 0,
+            LinkEnd::Balancer(n) | LinkEnd::CacheServer(n) => zone_of(n, fleet),
+            LinkEnd::Origin | LinkEnd::Discovery => 0,
         };
         let net = &self.experiment.net;
         let base = micros_from_millis(if zone(from) == zone(to) { net.same_ms } else { net.cross_ms });
         let mut rng = self.wires.borrow_mut();
         let jitter = if state.jitter > 0 { rng.random_range(0..=2 * state.jitter) } else { 0 };
         let mut lost = 0;
-        if state.lose > 0.0 {
+        if state.lost_share > 0.0 {
             let mut resend = RESEND;
             // A connection gives up after some losses in a row; a dozen is minutes.
-            while lost < 12 * RESEND && rng.random::<f64>() < state.lose {
+            while lost < 12 * RESEND && rng.random::<f64>() < state.lost_share {
                 lost += resend;
                 resend *= 2;
             }
@@ -211,7 +216,7 @@
 
     /// The origin has taken a write: the copies are void.
     pub fn void(&self, key: u64) {
-        self.servers.iter().for_each(|server| server.borrow_mut().void(key));
+        self.servers.iter().for_each(|server| server.borrow_mut().invalidate(key));
     }
 
     /// A request is over: nothing of it is remembered.
@@ -220,10 +225,10 @@
     }
 
     /// The list changes.
-    pub fn list(&self, entry: Entry) {
+    pub fn list(&self, entry: Endpoint) {
         let now = self.now();
         let mut catalog = self.catalog.borrow_mut();
-        catalog.0.change(entry);
+        catalog.0.apply_change(entry);
         catalog.1.push(now);
     }
 
@@ -245,7 +250,10 @@
 
 /// The id of the server that stands at a slot in this life of it; the last slot is the origin's.
 pub fn host_id(seed: u64, slot: usize, life: u32) -> String {
-    format!("s-{:08x}", spread(seed.wrapping_mul(1_000_003) ^ ((slot as u64) << 16) ^ u64::from(life)) as u32)
+    format!(
+        "s-{:08x}",
+        mix_bits(seed.wrapping_mul(1_000_003) ^ ((slot as u64) << 16) ^ u64::from(life)) as u32
+    )
 }
 
 /// The id of a try: its balancer can be read from it.
