--- a/cluster/src/membership.rs
+++ b/cluster/src/membership.rs
@@ -7,6 +7,9 @@
 //! hangs on it: shares are safe whatever it says. It holds at most [`MOST_KNOWN`] names; if a flood of made-up ones fills
 //! it, it starts anew from its seeds.
 
+#[cfg(test)]
+mod tests;
+
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
@@ -21,16 +24,17 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-use crate::{Us, LONGEST, MOST_MEMBERS, SECOND};
+use crate::{LONGEST, MOST_MEMBERS};
+use juniperladder::Micros;
 
 /// Names that are remembered, those of members that are gone included.
 const MOST_KNOWN: usize = 2 * MOST_MEMBERS;
 /// What a packet's head takes.
 const HEAD: usize = 4;
 /// How often a member that knows nobody calls its seeds.
-const SEEDS_EVERY: Us = SECOND;
+const SEEDS_EVERY: Micros = Micros::SECOND;
 /// How often one that knows others calls a seed all the same: parts of a fleet that were cut find each other by it.
-const SEED_EVERY: Us = 3 * SECOND;
+const SEED_EVERY: Micros = Micros::from_secs(3);
 /// Timers that are kept; far more than the protocol sets.
 const MOST_TIMERS: usize = 8 * MOST_KNOWN;
 
@@ -76,10 +80,10 @@
 pub struct Membership {
     swim: Swim,
     runtime: AccumulatingRuntime<Name>,
-    timers: BinaryHeap<Reverse<(Us, u64, Due)>>,
+    timers: BinaryHeap<Reverse<(Micros, u64, Due)>>,
     count: u64,
     seeds: Vec<SocketAddr>,
-    called: Us,
+    called: Micros,
     chance: ChaCha8Rng,
     out: Vec<(SocketAddr, Vec<u8>)>,
     /// Packets that made no sense to the protocol.
@@ -135,7 +139,7 @@
 
 impl Membership {
     /// A member that knows its seeds alone.
-    pub fn new(name: Name, seeds: Vec<SocketAddr>, seed: u64, now: Us) -> Membership {
+    pub fn new(name: Name, seeds: Vec<SocketAddr>, seed: u64, now: Micros) -> Membership {
         let mut chance = ChaCha8Rng::seed_from_u64(seed);
         let swim =
             Foca::new(name.clone(), config(), ChaCha8Rng::seed_from_u64(chance.random()), PostcardCodec);
@@ -146,7 +150,7 @@
             timers: BinaryHeap::new(),
             count: 0,
             seeds,
-            called: 0,
+            called: Micros::ZERO,
             chance,
             out: Vec::new(),
             dropped: 0,
@@ -157,7 +161,7 @@
     }
 
     /// Calls so many seeds at the most.
-    fn call(&mut self, now: Us, most: usize) {
+    fn call(&mut self, now: Micros, most: usize) {
         self.called = now;
         let from = self.chance.random_range(0..self.seeds.len().max(1));
         let order = self.seeds.iter().cycle().skip(from).take(self.seeds.len().min(most)).copied();
@@ -170,7 +174,7 @@
     }
 
     /// A packet has come.
-    pub fn heard(&mut self, now: Us, bytes: &[u8]) {
+    pub fn heard(&mut self, now: Micros, bytes: &[u8]) {
         let result = self.swim.handle_data(bytes, &mut self.runtime);
         self.dropped += u64::from(result.is_err());
         self.collect(now);
@@ -180,7 +184,7 @@
     }
 
     /// Forgets everybody and begins with the seeds: no flood of names fills the memory.
-    fn start_anew(&mut self, now: Us) {
+    fn start_anew(&mut self, now: Micros) {
         self.restarts += 1;
         let name = self.swim.identity().renew().unwrap_or_else(|| self.swim.identity().clone());
         let seed = self.chance.random();
@@ -191,7 +195,7 @@
     }
 
     /// Does what is due; to be called every 50 ms or so.
-    pub fn tick(&mut self, now: Us) {
+    pub fn tick(&mut self, now: Micros) {
         while self.timers.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
             let Some(Reverse((_, _, Due(timer)))) = self.timers.pop() else { break };
             // After a freeze a probe's stages may come out of order; the protocol goes on with the next one.
@@ -206,19 +210,19 @@
     }
 
     /// Says that it leaves.
-    pub fn leave(&mut self, now: Us) {
+    pub fn leave(&mut self, now: Micros) {
         let _ = self.swim.leave_cluster(&mut self.runtime);
         self.collect(now);
     }
 
-    fn collect(&mut self, now: Us) {
+    fn collect(&mut self, now: Micros) {
         while let Some((to, bytes)) = self.runtime.to_send() {
             self.out.push((to.address, bytes.to_vec()));
         }
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.count += 1;
             if self.timers.len() < MOST_TIMERS {
-                self.timers.push(Reverse((now + after.as_micros() as Us, self.count, Due(timer))));
+                self.timers.push(Reverse((now + Micros(after.as_micros() as u64), self.count, Due(timer))));
             }
         }
         while self.runtime.to_notify().is_some() {}
@@ -260,93 +264,3 @@
         counts
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use std::net::Ipv4Addr;
-
-    fn address(number: usize) -> SocketAddr {
-        (Ipv4Addr::LOCALHOST, 1_000 + number as u16).into()
-    }
-
-    fn member(number: usize, life: u64) -> Membership {
-        let name = Name { address: address(number), life };
-        Membership::new(name, vec![address(0), address(1)], number as u64 ^ life << 32, 0)
-    }
-
-    /// Runs them for so long, 5 ms a packet; `cut` tells which pairs do not hear each other.
-    fn run(all: &mut [Option<Membership>], from: Us, to: Us, cut: impl Fn(usize, usize) -> bool) -> u64 {
-        type Packet = Reverse<(Us, u64, usize, Vec<u8>)>;
-        let mut packets: BinaryHeap<Packet> = BinaryHeap::new();
-        let mut sent = 0;
-        for now in (from..to).step_by(10_000) {
-            while packets.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
-                let Some(Reverse((_, _, whom, bytes))) = packets.pop() else { break };
-                all[whom].iter_mut().for_each(|one| one.heard(now, &bytes));
-            }
-            for (number, one) in all.iter_mut().enumerate() {
-                let Some(one) = one else { continue };
-                one.tick(now);
-                for (to, bytes) in one.drain().collect::<Vec<_>>() {
-                    let whom = usize::from(to.port()) - 1_000;
-                    sent += 1;
-                    assert!(bytes.len() + HEAD <= LONGEST);
-                    if whom < 64 && !cut(number, whom) {
-                        packets.push(Reverse((now + 5_000, sent, whom, bytes)));
-                    }
-                }
-            }
-        }
-        sent
-    }
-
-    fn alive(all: &[Option<Membership>]) -> Vec<usize> {
-        all.iter().flatten().map(|one| one.counts().alive).collect()
-    }
-
-    #[test]
-    fn members_join_by_seeds_are_forgotten_when_gone_and_come_back_in_a_new_life() {
-        let mut all: Vec<_> = (0..20).map(|number| Some(member(number, 1))).collect();
-        run(&mut all, 0, 3 * SECOND, |_, _| false);
-        assert_eq!(alive(&all), [20; 20], "all know all within three seconds");
-        all[5] = None;
-        all[0] = None;
-        run(&mut all, 3 * SECOND, 20 * SECOND, |_, _| false);
-        assert_eq!(alive(&all), [18; 18]);
-        all[5] = Some(member(5, 2));
-        all[0] = Some(member(0, 2));
-        let sent = run(&mut all, 20 * SECOND, 30 * SECOND, |_, _| false);
-        assert_eq!(alive(&all), [20; 20]);
-        assert!(sent < 20 * 10 * 7, "{} packets a second a member", sent as f64 / 200.0);
-    }
-
-    #[test]
-    fn halves_that_were_cut_find_each_other_again() {
-        let mut all: Vec<_> = (0..16).map(|number| Some(member(number, 1))).collect();
-        run(&mut all, 0, 4 * SECOND, |_, _| false);
-        run(&mut all, 4 * SECOND, 30 * SECOND, |a, b| a < 8 && b >= 8 || a >= 8 && b < 8);
-        assert_eq!(alive(&all), [8; 16]);
-        run(&mut all, 30 * SECOND, 42 * SECOND, |_, _| false);
-        assert_eq!(alive(&all), [16; 16]);
-    }
-
-    /// Members that do not exist, made up by the hundred, packet after packet.
-    #[test]
-    fn a_flood_of_names_and_of_nonsense_fills_nothing() {
-        let mut one = member(0, 1);
-        let mut chance = ChaCha8Rng::seed_from_u64(1);
-        for number in 0..20_000u64 {
-            let made_up = Name { address: address(64 + number as usize % 60_000), life: 1 };
-            let mut liar = Membership::new(made_up, vec![address(0)], number, 0);
-            let packets: Vec<_> = liar.drain().collect();
-            packets.iter().for_each(|(_, bytes)| one.heard(number * 100, bytes));
-            let nonsense: Vec<u8> = (0..chance.random_range(0..300)).map(|_| chance.random()).collect();
-            one.heard(number * 100, &nonsense);
-            assert!(one.swim.iter_membership_state().len() <= MOST_KNOWN + 100);
-            assert!(one.timers.len() <= MOST_TIMERS);
-            one.drain();
-        }
-        assert!(one.restarts > 0 && one.dropped > 10_000, "{} {}", one.restarts, one.dropped);
-    }
-}
--- a/cluster/src/virtual_network.rs
+++ b/cluster/src/virtual_network.rs
@@ -10,14 +10,14 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::{Us, SECOND};
+use juniperladder::Micros;
 
 /// The port of the first member.
 const FIRST_PORT: u16 = 1_000;
 /// The first tick of a process comes within this time of its start.
-const FIRST_TICK: Us = 50_000;
+const FIRST_TICK: Micros = Micros::from_millis(50);
 /// Members' clocks show up to this time when a run begins.
-const CLOCKS_APART: Us = 1_000 * SECOND;
+const CLOCKS_APART: Micros = Micros::from_secs(1_000);
 
 /// The address of a member.
 pub(crate) fn address(member: usize) -> SocketAddr {
@@ -29,6 +29,11 @@
     usize::from(address.port() - FIRST_PORT)
 }
 
+/// The times from one until another, a step apart.
+pub(crate) fn times(from: Micros, until: Micros, step: Micros) -> impl Iterator<Item = Micros> {
+    (from.0..until.0).step_by(step.0 as usize).map(Micros)
+}
+
 /// How packets fare, and how far clocks run apart.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Conditions {
@@ -37,15 +42,31 @@
     /// The share of packets that come twice; either copy may be lost.
     pub(crate) repeat: f64,
     /// The shortest delay, and how much longer a packet usually takes at most.
-    pub(crate) least_delay: Us,
-    pub(crate) delay: Us,
+    pub(crate) min_delay: Micros,
+    pub(crate) delay: Micros,
     /// The share of packets that come far later, and by how much at most: one of these, drawn for each.
     pub(crate) late: f64,
-    pub(crate) latest: &'static [Us],
+    pub(crate) late_delays: &'static [Micros],
     /// By which part clocks run faster or slower than the network's time, at most.
     pub(crate) drift: f64,
 }
 
+/// What goes wrong during a run beside lost and late packets.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Faults {
+    /// Processes that are killed.
+    pub(crate) kills: usize,
+    /// Processes that are frozen for a while.
+    pub(crate) freezes: usize,
+    /// Cuts of the network for a while.
+    pub(crate) cuts: usize,
+}
+
+impl Faults {
+    /// Nothing goes wrong.
+    pub(crate) const NONE: Faults = Faults { kills: 0, freezes: 0, cuts: 0 };
+}
+
 /// Who is cut off from whom.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Partition {
@@ -90,7 +111,7 @@
 enum Event<M, E> {
     Tick {
         member: usize,
-        life: u32,
+        incarnation: u32,
     },
     Packet {
         from: usize,
@@ -98,7 +119,7 @@
         message: M,
     },
     Kill(usize),
-    Freeze(usize, Us),
+    Freeze(usize, Micros),
     Thaw(usize),
     Cut(Partition),
     /// What a test has scheduled; a member that is frozen meets it when it thaws.
@@ -120,13 +141,13 @@
 #[derive(Debug)]
 struct Process<M, E> {
     /// Counts the starts.
-    life: u32,
+    incarnation: u32,
     is_running: bool,
     is_frozen: bool,
     /// What waits until it thaws.
     waiting: Vec<Event<M, E>>,
     clock_rate: f64,
-    clock_offset: Us,
+    clock_offset: Micros,
 }
 
 /// The network. `M` is what its members send, `E` what a test puts on its schedule.
@@ -137,9 +158,9 @@
     /// Packets sent so far.
     pub(crate) packets: u64,
     conditions: Conditions,
-    now: Us,
+    now: Micros,
     scheduled: u64,
-    queue: BTreeMap<(Us, u64), Event<M, E>>,
+    queue: BTreeMap<(Micros, u64), Event<M, E>>,
     processes: Vec<Process<M, E>>,
     partition: Partition,
 }
@@ -149,19 +170,19 @@
     pub(crate) fn new(seed: u64, members: usize, conditions: Conditions) -> VirtualNetwork<M, E> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let processes = (0..members).map(|_| Process {
-            life: 0,
+            incarnation: 0,
             is_running: false,
             is_frozen: false,
             waiting: Vec::new(),
             clock_rate: 1.0 + conditions.drift * (2.0 * rng.random::<f64>() - 1.0),
-            clock_offset: rng.random_range(0..CLOCKS_APART),
+            clock_offset: Micros(rng.random_range(0..CLOCKS_APART.0)),
         });
         let processes = processes.collect();
         VirtualNetwork {
             rng,
             packets: 0,
             conditions,
-            now: 0,
+            now: Micros::ZERO,
             scheduled: 0,
             queue: BTreeMap::new(),
             processes,
@@ -170,24 +191,24 @@
     }
 
     /// The time that is everybody's, from the beginning of the run.
-    pub(crate) fn now(&self) -> Us {
+    pub(crate) fn now(&self) -> Micros {
         self.now
     }
 
     /// What a member's clock shows.
-    pub(crate) fn clock(&self, member: usize) -> Us {
+    pub(crate) fn clock(&self, member: usize) -> Micros {
         let Process { clock_rate, clock_offset, .. } = &self.processes[member];
-        clock_offset + (self.now as f64 * clock_rate) as Us
+        *clock_offset + self.now.mul_f64(*clock_rate)
     }
 
     /// How often a member has been started.
-    pub(crate) fn life(&self, member: usize) -> u32 {
-        self.processes[member].life
+    pub(crate) fn incarnation(&self, member: usize) -> u32 {
+        self.processes[member].incarnation
     }
 
     /// A drawn time below this.
-    pub(crate) fn draw(&mut self, most: Us) -> Us {
-        self.rng.random_range(0..most.max(1))
+    pub(crate) fn draw(&mut self, most: Micros) -> Micros {
+        Micros(self.rng.random_range(0..most.0.max(1)))
     }
 
     /// A drawn member.
@@ -203,25 +224,25 @@
     /// A member's process starts, with its first tick to come.
     pub(crate) fn start(&mut self, member: usize) {
         let process = &mut self.processes[member];
-        process.life += 1;
+        process.incarnation += 1;
         process.is_running = true;
         let rest = self.draw(FIRST_TICK);
         self.tick_after(member, rest);
     }
 
     /// The next tick of a member's process comes after this time.
-    pub(crate) fn tick_after(&mut self, member: usize, rest: Us) {
-        let life = self.processes[member].life;
-        self.push(self.now + rest, Event::Tick { member, life });
+    pub(crate) fn tick_after(&mut self, member: usize, rest: Micros) {
+        let incarnation = self.processes[member].incarnation;
+        self.push(self.now + rest, Event::Tick { member, incarnation });
     }
 
     /// At that time something happens that needs no member's process.
-    pub(crate) fn schedule(&mut self, at: Us, event: E) {
+    pub(crate) fn schedule(&mut self, at: Micros, event: E) {
         self.push(at, Event::Scheduled(None, event));
     }
 
     /// At that time something happens at a member, or when it thaws.
-    pub(crate) fn schedule_for(&mut self, at: Us, member: usize, event: E) {
+    pub(crate) fn schedule_for(&mut self, at: Micros, member: usize, event: E) {
         self.push(at, Event::Scheduled(Some(member), event));
     }
 
@@ -231,12 +252,18 @@
     }
 
     /// A member's process is killed at that time.
-    pub(crate) fn schedule_kill(&mut self, at: Us, member: usize) {
+    pub(crate) fn schedule_kill(&mut self, at: Micros, member: usize) {
         self.push(at, Event::Kill(member));
     }
 
+    /// Drawn members are killed and frozen at drawn times until `end`, frozen for up to `max_freeze` each.
+    pub(crate) fn schedule_process_faults(&mut self, faults: Faults, end: Micros, max_freeze: Micros) {
+        self.schedule_kills(faults.kills, end);
+        self.schedule_freezes(faults.freezes, end, max_freeze);
+    }
+
     /// Drawn members are killed at drawn times until `end`.
-    pub(crate) fn schedule_kills(&mut self, count: usize, end: Us) {
+    fn schedule_kills(&mut self, count: usize, end: Micros) {
         for _ in 0..count {
             let (at, member) = (self.draw(end), self.draw_member());
             self.schedule_kill(at, member);
@@ -244,7 +271,7 @@
     }
 
     /// Drawn members are frozen at drawn times until `end`, each for up to `longest`.
-    pub(crate) fn schedule_freezes(&mut self, count: usize, end: Us, longest: Us) {
+    fn schedule_freezes(&mut self, count: usize, end: Micros, longest: Micros) {
         for _ in 0..count {
             let (at, member, lasts) = (self.draw(end), self.draw_member(), self.draw(longest));
             self.push(at, Event::Freeze(member, lasts));
@@ -252,12 +279,12 @@
     }
 
     /// The network is cut from one time until another.
-    pub(crate) fn schedule_cut(&mut self, from: Us, until: Us, partition: Partition) {
+    pub(crate) fn schedule_cut(&mut self, from: Micros, until: Micros, partition: Partition) {
         self.push(from, Event::Cut(partition));
         self.push(until, Event::Cut(Partition::default()));
     }
 
-    fn push(&mut self, at: Us, event: Event<M, E>) {
+    fn push(&mut self, at: Micros, event: Event<M, E>) {
         self.scheduled += 1;
         self.queue.insert((at, self.scheduled), event);
     }
@@ -279,15 +306,15 @@
         }
     }
 
-    fn draw_delay(&mut self) -> Us {
-        let Conditions { least_delay, delay, late, latest, .. } = self.conditions;
-        let most = match latest {
+    fn draw_delay(&mut self) -> Micros {
+        let Conditions { min_delay, delay, late, late_delays, .. } = self.conditions;
+        let most = match late_delays {
             [] => delay,
             _ if !self.happens(late) => delay,
             [latest] => *latest,
-            _ => latest[self.rng.random_range(0..latest.len())],
+            _ => late_delays[self.rng.random_range(0..late_delays.len())],
         };
-        least_delay + self.draw(most)
+        min_delay + self.draw(most)
     }
 
     fn happens(&mut self, share: f64) -> bool {
@@ -295,7 +322,7 @@
     }
 
     /// Goes on to what a test has to do next; nothing until `end`.
-    pub(crate) fn next(&mut self, end: Us) -> Option<Arrival<M, E>> {
+    pub(crate) fn next(&mut self, end: Micros) -> Option<Arrival<M, E>> {
         loop {
             let ((at, _), event) = self.queue.pop_first()?;
             if at > end {
@@ -312,9 +339,9 @@
 
     fn happen(&mut self, event: Event<M, E>) -> Option<Arrival<M, E>> {
         match event {
-            Event::Tick { member, life } => {
+            Event::Tick { member, incarnation } => {
                 let process = &self.processes[member];
-                (process.is_running && process.life == life).then_some(Arrival::Tick(member))
+                (process.is_running && process.incarnation == incarnation).then_some(Arrival::Tick(member))
             }
             Event::Packet { from, to, message } => Some(Arrival::Packet { from, to, message }),
             Event::Scheduled(_, event) => Some(Arrival::Scheduled(event)),
@@ -346,7 +373,7 @@
     }
 
     /// A process stands still from now on, for so long.
-    pub(crate) fn freeze(&mut self, member: usize, lasts: Us) {
+    pub(crate) fn freeze(&mut self, member: usize, lasts: Micros) {
         self.processes[member].is_frozen = true;
         self.push(self.now + lasts, Event::Thaw(member));
     }
--- a/src/balancer/tests.rs
+++ b/src/balancer/tests.rs
@@ -1,9 +1,13 @@
 //! Direct tests of the module's parts; each names the failure it guards against.
 
-use super::gap::*;
-use super::members::*;
+use super::admission::RETRY_AFTER_SPREAD;
+use super::concurrency_limit::ConcurrencyLimit;
+use super::endpoint_set::*;
+use super::gap_ladder::*;
+use super::open_request::*;
 use super::placement::*;
-use super::places::Places;
+use super::slow_start::*;
+use super::zone_health::*;
 use super::*;
 use proptest::prelude::*;
 
@@ -122,11 +126,11 @@
     let homes = balancer.placement.rank(
         Key(key),
         Micros(5),
-        &balancer.members.servers,
+        &balancer.endpoints.servers,
         &settings(Idempotency::Idempotent, DeduplicationScope::All),
     );
     assert_eq!(homes, 1);
-    balancer.members.servers[balancer.placement.order[0].1].entry.server
+    balancer.endpoints.servers[balancer.placement.candidates[0].server].endpoint.server
 }
 
 #[test]
@@ -151,28 +155,35 @@
     let mut list = fleet(20);
     let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &list);
     for _ in 0..300 {
-        b.placement.count(Key(1));
-        b.placement.count(Key(2_000 + b.placement.total as u64));
+        b.placement.on_read(Key(1));
+        b.placement.on_read(Key(2_000 + b.placement.total_reads as u64));
     }
-    let share = b.placement.share(Key(1));
+    let share = b.placement.popularity(Key(1));
     assert!((0.4..0.6).contains(&share), "{share}");
     let rules = settings(Idempotency::Idempotent, DeduplicationScope::All);
-    let homes = b.placement.rank(Key(1), Micros(5), &b.members.servers, &rules);
+    let homes = b.placement.rank(Key(1), Micros(5), &b.endpoints.servers, &rules);
     assert!(homes > 5, "{homes} homes for half of all requests on 20 servers");
-    let first = b.members.servers[b.placement.order[0].1].entry.server;
+    let first = b.endpoints.servers[b.placement.candidates[0].server].endpoint.server;
     list[first.0 as usize].started = Micros(100 * SECOND);
     step(&mut b, 101 * SECOND, Event::EndpointsChanged(EndpointUpdate::Snapshot, &list));
-    b.placement.rank(Key(1), Micros(101 * SECOND), &b.members.servers, &rules);
-    assert!(b.placement.order.iter().all(|(_, at)| b.members.servers[*at].entry.server != first));
+    b.placement.rank(Key(1), Micros(101 * SECOND), &b.endpoints.servers, &rules);
+    assert!(b
+        .placement
+        .candidates
+        .iter()
+        .all(|candidate| b.endpoints.servers[candidate.server].endpoint.server != first));
 }
 
 #[test]
 fn warmth_rises_from_the_cold_share_to_one() {
     let rules = settings(Idempotency::Idempotent, DeduplicationScope::All).rules;
     let cold = Endpoint { started: Micros(100 * SECOND), ..entry(1) };
-    let at = |s: u64| warmth(&cold, Micros(s * SECOND), &rules);
+    let at = |s: u64| slow_start_weight(&cold, Micros(s * SECOND), &rules);
     assert!((at(100) - 0.1).abs() < 1e-9 && (at(110) - 0.55).abs() < 1e-9 && at(120) == 1.0);
-    assert!((warmth(&cold, Micros(0), &rules) - 0.1).abs() < 1e-9, "started in the future is cold");
+    assert!(
+        (slow_start_weight(&cold, Micros(0), &rules) - 0.1).abs() < 1e-9,
+        "started in the future is cold"
+    );
 }
 
 #[test]
@@ -185,12 +196,14 @@
     let mut taken = 0;
     for ms in 0..2_000 {
         let now = Micros(100 * SECOND + ms * 1_000);
-        if server.spare(now, 50.0, &rules, &mut rng) {
-            server.budget = server.budget.map(|(left, at)| (left - 1.0, at));
+        if server.has_slow_start_credit(now, 50.0, &rules, &mut rng) {
+            if let Some(credit) = &mut server.slow_start_credit {
+                credit.spend();
+            }
             taken += 1;
         }
     }
-    // Two seconds at 50 a second and a warmth of 0.10 to 0.19, times COLD_SHARE.
+    // Two seconds at 50 a second and a warmth of 0.10 to 0.19, times CREDIT_FACTOR.
     assert!((14..=20).contains(&taken), "{taken}");
 }
 
@@ -202,7 +215,7 @@
         let change = [Endpoint { state, ..entry(target.0) }];
         step(&mut b, 20, Event::EndpointsChanged(EndpointUpdate::Delta, &change));
         for n in 2..200 {
-            b.members.servers.iter_mut().for_each(|s| s.places = Places::new(1));
+            b.endpoints.servers.iter_mut().for_each(|s| s.concurrency = ConcurrencyLimit::new(1));
             let to = sent(&step(&mut b, 30 + n, Event::Request(request(n, 30 + n, n))));
             assert!(to.is_some_and(|to| to != target), "{state:?}");
         }
@@ -212,10 +225,10 @@
 #[test]
 fn a_new_start_forgets_the_old_history() {
     let mut b = balancer(settings(Idempotency::Idempotent, DeduplicationScope::All), &fleet(3));
-    b.members.servers[1].gap.rung = 9;
+    b.endpoints.servers[1].gap.rung = 9;
     let restarted = [Endpoint { started: Micros(50), ..entry(1) }];
     step(&mut b, 60, Event::EndpointsChanged(EndpointUpdate::Delta, &restarted));
-    assert_eq!(b.members.servers[1].gap.rung, 0);
+    assert_eq!(b.endpoints.servers[1].gap.rung, 0);
 }
 
 /// Every cell of idempotency and group, outcome, and time: may it be sent again, may it be refused?
@@ -236,7 +249,7 @@
             let settings = settings(idempotency, group);
             let mut b = balancer(settings.clone(), &fleet(4));
             let first = sent(&step(&mut b, 10, Event::Request(request(1, 10, 5)))).expect("sent");
-            let mut pending = b.requests.remove(&id(1)).expect("in hand");
+            let mut pending = b.open_requests.take(&id(1)).expect("in hand");
             let (class, limits) = (&settings.classes[0], &settings.limits);
             let to = |server: u64| entry(server);
             assert!(!pending.may_send(Micros(20), &to(first.0), class, limits), "one is still out");
@@ -248,7 +261,8 @@
                 "a second copy only of what is safe to repeat"
             );
             let never_ran = never.contains(status);
-            pending.attempts[0].fate = if never_ran { Fate::NeverRan } else { Fate::MayHaveRun };
+            pending.attempts[0].state =
+                if never_ran { AttemptState::NotExecuted } else { AttemptState::MayHaveExecuted };
             let (same, other) = (to(first.0), to((first.0 + 1) % 4));
             let allowed = |at: &Endpoint, now: u64| pending.may_send(Micros(now), at, class, limits);
             let keyed = idempotency == Idempotency::WithIdempotencyKey;
@@ -258,7 +272,7 @@
             assert_eq!(allowed(&other, 20), free || keyed && group == DeduplicationScope::All, "{name}");
             assert_eq!(allowed(&same, 400_010), free, "{name}: past its window");
             assert_eq!(
-                pending.may_refuse(class),
+                pending.may_reject(class),
                 free || keyed && group == DeduplicationScope::All,
                 "{name}"
             );
@@ -275,12 +289,12 @@
         let to = sent(&step(&mut b, 10, Event::Request(request(1, 10, 5)))).expect("sent");
         let actions = step(&mut b, SECOND + 10, outcome(1, 0, to, AttemptResult::Timeout));
         let fine = match &actions[..] {
-            [Action::Reject { retry_after, .. }] => refused && *retry_after <= SPREAD,
+            [Action::Reject { retry_after, .. }] => refused && *retry_after <= RETRY_AFTER_SPREAD,
             [Action::Fail { .. }] => !refused,
             _ => false,
         };
         assert!(fine, "{actions:?}");
-        assert!(b.requests.is_empty());
+        assert!(b.open_requests.is_empty());
     }
 }
 
@@ -500,10 +514,10 @@
             let out = watched.attempts.iter().any(|a| a.2.is_none());
             prop_assert!(out || now <= watched.deadline + 20_000, "rule 1: a request was lost");
         }
-        prop_assert_eq!(b.requests.len(), open.len(), "finished requests are forgotten");
-        prop_assert!(b.held.len() <= open.len() && b.members.servers.len() <= 7);
-        prop_assert!(b.queue.len() <= open.len(), "only open requests wait");
-        prop_assert!((b.placement.counts.len() as f64) < POPULARITY_SPAN);
+        prop_assert_eq!(b.open_requests.len(), open.len(), "finished requests are forgotten");
+        prop_assert!(b.open_requests.parked_len() <= open.len() && b.endpoints.servers.len() <= 7);
+        prop_assert!(b.origin_queue.len() <= open.len(), "only open requests wait");
+        prop_assert!((b.placement.read_counts.len() as f64) < MAX_COUNTED_REQUESTS);
     }
     Ok((log, open.len()))
 }
