--- a/src/action.rs
+++ b/src/action.rs
@@ -1,4 +1,4 @@
-//! The actions that a [`Balancer`](crate::Balancer) asks of its router.
+//! The actions that a [`Balancer`](crate::Balancer) asks of its caller.
 
 use crate::endpoint::ServerId;
 use crate::request::RequestId;
@@ -23,7 +23,7 @@
     AllServersGapped,
 }
 
-/// What a balancer asks of its router.
+/// What a balancer asks of its caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -71,8 +71,7 @@
         ending.apply_to(&mut server.concurrency, now);
 
         let evidence = ending.evidence();
-        if evidence != Evidence::Inconclusive {
-            let is_rejected = evidence == Evidence::Rejected;
+        if let Some(is_rejected) = evidence.is_rejected() {
             let outcome = SendOutcome { sent: now - latency, completed: now, is_rejected };
             let ladder = if is_origin { &self.origin_ladder } else { &self.cache_ladder };
             server.gap.on_outcome(outcome, ladder, self.rng.f64());
@@ -85,8 +84,7 @@
             server.last_response = now;
             self.response_rate.on_event(now);
         }
-        if evidence != Evidence::Inconclusive {
-            let is_rejected = evidence == Evidence::Rejected;
+        if let Some(is_rejected) = evidence.is_rejected() {
             self.zones.on_attempt_completed(server.endpoint.zone, is_rejected);
         }
     }
--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -68,6 +68,17 @@
     Inconclusive,
 }
 
+impl Evidence {
+    /// Whether the server rejected the attempt; none where that is not known.
+    pub(crate) fn is_rejected(self) -> Option<bool> {
+        match self {
+            Evidence::Accepted => Some(false),
+            Evidence::Rejected => Some(true),
+            Evidence::Inconclusive => None,
+        }
+    }
+}
+
 /// The [`Coordination`] in use, if there is any.
 #[derive(Debug, Default)]
 pub(crate) struct OptionalCoordination(pub(crate) Option<Box<dyn Coordination>>);
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,9 +1,9 @@
-//! The events that a router reports to its [`Balancer`](crate::Balancer).
+//! The events that the caller reports to its [`Balancer`](crate::Balancer).
 
 use crate::endpoint::{Endpoint, EndpointUpdate};
 use crate::request::{CompletedAttempt, Request, RequestId};
 
-/// What a router reports to its balancer.
+/// What the caller reports to its balancer.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
     /// Discovery answered or failed, or an operator changed endpoints.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! juniperladder makes the decisions of a router that spreads keys over cache servers before a slow
-//! origin: where each request goes, when it is refused, and what happens when servers overload,
-//! vanish, drain or start cold. It does no I/O, reads no clock and keeps no global state: the
-//! router feeds it [`Event`]s and carries out the [`Action`]s that come back.
+//! The decisions of a balancer that spreads keys over cache servers in front of a slow origin: where each
+//! request goes, when it is rejected, and what happens when servers overload, vanish, drain or start with an
+//! empty cache. It does no I/O, reads no clock and keeps no global state: the caller feeds it [`Event`]s and
+//! carries out the [`Action`]s that come back.
 //!
 //! ```
 //! use juniperladder::*;
