--- a/cli/tests/discovery.rs
+++ b/cli/tests/discovery.rs
@@ -6,10 +6,10 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-use support::{address_in, cache_server, config, logged, program, tell};
+use support::{address_in, cache_server, config, program, send_signal, wait_for_line};
 
 /// How long a call waits for its turn: longer than discovery's own limit of 2 s, behind which it refuses calls at once.
-const TURN: Duration = Duration::from_millis(2_300);
+const ANSWER_DELAY: Duration = Duration::from_millis(2_300);
 
 /// Reads the call on this connection up to its empty line.
 fn read_call(stream: &TcpStream) -> String {
@@ -33,8 +33,8 @@
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{text}\r\n", text.len())
 }
 
-/// Asks for this key, and returns the value.
-fn ask(client: &mut TcpStream, key: u64) -> String {
+/// Reads the value of this key.
+fn read_value(client: &mut TcpStream, key: u64) -> String {
     client.write_all(format!("mg {key:016x} v O{key:016x} Pc=read,d=5000\r\n").as_bytes()).unwrap();
     let mut answer = BufReader::new(client.try_clone().unwrap());
     let (mut head, mut value) = (String::new(), [0; 3]);
@@ -44,10 +44,10 @@
     String::from_utf8_lossy(&value[..1]).into_owned()
 }
 
-/// A call that waits for its turn is not given up: discovery answers it all the same, what it writes counts as told, and the next
+/// A call that waits for its turn is not abandoned: discovery answers it all the same, what it writes counts as notified, and the next
 /// call would wait behind all others. The list comes on the first call, and nothing goes to the server that drains.
 #[test]
-fn a_call_that_waits_for_its_turn_is_not_given_up() {
+fn a_call_that_waits_for_its_turn_is_not_abandoned() {
     let [draining_at, serving_at] = ["D", "S"].map(cache_server);
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let discovery_at = discovery.local_addr().unwrap().to_string();
@@ -59,23 +59,23 @@
     );
     let mut child = program(Some(&text)).spawn().unwrap();
     let mut log = BufReader::new(child.stderr.take().unwrap());
-    let listen = address_in(&logged(&mut log, "listening"));
+    let listen = address_in(&wait_for_line(&mut log, "listening"));
     let mut client = TcpStream::connect(&listen).unwrap();
-    let before: Vec<String> = (0..32).map(|key| ask(&mut client, key)).collect();
+    let before: Vec<String> = (0..32).map(|key| read_value(&mut client, key)).collect();
     assert!(before.contains(&"D".to_owned()), "{before:?}");
 
     let (first, _) = discovery.accept().unwrap();
     assert!(read_call(&first).starts_with("GET /catalog/members?follow=1"));
-    // Whether the caller stays is what the end of its side tells, which comes at once where it has given up.
-    first.set_read_timeout(Some(TURN)).unwrap();
+    // Whether the caller stays is what the end of its side tells, which comes at once where it has abandoned the call.
+    first.set_read_timeout(Some(ANSWER_DELAY)).unwrap();
     let waited = (&first).read(&mut [0; 1]);
-    assert!(waited.is_err(), "the call was given up before its turn came: {waited:?}");
+    assert!(waited.is_err(), "the call was abandoned before its turn came: {waited:?}");
     (&first).write_all(list(42, &draining_at, &serving_at).as_bytes()).unwrap();
-    logged(&mut log, "endpoint_list_version: 42");
+    wait_for_line(&mut log, "endpoint_list_version: 42");
     // The first connection has been idle for too long by now.
     let mut client = TcpStream::connect(&listen).unwrap();
-    let after: Vec<String> = (32..64).map(|key| ask(&mut client, key)).collect();
+    let after: Vec<String> = (32..64).map(|key| read_value(&mut client, key)).collect();
     assert!(after.iter().all(|value| value == "S"), "{after:?}");
-    tell(&child, "-TERM");
+    send_signal(&child, "-TERM");
     assert!(child.wait().unwrap().success());
 }
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -11,18 +11,19 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-use support::{address_in, cache_server, config, file, logged, program, tell};
+use support::{address_in, cache_server, config, file, program, send_signal, wait_for_line};
 
 /// How long one answer may take here: far longer than any, and shorter than the deadline of the requests.
-const LONGEST: Duration = Duration::from_secs(20);
-/// Requests in flight at once on the connection, and rounds of them.
-const PIPELINE: u64 = 4;
-const ROUNDS: u64 = 32;
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
+/// Requests in flight at once on one connection.
+const PIPELINE_LENGTH: u64 = 4;
+/// Connections, one after the other.
+const CONNECTION_COUNT: u64 = 32;
 /// Cache servers: a request goes to each at most once.
-const SERVERS: usize = 6;
+const SERVER_COUNT: usize = 6;
 
-/// The library, built once.
-fn library() -> &'static PathBuf {
+/// The library that makes calls fail, built once.
+fn fault_library() -> &'static PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT.get_or_init(|| {
         let name = format!("juniperladder-faults-{}.so", std::process::id());
@@ -43,102 +44,119 @@
     "v".repeat(300)
 }
 
-/// The program with these faults, where it listens, and the rest of its log once it has ended.
-fn start(faults: &str) -> (Child, String, JoinHandle<String>) {
+/// The program with faults.
+struct FaultyProgram {
+    child: Child,
+    /// Where it listens.
+    listen: String,
+    /// The rest of its log, once it has ended.
+    log: JoinHandle<String>,
+}
+
+/// Starts the program with these faults.
+fn start(faults: &str) -> FaultyProgram {
     let instance = |number: usize| {
         format!(
             r#"{{"instanceId":"s-0000000{number}","hostPort":"{}","zone":"x","machineType":"a"}},"#,
             cache_server(&value())
         )
     };
-    let others: String = (2..=SERVERS).map(instance).collect();
+    let others: String = (2..=SERVER_COUNT).map(instance).collect();
     let text = config("127.0.0.1:0", "127.0.0.1:9", &cache_server(&value()))
         .replace("\"instances\":[", &format!("\"instances\":[{others}"))
         // A request that has certainly not run may be sent again.
         .replace("\"max-attempts\":1", "\"max-attempts\":5");
-    let mut child = program(Some(&text)).env("LD_PRELOAD", library()).env("FAULTS", faults).spawn().unwrap();
+    let mut child =
+        program(Some(&text)).env("LD_PRELOAD", fault_library()).env("FAULTS", faults).spawn().unwrap();
     let mut log = BufReader::new(child.stderr.take().unwrap());
-    let listen = address_in(&logged(&mut log, "listening"));
+    let listen = address_in(&wait_for_line(&mut log, "listening"));
     let rest = thread::spawn(move || {
         let mut rest = String::new();
         log.read_to_string(&mut rest).unwrap();
         rest
     });
-    (child, listen, rest)
+    FaultyProgram { child, listen, log: rest }
+}
+
+/// How many requests were answered with their value, and how many otherwise.
+#[derive(Debug, Default, PartialEq)]
+struct Answers {
+    served: u64,
+    other: u64,
 }
 
-/// Sends requests, several at once, and returns how many were answered with their value and how many otherwise.
-fn dispatcher(listen: &str) -> (u64, u64) {
-    let (mut served, mut other) = (0, 0);
-    for round in 0..ROUNDS {
+/// Sends requests, several at once, and counts the answers.
+fn send_requests(listen: &str) -> Answers {
+    let mut counts = Answers::default();
+    for connection in 0..CONNECTION_COUNT {
         let mut client = TcpStream::connect(listen).unwrap();
-        client.set_read_timeout(Some(LONGEST)).unwrap();
+        client.set_read_timeout(Some(ANSWER_TIMEOUT)).unwrap();
         let mut answers = BufReader::new(client.try_clone().unwrap());
-        let ids: Vec<u64> = (0..PIPELINE).map(|at| 1 + round * PIPELINE + at).collect();
+        let ids: Vec<u64> = (0..PIPELINE_LENGTH).map(|at| 1 + connection * PIPELINE_LENGTH + at).collect();
         for id in &ids {
             client.write_all(format!("mg {id:016x} v O{id:016x} Pc=read,d=50000\r\n").as_bytes()).unwrap();
         }
         for id in ids {
             let mut head = String::new();
-            answers.read_line(&mut head).unwrap_or_else(|problem| panic!("{id}: {problem}"));
+            answers.read_line(&mut head).unwrap_or_else(|error| panic!("{id}: {error}"));
             if head == format!("VA 300 O{id:016x}\r\n") {
                 let mut got = [0; 302];
                 answers.read_exact(&mut got).unwrap();
                 assert_eq!(&got[..], format!("{}\r\n", value()).as_bytes());
-                served += 1;
+                counts.served += 1;
             } else {
                 assert!(head.starts_with("SERVER_ERROR"), "{id}: {head:?}");
-                other += 1;
+                counts.other += 1;
             }
         }
     }
-    (served, other)
+    counts
 }
 
 /// Every request is served though these calls fail; the rest of the log.
-fn all_are_served(faults: &str) -> String {
-    let (mut child, listen, log) = start(faults);
-    let (served, other) = dispatcher(&listen);
-    assert_eq!((served, other), (ROUNDS * PIPELINE, 0), "{faults}");
-    tell(&child, "-TERM");
+fn assert_all_served(faults: &str) -> String {
+    let FaultyProgram { mut child, listen, log } = start(faults);
+    let expected = Answers { served: CONNECTION_COUNT * PIPELINE_LENGTH, other: 0 };
+    assert_eq!(send_requests(&listen), expected, "{faults}");
+    send_signal(&child, "-TERM");
     assert!(child.wait().unwrap().success(), "{faults}");
     log.join().unwrap()
 }
 
 /// What the other tests take for granted: without faults all are served.
 #[test]
-fn without_faults_all_are_served() {
-    all_are_served("");
+fn without_faults_all_requests_are_served() {
+    assert_all_served("");
 }
 
 /// A read or write may take less than there is, without any further event of the socket.
 #[test]
-fn short_reads_and_writes_lose_nothing() {
+fn short_reads_and_writes_lose_no_request() {
     for faults in ["recv=short/2", "send=short/2", "recv=short/1,send=short/1", "recv=short/4,send=short/3"] {
-        all_are_served(faults);
+        assert_all_served(faults);
     }
 }
 
 /// A call that a signal interrupts is made again.
 #[test]
-fn interrupted_calls_are_made_again() {
+fn interrupted_calls_are_retried() {
     for faults in ["recv=EINTR/3", "send=EINTR/3", "epoll_wait=EINTR/2", "accept4=EINTR/2", "connect=EINTR/2"]
     {
-        all_are_served(faults);
+        assert_all_served(faults);
     }
 }
 
 /// Connections that cannot be accepted for a moment wait in the queue, and are served then.
 #[test]
-fn connections_that_cannot_be_accepted_for_a_moment_are_served() {
+fn connections_are_served_after_failed_accepts() {
     for error in ["ECONNABORTED", "ENFILE", "EMFILE", "ENOBUFS", "EPROTO"] {
-        all_are_served(&format!("accept4={error}/2"));
+        assert_all_served(&format!("accept4={error}/2"));
     }
 }
 
 /// A connection to a server that this machine cannot open for a moment says nothing of the server, and is tried again.
 #[test]
-fn a_connection_that_this_machine_cannot_open_for_a_moment_is_tried_again() {
+fn a_local_connect_error_is_retried_and_blames_no_server() {
     for call in [
         "connect=EADDRNOTAVAIL/2",
         "connect=ENETUNREACH/2",
@@ -146,7 +164,7 @@
         "connect=EAGAIN/2",
         "socket=ENFILE/3",
     ] {
-        let log = all_are_served(call);
+        let log = assert_all_served(call);
         let last = log.lines().rfind(|line| line.contains("stopped")).unwrap();
         assert!(last.contains(" connect_failed=0 "), "{call}: {last}");
         assert!(!last.contains(" moot=0 "), "{call}: {last}");
@@ -155,7 +173,7 @@
 
 /// A moment's failure when the program starts is no refused start.
 #[test]
-fn a_moment_without_sockets_is_no_refused_start() {
+fn a_start_survives_a_moment_without_sockets() {
     for faults in [
         "socket=ENFILE/1/3",
         "socket=ENOBUFS/1/3",
@@ -163,13 +181,13 @@
         "bind=EADDRINUSE/1/3",
         "listen=ENOBUFS/1/3",
     ] {
-        let (mut child, listen, _log) = start(faults);
+        let FaultyProgram { mut child, listen, .. } = start(faults);
         let mut client = TcpStream::connect(&listen).unwrap();
         client.write_all(b"mn\r\n").unwrap();
         let mut answer = [0; 4];
         client.read_exact(&mut answer).unwrap();
         assert_eq!(&answer, b"MN\r\n", "{faults}");
-        tell(&child, "-TERM");
+        send_signal(&child, "-TERM");
         assert!(child.wait().unwrap().success(), "{faults}");
     }
 }
@@ -178,13 +196,13 @@
 #[test]
 fn steps_of_the_wall_clock_move_no_deadline() {
     for faults in ["clock=ahead/1", "clock=behind/1", "clock=ahead/2", "clock=behind/3"] {
-        all_are_served(faults);
+        assert_all_served(faults);
     }
 }
 
 /// A configuration that can't be read for a moment is read then, at the start and when a signal asks for it.
 #[test]
-fn a_configuration_that_cannot_be_read_for_a_moment_is_read() {
+fn a_configuration_is_read_after_failed_opens() {
     for faults in ["open=EIO/1/3", "open=ENFILE/2"] {
         let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
         let nobody = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -193,20 +211,20 @@
         let path = file(&before);
         let mut child = program(None)
             .env("NODE_CONFIG", &path)
-            .env("LD_PRELOAD", library())
+            .env("LD_PRELOAD", fault_library())
             .env("FAULTS", faults)
             .spawn()
             .unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
-        logged(&mut log, "listening");
+        wait_for_line(&mut log, "listening");
         std::fs::write(&path, &after).unwrap();
-        tell(&child, "-HUP");
+        send_signal(&child, "-HUP");
         // The new address is called: the configuration has been read in spite of all.
         let (mut call, _) = discovery.accept().unwrap();
         let mut begin = [0; 4];
         call.read_exact(&mut begin).unwrap();
         assert_eq!(&begin, b"GET ", "{faults}");
-        tell(&child, "-TERM");
+        send_signal(&child, "-TERM");
         assert!(child.wait().unwrap().success(), "{faults}");
     }
 }
--- a/cli/tests/process.rs
+++ b/cli/tests/process.rs
@@ -1,166 +1,204 @@
-//! The program as a process: a start that cannot be, and a planned end with a command in hand.
+//! The program as a process: a failed start, a graceful shutdown with a request in flight, a reload and a replacement.
 
 mod support;
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
+use std::path::Path;
+use std::process::{Child, ChildStderr, ExitStatus};
 use std::sync::mpsc;
-use std::thread;
+use std::thread::{self, JoinHandle};
 
-use support::{address_in, call, config, file, logged, program, tell};
+use support::{address_in, call, config, file, program, send_signal, wait_for_line};
 
 #[test]
-fn a_start_that_cannot_be_ends_with_one_plain_line() {
+fn a_failed_start_ends_with_one_plain_line() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let taken = config(&taken.local_addr().unwrap().to_string(), "127.0.0.1:1", "127.0.0.1:1");
     for text in [None, Some("{\"name\":"), Some(taken.as_str())] {
         let output = program(text).output().unwrap();
-        let told = String::from_utf8(output.stderr).unwrap();
+        let error = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success());
-        assert!(told.starts_with("juniperladder: ") && told.lines().count() == 1, "{told:?}");
+        assert!(error.starts_with("juniperladder: ") && error.lines().count() == 1, "{error:?}");
     }
 }
 
-/// A planned end answers what was taken, lets go of its clients and exits with its counters told.
+/// A graceful shutdown answers what was taken, closes the clients' connections and logs the counters at its end.
 #[test]
-fn a_signal_ends_the_program_after_the_last_answer() {
-    let host = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = host.local_addr().unwrap().to_string();
+fn sigterm_ends_the_program_after_the_last_answer() {
+    let server = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = server.local_addr().unwrap().to_string();
     let mut child = program(Some(&config("127.0.0.1:0", &address, &address))).spawn().unwrap();
     let mut log = BufReader::new(child.stderr.take().unwrap());
-    let mut client = TcpStream::connect(address_in(&logged(&mut log, "listening"))).unwrap();
+    let mut client = TcpStream::connect(address_in(&wait_for_line(&mut log, "listening"))).unwrap();
     let mut answers = BufReader::new(client.try_clone().unwrap());
     client.write_all(b"mn\r\nmg 7f3a9c21e0b4d655 v O7 Pc=read,d=50000\r\n").unwrap();
     let mut answer = String::new();
     answers.read_line(&mut answer).unwrap();
     assert_eq!(answer, "MN\r\n");
-    // The host sees the command before the signal is sent, and answers after it.
-    let (signalled, wait) = mpsc::channel::<()>();
-    let (seen, taken) = mpsc::channel::<String>();
-    let host = thread::spawn(move || loop {
-        let (mut stream, _) = host.accept().unwrap();
-        let mut command = String::new();
-        BufReader::new(stream.try_clone().unwrap()).read_line(&mut command).unwrap();
-        if command.starts_with("mg ") {
-            seen.send(command).unwrap();
-            wait.recv().unwrap();
+    // The server has the request before the signal is sent, and answers after it.
+    let (signal_sent, wait_for_signal) = mpsc::channel::<()>();
+    let (received, wait_for_request) = mpsc::channel::<String>();
+    let serving = thread::spawn(move || loop {
+        let (mut stream, _) = server.accept().unwrap();
+        let mut request = String::new();
+        BufReader::new(stream.try_clone().unwrap()).read_line(&mut request).unwrap();
+        if request.starts_with("mg ") {
+            received.send(request).unwrap();
+            wait_for_signal.recv().unwrap();
             return stream.write_all(b"VA 5 O7 h1\r\nhello\r\n").unwrap();
         }
     });
-    assert!(taken.recv().unwrap().starts_with("mg 7f3a9c21e0b4d655 v O7 Pc=read,d="));
-    tell(&child, "-TERM");
-    signalled.send(()).unwrap();
+    assert!(wait_for_request.recv().unwrap().starts_with("mg 7f3a9c21e0b4d655 v O7 Pc=read,d="));
+    send_signal(&child, "-TERM");
+    signal_sent.send(()).unwrap();
     let mut rest = String::new();
     answers.read_to_string(&mut rest).unwrap();
     assert_eq!(rest, "VA 5 O7\r\nhello\r\n");
-    host.join().unwrap();
+    serving.join().unwrap();
     assert!(child.wait().unwrap().success());
-    let mut told = String::new();
-    log.read_to_string(&mut told).unwrap();
-    assert!(told.contains("commands=1") && told.contains("served=1"), "{told}");
+    let mut rest_of_log = String::new();
+    log.read_to_string(&mut rest_of_log).unwrap();
+    assert!(rest_of_log.contains("commands=1") && rest_of_log.contains("served=1"), "{rest_of_log}");
 }
 
-/// A new configuration turns the program to another discovery while it serves; a broken one changes nothing.
+/// After a reload the program calls another discovery while it serves; a malformed configuration changes nothing.
 #[test]
-fn a_signal_has_the_configuration_read_anew() {
+fn sighup_reloads_the_address_of_discovery() {
     let [old, new] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
     let [before, after] =
         [&old, &new].map(|l| config("127.0.0.1:0", &l.local_addr().unwrap().to_string(), ""));
     let path = file(&before);
     let mut child = program(None).env("NODE_CONFIG", &path).spawn().unwrap();
     let mut log = BufReader::new(child.stderr.take().unwrap());
-    logged(&mut log, "listening");
+    wait_for_line(&mut log, "listening");
     std::fs::write(&path, &after[..after.len() / 2]).unwrap();
-    tell(&child, "-HUP");
-    logged(&mut log, "configuration not taken");
+    send_signal(&child, "-HUP");
+    wait_for_line(&mut log, "configuration not taken");
     std::fs::write(&path, &after).unwrap();
-    tell(&child, "-HUP");
+    send_signal(&child, "-HUP");
     let (watch, _) = new.accept().unwrap();
     let mut call = String::new();
     BufReader::new(watch).read_line(&mut call).unwrap();
     assert_eq!(call, "GET /catalog/members?follow=1 HTTP/1.1\r\n", "the whole list is asked for");
     // Once more, with nothing changed, and it is still there to be ended.
-    tell(&child, "-HUP");
-    logged(&mut log, "configuration read");
-    tell(&child, "-TERM");
+    send_signal(&child, "-HUP");
+    wait_for_line(&mut log, "configuration read");
+    send_signal(&child, "-TERM");
     assert!(child.wait().unwrap().success());
 }
 
-/// One process replaces another on the same address: it takes the ban over and asks discovery at once, whenever the
-/// decisions would; clients are let in without a break, and what the old one had taken is answered before it ends.
-#[test]
-fn a_process_replaces_another_without_a_break() {
-    let dir = std::env::temp_dir().join(format!("juniperladder-replaced-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).unwrap();
-    let [host, discovery, nobody] = [(); 3].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
-    let [host_at, discovery_at, nobody_at] =
-        [&host, &discovery, &nobody].map(|l| l.local_addr().unwrap().to_string());
-    let start = |listen: &str, discovery: &str| {
-        let text = config(listen, discovery, &host_at)
-            // By itself neither asks for the list while the test lasts.
-            .replace("\"ask-within\":10000000", "\"ask-within\":3600000000")
-            .replace("\"seed\"", "\"mgmt\":\"127.0.0.1:0\",\"seed\"")
-            .replace(
-                "\"instances\":[",
-                "\"instances\":[{\"instanceId\":\"s-00000002\",\"hostPort\":\"127.0.0.1:1\"},",
-            );
-        let mut child = program(Some(&text)).env("TMPDIR", &dir).spawn().unwrap();
-        let mut log = BufReader::new(child.stderr.take().unwrap());
-        let listen = address_in(&logged(&mut log, "listening"));
-        let mgmt = address_in(&logged(&mut log, "operators' address"));
-        (child, log, listen, mgmt)
-    };
-    let (mut old, mut old_log, listen, old_mgmt) = start("127.0.0.1:0", &nobody_at);
-    assert_eq!(call(&old_mgmt, "OFFLINE s-00000002\n"), "ACK s-00000002 out by hand\n");
-    let mut client = TcpStream::connect(&listen).unwrap();
-    client.write_all(b"mg 7f3a9c21e0b4d655 v O7 Pc=read,d=50000\r\n").unwrap();
-    let (mut at_host, _) = host.accept().unwrap();
-    let mut command = String::new();
-    BufReader::new(at_host.try_clone().unwrap()).read_line(&mut command).unwrap();
-    assert!(command.starts_with("mg 7f3a9c21e0b4d655 v O7 "), "{command}");
+/// A process that has an address for operators.
+struct AdministeredProgram {
+    child: Child,
+    log: BufReader<ChildStderr>,
+    listen: String,
+    admin: String,
+}
 
-    let (mut new, _new_log, _, new_mgmt) = start(&listen, &discovery_at);
-    let mut watch = String::new();
-    BufReader::new(discovery.accept().unwrap().0).read_line(&mut watch).unwrap();
-    assert!(watch.starts_with("GET /catalog/members?follow=1"), "{watch}");
-    assert_eq!(call(&new_mgmt, "HEALTH\n"), "ACK ready\n");
-    assert!(call(&new_mgmt, "DUMP\n").contains("app_skipped_cache_hosts 1\n"));
-    assert_eq!(call(&new_mgmt, "ONLINE s-0000ffff\n").split(' ').next(), Some("NAK"));
+/// Starts a process that has one cache server and knows another, which is not reachable.
+fn start_administered(listen: &str, discovery: &str, server: &str, temporary: &Path) -> AdministeredProgram {
+    let text = config(listen, discovery, server)
+        // By itself no process polls the endpoint list while the test lasts.
+        .replace("\"ask-within\":10000000", "\"ask-within\":3600000000")
+        .replace("\"seed\"", "\"mgmt\":\"127.0.0.1:0\",\"seed\"")
+        .replace(
+            "\"instances\":[",
+            "\"instances\":[{\"instanceId\":\"s-00000002\",\"hostPort\":\"127.0.0.1:1\"},",
+        );
+    let mut child = program(Some(&text)).env("TMPDIR", temporary).spawn().unwrap();
+    let mut log = BufReader::new(child.stderr.take().unwrap());
+    let listen = address_in(&wait_for_line(&mut log, "listening"));
+    let admin = address_in(&wait_for_line(&mut log, "operators' address"));
+    AdministeredProgram { child, log, listen, admin }
+}
 
-    tell(&old, "-TERM");
-    logged(&mut old_log, "stopping");
-    // Told again, or to read its configuration meanwhile, it goes on ending as it was.
-    tell(&old, "-TERM");
-    tell(&old, "-HUP");
-    assert!(call(&old_mgmt, "HEALTH\n").starts_with("NAK stopping"));
-    let mut let_in = 0;
-    let ends = thread::spawn(move || {
-        logged(&mut old_log, "stopped");
-        old.wait().unwrap()
-    });
-    // Until the old one has ended, and once more after it, whoever connects is let in and answered.
-    let mut answered = false;
+/// Reads one line of what comes on this connection.
+fn read_line(stream: TcpStream) -> String {
+    let mut line = String::new();
+    BufReader::new(stream).read_line(&mut line).unwrap();
+    line
+}
+
+/// Connects and asks whether requests are served, which has to be so.
+fn assert_admitted(listen: &str) {
+    let mut client = TcpStream::connect(listen).unwrap();
+    client.write_all(b"mn\r\n").unwrap();
+    let mut answer = [0; 4];
+    client.read_exact(&mut answer).unwrap();
+    assert_eq!(&answer, b"MN\r\n");
+}
+
+/// The successor takes the override over and polls discovery at once, whenever the decisions would.
+fn assert_taken_over(successor: &AdministeredProgram, discovery: &TcpListener) {
+    let poll = read_line(discovery.accept().unwrap().0);
+    assert!(poll.starts_with("GET /catalog/members?follow=1"), "{poll}");
+    assert_eq!(call(&successor.admin, "HEALTH\n"), "ACK ready\n");
+    assert!(call(&successor.admin, "DUMP\n").contains("app_skipped_cache_hosts 1\n"));
+    assert_eq!(call(&successor.admin, "ONLINE s-0000ffff\n").split(' ').next(), Some("NAK"));
+}
+
+/// Until the process has ended that is being replaced, and once more after it, every client that connects is admitted. The
+/// request that it has taken is answered after 20 of them.
+fn assert_no_break(
+    listen: &str,
+    ending: &JoinHandle<ExitStatus>,
+    client: &mut TcpStream,
+    server: &mut TcpStream,
+) {
+    let mut admitted = 0;
+    let mut is_answered = false;
     loop {
-        let last = ends.is_finished();
-        let mut next = TcpStream::connect(&listen).unwrap();
-        next.write_all(b"mn\r\n").unwrap();
-        let mut answer = [0; 4];
-        next.read_exact(&mut answer).unwrap();
-        assert_eq!(&answer, b"MN\r\n");
-        let_in += 1;
-        if !answered && let_in > 20 {
-            at_host.write_all(b"VA 5 O7 h1\r\nhello\r\n").unwrap();
+        let has_ended = ending.is_finished();
+        assert_admitted(listen);
+        admitted += 1;
+        if !is_answered && admitted > 20 {
+            server.write_all(b"VA 5 O7 h1\r\nhello\r\n").unwrap();
             let mut answer = String::new();
             client.read_to_string(&mut answer).unwrap();
             assert_eq!(answer, "VA 5 O7\r\nhello\r\n");
-            answered = true;
+            is_answered = true;
         }
-        if last && answered {
-            break;
+        if has_ended && is_answered {
+            return;
         }
     }
-    assert!(ends.join().unwrap().success(), "the old one ends well");
-    tell(&new, "-TERM");
-    assert!(new.wait().unwrap().success());
-    std::fs::remove_dir_all(&dir).unwrap();
+}
+
+/// One process replaces another on the same address: clients are admitted without a break, and what the old one had taken
+/// is answered before it ends.
+#[test]
+fn a_successor_takes_over_without_a_break() {
+    let directory = std::env::temp_dir().join(format!("juniperladder-replaced-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).unwrap();
+    let [server, discovery, nobody] = [(); 3].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
+    let [server_at, discovery_at, nobody_at] =
+        [&server, &discovery, &nobody].map(|listener| listener.local_addr().unwrap().to_string());
+    let old = start_administered("127.0.0.1:0", &nobody_at, &server_at, &directory);
+    assert_eq!(call(&old.admin, "OFFLINE s-00000002\n"), "ACK s-00000002 out by hand\n");
+    let mut client = TcpStream::connect(&old.listen).unwrap();
+    client.write_all(b"mg 7f3a9c21e0b4d655 v O7 Pc=read,d=50000\r\n").unwrap();
+    let (mut at_server, _) = server.accept().unwrap();
+    let request = read_line(at_server.try_clone().unwrap());
+    assert!(request.starts_with("mg 7f3a9c21e0b4d655 v O7 "), "{request}");
+
+    let mut successor = start_administered(&old.listen, &discovery_at, &server_at, &directory);
+    assert_taken_over(&successor, &discovery);
+
+    let AdministeredProgram { child: mut old, log: mut old_log, listen, admin: old_admin } = old;
+    send_signal(&old, "-TERM");
+    wait_for_line(&mut old_log, "stopping");
+    // Signalled again, or to read its configuration meanwhile, it goes on ending as it was.
+    send_signal(&old, "-TERM");
+    send_signal(&old, "-HUP");
+    assert!(call(&old_admin, "HEALTH\n").starts_with("NAK stopping"));
+    let ending = thread::spawn(move || {
+        wait_for_line(&mut old_log, "stopped");
+        old.wait().unwrap()
+    });
+    assert_no_break(&listen, &ending, &mut client, &mut at_server);
+    assert!(ending.join().unwrap().success(), "the old one ends well");
+    send_signal(&successor.child, "-TERM");
+    assert!(successor.child.wait().unwrap().success());
+    std::fs::remove_dir_all(&directory).unwrap();
 }
--- a/cli/tests/support/mod.rs
+++ b/cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the program as a process share.
+//! Fixtures of the tests that run the program as a process.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,12 +8,12 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::thread;
 
-/// A configuration with one cache host, whose lists have to be asked for.
-pub fn config(listen: &str, discovery: &str, host: &str) -> String {
+/// A configuration with one cache server, whose endpoint lists have to be polled.
+pub fn config(listen: &str, discovery: &str, server: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
         "limits":{{"cores":1.0,"memory_mb":192,"sockets":512}},
-        "known":{{"generation":41,"reset":true,"instances":[{{"instanceId":"s-00000001","hostPort":"{host}",
+        "known":{{"generation":41,"reset":true,"instances":[{{"instanceId":"s-00000001","hostPort":"{server}",
           "zone":"x","machineType":"a","cell":0,"lifecycle":"in_service","weight":1.0,"startedAtMs":0}}]}},
         "settings":{{"az":0,"balancers":1,"categories":[{{"aim":60000000,"effect":"side_effect","give-up":60000000,
           "name":"read","worth":1.0}}],"kinds":["a"],"zones":["x"],"tick":5000,"membership-mode":"subscribe",
@@ -22,17 +22,17 @@
     )
 }
 
-/// Writes a file of its own.
-pub fn file(text: &str) -> PathBuf {
+/// Writes a new file with this content.
+pub fn file(content: &str) -> PathBuf {
     static LAST: AtomicU32 = AtomicU32::new(0);
     let number = LAST.fetch_add(1, Ordering::Relaxed);
     let name = format!("juniperladder-test-{}-{number}.json", std::process::id());
     let path = std::env::temp_dir().join(name);
-    std::fs::write(&path, text).unwrap();
+    std::fs::write(&path, content).unwrap();
     path
 }
 
-/// The program, with this configuration.
+/// The program with this configuration, not started yet.
 pub fn program(config: Option<&str>) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_juniperladder"));
     command.env_remove("NODE_CONFIG").stdout(Stdio::piped()).stderr(Stdio::piped());
@@ -43,16 +43,16 @@
 }
 
 /// Sends a signal.
-pub fn tell(child: &Child, signal: &str) {
+pub fn send_signal(child: &Child, signal: &str) {
     assert!(Command::new("kill").args([signal, &child.id().to_string()]).status().unwrap().success());
 }
 
-/// Reads the log up to the next line that holds this.
-pub fn logged(log: &mut impl BufRead, part: &str) -> String {
+/// Reads the log up to the next line that contains this text, and returns that line.
+pub fn wait_for_line(log: &mut impl BufRead, text: &str) -> String {
     loop {
         let mut line = String::new();
-        assert!(log.read_line(&mut line).unwrap() > 0, "the log ends without {part}");
-        if line.contains(part) {
+        assert!(log.read_line(&mut line).unwrap() > 0, "the log ends without {text}");
+        if line.contains(text) {
             return line;
         }
     }
@@ -64,7 +64,7 @@
     rest.split(',').next().unwrap().trim().to_owned()
 }
 
-/// One operator's call; the whole answer.
+/// Makes an operator's call, and returns the complete answer.
 pub fn call(address: &str, line: &str) -> String {
     let mut operator = TcpStream::connect(address).unwrap();
     operator.write_all(line.as_bytes()).unwrap();
@@ -84,7 +84,7 @@
         thread::spawn(move || {
             for line in BufReader::new(stream.try_clone().unwrap()).lines() {
                 let Ok(line) = line else { return };
-                let id = line.split(' ').find(|word| word.starts_with('O')).unwrap();
+                let id = line.split(' ').find(|token| token.starts_with('O')).unwrap();
                 let answer = format!("VA {} {id} h1\r\n{value}\r\n", value.len());
                 if stream.write_all(answer.as_bytes()).is_err() {
                     return;
