--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: reads the configuration that `NODE_CONFIG` names and serves until it is told to stop.
+//! The daemon: reads the configuration that `NODE_CONFIG` names and serves until a signal ends it.
 
 use std::ffi::OsString;
 use std::process::ExitCode;
--- a/cli/tests/discovery.rs
+++ b/cli/tests/discovery.rs
@@ -8,7 +8,7 @@
 
 use support::{address_in, cache_server, config, program, send_signal, wait_for_line};
 
-/// How long a call waits for its turn: longer than discovery's own limit of 2 s, behind which it refuses calls at once.
+/// How long a call waits for its turn: longer than discovery's own limit of 2 s, behind which it rejects calls at once.
 const ANSWER_DELAY: Duration = Duration::from_millis(2_300);
 
 /// Reads the call on this connection up to its empty line.
@@ -66,7 +66,7 @@
 
     let (first, _) = discovery.accept().unwrap();
     assert!(read_call(&first).starts_with("GET /catalog/members?follow=1"));
-    // Whether the caller stays is what the end of its side tells, which comes at once where it has abandoned the call.
+    // Its side of the connection ends at once where the caller has abandoned the call.
     first.set_read_timeout(Some(ANSWER_DELAY)).unwrap();
     let waited = (&first).read(&mut [0; 1]);
     assert!(waited.is_err(), "the call was abandoned before its turn came: {waited:?}");
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -1,5 +1,5 @@
 //! The program as a process whose system calls fail as Linux documents: each request still has its one answer, and a moment's
-//! failure is no refused start. The calls are made to fail by a library of these tests' own (`support/faults.c`).
+//! failure prevents no start. The calls are made to fail by a library of these tests' own (`support/faults.c`).
 
 mod support;
 
@@ -171,7 +171,7 @@
     }
 }
 
-/// A moment's failure when the program starts is no refused start.
+/// A call that fails for a moment prevents no start.
 #[test]
 fn a_start_survives_a_moment_without_sockets() {
     for faults in [
--- a/cli/tests/process.rs
+++ b/cli/tests/process.rs
@@ -80,7 +80,7 @@
     let (watch, _) = new.accept().unwrap();
     let mut call = String::new();
     BufReader::new(watch).read_line(&mut call).unwrap();
-    assert_eq!(call, "GET /catalog/members?follow=1 HTTP/1.1\r\n", "the whole list is asked for");
+    assert_eq!(call, "GET /catalog/members?follow=1 HTTP/1.1\r\n", "the complete list is polled");
     // Once more, with nothing changed, and it is still there to be ended.
     send_signal(&child, "-HUP");
     wait_for_line(&mut log, "configuration read");
--- a/cli/tests/support/faults.c
+++ b/cli/tests/support/faults.c
@@ -1,4 +1,4 @@
-/* Makes system calls of one process fail as Linux documents, for the tests: loaded with LD_PRELOAD, told by FAULTS.
+/* Makes system calls of one process fail as Linux documents, for the tests: loaded with LD_PRELOAD, configured by FAULTS.
  *
  * FAULTS holds rules "CALL=ACTION/EVERY" or "CALL=ACTION/EVERY/MOST", separated by commas. ACTION is the name of an error,
  * "short", which lets a read or write take less than it could, or "ahead" and "behind", by which the wall clock is an hour off. A rule acts on each EVERYth call, at most MOST times in all.
--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -35,7 +35,7 @@
 use state::{DispatcherState, OpenRequest, Timer, NO_DEADLINE};
 
 /// How long before its client gives up a request is over here: the way of the answer back, and of the
-/// request here, which nothing tells.
+/// request here, neither of which is known.
 const DEADLINE_MARGIN: Micros = Micros(10_000);
 /// The deadline of a request where the settings have no class at all.
 const DEFAULT_DEADLINE: Micros = Micros(1_000_000);
@@ -134,7 +134,7 @@
     }
 
     /// Takes a request; its one answer comes on the receiver. None if a request with its id is open: servers
-    /// could not tell the two apart, and one would be answered for the other.
+    /// could not distinguish the two, and one would be answered for the other.
     pub fn take(&self, request: ClientRequest) -> Option<(ClientRequestId, oneshot::Receiver<Answer>)> {
         self.take_after_wait(request, Micros(0))
     }
@@ -244,7 +244,7 @@
         self.notify_if_idle(&state);
     }
 
-    /// The client sends no more. It may be gone or wait for its answer, which cannot be told apart: no
+    /// The client sends no more. It may be gone or wait for its answer, which cannot be distinguished: no
     /// new attempt begins for it, and what is in flight already may still answer it.
     pub fn on_client_half_closed(&self, id: ClientRequestId) {
         let mut state = self.state.borrow_mut();
@@ -309,7 +309,7 @@
         }
     }
 
-    /// Tells the decisions an event and carries their actions out.
+    /// Passes an event to the decisions and carries their actions out.
     fn handle(&self, state: &mut DispatcherState, now: Micros, event: Event) {
         let mut actions = std::mem::take(&mut state.actions);
         state.balancer.handle(now, event, &mut actions);
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -49,7 +49,7 @@
 }
 
 impl Dispatcher {
-    /// An attempt has ended on the network. Its request is answered if that is final, and the decisions are told.
+    /// An attempt has ended on the network. Its request is answered if that is final, and the decisions are notified.
     pub fn on_attempt_ended(&self, id: AttemptId, end: AttemptEnd) {
         let mut state = self.state.borrow_mut();
         match state.attempts.remove(&id) {
@@ -77,7 +77,7 @@
     pub(super) fn on_attempt_timeout(&self, state: &mut DispatcherState, id: AttemptId) {
         let Some(attempt) = state.attempts.remove(&id) else { return };
         let is_written = state.carrier.abandon(id, attempt.server);
-        // What was never written whole cannot have been executed.
+        // What was never written completely cannot have been executed.
         let result = if is_written { AttemptResult::Timeout } else { AttemptResult::ConnectFailed };
         if is_written {
             state.timed_out.insert(id, attempt.request);
@@ -85,7 +85,7 @@
         self.complete_attempt(state, attempt, Completion::without_answer(result));
     }
 
-    /// Counts a completed attempt, answers its request where that is over, and tells the decisions.
+    /// Counts a completed attempt, answers its request where that is over, and notifies the decisions.
     fn complete_attempt(
         &self,
         state: &mut DispatcherState,
--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -1,4 +1,4 @@
-//! Requests from their taking to their one answer, with a carrier that only writes down.
+//! Requests from their taking to their one answer, with a carrier that only records attempts.
 
 use bytes::Bytes;
 use juniperladder::{EndpointState, EndpointUpdate, ServerId};
@@ -149,8 +149,8 @@
     });
 }
 
-/// A list as long as a fleet's is known whole; of one that is far too long a bounded part is, with the origin at its end,
-/// and servers that go make room.
+/// A list as long as a fleet's is known completely; of one that is far too long a bounded part is, with the origin at its end.
+/// Servers that go leave capacity for others.
 #[test]
 fn an_endless_endpoint_list_is_bounded() {
     let recorder = Rc::new(Recorder::default());
@@ -178,7 +178,7 @@
     assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (MAX_SERVERS, 16));
 }
 
-/// A process that is told to end has an answer for all that it took before its time is up: what was open then, what
+/// A process that is to end has an answer for all that it took before its time is up: what was open then, what
 /// connections that are not closed yet still bring, and at once for what comes after.
 #[test]
 fn every_open_request_is_answered_by_the_final_deadline() {
@@ -215,12 +215,13 @@
     });
 }
 
-/// A server that joins is cold, and one that joined long ago warm, however far off the wall clock is that tells its start.
+/// A server that joins is in slow start, and one that joined long ago is not, however wrong the wall clock is that reports its
+/// start.
 #[test]
 fn a_wrong_wall_clock_changes_no_slow_start() {
     const WARM_UP: Duration = Duration::from_secs(9);
     const HOUR: u64 = 3_600_000_000;
-    let sends_in_a_second = |told: &dyn Fn(u64) -> u64, age: Duration| {
+    let sends_in_a_second = |reported: &dyn Fn(u64) -> u64, age: Duration| {
         testing::run(async {
             let (dispatcher, recorder) = with_timers(1, Idempotency::Idempotent, 3);
             let old: Vec<ListedServer> =
@@ -229,7 +230,7 @@
             tokio::time::sleep(Duration::from_secs(2)).await;
             dispatcher.on_endpoints_confirmed();
             let mut joined = testing::listed_server(ServerId(50), EndpointState::Serving);
-            joined.endpoint.started = juniperladder::Micros(told(dispatcher.clock().now().0));
+            joined.endpoint.started = juniperladder::Micros(reported(dispatcher.clock().now().0));
             dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[joined]);
             tokio::time::sleep(age).await;
             recorder.begun.borrow_mut().clear();
--- a/dispatch/src/streamed_value.rs
+++ b/dispatch/src/streamed_value.rs
@@ -1,8 +1,8 @@
 //! A value that is passed on in chunks while it still comes: one side sends the chunks, the other receives them, and
 //! neither ever buffers more than a few.
 //!
-//! Guarantee: the last byte is held back until the end of the value has been seen, so that a client can always tell a
-//! value that broke off, or whose end was malformed, from a complete one.
+//! Guarantee: the last byte is held back until the end of the value has been seen, so that a client can always distinguish
+//! a value that broke off, or whose end was malformed, from a complete one.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -94,7 +94,7 @@
     /// Sends a chunk without a wait; [`ChunkSender::is_ready`] says whether that is possible.
     ///
     /// # Errors
-    /// Nobody receives the value any longer, or there is no room.
+    /// Nobody receives the value any longer, or a chunk waits already.
     pub fn try_send(&mut self, chunk: Bytes) -> Result<(), ReceiverGone> {
         match self.hold_last_byte_back(chunk) {
             Some(chunk) => self.chunks.try_send(chunk).map_err(|_| ReceiverGone),
--- a/node/src/downstream.rs
+++ b/node/src/downstream.rs
@@ -210,7 +210,7 @@
         let slot = self.occupy_slot(backlog_wait);
         let log = self.log.clone();
         spawn_local(async move {
-            // A connection that breaks has no one to be told.
+            // Nobody is left to be notified of a broken connection.
             if let Err(error) = slot.serve(stream).await {
                 debug!(log, "downstream connection broke"; "error" => %error);
             }
--- a/node/src/downstream/connection.rs
+++ b/node/src/downstream/connection.rs
@@ -1,6 +1,6 @@
 //! One downstream connection: its requests, taken as they come, and their answers in the same order.
 //!
-//! Guarantee: each request that was read whole gets its one answer, in the order of the requests, unless its client has
+//! Guarantee: each request that was read completely gets its one answer, in the order of the requests, unless its client has
 //! gone. What is buffered for the connection is bounded, and so is the time for which it may hold its slot without an
 //! open request.
 
@@ -25,7 +25,7 @@
 
 /// Requests that one connection may have open: enough for any pipeline, a bound for one that runs away.
 pub(super) const MAX_PENDING_ANSWERS: usize = 128;
-/// Malformed requests on one connection before it ends: more is noise, or a client that reads no answers.
+/// Malformed requests on one connection before it ends: more is garbage, or a client that reads no answers.
 pub(super) const MAX_MALFORMED_REQUESTS: usize = 64;
 /// Bytes reserved for each read.
 pub(super) const READ_BYTES: usize = 2048;
@@ -74,7 +74,7 @@
 
 /// What the connection waits for next, as its state allows.
 struct Interests {
-    /// Whether there is room for more answers: those to a client that does not read them wait in their small form.
+    /// Whether more answers may be put into the output: those to a client that does not read them wait unformatted.
     can_answer: bool,
     /// Whether more may be read.
     can_read: bool,
@@ -181,7 +181,7 @@
     fn interests(&self) -> Interests {
         let limits = &self.downstream.resource_limits;
         let is_upload_blocked = self.is_upload_blocked();
-        // With room here every whole request has been taken, so that the end of the client's side, which
+        // Where more may be read every complete request has been taken, so that the end of the client's side, which
         // is only read then, never comes before a request that it had sent.
         let has_room_for_requests = !self.has_input_ended
             && !self.has_reading_stopped
@@ -262,7 +262,7 @@
         Ok(())
     }
 
-    /// Reads an idle connection once more before it closes, and tells whether it may close. A request may have come that
+    /// Reads an idle connection once more before it closes, and returns whether it may close. A request may have come that
     /// the runtime has not looked for yet: it is taken, and a close over unread bytes would reset the connection.
     async fn read_before_close(
         &mut self,
--- a/node/src/downstream/connection/answers.rs
+++ b/node/src/downstream/connection/answers.rs
@@ -63,7 +63,7 @@
     /// Puts a chunk of the download into the output.
     ///
     /// # Errors
-    /// The download broke off. It cannot be mended: only the end of the connection tells the client that its
+    /// The download broke off. It cannot be repaired: only the end of the connection shows the client that its
     /// value is not complete.
     pub(super) fn write_chunk(&mut self, chunk: Option<Bytes>) -> io::Result<()> {
         let Some(download) = &mut self.download else { return Ok(()) };
--- a/node/src/downstream/connection/requests.rs
+++ b/node/src/downstream/connection/requests.rs
@@ -16,7 +16,7 @@
 const CAME_BEFORE_ACCEPT: Duration = Duration::from_millis(20);
 
 impl DownstreamConnection<'_> {
-    /// Takes every complete request off the input, as far as there is room for their answers.
+    /// Takes every complete request off the input, as far as their answers may be pending.
     pub(super) fn take_requests(&mut self) {
         while self.can_take_request() {
             let Some(incoming) = self.request_reader.next(&mut self.input) else { return };
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The request with its class and tenant; none if there is no such class in the settings, which the client is told: such
+    /// The request with its class and tenant; none if there is no such class in the settings, which is the answer then: such
     /// a one has no deadline and no idempotency, and servers reject it too. One that names no tenant of the settings, or none
     /// at all, is served like all others and counts for nobody's quota.
     fn classify(&mut self, mut request: Box<ClientRequest>, class: &[u8]) -> Option<Box<ClientRequest>> {
--- a/node/src/downstream/slots.rs
+++ b/node/src/downstream/slots.rs
@@ -75,7 +75,7 @@
         )
     }
 
-    /// Tells its connection to close. One that is told while idle and then begins a request may finish it.
+    /// Notifies its connection that it is to close. One that is notified while idle and then begins a request may finish it.
     fn evict(&self) {
         if self.has_incomplete_request.get() {
             self.evicted_mid_request.notify_one();
--- a/node/src/downstream/tests.rs
+++ b/node/src/downstream/tests.rs
@@ -157,8 +157,8 @@
     });
 }
 
-/// What is no request is told so and never taken: an unknown class, an id that another request has, no
-/// deadline, and noise without end, whose connection ends.
+/// What is no request is answered with an error and never taken: an unknown class, an id that another request has, no
+/// deadline, and garbage without end, whose connection ends.
 #[test]
 fn malformed_requests_are_rejected_and_never_taken() {
     testing::run(async {
@@ -170,7 +170,7 @@
         spawn_local(serve(Rc::clone(&downstream), other));
         honest.write_all(b"mg k v O1 Pc=read,d=480\r\n").await.unwrap();
         settle().await;
-        for (line, told) in [
+        for (line, answer) in [
             ("mg k v O2 Pc=reads,d=480", "CLIENT_ERROR unknown class\r\n"),
             ("mg k v O2 Pd=480", "CLIENT_ERROR unknown class\r\n"),
             ("mg k v O1 Pc=read,d=480", "CLIENT_ERROR id in use\r\n"),
@@ -178,9 +178,9 @@
             ("mg k v O2 Pc=read,d=-1", "CLIENT_ERROR bad properties\r\n"),
         ] {
             far.write_all(format!("{line}\r\n").as_bytes()).await.unwrap();
-            let mut got = vec![0; told.len()];
+            let mut got = vec![0; answer.len()];
             far.read_exact(&mut got).await.unwrap();
-            assert_eq!(String::from_utf8(got).unwrap(), told);
+            assert_eq!(String::from_utf8(got).unwrap(), answer);
         }
         assert_eq!(recorder.begun.borrow().len(), 1, "only the honest client's has begun");
         far.write_all(&b"\n".repeat(MAX_MALFORMED_REQUESTS * 2)).await.unwrap();
--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -45,7 +45,7 @@
         }
         let mut got = String::new();
         far.read_to_string(&mut got).await.unwrap();
-        // What no server has a place for is turned away, and told so in its place as well.
+        // What no server has capacity for is rejected, and has that answer in its place in the order as well.
         let told = |line: &&str| *line == "SERVER_ERROR failed" || line.starts_with("SERVER_ERROR busy");
         assert_eq!(got.lines().filter(told).count(), requests);
         assert!(got.contains("failed") && got.lines().count() == requests);
@@ -154,7 +154,7 @@
     fill_pipeline(&downstream, &mut far, requests).await;
     let begun = recorder.begun.borrow().len();
     if has_answers {
-        // The first answers are more than the client, who takes none, has room for.
+        // The first answers are more than the client, who takes none, has buffers for.
         let attempt = recorder.begun.borrow_mut().remove(0);
         let value = Answer::Value(Bytes::from(vec![b'v'; 16 << 20]));
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(value)));
@@ -195,8 +195,8 @@
     }
 }
 
-/// A request that comes in the moment in which its resting connection is closed is not sent on, and its crossing takes nothing of
-/// the answer before it: the client has that whole, and an end that is no reset.
+/// A request that comes in the moment in which its idle connection is closed is not forwarded, and its crossing takes nothing of
+/// the answer before it: the client has that completely, and an end that is no reset.
 #[test]
 fn a_request_that_crosses_the_close_takes_no_answer_with_it() {
     testing::run_on_sockets(async {
@@ -225,7 +225,7 @@
         let mut got = Vec::new();
         far.read_to_end(&mut got).await.unwrap();
         assert_eq!(got.len(), "VA 204800 O1\r\n".len() + LENGTH + 2);
-        assert!(recorder.begun.borrow().is_empty(), "nothing that came after the close is sent on");
+        assert!(recorder.begun.borrow().is_empty(), "nothing that came after the close is forwarded");
     });
 }
 
--- a/node/src/downstream/tests/slots.rs
+++ b/node/src/downstream/tests/slots.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 
-/// Whoever says nothing, keeps a connection for good or stops half-way through a request gives it up, and
-/// one that is half-way is told why.
+/// A connection that stays silent, stays open for good or stops half-way through a request closes, the last with an
+/// error.
 #[test]
 fn an_idle_or_stalled_connection_closes_in_time() {
     testing::run(async {
         let recorder = Rc::new(Recorder::default());
-        for (sent, told) in [
+        for (sent, answer) in [
             ("", ""),
             ("mn\r\n", "MN\r\n"),
             ("mg a v O1 Pc=re", "CLIENT_ERROR command not finished in time\r\n"),
@@ -23,7 +23,7 @@
             }
             let mut got = String::new();
             far.read_to_string(&mut got).await.unwrap();
-            assert_eq!(got, told);
+            assert_eq!(got, answer);
             assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
         }
     });
@@ -58,7 +58,7 @@
     });
 }
 
-/// One told to close while idle that begins a request at that moment may finish it.
+/// A connection that is evicted while idle and begins a request at that moment may finish it.
 #[test]
 fn a_request_begun_during_eviction_is_answered() {
     testing::run(async {
@@ -141,6 +141,6 @@
         let mut got = [0; 4];
         far.read_exact(&mut got).await.unwrap();
         assert_eq!(&got, b"MN\r\n");
-        assert_eq!(silent[0].read(&mut got).await.unwrap(), 0, "the first was told to leave");
+        assert_eq!(silent[0].read(&mut got).await.unwrap(), 0, "the first was evicted");
     });
 }
--- a/node/src/graceful_shutdown.rs
+++ b/node/src/graceful_shutdown.rs
@@ -33,7 +33,7 @@
     longest_deadline.min(MAX_COUNTED_DEADLINE) + TIME_AFTER_LONGEST_DEADLINE - TIME_AFTER_LAST_ANSWER
 }
 
-/// How far the shutdown has come. The connections ask it, and tell it how many they are.
+/// How far the shutdown has come. The connections wait for its phases, and report how many they are.
 #[derive(Debug, Default)]
 pub struct GracefulShutdown {
     is_stopping: Cell<bool>,
--- a/node/src/simulation.rs
+++ b/node/src/simulation.rs
@@ -5,7 +5,7 @@
 //!
 //! Every request whose last byte has come on a connection that was accepted gets one complete final answer, made for it by a
 //! server or the origin or saying that there is none, before its client's time is up, whether the daemon has just started, runs
-//! or shuts down; or its client can tell that a value is not complete. No byte of it reaches a server after that answer, after
+//! or shuts down; or its client can see that a value is not complete. No byte of it reaches a server after that answer, after
 //! its client has gone, or after the balancer was notified of that server's end; there are no more attempts than the settings
 //! say, and none once one may have been executed, but as its class allows.
 
--- a/node/src/simulation/clients.rs
+++ b/node/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Simulated clients: most send requests and wait, some leave, half-close, pipeline or send noise.
+//! Simulated clients: most send requests and wait, some leave, half-close, pipeline or send malformed requests.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -61,14 +61,14 @@
     }
 }
 
-/// A client that misbehaves: noise, halves of requests, and whole ones behind them; then it goes.
+/// A client that misbehaves: malformed requests, parts of requests, and complete ones behind them; then it goes.
 pub async fn misbehave(simulation: Rc<Simulation>, client: usize, mut rng: Rng) {
     let mut sent_requests = 0;
     while !simulation.shutdown.is_stopping() {
         let mut stream = open(&simulation);
         simulation.event_log.count(Occurrence::MalformedRequests);
         for _ in 0..rng.usize(1..40) {
-            let noise: &[u8] = match rng.u8(..6) {
+            let malformed: &[u8] = match rng.u8(..6) {
                 0 => b"\r\n",
                 1 => b"mg k v O1 Pc=read,d=\xff\r\n",
                 2 => b"get k\r\n",
@@ -76,7 +76,7 @@
                 4 => b"\x00\xff\xfe\n",
                 _ => b"mg k v O1 Pc=none,d=400\r\n",
             };
-            if stream.write_all(noise).await.is_err() {
+            if stream.write_all(malformed).await.is_err() {
                 break;
             }
         }
@@ -144,7 +144,7 @@
     sent.map(|()| requests)
 }
 
-/// Reads the answers, and tells whether the connection can go on.
+/// Reads the answers, and returns whether the connection can go on.
 async fn read_answers(
     simulation: &Simulation,
     requests: VecDeque<OpenRequest>,
--- a/node/src/simulation/servers.rs
+++ b/node/src/simulation/servers.rs
@@ -293,7 +293,7 @@
         }
     }
 
-    /// An answer that can be told to be malformed.
+    /// An answer that is malformed in a way that the balancer can see.
     fn malformed_response(&mut self, id: &str, is_write: bool) -> Vec<u8> {
         let well_formed_response = self.well_formed_response(id, is_write);
         match (self.is_origin, is_write, self.rng.bool()) {
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -154,7 +154,7 @@
     fn open_connections_to(&self, server: ServerId, pool: &mut Pool) {
         let (Some(this), Some(address)) = (self.this.upgrade(), pool.address) else { return };
         if pool.lacks_connections() {
-            // No connection is opened for what nobody waits for. One that is on its way already still tells of its server.
+            // No connection is opened for what nobody waits for. One that is on its way already still shows how its server is.
             self.cancel_waiting(&mut pool.waiting, |attempt| self.is_cancelled(attempt));
         }
         while pool.lacks_connections() && self.connections.get() < self.limits.max_connections {
@@ -297,7 +297,7 @@
     }
 
     /// A late answer is read off as long as there are connections: it may still serve its request, and a new connection costs
-    /// the server work. The origin does no work that nobody waits for, which only a close tells it.
+    /// the server work. The origin does no work that nobody waits for, which only a close shows it.
     fn must_close_on_timeout(&self, pool: &Pool) -> bool {
         let is_crowded = self.connections.get() * 4 > self.limits.max_connections * 3;
         is_crowded || pool.is_origin || !self.limits.may_duplicate
--- a/node/src/upstream/connection.rs
+++ b/node/src/upstream/connection.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// How an attempt ends that waited for the connection. Neither was sent, and only the first tells of the server.
+    /// How an attempt ends that waited for the connection. Neither was sent, and only the first counts against the server.
     pub(super) fn attempt_end(self) -> AttemptEnd {
         match self {
             ConnectError::Server => AttemptEnd::NotSent,
@@ -144,7 +144,7 @@
                     None => return,
                 },
             };
-            // The runtime looks for news of the connection first: some servers close right behind an answer.
+            // The runtime polls the connection first: some servers close right behind an answer.
             yield_now().await;
             // A connection that ended meanwhile is no attempt: nothing was written.
             if !upstream.may_send_on(self) {
@@ -166,7 +166,7 @@
     }
 
     /// The connection has ended, or brought stray bytes, before anything of this attempt was written. One that has only just
-    /// come up tells of its server, which would do so again without end.
+    /// come up counts against its server, which would close others without end.
     fn on_ended_before_attempt(&self, upstream: &Upstream, attempt: Attempt, is_new_connection: bool) {
         if is_new_connection {
             upstream.end_attempt(self.server, attempt.id, AttemptEnd::NotSent);
@@ -338,7 +338,7 @@
     }
 }
 
-/// Writes these bytes of an attempt, and tells whether all of them were written: none is once the attempt is cancelled,
+/// Writes these bytes of an attempt, and returns whether all of them were written: none is once the attempt is cancelled,
 /// though the socket was full until then.
 async fn write_unless_cancelled<S: AsyncWrite + Unpin>(
     upstream: &Upstream,
--- a/node/src/upstream/download.rs
+++ b/node/src/upstream/download.rs
@@ -26,7 +26,7 @@
 }
 
 impl ValueBody {
-    /// Takes off what has come of the value, and tells whether its end has been seen.
+    /// Takes off what has come of the value, and returns whether its end has been seen.
     fn take(&mut self, input: &mut BytesMut) -> Result<(Bytes, bool), ReadError> {
         match self {
             ValueBody::Memcache(remaining) => Ok(remaining.take(input)?),
@@ -74,9 +74,9 @@
             return Ok(sender.finish().await?);
         }
         input.reserve(chunk_bytes);
-        let mut room = (&mut *input).limit(chunk_bytes);
+        let mut limited = (&mut *input).limit(chunk_bytes);
         let read = tokio::select! {
-            read = timeout(STALL_TIMEOUT, stream.read_buf(&mut room)) => read,
+            read = timeout(STALL_TIMEOUT, stream.read_buf(&mut limited)) => read,
             () = sender.wait_for_receiver_gone() => return Err(ReadError::Disconnected),
         };
         if !matches!(read, Ok(Ok(1..))) {
@@ -85,8 +85,8 @@
     }
 }
 
-/// Checks what stands behind a response of the origin. A length that was told too short leaves the rest of the body there, which
-/// nobody can tell from noise behind a good response: only the beginning of another one is neither.
+/// Checks what stands behind a response of the origin. A length that is too short leaves the rest of the body there, which
+/// cannot be distinguished from garbage behind a well-formed response: only the beginning of another one is neither.
 ///
 /// # Errors
 /// Something else stands there, or the connection broke.
--- a/node/src/upstream/download/tests.rs
+++ b/node/src/upstream/download/tests.rs
@@ -28,8 +28,8 @@
     [(ValueBody::Memcache(remaining), b"\r\n"), (ValueBody::Http(response), b"")]
 }
 
-/// A value of four megabytes passes whole, and a client that does not read holds the server back at a few
-/// pieces: the value is never in hand.
+/// A value of four megabytes passes completely, and a client that does not read holds the server back at a few
+/// chunks: the value is never buffered.
 #[test]
 fn a_large_value_passes_in_a_few_bounded_chunks() {
     testing::run(async {
@@ -58,11 +58,11 @@
                 given.get()
             );
             let mut got = 0;
-            while let Some(piece) = receiver.next().await {
+            while let Some(chunk) = receiver.next().await {
                 assert!(
-                    piece.len() <= CHUNK_BYTES && piece.iter().enumerate().all(|(n, b)| *b == byte(got + n))
+                    chunk.len() <= CHUNK_BYTES && chunk.iter().enumerate().all(|(n, b)| *b == byte(got + n))
                 );
-                got += piece.len();
+                got += chunk.len();
                 assert!(given.get() <= got + PIPE_BYTES + 3 * CHUNK_BYTES + 1000);
             }
             assert_eq!(got, VALUE_BYTES);
@@ -97,8 +97,8 @@
                     forward_value(&mut near, &mut BytesMut::new(), &mut body, sender, CHUNK_BYTES).await
                 });
                 let mut got = 0;
-                while let Some(piece) = receiver.next().await {
-                    got += piece.len();
+                while let Some(chunk) = receiver.next().await {
+                    got += chunk.len();
                 }
                 assert!(got < VALUE_BYTES, "{got}");
                 assert_eq!(forwarded.await.unwrap(), Err(error.clone()));
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -1,4 +1,4 @@
-//! Pools and connections, against servers played in memory and on loopback.
+//! Pools and connections, against servers simulated in memory and on loopback.
 
 use super::connection::{AfterAttempt, UpstreamConnection};
 use super::*;
@@ -97,8 +97,8 @@
                 .collect();
             assert_eq!(counted, [(want, 1)]);
             assert_eq!(after == AfterAttempt::Broken, leaves && want == "resets");
-            let spoilt = upstream.counters.malformed_responses.get() > 0;
-            assert_eq!(after == AfterAttempt::KeepOpen, !spoilt && ["ok", "misses", "full", "errors"].contains(&want));
+            let is_malformed = upstream.counters.malformed_responses.get() > 0;
+            assert_eq!(after == AfterAttempt::KeepOpen, !is_malformed && ["ok", "misses", "full", "errors"].contains(&want));
             let served = matches!(answer.await, Ok(Answer::Receipt(_)));
             assert_eq!(served, want == "ok");
         });
@@ -223,7 +223,7 @@
         (good.replace("Content-Length: 2", "Transfer-Encoding: chunked").replace("ab", "fffff0\r\n"), 0),
         ("nonsense\r\n\r\n".to_owned(), 1),
     ];
-    for (text, spoilt) in cases {
+    for (text, malformed) in cases {
         testing::run(async {
             let recorder = Rc::new(Recorder::default());
             let dispatcher =
@@ -238,15 +238,15 @@
             far.write_all(text.as_bytes()).await.unwrap();
             let mut input = BytesMut::new();
             connection.execute(&upstream, &mut near, &mut input, attempt).await;
-            assert_eq!(upstream.counters.malformed_responses.get(), spoilt, "{text:?}");
+            assert_eq!(upstream.counters.malformed_responses.get(), malformed, "{text:?}");
             let chunked = text.contains("chunked");
             let value = Answer::Value(bytes::Bytes::from_static(b"ab"));
-            assert_eq!(answer.await == Ok(value), spoilt == 0 && !chunked, "{text:?}");
+            assert_eq!(answer.await == Ok(value), malformed == 0 && !chunked, "{text:?}");
         });
     }
 }
 
-/// A value said to be huge that keeps coming is let go of before it fills the memory.
+/// A value with a huge length that keeps coming is dropped before it fills the memory.
 #[test]
 fn an_endless_body_is_not_read_to_its_end() {
     testing::run(async {
@@ -271,7 +271,7 @@
     });
 }
 
-/// The origin does no work that nobody waits for, and only a close tells it. At a cache server the answer is
+/// The origin does no work that nobody waits for, and only a close shows it. At a cache server the answer is
 /// read off, as nothing stops there.
 #[test]
 fn a_timeout_closes_only_connections_to_the_origin() {
@@ -291,8 +291,8 @@
                 .insert(id, CarriedAttempt::default());
             let stop = upstream.on_attempt_written(SERVER, id);
             assert!(upstream.abandon(id, SERVER));
-            let told = timeout(Duration::from_secs(1), stop.notified()).await.is_ok();
-            assert_eq!(told, kind == testing::ORIGIN);
+            let is_stopped = timeout(Duration::from_secs(1), stop.notified()).await.is_ok();
+            assert_eq!(is_stopped, kind == testing::ORIGIN);
         }
     });
 }
@@ -310,7 +310,7 @@
         assert!(longest > configured.mul_f64(0.9), "one of many balancers comes back after seconds");
         assert!(spare >= configured / 25, "the way there and back: {spare:?}");
         idle_timeout.on_broken(Duration::from_millis(1));
-        assert_eq!(idle_timeout.current(), longest, "a connection that was hardly idle tells nothing");
+        assert_eq!(idle_timeout.current(), longest, "a connection that was hardly idle shows nothing");
         idle_timeout.on_broken(Duration::from_millis(100));
         assert_eq!(idle_timeout.current(), Duration::from_millis(70));
         idle_timeout.on_reused(Duration::from_millis(60));
@@ -341,7 +341,7 @@
     });
 }
 
-/// A server that refuses connections fails each attempt once, as one that never ran.
+/// A server that refuses connections ends each attempt once, as not sent.
 #[test]
 fn a_refused_connection_ends_the_attempt_as_not_sent() {
     testing::run_on_sockets(async {
@@ -376,7 +376,7 @@
 }
 
 /// A server that takes connections and ends them at once, or greets whoever comes, is no server that may be tried without end: each
-/// attempt opens one connection, and the request is told that it never ran.
+/// attempt opens one connection, and the request is rejected as not executed.
 #[test]
 fn a_server_that_closes_new_connections_gets_no_endless_attempts() {
     for greets in [false, true] {
@@ -405,7 +405,7 @@
     }
 }
 
-/// Half a line that comes on a resting connection spoils that connection and nothing else: the next request goes out on a new
+/// Half a line that comes on an idle connection closes that connection and fails nothing else: the next request goes out on a new
 /// one, whether the bytes come before it or in the moment in which the connection is given to it.
 #[test]
 fn half_a_line_closes_its_connection_and_fails_no_request() {
@@ -440,7 +440,7 @@
     }
 }
 
-/// An answer whose length is not told ends with its connection, and only with an end: a reset is none, wherever it comes.
+/// An answer without a length ends with its connection, and only with an end: a reset is none, wherever it comes.
 #[test]
 fn a_reset_is_no_end_of_an_answer_without_a_length() {
     for (reset, body) in [(false, true), (true, true), (true, false)] {
--- a/node/src/upstream/upload.rs
+++ b/node/src/upstream/upload.rs
@@ -44,7 +44,7 @@
     /// Sends the value, and with its last byte the attempt; then the connection carries others.
     async fn upload(&self, upstream: &Upstream, mut upload: Upload, counted_upload: Counted) {
         let stream = self.send_all_but_last_byte(upstream, &upload).await;
-        // From here on the client's side is told that no more is taken, if more there is.
+        // From here on the client's side sees that no more is taken, if there is more.
         drop(upload.value);
         let Some(mut stream) = stream else {
             upload.last_byte.close();
--- a/node/src/upstream/upload/tests.rs
+++ b/node/src/upstream/upload/tests.rs
@@ -34,11 +34,11 @@
 }
 
 async fn line(client: &mut TcpStream) -> String {
-    let mut told = Vec::new();
-    while !told.ends_with(b"\r\n") {
-        told.push(client.read_u8().await.unwrap());
+    let mut received = Vec::new();
+    while !received.ends_with(b"\r\n") {
+        received.push(client.read_u8().await.unwrap());
     }
-    String::from_utf8(told).unwrap()
+    String::from_utf8(received).unwrap()
 }
 
 /// Reads the head of a write off.
@@ -83,14 +83,14 @@
         go.send(()).unwrap();
         assert_eq!(at_origin.read_u8().await.unwrap(), value[LENGTH - 1]);
         at_origin.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1").await.unwrap();
-        let mut told = [0; 14];
-        reads.read_exact(&mut told).await.unwrap();
-        assert_eq!(&told, b"HD O7 cr1\r\nMN\r");
+        let mut received = [0; 14];
+        reads.read_exact(&mut received).await.unwrap();
+        assert_eq!(&received, b"HD O7 cr1\r\nMN\r");
         assert_eq!((upstream.counters.attempts_written.get(), upstream.uploads.get()), (1, 0));
     });
 }
 
-/// However many begin at one moment, a quarter of the connections is all that they hold; the others are told so.
+/// However many begin at one moment, a quarter of the connections is all that they hold; the others get an error.
 #[test]
 fn uploads_hold_at_most_a_quarter_of_the_connections() {
     testing::run_on_sockets(async {
@@ -104,7 +104,7 @@
     });
 }
 
-/// Where the origin's side ends early the value never ran; the client is told so at its end, at once.
+/// Where the origin's side ends early the value is not executed; the client has that answer at its end, at once.
 #[test]
 fn a_streamed_write_that_cannot_go_on_is_rejected() {
     testing::run_on_sockets(async {
@@ -134,17 +134,20 @@
                 client.write_all(&vec![b'v'; sent]).await.unwrap();
                 client.write_all(behind).await.unwrap();
                 let _ = client.shutdown().await;
-                let mut told = String::new();
-                let _ = client.read_to_string(&mut told).await;
-                told
+                let mut received = String::new();
+                let _ = client.read_to_string(&mut received).await;
+                received
             });
             let (mut at_origin, _) = origin.accept().await.unwrap();
             head(&mut at_origin).await;
             let mut got = Vec::new();
             let _ = at_origin.read_to_end(&mut got).await;
             assert!(got.len() < LENGTH, "{}", got.len());
-            let told = writes.await.unwrap();
-            assert!(!told.contains("HD") && (sent < LENGTH || told.starts_with("CLIENT_ERROR")), "{told}");
+            let received = writes.await.unwrap();
+            assert!(
+                !received.contains("HD") && (sent < LENGTH || received.starts_with("CLIENT_ERROR")),
+                "{received}"
+            );
             assert_eq!(upstream.counters.attempts_written.get(), 0);
         }
     });
--- a/protocols/src/admin/tests.rs
+++ b/protocols/src/admin/tests.rs
@@ -29,7 +29,7 @@
 }
 
 proptest! {
-    /// However a call is cut, its first pieces are never taken for a call, and the whole is the same call.
+    /// However a call is cut, its first pieces are never taken for a call, and the complete line is the same call.
     #[test]
     fn a_call_cut_anywhere_is_read_completely_or_not_at_all(id in "[a-z0-9-]{1,40}", cut in 0usize..60, junk in proptest::collection::vec(any::<u8>(), 0..300)) {
         let line = format!("OFFLINE {id}\n");
--- a/protocols/src/http/request_writer.rs
+++ b/protocols/src/http/request_writer.rs
@@ -9,7 +9,7 @@
 /// Graphic ASCII characters that would end a path, or are no URI characters.
 const ESCAPED_IN_PATH: &[u8] = b"%?#\"<>\\^`{|}";
 
-/// Writes a request to the origin, which is told that its answer is awaited for so long.
+/// Writes a request to the origin, with the time for which its answer is awaited.
 pub fn write_request(output: &mut BytesMut, request: &ClientRequest, host: &str, time_left: Micros) {
     write_request_head(output, request, host, time_left, request.value.as_ref().map(Bytes::len));
     if let Some(value) = &request.value {
--- a/protocols/src/http/response.rs
+++ b/protocols/src/http/response.rs
@@ -214,7 +214,7 @@
     }
 
     /// The length of the value that this response brings, where it has to be streamed. One without a length cannot, as
-    /// the client is told that first.
+    /// the client gets the length first.
     pub fn streamed_length(&self) -> Option<usize> {
         match self.head.as_ref()? {
             Head { status: 200, framing: Framing::Length(length), .. } => {
@@ -239,7 +239,7 @@
     /// What the origin's complete response to a read or a write means.
     ///
     /// # Errors
-    /// A write's receipt is no word.
+    /// A write's receipt is no token.
     pub fn reply(&self, is_write: bool) -> Result<Reply, ResponseError> {
         let Some(head) = &self.head else { return Ok(Reply::Error) };
         Ok(match head.status {
--- a/protocols/src/memcache.rs
+++ b/protocols/src/memcache.rs
@@ -22,7 +22,7 @@
 
 /// The longest line in bytes; a key, an id and a few properties are far shorter.
 const MAX_LINE_BYTES: usize = 4096;
-/// The longest value in bytes that is taken in whole before it goes on.
+/// The longest value in bytes that is buffered before it is forwarded.
 pub const MAX_BUFFERED_VALUE_BYTES: usize = 64 * 1024;
 /// The longest value in bytes: one over [`MAX_BUFFERED_VALUE_BYTES`] is streamed.
 pub const MAX_VALUE_BYTES: usize = 4 * 1024 * 1024;
@@ -30,7 +30,7 @@
 const MAX_SKIPPED_BYTES: usize = 2 * MAX_VALUE_BYTES;
 /// The longest key in bytes, as memcache has it.
 const MAX_KEY_BYTES: usize = 250;
-/// The longest receipt in bytes: with an id as long it leaves room in the longest line.
+/// The longest receipt in bytes: with an id as long it fits into the longest line.
 const MAX_RECEIPT_BYTES: usize = 1024;
 /// What ends a line that is written, and a value.
 const LINE_END: &[u8] = b"\r\n";
--- a/protocols/src/memcache/answer_writer.rs
+++ b/protocols/src/memcache/answer_writer.rs
@@ -26,7 +26,7 @@
     output.put_slice(LINE_END);
 }
 
-/// Writes a cache server's reply, which [`super::read_reply`] reads. `hit` says how a read went where servers tell that,
+/// Writes a cache server's reply, which [`super::read_reply`] reads. `hit` says how a read went where servers report that,
 /// and `load` is the load report that may end the line.
 pub fn write_reply(output: &mut BytesMut, id: &[u8], reply: &Reply, hit: Option<bool>, load: Option<&str>) {
     match reply {
--- a/protocols/src/memcache/request_reader.rs
+++ b/protocols/src/memcache/request_reader.rs
@@ -46,9 +46,9 @@
         /// Whether the value is complete with it.
         is_last: bool,
     },
-    /// No request; this line is the whole answer.
+    /// No request; this line is the complete answer.
     Malformed(&'static str),
-    /// The same, and what follows cannot be told apart from it: the connection has to end.
+    /// The same, and what follows cannot be distinguished from it: the connection has to end.
     Unrecoverable(&'static str),
     /// `quit`.
     Quit,
@@ -194,7 +194,7 @@
 }
 
 fn parse_write(text: &Bytes, key: &[u8], length: &[u8], flags: &[&[u8]]) -> Line {
-    // Without a length nobody can tell where the value ends.
+    // Without a length nobody knows where the value ends.
     let Some(length) = number(length) else {
         return Line::Incoming(Incoming::Unrecoverable(BAD_DATA_CHUNK));
     };
--- a/protocols/src/memcache/request_writer.rs
+++ b/protocols/src/memcache/request_writer.rs
@@ -7,7 +7,7 @@
 
 use super::LINE_END;
 
-/// Writes a request to a cache server, which is told that its answer is awaited for so long.
+/// Writes a request to a cache server, with the time for which its answer is awaited.
 pub fn write_request(output: &mut BytesMut, request: &ClientRequest, time_left: Micros) {
     output.put_slice(if request.value.is_some() { b"ms " } else { b"mg " });
     output.put_slice(&request.key);
--- a/protocols/src/memcache/response_reader.rs
+++ b/protocols/src/memcache/response_reader.rs
@@ -57,7 +57,7 @@
         RemainingValue(length)
     }
 
-    /// Takes off what has come of the value, and tells whether its end has been seen.
+    /// Takes off what has come of the value, and returns whether its end has been seen.
     ///
     /// # Errors
     /// Something else stands where the value should end.
@@ -75,12 +75,12 @@
     }
 }
 
-/// A receipt as it may stand in an answer's line, where it is one word: with anything else in it the line would be another
+/// A receipt as it may stand in an answer's line, where it is one token: with anything else in it the line would be another
 /// answer to its client, or several.
 pub fn receipt(text: &[u8]) -> Option<Bytes> {
     let has_valid_length = (1..=MAX_RECEIPT_BYTES).contains(&text.len());
-    let is_word = has_valid_length && text.iter().all(u8::is_ascii_graphic);
-    is_word.then(|| Bytes::copy_from_slice(text))
+    let is_token = has_valid_length && text.iter().all(u8::is_ascii_graphic);
+    is_token.then(|| Bytes::copy_from_slice(text))
 }
 
 /// Takes a cache server's reply to this request off the input; none until it is complete.
--- a/protocols/src/memcache/tests.rs
+++ b/protocols/src/memcache/tests.rs
@@ -48,8 +48,8 @@
     assert_eq!(all(&long, 64), [Incoming::Malformed("CLIENT_ERROR key too long"), Incoming::Ready]);
     let line = format!("ms k {} O1 Pd=1\r\n", MAX_VALUE_BYTES + 1);
     let large = [line.into_bytes(), vec![b'\n'; MAX_VALUE_BYTES + 3], b"mn\r\n".to_vec()].concat();
-    let told = Incoming::Malformed("SERVER_ERROR object too large for cache");
-    assert_eq!(all(&large, 4096), [told, Incoming::Ready]);
+    let too_large = Incoming::Malformed("SERVER_ERROR object too large for cache");
+    assert_eq!(all(&large, 4096), [too_large, Incoming::Ready]);
     assert_eq!(all(b"mg k v O1 Pd=x\r\n", 99), [Incoming::Malformed("CLIENT_ERROR bad properties")]);
     assert_eq!(all(b"\r\n\xff\r\n", 99), [Incoming::Malformed("ERROR"), Incoming::Malformed("ERROR")]);
     assert_eq!(all(b"ms k five O1\r\n", 99), [Incoming::Unrecoverable("CLIENT_ERROR bad data chunk")]);
