--- a/cluster/src/failure_detector.rs
+++ b/cluster/src/failure_detector.rs
@@ -26,6 +26,7 @@
 
 mod dissemination;
 mod evidence;
+mod exchange;
 mod message;
 mod metrics;
 mod own_observations;
@@ -45,7 +46,7 @@
 use crate::injected_defect::InjectedDefect;
 use crate::server_incarnation::ServerIncarnation;
 use crate::MAX_SERVER_INCARNATIONS;
-use dissemination::{Dissemination, DueQuery};
+use dissemination::Dissemination;
 pub use message::{Message, QueryScope, Report, MAX_REPORTS};
 pub use metrics::FailureDetectorMetrics;
 use own_observations::OwnObservations;
@@ -64,7 +65,7 @@
 /// Between two trials of one suspected server by one member.
 const MIN_TRIAL_INTERVAL: Micros = Micros::SECOND;
 /// How long it is remembered when a suspected server was tried.
-const TRIALS_KEPT_FOR: Micros = Micros::from_secs(10);
+const TRIAL_MEMORY: Micros = Micros::from_secs(10);
 /// The least rate of requests, of all members to one server, that trials are drawn by.
 const MIN_REQUESTS_PER_S: f64 = 1e-3;
 
@@ -204,76 +205,6 @@
         }
     }
 
-    /// A message has come from another member.
-    pub fn on_message(&mut self, now: Micros, from: SocketAddr, message: Message) {
-        match message {
-            Message::Query { sent, digest, scope } => self.on_query(now, from, sent, digest, scope),
-            Message::Reports { sent, reports } => self.on_reports(now, from, sent, reports),
-        }
-    }
-
-    /// A member asks; it is answered where this one has something else, and queried in turn where that is urgent.
-    fn on_query(&mut self, now: Micros, from: SocketAddr, sent: Micros, digest: u64, scope: QueryScope) {
-        if digest == self.dissemination.digest(scope) || !self.dissemination.take_answer() {
-            return;
-        }
-        let first = self.rng.random_range(0..self.reports.len().max(1));
-        let reports = dissemination::answer(&self.reports, now, scope, first, self.terms.min_reporters);
-        if !reports.is_empty() {
-            self.outgoing.push((from, Message::Reports { sent, reports }));
-        }
-        if let Some(scope) = self.dissemination.query_in_turn(scope) {
-            self.send_query(now, DueQuery { to: from, scope });
-        }
-    }
-
-    /// A member has answered the query of that time.
-    fn on_reports(&mut self, now: Micros, from: SocketAddr, sent: Micros, reports: Vec<Report>) {
-        if !self.dissemination.close_query(now, from, sent) {
-            return;
-        }
-        for report in reports.into_iter().take(MAX_REPORTS) {
-            self.on_report(now, sent, report);
-        }
-    }
-
-    /// A report has come in the answer to the query of that time.
-    fn on_report(&mut self, now: Micros, sent: Micros, report: Report) {
-        let is_own = report.reporter == self.position;
-        let seen = self.earliest_seen(now, sent, report.age);
-        let has_expired = seen + self.terms.local_lifetime().0 as i64 <= now.0 as i64;
-        // Of itself a member knows better; what is over does not come back.
-        if is_own || has_expired {
-            return;
-        }
-        let stored = StoredReport {
-            reporter: report.reporter,
-            zone: report.zone,
-            stamp: report.stamp,
-            seen: Micros(seen.max(0) as u64),
-            is_silent: report.is_silent,
-            is_recovery: report.is_recovery && !report.is_silent,
-        };
-        self.add_report(report.server, stored, now);
-    }
-
-    /// The earliest that a report can have been seen, in microseconds of the own clock; below zero, before the clock began.
-    /// The answer was written after the query was sent, so that no later time can be proven.
-    fn earliest_seen(&self, now: Micros, sent: Micros, age: Micros) -> i64 {
-        if self.defect.is(Defect::RenewedByHearsay) {
-            return now.0 as i64;
-        }
-        let age = if self.defect.is(Defect::AgeNotCarried) { 0.0 } else { age.as_f64() };
-        (sent.as_f64() - age * (1.0 + 2.0 * self.terms.clock_drift)) as i64
-    }
-
-    fn send_query(&mut self, now: Micros, query: DueQuery) {
-        let DueQuery { to, scope } = query;
-        let sent = self.dissemination.open_query(now, to);
-        let digest = self.dissemination.digest(scope);
-        self.outgoing.push((to, Message::Query { sent, digest, scope }));
-    }
-
     /// Does what is due; to be called about every 50 ms. `members` are there now, this one included; `draw_peer` draws one of
     /// the others to ask.
     pub fn tick(&mut self, now: Micros, members: usize, draw_peer: impl FnMut() -> Option<SocketAddr>) {
@@ -283,7 +214,7 @@
         let has_changed = std::mem::take(&mut self.has_changed);
         // Servers that are cleared wait for their time without anything new.
         if has_changed || !self.suspected.is_empty() {
-            self.last_trials.retain(|_, at| now < *at + TRIALS_KEPT_FOR);
+            self.last_trials.retain(|_, at| now < *at + TRIAL_MEMORY);
             self.dissemination.update_digests(&self.reports, self.terms.min_reporters);
             self.decide_suspected(now);
         }
--- a/cluster/src/failure_detector/dissemination.rs
+++ b/cluster/src/failure_detector/dissemination.rs
@@ -19,7 +19,7 @@
 /// Between two rounds of queries while something urgent spreads.
 const URGENT_INTERVAL: Micros = Micros::from_millis(100);
 /// Between two rounds of queries while there are reports.
-const INTERVAL: Micros = Micros::from_millis(500);
+const ROUND_INTERVAL: Micros = Micros::from_millis(500);
 /// Between two rounds of queries while there are no reports.
 const IDLE_INTERVAL: Micros = Micros::from_secs(2);
 /// How long an own report is spread urgently.
@@ -157,7 +157,7 @@
             let members = (0..MEMBERS_PER_URGENT_ROUND).filter_map(|_| draw_peer());
             queries.extend(members.map(|to| DueQuery { to, scope }));
         }
-        let interval = if table.is_empty() { IDLE_INTERVAL } else { INTERVAL };
+        let interval = if table.is_empty() { IDLE_INTERVAL } else { ROUND_INTERVAL };
         if self.rounds.is_due(now, interval) {
             queries.extend(draw_peer().map(|to| DueQuery { to, scope: QueryScope::All }));
         }
--- a/cluster/src/failure_detector/own_observations.rs
+++ b/cluster/src/failure_detector/own_observations.rs
@@ -5,7 +5,7 @@
 use juniperladder::{Micros, ServerId};
 
 /// How long observations are kept.
-const KEPT_FOR: Micros = Micros::from_secs(2);
+const OBSERVATION_LIFETIME: Micros = Micros::from_secs(2);
 /// How many observations are kept.
 const MAX_OBSERVATIONS: usize = 64;
 /// A server that has answered here within this time is not reported silent: a time-out takes about as long, so that the
@@ -36,7 +36,7 @@
     }
 
     fn is_oldest_outdated(&self, now: Micros) -> bool {
-        self.observations.front().is_some_and(|oldest| oldest.at + KEPT_FOR < now)
+        self.observations.front().is_some_and(|oldest| oldest.at + OBSERVATION_LIFETIME < now)
     }
 
     /// Whether the observations tell of servers and not of the own link: no more than half of the servers are silent.
--- a/cluster/src/failure_detector/suspicion.rs
+++ b/cluster/src/failure_detector/suspicion.rs
@@ -62,7 +62,7 @@
 }
 
 impl ZoneCounts {
-    fn has_room(&self) -> bool {
+    fn has_capacity(&self) -> bool {
         (self.suspected + 1) as f64 <= MAX_SUSPECTED_SHARE_OF_ZONE * self.serving as f64
     }
 }
@@ -108,7 +108,7 @@
                 continue;
             }
             let zone = zones.entry(serving.zone).or_default();
-            if suspected.len() < max_suspected && zone.has_room() {
+            if suspected.len() < max_suspected && zone.has_capacity() {
                 zone.suspected += 1;
                 suspected.insert(server, Suspicion::Reported);
             } else {
--- a/cluster/src/failure_detector/tests/fleet.rs
+++ b/cluster/src/failure_detector/tests/fleet.rs
@@ -9,7 +9,7 @@
 
 use super::super::suspicion::Suspicion;
 use super::super::*;
-use crate::virtual_network::{address, Arrival, Conditions, Faults, Partition, VirtualNetwork};
+use crate::virtual_network::{address, Arrival, Conditions, Faults, Partition, VirtualNetwork, NO_FAULTS};
 
 /// By how much at most a late packet is late.
 const LATE_DELAYS: &[Micros] = &[Micros::from_secs(9)];
@@ -62,7 +62,7 @@
     seconds: 24,
     requests_per_s: 10.0,
     conditions: MILD_CONDITIONS,
-    faults: Faults::NONE,
+    faults: NO_FAULTS,
     silent_servers: 3,
     liars: 0,
     defect: None,
--- a/cluster/src/packet.rs
+++ b/cluster/src/packet.rs
@@ -17,9 +17,9 @@
 use crate::{failure_detector, rate_limit, retry_budget, MAX_PACKET_BYTES};
 
 /// The first bytes of every packet: two for the program, one for the version.
-const MAGIC: [u8; 3] = [b'J', b'L', 2];
+const MAGIC_BYTES: [u8; 3] = [b'J', b'L', 2];
 /// The length of a packet's header: the magic bytes and the kind.
-pub const HEADER_BYTES: usize = MAGIC.len() + 1;
+pub const HEADER_BYTES: usize = MAGIC_BYTES.len() + 1;
 /// The kind of a packet of the membership.
 const KIND_MEMBERSHIP: u8 = 0;
 /// The kind of a packet of coordination messages.
@@ -89,7 +89,7 @@
     if bytes.len() > MAX_PACKET_BYTES {
         return Err(PacketError::TooLong);
     }
-    let rest = bytes.strip_prefix(&MAGIC).ok_or(PacketError::UnknownVersion)?;
+    let rest = bytes.strip_prefix(&MAGIC_BYTES).ok_or(PacketError::UnknownVersion)?;
     match rest {
         [KIND_MEMBERSHIP, rest @ ..] => Ok(Packet::Membership(rest)),
         [KIND_COORDINATION, rest @ ..] => decode_messages(rest).map(Packet::Coordination),
@@ -116,7 +116,7 @@
 
 /// Encodes a packet of the membership.
 pub fn encode_membership(bytes: &[u8]) -> Vec<u8> {
-    [&MAGIC[..], &[KIND_MEMBERSHIP], bytes].concat()
+    [&MAGIC_BYTES[..], &[KIND_MEMBERSHIP], bytes].concat()
 }
 
 /// A packet that is filled with messages to one member.
@@ -128,11 +128,11 @@
 
 impl OpenPacket {
     fn with_message(to: SocketAddr, message: &[u8]) -> OpenPacket {
-        let bytes = [&MAGIC[..], &[KIND_COORDINATION], message].concat();
+        let bytes = [&MAGIC_BYTES[..], &[KIND_COORDINATION], message].concat();
         OpenPacket { to, bytes, messages: 1 }
     }
 
-    fn has_room_for(&self, message: &[u8]) -> bool {
+    fn fits(&self, message: &[u8]) -> bool {
         self.bytes.len() + message.len() <= MAX_PACKET_BYTES && self.messages < MAX_MESSAGES
     }
 
@@ -153,7 +153,7 @@
         if HEADER_BYTES + message.len() > MAX_PACKET_BYTES {
             continue;
         }
-        match packets.iter_mut().find(|packet| packet.to == to && packet.has_room_for(&message)) {
+        match packets.iter_mut().find(|packet| packet.to == to && packet.fits(&message)) {
             Some(packet) => packet.add(&message),
             None => packets.push(OpenPacket::with_message(to, &message)),
         }
--- a/cluster/src/rate_limit.rs
+++ b/cluster/src/rate_limit.rs
@@ -56,7 +56,7 @@
 /// Between two rounds of requests for more tokens at the most.
 const MAX_REQUEST_INTERVAL: Micros = Micros::from_millis(800);
 /// How long tokens that are not needed are kept, in case they are needed again.
-const SURPLUS_KEPT_FOR: Micros = Micros::SECOND;
+const SURPLUS_RETENTION: Micros = Micros::SECOND;
 /// How long a request waits at first where there is no token at all: some may be leased by then.
 const WAIT_WITHOUT_TOKENS: Micros = Micros::from_millis(50);
 /// Tokens that a member wants beyond those that it has while a request waits for one.
@@ -248,7 +248,7 @@
             return;
         }
         let since = *self.surplus_since.get_or_insert(now);
-        if now >= since + SURPLUS_KEPT_FOR {
+        if now >= since + SURPLUS_RETENTION {
             self.lower_targets(now, usable - wanted);
         }
     }
--- a/cluster/src/rate_limit/owner.rs
+++ b/cluster/src/rate_limit/owner.rs
@@ -11,7 +11,7 @@
 /// Between two rounds in which an owner asks for tokens back.
 const RECALL_INTERVAL: Micros = Micros::from_millis(200);
 /// An owner keeps at least this many of its tokens for its own next request.
-const MIN_KEPT_TOKENS: u32 = 1;
+const MIN_RESERVED_TOKENS: u32 = 1;
 
 impl RateLimit {
     /// A borrower requests, renews or gives up a lease; it is answered with what it may use.
@@ -38,7 +38,7 @@
     /// How many tokens may be leased out now: not needed here, and the uses of the last window fit into what stays.
     fn leasable_tokens(&mut self, now: Micros) -> u32 {
         let usable_own = self.usable_own_tokens(now);
-        let kept = self.demanded_tokens().max(MIN_KEPT_TOKENS).min(usable_own);
+        let kept = self.demanded_tokens().max(MIN_RESERVED_TOKENS).min(usable_own);
         let used = self.uses.count(now);
         let unused = (self.usable_tokens(now) as usize).saturating_sub(used) as u32;
         (usable_own - kept).min(unused)
--- /dev/null
+++ b/cluster/src/rate_limit/tests/fleet.rs
@@ -0,0 +1,267 @@
+//! A fleet in virtual time: drawn networks, kills, freezes and clocks; what arrives is counted at each request that begins.
+
+use std::collections::VecDeque;
+
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+
+use super::super::*;
+use crate::virtual_network::{address, Arrival, Conditions, Faults, Partition, VirtualNetwork, NO_FAULTS};
+
+/// What is scheduled beside what the network does.
+#[derive(Debug)]
+enum Scheduled {
+    /// A request of a member, which waits until then.
+    Request(usize, Micros),
+    /// A process that was killed starts again.
+    Start(usize),
+}
+
+/// How long a request waits for a token, as a read does at the origin.
+const REQUEST_TIMEOUT: Micros = Micros::from_millis(200);
+/// The longest wait before a request asks for a token again.
+const MAX_RECHECK: Micros = Micros::from_millis(20);
+/// The longest freeze of a process.
+const MAX_FREEZE: Micros = Micros::from_secs(6);
+/// The longest cut of the network.
+const MAX_CUT: Micros = Micros::from_secs(5);
+/// By how much at most a late packet is late: half by little more than a lease bears, half by far more.
+const LATE_DELAYS: &[Micros] = &[Micros::from_secs(2), Micros::from_secs(8)];
+
+/// A fleet, its demand, and what goes wrong in it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct Scenario {
+    pub(super) members: usize,
+    pub(super) owners: u32,
+    pub(super) requests_per_s: u32,
+    /// By how much requests differ in the time that they take.
+    pub(super) arrival_spread: Micros,
+    pub(super) seconds: u64,
+    /// Requests a second that all members together want to begin.
+    pub(super) demand_per_s: f64,
+    /// The share of the demand that comes to the first fifth of the members alone.
+    pub(super) uneven_share: f64,
+    pub(super) conditions: Conditions,
+    pub(super) faults: Faults,
+    pub(super) defect: Option<Defect>,
+    /// A process uses what it owns at once when it starts.
+    pub(super) without_start_wait: bool,
+    /// Tokens are for one second, whatever the time that requests take.
+    pub(super) without_spread: bool,
+}
+
+/// What a fleet did.
+#[derive(Debug, Default)]
+pub(super) struct RunResult {
+    /// When requests began, and at whom.
+    pub(super) begun: Vec<(Micros, usize)>,
+    pub(super) rejected: u64,
+    pub(super) packets: u64,
+    /// The most that arrived in any second.
+    pub(super) max_arrived: usize,
+}
+
+struct Fleet {
+    scenario: Scenario,
+    network: VirtualNetwork<Message, Scheduled>,
+    /// Each member's part; none while its process is killed.
+    members: Vec<Option<RateLimit>>,
+    recent_arrivals: VecDeque<Micros>,
+    result: RunResult,
+}
+
+pub(super) fn terms(scenario: &Scenario) -> RateLimitTerms {
+    RateLimitTerms {
+        requests_per_s: scenario.requests_per_s,
+        arrival_spread: if scenario.without_spread { Micros::ZERO } else { scenario.arrival_spread },
+        owners: scenario.owners,
+        lease: Micros::from_secs(2),
+        clock_drift: 0.001,
+    }
+}
+
+pub(super) fn run_fleet(seed: u64, scenario: Scenario) -> RunResult {
+    let mut fleet = Fleet {
+        scenario,
+        network: VirtualNetwork::new(seed, scenario.members, scenario.conditions),
+        members: (0..scenario.members).map(|_| None).collect(),
+        recent_arrivals: VecDeque::new(),
+        result: RunResult::default(),
+    };
+    fleet.run();
+    fleet.result.packets = fleet.network.packets;
+    fleet.result
+}
+
+impl Fleet {
+    fn run(&mut self) {
+        let end = Micros::from_secs(self.scenario.seconds);
+        for member in 0..self.scenario.members {
+            self.start(member);
+        }
+        self.network.schedule_process_faults(self.scenario.faults, end, MAX_FREEZE);
+        for _ in 0..self.scenario.faults.cuts {
+            let at = self.network.draw(end);
+            let second_side = self.network.rng.random();
+            let one_way = self.network.rng.random();
+            let duration = self.network.draw(MAX_CUT);
+            self.network.schedule_cut(at, at + duration, Partition { second_side, one_way });
+        }
+        self.schedule_requests(end);
+        while let Some(arrival) = self.network.next(end) {
+            self.on_arrival(arrival);
+        }
+    }
+
+    fn schedule_requests(&mut self, end: Micros) {
+        let Scenario { members, demand_per_s, uneven_share, .. } = self.scenario;
+        let mut at = 0.0;
+        while at < end.as_f64() {
+            let rng = &mut self.network.rng;
+            at += -(1.0 - rng.random::<f64>()).ln() / demand_per_s * 1e6;
+            let first_fifth = (members / 5).max(1);
+            let candidates = if rng.random::<f64>() < uneven_share { 0..first_fifth } else { 0..members };
+            let member = rng.random_range(candidates);
+            let begins = Micros(at as u64);
+            let request = Scheduled::Request(member, begins + REQUEST_TIMEOUT);
+            self.network.schedule_for(begins, member, request);
+        }
+    }
+
+    fn start(&mut self, member: usize) {
+        let now = self.network.clock(member);
+        self.network.start(member);
+        let incarnation = self.network.incarnation(member);
+        let mut limit = RateLimit::new(terms(&self.scenario), member as u32, u64::from(incarnation), now);
+        limit.defect = InjectedDefect::given(self.scenario.defect);
+        if self.scenario.without_start_wait || incarnation == 1 {
+            // The first of all incarnations has nothing before it.
+            limit.own_usable_from = now;
+        }
+        self.members[member] = Some(limit);
+    }
+
+    fn on_arrival(&mut self, arrival: Arrival<Message, Scheduled>) {
+        match arrival {
+            Arrival::Tick(member) => {
+                let now = self.network.clock(member);
+                if let Some(limit) = &mut self.members[member] {
+                    limit.tick(now, || self.network.draw_peer(member));
+                }
+                self.send(member);
+                let pause = Micros::from_millis(45) + self.network.draw(Micros::from_millis(10));
+                self.network.tick_after(member, pause);
+            }
+            Arrival::Packet { from, to, message } => {
+                let now = self.network.clock(to);
+                if let Some(limit) = &mut self.members[to] {
+                    limit.on_message(now, address(from), message);
+                }
+                self.send(to);
+            }
+            Arrival::Killed(member) => {
+                self.members[member] = None;
+                let restart = self.network.now() + self.network.draw(Micros::from_secs(2));
+                self.network.schedule(restart, Scheduled::Start(member));
+            }
+            Arrival::Scheduled(Scheduled::Request(member, until)) => self.on_request(member, until),
+            Arrival::Scheduled(Scheduled::Start(member)) => self.start(member),
+        }
+    }
+
+    /// A request wants to begin: the bound is asserted here, at each of them, by the fleet's own time.
+    fn on_request(&mut self, member: usize, until: Micros) {
+        let now = self.network.clock(member);
+        let true_now = self.network.now();
+        let Some(limit) = &mut self.members[member] else { return };
+        let wait = limit.wait_time(now).min(MAX_RECHECK);
+        if !wait.is_zero() && true_now + wait < until {
+            self.network.schedule_for(true_now + wait, member, Scheduled::Request(member, until));
+            return;
+        }
+        if !wait.is_zero() {
+            limit.on_rejected(now);
+            self.result.rejected += 1;
+            return;
+        }
+        limit.acquire(now);
+        let arrives = true_now + self.network.draw(self.scenario.arrival_spread + Micros(1));
+        self.count_arrival(true_now, arrives);
+        self.result.begun.push((true_now, member));
+    }
+
+    /// What arrives up to the spread later is counted by the windows that begin at it, once all of them are known.
+    fn count_arrival(&mut self, true_now: Micros, arrives: Micros) {
+        let index = self.recent_arrivals.partition_point(|at| *at <= arrives);
+        self.recent_arrivals.insert(index, arrives);
+        for (index, begin) in self.recent_arrivals.iter().enumerate() {
+            let end = self.recent_arrivals.partition_point(|at| *at < *begin + Micros::SECOND);
+            self.result.max_arrived = self.result.max_arrived.max(end - index);
+        }
+        let outdated = true_now - (Micros::SECOND + self.scenario.arrival_spread);
+        while self.recent_arrivals.front().is_some_and(|at| *at < outdated) {
+            self.recent_arrivals.pop_front();
+        }
+    }
+
+    fn send(&mut self, member: usize) {
+        if let Some(limit) = &mut self.members[member] {
+            self.network.send(member, limit.drain());
+        }
+    }
+}
+
+pub(super) const CALM_CONDITIONS: Conditions = Conditions {
+    loss: 0.0,
+    repeat: 0.0,
+    min_delay: Micros(500),
+    delay: Micros::from_millis(5),
+    late: 0.0,
+    late_delays: LATE_DELAYS,
+    drift: 0.0,
+};
+
+pub(super) const CALM: Scenario = Scenario {
+    members: 10,
+    owners: 10,
+    requests_per_s: 40,
+    arrival_spread: Micros::ZERO,
+    seconds: 20,
+    demand_per_s: 80.0,
+    uneven_share: 0.0,
+    conditions: CALM_CONDITIONS,
+    faults: NO_FAULTS,
+    defect: None,
+    without_start_wait: false,
+    without_spread: false,
+};
+
+/// A scenario as bad as the terms allow for, drawn.
+pub(super) fn drawn_scenario(seed: u64) -> Scenario {
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    let members = rng.random_range(2..9);
+    let mut up_to = |most: f64| most * rng.random::<f64>();
+    let demand_per_s = up_to(150.0) + 10.0;
+    let uneven_share = up_to(1.0);
+    let loss = up_to(0.5);
+    let repeat = up_to(0.2);
+    let late = up_to(0.4);
+    let delay = Micros(up_to(300_000.0) as u64 + 1);
+    let drift = up_to(0.001);
+    Scenario {
+        members,
+        owners: rng.random_range(1..2 * members as u32),
+        requests_per_s: rng.random_range(1..60),
+        arrival_spread: if rng.random() { Micros::ZERO } else { Micros(rng.random_range(0..200_000)) },
+        seconds: 14,
+        demand_per_s,
+        uneven_share,
+        conditions: Conditions { loss, repeat, late, delay, drift, ..CALM_CONDITIONS },
+        faults: Faults {
+            kills: rng.random_range(0..8),
+            freezes: rng.random_range(0..5),
+            cuts: rng.random_range(0..4),
+        },
+        ..CALM
+    }
+}
--- a/cluster/src/retry_budget.rs
+++ b/cluster/src/retry_budget.rs
@@ -30,12 +30,12 @@
 use crate::open_requests::OpenRequests;
 pub use message::Message;
 
-/// How long a request for credits may wait for its answer. With [`RECEIVED_KEPT_FOR`] it makes the two seconds of the guarantee.
+/// How long a request for credits may wait for its answer. With [`RECEIVED_CREDIT_LIFETIME`] it makes the two seconds of the guarantee.
 const REQUEST_TIMEOUT: Micros = Micros::SECOND;
 /// How long received credits are kept.
-const RECEIVED_KEPT_FOR: Micros = Micros::SECOND;
+const RECEIVED_CREDIT_LIFETIME: Micros = Micros::SECOND;
 /// For how long after a retry found no credit a member asks others for some, and passes none on.
-const SHORTAGE_LASTS: Micros = Micros::SECOND;
+const SHORTAGE_MEMORY: Micros = Micros::SECOND;
 /// Between two rounds of requests for credits.
 const REQUEST_INTERVAL: Micros = Micros::from_millis(200);
 /// Members asked in a round.
@@ -43,7 +43,7 @@
 /// The most credits in one request or transfer.
 const MAX_TRANSFER: u32 = 16;
 /// Credits that a member does not pass on.
-const KEPT_CREDITS: f64 = 1.0;
+const RESERVED_CREDITS: f64 = 1.0;
 /// The share of its other credits that a member passes on at once: the next that asks finds some, too.
 const TRANSFERRED_SHARE: f64 = 0.5;
 /// What a retry costs.
@@ -93,7 +93,7 @@
     /// At most `max_own_credits`.
     own_credits: f64,
     max_own_credits: f64,
-    /// Credits from others, oldest first, each until [`RECEIVED_KEPT_FOR`] is over.
+    /// Credits from others, oldest first, each until [`RECEIVED_CREDIT_LIFETIME`] is over.
     received: VecDeque<ReceivedCredits>,
     requests: OpenRequests,
     rounds: Interval,
@@ -132,7 +132,7 @@
 
     /// Credits that have come from others and are not too old.
     fn received_credits(&mut self, now: Micros) -> f64 {
-        while self.received.front().is_some_and(|received| now >= received.at + RECEIVED_KEPT_FOR) {
+        while self.received.front().is_some_and(|received| now >= received.at + RECEIVED_CREDIT_LIFETIME) {
             self.received.pop_front();
         }
         self.received.iter().map(|received| received.credits).sum()
@@ -173,7 +173,7 @@
 
     /// Whether a retry found no credit a short while ago.
     fn is_short(&self, now: Micros) -> bool {
-        self.last_shortage.is_some_and(|at| now < at + SHORTAGE_LASTS)
+        self.last_shortage.is_some_and(|at| now < at + SHORTAGE_MEMORY)
     }
 
     /// Asks others for credits while there was lately none; to be called about every 50 ms. `draw_peer` draws a member.
@@ -210,7 +210,7 @@
 
     /// Takes whole credits off the own ones to pass them on, none while this member is short itself.
     fn take_transferable(&mut self, now: Micros, requested: u32) -> u32 {
-        let beyond_kept = (self.own_credits - KEPT_CREDITS).max(0.0);
+        let beyond_kept = (self.own_credits - RESERVED_CREDITS).max(0.0);
         let most = f64::from(requested.min(MAX_TRANSFER));
         let credits = (beyond_kept * TRANSFERRED_SHARE).floor().min(most);
         if credits < 1.0 || self.is_short(now) {
--- a/cluster/src/virtual_network.rs
+++ b/cluster/src/virtual_network.rs
@@ -62,10 +62,8 @@
     pub(crate) cuts: usize,
 }
 
-impl Faults {
-    /// Nothing goes wrong.
-    pub(crate) const NONE: Faults = Faults { kills: 0, freezes: 0, cuts: 0 };
-}
+/// Nothing goes wrong.
+pub(crate) const NO_FAULTS: Faults = Faults { kills: 0, freezes: 0, cuts: 0 };
 
 /// Who is cut off from whom.
 #[derive(Clone, Copy, Debug, Default)]
