--- a/cluster/src/interval/tests.rs
+++ b/cluster/src/interval/tests.rs
@@ -16,7 +16,9 @@
     assert!(backoff.is_due(Micros(1_000)));
     backoff.lengthen();
     assert!(!backoff.is_due(Micros(1_199)) && backoff.is_due(Micros(1_200)));
-    (0..3).for_each(|_| backoff.lengthen());
+    for _ in 0..3 {
+        backoff.lengthen();
+    }
     assert!(!backoff.is_due(Micros(1_499)) && backoff.is_due(Micros(1_500)));
     backoff.reset();
     assert!(!backoff.is_due(Micros(1_599)) && backoff.is_due(Micros(1_600)));
--- a/cluster/src/virtual_network.rs
+++ b/cluster/src/virtual_network.rs
@@ -4,20 +4,23 @@
 //! The network keeps the time and the queue of what happens; a test keeps its state machines, takes one [`Arrival`] after the
 //! other and gives the network what its machines send.
 
+mod conditions;
+
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
 
+use juniperladder::Micros;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use juniperladder::Micros;
+pub(crate) use conditions::{Conditions, Faults, Partition, NO_FAULTS};
 
 /// The port of the first member.
 const FIRST_PORT: u16 = 1_000;
 /// The first tick of a process comes within this time of its start.
-const FIRST_TICK: Micros = Micros::from_millis(50);
-/// Members' clocks show up to this time when a run begins.
-const CLOCKS_APART: Micros = Micros::from_secs(1_000);
+const MAX_FIRST_TICK_DELAY: Micros = Micros::from_millis(50);
+/// Members' clocks show less than this when a run begins.
+const MAX_CLOCK_OFFSET: Micros = Micros::from_secs(1_000);
 
 /// The address of a member.
 pub(crate) fn address(member: usize) -> SocketAddr {
@@ -34,57 +37,6 @@
     (from.0..until.0).step_by(step.0 as usize).map(Micros)
 }
 
-/// How packets fare, and how far clocks run apart.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Conditions {
-    /// The share of packets that are lost.
-    pub(crate) loss: f64,
-    /// The share of packets that come twice; either copy may be lost.
-    pub(crate) repeat: f64,
-    /// The shortest delay, and how much longer a packet usually takes at most.
-    pub(crate) min_delay: Micros,
-    pub(crate) delay: Micros,
-    /// The share of packets that come far later, and by how much at most: one of these, drawn for each.
-    pub(crate) late: f64,
-    pub(crate) late_delays: &'static [Micros],
-    /// By which part clocks run faster or slower than the network's time, at most.
-    pub(crate) drift: f64,
-}
-
-/// What goes wrong during a run beside lost and late packets.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Faults {
-    /// Processes that are killed.
-    pub(crate) kills: usize,
-    /// Processes that are frozen for a while.
-    pub(crate) freezes: usize,
-    /// Cuts of the network for a while.
-    pub(crate) cuts: usize,
-}
-
-/// Nothing goes wrong.
-pub(crate) const NO_FAULTS: Faults = Faults { kills: 0, freezes: 0, cuts: 0 };
-
-/// Who is cut off from whom.
-#[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Partition {
-    /// The members on the second side, a bit for each.
-    pub(crate) second_side: u64,
-    /// Packets from the second side to the first still come.
-    pub(crate) one_way: bool,
-}
-
-impl Partition {
-    fn separates(&self, from: usize, to: usize) -> bool {
-        let [from, to] = [from, to].map(|member| self.second_side >> (member % 64) & 1 == 1);
-        if self.one_way {
-            !from && to
-        } else {
-            from != to
-        }
-    }
-}
-
 /// What a test has to do next.
 #[derive(Debug)]
 pub(crate) enum Arrival<M, E> {
@@ -105,23 +57,23 @@
     Scheduled(E),
 }
 
+/// What happens in the network.
 #[derive(Debug)]
 enum Event<M, E> {
-    Tick {
-        member: usize,
-        incarnation: u32,
-    },
-    Packet {
-        from: usize,
-        to: usize,
-        message: M,
-    },
-    Kill(usize),
-    Freeze(usize, Micros),
-    Thaw(usize),
+    /// A process does what is due, unless it has been killed since.
+    Tick { member: usize, incarnation: u32 },
+    /// A packet arrives.
+    Packet { from: usize, to: usize, message: M },
+    /// A process is killed.
+    Kill { member: usize },
+    /// A process stands still for so long.
+    Freeze { member: usize, duration: Micros },
+    /// A process goes on.
+    Thaw { member: usize },
+    /// The network is cut, or whole again.
     Cut(Partition),
-    /// What a test has scheduled; a member that is frozen meets it when it thaws.
-    Scheduled(Option<usize>, E),
+    /// What a test has scheduled; one that is for a member waits while that is frozen.
+    Scheduled { member: Option<usize>, event: E },
 }
 
 impl<M, E> Event<M, E> {
@@ -129,8 +81,8 @@
     fn member(&self) -> Option<usize> {
         match self {
             Event::Tick { member, .. } | Event::Packet { to: member, .. } => Some(*member),
-            Event::Scheduled(member, _) => *member,
-            Event::Kill(_) | Event::Freeze(..) | Event::Thaw(_) | Event::Cut(_) => None,
+            Event::Scheduled { member, .. } => *member,
+            Event::Kill { .. } | Event::Freeze { .. } | Event::Thaw { .. } | Event::Cut(_) => None,
         }
     }
 }
@@ -144,7 +96,9 @@
     is_frozen: bool,
     /// What waits until it thaws.
     waiting: Vec<Event<M, E>>,
+    /// How fast its clock runs, as a ratio to the network's time.
     clock_rate: f64,
+    /// What its clock showed when the run began.
     clock_offset: Micros,
 }
 
@@ -157,7 +111,9 @@
     pub(crate) packets: u64,
     conditions: Conditions,
     now: Micros,
+    /// Events scheduled so far.
     scheduled: u64,
+    /// What is to happen, by its time and in the order of scheduling.
     queue: BTreeMap<(Micros, u64), Event<M, E>>,
     processes: Vec<Process<M, E>>,
     partition: Partition,
@@ -173,7 +129,7 @@
             is_frozen: false,
             waiting: Vec::new(),
             clock_rate: 1.0 + conditions.drift * (2.0 * rng.random::<f64>() - 1.0),
-            clock_offset: Micros(rng.random_range(0..CLOCKS_APART.0)),
+            clock_offset: Micros(rng.random_range(0..MAX_CLOCK_OFFSET.0)),
         });
         let processes = processes.collect();
         VirtualNetwork {
@@ -195,8 +151,8 @@
 
     /// What a member's clock shows.
     pub(crate) fn clock(&self, member: usize) -> Micros {
-        let Process { clock_rate, clock_offset, .. } = &self.processes[member];
-        *clock_offset + self.now.mul_f64(*clock_rate)
+        let process = &self.processes[member];
+        process.clock_offset + self.now.mul_f64(process.clock_rate)
     }
 
     /// How often a member has been started.
@@ -224,24 +180,24 @@
         let process = &mut self.processes[member];
         process.incarnation += 1;
         process.is_running = true;
-        let rest = self.draw(FIRST_TICK);
-        self.tick_after(member, rest);
+        let first_tick = self.draw(MAX_FIRST_TICK_DELAY);
+        self.tick_after(member, first_tick);
     }
 
     /// The next tick of a member's process comes after this time.
-    pub(crate) fn tick_after(&mut self, member: usize, rest: Micros) {
+    pub(crate) fn tick_after(&mut self, member: usize, pause: Micros) {
         let incarnation = self.processes[member].incarnation;
-        self.push(self.now + rest, Event::Tick { member, incarnation });
+        self.push(self.now + pause, Event::Tick { member, incarnation });
     }
 
     /// At that time something happens that needs no member's process.
     pub(crate) fn schedule(&mut self, at: Micros, event: E) {
-        self.push(at, Event::Scheduled(None, event));
+        self.push(at, Event::Scheduled { member: None, event });
     }
 
     /// At that time something happens at a member, or when it thaws.
     pub(crate) fn schedule_for(&mut self, at: Micros, member: usize, event: E) {
-        self.push(at, Event::Scheduled(Some(member), event));
+        self.push(at, Event::Scheduled { member: Some(member), event });
     }
 
     /// Whether a member's process stands still.
@@ -251,7 +207,7 @@
 
     /// A member's process is killed at that time.
     pub(crate) fn schedule_kill(&mut self, at: Micros, member: usize) {
-        self.push(at, Event::Kill(member));
+        self.push(at, Event::Kill { member });
     }
 
     /// Drawn members are killed and frozen at drawn times until `end`, frozen for up to `max_freeze` each.
@@ -263,7 +219,8 @@
     /// Drawn members are killed at drawn times until `end`.
     fn schedule_kills(&mut self, count: usize, end: Micros) {
         for _ in 0..count {
-            let (at, member) = (self.draw(end), self.draw_member());
+            let at = self.draw(end);
+            let member = self.draw_member();
             self.schedule_kill(at, member);
         }
     }
@@ -271,8 +228,10 @@
     /// Drawn members are frozen at drawn times until `end`, each for up to `longest`.
     fn schedule_freezes(&mut self, count: usize, end: Micros, longest: Micros) {
         for _ in 0..count {
-            let (at, member, lasts) = (self.draw(end), self.draw_member(), self.draw(longest));
-            self.push(at, Event::Freeze(member, lasts));
+            let at = self.draw(end);
+            let member = self.draw_member();
+            let duration = self.draw(longest);
+            self.push(at, Event::Freeze { member, duration });
         }
     }
 
@@ -287,16 +246,16 @@
         self.queue.insert((at, self.scheduled), event);
     }
 
-    /// What a member says goes on its way.
+    /// A member's packets go on their way.
     pub(crate) fn send(&mut self, from: usize, messages: impl IntoIterator<Item = (SocketAddr, M)>) {
         for (to, message) in messages {
             self.packets += 1;
             let to = member_at(to);
             let is_cut = self.partition.separates(from, to);
-            let copies = 1 + usize::from(self.draws(self.conditions.repeat));
+            let copies = 1 + usize::from(self.is_drawn(self.conditions.repeat));
             for _ in 0..copies {
                 let delay = self.draw_delay();
-                if !is_cut && !self.draws(self.conditions.loss) {
+                if !is_cut && !self.is_drawn(self.conditions.loss) {
                     let message = message.clone();
                     self.push(self.now + delay, Event::Packet { from, to, message });
                 }
@@ -308,7 +267,7 @@
         let Conditions { min_delay, delay, late, late_delays, .. } = self.conditions;
         let most = match late_delays {
             [] => delay,
-            _ if !self.draws(late) => delay,
+            _ if !self.is_drawn(late) => delay,
             [latest] => *latest,
             _ => late_delays[self.rng.random_range(0..late_delays.len())],
         };
@@ -316,7 +275,7 @@
     }
 
     /// Whether something happens that does so in this share of cases.
-    fn draws(&mut self, share: f64) -> bool {
+    fn is_drawn(&mut self, share: f64) -> bool {
         self.rng.random::<f64>() < share
     }
 
@@ -344,13 +303,13 @@
                 (process.is_running && process.incarnation == incarnation).then_some(Arrival::Tick(member))
             }
             Event::Packet { from, to, message } => Some(Arrival::Packet { from, to, message }),
-            Event::Scheduled(_, event) => Some(Arrival::Scheduled(event)),
-            Event::Kill(member) => self.kill(member).then_some(Arrival::Killed(member)),
-            Event::Freeze(member, lasts) => {
-                self.freeze(member, lasts);
+            Event::Scheduled { event, .. } => Some(Arrival::Scheduled(event)),
+            Event::Kill { member } => self.kill(member).then_some(Arrival::Killed(member)),
+            Event::Freeze { member, duration } => {
+                self.freeze(member, duration);
                 None
             }
-            Event::Thaw(member) => {
+            Event::Thaw { member } => {
                 self.thaw(member);
                 None
             }
@@ -373,9 +332,9 @@
     }
 
     /// A process stands still from now on, for so long.
-    pub(crate) fn freeze(&mut self, member: usize, lasts: Micros) {
+    pub(crate) fn freeze(&mut self, member: usize, duration: Micros) {
         self.processes[member].is_frozen = true;
-        self.push(self.now + lasts, Event::Thaw(member));
+        self.push(self.now + duration, Event::Thaw { member });
     }
 
     /// A process goes on, with what waited for it, in order.
