--- a/node/src/discovery/poll.rs
+++ b/node/src/discovery/poll.rs
@@ -18,7 +18,7 @@
 use super::timing::CONNECT_TIMEOUT;
 use super::watches::WatchId;
 use crate::endpoint_list::EndpointList;
-use crate::http::{write_call, Response};
+use crate::http::{write_discovery_call, Response};
 use crate::socket::Socket;
 
 /// The longest list.
@@ -128,7 +128,7 @@
     host: &str,
 ) -> Result<(), PollError> {
     let mut request = BytesMut::new();
-    write_call(&mut request, path, host);
+    write_discovery_call(&mut request, path, host);
     stream.write_all(&request).await?;
     Ok(())
 }
@@ -151,7 +151,7 @@
         if response.body.len() > MAX_LIST_BYTES {
             return Err(PollError::ListTooLong);
         }
-        if response.done {
+        if response.is_complete {
             return Ok(());
         }
     }
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -7,7 +7,6 @@
 pub mod connect;
 pub mod daemon;
 pub mod discovery;
-mod download;
 pub mod downstream;
 pub mod endpoint_list;
 pub mod error;
@@ -24,11 +23,10 @@
 pub mod socket;
 pub mod together;
 pub mod transient_errors;
-mod upload;
 pub mod upstream;
 
 #[cfg(test)]
-mod storm;
+mod simulation;
 #[cfg(test)]
 mod testing;
 
--- /dev/null
+++ b/node/src/simulation/servers.rs
@@ -0,0 +1,358 @@
+//! Cache servers and an origin that are slow, silent, gone or wrong, by draw.
+
+use std::cell::{Cell, RefCell};
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::BytesMut;
+use fastrand::Rng;
+use juniperladder::{Endpoint, EndpointState, Micros, ServerId};
+use tokio::io::{duplex, AsyncReadExt, AsyncWriteExt, DuplexStream};
+use tokio::task::spawn_local;
+use tokio::time::{sleep, sleep_until, timeout_at, Instant};
+
+use super::{EventLog, Occurrence};
+use crate::connect::{Connecting, Connector, ServerStream};
+use crate::dispatcher::ListedServer;
+use crate::memcache::{Incoming, RequestReader};
+use crate::testing::ORIGIN;
+
+/// The origin, which is the first, and cache servers.
+pub const SERVER_COUNT: usize = 6;
+
+/// What a server does with a request, or with a connection that comes up.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum Behaviour {
+    /// It answers as it should.
+    Correct,
+    /// It lacks the key; the origin never does.
+    Miss,
+    Busy,
+    Fail,
+    Silent,
+    Slow,
+    Reset,
+    Malformed,
+    /// It answers with another request's id.
+    OtherRequest,
+    AnswerTwice,
+    /// It answers with bytes without end.
+    EndlessAnswer,
+    /// It closes in the middle of the answer.
+    TruncatedAnswer,
+    AnswerInPieces,
+    ConnectLate,
+    ConnectRefused,
+    ConnectNever,
+}
+
+/// What a server does with a request beside what is correct, and how often in a hundred.
+pub const REQUEST_BEHAVIOURS: [(Behaviour, u8); 12] = [
+    (Behaviour::Miss, 25),
+    (Behaviour::Busy, 4),
+    (Behaviour::Fail, 4),
+    (Behaviour::Silent, 9),
+    (Behaviour::Slow, 6),
+    (Behaviour::Reset, 4),
+    (Behaviour::Malformed, 5),
+    (Behaviour::OtherRequest, 3),
+    (Behaviour::AnswerTwice, 4),
+    (Behaviour::EndlessAnswer, 1),
+    (Behaviour::TruncatedAnswer, 3),
+    (Behaviour::AnswerInPieces, 4),
+];
+
+/// What a server does with a connection that comes up beside what is correct; [`Servers::connect`] draws it.
+pub const CONNECT_BEHAVIOURS: [Behaviour; 3] =
+    [Behaviour::ConnectLate, Behaviour::ConnectRefused, Behaviour::ConnectNever];
+
+/// What a server does with a request.
+fn draw_behaviour(rng: &mut Rng) -> Behaviour {
+    let mut draw = rng.u8(..100);
+    for (behaviour, percent) in REQUEST_BEHAVIOURS {
+        if draw < percent {
+            return behaviour;
+        }
+        draw -= percent;
+    }
+    Behaviour::Correct
+}
+
+/// When the balancer was notified that an incarnation of a server drains or has ended.
+type NotifiedAt = Rc<Cell<Option<Instant>>>;
+
+/// The server at one address.
+struct ServerSlot {
+    incarnation: u64,
+    state: EndpointState,
+    notified_at: NotifiedAt,
+}
+
+/// All servers.
+pub struct Servers {
+    slots: RefCell<Vec<ServerSlot>>,
+    rng: RefCell<Rng>,
+    event_log: Rc<EventLog>,
+}
+
+impl Servers {
+    pub fn new(rng: Rng, event_log: Rc<EventLog>) -> Servers {
+        let slot =
+            |_| ServerSlot { incarnation: 1, state: EndpointState::Serving, notified_at: Rc::default() };
+        Servers {
+            slots: RefCell::new((0..SERVER_COUNT).map(slot).collect()),
+            rng: RefCell::new(rng),
+            event_log,
+        }
+    }
+
+    fn listed_server(&self, slot: usize) -> ListedServer {
+        let ServerSlot { incarnation, state, .. } = &self.slots.borrow()[slot];
+        let endpoint = Endpoint {
+            server: ServerId(slot as u64 * 1000 + incarnation),
+            zone: slot as u32 % 2,
+            kind: if slot == 0 { ORIGIN } else { 0 },
+            cell: 0,
+            state: *state,
+            weight: 1.0,
+            started: Micros(0),
+        };
+        ListedServer { endpoint, address: Some(([127, 0, 0, 1], slot as u16 + 1).into()) }
+    }
+
+    pub fn listed(&self) -> Vec<ListedServer> {
+        (0..SERVER_COUNT).map(|slot| self.listed_server(slot)).collect()
+    }
+
+    /// The next thing that happens to the server in this slot, as discovery reports it: it drains, it ends, and another starts
+    /// at its address.
+    pub fn next_state(&self, slot: usize) -> ListedServer {
+        if let Some(slot) = self.slots.borrow_mut().get_mut(slot) {
+            slot.state = match slot.state {
+                EndpointState::Serving => EndpointState::Draining,
+                EndpointState::Draining => EndpointState::Deleted,
+                EndpointState::Deleted => EndpointState::Serving,
+            };
+            if slot.state == EndpointState::Serving {
+                (slot.incarnation, slot.notified_at) = (slot.incarnation + 1, Rc::default());
+            } else {
+                slot.notified_at.set(slot.notified_at.get().or(Some(Instant::now())));
+            }
+        }
+        self.listed_server(slot)
+    }
+}
+
+impl Connector for Servers {
+    fn connect(&self, address: SocketAddr) -> Connecting {
+        let slot = usize::from(address.port()) - 1;
+        let mut rng = self.rng.borrow_mut().fork();
+        let (event_log, notified_at) =
+            (Rc::clone(&self.event_log), Rc::clone(&self.slots.borrow()[slot].notified_at));
+        Box::pin(async move {
+            match rng.u8(..100) {
+                0..9 => {
+                    event_log.count(Occurrence::Server(Behaviour::ConnectLate));
+                    sleep(Duration::from_millis(rng.u64(1..300))).await;
+                }
+                9..13 => {
+                    event_log.count(Occurrence::Server(Behaviour::ConnectRefused));
+                    return Err(ErrorKind::ConnectionRefused.into());
+                }
+                13..16 => {
+                    event_log.count(Occurrence::Server(Behaviour::ConnectNever));
+                    std::future::pending().await
+                }
+                _ => {}
+            }
+            let (near, stream) = duplex(rng.usize(16..4096));
+            let peer = ServerConnection {
+                is_origin: slot == 0,
+                notified_at,
+                event_log,
+                rng,
+                stream,
+                input: BytesMut::new(),
+                last_received: Instant::now(),
+            };
+            spawn_local(peer.serve());
+            Ok(Box::new(near) as Box<dyn ServerStream>)
+        })
+    }
+}
+
+/// A request that a server received.
+struct ReceivedRequest {
+    id: String,
+    is_write: bool,
+}
+
+/// The server's side of one connection.
+struct ServerConnection {
+    is_origin: bool,
+    notified_at: NotifiedAt,
+    event_log: Rc<EventLog>,
+    rng: Rng,
+    stream: DuplexStream,
+    input: BytesMut,
+    /// When something came last.
+    last_received: Instant,
+}
+
+impl ServerConnection {
+    async fn serve(mut self) {
+        while let Some(ReceivedRequest { id, is_write }) = self.next().await {
+            let may_have_been_executed = self.event_log.on_request_arrived(&id, self.last_received);
+            let behaviour = draw_behaviour(&mut self.rng);
+            self.event_log.count(Occurrence::Server(behaviour));
+            if matches!(behaviour, Behaviour::Busy) || self.misses(behaviour) {
+                may_have_been_executed.set(false);
+            }
+            let Some(answer) = self.answer(behaviour, &id, is_write).await else { return };
+            sleep(Duration::from_millis(self.rng.u64(1..20))).await;
+            if self.write_answer(behaviour, &answer).await.is_err() {
+                return;
+            }
+        }
+    }
+
+    fn misses(&self, behaviour: Behaviour) -> bool {
+        behaviour == Behaviour::Miss && !self.is_origin
+    }
+
+    /// The answer to a request; none where the connection closes without one.
+    async fn answer(&mut self, behaviour: Behaviour, id: &str, is_write: bool) -> Option<Vec<u8>> {
+        Some(match behaviour {
+            Behaviour::Miss if !self.is_origin => format!("EN O{id} h0\r\n").into_bytes(),
+            Behaviour::Busy => self.error_response("SERVER_ERROR busy\r\n", "503 No\r\nX-Never-Ran: 1"),
+            Behaviour::Fail => self.error_response("SERVER_ERROR failed\r\n", "500 No"),
+            Behaviour::Silent => std::future::pending().await,
+            Behaviour::Reset => return None,
+            Behaviour::Malformed => self.malformed_response(id, is_write),
+            Behaviour::OtherRequest => self.well_formed_response("ffff", is_write),
+            _ => self.well_formed_response(id, is_write),
+        })
+    }
+
+    /// Writes an answer; an error ends the connection.
+    async fn write_answer(&mut self, behaviour: Behaviour, answer: &[u8]) -> std::io::Result<()> {
+        match behaviour {
+            Behaviour::Slow => {
+                sleep(Duration::from_millis(self.rng.u64(20..1200))).await;
+                self.stream.write_all(answer).await
+            }
+            Behaviour::TruncatedAnswer => {
+                let _ = self.stream.write_all(&answer[..answer.len() / 2]).await;
+                Err(ErrorKind::UnexpectedEof.into())
+            }
+            Behaviour::AnswerInPieces => self.write_in_pieces(answer).await,
+            Behaviour::AnswerTwice => {
+                let first = self.stream.write_all(answer).await;
+                // The next request may begin to come before the second.
+                let second_at = Instant::now() + Duration::from_millis(self.rng.u64(..20));
+                while let Ok(Some(())) = timeout_at(second_at, self.read(false)).await {}
+                sleep_until(second_at).await;
+                first.and(self.stream.write_all(answer).await)
+            }
+            Behaviour::EndlessAnswer => loop {
+                self.stream.write_all(&[b'x'; 512]).await?;
+                sleep(Duration::from_millis(1)).await;
+            },
+            _ => self.stream.write_all(answer).await,
+        }
+    }
+
+    async fn write_in_pieces(&mut self, answer: &[u8]) -> std::io::Result<()> {
+        for piece in answer.chunks(7) {
+            sleep(Duration::from_millis(self.rng.u64(..4))).await;
+            self.stream.write_all(piece).await?;
+        }
+        Ok(())
+    }
+
+    /// An answer without a value, in this server's own protocol.
+    fn error_response(&self, meta: &str, status: &str) -> Vec<u8> {
+        if self.is_origin {
+            return format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").into_bytes();
+        }
+        meta.as_bytes().to_vec()
+    }
+
+    /// The correct answer: a value that says whose it is, or a receipt.
+    fn well_formed_response(&self, id: &str, is_write: bool) -> Vec<u8> {
+        let body = if is_write { format!("r-{id}") } else { format!("v-{id}\r\nHD O{id}") };
+        match (self.is_origin, is_write) {
+            (true, _) => {
+                let head = format!("HTTP/1.1 200 OK\r\nX-Trace-Id: {id}\r\nContent-Length: {}", body.len());
+                format!("{head}\r\n\r\n{body}").into_bytes()
+            }
+            (_, true) => format!("HD O{id} c{body}\r\n").into_bytes(),
+            (_, false) => format!("VA {} O{id} h1\r\n{body}\r\n", body.len()).into_bytes(),
+        }
+    }
+
+    /// An answer that can be told to be malformed.
+    fn malformed_response(&mut self, id: &str, is_write: bool) -> Vec<u8> {
+        let well_formed_response = self.well_formed_response(id, is_write);
+        match (self.is_origin, is_write, self.rng.bool()) {
+            (true, true, true) => {
+                b"HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\nr1\r\nHD O1 cr\r\nx".to_vec()
+            }
+            (true, ..) => [&b"HTTP/1.1 abc\r\n"[..], &well_formed_response].concat(),
+            (false, _, true) => b"VA 3000000000 O1\r\n".to_vec(),
+            (false, _, false) => format!("VA 1 O{id}\r\nab\r\n").into_bytes(),
+        }
+    }
+
+    /// The next request; none once the balancer has closed the connection.
+    async fn next(&mut self) -> Option<ReceivedRequest> {
+        let mut requests = RequestReader::default();
+        loop {
+            if let Some(request) = self.take(&mut requests) {
+                return Some(request);
+            }
+            self.read(requests.has_incomplete_request()).await?;
+        }
+    }
+
+    async fn read(&mut self, has_incomplete_request: bool) -> Option<()> {
+        let is_first_byte = self.input.is_empty() && !has_incomplete_request;
+        if self.stream.read_buf(&mut self.input).await.ok()? == 0 {
+            return None;
+        }
+        self.last_received = Instant::now();
+        if is_first_byte && self.notified_at.get().is_some_and(|notified_at| notified_at < Instant::now()) {
+            self.event_log.violation("-", "a first byte to a server after its end was notified");
+        }
+        Some(())
+    }
+
+    fn take(&mut self, requests: &mut RequestReader) -> Option<ReceivedRequest> {
+        if !self.is_origin {
+            return match requests.next(&mut self.input)? {
+                Incoming::Request { request, .. } => {
+                    let id = String::from_utf8_lossy(&request.id).into_owned();
+                    Some(ReceivedRequest { id, is_write: request.value.is_some() })
+                }
+                other => {
+                    self.event_log.violation("-", format!("a server got {other:?}"));
+                    None
+                }
+            };
+        }
+        let text = String::from_utf8_lossy(&self.input).into_owned();
+        let (head, body) = text.split_once("\r\n\r\n")?;
+        let field = |name: &str| head.lines().find_map(|line| line.strip_prefix(name));
+        let length = field("Content-Length: ").map_or(0, |length| length.parse().unwrap_or(0));
+        if body.len() < length {
+            return None;
+        }
+        let id = field("X-Trace-Id: ")?.to_owned();
+        let is_write = head.starts_with("PUT");
+        let total = head.len() + b"\r\n\r\n".len() + length;
+        let _ = self.input.split_to(total);
+        Some(ReceivedRequest { id, is_write })
+    }
+}
