--- a/cluster/src/cluster.rs
+++ b/cluster/src/cluster.rs
@@ -39,10 +39,9 @@
     state: T,
 }
 
-impl<T> Coordinated<T> {
-    fn has_terms(&self, terms_digest: u32) -> bool {
-        self.terms_digest == terms_digest
-    }
+/// A module's state where its terms are those of a message's sender.
+fn with_terms<T>(part: Option<&mut Coordinated<T>>, terms_digest: u32) -> Option<&mut T> {
+    part.filter(|part| part.terms_digest == terms_digest).map(|part| &mut part.state)
 }
 
 /// A balancer's side of the cluster.
@@ -120,39 +119,33 @@
     }
 
     fn on_message(&mut self, now: Micros, from: SocketAddr, message: CoordinationMessage) {
-        let is_accepted = self.accept(now, from, message);
-        self.terms_mismatches += u64::from(!is_accepted);
+        let is_delivered = self.deliver(now, from, message);
+        self.terms_mismatches += u64::from(!is_delivered);
     }
 
     /// Hands a message to its module; false where there is none with the sender's terms.
-    fn accept(&mut self, now: Micros, from: SocketAddr, message: CoordinationMessage) -> bool {
+    fn deliver(&mut self, now: Micros, from: SocketAddr, message: CoordinationMessage) -> bool {
         let CoordinationMessage { terms_digest, payload } = message;
         match payload {
             Payload::RateLimit(number, message) => {
                 let limit = self.rate_limits.get_mut(usize::from(number));
-                let Some(limit) = limit.filter(|limit| limit.has_terms(terms_digest)) else { return false };
-                limit.state.on_message(now, from, message);
+                let Some(limit) = with_terms(limit, terms_digest) else { return false };
+                limit.on_message(now, from, message);
             }
             Payload::SlowStart(server, message) => {
                 let limits = self.slow_start.as_mut();
-                let Some(limits) = limits.filter(|limits| limits.has_terms(terms_digest)) else {
-                    return false;
-                };
-                limits.state.on_message(now, from, server, message);
+                let Some(limits) = with_terms(limits, terms_digest) else { return false };
+                limits.on_message(now, from, server, message);
             }
             Payload::RetryBudget(message) => {
                 let budget = self.retry_budget.as_mut();
-                let Some(budget) = budget.filter(|budget| budget.has_terms(terms_digest)) else {
-                    return false;
-                };
-                budget.state.on_message(now, from, message);
+                let Some(budget) = with_terms(budget, terms_digest) else { return false };
+                budget.on_message(now, from, message);
             }
             Payload::FailureDetector(message) => {
                 let detector = self.failure_detector.as_mut();
-                let Some(detector) = detector.filter(|detector| detector.has_terms(terms_digest)) else {
-                    return false;
-                };
-                detector.state.on_message(now, from, message);
+                let Some(detector) = with_terms(detector, terms_digest) else { return false };
+                detector.on_message(now, from, message);
             }
         }
         true
--- a/cluster/src/failure_detector.rs
+++ b/cluster/src/failure_detector.rs
@@ -311,7 +311,7 @@
 
     /// What a server is looked up by.
     fn lookup_key(&self, server: ServerIncarnation) -> ServerIncarnation {
-        if self.defect.is(Defect::AddressForIncarnation) {
+        if self.defect.is_active(Defect::AddressForIncarnation) {
             ServerIncarnation { started: Micros::ZERO, ..server }
         } else {
             server
--- a/cluster/src/failure_detector/exchange.rs
+++ b/cluster/src/failure_detector/exchange.rs
@@ -67,10 +67,10 @@
     /// The earliest that a report can have been seen, in microseconds of the own clock; below zero, before the clock began.
     /// The answer was written after the query was sent, so that no later time can be proven.
     fn earliest_seen(&self, now: Micros, sent: Micros, age: Micros) -> i64 {
-        if self.defect.is(Defect::RenewedByHearsay) {
+        if self.defect.is_active(Defect::RenewedByHearsay) {
             return now.0 as i64;
         }
-        let age = if self.defect.is(Defect::AgeNotCarried) { 0.0 } else { age.as_f64() };
+        let age = if self.defect.is_active(Defect::AgeNotCarried) { 0.0 } else { age.as_f64() };
         (sent.as_f64() - age * (1.0 + 2.0 * self.terms.clock_drift)) as i64
     }
 
--- a/cluster/src/failure_detector/tests/fleet.rs
+++ b/cluster/src/failure_detector/tests/fleet.rs
@@ -224,7 +224,7 @@
         let zone = self.zone_of(member);
         let now = self.network.clock(member);
         let mut detector = FailureDetector::new(terms(), member as u32, zone, seed, now);
-        detector.defect = InjectedDefect::given(self.scenario.defect);
+        detector.defect = InjectedDefect::new(self.scenario.defect);
         detector.on_endpoints_changed(&self.serving_servers());
         self.network.start(member);
         Member { detector, last_responses: vec![Micros::ZERO; self.scenario.servers] }
--- a/cluster/src/injected_defect.rs
+++ b/cluster/src/injected_defect.rs
@@ -6,6 +6,7 @@
 /// The defect that a state machine has been given, if any. `D` names those that it knows.
 #[derive(Debug)]
 pub(crate) struct InjectedDefect<D> {
+    /// None, the state machine is as it should be.
     #[cfg(test)]
     active: Option<D>,
     #[cfg(not(test))]
@@ -25,19 +26,19 @@
 
     /// A state machine with this defect, or with none.
     #[cfg(test)]
-    pub(crate) fn given(active: Option<D>) -> InjectedDefect<D> {
+    pub(crate) fn new(active: Option<D>) -> InjectedDefect<D> {
         InjectedDefect { active }
     }
 
     /// Whether the state machine has this defect.
     #[cfg(test)]
-    pub(crate) fn is(&self, defect: D) -> bool {
+    pub(crate) fn is_active(&self, defect: D) -> bool {
         self.active == Some(defect)
     }
 
     /// Whether the state machine has this defect: outside of tests it has none.
     #[cfg(not(test))]
-    pub(crate) fn is(&self, _defect: D) -> bool {
+    pub(crate) fn is_active(&self, _defect: D) -> bool {
         false
     }
 }
--- a/cluster/src/rate_limit/borrower.rs
+++ b/cluster/src/rate_limit/borrower.rs
@@ -35,7 +35,7 @@
 impl RateLimit {
     /// An owner has answered.
     pub(super) fn on_lease_grant(&mut self, now: Micros, owner: SocketAddr, grant: LeaseGrant) {
-        let counted_from = if self.defect.is(Defect::LeaseFromReceipt) { now } else { grant.sent };
+        let counted_from = if self.defect.is_active(Defect::LeaseFromReceipt) { now } else { grant.sent };
         let expires = counted_from + self.terms.lease;
         let is_for_this_incarnation = grant.incarnation == self.incarnation;
         let Some(lease) = self.held.iter_mut().find(|lease| lease.owner == owner) else { return };
--- a/cluster/src/rate_limit/owner.rs
+++ b/cluster/src/rate_limit/owner.rs
@@ -55,7 +55,7 @@
         let is_borrowers = |lease: &GrantedLease| {
             let is_same_incarnation = lease.incarnation == request.incarnation;
             lease.borrower == borrower
-                && (is_same_incarnation || self.defect.is(Defect::OldIncarnationObeyed))
+                && (is_same_incarnation || self.defect.is_active(Defect::OldIncarnationObeyed))
         };
         let index = self.granted.iter().position(|lease| is_borrowers(lease) && lease.is_locked(now));
         let Some(index) = index else {
@@ -71,7 +71,7 @@
     fn is_outdated(&self, request: &LeaseRequest, lease: &GrantedLease) -> bool {
         request.sent <= lease.newest_request
             && request.incarnation == lease.incarnation
-            && !self.defect.is(Defect::OldRequestsObeyed)
+            && !self.defect.is_active(Defect::OldRequestsObeyed)
     }
 
     /// How many tokens an owner that is short itself asks back now. The answer names so many fewer; they stay locked until
--- a/cluster/src/rate_limit/tests/fleet.rs
+++ b/cluster/src/rate_limit/tests/fleet.rs
@@ -133,7 +133,7 @@
         self.network.start(member);
         let incarnation = self.network.incarnation(member);
         let mut limit = RateLimit::new(terms(&self.scenario), member as u32, u64::from(incarnation), now);
-        limit.defect = InjectedDefect::given(self.scenario.defect);
+        limit.defect = InjectedDefect::new(self.scenario.defect);
         if self.scenario.without_start_wait || incarnation == 1 {
             // The first of all incarnations has nothing before it.
             limit.own_usable_from = now;
