--- a/cluster/src/failure_detector.rs
+++ b/cluster/src/failure_detector.rs
@@ -324,7 +324,7 @@
 pub(crate) enum Defect {
     /// The age that a report had at its sender is forgotten.
     AgeNotCarried,
-    /// A report that is heard once more is taken for new.
+    /// A report that is received once more is taken for new.
     RenewedByHearsay,
     /// A server is known by its address alone: a new incarnation inherits the old one's reports.
     AddressForIncarnation,
--- a/cluster/src/failure_detector/reports.rs
+++ b/cluster/src/failure_detector/reports.rs
@@ -80,7 +80,7 @@
     counts: BTreeMap<ReportKind, usize>,
 }
 
-/// Reports of one kind are told from each other by their age alone.
+/// What reports have in common that differ in their age and reporter alone.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ReportKind {
     zone: u32,
--- a/cluster/src/failure_detector/tests/fleet.rs
+++ b/cluster/src/failure_detector/tests/fleet.rs
@@ -309,7 +309,7 @@
         self.network.tick_after(member, Micros::from_millis(50));
     }
 
-    /// A liar reports every server silent, anew at each tick.
+    /// A liar reports every server silent again at each tick.
     fn lie(&mut self, member: usize, now: Micros) {
         let report = StoredReport {
             reporter: member as u32,
--- a/cluster/src/rate_limit/borrower.rs
+++ b/cluster/src/rate_limit/borrower.rs
@@ -113,8 +113,8 @@
         self.send_request(now, index);
     }
 
-    /// Tells an owner the target. One that is less than the owner knows of is told only when the uses of the last window fit
-    /// into what is left, because the owner frees the rest at once.
+    /// Requests the target of an owner. A target below what the owner knows of is requested only when the uses of the last
+    /// window fit into what is left, because the owner frees the rest at once.
     fn send_request(&mut self, now: Micros, index: usize) {
         let uses_fit = self.uses.count(now) <= self.usable_tokens(now) as usize;
         let lease = &mut self.held[index];
--- a/cluster/src/rate_limit/lease.rs
+++ b/cluster/src/rate_limit/lease.rs
@@ -127,13 +127,13 @@
 
     /// Records the request that is sent now for the target; returns its send time, which names it.
     pub(super) fn record_request(&mut self, now: Micros) -> Micros {
-        // Two requests of one moment could not be told apart.
+        // Two requests of one moment could not be distinguished.
         let sent = now.max(self.last_request() + Micros(1));
         self.requests.push_back(SentRequest { sent, tokens: self.target_tokens });
         if self.requests.len() > MAX_REMEMBERED_REQUESTS {
             self.requests.pop_front();
         }
-        // What the owner was told to be given back is the owner's from now on, whatever is wanted later.
+        // What this request gives back is the owner's from now on, whatever is wanted later.
         self.tokens = self.tokens.min(self.target_tokens);
         sent
     }
