--- a/cluster/src/failure_detector/tests/fleet.rs
+++ b/cluster/src/failure_detector/tests/fleet.rs
@@ -9,7 +9,7 @@
 
 use super::super::suspicion::Suspicion;
 use super::super::*;
-use crate::virtual_network::{address, Arrival, Conditions, Faults, Partition, VirtualNetwork};
+use crate::virtual_network::{address, Arrival, Conditions, Faults, Partition, VirtualNetwork, NO_FAULTS};
 
 /// By how much at most a late packet is late.
 const LATE_DELAYS: &[Micros] = &[Micros::from_secs(9)];
@@ -62,7 +62,7 @@
     seconds: 24,
     requests_per_s: 10.0,
     conditions: MILD_CONDITIONS,
-    faults: Faults::NONE,
+    faults: NO_FAULTS,
     silent_servers: 3,
     liars: 0,
     defect: None,
@@ -224,7 +224,7 @@
         let zone = self.zone_of(member);
         let now = self.network.clock(member);
         let mut detector = FailureDetector::new(terms(), member as u32, zone, seed, now);
-        detector.defect = InjectedDefect::given(self.scenario.defect);
+        detector.defect = InjectedDefect::new(self.scenario.defect);
         detector.on_endpoints_changed(&self.serving_servers());
         self.network.start(member);
         Member { detector, last_responses: vec![Micros::ZERO; self.scenario.servers] }
@@ -309,7 +309,7 @@
         self.network.tick_after(member, Micros::from_millis(50));
     }
 
-    /// A liar reports every server silent, anew at each tick.
+    /// A liar reports every server silent again at each tick.
     fn lie(&mut self, member: usize, now: Micros) {
         let report = StoredReport {
             reporter: member as u32,
--- a/cluster/src/rate_limit/borrower.rs
+++ b/cluster/src/rate_limit/borrower.rs
@@ -35,7 +35,7 @@
 impl RateLimit {
     /// An owner has answered.
     pub(super) fn on_lease_grant(&mut self, now: Micros, owner: SocketAddr, grant: LeaseGrant) {
-        let counted_from = if self.defect.is(Defect::LeaseFromReceipt) { now } else { grant.sent };
+        let counted_from = if self.defect.is_active(Defect::LeaseFromReceipt) { now } else { grant.sent };
         let expires = counted_from + self.terms.lease;
         let is_for_this_incarnation = grant.incarnation == self.incarnation;
         let Some(lease) = self.held.iter_mut().find(|lease| lease.owner == owner) else { return };
@@ -113,8 +113,8 @@
         self.send_request(now, index);
     }
 
-    /// Tells an owner the target. One that is less than the owner knows of is told only when the uses of the last window fit
-    /// into what is left, because the owner frees the rest at once.
+    /// Requests the target of an owner. A target below what the owner knows of is requested only when the uses of the last
+    /// window fit into what is left, because the owner frees the rest at once.
     fn send_request(&mut self, now: Micros, index: usize) {
         let uses_fit = self.uses.count(now) <= self.usable_tokens(now) as usize;
         let lease = &mut self.held[index];
