--- a/testbed-cli/src/commands.rs
+++ b/testbed-cli/src/commands.rs
@@ -11,7 +11,7 @@
 use juniperladder_platform_model::reader::read;
 use juniperladder_platform_model::schedule::schedule;
 use juniperladder_testbed::child_reaper::{reap, ChildReaper};
-use juniperladder_testbed::{play, Options, Played, Problem, Progress};
+use juniperladder_testbed::{run_experiment, Progress, RunOptions, RunRecord, TestbedError};
 
 use crate::exit::{BROKEN, KEPT, LATE, NOT_ALLOWED};
 use crate::{report, tables};
@@ -154,7 +154,7 @@
         Ok(run) => run,
         Err(problem) => {
             eprintln!("{problem}");
-            return if matches!(problem, Problem::NotAllowed(_)) { NOT_ALLOWED } else { BROKEN };
+            return if matches!(problem, TestbedError::NotAllowed(_)) { NOT_ALLOWED } else { BROKEN };
         }
     };
     let terms = CheckTerms::of(experiment);
@@ -162,7 +162,7 @@
         CheckTerms { measured_until: run.end.max(terms.measured_from + 1), stated: run.stated, ..terms };
     let verdict = judged(experiment, &run, &terms);
     let written = tables::write(out, experiment, &run.event_log, &terms, &verdict, &run.crashes)
-        .and_then(|()| tables::holders(out, &run.holders, &terms));
+        .and_then(|()| tables::holders(out, &run.self_reports, &terms));
     if let Err(e) = written.map_err(Into::into).and_then(|()| report::write(out)) {
         eprintln!("{}: {e}", out.display());
         return BROKEN;
@@ -171,7 +171,7 @@
 }
 
 /// Judges what a run left, and fills in what it cost.
-pub fn judged(experiment: &Experiment, run: &Played, terms: &CheckTerms) -> CheckResult {
+pub fn judged(experiment: &Experiment, run: &RunRecord, terms: &CheckTerms) -> CheckResult {
     let mut verdict = check_run(&run.event_log, terms);
     let summary = &mut verdict.summary;
     summary.name = experiment.name.clone();
@@ -180,13 +180,14 @@
     summary.processes.crashed = run.crashes.len() as u64;
     summary.cpu.balancer_ms_per_request =
         run.balancers_cpu_s * 1e3 / run.event_log.requests.len().max(1) as f64;
-    if let Some((packets, bytes)) = run.talk {
-        (summary.peers.packets_per_s, summary.peers.bytes_per_s) = (packets, bytes);
+    if let Some(rates) = run.peer_traffic {
+        summary.peers.packets_per_s = rates.packets_per_s;
+        summary.peers.bytes_per_s = rates.bytes_per_s;
     }
-    summary.cpu.testbed_s = run.rig_cpu_s;
+    summary.cpu.testbed_s = run.testbed_cpu_s;
     if run.stated.is_some() {
         let cut = schedule(experiment).links.has_faults_between_balancers();
-        let told = check_self_reports(&run.event_log, terms, &run.holders, cut);
+        let told = check_self_reports(&run.event_log, terms, &run.self_reports, cut);
         summary.peers.members_max_wrong_s = told.members_wrong_s;
         (summary.failure_detection.wrongly_avoided, summary.failure_detection.stale_max_ms) =
             (told.wrongly_avoided, told.oldest_report_ms);
@@ -195,7 +196,7 @@
 }
 
 /// Plays, with progress on a terminal; Ctrl-C ends the load with what there is.
-fn go(experiment: &Experiment, out: &Path) -> Result<Played, Problem> {
+fn go(experiment: &Experiment, out: &Path) -> Result<RunRecord, TestbedError> {
     let (stop, stopped) = tokio::sync::watch::channel(false);
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -229,13 +230,14 @@
     };
     // Without a child reaper the processes still end with the rig, unless that is killed outright.
     let child_reaper = std::env::current_exe().and_then(|own| ChildReaper::start(&own)).ok();
-    let run = play(experiment, Options { out, progress: &mut progress, child_reaper, stop: stopped });
+    let run =
+        run_experiment(experiment, RunOptions { out, progress: &mut progress, child_reaper, stop: stopped });
     bar.finish_and_clear();
     run
 }
 
 /// Says how a run went, the worst on the last line.
-fn tell(verdict: &CheckResult, run: &Played) -> u8 {
+fn tell(verdict: &CheckResult, run: &RunRecord) -> u8 {
     let s = &verdict.summary;
     let share = |part: u64| 100.0 * part as f64 / s.requests.max(1) as f64;
     println!(
--- a/testbed-cli/src/scale.rs
+++ b/testbed-cli/src/scale.rs
@@ -7,7 +7,7 @@
 use juniperladder_testbed::scale::{
     self, CalibrationTraffic, Event, Flaw, Mechanism, Outcome, ScaleConfig, Summary,
 };
-use juniperladder_testbed::Problem;
+use juniperladder_testbed::TestbedError;
 
 use crate::exit::{BROKEN, KEPT, LATE, NOT_ALLOWED};
 use crate::scale_table;
@@ -150,7 +150,7 @@
         Ok(outcome) => outcome,
         Err(problem) => {
             eprintln!("{problem}");
-            return if matches!(problem, Problem::NotAllowed(_)) { NOT_ALLOWED } else { BROKEN };
+            return if matches!(problem, TestbedError::NotAllowed(_)) { NOT_ALLOWED } else { BROKEN };
         }
     };
     if let Err(error) = write(&args.out, &outcome) {
--- a/testbed-cli/src/tables.rs
+++ b/testbed-cli/src/tables.rs
@@ -4,11 +4,11 @@
 use std::io::{BufWriter, Write};
 use std::path::Path;
 
+use juniperladder_platform_model::checker::self_reports::SelfReport;
 use juniperladder_platform_model::checker::{CheckResult, CheckTerms};
 use juniperladder_platform_model::event_log::{EventLog, Receiver};
 use juniperladder_platform_model::experiment::Experiment;
 use juniperladder_platform_model::MICROS_PER_SECOND;
-use juniperladder_testbed::holders::SelfReport;
 use serde::Serialize;
 
 /// Writes all tables of a run into its folder.
--- a/testbed-cli/tests/fleet.rs
+++ b/testbed-cli/tests/fleet.rs
@@ -9,7 +9,7 @@
 use juniperladder_platform_model::event_log::Receiver;
 use juniperladder_platform_model::reader::read;
 use juniperladder_platform_model::MICROS_PER_SECOND;
-use juniperladder_testbed::{play, Options, Played};
+use juniperladder_testbed::{run_experiment, RunOptions, RunRecord};
 
 /// Two at a time.
 static SEATS: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
@@ -28,13 +28,13 @@
 }
 
 /// Plays so many processes with these faults, and judges that every rule was kept and nobody died.
-fn kept(name: &str, balancers: usize, more: &str) -> (Played, CheckResult) {
+fn kept(name: &str, balancers: usize, more: &str) -> (RunRecord, CheckResult) {
     played(name, balancers, "writes = 0.05\nwarm = 4\n[origin]\ncapacity = 120\n", more)
 }
 
 /// The same with talk between the balancers, who share a limit of 40 a second at the origin where 80 writes a second come
 /// in, four fifths of them at a fifth of the balancers. The stated bound is never passed.
-fn shared(name: &str, balancers: usize, more: &str) -> (Played, CheckResult) {
+fn shared(name: &str, balancers: usize, more: &str) -> (RunRecord, CheckResult) {
     let load = "writes = 0.5\nwarm = 5\nuneven = { share = 0.75, at = 0.2 }\n[origin]\ncapacity = 40\n";
     let (run, verdict) = played(name, balancers, load, more);
     let limit = verdict.summary.limits["origin"];
@@ -42,13 +42,14 @@
     assert!(limit.peak <= bound, "{name}: {limit:?}");
     // The control: without the limit more would have been sent, as more was wanted.
     assert!(limit.usage.is_some(), "{name}: the demand has to have been over the whole: {limit:?}");
-    let (packets, bytes) = run.talk.unwrap();
+    let rates = run.peer_traffic.unwrap();
+    let (packets, bytes) = (rates.packets_per_s, rates.bytes_per_s);
     assert!(packets > 1.0 && packets < 60.0 && bytes < 8_000.0, "{name}: {packets} packets, {bytes} bytes");
     (run, verdict)
 }
 
 /// The same with all that balancers may share: every stated bound is kept, and no word on a server outlives its end.
-fn all_shared(name: &str, balancers: usize, more: &str) -> (Played, CheckResult) {
+fn all_shared(name: &str, balancers: usize, more: &str) -> (RunRecord, CheckResult) {
     let load = "writes = 0.05\nwarm = 5\n[origin]\ncapacity = 120\n";
     let (run, verdict) = played(name, balancers, load, more);
     let limits = &verdict.summary.limits;
@@ -58,7 +59,7 @@
     }
     let stated = run.stated.unwrap();
     let expiry = stated.failure_detection.unwrap().report_expiry;
-    for said in &run.holders {
+    for said in &run.self_reports {
         // A third of the servers, and half of a zone's four.
         assert!(said.avoided_servers <= 4.0, "{name}: {said:?}");
         assert!(said.oldest_report_s * 1e6 <= expiry as f64, "{name}: {said:?}");
@@ -66,7 +67,7 @@
     (run, verdict)
 }
 
-fn played(name: &str, balancers: usize, load: &str, more: &str) -> (Played, CheckResult) {
+fn played(name: &str, balancers: usize, load: &str, more: &str) -> (RunRecord, CheckResult) {
     let _seat = seat();
     let folder = tempfile::tempdir().unwrap();
     let operator = folder.path().join("operator.toml");
@@ -90,9 +91,11 @@
     );
     let experiment = read(&text, &[]).unwrap();
     let (_keep, stop) = tokio::sync::watch::channel(false);
-    let run =
-        play(&experiment, Options { out: folder.path(), progress: &mut |_| {}, child_reaper: None, stop })
-            .unwrap();
+    let run = run_experiment(
+        &experiment,
+        RunOptions { out: folder.path(), progress: &mut |_| {}, child_reaper: None, stop },
+    )
+    .unwrap();
     // Half a second is the least that a machine shared with other tests may be late by.
     let terms =
         CheckTerms { tolerance: MICROS_PER_SECOND / 2, stated: run.stated, ..CheckTerms::of(&experiment) };
@@ -252,7 +255,8 @@
         "[[fault]]\nat = 2\nfor = 5\nwhat = \"silent\"\nwho = \"hosts:2-3\"\n\
          [[fault]]\nat = 7\nwhat = \"restart\"\nwho = \"hosts:2-3\"\n",
     );
-    let passing = run.holders.iter().filter(|said| said.avoided_servers >= 1.0).map(|said| said.balancer);
+    let passing =
+        run.self_reports.iter().filter(|said| said.avoided_servers >= 1.0).map(|said| said.balancer);
     let passing: std::collections::HashSet<usize> = passing.collect();
     assert!(passing.len() >= 6, "half of them at least were heard to pass a host by: {passing:?}");
     assert!(
--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -1,76 +1,79 @@
 //! The cache servers' side of their sockets: reads requests, asks the model what becomes of each, writes the answers in
-//! order and in time. Link faults are applied here, where the stand-in reads and writes.
+//! order and in time. Link faults are applied here, where the testbed reads and writes.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use bytes::BytesMut;
-use juniperladder_platform_model::cache_server::Answer;
+use bytes::{Bytes, BytesMut};
+use juniperladder_platform_model::cache_server::{Answer, LoadReport, Response};
 use juniperladder_platform_model::event_log::{Attempt, AttemptResult, Receiver};
-use juniperladder_platform_model::links::LinkEnd;
+use juniperladder_platform_model::links::{LinkEnd, LinkState};
 use juniperladder_platform_model::Micros;
 use juniperladder_protocols::memcache::{Incoming, RequestReader};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::io::{AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-use crate::doors::{next, reset};
-use crate::rig::{balancer_of, value_of, Rig};
+use crate::listeners;
+use crate::testbed::{balancer_of, value_of, Testbed};
 
-/// What one connection may have sent and not got answered before it is read no further.
-const WAITING: usize = 256;
+/// The most requests that one connection may have in transit and unanswered before it is read no further.
+const MAX_PIPELINED_REQUESTS: usize = 256;
 
-/// Lets balancers of one side in at a server's door until the listener's task is aborted.
-pub async fn accept(rig: Rc<Rig>, server: usize, side: usize, listener: TcpListener) {
+/// Accepts the connections of one side's balancers to a server until the task is aborted.
+pub async fn serve(testbed: Rc<Testbed>, server: usize, side: usize, listener: TcpListener) {
     loop {
-        let stream = next(&listener).await;
-        let open = &rig.connections[server];
-        if open.get() >= rig.experiment.servers.connections {
-            reset(&stream);
+        let stream = listeners::accept(&listener).await;
+        let open_connections = &testbed.open_connections[server];
+        if open_connections.get() >= testbed.experiment.servers.connections {
+            listeners::reset_on_close(&stream);
             continue;
         }
-        open.set(open.get() + 1);
-        let rig = Rc::clone(&rig);
+        open_connections.set(open_connections.get() + 1);
+        let testbed = Rc::clone(&testbed);
         spawn_local(async move {
-            ServerConnection::new(Rc::clone(&rig), server, side).serve(stream).await;
-            rig.connections[server].set(rig.connections[server].get() - 1);
+            ServerConnection::new(Rc::clone(&testbed), server, side).serve(stream).await;
+            let open_connections = &testbed.open_connections[server];
+            open_connections.set(open_connections.get() - 1);
         });
     }
 }
 
-/// A request that is on its way to the server.
-struct Coming {
-    due: Micros,
+/// A request in transit to the server.
+struct InboundRequest {
+    arrives_at: Micros,
     first_byte_at: Micros,
     id: u64,
     key: u64,
     write: bool,
 }
 
-/// An answer that is on its way back.
-struct Going {
-    due: Micros,
+/// An answer in transit to the balancer.
+struct OutboundAnswer {
+    leaves_at: Micros,
     line: Vec<u8>,
+    /// The attempt's place in the event log; none of an answer to no attempt.
     attempt: Option<usize>,
 }
 
 /// One connection.
 struct ServerConnection {
-    rig: Rc<Rig>,
+    testbed: Rc<Testbed>,
     server: usize,
     balancer: LinkEnd,
-    life: u32,
-    coming: VecDeque<Coming>,
-    going: VecDeque<Going>,
-    /// Whether something that came on it was spoilt: from then on nothing on it is sure.
+    /// The incarnation of the server's machine that it leads to.
+    incarnation: u32,
+    inbound: VecDeque<InboundRequest>,
+    outbound: VecDeque<OutboundAnswer>,
+    /// Whether something that came on it was corrupted: from then on nothing on it is sure.
     corrupted: bool,
-    /// When the first byte of what is not yet a whole request came.
+    /// When the first byte of what is not yet a complete request came.
     first_byte_at: Option<Micros>,
 }
 
 /// Why a connection ends.
-enum Over {
+enum ConnectionEnd {
     /// The balancer has closed it.
     Closed,
     /// It is reset.
@@ -78,114 +81,146 @@
 }
 
 impl ServerConnection {
-    fn new(rig: Rc<Rig>, server: usize, side: usize) -> ServerConnection {
-        let balancer = LinkEnd::Balancer(rig.sides[side]);
-        let life = rig.lives[server].get();
-        let (coming, going) = (VecDeque::new(), VecDeque::new());
-        ServerConnection { rig, server, balancer, life, coming, going, corrupted: false, first_byte_at: None }
+    fn new(testbed: Rc<Testbed>, server: usize, side: usize) -> ServerConnection {
+        ServerConnection {
+            balancer: LinkEnd::Balancer(testbed.side_members[side]),
+            incarnation: testbed.incarnations[server].get(),
+            testbed,
+            server,
+            inbound: VecDeque::new(),
+            outbound: VecDeque::new(),
+            corrupted: false,
+            first_byte_at: None,
+        }
     }
 
     async fn serve(mut self, mut stream: TcpStream) {
         // Latency counts here; a delayed acknowledgement must not pass for a server's time.
         let _ = stream.set_nodelay(true);
-        if let Err(Over::Reset) = self.talk(&mut stream).await {
-            reset(&stream);
+        if let Err(ConnectionEnd::Reset) = self.exchange(&mut stream).await {
+            listeners::reset_on_close(&stream);
         }
-        // What went into a link that stayed cut was sent and never heard. What is on its way over a sound one when its
-        // connection closes is given up by the balancer, and tells nothing of the server.
-        if !self.rig.link(self.balancer, LinkEnd::CacheServer(self.server)).cut {
+        self.log_undelivered();
+    }
+
+    /// What went into a link that stayed cut was sent and never arrived. What is in transit over a healthy one when its
+    /// connection closes is cancelled by the balancer, and says nothing of the server.
+    fn log_undelivered(&mut self) {
+        if !self.link_to_server().cut {
             return;
         }
-        for lost in std::mem::take(&mut self.coming) {
-            let attempt = self.attempt(&lost, lost.due, AttemptResult::NoAnswer, false);
-            self.rig.event_log.borrow_mut().undelivered.push(attempt);
+        for request in std::mem::take(&mut self.inbound) {
+            let attempt = self.attempt(&request, request.arrives_at, AttemptResult::NoAnswer, false);
+            self.testbed.event_log.borrow_mut().undelivered.push(attempt);
         }
     }
 
-    async fn talk(&mut self, stream: &mut TcpStream) -> Result<(), Over> {
-        let mut weather = self.rig.weather.subscribe();
-        let (mut requests, mut input) = (RequestReader::default(), BytesMut::new());
-        let (mut read, mut write) = stream.split();
+    fn link_to_server(&self) -> LinkState {
+        self.testbed.link_state(self.balancer, LinkEnd::CacheServer(self.server))
+    }
+
+    fn link_to_balancer(&self) -> LinkState {
+        self.testbed.link_state(LinkEnd::CacheServer(self.server), self.balancer)
+    }
+
+    fn is_reset(&self) -> bool {
+        let is_gone = self.testbed.incarnations[self.server].get() != self.incarnation;
+        is_gone || self.link_to_server().reset || self.link_to_balancer().reset
+    }
+
+    /// Reads requests and writes answers until the connection ends.
+    async fn exchange(&mut self, stream: &mut TcpStream) -> Result<(), ConnectionEnd> {
+        let mut changes = self.testbed.changes.subscribe();
+        let mut requests = RequestReader::default();
+        let mut input = BytesMut::new();
+        let (mut reader, mut writer) = stream.split();
         loop {
-            let there = self.rig.link(self.balancer, LinkEnd::CacheServer(self.server));
-            let back = self.rig.link(LinkEnd::CacheServer(self.server), self.balancer);
-            if there.reset || back.reset || self.rig.lives[self.server].get() != self.life {
-                return Err(Over::Reset);
-            }
-            let now = self.rig.now();
-            while !there.cut && self.coming.front().is_some_and(|coming| coming.due <= now) {
-                if let Some(coming) = self.coming.pop_front() {
-                    self.begin(&coming, now);
-                }
-            }
-            while !back.cut && self.going.front().is_some_and(|going| going.due <= now) {
-                let Some(mut going) = self.going.pop_front() else { break };
-                let corrupted = self.rig.happens(back.corrupted_share);
-                if corrupted {
-                    self.rig.spoil(&mut going.line);
-                }
-                if let Some(place) = going.attempt {
-                    let attempt = &mut self.rig.event_log.borrow_mut().attempts[place];
-                    attempt.answered_at = Some(now);
-                    attempt.corrupted |= corrupted;
-                }
-                write.write_all(&going.line).await.map_err(|_| Over::Closed)?;
+            if self.is_reset() {
+                return Err(ConnectionEnd::Reset);
             }
-            let due = [
-                self.coming.front().filter(|_| !there.cut).map(|c| c.due),
-                self.going.front().filter(|_| !back.cut).map(|g| g.due),
-            ];
-            let due = due.into_iter().flatten().min();
-            let room = self.coming.len() + self.going.len() < WAITING;
+            let now = self.testbed.now();
+            self.take_arrived(now);
+            self.write_due(now, &mut writer).await?;
+            let due = self.next_due();
+            let has_capacity = self.inbound.len() + self.outbound.len() < MAX_PIPELINED_REQUESTS;
             tokio::select! {
-                got = read.read_buf(&mut input), if room => {
-                    if got.map_err(|_| Over::Closed)? == 0 {
-                        return Err(Over::Closed);
-                    }
-                    if self.rig.happens(there.corrupted_share) {
-                        self.rig.spoil(&mut input);
-                        self.corrupted = true;
+                read = reader.read_buf(&mut input), if has_capacity => {
+                    if read.map_err(|_| ConnectionEnd::Closed)? == 0 {
+                        return Err(ConnectionEnd::Closed);
                     }
-                    self.take(&mut requests, &mut input);
+                    self.on_input(&mut requests, &mut input);
                 }
-                () = sleep_until(self.rig.instant(due.unwrap_or(0))), if due.is_some() => {}
-                _ = weather.changed() => {}
+                () = sleep_until(self.testbed.instant(due.unwrap_or(0))), if due.is_some() => {}
+                _ = changes.changed() => {}
+            }
+        }
+    }
+
+    /// Hands the requests that have arrived by now to the server.
+    fn take_arrived(&mut self, now: Micros) {
+        if self.link_to_server().cut {
+            return;
+        }
+        while self.inbound.front().is_some_and(|request| request.arrives_at <= now) {
+            if let Some(request) = self.inbound.pop_front() {
+                self.on_request(&request, now);
             }
         }
     }
 
-    /// Takes whole requests off the input and sends them on their way.
-    fn take(&mut self, requests: &mut RequestReader, input: &mut BytesMut) {
-        let now = self.rig.now();
-        let there = self.rig.link(self.balancer, LinkEnd::CacheServer(self.server));
+    /// Writes the answers that are due by now.
+    async fn write_due(
+        &mut self,
+        now: Micros,
+        writer: &mut (impl AsyncWrite + Unpin),
+    ) -> Result<(), ConnectionEnd> {
+        let link = self.link_to_balancer();
+        while !link.cut && self.outbound.front().is_some_and(|answer| answer.leaves_at <= now) {
+            let Some(mut answer) = self.outbound.pop_front() else { break };
+            let corrupted = self.testbed.draw_fault(link.corrupted_share);
+            if corrupted {
+                self.testbed.corrupt(&mut answer.line);
+            }
+            if let Some(place) = answer.attempt {
+                let attempt = &mut self.testbed.event_log.borrow_mut().attempts[place];
+                attempt.answered_at = Some(now);
+                attempt.corrupted |= corrupted;
+            }
+            writer.write_all(&answer.line).await.map_err(|_| ConnectionEnd::Closed)?;
+        }
+        Ok(())
+    }
+
+    /// When the next request arrives or the next answer is due.
+    fn next_due(&self) -> Option<Micros> {
+        let arrival = self.inbound.front().filter(|_| !self.link_to_server().cut);
+        let answer = self.outbound.front().filter(|_| !self.link_to_balancer().cut);
+        let arrives_at = arrival.map(|request| request.arrives_at);
+        arrives_at.into_iter().chain(answer.map(|answer| answer.leaves_at)).min()
+    }
+
+    /// Bytes have come: complete requests among them are in transit from now on.
+    fn on_input(&mut self, requests: &mut RequestReader, input: &mut BytesMut) {
+        if self.testbed.draw_fault(self.link_to_server().corrupted_share) {
+            self.testbed.corrupt(input);
+            self.corrupted = true;
+        }
+        let now = self.testbed.now();
         loop {
             let first_byte_at = *self.first_byte_at.get_or_insert(now);
             let Some(incoming) = requests.next(input) else { break };
             self.first_byte_at = None;
             match incoming {
-                Incoming::Request(request, _) => {
-                    let word = |bytes: &[u8]| std::str::from_utf8(bytes).ok().map(str::to_owned);
-                    let hex = |text: Option<String>| text.and_then(|t| u64::from_str_radix(&t, 16).ok());
-                    let key = request.properties.iter().find(|(name, _)| name.as_ref() == b"q");
-                    let key = key.and_then(|(_, value)| word(value)).and_then(|text| text.parse().ok());
-                    let (Some(id), Some(key)) = (hex(word(&request.id)), key) else {
-                        self.answer(now, "CLIENT_ERROR no client sent this\r\n".into(), None);
-                        continue;
-                    };
-                    // What was sent first arrives first.
-                    let due = now + self.rig.way(self.balancer, LinkEnd::CacheServer(self.server), &there);
-                    let due = due.max(self.coming.back().map_or(0, |last| last.due));
-                    self.coming.push_back(Coming {
-                        due,
-                        first_byte_at,
-                        id,
-                        key,
-                        write: request.value.is_some(),
-                    });
-                }
+                Incoming::Request(request, _) => match id_and_key(&request.id, &request.properties) {
+                    Some((id, key)) => {
+                        let write = request.value.is_some();
+                        self.receive(InboundRequest { arrives_at: now, first_byte_at, id, key, write });
+                    }
+                    None => self.answer(now, "CLIENT_ERROR no client sent this\r\n".into(), None),
+                },
                 Incoming::Ready => self.answer(now, "MN\r\n".into(), None),
                 Incoming::Malformed(line) | Incoming::Lost(line) => {
-                    self.answer(now, format!("{line}\r\n"), None)
+                    self.answer(now, format!("{line}\r\n"), None);
                 }
                 Incoming::Upload(..) | Incoming::Piece(..) | Incoming::Quit => {}
             }
@@ -195,65 +230,102 @@
         }
     }
 
-    fn attempt(&self, coming: &Coming, begun: Micros, result: AttemptResult, cold: bool) -> Attempt {
-        let balancer = balancer_of(coming.id) as u32;
-        let receiver = Receiver::CacheServer(self.server as u32);
+    /// Puts a request, sent at `arrives_at`, in transit to the server; what was sent first arrives first.
+    fn receive(&mut self, mut request: InboundRequest) {
+        let link = self.link_to_server();
+        let server = LinkEnd::CacheServer(self.server);
+        request.arrives_at += self.testbed.draw_transit_time(self.balancer, server, &link);
+        let last_arrival = self.inbound.back().map_or(0, |last| last.arrives_at);
+        request.arrives_at = request.arrives_at.max(last_arrival);
+        self.inbound.push_back(request);
+    }
+
+    fn attempt(
+        &self,
+        request: &InboundRequest,
+        received_at: Micros,
+        result: AttemptResult,
+        in_slow_start: bool,
+    ) -> Attempt {
         Attempt {
-            id: coming.id,
-            balancer,
-            receiver,
-            first_byte_at: coming.first_byte_at,
-            received_at: begun,
+            id: request.id,
+            balancer: balancer_of(request.id) as u32,
+            receiver: Receiver::CacheServer(self.server as u32),
+            first_byte_at: request.first_byte_at,
+            received_at,
             answered_at: None,
             result,
-            in_slow_start: cold,
+            in_slow_start,
             corrupted: self.corrupted,
         }
     }
 
-    /// A request has arrived whole.
-    fn begin(&mut self, coming: &Coming, now: Micros) {
-        let rig = Rc::clone(&self.rig);
-        if rig.silent[self.server].get() {
-            rig.received(self.attempt(coming, now, AttemptResult::NoAnswer, false));
+    /// A request has arrived at the server.
+    fn on_request(&mut self, request: &InboundRequest, now: Micros) {
+        if self.testbed.silent[self.server].get() {
+            let attempt = self.attempt(request, now, AttemptResult::NoAnswer, false);
+            self.testbed.log_attempt(attempt);
             return;
         }
-        let mut server = rig.servers[self.server].borrow_mut();
-        let fallen = server.has_collapsed();
-        let outcome = server.on_request(now, coming.key, &mut rig.machines());
-        if server.has_collapsed() && !fallen {
-            rig.event_log.borrow_mut().server_collapses.push((self.server as u32, now));
-        }
-        let report = server.load_report(now, &mut rig.machines());
-        drop(server);
-        let load = format!(" Lserved_ps={:.1},pending={:.1}", report.served_per_s, report.waiting);
-        let id = coming.id;
+        let (response, load) = self.ask_model(request, now);
         // Writes go to the origin; a cache server has no answer to one but this.
-        let answer = if coming.write { Answer::Failed } else { outcome.answer };
-        let (result, line) = match answer {
-            Answer::Hit => {
-                let value = value_of(id, coming.key);
-                (AttemptResult::Served, format!("VA {} O{id:016x} h1{load}\r\n{value}\r\n", value.len()))
-            }
-            Answer::Miss { fetching } => {
-                rig.missed(id, self.server, outcome.in_slow_start);
-                (
-                    AttemptResult::Miss,
-                    format!("EN O{id:016x} h0{}{load}\r\n", if fetching { " Z" } else { "" }),
-                )
-            }
-            Answer::Rejected => (AttemptResult::Rejected, format!("SERVER_ERROR busy{load}\r\n")),
-            Answer::Failed => (AttemptResult::Failed, format!("SERVER_ERROR failed{load}\r\n")),
-        };
-        let place = rig.received(self.attempt(coming, now, result, outcome.in_slow_start));
-        self.answer(outcome.at, line, Some(place));
+        let answer = if request.write { Answer::Failed } else { response.answer };
+        if let Answer::Miss { .. } = answer {
+            self.testbed.on_miss(request.id, self.server, response.in_slow_start);
+        }
+        let (result, line) = answer_line(answer, request, &load);
+        let attempt = self.attempt(request, now, result, response.in_slow_start);
+        let place = self.testbed.log_attempt(attempt);
+        self.answer(response.at, line, Some(place));
+    }
+
+    /// What the model makes of a request, and the load report that its answer carries.
+    fn ask_model(&self, request: &InboundRequest, now: Micros) -> (Response, LoadReport) {
+        let testbed = &self.testbed;
+        let mut server = testbed.servers[self.server].borrow_mut();
+        let had_collapsed = server.has_collapsed();
+        let response = server.on_request(now, request.key, &mut testbed.machine_rng());
+        if server.has_collapsed() && !had_collapsed {
+            testbed.event_log.borrow_mut().server_collapses.push((self.server as u32, now));
+        }
+        let load = server.load_report(now, &mut testbed.machine_rng());
+        (response, load)
     }
 
-    /// Sends an answer on its way at this time; answers keep the order of their requests.
+    /// Puts an answer in transit at this time; answers keep the order of their requests.
     fn answer(&mut self, at: Micros, line: String, attempt: Option<usize>) {
-        let back = self.rig.link(LinkEnd::CacheServer(self.server), self.balancer);
-        let due = at + self.rig.way(LinkEnd::CacheServer(self.server), self.balancer, &back);
-        let due = due.max(self.going.back().map_or(0, |last| last.due));
-        self.going.push_back(Going { due, line: line.into_bytes(), attempt });
+        let link = self.link_to_balancer();
+        let server = LinkEnd::CacheServer(self.server);
+        let leaves_at = at + self.testbed.draw_transit_time(server, self.balancer, &link);
+        let last_answer = self.outbound.back().map_or(0, |last| last.leaves_at);
+        let leaves_at = leaves_at.max(last_answer);
+        self.outbound.push_back(OutboundAnswer { leaves_at, line: line.into_bytes(), attempt });
+    }
+}
+
+/// The id of a request, and the key's number, which rides along as a property; none where no client sent it.
+fn id_and_key(id: &Bytes, properties: &[(Bytes, Bytes)]) -> Option<(u64, u64)> {
+    let id = u64::from_str_radix(std::str::from_utf8(id).ok()?, 16).ok()?;
+    let (_, key) = properties.iter().find(|(name, _)| name.as_ref() == b"q")?;
+    let key = std::str::from_utf8(key).ok()?.parse().ok()?;
+    Some((id, key))
+}
+
+/// How an attempt ends by this answer, and the answer on the wire.
+fn answer_line(answer: Answer, request: &InboundRequest, load: &LoadReport) -> (AttemptResult, String) {
+    let id = request.id;
+    let load = format!(" Lserved_ps={:.1},pending={:.1}", load.served_per_s, load.waiting);
+    match answer {
+        Answer::Hit => {
+            let value = value_of(id, request.key);
+            let line = format!("VA {} O{id:016x} h1{load}\r\n{value}\r\n", value.len());
+            (AttemptResult::Served, line)
+        }
+        Answer::Miss { fetching } => {
+            let flag = if fetching { " Z" } else { "" };
+            (AttemptResult::Miss, format!("EN O{id:016x} h0{flag}{load}\r\n"))
+        }
+        Answer::Rejected => (AttemptResult::Rejected, format!("SERVER_ERROR busy{load}\r\n")),
+        Answer::Failed => (AttemptResult::Failed, format!("SERVER_ERROR failed{load}\r\n")),
     }
 }
--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -1,6 +1,6 @@
-//! Clients: send each request when it is due, whatever the answers; read what comes back; try again as they do.
+//! Clients: send each request when it is due, whatever the answers; read what comes back; retry as clients do.
 //!
-//! The reader of answers is the rig's own, so that the program's codec is not tested against itself.
+//! The reader of answers is the testbed's own, so that the program's codec is not tested against itself.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -16,174 +16,225 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
-use tokio::time::{sleep_until, timeout_at};
+use tokio::time::{sleep_until, timeout, timeout_at};
 
-use crate::rig::{receipt_of, request_id, value_of, Rig};
+use crate::testbed::{receipt_of, request_id, value_of, Testbed};
 
-/// How long after its deadline a try is still listened to: to tell a late answer from none.
-const LISTEN: Micros = 1_000_000;
-/// A kept connection that ends so soon after a request was written had been closed before.
-const CROSSED: Micros = 20_000;
-/// Idle connections that are kept to one balancer.
-const KEPT: usize = 64;
+/// How long after its deadline a request is still listened to: to tell a late answer from none.
+const LATE_ANSWER_WAIT: Micros = 1_000_000;
+/// A pooled connection that ends so soon after a request was written had been closed before.
+const CROSSED_CLOSE_TIME: Micros = 20_000;
+/// A client retries only if so much of its time is left.
+const MIN_RETRY_TIME: Micros = 50_000;
+/// The shortest time that a request states.
+const MIN_REQUEST_TIME: Micros = 1_000;
+/// The smallest share of its time that a client that is not impatient waits.
+const LEAST_PATIENT_SHARE: f64 = 0.5;
+/// How long a client waits for a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Idle connections that are pooled for one balancer.
+const MAX_IDLE_CONNECTIONS: usize = 64;
+/// The longest line of an answer that is read, in bytes; one without an end is no answer.
+const MAX_ANSWER_LINE: u64 = 8_192;
+/// The longest value that is read, in bytes.
+const MAX_VALUE_LENGTH: usize = 65_536;
+
+/// A connection to a balancer.
+type Connection = BufReader<TcpStream>;
 
 /// All clients.
 pub struct Clients {
-    rig: Rc<Rig>,
+    testbed: Rc<Testbed>,
     terms: CheckTerms,
     addresses: Vec<SocketAddr>,
-    idle: Vec<RefCell<Vec<BufReader<TcpStream>>>>,
+    /// Connections by balancer that no request uses.
+    idle_connections: Vec<RefCell<Vec<Connection>>>,
     rng: RefCell<SeededRng>,
-    numbers: Cell<u64>,
-    /// Tries that are out.
-    out: Cell<usize>,
+    next_number: Cell<u64>,
+    in_flight: Cell<usize>,
 }
 
-/// A client comes again only if so much of its time is left.
-const LEAST: Micros = 50_000;
-
-/// One try.
-struct Try {
+/// One request that is to be sent.
+struct OutgoingRequest {
     id: u64,
-    /// The id of the client's first try, which is the idempotency key of a write.
-    first: u64,
+    /// The id of the client's first request, which is the idempotency key of a write.
+    first_id: u64,
     balancer: usize,
     key: u64,
     write: bool,
-    retry: bool,
-    wait: Micros,
+    is_retry: bool,
+    planned_at: Micros,
+    /// How long the client waits, as the request states it.
+    time: Micros,
     /// After how long an impatient client leaves.
-    leaves: Option<Micros>,
+    leaves_after: Option<Micros>,
 }
 
-impl Try {
-    /// The request on the wire. The key's number rides along as a property, for the stand-ins.
-    fn line(&self) -> String {
-        let Try { id, first, key, .. } = *self;
-        let (name, ms) = (key_name(key), self.wait / 1_000);
-        let retry = if self.retry { ",r=1" } else { "" };
+impl OutgoingRequest {
+    /// The request on the wire. The key's number rides along as a property, for the testbed's servers.
+    fn wire_form(&self) -> String {
+        let OutgoingRequest { id, first_id, key, .. } = *self;
+        let name = key_name(key);
+        let millis = self.time / 1_000;
+        let retry = if self.is_retry { ",r=1" } else { "" };
         if self.write {
-            let value = format!("written {first:016x}");
+            let value = format!("written {first_id:016x}");
             let length = value.len();
             format!(
-                "ms {name} {length} O{id:016x} Pc=put,d={ms},k={first:016x},q={key}{retry}\r\n{value}\r\n"
+                "ms {name} {length} O{id:016x} Pc=put,d={millis},k={first_id:016x},q={key}{retry}\r\n{value}\r\n"
             )
         } else {
-            format!("mg {name} v O{id:016x} Pc=read,d={ms},q={key}{retry}\r\n")
+            format!("mg {name} v O{id:016x} Pc=read,d={millis},q={key}{retry}\r\n")
         }
     }
 }
 
-/// How a try went.
-struct Went {
+/// How a request ended.
+struct RequestEnd {
     result: RequestResult,
     at: Option<Micros>,
     extra_lines: u32,
-    /// After how long a refused client may come again.
-    again: Micros,
+    /// After how long a rejected client may retry.
+    retry_after: Micros,
 }
 
-impl Went {
-    fn without(result: RequestResult, at: Option<Micros>) -> Went {
-        Went { result, at, extra_lines: 0, again: 0 }
+impl RequestEnd {
+    fn without_answer(result: RequestResult, at: Option<Micros>) -> RequestEnd {
+        RequestEnd { result, at, extra_lines: 0, retry_after: 0 }
     }
 }
 
+/// An answer as it was read.
+struct ParsedAnswer {
+    result: RequestResult,
+    retry_after: Micros,
+}
+
 impl Clients {
     /// Clients of balancers at these addresses.
-    pub fn new(rig: Rc<Rig>, terms: CheckTerms, addresses: Vec<SocketAddr>) -> Rc<Clients> {
-        let idle = addresses.iter().map(|_| RefCell::default()).collect();
-        let rng = RefCell::new(seeded_rng(rig.experiment.seed, RngStream::Clients));
-        Rc::new(Clients { rig, terms, addresses, idle, rng, numbers: Cell::new(1), out: Cell::new(0) })
+    pub fn new(testbed: Rc<Testbed>, terms: CheckTerms, addresses: Vec<SocketAddr>) -> Rc<Clients> {
+        let idle_connections = addresses.iter().map(|_| RefCell::default()).collect();
+        let rng = RefCell::new(seeded_rng(testbed.experiment.seed, RngStream::Clients));
+        Rc::new(Clients {
+            testbed,
+            terms,
+            addresses,
+            idle_connections,
+            rng,
+            next_number: Cell::new(1),
+            in_flight: Cell::new(0),
+        })
     }
 
-    /// Tries that are out.
-    pub fn out(&self) -> usize {
-        self.out.get()
+    /// Clients that wait for an answer or for their retry.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.get()
     }
 
     /// Sends all these requests when they are due.
-    pub async fn send(self: Rc<Clients>, load: Rc<Vec<Arrival>>) {
-        for arrival in load.iter() {
-            sleep_until(self.rig.instant(arrival.at)).await;
-            self.out.set(self.out.get() + 1);
-            let (clients, arrival) = (Rc::clone(&self), *arrival);
+    pub async fn send(self: Rc<Clients>, arrivals: Vec<Arrival>) {
+        for arrival in arrivals {
+            sleep_until(self.testbed.instant(arrival.at)).await;
+            self.in_flight.set(self.in_flight.get() + 1);
+            let clients = Rc::clone(&self);
             spawn_local(async move {
-                clients.ask(&arrival).await;
-                clients.out.set(clients.out.get() - 1);
+                clients.run_client(&arrival).await;
+                clients.in_flight.set(clients.in_flight.get() - 1);
             });
         }
     }
 
-    /// A client's first try and its retries.
-    async fn ask(&self, arrival: &Arrival) {
-        let class = *self.terms.class(arrival.write);
-        let begun = arrival.at;
-        let (mut first, mut planned, mut balancer) = (None, begun, arrival.balancer as usize);
-        for retry in 0..=self.rig.experiment.clients.retries {
-            let id = request_id(balancer, self.numbers.replace(self.numbers.get() + 1));
-            let left = (begun + class.deadline).saturating_sub(planned);
-            let part = |share: f64| (class.deadline as f64 * share) as Micros;
-            let one = Try {
-                id,
-                first: *first.get_or_insert(id),
-                balancer,
-                key: arrival.key,
-                write: arrival.write,
-                retry: retry > 0,
-                // Impatient clients ask for the usual time and leave before it.
-                wait: part(arrival.patience.max(0.5)).min(left).max(1_000),
-                leaves: (arrival.patience < 0.5).then_some(part(arrival.patience)),
-            };
-            let place = self.put_down(&one, planned);
-            let went = self.one(place, &one).await;
-            self.rig.over(id);
-            {
-                let request = &mut self.rig.event_log.borrow_mut().requests[place];
-                (request.result, request.ended_at, request.extra_lines) =
-                    (went.result, went.at, went.extra_lines);
-            }
+    /// A client's first request and its retries.
+    async fn run_client(&self, arrival: &Arrival) {
+        let deadline = arrival.at + self.terms.class(arrival.write).deadline;
+        let mut first_id = None;
+        let mut planned_at = arrival.at;
+        let mut balancer = arrival.balancer as usize;
+        for retry in 0..=self.testbed.experiment.clients.retries {
+            let request = self.next_request(arrival, balancer, planned_at, first_id);
+            first_id = Some(request.first_id);
+            let end = self.run_request(&request).await;
             if matches!(
-                went.result,
+                end.result,
                 RequestResult::Served | RequestResult::WrongValue | RequestResult::ClientLeft
             ) {
                 return;
             }
-            let (wait, other) = self.after(retry, went.again);
-            planned = self.rig.now() + wait;
-            if went.result == RequestResult::NotAccepted {
+            let (wait, other_balancer) = self.draw_retry(retry, end.retry_after);
+            planned_at = self.testbed.now() + wait;
+            if end.result == RequestResult::NotAccepted {
                 // The front deals those out anew whose balancer is not there.
-                balancer = other;
+                balancer = other_balancer;
             }
-            if planned + LEAST > begun + class.deadline {
+            if planned_at + MIN_RETRY_TIME > deadline {
                 return;
             }
-            sleep_until(self.rig.instant(planned)).await;
+            sleep_until(self.testbed.instant(planned_at)).await;
+        }
+    }
+
+    /// The client's next request; `first_id` is none for its first.
+    fn next_request(
+        &self,
+        arrival: &Arrival,
+        balancer: usize,
+        planned_at: Micros,
+        first_id: Option<u64>,
+    ) -> OutgoingRequest {
+        let class_deadline = self.terms.class(arrival.write).deadline;
+        let time_left = (arrival.at + class_deadline).saturating_sub(planned_at);
+        let part = |share: f64| (class_deadline as f64 * share) as Micros;
+        let is_impatient = arrival.patience < LEAST_PATIENT_SHARE;
+        let id = request_id(balancer, self.next_number.replace(self.next_number.get() + 1));
+        OutgoingRequest {
+            id,
+            first_id: first_id.unwrap_or(id),
+            balancer,
+            key: arrival.key,
+            write: arrival.write,
+            is_retry: first_id.is_some(),
+            planned_at,
+            // Impatient clients state the usual time and leave before it.
+            time: part(arrival.patience.max(LEAST_PATIENT_SHARE)).min(time_left).max(MIN_REQUEST_TIME),
+            leaves_after: is_impatient.then(|| part(arrival.patience)),
         }
     }
 
-    /// How long a client waits after a try that was not served, and the balancer that a front would deal it out to.
-    fn after(&self, retry: u32, again: Micros) -> (Micros, usize) {
-        let figures = self.rig.experiment.clients;
+    /// Sends one request and logs how it ended.
+    async fn run_request(&self, request: &OutgoingRequest) -> RequestEnd {
+        let place = self.log_request(request);
+        let end = self.exchange(place, request).await;
+        self.testbed.on_request_over(request.id);
+        let logged = &mut self.testbed.event_log.borrow_mut().requests[place];
+        logged.result = end.result;
+        logged.ended_at = end.at;
+        logged.extra_lines = end.extra_lines;
+        end
+    }
+
+    /// How long a client waits after a request that was not served, and the balancer that a front would deal it out to.
+    fn draw_retry(&self, retry: u32, retry_after: Micros) -> (Micros, usize) {
+        let model = self.testbed.experiment.clients;
         let mut rng = self.rng.borrow_mut();
-        let backoff =
-            micros_from_millis(figures.backoff_ms * f64::from(1 << retry) * rng.random_range(0.5..1.5));
-        let honours = rng.random::<f64>() < figures.honour;
-        (if honours { backoff.max(again) } else { backoff }, rng.random_range(0..self.addresses.len()))
+        let backoff_ms = model.backoff_ms * f64::from(1 << retry) * rng.random_range(0.5..1.5);
+        let backoff = micros_from_millis(backoff_ms);
+        let honours_retry_after = rng.random::<f64>() < model.honour;
+        let wait = if honours_retry_after { backoff.max(retry_after) } else { backoff };
+        (wait, rng.random_range(0..self.addresses.len()))
     }
 
-    /// Puts a try into the event log; gives its place there.
-    fn put_down(&self, one: &Try, planned: Micros) -> usize {
-        let requests = &mut self.rig.event_log.borrow_mut().requests;
+    /// Logs a request that is about to be sent; gives its place in the log.
+    fn log_request(&self, request: &OutgoingRequest) -> usize {
+        let requests = &mut self.testbed.event_log.borrow_mut().requests;
         requests.push(ClientRequest {
-            id: one.id,
-            first_id: one.first,
-            balancer: one.balancer as u32,
-            key: one.key,
-            write: one.write,
-            planned_at: planned,
-            sent_at: planned,
-            deadline: planned + one.wait,
+            id: request.id,
+            first_id: request.first_id,
+            balancer: request.balancer as u32,
+            key: request.key,
+            write: request.write,
+            planned_at: request.planned_at,
+            sent_at: request.planned_at,
+            deadline: request.planned_at + request.time,
             ended_at: None,
             result: RequestResult::NotAccepted,
             extra_lines: 0,
@@ -191,85 +242,118 @@
         requests.len() - 1
     }
 
-    /// One try: on a kept connection or a new one, once more where a kept one had been closed.
-    async fn one(&self, place: usize, one: &Try) -> Went {
-        let line = one.line();
-        let mut kept = self.idle[one.balancer].borrow_mut().pop();
-        loop {
-            let was_kept = kept.is_some();
-            let mut stream = match kept.take() {
-                Some(stream) => stream,
-                None => {
-                    let connect = TcpStream::connect(self.addresses[one.balancer]);
-                    match tokio::time::timeout(Duration::from_secs(1), connect).await {
-                        Ok(Ok(stream)) => {
-                            let _ = stream.set_nodelay(true);
-                            BufReader::new(stream)
-                        }
-                        _ => return Went::without(RequestResult::NotAccepted, Some(self.rig.now())),
-                    }
-                }
-            };
-            let written = stream.write_all(line.as_bytes()).await;
-            let sent = self.rig.now();
-            {
-                let request = &mut self.rig.event_log.borrow_mut().requests[place];
-                (request.sent_at, request.deadline) = (sent, sent + one.wait);
+    /// Sends a request on a pooled connection or a new one, once more where a pooled one had been closed.
+    async fn exchange(&self, place: usize, request: &OutgoingRequest) -> RequestEnd {
+        let pooled = self.idle_connections[request.balancer].borrow_mut().pop();
+        if let Some(connection) = pooled {
+            if let Some(end) = self.exchange_on(connection, place, request).await {
+                return end;
+            }
+        }
+        let Some(connection) = self.connect(request.balancer).await else {
+            return RequestEnd::without_answer(RequestResult::NotAccepted, Some(self.testbed.now()));
+        };
+        let rejected =
+            || RequestEnd::without_answer(RequestResult::ConnectionRejected, Some(self.testbed.now()));
+        self.exchange_on(connection, place, request).await.unwrap_or_else(rejected)
+    }
+
+    async fn connect(&self, balancer: usize) -> Option<Connection> {
+        let connect = TcpStream::connect(self.addresses[balancer]);
+        let stream = timeout(CONNECT_TIMEOUT, connect).await.ok()?.ok()?;
+        let _ = stream.set_nodelay(true);
+        Some(BufReader::new(stream))
+    }
+
+    /// Sends a request and waits for its end; none where the connection ended at once, so that its close crossed the
+    /// request or it was rejected.
+    async fn exchange_on(
+        &self,
+        mut connection: Connection,
+        place: usize,
+        request: &OutgoingRequest,
+    ) -> Option<RequestEnd> {
+        let written = connection.write_all(request.wire_form().as_bytes()).await;
+        let sent_at = self.testbed.now();
+        self.log_sent(place, sent_at, request);
+        let until = sent_at + request.leaves_after.unwrap_or(request.time + LATE_ANSWER_WAIT);
+        let read = async {
+            written.ok()?;
+            read_answer(&mut connection, request).await
+        };
+        match timeout_at(self.testbed.instant(until), read).await {
+            Ok(Some(answer)) => Some(self.on_answer(connection, answer, request.balancer)),
+            Ok(None) if self.testbed.now() <= sent_at + CROSSED_CLOSE_TIME => None,
+            Ok(None) => {
+                let now = Some(self.testbed.now());
+                Some(RequestEnd::without_answer(RequestResult::ConnectionClosed, now))
             }
-            let until = sent + one.leaves.unwrap_or(one.wait + LISTEN);
-            let read = async {
-                written.ok()?;
-                read(&mut stream, one).await
-            };
-            match timeout_at(self.rig.instant(until), read).await {
-                Ok(Some((end, again))) => {
-                    let at = Some(self.rig.now());
-                    let more = stream.buffer().iter().filter(|byte| **byte == b'\n').count() as u32;
-                    let mut idle = self.idle[one.balancer].borrow_mut();
-                    if more == 0 && idle.len() < KEPT {
-                        idle.push(stream);
-                    }
-                    return Went { result: end, at, extra_lines: more, again };
-                }
-                // The close crossed the request: once more on a new connection.
-                Ok(None) if was_kept && self.rig.now() <= sent + CROSSED => {}
-                Ok(None) if self.rig.now() <= sent + CROSSED => {
-                    return Went::without(RequestResult::ConnectionRejected, Some(self.rig.now()))
-                }
-                Ok(None) => return Went::without(RequestResult::ConnectionClosed, Some(self.rig.now())),
-                Err(_) if one.leaves.is_some() => return Went::without(RequestResult::ClientLeft, None),
-                Err(_) => return Went::without(RequestResult::NoAnswer, None),
+            Err(_) if request.leaves_after.is_some() => {
+                Some(RequestEnd::without_answer(RequestResult::ClientLeft, None))
             }
+            Err(_) => Some(RequestEnd::without_answer(RequestResult::NoAnswer, None)),
+        }
+    }
+
+    fn log_sent(&self, place: usize, sent_at: Micros, request: &OutgoingRequest) {
+        let logged = &mut self.testbed.event_log.borrow_mut().requests[place];
+        logged.sent_at = sent_at;
+        logged.deadline = sent_at + request.time;
+    }
+
+    /// A complete answer has come; its connection is pooled where nothing follows the answer.
+    fn on_answer(&self, connection: Connection, answer: ParsedAnswer, balancer: usize) -> RequestEnd {
+        let at = Some(self.testbed.now());
+        let extra_lines = connection.buffer().iter().filter(|byte| **byte == b'\n').count() as u32;
+        let mut idle_connections = self.idle_connections[balancer].borrow_mut();
+        if extra_lines == 0 && idle_connections.len() < MAX_IDLE_CONNECTIONS {
+            idle_connections.push(connection);
         }
+        RequestEnd { result: answer.result, at, extra_lines, retry_after: answer.retry_after }
     }
 }
 
-/// Reads the answer to a try; none where the connection ends before it is whole.
-async fn read(stream: &mut BufReader<TcpStream>, one: &Try) -> Option<(RequestResult, Micros)> {
+/// Reads the answer to a request; none where the connection ends before it is complete.
+async fn read_answer(connection: &mut Connection, request: &OutgoingRequest) -> Option<ParsedAnswer> {
     let mut line = Vec::new();
-    // A balancer's line is short; one without an end is no answer.
-    (&mut *stream).take(8_192).read_until(b'\n', &mut line).await.ok()?;
+    (&mut *connection).take(MAX_ANSWER_LINE).read_until(b'\n', &mut line).await.ok()?;
     let line = std::str::from_utf8(line.strip_suffix(b"\r\n")?).unwrap_or_default();
     let words: Vec<&str> = line.split(' ').collect();
-    let named = format!("O{:016x}", one.id);
-    let made = |right: bool| if right { RequestResult::Served } else { RequestResult::WrongValue };
-    Some(match words[..] {
+    let id_flag = format!("O{:016x}", request.id);
+    let (result, retry_after) = match words[..] {
         ["SERVER_ERROR", "busy"] => (RequestResult::Rejected, 0),
-        ["SERVER_ERROR", "busy", ms] => {
-            (RequestResult::Rejected, micros_from_millis(ms.parse().unwrap_or(0.0)))
+        ["SERVER_ERROR", "busy", millis] => {
+            (RequestResult::Rejected, micros_from_millis(millis.parse().unwrap_or(0.0)))
         }
-        ["VA", length, name, ..] => {
-            let length: usize = length.parse().ok().filter(|length| *length <= 65_536)?;
-            let mut value = vec![0; length + 2];
-            stream.read_exact(&mut value).await.ok()?;
-            value.truncate(length);
-            let right = value == value_of(one.id, one.key).as_bytes();
-            (made(right && name == named && !one.write), 0)
+        ["VA", length, flag, ..] => {
+            let value = read_value(connection, length.parse().ok()?).await?;
+            let is_right = value == value_of(request.id, request.key).as_bytes();
+            (served_if(is_right && flag == id_flag && !request.write), 0)
         }
-        ["HD", name, receipt, ..] => {
-            let right = receipt.strip_prefix('c') == Some(&receipt_of(one.first));
-            (made(right && name == named && one.write), 0)
+        ["HD", flag, receipt, ..] => {
+            let is_right = receipt.strip_prefix('c') == Some(&receipt_of(request.first_id));
+            (served_if(is_right && flag == id_flag && request.write), 0)
         }
         _ => (RequestResult::Failed, 0),
-    })
+    };
+    Some(ParsedAnswer { result, retry_after })
+}
+
+/// Reads a value and the end of its line.
+async fn read_value(connection: &mut Connection, length: usize) -> Option<Vec<u8>> {
+    if length > MAX_VALUE_LENGTH {
+        return None;
+    }
+    let mut value = vec![0; length + 2];
+    connection.read_exact(&mut value).await.ok()?;
+    value.truncate(length);
+    Some(value)
+}
+
+fn served_if(is_right: bool) -> RequestResult {
+    if is_right {
+        RequestResult::Served
+    } else {
+        RequestResult::WrongValue
+    }
 }
--- a/testbed/src/discovery.rs
+++ b/testbed/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery's side of its sockets: the whole list, and watches that tell each balancer its changes when they are due
-//! for it. What was told whom, and when, goes into the event log.
+//! Discovery's side of its sockets: the complete list, and watches that notify each balancer of changes when they are due
+//! for it. What each was notified of, and when, goes into the event log.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,71 +22,177 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, timeout};
 
-use crate::doors::next;
-use crate::origin::{carried, Broken};
-use crate::rig::Rig;
+use crate::listeners;
+use crate::origin::{carry, ConnectionBroken};
+use crate::testbed::Testbed;
 
 /// While nothing changes, an empty line comes this often.
-const EMPTY: Duration = Duration::from_secs(2);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Lines of a watch that wait to be written.
+const WATCH_CHANNEL_CAPACITY: usize = 4;
+/// Servers of one cell.
+const SERVERS_PER_CELL: usize = 8;
 
-/// The addresses that a balancer is told for the servers, the origin last.
-pub type Addresses = Rc<Vec<SocketAddr>>;
+/// The addresses at which a balancer reaches the servers, the origin last.
+pub type ServerAddresses = Rc<Vec<SocketAddr>>;
 
-/// Lets one balancer in until the listener's task is aborted.
-pub async fn accept(rig: Rc<Rig>, balancer: usize, addresses: Addresses, listener: TcpListener) {
+type Body = BoxBody<Bytes, ConnectionBroken>;
+
+/// Accepts one balancer's connections until the task is aborted.
+pub async fn serve(testbed: Rc<Testbed>, balancer: usize, addresses: ServerAddresses, listener: TcpListener) {
+    let view = Rc::new(BalancerView { testbed, balancer, addresses });
     loop {
-        let stream = next(&listener).await;
-        let (rig, addresses) = (Rc::clone(&rig), Rc::clone(&addresses));
+        let stream = listeners::accept(&listener).await;
+        let view = Rc::clone(&view);
         spawn_local(async move {
-            let handler =
-                service_fn(|request| answer(Rc::clone(&rig), balancer, Rc::clone(&addresses), request));
-            let _ = hyper::server::conn::http1::Builder::new()
-                .serve_connection(TokioIo::new(stream), handler)
-                .await;
+            let handler = service_fn(|request| Rc::clone(&view).on_request(request));
+            let connection = hyper::server::conn::http1::Builder::new();
+            let _ = connection.serve_connection(TokioIo::new(stream), handler).await;
         });
     }
 }
 
-type Body = BoxBody<Bytes, Broken>;
-
-async fn answer(
-    rig: Rc<Rig>,
+/// Discovery as one balancer sees it.
+struct BalancerView {
+    testbed: Rc<Testbed>,
     balancer: usize,
-    addresses: Addresses,
-    request: Request<Incoming>,
-) -> Result<Response<Body>, Broken> {
-    let link = (LinkEnd::Balancer(balancer), LinkEnd::Discovery);
-    carried(&rig, link.0, link.1).await?;
-    if rig.down.get() {
-        return refused();
+    addresses: ServerAddresses,
+}
+
+impl BalancerView {
+    async fn on_request(
+        self: Rc<BalancerView>,
+        request: Request<Incoming>,
+    ) -> Result<Response<Body>, ConnectionBroken> {
+        let testbed = &self.testbed;
+        let end = LinkEnd::Balancer(self.balancer);
+        carry(testbed, end, LinkEnd::Discovery).await?;
+        if testbed.discovery_down.get() {
+            return Ok(unavailable());
+        }
+        let answered_at = testbed.discovery_queue.borrow_mut().on_call(testbed.now());
+        let Some(answered_at) = answered_at else { return Ok(unavailable()) };
+        sleep_until(testbed.instant(answered_at)).await;
+        carry(testbed, LinkEnd::Discovery, end).await?;
+        let query = Query::parse(request.uri().query().unwrap_or_default());
+        if !query.is_watch {
+            let (line, _) = self.first_line(None);
+            return Ok(Response::new(Full::from(line).map_err(|never| match never {}).boxed()));
+        }
+        let (line, generation) = self.first_line(query.since);
+        Ok(Response::new(self.start_watch(line, generation)))
+    }
+
+    /// A body that has this line first, then the changes after the generation.
+    fn start_watch(self: Rc<BalancerView>, first_line: String, generation: u64) -> Body {
+        let (lines, body) = mpsc::channel::<Bytes>(WATCH_CHANNEL_CAPACITY);
+        spawn_local(async move {
+            if lines.send(Bytes::from(first_line)).await.is_ok() {
+                self.watch(generation, lines).await;
+            }
+        });
+        BodyExt::boxed(StreamBody::new(WatchLines(body)))
     }
-    let ready = rig.door.borrow_mut().on_call(rig.now());
-    let Some(ready) = ready else { return refused() };
-    sleep_until(rig.instant(ready)).await;
-    carried(&rig, link.1, link.0).await?;
-    let query = request.uri().query().unwrap_or_default();
-    let of = |name: &str| query.split('&').filter_map(|item| item.split_once('=')).find(|(n, _)| *n == name);
-    let follow = of("follow").is_some_and(|(_, value)| value == "1");
-    let since = of("since").and_then(|(_, value)| value.parse::<u64>().ok());
-    let (line, generation) = first_line(&rig, balancer, &addresses, if follow { since } else { None });
-    if !follow {
-        return Ok(Response::new(Full::from(line).map_err(|never| match never {}).boxed()));
+
+    /// Sends the changes as they are due, an empty line while there are none.
+    async fn watch(&self, mut notified_generation: u64, lines: mpsc::Sender<Bytes>) {
+        let testbed = &self.testbed;
+        let mut changes = testbed.changes.subscribe();
+        loop {
+            if testbed.discovery_down.get() || lines.is_closed() {
+                return;
+            }
+            let link = testbed.link_state(LinkEnd::Discovery, LinkEnd::Balancer(self.balancer));
+            if link.reset {
+                return;
+            }
+            let (generation, next_due) = testbed.visible_generation(self.balancer);
+            if !link.cut && generation > notified_generation {
+                let line = self.changes_line(notified_generation, generation);
+                notified_generation = generation;
+                if lines.send(line.into()).await.is_err() {
+                    return;
+                }
+                continue;
+            }
+            let due = next_due.filter(|_| !link.cut).map(|at| testbed.instant(at));
+            tokio::select! {
+                () = sleep_until(due.unwrap_or_else(|| testbed.instant(0))), if due.is_some() => {}
+                changed = timeout(KEEPALIVE_INTERVAL, changes.changed()) => match changed {
+                    Ok(Ok(())) => {}
+                    Ok(Err(_)) => return,
+                    Err(_) if link.cut => {}
+                    Err(_) => {
+                        if lines.send(Bytes::from_static(b"\n")).await.is_err() {
+                            return;
+                        }
+                    }
+                }
+            }
+        }
     }
-    let (lines, body) = mpsc::channel::<Bytes>(4);
-    let first = Bytes::from(line);
-    spawn_local(async move {
-        if lines.send(first).await.is_ok() {
-            watch(rig, balancer, addresses, generation, lines).await;
+
+    /// The first line of an answer, and its generation: what changed after `since`, or the complete list.
+    fn first_line(&self, since: Option<u64>) -> (String, u64) {
+        let (generation, _) = self.testbed.visible_generation(self.balancer);
+        if let Some(since) = since.filter(|since| *since <= generation) {
+            return (self.changes_line(since, generation), generation);
         }
-    });
-    Ok(Response::new(BodyExt::boxed(StreamBody::new(Lines(body)))))
+        let endpoints = self.testbed.endpoints.borrow().list.snapshot(generation);
+        (self.line(generation, true, &endpoints), generation)
+    }
+
+    fn changes_line(&self, after: u64, up_to: u64) -> String {
+        let endpoints = self.testbed.endpoints.borrow().list.changes_between(after, up_to).to_vec();
+        self.line(up_to, false, &endpoints)
+    }
+
+    /// A list or its changes in discovery's form; the balancer counts as notified of them.
+    fn line(&self, generation: u64, reset: bool, endpoints: &[Endpoint]) -> String {
+        self.log_notices(endpoints);
+        format!("{}\n", list_json(&self.testbed, generation, reset, endpoints, &self.addresses))
+    }
+
+    fn log_notices(&self, endpoints: &[Endpoint]) {
+        let at = self.testbed.now();
+        let server_count = self.testbed.servers.len();
+        let servers = endpoints.iter().filter(|endpoint| endpoint.slot < server_count);
+        let notices = servers.map(|endpoint| EndpointNotice {
+            balancer: self.balancer as u32,
+            server: endpoint.slot as u32,
+            in_service: endpoint.lifecycle == Lifecycle::InService,
+            at,
+        });
+        self.testbed.event_log.borrow_mut().notices.extend(notices);
+    }
+}
+
+/// What a balancer asks discovery for.
+struct Query {
+    /// Whether it wants the changes that follow as well.
+    is_watch: bool,
+    /// The generation that it has.
+    since: Option<u64>,
+}
+
+impl Query {
+    fn parse(query: &str) -> Query {
+        let value = |name: &str| {
+            let mut pairs = query.split('&').filter_map(|item| item.split_once('='));
+            pairs.find(|(other, _)| *other == name).map(|(_, value)| value)
+        };
+        Query {
+            is_watch: value("follow") == Some("1"),
+            since: value("since").and_then(|value| value.parse().ok()),
+        }
+    }
 }
 
 /// The lines of a watch as they come.
-struct Lines(mpsc::Receiver<Bytes>);
+struct WatchLines(mpsc::Receiver<Bytes>);
 
-impl futures_core::Stream for Lines {
-    type Item = Result<Frame<Bytes>, Broken>;
+impl futures_core::Stream for WatchLines {
+    type Item = Result<Frame<Bytes>, ConnectionBroken>;
 
     fn poll_next(
         mut self: std::pin::Pin<&mut Self>,
@@ -96,107 +202,39 @@
     }
 }
 
-fn refused() -> Result<Response<Body>, Broken> {
+fn unavailable() -> Response<Body> {
     let mut response = Response::new(Full::default().map_err(|never| match never {}).boxed());
     *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-    Ok(response)
-}
-
-/// Tells the changes as they are due, an empty line while there are none.
-async fn watch(
-    rig: Rc<Rig>,
-    balancer: usize,
-    addresses: Addresses,
-    mut told: u64,
-    lines: mpsc::Sender<Bytes>,
-) {
-    let mut weather = rig.weather.subscribe();
-    loop {
-        if rig.down.get() || lines.is_closed() {
-            return;
-        }
-        let state = rig.link(LinkEnd::Discovery, LinkEnd::Balancer(balancer));
-        if state.reset {
-            return;
-        }
-        let (generation, next) = rig.tellable(balancer);
-        if !state.cut && generation > told {
-            let entries = rig.catalog.borrow().0.changes_between(told, generation).to_vec();
-            let line = text(&rig, generation, false, &entries, &addresses);
-            note(&rig, balancer, &entries);
-            told = generation;
-            if lines.send(line.into()).await.is_err() {
-                return;
-            }
-            continue;
-        }
-        let due = next.filter(|_| !state.cut).map(|at| rig.instant(at));
-        tokio::select! {
-            () = sleep_until(due.unwrap_or_else(|| rig.instant(0))), if due.is_some() => {}
-            changed = timeout(EMPTY, weather.changed()) => match changed {
-                Ok(Ok(())) => {}
-                Ok(Err(_)) => return,
-                Err(_) if state.cut => {}
-                Err(_) => {
-                    if lines.send(Bytes::from_static(b"\n")).await.is_err() {
-                        return;
-                    }
-                }
-            }
-        }
-    }
-}
-
-/// The first line of an answer: what changed after `since`, or the whole list.
-fn first_line(rig: &Rig, balancer: usize, addresses: &Addresses, since: Option<u64>) -> (String, u64) {
-    let (generation, _) = rig.tellable(balancer);
-    let catalog = rig.catalog.borrow();
-    let (reset, entries) = match since {
-        Some(since) if since <= generation => (false, catalog.0.changes_between(since, generation).to_vec()),
-        _ => (true, catalog.0.snapshot(generation)),
-    };
-    drop(catalog);
-    note(rig, balancer, &entries);
-    (text(rig, generation, reset, &entries, addresses), generation)
-}
-
-/// Puts down what a balancer has been told.
-pub fn note(rig: &Rig, balancer: usize, entries: &[Endpoint]) {
-    let at = rig.now();
-    let servers = rig.servers.len();
-    let told = entries.iter().filter(|entry| entry.slot < servers).map(|entry| EndpointNotice {
-        balancer: balancer as u32,
-        server: entry.slot as u32,
-        in_service: entry.lifecycle == Lifecycle::InService,
-        at,
-    });
-    rig.event_log.borrow_mut().notices.extend(told);
+    response
 }
 
-/// A list or its changes in discovery's form, one line.
-fn text(rig: &Rig, generation: u64, reset: bool, entries: &[Endpoint], addresses: &Addresses) -> String {
-    format!("{}\n", list(rig, generation, reset, entries, addresses))
+/// A list or its changes in discovery's form, which a configuration's `known` has, too.
+pub fn list_json(
+    testbed: &Testbed,
+    generation: u64,
+    reset: bool,
+    endpoints: &[Endpoint],
+    addresses: &ServerAddresses,
+) -> Value {
+    let instances: Vec<Value> =
+        endpoints.iter().map(|endpoint| instance_json(testbed, endpoint, addresses)).collect();
+    json!({"generation": generation, "reset": reset, "instances": instances})
 }
 
-/// The same as a value, as a configuration's `known` holds it.
-pub fn list(rig: &Rig, generation: u64, reset: bool, entries: &[Endpoint], addresses: &Addresses) -> Value {
-    let fleet = &rig.experiment.fleet;
-    let servers = rig.servers.len();
-    let instance = |entry: &Endpoint| {
-        let origin = entry.slot >= servers;
-        let kind = entry.slot % fleet.weights.len();
-        json!({
-            "instanceId": entry.id,
-            "hostPort": addresses[entry.slot].to_string(),
-            "zone": zone_name(if origin { 0 } else { zone_of(entry.slot, fleet) }),
-            "machineType": if origin { "origin".into() } else { kind_name(kind) },
-            "cell": entry.slot / 8,
-            "lifecycle": entry.lifecycle.wire_name(),
-            "weight": if origin { 1.0 } else { fleet.weights[kind] },
-            "startedAtMs": entry.started_at.map_or(0, |at| rig.unix_ms(at)),
-        })
-    };
-    json!({"generation": generation, "reset": reset, "instances": entries.iter().map(instance).collect::<Vec<_>>()})
+fn instance_json(testbed: &Testbed, endpoint: &Endpoint, addresses: &ServerAddresses) -> Value {
+    let fleet = &testbed.experiment.fleet;
+    let is_origin = endpoint.slot >= testbed.servers.len();
+    let kind = endpoint.slot % fleet.weights.len();
+    json!({
+        "instanceId": endpoint.id,
+        "hostPort": addresses[endpoint.slot].to_string(),
+        "zone": zone_name(if is_origin { 0 } else { zone_of(endpoint.slot, fleet) }),
+        "machineType": if is_origin { "origin".into() } else { kind_name(kind) },
+        "cell": endpoint.slot / SERVERS_PER_CELL,
+        "lifecycle": endpoint.lifecycle.wire_name(),
+        "weight": if is_origin { 1.0 } else { fleet.weights[kind] },
+        "startedAtMs": endpoint.started_at.map_or(0, |at| testbed.unix_ms(at)),
+    })
 }
 
 /// The name of a zone.
--- /dev/null
+++ b/testbed/src/experiment_run.rs
@@ -0,0 +1,323 @@
+//! Runs an experiment: prepares the platform, starts the processes, sends the load, makes the faults, ends everything and
+//! gives the record.
+
+mod measurement;
+mod platform;
+
+use std::iter::Peekable;
+use std::path::Path;
+use std::rc::Rc;
+use std::time::Duration;
+
+use juniperladder_platform_model::checker::self_reports::SelfReport;
+use juniperladder_platform_model::checker::{CheckTerms, StatedBounds};
+use juniperladder_platform_model::event_log::EventLog;
+use juniperladder_platform_model::experiment::Experiment;
+use juniperladder_platform_model::schedule::{schedule, Schedule, Step};
+use juniperladder_platform_model::workload::draw_arrivals;
+use juniperladder_platform_model::{micros_from_seconds, Micros};
+use tokio::sync::watch;
+use tokio::task::{spawn_local, JoinHandle, LocalSet};
+use tokio::time::{sleep, sleep_until};
+
+use crate::child_reaper::ChildReaper;
+use crate::clients::Clients;
+use crate::operator_file::OperatorFile;
+use crate::peer_relay::{PeerRelay, SentTraffic};
+use crate::processes::PeerSetup;
+use crate::resource_check::check_resources;
+use crate::self_reports::{poll_self_reports, SharedReports};
+use crate::testbed::Testbed;
+use crate::{SetupError, TestbedError};
+use measurement::{shift_times, watch_stalls, CpuTimes};
+use platform::Platform;
+
+/// The longest pause between two reports of progress.
+const PROGRESS_INTERVAL: Micros = 250_000;
+/// How often it is looked whether requests are still in flight after the load.
+const IN_FLIGHT_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// How often at the most; requests that are in flight then have no end.
+const IN_FLIGHT_POLLS: usize = 60;
+/// Before a run that was stopped ended, requests planned in this time may still have been in flight, in seconds.
+const UNFINISHED_TIME_S: f64 = 4.0;
+
+/// How an experiment is run.
+pub struct RunOptions<'a> {
+    /// The folder for logs and the processes' files.
+    pub out: &'a Path,
+    /// Called as the run goes on.
+    pub progress: &'a mut dyn FnMut(Progress),
+    /// Ends the processes should the testbed be killed outright.
+    pub child_reaper: Option<ChildReaper>,
+    /// The run ends with what it has once this is set.
+    pub stop: watch::Receiver<bool>,
+}
+
+/// How far a run is.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Progress {
+    /// So many processes are ready.
+    Ready(usize),
+    /// The load has gone on for so many seconds, from the beginning of the warming up.
+    Load(f64),
+}
+
+/// What a balancer sent to others in a second, on average.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct PeerTrafficRates {
+    /// Packets.
+    pub packets_per_s: f64,
+    /// Bytes of their payload.
+    pub bytes_per_s: f64,
+}
+
+/// What a run leaves. Times count from the beginning of the load.
+pub struct RunRecord {
+    /// What clients, servers and discovery saw.
+    pub event_log: EventLog,
+    /// Processes started, restarts included.
+    pub started: u64,
+    /// Processes that ended by themselves, each with its last log lines.
+    pub crashes: Vec<String>,
+    /// Processor time of all balancers, in seconds.
+    pub balancers_cpu_s: f64,
+    /// Processor time of the testbed, in seconds.
+    pub testbed_cpu_s: f64,
+    /// Traffic between balancers; none where they do not talk.
+    pub peer_traffic: Option<PeerTrafficRates>,
+    /// What each process said of itself, once a second; empty where balancers do not talk.
+    pub self_reports: Vec<SelfReport>,
+    /// What the program states of what its balancers share; none where they do not talk.
+    pub stated: Option<StatedBounds>,
+    /// Whether it was stopped before its end.
+    pub stopped: bool,
+    /// When it ended: the end of the load, or when it was stopped.
+    pub end: Micros,
+}
+
+/// Runs an experiment to its end.
+///
+/// # Errors
+/// What the machine does not allow (nothing was started then), or what kept the run from going on.
+pub fn run_experiment(experiment: &Experiment, options: RunOptions<'_>) -> Result<RunRecord, TestbedError> {
+    let schedule = schedule(experiment);
+    let sides = schedule.links.sides(experiment).iter().max().map_or(1, |last| last + 1);
+    check_resources(experiment, sides)?;
+    let operator_file = OperatorFile::read(experiment)?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = runtime.map_err(SetupError::Runtime)?;
+    LocalSet::new().block_on(&runtime, run(experiment, schedule, operator_file, options))
+}
+
+async fn run(
+    experiment: &Experiment,
+    schedule: Schedule,
+    operator_file: Option<OperatorFile>,
+    options: RunOptions<'_>,
+) -> Result<RunRecord, TestbedError> {
+    let RunOptions { out, progress, child_reaper, mut stop } = options;
+    let testbed = Testbed::new(experiment.clone(), schedule.links);
+    let stated = operator_file.as_ref().map(|file| file.stated_bounds(experiment));
+    let peers = match operator_file {
+        Some(operator_file) => {
+            let relay = PeerRelay::new(Rc::clone(&testbed), experiment.fleet.balancers).await;
+            Some(PeerSetup { operator_file, relay: relay.map_err(SetupError::Listener)? })
+        }
+        None => None,
+    };
+    let relay = peers.as_ref().map(|peers| Rc::clone(&peers.relay));
+    let platform = Platform::prepare(testbed, out, peers, child_reaper)?;
+    // Several runs may go on in one process, one after the other: each counts its own time.
+    let cpu_before = CpuTimes::now();
+    platform.processes.start_all(|ready| progress(Progress::Ready(ready))).await?;
+    let mut run = ExperimentRun::begin_load(platform, relay, schedule.steps);
+    let stopped = run.send_load(progress, &mut stop).await;
+    let mut record = run.finish(stopped, cpu_before).await;
+    record.stated = stated;
+    Ok(record)
+}
+
+/// A run whose load has begun.
+struct ExperimentRun {
+    testbed: Rc<Testbed>,
+    platform: Platform,
+    relay: Option<Rc<PeerRelay>>,
+    clients: Rc<Clients>,
+    /// The faults that are to come.
+    steps: Peekable<std::vec::IntoIter<Step>>,
+    /// When the load began; all times of the record count from it.
+    load_began_at: Micros,
+    /// When the experiment begins: the caches have filled.
+    measured_from: Micros,
+    measured_until: Micros,
+    /// Whether the experiment has begun.
+    is_measuring: bool,
+    /// What balancers had sent to each other when the experiment began.
+    sent_before: Option<SentTraffic>,
+    sending: JoinHandle<()>,
+    /// What watches the run until its end.
+    watchers: Vec<JoinHandle<()>>,
+    self_reports: SharedReports,
+}
+
+impl ExperimentRun {
+    /// Begins the load and what watches the run.
+    fn begin_load(platform: Platform, relay: Option<Rc<PeerRelay>>, steps: Vec<Step>) -> ExperimentRun {
+        let testbed = Rc::clone(&platform.testbed);
+        let experiment = &testbed.experiment;
+        let self_reports = SharedReports::default();
+        let watchers = spawn_watchers(&platform, &self_reports);
+        let load_began_at = testbed.now();
+        let mut arrivals = draw_arrivals(experiment);
+        for arrival in &mut arrivals {
+            arrival.at += load_began_at;
+        }
+        let terms = CheckTerms::of(experiment);
+        let clients = Clients::new(Rc::clone(&testbed), terms, platform.processes.addresses());
+        let sending = spawn_local(Rc::clone(&clients).send(arrivals));
+        let measured_from = load_began_at + micros_from_seconds(experiment.load.warm);
+        let measured_until = measured_from + micros_from_seconds(experiment.seconds);
+        testbed.origin.borrow_mut().unbounded = true;
+        ExperimentRun {
+            sent_before: total_sent(relay.as_ref()),
+            platform,
+            relay,
+            clients,
+            steps: steps.into_iter().peekable(),
+            load_began_at,
+            measured_from,
+            measured_until,
+            is_measuring: false,
+            sending,
+            watchers,
+            self_reports,
+            testbed,
+        }
+    }
+
+    /// Waits through the load and makes the faults at their times; true where the run was stopped.
+    async fn send_load(
+        &mut self,
+        progress: &mut dyn FnMut(Progress),
+        stop: &mut watch::Receiver<bool>,
+    ) -> bool {
+        loop {
+            let now = self.testbed.now();
+            if !self.is_measuring && now >= self.measured_from {
+                self.begin_measuring();
+            }
+            while let Some(step) = self.steps.next_if(|step| self.measured_from + step.at <= now) {
+                self.platform.make_change(&step).await;
+            }
+            if now >= self.measured_until {
+                return false;
+            }
+            progress(Progress::Load((now - self.load_began_at) as f64 / 1e6));
+            let next = self.next_event().min(now + PROGRESS_INTERVAL).min(self.measured_until);
+            tokio::select! {
+                () = sleep_until(self.testbed.instant(next)) => {}
+                Ok(()) = stop.changed() => return true,
+            }
+        }
+    }
+
+    /// The caches have filled: from now on the origin has its limits, and traffic counts.
+    fn begin_measuring(&mut self) {
+        self.is_measuring = true;
+        self.sent_before = total_sent(self.relay.as_ref());
+        self.testbed.origin.borrow_mut().unbounded = false;
+    }
+
+    /// When the experiment begins or its next fault is due.
+    fn next_event(&mut self) -> Micros {
+        if !self.is_measuring {
+            return self.measured_from;
+        }
+        self.steps.peek().map_or(self.measured_until, |step| self.measured_from + step.at)
+    }
+
+    /// Ends the load, waits for what is in flight, ends all processes and gives the record.
+    async fn finish(mut self, stopped: bool, cpu_before: CpuTimes) -> RunRecord {
+        let load_ended_at = self.testbed.now().min(self.measured_until);
+        self.sending.abort();
+        let peer_traffic = self.peer_traffic(load_ended_at);
+        if !stopped {
+            self.wait_for_in_flight().await;
+        }
+        let crashes = self.platform.processes.crashes.borrow().clone();
+        self.platform.processes.end_all().await;
+        self.watchers.iter().for_each(JoinHandle::abort);
+        // Requests in flight when the run was stopped have no end to be judged by.
+        let unfinished = if stopped { micros_from_seconds(UNFINISHED_TIME_S) } else { 0 };
+        let end = load_ended_at.saturating_sub(unfinished);
+        let cpu = CpuTimes::now();
+        RunRecord {
+            event_log: self.take_event_log(stopped.then_some(end)),
+            started: self.platform.processes.started(),
+            crashes,
+            balancers_cpu_s: cpu.children_s - cpu_before.children_s,
+            testbed_cpu_s: cpu.own_s - cpu_before.own_s,
+            peer_traffic,
+            self_reports: self.take_self_reports(),
+            stated: None,
+            stopped,
+            end: end.saturating_sub(self.load_began_at),
+        }
+    }
+
+    /// What a balancer sent to others in each second since the experiment began.
+    fn peer_traffic(&self, load_ended_at: Micros) -> Option<PeerTrafficRates> {
+        let sent = total_sent(self.relay.as_ref())?;
+        let before = self.sent_before?;
+        let seconds = load_ended_at.saturating_sub(self.measured_from).max(1) as f64 / 1e6;
+        let balancer_seconds = seconds * self.testbed.experiment.fleet.balancers as f64;
+        Some(PeerTrafficRates {
+            packets_per_s: (sent.packets - before.packets) as f64 / balancer_seconds,
+            bytes_per_s: (sent.bytes - before.bytes) as f64 / balancer_seconds,
+        })
+    }
+
+    async fn wait_for_in_flight(&self) {
+        for _ in 0..IN_FLIGHT_POLLS {
+            if self.clients.in_flight() == 0 {
+                return;
+            }
+            sleep(IN_FLIGHT_POLL_INTERVAL).await;
+        }
+    }
+
+    /// The event log, without requests planned at or after `cut_off`, with its times from the beginning of the load.
+    fn take_event_log(&mut self, cut_off: Option<Micros>) -> EventLog {
+        let mut event_log = std::mem::take(&mut *self.testbed.event_log.borrow_mut());
+        event_log.origin_stops = self.testbed.origin.borrow().stops.clone();
+        if let Some(cut_off) = cut_off {
+            event_log.requests.retain(|request| request.planned_at < cut_off);
+        }
+        shift_times(&mut event_log, self.load_began_at);
+        event_log
+    }
+
+    fn take_self_reports(&mut self) -> Vec<SelfReport> {
+        let mut reports = self.self_reports.take();
+        for report in &mut reports {
+            report.at = report.at.saturating_sub(self.load_began_at);
+        }
+        reports
+    }
+}
+
+fn spawn_watchers(platform: &Platform, self_reports: &SharedReports) -> Vec<JoinHandle<()>> {
+    let testbed = &platform.testbed;
+    let mut watchers = vec![spawn_local(watch_stalls(Rc::clone(testbed)))];
+    let addresses = platform.processes.admin_addresses();
+    if !addresses.is_empty() {
+        let poll = poll_self_reports(Rc::clone(testbed), addresses, Rc::clone(self_reports));
+        watchers.push(spawn_local(poll));
+    }
+    watchers
+}
+
+/// What all balancers together have sent to each other; none where they do not talk.
+fn total_sent(relay: Option<&Rc<PeerRelay>>) -> Option<SentTraffic> {
+    relay.map(|relay| relay.total_sent())
+}
--- /dev/null
+++ b/testbed/src/experiment_run/measurement.rs
@@ -0,0 +1,78 @@
+//! What a run measures of itself: its lateness, its processor time, and the beginning from which its times count.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use juniperladder_platform_model::event_log::EventLog;
+use juniperladder_platform_model::Micros;
+use nix::sys::resource::{getrusage, UsageWho};
+use nix::sys::time::TimeVal;
+use tokio::time::sleep_until;
+
+use crate::testbed::Testbed;
+
+/// How often the testbed looks whether it is late itself.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// From which lateness on it notes that.
+const MIN_STALL: Micros = 8_000;
+
+/// Notes when the testbed itself is late.
+pub async fn watch_stalls(testbed: Rc<Testbed>) {
+    loop {
+        let due = testbed.now() + STALL_CHECK_INTERVAL.as_micros() as Micros;
+        sleep_until(testbed.instant(due)).await;
+        let now = testbed.now();
+        let lateness = now.saturating_sub(due);
+        if lateness > MIN_STALL {
+            testbed.event_log.borrow_mut().testbed_stalls.push((now, lateness));
+        }
+    }
+}
+
+/// Processor time used so far, in seconds.
+#[derive(Clone, Copy)]
+pub struct CpuTimes {
+    /// By the processes that have ended and were waited for.
+    pub children_s: f64,
+    /// By this process.
+    pub own_s: f64,
+}
+
+impl CpuTimes {
+    /// What was used up to now.
+    pub fn now() -> CpuTimes {
+        CpuTimes {
+            children_s: cpu_seconds(UsageWho::RUSAGE_CHILDREN),
+            own_s: cpu_seconds(UsageWho::RUSAGE_SELF),
+        }
+    }
+}
+
+fn cpu_seconds(who: UsageWho) -> f64 {
+    let seconds = |time: TimeVal| time.tv_sec() as f64 + time.tv_usec() as f64 / 1e6;
+    getrusage(who).map_or(0.0, |usage| seconds(usage.user_time()) + seconds(usage.system_time()))
+}
+
+/// Makes all times of an event log count from `origin`; earlier ones become 0.
+pub fn shift_times(event_log: &mut EventLog, origin: Micros) {
+    let shift = |at: &mut Micros| *at = at.saturating_sub(origin);
+    for request in &mut event_log.requests {
+        shift(&mut request.planned_at);
+        shift(&mut request.sent_at);
+        shift(&mut request.deadline);
+        request.ended_at.iter_mut().for_each(shift);
+    }
+    for attempt in event_log.attempts.iter_mut().chain(&mut event_log.undelivered) {
+        shift(&mut attempt.first_byte_at);
+        shift(&mut attempt.received_at);
+        attempt.answered_at.iter_mut().for_each(shift);
+    }
+    for span in event_log.server_impairments.iter_mut().chain(&mut event_log.process_impairments) {
+        shift(&mut span.from);
+        span.to.iter_mut().for_each(shift);
+    }
+    event_log.notices.iter_mut().for_each(|notice| shift(&mut notice.at));
+    event_log.server_collapses.iter_mut().for_each(|(_, at)| shift(at));
+    event_log.origin_stops.iter_mut().for_each(|(at, _)| shift(at));
+    event_log.testbed_stalls.iter_mut().for_each(|(at, _)| shift(at));
+}
--- /dev/null
+++ b/testbed/src/experiment_run/platform.rs
@@ -0,0 +1,252 @@
+//! The platform of a run: the machines with their listeners, the processes, and the changes that faults make to them.
+
+use std::io;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::rc::Rc;
+
+use juniperladder_platform_model::discovery::Lifecycle;
+use juniperladder_platform_model::event_log::{EventLog, ImpairedSpan, Impairment};
+use juniperladder_platform_model::rng::{seeded_rng, RngStream};
+use juniperladder_platform_model::schedule::{Change, Step};
+use juniperladder_platform_model::{micros_from_seconds, Micros};
+use nix::sys::signal::Signal;
+use rand::Rng;
+use tokio::task::{spawn_local, JoinHandle};
+
+use crate::child_reaper::ChildReaper;
+use crate::discovery::ServerAddresses;
+use crate::listeners::ReservedAddress;
+use crate::processes::{PeerSetup, Processes};
+use crate::testbed::Testbed;
+use crate::{cache_servers, discovery, origin, SetupError};
+
+/// The machines and the processes.
+pub struct Platform {
+    /// What they share.
+    pub testbed: Rc<Testbed>,
+    /// The processes of the program.
+    pub processes: Rc<Processes>,
+    /// The servers, in order, and the origin last.
+    machines: Vec<Machine>,
+}
+
+/// A server or the origin, as balancers reach it.
+struct Machine {
+    /// An address for each side.
+    addresses: Vec<ReservedAddress>,
+    /// Who listens at them; empty while the machine is gone.
+    listeners: Vec<JoinHandle<()>>,
+}
+
+impl Machine {
+    fn new(sides: usize) -> io::Result<Machine> {
+        let addresses = (0..sides).map(|_| ReservedAddress::new()).collect::<io::Result<_>>()?;
+        Ok(Machine { addresses, listeners: Vec::new() })
+    }
+}
+
+impl Platform {
+    /// Reserves all addresses, begins to listen, and prepares the processes; none is started.
+    pub fn prepare(
+        testbed: Rc<Testbed>,
+        out: &Path,
+        peers: Option<PeerSetup>,
+        child_reaper: Option<ChildReaper>,
+    ) -> Result<Platform, SetupError> {
+        let machine_count = testbed.servers.len() + 1;
+        let sides = testbed.side_members.len();
+        let machines = (0..machine_count).map(|_| Machine::new(sides)).collect::<io::Result<Vec<_>>>();
+        let machines = machines.map_err(SetupError::Listener)?;
+        let servers = server_addresses(&testbed, &machines, sides);
+        let discovery = serve_discovery(&testbed, &servers).map_err(SetupError::Listener)?;
+        let processes = Processes::prepare(&testbed, out, &discovery, &servers, peers, child_reaper)?;
+        let mut platform = Platform { testbed, processes, machines };
+        for machine in 0..machine_count {
+            platform.listen(machine).map_err(SetupError::Listener)?;
+        }
+        Ok(platform)
+    }
+
+    /// Listens at a machine's addresses.
+    fn listen(&mut self, machine: usize) -> io::Result<()> {
+        let is_origin = machine == self.testbed.servers.len();
+        let Machine { addresses, listeners } = &mut self.machines[machine];
+        for (side, address) in addresses.iter().enumerate() {
+            let listener = address.listen()?;
+            let testbed = Rc::clone(&self.testbed);
+            listeners.push(if is_origin {
+                spawn_local(origin::serve(testbed, side, listener))
+            } else {
+                spawn_local(cache_servers::serve(testbed, machine, side, listener))
+            });
+        }
+        Ok(())
+    }
+
+    /// A server's machine goes away: it refuses connections, and those that are open are reset.
+    async fn stop_machine(&mut self, server: usize) {
+        for listener in self.machines[server].listeners.drain(..) {
+            listener.abort();
+            let _ = listener.await;
+        }
+        self.testbed.begin_incarnation(server);
+    }
+
+    /// A server's machine starts anew, in slow start and with nothing cached, at its old address.
+    async fn restart_machine(&mut self, server: usize, now: Micros) {
+        self.stop_machine(server).await;
+        self.testbed.servers[server].borrow_mut().restart(now);
+        self.testbed.silent[server].set(false);
+        // Its port is reserved, so that it can be listened at again.
+        let _ = self.listen(server);
+        let to = Some(now + self.time_until_healthy());
+        let span = ImpairedSpan { number: server as u32, impairment: Impairment::SlowStart, from: now, to };
+        self.testbed.event_log.borrow_mut().server_impairments.push(span);
+    }
+
+    /// A server that has started counts as healthy once it is warm, and listed to the last balancer.
+    fn time_until_healthy(&self) -> Micros {
+        let experiment = &self.testbed.experiment;
+        let latest_notice = self.testbed.notice_delays.borrow().iter().copied().max().unwrap_or(0);
+        let listed_after = micros_from_seconds(experiment.discovery.notice_s) + latest_notice;
+        micros_from_seconds(experiment.servers.cold_s).max(listed_after)
+    }
+
+    /// Makes one change and wakes all tasks that wait for one.
+    pub async fn make_change(&mut self, step: &Step) {
+        let now = self.testbed.now();
+        match &step.change {
+            Change::Links(active) => self.set_link_fault(step.fault, *active, now),
+            Change::Kill(balancers) => self.processes.signal(balancers, Signal::SIGKILL),
+            Change::Term(balancers) => self.processes.signal(balancers, Signal::SIGTERM),
+            Change::Start(balancers) => self.processes.start_again(balancers),
+            Change::Freeze(balancers) => self.processes.signal(balancers, Signal::SIGSTOP),
+            Change::Thaw(balancers) => self.processes.signal(balancers, Signal::SIGCONT),
+            Change::Silent(servers, silent) => self.set_silent(servers, *silent, now),
+            Change::Slow(servers, times) => self.set_slowdown(servers, *times, now),
+            Change::Failing(servers, share) => self.set_failure_share(servers, *share, now),
+            Change::Drain(servers) => self.drain(servers, now),
+            Change::Gone(servers) => self.end_servers(servers, now).await,
+            Change::Restart(servers) => self.restart(servers, now).await,
+            Change::Replace(servers) => self.replace(servers, now).await,
+            Change::OriginSlow(times) => self.testbed.origin.borrow_mut().set_slowdown(*times),
+            Change::DiscoveryDown(down) => self.testbed.discovery_down.set(*down),
+            Change::ListLate(latest) => self.draw_notice_delays(*latest),
+        }
+        self.testbed.wake_tasks();
+    }
+
+    /// Logs that servers are impaired from now on, or no more.
+    fn log_impairment(&self, servers: &[usize], impairment: Impairment, is_impaired: bool, now: Micros) {
+        let spans = &mut self.testbed.event_log.borrow_mut().server_impairments;
+        for server in servers {
+            if is_impaired {
+                EventLog::begin_impairment(spans, *server, impairment, now);
+            } else {
+                EventLog::end_impairment(spans, *server, impairment, now);
+            }
+        }
+    }
+
+    fn set_link_fault(&self, fault: usize, is_active: bool, now: Micros) {
+        self.testbed.links.borrow_mut().set_active(fault, is_active);
+        let servers = self.testbed.links.borrow().servers_of(fault);
+        self.log_impairment(&servers, Impairment::LinkFault, is_active, now);
+    }
+
+    fn set_silent(&self, servers: &[usize], is_silent: bool, now: Micros) {
+        for server in servers {
+            self.testbed.silent[*server].set(is_silent);
+            if !is_silent {
+                // What was open is reset when the machine is back.
+                self.testbed.begin_incarnation(*server);
+            }
+        }
+        self.log_impairment(servers, Impairment::Silent, is_silent, now);
+    }
+
+    fn set_slowdown(&self, servers: &[usize], times: f64, now: Micros) {
+        for server in servers {
+            self.testbed.servers[*server].borrow_mut().set_slowdown(times);
+        }
+        self.log_impairment(servers, Impairment::Slow, times != 1.0, now);
+    }
+
+    fn set_failure_share(&self, servers: &[usize], share: f64, now: Micros) {
+        for server in servers {
+            self.testbed.servers[*server].borrow_mut().set_failure_share(share);
+        }
+        self.log_impairment(servers, Impairment::Failing, share > 0.0, now);
+    }
+
+    fn drain(&self, servers: &[usize], now: Micros) {
+        for server in servers {
+            self.testbed.servers[*server].borrow_mut().closed = true;
+            self.testbed.set_lifecycle(*server, Lifecycle::Terminating);
+        }
+        self.log_impairment(servers, Impairment::OutOfService, true, now);
+    }
+
+    async fn end_servers(&mut self, servers: &[usize], now: Micros) {
+        for server in servers {
+            self.stop_machine(*server).await;
+            self.testbed.set_lifecycle(*server, Lifecycle::Terminated);
+        }
+        self.log_impairment(servers, Impairment::OutOfService, true, now);
+    }
+
+    async fn restart(&mut self, servers: &[usize], now: Micros) {
+        for server in servers {
+            self.restart_machine(*server, now).await;
+            self.testbed.set_lifecycle(*server, Lifecycle::InService);
+        }
+        self.log_impairment(servers, Impairment::OutOfService, false, now);
+    }
+
+    /// Other servers, with other ids, start at the addresses of these.
+    async fn replace(&mut self, servers: &[usize], now: Micros) {
+        for server in servers {
+            self.testbed.set_lifecycle(*server, Lifecycle::Terminated);
+            let replacements = &self.testbed.replacements[*server];
+            replacements.set(replacements.get() + 1);
+            self.restart_machine(*server, now).await;
+            self.testbed.set_lifecycle(*server, Lifecycle::InService);
+        }
+    }
+
+    fn draw_notice_delays(&self, latest: Micros) {
+        let mut rng = seeded_rng(self.testbed.experiment.seed, RngStream::Lists);
+        for delay in self.testbed.notice_delays.borrow_mut().iter_mut() {
+            *delay = rng.random_range(0..=latest);
+        }
+    }
+}
+
+/// The addresses of the machines as each balancer reaches them: those of its side.
+fn server_addresses(testbed: &Testbed, machines: &[Machine], sides: usize) -> Vec<ServerAddresses> {
+    let of_side = |side: usize| {
+        let addresses = machines.iter().map(|machine| machine.addresses[side].address());
+        ServerAddresses::new(addresses.collect())
+    };
+    let by_side: Vec<ServerAddresses> = (0..sides).map(of_side).collect();
+    let side_of_balancer = testbed.links.borrow().sides(&testbed.experiment);
+    side_of_balancer.iter().map(|side| Rc::clone(&by_side[*side])).collect()
+}
+
+/// Serves discovery to each balancer at an address of its own; gives these addresses.
+fn serve_discovery(testbed: &Rc<Testbed>, servers: &[ServerAddresses]) -> io::Result<Vec<SocketAddr>> {
+    let mut addresses = Vec::new();
+    for (balancer, servers) in servers.iter().enumerate() {
+        let reserved = ReservedAddress::new()?;
+        addresses.push(reserved.address());
+        let listener = reserved.listen()?;
+        let (testbed, servers) = (Rc::clone(testbed), Rc::clone(servers));
+        spawn_local(async move {
+            // The address stays this balancer's for as long as it is listened at.
+            let _reserved = reserved;
+            discovery::serve(testbed, balancer, servers, listener).await;
+        });
+    }
+    Ok(addresses)
+}
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,41 +1,25 @@
-//! The laboratory's world on loopback sockets, round real processes of the program.
+//! The platform model on loopback sockets, round real processes of the program.
 //!
 //! One thread holds the cache servers, the origin, discovery and the clients; the program under test runs as processes of
-//! its own and is met through its sockets alone. What stands here decides nothing: machines, faults and the judge are
-//! `world/`'s. [`play`] plays one experiment and gives the event log.
+//! its own and is met through its sockets alone. Nothing here decides anything: machines, faults and the checker are the
+//! platform model's. [`run_experiment`] runs one experiment and gives its event log.
 
 mod cache_servers;
 pub mod child_reaper;
 mod clients;
 mod discovery;
-mod doors;
-pub mod holders;
-mod operator;
+mod error;
+mod experiment_run;
+mod listeners;
+mod operator_file;
 mod origin;
-pub mod peers;
-mod play;
+mod peer_relay;
+mod process_config;
 mod processes;
-mod rig;
-mod room;
+mod resource_check;
 pub mod scale;
+mod self_reports;
+mod testbed;
 
-pub use play::{play, Options, Played, Progress};
-
-/// Why a run was not played, or does not count.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Problem {
-    /// The file or the machine does not allow it: nothing was started.
-    NotAllowed(String),
-    /// It began and could not go on.
-    Broken(String),
-}
-
-impl std::fmt::Display for Problem {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            Problem::NotAllowed(what) | Problem::Broken(what) => f.write_str(what),
-        }
-    }
-}
-
-impl std::error::Error for Problem {}
+pub use error::{RunError, SetupError, TestbedError};
+pub use experiment_run::{run_experiment, PeerTrafficRates, Progress, RunOptions, RunRecord};
--- /dev/null
+++ b/testbed/src/operator_file.rs
@@ -0,0 +1,154 @@
+//! The operators' file of each process: the experiment's, with the process's own peers' address and the seeds filled in,
+//! and the origin's capacity as its limit where the file leaves that open.
+
+use std::io;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::rc::Rc;
+
+use juniperladder_platform_model::checker::{StatedBounds, StatedFailureDetection, StatedRetryBudget};
+use juniperladder_platform_model::experiment::Experiment;
+use juniperladder_platform_model::micros_from_millis;
+use toml::{Table, Value};
+
+use crate::peer_relay::PeerRelay;
+use crate::SetupError;
+
+/// By how much sends may differ in the time that they take, in milliseconds, where the file does not say it: the daemon's
+/// own default, as those below.
+const DEFAULT_SPREAD_MS: f64 = 50.0;
+/// Retries for each first request.
+const DEFAULT_RETRY_SHARE: f64 = 0.4;
+/// Retries that a balancer may save up.
+const DEFAULT_SAVED_RETRIES: f64 = 10.0;
+/// How long a report of a fault acts, in milliseconds.
+const DEFAULT_EXPIRY_MS: f64 = 6_000.0;
+/// Within which time all connected members act on what enough have seen, as docs/design/verdicts.md states it.
+const REACTION_TIME_MS: f64 = 3_000.0;
+/// Members that each process calls first.
+const SEED_COUNT: usize = 3;
+
+/// The operators' file of an experiment.
+pub struct OperatorFile {
+    table: Table,
+}
+
+impl OperatorFile {
+    /// Reads the file that the experiment names, if it names one.
+    pub fn read(experiment: &Experiment) -> Result<Option<OperatorFile>, SetupError> {
+        let Some(path) = &experiment.fleet.operator else { return Ok(None) };
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| SetupError::OperatorFile { path: path.clone(), source })?;
+        let table = toml::from_str(&text).map_err(|source| SetupError::OperatorFileForm {
+            path: path.clone(),
+            source: Box::new(source),
+        })?;
+        Ok(Some(OperatorFile { table }))
+    }
+
+    /// What the program states by this file; what it leaves out has the daemon's own default.
+    pub fn stated_bounds(&self, experiment: &Experiment) -> StatedBounds {
+        let spread_ms = self.number(&["limits", "spread_ms"]).unwrap_or(DEFAULT_SPREAD_MS);
+        StatedBounds {
+            origin_per_s: self.origin_limit(experiment),
+            send_time_spread: micros_from_millis(spread_ms),
+            slow_start_per_s: self.number(&["limits", "cold", "per_s"]),
+            retry_budget: self.stated_retry_budget(experiment),
+            failure_detection: self.stated_failure_detection(),
+        }
+    }
+
+    fn stated_retry_budget(&self, experiment: &Experiment) -> Option<StatedRetryBudget> {
+        self.table_at(&["limits", "second"])?;
+        let fleet = &experiment.fleet;
+        let stated_balancers = fleet.told.unwrap_or(fleet.balancers) as f64;
+        let holders = self.number(&["limits", "holders"]).unwrap_or(stated_balancers);
+        let saved = self.number(&["limits", "second", "saved"]).unwrap_or(DEFAULT_SAVED_RETRIES);
+        Some(StatedRetryBudget {
+            share: self.number(&["limits", "second", "share"]).unwrap_or(DEFAULT_RETRY_SHARE),
+            saved: saved * holders,
+        })
+    }
+
+    fn stated_failure_detection(&self) -> Option<StatedFailureDetection> {
+        self.table_at(&["verdicts"])?;
+        let expiry_ms = self.number(&["verdicts", "expiry_ms"]).unwrap_or(DEFAULT_EXPIRY_MS);
+        Some(StatedFailureDetection {
+            reaction_time: micros_from_millis(REACTION_TIME_MS),
+            report_expiry: micros_from_millis(expiry_ms),
+        })
+    }
+
+    fn value_at(&self, path: &[&str]) -> Option<&Value> {
+        let (name, parents) = path.split_last()?;
+        let mut table = &self.table;
+        for parent in parents {
+            table = table.get(*parent)?.as_table()?;
+        }
+        table.get(*name)
+    }
+
+    fn table_at(&self, path: &[&str]) -> Option<&Table> {
+        self.value_at(path)?.as_table()
+    }
+
+    fn number(&self, path: &[&str]) -> Option<f64> {
+        let value = self.value_at(path)?;
+        value.as_float().or(value.as_integer().map(|whole| whole as f64))
+    }
+
+    /// The limit `origin`, fetches and writes a second: the file's, or what the origin can do.
+    fn origin_limit(&self, experiment: &Experiment) -> f64 {
+        let given = self.value_at(&["limits", "origin", "per_s"]).and_then(Value::as_integer);
+        given.map_or(experiment.origin.capacity.floor(), |per_s| per_s as f64)
+    }
+
+    /// The copy for the process with this number. The relay is notified of the process's real address.
+    pub fn copy_for(
+        &self,
+        experiment: &Experiment,
+        relay: &Rc<PeerRelay>,
+        number: usize,
+    ) -> io::Result<String> {
+        let known_address = relay.address(number)?;
+        let listen_address = listen_address(number, known_address.port());
+        relay.set_real_address(number, listen_address);
+        let seeds = seed_addresses(relay, experiment.fleet.balancers)?;
+        let origin_limit = Value::Integer(self.origin_limit(experiment) as i64);
+        let mut table = self.table.clone();
+        change_subtable(&mut table, "peers", |peers| {
+            peers.insert("listen".into(), Value::String(listen_address.to_string()));
+            peers.insert("address".into(), Value::String(known_address.to_string()));
+            peers.insert("seeds".into(), Value::Array(seeds));
+        });
+        change_subtable(&mut table, "limits", |limits| {
+            change_subtable(limits, "origin", |origin| {
+                origin.insert("per_s".into(), origin_limit);
+            });
+        });
+        Ok(table.to_string())
+    }
+}
+
+/// An address of its own on loopback for each process, at the port that the relay holds for it: no other run has that port.
+fn listen_address(number: usize, port: u16) -> SocketAddr {
+    let run = std::process::id() as u8 % 250 + 1;
+    let own = Ipv4Addr::new(127, run, (number >> 8) as u8, number as u8);
+    SocketAddr::new(IpAddr::V4(own), port)
+}
+
+/// The relay's addresses of members that are spread evenly over all.
+fn seed_addresses(relay: &PeerRelay, balancers: usize) -> io::Result<Vec<Value>> {
+    let count = SEED_COUNT.min(balancers);
+    let address = |seed| Ok(Value::String(relay.address(seed * balancers / count)?.to_string()));
+    (0..count).map(address).collect()
+}
+
+/// Changes a table within a table, which is made where it is not there.
+fn change_subtable(table: &mut Table, name: &str, change: impl FnOnce(&mut Table)) {
+    let mut inner = match table.remove(name) {
+        Some(Value::Table(inner)) => inner,
+        _ => Table::new(),
+    };
+    change(&mut inner);
+    table.insert(name.to_owned(), Value::Table(inner));
+}
--- a/testbed/src/origin.rs
+++ b/testbed/src/origin.rs
@@ -17,139 +17,146 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-use crate::doors::next;
-use crate::rig::{balancer_of, receipt_of, value_of, Rig};
+use crate::listeners;
+use crate::testbed::{balancer_of, receipt_of, value_of, Testbed};
 
-/// Lets balancers of one side in until the listener's task is aborted.
-pub async fn accept(rig: Rc<Rig>, side: usize, listener: TcpListener) {
+/// Accepts the connections of one side's balancers until the task is aborted.
+pub async fn serve(testbed: Rc<Testbed>, side: usize, listener: TcpListener) {
     loop {
-        let stream = next(&listener).await;
+        let stream = listeners::accept(&listener).await;
         let _ = stream.set_nodelay(true);
-        let rig = Rc::clone(&rig);
+        let testbed = Rc::clone(&testbed);
         spawn_local(async move {
-            let handler = service_fn(|request| answer(Rc::clone(&rig), side, request));
-            let served =
-                hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), handler);
+            let handler = service_fn(|request| on_request(Rc::clone(&testbed), side, request));
+            let connection = hyper::server::conn::http1::Builder::new();
             // A connection that breaks is the balancer's affair; the event log has what was received.
-            let _ = served.await;
+            let _ = connection.serve_connection(TokioIo::new(stream), handler).await;
         });
     }
 }
 
 /// The connection ends without an answer.
-#[derive(Debug)]
-pub struct Broken;
+#[derive(Debug, thiserror::Error)]
+#[error("the connection ends here")]
+pub struct ConnectionBroken;
 
-impl std::fmt::Display for Broken {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the connection ends here")
-    }
-}
-
-impl std::error::Error for Broken {}
-
-/// Holds until the link carries what is sent over it; an error where it is reset.
-pub async fn carried(rig: &Rig, from: LinkEnd, to: LinkEnd) -> Result<(), Broken> {
-    let mut weather = rig.weather.subscribe();
-    let sent = rig.now();
+/// Waits until the link has carried what is sent over it now; an error where it is reset.
+pub async fn carry(testbed: &Testbed, from: LinkEnd, to: LinkEnd) -> Result<(), ConnectionBroken> {
+    let mut changes = testbed.changes.subscribe();
+    let sent_at = testbed.now();
     loop {
-        let state = rig.link(from, to);
+        let state = testbed.link_state(from, to);
         if state.reset {
-            return Err(Broken);
+            return Err(ConnectionBroken);
         }
         if !state.cut {
-            sleep_until(rig.instant(sent + rig.way(from, to, &state))).await;
+            let arrives_at = sent_at + testbed.draw_transit_time(from, to, &state);
+            sleep_until(testbed.instant(arrives_at)).await;
             return Ok(());
         }
-        if weather.changed().await.is_err() {
-            return Err(Broken);
+        if changes.changed().await.is_err() {
+            return Err(ConnectionBroken);
         }
     }
 }
 
-type Answered = Result<Response<Full<Bytes>>, Broken>;
+type Body = Full<Bytes>;
 
-async fn answer(rig: Rc<Rig>, side: usize, request: Request<Incoming>) -> Answered {
-    let balancer = LinkEnd::Balancer(rig.sides[side]);
-    let first_byte_at = rig.now();
-    let Some(asked) = Asked::of(&request) else { return Ok(plain(StatusCode::BAD_REQUEST, "not a command")) };
-    // The value itself is nobody's; that it came whole is what counts.
-    request.into_body().collect().await.map_err(|_| Broken)?;
-    carried(&rig, balancer, LinkEnd::Origin).await?;
-    let now = rig.now();
-    let cold = rig.missed_cold(asked.id);
-    let received =
-        OriginRequest { idempotency_key: asked.write, in_slow_start: cold, deadline: now + asked.wait };
-    let outcome = rig.origin.borrow_mut().on_request(now, received, &mut rig.machines());
-    let mut attempt = Attempt {
-        id: asked.id,
-        balancer: balancer_of(asked.id) as u32,
+async fn on_request(
+    testbed: Rc<Testbed>,
+    side: usize,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, ConnectionBroken> {
+    let balancer = LinkEnd::Balancer(testbed.side_members[side]);
+    let first_byte_at = testbed.now();
+    let Some(parsed) = ParsedRequest::parse(&request) else { return Ok(bad_request()) };
+    // What the value holds does not matter, only that it came complete.
+    request.into_body().collect().await.map_err(|_| ConnectionBroken)?;
+    carry(&testbed, balancer, LinkEnd::Origin).await?;
+    let response = execute(&testbed, &parsed, first_byte_at).await?;
+    carry(&testbed, LinkEnd::Origin, balancer).await?;
+    Ok(response)
+}
+
+/// Executes a request that has come complete.
+async fn execute(
+    testbed: &Testbed,
+    request: &ParsedRequest,
+    first_byte_at: Micros,
+) -> Result<Response<Body>, ConnectionBroken> {
+    let now = testbed.now();
+    let received = OriginRequest {
+        idempotency_key: request.idempotency_key,
+        in_slow_start: testbed.has_slow_start_miss(request.id),
+        deadline: now + request.timeout,
+    };
+    let outcome = testbed.origin.borrow_mut().on_request(now, received, &mut testbed.machine_rng());
+    let attempt = Attempt {
+        id: request.id,
+        balancer: balancer_of(request.id) as u32,
         receiver: Receiver::Origin,
         first_byte_at,
         received_at: now,
         answered_at: None,
         result: AttemptResult::NoAnswer,
-        in_slow_start: cold,
+        in_slow_start: received.in_slow_start,
         corrupted: false,
     };
-    let response = match outcome {
+    match outcome {
         Outcome::Stopped => {
-            rig.received(attempt);
-            return Err(Broken);
+            testbed.log_attempt(attempt);
+            Err(ConnectionBroken)
         }
         Outcome::Rejected => {
-            attempt.result = AttemptResult::Rejected;
-            attempt.answered_at = Some(now);
-            rig.received(attempt);
-            let response =
-                Response::builder().status(StatusCode::SERVICE_UNAVAILABLE).header("X-Never-Ran", "1");
-            response.body(Full::default()).map_err(|_| Broken)?
+            let result = AttemptResult::Rejected;
+            testbed.log_attempt(Attempt { result, answered_at: Some(now), ..attempt });
+            rejected()
         }
         Outcome::Runs { at, repeat } => {
-            let place = rig.received(attempt);
-            sleep_until(rig.instant(at)).await;
-            let body = match asked.write {
-                Some(write) => {
-                    if !repeat {
-                        rig.void(asked.key);
-                    }
-                    receipt_of(write)
-                }
-                None => {
-                    rig.store(asked.id, asked.key);
-                    value_of(asked.id, asked.key)
-                }
-            };
-            let mut event_log = rig.event_log.borrow_mut();
-            event_log.attempts[place].result = AttemptResult::Served;
-            event_log.attempts[place].answered_at = Some(rig.now());
-            drop(event_log);
-            let response = Response::builder().header("X-Trace-Id", format!("{:016x}", asked.id));
-            response.body(Full::new(Bytes::from(body))).map_err(|_| Broken)?
+            let place = testbed.log_attempt(attempt);
+            sleep_until(testbed.instant(at)).await;
+            let body = complete(testbed, request, repeat);
+            let logged = &mut testbed.event_log.borrow_mut().attempts[place];
+            logged.result = AttemptResult::Served;
+            logged.answered_at = Some(testbed.now());
+            served(request, body)
         }
-    };
-    carried(&rig, LinkEnd::Origin, balancer).await?;
-    Ok(response)
+    }
 }
 
-/// What a request asks for.
-struct Asked {
+/// Applies what a request does to the caches; gives the answer's body.
+fn complete(testbed: &Testbed, request: &ParsedRequest, repeat: bool) -> String {
+    match request.idempotency_key {
+        Some(key) => {
+            if !repeat {
+                testbed.on_written(request.key);
+            }
+            receipt_of(key)
+        }
+        None => {
+            testbed.on_fetched(request.id, request.key);
+            value_of(request.id, request.key)
+        }
+    }
+}
+
+/// A request as the program writes it.
+struct ParsedRequest {
     id: u64,
     key: u64,
-    write: Option<u64>,
-    wait: Micros,
+    /// Of a write; none of a fetch.
+    idempotency_key: Option<u64>,
+    /// How long the balancer waits.
+    timeout: Micros,
 }
 
-impl Asked {
-    fn of<B>(request: &Request<B>) -> Option<Asked> {
+impl ParsedRequest {
+    fn parse<B>(request: &Request<B>) -> Option<ParsedRequest> {
         let header = |name: &str| request.headers().get(name)?.to_str().ok();
         let properties = header("x-props")?;
         let property = |name: &str| {
-            properties
-                .split(',')
-                .filter_map(|item| item.split_once('='))
-                .find(|(n, _)| *n == name)
-                .map(|(_, v)| v)
+            let mut pairs = properties.split(',').filter_map(|item| item.split_once('='));
+            pairs.find(|(other, _)| *other == name).map(|(_, value)| value)
         };
         let hex = |text: &str| u64::from_str_radix(text, 16).ok();
         let key: u64 = property("q")?.parse().ok()?;
@@ -157,21 +164,32 @@
         if request.uri().path().trim_start_matches('/') != key_name(key) {
             return None;
         }
-        Some(Asked {
+        let idempotency_key = match *request.method() {
+            Method::GET => None,
+            Method::PUT => Some(hex(property("k")?)?),
+            _ => return None,
+        };
+        Some(ParsedRequest {
             id: hex(header("x-trace-id")?)?,
             key,
-            write: match *request.method() {
-                Method::GET => None,
-                Method::PUT => Some(hex(property("k")?)?),
-                _ => return None,
-            },
-            wait: micros_from_millis(property("d")?.parse().ok()?),
+            idempotency_key,
+            timeout: micros_from_millis(property("d")?.parse().ok()?),
         })
     }
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
-    *response.status_mut() = status;
+fn served(request: &ParsedRequest, body: String) -> Result<Response<Body>, ConnectionBroken> {
+    let response = Response::builder().header("X-Trace-Id", format!("{:016x}", request.id));
+    response.body(Full::new(Bytes::from(body))).map_err(|_| ConnectionBroken)
+}
+
+fn rejected() -> Result<Response<Body>, ConnectionBroken> {
+    let response = Response::builder().status(StatusCode::SERVICE_UNAVAILABLE).header("X-Never-Ran", "1");
+    response.body(Full::default()).map_err(|_| ConnectionBroken)
+}
+
+fn bad_request() -> Response<Body> {
+    let mut response = Response::new(Full::new(Bytes::from_static(b"not a command")));
+    *response.status_mut() = StatusCode::BAD_REQUEST;
     response
 }
--- a/testbed/src/peers/tests.rs
+++ b/testbed/src/peer_relay/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `peers`.
+//! Packets through the relay, with each fault.
 
 use super::*;
 use juniperladder_platform_model::reader::read;
@@ -16,12 +16,12 @@
     let e = read(&text, &[]).unwrap();
     let mut links = schedule(&e).links;
     links.set_active(0, true);
-    let relay = Relay::new(Rig::new(e, links), 2).await.unwrap();
+    let relay = PeerRelay::new(Testbed::new(e, links), 2).await.unwrap();
     let [a, b] = [0, 1].map(|_| std::net::UdpSocket::bind("127.0.0.1:0").unwrap());
     [&a, &b].into_iter().for_each(|socket| socket.set_nonblocking(true).unwrap());
     let (a, b) = (UdpSocket::from_std(a).unwrap(), UdpSocket::from_std(b).unwrap());
-    relay.is_at(0, a.local_addr().unwrap());
-    relay.is_at(1, b.local_addr().unwrap());
+    relay.set_real_address(0, a.local_addr().unwrap());
+    relay.set_real_address(1, b.local_addr().unwrap());
     for n in 0..20u8 {
         a.send_to(&[n; 9], relay.address(1).unwrap()).await.unwrap();
     }
@@ -31,12 +31,12 @@
         all.push(packet[..length].to_vec());
         known &= from == relay.address(0).unwrap();
     }
-    assert_eq!(relay.sent()[0], Sent { packets: 20, bytes: 180 });
+    assert_eq!(relay.sent.borrow()[0], SentTraffic { packets: 20, bytes: 180 });
     (all, known)
 }
 
 #[test]
-fn packets_come_from_the_address_their_sender_is_known_by_and_faults_apply() {
+fn packets_come_from_the_known_address_of_their_sender_and_faults_apply() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let sound: Vec<Vec<u8>> = (0..20).map(|n| vec![n; 9]).collect();
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -32,7 +32,7 @@
 pub use purge_check::{PurgePhase, PurgeSummary, Times};
 pub use results::{Outcome, Summary};
 
-use crate::Problem;
+use crate::{RunError, SetupError, TestbedError};
 use meter::Lateness;
 use run::Run;
 
@@ -48,16 +48,15 @@
 ///
 /// # Errors
 /// One line that says what does not allow the run, or what broke it.
-pub fn play(config: ScaleConfig) -> Result<Outcome, Problem> {
+pub fn play(config: ScaleConfig) -> Result<Outcome, TestbedError> {
     let config = config.normalised();
     check(&config)?;
     if config.virtual_time {
         return Ok(play_virtual(config));
     }
-    let broken = |error: std::io::Error| Problem::Broken(format!("the sockets of a scale test: {error}"));
-    let (sockets, addresses) = sockets::bind(config.endpoints()).map_err(broken)?;
+    let (sockets, addresses) = sockets::bind(config.endpoints()).map_err(RunError::ScaleTest)?;
     let run = Arc::new(Run::new(config, addresses));
-    let played = sockets::play(&run, sockets).map_err(broken)?;
+    let played = sockets::play(&run, sockets).map_err(RunError::ScaleTest)?;
     Ok(Outcome::of_sockets(&run, played))
 }
 
@@ -69,13 +68,13 @@
     Outcome::new(&run, observed, &Lateness::default(), memory.saturating_sub(before))
 }
 
-fn check(config: &ScaleConfig) -> Result<(), Problem> {
+fn check(config: &ScaleConfig) -> Result<(), SetupError> {
     if !(MEMBERS_MIN..=MEMBERS_MAX).contains(&config.members) {
         let line = format!("members lie from {MEMBERS_MIN} to {MEMBERS_MAX}, not {}", config.members);
-        return Err(Problem::NotAllowed(line));
+        return Err(SetupError::ScaleTest(line));
     }
     if !(config.seconds > 0.0 && config.warm_up_s >= 0.0) {
-        return Err(Problem::NotAllowed("a run lasts longer than 0 s".to_owned()));
+        return Err(SetupError::ScaleTest("a run lasts longer than 0 s".to_owned()));
     }
     resources::check(config)
 }
--- a/testbed/src/scale/resources.rs
+++ b/testbed/src/scale/resources.rs
@@ -3,7 +3,7 @@
 use nix::sys::resource::{getrlimit, Resource};
 
 use super::config::ScaleConfig;
-use crate::Problem;
+use crate::SetupError;
 
 /// The most memory that a run may take: half of the machine that it is made for.
 pub const MEMORY_MAX: u64 = 12 * 1024 * 1024 * 1024;
@@ -34,8 +34,8 @@
 ///
 /// # Errors
 /// One line that says which limit is in the way and what to do.
-pub fn check(config: &ScaleConfig) -> Result<(), Problem> {
-    let problem = |line: String| Err(Problem::NotAllowed(line));
+pub fn check(config: &ScaleConfig) -> Result<(), SetupError> {
+    let problem = |line: String| Err(SetupError::ScaleTest(line));
     let needed = memory_needed(config);
     let available = available_bytes().unwrap_or(MEMORY_MAX);
     if needed > MEMORY_MAX || needed > available {
@@ -46,8 +46,7 @@
         ));
     }
     let needed = descriptors_needed(config);
-    let (limit, _) = getrlimit(Resource::RLIMIT_NOFILE)
-        .map_err(|error| Problem::NotAllowed(format!("the limit of open files cannot be read: {error}")))?;
+    let (limit, _) = getrlimit(Resource::RLIMIT_NOFILE).map_err(SetupError::OpenFileLimit)?;
     if needed > limit {
         return problem(format!(
             "the run needs {needed} open files and the limit is {limit}: raise it (ulimit -n {needed}) or take fewer members"
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -150,5 +150,5 @@
 }
 
 fn start(server: u64) -> Start {
-    Start { server: server, started: Time(SERVER_START) }
+    Start { server, started: Time(SERVER_START) }
 }
--- /dev/null
+++ b/testbed/src/testbed.rs
@@ -0,0 +1,325 @@
+//! What all parts of the testbed share: the clock, the servers, the origin, the links, the endpoint list and the event log.
+//!
+//! It lives on one thread; each method borrows what it needs and gives it back before it returns.
+
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+use juniperladder_platform_model::cache_server::CacheServer;
+use juniperladder_platform_model::discovery::{CallQueue, Endpoint, EndpointList, Lifecycle};
+use juniperladder_platform_model::event_log::{Attempt, EventLog};
+use juniperladder_platform_model::experiment::Experiment;
+use juniperladder_platform_model::group::zone_of;
+use juniperladder_platform_model::links::{LinkEnd, LinkState, Links};
+use juniperladder_platform_model::origin::Origin;
+use juniperladder_platform_model::rng::{mix_bits, seeded_rng, RngStream, SeededRng};
+use juniperladder_platform_model::workload::key_name;
+use juniperladder_platform_model::{micros_from_millis, micros_from_seconds, Micros};
+use rand::Rng;
+use tokio::sync::watch;
+use tokio::time::Instant;
+
+/// The kernel's first resend of what was lost on TCP; each further loss in a row doubles it.
+const FIRST_RESEND_DELAY: Micros = 200_000;
+/// The resends of one loss add up to this at the most; a connection gives up after some losses in a row.
+const MAX_RESEND_DELAY: Micros = 12 * FIRST_RESEND_DELAY;
+/// Misses of one request that are remembered for the origin's answer; a request has three attempts.
+const MAX_MISSES_PER_REQUEST: usize = 3;
+/// Bytes that a corruption changes at the most.
+const CORRUPTED_BYTES: usize = 3;
+
+/// A server that lacks a request's key.
+struct Miss {
+    server: usize,
+    /// Which incarnation of its machine that was.
+    incarnation: u32,
+    in_slow_start: bool,
+}
+
+/// The endpoint list, and when each of its changes was made.
+pub struct TimedEndpointList {
+    /// The list.
+    pub list: EndpointList,
+    changed_at: Vec<Micros>,
+}
+
+/// The testbed, shared by all its tasks.
+pub struct Testbed {
+    /// What is run.
+    pub experiment: Experiment,
+    started_at: Instant,
+    /// The Unix time of the run's beginning.
+    epoch_ms: u64,
+    /// The cache servers.
+    pub servers: Vec<RefCell<CacheServer>>,
+    /// How often each server's machine went away; a connection of before is void.
+    pub incarnations: Vec<Cell<u32>>,
+    /// How often another server, with another id, took each one's place.
+    pub replacements: Vec<Cell<u32>>,
+    /// Whether each server does not answer.
+    pub silent: Vec<Cell<bool>>,
+    /// Connections that each server has open.
+    pub open_connections: Vec<Cell<usize>>,
+    /// The origin.
+    pub origin: RefCell<Origin>,
+    /// The endpoint list.
+    pub endpoints: RefCell<TimedEndpointList>,
+    /// Calls to discovery, in turn.
+    pub discovery_queue: RefCell<CallQueue>,
+    /// Whether discovery is down.
+    pub discovery_down: Cell<bool>,
+    /// How much later each balancer is notified of changes.
+    pub notice_delays: RefCell<Vec<Micros>>,
+    /// The links and their faults.
+    pub links: RefCell<Links>,
+    /// A balancer of each side, by the side's number.
+    pub side_members: Vec<usize>,
+    /// What the run leaves.
+    pub event_log: RefCell<EventLog>,
+    /// By request, the servers that lack its key.
+    misses: RefCell<HashMap<u64, Vec<Miss>>>,
+    machine_rng: RefCell<SeededRng>,
+    link_rng: RefCell<SeededRng>,
+    /// Bumped whenever something changes that a waiting task must look at.
+    pub changes: watch::Sender<u64>,
+}
+
+impl Testbed {
+    /// The platform of an experiment, with its links; its clock begins now.
+    pub fn new(experiment: Experiment, links: Links) -> Rc<Testbed> {
+        let server_count = experiment.fleet.servers;
+        let sides = links.sides(&experiment);
+        let side_count = sides.iter().copied().max().unwrap_or(0) + 1;
+        let member_of = |side| sides.iter().position(|other| *other == side);
+        let discovery = &experiment.discovery;
+        let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Rc::new(Testbed {
+            started_at: Instant::now(),
+            epoch_ms: epoch.as_millis() as u64,
+            servers: cache_servers(&experiment),
+            incarnations: vec![Cell::new(0); server_count],
+            replacements: vec![Cell::new(0); server_count],
+            silent: vec![Cell::new(false); server_count],
+            open_connections: vec![Cell::new(0); server_count],
+            origin: RefCell::new(Origin::new(experiment.origin)),
+            endpoints: RefCell::new(initial_endpoints(&experiment)),
+            discovery_queue: RefCell::new(CallQueue::new(discovery.calls_per_s, discovery.timeout_s)),
+            discovery_down: Cell::new(false),
+            notice_delays: RefCell::new(vec![0; experiment.fleet.balancers]),
+            links: RefCell::new(links),
+            side_members: (0..side_count).filter_map(member_of).collect(),
+            event_log: RefCell::default(),
+            misses: RefCell::default(),
+            machine_rng: RefCell::new(seeded_rng(experiment.seed, RngStream::Machines)),
+            link_rng: RefCell::new(seeded_rng(experiment.seed, RngStream::Links)),
+            changes: watch::channel(0).0,
+            experiment,
+        })
+    }
+
+    /// The time since the testbed's beginning.
+    pub fn now(&self) -> Micros {
+        self.started_at.elapsed().as_micros() as Micros
+    }
+
+    /// The instant of a time.
+    pub fn instant(&self, at: Micros) -> Instant {
+        self.started_at + Duration::from_micros(at)
+    }
+
+    /// The Unix time in milliseconds of a time, as discovery states a server's start.
+    pub fn unix_ms(&self, at: Micros) -> u64 {
+        self.epoch_ms + at / 1_000
+    }
+
+    /// Random numbers for the work of servers and the origin.
+    pub fn machine_rng(&self) -> std::cell::RefMut<'_, SeededRng> {
+        self.machine_rng.borrow_mut()
+    }
+
+    /// Wakes all waiting tasks: something has changed.
+    pub fn wake_tasks(&self) {
+        self.changes.send_modify(|count| *count += 1);
+    }
+
+    /// The faults on a link, from one end to the other.
+    pub fn link_state(&self, from: LinkEnd, to: LinkEnd) -> LinkState {
+        self.links.borrow().state(from, to)
+    }
+
+    /// How long what is sent now takes over a link: the zones' part, and what its faults add.
+    pub fn draw_transit_time(&self, from: LinkEnd, to: LinkEnd, state: &LinkState) -> Micros {
+        let net = &self.experiment.net;
+        let is_same_zone = self.zone_of(from) == self.zone_of(to);
+        let base = micros_from_millis(if is_same_zone { net.same_ms } else { net.cross_ms });
+        let mut rng = self.link_rng.borrow_mut();
+        let jitter = if state.jitter > 0 { rng.random_range(0..=2 * state.jitter) } else { 0 };
+        let resends = draw_resend_delay(state.lost_share, &mut rng);
+        (base + state.delay + jitter).saturating_sub(state.jitter) + resends
+    }
+
+    fn zone_of(&self, end: LinkEnd) -> usize {
+        match end {
+            LinkEnd::Balancer(number) | LinkEnd::CacheServer(number) => {
+                zone_of(number, &self.experiment.fleet)
+            }
+            LinkEnd::Origin | LinkEnd::Discovery => 0,
+        }
+    }
+
+    /// Whether a link's fault with this share strikes; nothing is drawn where there is none.
+    pub fn draw_fault(&self, share: f64) -> bool {
+        share > 0.0 && self.link_rng.borrow_mut().random::<f64>() < share
+    }
+
+    /// Corrupts some bytes.
+    pub fn corrupt(&self, bytes: &mut [u8]) {
+        if bytes.is_empty() {
+            return;
+        }
+        let mut rng = self.link_rng.borrow_mut();
+        for _ in 0..CORRUPTED_BYTES {
+            let place = rng.random_range(0..bytes.len());
+            bytes[place] ^= rng.random_range(1..=255u8);
+        }
+    }
+
+    /// Logs an attempt; gives its place in the log.
+    pub fn log_attempt(&self, attempt: Attempt) -> usize {
+        let attempts = &mut self.event_log.borrow_mut().attempts;
+        attempts.push(attempt);
+        attempts.len() - 1
+    }
+
+    /// A server has missed for a request.
+    pub fn on_miss(&self, request: u64, server: usize, in_slow_start: bool) {
+        let mut misses = self.misses.borrow_mut();
+        let of_request = misses.entry(request).or_default();
+        if of_request.len() < MAX_MISSES_PER_REQUEST {
+            let incarnation = self.incarnations[server].get();
+            of_request.push(Miss { server, incarnation, in_slow_start });
+        }
+    }
+
+    /// Whether a server in slow start has missed for this request.
+    pub fn has_slow_start_miss(&self, request: u64) -> bool {
+        let misses = self.misses.borrow();
+        misses.get(&request).is_some_and(|misses| misses.iter().any(|miss| miss.in_slow_start))
+    }
+
+    /// The origin has answered a request's read: the servers that missed for it cache the value.
+    pub fn on_fetched(&self, request: u64, key: u64) {
+        for Miss { server, incarnation, .. } in self.misses.borrow_mut().remove(&request).unwrap_or_default()
+        {
+            if self.incarnations[server].get() == incarnation && !self.silent[server].get() {
+                self.servers[server].borrow_mut().store(key);
+            }
+        }
+    }
+
+    /// The origin has executed a write: the cached values are void.
+    pub fn on_written(&self, key: u64) {
+        for server in &self.servers {
+            server.borrow_mut().invalidate(key);
+        }
+    }
+
+    /// A request is over: its misses are forgotten.
+    pub fn on_request_over(&self, request: u64) {
+        self.misses.borrow_mut().remove(&request);
+    }
+
+    /// The machine of a server goes away or comes back: connections of before are void.
+    pub fn begin_incarnation(&self, server: usize) {
+        self.incarnations[server].set(self.incarnations[server].get() + 1);
+    }
+
+    /// Discovery's list changes for a server.
+    pub fn set_lifecycle(&self, server: usize, lifecycle: Lifecycle) {
+        let id = server_id(self.experiment.seed, server, self.replacements[server].get());
+        let started_at = self.servers[server].borrow().started_at;
+        let now = self.now();
+        let mut endpoints = self.endpoints.borrow_mut();
+        endpoints.list.apply_change(Endpoint { id, slot: server, lifecycle, started_at });
+        endpoints.changed_at.push(now);
+    }
+
+    /// The newest generation that this balancer may be notified of now, and when the next one may be.
+    pub fn visible_generation(&self, balancer: usize) -> (u64, Option<Micros>) {
+        let notice = micros_from_seconds(self.experiment.discovery.notice_s);
+        let delay = notice + self.notice_delays.borrow()[balancer];
+        let endpoints = self.endpoints.borrow();
+        let changes = &endpoints.changed_at;
+        // What was listed at the beginning is no change.
+        let initial = self.servers.len() + 1;
+        let due = |place: usize| if place < initial { 0 } else { changes[place] + delay };
+        let now = self.now();
+        let mut generation = initial.min(changes.len());
+        while generation < changes.len() && due(generation) <= now {
+            generation += 1;
+        }
+        (generation as u64, (generation < changes.len()).then(|| due(generation)))
+    }
+}
+
+fn cache_servers(experiment: &Experiment) -> Vec<RefCell<CacheServer>> {
+    let fleet = &experiment.fleet;
+    let cached_keys = experiment.servers.keep * experiment.load.keys as f64;
+    let max_keys = (cached_keys / fleet.servers as f64).ceil().max(1.0) as usize;
+    let server = |number: usize| {
+        let weight = fleet.weights[number % fleet.weights.len()];
+        RefCell::new(CacheServer::new(experiment.servers, weight, max_keys))
+    };
+    (0..fleet.servers).map(server).collect()
+}
+
+/// All servers and the origin, in service.
+fn initial_endpoints(experiment: &Experiment) -> TimedEndpointList {
+    let endpoint = |slot| Endpoint {
+        id: server_id(experiment.seed, slot, 0),
+        slot,
+        lifecycle: Lifecycle::InService,
+        started_at: None,
+    };
+    let endpoints: Vec<Endpoint> = (0..=experiment.fleet.servers).map(endpoint).collect();
+    TimedEndpointList { changed_at: vec![0; endpoints.len()], list: EndpointList::new(endpoints) }
+}
+
+/// By how much the kernel's resends delay what is lost with this share.
+fn draw_resend_delay(lost_share: f64, rng: &mut SeededRng) -> Micros {
+    let mut delay = 0;
+    let mut resend = FIRST_RESEND_DELAY;
+    while lost_share > 0.0 && delay < MAX_RESEND_DELAY && rng.random::<f64>() < lost_share {
+        delay += resend;
+        resend *= 2;
+    }
+    delay
+}
+
+/// The id of the server that stands at a slot after so many replacements; the last slot is the origin's.
+pub fn server_id(seed: u64, slot: usize, replacement: u32) -> String {
+    let number = seed.wrapping_mul(1_000_003) ^ ((slot as u64) << 16) ^ u64::from(replacement);
+    format!("s-{:08x}", mix_bits(number) as u32)
+}
+
+/// The id of a request: its balancer can be read from it.
+pub fn request_id(balancer: usize, number: u64) -> u64 {
+    (balancer as u64) << 48 | number
+}
+
+/// The balancer that a request with this id was sent to.
+pub fn balancer_of(request: u64) -> usize {
+    (request >> 48) as usize
+}
+
+/// The value that a server or the origin makes for a request.
+pub fn value_of(request: u64, key: u64) -> String {
+    format!("value of {} for {request:016x}", key_name(key))
+}
+
+/// The receipt of the write with this idempotency key.
+pub fn receipt_of(idempotency_key: u64) -> String {
+    format!("r{idempotency_key:016x}")
+}
