--- a/testbed-cli/src/charts/tests.rs
+++ b/testbed-cli/src/charts/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `charts`.
+//! Charts as SVG.
 
 use super::*;
 
 #[test]
-fn charts_are_whole_and_show_what_they_are_given() {
+fn charts_are_complete_and_show_their_values() {
     let e = juniperladder_platform_model::reader::read(include_str!("../../demo.toml"), &[]).unwrap();
     let seconds: Vec<Second> =
         (0..14).map(|second| Second { second, requests: 200, served: 150, ..Second::default() }).collect();
@@ -11,7 +11,7 @@
         service(&e, &seconds),
         origin(&e, &seconds),
         latency(&e, &seconds),
-        heat("loads", "host", &[vec![0.0, 2.5], vec![1.0]]),
+        heat_map("loads", "host", &[vec![0.0, 2.5], vec![1.0]]),
     ];
     for chart in charts {
         let text = chart.unwrap();
--- a/testbed-cli/src/compare.rs
+++ b/testbed-cli/src/compare.rs
@@ -11,19 +11,19 @@
 use juniperladder_platform_model::summary::Summary;
 use rand::Rng;
 
-use crate::exit::{BROKEN, KEPT, NOT_ALLOWED};
+use crate::exit::ExitStatus;
 
 /// Resamples of an interval.
-const RESAMPLES: usize = 10_000;
+const RESAMPLE_COUNT: usize = 10_000;
 /// With fewer pairs nothing is said of a difference.
-const FEWEST: usize = 3;
-/// How deep runs are looked for below a folder.
-const DEPTH: usize = 3;
+const MIN_PAIRS: usize = 3;
+/// How many folders deep runs are looked for.
+const MAX_FOLDER_DEPTH: usize = 3;
 
-/// A figure that is compared, and how it is read from a summary.
+/// A figure that is compared: its name, and how it is read from a summary.
 type Figure = (&'static str, fn(&Summary) -> Option<f64>);
 
-const FIGURES: [Figure; 17] = [
+const COMPARED_FIGURES: [Figure; 17] = [
     ("service", |s| Some(s.service)),
     ("served", |s| Some(s.served as f64 / s.requests.max(1) as f64)),
     ("refused", |s| Some(s.rejected as f64 / s.requests.max(1) as f64)),
@@ -47,9 +47,36 @@
     (fair > 0.0).then(|| value / fair)
 }
 
+/// What is to be said of a difference.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Judgement {
+    /// There are too few pairs to tell.
+    TooFewPairs,
+    /// There is none.
+    Same,
+    /// It may be chance.
+    Noise,
+    /// There is more after.
+    More,
+    /// There is less after.
+    Less,
+}
+
+impl std::fmt::Display for Judgement {
+    fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        out.write_str(match self {
+            Judgement::TooFewPairs => "too few pairs to tell",
+            Judgement::Same => "the same",
+            Judgement::Noise => "noise",
+            Judgement::More => "more",
+            Judgement::Less => "less",
+        })
+    }
+}
+
 /// Paired values of a figure.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Paired {
+pub struct PairedFigure {
     /// The mean before.
     pub before: f64,
     /// The mean after.
@@ -58,106 +85,126 @@
     pub interval: Option<(f64, f64)>,
 }
 
-impl Paired {
-    /// Pairs of values, one of each version.
-    pub fn of(pairs: &[(f64, f64)]) -> Option<Paired> {
-        let count = pairs.len();
-        let mean = |pick: fn(&(f64, f64)) -> f64| pairs.iter().map(pick).sum::<f64>() / count as f64;
-        if count == 0 {
+impl PairedFigure {
+    /// Pairs of values, one of each version; none where there is no pair.
+    pub fn of_pairs(pairs: &[(f64, f64)]) -> Option<PairedFigure> {
+        if pairs.is_empty() {
             return None;
         }
         let differences: Vec<f64> = pairs.iter().map(|(before, after)| after - before).collect();
-        let interval = (count >= FEWEST).then(|| {
-            let mut rng = seeded_rng(0, RngStream::Fair);
-            let mut means: Vec<f64> = (0..RESAMPLES)
-                .map(|_| {
-                    (0..count).map(|_| differences[rng.random_range(0..count)]).sum::<f64>() / count as f64
-                })
-                .collect();
-            means.sort_unstable_by(f64::total_cmp);
-            (means[RESAMPLES / 40], means[RESAMPLES - 1 - RESAMPLES / 40])
-        });
-        Some(Paired { before: mean(|p| p.0), after: mean(|p| p.1), interval })
+        Some(PairedFigure {
+            before: mean(pairs.iter().map(|(before, _)| *before)),
+            after: mean(pairs.iter().map(|(_, after)| *after)),
+            interval: (pairs.len() >= MIN_PAIRS).then(|| bootstrap_interval(&differences)),
+        })
     }
 
     /// What is to be said of the difference.
-    pub fn verdict(&self) -> &'static str {
+    pub fn judgement(&self) -> Judgement {
         match self.interval {
-            None => "too few pairs to tell",
-            Some((0.0, 0.0)) => "the same",
-            Some((low, high)) if low <= 0.0 && high >= 0.0 => "noise",
-            Some((low, _)) if low > 0.0 => "more",
-            Some(_) => "less",
+            None => Judgement::TooFewPairs,
+            Some((0.0, 0.0)) => Judgement::Same,
+            Some((low, high)) if low <= 0.0 && high >= 0.0 => Judgement::Noise,
+            Some((low, _)) if low > 0.0 => Judgement::More,
+            Some(_) => Judgement::Less,
         }
     }
 }
 
+fn mean(values: impl ExactSizeIterator<Item = f64>) -> f64 {
+    let count = values.len() as f64;
+    values.sum::<f64>() / count
+}
+
+/// The 95% interval of the mean, by resampling; the same differences give the same interval.
+fn bootstrap_interval(differences: &[f64]) -> (f64, f64) {
+    let mut rng = seeded_rng(0, RngStream::Fair);
+    let count = differences.len();
+    let mut means: Vec<f64> = (0..RESAMPLE_COUNT)
+        .map(|_| mean((0..count).map(|_| differences[rng.random_range(0..count)])))
+        .collect();
+    means.sort_unstable_by(f64::total_cmp);
+    (means[RESAMPLE_COUNT / 40], means[RESAMPLE_COUNT - 1 - RESAMPLE_COUNT / 40])
+}
+
+/// The summaries of one experiment and seed, of both versions.
+struct SummaryPair<'a> {
+    before: &'a Summary,
+    after: &'a Summary,
+}
+
 /// Prints the comparison of two folders of runs.
-pub fn compare(before: &Path, after: &Path) -> u8 {
-    let (old, new) = (runs(before), runs(after));
-    let mut names: BTreeMap<&str, Vec<(&Summary, &Summary)>> = BTreeMap::new();
-    for (key, summary) in &old {
-        if let Some(other) = new.get(key) {
-            names.entry(&key.0).or_default().push((summary, other));
+pub fn compare(before: &Path, after: &Path) -> ExitStatus {
+    let (runs_before, runs_after) = (runs(before), runs(after));
+    let mut pairs_by_name: BTreeMap<&str, Vec<SummaryPair<'_>>> = BTreeMap::new();
+    for (key, before) in &runs_before {
+        if let Some(after) = runs_after.get(key) {
+            pairs_by_name.entry(&key.0).or_default().push(SummaryPair { before, after });
         }
     }
-    if names.is_empty() {
+    if pairs_by_name.is_empty() {
         eprintln!(
             "no runs to pair: {} has {}, {} has {}, and none share an experiment and a seed",
             before.display(),
-            old.len(),
+            runs_before.len(),
             after.display(),
-            new.len()
+            runs_after.len()
         );
-        return NOT_ALLOWED;
+        return ExitStatus::NOT_ALLOWED;
     }
-    let mut broken = 0;
-    for (name, pairs) in names {
+    let mut violations_after = 0;
+    for (name, pairs) in pairs_by_name {
         println!("{name}, {} pairs", pairs.len());
-        println!("  {:24} {:>10} {:>10} {:>11}  95% interval", "", "before", "after", "difference");
-        for (figure, pick) in FIGURES {
-            let values: Vec<(f64, f64)> =
-                pairs.iter().filter_map(|(a, b)| Some((pick(a)?, pick(b)?))).collect();
-            let Some(p) = Paired::of(&values) else { continue };
-            let interval =
-                p.interval.map_or(String::new(), |(low, high)| format!("[{low:+.4}, {high:+.4}] "));
-            println!(
-                "  {figure:24} {:10.4} {:10.4} {:+11.4}  {interval}{}",
-                p.before,
-                p.after,
-                p.after - p.before,
-                p.verdict()
-            );
-        }
-        let breaches = |pick: fn(&(&Summary, &Summary)) -> u64| pairs.iter().map(pick).sum::<u64>();
-        let (was, is) = (breaches(|p| p.0.rules.total()), breaches(|p| p.1.rules.total()));
-        println!("  rules broken: {was} before, {is} after");
-        broken += is;
+        print_figures(&pairs);
+        violations_after += print_violations(&pairs);
     }
-    if broken > 0 {
-        BROKEN
+    if violations_after > 0 {
+        ExitStatus::RULE_BROKEN
     } else {
-        KEPT
+        ExitStatus::ALL_KEPT
     }
 }
 
+fn print_figures(pairs: &[SummaryPair<'_>]) {
+    println!("  {:24} {:>10} {:>10} {:>11}  95% interval", "", "before", "after", "difference");
+    for (name, pick) in COMPARED_FIGURES {
+        let values = pairs.iter().filter_map(|pair| Some((pick(pair.before)?, pick(pair.after)?)));
+        let Some(figure) = PairedFigure::of_pairs(&values.collect::<Vec<_>>()) else { continue };
+        let interval = figure.interval.map(|(low, high)| format!("[{low:+.4}, {high:+.4}] "));
+        println!(
+            "  {name:24} {:10.4} {:10.4} {:+11.4}  {}{}",
+            figure.before,
+            figure.after,
+            figure.after - figure.before,
+            interval.unwrap_or_default(),
+            figure.judgement()
+        );
+    }
+}
+
+/// Prints how many rules were broken; gives how many after.
+fn print_violations(pairs: &[SummaryPair<'_>]) -> u64 {
+    let before: u64 = pairs.iter().map(|pair| pair.before.rules.total()).sum();
+    let after: u64 = pairs.iter().map(|pair| pair.after.rules.total()).sum();
+    println!("  rules broken: {before} before, {after} after");
+    after
+}
+
 /// The summaries below a folder, by experiment and seed.
 fn runs(folder: &Path) -> BTreeMap<(String, u64), Summary> {
-    summaries(folder)
-        .into_iter()
-        .map(|(_, summary)| ((summary.name.clone(), summary.seed), summary))
-        .collect()
+    let summaries = find_summaries(folder).into_iter();
+    summaries.map(|(_, summary)| ((summary.name.clone(), summary.seed), summary)).collect()
 }
 
 /// The runs below a folder: where each is, and its summary.
-pub fn summaries(folder: &Path) -> Vec<(PathBuf, Summary)> {
+pub fn find_summaries(folder: &Path) -> Vec<(PathBuf, Summary)> {
     let mut found = Vec::new();
     let mut folders = vec![(folder.to_path_buf(), 0)];
     while let Some((folder, depth)) = folders.pop() {
         let summary = std::fs::read_to_string(folder.join("summary.json")).ok();
         if let Some(summary) = summary.and_then(|text| serde_json::from_str::<Summary>(&text).ok()) {
             found.push((folder, summary));
-        } else if depth < DEPTH {
+        } else if depth < MAX_FOLDER_DEPTH {
             let entries =
                 std::fs::read_dir(&folder).into_iter().flatten().flatten().map(|entry| entry.path());
             folders.extend(entries.filter(|path| path.is_dir()).map(|path| (path, depth + 1)));
--- /dev/null
+++ b/testbed-cli/src/experiment_file.rs
@@ -0,0 +1,56 @@
+//! `check` and `schema`, and the reading of an experiment's file for `run`.
+
+use std::path::Path;
+
+use juniperladder_platform_model::experiment::Experiment;
+use juniperladder_platform_model::reader::read;
+
+use crate::exit::ExitStatus;
+
+/// Reads an experiment with values set over its file's; prints what is wrong with it.
+///
+/// # Errors
+/// The exit status where the file cannot be read or does not make sense.
+pub fn read_experiment(
+    file: &Path,
+    overrides: &[String],
+    seed: Option<u64>,
+) -> Result<Experiment, ExitStatus> {
+    let text = std::fs::read_to_string(file).map_err(|error| {
+        eprintln!("{}: {error}", file.display());
+        ExitStatus::NOT_ALLOWED
+    })?;
+    let mut overrides = overrides.to_vec();
+    overrides.extend(seed.map(|seed| format!("seed={seed}")));
+    read(&text, &overrides).map_err(|problems| {
+        for problem in problems {
+            eprintln!("{}: {problem}", file.display());
+        }
+        ExitStatus::NOT_ALLOWED
+    })
+}
+
+/// Checks an experiment's file and prints what it is about.
+pub fn check(file: &Path, overrides: &[String]) -> ExitStatus {
+    let experiment = match read_experiment(file, overrides, None) {
+        Ok(experiment) => experiment,
+        Err(status) => return status,
+    };
+    println!(
+        "{}: {} balancers, {} hosts, {} commands a second for {} s, {} faults",
+        experiment.name,
+        experiment.fleet.balancers,
+        experiment.fleet.servers,
+        experiment.load.rate,
+        experiment.seconds,
+        experiment.fault.len()
+    );
+    ExitStatus::ALL_KEPT
+}
+
+/// Prints the schema of an experiment's file.
+pub fn schema() -> ExitStatus {
+    let schema = schemars::schema_for!(Experiment);
+    println!("{}", serde_json::to_string_pretty(&schema).unwrap_or_default());
+    ExitStatus::ALL_KEPT
+}
--- /dev/null
+++ b/testbed-cli/src/fit_table.rs
@@ -0,0 +1,121 @@
+//! `fit`: the law of one column of a table by another, and its words for `scale --sizes`.
+
+use std::path::Path;
+
+use crate::exit::ExitStatus;
+use crate::fit::{fit, predict_largest, Fit, Prediction};
+
+/// A fit as `fits.csv` has it; the cells of a prediction are empty where the smaller sizes are too few for one.
+pub type FitRecord = [String; 9];
+
+/// The columns of `fits.csv`.
+pub const FIT_COLUMNS: [&str; 9] =
+    ["cost", "law", "a", "b", "residual", "size", "predicted", "measured", "error"];
+
+/// Why a table has no points to fit.
+#[derive(Debug, thiserror::Error)]
+enum TableError {
+    /// It cannot be read.
+    #[error(transparent)]
+    Csv(#[from] csv::Error),
+    /// A cell is no number.
+    #[error(transparent)]
+    Number(#[from] std::num::ParseFloatError),
+    /// It has no such column.
+    #[error("no column {name}; there are {columns}")]
+    NoColumn { name: String, columns: String },
+}
+
+/// Prints the best law of a cost and what the smaller sizes say of the largest; the record for the table.
+pub fn print_fit(name: &str, points: &[(f64, f64)]) -> Option<FitRecord> {
+    let best = match fit(points) {
+        Ok(fits) => fits[0],
+        Err(error) => {
+            println!("{name}: {error}");
+            return None;
+        }
+    };
+    println!(
+        "{name}: {} with a = {:.4}, b = {:.6}; residual {:.4}",
+        best.law.name(),
+        best.a,
+        best.b,
+        best.residual
+    );
+    let prediction = predict_largest(points).ok();
+    if let Some(prediction) = &prediction {
+        print_prediction(prediction);
+    }
+    Some(fit_record(name, &best, prediction.as_ref()))
+}
+
+fn print_prediction(prediction: &Prediction) {
+    println!(
+        "    from the smaller sizes ({}): {:.4} at {:.0}, measured {:.4}, error {:+.1}%",
+        prediction.fit.law.name(),
+        prediction.predicted,
+        prediction.size,
+        prediction.measured,
+        100.0 * prediction.error()
+    );
+}
+
+fn fit_record(name: &str, best: &Fit, prediction: Option<&Prediction>) -> FitRecord {
+    let predicted = |cell: fn(&Prediction) -> String| prediction.map(cell).unwrap_or_default();
+    [
+        name.to_owned(),
+        best.law.name().to_owned(),
+        format!("{:.6}", best.a),
+        format!("{:.9}", best.b),
+        format!("{:.6}", best.residual),
+        predicted(|prediction| format!("{:.0}", prediction.size)),
+        predicted(|prediction| format!("{:.6}", prediction.predicted)),
+        predicted(|prediction| format!("{:.6}", prediction.measured)),
+        predicted(|prediction| format!("{:.4}", prediction.error())),
+    ]
+}
+
+/// Prints the laws of one column of a table by another; lines that begin with # are passed over.
+pub fn fit_table(path: &Path, size_column: &str, cost_column: &str) -> ExitStatus {
+    let points = match read_points(path, size_column, cost_column) {
+        Ok(points) => points,
+        Err(error) => {
+            eprintln!("{}: {error}", path.display());
+            return ExitStatus::NOT_ALLOWED;
+        }
+    };
+    if print_fit(cost_column, &points).is_none() {
+        return ExitStatus::NOT_ALLOWED;
+    }
+    for one in fit(&points).unwrap_or_default() {
+        let name = one.law.name();
+        println!("    {name:14} a = {:.4}, b = {:.6}, residual {:.4}", one.a, one.b, one.residual);
+    }
+    ExitStatus::ALL_KEPT
+}
+
+fn read_points(path: &Path, size_column: &str, cost_column: &str) -> Result<Vec<(f64, f64)>, TableError> {
+    let mut table = csv::ReaderBuilder::new().comment(Some(b'#')).from_path(path)?;
+    let headers = table.headers()?.clone();
+    let size_place = column_place(&headers, size_column)?;
+    let cost_place = column_place(&headers, cost_column)?;
+    let mut points = Vec::new();
+    for record in table.records() {
+        let record = record?;
+        let (size, cost) = (&record[size_place], &record[cost_place]);
+        // A cell that is empty was not measured at that size.
+        if size.is_empty() || cost.is_empty() {
+            continue;
+        }
+        points.push((size.parse()?, cost.parse()?));
+    }
+    Ok(points)
+}
+
+fn column_place(headers: &csv::StringRecord, name: &str) -> Result<usize, TableError> {
+    let place = headers.iter().position(|header| header == name);
+    place.ok_or_else(|| TableError::NoColumn {
+        name: name.to_owned(),
+        columns: headers.iter().collect::<Vec<_>>().join(", "),
+    })
+}
--- a/testbed-cli/src/lib.rs
+++ b/testbed-cli/src/lib.rs
@@ -1,14 +1,20 @@
-//! The laboratory's requests. The program is a line round [`main`]; tests call the same.
+//! The commands of the testbed's program, which is a line round [`main`]; tests call the same.
 
 pub mod charts;
-pub mod commands;
 pub mod compare;
+pub mod demo;
 pub mod exit;
+pub mod experiment_file;
 pub mod fit;
+pub mod fit_table;
 pub mod overview;
 pub mod replay;
 pub mod report;
+pub mod run;
+mod run_outcome;
 pub mod scale;
+pub mod scale_args;
+pub mod scale_run;
 mod scale_table;
 pub mod sizes;
 pub mod tables;
@@ -17,6 +23,9 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
+use juniperladder_testbed::child_reaper::reap;
+
+use exit::ExitStatus;
 
 /// Plays experiments with fleets of real processes under faults, and reports on them.
 #[derive(Debug, Parser)]
@@ -27,12 +36,12 @@
     pub command: Command,
 }
 
-/// A request of the laboratory.
+/// A command of the program.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Plays an experiment: 0 played and every rule and stated bound kept, 1 something broken, 2 not allowed (nothing
     /// was started), 3 the rig was late and the run does not count
-    Run(commands::Run),
+    Run(run::RunArgs),
     /// Checks an experiment's file without playing it
     Check {
         /// The file
@@ -70,7 +79,7 @@
     },
     /// Runs the control code of many members in one process, over sockets or in simulated time: 0 it counts, 1 a check
     /// failed, 2 not allowed (nothing was started), 3 the test bed was late and the run does not count
-    Scale(scale::Scale),
+    Scale(scale_args::ScaleArgs),
     /// Fits a column of a table to another: which law describes the cost, and what the smaller sizes say of the largest
     Fit {
         /// The table, as CSV
@@ -93,20 +102,26 @@
     },
 }
 
-/// Does what the arguments say; the exit code is the page's.
+/// Does what the arguments say; the exit code is one of [`exit`].
 pub fn main(args: Args) -> ExitCode {
-    let code = match args.command {
-        Command::Run(run) => commands::run(&run),
-        Command::Check { file, set } => commands::check(&file, &set),
-        Command::Schema => commands::schema(),
+    let status = match args.command {
+        Command::Run(args) => run::run(&args),
+        Command::Check { file, set } => experiment_file::check(&file, &set),
+        Command::Schema => experiment_file::schema(),
         Command::Compare { before, after } => compare::compare(&before, &after),
         Command::Overview { folder, chart } => overview::overview(&folder, chart.as_deref()),
         Command::Replay { folder } => replay::replay(&folder),
-        Command::Report { folder } => report::again(&folder),
+        Command::Report { folder } => report::rewrite_report(&folder),
         Command::Scale(args) => scale::scale(&args),
-        Command::Fit { table, x, y } => sizes::fit_table(&table, &x, &y),
-        Command::Reap => commands::reap_processes(),
-        Command::Demo { out } => commands::demo(&out),
+        Command::Fit { table, x, y } => fit_table::fit_table(&table, &x, &y),
+        Command::Reap => reap_processes(),
+        Command::Demo { out } => demo::demo(&out),
     };
-    ExitCode::from(code)
+    status.into()
+}
+
+/// Ends the processes of a testbed that is gone.
+fn reap_processes() -> ExitStatus {
+    reap(std::io::stdin().lock());
+    ExitStatus::ALL_KEPT
 }
--- a/testbed-cli/src/overview.rs
+++ b/testbed-cli/src/overview.rs
@@ -10,14 +10,16 @@
 use juniperladder_platform_model::experiment::Experiment;
 use juniperladder_platform_model::summary::Summary;
 
-use crate::charts::by_size;
-use crate::compare::summaries;
-use crate::exit::{BROKEN, KEPT, NOT_ALLOWED};
+use crate::charts::{by_size, SizeFigure, SizeLine};
+use crate::compare::find_summaries;
+use crate::exit::ExitStatus;
 
+/// How a figure is read from a summary.
+type Pick = fn(&Summary) -> Option<f64>;
 /// A column: its name, how many decimals, and the figure.
-type Column = (&'static str, usize, fn(&Summary) -> Option<f64>);
+type Column = (&'static str, usize, Pick);
 
-const COLUMNS: [Column; 12] = [
+const FIGURE_COLUMNS: [Column; 12] = [
     ("service", 3, |s| Some(s.service)),
     ("served %", 1, |s| Some(100.0 * s.served as f64 / s.requests.max(1) as f64)),
     ("attempts", 2, |s| Some(s.attempts_per_request)),
@@ -34,63 +36,84 @@
     ("packets", 1, |s| (s.peers.packets_per_s > 0.0).then_some(s.peers.packets_per_s)),
 ];
 
+/// The smallest fair peak that a peak is divided by.
+const SMALLEST_FAIR_PEAK: f64 = 1e-9;
+
 /// Runs by experiment and number of balancers.
-type Groups = BTreeMap<String, BTreeMap<usize, Vec<Summary>>>;
+type RunsBySize = BTreeMap<String, BTreeMap<usize, Vec<Summary>>>;
 
 /// Prints the table of all runs below a folder, in Markdown; draws the chart where a file for it is named.
-pub fn overview(folder: &Path, chart: Option<&Path>) -> u8 {
-    let mut groups: Groups = BTreeMap::new();
-    for (path, summary) in summaries(folder) {
+pub fn overview(folder: &Path, chart: Option<&Path>) -> ExitStatus {
+    let runs = read_runs(folder);
+    if runs.is_empty() {
+        eprintln!("{}: no runs below it", folder.display());
+        return ExitStatus::NOT_ALLOWED;
+    }
+    let violations = print_table(&runs);
+    if let Some(path) = chart {
+        if let Err(error) = write_chart(path, &runs) {
+            eprintln!("{}: {error}", path.display());
+            return ExitStatus::NOT_ALLOWED;
+        }
+    }
+    if violations > 0 {
+        ExitStatus::RULE_BROKEN
+    } else {
+        ExitStatus::ALL_KEPT
+    }
+}
+
+fn read_runs(folder: &Path) -> RunsBySize {
+    let mut runs = RunsBySize::new();
+    for (path, summary) in find_summaries(folder) {
         let text = std::fs::read_to_string(path.join("experiment.json")).unwrap_or_default();
         let Ok(experiment) = serde_json::from_str::<Experiment>(&text) else { continue };
-        let sizes = groups.entry(summary.name.clone()).or_default();
+        let sizes = runs.entry(summary.name.clone()).or_default();
         sizes.entry(experiment.fleet.balancers).or_default().push(summary);
     }
-    if groups.is_empty() {
-        eprintln!("{}: no runs below it", folder.display());
-        return NOT_ALLOWED;
-    }
-    let names: Vec<&str> = COLUMNS.iter().map(|(name, ..)| *name).collect();
+    runs
+}
+
+/// Prints a row for each experiment and number of balancers; gives how many rules were broken in all.
+fn print_table(runs: &RunsBySize) -> u64 {
+    let names: Vec<&str> = FIGURE_COLUMNS.iter().map(|(name, ..)| *name).collect();
     println!("| experiment | balancers | runs | rules broken | {} |", names.join(" | "));
     println!("|{}", " --- |".repeat(names.len() + 4));
-    let mut broken = 0;
-    for (name, sizes) in &groups {
-        for (size, runs) in sizes {
-            let rules: u64 = runs.iter().map(|s| s.rules.total()).sum();
-            broken += rules;
-            let cells: Vec<String> = COLUMNS.iter().map(|column| cell(column, runs)).collect();
-            println!("| {name} | {size} | {} | {rules} | {} |", runs.len(), cells.join(" | "));
-        }
-    }
-    if let Some(path) = chart {
-        let mean = |pick: fn(&Summary) -> Option<f64>| {
-            let of = |sizes: &BTreeMap<usize, Vec<Summary>>| {
-                let mean = |runs: &Vec<Summary>| {
-                    let values: Vec<f64> = runs.iter().filter_map(pick).collect();
-                    values.iter().sum::<f64>() / values.len().max(1) as f64
-                };
-                sizes.iter().map(|(size, runs)| (*size, mean(runs))).collect::<Vec<_>>()
-            };
-            groups.iter().map(|(name, sizes)| (name.clone(), of(sizes))).collect::<Vec<_>>()
-        };
-        let drawn = by_size(&[
-            ("Service", mean(|s| Some(s.service))),
-            (
-                "Spread: peak over that of fair draws",
-                mean(|s| Some(s.spread.peak / s.spread.fair_peak.max(1e-9))),
-            ),
-        ]);
-        let written = drawn.and_then(|text| Ok(std::fs::write(path, text)?));
-        if let Err(e) = written {
-            eprintln!("{}: {e}", path.display());
-            return NOT_ALLOWED;
+    let mut total_violations = 0;
+    for (name, sizes) in runs {
+        for (size, summaries) in sizes {
+            let violations: u64 = summaries.iter().map(|summary| summary.rules.total()).sum();
+            total_violations += violations;
+            let cells: Vec<String> = FIGURE_COLUMNS.iter().map(|column| cell(column, summaries)).collect();
+            println!("| {name} | {size} | {} | {violations} | {} |", summaries.len(), cells.join(" | "));
         }
     }
-    if broken > 0 {
-        BROKEN
-    } else {
-        KEPT
-    }
+    total_violations
+}
+
+fn write_chart(path: &Path, runs: &RunsBySize) -> Result<(), Box<dyn std::error::Error>> {
+    let figures = [
+        SizeFigure { title: "Service", lines: mean_lines(runs, |s| Some(s.service)) },
+        SizeFigure {
+            title: "Spread: peak over that of fair draws",
+            lines: mean_lines(runs, |s| Some(s.spread.peak / s.spread.fair_peak.max(SMALLEST_FAIR_PEAK))),
+        },
+    ];
+    std::fs::write(path, by_size(&figures)?)?;
+    Ok(())
+}
+
+/// A line for each experiment, with the mean of a figure at each number of balancers.
+fn mean_lines(runs: &RunsBySize, pick: Pick) -> Vec<SizeLine> {
+    let mean = |summaries: &[Summary]| {
+        let values: Vec<f64> = summaries.iter().filter_map(pick).collect();
+        values.iter().sum::<f64>() / values.len().max(1) as f64
+    };
+    let line = |(name, sizes): (&String, &BTreeMap<usize, Vec<Summary>>)| SizeLine {
+        name: name.clone(),
+        points: sizes.iter().map(|(size, summaries)| (*size, mean(summaries))).collect(),
+    };
+    runs.iter().map(line).collect()
 }
 
 /// The mean of a figure, with its least and greatest where they differ.
--- a/testbed-cli/src/overview/tests.rs
+++ b/testbed-cli/src/overview/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of `overview`.
+//! Cells of the table.
 
 use super::*;
 
 #[test]
-fn a_cell_tells_mean_and_spread() {
+fn cell_has_the_mean_and_the_range_where_runs_differ() {
     let run = |service| Summary { service, ..Summary::default() };
-    assert_eq!(cell(&COLUMNS[0], &[run(0.5), run(0.7)]), "0.600 (0.500 to 0.700)");
-    assert_eq!(cell(&COLUMNS[0], &[run(0.5)]), "0.500");
-    assert_eq!(cell(&COLUMNS[9], &[run(0.5)]), "-");
+    assert_eq!(cell(&FIGURE_COLUMNS[0], &[run(0.5), run(0.7)]), "0.600 (0.500 to 0.700)");
+    assert_eq!(cell(&FIGURE_COLUMNS[0], &[run(0.5)]), "0.500");
+    assert_eq!(cell(&FIGURE_COLUMNS[9], &[run(0.5)]), "-");
 }
--- a/testbed-cli/src/replay.rs
+++ b/testbed-cli/src/replay.rs
@@ -1,197 +1,220 @@
-//! `replay`: deals a run's sends to servers out anew, by other placements, and tells what of its unevenness comes from where:
-//! chance, keys' popularity, placement. Then the fullest servers and the keys that fill them.
+//! `replay`: deals a run's sends to servers out anew, by other placements, and tells what of its unevenness comes from
+//! where: chance, keys' popularity, placement. Then the busiest servers and the keys that load them.
+
+mod placement;
 
 #[cfg(test)]
 mod tests;
 
-use std::collections::{BTreeMap, HashMap, VecDeque};
+use std::collections::{BTreeMap, HashMap};
 use std::fs::File;
 use std::path::Path;
 
 use juniperladder_platform_model::experiment::Experiment;
-use juniperladder_platform_model::rng::{mix_bits, seeded_rng, RngStream, SeededRng};
+use juniperladder_platform_model::rng::{seeded_rng, RngStream, SeededRng};
 use rand::Rng;
 
-use crate::exit::{KEPT, NOT_ALLOWED};
+use crate::exit::ExitStatus;
+use placement::{BoundedLoad, RendezvousHashing};
 
 type Error = Box<dyn std::error::Error>;
 
-/// The windows' length, as of the judge's spread.
+/// The windows' length in milliseconds, as of the checker's spread.
 const WINDOW_MS: f64 = 5_000.0;
 /// A key is hot that brings more than this part of a server's fair load.
-const HOT: f64 = 0.25;
-/// What bounded load lets a server have of the mean.
-const BOUND: f64 = 1.25;
+const HOT_KEY_LOAD: f64 = 0.25;
+/// The busiest servers that are printed, and the keys of each.
+const PRINTED_SERVERS: usize = 5;
+const PRINTED_KEYS: usize = 3;
+/// The smallest mean that a load is divided by.
+const SMALLEST_MEAN: f64 = 1e-9;
 
 /// One send that a server received.
 #[derive(Clone, Copy)]
-struct Begin {
-    ms: f64,
+struct ServerSend {
+    /// Milliseconds from the experiment's beginning.
+    at_ms: f64,
     server: usize,
     key: u64,
 }
 
 /// Prints the replay of a run; servers of unlike weight are not told apart here.
-pub fn replay(folder: &Path) -> u8 {
-    match print(folder) {
-        Ok(()) => KEPT,
-        Err(e) => {
-            eprintln!("{}: {e}; is it the folder of a run?", folder.display());
-            NOT_ALLOWED
+pub fn replay(folder: &Path) -> ExitStatus {
+    match replay_folder(folder) {
+        Ok(()) => ExitStatus::ALL_KEPT,
+        Err(error) => {
+            eprintln!("{}: {error}; is it the folder of a run?", folder.display());
+            ExitStatus::NOT_ALLOWED
         }
     }
 }
 
-fn print(folder: &Path) -> Result<(), Error> {
+fn replay_folder(folder: &Path) -> Result<(), Error> {
     let experiment: Experiment = serde_json::from_reader(File::open(folder.join("experiment.json"))?)?;
     let servers = experiment.fleet.servers;
-    let begins = begins(folder)?;
-    let windows = windows(&begins, experiment.seconds);
-    let fair = begins.len() as f64 / servers as f64;
-    let mut shares: HashMap<u64, f64> = HashMap::new();
-    begins.iter().for_each(|begin| *shares.entry(begin.key).or_default() += 1.0 / fair);
-    let hot = |key: u64| shares[&key] > HOT;
-    let carried: f64 = shares.values().filter(|share| **share > HOT).sum::<f64>() / servers as f64;
-    let count = shares.values().filter(|share| **share > HOT).count();
-    println!(
-        "{} sends to {servers} hosts; {count} hot keys have {:.0}% of them",
-        begins.len(),
-        carried * 100.0
-    );
-    println!("{:44} {:>6} {:>6}", "", "peak", "least");
-    let mut draw = seeded_rng(experiment.seed, RngStream::Fair);
-    let homes = Homes::new(servers);
-    let mut show = |name: &str, deal: &mut dyn FnMut(&Begin, &mut SeededRng) -> Option<usize>| {
-        let (peak, least) = unevenness(&windows, servers, |begin| deal(begin, &mut draw));
-        println!("{name:44} {peak:6.2} {least:6.2}");
-    };
-    show("as played", &mut |begin, _| Some(begin.server));
-    show("independent fair draws", &mut |_, draw| Some(draw.random_range(0..servers)));
-    show("rendezvous, one home a key", &mut |begin, _| homes.ranked(begin.key).next());
-    show("the same without the hot keys", &mut |begin, _| {
-        homes.ranked(begin.key).next().filter(|_| !hot(begin.key))
-    });
-    show("the same, hot keys dealt by fair draws", &mut |begin, draw| {
-        if hot(begin.key) {
-            Some(draw.random_range(0..servers))
-        } else {
-            homes.ranked(begin.key).next()
-        }
-    });
-    show("rendezvous, a home for each quarter of a load", &mut |begin, draw| {
-        let many = (shares[&begin.key] / HOT) as usize + 1;
-        homes.ranked(begin.key).nth(draw.random_range(0..many.min(servers)))
-    });
-    let mut bounded = Bounded::default();
-    show("bounded load 1.25, seeing the true state", &mut |begin, _| bounded.deal(begin, servers, &homes));
-    fullest(&begins, servers, fair);
+    let sends = read_sends(folder)?;
+    let replay = Replay::new(&sends, servers, experiment.seconds);
+    replay.print_hot_keys(sends.len());
+    replay.print_placements(experiment.seed);
+    print_busiest_servers(&sends, servers);
     Ok(())
 }
 
 /// The sends to servers since the experiment's beginning, with their keys.
-fn begins(folder: &Path) -> Result<Vec<Begin>, Error> {
+fn read_sends(folder: &Path) -> Result<Vec<ServerSend>, Error> {
     let mut keys: HashMap<String, u64> = HashMap::new();
     for row in csv::Reader::from_path(folder.join("commands.csv"))?.records() {
         let row = row?;
         keys.insert(row[0].to_owned(), row[3].parse()?);
     }
-    let mut begins = Vec::new();
+    let mut sends = Vec::new();
     for row in csv::Reader::from_path(folder.join("attempts.csv"))?.records() {
         let row = row?;
-        let (Ok(server), ms) = (row[2].parse(), row[3].parse::<f64>()?) else { continue };
+        let (Ok(server), at_ms) = (row[2].parse(), row[3].parse::<f64>()?) else { continue };
         let key = *keys.get(&row[0]).ok_or("an attempt of no command")?;
-        if ms >= 0.0 {
-            begins.push(Begin { ms, server, key });
+        if at_ms >= 0.0 {
+            sends.push(ServerSend { at_ms, server, key });
         }
     }
-    Ok(begins)
+    Ok(sends)
 }
 
-/// The sends by whole windows.
-fn windows(begins: &[Begin], seconds: f64) -> Vec<Vec<Begin>> {
-    let mut windows = vec![Vec::new(); ((seconds * 1e3 / WINDOW_MS) as usize).max(1)];
-    for begin in begins {
-        if let Some(window) = windows.get_mut((begin.ms / WINDOW_MS) as usize) {
-            window.push(*begin);
+/// The sends of a run, ready to be dealt out anew.
+struct Replay {
+    servers: usize,
+    /// The sends by complete windows.
+    windows: Vec<Vec<ServerSend>>,
+    /// The load of each key, in parts of a server's fair load.
+    key_loads: HashMap<u64, f64>,
+    rendezvous: RendezvousHashing,
+}
+
+impl Replay {
+    fn new(sends: &[ServerSend], servers: usize, seconds: f64) -> Replay {
+        let fair_load = sends.len() as f64 / servers as f64;
+        let mut key_loads: HashMap<u64, f64> = HashMap::new();
+        for send in sends {
+            *key_loads.entry(send.key).or_default() += 1.0 / fair_load;
+        }
+        Replay {
+            servers,
+            windows: windows(sends, seconds),
+            key_loads,
+            rendezvous: RendezvousHashing::new(servers),
         }
     }
-    windows
-}
 
-/// The greatest load of any window's fullest server and the smallest of its emptiest, means over the windows.
-fn unevenness(
-    windows: &[Vec<Begin>],
-    servers: usize,
-    mut deal: impl FnMut(&Begin) -> Option<usize>,
-) -> (f64, f64) {
-    let (mut peak, mut least) = (0.0, 0.0);
-    for window in windows {
-        let mut counts = vec![0.0; servers];
-        window.iter().filter_map(&mut deal).for_each(|server| counts[server] += 1.0);
-        let mean = (counts.iter().sum::<f64>() / servers as f64).max(1e-9);
-        peak += counts.iter().copied().fold(0.0, f64::max) / mean / windows.len() as f64;
-        least += counts.iter().copied().fold(f64::INFINITY, f64::min) / mean / windows.len() as f64;
+    fn is_hot(&self, key: u64) -> bool {
+        self.key_loads[&key] > HOT_KEY_LOAD
     }
-    (peak, least)
-}
 
-/// Rendezvous hashing of keys on servers.
-struct Homes {
-    servers: usize,
-}
+    fn print_hot_keys(&self, sends: usize) {
+        let hot_loads = self.key_loads.values().filter(|load| **load > HOT_KEY_LOAD);
+        let count = hot_loads.clone().count();
+        let percent = hot_loads.sum::<f64>() / self.servers as f64 * 100.0;
+        println!("{sends} sends to {} hosts; {count} hot keys have {percent:.0}% of them", self.servers);
+    }
 
-impl Homes {
-    fn new(servers: usize) -> Homes {
-        Homes { servers }
+    /// Prints the unevenness of each placement. All draw from one generator, in this order.
+    fn print_placements(&self, seed: u64) {
+        println!("{:44} {:>6} {:>6}", "", "peak", "least");
+        let mut rng = seeded_rng(seed, RngStream::Fair);
+        self.print_unevenness("as played", |send| Some(send.server));
+        self.print_unevenness("independent fair draws", |_| Some(rng.random_range(0..self.servers)));
+        self.print_unevenness("rendezvous, one home a key", |send| self.rendezvous.first(send.key));
+        self.print_unevenness("the same without the hot keys", |send| {
+            self.rendezvous.first(send.key).filter(|_| !self.is_hot(send.key))
+        });
+        self.print_unevenness("the same, hot keys dealt by fair draws", |send| {
+            if self.is_hot(send.key) {
+                Some(rng.random_range(0..self.servers))
+            } else {
+                self.rendezvous.first(send.key)
+            }
+        });
+        self.print_unevenness("rendezvous, a home for each quarter of a load", |send| {
+            self.draw_home(send.key, &mut rng)
+        });
+        let mut bounded_load = BoundedLoad::new(self.servers);
+        self.print_unevenness("bounded load 1.25, seeing the true state", |send| bounded_load.place(send));
     }
 
-    /// A key's servers, best first.
-    fn ranked(&self, key: u64) -> impl Iterator<Item = usize> {
-        let mut order: Vec<usize> = (0..self.servers).collect();
-        order.sort_unstable_by_key(|server| mix_bits(mix_bits(key) ^ *server as u64));
-        order.into_iter()
+    /// One of a key's homes, of which it has one for each quarter of a server's load.
+    fn draw_home(&self, key: u64, rng: &mut SeededRng) -> Option<usize> {
+        let homes = (self.key_loads[&key] / HOT_KEY_LOAD) as usize + 1;
+        self.rendezvous.ranked(key).nth(rng.random_range(0..homes.min(self.servers)))
+    }
+
+    fn print_unevenness(&self, name: &str, place: impl FnMut(&ServerSend) -> Option<usize>) {
+        let Unevenness { peak, least } = unevenness(&self.windows, self.servers, place);
+        println!("{name:44} {peak:6.2} {least:6.2}");
     }
 }
 
-/// Hashing with bounded load by one that sees all that began within the last second.
-#[derive(Default)]
-struct Bounded {
-    counts: HashMap<usize, f64>,
-    last: VecDeque<(f64, usize)>,
+/// The sends by complete windows.
+fn windows(sends: &[ServerSend], seconds: f64) -> Vec<Vec<ServerSend>> {
+    let mut windows = vec![Vec::new(); ((seconds * 1e3 / WINDOW_MS) as usize).max(1)];
+    for send in sends {
+        if let Some(window) = windows.get_mut((send.at_ms / WINDOW_MS) as usize) {
+            window.push(*send);
+        }
+    }
+    windows
 }
 
-impl Bounded {
-    fn deal(&mut self, begin: &Begin, servers: usize, homes: &Homes) -> Option<usize> {
-        while self.last.front().is_some_and(|(ms, _)| ms + 1_000.0 <= begin.ms) {
-            if let Some((_, server)) = self.last.pop_front() {
-                *self.counts.entry(server).or_default() -= 1.0;
-            }
+/// How uneven a placement is.
+#[derive(Debug, PartialEq)]
+struct Unevenness {
+    /// The load of each window's busiest server over the mean, mean over the windows.
+    peak: f64,
+    /// The same of its least busy server.
+    least: f64,
+}
+
+/// The unevenness of these sends when placed anew; a send without a place is left out.
+fn unevenness(
+    windows: &[Vec<ServerSend>],
+    servers: usize,
+    mut place: impl FnMut(&ServerSend) -> Option<usize>,
+) -> Unevenness {
+    let mut unevenness = Unevenness { peak: 0.0, least: 0.0 };
+    for window in windows {
+        let mut counts = vec![0.0; servers];
+        for server in window.iter().filter_map(&mut place) {
+            counts[server] += 1.0;
         }
-        let most = BOUND * (self.last.len() + 1) as f64 / servers as f64 + 1.0;
-        let server = homes
-            .ranked(begin.key)
-            .find(|server| self.counts.get(server).copied().unwrap_or(0.0) + 1.0 <= most)?;
-        *self.counts.entry(server).or_default() += 1.0;
-        self.last.push_back((begin.ms, server));
-        Some(server)
+        let mean = (counts.iter().sum::<f64>() / servers as f64).max(SMALLEST_MEAN);
+        let most = counts.iter().copied().fold(0.0, f64::max);
+        let fewest = counts.iter().copied().fold(f64::INFINITY, f64::min);
+        unevenness.peak += most / mean / windows.len() as f64;
+        unevenness.least += fewest / mean / windows.len() as f64;
     }
+    unevenness
+}
+
+/// What one server received, in parts of a server's fair load.
+struct ServerLoad {
+    server: usize,
+    total: f64,
+    by_key: BTreeMap<u64, f64>,
 }
 
-/// Prints the fullest servers, and the keys that fill them, in parts of a server's fair load.
-fn fullest(begins: &[Begin], servers: usize, fair: f64) {
-    let mut loads: Vec<(f64, usize, BTreeMap<u64, f64>)> =
-        (0..servers).map(|server| (0.0, server, BTreeMap::new())).collect();
-    for begin in begins {
-        let one = &mut loads[begin.server];
-        one.0 += 1.0 / fair;
-        *one.2.entry(begin.key).or_default() += 1.0 / fair;
+/// Prints the busiest servers, and the keys that load them.
+fn print_busiest_servers(sends: &[ServerSend], servers: usize) {
+    let fair_load = sends.len() as f64 / servers as f64;
+    let empty = |server| ServerLoad { server, total: 0.0, by_key: BTreeMap::new() };
+    let mut loads: Vec<ServerLoad> = (0..servers).map(empty).collect();
+    for send in sends {
+        let load = &mut loads[send.server];
+        load.total += 1.0 / fair_load;
+        *load.by_key.entry(send.key).or_default() += 1.0 / fair_load;
     }
-    loads.sort_by(|a, b| b.0.total_cmp(&a.0));
-    for (load, server, keys) in loads.iter().take(5) {
-        let mut keys: Vec<(&u64, &f64)> = keys.iter().collect();
-        keys.sort_by(|a, b| b.1.total_cmp(a.1));
-        let most: Vec<String> =
-            keys.iter().take(3).map(|(key, part)| format!("key {key} {part:.2}")).collect();
-        println!("host {server}: {load:.2} of its fair load, of that {}", most.join(", "));
+    loads.sort_by(|first, second| second.total.total_cmp(&first.total));
+    for load in loads.iter().take(PRINTED_SERVERS) {
+        let mut keys: Vec<(&u64, &f64)> = load.by_key.iter().collect();
+        keys.sort_by(|first, second| second.1.total_cmp(first.1));
+        let keys = keys.iter().take(PRINTED_KEYS).map(|(key, part)| format!("key {key} {part:.2}"));
+        let keys = keys.collect::<Vec<_>>().join(", ");
+        println!("host {}: {:.2} of its fair load, of that {keys}", load.server, load.total);
     }
 }
--- /dev/null
+++ b/testbed-cli/src/replay/placement.rs
@@ -0,0 +1,73 @@
+//! Placements of keys on servers that a run is held against.
+
+use std::collections::{HashMap, VecDeque};
+
+use juniperladder_platform_model::rng::mix_bits;
+
+use super::ServerSend;
+
+/// What bounded load lets a server have of the mean.
+const MAX_LOAD_OVER_MEAN: f64 = 1.25;
+/// For how long a send counts as load, in milliseconds.
+const LOAD_WINDOW_MS: f64 = 1_000.0;
+
+/// Rendezvous hashing of keys on servers.
+pub struct RendezvousHashing {
+    servers: usize,
+}
+
+impl RendezvousHashing {
+    /// Hashing on so many servers.
+    pub fn new(servers: usize) -> RendezvousHashing {
+        RendezvousHashing { servers }
+    }
+
+    /// A key's servers, best first.
+    pub fn ranked(&self, key: u64) -> impl Iterator<Item = usize> {
+        let mut order: Vec<usize> = (0..self.servers).collect();
+        order.sort_unstable_by_key(|server| mix_bits(mix_bits(key) ^ *server as u64));
+        order.into_iter()
+    }
+
+    /// A key's best server.
+    pub fn first(&self, key: u64) -> Option<usize> {
+        self.ranked(key).next()
+    }
+}
+
+/// Rendezvous hashing with bounded load, by one that sees all sends of the last second.
+pub struct BoundedLoad {
+    rendezvous: RendezvousHashing,
+    servers: usize,
+    /// Sends of the last second by server.
+    counts: HashMap<usize, f64>,
+    /// These sends, oldest first: when, and to which server.
+    recent: VecDeque<(f64, usize)>,
+}
+
+impl BoundedLoad {
+    /// Nothing sent yet, to so many servers.
+    pub fn new(servers: usize) -> BoundedLoad {
+        let rendezvous = RendezvousHashing::new(servers);
+        BoundedLoad { rendezvous, servers, counts: HashMap::new(), recent: VecDeque::new() }
+    }
+
+    /// The best server of a send's key that is not over the bound.
+    pub fn place(&mut self, send: &ServerSend) -> Option<usize> {
+        self.forget_until(send.at_ms);
+        let bound = MAX_LOAD_OVER_MEAN * (self.recent.len() + 1) as f64 / self.servers as f64 + 1.0;
+        let is_below_bound = |server: &usize| self.counts.get(server).copied().unwrap_or(0.0) + 1.0 <= bound;
+        let server = self.rendezvous.ranked(send.key).find(is_below_bound)?;
+        *self.counts.entry(server).or_default() += 1.0;
+        self.recent.push_back((send.at_ms, server));
+        Some(server)
+    }
+
+    fn forget_until(&mut self, now_ms: f64) {
+        while self.recent.front().is_some_and(|(at_ms, _)| at_ms + LOAD_WINDOW_MS <= now_ms) {
+            if let Some((_, server)) = self.recent.pop_front() {
+                *self.counts.entry(server).or_default() -= 1.0;
+            }
+        }
+    }
+}
--- a/testbed-cli/src/replay/tests.rs
+++ b/testbed-cli/src/replay/tests.rs
@@ -1,16 +1,16 @@
-//! Tests of `replay`.
+//! Unevenness of a placement over windows.
 
 use super::*;
 
 #[test]
-fn unevenness_is_that_of_the_windows() {
-    let begin = |ms, server| Begin { ms, server, key: 1 };
-    let begins: Vec<Begin> = (0..40).map(|n| begin(f64::from(n) * 250.0, usize::from(n % 4 == 0))).collect();
-    let windows = windows(&begins, 10.0);
+fn unevenness_is_the_mean_over_the_windows() {
+    let send = |at_ms, server| ServerSend { at_ms, server, key: 1 };
+    let sends: Vec<ServerSend> =
+        (0..40).map(|n| send(f64::from(n) * 250.0, usize::from(n % 4 == 0))).collect();
+    let windows = windows(&sends, 10.0);
     assert_eq!(windows.iter().map(Vec::len).collect::<Vec<_>>(), [20, 20]);
-    assert_eq!(unevenness(&windows, 2, |begin| Some(begin.server)), (1.5, 0.5));
-    let mut bounded = Bounded::default();
-    let homes = Homes::new(4);
-    let (peak, _) = unevenness(&windows, 4, |begin| bounded.deal(begin, 4, &homes));
+    assert_eq!(unevenness(&windows, 2, |send| Some(send.server)), Unevenness { peak: 1.5, least: 0.5 });
+    let mut bounded_load = BoundedLoad::new(4);
+    let Unevenness { peak, .. } = unevenness(&windows, 4, |send| bounded_load.place(send));
     assert!(peak <= 2.0, "one key has to leave its home, which alone would have four times the mean: {peak}");
 }
--- a/testbed-cli/src/report.rs
+++ b/testbed-cli/src/report.rs
@@ -1,9 +1,10 @@
 //! `report.html`: one self-contained page about a run, made from the files that the run left.
 
-use std::fmt::Write as _;
+mod page;
+
 use std::fs::File;
 use std::io::BufReader;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 use juniperladder_platform_model::checker::rules::Violation;
 use juniperladder_platform_model::checker::series::Second;
@@ -12,217 +13,126 @@
 use serde::de::DeserializeOwned;
 
 use crate::charts;
-use crate::exit::{KEPT, NOT_ALLOWED};
+use crate::exit::ExitStatus;
 
 type Error = Box<dyn std::error::Error>;
 
-/// Breaches that are shown with their stories.
-const SHOWN: usize = 50;
+/// A file of a run that is not as it should be.
+#[derive(Debug, thiserror::Error)]
+enum RunFileError {
+    /// It cannot be opened.
+    #[error("{}: {source}", path.display())]
+    Open { path: PathBuf, source: std::io::Error },
+    /// It does not hold what it should.
+    #[error("{}: {source}", path.display())]
+    Form { path: PathBuf, source: serde_json::Error },
+}
+
+/// What the page is made from.
+struct RunFiles {
+    summary: Summary,
+    experiment: Experiment,
+    violations: Vec<Violation>,
+    crashes: Vec<String>,
+    seconds: Vec<Second>,
+    /// For each server, its load in each second.
+    server_loads: Vec<Vec<f64>>,
+}
+
+impl RunFiles {
+    fn read(folder: &Path) -> Result<RunFiles, Error> {
+        Ok(RunFiles {
+            summary: read_json(&folder.join("summary.json"))?,
+            experiment: read_json(&folder.join("experiment.json"))?,
+            violations: read_json(&folder.join("breaches.json"))?,
+            crashes: read_json(&folder.join("crashes.json"))?,
+            seconds: read_seconds(&folder.join("seconds.csv"))?,
+            server_loads: read_server_loads(&folder.join("hosts.csv"))?,
+        })
+    }
+}
+
+fn read_json<T: DeserializeOwned>(path: &Path) -> Result<T, RunFileError> {
+    let open_error = |source| RunFileError::Open { path: path.to_path_buf(), source };
+    let form_error = |source| RunFileError::Form { path: path.to_path_buf(), source };
+    let file = File::open(path).map_err(open_error)?;
+    serde_json::from_reader(BufReader::new(file)).map_err(form_error)
+}
+
+fn read_seconds(path: &Path) -> Result<Vec<Second>, Error> {
+    Ok(csv::Reader::from_path(path)?.deserialize().collect::<Result<_, _>>()?)
+}
 
-const STYLE: &str =
-    "body{font:15px/1.45 system-ui,sans-serif;margin:24px auto;max-width:980px;color:#222;padding:0 12px}\
-    h1{font-size:22px}h2{font-size:17px;margin-top:28px}table{border-collapse:collapse;margin:8px 0}\
-    td,th{padding:3px 12px 3px 0;text-align:left;border-bottom:1px solid #eee}td.n{text-align:right}\
-    pre{background:#f6f6f6;padding:8px;overflow-x:auto;font-size:13px}.bad{color:#b71c1c}.good{color:#2e7d32}\
-    svg{max-width:100%;height:auto}";
+fn read_server_loads(path: &Path) -> Result<Vec<Vec<f64>>, Error> {
+    let mut loads: Vec<Vec<f64>> = Vec::new();
+    for row in csv::Reader::from_path(path)?.deserialize() {
+        let (server, _, load): (usize, usize, f64) = row?;
+        loads.resize_with(loads.len().max(server + 1), Vec::new);
+        loads[server].push(load);
+    }
+    Ok(loads)
+}
 
 /// Writes a run's report from what it left in its folder.
 ///
 /// # Errors
 /// What kept a file from being read or written, or a chart from being drawn.
-pub fn write(folder: &Path) -> Result<(), Error> {
-    let summary: Summary = json(&folder.join("summary.json"))?;
-    let experiment: Experiment = json(&folder.join("experiment.json"))?;
-    let breaches: Vec<Violation> = json(&folder.join("breaches.json"))?;
-    let crashes: Vec<String> = json(&folder.join("crashes.json"))?;
-    let seconds: Vec<Second> =
-        csv::Reader::from_path(folder.join("seconds.csv"))?.deserialize().collect::<Result<_, _>>()?;
-    let mut servers: Vec<Vec<f64>> = Vec::new();
-    for row in csv::Reader::from_path(folder.join("hosts.csv"))?.deserialize() {
-        let (server, _, load): (usize, usize, f64) = row?;
-        servers.resize_with(servers.len().max(server + 1), Vec::new);
-        servers[server].push(load);
-    }
+pub fn write_report(folder: &Path) -> Result<(), Error> {
+    let files = RunFiles::read(folder)?;
     let mut charts = vec![
-        charts::service(&experiment, &seconds)?,
-        charts::latency(&experiment, &seconds)?,
-        charts::origin(&experiment, &seconds)?,
-        charts::heat("Load of each host over its fair part", "host", &servers)?,
+        charts::service(&files.experiment, &files.seconds)?,
+        charts::latency(&files.experiment, &files.seconds)?,
+        charts::origin(&files.experiment, &files.seconds)?,
+        charts::heat_map("Load of each host over its fair part", "host", &files.server_loads)?,
     ];
-    charts.extend(holders(folder, &experiment, &summary, seconds.len())?);
-    std::fs::write(folder.join("report.html"), page(&summary, &experiment, &breaches, &crashes, &charts)?)?;
+    charts.extend(token_charts(folder, &files)?);
+    std::fs::write(folder.join("report.html"), page::page(&files, &charts)?)?;
     Ok(())
 }
 
-/// The charts of what each process said it holds of the origin's limit; none where they do not talk.
-fn holders(folder: &Path, e: &Experiment, s: &Summary, seconds: usize) -> Result<Vec<String>, Error> {
-    let whole = s.limits.get("origin").filter(|limit| limit.bound.is_some()).map(|limit| limit.limit);
-    let (Some(whole), Ok(mut table)) = (whole, csv::Reader::from_path(folder.join("holders.csv"))) else {
+/// The charts of what each process said it has reserved of the origin's limit; none where balancers do not talk.
+fn token_charts(folder: &Path, files: &RunFiles) -> Result<Vec<String>, Error> {
+    let limit = files.summary.limits.get("origin").filter(|limit| limit.bound.is_some());
+    let (Some(limit), Ok(table)) = (limit, csv::Reader::from_path(folder.join("holders.csv"))) else {
         return Ok(Vec::new());
     };
-    let count = e.fleet.balancers;
-    let (mut all, mut used) = (vec![0.0; seconds], vec![0.0; seconds]);
-    let mut rows = vec![vec![0.0; seconds]; count];
-    for row in table.deserialize() {
-        let (second, balancer, held, uses, ..): (usize, usize, f64, f64, f64, f64) = row?;
+    let limit = limit.limit;
+    let seconds = files.seconds.len();
+    let count = files.experiment.fleet.balancers;
+    let mut reserved_by_all = vec![0.0; seconds];
+    let mut used_by_all = vec![0.0; seconds];
+    let mut by_balancer = vec![vec![0.0; seconds]; count];
+    for row in table.into_deserialize() {
+        let (second, balancer, reserved, used, ..): (usize, usize, f64, f64, f64, f64) = row?;
         if second < seconds && balancer < count {
-            rows[balancer][second] = held / (whole / count as f64);
-            all[second] += held;
-            used[second] += uses;
+            by_balancer[balancer][second] = reserved / (limit / count as f64);
+            reserved_by_all[second] += reserved;
+            used_by_all[second] += used;
         }
     }
     let lines = [
-        charts::Line { name: "whole", colour: charts::GREY, values: vec![whole; seconds] },
-        charts::Line { name: "held", colour: charts::REFUSED, values: all },
-        charts::Line { name: "used", colour: charts::BLUE, values: used },
+        charts::Line { name: "whole", colour: charts::GREY, values: vec![limit; seconds] },
+        charts::Line { name: "held", colour: charts::ORANGE, values: reserved_by_all },
+        charts::Line { name: "used", colour: charts::BLUE, values: used_by_all },
     ];
+    let title = "Units of the origin's limit: held and used by all, as they say";
+    let heat_title = "Units held by each balancer over its part by count";
     Ok(vec![
-        charts::lines(e, "Units of the origin's limit: held and used by all, as they say", &lines)?,
-        charts::heat("Units held by each balancer over its part by count", "balancer", &rows)?,
+        charts::lines(&files.experiment, title, &lines)?,
+        charts::heat_map(heat_title, "balancer", &by_balancer)?,
     ])
 }
 
-/// Writes a run's report anew; for the request line.
-pub fn again(folder: &Path) -> u8 {
-    match write(folder) {
+/// Writes a run's report anew and says where it is.
+pub fn rewrite_report(folder: &Path) -> ExitStatus {
+    match write_report(folder) {
         Ok(()) => {
             println!("{}", folder.join("report.html").display());
-            KEPT
+            ExitStatus::ALL_KEPT
         }
-        Err(e) => {
-            eprintln!("{}: {e}; is it the folder of a run?", folder.display());
-            NOT_ALLOWED
+        Err(error) => {
+            eprintln!("{}: {error}; is it the folder of a run?", folder.display());
+            ExitStatus::NOT_ALLOWED
         }
     }
 }
-
-fn json<T: DeserializeOwned>(path: &Path) -> Result<T, Error> {
-    let file = File::open(path).map_err(|e| format!("{}: {e}", path.display()))?;
-    Ok(serde_json::from_reader(BufReader::new(file)).map_err(|e| format!("{}: {e}", path.display()))?)
-}
-
-fn page(
-    s: &Summary,
-    e: &Experiment,
-    breaches: &[Violation],
-    crashes: &[String],
-    charts: &[String],
-) -> Result<String, Error> {
-    let mut page = String::new();
-    let name = escaped(&s.name);
-    write!(
-        page,
-        "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{name}, seed {}</title><style>{STYLE}</style>\
-         <h1>{name}, seed {}</h1><p>{} balancers, {} hosts in {} zones, {} commands a second for {} s.</p>",
-        s.seed, s.seed, e.fleet.balancers, e.fleet.servers, e.fleet.zones, e.load.rate, e.seconds
-    )?;
-    let broken = s.rules.total() > 0 || !crashes.is_empty();
-    let (class, word) = if broken { ("bad", "Something is broken") } else { ("good", "Every rule was kept") };
-    write!(
-        page,
-        "<p class=\"{class}\"><b>{word}</b>: breaches of answers {}, attempts {}, drains {}, cold hosts {}; \
-         processes that ended by themselves {}.</p>",
-        s.rules.answers,
-        s.rules.attempts,
-        s.rules.drains,
-        s.rules.cold,
-        crashes.len()
-    )?;
-    page.push_str("<table>");
-    for (name, value) in figures(s) {
-        write!(page, "<tr><td>{name}</td><td class=\"n\">{value}</td></tr>")?;
-    }
-    page.push_str("</table><h2>Faults</h2>");
-    if e.fault.is_empty() {
-        page.push_str("<p>None.</p>");
-    } else {
-        page.push_str("<table><tr><th>from</th><th>for</th><th>what</th><th>who</th></tr>");
-        for fault in &e.fault {
-            let lasts = fault.lasts.map_or("-".into(), |lasts| format!("{lasts} s"));
-            let between = fault.between.as_ref().map(|[a, b]| format!("{a} to {b}"));
-            let who = fault.who.clone().or(between).unwrap_or_default();
-            let (at, what, who) = (fault.at, fault.what, escaped(&who));
-            write!(page, "<tr><td>{at} s</td><td>{lasts}</td><td>{what:?}</td><td>{who}</td></tr>")?;
-        }
-        page.push_str("</table>");
-    }
-    page.push_str("<h2>Over time</h2>");
-    charts.iter().for_each(|chart| page.push_str(chart));
-    write!(page, "<h2>Breaches ({})</h2>", breaches.len())?;
-    for violation in breaches.iter().take(SHOWN) {
-        let story = escaped(&violation.request_trace.join("\n"));
-        write!(
-            page,
-            "<p><b>{:?}</b>: {}</p><pre>{story}</pre>",
-            violation.rule,
-            escaped(&violation.description)
-        )?;
-    }
-    if breaches.len() > SHOWN {
-        write!(page, "<p>{} more in breaches.json.</p>", breaches.len() - SHOWN)?;
-    }
-    for crash in crashes {
-        write!(page, "<pre>{}</pre>", escaped(crash))?;
-    }
-    page.push_str("</html>\n");
-    Ok(page)
-}
-
-/// The figures of the summary, as the page names them.
-fn figures(s: &Summary) -> Vec<(String, String)> {
-    let row = |name: &str, value: String| (name.to_owned(), value);
-    let some = |value: Option<f64>, unit: &str| value.map_or("-".into(), |value| format!("{value:.2}{unit}"));
-    let share = |part: u64| format!("{part} ({:.2}%)", 100.0 * part as f64 / s.requests.max(1) as f64);
-    let beside = |value: f64, fair: f64| format!("{value:.2} (fair draws {fair:.2})");
-    let mut rows = vec![
-        row("commands", s.requests.to_string()),
-        row("served", share(s.served)),
-        row("refused", share(s.rejected)),
-        row("failed", share(s.failed)),
-        row("lost", share(s.lost)),
-        row("service: worth served in time over worth asked for", format!("{:.3}", s.service)),
-        row("time of those served, median / 99% / 99.9%", {
-            let l = s.latency_ms;
-            format!("{:.0} / {:.0} / {:.0} ms", l.p50, l.p99, l.p999)
-        }),
-        row("attempts a command", format!("{:.3}", s.attempts_per_request)),
-        row("spread: peak", beside(s.spread.peak, s.spread.fair_peak)),
-        row("spread: least", beside(s.spread.least, s.spread.fair_least)),
-        row("spread: idle host-windows", s.spread.idle.to_string()),
-        row("spread: herd", beside(s.spread.herd, s.spread.fair_herd)),
-        row("origin: most fetches in a second over its capacity", format!("{:.2}", s.origin.peak)),
-        row("origin: useful answers over its capacity while pressed", some(s.origin.useful, "")),
-        row("sends lost at silent hosts", s.failure_detection.lost_sends.to_string()),
-        row("last send to a silent host, median / 99%", {
-            format!(
-                "{} / {}",
-                some(s.failure_detection.spread_p50_ms, " ms"),
-                some(s.failure_detection.spread_p99_ms, " ms")
-            )
-        }),
-        row("silent host avoided by all after", some(s.failure_detection.avoided_ms, " ms")),
-        row("host that is back used again after", some(s.failure_detection.used_again_ms, " ms")),
-        row("processes started", s.processes.started.to_string()),
-        row("rig: lag, 99%", format!("{:.1} ms", s.lag_p99_ms)),
-        row("rig: processor time", format!("{:.1} s", s.cpu.testbed_s)),
-        row("balancers: processor time a command", format!("{:.3} ms", s.cpu.balancer_ms_per_request)),
-    ];
-    for (name, limit) in &s.limits {
-        let bound = some(limit.bound, "");
-        rows.push(row(
-            &format!("limit {name}: whole / bound / peak / use / seconds over"),
-            format!(
-                "{:.0} / {bound} / {:.3} / {} / {}",
-                limit.limit,
-                limit.peak,
-                some(limit.usage, ""),
-                limit.seconds_over
-            ),
-        ));
-    }
-    rows
-}
-
-fn escaped(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
-}
--- /dev/null
+++ b/testbed-cli/src/report/page.rs
@@ -0,0 +1,184 @@
+//! The text of the report's page.
+
+use std::fmt::{Result, Write};
+
+use juniperladder_platform_model::checker::rules::Violation;
+use juniperladder_platform_model::experiment::Experiment;
+use juniperladder_platform_model::summary::Summary;
+
+use super::RunFiles;
+
+/// Violations that are shown with their request traces.
+const MAX_SHOWN_VIOLATIONS: usize = 50;
+
+const STYLE: &str =
+    "body{font:15px/1.45 system-ui,sans-serif;margin:24px auto;max-width:980px;color:#222;padding:0 12px}\
+    h1{font-size:22px}h2{font-size:17px;margin-top:28px}table{border-collapse:collapse;margin:8px 0}\
+    td,th{padding:3px 12px 3px 0;text-align:left;border-bottom:1px solid #eee}td.n{text-align:right}\
+    pre{background:#f6f6f6;padding:8px;overflow-x:auto;font-size:13px}.bad{color:#b71c1c}.good{color:#2e7d32}\
+    svg{max-width:100%;height:auto}";
+
+/// The page of a run, with these charts as SVG elements.
+pub fn page(files: &RunFiles, charts: &[String]) -> std::result::Result<String, std::fmt::Error> {
+    let mut page = String::new();
+    write_head(&mut page, &files.summary, &files.experiment)?;
+    write_result(&mut page, &files.summary, files.crashes.len())?;
+    write_figures(&mut page, &files.summary)?;
+    write_faults(&mut page, &files.experiment)?;
+    page.push_str("<h2>Over time</h2>");
+    charts.iter().for_each(|chart| page.push_str(chart));
+    write_violations(&mut page, &files.violations)?;
+    for crash in &files.crashes {
+        write!(page, "<pre>{}</pre>", escape(crash))?;
+    }
+    page.push_str("</html>\n");
+    Ok(page)
+}
+
+fn write_head(page: &mut String, summary: &Summary, experiment: &Experiment) -> Result {
+    let name = escape(&summary.name);
+    let seed = summary.seed;
+    let fleet = &experiment.fleet;
+    write!(
+        page,
+        "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{name}, seed {seed}</title>\
+         <style>{STYLE}</style><h1>{name}, seed {seed}</h1><p>{} balancers, {} hosts in {} zones, \
+         {} commands a second for {} s.</p>",
+        fleet.balancers, fleet.servers, fleet.zones, experiment.load.rate, experiment.seconds
+    )
+}
+
+fn write_result(page: &mut String, summary: &Summary, crashes: usize) -> Result {
+    let rules = &summary.rules;
+    let is_broken = rules.total() > 0 || crashes > 0;
+    let class = if is_broken { "bad" } else { "good" };
+    let result = if is_broken { "Something is broken" } else { "Every rule was kept" };
+    write!(
+        page,
+        "<p class=\"{class}\"><b>{result}</b>: breaches of answers {}, attempts {}, drains {}, cold hosts {}; \
+         processes that ended by themselves {crashes}.</p>",
+        rules.answers, rules.attempts, rules.drains, rules.cold
+    )
+}
+
+fn write_figures(page: &mut String, summary: &Summary) -> Result {
+    page.push_str("<table>");
+    let rows = request_rows(summary).into_iter().chain(server_rows(summary)).chain(cost_rows(summary));
+    for Row { name, value } in rows.chain(limit_rows(summary)) {
+        write!(page, "<tr><td>{name}</td><td class=\"n\">{value}</td></tr>")?;
+    }
+    page.push_str("</table>");
+    Ok(())
+}
+
+fn write_faults(page: &mut String, experiment: &Experiment) -> Result {
+    page.push_str("<h2>Faults</h2>");
+    if experiment.fault.is_empty() {
+        page.push_str("<p>None.</p>");
+        return Ok(());
+    }
+    page.push_str("<table><tr><th>from</th><th>for</th><th>what</th><th>who</th></tr>");
+    for fault in &experiment.fault {
+        let lasts = fault.lasts.map_or("-".into(), |lasts| format!("{lasts} s"));
+        let between = fault.between.as_ref().map(|[first, second]| format!("{first} to {second}"));
+        let who = escape(&fault.who.clone().or(between).unwrap_or_default());
+        let (at, kind) = (fault.at, fault.what);
+        write!(page, "<tr><td>{at} s</td><td>{lasts}</td><td>{kind:?}</td><td>{who}</td></tr>")?;
+    }
+    page.push_str("</table>");
+    Ok(())
+}
+
+fn write_violations(page: &mut String, violations: &[Violation]) -> Result {
+    write!(page, "<h2>Breaches ({})</h2>", violations.len())?;
+    for violation in violations.iter().take(MAX_SHOWN_VIOLATIONS) {
+        let trace = escape(&violation.request_trace.join("\n"));
+        let description = escape(&violation.description);
+        write!(page, "<p><b>{:?}</b>: {description}</p><pre>{trace}</pre>", violation.rule)?;
+    }
+    if violations.len() > MAX_SHOWN_VIOLATIONS {
+        write!(page, "<p>{} more in breaches.json.</p>", violations.len() - MAX_SHOWN_VIOLATIONS)?;
+    }
+    Ok(())
+}
+
+/// A row of the table of figures.
+struct Row {
+    name: String,
+    value: String,
+}
+
+fn row(name: &str, value: impl Into<String>) -> Row {
+    Row { name: name.to_owned(), value: value.into() }
+}
+
+/// A value with its unit; a dash where there is none.
+fn optional(value: Option<f64>, unit: &str) -> String {
+    value.map_or("-".into(), |value| format!("{value:.2}{unit}"))
+}
+
+fn request_rows(summary: &Summary) -> Vec<Row> {
+    let requests = summary.requests.max(1) as f64;
+    let share = |part: u64| format!("{part} ({:.2}%)", 100.0 * part as f64 / requests);
+    let latency = summary.latency_ms;
+    vec![
+        row("commands", summary.requests.to_string()),
+        row("served", share(summary.served)),
+        row("refused", share(summary.rejected)),
+        row("failed", share(summary.failed)),
+        row("lost", share(summary.lost)),
+        row("service: worth served in time over worth asked for", format!("{:.3}", summary.service)),
+        row(
+            "time of those served, median / 99% / 99.9%",
+            format!("{:.0} / {:.0} / {:.0} ms", latency.p50, latency.p99, latency.p999),
+        ),
+        row("attempts a command", format!("{:.3}", summary.attempts_per_request)),
+    ]
+}
+
+fn server_rows(summary: &Summary) -> Vec<Row> {
+    let beside_fair = |value: f64, fair: f64| format!("{value:.2} (fair draws {fair:.2})");
+    let spread = summary.spread;
+    let detection = summary.failure_detection;
+    let last_send_p50 = optional(detection.spread_p50_ms, " ms");
+    let last_send_p99 = optional(detection.spread_p99_ms, " ms");
+    vec![
+        row("spread: peak", beside_fair(spread.peak, spread.fair_peak)),
+        row("spread: least", beside_fair(spread.least, spread.fair_least)),
+        row("spread: idle host-windows", spread.idle.to_string()),
+        row("spread: herd", beside_fair(spread.herd, spread.fair_herd)),
+        row("origin: most fetches in a second over its capacity", format!("{:.2}", summary.origin.peak)),
+        row("origin: useful answers over its capacity while pressed", optional(summary.origin.useful, "")),
+        row("sends lost at silent hosts", detection.lost_sends.to_string()),
+        row("last send to a silent host, median / 99%", format!("{last_send_p50} / {last_send_p99}")),
+        row("silent host avoided by all after", optional(detection.avoided_ms, " ms")),
+        row("host that is back used again after", optional(detection.used_again_ms, " ms")),
+    ]
+}
+
+fn cost_rows(summary: &Summary) -> Vec<Row> {
+    let balancer_ms = summary.cpu.balancer_ms_per_request;
+    vec![
+        row("processes started", summary.processes.started.to_string()),
+        row("rig: lag, 99%", format!("{:.1} ms", summary.lag_p99_ms)),
+        row("rig: processor time", format!("{:.1} s", summary.cpu.testbed_s)),
+        row("balancers: processor time a command", format!("{balancer_ms:.3} ms")),
+    ]
+}
+
+fn limit_rows(summary: &Summary) -> Vec<Row> {
+    let mut rows = Vec::new();
+    for (name, limit) in &summary.limits {
+        let bound = optional(limit.bound, "");
+        let usage = optional(limit.usage, "");
+        rows.push(row(
+            &format!("limit {name}: whole / bound / peak / use / seconds over"),
+            format!("{:.0} / {bound} / {:.3} / {usage} / {}", limit.limit, limit.peak, limit.seconds_over),
+        ));
+    }
+    rows
+}
+
+fn escape(text: &str) -> String {
+    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+}
--- /dev/null
+++ b/testbed-cli/src/run.rs
@@ -0,0 +1,185 @@
+//! `run`: runs an experiment's file, writes all that a run leaves, and says how it went.
+
+use std::io::IsTerminal;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
+use juniperladder_platform_model::checker::self_reports::check_self_reports;
+use juniperladder_platform_model::checker::{check_run, CheckResult, CheckTerms};
+use juniperladder_platform_model::experiment::Experiment;
+use juniperladder_platform_model::schedule::schedule;
+use juniperladder_testbed::child_reaper::ChildReaper;
+use juniperladder_testbed::{run_experiment, Progress, RunOptions, RunRecord, TestbedError};
+use tokio::sync::watch;
+
+use crate::exit::ExitStatus;
+use crate::experiment_file::read_experiment;
+use crate::run_outcome::print_outcome;
+use crate::{report, tables};
+
+/// Steps of the progress bar for each second of load.
+const PROGRESS_STEPS_PER_S: f64 = 10.0;
+/// How often the progress bar is drawn.
+const PROGRESS_DRAW_INTERVAL: Duration = Duration::from_millis(200);
+
+/// How an experiment is played.
+#[derive(Debug, clap::Args)]
+pub struct RunArgs {
+    /// The file
+    pub file: PathBuf,
+    /// The folder for what the run leaves
+    #[arg(long)]
+    pub out: PathBuf,
+    /// The seed; the file's own by default
+    #[arg(long)]
+    pub seed: Option<u64>,
+    /// So many seeds in turn, each in a folder of its own below OUT
+    #[arg(long)]
+    pub seeds: Option<u64>,
+    /// Overrides one value, as in load.rate=300; may be given more than once
+    #[arg(long, value_name = "PATH=VALUE")]
+    pub set: Vec<String>,
+}
+
+/// Runs an experiment's file, with one seed or several in turn; the worst exit status of them.
+pub fn run(args: &RunArgs) -> ExitStatus {
+    let first = match read_experiment(&args.file, &args.set, args.seed) {
+        Ok(experiment) => experiment,
+        Err(status) => return status,
+    };
+    let Some(seeds) = args.seeds else { return run_once(&first, &args.out) };
+    let mut worst = ExitStatus::ALL_KEPT;
+    for seed in first.seed..first.seed + seeds {
+        let status = match read_experiment(&args.file, &args.set, Some(seed)) {
+            Ok(experiment) => run_once(&experiment, &args.out.join(format!("seed-{seed}"))),
+            Err(status) => status,
+        };
+        if status == ExitStatus::NOT_ALLOWED {
+            return status;
+        }
+        worst = worst.worse(status);
+    }
+    worst
+}
+
+/// Runs an experiment, writes all that it leaves and says how it went.
+pub fn run_once(experiment: &Experiment, out: &Path) -> ExitStatus {
+    if let Err(error) = std::fs::create_dir_all(out) {
+        eprintln!("{}: {error}", out.display());
+        return ExitStatus::NOT_ALLOWED;
+    }
+    let run = match run_with_progress(experiment, out) {
+        Ok(run) => run,
+        Err(error) => {
+            eprintln!("{error}");
+            return status_of_error(&error);
+        }
+    };
+    let terms = CheckTerms::of(experiment);
+    let measured_until = run.end.max(terms.measured_from + 1);
+    let terms = CheckTerms { measured_until, stated: run.stated, ..terms };
+    let checked = check_with_costs(experiment, &run, &terms);
+    if let Err(error) = write_files(out, experiment, &run, &terms, &checked) {
+        eprintln!("{}: {error}", out.display());
+        return ExitStatus::RULE_BROKEN;
+    }
+    print_outcome(&checked, &run)
+}
+
+/// The exit status of a run that gave no record.
+pub fn status_of_error(error: &TestbedError) -> ExitStatus {
+    match error {
+        TestbedError::NotAllowed(_) => ExitStatus::NOT_ALLOWED,
+        TestbedError::Broken(_) => ExitStatus::RULE_BROKEN,
+    }
+}
+
+fn write_files(
+    out: &Path,
+    experiment: &Experiment,
+    run: &RunRecord,
+    terms: &CheckTerms,
+    checked: &CheckResult,
+) -> Result<(), Box<dyn std::error::Error>> {
+    tables::write_tables(out, experiment, run, terms, checked)?;
+    report::write_report(out)
+}
+
+/// Checks what a run left, and fills in what it cost.
+fn check_with_costs(experiment: &Experiment, run: &RunRecord, terms: &CheckTerms) -> CheckResult {
+    let mut checked = check_run(&run.event_log, terms);
+    let summary = &mut checked.summary;
+    summary.name = experiment.name.clone();
+    summary.seed = experiment.seed;
+    summary.processes.started = run.started;
+    summary.processes.crashed = run.crashes.len() as u64;
+    let requests = run.event_log.requests.len().max(1) as f64;
+    summary.cpu.balancer_ms_per_request = run.balancers_cpu_s * 1e3 / requests;
+    summary.cpu.testbed_s = run.testbed_cpu_s;
+    if let Some(rates) = run.peer_traffic {
+        summary.peers.packets_per_s = rates.packets_per_s;
+        summary.peers.bytes_per_s = rates.bytes_per_s;
+    }
+    if run.stated.is_some() {
+        let has_link_faults = schedule(experiment).links.has_faults_between_balancers();
+        let findings = check_self_reports(&run.event_log, terms, &run.self_reports, has_link_faults);
+        summary.peers.members_max_wrong_s = findings.members_wrong_s;
+        summary.failure_detection.wrongly_avoided = findings.wrongly_avoided;
+        summary.failure_detection.stale_max_ms = findings.oldest_report_ms;
+    }
+    checked
+}
+
+/// Runs, with progress on a terminal; Ctrl-C ends the load with what there is.
+fn run_with_progress(experiment: &Experiment, out: &Path) -> Result<RunRecord, TestbedError> {
+    let stop = stop_on_ctrl_c();
+    let bar = progress_bar(experiment);
+    let mut progress = |progress| show_progress(&bar, experiment, progress);
+    // Without a child reaper the processes still end with the testbed, unless that is killed outright.
+    let child_reaper = std::env::current_exe().and_then(|own| ChildReaper::start(&own)).ok();
+    let options = RunOptions { out, progress: &mut progress, child_reaper, stop };
+    let run = run_experiment(experiment, options);
+    bar.finish_and_clear();
+    run
+}
+
+/// Becomes true on Ctrl-C.
+fn stop_on_ctrl_c() -> watch::Receiver<bool> {
+    let (stop, stopped) = watch::channel(false);
+    std::thread::spawn(move || {
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        // Without it Ctrl-C ends the program at once; the processes end with it all the same.
+        if let Ok(runtime) = runtime {
+            if runtime.block_on(tokio::signal::ctrl_c()).is_ok() {
+                let _ = stop.send(true);
+            }
+        }
+    });
+    stopped
+}
+
+fn progress_bar(experiment: &Experiment) -> ProgressBar {
+    let seconds = experiment.seconds + experiment.load.warm;
+    let bar = ProgressBar::new((seconds * PROGRESS_STEPS_PER_S) as u64);
+    if !std::io::stderr().is_terminal() {
+        bar.set_draw_target(ProgressDrawTarget::hidden());
+    }
+    let style = ProgressStyle::with_template("{msg:28} {wide_bar} {eta}");
+    bar.set_style(style.unwrap_or(ProgressStyle::default_bar()));
+    bar.enable_steady_tick(PROGRESS_DRAW_INTERVAL);
+    bar
+}
+
+fn show_progress(bar: &ProgressBar, experiment: &Experiment, progress: Progress) {
+    match progress {
+        Progress::Ready(ready) => {
+            bar.set_message(format!("{ready} of {} processes ready", experiment.fleet.balancers));
+        }
+        Progress::Load(seconds) => {
+            let is_warming = seconds < experiment.load.warm;
+            bar.set_message(if is_warming { "the caches fill".into() } else { experiment.name.clone() });
+            bar.set_position((seconds * PROGRESS_STEPS_PER_S) as u64);
+        }
+    }
+}
--- /dev/null
+++ b/testbed-cli/src/scale_run.rs
@@ -0,0 +1,115 @@
+//! One run of a scale test: in this process or in one of its own, its files, and its exit status.
+
+use std::path::Path;
+use std::process::Command;
+
+use juniperladder_testbed::scale::results::LATE_MS;
+use juniperladder_testbed::scale::{self, Event, Mechanism, Outcome, Summary};
+
+use crate::exit::ExitStatus;
+use crate::run::status_of_error;
+use crate::scale_args::ScaleArgs;
+use crate::scale_table;
+
+/// How long a calibration run lasts at the most, in seconds.
+const MAX_CALIBRATION_S: f64 = 10.0;
+/// How long its members form before anything is counted, in seconds.
+const CALIBRATION_WARM_UP_S: f64 = 2.0;
+/// The lowest rate of packets that a packet's mean length is taken from.
+const MIN_PACKETS_PER_S: f64 = 1e-9;
+
+/// Runs a scale test of one size, writes what it found and prints it.
+pub fn run_one(args: &ScaleArgs) -> ExitStatus {
+    let outcome = match scale::play(args.config()) {
+        Ok(outcome) => outcome,
+        Err(error) => {
+            eprintln!("{error}");
+            return status_of_error(&error);
+        }
+    };
+    if let Err(error) = write_files(&args.out, &outcome) {
+        eprintln!("{}: {error}", args.out.display());
+        return ExitStatus::NOT_ALLOWED;
+    }
+    scale_table::print(&outcome.summary);
+    if args.calibrate && !args.virtual_time {
+        calibrate(args, &outcome.summary);
+    }
+    print_status(&outcome.summary)
+}
+
+/// Says why a run does not count, if so; the exit status with it.
+pub fn print_status(summary: &Summary) -> ExitStatus {
+    if let Some(purge) = summary.purge.filter(|purge| purge.done_missing > 0) {
+        println!("BROKEN: {} times a member served without a purge that was called done", purge.done_missing);
+        return ExitStatus::RULE_BROKEN;
+    }
+    if summary.counts() {
+        return ExitStatus::ALL_KEPT;
+    }
+    println!(
+        "LATE: the test bed's timers were {:.1} ms behind at the 99th percentile, over {LATE_MS}: the run does not count",
+        summary.lag_p99_ms
+    );
+    ExitStatus::TESTBED_LATE
+}
+
+/// Runs endpoints without control code in a process of their own, with the traffic of the run before.
+fn calibrate(args: &ScaleArgs, summary: &Summary) {
+    let sent = summary.ordinary.sent;
+    let calibration = ScaleArgs {
+        mechanism: Mechanism::Calibration,
+        event: Event::None,
+        flaw: None,
+        calibrate: false,
+        warm_up: CALIBRATION_WARM_UP_S,
+        seconds: args.seconds.min(MAX_CALIBRATION_S),
+        calibration_packets: sent.packets_per_s,
+        calibration_length: (sent.bytes_per_s / sent.packets_per_s.max(MIN_PACKETS_PER_S)) as usize,
+        out: args.out.join("calibration"),
+        ..args.clone()
+    };
+    println!("the same traffic without control code:");
+    if run_in_process(&calibration).is_none() {
+        println!("the calibration run failed");
+    }
+}
+
+/// The summary that the run's folder holds, if it is of these arguments.
+pub fn held_summary(args: &ScaleArgs) -> Option<Summary> {
+    let summary = read_summary(&args.out)?;
+    let is_same = summary.members == args.members
+        && summary.seed == args.seed
+        && summary.mechanism == args.mechanism.name()
+        && summary.event == args.event.name()
+        && summary.virtual_time == args.virtual_time;
+    is_same.then_some(summary)
+}
+
+/// Runs a scale test in a process of its own, so that its memory is its own; its summary, and the exit status. None where
+/// it was not allowed or left no summary.
+pub fn run_in_process(args: &ScaleArgs) -> Option<(Summary, ExitStatus)> {
+    let program = std::env::current_exe().ok()?;
+    let process = Command::new(program).args(args.arguments()).status().ok()?;
+    let status = ExitStatus::of_process(u8::try_from(process.code()?).ok()?);
+    if status == ExitStatus::NOT_ALLOWED {
+        return None;
+    }
+    Some((read_summary(&args.out)?, status))
+}
+
+fn read_summary(folder: &Path) -> Option<Summary> {
+    let text = std::fs::read_to_string(folder.join("summary.json")).ok()?;
+    serde_json::from_str(&text).ok()
+}
+
+fn write_files(out: &Path, outcome: &Outcome) -> std::io::Result<()> {
+    std::fs::create_dir_all(out)?;
+    let text = serde_json::to_string_pretty(&outcome.summary)?;
+    std::fs::write(out.join("summary.json"), text + "\n")?;
+    let mut members = csv::Writer::from_path(out.join("members.csv"))?;
+    for row in &outcome.members {
+        members.serialize(row)?;
+    }
+    members.flush()
+}
--- a/testbed-cli/src/sizes.rs
+++ b/testbed-cli/src/sizes.rs
@@ -1,19 +1,22 @@
-//! `scale --sizes` and `fit`: costs by the size of the fleet, the law that describes each, and a chart.
+//! `scale --sizes`: costs by the size of the fleet, the law that describes each, and a chart.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
 use juniperladder_testbed::scale::Summary;
 
-use crate::charts::by_size;
-use crate::exit::{BROKEN, KEPT, NOT_ALLOWED};
-use crate::fit::{fit, predict_largest};
-use crate::scale::{run_in_process, summary_in, verdict, Scale};
+use crate::charts::{by_size, SizeFigure, SizeLine};
+use crate::exit::ExitStatus;
+use crate::fit_table::{print_fit, FIT_COLUMNS};
+use crate::scale_args::ScaleArgs;
+use crate::scale_run::{held_summary, print_status, run_in_process};
+
+type Error = Box<dyn std::error::Error>;
 
 /// A cost of a member, by its name in tables.
 type Cost = (&'static str, fn(&Summary) -> Option<f64>);
 
-const COSTS: [Cost; 8] = [
+const MEMBER_COSTS: [Cost; 8] = [
     ("packets_per_s", |s| Some(s.ordinary.sent.packets_per_s)),
     ("bytes_per_s", |s| Some(s.ordinary.sent.bytes_per_s)),
     ("wire_bytes_per_s", |s| Some(s.ordinary.wire_bytes_per_s)),
@@ -24,60 +27,70 @@
     ("known_median", |s| (s.known.median > 0).then_some(s.known.median as f64)),
 ];
 
-/// Runs a scale test at each size and writes `sizes.csv`, `fits.csv` and `sizes.svg`. The worst exit code of them.
-pub fn sizes(args: &Scale) -> u8 {
+/// Runs a scale test at each size and writes `sizes.csv`, `fits.csv` and `sizes.svg`. The worst exit status of them.
+pub fn run_sizes(args: &ScaleArgs) -> ExitStatus {
     let mut summaries = Vec::new();
-    let mut worst = KEPT;
+    let mut worst = ExitStatus::ALL_KEPT;
     for size in &args.sizes {
         let out = args.out.join(format!("members-{size}"));
-        let one = Scale { members: *size, sizes: Vec::new(), out, ..args.clone() };
-        let held = if args.resume { summary_in(&one) } else { None };
+        let one = ScaleArgs { members: *size, sizes: Vec::new(), out, ..args.clone() };
+        let held = if args.resume { held_summary(&one) } else { None };
         if let Some(summary) = held {
-            worst = worst.max(verdict(&summary));
+            worst = worst.max(print_status(&summary));
             summaries.push(summary);
             continue;
         }
-        let Some((summary, code)) = run_in_process(&one) else { return NOT_ALLOWED };
-        worst = if worst == BROKEN || code == BROKEN { BROKEN } else { worst.max(code) };
+        let Some((summary, status)) = run_in_process(&one) else { return ExitStatus::NOT_ALLOWED };
+        worst = worst.worse(status);
         summaries.push(summary);
     }
-    if let Err(error) = write(&args.out, args, &summaries) {
+    if let Err(error) = write_files(&args.out, args, &summaries) {
         eprintln!("{}: {error}", args.out.display());
-        return NOT_ALLOWED;
+        return ExitStatus::NOT_ALLOWED;
     }
     worst
 }
 
-fn write(out: &Path, args: &Scale, summaries: &[Summary]) -> Result<(), Box<dyn std::error::Error>> {
+fn write_files(out: &Path, args: &ScaleArgs, summaries: &[Summary]) -> Result<(), Error> {
     std::fs::create_dir_all(out)?;
     write_sizes(&out.join("sizes.csv"), args, summaries)?;
-    let mut fits = csv::Writer::from_path(out.join("fits.csv"))?;
-    fits.write_record(["cost", "law", "a", "b", "residual", "size", "predicted", "measured", "error"])?;
-    for (name, pick) in COSTS {
-        let points = points(summaries, pick);
-        if let Some(record) = describe(name, &points) {
+    write_fits(&out.join("fits.csv"), summaries)?;
+    write_chart(&out.join("sizes.svg"), args, summaries)
+}
+
+fn write_fits(path: &Path, summaries: &[Summary]) -> Result<(), Error> {
+    let mut fits = csv::Writer::from_path(path)?;
+    fits.write_record(FIT_COLUMNS)?;
+    for (name, pick) in MEMBER_COSTS {
+        let points = summaries.iter().filter_map(|one| Some((one.members as f64, pick(one)?)));
+        if let Some(record) = print_fit(name, &points.collect::<Vec<_>>()) {
             fits.write_record(record)?;
         }
     }
-    fits.flush()?;
-    let drawn: Vec<_> = COSTS
-        .iter()
-        .map(|(name, pick)| {
-            let line = summaries.iter().filter_map(|one| Some((one.members, pick(one)?))).collect();
-            (*name, vec![(args.mechanism.name().to_owned(), line)])
-        })
-        .collect();
-    std::fs::write(out.join("sizes.svg"), by_size(&drawn)?)?;
-    Ok(())
+    Ok(fits.flush()?)
+}
+
+fn write_chart(path: &Path, args: &ScaleArgs, summaries: &[Summary]) -> Result<(), Error> {
+    let mut figures = Vec::new();
+    for (title, pick) in MEMBER_COSTS {
+        let points = summaries.iter().filter_map(|one| Some((one.members, pick(one)?))).collect();
+        let line = SizeLine { name: args.mechanism.name().to_owned(), points };
+        figures.push(SizeFigure { title, lines: vec![line] });
+    }
+    Ok(std::fs::write(path, by_size(&figures)?)?)
 }
 
 /// A row for each size: its costs, the bytes by kind, and how changes spread.
-fn write_sizes(path: &Path, args: &Scale, summaries: &[Summary]) -> Result<(), Box<dyn std::error::Error>> {
-    let rows: Vec<BTreeMap<String, String>> = summaries.iter().map(row).collect();
+fn write_sizes(
+    path: &Path,
+    args: &ScaleArgs,
+    summaries: &[Summary],
+) -> Result<(), Box<dyn std::error::Error>> {
+    let rows: Vec<BTreeMap<String, String>> = summaries.iter().map(size_row).collect();
     let mut names: Vec<&String> = rows.iter().flat_map(BTreeMap::keys).collect();
     names.sort();
     names.dedup();
-    let command = Scale { members: 0, out: PathBuf::from("OUT"), ..args.clone() }.arguments().join(" ");
+    let command = ScaleArgs { members: 0, out: PathBuf::from("OUT"), ..args.clone() }.arguments().join(" ");
     let sizes: Vec<String> = args.sizes.iter().map(usize::to_string).collect();
     let command = command.replace("--members 0", &format!("--sizes {}", sizes.join(",")));
     let mut text = format!("# juniperladder-testbed {command}\n").into_bytes();
@@ -93,9 +106,9 @@
     Ok(std::fs::write(path, text)?)
 }
 
-fn row(summary: &Summary) -> BTreeMap<String, String> {
+fn size_row(summary: &Summary) -> BTreeMap<String, String> {
     let mut row = BTreeMap::new();
-    for (name, pick) in COSTS {
+    for (name, pick) in MEMBER_COSTS {
         row.extend(pick(summary).map(|value| (name.to_owned(), format!("{value:.4}"))));
     }
     for (kind, rate) in &summary.ordinary.kinds {
@@ -114,97 +127,3 @@
     }
     row
 }
-
-fn points(summaries: &[Summary], pick: fn(&Summary) -> Option<f64>) -> Vec<(f64, f64)> {
-    summaries.iter().filter_map(|one| Some((one.members as f64, pick(one)?))).collect()
-}
-
-/// Prints the best law of a cost and what the smaller sizes say of the largest; the record for the table.
-fn describe(name: &str, points: &[(f64, f64)]) -> Option<[String; 9]> {
-    let best = match fit(points) {
-        Ok(fits) => fits[0],
-        Err(error) => {
-            println!("{name}: {error}");
-            return None;
-        }
-    };
-    println!(
-        "{name}: {} with a = {:.4}, b = {:.6}; residual {:.4}",
-        best.law.name(),
-        best.a,
-        best.b,
-        best.residual
-    );
-    let mut record = [
-        name.to_owned(),
-        best.law.name().to_owned(),
-        format!("{:.6}", best.a),
-        format!("{:.9}", best.b),
-        format!("{:.6}", best.residual),
-        String::new(),
-        String::new(),
-        String::new(),
-        String::new(),
-    ];
-    if let Ok(prediction) = predict_largest(points) {
-        println!(
-            "    from the smaller sizes ({}): {:.4} at {:.0}, measured {:.4}, error {:+.1}%",
-            prediction.fit.law.name(),
-            prediction.predicted,
-            prediction.size,
-            prediction.measured,
-            100.0 * prediction.error()
-        );
-        record[5] = format!("{:.0}", prediction.size);
-        record[6] = format!("{:.6}", prediction.predicted);
-        record[7] = format!("{:.6}", prediction.measured);
-        record[8] = format!("{:.4}", prediction.error());
-    }
-    Some(record)
-}
-
-/// `fit`: the law of one column of a table by another; lines that begin with # are passed over.
-pub fn fit_table(path: &Path, x: &str, y: &str) -> u8 {
-    let points = match read_points(path, x, y) {
-        Ok(points) => points,
-        Err(problem) => {
-            eprintln!("{}: {problem}", path.display());
-            return NOT_ALLOWED;
-        }
-    };
-    if describe(y, &points).is_none() {
-        return NOT_ALLOWED;
-    }
-    for one in fit(&points).unwrap_or_default() {
-        println!(
-            "    {:14} a = {:.4}, b = {:.6}, residual {:.4}",
-            one.law.name(),
-            one.a,
-            one.b,
-            one.residual
-        );
-    }
-    KEPT
-}
-
-fn read_points(path: &Path, x: &str, y: &str) -> Result<Vec<(f64, f64)>, Box<dyn std::error::Error>> {
-    let mut table = csv::ReaderBuilder::new().comment(Some(b'#')).from_path(path)?;
-    let headers = table.headers()?.clone();
-    let place = |name: &str| {
-        let found = headers.iter().position(|header| header == name);
-        found.ok_or_else(|| {
-            format!("no column {name}; there are {}", headers.iter().collect::<Vec<_>>().join(", "))
-        })
-    };
-    let (x, y) = (place(x)?, place(y)?);
-    let mut points = Vec::new();
-    for record in table.records() {
-        let record = record?;
-        // A cell that is empty was not measured at that size.
-        if record[x].is_empty() || record[y].is_empty() {
-            continue;
-        }
-        points.push((record[x].parse()?, record[y].parse()?));
-    }
-    Ok(points)
-}
--- a/testbed-cli/src/tables.rs
+++ b/testbed-cli/src/tables.rs
@@ -1,115 +1,125 @@
-//! What a run leaves beside its report: `summary.json`, tables as CSV, one compact record a request.
+//! What a run leaves beside its report: `summary.json`, tables as CSV with one compact record a request, an attempt, a
+//! second. Names and forms of the files and their columns stay.
 
 use std::fs::File;
-use std::io::{BufWriter, Write};
+use std::io::{self, BufWriter, Write};
 use std::path::Path;
 
 use juniperladder_platform_model::checker::self_reports::SelfReport;
+use juniperladder_platform_model::checker::series::Series;
 use juniperladder_platform_model::checker::{CheckResult, CheckTerms};
-use juniperladder_platform_model::event_log::{EventLog, Receiver};
+use juniperladder_platform_model::event_log::{Attempt, ClientRequest, Receiver};
 use juniperladder_platform_model::experiment::Experiment;
-use juniperladder_platform_model::MICROS_PER_SECOND;
+use juniperladder_platform_model::{Micros, MICROS_PER_SECOND};
+use juniperladder_testbed::RunRecord;
 use serde::Serialize;
 
+/// The columns of `commands.csv`, one line a request.
+const REQUEST_COLUMNS: [&str; 10] =
+    ["id", "first", "balancer", "key", "write", "planned", "sent", "deadline", "ended", "end"];
+/// The columns of `attempts.csv`, one line an attempt.
+const ATTEMPT_COLUMNS: [&str; 7] = ["id", "balancer", "at", "begun", "answered", "became", "cold"];
+/// The columns of `hosts.csv`, one line a server and a second.
+const SERVER_COLUMNS: [&str; 3] = ["host", "second", "load"];
+/// The columns of `holders.csv`, one line a report of a process.
+const SELF_REPORT_COLUMNS: [&str; 6] = ["second", "balancer", "held", "used", "members", "passed_by"];
+
 /// Writes all tables of a run into its folder.
 ///
 /// # Errors
 /// What kept a file from being written.
-pub fn write(
+pub fn write_tables(
     out: &Path,
     experiment: &Experiment,
-    event_log: &EventLog,
+    run: &RunRecord,
     terms: &CheckTerms,
-    verdict: &CheckResult,
-    crashes: &[String],
-) -> std::io::Result<()> {
-    json(&out.join("summary.json"), &verdict.summary)?;
-    json(&out.join("experiment.json"), experiment)?;
-    json(&out.join("breaches.json"), &verdict.violations)?;
-    json(&out.join("crashes.json"), &crashes)?;
+    checked: &CheckResult,
+) -> io::Result<()> {
+    write_json(&out.join("summary.json"), &checked.summary)?;
+    write_json(&out.join("experiment.json"), experiment)?;
+    write_json(&out.join("breaches.json"), &checked.violations)?;
+    write_json(&out.join("crashes.json"), &run.crashes)?;
+    write_series(out, &checked.series)?;
+    write_requests(&out.join("commands.csv"), &run.event_log.requests, terms)?;
+    write_attempts(&out.join("attempts.csv"), &run.event_log.attempts, terms)?;
+    write_self_reports(&out.join("holders.csv"), &run.self_reports, terms)
+}
+
+fn write_json<T: Serialize>(path: &Path, value: &T) -> io::Result<()> {
+    let mut file = BufWriter::new(File::create(path)?);
+    serde_json::to_writer_pretty(&mut file, value)?;
+    file.write_all(b"\n")?;
+    file.flush()
+}
+
+fn write_series(out: &Path, series: &Series) -> io::Result<()> {
     let mut seconds = csv::Writer::from_path(out.join("seconds.csv"))?;
-    for second in &verdict.series.seconds {
+    for second in &series.seconds {
         seconds.serialize(second)?;
     }
     seconds.flush()?;
     let mut servers = csv::Writer::from_path(out.join("hosts.csv"))?;
-    servers.write_record(["host", "second", "load"])?;
-    for (server, loads) in verdict.series.server_loads.iter().enumerate() {
+    servers.write_record(SERVER_COLUMNS)?;
+    for (server, loads) in series.server_loads.iter().enumerate() {
         for (second, load) in loads.iter().enumerate() {
             servers.write_record([server.to_string(), second.to_string(), format!("{load:.3}")])?;
         }
     }
-    servers.flush()?;
-    commands(&out.join("commands.csv"), event_log, terms)?;
-    attempts(&out.join("attempts.csv"), event_log, terms)
-}
-
-fn json<T: Serialize>(path: &Path, value: &T) -> std::io::Result<()> {
-    let mut file = BufWriter::new(File::create(path)?);
-    serde_json::to_writer_pretty(&mut file, value)?;
-    file.write_all(b"\n")?;
-    file.flush()
+    servers.flush()
 }
 
-/// One line for what a process said it holds, once a second.
-///
-/// # Errors
-/// What kept the file from being written.
-pub fn holders(out: &Path, holders: &[SelfReport], terms: &CheckTerms) -> std::io::Result<()> {
-    let mut table = csv::Writer::from_path(out.join("holders.csv"))?;
-    table.write_record(["second", "balancer", "held", "used", "members", "passed_by"])?;
-    for one in holders.iter().filter(|one| terms.is_measured(one.at)) {
-        let second = (one.at - terms.measured_from) / MICROS_PER_SECOND;
-        table.serialize((second, one.balancer, one.reserved, one.used, one.members, one.avoided_servers))?;
+fn write_self_reports(path: &Path, reports: &[SelfReport], terms: &CheckTerms) -> io::Result<()> {
+    let mut table = csv::Writer::from_path(path)?;
+    table.write_record(SELF_REPORT_COLUMNS)?;
+    for report in reports.iter().filter(|report| terms.is_measured(report.at)) {
+        let second = (report.at - terms.measured_from) / MICROS_PER_SECOND;
+        let SelfReport { balancer, reserved, used, members, avoided_servers, .. } = *report;
+        table.serialize((second, balancer, reserved, used, members, avoided_servers))?;
     }
     table.flush()
 }
 
-/// Milliseconds from the experiment's beginning.
-fn ms(at: u64, terms: &CheckTerms) -> String {
-    format!("{:.3}", (at as f64 - terms.measured_from as f64) / 1e3)
-}
-
-/// One line a request.
-fn commands(path: &Path, event_log: &EventLog, terms: &CheckTerms) -> std::io::Result<()> {
+fn write_requests(path: &Path, requests: &[ClientRequest], terms: &CheckTerms) -> io::Result<()> {
     let mut table = csv::Writer::from_path(path)?;
-    table.write_record([
-        "id", "first", "balancer", "key", "write", "planned", "sent", "deadline", "ended", "end",
-    ])?;
-    for c in &event_log.requests {
+    table.write_record(REQUEST_COLUMNS)?;
+    for request in requests {
         table.write_record([
-            format!("{:x}", c.id),
-            format!("{:x}", c.first_id),
-            c.balancer.to_string(),
-            c.key.to_string(),
-            u8::from(c.write).to_string(),
-            ms(c.planned_at, terms),
-            ms(c.sent_at, terms),
-            ms(c.deadline, terms),
-            c.ended_at.map_or(String::new(), |at| ms(at, terms)),
-            c.result.to_string(),
+            format!("{:x}", request.id),
+            format!("{:x}", request.first_id),
+            request.balancer.to_string(),
+            request.key.to_string(),
+            u8::from(request.write).to_string(),
+            millis(request.planned_at, terms),
+            millis(request.sent_at, terms),
+            millis(request.deadline, terms),
+            request.ended_at.map_or(String::new(), |at| millis(at, terms)),
+            request.result.to_string(),
         ])?;
     }
     table.flush()
 }
 
-/// One line an attempt.
-fn attempts(path: &Path, event_log: &EventLog, terms: &CheckTerms) -> std::io::Result<()> {
+fn write_attempts(path: &Path, attempts: &[Attempt], terms: &CheckTerms) -> io::Result<()> {
     let mut table = csv::Writer::from_path(path)?;
-    table.write_record(["id", "balancer", "at", "begun", "answered", "became", "cold"])?;
-    for a in &event_log.attempts {
+    table.write_record(ATTEMPT_COLUMNS)?;
+    for attempt in attempts {
         table.write_record([
-            format!("{:x}", a.id),
-            a.balancer.to_string(),
-            match a.receiver {
+            format!("{:x}", attempt.id),
+            attempt.balancer.to_string(),
+            match attempt.receiver {
                 Receiver::CacheServer(server) => server.to_string(),
                 Receiver::Origin => "origin".into(),
             },
-            ms(a.received_at, terms),
-            a.answered_at.map_or(String::new(), |at| ms(at, terms)),
-            a.result.to_string(),
-            u8::from(a.in_slow_start).to_string(),
+            millis(attempt.received_at, terms),
+            attempt.answered_at.map_or(String::new(), |at| millis(at, terms)),
+            attempt.result.to_string(),
+            u8::from(attempt.in_slow_start).to_string(),
         ])?;
     }
     table.flush()
 }
+
+/// Milliseconds from the experiment's beginning; negative while the caches fill.
+fn millis(at: Micros, terms: &CheckTerms) -> String {
+    format!("{:.3}", (at as f64 - terms.measured_from as f64) / 1e3)
+}
--- a/testbed-cli/tests/fleet.rs
+++ b/testbed-cli/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Fleets of the real program with faults between them, judged by rules and bounds, never by times. Two are played at
-//! once and no more: a machine that is short of processors must not pass for a program that is late.
+//! Fleets of the real program with faults between them, checked by rules and bounds, never by times. Two run at once and no
+//! more: a machine that is short of processors must not pass for a program that is late.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,14 +11,19 @@
 use juniperladder_platform_model::MICROS_PER_SECOND;
 use juniperladder_testbed::{run_experiment, RunOptions, RunRecord};
 
-/// Two at a time.
-static SEATS: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
-static NEXT: AtomicUsize = AtomicUsize::new(0);
+/// A run holds one of these.
+static RUN_SLOTS: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
+static NEXT_SLOT: AtomicUsize = AtomicUsize::new(0);
 
-fn seat() -> MutexGuard<'static, ()> {
-    SEATS[NEXT.fetch_add(1, Ordering::Relaxed) % 2].lock().unwrap_or_else(PoisonError::into_inner)
+fn run_slot() -> MutexGuard<'static, ()> {
+    let slot = NEXT_SLOT.fetch_add(1, Ordering::Relaxed) % RUN_SLOTS.len();
+    RUN_SLOTS[slot].lock().unwrap_or_else(PoisonError::into_inner)
 }
 
+/// For four seconds the balancers of each half hear nothing of the other half.
+const TALK_CUT_IN_HALVES: &str = "[[fault]]\nat = 1\nfor = 4\nwhat = \"cut\"\n\
+                                  between = [\"balancers:0-5\", \"balancers:6-11\"]\n";
+
 /// The program, as built beside this test.
 fn program() -> PathBuf {
     let own = std::env::current_exe().unwrap();
@@ -27,17 +32,17 @@
     program
 }
 
-/// Plays so many processes with these faults, and judges that every rule was kept and nobody died.
-fn kept(name: &str, balancers: usize, more: &str) -> (RunRecord, CheckResult) {
-    played(name, balancers, "writes = 0.05\nwarm = 4\n[origin]\ncapacity = 120\n", more)
+/// Runs so many processes with these faults, and checks that every rule was kept and no process crashed.
+fn run_keeping_rules(name: &str, balancers: usize, more: &str) -> (RunRecord, CheckResult) {
+    run_and_check(name, balancers, "writes = 0.05\nwarm = 4\n[origin]\ncapacity = 120\n", more)
 }
 
-/// The same with talk between the balancers, who share a limit of 40 a second at the origin where 80 writes a second come
+/// The same with balancers that talk with each other and share a limit of 40 a second at the origin where 80 writes a second come
 /// in, four fifths of them at a fifth of the balancers. The stated bound is never passed.
-fn shared(name: &str, balancers: usize, more: &str) -> (RunRecord, CheckResult) {
+fn run_with_origin_limit(name: &str, balancers: usize, more: &str) -> (RunRecord, CheckResult) {
     let load = "writes = 0.5\nwarm = 5\nuneven = { share = 0.75, at = 0.2 }\n[origin]\ncapacity = 40\n";
-    let (run, verdict) = played(name, balancers, load, more);
-    let limit = verdict.summary.limits["origin"];
+    let (run, checked) = run_and_check(name, balancers, load, more);
+    let limit = checked.summary.limits["origin"];
     let bound = limit.bound.unwrap();
     assert!(limit.peak <= bound, "{name}: {limit:?}");
     // The control: without the limit more would have been sent, as more was wanted.
@@ -45,30 +50,30 @@
     let rates = run.peer_traffic.unwrap();
     let (packets, bytes) = (rates.packets_per_s, rates.bytes_per_s);
     assert!(packets > 1.0 && packets < 60.0 && bytes < 8_000.0, "{name}: {packets} packets, {bytes} bytes");
-    (run, verdict)
+    (run, checked)
 }
 
-/// The same with all that balancers may share: every stated bound is kept, and no word on a server outlives its end.
-fn all_shared(name: &str, balancers: usize, more: &str) -> (RunRecord, CheckResult) {
+/// The same with all that balancers may share: every stated bound is kept, and no report on a server acts after its expiry.
+fn run_with_all_limits(name: &str, balancers: usize, more: &str) -> (RunRecord, CheckResult) {
     let load = "writes = 0.05\nwarm = 5\n[origin]\ncapacity = 120\n";
-    let (run, verdict) = played(name, balancers, load, more);
-    let limits = &verdict.summary.limits;
+    let (run, checked) = run_and_check(name, balancers, load, more);
+    let limits = &checked.summary.limits;
     for limit in ["cold", "second"] {
         let seen = limits[limit];
         assert!(seen.peak <= seen.bound.unwrap(), "{name}: {limit}: {seen:?}");
     }
     let stated = run.stated.unwrap();
     let expiry = stated.failure_detection.unwrap().report_expiry;
-    for said in &run.self_reports {
+    for report in &run.self_reports {
         // A third of the servers, and half of a zone's four.
-        assert!(said.avoided_servers <= 4.0, "{name}: {said:?}");
-        assert!(said.oldest_report_s * 1e6 <= expiry as f64, "{name}: {said:?}");
+        assert!(report.avoided_servers <= 4.0, "{name}: {report:?}");
+        assert!(report.oldest_report_s * 1e6 <= expiry as f64, "{name}: {report:?}");
     }
-    (run, verdict)
+    (run, checked)
 }
 
-fn played(name: &str, balancers: usize, load: &str, more: &str) -> (RunRecord, CheckResult) {
-    let _seat = seat();
+fn run_and_check(name: &str, balancers: usize, load: &str, more: &str) -> (RunRecord, CheckResult) {
+    let _slot = run_slot();
     let folder = tempfile::tempdir().unwrap();
     let operator = folder.path().join("operator.toml");
     // On a machine that is shared with other work sends may differ by a quarter of a second in the time that they take.
@@ -99,20 +104,23 @@
     // Half a second is the least that a machine shared with other tests may be late by.
     let terms =
         CheckTerms { tolerance: MICROS_PER_SECOND / 2, stated: run.stated, ..CheckTerms::of(&experiment) };
-    let verdict = check_run(&run.event_log, &terms);
+    let checked = check_run(&run.event_log, &terms);
     assert_eq!(run.crashes, [""; 0], "{name}");
-    assert_eq!(verdict.summary.rules.total(), 0, "{name}: {:#?}", verdict.violations);
-    let s = &verdict.summary;
+    assert_eq!(checked.summary.rules.total(), 0, "{name}: {:#?}", checked.violations);
+    let s = &checked.summary;
     assert!(s.requests > 1_300, "{name}: the load has to have been there: {}", s.requests);
     assert_eq!(s.requests, s.served + s.rejected + s.failed + s.lost, "{name}");
-    (run, verdict)
+    (run, checked)
 }
 
 #[test]
-fn silent_hosts_cost_their_own_sends_and_no_command() {
-    let (_, verdict) =
-        kept("silent", 12, "[[fault]]\nat = 3\nfor = 4\nwhat = \"silent\"\nwho = \"hosts:2-3\"\n");
-    let s = verdict.summary;
+fn silent_servers_cost_their_own_sends_and_no_request() {
+    let (_, checked) = run_keeping_rules(
+        "silent",
+        12,
+        "[[fault]]\nat = 3\nfor = 4\nwhat = \"silent\"\nwho = \"hosts:2-3\"\n",
+    );
+    let s = checked.summary;
     // Two of twelve servers for four seconds: a sixth of what goes to servers then, and second copies serve it.
     assert!(
         s.failure_detection.lost_sends > 0 && s.failure_detection.lost_sends < 160,
@@ -124,12 +132,15 @@
 }
 
 #[test]
-fn seven_in_ten_killed_at_once_are_missed_and_come_back() {
-    let (run, verdict) =
-        kept("herd", 20, "[[fault]]\nat = 4\nwhat = \"kill\"\nwho = \"balancers:70%\"\nback = 1\n");
+fn fleet_serves_again_after_seven_in_ten_are_killed_at_once() {
+    let (run, checked) = run_keeping_rules(
+        "herd",
+        20,
+        "[[fault]]\nat = 4\nwhat = \"kill\"\nwho = \"balancers:70%\"\nback = 1\n",
+    );
     assert_eq!(run.started, 34, "fourteen started again");
-    let last: u64 = verdict.series.seconds[9..].iter().map(|s| s.served).sum();
-    let asked: u64 = verdict.series.seconds[9..].iter().map(|s| s.requests).sum();
+    let last: u64 = checked.series.seconds[9..].iter().map(|s| s.served).sum();
+    let asked: u64 = checked.series.seconds[9..].iter().map(|s| s.requests).sum();
     assert!(
         last * 10 > asked * 9,
         "four seconds after their return the fleet serves again: {last} of {asked}"
@@ -137,16 +148,19 @@
 }
 
 #[test]
-fn a_roll_answers_everything_that_was_taken() {
-    let (run, verdict) =
-        kept("roll", 8, "[[fault]]\nat = 2\nwhat = \"roll\"\nwho = \"balancers\"\nshare = 0.25\nevery = 2\n");
+fn roll_answers_every_request_accepted() {
+    let (run, checked) = run_keeping_rules(
+        "roll",
+        8,
+        "[[fault]]\nat = 2\nwhat = \"roll\"\nwho = \"balancers\"\nshare = 0.25\nevery = 2\n",
+    );
     assert_eq!(run.started, 16);
-    assert_eq!(verdict.summary.lost, 0, "a planned end loses nothing");
+    assert_eq!(checked.summary.lost, 0, "a planned end loses nothing");
 }
 
 #[test]
 fn drains_hold_while_lists_come_late_and_discovery_goes_down() {
-    let (run, _) = kept(
+    let (run, _) = run_keeping_rules(
         "drains",
         12,
         "[[fault]]\nat = 0\nwhat = \"list-late\"\nseconds = 2\n\
@@ -154,12 +168,15 @@
          [[fault]]\nat = 4\nfor = 2\nwhat = \"discovery-down\"\n\
          [[fault]]\nat = 5\nwhat = \"replace\"\nwho = \"hosts:0\"\n",
     );
-    assert!(run.event_log.notices.iter().filter(|told| !told.in_service).count() >= 12, "drains were told");
+    assert!(
+        run.event_log.notices.iter().filter(|notice| !notice.in_service).count() >= 12,
+        "drains were notified"
+    );
 }
 
 #[test]
-fn a_zone_cut_off_one_way_and_links_that_spoil_and_reset_break_no_rule() {
-    let (run, verdict) = kept(
+fn zone_cut_off_one_way_and_links_that_corrupt_and_reset_violate_no_rule() {
+    let (run, checked) = run_keeping_rules(
         "links",
         9,
         "[[fault]]\nat = 2\nfor = 3\nwhat = \"cut\"\nbetween = [\"zone:1\", \"zone:2\"]\ndirection = \"one-way\"\n\
@@ -168,24 +185,24 @@
          [[fault]]\nat = 7\nfor = 2\nwhat = \"lose\"\nbetween = [\"balancers\", \"hosts\"]\nshare = 0.1\n",
     );
     assert!(run.event_log.undelivered.len() + run.event_log.attempts.len() > 1_500);
-    assert!(verdict.summary.service > 0.8, "{}", verdict.summary.service);
+    assert!(checked.summary.service > 0.8, "{}", checked.summary.service);
 }
 
 #[test]
-fn frozen_processes_lose_their_own_commands_alone() {
-    let (_, verdict) = kept(
+fn frozen_processes_lose_their_own_requests_alone() {
+    let (_, checked) = run_keeping_rules(
         "freeze",
         10,
         "[[fault]]\nat = 3\nfor = 3\nwhat = \"freeze\"\nwho = \"balancers:0-1\"\n\
          [[fault]]\nat = 4\nfor = 3\nwhat = \"origin-slow\"\ntimes = 4\n",
     );
-    let s = verdict.summary;
+    let s = checked.summary;
     assert!(s.lost > 0 && s.lost < s.requests / 5, "two of ten for three of eleven seconds: {}", s.lost);
 }
 
 #[test]
-fn hosts_that_end_and_come_back_cold_are_not_pushed_over() {
-    let (run, verdict) = kept(
+fn servers_that_end_and_come_back_do_not_collapse_in_slow_start() {
+    let (run, checked) = run_keeping_rules(
         "cold",
         24,
         "[[fault]]\nat = 2\nfor = 2\nwhat = \"gone\"\nwho = \"hosts:25%\"\n\
@@ -194,25 +211,27 @@
     assert!(
         run.event_log.server_collapses.is_empty() && run.event_log.attempts.iter().any(|a| a.in_slow_start)
     );
-    assert!(verdict.summary.origin.peak < 2.5, "the origin is not flooded: {:?}", verdict.summary.origin);
+    assert!(checked.summary.origin.peak < 2.5, "the origin is not flooded: {:?}", checked.summary.origin);
 }
 
 #[test]
-fn a_limit_holds_while_talk_is_cut_in_halves_and_one_way() {
-    let (_, verdict) = shared(
+fn limit_holds_while_talk_is_cut_in_halves_and_one_way() {
+    let (_, checked) = run_with_origin_limit(
         "limits-partition",
         12,
-        "[[fault]]\nat = 1\nfor = 4\nwhat = \"cut\"\nbetween = [\"balancers:0-5\", \"balancers:6-11\"]\n\
-         [[fault]]\nat = 6\nfor = 4\nwhat = \"cut\"\nbetween = [\"balancers:0-3\", \"balancers:4-11\"]\n\
-         direction = \"one-way\"\n",
+        &format!(
+            "{TALK_CUT_IN_HALVES}\
+             [[fault]]\nat = 6\nfor = 4\nwhat = \"cut\"\nbetween = [\"balancers:0-3\", \"balancers:4-11\"]\n\
+             direction = \"one-way\"\n"
+        ),
     );
     // Each half has what its members own: with all its demand in one of them half of the whole is within reach.
-    assert!(verdict.summary.limits["origin"].usage > Some(0.4), "{:?}", verdict.summary.limits);
+    assert!(checked.summary.limits["origin"].usage > Some(0.4), "{:?}", checked.summary.limits);
 }
 
 #[test]
-fn a_limit_holds_through_kills_without_memory_and_freezes_over_a_lease() {
-    let (run, _) = shared(
+fn limit_holds_through_kills_and_freezes_longer_than_a_lease() {
+    let (run, _) = run_with_origin_limit(
         "limits-kill",
         12,
         "[[fault]]\nat = 2\nwhat = \"kill\"\nwho = \"balancers:0-3\"\nback = 0.3\n\
@@ -223,9 +242,9 @@
 }
 
 #[test]
-fn a_limit_holds_and_is_used_with_losses_repeats_and_disorder() {
+fn limit_holds_and_is_used_with_losses_repeats_and_reordering() {
     let all = "between = [\"balancers\", \"balancers\"]\n";
-    let (_, verdict) = shared(
+    let (_, checked) = run_with_origin_limit(
         "limits-loss",
         10,
         &format!(
@@ -235,49 +254,51 @@
              [[fault]]\nat = 0\nwhat = \"spoil\"\n{all}share = 0.05\n"
         ),
     );
-    assert!(verdict.summary.limits["origin"].usage > Some(0.5), "{:?}", verdict.summary.limits);
+    assert!(checked.summary.limits["origin"].usage > Some(0.5), "{:?}", checked.summary.limits);
 }
 
 /// The settings say four where there are sixteen: by the split each would take a quarter.
 #[test]
-fn a_limit_holds_where_the_settings_name_too_few_balancers() {
+fn limit_holds_where_the_settings_name_too_few_balancers() {
     let text = "[[fault]]\nat = 0\nwhat = \"kill\"\nwho = \"balancers:4-15\"\nback = 3\n";
-    let (run, verdict) = shared("limits-grow", 16, text);
+    let (run, checked) = run_with_origin_limit("limits-grow", 16, text);
     assert_eq!(run.started, 28);
-    assert!(verdict.summary.limits["origin"].usage > Some(0.3), "{:?}", verdict.summary.limits);
+    assert!(checked.summary.limits["origin"].usage > Some(0.3), "{:?}", checked.summary.limits);
 }
 
 #[test]
-fn what_some_find_silent_all_pass_by_and_a_cold_return_is_not_overrun() {
-    let (run, verdict) = all_shared(
+fn silent_servers_are_avoided_by_all_and_not_overrun_when_they_return() {
+    let (run, checked) = run_with_all_limits(
         "all-silent",
         12,
         "[[fault]]\nat = 2\nfor = 5\nwhat = \"silent\"\nwho = \"hosts:2-3\"\n\
          [[fault]]\nat = 7\nwhat = \"restart\"\nwho = \"hosts:2-3\"\n",
     );
     let passing =
-        run.self_reports.iter().filter(|said| said.avoided_servers >= 1.0).map(|said| said.balancer);
+        run.self_reports.iter().filter(|report| report.avoided_servers >= 1.0).map(|report| report.balancer);
     let passing: std::collections::HashSet<usize> = passing.collect();
     assert!(passing.len() >= 6, "half of them at least were heard to pass a host by: {passing:?}");
     assert!(
-        verdict.summary.failure_detection.lost_sends > 0
+        checked.summary.failure_detection.lost_sends > 0
             && run.event_log.attempts.iter().any(|a| a.in_slow_start)
     );
 }
 
 /// Talk is cut in halves, a balancer's own links are cut, some are killed and frozen: whatever they say, the bounds hold.
 #[test]
-fn verdicts_and_budgets_keep_their_bounds_while_talk_and_witnesses_fail() {
-    let (run, _) = all_shared(
+fn failure_detection_and_budgets_keep_their_bounds_while_talk_and_reporters_fail() {
+    let (run, _) = run_with_all_limits(
         "all-faults",
         12,
-        "[[fault]]\nat = 1\nfor = 4\nwhat = \"cut\"\nbetween = [\"balancers:0-5\", \"balancers:6-11\"]\n\
-         [[fault]]\nat = 1\nfor = 4\nwhat = \"cut\"\nbetween = [\"balancers:2\", \"hosts\"]\n\
-         [[fault]]\nat = 2\nfor = 3\nwhat = \"silent\"\nwho = \"hosts:2-4\"\n\
-         [[fault]]\nat = 3\nwhat = \"kill\"\nwho = \"balancers:8-9\"\nback = 0.3\n\
-         [[fault]]\nat = 3\nfor = 4\nwhat = \"freeze\"\nwho = \"balancers:5\"\n\
-         [[fault]]\nat = 5\nfor = 4\nwhat = \"delay\"\nbetween = [\"balancers:0-3\", \"balancers:4-11\"]\nms = 2000\njitter = 1500\n\
-         [[fault]]\nat = 6\nwhat = \"replace\"\nwho = \"hosts:2\"\n",
+        &format!(
+            "{TALK_CUT_IN_HALVES}\
+             [[fault]]\nat = 1\nfor = 4\nwhat = \"cut\"\nbetween = [\"balancers:2\", \"hosts\"]\n\
+             [[fault]]\nat = 2\nfor = 3\nwhat = \"silent\"\nwho = \"hosts:2-4\"\n\
+             [[fault]]\nat = 3\nwhat = \"kill\"\nwho = \"balancers:8-9\"\nback = 0.3\n\
+             [[fault]]\nat = 3\nfor = 4\nwhat = \"freeze\"\nwho = \"balancers:5\"\n\
+             [[fault]]\nat = 5\nfor = 4\nwhat = \"delay\"\nbetween = [\"balancers:0-3\", \"balancers:4-11\"]\nms = 2000\njitter = 1500\n\
+             [[fault]]\nat = 6\nwhat = \"replace\"\nwho = \"hosts:2\"\n"
+        ),
     );
     assert_eq!(run.started, 14);
 }
@@ -286,7 +307,7 @@
 /// these are replaced: in no second does one get more than it bears by the settings and what chance adds, 2 roots and 2, counted
 /// where it arrives.
 #[test]
-fn thirty_processes_together_ramp_a_cold_host() {
+fn thirty_processes_together_keep_within_the_slow_start_of_a_server() {
     const COLD_FROM: f64 = 0.1;
     const COLD_S: f64 = 7.0;
     const BEARS: f64 = 1.5;
@@ -297,7 +318,7 @@
     let faults = "[[fault]]\nat = 3\nwhat = \"restart\"\nwho = \"hosts:2-3\"\n\
                   [[fault]]\nat = 4.5\nwhat = \"kill\"\nwho = \"balancers:0-7\"\nback = 0.5\n\
                   [[fault]]\nat = 6\nwhat = \"kill\"\nwho = \"balancers:20-25\"\nback = 0.5\n";
-    let (run, _) = played("cold-ramp", 30, &load, faults);
+    let (run, _) = run_and_check("cold-ramp", 30, &load, faults);
     assert_eq!(run.started, 44);
     for server in [2, 3] {
         let mut cold: Vec<u64> = run
