--- /dev/null
+++ b/node/src/admin/tests.rs
@@ -0,0 +1,138 @@
+//! Callers of the operators' address: silent ones, malformed lines, figures, and a disk that stands still.
+
+use super::*;
+use crate::dispatcher::{Answer, End, Reply};
+use crate::override_store::ChangeId;
+use crate::testing::{self, log, request, Recorder};
+use juniperladder::Idempotency;
+use tokio::io::{duplex, DuplexStream};
+use tokio::time::Instant;
+
+const CALLERS: usize = 128;
+const SERVER: &str = "s-00000009";
+
+fn process(dir: &std::path::Path) -> (Rc<Admin>, Rc<Recorder>) {
+    let recorder = Rc::new(Recorder::default());
+    let dispatcher = testing::dispatcher(testing::settings(1, Idempotency::Idempotent), recorder.clone(), 2);
+    let class_names = vec!["read".into()];
+    let connections = AdminConnections { open: Rc::default(), limit: CALLERS };
+    let path = dir.join("n0.bans");
+    let admin = Admin::start(dispatcher, class_names, Rc::default(), path, connections, None, log());
+    (admin, recorder)
+}
+
+async fn call(admin: &Rc<Admin>, pieces: &[&[u8]]) -> DuplexStream {
+    let (near, mut far) = duplex(4096);
+    admin.serve_in_task(near);
+    for piece in pieces {
+        // One caller too many is closed at once.
+        let _ = far.write_all(piece).await;
+        testing::settle().await;
+    }
+    far
+}
+
+async fn reply(mut far: DuplexStream) -> String {
+    let mut got = String::new();
+    far.read_to_string(&mut got).await.unwrap();
+    got
+}
+
+/// Callers that say nothing, or half a call, are closed at their deadline without an answer, take a bounded
+/// number of slots, and keep nobody waiting meanwhile.
+#[test]
+fn callers_that_send_half_a_line_hold_nobody_up_and_are_closed() {
+    let dir = tempfile::tempdir().unwrap();
+    testing::run(async {
+        let (admin, _) = process(dir.path());
+        let start = Instant::now();
+        let mut slow = Vec::new();
+        for n in 0..CALLERS + 5 {
+            slow.push(call(&admin, &[&b"HEALTH"[..n % 7]]).await);
+            if n + 1 < CALLERS {
+                assert_eq!(reply(call(&admin, &[b"HEAL", b"TH\r\n"]).await).await, "ACK ready\n");
+            }
+        }
+        assert_eq!((start.elapsed(), admin.connections.open.get()), (Duration::ZERO, CALLERS));
+        for far in slow {
+            assert_eq!(reply(far).await, "");
+        }
+        assert_eq!((start.elapsed(), admin.connections.open.get()), (READ_TIMEOUT, 0));
+        assert_eq!(reply(call(&admin, &[b"HEALTH\n"]).await).await, "ACK ready\n");
+    });
+}
+
+#[test]
+fn a_line_that_is_no_call_is_answered_nak() {
+    let dir = tempfile::tempdir().unwrap();
+    testing::run(async {
+        let (admin, _) = process(dir.path());
+        let long = [b'x'; 300];
+        for line in [
+            &b"\n"[..],
+            b"OFFLINE s-0000abcd\n",
+            b"ONLINE a b\n",
+            b"\xff\xfe\n",
+            b"GET / HTTP/1.1\r\n",
+            &long,
+        ] {
+            let answer = reply(call(&admin, &[line]).await).await;
+            assert!(
+                answer.starts_with("NAK ") && answer.ends_with('\n') && answer.lines().count() == 1,
+                "{answer}"
+            );
+        }
+    });
+}
+
+/// The figures against requests whose outcomes are known.
+#[test]
+fn each_request_is_counted_once_in_its_class() {
+    let dir = tempfile::tempdir().unwrap();
+    testing::run(async {
+        let (admin, recorder) = process(dir.path());
+        let dispatcher = &admin.dispatcher;
+        let value = Reply::Served(Answer::Value("v".into()));
+        let mut answers = Vec::new();
+        for (n, end) in [End::Reply(value.clone()), End::NotSent, End::Reply(value)].into_iter().enumerate() {
+            answers.push(dispatcher.take(request(&n.to_string(), None)).unwrap());
+            let attempt = recorder.begun.borrow_mut().pop().unwrap();
+            dispatcher.ended(attempt.id, end);
+        }
+        let _open = dispatcher.take(request("9", None)).unwrap();
+        assert!(admin.answer(Call::Offline(SERVER.into())).await.starts_with("ACK"));
+        let dump = admin.answer(Call::Dump).await;
+        for line in [
+            "app_passed{category=\"read\"} 2",
+            "app_dropped{category=\"read\"} 1",
+            "app_bad_gateway{category=\"read\"} 0",
+            "app_in_progress 1",
+            "app_known_cache_hosts 2",
+            "app_skipped_cache_hosts 1",
+        ] {
+            assert!(dump.lines().any(|dumped| dumped == line), "{line} is not in {dump}");
+        }
+        assert!(dump.starts_with("ACK ") && dump.ends_with("\n--\n"));
+    });
+}
+
+/// A disk that stands still: calls are answered, what they ask for holds, and it is kept once the disk goes on.
+#[test]
+fn a_disk_that_stands_still_holds_no_call_up() {
+    let dir = tempfile::tempdir().unwrap();
+    testing::run_on_sockets(async {
+        let lock = std::fs::File::create(dir.path().join("n0.lock")).unwrap();
+        lock.lock().unwrap();
+        let (admin, _) = process(dir.path());
+        let answer = admin.answer(Call::Offline(SERVER.into())).await;
+        assert_eq!(answer, format!("ACK {SERVER} out by hand; not kept for a successor yet\n"));
+        assert_eq!(admin.answer(Call::Health).await, "ACK ready\n");
+        assert_eq!(admin.dispatcher.banned(), [SERVER]);
+        lock.unlock().unwrap();
+        admin.overrides.wait_until_attempted(ChangeId::default().next()).await;
+        let stored = std::fs::read_to_string(dir.path().join("n0.bans")).unwrap();
+        assert_eq!(stored, format!("juniperladder bans 1\n{SERVER}\nend\n"));
+        let answer = admin.answer(Call::Offline(SERVER.into())).await;
+        assert_eq!(answer, format!("ACK {SERVER} out by hand\n"), "now it is in the file");
+    });
+}
--- a/node/src/discovery/watches.rs
+++ b/node/src/discovery/watches.rs
@@ -222,7 +222,7 @@
         if let Some(known) = watch.version.filter(|known| !is_snapshot && version < *known) {
             return self.on_contradiction(index, known);
         }
-        let is_outdated = is_older_than_in_hand(watch, version, self.version);
+        let is_outdated = has_outdated_version(watch, version, self.version);
         watch.version = Some(version);
         watch.on_line(now);
         let usual = if is_snapshot { ListUse::Snapshot } else { ListUse::Delta };
@@ -284,7 +284,7 @@
 /// Whether this version is older than the one in hand because a newer list came on another watch while this one's poll was
 /// open: it will send the rest itself. A list that is older than what was known when its poll started is another matter:
 /// discovery counts anew.
-fn is_older_than_in_hand<T>(watch: &Watch<T>, version: u64, in_hand: Option<u64>) -> bool {
+fn has_outdated_version<T>(watch: &Watch<T>, version: u64, in_hand: Option<u64>) -> bool {
     let started_before = watch.requested_since.is_some_and(|since| since <= version);
     started_before && in_hand.is_some_and(|known| version < known)
 }
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -2,13 +2,13 @@
 //!
 //! The client side ([`service`]) and the server side ([`upstream`]) meet only in the [`dispatcher`].
 
+pub mod admin;
 pub mod bounds;
 pub mod config;
 pub mod connect;
 pub mod discovery;
 pub mod endpoint_list;
 pub mod operator;
-pub mod operators;
 pub mod override_store;
 mod passing;
 pub mod peers;
@@ -152,19 +152,19 @@
         let listener = retry::for_a_moment(|| listen(mgmt))
             .await
             .map_err(|e| format!("cannot listen for operators on {mgmt}: {e}; give mgmt a free address"))?;
-        let operators;
-        (operators, successor) = operators::Operators::new(
+        let admin = admin::Admin::start(
             Rc::clone(&dispatcher),
             classes,
             Rc::clone(&shutdown),
-            &config.name,
-            operators::Callers { now: service.callers(), most: bounds.callers },
+            override_store::OverrideStore::path_for(&config.name),
+            admin::AdminConnections { open: service.callers(), limit: bounds.callers },
             peers.clone(),
             log.clone(),
         );
+        successor = admin.replaces_another_process();
         let address = listener.local_addr().unwrap_or(mgmt);
         info!(log, "operators' address"; "address" => address.to_string());
-        spawn_local(operators.accept(listener));
+        spawn_local(admin.accept(listener));
     }
     let (discovery_address, turns) = watch::channel(config.discovery);
     let policy =
