--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use juniperladder::{Micros, Settings};
-use juniperladder_settings::Env;
+use juniperladder::Settings;
+use juniperladder_settings::SiteSettings;
 use serde::Deserialize;
 use slog::Level;
 
@@ -72,7 +72,7 @@
     limits: FileLimits,
     #[serde(default)]
     known: EndpointList,
-    settings: Env,
+    settings: SiteSettings,
 }
 
 #[derive(Deserialize)]
@@ -129,9 +129,9 @@
         let file: File = serde_path_to_error::deserialize(&mut parsed)
             .map_err(|e| plain(format!("{}: {}; give it a value of that kind", e.path(), e.inner())))?;
         let env = file.settings;
-        env.check()?;
+        env.check().map_err(|error| error.to_string())?;
         let listen = address("listen", &file.listen)?;
-        let settings = env.settings();
+        let settings = env.to_decisions();
         Ok(Config {
             mgmt: file.mgmt.map_or(Ok(None), |text| operators_address(listen, &text))?,
             file: None,
@@ -151,11 +151,11 @@
             },
             known: file.known,
             labels: Labels {
-                classes: env.categories.into_iter().map(|class| class.name).collect(),
-                tenants: env.orgs.into_iter().map(|org| org.name).collect(),
+                classes: env.classes.into_iter().map(|class| class.name).collect(),
+                tenants: env.tenants.into_iter().map(|org| org.name).collect(),
             },
-            connect_timeout: duration(Micros(env.limits.connect_timeout)),
-            idle: duration(Micros(env.limits.conn_idle)),
+            connect_timeout: duration(env.limits.connect_timeout),
+            idle: duration(env.limits.connection_idle_timeout),
             names: SiteNames { zones: env.zones, kinds: env.kinds },
         })
     }
--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -1,3 +1,5 @@
+//! Settings as sites write them: every key, keys that are misspelt or missing, and values out of their range.
+
 use super::*;
 
 const SOUND: &str = r#"{"az":1,"unknown-key":[1],"kinds":["a","b","origin"],"zones":["x","y"],"tick":5000,
@@ -5,13 +7,13 @@
     "extra":{"mode":"aside","origin-kind":2},"weights":"rough","membership-mode":"subscribe",
     "limits":{"conn-idle":1,"connect-timeout":1,"max-attempts":3},"rules":{"ask-within":1,"warm-up":1}}"#;
 
-fn read(text: &str) -> Env {
+fn read(text: &str) -> SiteSettings {
     serde_json::from_str(text).unwrap()
 }
 
 #[test]
-fn words_are_mapped_to_the_modules_values() {
-    let settings = read(SOUND).settings();
+fn words_are_mapped_to_the_values_of_the_decisions() {
+    let settings = read(SOUND).to_decisions();
     let class = &settings.classes[0];
     assert_eq!(
         (class.idempotency, class.deduplication_scope, class.deadline),
@@ -19,39 +21,83 @@
     );
     assert_eq!((settings.mode, settings.zone), (CacheMode::Aside(2), 1));
     assert!(settings.subscribe && settings.weighted);
-    assert_eq!(read(&SOUND.replace("aside", "through")).settings().mode, CacheMode::ReadThrough);
+    assert_eq!(read(&SOUND.replace("aside", "through")).to_decisions().mode, CacheMode::ReadThrough);
 }
 
 /// A tenant without a name would be whoever names none.
 #[test]
-fn a_tenant_has_a_name() {
+fn rejects_a_tenant_without_a_name_of_its_own() {
     let with = |orgs: &str| read(&SOUND.replacen('{', &format!("{{\"orgs\":{orgs},"), 1)).check();
     assert_eq!(with(r#"[{"name":"acme","allowance-per-s":3}]"#), Ok(()));
-    assert!(with(r#"[{"nmae":"acme","allowance-per-s":3}]"#).unwrap_err().contains("orgs[].name"));
-    assert!(with(r#"[{"name":"acme"},{"name":"acme"}]"#).unwrap_err().contains("a name of its own"));
+    assert!(with(r#"[{"nmae":"acme","allowance-per-s":3}]"#)
+        .unwrap_err()
+        .to_string()
+        .contains("orgs[].name"));
+    assert!(with(r#"[{"name":"acme"},{"name":"acme"}]"#)
+        .unwrap_err()
+        .to_string()
+        .contains("a name of its own"));
 }
 
 #[test]
-fn a_misspelt_key_is_named() {
+fn names_a_key_that_is_misspelt() {
     assert_eq!(read(SOUND).check(), Ok(()));
     for (key, name) in [("rules", "rules.ask-within"), ("give-up", "give-up"), ("kinds", "kinds")] {
-        let problem = read(&SOUND.replace(&format!("\"{key}\""), "\"misspelt\"")).check().unwrap_err();
+        let problem =
+            read(&SOUND.replace(&format!("\"{key}\""), "\"misspelt\"")).check().unwrap_err().to_string();
         assert!(problem.contains(name), "{problem}");
     }
 }
 
 /// What contradicts itself or is out of its range is named with what to do, and keys that are new are no error.
 #[test]
-fn what_makes_no_sense_is_named_with_its_remedy() {
-    for (from, to, told) in [
+fn names_a_value_out_of_its_range_with_what_to_do() {
+    for (from, to, key) in [
         ("\"origin-kind\":2", "\"origin-kind\":3", "extra.origin-kind"),
         ("\"origin-kind\":2", "\"origin-kind\":null", "extra.origin-kind"),
         ("\"ask-within\":1", "\"ask-within\":1,\"cold-share\":32", "rules.cold-share"),
         ("\"max-attempts\":3", "\"max-attempts\":0", "limits.max-attempts"),
         ("\"zones\":[\"x\",\"y\"]", "\"zones\":[]", "zones"),
     ] {
-        let problem = read(&SOUND.replace(from, to)).check().unwrap_err();
-        assert!(problem.contains(&format!("settings: {told} ")) && problem.contains("; "), "{problem}");
+        let problem = read(&SOUND.replace(from, to)).check().unwrap_err().to_string();
+        assert!(problem.contains(&format!("settings: {key} ")) && problem.contains("; "), "{problem}");
     }
     assert_eq!(read(&SOUND.replace("\"tick\"", "\"more\":{\"new\":[]},\"tick\"")).check(), Ok(()));
 }
+
+/// A site's settings with every key, each at a value of its own.
+const EVERY_KEY: &str = r#"{
+    "az": 1, "balancers": 7, "position": 3, "tick": 5000, "weights": "nominal", "membership-mode": "subscribe",
+    "categories": [{"name": "read", "aim": 11, "aim-stretch": 0.5, "effect": "pure", "give-up": 12, "group": "zone",
+        "late-worth": 0.25, "window": 13, "worth": 2.5}],
+    "extra": {"mode": "aside", "origin-kind": 1}, "kinds": ["a", "origin"], "zones": ["x", "y"],
+    "limits": {"conn-idle": 21, "connect-timeout": 22, "max-attempts": 4, "max-retry-after": 23, "may-duplicate": true,
+        "retry-after": true},
+    "orgs": [{"name": "acme", "allowance-per-s": 1.5}],
+    "rules": {"ask-within": 31, "cold-share": 0.75, "warm-up": 32, "drain-grace": 33}}"#;
+
+/// The keys are an interface: sites and the simulator write them.
+#[test]
+fn every_key_has_its_place() {
+    let site = read(EVERY_KEY);
+    assert_eq!(site.check(), Ok(()));
+    assert_eq!((site.position, site.drain_grace()), (Some(3), Micros(33)));
+    assert_eq!((site.kinds.join(" "), site.zones.join(" ")), ("a origin".into(), "x y".into()));
+    assert_eq!((site.classes[0].name.as_str(), site.tenants[0].name.as_str()), ("read", "acme"));
+    assert_eq!(site.limits.connection_idle_timeout, Micros(21));
+    assert_eq!(site.limits.connect_timeout, Micros(22));
+    let settings = site.to_decisions();
+    assert_eq!((settings.zone, settings.balancers, settings.tick), (1, 7, Micros(5000)));
+    assert_eq!((settings.weighted, settings.subscribe, settings.mode), (true, true, CacheMode::Aside(1)));
+    let Limits { max_attempts, max_retry_after, retry_after, may_duplicate } = settings.limits;
+    assert_eq!((max_attempts, max_retry_after, retry_after, may_duplicate), (4, Micros(23), true, true));
+    let Rules { discovery_poll_interval, slow_start_initial_share, slow_start_duration } = settings.rules;
+    assert_eq!((discovery_poll_interval, slow_start_duration), (Micros(31), Micros(32)));
+    assert_eq!((slow_start_initial_share, settings.tenants[0].allowance_per_s), (0.75, 1.5));
+    let class = &settings.classes[0];
+    assert_eq!((class.latency_objective, class.deadline), (Micros(11), Micros(12)));
+    assert_eq!((class.latency_objective_per_work, class.deduplication_window), (0.5, Micros(13)));
+    assert_eq!(class.idempotency, Idempotency::Idempotent);
+    assert_eq!(class.deduplication_scope, DeduplicationScope::Zone);
+    assert_eq!((class.priority_weight, class.late_priority_weight), (2.5, 0.25));
+}
--- a/simulator-adapter/src/wire/incoming.rs
+++ b/simulator-adapter/src/wire/incoming.rs
@@ -4,7 +4,7 @@
     AttemptResult, CompletedAttempt, Endpoint, EndpointState, EndpointUpdate, Key, Micros, Request,
     RequestId, ServerId,
 };
-use juniperladder_settings::Env;
+use juniperladder_settings::SiteSettings;
 use serde::Deserialize;
 
 use crate::error::AdapterError;
@@ -31,7 +31,7 @@
         instance: u32,
         seed: u64,
         #[serde(rename = "env")]
-        settings: Box<Env>,
+        settings: Box<SiteSettings>,
     },
     /// An endpoint list that later events name by its slot.
     #[serde(rename = "manifest")]
