--- a/platform-model/src/discovery.rs
+++ b/platform-model/src/discovery.rs
@@ -1,6 +1,9 @@
 //! Discovery: a list with generations, and a door that takes calls in turn.
 
-use crate::{us, Us, SECOND};
+#[cfg(test)]
+mod tests;
+
+use crate::{micros_from_seconds, Micros, MICROS_PER_SECOND};
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,7 +37,7 @@
     /// What it does.
     pub life: Life,
     /// When it last started; none, long ago.
-    pub started: Option<Us>,
+    pub started: Option<Micros>,
 }
 
 /// The list, with all its changes.
@@ -81,19 +84,23 @@
 /// Calls in turn: each takes its time, and one that would wait too long fails.
 #[derive(Clone, Debug)]
 pub struct Door {
-    each: Us,
-    timeout: Us,
-    free: Us,
+    each: Micros,
+    timeout: Micros,
+    free: Micros,
 }
 
 impl Door {
     /// A door for so many calls a second.
     pub fn new(calls_per_s: f64, timeout_s: f64) -> Door {
-        Door { each: (SECOND as f64 / calls_per_s) as Us, timeout: us(timeout_s), free: 0 }
+        Door {
+            each: (MICROS_PER_SECOND as f64 / calls_per_s) as Micros,
+            timeout: micros_from_seconds(timeout_s),
+            free: 0,
+        }
     }
 
     /// When a call that comes now is answered; none, it fails.
-    pub fn call(&mut self, now: Us) -> Option<Us> {
+    pub fn call(&mut self, now: Micros) -> Option<Micros> {
         let begin = self.free.max(now);
         if begin - now > self.timeout {
             return None;
@@ -102,33 +109,3 @@
         Some(self.free)
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_list_is_the_sum_of_its_changes() {
-        let entry = |id: &str, life| Entry { id: id.into(), slot: 0, life, started: None };
-        let mut list = Catalog::new(vec![entry("a", Life::InService), entry("b", Life::InService)]);
-        list.change(entry("a", Life::Terminating));
-        list.change(entry("a", Life::Terminated));
-        assert_eq!(list.generation(), 4);
-        let ids = |generation| list.whole(generation).iter().map(|e| e.id.clone()).collect::<Vec<_>>();
-        assert_eq!(
-            (ids(2), ids(3), ids(4)),
-            (vec!["a".into(), "b".into()], vec!["b".into(), "a".into()], vec!["b".into()])
-        );
-        assert_eq!(list.between(2, 4).len(), 2);
-        assert!(list.between(9, 12).is_empty());
-    }
-
-    #[test]
-    fn calls_wait_for_each_other_and_fail_when_that_takes_too_long() {
-        let mut door = Door::new(2.0, 1.0);
-        let half = SECOND / 2;
-        assert_eq!([door.call(0), door.call(0), door.call(0)], [Some(half), Some(SECOND), Some(3 * half)]);
-        assert_eq!(door.call(0), None);
-        assert_eq!(door.call(SECOND), Some(4 * half));
-    }
-}
--- a/platform-model/src/origin.rs
+++ b/platform-model/src/origin.rs
@@ -1,17 +1,20 @@
 //! The origin: slow, takes far less than all requests, stops when it is sent far too much.
 
+#[cfg(test)]
+mod tests;
+
 use std::collections::{HashMap, VecDeque};
 
 use rand_distr::{Distribution, Exp1};
 
 use crate::experiment::Origin as Figures;
 use crate::rng::SeededRng;
-use crate::{us, us_of_ms, Us, SECOND};
+use crate::{micros_from_millis, micros_from_seconds, Micros, MICROS_PER_SECOND};
 
 /// Sent too much for so long, it stops for as long.
-const FALL: Us = 3 * SECOND;
+const FALL: Micros = 3 * MICROS_PER_SECOND;
 /// For how long a repeat of a keyed write is known.
-const REPEATS: Us = 6 * SECOND;
+const REPEATS: Micros = 6 * MICROS_PER_SECOND;
 
 /// What becomes of a fetch or a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,7 +22,7 @@
     /// It runs and is answered then.
     Runs {
         /// When the answer goes out.
-        at: Us,
+        at: Micros,
         /// Whether it is a write that has run before, which runs no more.
         repeat: bool,
     },
@@ -35,14 +38,14 @@
     figures: Figures,
     slow: f64,
     /// When each worker is free.
-    free: Vec<Us>,
+    free: Vec<Micros>,
     /// What came lately, and whether each was a miss of a cold server.
-    recent: VecDeque<(Us, bool)>,
-    stopped_until: Us,
+    recent: VecDeque<(Micros, bool)>,
+    stopped_until: Micros,
     /// Writes by idempotency key, and when they ran.
-    ran: HashMap<u64, Us>,
+    ran: HashMap<u64, Micros>,
     /// Each stop: when, and the share of misses of cold servers in what was sent.
-    pub stops: Vec<(Us, f64)>,
+    pub stops: Vec<(Micros, f64)>,
     /// Nothing is too much: the caches are filling before the experiment begins.
     pub unbounded: bool,
 }
@@ -72,10 +75,10 @@
     /// cold server, and nobody waits for it after `until`.
     pub fn begin(
         &mut self,
-        now: Us,
+        now: Micros,
         write: Option<u64>,
         cold: bool,
-        until: Us,
+        until: Micros,
         rng: &mut SeededRng,
     ) -> Outcome {
         let noise: f64 = Exp1.sample(rng);
@@ -83,11 +86,11 @@
         if let Some(key) = write {
             self.ran.retain(|_, at| *at + REPEATS > now);
             if self.ran.contains_key(&key) {
-                return Outcome::Runs { at: now + us_of_ms(1.0), repeat: true };
+                return Outcome::Runs { at: now + micros_from_millis(1.0), repeat: true };
             }
         }
         if self.unbounded {
-            let at = now + us_of_ms(work);
+            let at = now + micros_from_millis(work);
             self.ran.extend(write.map(|key| (key, now)));
             return Outcome::Runs { at, repeat: false };
         }
@@ -101,18 +104,18 @@
         let Some(worker) = self.free.iter_mut().min() else { return Outcome::Busy };
         let begin = (*worker).max(now);
         // It drops at once what nobody would wait for until its turn.
-        if begin >= until || begin > now + us(self.figures.queue_s) {
+        if begin >= until || begin > now + micros_from_seconds(self.figures.queue_s) {
             return Outcome::Busy;
         }
-        let full = (begin - now) as f64 / us(self.figures.queue_s).max(1) as f64;
-        *worker = begin + us_of_ms(work * self.slow * (1.0 + self.figures.thrash * full));
+        let full = (begin - now) as f64 / micros_from_seconds(self.figures.queue_s).max(1) as f64;
+        *worker = begin + micros_from_millis(work * self.slow * (1.0 + self.figures.thrash * full));
         let at = *worker;
         self.ran.extend(write.map(|key| (key, now)));
         Outcome::Runs { at, repeat: false }
     }
 
     /// Counts what is sent; far too much for three seconds stops it.
-    fn sent(&mut self, now: Us, cold: bool) {
+    fn sent(&mut self, now: Micros, cold: bool) {
         self.recent.push_back((now, cold));
         while self.recent.front().is_some_and(|(at, _)| at + FALL <= now) {
             self.recent.pop_front();
@@ -127,53 +130,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::rng::{seeded_rng, RngStream};
-
-    fn played(rate: u64, seconds: u64, slow: f64) -> (Origin, Vec<Outcome>) {
-        let mut origin = Origin::new(Figures { capacity: 100.0, ..Figures::default() });
-        let mut rng = seeded_rng(1, RngStream::Machines);
-        origin.slow(slow);
-        let all = (0..rate * seconds)
-            .map(|n| {
-                let now = n * SECOND / rate;
-                origin.begin(now, None, n % 4 == 0, now + SECOND, &mut rng)
-            })
-            .collect();
-        (origin, all)
-    }
-
-    fn runs(all: &[Outcome]) -> usize {
-        all.iter().filter(|o| matches!(o, Outcome::Runs { .. })).count()
-    }
-
-    #[test]
-    fn it_runs_what_it_can_and_turns_the_rest_away() {
-        assert_eq!(runs(&played(60, 10, 1.0).1), 600);
-        let (origin, all) = played(200, 10, 1.0);
-        assert!((900..1_200).contains(&runs(&all)), "{}", runs(&all));
-        assert!(origin.stops.is_empty() && all.contains(&Outcome::Busy));
-        assert!(runs(&played(200, 10, 4.0).1) < 350, "slower, it runs less");
-    }
-
-    #[test]
-    fn far_too_much_stops_it_and_the_cold_share_is_told() {
-        let (origin, all) = played(300, 4, 1.0);
-        assert_eq!(origin.stops.len(), 1);
-        assert!((origin.stops[0].1 - 0.25).abs() < 0.01 && all.contains(&Outcome::Stopped));
-    }
-
-    #[test]
-    fn a_repeat_of_a_keyed_write_runs_once() {
-        let (mut origin, _) = played(1, 1, 1.0);
-        let mut rng = seeded_rng(1, RngStream::Machines);
-        let mut write = |now| match origin.begin(now, Some(7), false, now + SECOND, &mut rng) {
-            Outcome::Runs { repeat, .. } => repeat,
-            other => panic!("{other:?}"),
-        };
-        assert_eq!([write(0), write(SECOND), write(7 * SECOND)], [false, true, false]);
-    }
-}
