--- /dev/null
+++ b/node/src/cluster_config/check.rs
@@ -0,0 +1,109 @@
+//! The ranges of the operators' file. The first key that is out of its range is reported, in the order of the checks.
+
+use std::ops::RangeInclusive;
+
+use juniperladder_cluster::MOST_MEMBERS;
+
+use super::{ClusterConfig, FailureDetectorConfig, LimitsConfig, PeerConfig, RateConfig, RetryBudgetConfig};
+
+const LEASE_MS: RangeInclusive<u64> = 500..=60_000;
+const CLOCK_DRIFT: RangeInclusive<f64> = 0.0..=0.05;
+const MAX_ARRIVAL_SPREAD_MS: u64 = 1_000;
+const REQUESTS_PER_S: RangeInclusive<u32> = 1..=1_000_000;
+const RETRIES_PER_REQUEST: RangeInclusive<f64> = 0.0..=3.0;
+const MAX_SAVED_RETRIES: RangeInclusive<f64> = 1.0..=1_000.0;
+/// From 2, as nobody is believed alone.
+const REQUIRED_REPORTERS: RangeInclusive<usize> = 2..=16;
+const REPORT_EXPIRY_MS: RangeInclusive<u64> = 2_000..=30_000;
+const MAX_SUSPECTED_SHARE: RangeInclusive<f64> = 0.0..=0.5;
+const HEALTH_CHECKS_PER_S: RangeInclusive<f64> = 0.1..=20.0;
+
+/// A value out of its range.
+pub(super) struct InvalidValue {
+    /// The key, with the tables that it stands in.
+    pub(super) key: &'static str,
+    /// What would be right.
+    pub(super) expected: String,
+}
+
+type Checked = Result<(), InvalidValue>;
+
+pub(super) fn check(config: &ClusterConfig) -> Checked {
+    check_peers(&config.peers)?;
+    check_limits(&config.limits)?;
+    if let Some(failure_detector) = &config.failure_detector {
+        check_failure_detector(failure_detector)?;
+    }
+    Ok(())
+}
+
+fn check_peers(peers: &PeerConfig) -> Checked {
+    require(!peers.seeds.is_empty(), "peers.seeds", "name at least one member that others call first")?;
+    let advertised = peers.advertised_address.unwrap_or(peers.listen_address);
+    require(
+        !advertised.ip().is_unspecified(),
+        "peers.address",
+        "others cannot call 0.0.0.0; give the address that they reach",
+    )
+}
+
+fn check_limits(limits: &LimitsConfig) -> Checked {
+    require(LEASE_MS.contains(&limits.lease_ms), "limits.lease_ms", "a lease lasts from 500 to 60000 ms")?;
+    require(CLOCK_DRIFT.contains(&limits.clock_drift), "limits.drift", "a part from 0 to 0.05")?;
+    let is_spread = limits.arrival_spread_ms <= MAX_ARRIVAL_SPREAD_MS;
+    require(is_spread, "limits.spread_ms", "at most 1000 ms")?;
+    let is_owners = limits.owners.is_none_or(|owners| owners > 0 && owners as usize <= MOST_MEMBERS);
+    require(is_owners, "limits.holders", &format!("from 1 to {MOST_MEMBERS}"))?;
+    check_rate("limits.origin.per_s", limits.origin_rate.as_ref())?;
+    check_rate("limits.cold.per_s", limits.slow_start_rate.as_ref())?;
+    limits.retry_budget.as_ref().map_or(Ok(()), check_retry_budget)
+}
+
+fn check_rate(key: &'static str, rate: Option<&RateConfig>) -> Checked {
+    let is_rate = rate.is_none_or(|rate| REQUESTS_PER_S.contains(&rate.requests_per_s));
+    require(is_rate, key, "from 1 to 1000000 a second")
+}
+
+fn check_retry_budget(budget: &RetryBudgetConfig) -> Checked {
+    require(
+        RETRIES_PER_REQUEST.contains(&budget.retries_per_request),
+        "limits.second.share",
+        "a part of the first tries, from 0 to 3",
+    )?;
+    require(
+        MAX_SAVED_RETRIES.contains(&budget.max_saved_retries),
+        "limits.second.saved",
+        "from 1 to 1000 of each balancer",
+    )
+}
+
+fn check_failure_detector(failure_detector: &FailureDetectorConfig) -> Checked {
+    require(
+        REQUIRED_REPORTERS.contains(&failure_detector.required_reporters),
+        "verdicts.witnesses",
+        "from 2, as nobody is believed alone, to 16",
+    )?;
+    require(
+        REPORT_EXPIRY_MS.contains(&failure_detector.report_expiry_ms),
+        "verdicts.expiry_ms",
+        "from 2000 to 30000 ms",
+    )?;
+    require(
+        MAX_SUSPECTED_SHARE.contains(&failure_detector.max_suspected_share),
+        "verdicts.most",
+        "a part of the hosts, from 0 to 0.5",
+    )?;
+    require(
+        HEALTH_CHECKS_PER_S.contains(&failure_detector.health_checks_per_s),
+        "verdicts.tries_per_s",
+        "from 0.1 to 20 a second",
+    )
+}
+
+fn require(holds: bool, key: &'static str, expected: &str) -> Checked {
+    if holds {
+        Ok(())
+    } else {
+        Err(InvalidValue { key, expected: expected.to_owned() })
+    }
+}
--- /dev/null
+++ b/node/src/cluster_config/tests.rs
@@ -0,0 +1,193 @@
+//! The operators' file against the example, the schema and a fixture with every key; ranges; the cluster's plan.
+
+use juniperladder::{Micros, Settings};
+
+use super::*;
+
+const EXAMPLE: &str = include_str!("../../../deploy/operator.example.toml");
+
+#[test]
+fn the_example_has_every_field_and_says_the_defaults() {
+    let example = ClusterConfig::parse(EXAMPLE).unwrap();
+    let defaults = LimitsConfig::default();
+    let LimitsConfig { lease_ms, clock_drift, arrival_spread_ms, .. } = example.limits;
+    assert_eq!(
+        (lease_ms, clock_drift, arrival_spread_ms),
+        (defaults.lease_ms, defaults.clock_drift, defaults.arrival_spread_ms)
+    );
+    let schema = serde_json::to_value(schemars::schema_for!(ClusterConfig)).unwrap();
+    let mut fields = Vec::new();
+    for part in [
+        &schema["properties"],
+        &schema["$defs"]["Peers"]["properties"],
+        &schema["$defs"]["Limits"]["properties"],
+        &schema["$defs"]["Second"]["properties"],
+        &schema["$defs"]["Verdicts"]["properties"],
+    ] {
+        fields.extend(part.as_object().unwrap().keys().cloned());
+    }
+    assert!(fields.len() >= 19);
+    for field in fields {
+        assert!(EXAMPLE.contains(&field), "the example does not name {field}");
+    }
+}
+
+/// `deploy/operator.schema.json` is what the types say; write it anew with `JUNIPERLADDER_WRITE=1`.
+#[test]
+fn the_schema_is_that_of_the_types() {
+    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/operator.schema.json");
+    let schema = serde_json::to_string_pretty(&schemars::schema_for!(ClusterConfig)).unwrap() + "\n";
+    if std::env::var_os("JUNIPERLADDER_WRITE").is_some() {
+        std::fs::write(path, &schema).unwrap();
+    }
+    assert_eq!(std::fs::read_to_string(path).unwrap(), schema);
+}
+
+/// The example with all that it leaves out switched on.
+fn uncommented() -> String {
+    let on = |line: &str| match line.strip_prefix("# ") {
+        Some(rest) if rest.starts_with('[') || rest.contains(" = ") && !rest.contains('`') => rest.to_owned(),
+        _ => line.to_owned(),
+    };
+    EXAMPLE.lines().map(|line| on(line) + "\n").collect()
+}
+
+#[test]
+fn what_the_example_comments_out_stands_at_its_default() {
+    let whole = ClusterConfig::parse(&uncommented()).unwrap();
+    let budget = whole.limits.retry_budget.unwrap();
+    let budget_default = RetryBudgetConfig::default();
+    assert_eq!(budget.retries_per_request, budget_default.retries_per_request);
+    assert_eq!(budget.max_saved_retries, budget_default.max_saved_retries);
+    let detector = whole.failure_detector.unwrap();
+    let detector_default = FailureDetectorConfig::default();
+    assert_eq!(detector.required_reporters, detector_default.required_reporters);
+    assert_eq!(detector.report_expiry_ms, detector_default.report_expiry_ms);
+    assert_eq!(detector.max_suspected_share, detector_default.max_suspected_share);
+    assert_eq!(detector.health_checks_per_s, detector_default.health_checks_per_s);
+    assert_eq!(whole.limits.slow_start_rate.unwrap().requests_per_s, 100);
+}
+
+#[test]
+fn rejects_a_broken_file_in_one_line_with_line_key_and_remedy() {
+    let whole = uncommented();
+    assert_eq!(ClusterConfig::parse(&whole).unwrap().limits.origin_rate.unwrap().requests_per_s, 400);
+    let cases = [
+        ("lease_ms = 2000", "lease_ms = 5", "limits.lease_ms: a lease lasts from 500"),
+        ("lease_ms = 2000", "leasems = 5", "unknown field `leasems`, expected one of"),
+        ("per_s = 400", "per_s = -4", "invalid value"),
+        ("per_s = 400", "per_s = 0", "limits.origin.per_s: from 1"),
+        ("drift = 0.001", "drift = 2.0", "limits.drift: a part from 0"),
+        ("share = 0.4", "share = 40", "limits.second.share: a part"),
+        ("witnesses = 3", "witnesses = 1", "verdicts.witnesses: from 2, as nobody"),
+        ("most = 0.34", "most = 0.9", "verdicts.most: a part of the hosts"),
+        ("expiry_ms = 6000", "expiry_ms = 100", "verdicts.expiry_ms: from 2000"),
+    ];
+    for (sound, broken, expected) in cases {
+        let line = whole.lines().position(|line| line.starts_with(sound)).unwrap() + 1;
+        let problem = ClusterConfig::parse(&whole.replace(sound, broken)).unwrap_err().to_string();
+        assert!(problem.starts_with(&format!("line {line}: ")) && problem.contains(expected), "{problem}");
+        assert!(!problem.contains('\n'));
+    }
+    assert!(ClusterConfig::parse("").unwrap_err().to_string().contains("peers"));
+}
+
+fn settings() -> Settings {
+    Settings {
+        balancers: 100,
+        zone: 1,
+        classes: vec![],
+        tenants: vec![],
+        mode: juniperladder::CacheMode::Aside(1),
+        subscribe: true,
+        weighted: false,
+        tick: juniperladder::Micros(5_000),
+        limits: juniperladder::Limits {
+            max_attempts: 3,
+            max_retry_after: juniperladder::Micros(0),
+            retry_after: false,
+            may_duplicate: true,
+        },
+        rules: juniperladder::Rules {
+            discovery_poll_interval: juniperladder::Micros(1),
+            slow_start_initial_share: 0.25,
+            slow_start_duration: juniperladder::Micros(10_000_000),
+        },
+    }
+}
+
+#[test]
+fn the_plan_has_all_that_the_file_names() {
+    let config = ClusterConfig::parse(&uncommented()).unwrap();
+    let plan = config.plan("127.0.0.1:7946".parse().unwrap(), None, &settings(), 1, 1).unwrap();
+    let (cold, second) = (plan.cold.unwrap(), plan.second.unwrap());
+    assert_eq!((cold.shares.whole, cold.share, cold.warm_up), (100, 0.25, Micros::from_secs(10)));
+    assert_eq!((second.share, second.saved, second.holders), (0.4, 1_000.0, 100));
+    assert_eq!((plan.verdicts.unwrap().expiry, plan.zone), (Micros::from_secs(6), 1));
+}
+
+#[test]
+fn the_plan_takes_from_the_settings_what_the_file_leaves_out() {
+    let text =
+        "[peers]\nlisten = \"127.0.0.1:7946\"\nseeds = [\"127.0.0.1:7946\"]\n[limits.origin]\nper_s = 400\n";
+    let config = ClusterConfig::parse(text).unwrap();
+    let bound = "127.0.0.1:7946".parse().unwrap();
+    let settings = settings();
+    let plan = config.plan(bound, Some(3), &settings, 1, 1).unwrap();
+    assert!(plan.cold.is_none() && plan.second.is_none() && plan.verdicts.is_none());
+    assert_eq!((plan.position, plan.limits[0].1.holders, plan.limits[0].1.own(3)), (3, 100, 4));
+    assert!(config.plan(bound, None, &settings, 1, 1).unwrap_err().to_string().contains("position"));
+    assert_eq!(config.stated_bound(), 1.05);
+}
+
+/// An operators' file with every key, each at a value of its own.
+const EVERY_KEY: &str = r#"
+[peers]
+listen = "127.0.0.1:7946"
+address = "10.0.0.4:7947"
+seeds = ["10.0.0.5:7946", "10.0.0.6:7946"]
+position = 11
+
+[limits]
+holders = 12
+lease_ms = 1300
+drift = 0.014
+spread_ms = 15
+
+[limits.origin]
+per_s = 16
+
+[limits.cold]
+per_s = 17
+
+[limits.second]
+share = 0.18
+saved = 19.0
+
+[verdicts]
+witnesses = 4
+expiry_ms = 2100
+most = 0.22
+tries_per_s = 2.3
+"#;
+
+/// The keys are an interface: operators write them.
+#[test]
+fn every_key_has_its_place() {
+    let config = ClusterConfig::parse(EVERY_KEY).unwrap();
+    let PeerConfig { listen_address, advertised_address, seeds, position } = config.peers;
+    assert_eq!(listen_address, "127.0.0.1:7946".parse().unwrap());
+    assert_eq!(advertised_address, Some("10.0.0.4:7947".parse().unwrap()));
+    assert_eq!(seeds, ["10.0.0.5:7946".parse().unwrap(), "10.0.0.6:7946".parse().unwrap()]);
+    assert_eq!(position, Some(11));
+    let limits = config.limits;
+    assert_eq!((limits.owners, limits.lease_ms), (Some(12), 1300));
+    assert_eq!((limits.clock_drift, limits.arrival_spread_ms), (0.014, 15));
+    assert_eq!(limits.origin_rate.unwrap().requests_per_s, 16);
+    assert_eq!(limits.slow_start_rate.unwrap().requests_per_s, 17);
+    let budget = limits.retry_budget.unwrap();
+    assert_eq!((budget.retries_per_request, budget.max_saved_retries), (0.18, 19.0));
+    let detector = config.failure_detector.unwrap();
+    assert_eq!((detector.required_reporters, detector.report_expiry_ms), (4, 2100));
+    assert_eq!((detector.max_suspected_share, detector.health_checks_per_s), (0.22, 2.3));
+}
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -12,9 +12,9 @@
 
 use crate::bounds::Limits;
 use crate::clock::duration;
+use crate::cluster_config::ClusterConfig;
 use crate::discovery::timing::pushed_list_backoff;
 use crate::endpoint_list::{EndpointList, SiteNames};
-use crate::operator::Operator;
 use crate::retry::for_a_moment_blocking;
 use crate::service::Labels;
 
@@ -42,7 +42,7 @@
     /// This balancer's place among all, where the settings name it.
     pub position: Option<u32>,
     /// The operators' file, read; none where none is named.
-    pub operator: Option<Operator>,
+    pub cluster: Option<ClusterConfig>,
     /// The names that stand for the settings' numbers.
     pub names: SiteNames,
     /// The names that clients use.
@@ -102,7 +102,8 @@
         }
         // An empty name is none, as a unit file leaves it that sets the variable to nothing.
         let named = operator.or_else(|| std::env::var_os("NODE_OPERATOR")).filter(|path| !path.is_empty());
-        config.operator = named.map(|path| Operator::read(Path::new(&path))).transpose()?;
+        let read = |path: OsString| ClusterConfig::read(Path::new(&path)).map_err(|error| error.to_string());
+        config.cluster = named.map(read).transpose()?;
         Ok(config)
     }
 
@@ -136,7 +137,7 @@
             mgmt: file.mgmt.map_or(Ok(None), |text| operators_address(listen, &text))?,
             file: None,
             log_level: file.log_level.map_or(Ok(Level::Info), |text| log_level(&text))?,
-            operator: None,
+            cluster: None,
             position: env.position,
             pushed: (!settings.subscribe).then(|| pushed_list_backoff(duration(env.drain_grace()))),
             settings,
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -4,11 +4,11 @@
 
 pub mod admin;
 pub mod bounds;
+pub mod cluster_config;
 pub mod config;
 pub mod connect;
 pub mod discovery;
 pub mod endpoint_list;
-pub mod operator;
 pub mod override_store;
 mod passing;
 pub mod peers;
@@ -101,7 +101,7 @@
     };
     let upstream =
         upstream::Upstream::new(limits, Rc::new(connect::Tcp), clock, Rc::clone(&counters), log.clone());
-    let settings = config.operator.as_ref().map(|_| config.settings.clone());
+    let settings = config.cluster.as_ref().map(|_| config.settings.clone());
     let dispatcher = dispatcher::Dispatcher::new(
         config.settings,
         config.seed,
@@ -111,7 +111,7 @@
         log.clone(),
     );
     upstream.attach(&dispatcher);
-    let peers = match config.operator.as_ref().zip(settings) {
+    let peers = match config.cluster.as_ref().zip(settings) {
         Some((operator, settings)) => {
             let (position, seed) = (config.position, config.seed);
             let peers = peers::Peers::start(operator, position, &settings, seed, clock, log.clone())?;
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep_until, Instant};
 
 use crate::clock::Clock;
-use crate::operator::Operator;
+use crate::cluster_config::ClusterConfig;
 use crate::together::Together;
 
 /// How often what is due is done.
@@ -38,14 +38,14 @@
     /// # Errors
     /// One line that says what is in the way.
     pub fn start(
-        operator: &Operator,
+        config: &ClusterConfig,
         position: Option<u32>,
         settings: &Settings,
         seed: u64,
         clock: Clock,
         log: Logger,
     ) -> Result<Rc<Peers>, String> {
-        let listen = operator.peers.listen;
+        let listen = config.peers.listen_address;
         let wrong = |e: std::io::Error| {
             format!("cannot hear peers on {listen}: {e}; give peers.listen a free address")
         };
@@ -55,10 +55,10 @@
         let here = socket.local_addr().map_err(wrong)?;
         let now = clock.now();
         // The clock counts Unix time, so that a later life has a greater number.
-        let plan = operator.plan(here, position, settings, now.0, seed)?;
+        let plan = config.plan(here, position, settings, now.0, seed).map_err(|error| error.to_string())?;
         info!(log, "talk between balancers"; "address" => plan.address.to_string(), "position" => plan.position);
         let cluster = Rc::new(RefCell::new(Cluster::new(plan, now)));
-        Ok(Rc::new(Peers { cluster, socket, clock, bound: operator.bound(), log }))
+        Ok(Rc::new(Peers { cluster, socket, clock, bound: config.stated_bound(), log }))
     }
 
     /// What the decisions see of it.
--- a/node/src/together.rs
+++ b/node/src/together.rs
@@ -9,7 +9,7 @@
 use juniperladder_cluster::shares::Shares;
 use juniperladder_cluster::{shares, Cluster, Figures};
 
-use crate::operator::ORIGIN;
+use crate::cluster_config::ORIGIN_LIMIT;
 
 /// How long a send waits where a server that warms up has no part here yet: something may be lent by then.
 const MOMENT: Micros = Micros(50_000);
@@ -28,7 +28,7 @@
     fn units<T>(&self, of: SharedLimit, now: Micros, act: impl FnOnce(&mut Shares) -> T) -> Option<T> {
         let mut cluster = self.0.borrow_mut();
         match of {
-            SharedLimit::OriginRate => cluster.limit(ORIGIN).map(act),
+            SharedLimit::OriginRate => cluster.limit(ORIGIN_LIMIT).map(act),
             SharedLimit::SlowStart(listed_server, started) => {
                 cluster.cold(start(listed_server, started), now).0.map(act)
             }
