--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -21,9 +21,9 @@
 use tokio::time::{sleep, timeout};
 
 use crate::dispatcher::Dispatcher;
+use crate::graceful_shutdown::GracefulShutdown;
 use crate::override_store::{OverrideState, OverrideStore};
 use crate::peers::Peers;
-use crate::shutdown::Shutdown;
 use crate::socket::Socket;
 
 /// How long a caller may take to send its complete line.
@@ -70,7 +70,7 @@
 pub struct Admin {
     dispatcher: Rc<Dispatcher>,
     class_names: Vec<String>,
-    shutdown: Rc<Shutdown>,
+    shutdown: Rc<GracefulShutdown>,
     overrides: Rc<OverrideStore>,
     peers: Option<Rc<Peers>>,
     connections: AdminConnections,
@@ -82,7 +82,7 @@
     pub fn start(
         dispatcher: Rc<Dispatcher>,
         class_names: Vec<String>,
-        shutdown: Rc<Shutdown>,
+        shutdown: Rc<GracefulShutdown>,
         overrides_path: PathBuf,
         connections: AdminConnections,
         peers: Option<Rc<Peers>>,
@@ -142,9 +142,9 @@
     }
 
     fn health(&self) -> String {
-        if self.shutdown.stopping() {
+        if self.shutdown.is_stopping() {
             nak("stopping: this process has been told to end")
-        } else if self.dispatcher.ready() {
+        } else if self.dispatcher.is_ready() {
             ack("ready")
         } else {
             nak("not ready: no cache host is listed yet")
--- a/node/src/admin/tests.rs
+++ b/node/src/admin/tests.rs
@@ -1,7 +1,7 @@
 //! Callers of the operators' address: silent ones, malformed lines, figures, and a disk that stands still.
 
 use super::*;
-use crate::dispatcher::{Answer, End, Reply};
+use crate::dispatcher::{Answer, AttemptEnd, Reply};
 use crate::override_store::ChangeId;
 use crate::testing::{self, log, request, Recorder};
 use juniperladder::Idempotency;
@@ -94,10 +94,13 @@
         let dispatcher = &admin.dispatcher;
         let value = Reply::Served(Answer::Value("v".into()));
         let mut answers = Vec::new();
-        for (n, end) in [End::Reply(value.clone()), End::NotSent, End::Reply(value)].into_iter().enumerate() {
+        for (n, end) in [AttemptEnd::Reply(value.clone()), AttemptEnd::NotSent, AttemptEnd::Reply(value)]
+            .into_iter()
+            .enumerate()
+        {
             answers.push(dispatcher.take(request(&n.to_string(), None)).unwrap());
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
-            dispatcher.ended(attempt.id, end);
+            dispatcher.on_attempt_ended(attempt.id, end);
         }
         let _open = dispatcher.take(request("9", None)).unwrap();
         assert!(admin.answer(Call::Offline(SERVER.into())).await.starts_with("ACK"));
--- a/node/src/cluster_config/plan.rs
+++ b/node/src/cluster_config/plan.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use juniperladder::{Micros, Rules, Settings};
-use juniperladder_cluster::shares::Terms as RateLimitTerms;
+use juniperladder_cluster::rate_limit::RateLimitTerms;
 use juniperladder_cluster::{budget, cold, verdicts, Plan};
 use thiserror::Error;
 
@@ -62,17 +62,17 @@
 impl LimitsConfig {
     fn rate_limit(&self, rate: &RateConfig, owners: u32) -> RateLimitTerms {
         RateLimitTerms {
-            whole: rate.requests_per_s,
-            spread: Micros::from_millis(self.arrival_spread_ms),
-            holders: owners,
+            requests_per_s: rate.requests_per_s,
+            arrival_spread: Micros::from_millis(self.arrival_spread_ms),
+            owners,
             lease: Micros::from_millis(self.lease_ms),
-            drift: self.clock_drift,
+            clock_drift: self.clock_drift,
         }
     }
 
     fn slow_start(&self, rate: &RateConfig, owners: u32, rules: &Rules) -> cold::Terms {
         cold::Terms {
-            shares: self.rate_limit(rate, owners),
+            rate_limit: self.rate_limit(rate, owners),
             share: slow_start_initial_share(rules),
             warm_up: rules.slow_start_duration,
         }
--- a/node/src/cluster_config/tests.rs
+++ b/node/src/cluster_config/tests.rs
@@ -121,7 +121,10 @@
     let config = ClusterConfig::parse(&uncommented()).unwrap();
     let plan = config.plan("127.0.0.1:7946".parse().unwrap(), None, &settings(), 1, 1).unwrap();
     let (cold, second) = (plan.cold.unwrap(), plan.second.unwrap());
-    assert_eq!((cold.shares.whole, cold.share, cold.warm_up), (100, 0.25, Micros::from_secs(10)));
+    assert_eq!(
+        (cold.rate_limit.requests_per_s, cold.share, cold.warm_up),
+        (100, 0.25, Micros::from_secs(10))
+    );
     assert_eq!((second.share, second.saved, second.holders), (0.4, 1_000.0, 100));
     assert_eq!((plan.verdicts.unwrap().expiry, plan.zone), (Micros::from_secs(6), 1));
 }
@@ -135,7 +138,7 @@
     let settings = settings();
     let plan = config.plan(bound, Some(3), &settings, 1, 1).unwrap();
     assert!(plan.cold.is_none() && plan.second.is_none() && plan.verdicts.is_none());
-    assert_eq!((plan.position, plan.limits[0].1.holders, plan.limits[0].1.own(3)), (3, 100, 4));
+    assert_eq!((plan.position, plan.limits[0].1.owners, plan.limits[0].1.owned_tokens(3)), (3, 100, 4));
     assert!(config.plan(bound, None, &settings, 1, 1).unwrap_err().to_string().contains("position"));
     assert_eq!(config.stated_bound(), 1.05);
 }
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -17,8 +17,8 @@
 
 use fastrand::Rng;
 use juniperladder::EndpointUpdate;
+use juniperladder_dispatch::identifiers::ServerLabel;
 use juniperladder_dispatch::log_throttle::LogThrottle;
-use juniperladder_dispatch::numbers::ServerLabel;
 use slog::{debug, info, warn, Logger};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep_until, Instant};
@@ -99,7 +99,7 @@
                 follower.on_new_address(address);
             }
             Some(message) = events.recv() => follower.on_poll_event(message),
-            () = dispatcher.watch_wanted() => follower.on_watch_requested(),
+            () = dispatcher.wait_for_watch_request() => follower.on_watch_requested(),
             () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => follower.on_deadline(),
         }
     }
@@ -178,8 +178,8 @@
     fn on_heartbeat(&mut self, watch: WatchId) {
         match self.watches.on_heartbeat(watch, Instant::now()) {
             // Discovery has answered, though without a change: the decisions need not ask again.
-            Heartbeat::Answered => self.dispatcher.listed(EndpointUpdate::Delta, &[]),
-            Heartbeat::Confirmed => self.dispatcher.list_confirmed(),
+            Heartbeat::Answered => self.dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[]),
+            Heartbeat::Confirmed => self.dispatcher.on_endpoints_confirmed(),
             Heartbeat::Ignored => {}
         }
     }
@@ -206,7 +206,7 @@
         let servers = self.reader.read(list, &self.log);
         self.log_list(watch, version, update, &servers);
         increment(&self.dispatcher.counters().endpoint_updates);
-        self.dispatcher.listed(update, &servers);
+        self.dispatcher.on_endpoints_changed(update, &servers);
     }
 
     fn log_list(&self, watch: WatchId, version: u64, update: EndpointUpdate, servers: &[ListedServer]) {
@@ -235,7 +235,7 @@
         }
         self.next_poll = self.pushed_list_backoff.map(|backoff| now + backoff);
         // From here on the decisions space the polls out: they ask again after a backoff of their own.
-        self.dispatcher.listed(EndpointUpdate::Unavailable, &[]);
+        self.dispatcher.on_endpoints_changed(EndpointUpdate::Unavailable, &[]);
     }
 }
 
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,499 +1,194 @@
-//! Who is asked for which event. The events stand in `src/event.rs`, the actions in `src/action.rs`; the
-//! mechanism is that of docs/design.md, and each concern has a file of its own in `src/balancer/`.
-
-mod gap;
-mod members;
-mod pending;
+//! Who is called for which event: the events stand in `src/event.rs`, the actions in `src/action.rs`.
+//!
+//! Each decision and each state machine has a file of its own in `src/balancer/`; docs/design.md describes
+//! how they work together. The same events at the same times give the same actions for the same seed.
+
+mod admission;
+mod concurrency_limit;
+mod discovery_schedule;
+mod endpoint_set;
+mod gap_ladder;
+mod hedging;
+mod limit_view;
+mod open_request;
+mod origin;
+mod origin_queue;
 mod placement;
-mod places;
-pub(crate) mod view;
-
-use rustc_hash::FxHashMap;
+mod rate_estimator;
+mod request_table;
+mod retry;
+mod routing;
+mod slow_start;
+mod zone_health;
+
+pub use discovery_schedule::{
+    BackoffRange, DiscoveryBackoff, DISCOVERY_BACKOFF, MAX_POLL_INTERVAL, MIN_DISCOVERY_PAUSE,
+    START_SPREAD_SHARE,
+};
+pub use limit_view::{BindingLimit, LimitView, LimitsView};
 
 use crate::coordination::OptionalCoordination;
 use crate::*;
-use gap::{Ladder, FEW, MEMORY};
-use members::{Members, Rate};
-use pending::{Attempt, Fate, Pending, Step};
-use placement::{Placement, MAX_HOMES};
-
-/// Part of the time left after which an unanswered read goes elsewhere too; what an unheard server takes off.
-const HEDGE_AFTER: f64 = 0.65;
-const HEDGE_SOONER: f64 = 0.22;
-/// From how much more lost than in the best zone on caches of a zone are passed by, and how often at most.
-const ASTRAY: f64 = 0.4;
-const MOST_PASSED: f64 = 0.95;
-/// Such second copies for each first try where a server is met seldom, and how many may be saved up.
-const HEDGES: f64 = 0.4;
-const HEDGES_SAVED: f64 = 10.0;
-/// Parts of their time that reads and writes wait for the origin, the time at its pace for all, and that
-/// over which those come back who were refused together.
-const READ_WAITS: f64 = 0.3;
-const WRITE_WAITS: f64 = 0.8;
-const QUEUE: Micros = Micros(400_000);
-const SPREAD: Micros = Micros(250_000);
-/// What the times below are parts of: the time for asking, taken as no longer than this.
-pub const ASKING: Micros = Micros(10_000_000);
-/// The part over which those that start together call discovery. From this fleet on it is spread so far; a
-/// smaller one is spread, and calls a second time, in proportion sooner, down to the least part of it.
-pub const START: f64 = 0.33;
-const FULL_SPREAD_FLEET: f64 = 90.0;
-const LEAST_SPREAD: f64 = 0.3;
-/// The least and the most from call to call: after a watch, a failed call, the second (a start's), more.
-pub const AGAIN: [(f64, f64); 4] = [(0.12, 0.15), (0.03, 0.06), (0.3, 0.34), (0.24, 0.28)];
-/// The place of a start's first failure among them, and how many in a row keep it: who has heard nothing yet
-/// needs a list more than those who have one.
-const START_FAILURES: usize = 2;
-const START_CALLS: usize = 3;
-/// The same from the end of a call or a watch to the next call, if that is later.
-pub const SOON: (f64, f64) = (0.005, 0.03);
-/// The timer tokens of discovery and of the origin's gap; requests use higher ones.
-const DISCOVERY: u64 = 0;
-const PASS: u64 = 1;
-
-/// Where a request goes next: to a server, into the queue before the origin, or to its end.
-enum Path {
-    Send(usize),
-    Queue(Micros),
-    End(Micros, RejectReason),
-}
-
-/// One router's decisions; see the crate's documentation for its use.
+use admission::Admission;
+use discovery_schedule::DiscoverySchedule;
+use endpoint_set::EndpointSet;
+use gap_ladder::{GapLadder, MAX_BALANCERS_AT_SHORTEST_TOP};
+use hedging::HedgeBudget;
+use open_request::OpenRequest;
+use origin_queue::OriginQueue;
+use placement::Placement;
+use rate_estimator::RateEstimator;
+use request_table::RequestTable;
+use zone_health::ZoneHealth;
+
+/// Token of the timer for the next call to discovery.
+const DISCOVERY_TIMER: u64 = 0;
+/// Token of the timer at which the queue before the origin is drained.
+const ORIGIN_QUEUE_TIMER: u64 = 1;
+/// Token of the first timer of a request; later ones count up from here.
+const FIRST_REQUEST_TIMER: u64 = 2;
+
+/// The decisions of one balancer; see the crate's documentation for its use.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
-    ladder: Ladder,
-    /// That of the origin, which nothing stands in for: what is not sent there is lost as well.
-    at_origin: Ladder,
     rng: fastrand::Rng,
-    members: Members,
-    placement: Placement,
-    answers: Rate,
-    /// What waits for a place at the origin, with its worth; the longest wait of first tries, by class.
-    queue: Vec<(f64, RequestId)>,
-    first_waits: Vec<Micros>,
-    requests: FxHashMap<RequestId, Pending>,
-    held: FxHashMap<u64, RequestId>,
-    next_token: u64,
-    passing: bool,
-    hedges: f64,
     coordination: OptionalCoordination,
+    discovery: DiscoverySchedule,
+    endpoints: EndpointSet,
+    zones: ZoneHealth,
+    /// How often cache servers respond to this balancer.
+    response_rate: RateEstimator,
+    placement: Placement,
+    cache_ladder: GapLadder,
+    /// Nothing stands in for the origin: what is not sent there is lost as well, so that its gaps are
+    /// shorter.
+    origin_ladder: GapLadder,
+    origin_queue: OriginQueue,
+    admission: Admission,
+    hedge_budget: HedgeBudget,
+    open_requests: RequestTable,
 }
 
 impl Balancer {
     /// A balancer that knows nothing yet but its settings.
     pub fn new(settings: Settings, seed: u64) -> Balancer {
         let settings = settings.sanitized();
+        let origin_balancers = settings.balancers.min(MAX_BALANCERS_AT_SHORTEST_TOP);
         Balancer {
-            ladder: Ladder::new(&settings, settings.balancers),
-            at_origin: Ladder::new(&settings, settings.balancers.min(FEW)),
-            first_waits: vec![Micros(0); settings.classes.len()],
-            members: Members {
-                balancers: settings.balancers,
-                failures: START_FAILURES,
-                start_calls: START_CALLS - 1,
-                ..Members::default()
-            },
-            settings,
             rng: fastrand::Rng::with_seed(seed),
-            placement: Placement::default(),
-            answers: Rate::default(),
-            queue: vec![],
-            requests: FxHashMap::default(),
-            held: FxHashMap::default(),
-            next_token: PASS + 1,
-            passing: false,
-            hedges: HEDGES_SAVED,
             coordination: OptionalCoordination::default(),
+            discovery: DiscoverySchedule::new(&settings),
+            endpoints: EndpointSet::new(settings.balancers),
+            zones: ZoneHealth::default(),
+            response_rate: RateEstimator::default(),
+            placement: Placement::default(),
+            cache_ladder: GapLadder::new(&settings, settings.balancers),
+            origin_ladder: GapLadder::new(&settings, origin_balancers),
+            origin_queue: OriginQueue::default(),
+            admission: Admission::new(settings.classes.len()),
+            hedge_budget: HedgeBudget::new(),
+            open_requests: RequestTable::new(),
+            settings,
         }
     }
 
-    /// Takes one event in and appends what is to be done.
-    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        match event {
-            Event::EndpointsChanged(kind, list) => self.listed(now, kind, list, actions),
-            Event::Request(request) => self.arrived(now, request, actions),
-            Event::ResponseStarted(id) => self.requests.get_mut(&id).into_iter().for_each(|p| p.begun = true),
-            Event::AttemptCompleted(outcome) => self.ended(now, outcome, actions),
-            Event::Timer(DISCOVERY) if !self.settings.subscribe || self.members.failures == 0 => {}
-            // An older timer than that of the next call.
-            Event::Timer(DISCOVERY) if now < self.members.call => {}
-            Event::Timer(DISCOVERY) => actions.push(Action::WatchEndpoints),
-            Event::Timer(PASS) => {
-                self.passing = false;
-                self.pass(now, actions);
-            }
-            Event::Timer(token) => {
-                if let Some(pending) = self.held.remove(&token).and_then(|id| self.requests.remove(&id)) {
-                    self.queue.retain(|(_, queued)| *queued != pending.request.id);
-                    match pending.out() {
-                        Some(_) => self.hedge(now, pending, actions),
-                        None => self.route(now, pending, actions),
-                    }
-                }
-            }
-            Event::ClientDisconnected(id) => {
-                if let Some(pending) = self.requests.remove(&id) {
-                    self.held.remove(&pending.token);
-                    self.queue.retain(|(_, queued)| *queued != id);
-                    if let Some(server) = pending.out().and_then(|a| self.members.find(a.to.server)) {
-                        server.places.free(now, pending.request.is_write, None);
-                        server.places.take(false);
-                    }
-                }
-            }
-        }
-    }
-
-    /// By how much calls at a start are spread, as a part of what a large fleet needs:
-    /// discovery takes calls in turn.
-    fn start_spread(&self) -> f64 {
-        (f64::from(self.settings.balancers) / FULL_SPREAD_FLEET).clamp(LEAST_SPREAD, 1.0)
-    }
-
-    fn listed(&mut self, now: Micros, kind: EndpointUpdate, list: &[Endpoint], actions: &mut Vec<Action>) {
-        let spread = self.settings.rules.discovery_poll_interval.min(ASKING);
-        let start = self.start_spread();
-        if kind == EndpointUpdate::Unavailable {
-            let mut wait = |(least, most)| spread.mul_f64(least + (most - least) * self.rng.f64());
-            let soon = now.saturating_add(wait(SOON));
-            let part = if self.members.failures == START_FAILURES { start } else { 1.0 };
-            let again = wait(AGAIN[self.members.failures]).mul_f64(part);
-            let at = self.members.call.saturating_add(again).max(soon);
-            if self.members.failures == START_FAILURES && self.members.start_calls > 0 {
-                self.members.start_calls -= 1;
-            } else {
-                self.members.failures = (self.members.failures + 1).min(AGAIN.len() - 1);
-            }
-            self.members.call = at;
-            actions.push(Action::Timer { at, token: DISCOVERY });
-            return;
-        }
-        self.members.follow(kind, list, &self.settings);
-        self.coordination.on_endpoints_changed(self.members.hosts());
-        if kind == EndpointUpdate::Restored && self.members.call.0 == 0 && self.settings.subscribe {
-            let at = now
-                .saturating_add(spread.mul_f64(START * start * self.rng.f64()))
-                .saturating_add(self.settings.tick);
-            self.members.call = at;
-            actions.push(Action::Timer { at, token: DISCOVERY });
-        } else if kind != EndpointUpdate::OperatorOverride {
-            (self.members.failures, self.members.call, self.members.start_calls) = (0, now, 0);
-        }
-    }
-
-    fn arrived(&mut self, now: Micros, mut request: Request, actions: &mut Vec<Action>) {
-        request.tenant = request.tenant.min(self.settings.tenants.len() as u32);
-        let spent = self.spent(now, &request);
-        let class = self.settings.class(request.class);
-        let work = request.expected_work.unwrap_or(Micros(0));
-        let aim = class
-            .latency_objective
-            .saturating_add(work.mul_f64(class.latency_objective_per_work))
-            .min(class.deadline.max(class.latency_objective));
-        let aim = now.saturating_add(aim.saturating_sub(spent)).min(request.deadline);
-        let useful = if class.late_priority_weight > 0.0 { request.deadline } else { aim };
-        request.key.filter(|_| !request.is_write).into_iter().for_each(|key| self.placement.count(key));
-        self.route(now, Pending::new(request, useful), actions);
+    /// From now on this balancer keeps to the limits that it shares with others, and acts on what they
+    /// report.
+    pub fn join(&mut self, coordination: Box<dyn Coordination>) {
+        self.coordination = OptionalCoordination(Some(coordination));
     }
 
-    /// The time since the client's first try: a client waits as long as its class has it over all its
-    /// tries, so that a retry with less time left than first tries have tells how much is gone.
-    fn spent(&mut self, now: Micros, request: &Request) -> Micros {
-        let class = self.settings.class(request.class);
-        let left = request.deadline.saturating_sub(now);
-        let first = &mut self.first_waits[(request.class as usize).min(self.settings.classes.len() - 1)];
-        if !request.is_client_retry {
-            *first = left.max(*first);
-            self.coordination.on_first_attempt(now);
-            self.hedges = (self.hedges + HEDGES / self.ladder.least).min(HEDGES_SAVED);
-            return Micros(0);
-        }
-        let gone = class.deadline.saturating_sub(left);
-        gone.mul_f64(if left.saturating_add(self.settings.tick.mul_f64(2.0)) < *first { 1.0 } else { 0.5 })
+    /// The origin that requests go to now, if one serves.
+    pub fn origin(&self) -> Option<ServerId> {
+        let origin = &self.endpoints.servers[self.endpoints.origin?];
+        Some(origin.endpoint.server)
     }
 
-    fn route(&mut self, now: Micros, mut pending: Pending, actions: &mut Vec<Action>) {
-        let id = pending.request.id;
-        match self.path(now, &pending) {
-            Path::Send(at) => self.send(now, at, pending, actions),
-            Path::Queue(wait) => {
-                pending.step = Step::Queued;
-                let share = pending.request.key.map_or(0.0, |key| self.placement.share(key));
-                self.queue.push((share + f64::from(pending.request.is_write), id));
-                self.hold(now, wait, pending, actions);
-                self.next_pass(now, actions);
-                let most = self.members.origin().map_or(0, |s| s.places.freed(QUEUE));
-                if self.queue.len() > most + 2 {
-                    // What is worth least is given up, and told so now.
-                    let worth = |at: &usize| self.queue[*at].0;
-                    let least = (0..self.queue.len()).min_by(|a, b| worth(a).total_cmp(&worth(b)));
-                    self.take_on(now, least.unwrap_or(0), Step::Preempted, actions);
-                }
-            }
-            Path::End(wait, reason) => {
-                self.coordination.on_rejected(now, reason);
-                if pending.may_refuse(self.settings.class(pending.request.class)) {
-                    let limits = &self.settings.limits;
-                    let most = if limits.retry_after { limits.max_retry_after } else { Micros(0) };
-                    let spread = SPREAD.mul_f64(self.rng.f64());
-                    actions.push(Action::Reject {
-                        id,
-                        retry_after: wait.saturating_add(spread).min(most),
-                        reason,
-                    });
-                } else {
-                    actions.push(Action::Fail { id });
-                }
-            }
-        }
-    }
-
-    /// Sends a read that waits for a cache elsewhere as well, if there is a place to spare.
-    fn hedge(&mut self, now: Micros, pending: Pending, actions: &mut Vec<Action>) {
-        let out = pending.out().filter(|_| self.ladder.least <= 1.0).map(|a| (a.to.clone(), a.sent));
-        if let Some((to, sent)) = out {
-            if let Some(server) =
-                self.members.find(to.server).filter(|s| s.places.fair(now.saturating_sub(sent)))
-            {
-                server.gap.outcome(now, sent, true, &self.ladder, self.rng.f64());
-                self.members.told(to.zone, true);
-                self.coordination.on_attempt_completed(now, &to, AttemptResult::Timeout, Some(true));
-            }
-        }
-        match self.path(now, &pending) {
-            Path::Send(at) if self.queue.is_empty() && self.coordination.allows_hedge(now, self.hedges) => {
-                self.hedges -= 1.0;
-                self.send(now, at, pending, actions);
+    /// Takes one event in and appends what is to be done.
+    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::EndpointsChanged(update, endpoints) => {
+                self.on_endpoints_changed(now, update, endpoints, actions);
             }
-            _ => drop(self.requests.insert(pending.request.id, pending)),
+            Event::Request(request) => self.on_request(now, request, actions),
+            Event::ResponseStarted(id) => self.on_response_started(&id),
+            Event::AttemptCompleted(completed) => self.on_attempt_completed(now, &completed, actions),
+            Event::Timer(token) => self.on_timer(now, token, actions),
+            Event::ClientDisconnected(id) => self.on_client_disconnected(now, &id),
         }
     }
 
-    fn send(&mut self, now: Micros, at: usize, mut pending: Pending, actions: &mut Vec<Action>) {
-        let id = pending.request.id;
-        let server = &mut self.members.servers[at];
-        server.budget.iter_mut().for_each(|(left, _)| *left -= 1.0);
-        server.gap.pass(now, pending.request.tenant);
-        server.places.take(pending.request.is_write);
-        let entry = &server.entry;
-        let second = !pending.attempts.is_empty() && !pending.missed;
-        pending.step = Step::Usual;
-        pending.attempts.push(Attempt { to: entry.clone(), sent: now, fate: Fate::Out });
-        let class = self.settings.class(pending.request.class);
-        let origin = self.settings.is_origin(entry);
-        self.coordination.on_send(now, entry, origin, second);
-        let again = class.idempotency == Idempotency::Idempotent && !origin;
-        let unheard = now.saturating_sub(server.heard).0 as f64 / (MEMORY * self.ladder.window.0 as f64);
-        let after = HEDGE_AFTER - HEDGE_SOONER * unheard.min(1.0);
-        let wait = pending.useful.saturating_sub(now).mul_f64(after).max(Micros(1));
-        let twice = self.settings.limits.may_duplicate;
-        let timeout = if again && !twice { wait } else { Micros(0) };
-        actions.push(Action::Send { id, server: entry.server, timeout });
-        if again && twice {
-            return self.hold(now, wait, pending, actions);
-        }
-        self.requests.insert(id, pending);
-    }
-
-    fn hold(&mut self, now: Micros, wait: Micros, mut pending: Pending, actions: &mut Vec<Action>) {
-        let at = now.saturating_add(wait).min(pending.request.deadline).max(now.saturating_add(Micros(1)));
-        pending.token = self.next_token;
-        self.next_token += 1;
-        actions.push(Action::Timer { at, token: pending.token });
-        self.held.insert(pending.token, pending.request.id);
-        self.requests.insert(pending.request.id, pending);
-    }
-
-    fn take_on(&mut self, now: Micros, at: usize, step: Step, actions: &mut Vec<Action>) {
-        let (_, id) = self.queue.swap_remove(at);
-        if let Some(mut pending) = self.requests.remove(&id) {
-            self.held.remove(&pending.token);
-            pending.step = step;
-            self.route(now, pending, actions);
-        }
-    }
-
-    /// How long the origin's gap, or the own part of the fleet's limit there, keeps the next send back.
-    fn closed(&mut self, now: Micros, tenant: u32) -> Micros {
-        let part = self.coordination.wait_time(SharedLimit::OriginRate, now);
-        self.members.origin().map_or(part, |s| s.gap.wait(now, tenant, &self.at_origin).max(part))
-    }
-
-    fn next_pass(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let wait = if self.queue.is_empty() { Micros(0) } else { self.closed(now, 0) };
-        if !self.passing && wait.0 > 0 {
-            self.passing = true;
-            actions.push(Action::Timer { at: now.saturating_add(wait), token: PASS });
-        }
-    }
-
-    /// Gives free places at the origin to what is worth most: writes, then reads of popular keys.
-    fn pass(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        while !self.queue.is_empty() && self.closed(now, 0).0 == 0 {
-            let Some(server) = self.members.origin() else { break };
-            let room = [false, true].map(|write| server.places.room(now, write));
-            let fitting = (0..self.queue.len()).filter(|at| room[usize::from(self.queue[*at].0 >= 1.0)]);
-            let best = fitting.max_by(|a, b| self.queue[*a].0.total_cmp(&self.queue[*b].0));
-            let Some(at) = best else { break };
-            self.take_on(now, at, Step::Booked, actions);
+    /// Discovery answered or failed, or an operator changed endpoints.
+    fn on_endpoints_changed(
+        &mut self,
+        now: Micros,
+        update: EndpointUpdate,
+        endpoints: &[Endpoint],
+        actions: &mut Vec<Action>,
+    ) {
+        let next_call = if update == EndpointUpdate::Unavailable {
+            Some(self.discovery.on_unavailable(now, &mut self.rng))
+        } else {
+            self.endpoints.apply_update(update, endpoints, &self.settings);
+            self.coordination.on_endpoints_changed(self.endpoints.cache_servers());
+            self.discovery.on_endpoints(now, update, &mut self.rng)
+        };
+        if let Some(at) = next_call {
+            actions.push(Action::Timer { at, token: DISCOVERY_TIMER });
         }
-        self.next_pass(now, actions);
     }
 
-    fn path(&mut self, now: Micros, pending: &Pending) -> Path {
-        let used = pending.attempts.len() as u32;
-        let left = self.settings.limits.max_attempts.max(1).saturating_sub(used);
-        let second = used > 0 && !pending.missed;
-        let spent = left == 0 || second && self.coordination.wait_time(SharedLimit::RetryBudget, now).0 > 0;
-        if now >= pending.useful || spent {
-            return Path::End(
-                Micros(0),
-                if spent { RejectReason::AttemptsExhausted } else { RejectReason::ObjectiveMissed },
-            );
-        }
-        let tried = pending.missed || pending.out().is_some() || used as usize >= MAX_HOMES;
-        if self.settings.mode == CacheMode::ReadThrough || !(pending.request.is_write || tried || left == 1) {
-            if let Some(path) = self.at_cache(now, pending) {
-                return path;
-            }
+    /// A streamed response has begun.
+    fn on_response_started(&mut self, id: &RequestId) {
+        if let Some(open) = self.open_requests.get_mut(id) {
+            open.has_response_started = true;
         }
-        self.at_origin(now, pending)
     }
 
-    /// The first of the key's servers that its gap lets through; none if the list has no more.
-    fn at_cache(&mut self, now: Micros, pending: &Pending) -> Option<Path> {
-        let key = pending.request.key.unwrap_or(Key(self.rng.u64(..)));
-        let homes = self.placement.rank(key, now, &self.members.servers, &self.settings);
-        let fair = self.answers.per_s(now) / self.members.servers.len().max(1) as f64;
-        let mut least = None;
-        for place in 0..self.placement.order.len() {
-            let at = self.placement.order[place].1;
-            let astray = self.members.astray(self.members.servers[at].entry.zone);
-            let lost = astray > ASTRAY && self.rng.f64() < astray.min(MOST_PASSED);
-            let server = &mut self.members.servers[at];
-            if lost || pending.attempts.iter().any(|a| a.to.server == server.entry.server) {
-                continue;
-            }
-            let wait = server.gap.wait(now, pending.request.tenant, &self.ladder);
-            if wait.0 > 0 {
-                least = Some(least.unwrap_or(wait).min(wait));
-                continue;
-            }
-            if now < server.places.rest || !server.places.room(now, true) {
-                // A crowded home is no reason to move a key where the origin can serve it.
-                if place + 1 >= homes && self.settings.mode != CacheMode::ReadThrough {
-                    break;
+    /// The timer with this token is due.
+    fn on_timer(&mut self, now: Micros, token: u64, actions: &mut Vec<Action>) {
+        match token {
+            DISCOVERY_TIMER => {
+                if self.discovery.is_call_due(now) {
+                    actions.push(Action::WatchEndpoints);
                 }
-                continue;
             }
-            let class = self.settings.class(pending.request.class);
-            if server.spare(now, fair, &self.settings.rules, &mut self.rng)
-                && self.coordination.admits(now, &server.entry, server.heard, fair)
-                && pending.may_send(now, &server.entry, class, &self.settings.limits)
-            {
-                return Some(Path::Send(at));
+            ORIGIN_QUEUE_TIMER => self.on_drain_timer(now, actions),
+            _ => {
+                if let Some(open) = self.open_requests.take_due(token) {
+                    self.on_request_timer(now, open, actions);
+                }
             }
         }
-        least
-            .filter(|_| self.settings.mode == CacheMode::ReadThrough)
-            .map(|wait| Path::End(wait, RejectReason::AllServersGapped))
     }
 
-    fn at_origin(&mut self, now: Micros, pending: &Pending) -> Path {
-        let request = &pending.request;
-        let wait = self.closed(now, request.tenant);
-        let (settings, room) = (&self.settings, pending.useful.saturating_sub(now));
-        let class = settings.class(request.class);
-        let Some(at) = self.members.origin else {
-            return Path::End(Micros(0), RejectReason::NoEligibleServer);
-        };
-        let server = &mut self.members.servers[at];
-        if !pending.may_send(now, &server.entry, class, &settings.limits) {
-            return Path::End(Micros(0), RejectReason::NoEligibleServer);
-        }
-        let full = wait.0 > 0 || !server.places.room(now, request.is_write);
-        match pending.step {
-            Step::Booked => Path::Send(at),
-            Step::Preempted => Path::End(wait, RejectReason::Preempted),
-            Step::Queued => Path::End(wait, RejectReason::QueueTimeout),
-            _ if !server.places.hopeful(room) => Path::End(wait, RejectReason::DeadlineUnreachable),
-            _ if full || !(request.is_write || self.queue.is_empty()) => {
-                Path::Queue(room.mul_f64(if request.is_write { WRITE_WAITS } else { READ_WAITS }))
-            }
-            _ => Path::Send(at),
+    /// A request has waited long enough for an answer, or for the origin.
+    fn on_request_timer(&mut self, now: Micros, open: OpenRequest, actions: &mut Vec<Action>) {
+        self.origin_queue.remove(&open.request.id);
+        if open.attempt_in_flight().is_some() {
+            self.hedge(now, open, actions);
+        } else {
+            self.route(now, open, actions);
         }
     }
 
-    fn ended(&mut self, now: Micros, outcome: CompletedAttempt, actions: &mut Vec<Action>) {
-        let known = self.requests.remove(&outcome.id);
-        let write = known.as_ref().is_some_and(|p| p.request.is_write);
-        if let Some(server) = self.members.find(outcome.server) {
-            let (origin, zone) = (self.settings.is_origin(&server.entry), server.entry.zone);
-            let (latency, places) = (outcome.latency, &mut server.places);
-            // The origin drops what nobody waits for; a cache server goes on with it.
-            let goes_on = (outcome.result == AttemptResult::Timeout && !origin).then_some(latency);
-            places.free(now, write, goes_on);
-            let rejected = match outcome.result {
-                AttemptResult::Rejected | AttemptResult::ConnectFailed => Some(true),
-                AttemptResult::Timeout if places.fair(latency) => {
-                    places.silent(now, latency, origin);
-                    // A slow origin still refills caches, and its places bound what waits there.
-                    (!origin).then_some(true)
-                }
-                // A connection that breaks tells of itself; a server that is gone, by the next one.
-                AttemptResult::Served | AttemptResult::Miss | AttemptResult::Error | AttemptResult::Reset => {
-                    Some(false)
-                }
-                AttemptResult::Timeout | AttemptResult::Cancelled | AttemptResult::NotSent => None,
-            };
-            if outcome.result == AttemptResult::Served {
-                places.answered(now, latency);
-            }
-            if let Some(rejected) = rejected {
-                let ladder = if origin { &self.at_origin } else { &self.ladder };
-                server.gap.outcome(now, now.saturating_sub(latency), rejected, ladder, self.rng.f64());
-            }
-            let rejected = rejected.filter(|_| !origin);
-            self.coordination.on_attempt_completed(now, &server.entry, outcome.result, rejected);
-            if !origin && matches!(outcome.result, AttemptResult::Served | AttemptResult::Miss) {
-                (server.heard, _) = (now, self.answers.add(now));
-            }
-            rejected.into_iter().for_each(|rejected| self.members.told(zone, rejected));
-        }
-        if let Some(pending) = known {
-            self.go_on(now, pending, &outcome, actions);
+    /// The client has left: its request is forgotten.
+    fn on_client_disconnected(&mut self, now: Micros, id: &RequestId) {
+        let Some(open) = self.open_requests.take(id) else { return };
+        self.origin_queue.remove(id);
+        let Some(attempt) = open.attempt_in_flight() else { return };
+        if let Some(server) = self.endpoints.server_mut(attempt.endpoint.server) {
+            // The end of the attempt will release a read, as its request is no longer known then.
+            server.concurrency.release(now, open.request.is_write, None);
+            server.concurrency.reserve(false);
         }
-        self.pass(now, actions);
     }
 
-    fn go_on(
-        &mut self,
-        now: Micros,
-        mut pending: Pending,
-        outcome: &CompletedAttempt,
-        actions: &mut Vec<Action>,
-    ) {
-        self.held.remove(&pending.token);
-        if outcome.request_closed {
-            return;
-        }
-        if let Some(attempt) = pending.attempts.get_mut(outcome.attempt as usize) {
-            let never = [
-                AttemptResult::Rejected,
-                AttemptResult::ConnectFailed,
-                AttemptResult::NotSent,
-                AttemptResult::Miss,
-            ];
-            attempt.fate = if never.contains(&outcome.result) { Fate::NeverRan } else { Fate::MayHaveRun };
-        }
-        pending.missed |= outcome.result == AttemptResult::Miss;
-        pending.step = Step::Usual;
-        if pending.out().is_some() || pending.begun {
-            self.requests.insert(outcome.id, pending);
-        } else {
-            self.route(now, pending, actions);
-        }
+    /// Keeps a request until the end of an attempt or, after `wait`, a timer.
+    fn park(&mut self, now: Micros, wait: Micros, open: OpenRequest, actions: &mut Vec<Action>) {
+        let (at, token) = self.open_requests.park(now, wait, open);
+        actions.push(Action::Timer { at, token });
     }
 }
 
