--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -6,6 +6,8 @@
 
 mod attempts;
 mod endpoints;
+mod metrics;
+mod overrides;
 mod state;
 mod timers;
 
@@ -20,12 +22,12 @@
 use slog::{debug, Logger};
 use tokio::sync::{oneshot, Notify};
 
-use crate::bans::Bans;
 pub use crate::carrier::{AttemptEnd, Carrier, Upload};
 use crate::clock::{to_ms, Clock};
 use crate::counters::{increment, Counters};
 pub use crate::identifiers::AttemptId;
 use crate::log_throttle::LogThrottle;
+use crate::overrides::OperatorOverrides;
 use crate::request::{upload_handle, ClosedFlag, UploadHandle};
 pub use crate::request::{Attempt, ClientRequest, ClientRequestId};
 use crate::request_metrics::{RequestMetrics, RequestOutcome};
@@ -90,7 +92,7 @@
             actions: Vec::new(),
             last_id: 0,
             servers: FxHashMap::default(),
-            bans: Bans::default(),
+            overrides: OperatorOverrides::default(),
             start_times: StartTimes::default(),
         };
         Rc::new(Dispatcher {
--- a/dispatch/src/dispatcher/endpoints.rs
+++ b/dispatch/src/dispatcher/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in the dispatcher: its changes go to the decisions and the carrier, operators' bans laid over.
+//! The endpoint list in the dispatcher: its changes go to the decisions and the carrier, operator overrides laid over.
 
 use juniperladder::{Endpoint, EndpointState, EndpointUpdate, Event};
 use slog::{info, warn};
@@ -53,7 +53,7 @@
         self.state.borrow_mut().start_times.on_list_confirmed(now);
     }
 
-    /// The update as the decisions are to see it: bounded, with starts on the own clock, and with operators' bans.
+    /// The update as the decisions are to see it: bounded, with starts on the own clock, and with operator overrides.
     fn prepare_update(
         &self,
         state: &mut DispatcherState,
@@ -62,13 +62,13 @@
     ) -> Vec<ListedServer> {
         let now = self.clock.now();
         let mut servers = self.drop_surplus_servers(state, kind, servers);
-        let DispatcherState { start_times, bans, servers: known, .. } = state;
+        let DispatcherState { start_times, overrides, servers: known, .. } = state;
         start_times.set_to_own_clock(&mut servers, now);
         start_times.forget_unlisted(|server| known.contains_key(server));
         if matches!(kind, EndpointUpdate::Delta | EndpointUpdate::Snapshot) {
             start_times.on_list_confirmed(now);
         }
-        bans.over(kind.is_complete(), &servers)
+        overrides.apply_update(kind.is_complete(), &servers)
     }
 
     /// The update without the servers that are more than may be known; they are counted, and logged in one line.
--- /dev/null
+++ b/dispatch/src/dispatcher/metrics.rs
@@ -0,0 +1,69 @@
+//! The dispatcher's figures for operators.
+
+use juniperladder::ServerId;
+use rustc_hash::FxHashSet;
+
+use super::Dispatcher;
+use crate::metrics_text::{MetricKind, MetricsText};
+use crate::request_metrics::RequestOutcome;
+
+/// The line after the last figure.
+const END_OF_FIGURES: &str = "--\n";
+/// The figures of requests that have ended, by the class's name.
+const OUTCOMES: [(&str, RequestOutcome); 3] = [
+    ("passed", RequestOutcome::Served),
+    ("dropped", RequestOutcome::Rejected),
+    ("bad_gateway", RequestOutcome::Failed),
+];
+
+/// How many cache servers there are, and how many of them are avoided now.
+struct ServerCounts {
+    known: usize,
+    /// Offline by an operator, or inside their gap.
+    skipped: usize,
+}
+
+impl Dispatcher {
+    /// The figures in the Prometheus text format, then `additional` ones and the line `--`. `class_names` are in the order of the
+    /// classes' numbers.
+    pub fn metrics_text(&self, class_names: &[String], additional: &str) -> String {
+        let mut text = MetricsText::default();
+        self.write_outcomes(&mut text, class_names);
+        let servers = self.count_servers();
+        let attempts = self.counters().attempts_written.get();
+        text.declared_sample("upstream_tries", MetricKind::Counter, attempts);
+        text.declared_sample("in_progress", MetricKind::Gauge, self.requests_in_progress());
+        text.declared_sample("known_cache_hosts", MetricKind::Gauge, servers.known);
+        text.declared_sample("skipped_cache_hosts", MetricKind::Gauge, servers.skipped);
+        text.into_string() + additional + END_OF_FIGURES
+    }
+
+    fn write_outcomes(&self, text: &mut MetricsText, class_names: &[String]) {
+        for (figure, outcome) in OUTCOMES {
+            text.declare(figure, MetricKind::Counter);
+            for (class, count) in self.request_metrics.count_by_class(outcome).into_iter().enumerate() {
+                let name = class_names.get(class).map_or("unknown", String::as_str);
+                text.labelled_sample(figure, ("category", name), count);
+            }
+        }
+    }
+
+    fn count_servers(&self) -> ServerCounts {
+        let state = self.state.borrow();
+        let limits = state.balancer.limits(self.clock().now());
+        let gapped: FxHashSet<ServerId> =
+            limits.servers.iter().filter(|limit| limit.gap.0 > 0).map(|limit| limit.server).collect();
+        let mut counts = ServerCounts { known: 0, skipped: 0 };
+        for listed in state.overrides.listed_servers() {
+            let endpoint = &listed.endpoint;
+            if self.origin == Some(endpoint.kind) {
+                continue;
+            }
+            counts.known += 1;
+            if state.overrides.is_offline(endpoint.server) || gapped.contains(&endpoint.server) {
+                counts.skipped += 1;
+            }
+        }
+        counts
+    }
+}
--- a/dispatch/src/operators/tests.rs
+++ b/dispatch/src/dispatcher/overrides/tests.rs
@@ -1,9 +1,9 @@
-//! Operators' calls and pages, on a dispatcher without a network.
+//! Operators' calls, on a dispatcher without a network.
 
 use std::rc::Rc;
 
 use bytes::Bytes;
-use juniperladder::{EndpointState, Idempotency};
+use juniperladder::{EndpointState, Idempotency, ServerId};
 use tokio::task::spawn_local;
 use tokio::time::{timeout, Duration};
 
@@ -49,16 +49,16 @@
 /// A call is no news from discovery: the balancer goes on to ask for the list, the first time as well as
 /// after a watch was lost, or it would send by a list that nobody keeps up to date.
 #[test]
-fn an_operators_call_puts_off_no_watch() {
+fn an_operators_call_puts_off_no_poll() {
     testing::run(async {
         let (dispatcher, _) = balancer();
         let within =
             Duration::from_micros(settings(3, Idempotency::Idempotent).rules.discovery_poll_interval.0);
         for _ in 0..3 {
-            dispatcher.offline(NAME).unwrap();
-            dispatcher.online(NAME).unwrap();
-            dispatcher.restore_ban(NAME);
-            dispatcher.online(NAME).unwrap();
+            dispatcher.take_offline(NAME).unwrap();
+            dispatcher.bring_online(NAME).unwrap();
+            dispatcher.restore_override(NAME);
+            dispatcher.bring_online(NAME).unwrap();
             timeout(within, dispatcher.wait_for_watch_request())
                 .await
                 .expect("the list has to be asked for in time");
@@ -71,7 +71,7 @@
 /// From the call out to the call back nothing goes to the server, whatever discovery says and whoever
 /// replaces the process; then it serves again.
 #[test]
-fn nothing_goes_to_a_host_out_by_hand_whatever_discovery_says() {
+fn nothing_goes_to_a_server_that_is_offline_whatever_discovery_says() {
     testing::run(async {
         let mut fleet: Vec<_> = (0..3).map(|_| balancer()).collect();
         let others: Vec<ListedServer> =
@@ -90,34 +90,36 @@
         ];
         for (dispatcher, recorder) in &fleet {
             assert!(sent_there(dispatcher, recorder, 40).await > 0, "it is in use");
-            dispatcher.offline(NAME).unwrap();
+            dispatcher.take_offline(NAME).unwrap();
         }
         for (kind, servers) in news {
             for (dispatcher, recorder) in &fleet {
                 dispatcher.on_endpoints_changed(kind, &servers);
                 assert_eq!(sent_there(dispatcher, recorder, 40).await, 0, "{kind:?} {servers:?}");
-                dispatcher.offline(NAME).expect("a second call is the same");
+                dispatcher.take_offline(NAME).expect("a second call is the same");
                 if dispatcher
                     .state
                     .borrow()
-                    .bans
-                    .listed()
+                    .overrides
+                    .listed_servers()
                     .any(|listed_server| listed_server.endpoint.server == SERVER)
                 {
-                    assert!(dispatcher.figures(&[], "").contains("skipped_cache_hosts 1\n"));
+                    assert!(dispatcher.metrics_text(&[], "").contains("skipped_cache_hosts 1\n"));
                 }
             }
             // One is replaced: what it knew by hand goes on in its successor.
-            let names = fleet.remove(0).0.banned();
+            let names = fleet.remove(0).0.offline_servers();
             let successor = balancer();
-            names.iter().for_each(|name| successor.0.restore_ban(name));
+            names.iter().for_each(|name| successor.0.restore_override(name));
             assert_eq!(sent_there(&successor.0, &successor.1, 40).await, 0);
             fleet.push(successor);
         }
         for (dispatcher, recorder) in &fleet {
-            dispatcher.online(NAME).unwrap();
+            dispatcher.bring_online(NAME).unwrap();
             assert!(sent_there(dispatcher, recorder, 400).await > 0, "it serves again within 4 s");
         }
-        assert_eq!(fleet[0].0.offline("s-0000abcd"), Err(NEVER_LISTED));
+        assert_eq!(fleet[0].0.take_offline("s-0000abcd"), Err(UnknownServer));
+        let answer = "no such cache host has been listed; give an instanceId of the list";
+        assert_eq!(UnknownServer.to_string(), answer);
     });
 }
--- a/dispatch/src/dispatcher/state.rs
+++ b/dispatch/src/dispatcher/state.rs
@@ -10,9 +10,9 @@
 use rustc_hash::FxHashMap;
 use tokio::sync::oneshot;
 
-use crate::bans::Bans;
 use crate::carrier::Carrier;
 use crate::identifiers::AttemptId;
+use crate::overrides::OperatorOverrides;
 use crate::request::{ClientRequest, ClientRequestId, ClosedFlag};
 use crate::start_times::StartTimes;
 use crate::values::Answer;
@@ -78,7 +78,7 @@
     /// The last number that was given to a request or an attempt.
     pub(super) last_id: u64,
     pub(super) servers: FxHashMap<ServerId, KnownServer>,
-    pub(crate) bans: Bans,
+    pub(crate) overrides: OperatorOverrides,
     pub(super) start_times: StartTimes,
 }
 
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -3,14 +3,14 @@
 //! [`dispatcher::Dispatcher`] owns the decisions, the open requests, the attempts and the timers;
 //! [`values`] are what every front and every protocol shares.
 
-pub mod bans;
 pub mod carrier;
 pub mod clock;
 pub mod counters;
 pub mod dispatcher;
 pub mod identifiers;
 pub mod log_throttle;
-pub mod operators;
+pub mod metrics_text;
+pub mod overrides;
 pub mod request;
 pub mod request_metrics;
 pub mod start_times;
--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -154,17 +154,17 @@
     /// The figures, those of the coordination with other balancers with them where there is any.
     fn metrics(&self) -> String {
         let coordination = self.peers.as_ref().map(|peers| peers.text());
-        self.dispatcher.figures(&self.class_names, &coordination.unwrap_or_default())
+        self.dispatcher.metrics_text(&self.class_names, &coordination.unwrap_or_default())
     }
 
     /// Puts a server offline or online; it holds in this process before the answer waits for it to be written.
     async fn set_override(&self, server: &str, state: OverrideState) -> String {
         let applied = match state {
-            OverrideState::Offline => self.dispatcher.offline(server),
-            OverrideState::Online => self.dispatcher.online(server),
+            OverrideState::Offline => self.dispatcher.take_offline(server),
+            OverrideState::Online => self.dispatcher.bring_online(server),
         };
-        if let Err(reason) = applied {
-            return nak(reason);
+        if let Err(unknown) = applied {
+            return nak(&unknown.to_string());
         }
         info!(self.log, "operator override set"; "server" => server, "state" => state.label());
         let change = self.overrides.record(server, state);
--- a/node/src/admin/tests.rs
+++ b/node/src/admin/tests.rs
@@ -130,7 +130,7 @@
         let answer = admin.answer(Call::Offline(SERVER.into())).await;
         assert_eq!(answer, format!("ACK {SERVER} out by hand; not kept for a successor yet\n"));
         assert_eq!(admin.answer(Call::Health).await, "ACK ready\n");
-        assert_eq!(admin.dispatcher.banned(), [SERVER]);
+        assert_eq!(admin.dispatcher.offline_servers(), [SERVER]);
         lock.unlock().unwrap();
         admin.overrides.wait_until_attempted(ChangeId::default().next()).await;
         let stored = std::fs::read_to_string(dir.path().join("n0.bans")).unwrap();
--- a/node/src/override_store.rs
+++ b/node/src/override_store.rs
@@ -95,7 +95,7 @@
             Ok(names) => {
                 info!(log, "operator overrides restored"; "servers" => names.len());
                 for name in names {
-                    dispatcher.restore_ban(name);
+                    dispatcher.restore_override(name);
                 }
             }
             Err(error) => info!(log, "no operator overrides restored"; "reason" => %error),
@@ -170,7 +170,7 @@
         changes: BTreeMap<String, OverrideState>,
     ) -> Result<Option<FileContent>, SynchronizeError> {
         let path = self.path.clone();
-        let own = self.dispatcher.banned();
+        let own = self.dispatcher.offline_servers();
         let last_seen = self.last_seen.get();
         let updated = spawn_blocking(move || file::update(&path, &own, &changes, last_seen)).await?;
         Ok(updated?)
@@ -193,18 +193,18 @@
     /// Applies the overrides that the file has and this process lacks, and ends those that the file lacks; `stored` is
     /// sorted. Servers with a pending change are left as they are.
     fn apply_stored(&self, stored: &[String]) {
-        let own = self.dispatcher.banned();
+        let own = self.dispatcher.offline_servers();
         for server in stored {
             if own.binary_search(server).is_err() && !self.is_pending(server) {
                 self.log_change_of_other_process(server, OverrideState::Offline);
-                self.dispatcher.restore_ban(server);
+                self.dispatcher.restore_override(server);
             }
         }
         for server in &own {
             if stored.binary_search(server).is_err() && !self.is_pending(server) {
                 self.log_change_of_other_process(server, OverrideState::Online);
                 // The server was offline here, so that it is known.
-                let _ = self.dispatcher.online(server);
+                let _ = self.dispatcher.bring_online(server);
             }
         }
     }
--- a/node/src/override_store/tests.rs
+++ b/node/src/override_store/tests.rs
@@ -22,17 +22,17 @@
     }
 
     fn offline(&self, server: &str) -> ChangeId {
-        self.dispatcher.offline(server).unwrap();
+        self.dispatcher.take_offline(server).unwrap();
         self.store.record(server, OverrideState::Offline)
     }
 
     fn online(&self, server: &str) -> ChangeId {
-        self.dispatcher.online(server).unwrap();
+        self.dispatcher.bring_online(server).unwrap();
         self.store.record(server, OverrideState::Online)
     }
 
     fn offline_servers(&self) -> Vec<String> {
-        self.dispatcher.banned()
+        self.dispatcher.offline_servers()
     }
 }
 
