--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -153,7 +153,7 @@
 
     /// The figures, those of the coordination with other balancers with them where there is any.
     fn metrics(&self) -> String {
-        let coordination = self.peers.as_ref().map(|peers| peers.text());
+        let coordination = self.peers.as_ref().map(|peers| peers.metrics_text());
         self.dispatcher.metrics_text(&self.class_names, &coordination.unwrap_or_default())
     }
 
--- /dev/null
+++ b/node/src/coordination.rs
@@ -0,0 +1,127 @@
+//! What the decisions see of the coordination with other balancers: the limits that all share, and what others report of
+//! servers.
+//!
+//! Nothing here waits for another balancer. A limit that the operators' file does not set binds nobody ([`Coordination`] gives
+//! no wait for it), and without a failure detector no server is suspected.
+
+mod metrics;
+
+use std::cell::RefCell;
+use std::rc::Rc;
+
+use juniperladder::{Coordination, Micros, ServerId, ServingServer, SharedLimit};
+use juniperladder_cluster::cold::Start;
+use juniperladder_cluster::rate_limit::RateLimit;
+use juniperladder_cluster::Cluster;
+
+use crate::cluster_config::ORIGIN_LIMIT;
+pub use metrics::metrics_text;
+
+/// How long a request waits where this balancer owns nothing of a limit now: something may be leased to it by then.
+const LEASE_RETRY_INTERVAL: Micros = Micros::from_millis(50);
+
+/// The decisions' view of this balancer's member of the cluster.
+#[derive(Debug)]
+pub struct ClusterCoordination {
+    cluster: Rc<RefCell<Cluster>>,
+}
+
+impl ClusterCoordination {
+    /// The view of this member.
+    pub fn new(cluster: Rc<RefCell<Cluster>>) -> ClusterCoordination {
+        ClusterCoordination { cluster }
+    }
+}
+
+/// This member's part of a rate limit; none where there is no such limit, or the server is warm.
+fn rate_limit(cluster: &mut Cluster, limit: SharedLimit, now: Micros) -> Option<&mut RateLimit> {
+    match limit {
+        SharedLimit::OriginRate => cluster.limit(ORIGIN_LIMIT),
+        SharedLimit::SlowStart(server, started) => cluster.cold(incarnation(server, started), now).0,
+        SharedLimit::RetryBudget => None,
+    }
+}
+
+/// How long a request to a server that warms up waits; none where the server is warm.
+fn slow_start_wait(cluster: &mut Cluster, server: ServerId, started: Micros, now: Micros) -> Option<Micros> {
+    match cluster.cold(incarnation(server, started), now) {
+        (Some(limit), _) => Some(limit.wait_time(now)),
+        (None, is_closed) => is_closed.then_some(LEASE_RETRY_INTERVAL),
+    }
+}
+
+fn incarnation(server: ServerId, started: Micros) -> Start {
+    Start { server: server.0, started }
+}
+
+impl Coordination for ClusterCoordination {
+    fn wait_time(&mut self, limit: SharedLimit, now: Micros) -> Option<Micros> {
+        let mut cluster = self.cluster.borrow_mut();
+        match limit {
+            SharedLimit::RetryBudget => {
+                let has_token = cluster.second()?.has(now);
+                Some(if has_token { Micros::ZERO } else { LEASE_RETRY_INTERVAL })
+            }
+            SharedLimit::SlowStart(server, started) => slow_start_wait(&mut cluster, server, started, now),
+            SharedLimit::OriginRate => cluster.limit(ORIGIN_LIMIT).map(|limit| limit.wait_time(now)),
+        }
+    }
+
+    fn acquire(&mut self, limit: SharedLimit, now: Micros) {
+        let mut cluster = self.cluster.borrow_mut();
+        if limit == SharedLimit::RetryBudget {
+            if let Some(budget) = cluster.second() {
+                budget.spend(now);
+            }
+        } else if let Some(rate_limit) = rate_limit(&mut cluster, limit, now) {
+            rate_limit.acquire(now);
+        }
+    }
+
+    fn on_rejected(&mut self, limit: SharedLimit, now: Micros) {
+        let mut cluster = self.cluster.borrow_mut();
+        if limit == SharedLimit::RetryBudget {
+            if let Some(budget) = cluster.second() {
+                budget.denied(now);
+            }
+        } else if let Some(rate_limit) = rate_limit(&mut cluster, limit, now) {
+            rate_limit.on_rejected(now);
+        }
+    }
+
+    fn on_first_attempt(&mut self, _now: Micros) {
+        if let Some(budget) = self.cluster.borrow_mut().second() {
+            budget.first();
+        }
+    }
+
+    fn on_endpoints_changed(&mut self, servers: &[ServingServer]) {
+        let servers =
+            servers.iter().map(|serving| (incarnation(serving.server, serving.started), serving.zone));
+        if let Some(failure_detector) = self.cluster.borrow_mut().verdicts() {
+            failure_detector.listed(servers);
+        }
+    }
+
+    fn on_server_observed(&mut self, server: ServerId, started: Micros, silent: bool, now: Micros) {
+        if let Some(failure_detector) = self.cluster.borrow_mut().verdicts() {
+            failure_detector.saw(incarnation(server, started), silent, now);
+        }
+    }
+
+    fn is_suspected(
+        &mut self,
+        server: ServerId,
+        started: Micros,
+        last_response: Micros,
+        attempts_per_s: f64,
+        now: Micros,
+    ) -> bool {
+        let mut cluster = self.cluster.borrow_mut();
+        let Some(failure_detector) = cluster.verdicts() else { return false };
+        failure_detector.warned(incarnation(server, started), last_response, attempts_per_s, now)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -214,7 +214,7 @@
     let clock = *dispatcher.clock();
     let peers = Peers::start(cluster, config.position, &config.settings, config.seed, clock, log.clone())
         .map_err(|error| StartError::Peers(error.into()))?;
-    dispatcher.join(peers.fleet());
+    dispatcher.join(peers.coordination());
     let running = Rc::clone(&peers);
     spawn_local(async move { running.run().await });
     Ok(Some(peers))
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -1,42 +1,63 @@
-//! Talk between balancers, by UDP: carries `cluster/`'s packets and tells its figures. Switched on by the operators' file
-//! alone.
+//! The connection to the other balancers, by UDP: carries the packets of this balancer's member of the cluster. Only the
+//! operators' file switches it on.
 //!
-//! Bounded: so many packets are read in one turn, the rest waits in the socket's own buffer and is lost beyond that;
-//! what goes out is bounded by the cluster, and a socket that takes no more loses it.
+//! Guarantee: no packet holds a request up. At most [`PACKETS_PER_TURN`] packets are read in one turn; the rest waits in the
+//! socket's buffer and is lost beyond that. What goes out is bounded by the cluster; what the socket does not take is lost, as
+//! any packet may be, and the cluster's protocol repeats what matters.
 
 use std::cell::RefCell;
+use std::io;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 use juniperladder::{Coordination, Settings};
-use juniperladder_cluster::{Cluster, Figures, LONGEST};
+use juniperladder_cluster::{Cluster, LONGEST as MAX_PACKET_BYTES};
 use slog::{info, Logger};
+use thiserror::Error;
 use tokio::net::UdpSocket;
 use tokio::time::{sleep_until, Instant};
 
 use crate::clock::Clock;
-use crate::cluster_config::ClusterConfig;
-use crate::together::Together;
+use crate::cluster_config::{ClusterConfig, MissingPosition};
+use crate::coordination::{metrics_text, ClusterCoordination};
 
-/// How often what is due is done.
-const TICK: Duration = Duration::from_millis(50);
-/// Packets that are read in one turn.
-const TURN: usize = 64;
+/// How often the cluster does what is due.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// How many packets are read in one turn.
+const PACKETS_PER_TURN: usize = 64;
 
-/// This balancer's side of the talk.
+/// Why the other balancers cannot be joined.
+#[derive(Debug, Error)]
+pub enum PeersError {
+    /// The address for peers cannot be bound.
+    #[error("cannot hear peers on {address}: {source}; give peers.listen a free address")]
+    Listen {
+        /// The configured address.
+        address: SocketAddr,
+        /// What the system said.
+        source: io::Error,
+    },
+    /// The cluster cannot be configured.
+    #[error(transparent)]
+    Position(#[from] MissingPosition),
+}
+
+/// This balancer's member of the cluster, and its socket.
 pub struct Peers {
     cluster: Rc<RefCell<Cluster>>,
     socket: UdpSocket,
     clock: Clock,
-    bound: f64,
+    /// What is stated of the origin's limit, as a multiple of the rate.
+    stated_bound: f64,
     log: Logger,
 }
 
 impl Peers {
-    /// Binds the peers' address and begins to be a member.
+    /// Binds the address for peers and becomes a member.
     ///
     /// # Errors
-    /// One line that says what is in the way.
+    /// The address can't be bound, or nothing gives this balancer's position.
     pub fn start(
         config: &ClusterConfig,
         position: Option<u32>,
@@ -44,84 +65,88 @@
         seed: u64,
         clock: Clock,
         log: Logger,
-    ) -> Result<Rc<Peers>, String> {
-        let listen = config.peers.listen_address;
-        let wrong = |e: std::io::Error| {
-            format!("cannot hear peers on {listen}: {e}; give peers.listen a free address")
-        };
-        let socket = std::net::UdpSocket::bind(listen).map_err(wrong)?;
-        socket.set_nonblocking(true).map_err(wrong)?;
-        let socket = UdpSocket::from_std(socket).map_err(wrong)?;
-        let here = socket.local_addr().map_err(wrong)?;
+    ) -> Result<Rc<Peers>, PeersError> {
+        let address = config.peers.listen_address;
+        let listen_error = |source| PeersError::Listen { address, source };
+        let socket = bind(address).map_err(listen_error)?;
+        let bound = socket.local_addr().map_err(listen_error)?;
         let now = clock.now();
-        // The clock counts Unix time, so that a later life has a greater number.
-        let plan = config.plan(here, position, settings, now.0, seed).map_err(|error| error.to_string())?;
-        info!(log, "talk between balancers"; "address" => plan.address.to_string(), "position" => plan.position);
+        // The clock counts Unix time, so that a later incarnation has a greater number.
+        let plan = config.plan(bound, position, settings, now.0, seed)?;
+        info!(log, "peer coordination started"; "address" => plan.address.to_string(),
+            "position" => plan.position);
         let cluster = Rc::new(RefCell::new(Cluster::new(plan, now)));
-        Ok(Rc::new(Peers { cluster, socket, clock, bound: config.stated_bound(), log }))
+        Ok(Rc::new(Peers { cluster, socket, clock, stated_bound: config.stated_bound(), log }))
     }
 
-    /// What the decisions see of it.
-    pub fn fleet(&self) -> Box<dyn Coordination> {
-        Box::new(Together::new(Rc::clone(&self.cluster)))
+    /// What the decisions see of the cluster.
+    pub fn coordination(&self) -> Box<dyn Coordination> {
+        Box::new(ClusterCoordination::new(Rc::clone(&self.cluster)))
     }
 
     /// Carries packets for as long as it is polled.
     pub async fn run(&self) {
-        let mut next = Instant::now();
-        let mut members = 0;
+        let mut next_tick = Instant::now();
+        let mut alive_members = 0;
         loop {
-            let ready = tokio::select! {
-                () = sleep_until(next) => false,
+            let has_packets = tokio::select! {
+                () = sleep_until(next_tick) => false,
                 ready = self.socket.readable() => ready.is_ok(),
             };
-            if ready {
-                self.read();
+            if has_packets {
+                self.receive();
             }
-            if Instant::now() >= next {
-                // A turn that was missed is not made up for.
-                next = Instant::now() + TICK;
+            if Instant::now() >= next_tick {
+                // A tick that was missed is not made up for.
+                next_tick = Instant::now() + TICK_INTERVAL;
                 self.cluster.borrow_mut().tick(self.clock.now());
-                let alive = self.cluster.borrow().members().alive;
-                if alive != members {
-                    members = alive;
-                    info!(self.log, "members"; "alive" => alive);
-                }
+                self.log_members(&mut alive_members);
             }
-            self.write();
+            self.send();
         }
     }
 
-    /// Takes what has come, up to a turn's worth.
-    fn read(&self) {
-        let mut packet = [0; LONGEST + 1];
-        for _ in 0..TURN {
-            // Word that an earlier packet found nobody is no packet; an empty buffer ends the turn.
+    /// Reads what has come, up to a turn's worth.
+    fn receive(&self) {
+        // One byte more than any packet has shows that it is too long.
+        let mut packet = [0; MAX_PACKET_BYTES + 1];
+        for _ in 0..PACKETS_PER_TURN {
+            // An error is the system's word that an earlier packet reached nobody, or that no packet waits.
             let Ok((length, from)) = self.socket.try_recv_from(&mut packet) else { return };
             self.cluster.borrow_mut().heard(self.clock.now(), from, &packet[..length]);
         }
     }
 
-    fn write(&self) {
-        for (to, bytes) in self.cluster.borrow_mut().drain() {
-            // What does not go now is lost, as any packet may be.
-            let _ = self.socket.try_send_to(&bytes, to);
+    fn send(&self) {
+        for (to, packet) in self.cluster.borrow_mut().drain() {
+            let _ = self.socket.try_send_to(&packet, to);
         }
     }
 
-    /// Says that this balancer leaves.
-    pub fn leave(&self) {
-        self.cluster.borrow_mut().leave(self.clock.now());
-        self.write();
+    /// Logs how many members are alive where that differs from `last`.
+    fn log_members(&self, last: &mut usize) {
+        let alive = self.cluster.borrow().members().alive;
+        if alive != *last {
+            *last = alive;
+            info!(self.log, "number of alive members changed"; "alive" => alive);
+        }
     }
 
-    /// The figures.
-    pub fn figures(&self) -> Figures {
-        self.cluster.borrow_mut().figures(self.clock.now())
+    /// Tells the others that this balancer leaves.
+    pub fn leave(&self) {
+        self.cluster.borrow_mut().leave(self.clock.now());
+        self.send();
     }
 
     /// The figures in the Prometheus text format.
-    pub fn text(&self) -> String {
-        crate::together::text(&self.figures(), self.bound)
+    pub fn metrics_text(&self) -> String {
+        let figures = self.cluster.borrow_mut().figures(self.clock.now());
+        metrics_text(&figures, self.stated_bound)
     }
 }
+
+fn bind(address: SocketAddr) -> io::Result<UdpSocket> {
+    let socket = std::net::UdpSocket::bind(address)?;
+    socket.set_nonblocking(true)?;
+    UdpSocket::from_std(socket)
+}
