--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -64,18 +64,18 @@
 impl Daemon {
     /// Builds every part and starts its tasks.
     async fn start(config: Config, log: Logger) -> Result<Daemon, StartError> {
-        let resource_limits = ResourceLimits::from_configured(config.limits);
+        let resource_limits = ResourceLimits::from_configured(config.resource_limits);
         let longest_deadline = longest_deadline(&config);
         let dispatcher = build_dispatcher(&config, &resource_limits, longest_deadline, &log);
         let peers = join_peers(&config, &dispatcher, &log)?;
 
-        let list_reader = EndpointListReader::new(config.names);
-        let known_version = config.known.version;
-        let known_servers = list_reader.read(config.known, &log);
+        let list_reader = EndpointListReader::new(config.site_names);
+        let known_version = config.known_endpoints.version;
+        let known_servers = list_reader.read(config.known_endpoints, &log);
         dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &known_servers);
 
         let shutdown = Rc::new(GracefulShutdown::default());
-        let listener = bind_client_listener(config.listen).await?;
+        let listener = bind_client_listener(config.client_address).await?;
         let class_names = config.labels.classes.clone();
         let downstream = Downstream::new(
             Rc::clone(&dispatcher),
@@ -84,17 +84,17 @@
             resource_limits,
             log.clone(),
         );
-        let address = listener.local_addr().unwrap_or(config.listen);
+        let address = listener.local_addr().unwrap_or(config.client_address);
         info!(log, "listening"; "address" => address.to_string(), "servers" => known_servers.len());
         info!(log, "settings"; "endpoint_list_version" => known_version,
             "discovery_poll_interval_ms" => clock::to_ms(config.settings.rules.discovery_poll_interval),
-            "lists" => if config.pushed.is_some() { "pushed" } else { "polled" },
+            "lists" => if config.pushed_list_backoff.is_some() { "pushed" } else { "polled" },
             "longest_deadline_ms" => longest_deadline.as_millis(),
             "unix_ms" => clock::to_ms(dispatcher.clock().now()));
 
         start_timers(&dispatcher);
         let mut is_successor = false;
-        if let Some(address) = config.mgmt {
+        if let Some(address) = config.admin_address {
             let listener = bind_admin_listener(address).await?;
             let connections = AdminConnections {
                 open: downstream.admin_connections(),
@@ -115,9 +115,12 @@
             spawn_local(admin.accept(listener));
         }
 
-        let policy =
-            PollPolicy { at_start: is_successor, pushed_list_backoff: config.pushed, seed: config.seed };
-        let (discovery_address, address_changes) = watch::channel(config.discovery);
+        let policy = PollPolicy {
+            at_start: is_successor,
+            pushed_list_backoff: config.pushed_list_backoff,
+            seed: config.seed,
+        };
+        let (discovery_address, address_changes) = watch::channel(config.discovery_address);
         spawn_local(discovery::follow(
             list_reader,
             Some(known_version),
@@ -191,7 +194,7 @@
         connections: resource_limits.server_connections,
         piece: resource_limits.chunk_bytes,
         connect_timeout: config.connect_timeout,
-        idle: config.idle,
+        idle: config.server_idle_timeout,
         late: longest_deadline,
         may_duplicate: config.settings.limits.may_duplicate,
         origin: config.settings.mode.origin(),
--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -50,7 +50,7 @@
     pub(crate) async fn run(self: Rc<Self>) {
         match self.read().await {
             Ok(config) => {
-                self.set_discovery(config.discovery);
+                self.set_discovery(config.discovery_address);
                 increment(&self.dispatcher.counters().reloads);
                 info!(self.log, "configuration read"; "discovery" => self.discovery.borrow().to_string());
             }
@@ -64,7 +64,7 @@
     async fn read(&self) -> Result<Config, ReloadError> {
         let file = self.file.clone().ok_or(ReloadError::NoFile)?;
         let text = retry_transient(|| std::fs::read(&file)).await;
-        Config::of_file(file, text).map_err(|error| ReloadError::Configuration(error.into()))
+        Config::from_file_content(file, text).map_err(|error| ReloadError::Configuration(error.into()))
     }
 
     fn set_discovery(&self, address: SocketAddr) {
--- a/node/tests/two_deployments.rs
+++ b/node/tests/two_deployments.rs
@@ -41,7 +41,7 @@
         let dispatcher = testing::dispatcher(config.settings, recorder.clone(), 3);
         let timers = Rc::clone(&dispatcher);
         spawn_local(async move { timers.run_timers().await });
-        let resource_limits = ResourceLimits::from_configured(config.limits);
+        let resource_limits = ResourceLimits::from_configured(config.resource_limits);
         let downstream = Downstream::new(
             Rc::clone(&dispatcher),
             config.labels,
