--- a/dispatch/src/dispatcher/metrics.rs
+++ b/dispatch/src/dispatcher/metrics.rs
@@ -10,7 +10,7 @@
 /// The line after the last figure.
 const END_OF_FIGURES: &str = "--\n";
 /// The figures of requests that have ended, by the class's name.
-const OUTCOMES: [(&str, RequestOutcome); 3] = [
+const OUTCOME_FIGURES: [(&str, RequestOutcome); 3] = [
     ("passed", RequestOutcome::Served),
     ("dropped", RequestOutcome::Rejected),
     ("bad_gateway", RequestOutcome::Failed),
@@ -39,7 +39,7 @@
     }
 
     fn write_outcomes(&self, text: &mut MetricsText, class_names: &[String]) {
-        for (figure, outcome) in OUTCOMES {
+        for (figure, outcome) in OUTCOME_FIGURES {
             text.declare(figure, MetricKind::Counter);
             for (class, count) in self.request_metrics.count_by_class(outcome).into_iter().enumerate() {
                 let name = class_names.get(class).map_or("unknown", String::as_str);
@@ -54,7 +54,7 @@
         let gapped: FxHashSet<ServerId> =
             limits.servers.iter().filter(|limit| limit.gap.0 > 0).map(|limit| limit.server).collect();
         let mut counts = ServerCounts { known: 0, skipped: 0 };
-        for listed in state.overrides.listed_servers() {
+        for listed in state.overrides.discovered_servers() {
             let endpoint = &listed.endpoint;
             if self.origin == Some(endpoint.kind) {
                 continue;
--- a/dispatch/src/dispatcher/overrides/tests.rs
+++ b/dispatch/src/dispatcher/overrides/tests.rs
@@ -101,7 +101,7 @@
                     .state
                     .borrow()
                     .overrides
-                    .listed_servers()
+                    .discovered_servers()
                     .any(|listed_server| listed_server.endpoint.server == SERVER)
                 {
                     assert!(dispatcher.metrics_text(&[], "").contains("skipped_cache_hosts 1\n"));
--- a/dispatch/src/overrides.rs
+++ b/dispatch/src/overrides.rs
@@ -27,7 +27,7 @@
     since: Micros,
 }
 
-/// An override that has ended while discovery had told of no start of the server since it began.
+/// An override that has ended while discovery had reported no start of the server since it began.
 #[derive(Clone, Copy, Debug)]
 struct EndedOverride {
     since: Micros,
@@ -38,7 +38,7 @@
 #[derive(Debug, Default)]
 pub struct OperatorOverrides {
     offline: FxHashMap<ServerId, OfflineOverride>,
-    /// Whatever an operator did to such a server, it counts as started when its override ended, until discovery tells of a
+    /// Whatever an operator did to such a server, it counts as started when its override ended, until discovery reports a
     /// start since the override began.
     ended: FxHashMap<ServerId, EndedOverride>,
     listed: FxHashMap<ServerId, ListedServer>,
@@ -55,12 +55,12 @@
             self.listed.clear();
         }
         for server in servers {
-            self.on_listed(server);
+            self.record_endpoint(server);
         }
         servers.iter().map(|server| self.with_override(server)).collect()
     }
 
-    fn on_listed(&mut self, listed: &ListedServer) {
+    fn record_endpoint(&mut self, listed: &ListedServer) {
         let endpoint = &listed.endpoint;
         let server = endpoint.server;
         self.remember(server);
@@ -128,7 +128,7 @@
     }
 
     /// Ends an override, if there is one. Returns the server as the decisions are to see it if it is listed: it comes back as one
-    /// that has just started, unless discovery has told of a start since the override began.
+    /// that has just started, unless discovery has reported a start since the override began.
     ///
     /// # Errors
     /// The server is not offline, and has never been listed as far as that is remembered.
@@ -165,7 +165,7 @@
     }
 
     /// The servers listed now, as discovery has them.
-    pub fn listed_servers(&self) -> impl Iterator<Item = &ListedServer> {
+    pub fn discovered_servers(&self) -> impl Iterator<Item = &ListedServer> {
         self.listed.values()
     }
 }
--- a/dispatch/src/overrides/tests.rs
+++ b/dispatch/src/overrides/tests.rs
@@ -43,7 +43,7 @@
         let anew = listed_server(7, EndpointState::Serving, NOW.0 + 1);
         assert_eq!(overrides.apply_update(false, &[anew])[0].endpoint.state, EndpointState::Draining);
         overrides.apply_update(true, &[serving(8)]);
-        assert!(overrides.is_offline(ServerId(7)) && overrides.listed_servers().count() == 1);
+        assert!(overrides.is_offline(ServerId(7)) && overrides.discovered_servers().count() == 1);
     }
     assert_eq!(overrides.apply_update(false, &[serving(7)])[0].endpoint.state, EndpointState::Draining);
     assert_eq!(overrides.offline_servers(), ["s-7"]);
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -4,7 +4,7 @@
 //! [`watches`] keeps which polls are open and what is overdue, and [`timing`] has all times.
 //!
 //! Guarantee: a change is known here before it counts as notified, 6 s after discovery had it. It fails where discovery cannot
-//! be reached; the list in hand stays in use then, and polls go on after each backoff. The waits between polls come from the
+//! be reached; the list in use stays in use then, and polls go on after each backoff. The waits between polls come from the
 //! decisions, except at a new address and where discovery pushes its lists.
 
 mod poll;
@@ -62,7 +62,7 @@
 
 /// Watches discovery whenever the decisions ask for it, and reports what comes to them. When the address changes the new one
 /// is polled at once, and what the old one's watch sends is used until the new one has sent its list. `known_version` is that
-/// of the list in hand. Runs for as long as the address has a sender.
+/// of the list in use. Runs for as long as the address has a sender.
 pub async fn follow(
     reader: EndpointListReader,
     known_version: Option<u64>,
@@ -195,7 +195,7 @@
                 return;
             }
             ListUse::Contradictory { known } => {
-                // The list in hand stays in use, and the complete one is asked for when the decisions ask again.
+                // The list in use stays in use, and the complete one is asked for when the decisions ask again.
                 let reason = format!("endpoint list version {version} after {known} without a reset");
                 return self.on_failure(&reason, Duration::ZERO);
             }
--- a/node/src/discovery/watches.rs
+++ b/node/src/discovery/watches.rs
@@ -90,11 +90,11 @@
 pub enum ListUse {
     /// The complete list.
     Snapshot,
-    /// Changes to the list in hand.
+    /// Changes to the list in use.
     Delta,
     /// Nothing: it is older than what another watch has sent.
     Outdated,
-    /// Nothing, nor can the version in hand be used any more: it holds changes to an older list than the watch itself has sent.
+    /// Nothing, nor can the version in use be used any more: it holds changes to an older list than the watch itself has sent.
     Contradictory {
         /// The version that the watch had sent.
         known: u64,
@@ -106,11 +106,11 @@
 /// What a heartbeat says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Heartbeat {
-    /// Nothing of the list in hand.
+    /// Nothing of the list in use.
     Ignored,
     /// It is the answer to its poll, which is the watch in force now.
     Answered,
-    /// The list in hand is what discovery has.
+    /// The list in use is what discovery has.
     Confirmed,
 }
 
@@ -121,19 +121,19 @@
     last_id: u64,
     /// How many new addresses there were.
     address_number: u32,
-    /// The version of the list in hand, as the address in force counts them; none, the complete list is wanted.
+    /// The version of the list in use, as the address in force counts them; none, the complete list is wanted.
     version: Option<u64>,
     /// Whether the address in force has sent no list yet, after another one had been in force.
     awaits_new_address: bool,
 }
 
 impl<T> Watches<T> {
-    /// None yet; a list of this version is in hand.
+    /// None yet; a list of this version is in use.
     pub fn new(version: Option<u64>) -> Watches<T> {
         Watches { open: Vec::new(), last_id: 0, address_number: 0, version, awaits_new_address: false }
     }
 
-    /// The version of the list in hand.
+    /// The version of the list in use.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
@@ -281,12 +281,12 @@
     }
 }
 
-/// Whether this version is older than the one in hand because a newer list came on another watch while this one's poll was
+/// Whether this version is older than the one in use because a newer list came on another watch while this one's poll was
 /// open: it will send the rest itself. A list that is older than what was known when its poll started is another matter:
 /// discovery counts anew.
-fn has_outdated_version<T>(watch: &Watch<T>, version: u64, in_hand: Option<u64>) -> bool {
+fn has_outdated_version<T>(watch: &Watch<T>, version: u64, in_use: Option<u64>) -> bool {
     let started_before = watch.requested_since.is_some_and(|since| since <= version);
-    started_before && in_hand.is_some_and(|known| version < known)
+    started_before && in_use.is_some_and(|known| version < known)
 }
 
 #[cfg(test)]
--- a/node/src/override_store/file.rs
+++ b/node/src/override_store/file.rs
@@ -27,9 +27,9 @@
 use super::OverrideState;
 
 /// The first line: the format's name and version.
-const HEADER: &str = "juniperladder bans 1";
+const FORMAT_HEADER: &str = "juniperladder bans 1";
 /// The last line; a file without it was cut off.
-const TRAILER: &str = "end";
+const FORMAT_TRAILER: &str = "end";
 /// A larger file was not written by this program: it would hold more servers than a balancer keeps.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 /// A name of this many bytes or more is none of discovery's.
@@ -190,12 +190,12 @@
 }
 
 fn format(names: &[String]) -> String {
-    let mut text = format!("{HEADER}\n");
+    let mut text = format!("{FORMAT_HEADER}\n");
     for name in names {
         text.push_str(name);
         text.push('\n');
     }
-    text.push_str(TRAILER);
+    text.push_str(FORMAT_TRAILER);
     text.push('\n');
     text
 }
@@ -203,7 +203,7 @@
 fn parse(bytes: &[u8]) -> Option<Vec<String>> {
     let text = std::str::from_utf8(bytes).ok()?;
     let mut lines: Vec<&str> = text.strip_suffix('\n')?.split('\n').collect();
-    if lines.first() != Some(&HEADER) || lines.pop() != Some(TRAILER) {
+    if lines.first() != Some(&FORMAT_HEADER) || lines.pop() != Some(FORMAT_TRAILER) {
         return None;
     }
     let names = &lines[1..];
--- a/node/src/override_store/file/tests.rs
+++ b/node/src/override_store/file/tests.rs
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_file_that_is_cut_off_or_foreign_is_malformed() {
-    let complete = format!("{HEADER}\ns-1\n{TRAILER}\n");
+    let complete = format!("{FORMAT_HEADER}\ns-1\n{FORMAT_TRAILER}\n");
     assert_eq!(parse(complete.as_bytes()).unwrap(), ["s-1"]);
     for cut in 0..complete.len() {
         assert!(parse(&complete.as_bytes()[..cut]).is_none(), "cut at {cut}");
--- a/node/src/override_store/tests.rs
+++ b/node/src/override_store/tests.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// What an operator tells either process holds at both, also what is told both at once, and a third takes all of it over.
+/// A call at either process holds at both, also calls at both at once, and a third process takes all of them over.
 #[test]
 fn a_call_at_either_process_holds_at_both() {
     let directory = tempfile::tempdir().unwrap();
