--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -1,6 +1,6 @@
 //! The operators' address: a second listener, one call a connection, answered from the dispatcher at once.
 //!
-//! The line protocol is that of `juniperladder_protocols::mgmt`; what a call decides is the dispatcher's. Guarantee: callers
+//! The line protocol is that of `juniperladder_protocols::admin`; what a call decides is the dispatcher's. Guarantee: callers
 //! never delay the requests of clients or each other. Each takes one of a bounded number of slots and is closed after
 //! [`READ_TIMEOUT`] at the latest, so that one that says nothing costs little; one more than there are slots is closed at once
 //! without an answer.
@@ -13,8 +13,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use juniperladder_protocols::mgmt::{ack, nak, read, Call, Read, MAX_LINE};
+use juniperladder_protocols::admin::{self, ack, nak, Call, CallError, Input, MAX_LINE_BYTES};
 use slog::{info, warn, Logger};
+use thiserror::Error;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
@@ -37,6 +38,15 @@
 /// What the answer adds where the override could not be written yet: until it is, a kill of the process loses it.
 const NOT_WRITTEN_YET: &str = "not kept for a successor yet";
 
+/// Why a line is no call.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+enum LineError {
+    #[error(transparent)]
+    Malformed(CallError),
+    #[error("the line is longer than 256 bytes")]
+    TooLong,
+}
+
 /// The slots of callers.
 #[derive(Clone, Debug)]
 pub struct AdminConnections {
@@ -125,7 +135,7 @@
         let Some(call) = read_call(&mut stream).await? else { return Ok(()) };
         let answer = match call {
             Ok(call) => self.answer(call).await,
-            Err(reason) => nak(reason),
+            Err(error) => nak(&error.to_string()),
         };
         timeout(WRITE_TIMEOUT, stream.write_all(answer.as_bytes())).await??;
         stream.shutdown().await
@@ -187,16 +197,14 @@
 }
 
 /// Reads one call, or why the line is none; nothing where the caller leaves or is silent for [`READ_TIMEOUT`].
-async fn read_call<S: AsyncRead + Unpin>(
-    stream: &mut S,
-) -> std::io::Result<Option<Result<Call, &'static str>>> {
+async fn read_call<S: AsyncRead + Unpin>(stream: &mut S) -> std::io::Result<Option<Result<Call, LineError>>> {
     let mut input = Vec::with_capacity(64);
-    let mut chunk = [0; MAX_LINE];
+    let mut chunk = [0; MAX_LINE_BYTES];
     loop {
-        match read(&input) {
-            Read::Call(call) => return Ok(Some(call)),
-            Read::TooLong => return Ok(Some(Err("the line is longer than 256 bytes"))),
-            Read::More => {}
+        match admin::read_call(&input) {
+            Input::Line(call) => return Ok(Some(call.map_err(LineError::Malformed))),
+            Input::TooLong => return Ok(Some(Err(LineError::TooLong))),
+            Input::Incomplete => {}
         }
         let Ok(received) = timeout(READ_TIMEOUT, stream.read(&mut chunk)).await else { return Ok(None) };
         let length = received?;
--- a/node/src/cluster_config.rs
+++ b/node/src/cluster_config.rs
@@ -9,7 +9,7 @@
 //! used is a [`ClusterConfigError`] of one line, with the file's line, the key and what would be right.
 
 mod check;
-mod plan;
+mod member_config;
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -17,13 +17,13 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-pub use plan::{MissingPosition, ORIGIN_LIMIT};
+pub use member_config::{MissingPosition, ORIGIN_LIMIT};
 
 /// The whole file.
 #[derive(Debug, Deserialize)]
 #[cfg_attr(test, derive(schemars::JsonSchema), schemars(rename = "Operator"))]
 #[serde(deny_unknown_fields)]
-pub struct ClusterConfig {
+pub struct ClusterConfigFile {
     /// How the balancers reach each other.
     #[cfg_attr(test, schemars(description = "Talk between balancers."))]
     pub peers: PeerConfig,
@@ -59,7 +59,7 @@
         test,
         schemars(description = "How many balancers have to find a host silent before others pass it by.")
     )]
-    pub required_reporters: usize,
+    pub min_reporters: usize,
     /// How long a report counts after what it reports was observed.
     #[serde(rename = "expiry_ms")]
     #[cfg_attr(
@@ -68,7 +68,7 @@
             description = "How long a word acts after its balancer saw what it tells, in milliseconds."
         )
     )]
-    pub report_expiry_ms: u64,
+    pub report_lifetime_ms: u64,
     /// The largest share of all servers that is avoided because of others' reports.
     #[serde(rename = "most")]
     #[cfg_attr(
@@ -82,16 +82,16 @@
         test,
         schemars(description = "How often a second all balancers together try a host that they pass by.")
     )]
-    pub health_checks_per_s: f64,
+    pub trials_per_s: f64,
 }
 
 impl Default for FailureDetectorConfig {
     fn default() -> FailureDetectorConfig {
         FailureDetectorConfig {
-            required_reporters: 3,
-            report_expiry_ms: 6_000,
+            min_reporters: 3,
+            report_lifetime_ms: 6_000,
             max_suspected_share: 0.34,
-            health_checks_per_s: 1.0,
+            trials_per_s: 1.0,
         }
     }
 }
@@ -213,16 +213,16 @@
     /// Retries for each first attempt.
     #[serde(rename = "share")]
     #[cfg_attr(test, schemars(description = "Second tries for each first try."))]
-    pub retries_per_request: f64,
-    /// How many retries a balancer may have saved up.
+    pub retries_per_first_attempt: f64,
+    /// How many credits for a retry a balancer may have saved up.
     #[serde(rename = "saved")]
     #[cfg_attr(test, schemars(description = "How many a balancer may have saved up."))]
-    pub max_saved_retries: f64,
+    pub max_saved_credits: f64,
 }
 
 impl Default for RetryBudgetConfig {
     fn default() -> RetryBudgetConfig {
-        RetryBudgetConfig { retries_per_request: 0.4, max_saved_retries: 10.0 }
+        RetryBudgetConfig { retries_per_first_attempt: 0.4, max_saved_credits: 10.0 }
     }
 }
 
@@ -285,16 +285,16 @@
     line.map_or(String::new(), |line| format!("line {line}: "))
 }
 
-impl ClusterConfig {
+impl ClusterConfigFile {
     /// Reads the file.
     ///
     /// # Errors
     /// The file can't be read, or what it says can't be used.
-    pub fn read(path: &Path) -> Result<ClusterConfig, ClusterConfigError> {
+    pub fn read(path: &Path) -> Result<ClusterConfigFile, ClusterConfigError> {
         let path = path.to_owned();
         match std::fs::read_to_string(&path) {
             Ok(text) => {
-                ClusterConfig::parse(&text).map_err(|source| ClusterConfigError::Invalid { path, source })
+                ClusterConfigFile::parse(&text).map_err(|source| ClusterConfigError::Invalid { path, source })
             }
             Err(source) => Err(ClusterConfigError::Read { path, source }),
         }
@@ -304,8 +304,8 @@
     ///
     /// # Errors
     /// The text has no form that is known, or a value is out of its range.
-    pub fn parse(text: &str) -> Result<ClusterConfig, InvalidClusterConfig> {
-        let config: ClusterConfig = toml::from_str(text).map_err(|error| syntax_error(text, &error))?;
+    pub fn parse(text: &str) -> Result<ClusterConfigFile, InvalidClusterConfig> {
+        let config: ClusterConfigFile = toml::from_str(text).map_err(|error| syntax_error(text, &error))?;
         check::check(&config).map_err(|invalid| InvalidClusterConfig::Value {
             line: line_of_key(text, invalid.key),
             key: invalid.key,
--- a/node/src/cluster_config/check.rs
+++ b/node/src/cluster_config/check.rs
@@ -2,21 +2,23 @@
 
 use std::ops::RangeInclusive;
 
-use juniperladder_cluster::MOST_MEMBERS;
+use juniperladder_cluster::MAX_MEMBERS;
 
-use super::{ClusterConfig, FailureDetectorConfig, LimitsConfig, PeerConfig, RateConfig, RetryBudgetConfig};
+use super::{
+    ClusterConfigFile, FailureDetectorConfig, LimitsConfig, PeerConfig, RateConfig, RetryBudgetConfig,
+};
 
 const LEASE_MS: RangeInclusive<u64> = 500..=60_000;
 const CLOCK_DRIFT: RangeInclusive<f64> = 0.0..=0.05;
 const MAX_ARRIVAL_SPREAD_MS: u64 = 1_000;
 const REQUESTS_PER_S: RangeInclusive<u32> = 1..=1_000_000;
-const RETRIES_PER_REQUEST: RangeInclusive<f64> = 0.0..=3.0;
-const MAX_SAVED_RETRIES: RangeInclusive<f64> = 1.0..=1_000.0;
+const RETRIES_PER_FIRST_ATTEMPT: RangeInclusive<f64> = 0.0..=3.0;
+const MAX_SAVED_CREDITS: RangeInclusive<f64> = 1.0..=1_000.0;
 /// From 2, as nobody is believed alone.
-const REQUIRED_REPORTERS: RangeInclusive<usize> = 2..=16;
-const REPORT_EXPIRY_MS: RangeInclusive<u64> = 2_000..=30_000;
+const MIN_REPORTERS: RangeInclusive<usize> = 2..=16;
+const REPORT_LIFETIME_MS: RangeInclusive<u64> = 2_000..=30_000;
 const MAX_SUSPECTED_SHARE: RangeInclusive<f64> = 0.0..=0.5;
-const HEALTH_CHECKS_PER_S: RangeInclusive<f64> = 0.1..=20.0;
+const TRIALS_PER_S: RangeInclusive<f64> = 0.1..=20.0;
 
 /// A value out of its range.
 pub(super) struct InvalidValue {
@@ -28,7 +30,7 @@
 
 type Checked = Result<(), InvalidValue>;
 
-pub(super) fn check(config: &ClusterConfig) -> Checked {
+pub(super) fn check(config: &ClusterConfigFile) -> Checked {
     check_peers(&config.peers)?;
     check_limits(&config.limits)?;
     if let Some(failure_detector) = &config.failure_detector {
@@ -52,8 +54,8 @@
     require(CLOCK_DRIFT.contains(&limits.clock_drift), "limits.drift", "a part from 0 to 0.05")?;
     let is_spread = limits.arrival_spread_ms <= MAX_ARRIVAL_SPREAD_MS;
     require(is_spread, "limits.spread_ms", "at most 1000 ms")?;
-    let is_owners = limits.owners.is_none_or(|owners| owners > 0 && owners as usize <= MOST_MEMBERS);
-    require(is_owners, "limits.holders", &format!("from 1 to {MOST_MEMBERS}"))?;
+    let is_owners = limits.owners.is_none_or(|owners| owners > 0 && owners as usize <= MAX_MEMBERS);
+    require(is_owners, "limits.holders", &format!("from 1 to {MAX_MEMBERS}"))?;
     check_rate("limits.origin.per_s", limits.origin_rate.as_ref())?;
     check_rate("limits.cold.per_s", limits.slow_start_rate.as_ref())?;
     limits.retry_budget.as_ref().map_or(Ok(()), check_retry_budget)
@@ -66,12 +68,12 @@
 
 fn check_retry_budget(budget: &RetryBudgetConfig) -> Checked {
     require(
-        RETRIES_PER_REQUEST.contains(&budget.retries_per_request),
+        RETRIES_PER_FIRST_ATTEMPT.contains(&budget.retries_per_first_attempt),
         "limits.second.share",
         "a part of the first tries, from 0 to 3",
     )?;
     require(
-        MAX_SAVED_RETRIES.contains(&budget.max_saved_retries),
+        MAX_SAVED_CREDITS.contains(&budget.max_saved_credits),
         "limits.second.saved",
         "from 1 to 1000 of each balancer",
     )
@@ -79,12 +81,12 @@
 
 fn check_failure_detector(failure_detector: &FailureDetectorConfig) -> Checked {
     require(
-        REQUIRED_REPORTERS.contains(&failure_detector.required_reporters),
+        MIN_REPORTERS.contains(&failure_detector.min_reporters),
         "verdicts.witnesses",
         "from 2, as nobody is believed alone, to 16",
     )?;
     require(
-        REPORT_EXPIRY_MS.contains(&failure_detector.report_expiry_ms),
+        REPORT_LIFETIME_MS.contains(&failure_detector.report_lifetime_ms),
         "verdicts.expiry_ms",
         "from 2000 to 30000 ms",
     )?;
@@ -94,7 +96,7 @@
         "a part of the hosts, from 0 to 0.5",
     )?;
     require(
-        HEALTH_CHECKS_PER_S.contains(&failure_detector.health_checks_per_s),
+        TRIALS_PER_S.contains(&failure_detector.trials_per_s),
         "verdicts.tries_per_s",
         "from 0.1 to 20 a second",
     )
--- a/node/src/cluster_config/plan.rs
+++ b/node/src/cluster_config/member_config.rs
@@ -3,11 +3,14 @@
 use std::net::SocketAddr;
 
 use juniperladder::{Micros, Rules, Settings};
+use juniperladder_cluster::failure_detector::FailureDetectorTerms;
 use juniperladder_cluster::rate_limit::RateLimitTerms;
-use juniperladder_cluster::{budget, cold, verdicts, Plan};
+use juniperladder_cluster::retry_budget::RetryBudgetTerms;
+use juniperladder_cluster::slow_start_limit::SlowStartTerms;
+use juniperladder_cluster::{ClusterConfig, NamedRateLimit};
 use thiserror::Error;
 
-use super::{ClusterConfig, FailureDetectorConfig, LimitsConfig, RateConfig, RetryBudgetConfig};
+use super::{ClusterConfigFile, FailureDetectorConfig, LimitsConfig, RateConfig, RetryBudgetConfig};
 
 /// The name of the origin's limit, on the wire and in the figures.
 pub const ORIGIN_LIMIT: &str = "origin";
@@ -19,37 +22,40 @@
 #[error("peers.position: the settings name no position; give one here")]
 pub struct MissingPosition;
 
-impl ClusterConfig {
-    /// The plan for this member. `bound` is the address at which it listens; the position and the number of owners come from
+impl ClusterConfigFile {
+    /// The configuration of this member. `bound` is the address at which it listens; the position and the number of owners come from
     /// the settings where the file leaves them out. A later `incarnation` has a greater number.
     ///
     /// # Errors
     /// Neither the file nor the settings give the position.
-    pub fn plan(
+    pub fn member_config(
         &self,
         bound: SocketAddr,
         position: Option<u32>,
         settings: &Settings,
         incarnation: u64,
         seed: u64,
-    ) -> Result<Plan, MissingPosition> {
+    ) -> Result<ClusterConfig, MissingPosition> {
         let limits = &self.limits;
         let owners = limits.owners.unwrap_or(settings.balancers).max(1);
-        let origin_limit = limits.origin_rate.as_ref().map(|rate| limits.rate_limit(rate, owners));
+        let origin_limit = limits.origin_rate.as_ref().map(|rate| NamedRateLimit {
+            name: ORIGIN_LIMIT.to_owned(),
+            terms: limits.rate_limit(rate, owners),
+        });
         let slow_start = limits.slow_start_rate.as_ref();
         let retry_budget = limits.retry_budget.as_ref();
         let failure_detector = self.failure_detector.as_ref();
-        Ok(Plan {
+        Ok(ClusterConfig {
             address: self.peers.advertised_address.unwrap_or(bound),
-            life: incarnation,
+            incarnation,
             position: self.peers.position.or(position).ok_or(MissingPosition)?,
             zone: settings.zone,
             seeds: self.peers.seeds.clone(),
-            limits: origin_limit.into_iter().map(|terms| (ORIGIN_LIMIT.to_owned(), terms)).collect(),
-            cold: slow_start.map(|rate| limits.slow_start(rate, owners, &settings.rules)),
-            second: retry_budget.map(|budget| budget.terms(owners)),
-            verdicts: failure_detector.map(|config| config.terms(limits.clock_drift)),
-            seed,
+            rate_limits: origin_limit.into_iter().collect(),
+            slow_start: slow_start.map(|rate| limits.slow_start(rate, owners, &settings.rules)),
+            retry_budget: retry_budget.map(|budget| budget.terms(owners)),
+            failure_detector: failure_detector.map(|config| config.terms(limits.clock_drift)),
+            random_seed: seed,
         })
     }
 
@@ -70,11 +76,11 @@
         }
     }
 
-    fn slow_start(&self, rate: &RateConfig, owners: u32, rules: &Rules) -> cold::Terms {
-        cold::Terms {
+    fn slow_start(&self, rate: &RateConfig, owners: u32, rules: &Rules) -> SlowStartTerms {
+        SlowStartTerms {
             rate_limit: self.rate_limit(rate, owners),
-            share: slow_start_initial_share(rules),
-            warm_up: rules.slow_start_duration,
+            initial_share: slow_start_initial_share(rules),
+            duration: rules.slow_start_duration,
         }
     }
 }
@@ -88,23 +94,23 @@
 }
 
 impl RetryBudgetConfig {
-    fn terms(&self, owners: u32) -> budget::Terms {
-        budget::Terms {
-            share: self.retries_per_request,
-            saved: self.max_saved_retries * f64::from(owners),
+    fn terms(&self, owners: u32) -> RetryBudgetTerms {
+        RetryBudgetTerms {
+            retries_per_first_attempt: self.retries_per_first_attempt,
+            max_saved_credits: self.max_saved_credits * f64::from(owners),
             holders: owners,
         }
     }
 }
 
 impl FailureDetectorConfig {
-    fn terms(&self, clock_drift: f64) -> verdicts::Terms {
-        verdicts::Terms {
-            witnesses: self.required_reporters,
-            expiry: Micros::from_millis(self.report_expiry_ms),
-            most: self.max_suspected_share,
-            tries: self.health_checks_per_s,
-            drift: clock_drift,
+    fn terms(&self, clock_drift: f64) -> FailureDetectorTerms {
+        FailureDetectorTerms {
+            min_reporters: self.min_reporters,
+            report_lifetime: Micros::from_millis(self.report_lifetime_ms),
+            max_suspected_share: self.max_suspected_share,
+            trials_per_s: self.trials_per_s,
+            clock_drift,
         }
     }
 }
--- a/node/src/cluster_config/tests.rs
+++ b/node/src/cluster_config/tests.rs
@@ -1,4 +1,4 @@
-//! The operators' file against the example, the schema and a fixture with every key; ranges; the cluster's plan.
+//! The operators' file against the example, the schema and a fixture with every key; ranges; the member's configuration.
 
 use juniperladder::{Micros, Settings};
 
@@ -8,14 +8,14 @@
 
 #[test]
 fn the_example_has_every_field_and_says_the_defaults() {
-    let example = ClusterConfig::parse(EXAMPLE).unwrap();
+    let example = ClusterConfigFile::parse(EXAMPLE).unwrap();
     let defaults = LimitsConfig::default();
     let LimitsConfig { lease_ms, clock_drift, arrival_spread_ms, .. } = example.limits;
     assert_eq!(
         (lease_ms, clock_drift, arrival_spread_ms),
         (defaults.lease_ms, defaults.clock_drift, defaults.arrival_spread_ms)
     );
-    let schema = serde_json::to_value(schemars::schema_for!(ClusterConfig)).unwrap();
+    let schema = serde_json::to_value(schemars::schema_for!(ClusterConfigFile)).unwrap();
     let mut fields = Vec::new();
     for part in [
         &schema["properties"],
@@ -36,7 +36,7 @@
 #[test]
 fn the_schema_is_that_of_the_types() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/operator.schema.json");
-    let schema = serde_json::to_string_pretty(&schemars::schema_for!(ClusterConfig)).unwrap() + "\n";
+    let schema = serde_json::to_string_pretty(&schemars::schema_for!(ClusterConfigFile)).unwrap() + "\n";
     if std::env::var_os("JUNIPERLADDER_WRITE").is_some() {
         std::fs::write(path, &schema).unwrap();
     }
@@ -54,24 +54,24 @@
 
 #[test]
 fn what_the_example_comments_out_stands_at_its_default() {
-    let whole = ClusterConfig::parse(&uncommented()).unwrap();
+    let whole = ClusterConfigFile::parse(&uncommented()).unwrap();
     let budget = whole.limits.retry_budget.unwrap();
     let budget_default = RetryBudgetConfig::default();
-    assert_eq!(budget.retries_per_request, budget_default.retries_per_request);
-    assert_eq!(budget.max_saved_retries, budget_default.max_saved_retries);
+    assert_eq!(budget.retries_per_first_attempt, budget_default.retries_per_first_attempt);
+    assert_eq!(budget.max_saved_credits, budget_default.max_saved_credits);
     let detector = whole.failure_detector.unwrap();
     let detector_default = FailureDetectorConfig::default();
-    assert_eq!(detector.required_reporters, detector_default.required_reporters);
-    assert_eq!(detector.report_expiry_ms, detector_default.report_expiry_ms);
+    assert_eq!(detector.min_reporters, detector_default.min_reporters);
+    assert_eq!(detector.report_lifetime_ms, detector_default.report_lifetime_ms);
     assert_eq!(detector.max_suspected_share, detector_default.max_suspected_share);
-    assert_eq!(detector.health_checks_per_s, detector_default.health_checks_per_s);
+    assert_eq!(detector.trials_per_s, detector_default.trials_per_s);
     assert_eq!(whole.limits.slow_start_rate.unwrap().requests_per_s, 100);
 }
 
 #[test]
 fn rejects_a_broken_file_in_one_line_with_line_key_and_remedy() {
     let whole = uncommented();
-    assert_eq!(ClusterConfig::parse(&whole).unwrap().limits.origin_rate.unwrap().requests_per_s, 400);
+    assert_eq!(ClusterConfigFile::parse(&whole).unwrap().limits.origin_rate.unwrap().requests_per_s, 400);
     let cases = [
         ("lease_ms = 2000", "lease_ms = 5", "limits.lease_ms: a lease lasts from 500"),
         ("lease_ms = 2000", "leasems = 5", "unknown field `leasems`, expected one of"),
@@ -85,11 +85,11 @@
     ];
     for (sound, broken, expected) in cases {
         let line = whole.lines().position(|line| line.starts_with(sound)).unwrap() + 1;
-        let problem = ClusterConfig::parse(&whole.replace(sound, broken)).unwrap_err().to_string();
+        let problem = ClusterConfigFile::parse(&whole.replace(sound, broken)).unwrap_err().to_string();
         assert!(problem.starts_with(&format!("line {line}: ")) && problem.contains(expected), "{problem}");
         assert!(!problem.contains('\n'));
     }
-    assert!(ClusterConfig::parse("").unwrap_err().to_string().contains("peers"));
+    assert!(ClusterConfigFile::parse("").unwrap_err().to_string().contains("peers"));
 }
 
 fn settings() -> Settings {
@@ -117,29 +117,37 @@
 }
 
 #[test]
-fn the_plan_has_all_that_the_file_names() {
-    let config = ClusterConfig::parse(&uncommented()).unwrap();
-    let plan = config.plan("127.0.0.1:7946".parse().unwrap(), None, &settings(), 1, 1).unwrap();
-    let (cold, second) = (plan.cold.unwrap(), plan.second.unwrap());
+fn the_member_config_has_all_that_the_file_names() {
+    let config = ClusterConfigFile::parse(&uncommented()).unwrap();
+    let member = config.member_config("127.0.0.1:7946".parse().unwrap(), None, &settings(), 1, 1).unwrap();
+    let (slow_start, budget) = (member.slow_start.unwrap(), member.retry_budget.unwrap());
     assert_eq!(
-        (cold.rate_limit.requests_per_s, cold.share, cold.warm_up),
+        (slow_start.rate_limit.requests_per_s, slow_start.initial_share, slow_start.duration),
         (100, 0.25, Micros::from_secs(10))
     );
-    assert_eq!((second.share, second.saved, second.holders), (0.4, 1_000.0, 100));
-    assert_eq!((plan.verdicts.unwrap().expiry, plan.zone), (Micros::from_secs(6), 1));
+    assert_eq!(
+        (budget.retries_per_first_attempt, budget.max_saved_credits, budget.holders),
+        (0.4, 1_000.0, 100)
+    );
+    assert_eq!((member.failure_detector.unwrap().report_lifetime, member.zone), (Micros::from_secs(6), 1));
 }
 
 #[test]
-fn the_plan_takes_from_the_settings_what_the_file_leaves_out() {
+fn the_member_config_takes_from_the_settings_what_the_file_leaves_out() {
     let text =
         "[peers]\nlisten = \"127.0.0.1:7946\"\nseeds = [\"127.0.0.1:7946\"]\n[limits.origin]\nper_s = 400\n";
-    let config = ClusterConfig::parse(text).unwrap();
+    let config = ClusterConfigFile::parse(text).unwrap();
     let bound = "127.0.0.1:7946".parse().unwrap();
     let settings = settings();
-    let plan = config.plan(bound, Some(3), &settings, 1, 1).unwrap();
-    assert!(plan.cold.is_none() && plan.second.is_none() && plan.verdicts.is_none());
-    assert_eq!((plan.position, plan.limits[0].1.owners, plan.limits[0].1.owned_tokens(3)), (3, 100, 4));
-    assert!(config.plan(bound, None, &settings, 1, 1).unwrap_err().to_string().contains("position"));
+    let member = config.member_config(bound, Some(3), &settings, 1, 1).unwrap();
+    assert!(
+        member.slow_start.is_none() && member.retry_budget.is_none() && member.failure_detector.is_none()
+    );
+    assert_eq!(
+        (member.position, member.rate_limits[0].terms.owners, member.rate_limits[0].terms.owned_tokens(3)),
+        (3, 100, 4)
+    );
+    assert!(config.member_config(bound, None, &settings, 1, 1).unwrap_err().to_string().contains("position"));
     assert_eq!(config.stated_bound(), 1.05);
 }
 
@@ -177,7 +185,7 @@
 /// The keys are an interface: operators write them.
 #[test]
 fn every_key_has_its_place() {
-    let config = ClusterConfig::parse(EVERY_KEY).unwrap();
+    let config = ClusterConfigFile::parse(EVERY_KEY).unwrap();
     let PeerConfig { listen_address, advertised_address, seeds, position } = config.peers;
     assert_eq!(listen_address, "127.0.0.1:7946".parse().unwrap());
     assert_eq!(advertised_address, Some("10.0.0.4:7947".parse().unwrap()));
@@ -189,8 +197,8 @@
     assert_eq!(limits.origin_rate.unwrap().requests_per_s, 16);
     assert_eq!(limits.slow_start_rate.unwrap().requests_per_s, 17);
     let budget = limits.retry_budget.unwrap();
-    assert_eq!((budget.retries_per_request, budget.max_saved_retries), (0.18, 19.0));
+    assert_eq!((budget.retries_per_first_attempt, budget.max_saved_credits), (0.18, 19.0));
     let detector = config.failure_detector.unwrap();
-    assert_eq!((detector.required_reporters, detector.report_expiry_ms), (4, 2100));
-    assert_eq!((detector.max_suspected_share, detector.health_checks_per_s), (0.22, 2.3));
+    assert_eq!((detector.min_reporters, detector.report_lifetime_ms), (4, 2100));
+    assert_eq!((detector.max_suspected_share, detector.trials_per_s), (0.22, 2.3));
 }
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -19,7 +19,7 @@
 use slog::Level;
 use thiserror::Error;
 
-use crate::cluster_config::{ClusterConfig, ClusterConfigError};
+use crate::cluster_config::{ClusterConfigError, ClusterConfigFile};
 use crate::downstream::Labels;
 use crate::endpoint_list::{EndpointList, SiteNames};
 use crate::resource_limits::ConfiguredLimits;
@@ -49,7 +49,7 @@
     /// This balancer's place among all, from 0, where the settings have it.
     pub position: Option<u32>,
     /// The operators' file; none where none is named.
-    pub cluster: Option<ClusterConfig>,
+    pub cluster: Option<ClusterConfigFile>,
     /// The names of zones and kinds, whose places are the settings' numbers.
     pub site_names: SiteNames,
     /// The names of classes and tenants that clients use.
@@ -149,7 +149,7 @@
         let cluster_file = cluster_file.or_else(|| std::env::var_os("NODE_OPERATOR"));
         // An empty name is none, as a unit file leaves it that sets the variable to nothing.
         if let Some(path) = cluster_file.filter(|path| !path.is_empty()) {
-            config.cluster = Some(ClusterConfig::read(Path::new(&path))?);
+            config.cluster = Some(ClusterConfigFile::read(Path::new(&path))?);
         }
         Ok(config)
     }
--- a/node/src/coordination.rs
+++ b/node/src/coordination.rs
@@ -10,9 +10,9 @@
 use std::rc::Rc;
 
 use juniperladder::{Coordination, Micros, ServerId, ServingServer, SharedLimit};
-use juniperladder_cluster::cold::Start;
 use juniperladder_cluster::rate_limit::RateLimit;
-use juniperladder_cluster::Cluster;
+use juniperladder_cluster::slow_start_limit::SlowStartAccess;
+use juniperladder_cluster::{Cluster, ServerIncarnation};
 
 use crate::cluster_config::ORIGIN_LIMIT;
 pub use metrics::metrics_text;
@@ -36,42 +36,44 @@
 /// This member's part of a rate limit; none where there is no such limit, or the server is warm.
 fn rate_limit(cluster: &mut Cluster, limit: SharedLimit, now: Micros) -> Option<&mut RateLimit> {
     match limit {
-        SharedLimit::OriginRate => cluster.limit(ORIGIN_LIMIT),
-        SharedLimit::SlowStart(server, started) => cluster.cold(incarnation(server, started), now).0,
+        SharedLimit::OriginRate => cluster.rate_limit(ORIGIN_LIMIT),
+        SharedLimit::SlowStart(server, started) => {
+            match cluster.slow_start(ServerIncarnation { server, started }, now) {
+                SlowStartAccess::Limited(limit) => Some(limit),
+                SlowStartAccess::Unlimited | SlowStartAccess::Unavailable => None,
+            }
+        }
         SharedLimit::RetryBudget => None,
     }
 }
 
 /// How long a request to a server that warms up waits; none where the server is warm.
 fn slow_start_wait(cluster: &mut Cluster, server: ServerId, started: Micros, now: Micros) -> Option<Micros> {
-    match cluster.cold(incarnation(server, started), now) {
-        (Some(limit), _) => Some(limit.wait_time(now)),
-        (None, is_closed) => is_closed.then_some(LEASE_RETRY_INTERVAL),
+    match cluster.slow_start(ServerIncarnation { server, started }, now) {
+        SlowStartAccess::Unlimited => None,
+        SlowStartAccess::Limited(limit) => Some(limit.wait_time(now)),
+        SlowStartAccess::Unavailable => Some(LEASE_RETRY_INTERVAL),
     }
 }
 
-fn incarnation(server: ServerId, started: Micros) -> Start {
-    Start { server: server.0, started }
-}
-
 impl Coordination for ClusterCoordination {
     fn wait_time(&mut self, limit: SharedLimit, now: Micros) -> Option<Micros> {
         let mut cluster = self.cluster.borrow_mut();
         match limit {
             SharedLimit::RetryBudget => {
-                let has_token = cluster.second()?.has(now);
-                Some(if has_token { Micros::ZERO } else { LEASE_RETRY_INTERVAL })
+                let has_credit = cluster.retry_budget()?.has_credit(now);
+                Some(if has_credit { Micros::ZERO } else { LEASE_RETRY_INTERVAL })
             }
             SharedLimit::SlowStart(server, started) => slow_start_wait(&mut cluster, server, started, now),
-            SharedLimit::OriginRate => cluster.limit(ORIGIN_LIMIT).map(|limit| limit.wait_time(now)),
+            SharedLimit::OriginRate => cluster.rate_limit(ORIGIN_LIMIT).map(|limit| limit.wait_time(now)),
         }
     }
 
     fn acquire(&mut self, limit: SharedLimit, now: Micros) {
         let mut cluster = self.cluster.borrow_mut();
         if limit == SharedLimit::RetryBudget {
-            if let Some(budget) = cluster.second() {
-                budget.spend(now);
+            if let Some(budget) = cluster.retry_budget() {
+                budget.acquire(now);
             }
         } else if let Some(rate_limit) = rate_limit(&mut cluster, limit, now) {
             rate_limit.acquire(now);
@@ -81,8 +83,8 @@
     fn on_rejected(&mut self, limit: SharedLimit, now: Micros) {
         let mut cluster = self.cluster.borrow_mut();
         if limit == SharedLimit::RetryBudget {
-            if let Some(budget) = cluster.second() {
-                budget.denied(now);
+            if let Some(budget) = cluster.retry_budget() {
+                budget.on_rejected(now);
             }
         } else if let Some(rate_limit) = rate_limit(&mut cluster, limit, now) {
             rate_limit.on_rejected(now);
@@ -90,22 +92,20 @@
     }
 
     fn on_first_attempt(&mut self, _now: Micros) {
-        if let Some(budget) = self.cluster.borrow_mut().second() {
-            budget.first();
+        if let Some(budget) = self.cluster.borrow_mut().retry_budget() {
+            budget.on_first_attempt();
         }
     }
 
     fn on_endpoints_changed(&mut self, servers: &[ServingServer]) {
-        let servers =
-            servers.iter().map(|serving| (incarnation(serving.server, serving.started), serving.zone));
-        if let Some(failure_detector) = self.cluster.borrow_mut().verdicts() {
-            failure_detector.listed(servers);
+        if let Some(failure_detector) = self.cluster.borrow_mut().failure_detector() {
+            failure_detector.on_endpoints_changed(servers);
         }
     }
 
     fn on_server_observed(&mut self, server: ServerId, started: Micros, silent: bool, now: Micros) {
-        if let Some(failure_detector) = self.cluster.borrow_mut().verdicts() {
-            failure_detector.saw(incarnation(server, started), silent, now);
+        if let Some(failure_detector) = self.cluster.borrow_mut().failure_detector() {
+            failure_detector.on_server_observed(ServerIncarnation { server, started }, silent, now);
         }
     }
 
@@ -118,8 +118,9 @@
         now: Micros,
     ) -> bool {
         let mut cluster = self.cluster.borrow_mut();
-        let Some(failure_detector) = cluster.verdicts() else { return false };
-        failure_detector.warned(incarnation(server, started), last_response, attempts_per_s, now)
+        let Some(failure_detector) = cluster.failure_detector() else { return false };
+        let server = ServerIncarnation { server, started };
+        failure_detector.is_suspected(server, last_response, attempts_per_s, now)
     }
 }
 
--- a/node/src/coordination/metrics.rs
+++ b/node/src/coordination/metrics.rs
@@ -1,8 +1,10 @@
 //! The figures of the coordination with other balancers, for operators.
 
 use juniperladder::Micros;
+use juniperladder_cluster::failure_detector::FailureDetectorMetrics;
 use juniperladder_cluster::rate_limit::RateLimitMetrics;
-use juniperladder_cluster::{budget, verdicts, Figures};
+use juniperladder_cluster::retry_budget::RetryBudgetMetrics;
+use juniperladder_cluster::ClusterMetrics;
 use juniperladder_dispatch::metrics_text::{MetricKind, MetricsText};
 
 /// The value of an age that is not known.
@@ -12,44 +14,42 @@
 
 /// The figures in the Prometheus text format. `stated_bound` is what is stated of the origin's limit: the most in any second,
 /// as a multiple of the rate.
-pub fn metrics_text(figures: &Figures, stated_bound: f64) -> String {
+pub fn metrics_text(metrics: &ClusterMetrics, stated_bound: f64) -> String {
     let mut text = MetricsText::default();
-    write_members(&mut text, figures);
-    write_packets(&mut text, figures);
-    for (name, limit) in &figures.limits {
-        text.labelled_sample("limit_bound", ("limit", name), stated_bound);
-        write_rate_limit(&mut text, name, limit);
+    write_members(&mut text, metrics);
+    write_packets(&mut text, metrics);
+    for limit in &metrics.rate_limits {
+        text.labelled_sample("limit_bound", ("limit", &limit.name), stated_bound);
+        write_rate_limit(&mut text, &limit.name, &limit.metrics);
     }
-    if let Some((limit, servers)) = &figures.cold {
-        write_rate_limit(&mut text, SLOW_START_LIMIT, limit);
-        text.sample("limit_cold_hosts", servers);
+    if let Some(slow_start) = &metrics.slow_start {
+        write_rate_limit(&mut text, SLOW_START_LIMIT, &slow_start.rate_limits);
+        text.sample("limit_cold_hosts", slow_start.servers);
     }
-    if let Some(budget) = &figures.second {
+    if let Some(budget) = &metrics.retry_budget {
         write_retry_budget(&mut text, budget);
     }
-    if let Some(failure_detector) = &figures.verdicts {
+    if let Some(failure_detector) = &metrics.failure_detector {
         write_failure_detector(&mut text, failure_detector);
     }
     text.into_string()
 }
 
-fn write_members(text: &mut MetricsText, figures: &Figures) {
-    let members = &figures.members;
+fn write_members(text: &mut MetricsText, metrics: &ClusterMetrics) {
+    let members = &metrics.members;
     text.declare("members", MetricKind::Gauge);
     text.labelled_sample("members", ("state", "alive"), members.alive);
     text.labelled_sample("members", ("state", "suspect"), members.suspect);
     text.labelled_sample("members", ("state", "down"), members.down);
 }
 
-fn write_packets(text: &mut MetricsText, figures: &Figures) {
-    let (packets_sent, bytes_sent) = figures.sent;
-    let (packets_received, bytes_received) = figures.heard;
-    text.declared_sample("peer_packets_sent", MetricKind::Counter, packets_sent);
-    text.declared_sample("peer_packet_bytes_sent", MetricKind::Counter, bytes_sent);
-    text.declared_sample("peer_packets_heard", MetricKind::Counter, packets_received);
-    text.declared_sample("peer_packet_bytes_heard", MetricKind::Counter, bytes_received);
-    text.declared_sample("peer_packets_dropped", MetricKind::Counter, figures.dropped);
-    text.declared_sample("peer_packets_of_other_files", MetricKind::Counter, figures.differ);
+fn write_packets(text: &mut MetricsText, metrics: &ClusterMetrics) {
+    text.declared_sample("peer_packets_sent", MetricKind::Counter, metrics.sent.packets);
+    text.declared_sample("peer_packet_bytes_sent", MetricKind::Counter, metrics.sent.bytes);
+    text.declared_sample("peer_packets_heard", MetricKind::Counter, metrics.received.packets);
+    text.declared_sample("peer_packet_bytes_heard", MetricKind::Counter, metrics.received.bytes);
+    text.declared_sample("peer_packets_dropped", MetricKind::Counter, metrics.dropped_packets);
+    text.declared_sample("peer_packets_of_other_files", MetricKind::Counter, metrics.terms_mismatches);
 }
 
 fn write_rate_limit(text: &mut MetricsText, name: &str, limit: &RateLimitMetrics) {
@@ -67,25 +67,25 @@
     text.labelled_sample("limit_denied", label, limit.rejected);
 }
 
-fn write_retry_budget(text: &mut MetricsText, budget: &budget::Figures) {
-    text.sample("second_tries_own", budget.own);
-    text.sample("second_tries_from_others", budget.got);
-    text.sample("second_tries_spent", budget.spent);
-    text.sample("second_tries_first_tries", budget.first);
-    text.sample("second_tries_given", budget.given);
-    text.sample("second_tries_denied", budget.denied);
+fn write_retry_budget(text: &mut MetricsText, budget: &RetryBudgetMetrics) {
+    text.sample("second_tries_own", budget.own_credits);
+    text.sample("second_tries_from_others", budget.received_credits);
+    text.sample("second_tries_spent", budget.retries);
+    text.sample("second_tries_first_tries", budget.first_attempts);
+    text.sample("second_tries_given", budget.transferred_credits);
+    text.sample("second_tries_denied", budget.rejected);
 }
 
-fn write_failure_detector(text: &mut MetricsText, figures: &verdicts::Figures) {
-    text.labelled_sample("verdicts_held", ("kind", "silent"), figures.silent);
-    text.labelled_sample("verdicts_held", ("kind", "answers"), figures.sound);
-    text.sample("verdicts_hosts_passed_by", figures.against);
-    text.sample("verdicts_hosts_beyond_the_most", figures.beyond);
-    text.sample("verdicts_witnesses_refused", figures.refused);
-    text.sample("verdicts_sends_spared", figures.passed);
-    text.sample("verdicts_tries", figures.tried);
-    text.sample("verdicts_told", figures.told);
-    text.sample("verdicts_oldest_acted_seconds", seconds(figures.oldest));
+fn write_failure_detector(text: &mut MetricsText, metrics: &FailureDetectorMetrics) {
+    text.labelled_sample("verdicts_held", ("kind", "silent"), metrics.silent_reports);
+    text.labelled_sample("verdicts_held", ("kind", "answers"), metrics.answer_reports);
+    text.sample("verdicts_hosts_passed_by", metrics.suspected_servers);
+    text.sample("verdicts_hosts_beyond_the_most", metrics.servers_beyond_limit);
+    text.sample("verdicts_witnesses_refused", metrics.discredited_reporters);
+    text.sample("verdicts_sends_spared", metrics.avoided_requests);
+    text.sample("verdicts_tries", metrics.trials);
+    text.sample("verdicts_told", metrics.own_reports);
+    text.sample("verdicts_oldest_acted_seconds", seconds(metrics.oldest_used_report));
 }
 
 fn seconds(time: Micros) -> f64 {
--- a/node/src/coordination/tests.rs
+++ b/node/src/coordination/tests.rs
@@ -3,7 +3,7 @@
 use juniperladder::Idempotency;
 
 use super::*;
-use crate::cluster_config::ClusterConfig;
+use crate::cluster_config::ClusterConfigFile;
 use crate::testing;
 
 const FILE: &str = r#"
@@ -89,10 +89,10 @@
 
 #[test]
 fn a_member_that_is_alone_waits_for_its_own_tokens_and_writes_its_figures_to_the_letter() {
-    let config = ClusterConfig::parse(FILE).unwrap();
+    let config = ClusterConfigFile::parse(FILE).unwrap();
     let settings = testing::settings(1, Idempotency::Idempotent);
-    let plan = config.plan("127.0.0.1:7946".parse().unwrap(), None, &settings, 1, 1).unwrap();
-    let cluster = Rc::new(RefCell::new(Cluster::new(plan, NOW)));
+    let member = config.member_config("127.0.0.1:7946".parse().unwrap(), None, &settings, 1, 1).unwrap();
+    let cluster = Rc::new(RefCell::new(Cluster::new(member, NOW)));
     let mut coordination = ClusterCoordination::new(Rc::clone(&cluster));
     let slow_start = SharedLimit::SlowStart(SERVER, SERVER_STARTED);
     coordination.on_endpoints_changed(&[ServingServer { server: SERVER, started: SERVER_STARTED, zone: 0 }]);
@@ -110,6 +110,6 @@
     coordination.acquire(SharedLimit::OriginRate, LATER);
     coordination.on_server_observed(SERVER, SERVER_STARTED, true, LATER);
     assert!(!coordination.is_suspected(SERVER, SERVER_STARTED, Micros::ZERO, 1.0, LATER));
-    let figures = cluster.borrow_mut().figures(LATER);
-    assert_eq!(metrics_text(&figures, config.stated_bound()), METRICS);
+    let metrics = cluster.borrow_mut().metrics(LATER);
+    assert_eq!(metrics_text(&metrics, config.stated_bound()), METRICS);
 }
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -10,7 +10,6 @@
 mod coordination;
 pub mod daemon;
 pub mod discovery;
-mod download;
 pub mod downstream;
 pub mod endpoint_list;
 pub mod error;
@@ -24,11 +23,10 @@
 mod signals;
 pub mod socket;
 pub mod transient_errors;
-mod upload;
 pub mod upstream;
 
 #[cfg(test)]
-mod storm;
+mod simulation;
 #[cfg(test)]
 mod testing;
 
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -12,14 +12,14 @@
 use std::time::Duration;
 
 use juniperladder::{Coordination, Settings};
-use juniperladder_cluster::{Cluster, LONGEST as MAX_PACKET_BYTES};
+use juniperladder_cluster::{Cluster, MAX_PACKET_BYTES};
 use slog::{info, Logger};
 use thiserror::Error;
 use tokio::net::UdpSocket;
 use tokio::time::{sleep_until, Instant};
 
 use crate::clock::Clock;
-use crate::cluster_config::{ClusterConfig, MissingPosition};
+use crate::cluster_config::{ClusterConfigFile, MissingPosition};
 use crate::coordination::{metrics_text, ClusterCoordination};
 
 /// How often the cluster does what is due.
@@ -59,7 +59,7 @@
     /// # Errors
     /// The address can't be bound, or nothing gives this balancer's position.
     pub fn start(
-        config: &ClusterConfig,
+        config: &ClusterConfigFile,
         position: Option<u32>,
         settings: &Settings,
         seed: u64,
@@ -72,10 +72,10 @@
         let bound = socket.local_addr().map_err(listen_error)?;
         let now = clock.now();
         // The clock counts Unix time, so that a later incarnation has a greater number.
-        let plan = config.plan(bound, position, settings, now.0, seed)?;
-        info!(log, "peer coordination started"; "address" => plan.address.to_string(),
-            "position" => plan.position);
-        let cluster = Rc::new(RefCell::new(Cluster::new(plan, now)));
+        let member = config.member_config(bound, position, settings, now.0, seed)?;
+        info!(log, "peer coordination started"; "address" => member.address.to_string(),
+            "position" => member.position);
+        let cluster = Rc::new(RefCell::new(Cluster::new(member, now)));
         Ok(Rc::new(Peers { cluster, socket, clock, stated_bound: config.stated_bound(), log }))
     }
 
@@ -113,7 +113,7 @@
         for _ in 0..PACKETS_PER_TURN {
             // An error is the system's word that an earlier packet reached nobody, or that no packet waits.
             let Ok((length, from)) = self.socket.try_recv_from(&mut packet) else { return };
-            self.cluster.borrow_mut().heard(self.clock.now(), from, &packet[..length]);
+            self.cluster.borrow_mut().on_packet(self.clock.now(), from, &packet[..length]);
         }
     }
 
@@ -125,7 +125,7 @@
 
     /// Logs how many members are alive where that differs from `last`.
     fn log_members(&self, last: &mut usize) {
-        let alive = self.cluster.borrow().members().alive;
+        let alive = self.cluster.borrow().member_counts().alive;
         if alive != *last {
             *last = alive;
             info!(self.log, "number of alive members changed"; "alive" => alive);
@@ -140,8 +140,8 @@
 
     /// The figures in the Prometheus text format.
     pub fn metrics_text(&self) -> String {
-        let figures = self.cluster.borrow_mut().figures(self.clock.now());
-        metrics_text(&figures, self.stated_bound)
+        let metrics = self.cluster.borrow_mut().metrics(self.clock.now());
+        metrics_text(&metrics, self.stated_bound)
     }
 }
 
