--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -15,6 +15,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, MissedTickBehavior};
 
+use crate::admin::{Admin, AdminConnections};
 use crate::clock::{self, Clock};
 use crate::config::Config;
 use crate::connect::TcpConnector;
@@ -26,7 +27,7 @@
 use crate::error::StartError;
 use crate::graceful_shutdown::{self, GracefulShutdown};
 use crate::listener::listen;
-use crate::operators::{Callers, Operators};
+use crate::override_store::OverrideStore;
 use crate::peers::Peers;
 use crate::reload::Reloader;
 use crate::resource_limits::ResourceLimits;
@@ -64,17 +65,17 @@
 impl Daemon {
     /// Builds every part and starts its tasks.
     async fn start(mut config: Config, log: Logger) -> Result<(Daemon, Rc<Reloader>), StartError> {
-        let resource_limits = ResourceLimits::from_configured(config.limits);
+        let resource_limits = ResourceLimits::from_configured(config.resource_limits);
         let longest_deadline = longest_deadline(&config);
         let dispatcher = build_dispatcher(&config, &resource_limits, longest_deadline, &log);
         let peers = join_peers(&config, &dispatcher, &log)?;
-        let known_version = config.known.version;
-        let list_reader = EndpointListReader::new(std::mem::take(&mut config.names));
-        let known_servers = list_reader.read(std::mem::take(&mut config.known), &log);
+        let known_version = config.known_endpoints.version;
+        let list_reader = EndpointListReader::new(std::mem::take(&mut config.site_names));
+        let known_servers = list_reader.read(std::mem::take(&mut config.known_endpoints), &log);
         dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &known_servers);
 
         let shutdown = Rc::new(GracefulShutdown::default());
-        let listener = bind_client_listener(config.listen).await?;
+        let listener = bind_client_listener(config.client_address).await?;
         let downstream = Downstream::new(
             Rc::clone(&dispatcher),
             config.labels.clone(),
@@ -84,7 +85,7 @@
         );
         let daemon =
             Daemon { dispatcher, downstream, peers, shutdown, resource_limits, longest_deadline, log };
-        let address = listener.local_addr().unwrap_or(config.listen);
+        let address = listener.local_addr().unwrap_or(config.client_address);
         daemon.log_start(&config, address, known_servers.len(), known_version);
         daemon.start_timers();
         let is_successor = daemon.start_admin(&config).await?;
@@ -98,7 +99,7 @@
         info!(self.log, "listening"; "address" => address.to_string(), "servers" => servers);
         info!(self.log, "settings"; "endpoint_list_version" => list_version,
             "discovery_poll_interval_ms" => clock::to_ms(poll_interval),
-            "lists" => if config.pushed.is_some() { "pushed" } else { "polled" },
+            "lists" => if config.pushed_list_backoff.is_some() { "pushed" } else { "polled" },
             "longest_deadline_ms" => self.longest_deadline.as_millis(),
             "unix_ms" => clock::to_ms(self.dispatcher.clock().now()));
     }
@@ -111,24 +112,25 @@
     /// Starts to answer operators, if the configuration names an address for that. Returns whether this process replaces
     /// another.
     async fn start_admin(&self, config: &Config) -> Result<bool, StartError> {
-        let Some(address) = config.mgmt else { return Ok(false) };
+        let Some(address) = config.admin_address else { return Ok(false) };
         let listener = bind_admin_listener(address).await?;
-        let callers = Callers {
-            now: self.downstream.admin_connections(),
-            most: self.resource_limits.admin_connections,
+        let connections = AdminConnections {
+            open: self.downstream.admin_connections(),
+            limit: self.resource_limits.admin_connections,
         };
-        let (operators, is_successor) = Operators::new(
+        let admin = Admin::start(
             Rc::clone(&self.dispatcher),
             config.labels.classes.clone(),
             Rc::clone(&self.shutdown),
-            &config.name,
-            callers,
+            OverrideStore::path_for(&config.name),
+            connections,
             self.peers.clone(),
             self.log.clone(),
         );
         let address = listener.local_addr().unwrap_or(address);
         info!(self.log, "operators' address"; "address" => address.to_string());
-        spawn_local(operators.accept(listener));
+        let is_successor = admin.replaces_another_process();
+        spawn_local(admin.accept(listener));
         Ok(is_successor)
     }
 
@@ -140,9 +142,12 @@
         known_version: u64,
         is_successor: bool,
     ) -> Rc<Reloader> {
-        let (discovery, address_changes) = watch::channel(config.discovery);
-        let policy =
-            PollPolicy { at_start: is_successor, pushed_list_backoff: config.pushed, seed: config.seed };
+        let (discovery, address_changes) = watch::channel(config.discovery_address);
+        let policy = PollPolicy {
+            at_start: is_successor,
+            pushed_list_backoff: config.pushed_list_backoff,
+            seed: config.seed,
+        };
         let dispatcher = Rc::clone(&self.dispatcher);
         spawn_local(discovery::follow(
             list_reader,
@@ -214,7 +219,7 @@
         max_connections: resource_limits.server_connections,
         chunk_bytes: resource_limits.chunk_bytes,
         connect_timeout: config.connect_timeout,
-        server_idle_timeout: config.idle,
+        server_idle_timeout: config.server_idle_timeout,
         late_answer_timeout: longest_deadline,
         may_duplicate: config.settings.limits.may_duplicate,
         origin_kind: config.settings.mode.origin(),
@@ -233,11 +238,11 @@
     dispatcher: &Rc<Dispatcher>,
     log: &Logger,
 ) -> Result<Option<Rc<Peers>>, StartError> {
-    let Some(operator) = &config.operator else { return Ok(None) };
+    let Some(cluster) = &config.cluster else { return Ok(None) };
     let clock = *dispatcher.clock();
-    let peers = Peers::start(operator, config.position, &config.settings, config.seed, clock, log.clone())
+    let peers = Peers::start(cluster, config.position, &config.settings, config.seed, clock, log.clone())
         .map_err(|error| StartError::Peers(error.into()))?;
-    dispatcher.join(peers.fleet());
+    dispatcher.join(peers.coordination());
     let running = Rc::clone(&peers);
     spawn_local(async move { running.run().await });
     Ok(Some(peers))
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -3,8 +3,11 @@
 //! The client side ([`downstream`]) and the server side ([`upstream`]) meet only in the [`dispatcher`]; [`daemon`]
 //! builds and starts all parts.
 
+pub mod admin;
+pub mod cluster_config;
 pub mod config;
 pub mod connect;
+mod coordination;
 pub mod daemon;
 pub mod discovery;
 pub mod downstream;
@@ -13,15 +16,12 @@
 pub mod graceful_shutdown;
 pub mod listener;
 mod logging;
-pub mod operator;
-pub mod operators;
-pub mod override_store;
+mod override_store;
 pub mod peers;
 mod reload;
 pub mod resource_limits;
 mod signals;
 pub mod socket;
-pub mod together;
 pub mod transient_errors;
 pub mod upstream;
 
--- a/node/src/override_store/tests.rs
+++ b/node/src/override_store/tests.rs
@@ -22,21 +22,21 @@
     }
 
     fn offline(&self, server: &str) -> ChangeId {
-        self.dispatcher.offline(server).unwrap();
+        self.dispatcher.take_offline(server).unwrap();
         self.store.record(server, OverrideState::Offline)
     }
 
     fn online(&self, server: &str) -> ChangeId {
-        self.dispatcher.online(server).unwrap();
+        self.dispatcher.bring_online(server).unwrap();
         self.store.record(server, OverrideState::Online)
     }
 
     fn offline_servers(&self) -> Vec<String> {
-        self.dispatcher.banned()
+        self.dispatcher.offline_servers()
     }
 }
 
-/// What an operator tells either process holds at both, also what is told both at once, and a third takes all of it over.
+/// A call at either process holds at both, also calls at both at once, and a third process takes all of them over.
 #[test]
 fn a_call_at_either_process_holds_at_both() {
     let directory = tempfile::tempdir().unwrap();
