--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -146,6 +146,7 @@
         }
     }
 
+    /// The count of the reads or of the writes in flight.
     fn in_flight_of(&mut self, is_write: bool) -> &mut f64 {
         if is_write {
             &mut self.writes_in_flight
@@ -191,6 +192,7 @@
         self.last_decrease = now;
     }
 
+    /// Adds a latency to the means, be it that of a response or of a timeout.
     fn record_latency(&mut self, now: Micros, latency: Micros) {
         let latency = latency.as_f64();
         let weight = if self.recent_latency == 0.0 { 1.0 } else { RECENT_LATENCY_WEIGHT };
--- a/src/balancer/discovery_schedule.rs
+++ b/src/balancer/discovery_schedule.rs
@@ -30,6 +30,7 @@
 }
 
 impl BackoffRange {
+    /// A time in this range, of a poll interval of this length.
     fn draw(self, interval: Micros, rng: &mut fastrand::Rng) -> Micros {
         interval.mul_f64(self.min_share + (self.max_share - self.min_share) * rng.f64())
     }
@@ -147,6 +148,7 @@
         None
     }
 
+    /// The range from the last call, or the last list, to the next call.
     fn backoff(&self) -> BackoffRange {
         match self.stage {
             Stage::Watching => DISCOVERY_BACKOFF.after_watch,
@@ -156,6 +158,7 @@
         }
     }
 
+    /// Another call has failed, or the watch has broken.
     fn advance(&mut self) {
         let is_starting = self.stage == Stage::FirstCallFailed && self.start_calls_left > 0;
         if is_starting {
--- a/src/balancer/endpoint_set.rs
+++ b/src/balancer/endpoint_set.rs
@@ -116,12 +116,14 @@
         });
     }
 
+    /// Removes the servers that a complete list does not name.
     fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
         let mut listed: Vec<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
         listed.sort_unstable();
         self.servers.retain(|server| listed.binary_search(&server.endpoint.server).is_ok());
     }
 
+    /// Adds, updates or removes the server that an endpoint names.
     fn apply_endpoint(&mut self, endpoint: &Endpoint) {
         let is_deleted = endpoint.state == EndpointState::Deleted;
         match self.index_of(endpoint.server) {
--- a/src/balancer/gap_ladder.rs
+++ b/src/balancer/gap_ladder.rs
@@ -27,8 +27,9 @@
 
 /// Outcomes that the first window needs, of all balancers together.
 const FIRST_WINDOW_OUTCOMES: f64 = 12.0;
-/// Bounds on the outcomes that one balancer's first window needs.
+/// Least outcomes that one balancer's first window needs.
 const MIN_WINDOW_OUTCOMES: f64 = 1.0;
+/// Most outcomes that one balancer's first window needs.
 const MAX_WINDOW_OUTCOMES: f64 = 4.0;
 /// Share of the window's length that a first window has to last for each outcome that it needs.
 const MIN_WINDOW_SHARE_PER_OUTCOME: f64 = 0.25;
@@ -46,7 +47,9 @@
 const MIN_BASE_MICROS: u64 = 1_000;
 /// Most rungs of a ladder.
 const MAX_RUNGS: f64 = 64.0;
+/// Latency objective where the settings have no class.
 const DEFAULT_LATENCY_OBJECTIVE: Micros = Micros::from_millis(500);
+/// Deadline where the settings have no class.
 const DEFAULT_DEADLINE: Micros = Micros::SECOND;
 
 /// The lengths that a gap may have and the evidence that moves it: the same for all servers of a kind.
@@ -194,6 +197,7 @@
         }
     }
 
+    /// Starts an empty window.
     fn open_window(&mut self, opened: Micros) {
         self.outcomes = 0.0;
         self.rejected = 0.0;
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -43,6 +43,7 @@
         self.hedges = (self.hedges + earned).min(MAX_SAVED_HEDGES);
     }
 
+    /// A hedged request goes out.
     fn spend(&mut self) {
         self.hedges -= 1.0;
     }
--- a/src/balancer/limit_view.rs
+++ b/src/balancer/limit_view.rs
@@ -74,6 +74,7 @@
         }
     }
 
+    /// The limits of one server, as they are now.
     fn limits_of(&self, server: &Server, now: Micros) -> LimitView {
         let Server { gap, concurrency, endpoint, .. } = server;
         LimitView {
--- a/src/balancer/origin.rs
+++ b/src/balancer/origin.rs
@@ -88,6 +88,7 @@
         }
     }
 
+    /// The number of requests that may wait for the origin now.
     fn max_queue_length(&mut self) -> usize {
         let origin = self.endpoints.origin_mut();
         let completions = origin.map_or(0, |origin| origin.concurrency.completions_within(MAX_QUEUE_TIME));
--- a/src/balancer/origin_queue.rs
+++ b/src/balancer/origin_queue.rs
@@ -27,6 +27,7 @@
 }
 
 impl OriginCapacity {
+    /// Whether there is capacity for this request.
     fn fits(self, request: &QueuedRequest) -> bool {
         if request.is_write {
             self.has_for_writes
@@ -80,6 +81,7 @@
         Some(self.waiting.swap_remove(highest).id)
     }
 
+    /// The priority of the request at this index.
     fn priority(&self, index: usize) -> f64 {
         self.waiting[index].priority
     }
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -53,6 +53,7 @@
         }
     }
 
+    /// Halves all counts, and forgets keys that were hardly read.
     fn halve_counts(&mut self) {
         for count in self.read_counts.values_mut() {
             *count /= 2.0;
--- a/src/balancer/rate_estimator.rs
+++ b/src/balancer/rate_estimator.rs
@@ -36,6 +36,7 @@
         self.decayed_count += 1.0;
     }
 
+    /// Decays the count by the time since it was last decayed.
     fn decay(&mut self, now: Micros) {
         let elapsed = (now - self.last_decay).as_f64();
         self.decayed_count *= (-elapsed / TIME_CONSTANT_MICROS).exp();
