--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -1,5 +1,7 @@
 //! Where the client side and the server side of a balancer meet. It knows no protocol and no socket.
 //!
+//! It is used from one thread: its types are shared by `Rc` and hold `Cell`s.
+//!
 //! [`dispatcher::Dispatcher`] owns the decisions, the open requests, the attempts and the timers;
 //! [`values`] are what every front and every protocol shares.
 
--- a/node/tests/two_deployments.rs
+++ b/node/tests/two_deployments.rs
@@ -55,18 +55,18 @@
         Deployment { dispatcher, recorder, client: BufStream::new(client) }
     }
 
-    async fn ask(&mut self, line: &str) {
+    async fn send(&mut self, line: &str) {
         self.client.write_all(line.as_bytes()).await.unwrap();
         self.client.flush().await.unwrap();
     }
 
-    async fn answer(&mut self) -> String {
+    async fn read_answer(&mut self) -> String {
         let mut line = String::new();
         self.client.read_line(&mut line).await.unwrap();
         line
     }
 
-    async fn begun(&self) -> Attempt {
+    async fn next_attempt(&self) -> Attempt {
         loop {
             if let Some(attempt) = self.recorder.begun.borrow_mut().pop() {
                 return attempt;
@@ -77,34 +77,35 @@
 }
 
 #[test]
-fn each_deployment_has_its_own() {
+fn each_deployment_has_its_own_classes_tenants_and_attempts() {
     testing::run_on_sockets(async {
         let (mut first, mut second) = (Deployment::new(FIRST).await, Deployment::new(SECOND).await);
         // The same line means another class and another tenant at each, and has another deadline there.
         let line = "ms 7f3a9c21e0b4d655 1 O1 Pc=put,t=acme,d=60000,k=5c0f6e1a2b3d4c59\r\nv\r\n";
-        first.ask(line).await;
-        second.ask(line).await;
-        let (at_first, at_second) = (first.begun().await, second.begun().await);
+        first.send(line).await;
+        second.send(line).await;
+        let (at_first, at_second) = (first.next_attempt().await, second.next_attempt().await);
         assert_eq!((at_first.request.class, at_first.request.tenant), (1, 0));
         assert_eq!((at_second.request.class, at_second.request.tenant), (0, 1));
-        let left =
-            |of: &Deployment, attempt: &Attempt| attempt.deadline.saturating_sub(of.dispatcher.clock().now());
-        let (left_first, left_second) = (left(&first, &at_first), left(&second, &at_second));
+        let time_left = |deployment: &Deployment, attempt: &Attempt| {
+            attempt.deadline.saturating_sub(deployment.dispatcher.clock().now())
+        };
+        let (left_first, left_second) = (time_left(&first, &at_first), time_left(&second, &at_second));
         assert!(left_first > Micros(400_000) && left_first < Micros(3_000_000), "{left_first:?}");
         assert!(left_second < Micros(400_000), "{left_second:?}");
-        // Broken off, a keyed write may be repeated at the first; at the second nothing may.
+        // After a broken attempt, a write with an idempotency key is retried at the first; at the second nothing is.
         first.dispatcher.on_attempt_ended(at_first.id, AttemptEnd::Broken);
         second.dispatcher.on_attempt_ended(at_second.id, AttemptEnd::Broken);
-        assert_eq!(first.begun().await.request.id, "1");
-        assert_eq!(second.answer().await, "SERVER_ERROR failed\r\n");
+        assert_eq!(first.next_attempt().await.request.id, "1");
+        assert_eq!(second.read_answer().await, "SERVER_ERROR failed\r\n");
         assert!(second.recorder.begun.borrow().is_empty());
-        // Neither knows the other's classes or tenants; who names no tenant of theirs is served, and is nobody's.
-        first.ask("mg k v O2 Pc=list,t=acme,d=500\r\n").await;
-        second.ask("mg k v O2 Pc=read,t=acme,d=500\r\n").await;
-        assert_eq!(second.answer().await, "CLIENT_ERROR unknown class\r\n");
-        first.ask("mg k v O3 Pc=read,t=beta,d=500\r\n").await;
-        second.ask("mg k v O3 Pc=list,d=500\r\n").await;
-        assert_eq!(first.begun().await.request.tenant, 1, "beyond the only one");
-        assert_eq!(second.begun().await.request.tenant, 2, "beyond both");
+        // Neither knows the other's classes or tenants; a request that names none of its tenants is served, and counts for none.
+        first.send("mg k v O2 Pc=list,t=acme,d=500\r\n").await;
+        second.send("mg k v O2 Pc=read,t=acme,d=500\r\n").await;
+        assert_eq!(second.read_answer().await, "CLIENT_ERROR unknown class\r\n");
+        first.send("mg k v O3 Pc=read,t=beta,d=500\r\n").await;
+        second.send("mg k v O3 Pc=list,d=500\r\n").await;
+        assert_eq!(first.next_attempt().await.request.tenant, 1, "beyond the only one");
+        assert_eq!(second.next_attempt().await.request.tenant, 2, "beyond both");
     });
 }
