--- a/src/balancer/endpoint_set.rs
+++ b/src/balancer/endpoint_set.rs
@@ -3,7 +3,9 @@
 use super::concurrency_limit::ConcurrencyLimit;
 use super::gap_ladder::Gap;
 use super::slow_start::{slow_start_weight, SlowStartCredit};
-use crate::*;
+use crate::endpoint::{Endpoint, EndpointState, EndpointUpdate, ServerId};
+use crate::settings::{Rules, Settings};
+use crate::time::Micros;
 
 /// A server of the list, and what this balancer's own attempts there have shown.
 #[derive(Debug)]
@@ -96,7 +98,7 @@
         servers.filter(|(index, _)| Some(*index) != self.origin).map(|(_, server)| &server.endpoint)
     }
 
-    /// Brings the list up to date. What is known of a server stays, unless it is gone or has started anew.
+    /// Applies an update of the list. What is known of a server is kept unless it is gone or has restarted.
     pub(super) fn apply_update(
         &mut self,
         update: EndpointUpdate,
@@ -132,7 +134,8 @@
         }
     }
 
-    /// A server that has started anew is another process: nothing known of the old one holds.
+    /// Replaces a server's entry. One that has restarted is another process: nothing known of the old one
+    /// holds.
     fn replace(&mut self, index: usize, endpoint: &Endpoint) {
         let server = &mut self.servers[index];
         if endpoint.started > server.endpoint.started {
--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -211,7 +211,7 @@
             let Some(incoming) = requests.next(input) else { break };
             self.first_byte_at = None;
             match incoming {
-                Incoming::Request(request, _) => match id_and_key(&request.id, &request.properties) {
+                Incoming::Request { request, .. } => match id_and_key(&request.id, &request.properties) {
                     Some((id, key)) => {
                         let write = request.value.is_some();
                         self.receive(InboundRequest { arrives_at: now, first_byte_at, id, key, write });
@@ -219,13 +219,13 @@
                     None => self.answer(now, "CLIENT_ERROR no client sent this\r\n".into(), None),
                 },
                 Incoming::Ready => self.answer(now, "MN\r\n".into(), None),
-                Incoming::Malformed(line) | Incoming::Lost(line) => {
+                Incoming::Malformed(line) | Incoming::Unrecoverable(line) => {
                     self.answer(now, format!("{line}\r\n"), None);
                 }
-                Incoming::Upload(..) | Incoming::Piece(..) | Incoming::Quit => {}
+                Incoming::Upload { .. } | Incoming::UploadChunk { .. } | Incoming::Quit => {}
             }
         }
-        if input.is_empty() && !requests.unfinished() {
+        if input.is_empty() && !requests.has_incomplete_request() {
             self.first_byte_at = None;
         }
     }
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -3,9 +3,8 @@
 use std::collections::VecDeque;
 use std::ops::Range;
 
-use juniperladder_cluster::cold::Start;
-use juniperladder_cluster::Cluster;
 use juniperladder_cluster::Micros as Time;
+use juniperladder_cluster::{Cluster, ServerId, ServerIncarnation, ServingServer};
 
 use super::Micros;
 
@@ -77,9 +76,13 @@
     }
 
     /// The cache servers as discovery would list them, with their zones.
-    pub fn servers(&self, zones: usize) -> impl Iterator<Item = (Start, u32)> {
-        (0..self.config.servers as u64)
-            .map(move |server| (start(server), (server % zones.max(1) as u64) as u32))
+    pub fn servers(&self, zones: usize) -> Vec<ServingServer> {
+        let serving = |server: u64| ServingServer {
+            server: ServerId(server),
+            started: Time(SERVER_START),
+            zone: (server % zones.max(1) as u64) as u32,
+        };
+        (0..self.config.servers as u64).map(serving).collect()
     }
 
     /// Plays the requests since the last call on a member's control code.
@@ -97,14 +100,14 @@
     fn time_out(&mut self, cluster: &mut Cluster, now: Micros) {
         while self.waiting.front().is_some_and(|(due, _)| *due <= now) {
             let Some((_, server)) = self.waiting.pop_front() else { break };
-            if let Some(verdicts) = cluster.verdicts() {
-                verdicts.saw(start(server), true, Time(now));
+            if let Some(detector) = cluster.failure_detector() {
+                detector.on_server_observed(start(server), true, Time(now));
             }
-            if let Some(retries) = cluster.second() {
-                if retries.has(Time(now)) {
-                    retries.spend(Time(now));
+            if let Some(retries) = cluster.retry_budget() {
+                if retries.has_credit(Time(now)) {
+                    retries.acquire(Time(now));
                 } else {
-                    retries.denied(Time(now));
+                    retries.on_rejected(Time(now));
                 }
             }
         }
@@ -112,20 +115,20 @@
 
     /// One request: an attempt at a cache server, and at times a fetch from the origin.
     fn request(&mut self, cluster: &mut Cluster, now: Micros) {
-        if let Some(retries) = cluster.second() {
-            retries.first();
+        if let Some(retries) = cluster.retry_budget() {
+            retries.on_first_attempt();
         }
         let server = self.rng.u64(0..self.config.servers.max(1) as u64);
         let heard = self.answered.get(server as usize).copied().unwrap_or(0);
         let per_s = self.requests_per_s / self.config.servers.max(1) as f64;
         let avoided = cluster
-            .verdicts()
-            .is_some_and(|reports| reports.warned(start(server), Time(heard), per_s, Time(now)));
+            .failure_detector()
+            .is_some_and(|detector| detector.is_suspected(start(server), Time(heard), per_s, Time(now)));
         if !avoided {
             self.attempt(cluster, server, now);
         }
         if self.rng.f64() < MISS_SHARE {
-            if let Some(limit) = cluster.limit(ORIGIN_LIMIT) {
+            if let Some(limit) = cluster.rate_limit(ORIGIN_LIMIT) {
                 if limit.wait_time(Time(now)).is_zero() {
                     limit.acquire(Time(now));
                 } else {
@@ -143,12 +146,12 @@
         if let Some(heard) = self.answered.get_mut(server as usize) {
             *heard = now;
         }
-        if let Some(verdicts) = cluster.verdicts() {
-            verdicts.saw(start(server), false, Time(now));
+        if let Some(detector) = cluster.failure_detector() {
+            detector.on_server_observed(start(server), false, Time(now));
         }
     }
 }
 
-fn start(server: u64) -> Start {
-    Start { server, started: Time(SERVER_START) }
+fn start(server: u64) -> ServerIncarnation {
+    ServerIncarnation { server: ServerId(server), started: Time(SERVER_START) }
 }
