--- a/platform-model/src/check.rs
+++ b/platform-model/src/check.rs
@@ -68,7 +68,7 @@
         requirement("balancers", has_balancers, "lies from 1 to 1024"),
         requirement("hosts", has_servers, "lies from 1 to 1024"),
         requirement("zones", has_zones, "lies from 1 to 16"),
-        requirement("told", fleet.told != Some(0), IS_AT_LEAST_ONE),
+        requirement("told", fleet.stated_balancers != Some(0), IS_AT_LEAST_ONE),
         requirement("weights", has_weights, "are numbers over 0"),
     ]
 }
--- a/platform-model/src/checker/rules/tests.rs
+++ b/platform-model/src/checker/rules/tests.rs
@@ -87,7 +87,7 @@
 
 #[test]
 fn three_attempts_are_allowed_and_repeats_as_the_class_allows() {
-    let played = |effect, write, attempts: &[(f64, AttemptResult)]| {
+    let count_violations = |effect, write, attempts: &[(f64, AttemptResult)]| {
         let mut builder = EventLogBuilder::default();
         let id = builder.request(ClientRequest { write, ..served(10.0) });
         for (at, result) in attempts {
@@ -102,14 +102,21 @@
     };
     use AttemptResult::{Failed, Miss, Rejected, Served};
     let (safe, keyed) = (Idempotency::Idempotent, Idempotency::WithIdempotencyKey(6 * MICROS_PER_SECOND));
-    assert_eq!(played(safe, false, &[(10.0, Failed), (10.1, Miss), (10.2, Served)]), 0);
-    assert_eq!(played(safe, false, &[(10.0, Rejected), (10.1, Miss), (10.2, Rejected), (10.3, Served)]), 1);
-    assert_eq!(played(keyed, true, &[(10.0, Failed), (16.05, Served)]), 0);
-    assert_eq!(played(keyed, true, &[(10.0, Failed), (16.06, Served)]), 1);
-    assert_eq!(played(keyed, true, &[(10.0, Rejected), (16.06, Served)]), 0, "it never ran");
-    assert_eq!(played(Idempotency::NotIdempotent, true, &[(10.0, Rejected), (10.1, Served)]), 0);
+    assert_eq!(count_violations(safe, false, &[(10.0, Failed), (10.1, Miss), (10.2, Served)]), 0);
     assert_eq!(
-        played(Idempotency::NotIdempotent, true, &[(10.0, AttemptResult::NoAnswer), (10.1, Served)]),
+        count_violations(safe, false, &[(10.0, Rejected), (10.1, Miss), (10.2, Rejected), (10.3, Served)]),
+        1
+    );
+    assert_eq!(count_violations(keyed, true, &[(10.0, Failed), (16.05, Served)]), 0);
+    assert_eq!(count_violations(keyed, true, &[(10.0, Failed), (16.06, Served)]), 1);
+    assert_eq!(count_violations(keyed, true, &[(10.0, Rejected), (16.06, Served)]), 0, "it never ran");
+    assert_eq!(count_violations(Idempotency::NotIdempotent, true, &[(10.0, Rejected), (10.1, Served)]), 0);
+    assert_eq!(
+        count_violations(
+            Idempotency::NotIdempotent,
+            true,
+            &[(10.0, AttemptResult::NoAnswer), (10.1, Served)]
+        ),
         1
     );
 }
@@ -117,16 +124,16 @@
 #[test]
 fn drain_holds_from_its_grace_until_the_balancer_is_notified_of_the_return() {
     let mut builder = EventLogBuilder::default();
-    let told =
+    let notice =
         |at, in_service| EndpointNotice { balancer: 0, server: 2, in_service, at: micros_from_seconds(at) };
-    builder.event_log.notices = vec![told(10.0, false), told(10.4, false), told(20.0, true)];
+    builder.event_log.notices = vec![notice(10.0, false), notice(10.4, false), notice(20.0, true)];
     for (at, server, breaks) in
         [(10.55, 2, 0), (10.56, 2, 1), (10.56, 1, 0), (19.99, 2, 1), (20.0, 2, 0), (9.0, 2, 0)]
     {
         builder.event_log.attempts = vec![attempt(1, Receiver::CacheServer(server), at)];
         assert_eq!(rules(&builder), vec![Rule::Drains; breaks], "{at} {server}");
     }
-    // Started anew at 12 s, the process was told nothing.
+    // Started anew at 12 s, the process was notified of nothing.
     builder.event_log.attempts = vec![attempt(1, Receiver::CacheServer(2), 13.0)];
     builder.event_log.process_impairments = vec![ImpairedSpan {
         number: 0,
--- a/platform-model/src/experiment.rs
+++ b/platform-model/src/experiment.rs
@@ -58,8 +58,8 @@
     #[serde(default = "default_zones")]
     pub zones: usize,
     /// `balancers` in the settings, if it is to be wrong; by default the real number.
-    #[serde(default)]
-    pub told: Option<usize>,
+    #[serde(default, rename = "told")]
+    pub stated_balancers: Option<usize>,
     /// Cores of the servers' kinds, in turn.
     #[serde(default = "default_weights")]
     pub weights: Vec<f64>,
--- a/platform-model/src/origin/tests.rs
+++ b/platform-model/src/origin/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::rng::{seeded_rng, RngStream};
 
-fn played(rate: u64, seconds: u64, slow: f64) -> (Origin, Vec<Outcome>) {
+fn run_requests(rate: u64, seconds: u64, slow: f64) -> (Origin, Vec<Outcome>) {
     let mut origin = Origin::new(OriginModel { capacity: 100.0, ..OriginModel::default() });
     let mut rng = seeded_rng(1, RngStream::Machines);
     origin.set_slowdown(slow);
@@ -27,23 +27,23 @@
 
 #[test]
 fn origin_runs_its_capacity_and_rejects_the_rest() {
-    assert_eq!(runs(&played(60, 10, 1.0).1), 600);
-    let (origin, all) = played(200, 10, 1.0);
+    assert_eq!(runs(&run_requests(60, 10, 1.0).1), 600);
+    let (origin, all) = run_requests(200, 10, 1.0);
     assert!((900..1_200).contains(&runs(&all)), "{}", runs(&all));
     assert!(origin.stops.is_empty() && all.contains(&Outcome::Rejected));
-    assert!(runs(&played(200, 10, 4.0).1) < 350, "slower, it runs less");
+    assert!(runs(&run_requests(200, 10, 4.0).1) < 350, "slower, it runs less");
 }
 
 #[test]
 fn overload_stops_the_origin_and_the_slow_start_share_is_noted() {
-    let (origin, all) = played(300, 4, 1.0);
+    let (origin, all) = run_requests(300, 4, 1.0);
     assert_eq!(origin.stops.len(), 1);
     assert!((origin.stops[0].1 - 0.25).abs() < 0.01 && all.contains(&Outcome::Stopped));
 }
 
 #[test]
 fn repeat_of_a_write_with_an_idempotency_key_runs_once() {
-    let (mut origin, _) = played(1, 1, 1.0);
+    let (mut origin, _) = run_requests(1, 1, 1.0);
     let mut rng = seeded_rng(1, RngStream::Machines);
     let mut write = |now| {
         let request = OriginRequest {
--- a/platform-model/tests/file_formats.rs
+++ b/platform-model/tests/file_formats.rs
@@ -50,7 +50,7 @@
     let experiment = every_section();
     assert_eq!((experiment.name.as_str(), experiment.seed, experiment.seconds), ("every-section", 7, 40.5));
     let fleet = &experiment.fleet;
-    assert_eq!((fleet.balancers, fleet.servers, fleet.zones, fleet.told), (12, 6, 3, Some(10)));
+    assert_eq!((fleet.balancers, fleet.servers, fleet.zones, fleet.stated_balancers), (12, 6, 3, Some(10)));
     assert_eq!(fleet.weights, [1.0, 2.0]);
     assert_eq!(fleet.program, "target/release/other");
     assert_eq!(fleet.operator.as_deref(), Some("deploy/operator.example.toml"));
--- a/testbed-cli/src/fit.rs
+++ b/testbed-cli/src/fit.rs
@@ -1,6 +1,9 @@
 //! Fits a cost to the size of a fleet by least squares: which simple law describes it, and what that law says of a size that was
 //! left out. Pure.
 
+#[cfg(test)]
+mod tests;
+
 /// How a cost grows with the number of members `n`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Law {
@@ -85,29 +88,20 @@
 }
 
 /// Why no law can be fitted.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FitError {
     /// Fewer than three different sizes: any law of two coefficients passes through two.
+    #[error("a fit needs at least three different sizes")]
     TooFewSizes,
     /// A size below 1, or a value that is no finite number.
+    #[error("sizes are at least 1 and costs are finite numbers")]
     NotANumber,
 }
 
-impl std::fmt::Display for FitError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(match self {
-            FitError::TooFewSizes => "a fit needs at least three different sizes",
-            FitError::NotANumber => "sizes are at least 1 and costs are finite numbers",
-        })
-    }
-}
-
-impl std::error::Error for FitError {}
-
 /// How much smaller the residual of a law has to be than that of the constant, so that growth is believed at all.
-const GROWTH_RESIDUAL: f64 = 0.5;
+const GROWTH_RESIDUAL_RATIO: f64 = 0.5;
 /// The part of the largest cost below which a residual is rounding.
-const ROUNDING: f64 = 1e-9;
+const ROUNDING_SHARE: f64 = 1e-9;
 
 /// Fits one law to (size, cost) points.
 pub fn fit_law(law: Law, points: &[(f64, f64)]) -> Fit {
@@ -139,9 +133,9 @@
         return Err(FitError::TooFewSizes);
     }
     // Residuals that differ by rounding alone are the same; the law that grows more slowly then comes first.
-    let scale = points.iter().map(|(_, cost)| cost.abs()).fold(0.0, f64::max) * ROUNDING;
+    let scale = points.iter().map(|(_, cost)| cost.abs()).fold(0.0, f64::max) * ROUNDING_SHARE;
     let rank = |fit: &Fit| match fit.law {
-        Law::Constant => (fit.residual * GROWTH_RESIDUAL).max(scale),
+        Law::Constant => (fit.residual * GROWTH_RESIDUAL_RATIO).max(scale),
         _ => fit.residual.max(scale),
     };
     let mut fits: Vec<Fit> = Law::ALL.iter().map(|law| fit_law(*law, points)).collect();
@@ -160,6 +154,3 @@
     let measured = largest.iter().map(|(_, cost)| cost).sum::<f64>() / largest.len().max(1) as f64;
     Ok(Prediction { fit: best, size, predicted: best.at(size), measured })
 }
-
-#[cfg(test)]
-mod tests;
--- a/testbed-cli/src/scale_run.rs
+++ b/testbed-cli/src/scale_run.rs
@@ -20,7 +20,7 @@
 
 /// Runs a scale test of one size, writes what it found and prints it.
 pub fn run_one(args: &ScaleArgs) -> ExitStatus {
-    let outcome = match scale::play(args.config()) {
+    let outcome = match scale::run_scale_test(args.config()) {
         Ok(outcome) => outcome,
         Err(error) => {
             eprintln!("{error}");
@@ -31,7 +31,7 @@
         eprintln!("{}: {error}", args.out.display());
         return ExitStatus::NOT_ALLOWED;
     }
-    scale_table::print(&outcome.summary);
+    scale_table::print_summary(&outcome.summary);
     if args.calibrate && !args.virtual_time {
         calibrate(args, &outcome.summary);
     }
--- a/testbed-cli/src/scale_table.rs
+++ b/testbed-cli/src/scale_table.rs
@@ -4,7 +4,7 @@
 use juniperladder_testbed::scale::{PurgeSummary, Times};
 
 /// Prints a run's summary.
-pub fn print(summary: &Summary) {
+pub fn print_summary(summary: &Summary) {
     println!(
         "{} of {} members, {} zones, {} regions, seed {}, event {}{}{}",
         summary.mechanism,
@@ -16,9 +16,9 @@
         if summary.virtual_time { ", simulated time" } else { "" },
         summary.flaw.as_ref().map_or(String::new(), |flaw| format!(", broken on purpose: {flaw}")),
     );
-    phase("ordinary state", &summary.ordinary);
+    print_phase("ordinary state", &summary.ordinary);
     if summary.after_event.seconds > 0.0 {
-        phase("from the event on", &summary.after_event);
+        print_phase("from the event on", &summary.after_event);
     }
     println!(
         "  memory a member {:.0} KB; members known: least {}, median {}, most {}; timers late by {:.1} ms (p99)",
@@ -33,16 +33,16 @@
     }
     if summary.control_ordinary.seconds > 0.0 {
         println!("  {} control machines:", summary.replicas);
-        phase("ordinary state", &summary.control_ordinary);
+        print_phase("ordinary state", &summary.control_ordinary);
         if summary.control_after_event.seconds > 0.0 {
-            phase("from the event on", &summary.control_after_event);
+            print_phase("from the event on", &summary.control_after_event);
         }
     }
-    summary.purge.iter().for_each(purge);
-    summary.changes.iter().for_each(change);
+    summary.purge.iter().for_each(print_purge);
+    summary.changes.iter().for_each(print_change);
 }
 
-fn phase(name: &str, phase: &PhaseSummary) {
+fn print_phase(name: &str, phase: &PhaseSummary) {
     println!(
         "  {name}, {:.0} s: a member sends {:.1} packets, {:.0} bytes a second ({:.0} with headers, busiest {:.0}), \
          receives {:.0}",
@@ -66,7 +66,7 @@
     );
 }
 
-fn purge(purge: &PurgeSummary) {
+fn print_purge(purge: &PurgeSummary) {
     for (name, phase) in [("ordinary state", &purge.ordinary), ("from the event on", &purge.after_event)] {
         if phase.accepted + phase.rejected == 0 {
             continue;
@@ -90,7 +90,7 @@
     );
 }
 
-fn change(change: &ChangeSummary) {
+fn print_change(change: &ChangeSummary) {
     let time = |ms: Option<f64>| ms.map_or("-".to_owned(), |ms| format!("{ms:.0}"));
     println!(
         "  {:16} {} observers, {} unaware, {} never (in {:.1} s): p50 {} ms, p99 {} ms, all {} ms",
--- a/testbed/src/operator_file.rs
+++ b/testbed/src/operator_file.rs
@@ -60,7 +60,7 @@
     fn stated_retry_budget(&self, experiment: &Experiment) -> Option<StatedRetryBudget> {
         self.table_at(&["limits", "second"])?;
         let fleet = &experiment.fleet;
-        let stated_balancers = fleet.told.unwrap_or(fleet.balancers) as f64;
+        let stated_balancers = fleet.stated_balancers.unwrap_or(fleet.balancers) as f64;
         let holders = self.number(&["limits", "holders"]).unwrap_or(stated_balancers);
         let saved = self.number(&["limits", "second", "saved"]).unwrap_or(DEFAULT_SAVED_RETRIES);
         Some(StatedRetryBudget {
--- a/testbed/src/process_config.rs
+++ b/testbed/src/process_config.rs
@@ -52,7 +52,7 @@
     kinds.push("origin".into());
     json!({
         "az": zone_of(number, fleet),
-        "balancers": fleet.told.unwrap_or(fleet.balancers),
+        "balancers": fleet.stated_balancers.unwrap_or(fleet.balancers),
         "categories": terms.classes.iter().map(category).collect::<Vec<_>>(),
         "clients": {"marks-retry": true},
         "domain-type": "cache",
--- a/testbed/src/scale/cluster_endpoint.rs
+++ b/testbed/src/scale/cluster_endpoint.rs
@@ -15,15 +15,15 @@
 use super::Micros;
 
 /// The figures of `deploy/operator.example.toml`.
-const LEASE: Time = Time::from_secs(2);
-const DRIFT: f64 = 0.001;
-const SPREAD: Time = Time::from_millis(50);
-const COLD_PER_S: u32 = 100;
-const COLD_SHARE: f64 = 0.25;
+const LEASE_DURATION: Time = Time::from_secs(2);
+const CLOCK_DRIFT_RATIO: f64 = 0.001;
+const ARRIVAL_SPREAD: Time = Time::from_millis(50);
+const SLOW_START_SENDS_PER_S: u32 = 100;
+const SLOW_START_INITIAL_SHARE: f64 = 0.25;
 const WARM_UP: Time = Time::from_secs(10);
 const RETRY_SHARE: f64 = 0.4;
 const RETRIES_SAVED: f64 = 10.0;
-const REPORTERS: usize = 3;
+const MIN_REPORTERS: usize = 3;
 const REPORT_EXPIRY: Time = Time::from_secs(6);
 const AVOIDED_SHARE: f64 = 0.34;
 const TRIES_PER_S: f64 = 1.0;
@@ -72,7 +72,7 @@
     }
 
     fn satisfies(&mut self, query: &StateQuery) -> bool {
-        about_members(&self.0, query)
+        is_satisfied_by_members(&self.0, query)
     }
 
     fn known_members(&self) -> Option<usize> {
@@ -111,7 +111,7 @@
     }
 
     fn on_tick(&mut self, now: Micros) {
-        self.workload.play(&mut self.cluster, now);
+        self.workload.generate(&mut self.cluster, now);
         self.cluster.tick(Time(now));
     }
 
@@ -125,7 +125,7 @@
                 .cluster
                 .failure_detector()
                 .is_some_and(|detector| detector.metrics().suspected_servers > 0),
-            query => about_members(self.cluster.membership(), query),
+            query => is_satisfied_by_members(self.cluster.membership(), query),
         }
     }
 
@@ -134,7 +134,7 @@
     }
 }
 
-fn about_members(membership: &Membership, query: &StateQuery) -> bool {
+fn is_satisfied_by_members(membership: &Membership, query: &StateQuery) -> bool {
     match query {
         StateQuery::Alive(address) => membership.is_alive(*address),
         StateQuery::Gone(address) => !membership.is_alive(*address),
@@ -147,10 +147,10 @@
     let holders = members as u32;
     let terms = |whole| rate_limit::RateLimitTerms {
         requests_per_s: whole,
-        arrival_spread: SPREAD,
+        arrival_spread: ARRIVAL_SPREAD,
         owners: holders,
-        lease: LEASE,
-        clock_drift: DRIFT,
+        lease: LEASE_DURATION,
+        clock_drift: CLOCK_DRIFT_RATIO,
     };
     ClusterConfig {
         address: identity.address,
@@ -163,8 +163,8 @@
             terms: terms(config.origin_limit(members)),
         }],
         slow_start: Some(SlowStartTerms {
-            rate_limit: terms(COLD_PER_S),
-            initial_share: COLD_SHARE,
+            rate_limit: terms(SLOW_START_SENDS_PER_S),
+            initial_share: SLOW_START_INITIAL_SHARE,
             duration: WARM_UP,
         }),
         retry_budget: Some(RetryBudgetTerms {
@@ -173,11 +173,11 @@
             holders,
         }),
         failure_detector: Some(FailureDetectorTerms {
-            min_reporters: REPORTERS,
+            min_reporters: MIN_REPORTERS,
             report_lifetime: REPORT_EXPIRY,
             max_suspected_share: AVOIDED_SHARE,
             trials_per_s: TRIES_PER_S,
-            clock_drift: DRIFT,
+            clock_drift: CLOCK_DRIFT_RATIO,
         }),
         random_seed: identity.seed,
     }
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -44,27 +44,27 @@
 /// The most members of a run: what the rule of the project demands of a list of balancers.
 const MEMBERS_MAX: usize = 4_096;
 
-/// Plays a scale test.
+/// Runs a scale test.
 ///
 /// # Errors
 /// One line that says what does not allow the run, or what broke it.
-pub fn play(config: ScaleConfig) -> Result<Outcome, TestbedError> {
+pub fn run_scale_test(config: ScaleConfig) -> Result<Outcome, TestbedError> {
     let config = config.normalised();
     check(&config)?;
     if config.virtual_time {
-        return Ok(play_virtual(config));
+        return Ok(run_virtual(config));
     }
     let (sockets, addresses) = sockets::bind(config.endpoints()).map_err(RunError::ScaleTest)?;
     let run = Arc::new(Run::new(config, addresses));
-    let played = sockets::play(&run, sockets).map_err(RunError::ScaleTest)?;
+    let played = sockets::run_on_sockets(&run, sockets).map_err(RunError::ScaleTest)?;
     Ok(Outcome::of_sockets(&run, played))
 }
 
-fn play_virtual(config: ScaleConfig) -> Outcome {
+fn run_virtual(config: ScaleConfig) -> Outcome {
     let addresses = (0..config.endpoints()).map(virtual_time::address).collect();
     let run = Arc::new(Run::new(config, addresses));
     let before = resources::resident_bytes();
-    let (observed, memory) = virtual_time::play(&run);
+    let (observed, memory) = virtual_time::run_in_virtual_time(&run);
     Outcome::new(&run, observed, &Lateness::default(), memory.saturating_sub(before))
 }
 
--- a/testbed/src/scale/purge_check.rs
+++ b/testbed/src/scale/purge_check.rs
@@ -12,7 +12,7 @@
 use super::Micros;
 
 /// Purges that were published later than this before the end are not asked for.
-const SETTLING: Micros = 5_000_000;
+const SETTLING_TIME: Micros = 5_000_000;
 /// A member counts as connected to a publisher where their link is whole from the purge on for so long.
 const CONNECTED_FOR: Micros = 3_000_000;
 /// The step in which that is looked at.
@@ -82,7 +82,7 @@
 
 /// One start of a member.
 #[derive(Debug, Default)]
-struct Life {
+struct MemberIncarnation {
     started: Micros,
     stopped: Option<Micros>,
     /// When it acted on each purge.
@@ -92,7 +92,7 @@
     served: Vec<(Micros, Option<Micros>)>,
 }
 
-impl Life {
+impl MemberIncarnation {
     fn is_alive(&self, at: Micros) -> bool {
         self.started <= at && self.stopped.is_none_or(|stopped| at < stopped)
     }
@@ -127,7 +127,7 @@
 /// The events of a run, in order.
 #[derive(Debug, Default)]
 struct Record {
-    lives: BTreeMap<usize, Vec<Life>>,
+    incarnations: BTreeMap<usize, Vec<MemberIncarnation>>,
     published: BTreeMap<u32, Published>,
     rejected: Vec<Micros>,
     lapses: usize,
@@ -160,13 +160,17 @@
                 return;
             }
             EndpointEvent::Started => {
-                let lives = self.lives.entry(event.member).or_default();
-                lives.push(Life { started: at, ..Life::default() });
+                let incarnations = self.incarnations.entry(event.member).or_default();
+                incarnations.push(MemberIncarnation { started: at, ..MemberIncarnation::default() });
                 return;
             }
             _ => {}
         }
-        let Some(life) = self.lives.get_mut(&event.member).and_then(|lives| lives.last_mut()) else { return };
+        let Some(life) =
+            self.incarnations.get_mut(&event.member).and_then(|incarnations| incarnations.last_mut())
+        else {
+            return;
+        };
         match event.event {
             EndpointEvent::Stopped => life.stopped = Some(at),
             EndpointEvent::Purged(number) => {
@@ -190,24 +194,27 @@
     events.sort_by_key(|event| event.at);
     let record = Record::new(&events);
     drop(events);
-    let members = || record.lives.iter().filter(|(member, _)| **member >= run.config.replicas);
-    let served_before = |life: &Life, at: Micros| life.served.first().is_some_and(|(from, _)| *from < at);
-    let voids = |life: &Life| life.voided.iter().filter(|at| served_before(life, **at)).count();
-    let serves = |life: &&Life| life.stopped.is_none() && life.served.last().is_some_and(|s| s.1.is_none());
+    let members = || record.incarnations.iter().filter(|(member, _)| **member >= run.config.replicas);
+    let served_before =
+        |life: &MemberIncarnation, at: Micros| life.served.first().is_some_and(|(from, _)| *from < at);
+    let voids = |life: &MemberIncarnation| life.voided.iter().filter(|at| served_before(life, **at)).count();
+    let serves = |life: &&MemberIncarnation| {
+        life.stopped.is_none() && life.served.last().is_some_and(|s| s.1.is_none())
+    };
     PurgeSummary {
         ordinary: of_phase(run, &record, Phase::Ordinary),
         after_event: of_phase(run, &record, Phase::Event),
         done_missing: done_missing(run, &record),
-        voided: members().flat_map(|(_, lives)| lives).map(voids).sum(),
+        voided: members().flat_map(|(_, incarnations)| incarnations).map(voids).sum(),
         lapses: record.lapses,
-        serving: members().filter_map(|(_, lives)| lives.last()).filter(serves).count(),
+        serving: members().filter_map(|(_, incarnations)| incarnations.last()).filter(serves).count(),
     }
 }
 
 fn done_missing(run: &Run, record: &Record) -> usize {
-    let members = record.lives.iter().filter(|(member, _)| **member >= run.config.replicas);
+    let members = record.incarnations.iter().filter(|(member, _)| **member >= run.config.replicas);
     let mut missing = 0;
-    for life in members.flat_map(|(_, lives)| lives) {
+    for life in members.flat_map(|(_, incarnations)| incarnations) {
         for (number, published) in &record.published {
             let Some(done) = published.done else { continue };
             let covered = life.covered_at(*number, published.at);
@@ -218,7 +225,7 @@
 }
 
 fn of_phase(run: &Run, record: &Record, phase: Phase) -> PurgePhase {
-    let in_phase = |at: Micros| run.schedule.phase(at) == phase && at + SETTLING < run.schedule.end;
+    let in_phase = |at: Micros| run.schedule.phase(at) == phase && at + SETTLING_TIME < run.schedule.end;
     let mut result = PurgePhase {
         rejected: record.rejected.iter().filter(|at| in_phase(**at)).count(),
         ..PurgePhase::default()
@@ -227,8 +234,10 @@
     for (number, published) in record.published.iter().filter(|(_, published)| in_phase(published.at)) {
         result.accepted += 1;
         let mut longest = None;
-        for (member, lives) in record.lives.iter().filter(|(member, _)| **member >= run.config.replicas) {
-            let Some(life) = lives.iter().find(|life| life.is_alive(published.at)) else { continue };
+        for (member, incarnations) in
+            record.incarnations.iter().filter(|(member, _)| **member >= run.config.replicas)
+        {
+            let Some(life) = incarnations.iter().find(|life| life.is_alive(published.at)) else { continue };
             if !is_connected(run, *member, published) {
                 continue;
             }
@@ -255,8 +264,8 @@
 
 /// Whether the control machine that took a purge was killed after it.
 fn was_stopped(record: &Record, published: &Published) -> bool {
-    let lives = record.lives.get(&published.by).into_iter().flatten();
-    lives.into_iter().any(|life| life.stopped.is_some_and(|stopped| stopped >= published.at))
+    let incarnations = record.incarnations.get(&published.by).into_iter().flatten();
+    incarnations.into_iter().any(|life| life.stopped.is_some_and(|stopped| stopped >= published.at))
 }
 
 fn is_connected(run: &Run, member: usize, published: &Published) -> bool {
--- a/testbed/src/scale/resources.rs
+++ b/testbed/src/scale/resources.rs
@@ -17,7 +17,7 @@
 const DESCRIPTORS_BASE: u64 = 64;
 const DESCRIPTORS_PER_WORKER: u64 = 8;
 /// A page of memory, in which the system counts.
-const PAGE: u64 = 4_096;
+const PAGE_BYTES: u64 = 4_096;
 
 /// Memory that a run may take at the most, in bytes.
 pub fn memory_needed(config: &ScaleConfig) -> u64 {
@@ -59,7 +59,7 @@
 pub fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1).and_then(|word| word.parse::<u64>().ok());
-    pages.unwrap_or(0) * PAGE
+    pages.unwrap_or(0) * PAGE_BYTES
 }
 
 fn available_bytes() -> Option<u64> {
--- a/testbed/src/scale/run.rs
+++ b/testbed/src/scale/run.rs
@@ -10,13 +10,13 @@
 use super::endpoint::Endpoint;
 use super::network::Network;
 use super::purge_endpoint::{MemberEndpoint, MemberIdentity, ReplicaEndpoint};
-use super::schedule::{Schedule, SEEDS, START};
+use super::schedule::{Schedule, CLOCK_START, SEED_COUNT};
 use super::topology::Topology;
 use super::workload::WorkloadConfig;
 use super::Micros;
 
 /// How often a member does what is due.
-pub const TICK: Micros = 50_000;
+pub const TICK_INTERVAL: Micros = 50_000;
 
 /// A run, fixed before it starts.
 #[derive(Debug)]
@@ -56,7 +56,7 @@
             number: member,
             zone: self.network.topology().zone(member),
             life: now,
-            seeds: self.addresses.iter().take(SEEDS).copied().collect(),
+            seeds: self.addresses.iter().take(SEED_COUNT).copied().collect(),
             seed,
         };
         match config.mechanism {
@@ -67,7 +67,7 @@
             }
             Mechanism::Purge if member < config.replicas => {
                 let replicas = self.addresses[..config.replicas].to_vec();
-                let bootstrap = now < START + TICK;
+                let bootstrap = now < CLOCK_START + TICK_INTERVAL;
                 Box::new(ReplicaEndpoint::new(member as u8, replicas, bootstrap, seed, now))
             }
             Mechanism::Purge => Box::new(MemberEndpoint::new(self.purge_member(member, seed), now)),
--- a/testbed/src/scale/schedule.rs
+++ b/testbed/src/scale/schedule.rs
@@ -11,7 +11,7 @@
 use super::Micros;
 
 /// The time at which every run starts: no real clock reads so little, and no span before it underflows.
-pub const START: Micros = 1_000_000_000;
+pub const CLOCK_START: Micros = 1_000_000_000;
 /// The share of the observed time in which the fleet is in its ordinary state.
 const ORDINARY_SHARE: f64 = 1.0 / 3.0;
 /// Parts of the time after the event begins at which it goes on.
@@ -24,13 +24,13 @@
 const WAVE_SPREAD: Micros = 5_000_000;
 const WAVE_AWAY: Micros = 1_000_000;
 /// Members that all others call first.
-pub const SEEDS: usize = 3;
+pub const SEED_COUNT: usize = 3;
 /// Control machines killed in [`Event::ControlLoss`].
 const REPLICAS_LOST: usize = 2;
 /// How long after the start the first purge is published.
 const PUBLISHED_AFTER: Micros = 3_000_000;
 /// Members about which all others are asked after an event that concerns many.
-const SAMPLED: usize = 3;
+const SAMPLED_MEMBERS: usize = 3;
 
 /// What is done to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -107,7 +107,7 @@
     /// The schedule of a run, with its faults added to the network.
     pub fn new(config: &ScaleConfig, network: &mut Network, addresses: &[SocketAddr]) -> Schedule {
         let micros = |seconds: f64| (seconds * 1e6) as Micros;
-        let warm = START + micros(config.warm_up_s);
+        let warm = CLOCK_START + micros(config.warm_up_s);
         let end = warm + micros(config.seconds);
         let event = match config.event {
             Event::None => end,
@@ -122,7 +122,7 @@
             silent_hosts: Vec::new(),
         };
         let rng = fastrand::Rng::with_seed(config.seed ^ 0x5c4e_d01e);
-        let first = if config.replicas > 0 { config.replicas } else { SEEDS.min(addresses.len() - 1) };
+        let first = if config.replicas > 0 { config.replicas } else { SEED_COUNT.min(addresses.len() - 1) };
         let mut builder = Builder { schedule, network, addresses, rng, replicas: config.replicas, first };
         builder.add(config.event);
         builder.add_purges(config);
@@ -148,7 +148,7 @@
     /// How long a phase lasts, in seconds.
     pub fn phase_seconds(&self, phase: Phase) -> f64 {
         let span = match phase {
-            Phase::WarmUp => self.warm - START,
+            Phase::WarmUp => self.warm - CLOCK_START,
             Phase::Ordinary => self.event - self.warm,
             Phase::Event => self.end - self.event,
         };
@@ -276,7 +276,7 @@
             return;
         }
         let between = (1e6 / config.publishes_per_s) as Micros;
-        let times = (START + PUBLISHED_AFTER..self.schedule.end).step_by(between.max(1) as usize);
+        let times = (CLOCK_START + PUBLISHED_AFTER..self.schedule.end).step_by(between.max(1) as usize);
         for (number, at) in times.enumerate() {
             self.act(at, number % self.replicas, ActionKind::Publish(number as u32));
         }
@@ -306,6 +306,6 @@
     fn sample(&mut self, members: &[usize]) -> Vec<SocketAddr> {
         let mut members = members.to_vec();
         self.rng.shuffle(&mut members);
-        members.into_iter().take(SAMPLED).map(|member| self.addresses[member]).collect()
+        members.into_iter().take(SAMPLED_MEMBERS).map(|member| self.addresses[member]).collect()
     }
 }
--- a/testbed/src/scale/sockets.rs
+++ b/testbed/src/scale/sockets.rs
@@ -15,8 +15,8 @@
 use mio::{Events, Interest, Poll, Token};
 
 use super::meter::{thread_cpu_ns, Lateness};
-use super::run::{Run, TICK};
-use super::schedule::{Phase, START};
+use super::run::{Run, TICK_INTERVAL};
+use super::schedule::{Phase, CLOCK_START};
 use super::shard::{Observations, Shard, Travelling};
 use super::virtual_time::{start_action, start_of};
 use super::{resources, Micros};
@@ -61,11 +61,11 @@
     Ok((sockets, addresses))
 }
 
-/// Plays a run to its end.
+/// Runs a scale test to its end.
 ///
 /// # Errors
 /// What the system says of a socket or a poll.
-pub fn play(run: &Arc<Run>, sockets: Vec<std::net::UdpSocket>) -> io::Result<SocketRun> {
+pub fn run_on_sockets(run: &Arc<Run>, sockets: Vec<std::net::UdpSocket>) -> io::Result<SocketRun> {
     let workers = run.config.workers.max(1);
     let mut shares: Vec<Vec<std::net::UdpSocket>> = (0..workers).map(|_| Vec::new()).collect();
     for (member, socket) in sockets.into_iter().enumerate() {
@@ -79,11 +79,11 @@
         threads.push(std::thread::spawn(move || {
             let worker = Worker::new(&run, number, workers, sockets);
             barrier.wait();
-            worker?.play()
+            worker?.run()
         }));
     }
     barrier.wait();
-    let length = Duration::from_micros(run.schedule.end - START);
+    let length = Duration::from_micros(run.schedule.end - CLOCK_START);
     std::thread::sleep(length.saturating_sub(MEMORY_READ_BEFORE_END));
     let mut whole =
         SocketRun { memory: (memory_before, resources::resident_bytes()), ..SocketRun::default() };
@@ -150,10 +150,10 @@
     }
 
     fn now(&self) -> Micros {
-        START + self.clock.elapsed().as_micros() as Micros
+        CLOCK_START + self.clock.elapsed().as_micros() as Micros
     }
 
-    fn play(mut self) -> io::Result<SocketRun> {
+    fn run(mut self) -> io::Result<SocketRun> {
         self.clock = Instant::now();
         self.start();
         let mut events = Events::with_capacity(EVENTS_PER_POLL);
@@ -192,7 +192,7 @@
         for member in self.shard.members() {
             let at = start_of(member, members);
             self.shard.on_action(at, &start_action(member, at), &mut self.out);
-            self.timers.push(Reverse((at + TICK, TimerKind::Tick(member))));
+            self.timers.push(Reverse((at + TICK_INTERVAL, TimerKind::Tick(member))));
         }
         self.collect();
         for (number, action) in self.run.schedule.actions.iter().enumerate() {
@@ -220,7 +220,8 @@
                 TimerKind::Tick(member) => {
                     self.shard.on_tick(now, member, &mut self.out);
                     // A tick that was missed is not made up for.
-                    let next = if now < due + TICK { due + TICK } else { now + TICK };
+                    let next =
+                        if now < due + TICK_INTERVAL { due + TICK_INTERVAL } else { now + TICK_INTERVAL };
                     self.timers.push(Reverse((next, TimerKind::Tick(member))));
                 }
             }
--- a/testbed/src/scale/tests.rs
+++ b/testbed/src/scale/tests.rs
@@ -109,7 +109,7 @@
         ScaleConfig { members: 5_000, ..ScaleConfig::default() },
         ScaleConfig { seconds: 0.0, ..ScaleConfig::default() },
     ] {
-        let Err(TestbedError::NotAllowed(line)) = play(config) else { panic!("it ran") };
+        let Err(TestbedError::NotAllowed(line)) = run_scale_test(config) else { panic!("it ran") };
         assert!(!line.to_string().contains('\n'));
     }
     let config = ScaleConfig { members: 4_000, ..ScaleConfig::default() };
--- a/testbed/src/scale/virtual_time.rs
+++ b/testbed/src/scale/virtual_time.rs
@@ -7,18 +7,18 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-use super::run::{Run, TICK};
-use super::schedule::START;
+use super::run::{Run, TICK_INTERVAL};
+use super::schedule::CLOCK_START;
 use super::shard::{Observations, Shard, Travelling};
 use super::{resources, Micros};
 
 /// The port of every simulated member; their addresses differ.
-const PORT: u16 = 7_946;
+const MEMBER_PORT: u16 = 7_946;
 
 /// The address of a simulated member.
 pub fn address(member: usize) -> SocketAddr {
     let [_, high, middle, low] = (member as u32 + 1).to_be_bytes();
-    (Ipv4Addr::new(10, high, middle, low), PORT).into()
+    (Ipv4Addr::new(10, high, middle, low), MEMBER_PORT).into()
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -52,14 +52,14 @@
 }
 
 /// Plays a run to its end; gives what was observed, and the resident memory at the end.
-pub fn play(run: &Arc<Run>) -> (Observations, u64) {
+pub fn run_in_virtual_time(run: &Arc<Run>) -> (Observations, u64) {
     let mut shard = Shard::new(Arc::clone(run), 0, 1);
     let mut queue = Queue::default();
     let mut out = Vec::new();
     for member in shard.members() {
         let start = start_of(member, run.addresses.len());
         shard.on_action(start, &start_action(member, start), &mut out);
-        queue.push(start + TICK, QueuedKind::Tick(member));
+        queue.push(start + TICK_INTERVAL, QueuedKind::Tick(member));
         queue.push_all(&mut out);
     }
     for (number, action) in run.schedule.actions.iter().enumerate() {
@@ -73,7 +73,7 @@
             QueuedKind::Action(number) => shard.on_action(now, &run.schedule.actions[number], &mut out),
             QueuedKind::Tick(member) => {
                 shard.on_tick(now, member, &mut out);
-                queue.push(now + TICK, QueuedKind::Tick(member));
+                queue.push(now + TICK_INTERVAL, QueuedKind::Tick(member));
             }
             QueuedKind::Arrival(packet) => {
                 let from = run.addresses[packet.from];
@@ -88,7 +88,7 @@
 
 /// When a member first starts: all of them within one tick, evenly apart.
 pub(super) fn start_of(member: usize, members: usize) -> Micros {
-    START + TICK * member as Micros / members.max(1) as Micros
+    CLOCK_START + TICK_INTERVAL * member as Micros / members.max(1) as Micros
 }
 
 /// The action of a member's first start.
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -85,8 +85,8 @@
         (0..self.config.servers as u64).map(serving).collect()
     }
 
-    /// Plays the requests since the last call on a member's control code.
-    pub fn play(&mut self, cluster: &mut Cluster, now: Micros) {
+    /// Generates the requests since the last call on a member's control code.
+    pub fn generate(&mut self, cluster: &mut Cluster, now: Micros) {
         self.time_out(cluster, now);
         let due = self.requests_per_s * (now - self.last) as f64 / 1e6;
         self.last = now;
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -1,7 +1,7 @@
 //! Scale tests in small: 200 members in simulated time, with bounds on what they send and on who comes to know of what; and the
 //! same with a mechanism that is broken on purpose, which the bounds have to find.
 
-use juniperladder_testbed::scale::{play, Event, Flaw, Mechanism, ScaleConfig, Summary};
+use juniperladder_testbed::scale::{run_scale_test, Event, Flaw, Mechanism, ScaleConfig, Summary};
 
 const MEMBERS: usize = 200;
 /// Bytes a second that a member sends on average: today's 1.3 KB with a quarter of room.
@@ -24,7 +24,7 @@
 }
 
 fn summary(config: ScaleConfig) -> Summary {
-    play(config).expect("the machine allows 200 members").summary
+    run_scale_test(config).expect("the machine allows 200 members").summary
 }
 
 /// What is wrong with a run, a line each.
