--- a/node/src/cluster_config/member_config.rs
+++ b/node/src/cluster_config/member_config.rs
@@ -23,8 +23,8 @@
 pub struct MissingPosition;
 
 impl ClusterConfigFile {
-    /// The configuration of this member. `bound` is the address at which it listens; the position and the number of owners come from
-    /// the settings where the file leaves them out. A later `incarnation` has a greater number.
+    /// The configuration of this member. `bound` is the address at which it listens; the position and the number of owners
+    /// come from the settings where the file leaves them out. A later `incarnation` has a greater number.
     ///
     /// # Errors
     /// Neither the file nor the settings give the position.
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -1,5 +1,9 @@
 //! Discovery played on loopback and in memory: silence, refusals, calls that hang, a new address, lists that are pushed.
 
+mod fake_discovery;
+
+use fake_discovery::{Behaviour, CrowdedDiscovery, Discovery};
+
 use super::timing::*;
 use super::*;
 use crate::testing::{self, log, settle, Recorder};
@@ -7,11 +11,10 @@
 use juniperladder::{
     BackoffRange, Idempotency, DISCOVERY_BACKOFF, MAX_POLL_INTERVAL, MIN_DISCOVERY_PAUSE, START_SPREAD_SHARE,
 };
-use std::cell::{Cell, RefCell};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpListener;
 use tokio::task::spawn_local;
-use tokio::time::{sleep, timeout_at};
+use tokio::time::sleep;
 
 /// What is known after discovery has said this and nothing more: how many lists were taken in, and the version that the next
 /// call asks for the changes since.
@@ -110,105 +113,6 @@
 /// A call to an agent beside the balancer.
 const PUSHED_ROUND: Duration = Duration::from_millis(25);
 
-/// What discovery does with one connection.
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Behaviour {
-    /// Says nothing and keeps it.
-    Hangs,
-    /// Closes it at once.
-    Refuses,
-    /// Is too busy.
-    Busy,
-    /// Sends this list, and goes on with an empty line every two seconds.
-    SendsList(u64),
-    /// Sends this list, and ends the watch.
-    Ends(u64),
-    /// Sends this list, and falls silent.
-    FallsSilent(u64),
-    /// Sends this list, and then brings the next a byte at a time, never to its end.
-    Trickles(u64),
-}
-
-/// A discovery that does these things with the connections that come, the last with all that come then. What it was asked, and
-/// when, is noted.
-struct Discovery {
-    address: SocketAddr,
-    asked: Rc<RefCell<Vec<(Instant, String)>>>,
-}
-
-impl Discovery {
-    async fn new(behaviours: Vec<Behaviour>) -> Discovery {
-        let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
-        let address = listener.local_addr().unwrap();
-        let asked = Rc::new(RefCell::new(Vec::new()));
-        let noted = Rc::clone(&asked);
-        spawn_local(async move {
-            for at in 0.. {
-                let (mut stream, _) = listener.accept().await.unwrap();
-                let behaviour = behaviours[at.min(behaviours.len() - 1)];
-                let noted = Rc::clone(&noted);
-                spawn_local(async move {
-                    let mut call = BytesMut::new();
-                    if behaviour == Behaviour::Refuses {
-                        noted.borrow_mut().push((Instant::now(), String::new()));
-                        return;
-                    }
-                    while !call.ends_with(b"\r\n\r\n") && stream.read_buf(&mut call).await.unwrap_or(0) > 0 {}
-                    let line = String::from_utf8_lossy(&call).lines().next().unwrap_or_default().to_owned();
-                    noted.borrow_mut().push((Instant::now(), line));
-                    play(behaviour, stream).await;
-                });
-            }
-        });
-        Discovery { address, asked }
-    }
-
-    fn calls(&self) -> usize {
-        self.asked.borrow().len()
-    }
-}
-
-async fn play(behaviour: Behaviour, mut stream: TcpStream) {
-    let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
-    let (Behaviour::SendsList(generation)
-    | Behaviour::Ends(generation)
-    | Behaviour::FallsSilent(generation)
-    | Behaviour::Trickles(generation)) = behaviour
-    else {
-        if behaviour == Behaviour::Busy {
-            let _ = stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").await;
-        } else {
-            std::future::pending::<()>().await;
-        }
-        return;
-    };
-    let list =
-        chunk(&format!("{{\n  \"generation\": {generation},\n  \"reset\": true,\n  \"instances\": []\n}}\n"));
-    let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let _ = stream.write_all(format!("{head}{list}").as_bytes()).await;
-    if matches!(behaviour, Behaviour::Ends(_)) {
-        return;
-    }
-    let mut more =
-        "{\"generation\":99,\"reset\":true,\"instances\":[ ".bytes().chain(std::iter::repeat(b' '));
-    loop {
-        let written = match behaviour {
-            Behaviour::SendsList(_) => {
-                sleep(Duration::from_secs(2)).await;
-                stream.write_all(chunk("\n").as_bytes()).await
-            }
-            Behaviour::Trickles(_) => {
-                sleep(Duration::from_millis(200)).await;
-                stream.write_all(&[b"1\r\n", &[more.next().unwrap()][..], b"\r\n"].concat()).await
-            }
-            _ => std::future::pending().await,
-        };
-        if written.is_err() {
-            return;
-        }
-    }
-}
-
 struct Balancer {
     dispatcher: Rc<Dispatcher>,
     address: watch::Sender<SocketAddr>,
@@ -369,57 +273,6 @@
     });
 }
 
-/// A discovery that handles its calls in turn, as the protocol page has it: one that would wait too long is refused at once.
-struct CrowdedDiscovery {
-    address: SocketAddr,
-    /// PollPolicy refused, answered, and answered though their caller had gone.
-    refused: Rc<Cell<usize>>,
-    answered: Rc<Cell<usize>>,
-    wasted: Rc<Cell<usize>>,
-}
-
-impl CrowdedDiscovery {
-    /// The longest that a call waits for its turn.
-    const LONGEST_WAIT: Duration = Duration::from_secs(2);
-
-    async fn new(calls_per_second: u32) -> CrowdedDiscovery {
-        let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
-        let address = listener.local_addr().unwrap();
-        let crowded = CrowdedDiscovery {
-            address,
-            refused: Rc::default(),
-            answered: Rc::default(),
-            wasted: Rc::default(),
-        };
-        let (refused, answered, wasted) =
-            (Rc::clone(&crowded.refused), Rc::clone(&crowded.answered), Rc::clone(&crowded.wasted));
-        spawn_local(async move {
-            let mut free = Instant::now();
-            loop {
-                let (mut stream, _) = listener.accept().await.unwrap();
-                let begins = free.max(Instant::now());
-                if begins - Instant::now() > Self::LONGEST_WAIT {
-                    refused.set(refused.get() + 1);
-                    spawn_local(play(Behaviour::Busy, stream));
-                    continue;
-                }
-                free = begins + Duration::from_secs(1) / calls_per_second;
-                let (turn, answered, wasted) = (free, Rc::clone(&answered), Rc::clone(&wasted));
-                spawn_local(async move {
-                    let mut call = BytesMut::new();
-                    while !call.ends_with(b"\r\n\r\n") && stream.read_buf(&mut call).await.unwrap_or(0) > 0 {}
-                    let left = timeout_at(turn, stream.read_buf(&mut call)).await.is_ok();
-                    sleep_until(turn).await;
-                    let counter = if left { &wasted } else { &answered };
-                    counter.set(counter.get() + 1);
-                    play(Behaviour::SendsList(1), stream).await;
-                });
-            }
-        });
-        crowded
-    }
-}
-
 /// A whole fleet calls a discovery that can take far fewer calls a second. Each call that it has taken on is waited for, so that
 /// it is at work for one caller after the other, and all have the list as soon as its pace allows.
 #[test]
--- a/node/src/discovery/timing.rs
+++ b/node/src/discovery/timing.rs
@@ -8,7 +8,8 @@
 //! abandoned because it takes long. After [`ANSWER_TIMEOUT`] another is made beside it, and whichever is answered first ends
 //! the other.
 //!
-//! The waits between polls come from the decisions, since they also keep a fleet of balancers from polling all at once; the
+//! The waits between polls come from the decisions ([`juniperladder::DISCOVERY_BACKOFF`]), since they also keep a fleet of
+//! balancers from polling all at once; the
 //! tests of [`crate::discovery`] add everything up. The guarantee fails where discovery refuses several polls that follow each
 //! other.
 
@@ -33,7 +34,7 @@
 
 /// The bounds between which a backoff is drawn.
 #[derive(Clone, Copy, Debug)]
-pub struct BackoffRange {
+pub struct BackoffBounds {
     /// The shortest wait.
     pub shortest: Duration,
     /// The longest wait.
@@ -42,11 +43,11 @@
 
 /// The first backoff at a new address that has sent no list yet. A whole fleet learns of it at once: both bounds grow by
 /// [`NEW_ADDRESS_BACKOFF_GROWTH`] with each poll that fails, up to [`NEW_ADDRESS_BACKOFF_LIMIT`].
-pub const NEW_ADDRESS_BACKOFF: BackoffRange =
-    BackoffRange { shortest: Duration::from_millis(200), longest: Duration::from_millis(600) };
+pub const NEW_ADDRESS_BACKOFF: BackoffBounds =
+    BackoffBounds { shortest: Duration::from_millis(200), longest: Duration::from_millis(600) };
 const NEW_ADDRESS_BACKOFF_GROWTH: f64 = 1.5;
-const NEW_ADDRESS_BACKOFF_LIMIT: BackoffRange =
-    BackoffRange { shortest: Duration::from_millis(600), longest: Duration::from_millis(1_000) };
+const NEW_ADDRESS_BACKOFF_LIMIT: BackoffBounds =
+    BackoffBounds { shortest: Duration::from_millis(600), longest: Duration::from_millis(1_000) };
 /// More failures than this change nothing, as both bounds are at their limit.
 const NEW_ADDRESS_BACKOFF_STEPS: u32 = 16;
 
--- a/node/src/discovery/watches/tests.rs
+++ b/node/src/discovery/watches/tests.rs
@@ -56,14 +56,14 @@
 
 /// A call that is answered late is answered all the same, and ends the one that was made beside it.
 #[test]
-fn a_late_answer_is_taken_and_ends_the_call_beside_it() {
+fn a_late_answer_is_accepted_and_ends_the_poll_beside_it() {
     let mut fixture = Fixture::new(Some(3));
     let first = fixture.begin(0);
     assert!(!fixture.watches.needs_poll());
     assert_eq!(fixture.watches.deadline(), Some(fixture.start + ANSWER_TIMEOUT));
     assert_eq!(fixture.overdue(2_599), []);
     assert_eq!(fixture.overdue(2_600), [Overdue::NoAnswer]);
-    assert_eq!(fixture.overdue(2_700), [], "it is told once");
+    assert_eq!(fixture.overdue(2_700), [], "it is reported once");
     assert!(fixture.watches.needs_poll());
     let second = fixture.begin(2_800);
     assert!(!fixture.watches.needs_poll());
@@ -74,7 +74,7 @@
 
 /// A watch that falls silent is listened to until a later call has been answered, and its end is no second failure.
 #[test]
-fn a_silent_watch_is_listened_to_until_the_next_call_is_answered() {
+fn a_silent_watch_is_used_until_the_next_poll_is_answered() {
     let mut fixture = Fixture::new(Some(3));
     let first = fixture.begin(0);
     assert_eq!(fixture.list(first, 4, false, 100), ListUse::Delta);
@@ -89,9 +89,9 @@
     assert!(fixture.end(third, 3_200), "the watch in force has ended");
 }
 
-/// What one watch tells after another has told a newer list is not taken for news, whatever order they come in.
+/// What one watch sends after another has sent a newer list changes nothing, whatever order they come in.
 #[test]
-fn an_older_list_takes_nothing_back() {
+fn an_older_list_changes_nothing() {
     let mut fixture = Fixture::new(Some(3));
     let first = fixture.begin(0);
     fixture.list(first, 4, false, 100);
@@ -107,7 +107,7 @@
     assert_eq!(fixture.watches.version(), Some(2));
 }
 
-/// Changes to an older list than the watch has told can't be told apart from its own.
+/// Changes to an older list than the watch has sent can't be told apart from its own.
 #[test]
 fn changes_that_contradict_the_watch_end_it() {
     let mut fixture = Fixture::new(Some(3));
@@ -140,7 +140,7 @@
 
 /// However long discovery hangs, only so many connections stand.
 #[test]
-fn calls_that_hang_are_bounded() {
+fn polls_that_hang_are_bounded() {
     let mut fixture = Fixture::new(Some(3));
     for call in 0..100 {
         fixture.begin(call * 2_700);
