--- a/node/src/discovery/timing.rs
+++ b/node/src/discovery/timing.rs
@@ -9,9 +9,8 @@
 //! the other.
 //!
 //! The waits between polls come from the decisions ([`juniperladder::DISCOVERY_BACKOFF`]), since they also keep a fleet of
-//! balancers from polling all at once; the
-//! tests of [`crate::discovery`] add everything up. The guarantee fails where discovery refuses several polls that follow each
-//! other.
+//! balancers from polling all at once; the tests of [`crate::discovery`] add everything up. The guarantee fails where discovery
+//! refuses several polls that follow each other.
 
 use std::time::Duration;
 
