--- a/dispatch/src/dispatcher/overrides/tests.rs
+++ b/dispatch/src/dispatcher/overrides/tests.rs
@@ -40,7 +40,7 @@
     there
 }
 
-fn told(state: EndpointState, started: u64) -> ListedServer {
+fn listed_as(state: EndpointState, started: u64) -> ListedServer {
     let mut listed_server = listed_server(SERVER, state);
     listed_server.endpoint.started = juniperladder::Micros(started);
     listed_server
@@ -68,51 +68,57 @@
     });
 }
 
-/// From the call out to the call back nothing goes to the server, whatever discovery says and whoever
-/// replaces the process; then it serves again.
+/// What discovery may say of the server while it is offline: gone, started anew, moved, left out of a list, and so on.
+fn updates_of_discovery() -> Vec<(EndpointUpdate, Vec<ListedServer>)> {
+    let others: Vec<ListedServer> =
+        (1..4).map(|n| listed_server(ServerId(SERVER.0 + n), EndpointState::Serving)).collect();
+    let with = |server: ListedServer| others.iter().cloned().chain([server]).collect::<Vec<_>>();
+    let mut moved = listed_as(EndpointState::Serving, 60_000_000);
+    moved.address = Some(([127, 0, 0, 1], 2).into());
+    vec![
+        (EndpointUpdate::Delta, vec![listed_as(EndpointState::Deleted, 0)]),
+        (EndpointUpdate::Delta, vec![listed_as(EndpointState::Serving, 50_000_000)]),
+        (EndpointUpdate::Delta, vec![moved.clone()]),
+        (EndpointUpdate::Snapshot, others.clone()),
+        (EndpointUpdate::Snapshot, with(moved)),
+        (EndpointUpdate::Unavailable, vec![]),
+        (EndpointUpdate::Restored, with(listed_as(EndpointState::Serving, 0))),
+    ]
+}
+
+/// Whether discovery lists the server now.
+fn is_listed(dispatcher: &Dispatcher) -> bool {
+    let state = dispatcher.state.borrow();
+    let mut listed = state.overrides.discovered_servers();
+    listed.any(|listed| listed.endpoint.server == SERVER)
+}
+
+/// From the call that takes it offline to the one that brings it online, whoever replaces the process; then it serves again.
 #[test]
 fn nothing_goes_to_a_server_that_is_offline_whatever_discovery_says() {
     testing::run(async {
         let mut fleet: Vec<_> = (0..3).map(|_| balancer()).collect();
-        let others: Vec<ListedServer> =
-            (1..4).map(|n| listed_server(ServerId(SERVER.0 + n), EndpointState::Serving)).collect();
-        let with = |here: ListedServer| others.iter().cloned().chain([here]).collect::<Vec<_>>();
-        let mut moved = told(EndpointState::Serving, 60_000_000);
-        moved.address = Some(([127, 0, 0, 1], 2).into());
-        let news = [
-            (EndpointUpdate::Delta, vec![told(EndpointState::Deleted, 0)]),
-            (EndpointUpdate::Delta, vec![told(EndpointState::Serving, 50_000_000)]),
-            (EndpointUpdate::Delta, vec![moved.clone()]),
-            (EndpointUpdate::Snapshot, others.clone()),
-            (EndpointUpdate::Snapshot, with(moved)),
-            (EndpointUpdate::Unavailable, vec![]),
-            (EndpointUpdate::Restored, with(told(EndpointState::Serving, 0))),
-        ];
         for (dispatcher, recorder) in &fleet {
             assert!(sent_there(dispatcher, recorder, 40).await > 0, "it is in use");
             dispatcher.take_offline(NAME).unwrap();
         }
-        for (kind, servers) in news {
+        for (kind, servers) in updates_of_discovery() {
             for (dispatcher, recorder) in &fleet {
                 dispatcher.on_endpoints_changed(kind, &servers);
                 assert_eq!(sent_there(dispatcher, recorder, 40).await, 0, "{kind:?} {servers:?}");
                 dispatcher.take_offline(NAME).expect("a second call is the same");
-                if dispatcher
-                    .state
-                    .borrow()
-                    .overrides
-                    .discovered_servers()
-                    .any(|listed_server| listed_server.endpoint.server == SERVER)
-                {
+                if is_listed(dispatcher) {
                     assert!(dispatcher.metrics_text(&[], "").contains("skipped_cache_hosts 1\n"));
                 }
             }
-            // One is replaced: what it knew by hand goes on in its successor.
-            let names = fleet.remove(0).0.offline_servers();
-            let successor = balancer();
-            names.iter().for_each(|name| successor.0.restore_override(name));
-            assert_eq!(sent_there(&successor.0, &successor.1, 40).await, 0);
-            fleet.push(successor);
+            // One is replaced: its overrides go on in its successor.
+            let (replaced, _) = fleet.remove(0);
+            let (successor, recorder) = balancer();
+            for name in replaced.offline_servers() {
+                successor.restore_override(&name);
+            }
+            assert_eq!(sent_there(&successor, &recorder, 40).await, 0);
+            fleet.push((successor, recorder));
         }
         for (dispatcher, recorder) in &fleet {
             dispatcher.bring_online(NAME).unwrap();
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -72,19 +72,10 @@
     log: Logger,
 ) {
     let (inbox, mut events) = mpsc::channel(INBOX_EVENTS);
-    let mut follower = Follower {
-        reader,
-        watches: Watches::new(known_version),
-        address: *address.borrow_and_update(),
-        next_poll: None,
-        new_address_failures: 0,
-        pushed_list_backoff: policy.pushed_list_backoff,
-        rng: Rng::with_seed(policy.seed),
-        dispatcher: Rc::clone(&dispatcher),
-        inbox,
-        log_throttle: LogThrottle::default(),
-        log,
-    };
+    let first_address = *address.borrow_and_update();
+    let watches = Watches::new(known_version);
+    let mut follower =
+        Follower::new(reader, watches, first_address, Rc::clone(&dispatcher), &policy, inbox, log);
     if policy.at_start || policy.pushed_list_backoff.is_some() {
         follower.start_poll(PollReason::Start);
     }
@@ -123,6 +114,30 @@
 }
 
 impl Follower {
+    fn new(
+        reader: EndpointListReader,
+        watches: Watches<Poll>,
+        address: SocketAddr,
+        dispatcher: Rc<Dispatcher>,
+        policy: &PollPolicy,
+        inbox: mpsc::Sender<PollMessage>,
+        log: Logger,
+    ) -> Follower {
+        Follower {
+            reader,
+            watches,
+            address,
+            next_poll: None,
+            new_address_failures: 0,
+            pushed_list_backoff: policy.pushed_list_backoff,
+            rng: Rng::with_seed(policy.seed),
+            dispatcher,
+            inbox,
+            log_throttle: LogThrottle::default(),
+            log,
+        }
+    }
+
     fn start_poll(&mut self, reason: PollReason) {
         self.next_poll = None;
         let id = self.watches.next_id();
