--- a/node/src/downstream.rs
+++ b/node/src/downstream.rs
@@ -5,6 +5,7 @@
 
 mod backlog;
 mod connection;
+mod lingering;
 mod slots;
 mod stream;
 mod upload;
@@ -29,6 +30,9 @@
 use slots::{Slot, SPARE_SLOT_DIVISOR};
 pub use stream::{ClientReader, ClientStream};
 
+/// For how long what a client still sends is read off after its last answer, as a close over unread bytes would reset
+/// the connection and might take that answer with it.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a connection that is about to close is read once more.
 const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(2);
 /// How long a new connection without a slot waits for the one that was evicted.
--- a/node/src/downstream/connection.rs
+++ b/node/src/downstream/connection.rs
@@ -13,11 +13,11 @@
 
 use bytes::{Bytes, BytesMut};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt};
-use tokio::time::{sleep_until, timeout, Duration, Instant};
+use tokio::time::{sleep_until, Instant};
 
 use super::slots::Slot;
 use super::stream::{wait_for_disconnect, ClientReader, ClientStream};
-use super::{Downstream, FinalRead};
+use super::{Downstream, FinalRead, LINGER_TIMEOUT};
 use crate::dispatcher::Answer;
 use crate::downstream::upload::{self, StreamedUpload};
 use crate::memcache::RequestReader;
@@ -31,11 +31,6 @@
 pub(super) const READ_BYTES: usize = 2048;
 /// Bytes that a connection may buffer whatever the others do: a request as clients send it.
 pub(super) const ALWAYS_ALLOWED_BYTES: usize = 8 * 1024;
-/// For how long what a client still sends is read off after its last answer, as a close over unread bytes would reset
-/// the connection and might take that answer with it.
-const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How many bytes are read off then at most.
-const LINGER_BYTES: u64 = 256 * 1024;
 
 /// One downstream connection.
 pub(super) struct DownstreamConnection<'a> {
@@ -344,9 +339,3 @@
     }
     reader.read_buf(input).await.map(ConnectionEvent::Received)
 }
-
-/// Reads off for a moment what a client still sends that has its last answer.
-pub(super) async fn linger(reader: impl AsyncRead + Unpin) {
-    let (mut rest, mut sink) = (reader.take(LINGER_BYTES), tokio::io::sink());
-    let _ = timeout(LINGER_TIMEOUT, tokio::io::copy(&mut rest, &mut sink)).await;
-}
--- a/node/src/downstream/slots.rs
+++ b/node/src/downstream/slots.rs
@@ -9,8 +9,6 @@
 use tokio::sync::Notify;
 use tokio::time::{Duration, Instant};
 
-use super::connection::{linger, DownstreamConnection};
-use super::stream::ClientStream;
 use super::Downstream;
 
 /// How long a new connection that has sent nothing yet is taken to be about to.
@@ -91,21 +89,6 @@
     pub(super) slot: Rc<Slot>,
 }
 
-impl OccupiedSlot {
-    /// Serves this connection to its end, and reads it off for a moment after the slot is free.
-    pub(super) async fn serve(self, stream: impl ClientStream) -> std::io::Result<()> {
-        let reader = DownstreamConnection::new(&self.downstream, &self.slot).serve(stream).await?;
-        let downstream = Rc::clone(&self.downstream);
-        if let Some(reader) = reader.filter(|_| downstream.may_linger()) {
-            // The descriptor is still counted.
-            let _lingering = LingeringConnection::new(&downstream);
-            drop(self);
-            linger(reader).await;
-        }
-        Ok(())
-    }
-}
-
 impl Drop for OccupiedSlot {
     fn drop(&mut self) {
         self.downstream.slots.borrow_mut().retain(|slot| !Rc::ptr_eq(slot, &self.slot));
@@ -113,23 +96,6 @@
     }
 }
 
-/// Counts a connection that is over but for what may cross its close.
-struct LingeringConnection(Rc<Downstream>);
-
-impl LingeringConnection {
-    fn new(downstream: &Rc<Downstream>) -> LingeringConnection {
-        downstream.lingering.set(downstream.lingering.get() + 1);
-        LingeringConnection(Rc::clone(downstream))
-    }
-}
-
-impl Drop for LingeringConnection {
-    fn drop(&mut self) {
-        self.0.lingering.set(self.0.lingering.get() - 1);
-        self.0.on_connection_closed();
-    }
-}
-
 impl Downstream {
     /// A slot for a connection that may have waited so long to be accepted.
     pub(super) fn occupy_slot(self: &Rc<Downstream>, backlog_wait: Duration) -> OccupiedSlot {
@@ -139,7 +105,7 @@
         OccupiedSlot { downstream: Rc::clone(self), slot }
     }
 
-    fn on_connection_closed(&self) {
+    pub(super) fn on_connection_closed(&self) {
         self.report_open_connections();
         self.connection_closed.notify_one();
     }
@@ -148,10 +114,6 @@
         self.shutdown.set_open_connections(self.slots.borrow().len() + self.lingering.get());
     }
 
-    fn may_linger(&self) -> bool {
-        self.lingering.get() <= self.resource_limits.client_connections / SPARE_SLOT_DIVISOR
-    }
-
     /// Closes the connections that are idle longest when more than may stay open have brought requests. Clients
     /// hold only so many, and some keep theirs for good: a client with a request would find none left.
     pub(super) fn close_surplus_idle_connections(&self) {
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -7,6 +7,7 @@
 mod download;
 mod idle_timeout;
 mod pool;
+mod read_error;
 mod response;
 mod upload;
 
@@ -31,7 +32,10 @@
 use connection::{ConnectError, UpstreamConnection};
 use idle_timeout::IdleTimeout;
 use pool::{CarriedAttempt, IdleConnection, IdleId, Pool};
-use response::MalformedResponse;
+use read_error::MalformedResponse;
+
+/// Bytes reserved for each read.
+const READ_BYTES: usize = 4096;
 
 /// The limits of the connections to servers.
 #[derive(Clone, Debug)]
--- a/node/src/upstream/connection.rs
+++ b/node/src/upstream/connection.rs
@@ -17,7 +17,8 @@
 use tokio::time::{sleep, timeout, Instant};
 
 use super::download::{forward_value, ValueBody};
-use super::response::{read_cache_response, read_origin_response, ReadError, ServerResponse};
+use super::read_error::ReadError;
+use super::response::{read_cache_response, read_origin_response, ServerResponse};
 use super::Upstream;
 use crate::clock::duration;
 use crate::connect::ServerStream;
--- a/node/src/upstream/download.rs
+++ b/node/src/upstream/download.rs
@@ -10,7 +10,8 @@
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::time::timeout;
 
-use super::response::{MalformedResponse, ReadError, READ_BYTES};
+use super::read_error::{MalformedResponse, ReadError};
+use super::READ_BYTES;
 use crate::{http, memcache};
 
 /// How long a server may bring nothing more of a value that it has begun to give: it may stand still, and one that
--- a/node/src/upstream/response.rs
+++ b/node/src/upstream/response.rs
@@ -1,59 +1,14 @@
 //! Responses of servers to attempts, read from their connections.
 
 use bytes::BytesMut;
-use thiserror::Error;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
 use super::download::{check_nothing_behind, ValueBody};
+use super::read_error::{MalformedResponse, ReadError};
+use super::READ_BYTES;
 use crate::dispatcher::{ClientRequest, Reply};
 use crate::{http, memcache};
 
-/// Bytes reserved for each read.
-pub(super) const READ_BYTES: usize = 4096;
-
-/// What is malformed in a response. Its connection closes.
-#[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub(super) enum MalformedResponse {
-    /// A cache server's response.
-    #[error(transparent)]
-    Memcache(#[from] memcache::ResponseError),
-    /// The origin's response.
-    #[error(transparent)]
-    Http(#[from] http::ResponseError),
-    /// The origin's response names another request.
-    #[error("a response for another id")]
-    OtherRequest,
-    /// The origin's body is longer than what is buffered.
-    #[error("a body longer than any value")]
-    BodyTooLong,
-    /// Something else than another response stands behind the origin's body.
-    #[error("a body longer than its length")]
-    TrailingBytes,
-}
-
-/// Why there is no complete response.
-#[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub(super) enum ReadError {
-    /// A connection ended: the server's, or that of the client for whom a value is streamed.
-    #[error("a connection ended")]
-    Disconnected,
-    /// The response is malformed.
-    #[error(transparent)]
-    Malformed(#[from] MalformedResponse),
-}
-
-impl From<memcache::ResponseError> for ReadError {
-    fn from(error: memcache::ResponseError) -> ReadError {
-        ReadError::Malformed(error.into())
-    }
-}
-
-impl From<http::ResponseError> for ReadError {
-    fn from(error: http::ResponseError) -> ReadError {
-        ReadError::Malformed(error.into())
-    }
-}
-
 /// A response as far as an attempt is concerned.
 pub(super) enum ServerResponse {
     /// The complete reply.
