--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -2,7 +2,7 @@
 //!
 //! The line protocol is that of `juniperladder_protocols::admin`; what a call decides is the dispatcher's. Guarantee: callers
 //! never delay the requests of clients or each other. Each takes one of a bounded number of slots and is closed after
-//! [`READ_TIMEOUT`] at the latest, so that one that says nothing costs little; one more than there are slots is closed at once
+//! [`CALL_TIMEOUT`] at the latest, so that one that says nothing costs little; one more than there are slots is closed at once
 //! without an answer.
 //!
 //! A change of an override holds from its answer on. Where it could not be written for a successor within
@@ -27,10 +27,12 @@
 use crate::peers::Peers;
 use crate::socket::Socket;
 
-/// How long a caller may take to send its complete line.
-const READ_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a caller may send nothing before its line is complete.
+const READ_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long writing the answer may take.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a whole call may take.
+const CALL_TIMEOUT: Duration = READ_IDLE_TIMEOUT.saturating_add(WRITE_TIMEOUT);
 /// How long a call waits for its change to be written for a successor; it holds here whether it is or not.
 const OVERRIDE_WRITE_TIMEOUT: Duration = Duration::from_millis(400);
 /// The pause after a connection that could not be accepted, as the next call would most likely fail as well.
@@ -43,7 +45,7 @@
 enum LineError {
     #[error(transparent)]
     Malformed(CallError),
-    #[error("the line is longer than 256 bytes")]
+    #[error("the line is longer than {MAX_LINE_BYTES} bytes")]
     TooLong,
 }
 
@@ -105,9 +107,9 @@
         Rc::new(Admin { dispatcher, class_names, shutdown, overrides, peers, connections, log })
     }
 
-    /// Whether this process replaces another one of the same name.
-    pub fn replaces_another_process(&self) -> bool {
-        self.overrides.follows_another_process()
+    /// Whether an earlier process of this balancer's name left an override file; it may have ended long ago.
+    pub fn found_override_file(&self) -> bool {
+        self.overrides.found_override_file()
     }
 
     /// Answers callers for as long as it is polled.
@@ -126,7 +128,7 @@
         let admin = Rc::clone(self);
         spawn_local(async move {
             // A caller that breaks off or is too slow gets no answer.
-            let _ = timeout(READ_TIMEOUT + WRITE_TIMEOUT, admin.serve(stream)).await;
+            let _ = timeout(CALL_TIMEOUT, admin.serve(stream)).await;
             drop(slot);
         });
     }
@@ -196,7 +198,7 @@
     }
 }
 
-/// Reads one call, or why the line is none; nothing where the caller leaves or is silent for [`READ_TIMEOUT`].
+/// Reads one call, or why the line is none; nothing where the caller leaves or is silent for [`READ_IDLE_TIMEOUT`].
 async fn read_call<S: AsyncRead + Unpin>(stream: &mut S) -> std::io::Result<Option<Result<Call, LineError>>> {
     let mut input = Vec::with_capacity(64);
     let mut chunk = [0; MAX_LINE_BYTES];
@@ -206,7 +208,7 @@
             Input::TooLong => return Ok(Some(Err(LineError::TooLong))),
             Input::Incomplete => {}
         }
-        let Ok(received) = timeout(READ_TIMEOUT, stream.read(&mut chunk)).await else { return Ok(None) };
+        let Ok(received) = timeout(READ_IDLE_TIMEOUT, stream.read(&mut chunk)).await else { return Ok(None) };
         let length = received?;
         if length == 0 {
             return Ok(None);
--- a/node/src/admin/tests.rs
+++ b/node/src/admin/tests.rs
@@ -57,7 +57,7 @@
         for far in slow {
             assert_eq!(reply(far).await, "");
         }
-        assert_eq!((start.elapsed(), admin.connections.open.get()), (READ_TIMEOUT, 0));
+        assert_eq!((start.elapsed(), admin.connections.open.get()), (READ_IDLE_TIMEOUT, 0));
         assert_eq!(reply(call(&admin, &[b"HEALTH\n"]).await).await, "ACK ready\n");
     });
 }
--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -88,8 +88,8 @@
         let address = listener.local_addr().unwrap_or(config.client_address);
         daemon.log_start(&config, address, known_servers.len(), known_version);
         daemon.start_timers();
-        let is_successor = daemon.start_admin(&config).await?;
-        let reloader = daemon.start_discovery(config, list_reader, known_version, is_successor);
+        let found_override_file = daemon.start_admin(&config).await?;
+        let reloader = daemon.start_discovery(config, list_reader, known_version, found_override_file);
         spawn_local(Rc::clone(&daemon.downstream).accept(listener));
         Ok((daemon, reloader))
     }
@@ -129,9 +129,9 @@
         );
         let address = listener.local_addr().unwrap_or(address);
         info!(self.log, "operators' address"; "address" => address.to_string());
-        let is_successor = admin.replaces_another_process();
+        let found_override_file = admin.found_override_file();
         spawn_local(admin.accept(listener));
-        Ok(is_successor)
+        Ok(found_override_file)
     }
 
     /// Starts to follow the endpoint list. The reloader that is returned can change discovery's address.
@@ -140,11 +140,11 @@
         config: Config,
         list_reader: EndpointListReader,
         known_version: u64,
-        is_successor: bool,
+        found_override_file: bool,
     ) -> Rc<Reloader> {
         let (discovery, address_changes) = watch::channel(config.discovery_address);
         let policy = PollPolicy {
-            at_start: is_successor,
+            polls_at_start: found_override_file,
             pushed_list_backoff: config.pushed_list_backoff,
             seed: config.seed,
         };
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -3,8 +3,8 @@
 //! [`follow`] owns all that is known of discovery here. Each poll runs in a task of its own ([`poll`]) and sends its events;
 //! [`watches`] keeps which polls are open and what is overdue, and [`timing`] has all times.
 //!
-//! Guarantee: a change is known here before it counts as notified, 6 s after discovery had it. It fails where discovery cannot
-//! be reached; the list in use stays in use then, and polls go on after each backoff. The waits between polls come from the
+//! Guarantee: a change is known here before it counts as notified, [`timing::CHANGE_NOTIFIED_AFTER`] after discovery had
+//! it. It fails where discovery cannot be reached; the list in use stays in use then, and polls go on after each backoff. The waits between polls come from the
 //! decisions, except at a new address and where discovery pushes its lists.
 
 mod poll;
@@ -29,7 +29,7 @@
 use crate::endpoint_list::{watch_path, EndpointList, EndpointListReader};
 use poll::{Poll, PollEvent, PollMessage};
 use timing::new_address_backoff;
-use watches::{Heartbeat, ListUse, WatchId, Watches};
+use watches::{Heartbeat, ListUse, PollId, Watches};
 
 /// How many events of polls may wait to be handled.
 const INBOX_EVENTS: usize = 4;
@@ -39,7 +39,7 @@
 pub struct PollPolicy {
     /// At the start, not when the decisions would: a process that replaces another starts from a list that may be old, and
     /// what discovery says binds it soon after its start.
-    pub at_start: bool,
+    pub polls_at_start: bool,
     /// Where lists are pushed: at the start, and so long after each poll or watch that failed. What discovery has counts as
     /// notified at once there, whether a watch is open or not, and the decisions do not ask for one.
     pub pushed_list_backoff: Option<Duration>,
@@ -76,7 +76,7 @@
     let watches = Watches::new(known_version);
     let mut follower =
         Follower::new(reader, watches, first_address, Rc::clone(&dispatcher), &policy, inbox, log);
-    if policy.at_start || policy.pushed_list_backoff.is_some() {
+    if policy.polls_at_start || policy.pushed_list_backoff.is_some() {
         follower.start_poll(PollReason::Start);
     }
     loop {
@@ -176,22 +176,22 @@
         }
     }
 
-    fn on_poll_event(&mut self, PollMessage { watch, event }: PollMessage) {
+    fn on_poll_event(&mut self, PollMessage { poll_id, event }: PollMessage) {
         match event {
-            PollEvent::Connected => debug!(self.log, "discovery connected"; "poll" => ?watch),
-            PollEvent::List(list) => self.on_list(watch, list),
-            PollEvent::Heartbeat => self.on_heartbeat(watch),
+            PollEvent::Connected => debug!(self.log, "discovery connected"; "poll" => ?poll_id),
+            PollEvent::List(list) => self.on_list(poll_id, list),
+            PollEvent::Heartbeat => self.on_heartbeat(poll_id),
             PollEvent::Ended(error) => {
-                debug!(self.log, "discovery poll ended"; "poll" => ?watch, "reason" => %error);
-                if let Some(age) = self.watches.on_ended(watch, Instant::now()) {
+                debug!(self.log, "discovery poll ended"; "poll" => ?poll_id, "reason" => %error);
+                if let Some(age) = self.watches.on_ended(poll_id, Instant::now()) {
                     self.on_failure(&error.to_string(), age);
                 }
             }
         }
     }
 
-    fn on_heartbeat(&mut self, watch: WatchId) {
-        match self.watches.on_heartbeat(watch, Instant::now()) {
+    fn on_heartbeat(&mut self, poll_id: PollId) {
+        match self.watches.on_heartbeat(poll_id, Instant::now()) {
             // Discovery has answered, though without a change: the decisions need not ask again.
             Heartbeat::Answered => self.dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[]),
             Heartbeat::Confirmed => self.dispatcher.on_endpoints_confirmed(),
@@ -199,13 +199,18 @@
         }
     }
 
-    fn on_list(&mut self, watch: WatchId, list: EndpointList) {
+    fn on_list(&mut self, poll_id: PollId, list: EndpointList) {
         let version = list.version;
-        let update = match self.watches.on_list(watch, version, list.is_complete, Instant::now()) {
+        let update = match self.watches.on_list(poll_id, version, list.is_complete, Instant::now()) {
             ListUse::Snapshot => EndpointUpdate::Snapshot,
             ListUse::Delta => EndpointUpdate::Delta,
-            ListUse::Outdated | ListUse::UnknownPoll => {
-                info!(self.log, "outdated endpoint list ignored"; "poll" => ?watch,
+            ListUse::Outdated => {
+                info!(self.log, "outdated endpoint list ignored"; "poll" => ?poll_id,
+                    "endpoint_list_version" => version);
+                return;
+            }
+            ListUse::UnknownPoll => {
+                info!(self.log, "endpoint list of a closed poll ignored"; "poll" => ?poll_id,
                     "endpoint_list_version" => version);
                 return;
             }
@@ -219,18 +224,18 @@
             self.next_poll = None;
         }
         let servers = self.reader.read(list, &self.log);
-        self.log_list(watch, version, update, &servers);
+        self.log_list(poll_id, version, update, &servers);
         increment(&self.dispatcher.counters().endpoint_updates);
         self.dispatcher.on_endpoints_changed(update, &servers);
     }
 
-    fn log_list(&self, watch: WatchId, version: u64, update: EndpointUpdate, servers: &[ListedServer]) {
+    fn log_list(&self, poll_id: PollId, version: u64, update: EndpointUpdate, servers: &[ListedServer]) {
         for server in servers {
             let endpoint = &server.endpoint;
             debug!(self.log, "endpoint list entry"; "server" => %ServerLabel(endpoint.server),
                 "state" => ?endpoint.state, "started_ms" => to_ms(endpoint.started));
         }
-        info!(self.log, "endpoint list received"; "poll" => ?watch, "endpoint_list_version" => version,
+        info!(self.log, "endpoint list received"; "poll" => ?poll_id, "endpoint_list_version" => version,
             "is_complete" => update == EndpointUpdate::Snapshot, "entries" => servers.len());
     }
 
--- a/node/src/discovery/poll.rs
+++ b/node/src/discovery/poll.rs
@@ -15,8 +15,8 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::timeout;
 
-use super::timing::CONNECT_TIMEOUT;
-use super::watches::WatchId;
+use super::timing::DISCOVERY_CONNECT_TIMEOUT;
+use super::watches::PollId;
 use crate::endpoint_list::EndpointList;
 use crate::http::{write_discovery_call, Response};
 use crate::socket::Socket;
@@ -30,9 +30,9 @@
 #[derive(Debug, Error)]
 pub enum PollError {
     /// Discovery has closed the connection, or ended its response.
-    #[error("the watch has ended")]
+    #[error("discovery closed the connection")]
     WatchEnded,
-    /// No connection was established within [`CONNECT_TIMEOUT`].
+    /// No connection was established within [`DISCOVERY_CONNECT_TIMEOUT`].
     #[error("no connection in time")]
     ConnectTimeout,
     /// The connection could not be established, or broke.
@@ -48,7 +48,7 @@
     #[error("not a list: {0}")]
     MalformedList(#[source] simd_json::Error),
     /// A list is longer than any may be.
-    #[error("a list without an end")]
+    #[error("the list is longer than {MAX_LIST_BYTES} bytes")]
     ListTooLong,
 }
 
@@ -69,7 +69,7 @@
 #[derive(Debug)]
 pub struct PollMessage {
     /// Which poll.
-    pub watch: WatchId,
+    pub poll_id: PollId,
     /// What has come.
     pub event: PollEvent,
 }
@@ -81,12 +81,12 @@
 impl Poll {
     /// Starts a poll of this address with this path; its events go to `inbox`.
     pub fn start(
-        watch: WatchId,
+        poll_id: PollId,
         address: SocketAddr,
         path: String,
         inbox: mpsc::Sender<PollMessage>,
     ) -> Poll {
-        let events = EventSender { watch, inbox };
+        let events = EventSender { poll_id, inbox };
         Poll(spawn_local(async move {
             let error = run(address, &path, &events).await.err().unwrap_or(PollError::WatchEnded);
             events.send(PollEvent::Ended(error)).await;
@@ -102,19 +102,19 @@
 
 /// Where the events of one poll go.
 struct EventSender {
-    watch: WatchId,
+    poll_id: PollId,
     inbox: mpsc::Sender<PollMessage>,
 }
 
 impl EventSender {
     async fn send(&self, event: PollEvent) {
         // The receiver is gone only where the whole balancer ends.
-        let _ = self.inbox.send(PollMessage { watch: self.watch, event }).await;
+        let _ = self.inbox.send(PollMessage { poll_id: self.poll_id, event }).await;
     }
 }
 
 async fn run(address: SocketAddr, path: &str, events: &EventSender) -> Result<(), PollError> {
-    let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+    let connected = timeout(DISCOVERY_CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connected.map_err(|_| PollError::ConnectTimeout)??;
     events.send(PollEvent::Connected).await;
     let mut stream = Socket(stream);
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -72,7 +72,7 @@
     let soon = longest(MIN_DISCOVERY_PAUSE);
     // The time for the connection is part of it.
     let call = ANSWER_TIMEOUT;
-    assert!(CONNECT_TIMEOUT < ANSWER_TIMEOUT);
+    assert!(DISCOVERY_CONNECT_TIMEOUT < ANSWER_TIMEOUT);
     // A watch that falls silent has lasted longer than calls are apart.
     assert!(WATCH_SILENCE_TIMEOUT > after_watch);
     let chains = [
@@ -142,7 +142,7 @@
     }
 }
 
-const NOW: PollPolicy = PollPolicy { at_start: true, pushed_list_backoff: None, seed: 3 };
+const NOW: PollPolicy = PollPolicy { polls_at_start: true, pushed_list_backoff: None, seed: 3 };
 
 /// A watch that falls silent, in whatever way, is opened anew in time, also where the next call is refused, too many or hangs.
 #[test]
@@ -209,7 +209,7 @@
 fn a_watch_that_ends_at_once_is_not_opened_without_end() {
     testing::run(async {
         let discovery = Discovery::new(vec![Behaviour::Ends(1)]).await;
-        let _balancer = balancer(&discovery, PollPolicy { at_start: false, ..NOW }, true);
+        let _balancer = balancer(&discovery, PollPolicy { polls_at_start: false, ..NOW }, true);
         sleep(Duration::from_secs(60)).await;
         let asked = discovery.asked.borrow();
         let apart = |calls: &[(Instant, String)]| calls[1].0 - calls[0].0;
@@ -260,8 +260,11 @@
         ])
         .await;
         let start = Instant::now();
-        let policy =
-            PollPolicy { at_start: false, pushed_list_backoff: Some(pushed_list_backoff(grace)), seed: 3 };
+        let policy = PollPolicy {
+            polls_at_start: false,
+            pushed_list_backoff: Some(pushed_list_backoff(grace)),
+            seed: 3,
+        };
         let balancer = balancer(&discovery, policy, false);
         let received = balancer.lists(1).await;
         assert!(received - start <= grace * 4, "{:?}", received - start);
@@ -290,7 +293,7 @@
                 .map(|seed| {
                     balancer_at(
                         first,
-                        PollPolicy { at_start: new_address, pushed_list_backoff: None, seed },
+                        PollPolicy { polls_at_start: new_address, pushed_list_backoff: None, seed },
                         true,
                     )
                 })
--- a/node/src/discovery/timing.rs
+++ b/node/src/discovery/timing.rs
@@ -21,8 +21,9 @@
 /// A watch on which no line has ended for this long has failed. Discovery writes a line at least every two seconds; a machine
 /// that is cut off says nothing and its connection stays open.
 pub const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long a connection to discovery may take to be established: the system tries again only after a second.
-pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
+/// How long a connection to discovery may take to be established. Below the second after which the system repeats a lost
+/// SYN, so that a new poll comes sooner.
+pub const DISCOVERY_CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long after its start a poll has to be answered, or another is made beside it. Longer than a poll waits for its turn:
 /// discovery refuses those that would wait for over two seconds.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_600);
--- a/node/src/discovery/watches.rs
+++ b/node/src/discovery/watches.rs
@@ -16,7 +16,7 @@
 
 /// Names one poll and the watch that it becomes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WatchId(u64);
+pub struct PollId(u64);
 
 /// Why a poll or a watch counts as failed while its connection stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,8 +48,8 @@
 
 /// One poll, or the watch that it has become. `T` is what keeps its connection open.
 #[derive(Debug)]
-struct Watch<T> {
-    id: WatchId,
+struct OpenPoll<T> {
+    id: PollId,
     /// Which of the addresses that followed each other it polls.
     address_number: u32,
     started: Instant,
@@ -64,7 +64,7 @@
     _connection: T,
 }
 
-impl<T> Watch<T> {
+impl<T> OpenPoll<T> {
     /// When it counts as failed, or is let go of where it does already.
     fn deadline(&self) -> Instant {
         match (self.reported, self.last_line) {
@@ -117,7 +117,7 @@
 /// All polls and watches that are open.
 #[derive(Debug)]
 pub struct Watches<T> {
-    open: Vec<Watch<T>>,
+    open: Vec<OpenPoll<T>>,
     last_id: u64,
     /// How many new addresses there were.
     address_number: u32,
@@ -145,21 +145,21 @@
 
     /// Whether a poll is needed: no watch is in force at this address, and no poll waits for its answer in time.
     pub fn needs_poll(&self) -> bool {
-        !self.open.iter().any(|watch| watch.address_number == self.address_number && watch.reported.is_none())
+        !self.open.iter().any(|poll| poll.address_number == self.address_number && poll.reported.is_none())
     }
 
     /// A name for the next poll.
-    pub fn next_id(&mut self) -> WatchId {
+    pub fn next_id(&mut self) -> PollId {
         self.last_id += 1;
-        WatchId(self.last_id)
+        PollId(self.last_id)
     }
 
     /// A poll has started. Where too many are open, the one that has been overdue for longest is let go of.
-    pub fn on_poll_started(&mut self, id: WatchId, connection: T, now: Instant) {
+    pub fn on_poll_started(&mut self, id: PollId, connection: T, now: Instant) {
         while self.open.len() >= MAX_OPEN {
             self.evict_one();
         }
-        self.open.push(Watch {
+        self.open.push(OpenPoll {
             id,
             address_number: self.address_number,
             started: now,
@@ -184,28 +184,28 @@
         self.address_number += 1;
         self.version = None;
         self.awaits_new_address = true;
-        self.open.retain(|watch| watch.last_line.is_some());
+        self.open.retain(|poll| poll.last_line.is_some());
     }
 
     /// A line that holds no change has ended; what that says.
-    pub fn on_heartbeat(&mut self, id: WatchId, now: Instant) -> Heartbeat {
-        let Some(watch) = self.open.iter_mut().find(|watch| watch.id == id) else {
+    pub fn on_heartbeat(&mut self, id: PollId, now: Instant) -> Heartbeat {
+        let Some(poll) = self.open.iter_mut().find(|poll| poll.id == id) else {
             return Heartbeat::Ignored;
         };
-        if watch.version.is_none() {
+        if poll.version.is_none() {
             // Where the complete list was asked for, only that is an answer.
             return Heartbeat::Ignored;
         }
-        let is_answer = watch.last_line.is_none();
-        watch.on_line(now);
-        if watch.address_number != self.address_number {
+        let is_answer = poll.last_line.is_none();
+        poll.on_line(now);
+        if poll.address_number != self.address_number {
             return Heartbeat::Ignored;
         }
         if is_answer {
             self.keep_only(id);
             return Heartbeat::Answered;
         }
-        if watch.version == self.version {
+        if poll.version == self.version {
             Heartbeat::Confirmed
         } else {
             Heartbeat::Ignored
@@ -213,20 +213,20 @@
     }
 
     /// A list of this version has come, complete or not; notes it, and returns what it is to be used as.
-    pub fn on_list(&mut self, id: WatchId, version: u64, is_complete: bool, now: Instant) -> ListUse {
-        let Some(index) = self.open.iter().position(|watch| watch.id == id) else {
+    pub fn on_list(&mut self, id: PollId, version: u64, is_complete: bool, now: Instant) -> ListUse {
+        let Some(index) = self.open.iter().position(|poll| poll.id == id) else {
             return ListUse::UnknownPoll;
         };
-        let watch = &mut self.open[index];
-        let is_snapshot = is_complete || watch.version.is_none();
-        if let Some(known) = watch.version.filter(|known| !is_snapshot && version < *known) {
+        let poll = &mut self.open[index];
+        let is_snapshot = is_complete || poll.version.is_none();
+        if let Some(known) = poll.version.filter(|known| !is_snapshot && version < *known) {
             return self.on_contradiction(index, known);
         }
-        let is_outdated = has_outdated_version(watch, version, self.version);
-        watch.version = Some(version);
-        watch.on_line(now);
+        let is_outdated = has_outdated_version(poll, version, self.version);
+        poll.version = Some(version);
+        poll.on_line(now);
         let usual = if is_snapshot { ListUse::Snapshot } else { ListUse::Delta };
-        if watch.address_number != self.address_number {
+        if poll.address_number != self.address_number {
             return usual;
         }
         self.awaits_new_address = false;
@@ -240,8 +240,8 @@
 
     /// A watch has contradicted itself: it is over, and the complete list is asked for next.
     fn on_contradiction(&mut self, index: usize, known: u64) -> ListUse {
-        let watch = self.open.remove(index);
-        if watch.address_number != self.address_number {
+        let poll = self.open.remove(index);
+        if poll.address_number != self.address_number {
             return ListUse::UnknownPoll;
         }
         self.version = None;
@@ -249,13 +249,13 @@
     }
 
     /// This one has been answered: the others that started before it, and polls that wait for the same, are over.
-    fn keep_only(&mut self, id: WatchId) {
-        self.open.retain(|watch| watch.id == id);
+    fn keep_only(&mut self, id: PollId) {
+        self.open.retain(|poll| poll.id == id);
     }
 
     /// A connection has ended. How long it stood, where that is a failure that has not been reported yet.
-    pub fn on_ended(&mut self, id: WatchId, now: Instant) -> Option<Duration> {
-        let index = self.open.iter().position(|watch| watch.id == id)?;
+    pub fn on_ended(&mut self, id: PollId, now: Instant) -> Option<Duration> {
+        let index = self.open.iter().position(|poll| poll.id == id)?;
         let ended = self.open.remove(index);
         let is_new_failure = ended.reported.is_none() && ended.address_number == self.address_number;
         is_new_failure.then(|| now - ended.started)
@@ -263,18 +263,18 @@
 
     /// When something is due next.
     pub fn deadline(&self) -> Option<Instant> {
-        self.open.iter().map(Watch::deadline).min()
+        self.open.iter().map(OpenPoll::deadline).min()
     }
 
     /// Notes what is overdue now, and returns it where it is to be reported; what has been so for long is let go of.
     pub fn take_overdue(&mut self, now: Instant) -> Vec<OverdueReport> {
-        self.open.retain(|watch| watch.deadline() > now || watch.reported.is_none());
+        self.open.retain(|poll| poll.deadline() > now || poll.reported.is_none());
         let mut reports = Vec::new();
-        for watch in self.open.iter_mut().filter(|watch| watch.deadline() <= now) {
-            watch.reported = Some(now);
-            let kind = if watch.last_line.is_some() { Overdue::Silent } else { Overdue::NoAnswer };
-            if watch.address_number == self.address_number {
-                reports.push(OverdueReport { kind, age: now - watch.started });
+        for poll in self.open.iter_mut().filter(|poll| poll.deadline() <= now) {
+            poll.reported = Some(now);
+            let kind = if poll.last_line.is_some() { Overdue::Silent } else { Overdue::NoAnswer };
+            if poll.address_number == self.address_number {
+                reports.push(OverdueReport { kind, age: now - poll.started });
             }
         }
         reports
@@ -284,8 +284,8 @@
 /// Whether this version is older than the one in use because a newer list came on another watch while this one's poll was
 /// open: it will send the rest itself. A list that is older than what was known when its poll started is another matter:
 /// discovery counts anew.
-fn has_outdated_version<T>(watch: &Watch<T>, version: u64, in_use: Option<u64>) -> bool {
-    let started_before = watch.requested_since.is_some_and(|since| since <= version);
+fn has_outdated_version<T>(poll: &OpenPoll<T>, version: u64, in_use: Option<u64>) -> bool {
+    let started_before = poll.requested_since.is_some_and(|since| since <= version);
     started_before && in_use.is_some_and(|known| version < known)
 }
 
--- a/node/src/discovery/watches/tests.rs
+++ b/node/src/discovery/watches/tests.rs
@@ -16,14 +16,14 @@
         self.start + Duration::from_millis(milliseconds)
     }
 
-    fn begin(&mut self, milliseconds: u64) -> WatchId {
+    fn begin(&mut self, milliseconds: u64) -> PollId {
         let id = self.watches.next_id();
         let now = self.at(milliseconds);
         self.watches.on_poll_started(id, (), now);
         id
     }
 
-    fn list(&mut self, id: WatchId, version: u64, is_complete: bool, milliseconds: u64) -> ListUse {
+    fn list(&mut self, id: PollId, version: u64, is_complete: bool, milliseconds: u64) -> ListUse {
         let now = self.at(milliseconds);
         self.watches.on_list(id, version, is_complete, now)
     }
@@ -33,7 +33,7 @@
         self.watches.take_overdue(now).into_iter().map(|report| report.kind).collect()
     }
 
-    fn end(&mut self, id: WatchId, milliseconds: u64) -> bool {
+    fn end(&mut self, id: PollId, milliseconds: u64) -> bool {
         let now = self.at(milliseconds);
         self.watches.on_ended(id, now).is_some()
     }
--- a/node/src/downstream/connection.rs
+++ b/node/src/downstream/connection.rs
@@ -25,8 +25,8 @@
 
 /// Requests that one connection may have open: enough for any pipeline, a bound for one that runs away.
 pub(super) const MAX_PENDING_ANSWERS: usize = 128;
-/// Malformed requests on one connection before it ends: more is garbage, or a client that reads no answers.
-pub(super) const MAX_MALFORMED_REQUESTS: usize = 64;
+/// Invalid requests on one connection before it ends: more is garbage, or a client that reads no answers.
+pub(super) const MAX_INVALID_REQUESTS: usize = 64;
 /// Bytes reserved for each read.
 pub(super) const READ_BYTES: usize = 2048;
 /// Bytes that a connection may buffer whatever the others do: a request as clients send it.
@@ -59,12 +59,13 @@
     download: Option<Download>,
     /// The streamed value that the client is writing.
     upload: Option<StreamedUpload>,
-    /// The client sends no more, or nothing after this can be understood.
-    has_input_ended: bool,
+    /// No further request is taken: the client closed its side or sent `quit`, or the connection ends because of invalid or
+    /// unfinished input.
+    takes_no_more_requests: bool,
     /// The client has left, though not all that it sent has been read: none of that is forwarded.
     has_client_left: bool,
-    /// The process ends: what has been read is answered, and no more is read.
-    has_reading_stopped: bool,
+    /// The final phase of the shutdown: what has been read is answered, and no more is read.
+    is_final_phase: bool,
 }
 
 /// What the connection waits for next, as its state allows.
@@ -126,9 +127,9 @@
             last_written: None,
             download: None,
             upload: None,
-            has_input_ended: false,
+            takes_no_more_requests: false,
             has_client_left: false,
-            has_reading_stopped: false,
+            is_final_phase: false,
         }
     }
 
@@ -139,7 +140,7 @@
             self.take_requests();
             self.update_times();
             self.count_buffered_bytes();
-            if (self.has_input_ended || self.has_reading_stopped) && self.owes_nothing() {
+            if (self.takes_no_more_requests || self.is_final_phase) && self.owes_nothing() {
                 writer.shutdown().await?;
                 return Ok(Some(reader));
             }
@@ -178,8 +179,8 @@
         let is_upload_blocked = self.is_upload_blocked();
         // Where more may be read every complete request has been taken, so that the end of the client's side, which
         // is only read then, never comes before a request that it had sent.
-        let has_room_for_requests = !self.has_input_ended
-            && !self.has_reading_stopped
+        let has_room_for_requests = !self.takes_no_more_requests
+            && !self.is_final_phase
             && !is_upload_blocked
             && self.pending.len() < MAX_PENDING_ANSWERS
             && self.may_buffer_more();
@@ -188,7 +189,7 @@
         Interests {
             can_answer,
             can_read,
-            must_watch_disconnect: !(can_read || self.has_input_ended || self.has_client_left),
+            must_watch_disconnect: !(can_read || self.takes_no_more_requests || self.has_client_left),
             is_upload_blocked,
             is_idle: self.is_idle(),
             deadline: self.deadline(),
@@ -212,11 +213,11 @@
     ) -> io::Result<ConnectionEvent> {
         let downstream = self.downstream;
         let chunk_bytes = downstream.resource_limits.chunk_bytes;
-        let has_all_read = self.has_input_ended || self.has_reading_stopped;
+        let is_reading_over = self.takes_no_more_requests || self.is_final_phase;
         let watch = interests.must_watch_disconnect;
         Ok(tokio::select! {
             biased;
-            () = downstream.shutdown.wait_for_end_of_reading(), if !has_all_read => ConnectionEvent::ReadingStopped,
+            () = downstream.shutdown.wait_for_final_phase(), if !is_reading_over => ConnectionEvent::ReadingStopped,
             (pending, answer) = next_answer(&mut self.pending), if interests.can_answer && self.download.is_none() => {
                 ConnectionEvent::Answered(pending, answer)
             }
@@ -240,7 +241,7 @@
 
     fn on_event(&mut self, event: ConnectionEvent) -> io::Result<()> {
         match event {
-            ConnectionEvent::ReadingStopped => self.has_reading_stopped = true,
+            ConnectionEvent::ReadingStopped => self.is_final_phase = true,
             ConnectionEvent::Answered(pending, answer) => self.write_answer(pending, answer),
             ConnectionEvent::Written => self.on_written(),
             ConnectionEvent::Chunk(chunk) => self.write_chunk(chunk)?,
@@ -283,7 +284,7 @@
 
     /// The client has closed its side, and that has been read: it is gone, or waits for the answers that it is owed.
     fn on_input_ended(&mut self) {
-        self.has_input_ended = true;
+        self.takes_no_more_requests = true;
         self.half_close_pending();
     }
 
--- a/node/src/downstream/connection/requests.rs
+++ b/node/src/downstream/connection/requests.rs
@@ -5,7 +5,7 @@
 use tokio::time::Duration;
 
 use super::answers::{PendingAnswer, PendingRequest};
-use super::{DownstreamConnection, MAX_MALFORMED_REQUESTS, MAX_PENDING_ANSWERS};
+use super::{DownstreamConnection, MAX_INVALID_REQUESTS, MAX_PENDING_ANSWERS};
 use crate::clock;
 use crate::counters::increment;
 use crate::dispatcher::ClientRequest;
@@ -25,7 +25,7 @@
     }
 
     fn can_take_request(&self) -> bool {
-        !self.has_input_ended
+        !self.takes_no_more_requests
             && !self.is_upload_blocked()
             && self.pending.len() < MAX_PENDING_ANSWERS
             && self.output.len() < self.downstream.resource_limits.unread_answer_bytes
@@ -41,12 +41,12 @@
             }
             Incoming::Upload { request, class, length } => self.begin_upload(request, &class, length),
             Incoming::UploadChunk { chunk, is_last } => self.on_upload_chunk(chunk, is_last),
-            Incoming::Malformed(line) => self.reject_malformed(line),
+            Incoming::Malformed(line) => self.reject_invalid(line),
             Incoming::Unrecoverable(line) => {
-                self.reject_malformed(line);
-                self.has_input_ended = true;
+                self.reject_invalid(line);
+                self.takes_no_more_requests = true;
             }
-            Incoming::Quit => self.has_input_ended = true,
+            Incoming::Quit => self.takes_no_more_requests = true,
         }
     }
 
@@ -57,7 +57,7 @@
 
     fn begin_upload(&mut self, request: Box<ClientRequest>, class: &[u8], length: usize) {
         if !self.downstream.dispatcher.can_upload() {
-            return self.reject_malformed("SERVER_ERROR object too large for cache");
+            return self.reject_invalid("SERVER_ERROR object too large for cache");
         }
         let request = self.classify(request, class);
         self.upload = request.map(|request| StreamedUpload::new(request, length));
@@ -82,7 +82,7 @@
     fn classify(&mut self, mut request: Box<ClientRequest>, class: &[u8]) -> Option<Box<ClientRequest>> {
         let labels = &self.downstream.labels;
         let Some(class) = position_of(&labels.classes, class) else {
-            self.reject_malformed("CLIENT_ERROR unknown class");
+            self.reject_invalid("CLIENT_ERROR unknown class");
             return None;
         };
         request.class = class;
@@ -101,7 +101,7 @@
         let client_id = request.id.clone();
         let value_bytes = request.value.as_ref().map_or(0, Bytes::len);
         let taken = self.downstream.dispatcher.take_after_wait(request, self.longest_unread_wait());
-        let Some((id, answer)) = taken else { return self.reject_malformed("CLIENT_ERROR id in use") };
+        let Some((id, answer)) = taken else { return self.reject_invalid("CLIENT_ERROR id in use") };
         self.request_bytes += value_bytes;
         let pending = PendingRequest { id, client_id, answer, value_bytes };
         self.pending.push_back(PendingAnswer::Request(pending));
@@ -122,11 +122,11 @@
     }
 
     /// Owes this line for what was no request. A client that goes on sending such things loses the connection.
-    fn reject_malformed(&mut self, line: &'static str) {
+    fn reject_invalid(&mut self, line: &'static str) {
         increment(&self.downstream.dispatcher.counters().malformed_requests);
         self.pending.push_back(PendingAnswer::Line(line));
         self.malformed_requests += 1;
-        self.has_input_ended |= self.malformed_requests >= MAX_MALFORMED_REQUESTS;
+        self.takes_no_more_requests |= self.malformed_requests >= MAX_INVALID_REQUESTS;
     }
 
     /// Owes a client that has left the answer to what it had sent before: it is not forwarded.
@@ -139,7 +139,7 @@
     pub(super) fn end_mid_request(&mut self) {
         increment(&self.downstream.dispatcher.counters().connections_cut);
         self.pending.push_back(PendingAnswer::Line("CLIENT_ERROR command not finished in time"));
-        self.has_input_ended = true;
+        self.takes_no_more_requests = true;
     }
 }
 
--- a/node/src/downstream/tests.rs
+++ b/node/src/downstream/tests.rs
@@ -6,7 +6,7 @@
 use std::io;
 
 use super::connection::{
-    DownstreamConnection, ALWAYS_ALLOWED_BYTES, MAX_MALFORMED_REQUESTS, MAX_PENDING_ANSWERS, READ_BYTES,
+    DownstreamConnection, ALWAYS_ALLOWED_BYTES, MAX_INVALID_REQUESTS, MAX_PENDING_ANSWERS, READ_BYTES,
 };
 use super::*;
 use crate::dispatcher::{Answer, AttemptEnd, Reply};
@@ -183,10 +183,10 @@
             assert_eq!(String::from_utf8(got).unwrap(), answer);
         }
         assert_eq!(recorder.begun.borrow().len(), 1, "only the honest client's has begun");
-        far.write_all(&b"\n".repeat(MAX_MALFORMED_REQUESTS * 2)).await.unwrap();
+        far.write_all(&b"\n".repeat(MAX_INVALID_REQUESTS * 2)).await.unwrap();
         let mut got = String::new();
         far.read_to_string(&mut got).await.unwrap();
-        assert_eq!(got, "ERROR\r\n".repeat(MAX_MALFORMED_REQUESTS - 5));
+        assert_eq!(got, "ERROR\r\n".repeat(MAX_INVALID_REQUESTS - 5));
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         downstream
             .dispatcher
--- a/node/src/error.rs
+++ b/node/src/error.rs
@@ -15,10 +15,10 @@
     #[error("{0}")]
     Peers(Box<dyn std::error::Error + Send + Sync>),
     /// The asynchronous runtime does not start.
-    #[error("cannot start: {0}")]
+    #[error("cannot create the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
     /// A signal cannot be caught.
-    #[error("no signals: {0}")]
+    #[error("cannot install signal handlers: {0}")]
     Signals(#[source] io::Error),
     /// The address for clients cannot be bound.
     #[error("cannot listen on {address}: {source}; is another program than a balancer there?")]
--- a/node/src/graceful_shutdown.rs
+++ b/node/src/graceful_shutdown.rs
@@ -38,7 +38,7 @@
 pub struct GracefulShutdown {
     is_stopping: Cell<bool>,
     is_closing: Cell<bool>,
-    has_reading_ended: Cell<bool>,
+    has_final_phase_begun: Cell<bool>,
     last_accept: Cell<Option<Instant>>,
     open_connections: Cell<usize>,
     changed: Notify,
@@ -69,8 +69,8 @@
     }
 
     /// Waits until no more requests are to be read: the last answers are on their way.
-    pub async fn wait_for_end_of_reading(&self) {
-        while !self.has_reading_ended.get() {
+    pub async fn wait_for_final_phase(&self) {
+        while !self.has_final_phase_begun.get() {
             self.changed.notified().await;
         }
     }
@@ -81,15 +81,15 @@
         self.changed.notify_waiters();
     }
 
-    /// Runs all phases, until every connection is closed and for `time_limit` after the signal at most, as a connection may
-    /// stand still in the middle of a request. The caller has every request answered before that.
+    /// Runs all phases. Returns when every connection is closed, or at the time limit, since a client may never finish sending
+    /// a request. The caller must see to it that every request is answered by then.
     pub async fn run(&self, signalled_at: Instant, time_limit: Duration) {
         self.is_stopping.set(true);
         self.drain(signalled_at).await;
         self.begin_closing();
         let reading_ends = signalled_at + time_limit.saturating_sub(EXIT_DELAY);
         if timeout_at(reading_ends, self.wait_until_all_closed()).await.is_err() {
-            self.end_reading();
+            self.begin_final_phase();
             // A connection that is cut off then is owed nothing.
             let _ = timeout_at(signalled_at + time_limit, self.wait_until_all_closed()).await;
         }
@@ -114,8 +114,8 @@
     }
 
     /// All that was read has its answer now; who goes on sending sees the end of the connection.
-    fn end_reading(&self) {
-        self.has_reading_ended.set(true);
+    fn begin_final_phase(&self) {
+        self.has_final_phase_begun.set(true);
         self.changed.notify_waiters();
     }
 }
--- a/node/src/override_store.rs
+++ b/node/src/override_store.rs
@@ -62,7 +62,7 @@
 enum SynchronizeError {
     #[error(transparent)]
     File(#[from] OverrideFileError),
-    #[error("the task that reads and writes the file did not end: {0}")]
+    #[error("the file task panicked or was cancelled: {0}")]
     Task(#[from] JoinError),
 }
 
@@ -78,7 +78,7 @@
     last_attempted: watch::Sender<ChangeId>,
     change_recorded: Notify,
     write_failed: Cell<bool>,
-    follows_another_process: bool,
+    found_override_file: bool,
     log: Logger,
 }
 
@@ -109,14 +109,14 @@
             last_attempted: watch::Sender::new(ChangeId::default()),
             change_recorded: Notify::new(),
             write_failed: Cell::new(false),
-            follows_another_process: stored.is_ok(),
+            found_override_file: stored.is_ok(),
             log,
         })
     }
 
-    /// Whether another process of this balancer's name has run before this one, or still does.
-    pub fn follows_another_process(&self) -> bool {
-        self.follows_another_process
+    /// Whether an earlier process of this balancer's name left an override file; it may have ended long ago.
+    pub fn found_override_file(&self) -> bool {
+        self.found_override_file
     }
 
     /// Records an operator's change, to be written soon. The number is for [`OverrideStore::wait_until_attempted`].
--- a/node/src/override_store/tests.rs
+++ b/node/src/override_store/tests.rs
@@ -43,10 +43,10 @@
     let path = directory.path().join("n0.bans");
     testing::run_on_sockets(async {
         let first = Process::start(&path);
-        assert!(!first.store.follows_another_process());
+        assert!(!first.store.found_override_file());
         first.store.synchronize().await;
         let second = Process::start(&path);
-        assert!(second.store.follows_another_process(), "the file is there from the first one's start");
+        assert!(second.store.found_override_file(), "the file is there from the first one's start");
         first.offline(ONE);
         second.offline(TWO);
         tokio::join!(first.store.synchronize(), second.store.synchronize());
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Error)]
 pub enum PeersError {
     /// The address for peers cannot be bound.
-    #[error("cannot hear peers on {address}: {source}; give peers.listen a free address")]
+    #[error("cannot listen for peers on {address}: {source}; give peers.listen a free address")]
     Listen {
         /// The configured address.
         address: SocketAddr,
--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Error)]
 enum ReloadError {
     /// The configuration came from no file.
-    #[error("it came from no file")]
+    #[error("the configuration was not read from a file")]
     NoFile,
     /// The file cannot be used.
     #[error("{0}")]
--- a/node/src/upstream/connection.rs
+++ b/node/src/upstream/connection.rs
@@ -119,12 +119,13 @@
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => {
                 let reason = ConnectError::from_io(&error);
-                debug!(upstream.log, "no connection"; "server" => %ServerLabel(self.server),
-                    "error" => %error, "reason" => ?reason);
+                debug!(upstream.log, "upstream connection failed"; "server" => %ServerLabel(self.server),
+                    "address" => %self.address, "error" => %error, "reason" => ?reason);
                 return Err(reason);
             }
             Err(_) => {
-                debug!(upstream.log, "no connection in time"; "server" => %ServerLabel(self.server));
+                debug!(upstream.log, "upstream connection timed out"; "server" => %ServerLabel(self.server),
+                    "address" => %self.address);
                 return Err(ConnectError::Server);
             }
         };
--- a/node/src/upstream/download/tests.rs
+++ b/node/src/upstream/download/tests.rs
@@ -76,7 +76,7 @@
 fn a_value_that_breaks_off_is_never_complete() {
     testing::run(async {
         let without_end = MalformedResponse::from(memcache::ResponseError::ValueWithoutEnd);
-        assert_eq!(without_end.to_string(), "a value without its end");
+        assert_eq!(without_end.to_string(), "no line end after the value");
         for (sent, end, error) in [
             (VALUE_BYTES - 1, &b""[..], ReadError::Disconnected),
             (1000, b"", ReadError::Disconnected),
--- a/node/src/upstream/read_error.rs
+++ b/node/src/upstream/read_error.rs
@@ -14,13 +14,13 @@
     #[error(transparent)]
     Http(#[from] http::ResponseError),
     /// The origin's response names another request.
-    #[error("a response for another id")]
+    #[error("the response names another request id")]
     OtherRequest,
     /// The origin's body is longer than what is buffered.
-    #[error("a body longer than any value")]
-    BodyTooLong,
+    #[error("the body is longer than what is buffered and cannot be streamed")]
+    UnstreamableBodyTooLong,
     /// Something else than another response stands behind the origin's body.
-    #[error("a body longer than its length")]
+    #[error("unexpected bytes after the body")]
     TrailingBytes,
 }
 
--- a/node/src/upstream/response.rs
+++ b/node/src/upstream/response.rs
@@ -76,7 +76,7 @@
             return Ok(ServerResponse::Streamed { length, body: ValueBody::Http(response) });
         }
         if response.is_too_large() {
-            return Err(MalformedResponse::BodyTooLong.into());
+            return Err(MalformedResponse::UnstreamableBodyTooLong.into());
         }
         if response.is_complete {
             check_nothing_behind(stream, input).await?;
--- a/protocols/src/http/response.rs
+++ b/protocols/src/http/response.rs
@@ -21,19 +21,19 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ResponseError {
     /// The head is longer than any response's.
-    #[error("a response's head has no end")]
+    #[error("the response head has no end within the limit")]
     EndlessHead,
     /// The head is no response's.
     #[error("not a response: {0:?}")]
     NotAResponse(String),
     /// The line with a chunk's size is longer than any.
-    #[error("a chunk's size has no end")]
+    #[error("the chunk size line has no end within the limit")]
     EndlessChunkSize,
     /// The line with a chunk's size holds something else.
     #[error("not a chunk's size")]
     NotAChunkSize,
     /// Behind a chunk stands something else than the end of a line.
-    #[error("a chunk without its end")]
+    #[error("no line end after a chunk")]
     ChunkWithoutEnd,
     /// The body of a write's response is no receipt.
     #[error("not a receipt, in {0} bytes")]
--- a/protocols/src/memcache/response_reader.rs
+++ b/protocols/src/memcache/response_reader.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ResponseError {
     /// The line is longer than any answer's.
-    #[error("an answer's line has no end")]
+    #[error("the response line has no end within the limit")]
     EndlessLine,
     /// The line is no answer to this request.
     #[error("not an answer: {0:?}")]
@@ -26,7 +26,7 @@
     #[error("an answer for another id: {0:?}")]
     OtherRequest(String),
     /// Behind the value stands something else than the end of a line.
-    #[error("a value without its end")]
+    #[error("no line end after the value")]
     ValueWithoutEnd,
     /// A value came where only one that is buffered can be used.
     #[error("a value of {0} bytes, too long to be taken whole")]
--- a/protocols/src/objects.rs
+++ b/protocols/src/objects.rs
@@ -10,7 +10,7 @@
 
 /// Something else stands where an object should begin.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("no object: {0:?}")]
+#[error("expected a JSON object, found {0:?}")]
 pub struct NotAnObject(String);
 
 /// Finds where each object ends.
