--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -23,6 +23,7 @@
 
 use crate::dispatcher::Dispatcher;
 use crate::graceful_shutdown::GracefulShutdown;
+use crate::listener::ACCEPT_RETRY_DELAY;
 use crate::override_store::{OverrideState, OverrideStore};
 use crate::peers::Peers;
 use crate::socket::Socket;
@@ -35,8 +36,6 @@
 const CALL_TIMEOUT: Duration = READ_IDLE_TIMEOUT.saturating_add(WRITE_TIMEOUT);
 /// How long a call waits for its change to be written for a successor; it holds here whether it is or not.
 const OVERRIDE_WRITE_TIMEOUT: Duration = Duration::from_millis(400);
-/// The pause after a connection that could not be accepted, as the next call would most likely fail as well.
-const ACCEPT_BACKOFF: Duration = Duration::from_millis(10);
 /// What the answer adds where the override could not be written yet: until it is, a kill of the process loses it.
 const NOT_WRITTEN_YET: &str = "not kept for a successor yet";
 
@@ -117,7 +116,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => self.serve_in_task(Socket(stream)),
-                Err(_) => sleep(ACCEPT_BACKOFF).await,
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
--- a/node/src/cluster_config/check.rs
+++ b/node/src/cluster_config/check.rs
@@ -1,5 +1,6 @@
 //! The ranges of the operators' file. The first key that is out of its range is reported, in the order of the checks.
 
+use std::fmt::Display;
 use std::ops::RangeInclusive;
 
 use juniperladder_cluster::MAX_MEMBERS;
@@ -50,32 +51,40 @@
 }
 
 fn check_limits(limits: &LimitsConfig) -> Checked {
-    require(LEASE_MS.contains(&limits.lease_ms), "limits.lease_ms", "a lease lasts from 500 to 60000 ms")?;
-    require(CLOCK_DRIFT.contains(&limits.clock_drift), "limits.drift", "a part from 0 to 0.05")?;
-    let is_spread = limits.arrival_spread_ms <= MAX_ARRIVAL_SPREAD_MS;
-    require(is_spread, "limits.spread_ms", "at most 1000 ms")?;
-    let is_owners = limits.owners.is_none_or(|owners| owners > 0 && owners as usize <= MAX_MEMBERS);
-    require(is_owners, "limits.holders", &format!("from 1 to {MAX_MEMBERS}"))?;
+    require(
+        LEASE_MS.contains(&limits.lease_ms),
+        "limits.lease_ms",
+        &format!("a lease lasts {} ms", from_to(&LEASE_MS)),
+    )?;
+    require(
+        CLOCK_DRIFT.contains(&limits.clock_drift),
+        "limits.drift",
+        &format!("a part {}", from_to(&CLOCK_DRIFT)),
+    )?;
+    let is_in_range = limits.arrival_spread_ms <= MAX_ARRIVAL_SPREAD_MS;
+    require(is_in_range, "limits.spread_ms", &format!("at most {MAX_ARRIVAL_SPREAD_MS} ms"))?;
+    let is_in_range = limits.owners.is_none_or(|owners| owners > 0 && owners as usize <= MAX_MEMBERS);
+    require(is_in_range, "limits.holders", &format!("from 1 to {MAX_MEMBERS}"))?;
     check_rate("limits.origin.per_s", limits.origin_rate.as_ref())?;
     check_rate("limits.cold.per_s", limits.slow_start_rate.as_ref())?;
     limits.retry_budget.as_ref().map_or(Ok(()), check_retry_budget)
 }
 
 fn check_rate(key: &'static str, rate: Option<&RateConfig>) -> Checked {
-    let is_rate = rate.is_none_or(|rate| REQUESTS_PER_S.contains(&rate.requests_per_s));
-    require(is_rate, key, "from 1 to 1000000 a second")
+    let is_in_range = rate.is_none_or(|rate| REQUESTS_PER_S.contains(&rate.requests_per_s));
+    require(is_in_range, key, &format!("{} a second", from_to(&REQUESTS_PER_S)))
 }
 
 fn check_retry_budget(budget: &RetryBudgetConfig) -> Checked {
     require(
         RETRIES_PER_FIRST_ATTEMPT.contains(&budget.retries_per_first_attempt),
         "limits.second.share",
-        "a part of the first tries, from 0 to 3",
+        &format!("a part of the first tries, {}", from_to(&RETRIES_PER_FIRST_ATTEMPT)),
     )?;
     require(
         MAX_SAVED_CREDITS.contains(&budget.max_saved_credits),
         "limits.second.saved",
-        "from 1 to 1000 of each balancer",
+        &format!("{} of each balancer", from_to(&MAX_SAVED_CREDITS)),
     )
 }
 
@@ -83,25 +92,30 @@
     require(
         MIN_REPORTERS.contains(&failure_detector.min_reporters),
         "verdicts.witnesses",
-        "from 2, as nobody is believed alone, to 16",
+        &format!("from {}, as nobody is believed alone, to {}", MIN_REPORTERS.start(), MIN_REPORTERS.end()),
     )?;
     require(
         REPORT_LIFETIME_MS.contains(&failure_detector.report_lifetime_ms),
         "verdicts.expiry_ms",
-        "from 2000 to 30000 ms",
+        &format!("{} ms", from_to(&REPORT_LIFETIME_MS)),
     )?;
     require(
         MAX_SUSPECTED_SHARE.contains(&failure_detector.max_suspected_share),
         "verdicts.most",
-        "a part of the hosts, from 0 to 0.5",
+        &format!("a part of the hosts, {}", from_to(&MAX_SUSPECTED_SHARE)),
     )?;
     require(
         TRIALS_PER_S.contains(&failure_detector.trials_per_s),
         "verdicts.tries_per_s",
-        "from 0.1 to 20 a second",
+        &format!("{} a second", from_to(&TRIALS_PER_S)),
     )
 }
 
+/// The bounds of a range as an error names them.
+fn from_to<T: Display>(range: &RangeInclusive<T>) -> String {
+    format!("from {} to {}", range.start(), range.end())
+}
+
 fn require(holds: bool, key: &'static str, expected: &str) -> Checked {
     if holds {
         Ok(())
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -28,8 +28,8 @@
 /// The configuration of a balancer.
 #[derive(Debug)]
 pub struct Config {
-    /// The file that it came from, which a reload reads again; none where it came from elsewhere.
-    pub file: Option<OsString>,
+    /// The path of the file that it came from, which a reload reads again; none where it came from elsewhere.
+    pub path: Option<OsString>,
     /// This balancer's name.
     pub name: String,
     /// Where clients connect.
@@ -43,7 +43,7 @@
     /// What the process may take of its machine.
     pub resource_limits: ConfiguredLimits,
     /// The endpoint list as this balancer last had it.
-    pub known_endpoints: EndpointList,
+    pub last_known_endpoints: EndpointList,
     /// The settings of the decisions.
     pub settings: Settings,
     /// This balancer's place among all, from 0, where the settings have it.
@@ -136,7 +136,7 @@
     ///
     /// # Errors
     /// A file can't be read or used, or a value of the environment can't.
-    pub fn from_environment(cluster_file: Option<OsString>) -> Result<Config, ConfigError> {
+    pub fn from_environment(cluster_config_path: Option<OsString>) -> Result<Config, ConfigError> {
         let file = std::env::var_os("NODE_CONFIG").ok_or(ConfigError::NoFileNamed)?;
         let mut config = Config::read(file)?;
         // An empty address turns the operators' listener off.
@@ -146,9 +146,9 @@
         if let Some(text) = std::env::var("NODE_LOG_LEVEL").ok().filter(|text| !text.is_empty()) {
             config.log_level = parse_log_level(&text)?;
         }
-        let cluster_file = cluster_file.or_else(|| std::env::var_os("NODE_OPERATOR"));
+        let cluster_config_path = cluster_config_path.or_else(|| std::env::var_os("NODE_OPERATOR"));
         // An empty name is none, as a unit file leaves it that sets the variable to nothing.
-        if let Some(path) = cluster_file.filter(|path| !path.is_empty()) {
+        if let Some(path) = cluster_config_path.filter(|path| !path.is_empty()) {
             config.cluster = Some(ClusterConfigFile::read(Path::new(&path))?);
         }
         Ok(config)
@@ -177,7 +177,7 @@
             Err(source) => return Err(ConfigError::Read { path: shown_path, source }),
         };
         match Config::parse(text) {
-            Ok(config) => Ok(Config { file: Some(path), ..config }),
+            Ok(config) => Ok(Config { path: Some(path), ..config }),
             Err(source) => Err(ConfigError::File { path: shown_path, source }),
         }
     }
--- a/node/src/config/file.rs
+++ b/node/src/config/file.rs
@@ -34,7 +34,7 @@
     #[serde(default, rename = "limits")]
     resource_limits: FileLimits,
     #[serde(default, rename = "known")]
-    known_endpoints: EndpointList,
+    last_known_endpoints: EndpointList,
     settings: SiteSettings,
 }
 
@@ -92,14 +92,14 @@
         let drain_grace = duration(site.drain_grace());
         let pushed_list_backoff = (!settings.subscribe).then(|| pushed_list_backoff(drain_grace));
         Ok(Config {
-            file: None,
+            path: None,
             name: self.name,
             client_address,
             discovery_address,
             admin_address,
             seed: parse_seed(&self.seed),
             resource_limits: self.resource_limits.to_configured(),
-            known_endpoints: self.known_endpoints,
+            last_known_endpoints: self.last_known_endpoints,
             settings,
             position: site.position,
             cluster: None,
--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -1,7 +1,7 @@
 //! The life of the daemon: it builds its parts, starts them, and serves until a signal ends it.
 //!
 //! Guarantee: from the first signal to end on, no request that was taken is left without an answer, as
-//! [`crate::graceful_shutdown`] says. A part that cannot be had at the start, such as an address, ends the start
+//! [`crate::graceful_shutdown`] says. A part that cannot be created at the start, such as an address, ends the start
 //! with an error; nothing ends the daemon later but a signal.
 
 use std::net::SocketAddr;
@@ -69,9 +69,9 @@
         let longest_deadline = longest_deadline(&config);
         let dispatcher = build_dispatcher(&config, &resource_limits, longest_deadline, &log);
         let peers = join_peers(&config, &dispatcher, &log)?;
-        let known_version = config.known_endpoints.version;
+        let known_version = config.last_known_endpoints.version;
         let list_reader = EndpointListReader::new(std::mem::take(&mut config.site_names));
-        let known_servers = list_reader.read(std::mem::take(&mut config.known_endpoints), &log);
+        let known_servers = list_reader.read(std::mem::take(&mut config.last_known_endpoints), &log);
         dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &known_servers);
 
         let shutdown = Rc::new(GracefulShutdown::default());
@@ -157,7 +157,7 @@
             policy,
             self.log.clone(),
         ));
-        Rc::new(Reloader::new(config.file, discovery, dispatcher, self.log.clone()))
+        Rc::new(Reloader::new(config.path, discovery, dispatcher, self.log.clone()))
     }
 
     /// Serves until a signal to end has come; the other signals are obeyed meanwhile.
--- a/node/src/discovery/poll.rs
+++ b/node/src/discovery/poll.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 use bytes::BytesMut;
-use juniperladder_protocols::objects::Objects;
+use juniperladder_protocols::objects::JsonObjectScanner;
 use thiserror::Error;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -137,7 +137,7 @@
 async fn receive<S: AsyncRead + Unpin>(stream: &mut S, events: &EventSender) -> Result<(), PollError> {
     let mut response = Response::default();
     let mut input = BytesMut::new();
-    let mut objects = Objects::default();
+    let mut objects = JsonObjectScanner::default();
     while stream.read_buf(&mut input).await? > 0 {
         let length_before = response.body.len();
         response.read(&mut input).map_err(|error| PollError::MalformedResponse(error.to_string()))?;
@@ -168,7 +168,7 @@
 /// Sends the lists that have come to their end, and says how many there were.
 async fn send_lists(
     response: &mut Response,
-    objects: &mut Objects,
+    objects: &mut JsonObjectScanner,
     events: &EventSender,
 ) -> Result<usize, PollError> {
     let mut lists = 0;
@@ -180,6 +180,9 @@
     Ok(lists)
 }
 
-fn next_object(response: &mut Response, objects: &mut Objects) -> Result<Option<BytesMut>, PollError> {
+fn next_object(
+    response: &mut Response,
+    objects: &mut JsonObjectScanner,
+) -> Result<Option<BytesMut>, PollError> {
     objects.next(&mut response.body).map_err(|error| PollError::MalformedResponse(error.to_string()))
 }
--- a/node/src/discovery/watches.rs
+++ b/node/src/discovery/watches.rs
@@ -65,7 +65,7 @@
 }
 
 impl<T> OpenPoll<T> {
-    /// When it counts as failed, or is let go of where it does already.
+    /// When it counts as failed or, if it has failed already, when it is dropped.
     fn deadline(&self) -> Instant {
         match (self.reported, self.last_line) {
             (Some(reported), _) => reported + OVERDUE_GRACE,
@@ -248,7 +248,7 @@
         ListUse::Contradictory { known }
     }
 
-    /// This one has been answered: the others that started before it, and polls that wait for the same, are over.
+    /// This one has been answered: all other polls and watches are closed.
     fn keep_only(&mut self, id: PollId) {
         self.open.retain(|poll| poll.id == id);
     }
--- a/node/src/downstream.rs
+++ b/node/src/downstream.rs
@@ -22,6 +22,7 @@
 use crate::counters::increment;
 use crate::dispatcher::Dispatcher;
 use crate::graceful_shutdown::GracefulShutdown;
+use crate::listener::ACCEPT_RETRY_DELAY;
 use crate::resource_limits::{ResourceLimits, RESERVED_ADMIN_CONNECTIONS};
 use crate::socket::Socket;
 use backlog::{Accepted, Backlog};
@@ -44,8 +45,6 @@
 const EVICTIONS_AT_ONCE: usize = 16;
 /// How long the connections in the backlog wait for slots once the listener is about to close.
 const FINAL_ACCEPT_TIMEOUT: Duration = Duration::from_millis(100);
-/// The pause after a failed accept.
-const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// The names by which clients call the classes and the tenants of the settings, in the settings' order.
 #[derive(Clone, Debug, Default)]
@@ -83,7 +82,7 @@
 }
 
 impl FinalRead {
-    async fn time_out(self) {
+    async fn wait(self) {
         match self {
             FinalRead::Wait => sleep(FINAL_READ_TIMEOUT).await,
             FinalRead::OneTurn => yield_now().await,
--- a/node/src/downstream/backlog.rs
+++ b/node/src/downstream/backlog.rs
@@ -1,8 +1,8 @@
 //! Accepts connections from the listener's queue and bounds how long each of them may have waited there.
 //!
-//! Guarantee: the wait that is reported is not shorter than the true one, as far as the process can know it: a connection that was
-//! there when the next one was asked for came after the last time at which the queue was empty. For how long one waited while
-//! the process had no processor time cannot be known here.
+//! Guarantee: the wait that is reported is not shorter than the true one, as far as the process can know it. A connection that was
+//! already queued arrived after the last time at which the queue was seen empty, so that the time since then is an upper bound.
+//! For how long one waited while the process had no processor time cannot be known here.
 
 use std::future::poll_fn;
 use std::io;
--- a/node/src/downstream/connection.rs
+++ b/node/src/downstream/connection.rs
@@ -177,8 +177,8 @@
     fn interests(&self) -> Interests {
         let limits = &self.downstream.resource_limits;
         let is_upload_blocked = self.is_upload_blocked();
-        // Where more may be read every complete request has been taken, so that the end of the client's side, which
-        // is only read then, never comes before a request that it had sent.
+        // Reading is allowed only once all complete requests have been taken, so that an end of input is never seen
+        // before a request sent ahead of it.
         let has_room_for_requests = !self.takes_no_more_requests
             && !self.is_final_phase
             && !is_upload_blocked
@@ -252,7 +252,7 @@
                 return Err(io::ErrorKind::TimedOut.into());
             }
             ConnectionEvent::TimedOut | ConnectionEvent::EvictedMidRequest => self.end_mid_request(),
-            // The first has done its work by being awaited; `serve` has the second.
+            // UploadUnblocked only wakes the loop; `serve` handles CloseRequested itself.
             ConnectionEvent::UploadUnblocked | ConnectionEvent::CloseRequested(_) => {}
         }
         Ok(())
@@ -273,7 +273,7 @@
                 }
                 Ok(false)
             }
-            () = final_read.time_out() => Ok(true),
+            () = final_read.wait() => Ok(true),
         }
     }
 
@@ -288,7 +288,7 @@
         self.half_close_pending();
     }
 
-    /// The client has closed its side behind what stands unread. That is still read and answered, as it was taken.
+    /// The client has closed its side while bytes are still unread. They are read and answered, but not forwarded.
     fn on_disconnected(&mut self) {
         self.has_client_left = true;
         if let Some(upload) = &mut self.upload {
--- a/node/src/downstream/connection/requests.rs
+++ b/node/src/downstream/connection/requests.rs
@@ -10,10 +10,10 @@
 use crate::counters::increment;
 use crate::dispatcher::ClientRequest;
 use crate::downstream::upload::StreamedUpload;
-use crate::memcache::Incoming;
+use crate::memcache::{Incoming, BUSY, VALUE_TOO_LARGE};
 
-/// For how long after the accept of a connection what it brings is taken to have come before that.
-const CAME_BEFORE_ACCEPT: Duration = Duration::from_millis(20);
+/// Requests read this soon after the accept may have waited in the backlog with their connection.
+const EARLY_REQUEST_WINDOW: Duration = Duration::from_millis(20);
 
 impl DownstreamConnection<'_> {
     /// Takes every complete request off the input, as far as their answers may be pending.
@@ -57,7 +57,7 @@
 
     fn begin_upload(&mut self, request: Box<ClientRequest>, class: &[u8], length: usize) {
         if !self.downstream.dispatcher.can_upload() {
-            return self.reject_invalid("SERVER_ERROR object too large for cache");
+            return self.reject_invalid(VALUE_TOO_LARGE);
         }
         let request = self.classify(request, class);
         self.upload = request.map(|request| StreamedUpload::new(request, length));
@@ -114,7 +114,7 @@
     /// The longest that a request which is read now may have waited before: what comes right behind the accept of its
     /// connection may have come long before that.
     fn longest_unread_wait(&self) -> Micros {
-        if self.slot.accepted.elapsed() < CAME_BEFORE_ACCEPT {
+        if self.slot.accepted.elapsed() < EARLY_REQUEST_WINDOW {
             clock::micros(self.slot.backlog_wait)
         } else {
             Micros(0)
@@ -129,10 +129,10 @@
         self.takes_no_more_requests |= self.malformed_requests >= MAX_INVALID_REQUESTS;
     }
 
-    /// Owes a client that has left the answer to what it had sent before: it is not forwarded.
+    /// Answers a request of a client that has already left with busy instead of forwarding it.
     fn answer_abandoned(&mut self) {
         increment(&self.downstream.dispatcher.counters().requests_abandoned);
-        self.pending.push_back(PendingAnswer::Line("SERVER_ERROR busy"));
+        self.pending.push_back(PendingAnswer::Line(BUSY));
     }
 
     /// Ends a connection whose client is owed nothing and has sent a part of a request.
--- a/node/src/downstream/connection/timing.rs
+++ b/node/src/downstream/connection/timing.rs
@@ -6,10 +6,12 @@
 use crate::downstream::upload::StreamedUpload;
 
 /// How long a connection may go without an open request: one that is silent, kept for good or in the middle
-/// of a request holds a descriptor that others need. Incomplete requests do not set it back.
+/// of a request holds a descriptor that others need. A partial request does not restart the time.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2200);
 /// How long a request may take from its first byte to its last, if that is longer.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
+/// How long a value may stand still before it is complete.
+const VALUE_STALL_TIMEOUT: Duration = Duration::from_millis(2200);
 /// How long a value may take to come to its end while chunks of it keep coming.
 const VALUE_TIMEOUT: Duration = Duration::from_secs(15);
 /// How long a client may take to read any part of the answers that wait for it.
@@ -28,7 +30,7 @@
         let incomplete_until = match self.incomplete_since {
             // A value may come slowly, but it has to come.
             Some(since) if self.request_reader.has_incomplete_request() => {
-                (self.last_received + IDLE_TIMEOUT).min(since + VALUE_TIMEOUT)
+                (self.last_received + VALUE_STALL_TIMEOUT).min(since + VALUE_TIMEOUT)
             }
             Some(since) => since + REQUEST_TIMEOUT,
             None => idle_until,
--- a/node/src/downstream/lingering.rs
+++ b/node/src/downstream/lingering.rs
@@ -9,12 +9,14 @@
 use tokio::time::timeout;
 
 use super::connection::DownstreamConnection;
-use super::slots::{OccupiedSlot, SPARE_SLOT_DIVISOR};
+use super::slots::OccupiedSlot;
 use super::stream::ClientStream;
 use super::{Downstream, LINGER_TIMEOUT};
 
 /// How many bytes are read off then at most.
 const LINGER_BYTES: u64 = 256 * 1024;
+/// The part of the clients' connections (one in so many) above which no more may linger: their descriptors still count.
+const LINGERING_DIVISOR: usize = 16;
 
 impl OccupiedSlot {
     /// Serves this connection to its end, and reads it off for a moment after the slot is free.
@@ -50,7 +52,7 @@
 
 impl Downstream {
     fn may_linger(&self) -> bool {
-        self.lingering.get() <= self.resource_limits.client_connections / SPARE_SLOT_DIVISOR
+        self.lingering.get() <= self.resource_limits.client_connections / LINGERING_DIVISOR
     }
 }
 
--- a/node/src/downstream/upload.rs
+++ b/node/src/downstream/upload.rs
@@ -90,7 +90,8 @@
     pub fn into_request(self) -> ClientRequest {
         let (handle, last_byte) = match self.state {
             UploadState::Sending(handle, sender) => (handle, sender.last_byte()),
-            // It is taken all the same with a handle that leads nowhere, and the decisions hear that it was not sent.
+            // The request is still taken, with a disconnected handle, so that its attempt fails as not sent and the client
+            // gets an answer.
             UploadState::Buffering(_) | UploadState::Discarding => (upload_handle(ServerId(0)).0, None),
         };
         let upload = Some(handle.with_last_byte(last_byte.unwrap_or_default()));
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -42,13 +42,13 @@
 use error::StartError;
 use transient_errors::retry_transient_blocking;
 
-/// Runs a balancer as the environment describes it, until a signal ends it; `operator` is the operators' file
-/// where the command line names it.
+/// Runs a balancer as the environment describes it, until a signal ends it; `cluster_config_path` is that of
+/// the operators' file where the command line names it.
 ///
 /// # Errors
 /// The configuration cannot be used, or a part of the daemon cannot be started.
-pub fn run_from_environment(operator: Option<OsString>) -> Result<(), StartError> {
-    let config = Config::from_environment(operator);
+pub fn run_from_environment(cluster_config_path: Option<OsString>) -> Result<(), StartError> {
+    let config = Config::from_environment(cluster_config_path);
     serve(config.map_err(|error| StartError::Configuration(error.into()))?)
 }
 
--- a/node/src/listener.rs
+++ b/node/src/listener.rs
@@ -2,10 +2,13 @@
 
 use std::io;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 use socket2::{Domain, Protocol, Socket, Type};
 use tokio::net::TcpListener;
 
+/// The pause after a failed accept, as the next would most likely fail as well.
+pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 /// Connections that the system holds until they are accepted.
 const BACKLOG_CONNECTIONS: i32 = 1024;
 
--- a/node/src/override_store.rs
+++ b/node/src/override_store.rs
@@ -1,7 +1,7 @@
 //! The store of operator overrides: when they are written to their file, and when those of another process are read.
 //!
 //! Two processes of one balancer run side by side while one replaces the other, and share the file. Guarantee: for as
-//! long as both run, a call of an operator at either holds at both within two poll intervals, and a process that starts
+//! long as both run, a call of an operator at either holds at both within two [`FILE_CHECK_INTERVAL`]s, and a process that starts
 //! later takes all of them over. An override holds in its own process whether it could be written or not.
 //!
 //! A disk may stand still for a second. The file is read and written by the runtime's threads for blocking work, so that
@@ -25,7 +25,7 @@
 use file::{FileContent, FileVersion, OverrideFileError};
 
 /// How often the file is checked for what another process has written: a call has to hold at both within a second.
-const POLL_INTERVAL: Duration = Duration::from_millis(200);
+const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What an operator has decided about a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -143,7 +143,7 @@
     pub async fn run(&self) {
         loop {
             self.synchronize().await;
-            let _ = timeout(POLL_INTERVAL, self.change_recorded.notified()).await;
+            let _ = timeout(FILE_CHECK_INTERVAL, self.change_recorded.notified()).await;
         }
     }
 
--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -29,21 +29,21 @@
 
 /// Reads the configuration's file again.
 pub(crate) struct Reloader {
-    file: Option<OsString>,
+    path: Option<OsString>,
     discovery: watch::Sender<SocketAddr>,
     dispatcher: Rc<Dispatcher>,
     log: Logger,
 }
 
 impl Reloader {
-    /// A reloader of this file that sends discovery's address on.
+    /// A reloader of the file at this path that sends discovery's address on.
     pub(crate) fn new(
-        file: Option<OsString>,
+        path: Option<OsString>,
         discovery: watch::Sender<SocketAddr>,
         dispatcher: Rc<Dispatcher>,
         log: Logger,
     ) -> Reloader {
-        Reloader { file, discovery, dispatcher, log }
+        Reloader { path, discovery, dispatcher, log }
     }
 
     /// Reads the file and puts discovery's address in force.
@@ -62,9 +62,9 @@
     }
 
     async fn read(&self) -> Result<Config, ReloadError> {
-        let file = self.file.clone().ok_or(ReloadError::NoFile)?;
-        let text = retry_transient(|| std::fs::read(&file)).await;
-        Config::from_file_content(file, text).map_err(|error| ReloadError::Configuration(error.into()))
+        let path = self.path.clone().ok_or(ReloadError::NoFile)?;
+        let text = retry_transient(|| std::fs::read(&path)).await;
+        Config::from_file_content(path, text).map_err(|error| ReloadError::Configuration(error.into()))
     }
 
     fn set_discovery(&self, address: SocketAddr) {
--- a/node/src/resource_limits.rs
+++ b/node/src/resource_limits.rs
@@ -1,7 +1,7 @@
 //! How many connections and bytes each part of the process may take, derived from the configured limits.
 //!
-//! Guarantee: the connections of all parts together stay under the configured number of descriptors, and what is
-//! buffered for clients leaves most of the configured memory.
+//! Guarantee: the connections of all parts together stay under the configured number of descriptors
+//! (from 40 descriptors on), and what is buffered for clients leaves most of the configured memory.
 
 /// What the configuration allows the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -15,6 +15,8 @@
 /// Descriptors that are neither clients' nor servers': the standard three, the listener, discovery's connection
 /// and the one it turns to, the runtime's and the signals' own, a file that is read; and some to spare.
 const OWN_DESCRIPTORS: usize = 16 + RESERVED_ADMIN_CONNECTIONS;
+/// Descriptors that are divided at least, however few the configuration leaves.
+const MIN_DIVIDED_DESCRIPTORS: usize = 16;
 /// Admin connections that have descriptors of their own. More of them take those of clients.
 pub const RESERVED_ADMIN_CONNECTIONS: usize = 8;
 /// The share of the other descriptors that connections to servers may take. Clients hold a third of all for their
@@ -52,7 +54,7 @@
 impl ResourceLimits {
     /// Divides what the configuration allows.
     pub fn from_configured(limits: ConfiguredLimits) -> ResourceLimits {
-        let descriptors = limits.descriptors.saturating_sub(OWN_DESCRIPTORS).max(16);
+        let descriptors = limits.descriptors.saturating_sub(OWN_DESCRIPTORS).max(MIN_DIVIDED_DESCRIPTORS);
         let server_connections = (descriptors as f64 * SERVER_CONNECTION_SHARE) as usize;
         let client_connections = descriptors - server_connections;
         let client_buffer_bytes = (limits.memory_bytes as f64 * CLIENT_BUFFER_SHARE) as usize;
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -36,6 +36,9 @@
 
 /// Bytes reserved for each read.
 const READ_BYTES: usize = 4096;
+/// The share of the connections, as a fraction, above which connections of timed-out attempts close.
+const CROWDED_NUMERATOR: usize = 3;
+const CROWDED_DENOMINATOR: usize = 4;
 
 /// The limits of the connections to servers.
 #[derive(Clone, Debug)]
@@ -61,7 +64,7 @@
     pools: RefCell<FxHashMap<ServerId, Pool>>,
     connector: Rc<dyn Connector>,
     dispatcher: RefCell<Weak<Dispatcher>>,
-    this: Weak<Upstream>,
+    weak_self: Weak<Upstream>,
     limits: UpstreamLimits,
     clock: Clock,
     counters: Rc<Counters>,
@@ -100,11 +103,11 @@
         counters: Rc<Counters>,
         log: Logger,
     ) -> Rc<Upstream> {
-        Rc::new_cyclic(|this| Upstream {
+        Rc::new_cyclic(|weak_self| Upstream {
             pools: RefCell::default(),
             connector,
             dispatcher: RefCell::default(),
-            this: this.clone(),
+            weak_self: weak_self.clone(),
             idle_timeout: IdleTimeout::new(limits.server_idle_timeout),
             limits,
             clock,
@@ -130,8 +133,8 @@
 
     /// Reports the end of an attempt from a task of its own, as the dispatcher may be the caller.
     fn report_end_later(&self, id: AttemptId, end: AttemptEnd) {
-        if let Some(this) = self.this.upgrade() {
-            spawn_local(async move { this.report_end(id, end) });
+        if let Some(upstream) = self.weak_self.upgrade() {
+            spawn_local(async move { upstream.report_end(id, end) });
         }
     }
 
@@ -139,11 +142,11 @@
     /// when it has ended, attempts that wait may have another.
     fn spawn_connection(self: &Rc<Upstream>, connection: impl Future<Output = ()> + 'static) {
         let counted = Counted::one(&self.connections);
-        let this = Rc::clone(self);
+        let upstream = Rc::clone(self);
         spawn_local(async move {
             connection.await;
             drop(counted);
-            this.open_connections();
+            upstream.open_connections();
         });
     }
 
@@ -156,16 +159,17 @@
 
     /// Opens connections for the attempts that wait at this server, one for each, as far as the limit allows.
     fn open_connections_to(&self, server: ServerId, pool: &mut Pool) {
-        let (Some(this), Some(address)) = (self.this.upgrade(), pool.address) else { return };
+        let (Some(upstream), Some(address)) = (self.weak_self.upgrade(), pool.address) else { return };
         if pool.lacks_connections() {
-            // No connection is opened for what nobody waits for. One that is on its way already still shows how its server is.
+            // Cancelled attempts need no connection. Connections already being opened are kept: their outcome shows whether the
+            // server answers.
             self.cancel_waiting(&mut pool.waiting, |attempt| self.is_cancelled(attempt));
         }
         while pool.lacks_connections() && self.connections.get() < self.limits.max_connections {
             pool.connecting += 1;
             let connection = UpstreamConnection { server, is_origin: pool.is_origin, address };
-            let upstream = Rc::clone(&this);
-            this.spawn_connection(async move { connection.open(&upstream).await });
+            let owner = Rc::clone(&upstream);
+            upstream.spawn_connection(async move { connection.open(&owner).await });
         }
     }
 
@@ -204,7 +208,7 @@
             return self.report_end_later(attempt.id, AttemptEnd::Cancelled);
         };
         pool.carried.remove(&attempt.id);
-        if !pool.is_open {
+        if !pool.accepts_attempts {
             return self.report_end_later(attempt.id, AttemptEnd::Cancelled);
         }
         pool.waiting.push_front(attempt);
@@ -245,7 +249,7 @@
         match pools.get_mut(&server).and_then(|pool| pool.carried.get_mut(&id)) {
             Some(carried) => {
                 carried.is_written = true;
-                Rc::clone(&carried.stop)
+                Rc::clone(&carried.close_requested)
             }
             None => Rc::default(),
         }
@@ -274,10 +278,10 @@
         let mut pools = self.pools.borrow_mut();
         // A server that has moved has nothing to do with whoever listens at its old address now.
         let pool = pools.get_mut(&connection.server).filter(|pool| pool.is_reached_by(connection))?;
-        let (next, receiver) = oneshot::channel();
+        let (attempt_sender, receiver) = oneshot::channel();
         let id = self.last_idle_id.get() + 1;
         self.last_idle_id.set(id);
-        pool.idle.push(IdleConnection { id, next });
+        pool.idle.push(IdleConnection { id, attempt_sender });
         Some((id, receiver))
     }
 
@@ -300,10 +304,11 @@
         }
     }
 
-    /// A late answer is read off as long as there are connections: it may still serve its request, and a new connection costs
-    /// the server work. The origin does no work that nobody waits for, which only a close shows it.
+    /// A timed-out attempt's connection stays open for its late answer while connections are plentiful, which spares the
+    /// server a new one. The origin's is closed, since the close tells it to stop working.
     fn must_close_on_timeout(&self, pool: &Pool) -> bool {
-        let is_crowded = self.connections.get() * 4 > self.limits.max_connections * 3;
+        let is_crowded =
+            self.connections.get() * CROWDED_DENOMINATOR > self.limits.max_connections * CROWDED_NUMERATOR;
         is_crowded || pool.is_origin || !self.limits.may_duplicate
     }
 }
@@ -313,19 +318,19 @@
         let mut pools = self.pools.borrow_mut();
         if kind.is_complete() {
             for pool in pools.values_mut() {
-                pool.is_open = false;
+                pool.accepts_attempts = false;
             }
         }
         for ListedServer { endpoint, address } in servers {
             let pool = pools.entry(endpoint.server).or_default();
-            pool.is_open = endpoint.state == EndpointState::Serving;
+            pool.accepts_attempts = endpoint.state == EndpointState::Serving;
             pool.is_origin = self.limits.origin_kind == Some(endpoint.kind);
             if address.is_some() && pool.address != *address {
                 pool.address = *address;
                 pool.idle.clear();
             }
         }
-        for pool in pools.values_mut().filter(|pool| !pool.is_open) {
+        for pool in pools.values_mut().filter(|pool| !pool.accepts_attempts) {
             // Nothing may begin at a server that drains or is gone: its first byte would count.
             pool.idle.clear();
             self.cancel_waiting(&mut pool.waiting, |_| true);
@@ -336,7 +341,7 @@
     fn begin_attempt(&self, attempt: Attempt) {
         let mut pools = self.pools.borrow_mut();
         let server = attempt.server;
-        let pool = pools.get_mut(&server).filter(|pool| pool.is_open && pool.address.is_some());
+        let pool = pools.get_mut(&server).filter(|pool| pool.accepts_attempts && pool.address.is_some());
         let Some(pool) = pool else {
             return self.report_end_later(attempt.id, AttemptEnd::Cancelled);
         };
@@ -364,7 +369,7 @@
         pool.waiting.retain(|attempt| attempt.id != id);
         let Some(carried) = pool.carried.get(&id) else { return false };
         if self.must_close_on_timeout(pool) {
-            carried.stop.notify_one();
+            carried.close_requested.notify_one();
         }
         carried.is_written
     }
--- a/node/src/upstream/connection.rs
+++ b/node/src/upstream/connection.rs
@@ -146,9 +146,9 @@
                     None => return,
                 },
             };
-            // The runtime polls the connection first: some servers close right behind an answer.
+            // Lets the runtime notice a close that came right after the last answer.
             yield_now().await;
-            // A connection that ended meanwhile is no attempt: nothing was written.
+            // Nothing has been written yet, so that the attempt can move to another connection.
             if !upstream.may_send_on(self) {
                 return upstream.put_back(self.server, attempt);
             }
@@ -276,11 +276,11 @@
         attempt: &Attempt,
         answer_timeout: Duration,
     ) -> Option<Result<ServerResponse, ReadError>> {
-        let stop = upstream.on_attempt_written(self.server, attempt.id);
+        let close_requested = upstream.on_attempt_written(self.server, attempt.id);
         tokio::select! {
             biased;
             response = timeout(answer_timeout, self.read_response(stream, input, attempt)) => response.ok(),
-            () = stop.notified() => None,
+            () = close_requested.notified() => None,
         }
     }
 
--- a/node/src/upstream/pool.rs
+++ b/node/src/upstream/pool.rs
@@ -16,7 +16,7 @@
 /// An idle connection: it is given its next attempt here.
 pub(super) struct IdleConnection {
     pub(super) id: IdleId,
-    pub(super) next: oneshot::Sender<Attempt>,
+    pub(super) attempt_sender: oneshot::Sender<Attempt>,
 }
 
 /// An attempt that a connection has.
@@ -25,7 +25,7 @@
     /// Whether its last byte is written.
     pub(super) is_written: bool,
     /// Notified when the connection is to close rather than to wait for a late answer.
-    pub(super) stop: Rc<Notify>,
+    pub(super) close_requested: Rc<Notify>,
 }
 
 /// The connections to one server.
@@ -34,7 +34,7 @@
     pub(super) address: Option<SocketAddr>,
     pub(super) is_origin: bool,
     /// Whether the server serves, so that attempts may begin there.
-    pub(super) is_open: bool,
+    pub(super) accepts_attempts: bool,
     /// Attempts that wait for a connection, in their order.
     pub(super) waiting: VecDeque<Attempt>,
     /// Idle connections, the one used last at the end.
@@ -48,7 +48,7 @@
 impl Pool {
     /// Whether its server may be sent to, and stands where this connection leads.
     pub(super) fn is_reached_by(&self, connection: &UpstreamConnection) -> bool {
-        self.is_open && self.address == Some(connection.address)
+        self.accepts_attempts && self.address == Some(connection.address)
     }
 
     /// Whether attempts wait for which no connection is coming up.
@@ -58,7 +58,7 @@
 
     /// Whether there is nothing in it that is needed.
     pub(super) fn is_unused(&self) -> bool {
-        !self.is_open && self.connecting == 0 && self.carried.is_empty()
+        !self.accepts_attempts && self.connecting == 0 && self.carried.is_empty()
     }
 
     /// Gives an attempt to the idle connection used last, so that those that are not needed grow old. Returns the attempt where
@@ -66,7 +66,7 @@
     pub(super) fn give_to_idle(&mut self, mut attempt: Attempt) -> Option<Attempt> {
         while let Some(idle) = self.idle.pop() {
             let id = attempt.id;
-            match idle.next.send(attempt) {
+            match idle.attempt_sender.send(attempt) {
                 Ok(()) => {
                     self.carried.insert(id, CarriedAttempt::default());
                     return None;
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -289,9 +289,9 @@
                 .or_default()
                 .carried
                 .insert(id, CarriedAttempt::default());
-            let stop = upstream.on_attempt_written(SERVER, id);
+            let close_requested = upstream.on_attempt_written(SERVER, id);
             assert!(upstream.abandon(id, SERVER));
-            let is_stopped = timeout(Duration::from_secs(1), stop.notified()).await.is_ok();
+            let is_stopped = timeout(Duration::from_secs(1), close_requested.notified()).await.is_ok();
             assert_eq!(is_stopped, kind == testing::ORIGIN);
         }
     });
--- a/node/src/upstream/upload.rs
+++ b/node/src/upstream/upload.rs
@@ -25,18 +25,18 @@
     /// Begins to send a streamed value, if there is a connection for it. Where the value is dropped, at once or later, no
     /// more of it is taken.
     pub(super) fn start_upload(&self, upload: Upload) {
-        let Some(this) = self.this.upgrade() else { return };
+        let Some(upstream) = self.weak_self.upgrade() else { return };
         let max_uploads = (self.limits.max_connections / UPLOAD_CONNECTION_DIVISOR).max(1);
         if self.uploads.get() >= max_uploads || self.connections.get() >= self.limits.max_connections {
             return;
         }
         let pools = self.pools.borrow();
-        let pool = pools.get(&upload.server).filter(|pool| pool.is_open && pool.is_origin);
+        let pool = pools.get(&upload.server).filter(|pool| pool.accepts_attempts && pool.is_origin);
         let Some(address) = pool.and_then(|pool| pool.address) else { return };
         let connection = UpstreamConnection { server: upload.server, is_origin: true, address };
         let counted_upload = Counted::one(&self.uploads);
-        let upstream = Rc::clone(&this);
-        this.spawn_connection(async move { connection.upload(&upstream, upload, counted_upload).await });
+        let owner = Rc::clone(&upstream);
+        upstream.spawn_connection(async move { connection.upload(&owner, upload, counted_upload).await });
     }
 }
 
--- a/protocols/src/http/response.rs
+++ b/protocols/src/http/response.rs
@@ -8,7 +8,7 @@
 use winnow::prelude::*;
 use winnow::token::{take_till, take_while};
 
-use crate::memcache::{number, receipt, MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES};
+use crate::memcache::{parse_decimal, parse_receipt, MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES};
 
 /// The longest head of a response in bytes, and the longest line in a chunked body.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
@@ -126,7 +126,7 @@
     }
     match headers.value("content-length") {
         Some(length) => {
-            let length = number(length).and_then(|length| usize::try_from(length).ok());
+            let length = parse_decimal(length).and_then(|length| usize::try_from(length).ok());
             length.map(Framing::Length)
         }
         None if status == b"204" || status == b"304" => Some(Framing::Length(0)),
@@ -244,7 +244,7 @@
         let Some(head) = &self.head else { return Ok(Reply::Error) };
         Ok(match head.status {
             200 if is_write => {
-                let receipt = receipt(&self.body).ok_or(ResponseError::NotAReceipt(self.body.len()))?;
+                let receipt = parse_receipt(&self.body).ok_or(ResponseError::NotAReceipt(self.body.len()))?;
                 Reply::Served(Answer::Receipt(receipt))
             }
             200 => Reply::Served(Answer::Value(Bytes::copy_from_slice(&self.body))),
--- a/protocols/src/memcache.rs
+++ b/protocols/src/memcache.rs
@@ -13,11 +13,11 @@
 mod response_reader;
 
 pub use answer_writer::{write_answer, write_reply};
-pub use line::number;
+pub use line::parse_decimal;
 pub use request_reader::{Incoming, RequestReader};
 pub use request_writer::{write_properties, write_request};
 pub use response_reader::{
-    read_answer, read_reply, read_response, receipt, RemainingValue, Response, ResponseError,
+    parse_receipt, read_answer, read_reply, read_response, RemainingValue, Response, ResponseError,
 };
 
 /// The longest line in bytes; a key, an id and a few properties are far shorter.
@@ -32,6 +32,10 @@
 const MAX_KEY_BYTES: usize = 250;
 /// The longest receipt in bytes: with an id as long it fits into the longest line.
 const MAX_RECEIPT_BYTES: usize = 1024;
+/// The answer to a request that was rejected; how long to wait may follow.
+pub const BUSY: &str = "SERVER_ERROR busy";
+/// The answer to a write whose value is longer than any that is taken.
+pub const VALUE_TOO_LARGE: &str = "SERVER_ERROR object too large for cache";
 /// What ends a line that is written, and a value.
 const LINE_END: &[u8] = b"\r\n";
 
--- a/protocols/src/memcache/answer_writer.rs
+++ b/protocols/src/memcache/answer_writer.rs
@@ -5,7 +5,7 @@
 use juniperladder_dispatch::clock::to_ms;
 use juniperladder_dispatch::values::{Answer, Reply};
 
-use super::LINE_END;
+use super::{BUSY, LINE_END};
 
 /// Writes a final answer to a client. Behind the line of a streamed value its chunks follow, and then the end of a line.
 pub fn write_answer(output: &mut BytesMut, id: &[u8], answer: &Answer) {
@@ -17,9 +17,9 @@
         }
         Answer::Streamed(value) => write_value_line(output, id, value.length()),
         Answer::Receipt(receipt) => write_receipt(output, id, receipt),
-        Answer::Rejected(Micros(0)) => output.put_slice(b"SERVER_ERROR busy"),
+        Answer::Rejected(Micros(0)) => output.put_slice(BUSY.as_bytes()),
         Answer::Rejected(retry_after) => {
-            output.put_slice(format!("SERVER_ERROR busy {}", to_ms(*retry_after)).as_bytes());
+            output.put_slice(format!("{BUSY} {}", to_ms(*retry_after)).as_bytes());
         }
         Answer::Failed => output.put_slice(b"SERVER_ERROR failed"),
     }
@@ -36,7 +36,7 @@
             output.put_slice(b"EN");
             write_id(output, id);
         }
-        Reply::Rejected => output.put_slice(b"SERVER_ERROR busy"),
+        Reply::Rejected => output.put_slice(BUSY.as_bytes()),
         Reply::Error | Reply::Served(_) => output.put_slice(b"SERVER_ERROR failed"),
     }
     if let Some(hit) = hit {
--- a/protocols/src/memcache/line.rs
+++ b/protocols/src/memcache/line.rs
@@ -23,7 +23,7 @@
 }
 
 /// A decimal number that is nothing but digits.
-pub fn number(text: &[u8]) -> Option<u64> {
+pub fn parse_decimal(text: &[u8]) -> Option<u64> {
     winnow::ascii::dec_uint::<_, u64, winnow::error::ContextError>.parse(text).ok()
 }
 
--- a/protocols/src/memcache/request_reader.rs
+++ b/protocols/src/memcache/request_reader.rs
@@ -7,16 +7,16 @@
 use winnow::prelude::*;
 use winnow::token::take_while;
 
-use super::line::{first_line, number, request_tokens};
+use super::line::{first_line, parse_decimal, request_tokens};
 use super::response_reader::RemainingValue;
 use super::{
     LINE_END, MAX_BUFFERED_VALUE_BYTES, MAX_KEY_BYTES, MAX_LINE_BYTES, MAX_SKIPPED_BYTES, MAX_VALUE_BYTES,
+    VALUE_TOO_LARGE,
 };
 
 const BAD_DATA_CHUNK: &str = "CLIENT_ERROR bad data chunk";
 const BAD_PROPERTIES: &str = "CLIENT_ERROR bad properties";
 const LINE_TOO_LONG: &str = "CLIENT_ERROR line too long";
-const VALUE_TOO_LARGE: &str = "SERVER_ERROR object too large for cache";
 
 /// What a client's connection brought next.
 #[derive(Debug, PartialEq)]
@@ -195,7 +195,7 @@
 
 fn parse_write(text: &Bytes, key: &[u8], length: &[u8], flags: &[&[u8]]) -> Line {
     // Without a length nobody knows where the value ends.
-    let Some(length) = number(length) else {
+    let Some(length) = parse_decimal(length) else {
         return Line::Incoming(Incoming::Unrecoverable(BAD_DATA_CHUNK));
     };
     let length = usize::try_from(length).unwrap_or(usize::MAX);
@@ -224,7 +224,7 @@
     let property =
         |name: &[u8]| properties.iter().find(|(known, _)| known == name).map(|(_, value)| value.clone());
     let timeout = property(b"d").ok_or("CLIENT_ERROR no deadline")?;
-    let timeout = number(&timeout).ok_or(BAD_PROPERTIES)?;
+    let timeout = parse_decimal(&timeout).ok_or(BAD_PROPERTIES)?;
     let class = property(b"c").unwrap_or_default();
     let is_client_retry = property(b"r").is_some_and(|mark| mark.as_ref() == b"1");
     let request = ClientRequest {
--- a/protocols/src/memcache/response_reader.rs
+++ b/protocols/src/memcache/response_reader.rs
@@ -7,7 +7,7 @@
 use juniperladder_dispatch::values::{Answer, Reply};
 use thiserror::Error;
 
-use super::line::{first_line, number, response_tokens, LineBounds};
+use super::line::{first_line, parse_decimal, response_tokens, LineBounds};
 use super::{LINE_END, MAX_BUFFERED_VALUE_BYTES, MAX_LINE_BYTES, MAX_RECEIPT_BYTES, MAX_VALUE_BYTES};
 
 /// How much of a malformed line an error shows: the beginning and not all of it.
@@ -77,7 +77,7 @@
 
 /// A receipt as it may stand in an answer's line, where it is one token: with anything else in it the line would be another
 /// answer to its client, or several.
-pub fn receipt(text: &[u8]) -> Option<Bytes> {
+pub fn parse_receipt(text: &[u8]) -> Option<Bytes> {
     let has_valid_length = (1..=MAX_RECEIPT_BYTES).contains(&text.len());
     let is_token = has_valid_length && text.iter().all(u8::is_ascii_graphic);
     is_token.then(|| Bytes::copy_from_slice(text))
@@ -122,7 +122,7 @@
     let tokens: Vec<&[u8]> = tokens.collect();
     let answer = match tokens[..] {
         [b"SERVER_ERROR", b"busy"] => Answer::Rejected(Micros(0)),
-        [b"SERVER_ERROR", b"busy", ms] => Answer::Rejected(number(ms).map_or(Micros(0), from_ms)),
+        [b"SERVER_ERROR", b"busy", ms] => Answer::Rejected(parse_decimal(ms).map_or(Micros(0), from_ms)),
         [b"VA" | b"HD", ..] => {
             return Ok(read_reply(input, request)?.map(|reply| match reply {
                 Reply::Served(answer) => answer,
@@ -162,13 +162,13 @@
     let is_write = request.value.is_some();
     Ok(Line::Reply(match (name, flags.first().copied()) {
         (b"VA", Some(length)) if !is_write => {
-            let length = number(length).and_then(|length| usize::try_from(length).ok());
+            let length = parse_decimal(length).and_then(|length| usize::try_from(length).ok());
             // A value far too long is rejected at its line: it would keep coming and fill the memory.
             let length = length.filter(|length| *length <= MAX_VALUE_BYTES);
             return length.map(Line::Value).ok_or_else(not_an_answer);
         }
         (b"HD", _) if is_write => {
-            let receipt = flag(b'c').and_then(receipt).ok_or_else(not_an_answer)?;
+            let receipt = flag(b'c').and_then(parse_receipt).ok_or_else(not_an_answer)?;
             Reply::Served(Answer::Receipt(receipt))
         }
         (b"EN", _) => Reply::Miss { fetch_in_progress: flags.contains(&&b"Z"[..]) },
--- a/protocols/src/objects.rs
+++ b/protocols/src/objects.rs
@@ -15,7 +15,7 @@
 
 /// Finds where each object ends.
 #[derive(Debug, Default)]
-pub struct Objects {
+pub struct JsonObjectScanner {
     /// How many bytes of the first object have been scanned.
     scanned_bytes: usize,
     /// How many brackets are open there.
@@ -25,7 +25,7 @@
     is_escaped: bool,
 }
 
-impl Objects {
+impl JsonObjectScanner {
     /// Takes the next object off the input; none until it is complete.
     ///
     /// # Errors
--- a/protocols/src/objects/tests.rs
+++ b/protocols/src/objects/tests.rs
@@ -4,7 +4,7 @@
 fn objects_are_found_whatever_their_form_and_their_pieces() {
     let text = "\n{\"a\":[{\"b\":\"}\\\"]\\\\\"}]}\r\n\n  {\n  \"c\": [\n    1\n  ]\n}\n{}\n";
     for cut in 1..text.len() {
-        let (mut objects, mut input, mut found) = (Objects::default(), BytesMut::new(), Vec::new());
+        let (mut objects, mut input, mut found) = (JsonObjectScanner::default(), BytesMut::new(), Vec::new());
         for piece in text.as_bytes().chunks(cut) {
             input.extend_from_slice(piece);
             while let Some(object) = objects.next(&mut input).unwrap() {
@@ -15,7 +15,7 @@
         assert!(input.trim_ascii().is_empty());
     }
     for text in ["]", "nonsense", "\"{}\"", "{} x"] {
-        let (mut objects, mut input) = (Objects::default(), BytesMut::from(text));
+        let (mut objects, mut input) = (JsonObjectScanner::default(), BytesMut::from(text));
         let _ = objects.next(&mut input).and_then(|_| objects.next(&mut input)).unwrap_err();
     }
 }
--- a/purge/src/completion.rs
+++ b/purge/src/completion.rs
@@ -61,7 +61,7 @@
     incarnations: BTreeMap<ReplicaId, u64>,
 }
 
-/// The last report of a assigned replica.
+/// The last report of an assigned replica.
 #[derive(Clone, Debug)]
 struct AssignedReplicaReport {
     incarnation: u64,
@@ -118,7 +118,7 @@
     replies: BTreeMap<ReplicaId, RoundReply>,
     majority_position: Option<MajorityPosition>,
     reports: BTreeMap<ReplicaId, AssignedReplicaReport>,
-    done: Position,
+    done_through: Position,
     outstanding: Outstanding,
 }
 
@@ -133,7 +133,7 @@
             replies: BTreeMap::new(),
             majority_position: None,
             reports: BTreeMap::new(),
-            done: Position::ZERO,
+            done_through: Position::ZERO,
             outstanding: Outstanding::default(),
         }
     }
@@ -154,8 +154,8 @@
     }
 
     /// Up to where the purges are done.
-    pub fn done(&self) -> Position {
-        self.done
+    pub fn done_through(&self) -> Position {
+        self.done_through
     }
 
     /// Who is outstanding for the rest.
@@ -247,7 +247,7 @@
             }
         }
         if !is_uncovered {
-            self.done = self.done.max(through);
+            self.done_through = self.done_through.max(through);
         }
         outstanding.add_report(own_report);
         for (assigned_replica, known) in &self.reports {
@@ -259,7 +259,7 @@
         self.outstanding = outstanding;
     }
 
-    /// Whether the last report of a assigned replica names those of its members that are behind this position. One that has not
+    /// Whether the last report of an assigned replica names those of its members that are behind this position. One that has not
     /// reported since it had the position names nobody: all its members are outstanding.
     fn names_laggards(&self, assigned_replica: ReplicaId, through: Position) -> bool {
         assigned_replica == self.me
--- a/purge/src/config.rs
+++ b/purge/src/config.rs
@@ -135,7 +135,7 @@
     pub return_probe_interval: Micros,
     /// How many answers in a row bring it back.
     pub return_probes: u32,
-    /// How long it stays with a assigned replica before it goes back.
+    /// How long it stays with an assigned replica before it goes back.
     pub return_after: Micros,
     /// Tests only.
     #[doc(hidden)]
--- a/purge/src/lease_table.rs
+++ b/purge/src/lease_table.rs
@@ -1,4 +1,4 @@
-//! Leases that a assigned replica grants to its members, and what those members have applied.
+//! Leases that an assigned replica grants to its members, and what those members have applied.
 //!
 //! # Guarantee
 //!
--- a/purge/src/lib.rs
+++ b/purge/src/lib.rs
@@ -50,7 +50,7 @@
 pub use ids::{MemberId, PurgeId, ReplicaId, StreamId};
 pub use member::{Member, PurgeEvent};
 pub use metrics::{MemberMetrics, ReplicaMetrics};
-pub use replica::{PublishRejected, PurgeStatus, RejectReason, Replica};
+pub use replica::{PublishRejectReason, PublishRejected, PurgeStatus, Replica};
 
 /// Times are on the caller's monotonic clock.
 pub use juniperladder::Micros;
--- a/purge/src/member.rs
+++ b/purge/src/member.rs
@@ -47,7 +47,7 @@
     /// It registers with a majority.
     Enrolling(Enrollment),
     /// It is registered, and pulls until it has applied the target.
-    Reaching {
+    ApplyingTarget {
         /// What it has to have applied.
         target: VersionVector,
     },
@@ -66,7 +66,7 @@
     epoch: Epoch,
     phase: Phase,
     /// The last time at which the phase got on.
-    progress: Micros,
+    last_progress: Micros,
     pulls: Pulls,
     /// Until when the assigned replica has granted a lease of the current epoch.
     granted_until: Micros,
@@ -93,7 +93,7 @@
             replica_choice: ReplicaChoice::new(&config.preferred, config.replicas.len(), first_number, now),
             epoch: Epoch { incarnation: config.incarnation, counter: 0 },
             phase: Phase::CatchingUp { caught_up: false },
-            progress: now,
+            last_progress: now,
             pulls: Pulls::new(first_number, first_pull, now),
             granted_until: Micros::ZERO,
             lease_until: Micros::ZERO,
@@ -237,8 +237,8 @@
         }
         self.pulls.schedule(next);
         // A assigned replica that answers, but has not what the target needs, is left after a while.
-        if more || !matches!(self.phase, Phase::Reaching { .. }) {
-            self.progress = now;
+        if more || !matches!(self.phase, Phase::ApplyingTarget { .. }) {
+            self.last_progress = now;
         }
         if epoch == Some(self.epoch) {
             let counted_from = if self.config.timing.injected_defects.has(InjectedDefect::LeaseFromReceipt) {
@@ -284,7 +284,7 @@
     fn advance(&mut self, now: Micros) {
         match &self.phase {
             Phase::CatchingUp { caught_up: true } if self.applied == self.received => self.enroll(now),
-            Phase::Reaching { target } if now < self.granted_until => {
+            Phase::ApplyingTarget { target } if now < self.granted_until => {
                 let is_reached = self.applied.covers(target);
                 if is_reached || self.config.timing.injected_defects.has(InjectedDefect::TargetIgnored) {
                     self.phase = Phase::Serving;
@@ -298,14 +298,14 @@
     /// Pulls without a registration until there is no more.
     fn catch_up(&mut self, now: Micros) {
         self.phase = Phase::CatchingUp { caught_up: false };
-        self.progress = now;
+        self.last_progress = now;
         self.pulls.restart(now);
     }
 
     fn pull(&mut self, now: Micros) {
         let epoch = match self.phase {
             Phase::CatchingUp { .. } => None,
-            Phase::Reaching { .. } | Phase::Serving => Some(self.epoch),
+            Phase::ApplyingTarget { .. } | Phase::Serving => Some(self.epoch),
             Phase::Enrolling(_) | Phase::Stopped => return,
         };
         if !self.pulls.is_due(now) {
@@ -327,15 +327,15 @@
         self.outbox.send(address, &Message::ToReplica(message));
     }
 
-    /// Leaves a assigned replica that doesn't answer: at once while nothing hangs on it, else once another has answered a probe.
+    /// Leaves an assigned replica that doesn't answer: at once while nothing hangs on it, else once another has answered a probe.
     fn change_silent_replica(&mut self, now: Micros) {
         let silent = self.pulls.is_silent(now, &self.config.timing);
-        let is_late = now.saturating_sub(self.progress) >= self.config.timing.registration_timeout;
+        let is_late = now.saturating_sub(self.last_progress) >= self.config.timing.registration_timeout;
         match self.phase {
             Phase::CatchingUp { .. } if silent => {
                 self.change_assigned_replica(now, self.replica_choice.following())
             }
-            Phase::Enrolling(_) | Phase::Reaching { .. } if is_late => {
+            Phase::Enrolling(_) | Phase::ApplyingTarget { .. } if is_late => {
                 self.change_assigned_replica(now, self.replica_choice.following());
             }
             _ => {}
--- a/purge/src/member/enrollment.rs
+++ b/purge/src/member/enrollment.rs
@@ -69,7 +69,7 @@
     pub(super) fn enroll(&mut self, now: Micros) {
         self.epoch = self.epoch.next();
         self.granted_until = Micros::ZERO;
-        self.progress = now;
+        self.last_progress = now;
         self.metrics.registrations += 1;
         self.pulls.restart(now);
         self.phase = Phase::Enrolling(Enrollment::new(now, self.config.timing.resend_after));
@@ -146,8 +146,8 @@
         enrollment.target.merge(vector);
         if enrollment.confirmed.len() >= majority {
             let target = std::mem::take(&mut enrollment.target);
-            self.phase = Phase::Reaching { target };
-            self.progress = now;
+            self.phase = Phase::ApplyingTarget { target };
+            self.last_progress = now;
             self.pulls.restart(now);
         }
     }
--- a/purge/src/member/replica_choice.rs
+++ b/purge/src/member/replica_choice.rs
@@ -11,7 +11,7 @@
     to: ReplicaId,
 }
 
-/// The choice of a assigned replica.
+/// The choice of an assigned replica.
 #[derive(Clone, Debug)]
 pub(super) struct ReplicaChoice {
     /// All replicas, the preferred ones first.
--- a/purge/src/replica.rs
+++ b/purge/src/replica.rs
@@ -48,7 +48,7 @@
 
 /// Why a purge was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RejectReason {
+pub enum PublishRejectReason {
     /// The key is longer than any key.
     KeyTooLong,
     /// The replica is recovering.
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PublishRejected {
     /// Why.
-    pub reason: RejectReason,
+    pub reason: PublishRejectReason,
     /// The time after which to come again.
     pub retry_after: Micros,
 }
@@ -88,7 +88,7 @@
     /// The request for entries that is under way.
     fetching: Option<Fetch>,
     /// The last position published here that was pushed.
-    pushed: Position,
+    last_pushed: Position,
     bucket: TokenBucket,
     outbox: Outbox,
     received: Traffic,
@@ -115,7 +115,7 @@
             next_round: now,
             round_started: now,
             fetching: None,
-            pushed: Position::ZERO,
+            last_pushed: Position::ZERO,
             bucket: TokenBucket::new(settings.publish_rate, settings.publish_burst, now),
             outbox: Outbox::default(),
             received: Traffic::default(),
@@ -137,7 +137,7 @@
         let position = Position::start_of(self.config.incarnation);
         let previous = self.log.head(me);
         self.log.append(me, Entry { position, previous, key: Vec::new() });
-        self.pushed = previous;
+        self.last_pushed = previous;
     }
 
     /// A datagram has come.
@@ -199,7 +199,7 @@
         }
         self.needs_evaluation = false;
         let head = self.log.head(me);
-        if self.completion.done() >= head {
+        if self.completion.done_through() >= head {
             return;
         }
         let own_report = self.leases.report(me, head);
@@ -221,18 +221,18 @@
         let settings = &self.config.settings;
         let reject = |reason, retry_after| Err(PublishRejected { reason, retry_after });
         if key.len() > MAX_KEY_BYTES {
-            return reject(RejectReason::KeyTooLong, Micros::ZERO);
+            return reject(PublishRejectReason::KeyTooLong, Micros::ZERO);
         }
         if self.recovery.is_some() {
-            return reject(RejectReason::Recovering, settings.round_timeout);
+            return reject(PublishRejectReason::Recovering, settings.round_timeout);
         }
         let me = self.config.replica;
         let previous = self.log.head(me);
         if previous.sequence.saturating_sub(self.done_sequence()) >= settings.max_pending {
-            return reject(RejectReason::TooManyPending, settings.round_timeout);
+            return reject(PublishRejectReason::TooManyPending, settings.round_timeout);
         }
         if let Err(retry_after) = self.bucket.try_take(now) {
-            return reject(RejectReason::RateLimited, retry_after);
+            return reject(PublishRejectReason::RateLimited, retry_after);
         }
         let position = previous.next();
         self.log.append(me, Entry { position, previous, key: key.to_vec() });
@@ -243,7 +243,7 @@
 
     /// Up to which sequence of this incarnation the purges are done; the start entry is from the beginning.
     fn done_sequence(&self) -> u64 {
-        let done = self.completion.done();
+        let done = self.completion.done_through();
         if done.incarnation == self.config.incarnation {
             done.sequence.max(1)
         } else {
@@ -258,7 +258,7 @@
         if !is_mine || id.sequence < 2 || id.position() > self.log.head(me) {
             return PurgeStatus::Unknown;
         }
-        if id.position() <= self.completion.done() {
+        if id.position() <= self.completion.done_through() {
             return PurgeStatus::Done;
         }
         let outstanding = self.completion.outstanding();
--- a/purge/src/replica/peers.rs
+++ b/purge/src/replica/peers.rs
@@ -180,11 +180,11 @@
     pub(super) fn push_published(&mut self) {
         let me = self.config.replica;
         let head = self.log.head(me);
-        if self.recovery.is_some() || self.pushed >= head {
+        if self.recovery.is_some() || self.last_pushed >= head {
             return;
         }
-        let after = self.all_but_own(self.pushed);
-        self.pushed = head;
+        let after = self.all_but_own(self.last_pushed);
+        self.last_pushed = head;
         let all = (0..self.config.replicas.len()).map(|index| ReplicaId(index as u8));
         for peer in all.filter(|peer| *peer != me) {
             self.send_entries(peer, after.clone(), PUSH_DATAGRAMS);
--- a/purge/tests/behaviour.rs
+++ b/purge/tests/behaviour.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use juniperladder_purge::{MemberId, Micros, PurgeStatus, RejectReason, ReplicaId};
+use juniperladder_purge::{MemberId, Micros, PublishRejectReason, PurgeStatus, ReplicaId};
 use support::schedule::{MILLISECOND, SECOND};
 use support::scripted::Plane;
 
@@ -83,11 +83,11 @@
     let taken = (0..10_000).take_while(|_| replica.publish(now, KEY).is_ok()).count();
     assert_eq!(taken, 200, "the burst");
     let rejected = replica.publish(now, KEY).expect_err("the burst is used up");
-    assert_eq!(rejected.reason, RejectReason::RateLimited);
+    assert_eq!(rejected.reason, PublishRejectReason::RateLimited);
     assert!(replica.publish(now + rejected.retry_after - Micros(1), KEY).is_err());
     assert!(replica.publish(now + rejected.retry_after, KEY).is_ok());
     let rejected = replica.publish(now, &[b'k'; 251]).expect_err("longer than any key");
-    assert_eq!(rejected.reason, RejectReason::KeyTooLong);
+    assert_eq!(rejected.reason, PublishRejectReason::KeyTooLong);
     plane.cut(&[0], &[1, 2]);
     let mut last = None;
     for _ in 0..100 {
@@ -95,11 +95,11 @@
         let now = plane.now;
         last = (0..200).find_map(|_| plane.replica(0).publish(now, KEY).err());
     }
-    assert_eq!(last.map(|rejected| rejected.reason), Some(RejectReason::TooManyPending));
+    assert_eq!(last.map(|rejected| rejected.reason), Some(PublishRejectReason::TooManyPending));
     plane.restart_replica(1);
     let now = plane.now;
     let rejected = plane.replica(1).publish(now, KEY).expect_err("it recovers");
-    assert_eq!(rejected.reason, RejectReason::Recovering);
+    assert_eq!(rejected.reason, PublishRejectReason::Recovering);
 }
 
 #[test]
--- a/settings/src/check.rs
+++ b/settings/src/check.rs
@@ -38,7 +38,7 @@
     let classes = &settings.classes;
     require("categories", !classes.is_empty(), "name one class of requests at least")?;
     let names = classes.iter().map(|class| class.name.as_str());
-    require("categories[].name", has_own_names(names), "give each class a name of its own")?;
+    require("categories[].name", are_nonempty_and_unique(names), "give each class a name of its own")?;
     for class in classes {
         require_time("categories[].aim", class.latency_objective)?;
     }
@@ -48,10 +48,10 @@
     Ok(())
 }
 
-/// A tenant without a name would be whoever names none.
+/// A tenant with an empty name would match requests that name no tenant.
 fn check_tenants(settings: &SiteSettings) -> Checked {
     let names = settings.tenants.iter().map(|tenant| tenant.name.as_str());
-    require("orgs[].name", has_own_names(names), "give each tenant a name of its own")
+    require("orgs[].name", are_nonempty_and_unique(names), "give each tenant a name of its own")
 }
 
 fn check_origin(settings: &SiteSettings) -> Checked {
@@ -89,7 +89,7 @@
 }
 
 /// Whether none of the names is empty, and none stands twice.
-fn has_own_names<'a>(mut names: impl Iterator<Item = &'a str>) -> bool {
+fn are_nonempty_and_unique<'a>(mut names: impl Iterator<Item = &'a str>) -> bool {
     let mut seen = HashSet::new();
     names.all(|name| !name.is_empty() && seen.insert(name))
 }
--- a/simulator-adapter/src/wire/incoming.rs
+++ b/simulator-adapter/src/wire/incoming.rs
@@ -15,8 +15,10 @@
 /// One line of input: the clock in microseconds, and the events that happen at that time.
 #[derive(Deserialize)]
 pub struct Batch<'a> {
+    /// The time of the events in microseconds.
     #[serde(rename = "t")]
     pub now: u64,
+    /// What happened then, in order.
     #[serde(borrow, rename = "in")]
     pub events: Vec<IncomingEvent<'a>>,
 }
@@ -27,26 +29,34 @@
 pub enum IncomingEvent<'a> {
     /// A balancer starts, without any state.
     Start {
+        /// The balancer that it concerns.
         #[serde(rename = "router")]
         instance: u32,
+        /// For its random numbers.
         seed: u64,
+        /// Its settings.
         #[serde(rename = "env")]
         settings: Box<SiteSettings>,
     },
     /// An endpoint list that later events name by its slot.
     #[serde(rename = "manifest")]
     EndpointList {
+        /// The slot of the list.
         slot: usize,
+        /// The servers.
         #[serde(rename = "entries")]
         endpoints: Vec<EndpointEntry>,
     },
     /// Discovery answered with the list in this slot, or failed.
     #[serde(rename = "endpoints")]
     EndpointsChanged {
+        /// The balancer that it concerns.
         #[serde(rename = "router")]
         instance: u32,
+        /// The slot of the list.
         #[serde(default)]
         slot: usize,
+        /// How the list relates to the one in use.
         form: EndpointsForm,
     },
     /// A request has come in.
@@ -54,16 +64,20 @@
     Request(IncomingRequest<'a>),
     /// Another balancer sent bytes, which these decisions do not use.
     Message {
+        /// The balancer that it concerns.
         #[serde(rename = "router")]
         instance: u32,
+        /// The bytes.
         #[serde(rename = "msg")]
         base64_text: &'a str,
     },
     /// A streamed response has begun.
     #[serde(rename = "started")]
     ResponseStarted {
+        /// The balancer that it concerns.
         #[serde(rename = "router")]
         instance: u32,
+        /// The id of the request.
         #[serde(rename = "op-id")]
         request_id: &'a str,
     },
@@ -73,27 +87,33 @@
     /// A load report, which these decisions do not use.
     #[serde(rename = "sampled")]
     LoadReport {
+        /// The balancer that it concerns.
         #[serde(rename = "router")]
         instance: u32,
     },
     /// A balancer ends.
     #[serde(rename = "retire")]
     Stop {
+        /// The balancer that it concerns.
         #[serde(rename = "router")]
         instance: u32,
     },
     /// A timer is due.
     #[serde(rename = "fired")]
     Timer {
+        /// The balancer that it concerns.
         #[serde(rename = "router")]
         instance: u32,
+        /// Which timer.
         token: u64,
     },
     /// The client has left.
     #[serde(rename = "aborted")]
     ClientDisconnected {
+        /// The balancer that it concerns.
         #[serde(rename = "router")]
         instance: u32,
+        /// The id of the request.
         #[serde(rename = "op-id")]
         request_id: &'a str,
     },
@@ -103,22 +123,31 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct IncomingRequest<'a> {
+    /// The balancer that it concerns.
     #[serde(rename = "router")]
     pub instance: u32,
+    /// The id of the request.
     #[serde(rename = "op-id")]
     request_id: &'a str,
+    /// When the client gives up, in microseconds.
     #[serde(rename = "client-deadline")]
     deadline: u64,
+    /// The work that it is expected to cost, in microseconds.
     #[serde(rename = "estimate")]
     expected_work: Option<u64>,
+    /// The key of the object.
     #[serde(rename = "resource")]
     key: Option<u64>,
+    /// Whether it writes the object.
     #[serde(default)]
     is_write: bool,
+    /// The number of its class.
     #[serde(default, rename = "lane")]
     class: u32,
+    /// The number of its tenant.
     #[serde(default, rename = "user-group")]
     tenant: u32,
+    /// Whether the client has sent it before.
     #[serde(default, rename = "again-by-client")]
     is_client_retry: bool,
 }
@@ -145,19 +174,27 @@
 /// The end of an attempt as the simulator writes it.
 #[derive(Deserialize)]
 pub struct IncomingCompletedAttempt<'a> {
+    /// The balancer that it concerns.
     #[serde(rename = "router")]
     pub instance: u32,
+    /// The id of the request.
     #[serde(rename = "op-id")]
     request_id: &'a str,
+    /// What the server remarked, as a code; 0 for nothing.
     #[serde(default)]
     remark: u32,
+    /// Whether the request has ended as well.
     #[serde(default, rename = "closed")]
     request_closed: bool,
+    /// The number of the attempt within its request.
     #[serde(default, rename = "round-no")]
     attempt: u32,
+    /// The number of the server.
     server: u32,
+    /// How long it took, in microseconds.
     #[serde(default, rename = "elapsed")]
     latency: u64,
+    /// How it ended.
     result: IncomingResult,
 }
 
@@ -245,17 +282,24 @@
 /// One server of an endpoint list.
 #[derive(Deserialize)]
 pub struct EndpointEntry {
+    /// The number of the server.
     server: u32,
+    /// The number of its zone.
     #[serde(default, rename = "locality")]
     zone: u32,
+    /// The number of its kind of machine.
     #[serde(default, rename = "sku")]
     kind: u32,
+    /// The number of its cell.
     #[serde(default, rename = "bay")]
     cell: u32,
+    /// Whether it serves.
     #[serde(default, rename = "stage-state")]
     state: IncomingState,
+    /// Its size relative to others.
     #[serde(default = "default_weight", rename = "capacity-hint")]
     weight: f64,
+    /// When it started, in microseconds.
     #[serde(default, rename = "came-up")]
     started: u64,
 }
