--- a/node/src/downstream/connection.rs
+++ b/node/src/downstream/connection.rs
@@ -45,8 +45,8 @@
     request_bytes: usize,
     /// Bytes that the connection was last counted with in [`Downstream::buffered_bytes`].
     counted_bytes: usize,
-    /// How many malformed requests it has brought.
-    malformed_requests: usize,
+    /// How many invalid requests it has brought.
+    invalid_requests: usize,
     /// Since when a request has been coming that is not complete.
     incomplete_since: Option<Instant>,
     /// When bytes came last, or were last kept from coming.
@@ -120,7 +120,7 @@
             pending: VecDeque::new(),
             request_bytes: 0,
             counted_bytes: 0,
-            malformed_requests: 0,
+            invalid_requests: 0,
             incomplete_since: None,
             last_received: now,
             last_drained: now,
--- a/node/src/downstream/connection/requests.rs
+++ b/node/src/downstream/connection/requests.rs
@@ -125,8 +125,8 @@
     fn reject_invalid(&mut self, line: &'static str) {
         increment(&self.downstream.dispatcher.counters().malformed_requests);
         self.pending.push_back(PendingAnswer::Line(line));
-        self.malformed_requests += 1;
-        self.takes_no_more_requests |= self.malformed_requests >= MAX_INVALID_REQUESTS;
+        self.invalid_requests += 1;
+        self.takes_no_more_requests |= self.invalid_requests >= MAX_INVALID_REQUESTS;
     }
 
     /// Answers a request of a client that has already left with busy instead of forwarding it.
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -42,8 +42,8 @@
 use error::StartError;
 use transient_errors::retry_transient_blocking;
 
-/// Runs a balancer as the environment describes it, until a signal ends it; `cluster_config_path` is that of
-/// the operators' file where the command line names it.
+/// Runs a balancer as the environment describes it, until a signal ends it; `cluster_config_path` is the path
+/// of the operators' file where the command line names one.
 ///
 /// # Errors
 /// The configuration cannot be used, or a part of the daemon cannot be started.
--- a/node/src/override_store.rs
+++ b/node/src/override_store.rs
@@ -1,8 +1,8 @@
 //! The store of operator overrides: when they are written to their file, and when those of another process are read.
 //!
 //! Two processes of one balancer run side by side while one replaces the other, and share the file. Guarantee: for as
-//! long as both run, a call of an operator at either holds at both within two [`FILE_CHECK_INTERVAL`]s, and a process that starts
-//! later takes all of them over. An override holds in its own process whether it could be written or not.
+//! long as both run, a call of an operator at either holds at both within two [`FILE_CHECK_INTERVAL`]s, and a process
+//! that starts later takes all of them over. An override holds in its own process whether it could be written or not.
 //!
 //! A disk may stand still for a second. The file is read and written by the runtime's threads for blocking work, so that
 //! neither requests nor operators' calls wait for it. A failed write is logged once and tried again at every interval.
--- a/node/src/upstream/idle_timeout.rs
+++ b/node/src/upstream/idle_timeout.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 /// The share of the configured idle time for which a connection is used: the server's close comes by its clock and
-/// after the way there. Kept close to 1, since in a large fleet a balancer may return to a server only after
-/// seconds.
+/// after the way there. Kept close to 1, since in a large fleet a balancer may return to a server only
+/// after seconds.
 const CONFIGURED_SHARE: f64 = 0.95;
 /// The same of an idle time after which a connection broke.
 const LEARNT_SHARE: f64 = 0.7;
