--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -1,7 +1,7 @@
 //! The life of the daemon: it builds its parts, starts them, and serves until a signal ends it.
 //!
 //! Guarantee: from the first signal to end on, no request that was taken is left without an answer, as
-//! [`crate::graceful_shutdown`] says. A part that cannot be had at the start, such as an address, ends the start
+//! [`crate::graceful_shutdown`] says. A part that cannot be created at the start, such as an address, ends the start
 //! with an error; nothing ends the daemon later but a signal.
 
 use std::net::SocketAddr;
@@ -69,9 +69,9 @@
         let longest_deadline = longest_deadline(&config);
         let dispatcher = build_dispatcher(&config, &resource_limits, longest_deadline, &log);
         let peers = join_peers(&config, &dispatcher, &log)?;
-        let known_version = config.known_endpoints.version;
+        let known_version = config.last_known_endpoints.version;
         let list_reader = EndpointListReader::new(std::mem::take(&mut config.site_names));
-        let known_servers = list_reader.read(std::mem::take(&mut config.known_endpoints), &log);
+        let known_servers = list_reader.read(std::mem::take(&mut config.last_known_endpoints), &log);
         dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &known_servers);
 
         let shutdown = Rc::new(GracefulShutdown::default());
@@ -88,8 +88,8 @@
         let address = listener.local_addr().unwrap_or(config.client_address);
         daemon.log_start(&config, address, known_servers.len(), known_version);
         daemon.start_timers();
-        let is_successor = daemon.start_admin(&config).await?;
-        let reloader = daemon.start_discovery(config, list_reader, known_version, is_successor);
+        let found_override_file = daemon.start_admin(&config).await?;
+        let reloader = daemon.start_discovery(config, list_reader, known_version, found_override_file);
         spawn_local(Rc::clone(&daemon.downstream).accept(listener));
         Ok((daemon, reloader))
     }
@@ -129,9 +129,9 @@
         );
         let address = listener.local_addr().unwrap_or(address);
         info!(self.log, "operators' address"; "address" => address.to_string());
-        let is_successor = admin.replaces_another_process();
+        let found_override_file = admin.found_override_file();
         spawn_local(admin.accept(listener));
-        Ok(is_successor)
+        Ok(found_override_file)
     }
 
     /// Starts to follow the endpoint list. The reloader that is returned can change discovery's address.
@@ -140,11 +140,11 @@
         config: Config,
         list_reader: EndpointListReader,
         known_version: u64,
-        is_successor: bool,
+        found_override_file: bool,
     ) -> Rc<Reloader> {
         let (discovery, address_changes) = watch::channel(config.discovery_address);
         let policy = PollPolicy {
-            at_start: is_successor,
+            polls_at_start: found_override_file,
             pushed_list_backoff: config.pushed_list_backoff,
             seed: config.seed,
         };
@@ -157,7 +157,7 @@
             policy,
             self.log.clone(),
         ));
-        Rc::new(Reloader::new(config.file, discovery, dispatcher, self.log.clone()))
+        Rc::new(Reloader::new(config.path, discovery, dispatcher, self.log.clone()))
     }
 
     /// Serves until a signal to end has come; the other signals are obeyed meanwhile.
--- a/node/src/override_store.rs
+++ b/node/src/override_store.rs
@@ -1,8 +1,8 @@
 //! The store of operator overrides: when they are written to their file, and when those of another process are read.
 //!
 //! Two processes of one balancer run side by side while one replaces the other, and share the file. Guarantee: for as
-//! long as both run, a call of an operator at either holds at both within two poll intervals, and a process that starts
-//! later takes all of them over. An override holds in its own process whether it could be written or not.
+//! long as both run, a call of an operator at either holds at both within two [`FILE_CHECK_INTERVAL`]s, and a process
+//! that starts later takes all of them over. An override holds in its own process whether it could be written or not.
 //!
 //! A disk may stand still for a second. The file is read and written by the runtime's threads for blocking work, so that
 //! neither requests nor operators' calls wait for it. A failed write is logged once and tried again at every interval.
@@ -25,7 +25,7 @@
 use file::{FileContent, FileVersion, OverrideFileError};
 
 /// How often the file is checked for what another process has written: a call has to hold at both within a second.
-const POLL_INTERVAL: Duration = Duration::from_millis(200);
+const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What an operator has decided about a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -62,7 +62,7 @@
 enum SynchronizeError {
     #[error(transparent)]
     File(#[from] OverrideFileError),
-    #[error("the task that reads and writes the file did not end: {0}")]
+    #[error("the file task panicked or was cancelled: {0}")]
     Task(#[from] JoinError),
 }
 
@@ -78,7 +78,7 @@
     last_attempted: watch::Sender<ChangeId>,
     change_recorded: Notify,
     write_failed: Cell<bool>,
-    follows_another_process: bool,
+    found_override_file: bool,
     log: Logger,
 }
 
@@ -109,14 +109,14 @@
             last_attempted: watch::Sender::new(ChangeId::default()),
             change_recorded: Notify::new(),
             write_failed: Cell::new(false),
-            follows_another_process: stored.is_ok(),
+            found_override_file: stored.is_ok(),
             log,
         })
     }
 
-    /// Whether another process of this balancer's name has run before this one, or still does.
-    pub fn follows_another_process(&self) -> bool {
-        self.follows_another_process
+    /// Whether an earlier process of this balancer's name left an override file; it may have ended long ago.
+    pub fn found_override_file(&self) -> bool {
+        self.found_override_file
     }
 
     /// Records an operator's change, to be written soon. The number is for [`OverrideStore::wait_until_attempted`].
@@ -143,7 +143,7 @@
     pub async fn run(&self) {
         loop {
             self.synchronize().await;
-            let _ = timeout(POLL_INTERVAL, self.change_recorded.notified()).await;
+            let _ = timeout(FILE_CHECK_INTERVAL, self.change_recorded.notified()).await;
         }
     }
 
--- a/protocols/src/http/response.rs
+++ b/protocols/src/http/response.rs
@@ -8,7 +8,7 @@
 use winnow::prelude::*;
 use winnow::token::{take_till, take_while};
 
-use crate::memcache::{number, receipt, MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES};
+use crate::memcache::{parse_decimal, parse_receipt, MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES};
 
 /// The longest head of a response in bytes, and the longest line in a chunked body.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
@@ -21,19 +21,19 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ResponseError {
     /// The head is longer than any response's.
-    #[error("a response's head has no end")]
+    #[error("the response head has no end within the limit")]
     EndlessHead,
     /// The head is no response's.
     #[error("not a response: {0:?}")]
     NotAResponse(String),
     /// The line with a chunk's size is longer than any.
-    #[error("a chunk's size has no end")]
+    #[error("the chunk size line has no end within the limit")]
     EndlessChunkSize,
     /// The line with a chunk's size holds something else.
     #[error("not a chunk's size")]
     NotAChunkSize,
     /// Behind a chunk stands something else than the end of a line.
-    #[error("a chunk without its end")]
+    #[error("no line end after a chunk")]
     ChunkWithoutEnd,
     /// The body of a write's response is no receipt.
     #[error("not a receipt, in {0} bytes")]
@@ -126,7 +126,7 @@
     }
     match headers.value("content-length") {
         Some(length) => {
-            let length = number(length).and_then(|length| usize::try_from(length).ok());
+            let length = parse_decimal(length).and_then(|length| usize::try_from(length).ok());
             length.map(Framing::Length)
         }
         None if status == b"204" || status == b"304" => Some(Framing::Length(0)),
@@ -244,7 +244,7 @@
         let Some(head) = &self.head else { return Ok(Reply::Error) };
         Ok(match head.status {
             200 if is_write => {
-                let receipt = receipt(&self.body).ok_or(ResponseError::NotAReceipt(self.body.len()))?;
+                let receipt = parse_receipt(&self.body).ok_or(ResponseError::NotAReceipt(self.body.len()))?;
                 Reply::Served(Answer::Receipt(receipt))
             }
             200 => Reply::Served(Answer::Value(Bytes::copy_from_slice(&self.body))),
