--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -109,7 +109,7 @@
                 attempt: number,
                 latency: Micros(self.now - sent),
                 result: if is_miss { AttemptResult::Miss } else { AttemptResult::Served },
-                request_closed: !is_miss,
+                is_request_over: !is_miss,
                 fetch_in_progress: false,
             };
             self.handle(Event::AttemptCompleted(completed));
--- a/cluster/src/failure_detector.rs
+++ b/cluster/src/failure_detector.rs
@@ -251,13 +251,14 @@
         self.metrics.discredited_reporters = decision.discredited;
     }
 
-    /// Whether to pass over a server because others report it silent. `last_response` is when it last answered here,
-    /// `requests_per_s` the rate of this member's requests to one server.
-    pub fn is_suspected(
+    /// Whether this attempt avoids the server because others report it silent. A suspected server is tried now and then; each
+    /// call may draw such a trial. `last_response` is when it last answered here, `responses_per_second` the mean rate at which
+    /// one server responds to this balancer; it stands in for the rate of its attempts.
+    pub fn should_avoid(
         &mut self,
         server: ServerIncarnation,
         last_response: Micros,
-        requests_per_s: f64,
+        responses_per_second: f64,
         now: Micros,
     ) -> bool {
         let server = self.lookup_key(server);
@@ -265,7 +266,7 @@
             return false;
         }
         let Some(seen) = self.newest_silent_report(server, now) else { return false };
-        if self.draw_trial(server, requests_per_s, now) {
+        if self.draw_trial(server, responses_per_second, now) {
             return false;
         }
         self.metrics.avoided_requests += 1;
@@ -282,12 +283,12 @@
 
     /// Whether a suspected server is tried all the same: all members together make so many trials a second, and each draws its
     /// part of them.
-    fn draw_trial(&mut self, server: ServerIncarnation, requests_per_s: f64, now: Micros) -> bool {
+    fn draw_trial(&mut self, server: ServerIncarnation, responses_per_second: f64, now: Micros) -> bool {
         let has_rested = self.last_trials.get(&server).is_none_or(|last| now >= *last + MIN_TRIAL_INTERVAL);
         if !has_rested {
             return false;
         }
-        let requests_of_all = (self.members as f64 * requests_per_s).max(MIN_REQUESTS_PER_S);
+        let requests_of_all = (self.members as f64 * responses_per_second).max(MIN_REQUESTS_PER_S);
         let is_trial = self.rng.random::<f64>() < self.terms.trials_per_s / requests_of_all;
         if is_trial {
             self.last_trials.insert(server, now);
--- a/cluster/src/failure_detector/tests/fleet.rs
+++ b/cluster/src/failure_detector/tests/fleet.rs
@@ -340,7 +340,7 @@
         let requests_per_s = self.scenario.requests_per_s / self.scenario.servers as f64;
         let member = &mut self.members[number];
         let last_response = member.last_responses[server];
-        if member.detector.is_suspected(incarnation, last_response, requests_per_s, now) {
+        if member.detector.should_avoid(incarnation, last_response, requests_per_s, now) {
             self.on_avoided(number, server, incarnation);
             return;
         }
--- a/cluster/src/retry_budget.rs
+++ b/cluster/src/retry_budget.rs
@@ -73,7 +73,7 @@
     pub first_attempts: u64,
     /// Credits that were passed on to others.
     pub transferred_credits: u64,
-    /// Retries that were rejected for want of a credit.
+    /// Calls of `on_rejected`; the decisions make none today, so that an exhausted budget shows in the rejections alone.
     pub rejected: u64,
 }
 
--- a/dispatch/src/carrier.rs
+++ b/dispatch/src/carrier.rs
@@ -14,14 +14,16 @@
 pub enum AttemptEnd {
     /// With a reply.
     Reply(Reply),
-    /// Before its last byte was written: it was not executed.
-    NotSent,
+    /// The connection could not be established, or it broke or the deadline came before the last byte was written: the attempt
+    /// was not executed, and counts against the server.
+    ConnectFailed,
     /// The connection broke after its last byte was written: it may have been executed.
     Broken,
     /// With an answer that is malformed or another request's: it may have been executed.
     Malformed,
-    /// Before its first byte, since the server drains or is gone, or nobody waits for the attempt.
-    Cancelled,
+    /// No byte was written, for a reason that does not count against the server: it drains or is gone, nobody waits for the
+    /// answer, or this machine lacked a port or descriptor.
+    NotSent,
 }
 
 /// A streamed value that a client writes, to be sent to the origin while it still comes: all but its last byte, which
--- a/dispatch/src/counters.rs
+++ b/dispatch/src/counters.rs
@@ -44,11 +44,11 @@
     rejected => "rejected",
     /// Rejections: an answer would have come too late to be worth anything.
     rejected_objective_missed => "rejected_late",
-    /// Rejections: all attempts were used up.
+    /// Rejections: all attempts were used up, or the retry budget that balancers share had no credit.
     rejected_attempts_exhausted => "rejected_spent",
     /// Rejections: no server was left that the request might be sent to.
     rejected_no_eligible_server => "rejected_nowhere",
-    /// Rejections: the time left was too short for the origin's usual latency.
+    /// Rejections: the useful time left was less than a share of the origin's baseline latency.
     rejected_deadline_unreachable => "rejected_deadline_unreachable",
     /// Rejections: the request had waited for capacity at the origin for as long as it may.
     rejected_queue_timeout => "rejected_queue_timeout",
@@ -76,7 +76,7 @@
     attempts_rejected => "full",
     /// Attempts that timed out.
     timeouts => "timeouts",
-    /// Attempts that found no connection.
+    /// Attempts that were not fully written: no connection, a connection that broke, or the deadline came first.
     connect_failed => "connect_failed",
     /// Attempts whose connection broke.
     resets => "resets",
--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -239,7 +239,7 @@
             debug!(self.log, "request abandoned: the client is gone"; "request" => id.0,
                 "client_id" => %ClientText(&open.request.id));
             if !open.is_half_closed {
-                let event = Event::ClientDisconnected(id.to_request_id());
+                let event = Event::RequestAbandoned(id.to_request_id());
                 self.handle(&mut state, self.clock.now(), event);
             }
         }
@@ -257,7 +257,7 @@
         // What no byte was written of does not begin any more.
         open.closed.set(true);
         let attempts_in_flight = open.attempts_in_flight;
-        self.handle(&mut state, self.clock.now(), Event::ClientDisconnected(id.to_request_id()));
+        self.handle(&mut state, self.clock.now(), Event::RequestAbandoned(id.to_request_id()));
         if attempts_in_flight == 0 {
             self.answer(&mut state, id, Answer::Failed);
         }
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -40,9 +40,9 @@
             // The server is at work, so that its connections and its load are not in question.
             AttemptEnd::Reply(Reply::Error) | AttemptEnd::Malformed => AttemptResult::Error,
             AttemptEnd::Reply(Reply::Rejected) => AttemptResult::Rejected,
-            AttemptEnd::NotSent => AttemptResult::ConnectFailed,
+            AttemptEnd::ConnectFailed => AttemptResult::ConnectFailed,
             AttemptEnd::Broken => AttemptResult::Reset,
-            AttemptEnd::Cancelled => AttemptResult::NotSent,
+            AttemptEnd::NotSent => AttemptResult::NotSent,
         };
         Completion::without_answer(result)
     }
@@ -69,7 +69,7 @@
         increment(&self.counters.served_late);
         self.answer(state, request, answer);
         if !is_half_closed {
-            self.handle(state, self.clock.now(), Event::ClientDisconnected(request.to_request_id()));
+            self.handle(state, self.clock.now(), Event::RequestAbandoned(request.to_request_id()));
         }
     }
 
@@ -98,14 +98,14 @@
         let latency = now.saturating_sub(attempt.begun);
         debug!(self.log, "attempt completed"; "request" => attempt.request.0, "attempt" => attempt.attempt,
             "server" => %ServerLabel(attempt.server), "result" => ?result, "latency_ms" => to_ms(latency));
-        let request_closed = self.close_if_over(state, attempt.request, answer);
+        let is_request_over = self.answer_if_final(state, attempt.request, answer);
         let completed = CompletedAttempt {
             id: attempt.request.to_request_id(),
             server: attempt.server,
             attempt: attempt.attempt,
             latency,
             result,
-            request_closed,
+            is_request_over,
             fetch_in_progress,
         };
         self.handle(state, now, Event::AttemptCompleted(completed));
@@ -126,7 +126,7 @@
 
     /// Answers the request of a completed attempt with what the attempt brought, or with a failure where its client sends no
     /// more and no other attempt is in flight. Returns whether the decisions have nothing more to do with the request.
-    fn close_if_over(
+    fn answer_if_final(
         &self,
         state: &mut DispatcherState,
         request: ClientRequestId,
--- a/dispatch/src/dispatcher/metrics.rs
+++ b/dispatch/src/dispatcher/metrics.rs
@@ -19,7 +19,7 @@
 /// How many cache servers there are, and how many of them are avoided now.
 struct ServerCounts {
     known: usize,
-    /// Offline by an operator, or inside their gap.
+    /// Offline by an operator, or gapped; servers avoided for another reason are not counted.
     skipped: usize,
 }
 
--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -50,7 +50,7 @@
         let start = Instant::now();
         let (_, answer) = dispatcher.take(request("1", None)).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
-        dispatcher.on_attempt_ended(attempt.id, AttemptEnd::NotSent);
+        dispatcher.on_attempt_ended(attempt.id, AttemptEnd::ConnectFailed);
         assert!(matches!(answer.await, Ok(Answer::Rejected(_))));
         assert_eq!(start.elapsed(), Duration::ZERO);
     });
--- a/dispatch/src/dispatcher/timers.rs
+++ b/dispatch/src/dispatcher/timers.rs
@@ -62,7 +62,7 @@
         if state.requests.contains_key(&id) {
             increment(&self.counters.overdue);
             self.answer(state, id, Answer::Failed);
-            self.handle(state, now, Event::ClientDisconnected(id.to_request_id()));
+            self.handle(state, now, Event::RequestAbandoned(id.to_request_id()));
         }
     }
 }
--- a/node/src/admin/tests.rs
+++ b/node/src/admin/tests.rs
@@ -94,9 +94,10 @@
         let dispatcher = &admin.dispatcher;
         let value = Reply::Served(Answer::Value("v".into()));
         let mut answers = Vec::new();
-        for (n, end) in [AttemptEnd::Reply(value.clone()), AttemptEnd::NotSent, AttemptEnd::Reply(value)]
-            .into_iter()
-            .enumerate()
+        for (n, end) in
+            [AttemptEnd::Reply(value.clone()), AttemptEnd::ConnectFailed, AttemptEnd::Reply(value)]
+                .into_iter()
+                .enumerate()
         {
             answers.push(dispatcher.take(request(&n.to_string(), None)).unwrap());
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
--- a/node/src/coordination.rs
+++ b/node/src/coordination.rs
@@ -109,18 +109,18 @@
         }
     }
 
-    fn is_suspected(
+    fn should_avoid(
         &mut self,
         server: ServerId,
         started: Micros,
         last_response: Micros,
-        attempts_per_s: f64,
+        responses_per_second: f64,
         now: Micros,
     ) -> bool {
         let mut cluster = self.cluster.borrow_mut();
         let Some(failure_detector) = cluster.failure_detector() else { return false };
         let server = ServerIncarnation { server, started };
-        failure_detector.is_suspected(server, last_response, attempts_per_s, now)
+        failure_detector.should_avoid(server, last_response, responses_per_second, now)
     }
 }
 
--- a/node/src/coordination/tests.rs
+++ b/node/src/coordination/tests.rs
@@ -109,7 +109,7 @@
     cluster.borrow_mut().tick(LATER);
     coordination.acquire(SharedLimit::OriginRate, LATER);
     coordination.on_server_observed(SERVER, SERVER_STARTED, true, LATER);
-    assert!(!coordination.is_suspected(SERVER, SERVER_STARTED, Micros::ZERO, 1.0, LATER));
+    assert!(!coordination.should_avoid(SERVER, SERVER_STARTED, Micros::ZERO, 1.0, LATER));
     let metrics = cluster.borrow_mut().metrics(LATER);
     assert_eq!(metrics_text(&metrics, config.stated_bound()), METRICS);
 }
--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -166,7 +166,7 @@
     let in_flight: Vec<_> = recorder.begun.take();
     assert_eq!(in_flight.len() + usize::from(has_answers), begun);
     for attempt in in_flight {
-        downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Cancelled);
+        downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::NotSent);
     }
     if let Some(mut far) = far {
         // A client that only ended its side has an answer for each all the same.
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -178,7 +178,7 @@
         waiting.retain(|attempt| {
             let is_cancelled = is_cancelled(attempt);
             if is_cancelled {
-                self.report_end_later(attempt.id, AttemptEnd::Cancelled);
+                self.report_end_later(attempt.id, AttemptEnd::NotSent);
             }
             !is_cancelled
         });
@@ -201,11 +201,11 @@
     fn put_back(&self, server: ServerId, attempt: Attempt) {
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(&server) else {
-            return self.report_end_later(attempt.id, AttemptEnd::Cancelled);
+            return self.report_end_later(attempt.id, AttemptEnd::NotSent);
         };
         pool.carried.remove(&attempt.id);
         if !pool.is_open {
-            return self.report_end_later(attempt.id, AttemptEnd::Cancelled);
+            return self.report_end_later(attempt.id, AttemptEnd::NotSent);
         }
         pool.waiting.push_front(attempt);
         self.open_connections_to(server, pool);
@@ -296,7 +296,7 @@
         if is_sent {
             pool.carried.insert(id, CarriedAttempt::default());
         } else {
-            self.report_end_later(id, AttemptEnd::Cancelled);
+            self.report_end_later(id, AttemptEnd::NotSent);
         }
     }
 
@@ -338,7 +338,7 @@
         let server = attempt.server;
         let pool = pools.get_mut(&server).filter(|pool| pool.is_open && pool.address.is_some());
         let Some(pool) = pool else {
-            return self.report_end_later(attempt.id, AttemptEnd::Cancelled);
+            return self.report_end_later(attempt.id, AttemptEnd::NotSent);
         };
         if attempt.request.upload.is_some() {
             return self.finish_upload(pool, attempt);
--- a/node/src/upstream/connection.rs
+++ b/node/src/upstream/connection.rs
@@ -72,8 +72,8 @@
     /// How an attempt ends that waited for the connection. Neither was sent, and only the first counts against the server.
     pub(super) fn attempt_end(self) -> AttemptEnd {
         match self {
-            ConnectError::Server => AttemptEnd::NotSent,
-            ConnectError::Local => AttemptEnd::Cancelled,
+            ConnectError::Server => AttemptEnd::ConnectFailed,
+            ConnectError::Local => AttemptEnd::NotSent,
         }
     }
 }
@@ -170,7 +170,7 @@
     /// come up counts against its server, which would close others without end.
     fn on_ended_before_attempt(&self, upstream: &Upstream, attempt: Attempt, is_new_connection: bool) {
         if is_new_connection {
-            upstream.end_attempt(self.server, attempt.id, AttemptEnd::NotSent);
+            upstream.end_attempt(self.server, attempt.id, AttemptEnd::ConnectFailed);
         } else {
             upstream.put_back(self.server, attempt);
         }
@@ -211,7 +211,7 @@
         if time_left.0 == 0 || upstream.is_cancelled(&attempt) {
             // It timed out on its way here, or its request was answered; to write it now would be work for nobody.
             let has_timed_out = time_left.0 == 0;
-            let end = if has_timed_out { AttemptEnd::NotSent } else { AttemptEnd::Cancelled };
+            let end = if has_timed_out { AttemptEnd::ConnectFailed } else { AttemptEnd::NotSent };
             upstream.end_attempt(self.server, attempt.id, end);
             return AfterAttempt::KeepOpen;
         }
@@ -239,7 +239,7 @@
         let written = timeout(write_timeout, write_unless_cancelled(upstream, stream, output, &attempt));
         if !written.await.unwrap_or(false) {
             let is_cancelled = upstream.is_cancelled(&attempt);
-            let end = if is_cancelled { AttemptEnd::Cancelled } else { AttemptEnd::NotSent };
+            let end = if is_cancelled { AttemptEnd::NotSent } else { AttemptEnd::ConnectFailed };
             upstream.end_attempt(self.server, id, end);
             return AfterAttempt::Close;
         }
--- a/node/src/upstream/upload.rs
+++ b/node/src/upstream/upload.rs
@@ -49,7 +49,7 @@
         let Some(mut stream) = stream else {
             upload.last_byte.close();
             if let Ok(last_byte) = upload.last_byte.try_recv() {
-                upstream.end_attempt(self.server, last_byte.attempt.id, AttemptEnd::NotSent);
+                upstream.end_attempt(self.server, last_byte.attempt.id, AttemptEnd::ConnectFailed);
             }
             return;
         };
@@ -58,7 +58,7 @@
         let attempt = last_byte.attempt;
         let time_left = attempt.deadline.saturating_sub(upstream.clock.now());
         if time_left.0 == 0 || !upstream.may_send_on(self) {
-            return upstream.end_attempt(self.server, attempt.id, AttemptEnd::Cancelled);
+            return upstream.end_attempt(self.server, attempt.id, AttemptEnd::NotSent);
         }
         let input = &mut BytesMut::new();
         let after = self.send(upstream, &mut stream, input, attempt, &last_byte.byte, time_left).await;
--- a/simulator-adapter/src/instances.rs
+++ b/simulator-adapter/src/instances.rs
@@ -67,7 +67,7 @@
             }
             IncomingEvent::Timer { instance, token } => self.dispatch(now, instance, Event::Timer(token)),
             IncomingEvent::ClientDisconnected { instance, request_id: id } => {
-                self.dispatch(now, instance, Event::ClientDisconnected(request_id(id)?))
+                self.dispatch(now, instance, Event::RequestAbandoned(request_id(id)?))
             }
             IncomingEvent::Message { instance, base64_text } => self.check_message(instance, base64_text),
             IncomingEvent::LoadReport { instance } => self.check_started(instance),
--- a/src/action.rs
+++ b/src/action.rs
@@ -13,7 +13,7 @@
     AttemptsExhausted,
     /// No server is left that it may be sent to.
     NoEligibleServer,
-    /// The time left is too short for the origin's usual latency.
+    /// The useful time left is less than a share of the origin's baseline latency.
     DeadlineUnreachable,
     /// It has waited for capacity at the origin for as long as it may.
     QueueTimeout,
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -121,7 +121,7 @@
             Event::ResponseStarted(id) => self.on_response_started(&id),
             Event::AttemptCompleted(completed) => self.on_attempt_completed(now, &completed, actions),
             Event::Timer(token) => self.on_timer(now, token, actions),
-            Event::ClientDisconnected(id) => self.on_client_disconnected(now, &id),
+            Event::RequestAbandoned(id) => self.on_request_abandoned(now, &id),
         }
     }
 
@@ -179,8 +179,8 @@
         }
     }
 
-    /// The client has left: its request is forgotten.
-    fn on_client_disconnected(&mut self, now: Micros, id: &RequestId) {
+    /// The caller decides this request from now on: it is forgotten.
+    fn on_request_abandoned(&mut self, now: Micros, id: &RequestId) {
         let Some(open) = self.open_requests.take(id) else { return };
         self.origin_queue.remove(id);
         let Some(attempt) = open.attempt_in_flight() else { return };
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -162,7 +162,7 @@
     }
 
     /// Whether a response within this time is likely enough to send the request at all.
-    pub(super) fn can_respond_within(&self, time_left: Micros) -> bool {
+    pub(super) fn is_worth_sending_within(&self, time_left: Micros) -> bool {
         time_left.as_f64() >= MIN_TIME_LEFT_RATIO * self.baseline_latency
     }
 
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -1,8 +1,9 @@
 //! When an attempt without a response is hedged or times out, and which budget pays for a hedged request.
 //!
 //! Inputs are the time for which an answer is still useful, and how long ago the server last responded: the
-//! longer ago, the less is known of it, and the sooner the request is hedged. Hedged requests are paid from
-//! the retry budget that balancers share, or else from this balancer's own, which first attempts refill.
+//! longer ago, the less is known of it, and the sooner the request is hedged. Every hedged request is taken
+//! off this balancer's own budget, which first attempts refill; that budget decides only where no retry
+//! budget is shared.
 
 use super::endpoint_set::Server;
 use super::gap_ladder::{GapLadder, SendOutcome, EVIDENCE_LIFETIME_IN_WINDOWS};
@@ -28,6 +29,7 @@
 /// Hedged requests that this balancer may still send by itself.
 #[derive(Debug)]
 pub(super) struct HedgeBudget {
+    /// Hedged requests saved up; below zero where a shared budget allowed more.
     hedges: f64,
 }
 
@@ -95,6 +97,7 @@
     }
 
     /// Whether a hedged request may go out: nothing waits for the origin, and the budget allows it.
+    /// `choose_route` has asked the shared budget already.
     fn may_hedge(&mut self, now: Micros) -> bool {
         self.origin_queue.is_empty() && self.coordination.allows_hedge(now, self.hedge_budget.hedges)
     }
--- a/src/balancer/limit_view.rs
+++ b/src/balancer/limit_view.rs
@@ -1,5 +1,5 @@
-//! What an operator may see of the limits that hold: at which server, which limit, and why. Nothing here
-//! decides.
+//! The gap and the concurrency limit of each server. Slow start, unhealthy zones, reports of other balancers
+//! and shared limits also make a server passed over; they are not shown here.
 
 use super::endpoint_set::Server;
 use super::Balancer;
--- a/src/balancer/origin.rs
+++ b/src/balancer/origin.rs
@@ -43,7 +43,7 @@
             QueueState::Waiting => Route::Reject { wait, reason: RejectReason::QueueTimeout },
             QueueState::NotQueued => {
                 let time_left = open.useful_until - now;
-                if !origin.concurrency.can_respond_within(time_left) {
+                if !origin.concurrency.is_worth_sending_within(time_left) {
                     return Route::Reject { wait, reason: RejectReason::DeadlineUnreachable };
                 }
                 if is_full || self.must_queue_behind_others(open) {
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -108,7 +108,7 @@
 
 /// What follows for a request that has recorded the attempt's result.
 fn next_step(open: &OpenRequest, completed: &CompletedAttempt) -> NextStep {
-    if completed.request_closed {
+    if completed.is_request_over {
         NextStep::Close
     } else if open.attempt_in_flight().is_some() || open.has_response_started {
         NextStep::Wait
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -93,13 +93,13 @@
         let key = open.request.key.unwrap_or(random_key);
         let owners = self.placement.rank(key, now, &self.endpoints.servers, &self.settings);
         let servers = self.endpoints.servers.len().max(1) as f64;
-        let responses_per_server = self.response_rate.per_second(now) / servers;
+        let responses_per_second = self.response_rate.per_second(now) / servers;
         let is_read_through = self.settings.mode == CacheMode::ReadThrough;
 
         let mut shortest_gap: Option<Micros> = None;
         for rank in 0..self.placement.candidates.len() {
             let server = self.placement.candidates[rank].server;
-            let passed_over = self.reason_to_pass_over(now, open, server, responses_per_server);
+            let passed_over = self.reason_to_pass_over(now, open, server, responses_per_second);
             let Some(reason) = passed_over else { return Some(Route::Forward { server }) };
             if let PassedOver::Gapped(wait) = reason {
                 shortest_gap = Some(shortest_gap.unwrap_or(wait).min(wait));
@@ -120,7 +120,7 @@
         now: Micros,
         open: &OpenRequest,
         server: usize,
-        responses_per_server: f64,
+        responses_per_second: f64,
     ) -> Option<PassedOver> {
         let server = &mut self.endpoints.servers[server];
         let avoided_share = self.zones.avoided_share(server.endpoint.zone);
@@ -138,11 +138,11 @@
         if server.concurrency.is_paced(now) || !server.concurrency.has_capacity(now, true) {
             return Some(PassedOver::NoCapacity);
         }
-        if !server.has_slow_start_credit(now, responses_per_server, &self.settings.rules, &mut self.rng) {
+        if !server.has_slow_start_credit(now, responses_per_second, &self.settings.rules, &mut self.rng) {
             return Some(PassedOver::SlowStart);
         }
         let last_response = server.last_response;
-        if self.coordination.is_suspected(now, &server.endpoint, last_response, responses_per_server) {
+        if self.coordination.should_avoid(now, &server.endpoint, last_response, responses_per_second) {
             return Some(PassedOver::Suspected);
         }
         if !self.coordination.allows_slow_start(now, &server.endpoint) {
--- a/src/balancer/tests.rs
+++ b/src/balancer/tests.rs
@@ -138,7 +138,7 @@
         attempt,
         latency: Micros(1_000),
         result,
-        request_closed: false,
+        is_request_over: false,
         fetch_in_progress: false,
     }
 }
@@ -151,7 +151,7 @@
 /// The event that an attempt ended and its request has its final answer.
 fn closing(n: u64, attempt: u32, server: ServerId, result: AttemptResult) -> Event<'static> {
     let ended = completed_attempt(n, attempt, server, result);
-    Event::AttemptCompleted(CompletedAttempt { request_closed: true, ..ended })
+    Event::AttemptCompleted(CompletedAttempt { is_request_over: true, ..ended })
 }
 
 /// The server of the first send among these actions.
--- a/src/balancer/tests/coordination.rs
+++ b/src/balancer/tests/coordination.rs
@@ -59,7 +59,7 @@
         self.0.borrow_mut().observed.push((server, silent));
     }
 
-    fn is_suspected(&mut self, server: ServerId, _started: Micros, _: Micros, _: f64, _now: Micros) -> bool {
+    fn should_avoid(&mut self, server: ServerId, _started: Micros, _: Micros, _: f64, _now: Micros) -> bool {
         self.0.borrow().suspected.contains(&server)
     }
 }
--- a/src/balancer/tests/hedging.rs
+++ b/src/balancer/tests/hedging.rs
@@ -36,7 +36,7 @@
             let [Action::Send { server, .. }, ..] = sends[..] else { panic!("{sends:?}") };
             let ended = CompletedAttempt {
                 latency: Micros(latency_of_others),
-                request_closed: true,
+                is_request_over: true,
                 ..completed_attempt(n, 0, server, AttemptResult::Served)
             };
             handle(&mut balancer, now + latency_of_others, Event::AttemptCompleted(ended));
--- a/src/balancer/tests/history.rs
+++ b/src/balancer/tests/history.rs
@@ -149,10 +149,10 @@
             attempt: attempt as u32,
             latency: Micros(*now - known.sent),
             result,
-            request_closed: result == AttemptResult::Served,
+            is_request_over: result == AttemptResult::Served,
             fetch_in_progress: rng.bool(),
         };
-        if completed.request_closed {
+        if completed.is_request_over {
             open.remove(&id);
         }
         Some(Happening::Other(Event::AttemptCompleted(completed)))
--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -44,15 +44,16 @@
     fn on_endpoints_changed(&mut self, servers: &[ServingServer]);
     /// An own attempt showed that the server with this start is silent, or that it answers.
     fn on_server_observed(&mut self, server: ServerId, started: Micros, silent: bool, now: Micros);
-    /// Whether to pass over the server with this start because others report it silent. `last_response` is
-    /// when it last answered this balancer, `sends_per_s` the rate of this balancer's own attempts at a
-    /// server.
-    fn is_suspected(
+    /// Whether this attempt avoids the server because others report it silent. A suspected server is tried
+    /// now and then; each call may draw such a trial. `last_response` is when the server last answered this
+    /// balancer, `responses_per_second` the mean rate at which one server responds to this balancer; it stands
+    /// in for the rate of its attempts.
+    fn should_avoid(
         &mut self,
         server: ServerId,
         started: Micros,
         last_response: Micros,
-        sends_per_s: f64,
+        responses_per_second: f64,
         now: Micros,
     ) -> bool;
 }
@@ -144,16 +145,16 @@
         shared.on_endpoints_changed(&serving);
     }
 
-    /// Whether to pass over this cache server because other balancers report it silent.
-    pub(crate) fn is_suspected(
+    /// Whether this attempt avoids the cache server because other balancers report it silent.
+    pub(crate) fn should_avoid(
         &mut self,
         now: Micros,
         server: &Endpoint,
         last_response: Micros,
-        sends_per_s: f64,
+        responses_per_second: f64,
     ) -> bool {
         let Some(shared) = &mut self.0 else { return false };
-        shared.is_suspected(server.server, server.started, last_response, sends_per_s, now)
+        shared.should_avoid(server.server, server.started, last_response, responses_per_second, now)
     }
 
     /// Whether an attempt may go to this cache server by the limit that balancers share while it is in slow
--- a/src/event.rs
+++ b/src/event.rs
@@ -16,6 +16,7 @@
     AttemptCompleted(CompletedAttempt),
     /// The timer with this token is due.
     Timer(u64),
-    /// The client has left; no answer is owed any more.
-    ClientDisconnected(RequestId),
+    /// The caller decides this request from now on: its client has left or sends no more, or it has been
+    /// answered otherwise. Attempts in flight still report their completion.
+    RequestAbandoned(RequestId),
 }
--- a/src/request.rs
+++ b/src/request.rs
@@ -43,7 +43,8 @@
     Rejected,
     /// No answer in time; it may have been or may still be executed.
     Timeout,
-    /// No connection; it was not executed.
+    /// No connection, or not fully written when the connection broke or its deadline came; it was not
+    /// executed.
     ConnectFailed,
     /// The connection broke; it may have been executed.
     Reset,
@@ -68,8 +69,8 @@
     pub latency: Micros,
     /// How it ended.
     pub result: AttemptResult,
-    /// Whether the request has its final answer.
-    pub request_closed: bool,
+    /// Whether the decisions have nothing more to do with the request.
+    pub is_request_over: bool,
     /// On a miss: whether the server has asked another request to fetch the key.
     pub fetch_in_progress: bool,
 }
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -123,7 +123,7 @@
         let per_s = self.requests_per_s / self.config.servers.max(1) as f64;
         let avoided = cluster
             .failure_detector()
-            .is_some_and(|detector| detector.is_suspected(start(server), Time(heard), per_s, Time(now)));
+            .is_some_and(|detector| detector.should_avoid(start(server), Time(heard), per_s, Time(now)));
         if !avoided {
             self.attempt(cluster, server, now);
         }
