--- a/cluster/src/cluster.rs
+++ b/cluster/src/cluster.rs
@@ -237,7 +237,7 @@
         outgoing
     }
 
-    /// This balancer's part of a rate limit, by name; none where the configuration does not name it.
+    /// This balancer's part of a rate limit, by name; `None` where the configuration does not name it.
     pub fn rate_limit(&mut self, name: &str) -> Option<&mut RateLimit> {
         let index = self.rate_limit_names.iter().position(|known| known == name)?;
         self.rate_limits.get_mut(index).map(|limit| &mut limit.state)
@@ -251,12 +251,12 @@
         }
     }
 
-    /// This balancer's part of the retry budget; none where retries are not limited here.
+    /// This balancer's part of the retry budget; `None` where retries are not limited here.
     pub fn retry_budget(&mut self) -> Option<&mut RetryBudget> {
         self.retry_budget.as_mut().map(|budget| &mut budget.state)
     }
 
-    /// This balancer's failure detector; none where there is none here.
+    /// This balancer's failure detector; `None` where there is none here.
     pub fn failure_detector(&mut self) -> Option<&mut FailureDetector> {
         self.failure_detector.as_mut().map(|detector| &mut detector.state)
     }
--- a/cluster/src/cluster/config.rs
+++ b/cluster/src/cluster/config.rs
@@ -31,7 +31,7 @@
     pub seeds: Vec<SocketAddr>,
     /// The rate limits; their order has to be the same at every member.
     pub rate_limits: Vec<NamedRateLimit>,
-    /// The limit on requests to each server in slow start; none, they are not limited here.
+    /// The limit on requests to each server in slow start; `None` if they are not limited here.
     pub slow_start: Option<SlowStartTerms>,
     /// The retry budget; none, retries are not limited here.
     pub retry_budget: Option<RetryBudgetTerms>,
--- a/cluster/src/cluster/terms_digest.rs
+++ b/cluster/src/cluster/terms_digest.rs
@@ -15,7 +15,7 @@
         u64::from(terms.requests_per_s),
         terms.arrival_spread.0,
         u64::from(terms.owners),
-        terms.lease.0,
+        terms.lease_duration.0,
         terms.clock_drift.to_bits(),
     ])
 }
--- a/cluster/src/cluster/tests.rs
+++ b/cluster/src/cluster/tests.rs
@@ -21,7 +21,7 @@
         requests_per_s,
         arrival_spread: Micros::ZERO,
         owners: 2,
-        lease: Micros::from_secs(2),
+        lease_duration: Micros::from_secs(2),
         clock_drift: 0.001,
     };
     let config = ClusterConfig {
--- a/cluster/src/failure_detector.rs
+++ b/cluster/src/failure_detector.rs
@@ -60,8 +60,8 @@
 const ENOUGH_REPORTS: usize = 5;
 /// How old a report is at most that counts as recent.
 const RECENT_REPORT: Micros = Micros::SECOND;
-/// A server that has answered here within this time is not passed over.
-const RECENT_RESPONSE: Micros = Micros::SECOND;
+/// A server that has answered here within this time is not avoided.
+const NOT_AVOIDED_AFTER_RESPONSE: Micros = Micros::SECOND;
 /// Between two trials of one suspected server by one member.
 const MIN_TRIAL_INTERVAL: Micros = Micros::SECOND;
 /// How long it is remembered when a suspected server was tried.
@@ -262,7 +262,7 @@
         now: Micros,
     ) -> bool {
         let server = self.lookup_key(server);
-        if !self.suspected.contains_key(&server) || now < last_response + RECENT_RESPONSE {
+        if !self.suspected.contains_key(&server) || now < last_response + NOT_AVOIDED_AFTER_RESPONSE {
             return false;
         }
         let Some(seen) = self.newest_silent_report(server, now) else { return false };
--- a/cluster/src/failure_detector/dissemination.rs
+++ b/cluster/src/failure_detector/dissemination.rs
@@ -12,7 +12,7 @@
 
 /// Answers between two ticks: a flood of queries is not answered beyond.
 pub(super) const MAX_ANSWERS: usize = 12;
-/// Queries in turn, to members whose queries show that they have something else, between two ticks.
+/// Queries back, to members whose queries show that they have something else, between two ticks.
 pub(super) const MAX_QUERIES_IN_TURN: usize = 2;
 /// Members that are asked in an urgent round.
 const MEMBERS_PER_URGENT_ROUND: usize = 2;
@@ -115,7 +115,7 @@
         true
     }
 
-    /// What to query a member in turn whose query showed that it has something else; none where its reports can wait for the
+    /// What to query a member back for, whose query showed that it has something else; `None` where its reports can wait for the
     /// next own query.
     pub(super) fn query_in_turn(&self, scope: QueryScope) -> Option<QueryScope> {
         let in_turn = match scope {
--- a/cluster/src/failure_detector/exchange.rs
+++ b/cluster/src/failure_detector/exchange.rs
@@ -19,7 +19,7 @@
         }
     }
 
-    /// A member asks; it is answered where this one has something else, and queried in turn where that is urgent.
+    /// A member asks; it is answered where this one has something else, and queried back where that is urgent.
     fn on_query(&mut self, now: Micros, from: SocketAddr, sent: Micros, digest: u64, scope: QueryScope) {
         if digest == self.dissemination.digest(scope) || !self.dissemination.take_answer() {
             return;
--- a/cluster/src/failure_detector/message.rs
+++ b/cluster/src/failure_detector/message.rs
@@ -36,11 +36,11 @@
 pub enum QueryScope {
     /// All reports.
     All,
-    /// All reports, where the asker has a report of its own that has to meet others: it is queried in turn.
+    /// All reports, where the asker has a report of its own that has to meet others: it is queried back.
     AllMutual,
-    /// The urgent reports, where the asker has some of them: it is queried in turn.
+    /// The urgent reports, where the asker has some of them: it is queried back.
     UrgentMutual,
-    /// The urgent reports, queried in turn.
+    /// The urgent reports, queried back.
     Urgent,
 }
 
--- a/cluster/src/failure_detector/own_observations.rs
+++ b/cluster/src/failure_detector/own_observations.rs
@@ -10,7 +10,7 @@
 const MAX_OBSERVATIONS: usize = 64;
 /// A server that has answered here within this time is not reported silent: a time-out takes about as long, so that the
 /// server has answered since the request was sent.
-const RECENT_ANSWER: Micros = Micros::from_millis(500);
+const NOT_REPORTED_AFTER_RESPONSE: Micros = Micros::from_millis(500);
 
 /// The end of one own request.
 #[derive(Clone, Copy, Debug)]
@@ -52,7 +52,9 @@
     /// Whether a server has answered here a moment ago.
     pub(super) fn has_just_answered(&self, server: ServerId, now: Micros) -> bool {
         self.observations.iter().any(|observation| {
-            !observation.is_silent && observation.server == server && now < observation.at + RECENT_ANSWER
+            !observation.is_silent
+                && observation.server == server
+                && now < observation.at + NOT_REPORTED_AFTER_RESPONSE
         })
     }
 }
--- a/cluster/src/failure_detector/suspicion.rs
+++ b/cluster/src/failure_detector/suspicion.rs
@@ -28,8 +28,8 @@
 pub(super) enum Suspicion {
     /// Enough members report it silent.
     Reported,
-    /// It is cleared, and used again from this time on.
-    ClearedUntil(Micros),
+    /// An answer has cleared it; this member avoids it until this time, so that not all come back at once.
+    ClearedButAvoidedUntil(Micros),
 }
 
 /// What suspicion is decided by.
@@ -123,11 +123,11 @@
         for (server, suspicion) in self.before {
             let until = match suspicion {
                 Suspicion::Reported => now + Micros(rng.random_range(0..MAX_RETURN_DELAY.0)),
-                Suspicion::ClearedUntil(until) => *until,
+                Suspicion::ClearedButAvoidedUntil(until) => *until,
             };
             let has_reports = self.reports.get(server).is_some_and(|reports| !reports.is_empty());
             if has_reports && !suspected.contains_key(server) && now < until {
-                suspected.insert(*server, Suspicion::ClearedUntil(until));
+                suspected.insert(*server, Suspicion::ClearedButAvoidedUntil(until));
             }
         }
     }
--- a/cluster/src/interval.rs
+++ b/cluster/src/interval.rs
@@ -8,7 +8,7 @@
 /// Keeps rounds an interval apart; the first is due at once.
 #[derive(Debug, Default)]
 pub(crate) struct Interval {
-    /// When the last round began; zero, there was none.
+    /// When the last round began; `Micros::ZERO` if there was none.
     last_round: Micros,
 }
 
--- a/cluster/src/membership.rs
+++ b/cluster/src/membership.rs
@@ -270,7 +270,7 @@
         self.outgoing.drain(..)
     }
 
-    /// A member that is there, drawn; none where there is nobody else.
+    /// A member that is there, drawn; `None` where there is nobody else.
     pub fn draw_peer(&mut self) -> Option<SocketAddr> {
         let count = self.swim.num_members();
         let index = self.rng.random_range(0..count.max(1));
--- a/cluster/src/rate_limit.rs
+++ b/cluster/src/rate_limit.rs
@@ -52,9 +52,9 @@
 use use_window::UseWindow;
 
 /// Between two rounds of requests for more tokens, while rounds bring some.
-const MIN_REQUEST_INTERVAL: Micros = Micros::from_millis(100);
+const MIN_LEASE_REQUEST_INTERVAL: Micros = Micros::from_millis(100);
 /// Between two rounds of requests for more tokens at the most.
-const MAX_REQUEST_INTERVAL: Micros = Micros::from_millis(800);
+const MAX_LEASE_REQUEST_INTERVAL: Micros = Micros::from_millis(800);
 /// How long tokens that are not needed are kept, in case they are needed again.
 const SURPLUS_RETENTION: Micros = Micros::SECOND;
 /// How long a request waits at first where there is no token at all: some may be leased by then.
@@ -62,7 +62,8 @@
 /// Tokens that a member wants beyond those that it has while a request waits for one.
 const TOKENS_FOR_WAITING_REQUEST: u32 = 2;
 
-/// One member's part of one limit.
+/// One member's part of one limit. Guarantees the rate, not the supply: a member without tokens waits. Own tokens are unusable
+/// for a while after a start.
 #[derive(Debug)]
 pub struct RateLimit {
     terms: RateLimitTerms,
@@ -84,7 +85,7 @@
     tokens_at_last_round: u32,
     /// Keeps rounds of recalls apart.
     recalls: Interval,
-    /// Since when there have been more tokens than were wanted; none, there are not.
+    /// Since when there have been more tokens than were wanted; `None` if there are not.
     surplus_since: Option<Micros>,
     last_contact: Option<Micros>,
     /// Time spent with fewer tokens than were wanted.
@@ -123,7 +124,7 @@
             held: Vec::new(),
             uses: UseWindow::new(terms.window()),
             demand: DemandEstimate::new(now),
-            request_backoff: Backoff::new(MIN_REQUEST_INTERVAL, MAX_REQUEST_INTERVAL),
+            request_backoff: Backoff::new(MIN_LEASE_REQUEST_INTERVAL, MAX_LEASE_REQUEST_INTERVAL),
             tokens_at_last_round: 0,
             recalls: Interval::default(),
             surplus_since: None,
@@ -142,7 +143,8 @@
         self.owned_tokens = self.owned_tokens.max(owned_tokens);
     }
 
-    /// How long a request has to wait for a token; zero, it may begin now.
+    /// How long a request has to wait for a token; `Micros::ZERO` if it may begin now. Asking counts as need: where it has to
+    /// wait, this member asks others for tokens.
     pub fn wait_time(&mut self, now: Micros) -> Micros {
         let used = self.uses.count(now);
         let usable = self.usable_tokens(now) as usize;
--- a/cluster/src/rate_limit/borrower.rs
+++ b/cluster/src/rate_limit/borrower.rs
@@ -36,7 +36,7 @@
     /// An owner has answered.
     pub(super) fn on_lease_grant(&mut self, now: Micros, owner: SocketAddr, grant: LeaseGrant) {
         let counted_from = if self.defect.is_active(Defect::LeaseFromReceipt) { now } else { grant.sent };
-        let expires = counted_from + self.terms.lease;
+        let expires = counted_from + self.terms.lease_duration;
         let is_for_this_incarnation = grant.incarnation == self.incarnation;
         let Some(lease) = self.held.iter_mut().find(|lease| lease.owner == owner) else { return };
         if !is_for_this_incarnation || !lease.awaits(&grant) {
@@ -154,7 +154,7 @@
         for index in 0..self.held.len() {
             let lease = &mut self.held[index];
             lease.abandon_if_unanswered(now);
-            if lease.is_request_due(now, self.terms.lease) {
+            if lease.is_request_due(now, self.terms.lease_duration) {
                 self.send_request(now, index);
             }
         }
--- a/cluster/src/rate_limit/lease.rs
+++ b/cluster/src/rate_limit/lease.rs
@@ -168,20 +168,20 @@
     }
 
     /// Whether the owner has to hear of this lease now: to get tokens back, to renew the lease or to answer at last.
-    pub(super) fn is_request_due(&self, now: Micros, lease: Micros) -> bool {
+    pub(super) fn is_request_due(&self, now: Micros, lease_duration: Micros) -> bool {
         let last_requested_tokens = self.requests.back().map_or(0, |request| request.tokens);
         let gives_back = self.target_tokens < last_requested_tokens;
         let is_wanted = self.is_active(now) || self.target_tokens > 0;
-        gives_back || (is_wanted && now >= self.last_request() + self.request_interval(lease))
+        gives_back || (is_wanted && now >= self.last_request() + self.request_interval(lease_duration))
     }
 
-    fn request_interval(&self, lease: Micros) -> Micros {
+    fn request_interval(&self, lease_duration: Micros) -> Micros {
         if self.oldest_unanswered().is_some() {
             REPEAT_UNANSWERED_AFTER
         } else if self.has_loss {
-            lease / RENEWALS_PER_LEASE_WITH_LOSS
+            lease_duration / RENEWALS_PER_LEASE_WITH_LOSS
         } else {
-            lease / RENEWALS_PER_LEASE
+            lease_duration / RENEWALS_PER_LEASE
         }
     }
 
--- a/cluster/src/rate_limit/metrics.rs
+++ b/cluster/src/rate_limit/metrics.rs
@@ -19,7 +19,7 @@
     pub borrowed_tokens: u32,
     /// Tokens that its demand lately needed.
     pub demanded_tokens: u32,
-    /// Time since the last message of an owner or borrower; none, there was none.
+    /// Time since the last message of an owner or borrower; `None` if there was none.
     pub since_contact: Option<Micros>,
     /// Time spent with fewer tokens than were wanted.
     pub short_time: Micros,
--- a/cluster/src/rate_limit/owner.rs
+++ b/cluster/src/rate_limit/owner.rs
@@ -22,7 +22,7 @@
         lease.incarnation = request.incarnation;
         lease.newest_request = request.sent;
         lease.locked_until = now + self.terms.lock_time();
-        let tokens = lease.tokens - self.recalled_tokens(now).min(lease.tokens);
+        let tokens = lease.tokens - self.begin_recall(now).min(lease.tokens);
         if lease.tokens > 0 {
             self.granted.push(lease);
         }
@@ -44,7 +44,7 @@
         (usable_own - kept).min(unused)
     }
 
-    /// Takes the borrower's lease out of the records, an empty one where it has none; none where the request is older than
+    /// Takes the borrower's lease out of the records, an empty one where it has none; `None` where the request is older than
     /// one that was obeyed, so that it must neither take nor give back.
     fn take_lease_for(
         &mut self,
@@ -76,7 +76,7 @@
 
     /// How many tokens an owner that is short itself asks back now. The answer names so many fewer; they stay locked until
     /// the borrower has said that it holds no more. One borrower a round is asked, not all at once.
-    fn recalled_tokens(&mut self, now: Micros) -> u32 {
+    fn begin_recall(&mut self, now: Micros) -> u32 {
         let shortfall = self.demanded_tokens().saturating_sub(self.usable_tokens(now));
         if shortfall == 0 || !self.recalls.is_due(now, RECALL_INTERVAL) {
             return 0;
--- a/cluster/src/rate_limit/terms.rs
+++ b/cluster/src/rate_limit/terms.rs
@@ -10,12 +10,12 @@
 pub struct RateLimitTerms {
     /// Requests a second, of all members together.
     pub requests_per_s: u32,
-    /// By how much requests may differ in the time that they take to whoever counts them.
+    /// The largest difference between two requests' travel times to the server that counts them.
     pub arrival_spread: Micros,
     /// Among how many positions the tokens are divided.
     pub owners: u32,
     /// How long a lease lasts after it was last requested.
-    pub lease: Micros,
+    pub lease_duration: Micros,
     /// By which ratio clocks may run faster or slower than each other.
     pub clock_drift: f64,
 }
@@ -51,7 +51,7 @@
 
     /// How long an owner locks tokens that it has leased out, from the receipt of the last request for them.
     pub fn lock_time(&self) -> Micros {
-        self.lengthened_by_drift(self.lease) + self.lengthened_by_drift(self.window())
+        self.lengthened_by_drift(self.lease_duration) + self.lengthened_by_drift(self.window())
     }
 
     /// A time after which a span is over by every clock once it began by one.
--- a/cluster/src/rate_limit/tests.rs
+++ b/cluster/src/rate_limit/tests.rs
@@ -102,7 +102,7 @@
             requests_per_s,
             arrival_spread: Micros::ZERO,
             owners,
-            lease: Micros::SECOND,
+            lease_duration: Micros::SECOND,
             clock_drift: 0.0,
         };
         let owned: Vec<u32> = (0..2 * owners).map(|position| terms.owned_tokens(position)).collect();
--- a/cluster/src/rate_limit/tests/fleet.rs
+++ b/cluster/src/rate_limit/tests/fleet.rs
@@ -75,7 +75,7 @@
         requests_per_s: scenario.requests_per_s,
         arrival_spread: if scenario.without_spread { Micros::ZERO } else { scenario.arrival_spread },
         owners: scenario.owners,
-        lease: Micros::from_secs(2),
+        lease_duration: Micros::from_secs(2),
         clock_drift: 0.001,
     }
 }
--- a/cluster/src/retry_budget.rs
+++ b/cluster/src/retry_budget.rs
@@ -142,7 +142,7 @@
         self.own_credits >= CREDITS_PER_RETRY || self.received_credits(now) >= CREDITS_PER_RETRY
     }
 
-    /// Whether one more retry may begin. Where none may, others are asked for credits.
+    /// Whether one more retry may begin. Asking counts as need: where it has to wait, this member asks others for credits.
     pub fn has_credit(&mut self, now: Micros) -> bool {
         let has_credit = self.can_pay(now);
         if !has_credit {
--- a/cluster/src/slow_start_limit/tests.rs
+++ b/cluster/src/slow_start_limit/tests.rs
@@ -13,7 +13,7 @@
         requests_per_s: 50,
         arrival_spread: Micros::ZERO,
         owners: 7,
-        lease: Micros::from_secs(2),
+        lease_duration: Micros::from_secs(2),
         clock_drift: 0.001,
     };
     SlowStartTerms { rate_limit, initial_share: 0.1, duration: Micros::from_secs(10) }
--- a/cluster/src/virtual_network.rs
+++ b/cluster/src/virtual_network.rs
@@ -170,7 +170,7 @@
         self.rng.random_range(0..self.processes.len())
     }
 
-    /// A drawn member for another to ask; none where it has drawn itself.
+    /// A drawn member for another to ask; `None` where it has drawn itself.
     pub(crate) fn draw_peer(&mut self, member: usize) -> Option<SocketAddr> {
         Some(self.draw_member()).filter(|peer| *peer != member).map(address)
     }
--- a/dispatch/src/carrier.rs
+++ b/dispatch/src/carrier.rs
@@ -48,7 +48,7 @@
 /// dispatcher, which is the caller: the end of an attempt is reported from a task.
 pub trait Carrier {
     /// The endpoint list has changed.
-    fn on_endpoints_changed(&self, kind: EndpointUpdate, servers: &[ListedServer]);
+    fn on_endpoints_changed(&self, update: EndpointUpdate, servers: &[ListedServer]);
     /// Begins an attempt.
     fn begin_attempt(&self, attempt: Attempt);
     /// Begins to send a streamed value. The attempt that ends it comes by its handle.
--- a/dispatch/src/counters.rs
+++ b/dispatch/src/counters.rs
@@ -69,17 +69,17 @@
     /// Attempts that a server answered with a value or a receipt.
     attempts_served => "ok",
     /// Attempts that a cache server answered with a miss.
-    misses => "misses",
+    attempts_missed => "misses",
     /// Attempts that ended in an error.
-    errors => "errors",
+    attempts_failed => "errors",
     /// Attempts that an overloaded server rejected.
     attempts_rejected => "full",
     /// Attempts that timed out.
-    timeouts => "timeouts",
+    attempts_timed_out => "timeouts",
     /// Attempts that were not fully written: no connection, a connection that broke, or the deadline came first.
-    connect_failed => "connect_failed",
+    attempts_not_connected => "connect_failed",
     /// Attempts whose connection broke.
-    resets => "resets",
+    attempts_reset => "resets",
     /// Attempts cancelled before their first byte, as the server drains or is gone.
     attempts_not_sent => "moot",
     /// Responses that came after their attempt had timed out.
--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -44,11 +44,11 @@
 /// The share of a request's time that a wait before it was read may take at most.
 const MAX_WAIT_SHARE: f64 = 0.5;
 
-/// The object through which all parts meet.
+/// Turns client requests into attempts and their results into answers, as the decisions say.
 pub struct Dispatcher {
     pub(crate) state: RefCell<DispatcherState>,
     /// The kind of the origin.
-    pub(crate) origin: Option<u32>,
+    pub(crate) origin_kind: Option<u32>,
     clock: Clock,
     /// The longest time of a request, for each class.
     class_deadlines: Vec<Micros>,
@@ -79,7 +79,7 @@
     ) -> Rc<Dispatcher> {
         let class_deadlines = settings.classes.iter().map(|class| class.deadline).collect();
         let deduplication_windows = settings.classes.iter().map(deduplication_window).collect();
-        let origin = settings.mode.origin();
+        let origin_kind = settings.mode.origin_kind();
         let request_metrics = RequestMetrics::new(settings.classes.len());
         let state = DispatcherState {
             balancer: Balancer::new(settings, seed),
@@ -97,7 +97,7 @@
         };
         Rc::new(Dispatcher {
             state: RefCell::new(state),
-            origin,
+            origin_kind,
             clock,
             class_deadlines,
             deduplication_windows,
@@ -141,8 +141,8 @@
         self.take_after_wait(request, Micros(0))
     }
 
-    /// Takes a request that may have waited for so long, at most, before it could be read. That comes off its time, by half of
-    /// it where the wait may have been longer: it is a bound and may be far over the truth.
+    /// Takes a request that may have waited for so long, at most, before it could be read. The wait is subtracted from the
+    /// request's time, but at most `MAX_WAIT_SHARE` of it: it is an upper bound and may be far too large.
     pub fn take_after_wait(
         &self,
         request: ClientRequest,
@@ -211,7 +211,7 @@
 
     /// Whether a client may write streamed values: they go to the origin while they come.
     pub fn can_upload(&self) -> bool {
-        self.origin.is_some()
+        self.origin_kind.is_some()
     }
 
     /// Begins to send a streamed value that this request writes, though the request is not complete and not taken yet: a
@@ -222,7 +222,7 @@
         length: usize,
     ) -> Option<(UploadHandle, ChunkSender)> {
         let state = self.state.borrow();
-        let server = state.balancer.origin()?;
+        let server = state.balancer.origin_server()?;
         let (sender, value) = streamed_value(length);
         let (handle, last_byte) = upload_handle(server);
         increment(&self.counters.uploads);
@@ -327,7 +327,7 @@
     }
 }
 
-/// For how long servers drop repeats of this class's requests; none where they do not.
+/// For how long servers drop repeats of this class's requests; `None` where they do not.
 fn deduplication_window(class: &Class) -> Option<Micros> {
     (class.idempotency == Idempotency::WithIdempotencyKey).then_some(class.deduplication_window)
 }
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -114,13 +114,13 @@
     fn count_attempt(&self, result: AttemptResult) {
         increment(match result {
             AttemptResult::Served => &self.counters.attempts_served,
-            AttemptResult::Miss => &self.counters.misses,
+            AttemptResult::Miss => &self.counters.attempts_missed,
             AttemptResult::Rejected => &self.counters.attempts_rejected,
-            AttemptResult::Timeout => &self.counters.timeouts,
-            AttemptResult::ConnectFailed => &self.counters.connect_failed,
-            AttemptResult::Reset => &self.counters.resets,
+            AttemptResult::Timeout => &self.counters.attempts_timed_out,
+            AttemptResult::ConnectFailed => &self.counters.attempts_not_connected,
+            AttemptResult::Reset => &self.counters.attempts_reset,
             AttemptResult::NotSent | AttemptResult::Cancelled => &self.counters.attempts_not_sent,
-            AttemptResult::Error => &self.counters.errors,
+            AttemptResult::Error => &self.counters.attempts_failed,
         });
     }
 
@@ -164,7 +164,7 @@
             }
             Action::Timer { at, token } => state.add_timer(at, Timer::Decisions(token)),
             Action::WatchEndpoints => {
-                debug!(self.log, "discovery is due");
+                debug!(self.log, "discovery call requested");
                 self.watch_requested.notify_one();
             }
             Action::Log(line) => info!(self.log, "decision"; "line" => line),
--- a/dispatch/src/dispatcher/endpoints.rs
+++ b/dispatch/src/dispatcher/endpoints.rs
@@ -37,14 +37,14 @@
             "waiting" => limits.waiting_for_origin);
     }
 
-    /// The endpoint list has changed, as `kind` says.
-    pub fn on_endpoints_changed(&self, kind: EndpointUpdate, servers: &[ListedServer]) {
+    /// The endpoint list has changed, as `update` says.
+    pub fn on_endpoints_changed(&self, update: EndpointUpdate, servers: &[ListedServer]) {
         let mut state = self.state.borrow_mut();
-        let servers = match kind {
+        let servers = match update {
             EndpointUpdate::Unavailable => Vec::new(),
-            _ => self.prepare_update(&mut state, kind, servers),
+            _ => self.prepare_update(&mut state, update, servers),
         };
-        self.apply_endpoints(&mut state, kind, &servers);
+        self.apply_endpoints(&mut state, update, &servers);
     }
 
     /// Discovery has said that the list in use is the current one.
@@ -57,28 +57,28 @@
     fn prepare_update(
         &self,
         state: &mut DispatcherState,
-        kind: EndpointUpdate,
+        update: EndpointUpdate,
         servers: &[ListedServer],
     ) -> Vec<ListedServer> {
         let now = self.clock.now();
-        let mut servers = self.drop_surplus_servers(state, kind, servers);
+        let mut servers = self.drop_surplus_servers(state, update, servers);
         let DispatcherState { start_times, overrides, servers: known, .. } = state;
         start_times.set_to_own_clock(&mut servers, now);
         start_times.forget_unlisted(|server| known.contains_key(server));
-        if matches!(kind, EndpointUpdate::Delta | EndpointUpdate::Snapshot) {
+        if matches!(update, EndpointUpdate::Delta | EndpointUpdate::Snapshot) {
             start_times.on_list_confirmed(now);
         }
-        overrides.apply_update(kind.is_complete(), &servers)
+        overrides.apply_update(update.is_complete(), &servers)
     }
 
     /// The update without the servers that are more than may be known; they are counted, and logged in one line.
     fn drop_surplus_servers(
         &self,
         state: &DispatcherState,
-        kind: EndpointUpdate,
+        update: EndpointUpdate,
         servers: &[ListedServer],
     ) -> Vec<ListedServer> {
-        let is_complete = kind.is_complete();
+        let is_complete = update.is_complete();
         let is_known = |server| !is_complete && state.servers.contains_key(&server);
         let mut capacity = MAX_SERVERS.saturating_sub(if is_complete { 0 } else { state.servers.len() });
         let mut left_out = 0;
@@ -87,7 +87,7 @@
             let endpoint = &server.endpoint;
             let takes_no_capacity = endpoint.state == EndpointState::Deleted
                 || is_known(endpoint.server)
-                || Some(endpoint.kind) == self.origin;
+                || Some(endpoint.kind) == self.origin_kind;
             if takes_no_capacity {
                 kept.push(server.clone());
             } else if capacity > 0 {
@@ -116,11 +116,11 @@
     pub(crate) fn apply_endpoints(
         &self,
         state: &mut DispatcherState,
-        kind: EndpointUpdate,
+        update: EndpointUpdate,
         servers: &[ListedServer],
     ) {
-        if kind != EndpointUpdate::Unavailable {
-            if kind.is_complete() {
+        if update != EndpointUpdate::Unavailable {
+            if update.is_complete() {
                 state.servers.clear();
             }
             for ListedServer { endpoint, address } in servers {
@@ -128,9 +128,9 @@
                 state.servers.insert(endpoint.server, known);
             }
             state.servers.retain(|_, known| known.state != EndpointState::Deleted);
-            state.carrier.on_endpoints_changed(kind, servers);
+            state.carrier.on_endpoints_changed(update, servers);
         }
         let endpoints: Vec<Endpoint> = servers.iter().map(|server| server.endpoint.clone()).collect();
-        self.handle(state, self.clock.now(), Event::EndpointsChanged(kind, &endpoints));
+        self.handle(state, self.clock.now(), Event::EndpointsChanged(update, &endpoints));
     }
 }
--- a/dispatch/src/dispatcher/metrics.rs
+++ b/dispatch/src/dispatcher/metrics.rs
@@ -56,7 +56,7 @@
         let mut counts = ServerCounts { known: 0, skipped: 0 };
         for listed in state.overrides.discovered_servers() {
             let endpoint = &listed.endpoint;
-            if self.origin == Some(endpoint.kind) {
+            if self.origin_kind == Some(endpoint.kind) {
                 continue;
             }
             counts.known += 1;
--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -32,7 +32,10 @@
             assert!(matches!(answer.await, Ok(Answer::Failed | Answer::Rejected(_))));
             assert!(start.elapsed() < Duration::from_millis(480), "{:?}", start.elapsed());
             assert!(!recorder.begun.borrow().is_empty());
-            assert!(dispatcher.state.borrow().attempts.is_empty() || dispatcher.counters.timeouts.get() > 0);
+            assert!(
+                dispatcher.state.borrow().attempts.is_empty()
+                    || dispatcher.counters.attempts_timed_out.get() > 0
+            );
             assert_eq!(
                 dispatcher.counters.overdue.get(),
                 0,
@@ -86,7 +89,7 @@
         let timers = Rc::clone(&dispatcher);
         spawn_local(async move { timers.run_timers().await });
         let (_, answer) = dispatcher.take(request("1", None)).unwrap();
-        while dispatcher.counters.timeouts.get() == 0 {
+        while dispatcher.counters.attempts_timed_out.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let [first, second] = &recorder.begun.take()[..] else { panic!("it is tried elsewhere") };
@@ -167,7 +170,7 @@
         EndpointUpdate::Snapshot,
         &(0..most + 10).map(up).chain([origin.clone()]).collect::<Vec<_>>(),
     );
-    assert!(dispatcher.state.borrow().balancer.origin() == Some(origin.endpoint.server));
+    assert!(dispatcher.state.borrow().balancer.origin_server() == Some(origin.endpoint.server));
     dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[up(most * 2)]);
     assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (MAX_SERVERS + 1, 11));
     let gone: Vec<ListedServer> =
--- a/dispatch/src/overrides.rs
+++ b/dispatch/src/overrides.rs
@@ -27,7 +27,8 @@
     since: Micros,
 }
 
-/// An override that has ended while discovery had reported no start of the server since it began.
+/// An ended override, kept until discovery reports that the server has started since the override began. Until then the server
+/// counts as started when the override ended.
 #[derive(Clone, Copy, Debug)]
 struct EndedOverride {
     since: Micros,
--- a/node/src/cluster_config/member_config.rs
+++ b/node/src/cluster_config/member_config.rs
@@ -71,7 +71,7 @@
             requests_per_s: rate.requests_per_s,
             arrival_spread: Micros::from_millis(self.arrival_spread_ms),
             owners,
-            lease: Micros::from_millis(self.lease_ms),
+            lease_duration: Micros::from_millis(self.lease_ms),
             clock_drift: self.clock_drift,
         }
     }
--- a/node/src/coordination.rs
+++ b/node/src/coordination.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    fn on_first_attempt(&mut self, _now: Micros) {
+    fn on_new_request(&mut self, _now: Micros) {
         if let Some(budget) = self.cluster.borrow_mut().retry_budget() {
             budget.on_first_attempt();
         }
--- a/node/src/coordination/tests.rs
+++ b/node/src/coordination/tests.rs
@@ -97,7 +97,7 @@
     let slow_start = SharedLimit::SlowStart(SERVER, SERVER_STARTED);
     coordination.on_endpoints_changed(&[ServingServer { server: SERVER, started: SERVER_STARTED, zone: 0 }]);
     for _ in 0..5 {
-        coordination.on_first_attempt(NOW);
+        coordination.on_new_request(NOW);
     }
     coordination.on_rejected(SharedLimit::OriginRate, NOW);
     coordination.acquire(SharedLimit::RetryBudget, NOW);
--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -222,7 +222,7 @@
         server_idle_timeout: config.server_idle_timeout,
         late_answer_timeout: longest_deadline,
         may_duplicate: config.settings.limits.may_duplicate,
-        origin_kind: config.settings.mode.origin(),
+        origin_kind: config.settings.mode.origin_kind(),
     };
     let upstream = Upstream::new(limits, Rc::new(TcpConnector), clock, Rc::clone(&counters), log.clone());
     let carrier = Rc::clone(&upstream) as Rc<dyn Carrier>;
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -357,7 +357,7 @@
         let (_, first) = dispatcher.take(testing::request("7", None)).unwrap();
         let (_, second) = dispatcher.take(testing::request("8", None)).unwrap();
         assert!(matches!((first.await, second.await), (Ok(Answer::Rejected(_)), Ok(Answer::Rejected(_)))));
-        assert_eq!(dispatcher.counters().connect_failed.get(), 2);
+        assert_eq!(dispatcher.counters().attempts_not_connected.get(), 2);
         assert_eq!(upstream.connections.get(), 0);
     });
 }
@@ -465,7 +465,7 @@
             drop(stream);
             let answer = answer.await.unwrap();
             assert_eq!(answer == Answer::Value("ab".into()), !reset, "{answer:?}");
-            assert_eq!(dispatcher.counters().resets.get(), u64::from(reset));
+            assert_eq!(dispatcher.counters().attempts_reset.get(), u64::from(reset));
         });
     }
 }
--- a/node/src/upstream/upload/tests.rs
+++ b/node/src/upstream/upload/tests.rs
@@ -118,7 +118,10 @@
         client.write_all(b"\r\n").await.unwrap();
         leaves.await.unwrap();
         assert!(line(&mut client).await.starts_with("SERVER_ERROR busy"));
-        assert_eq!((upstream.counters.attempts_written.get(), upstream.counters.resets.get()), (0, 0));
+        assert_eq!(
+            (upstream.counters.attempts_written.get(), upstream.counters.attempts_reset.get()),
+            (0, 0)
+        );
     });
 }
 
--- a/src/action.rs
+++ b/src/action.rs
@@ -32,14 +32,14 @@
         id: RequestId,
         /// Where to.
         server: ServerId,
-        /// The attempt's timeout; zero is the request's deadline.
+        /// The attempt's timeout; `Micros::ZERO` is the request's deadline.
         timeout: Micros,
     },
     /// Final answer: not served, and trying again is harmless.
     Reject {
         /// The request.
         id: RequestId,
-        /// Retry-After for the client; zero is none.
+        /// Retry-After for the client; `Micros::ZERO` is none.
         retry_after: Micros,
         /// For counters and logs only.
         reason: RejectReason,
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -38,7 +38,7 @@
 use admission::Admission;
 use discovery_schedule::DiscoverySchedule;
 use endpoint_set::EndpointSet;
-use gap_ladder::{GapLadder, MAX_BALANCERS_AT_SHORTEST_TOP};
+use gap_ladder::{GapLadder, BALANCERS_WITHOUT_LONGER_GAPS};
 use hedging::HedgeBudget;
 use open_request::OpenRequest;
 use origin_queue::OriginQueue;
@@ -80,7 +80,7 @@
     /// A balancer that knows nothing yet but its settings.
     pub fn new(settings: Settings, seed: u64) -> Balancer {
         let settings = settings.sanitized();
-        let origin_balancers = settings.balancers.min(MAX_BALANCERS_AT_SHORTEST_TOP);
+        let origin_balancers = settings.balancers.min(BALANCERS_WITHOUT_LONGER_GAPS);
         Balancer {
             rng: fastrand::Rng::with_seed(seed),
             coordination: OptionalCoordination::default(),
@@ -106,8 +106,8 @@
     }
 
     /// The origin that requests go to now, if one serves.
-    pub fn origin(&self) -> Option<ServerId> {
-        let origin = &self.endpoints.servers[self.endpoints.origin?];
+    pub fn origin_server(&self) -> Option<ServerId> {
+        let origin = &self.endpoints.servers[self.endpoints.origin_index?];
         Some(origin.endpoint.server)
     }
 
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -21,19 +21,19 @@
 #[derive(Debug)]
 pub(super) struct Admission {
     /// The longest time that a first attempt had left when it came in, by class.
-    longest_first_waits: Vec<Micros>,
+    longest_initial_time_left: Vec<Micros>,
 }
 
 impl Admission {
     /// The state of a balancer that has seen no request, with this number of classes.
     pub(super) fn new(classes: usize) -> Admission {
-        Admission { longest_first_waits: vec![Micros::ZERO; classes] }
+        Admission { longest_initial_time_left: vec![Micros::ZERO; classes] }
     }
 
-    /// A client's first attempt has come in.
-    fn on_first_attempt(&mut self, now: Micros, request: &Request, settings: &Settings) {
+    /// A request has come in that is not a client's retry.
+    fn on_new_request(&mut self, now: Micros, request: &Request, settings: &Settings) {
         let time_left = request.deadline - now;
-        let longest = &mut self.longest_first_waits[settings.class_index(request.class)];
+        let longest = &mut self.longest_initial_time_left[settings.class_index(request.class)];
         *longest = time_left.max(*longest);
     }
 
@@ -60,9 +60,9 @@
         }
         let time_left = request.deadline - now;
         let elapsed = settings.class(request.class).deadline - time_left;
-        let longest_first_wait = self.longest_first_waits[settings.class_index(request.class)];
+        let longest_time_left = self.longest_initial_time_left[settings.class_index(request.class)];
         let tolerance = settings.tick.mul_f64(TIME_LEFT_TOLERANCE_IN_TICKS);
-        let is_certain = time_left + tolerance < longest_first_wait;
+        let is_certain = time_left + tolerance < longest_time_left;
         elapsed.mul_f64(if is_certain { 1.0 } else { UNCERTAIN_ELAPSED_SHARE })
     }
 }
@@ -73,9 +73,9 @@
         // Tenants that the settings do not name share one source at the gaps.
         request.tenant = request.tenant.min(self.settings.tenants.len() as u32);
         if !request.is_client_retry {
-            self.admission.on_first_attempt(now, &request, &self.settings);
-            self.coordination.on_first_attempt(now);
-            self.hedge_budget.on_first_attempt(&self.cache_ladder);
+            self.admission.on_new_request(now, &request, &self.settings);
+            self.coordination.on_new_request(now);
+            self.hedge_budget.on_new_request(&self.cache_ladder);
         }
         let useful_until = self.admission.useful_until(now, &request, &self.settings);
         let read_key = request.key.filter(|_| !request.is_write);
@@ -85,7 +85,7 @@
         self.route(now, OpenRequest::new(request, useful_until), actions);
     }
 
-    /// Why a request is shed whatever the servers can do; none, it is worth another attempt.
+    /// Why a request is shed whatever the servers can do; `None` if it is worth another attempt.
     pub(super) fn shed_reason(&mut self, now: Micros, open: &OpenRequest) -> Option<RejectReason> {
         if !self.may_attempt(now, open) {
             return Some(RejectReason::AttemptsExhausted);
@@ -96,7 +96,7 @@
 
     /// Answers a request that is not served: rejects it where repeating it is harmless, and fails it
     /// otherwise. The client may come back after `wait` and a drawn time.
-    pub(super) fn reject(
+    pub(super) fn reject_or_fail(
         &mut self,
         now: Micros,
         open: &OpenRequest,
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -80,7 +80,7 @@
     paced_until: Micros,
     /// The highest limit in use, decaying with the responses since.
     recent_peak_limit: f64,
-    /// When the limit was last cut; zero is never.
+    /// When the limit was last cut; `Micros::ZERO` is never.
     last_decrease: Micros,
     /// Latency of the server when it is not crowded, in microseconds; zero while unknown.
     pub(super) baseline_latency: f64,
--- a/src/balancer/discovery_schedule.rs
+++ b/src/balancer/discovery_schedule.rs
@@ -67,9 +67,9 @@
     Watching,
     /// The watch has broken.
     WatchBroken,
-    /// One call after the watch has failed, or no list has come since the start. A start needs a list more
-    /// than those who have one, so that it stays here for several calls.
-    FirstCallFailed,
+    /// One call after the watch has failed, or no list has come since the start. A process that starts has no
+    /// list from discovery, so that it makes [`START_CALLS`] calls at this pace.
+    StartingOrFirstCallFailed,
     /// More calls have failed.
     Failing,
 }
@@ -89,7 +89,7 @@
     /// Calls of a start that still come at its own pace.
     start_calls_left: u32,
     /// When the last call was due, or the last list came; zero before the first.
-    last_call: Micros,
+    call_due_or_last_list: Micros,
 }
 
 impl DiscoverySchedule {
@@ -101,27 +101,27 @@
             interval: settings.rules.discovery_poll_interval.min(MAX_POLL_INTERVAL),
             start_spread_factor: spread_factor.clamp(MIN_SPREAD_FACTOR, 1.0),
             tick: settings.tick,
-            stage: Stage::FirstCallFailed,
+            stage: Stage::StartingOrFirstCallFailed,
             start_calls_left: START_CALLS - 1,
-            last_call: Micros::ZERO,
+            call_due_or_last_list: Micros::ZERO,
         }
     }
 
     /// Whether a timer that is due now is that of the next call. One from before a list came, or before a
     /// later call was planned, is not.
     pub(super) fn is_call_due(&self, now: Micros) -> bool {
-        self.is_polling && self.stage != Stage::Watching && now >= self.last_call
+        self.is_polling && self.stage != Stage::Watching && now >= self.call_due_or_last_list
     }
 
     /// A call failed or a watch broke; returns when to call next.
     pub(super) fn on_unavailable(&mut self, now: Micros, rng: &mut fastrand::Rng) -> Micros {
         let earliest = now + MIN_DISCOVERY_PAUSE.draw(self.interval, rng);
         let backoff = self.backoff().draw(self.interval, rng);
-        let is_start_pace = self.stage == Stage::FirstCallFailed;
+        let is_start_pace = self.stage == Stage::StartingOrFirstCallFailed;
         let backoff = backoff.mul_f64(if is_start_pace { self.start_spread_factor } else { 1.0 });
-        let next_call = (self.last_call + backoff).max(earliest);
+        let next_call = (self.call_due_or_last_list + backoff).max(earliest);
         self.advance();
-        self.last_call = next_call;
+        self.call_due_or_last_list = next_call;
         next_call
     }
 
@@ -132,18 +132,18 @@
         update: EndpointUpdate,
         rng: &mut fastrand::Rng,
     ) -> Option<Micros> {
-        let is_start = update == EndpointUpdate::Restored && self.last_call == Micros::ZERO;
+        let is_start = update == EndpointUpdate::Restored && self.call_due_or_last_list == Micros::ZERO;
         if is_start && self.is_polling {
             let share = START_SPREAD_SHARE * self.start_spread_factor * rng.f64();
             let first_call = now + self.interval.mul_f64(share) + self.tick;
-            self.last_call = first_call;
+            self.call_due_or_last_list = first_call;
             return Some(first_call);
         }
         // An operator's override says nothing of discovery.
         if update != EndpointUpdate::OperatorOverride {
             self.stage = Stage::Watching;
             self.start_calls_left = 0;
-            self.last_call = now;
+            self.call_due_or_last_list = now;
         }
         None
     }
@@ -153,22 +153,22 @@
         match self.stage {
             Stage::Watching => DISCOVERY_BACKOFF.after_watch,
             Stage::WatchBroken => DISCOVERY_BACKOFF.after_first_failure,
-            Stage::FirstCallFailed => DISCOVERY_BACKOFF.after_second_failure,
+            Stage::StartingOrFirstCallFailed => DISCOVERY_BACKOFF.after_second_failure,
             Stage::Failing => DISCOVERY_BACKOFF.after_more_failures,
         }
     }
 
     /// Another call has failed, or the watch has broken.
     fn advance(&mut self) {
-        let is_starting = self.stage == Stage::FirstCallFailed && self.start_calls_left > 0;
+        let is_starting = self.stage == Stage::StartingOrFirstCallFailed && self.start_calls_left > 0;
         if is_starting {
             self.start_calls_left -= 1;
             return;
         }
         self.stage = match self.stage {
             Stage::Watching => Stage::WatchBroken,
-            Stage::WatchBroken => Stage::FirstCallFailed,
-            Stage::FirstCallFailed | Stage::Failing => Stage::Failing,
+            Stage::WatchBroken => Stage::StartingOrFirstCallFailed,
+            Stage::StartingOrFirstCallFailed | Stage::Failing => Stage::Failing,
         };
     }
 }
--- a/src/balancer/endpoint_set.rs
+++ b/src/balancer/endpoint_set.rs
@@ -16,7 +16,7 @@
     pub(super) gap: Gap,
     /// How many attempts may be in flight there.
     pub(super) concurrency: ConcurrencyLimit,
-    /// When it last responded to this balancer; zero is never.
+    /// When it last responded to this balancer; `Micros::ZERO` is never.
     pub(super) last_response: Micros,
     /// Attempts that it may still get in slow start; none before the first count.
     pub(super) slow_start_credit: Option<SlowStartCredit>,
@@ -72,13 +72,13 @@
     /// The servers, sorted by id.
     pub(super) servers: Vec<Server>,
     /// The index of the origin that requests go to, if one serves.
-    pub(super) origin: Option<usize>,
+    pub(super) origin_index: Option<usize>,
 }
 
 impl EndpointSet {
     /// An empty list, for one of so many balancers.
     pub(super) fn new(balancers: u32) -> EndpointSet {
-        EndpointSet { balancers, servers: vec![], origin: None }
+        EndpointSet { balancers, servers: vec![], origin_index: None }
     }
 
     /// The server with this id, if it is listed.
@@ -89,13 +89,13 @@
 
     /// The origin that requests go to, if one serves.
     pub(super) fn origin_mut(&mut self) -> Option<&mut Server> {
-        self.origin.map(|index| &mut self.servers[index])
+        self.origin_index.map(|index| &mut self.servers[index])
     }
 
     /// The list's entries but for the origin.
     pub(super) fn cache_servers(&self) -> impl Iterator<Item = &Endpoint> {
         let servers = self.servers.iter().enumerate();
-        servers.filter(|(index, _)| Some(*index) != self.origin).map(|(_, server)| &server.endpoint)
+        servers.filter(|(index, _)| Some(*index) != self.origin_index).map(|(_, server)| &server.endpoint)
     }
 
     /// Applies an update of the list. What is known of a server is kept unless it is gone or has restarted.
@@ -111,7 +111,7 @@
         for endpoint in endpoints {
             self.apply_endpoint(endpoint);
         }
-        self.origin = self.servers.iter().position(|server| {
+        self.origin_index = self.servers.iter().position(|server| {
             server.endpoint.state == EndpointState::Serving && settings.is_origin(&server.endpoint)
         });
     }
--- a/src/balancer/forwarding.rs
+++ b/src/balancer/forwarding.rs
@@ -18,7 +18,7 @@
         let server = &self.endpoints.servers[server_index];
         let silence_policy = self.silence_policy(now, &open, server);
         let is_origin = self.settings.is_origin(&server.endpoint);
-        self.coordination.on_send(now, &server.endpoint, is_origin, open.is_retry());
+        self.coordination.on_send(now, &server.endpoint, is_origin, open.uses_retry_budget());
 
         let server = &mut self.endpoints.servers[server_index];
         server.on_send(now, open.request.tenant, open.request.is_write);
--- a/src/balancer/gap_ladder.rs
+++ b/src/balancer/gap_ladder.rs
@@ -1,8 +1,8 @@
 //! The gap of one server: how long each source leaves between two sends to it, while it rejects too many of
 //! them.
 //!
-//! Inputs are the outcomes of this balancer's own attempts at the server. Their rejected share r moves the
-//! gap on a ladder of lengths that grow by [`RUNG_RATIO`]: up where r is high, down where it is low (the
+//! Inputs are the outcomes of this balancer's own attempts at the server. Their rejected share moves the
+//! gap on a ladder of lengths that grow by [`RUNG_RATIO`]: up where it is high, down where it is low (the
 //! paper, section 3.2). Rung 0 is no gap. The source of a send is its tenant, or the balancer where no tenant
 //! is named. A gap that nothing renews ends by itself.
 
@@ -11,17 +11,18 @@
 use crate::settings::Settings;
 use crate::time::Micros;
 
-/// Ratio y between the lengths of two rungs: a smaller one settles nearer the right gap, a larger one gets
+/// Ratio between the lengths of two rungs: a smaller one settles nearer the right gap, a larger one gets
 /// there sooner.
 pub(super) const RUNG_RATIO: f64 = 1.5;
-/// Rejected share r above which the gap grows, as the paper derives it from the ratio.
+/// Rejected share above which the gap grows, as the paper derives it from the ratio.
 pub(super) const RAISE_ABOVE_REJECTED_SHARE: f64 = 1.0 - 1.0 / RUNG_RATIO;
-/// Rejected share r below which the gap shrinks, and down to which it is renewed.
+/// Rejected share below which the gap shrinks, and down to which it is renewed.
 pub(super) const LOWER_BELOW_REJECTED_SHARE: f64 = 0.05;
 /// Rungs that the gap falls at a time.
 const RUNGS_PER_DECREASE: u32 = 3;
-/// Duration d of a gap, in lengths of it: long enough that the outcomes of what still passes renew it.
-const DURATION_IN_GAPS: f64 = 4.0;
+/// Shortest duration of a gap, in gap lengths; up to twice as long is drawn. Long enough that the outcomes of
+/// what still passes renew it.
+const MIN_DURATION_IN_GAPS: f64 = 4.0;
 /// Longest time after a raise in which sends are not counted as evidence for it, as a share of the gap.
 const SETTLING_SHARE_OF_GAP: f64 = 0.5;
 
@@ -40,7 +41,7 @@
 const UNSEEN_OUTCOMES: f64 = 0.25;
 
 /// Up to this number of balancers the longest gap is the longest deadline.
-pub(super) const MAX_BALANCERS_AT_SHORTEST_TOP: u32 = 3;
+pub(super) const BALANCERS_WITHOUT_LONGER_GAPS: u32 = 3;
 /// Window's length as a share of the shortest latency objective.
 const WINDOW_SHARE_OF_OBJECTIVE: f64 = 0.5;
 /// Shortest length of the first rung, in microseconds.
@@ -60,14 +61,15 @@
     /// Length of a window of outcomes.
     pub(super) window: Micros,
     /// The highest rung.
-    pub(super) top: u32,
+    pub(super) highest_rung: u32,
     /// Outcomes that a first window needs at this balancer; at least one.
     pub(super) window_outcomes: f64,
 }
 
 impl GapLadder {
-    /// The longest gap is the longest deadline, times the root of the number of balancers: what all lose at
-    /// a dead server grows with it, and what they lose by finding it well late does not.
+    /// The longest gap is the longest deadline times the square root of balancers / 3, at least 1. With more
+    /// balancers more attempts fail at a dead server in each gap, while a late return costs no more, so that
+    /// the gap may be longer.
     pub(super) fn new(settings: &Settings, balancers: u32) -> GapLadder {
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         let shortest_objective = objectives.min().unwrap_or(DEFAULT_LATENCY_OBJECTIVE);
@@ -76,13 +78,13 @@
 
         let base = settings.tick.0.max(MIN_BASE_MICROS) as f64;
         let balancers = f64::from(balancers);
-        let balancers_factor = (balancers / f64::from(MAX_BALANCERS_AT_SHORTEST_TOP)).max(1.0).sqrt();
+        let balancers_factor = (balancers / f64::from(BALANCERS_WITHOUT_LONGER_GAPS)).max(1.0).sqrt();
         let longest_gap = longest_deadline.mul_f64(balancers_factor);
         let rungs = (longest_gap.as_f64() / base).max(1.0).ln() / RUNG_RATIO.ln();
         GapLadder {
             base,
             window: shortest_objective.mul_f64(WINDOW_SHARE_OF_OBJECTIVE).max(Micros(1)),
-            top: rungs.clamp(1.0, MAX_RUNGS) as u32,
+            highest_rung: rungs.clamp(1.0, MAX_RUNGS) as u32,
             window_outcomes: (FIRST_WINDOW_OUTCOMES / balancers)
                 .clamp(MIN_WINDOW_OUTCOMES, MAX_WINDOW_OUTCOMES),
         }
@@ -96,10 +98,10 @@
         Micros((self.base * RUNG_RATIO.powi(rung as i32)) as u64)
     }
 
-    /// The lowest rung whose gap is at least this long in microseconds; from 1 to the top.
+    /// The lowest rung whose gap is at least this long in microseconds; from 1 to the highest.
     fn rung_of(&self, gap_micros: f64) -> u32 {
         let rung = (gap_micros / self.base).max(1.0).ln() / RUNG_RATIO.ln();
-        (rung.ceil().max(1.0) as u32).min(self.top)
+        (rung.ceil().max(1.0) as u32).min(self.highest_rung)
     }
 
     /// Whether a single outcome is a window: a balancer that is one of many sends so seldom to a server that
@@ -123,10 +125,10 @@
 /// The gap of one server, with the outcomes of the current window.
 #[derive(Debug, Default)]
 pub(super) struct Gap {
-    /// Rung of the ladder; zero is no gap.
+    /// Rung of the ladder; 0 is no gap.
     pub(super) rung: u32,
     /// When the gap ends if nothing renews it.
-    pub(super) until: Micros,
+    pub(super) ends_at: Micros,
     /// Only sends from this time on are evidence for the current rung.
     settled_from: Micros,
     /// When the current window opened.
@@ -142,10 +144,10 @@
 impl Gap {
     /// Whether there is a gap at this time.
     pub(super) fn is_active(&self, now: Micros) -> bool {
-        self.rung > 0 && now < self.until
+        self.rung > 0 && now < self.ends_at
     }
 
-    /// How long this source has to wait before its next send; zero, it may send now.
+    /// How long this source has to wait before its next send; `Micros::ZERO` if it may send now.
     pub(super) fn wait(&self, now: Micros, source: u32, ladder: &GapLadder) -> Micros {
         if !self.is_active(now) {
             return Micros::ZERO;
@@ -163,7 +165,7 @@
     /// varies how long the gap settles and lasts, so that balancers do not move together.
     pub(super) fn on_outcome(&mut self, outcome: SendOutcome, ladder: &GapLadder, random: f64) {
         let now = outcome.completed;
-        if now >= self.until {
+        if now >= self.ends_at {
             self.rung = 0;
         }
         if outcome.sent < self.settled_from {
@@ -184,7 +186,7 @@
             self.settled_from = now + gap.mul_f64(SETTLING_SHARE_OF_GAP * random);
         }
         if rejected_share > LOWER_BELOW_REJECTED_SHARE || self.rung != previous_rung {
-            self.until = now + gap.mul_f64(DURATION_IN_GAPS * (1.0 + random));
+            self.ends_at = now + gap.mul_f64(MIN_DURATION_IN_GAPS * (1.0 + random));
         }
         self.open_window(now);
     }
@@ -213,7 +215,7 @@
         self.outcomes >= ladder.window_outcomes && now - self.window_opened >= shortest
     }
 
-    /// The rejected share r of the window; below one, so that the pace that was served stays finite.
+    /// The rejected share of the window; below one, so that the pace that was served stays finite.
     fn rejected_share(&self) -> f64 {
         let are_all_rejected = self.rejected == self.outcomes;
         self.rejected / if are_all_rejected { self.outcomes + UNSEEN_OUTCOMES } else { self.outcomes }
@@ -235,6 +237,6 @@
             return ladder.rung_of(window_length * sources / (self.outcomes * served_share));
         }
         let rungs = (-served_share.ln() / RUNG_RATIO.ln()) as u32;
-        (self.rung + rungs.max(1)).min(ladder.top)
+        (self.rung + rungs.max(1)).min(ladder.highest_rung)
     }
 }
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -11,7 +11,7 @@
 use super::routing::Route;
 use super::Balancer;
 use crate::action::Action;
-use crate::coordination::Evidence;
+use crate::coordination::LoadEvidence;
 use crate::request::AttemptResult;
 use crate::settings::Idempotency;
 use crate::time::Micros;
@@ -39,8 +39,8 @@
         HedgeBudget { hedges: MAX_SAVED_HEDGES }
     }
 
-    /// A client's first attempt has come in.
-    pub(super) fn on_first_attempt(&mut self, ladder: &GapLadder) {
+    /// A request has come in that is not a client's retry.
+    pub(super) fn on_new_request(&mut self, ladder: &GapLadder) {
         let earned = HEDGES_PER_FIRST_ATTEMPT / ladder.window_outcomes;
         self.hedges = (self.hedges + earned).min(MAX_SAVED_HEDGES);
     }
@@ -120,7 +120,7 @@
             now,
             &attempt.endpoint,
             AttemptResult::Timeout,
-            Evidence::Rejected,
+            LoadEvidence::Rejected,
         );
     }
 }
--- a/src/balancer/limit_view.rs
+++ b/src/balancer/limit_view.rs
@@ -30,7 +30,7 @@
 pub struct LimitView {
     /// The server.
     pub server: ServerId,
-    /// The gap that each source has to leave between two sends; zero is none.
+    /// The gap that each source has to leave between two sends; `Micros::ZERO` is none.
     pub gap: Micros,
     /// When the gap ends if nothing renews it.
     pub gap_until: Micros,
@@ -80,7 +80,7 @@
         LimitView {
             server: endpoint.server,
             gap: if gap.is_active(now) { self.cache_ladder.length(gap.rung) } else { Micros::ZERO },
-            gap_until: gap.until,
+            gap_until: gap.ends_at,
             in_flight: concurrency.in_flight(),
             limit: concurrency.limit,
             baseline_latency: Micros(concurrency.baseline_latency as u64),
--- a/src/balancer/open_request.rs
+++ b/src/balancer/open_request.rs
@@ -74,7 +74,7 @@
     pub(super) has_missed: bool,
     /// Whether a streamed response has begun.
     pub(super) has_response_started: bool,
-    /// Token of the timer that was last set for it; zero is none.
+    /// Token of the timer that was last set for it; 0 is none.
     pub(super) timer_token: u64,
     /// Where it stands in the queue before the origin.
     pub(super) queue_state: QueueState,
@@ -114,8 +114,9 @@
         self.attempts.iter().rfind(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// Whether the next attempt is a retry or a hedged request. A fetch from the origin after a miss is none.
-    pub(super) fn is_retry(&self) -> bool {
+    /// Whether the next attempt is a retry or a hedged request. A fetch from the origin after a
+    /// miss counts as neither.
+    pub(super) fn uses_retry_budget(&self) -> bool {
         !self.attempts.is_empty() && !self.has_missed
     }
 
--- a/src/balancer/origin.rs
+++ b/src/balancer/origin.rs
@@ -21,8 +21,8 @@
 const MAX_QUEUE_TIME: Micros = Micros::from_millis(400);
 /// Requests that may wait beyond that, however slow the origin is.
 const QUEUE_LENGTH_ALLOWANCE: usize = 2;
-/// The source at the origin's gap that the queue is drained as.
-const QUEUE_SOURCE: u32 = 0;
+/// The tenant whose gap at the origin holds back the whole queue: the first one of the settings.
+const QUEUE_TENANT: u32 = 0;
 
 impl Balancer {
     /// Decides on a request that only the origin can serve. One that has waited is sent or rejected; one that
@@ -30,13 +30,13 @@
     pub(super) fn choose_origin(&mut self, now: Micros, open: &OpenRequest) -> Route {
         let wait = self.origin_wait(now, open.request.tenant);
         let no_server = Route::Reject { wait: Micros::ZERO, reason: RejectReason::NoEligibleServer };
-        let Some(server) = self.endpoints.origin else { return no_server };
+        let Some(server) = self.endpoints.origin_index else { return no_server };
         let origin = &mut self.endpoints.servers[server];
         let class = self.settings.class(open.request.class);
         if !open.may_send(now, &origin.endpoint, class, &self.settings.limits) {
             return no_server;
         }
-        let is_full = wait > Micros::ZERO || !origin.concurrency.has_capacity(now, open.request.is_write);
+        let must_wait = wait > Micros::ZERO || !origin.concurrency.has_capacity(now, open.request.is_write);
         match open.queue_state {
             QueueState::CapacityReserved => Route::Forward { server },
             QueueState::Preempted => Route::Reject { wait, reason: RejectReason::Preempted },
@@ -46,7 +46,7 @@
                 if !origin.concurrency.is_worth_sending_within(time_left) {
                     return Route::Reject { wait, reason: RejectReason::DeadlineUnreachable };
                 }
-                if is_full || self.must_queue_behind_others(open) {
+                if must_wait || self.must_queue_behind_others(open) {
                     return Route::Enqueue { max_wait: max_queue_wait(open, time_left) };
                 }
                 Route::Forward { server }
@@ -60,7 +60,7 @@
     }
 
     /// How long the origin's gap, or the limit on its requests that balancers share, holds back the next send
-    /// of this source; zero, it may go now.
+    /// of this source; `Micros::ZERO` if it may go now.
     pub(super) fn origin_wait(&mut self, now: Micros, source: u32) -> Micros {
         let shared_wait = self.coordination.wait_time(SharedLimit::OriginRate, now);
         let Some(origin) = self.endpoints.origin_mut() else { return shared_wait };
@@ -106,7 +106,7 @@
     /// Takes the request out of the queue that may go to the origin now.
     fn take_admissible(&mut self, now: Micros) -> Option<RequestId> {
         // With nobody waiting the shared limit is not asked: it would count that as need.
-        if self.origin_queue.is_empty() || self.origin_wait(now, QUEUE_SOURCE) > Micros::ZERO {
+        if self.origin_queue.is_empty() || self.origin_wait(now, QUEUE_TENANT) > Micros::ZERO {
             return None;
         }
         let origin = self.endpoints.origin_mut()?;
@@ -131,7 +131,7 @@
         if self.origin_queue.is_empty() {
             return;
         }
-        let wait = self.origin_wait(now, QUEUE_SOURCE);
+        let wait = self.origin_wait(now, QUEUE_TENANT);
         if !self.origin_queue.is_drain_timer_set && wait > Micros::ZERO {
             self.origin_queue.is_drain_timer_set = true;
             actions.push(Action::Timer { at: now + wait, token: ORIGIN_QUEUE_TIMER });
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -10,7 +10,7 @@
 use super::open_request::OpenRequest;
 use super::Balancer;
 use crate::action::Action;
-use crate::coordination::{Evidence, SharedLimit};
+use crate::coordination::{LoadEvidence, SharedLimit};
 use crate::request::{AttemptResult, CompletedAttempt};
 use crate::time::Micros;
 
@@ -31,7 +31,7 @@
         if open.attempts_left(&self.settings.limits) == 0 {
             return false;
         }
-        let budget_wait = if open.is_retry() {
+        let budget_wait = if open.uses_retry_budget() {
             self.coordination.wait_time(SharedLimit::RetryBudget, now)
         } else {
             Micros::ZERO
@@ -146,17 +146,17 @@
     }
 
     /// What the attempt shows of its server's load.
-    fn evidence(self) -> Evidence {
+    fn evidence(self) -> LoadEvidence {
         match self.result {
-            AttemptResult::Rejected | AttemptResult::ConnectFailed => Evidence::Rejected,
+            AttemptResult::Rejected | AttemptResult::ConnectFailed => LoadEvidence::Rejected,
             // A broken connection does not show overload; if the server is gone, the next connection fails.
             AttemptResult::Served | AttemptResult::Miss | AttemptResult::Error | AttemptResult::Reset => {
-                Evidence::Accepted
+                LoadEvidence::Accepted
             }
             // A slow origin still refills caches, and its concurrency limit bounds what waits there.
-            AttemptResult::Timeout if self.is_meaningful_timeout && !self.is_origin => Evidence::Rejected,
+            AttemptResult::Timeout if self.is_meaningful_timeout && !self.is_origin => LoadEvidence::Rejected,
             AttemptResult::Timeout | AttemptResult::Cancelled | AttemptResult::NotSent => {
-                Evidence::Inconclusive
+                LoadEvidence::Inconclusive
             }
         }
     }
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -27,7 +27,7 @@
     },
     /// Nowhere: it is answered now.
     Reject {
-        /// How long what holds it back will last; zero where that is not known.
+        /// How long what holds it back will last; `Micros::ZERO` where that is not known.
         wait: Micros,
         /// Why.
         reason: RejectReason,
@@ -59,7 +59,7 @@
         match self.choose_route(now, &open) {
             Route::Forward { server } => self.forward(now, server, open, actions),
             Route::Enqueue { max_wait } => self.enqueue(now, max_wait, open, actions),
-            Route::Reject { wait, reason } => self.reject(now, &open, wait, reason, actions),
+            Route::Reject { wait, reason } => self.reject_or_fail(now, &open, wait, reason, actions),
         }
     }
 
@@ -114,7 +114,7 @@
         Some(Route::Reject { wait, reason: RejectReason::AllServersGapped })
     }
 
-    /// Why this server cannot take the request now; none, it can.
+    /// Why this server cannot take the request now; `None` if it can.
     fn reason_to_pass_over(
         &mut self,
         now: Micros,
--- a/src/balancer/tests.rs
+++ b/src/balancer/tests.rs
@@ -174,7 +174,7 @@
 fn gapped(rung: u32) -> Gap {
     let mut gap = Gap::default();
     gap.rung = rung;
-    gap.until = Micros(900 * SECOND);
+    gap.ends_at = Micros(900 * SECOND);
     gap.on_send(Micros(SECOND), 0);
     gap
 }
--- a/src/balancer/tests/coordination.rs
+++ b/src/balancer/tests/coordination.rs
@@ -9,7 +9,7 @@
 /// What the fake answers, and the calls that it got.
 #[derive(Debug, Default)]
 struct FakeState {
-    /// How long the next use of each limit has to wait; none, the limit is not shared.
+    /// How long the next use of each limit has to wait; `None` if the limit is not shared.
     origin_wait: Option<Micros>,
     slow_start_wait: Option<Micros>,
     retry_wait: Option<Micros>,
@@ -47,7 +47,7 @@
         self.0.borrow_mut().rejected.push(limit);
     }
 
-    fn on_first_attempt(&mut self, _now: Micros) {
+    fn on_new_request(&mut self, _now: Micros) {
         self.0.borrow_mut().first_attempts += 1;
     }
 
--- a/src/balancer/tests/gap_ladder.rs
+++ b/src/balancer/tests/gap_ladder.rs
@@ -29,11 +29,14 @@
 fn rungs_grow_by_the_ratio_up_to_the_longest_deadline() {
     let ladder = ladder();
     assert_eq!(ladder.length(0), Micros(0));
-    for rung in 1..ladder.top {
+    for rung in 1..ladder.highest_rung {
         let ratio = ladder.length(rung + 1).0 as f64 / ladder.length(rung).0 as f64;
         assert!((ratio - RUNG_RATIO).abs() < 0.01, "rung {rung}: {ratio}");
     }
-    assert!(ladder.length(ladder.top) <= Micros(SECOND) && ladder.length(ladder.top + 1) > Micros(SECOND));
+    assert!(
+        ladder.length(ladder.highest_rung) <= Micros(SECOND)
+            && ladder.length(ladder.highest_rung + 1) > Micros(SECOND)
+    );
 }
 
 #[test]
@@ -84,9 +87,9 @@
     assert_eq!(gap.rung, 6);
     let mut renewed = gapped(10);
     feed(&mut renewed, 2 * SECOND, 300_000, &[true]);
-    assert!(renewed.rung > 10 && renewed.until > Micros(2 * SECOND), "a high share raises and renews it");
+    assert!(renewed.rung > 10 && renewed.ends_at > Micros(2 * SECOND), "a high share raises and renews it");
     let mut ended = gapped(9);
-    ended.until = Micros(5 * SECOND);
+    ended.ends_at = Micros(5 * SECOND);
     assert!(ended.is_active(Micros(5 * SECOND - 1)) && !ended.is_active(Micros(5 * SECOND)));
 }
 
@@ -114,7 +117,7 @@
         for i in 0..6 {
             gap.on_outcome(send_outcome(3 * SECOND, 3 * SECOND + i * 30_000, true), &ladder(), draw);
         }
-        gap.until
+        gap.ends_at
     };
     assert!(until(0.9) > until(0.1));
 }
@@ -170,7 +173,7 @@
         }
         assert_eq!(gap.is_active(Micros(now)), is_gapped, "{balancers} balancers");
     }
-    let sends_of_all = |n: u32| f64::from(n) / ladder_of(n).length(ladder_of(n).top).0 as f64;
+    let sends_of_all = |n: u32| f64::from(n) / ladder_of(n).length(ladder_of(n).highest_rung).0 as f64;
     assert!(sends_of_all(100) < 9.0 * sends_of_all(3), "sends to a dead server by all together");
 }
 
--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -32,14 +32,16 @@
 /// The limits that a balancer shares with others, and what these report of servers. Without one only the
 /// balancer's own limits and observations hold.
 pub trait Coordination: std::fmt::Debug {
-    /// How long one more use of the limit has to wait; zero, it may begin now; none, the limit is not shared.
+    /// How long one more use of the limit has to wait: `Some(Micros::ZERO)` if it may begin now, `None` if the
+    /// limit is not shared. Asking counts as need: where it has to wait, this member asks others for tokens
+    /// (credits).
     fn wait_time(&mut self, limit: SharedLimit, now: Micros) -> Option<Micros>;
-    /// One use begins. [`Coordination::wait_time`] was zero or none at the same time.
+    /// One use begins. [`Coordination::wait_time`] was `Some(Micros::ZERO)` or `None` at the same time.
     fn acquire(&mut self, limit: SharedLimit, now: Micros);
     /// A request that needed the limit was rejected.
     fn on_rejected(&mut self, limit: SharedLimit, now: Micros);
-    /// A first attempt has come in, as clients count them: retries of a client's own are none.
-    fn on_first_attempt(&mut self, now: Micros);
+    /// A request has come in that is not a client's retry.
+    fn on_new_request(&mut self, now: Micros);
     /// The endpoint list changed; these cache servers serve.
     fn on_endpoints_changed(&mut self, servers: &[ServingServer]);
     /// An own attempt showed that the server with this start is silent, or that it answers.
@@ -60,7 +62,7 @@
 
 /// What a completed attempt shows of its server's load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Evidence {
+pub(crate) enum LoadEvidence {
     /// It takes requests.
     Accepted,
     /// It is overloaded or out of reach.
@@ -69,13 +71,13 @@
     Inconclusive,
 }
 
-impl Evidence {
-    /// Whether the server rejected the attempt; none where that is not known.
+impl LoadEvidence {
+    /// Whether the server rejected the attempt; `None` where that is not known.
     pub(crate) fn is_rejected(self) -> Option<bool> {
         match self {
-            Evidence::Accepted => Some(false),
-            Evidence::Rejected => Some(true),
-            Evidence::Inconclusive => None,
+            LoadEvidence::Accepted => Some(false),
+            LoadEvidence::Rejected => Some(true),
+            LoadEvidence::Inconclusive => None,
         }
     }
 }
@@ -85,7 +87,7 @@
 pub(crate) struct OptionalCoordination(pub(crate) Option<Box<dyn Coordination>>);
 
 impl OptionalCoordination {
-    /// How long one more use of the limit has to wait; zero where nothing is shared.
+    /// How long one more use of the limit has to wait; `Micros::ZERO` where nothing is shared.
     pub(crate) fn wait_time(&mut self, limit: SharedLimit, now: Micros) -> Micros {
         self.0.as_mut().and_then(|shared| shared.wait_time(limit, now)).unwrap_or_default()
     }
@@ -113,20 +115,20 @@
         }
     }
 
-    /// A first attempt has come in.
-    pub(crate) fn on_first_attempt(&mut self, now: Micros) {
+    /// A request has come in that is not a client's retry.
+    pub(crate) fn on_new_request(&mut self, now: Micros) {
         if let Some(shared) = &mut self.0 {
-            shared.on_first_attempt(now);
+            shared.on_new_request(now);
         }
     }
 
     /// An attempt goes out: to the origin or to a cache server, as a retry or as the first.
-    pub(crate) fn on_send(&mut self, now: Micros, to: &Endpoint, is_origin: bool, is_retry: bool) {
+    pub(crate) fn on_send(&mut self, now: Micros, to: &Endpoint, is_origin: bool, uses_retry_budget: bool) {
         let Some(shared) = &mut self.0 else { return };
         let limit =
             if is_origin { SharedLimit::OriginRate } else { SharedLimit::SlowStart(to.server, to.started) };
         shared.acquire(limit, now);
-        if is_retry {
+        if uses_retry_budget {
             shared.acquire(SharedLimit::RetryBudget, now);
         }
     }
@@ -176,11 +178,13 @@
         now: Micros,
         at: &Endpoint,
         result: AttemptResult,
-        evidence: Evidence,
+        evidence: LoadEvidence,
     ) {
         let silent = match result {
-            AttemptResult::Served | AttemptResult::Miss if evidence == Evidence::Accepted => false,
-            AttemptResult::Timeout | AttemptResult::ConnectFailed if evidence == Evidence::Rejected => true,
+            AttemptResult::Served | AttemptResult::Miss if evidence == LoadEvidence::Accepted => false,
+            AttemptResult::Timeout | AttemptResult::ConnectFailed if evidence == LoadEvidence::Rejected => {
+                true
+            }
             _ => return,
         };
         if let Some(shared) = &mut self.0 {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -30,9 +30,9 @@
 pub struct Class {
     /// An answer within this time earns the full priority weight.
     pub latency_objective: Micros,
-    /// Share of a request's own expected work that is added to its latency objective.
+    /// Factor: latency objective that is added per unit of expected work.
     pub latency_objective_per_work: f64,
-    /// The longest a client waits, over all attempts of its own.
+    /// How long a client waits in all, its own retries included.
     pub deadline: Micros,
     /// Whether it may be repeated.
     pub idempotency: Idempotency,
@@ -65,7 +65,8 @@
 /// A tenant of the service.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests per second within its quota, over all balancers.
+    /// Requests per second within its quota, over all balancers. Not enforced: only the number of tenants is
+    /// used.
     pub allowance_per_s: f64,
 }
 
@@ -79,8 +80,8 @@
 }
 
 impl CacheMode {
-    /// The kind of endpoint that is the origin; none where cache servers fetch for themselves.
-    pub fn origin(self) -> Option<u32> {
+    /// The kind of endpoint that is the origin; `None` where cache servers fetch for themselves.
+    pub fn origin_kind(self) -> Option<u32> {
         match self {
             CacheMode::Aside(kind) => Some(kind),
             CacheMode::ReadThrough => None,
@@ -155,7 +156,7 @@
     }
 
     /// These settings with unusable values replaced by the least harmful ones: at least one class and one
-    /// balancer, and shares that are finite numbers.
+    /// balancer, and a finite initial share of slow start.
     pub fn sanitized(mut self) -> Settings {
         if self.classes.is_empty() {
             self.classes.push(Class::default());
--- a/testbed/src/scale/cluster_endpoint.rs
+++ b/testbed/src/scale/cluster_endpoint.rs
@@ -149,7 +149,7 @@
         requests_per_s: whole,
         arrival_spread: ARRIVAL_SPREAD,
         owners: holders,
-        lease: LEASE_DURATION,
+        lease_duration: LEASE_DURATION,
         clock_drift: CLOCK_DRIFT_RATIO,
     };
     ClusterConfig {
