--- a/cluster/src/failure_detector/dissemination.rs
+++ b/cluster/src/failure_detector/dissemination.rs
@@ -13,7 +13,7 @@
 /// Answers between two ticks: a flood of queries is not answered beyond.
 pub(super) const MAX_ANSWERS: usize = 12;
 /// Queries back, to members whose queries show that they have something else, between two ticks.
-pub(super) const MAX_QUERIES_IN_TURN: usize = 2;
+pub(super) const MAX_QUERIES_BACK: usize = 2;
 /// Members that are asked in an urgent round.
 const MEMBERS_PER_URGENT_ROUND: usize = 2;
 /// Between two rounds of queries while something urgent spreads.
@@ -117,13 +117,13 @@
 
     /// What to query a member back for, whose query showed that it has something else; `None` where its reports can wait for the
     /// next own query.
-    pub(super) fn query_in_turn(&self, scope: QueryScope) -> Option<QueryScope> {
-        let in_turn = match scope {
+    pub(super) fn query_back(&self, scope: QueryScope) -> Option<QueryScope> {
+        let scope_back = match scope {
             QueryScope::UrgentMutual => QueryScope::Urgent,
             QueryScope::AllMutual => QueryScope::All,
             QueryScope::All | QueryScope::Urgent => return None,
         };
-        (self.answered <= MAX_QUERIES_IN_TURN).then_some(in_turn)
+        (self.answered <= MAX_QUERIES_BACK).then_some(scope_back)
     }
 
     /// Opens a query to a member; returns the time that names it.
--- a/cluster/src/failure_detector/exchange.rs
+++ b/cluster/src/failure_detector/exchange.rs
@@ -29,7 +29,7 @@
         if !reports.is_empty() {
             self.outgoing.push((from, Message::Reports { sent, reports }));
         }
-        if let Some(scope) = self.dissemination.query_in_turn(scope) {
+        if let Some(scope) = self.dissemination.query_back(scope) {
             self.send_query(now, DueQuery { to: from, scope });
         }
     }
--- a/cluster/src/failure_detector/tests.rs
+++ b/cluster/src/failure_detector/tests.rs
@@ -6,7 +6,7 @@
 
 use juniperladder::ServerId;
 
-use super::dissemination::{MAX_ANSWERS, MAX_QUERIES_IN_TURN};
+use super::dissemination::{MAX_ANSWERS, MAX_QUERIES_BACK};
 use super::*;
 use crate::virtual_network::{address, Conditions};
 use fleet::{drawn_scenario, run_fleet, terms, Scenario, MILD, MILD_CONDITIONS};
@@ -170,7 +170,7 @@
     }
     let stored = detector.reports.len();
     assert!(stored <= MAX_REPORTS, "one query, one answer: {stored}");
-    assert!(detector.drain().count() <= MAX_ANSWERS + MAX_QUERIES_IN_TURN);
+    assert!(detector.drain().count() <= MAX_ANSWERS + MAX_QUERIES_BACK);
 }
 
 /// Detection times by fleet size, by hand:
--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -32,9 +32,9 @@
 /// The limits that a balancer shares with others, and what these report of servers. Without one only the
 /// balancer's own limits and observations hold.
 pub trait Coordination: std::fmt::Debug {
-    /// How long one more use of the limit has to wait: `Some(Micros::ZERO)` if it may begin now, `None` if the
-    /// limit is not shared. Asking counts as need: where it has to wait, this member asks others for tokens
-    /// (credits).
+    /// How long one more use of the limit has to wait: `Some(Micros::ZERO)` if it may begin now, `None` if
+    /// the limit is not shared. Asking counts as need: where it has to wait, this member asks others for
+    /// tokens (credits).
     fn wait_time(&mut self, limit: SharedLimit, now: Micros) -> Option<Micros>;
     /// One use begins. [`Coordination::wait_time`] was `Some(Micros::ZERO)` or `None` at the same time.
     fn acquire(&mut self, limit: SharedLimit, now: Micros);
@@ -48,8 +48,8 @@
     fn on_server_observed(&mut self, server: ServerId, started: Micros, silent: bool, now: Micros);
     /// Whether this attempt avoids the server because others report it silent. A suspected server is tried
     /// now and then; each call may draw such a trial. `last_response` is when the server last answered this
-    /// balancer, `responses_per_second` the mean rate at which one server responds to this balancer; it stands
-    /// in for the rate of its attempts.
+    /// balancer, `responses_per_second` the mean rate at which one server responds to this balancer; it
+    /// stands in for the rate of its attempts.
     fn should_avoid(
         &mut self,
         server: ServerId,
