--- a/dispatch/src/counters.rs
+++ b/dispatch/src/counters.rs
@@ -44,11 +44,11 @@
     rejected => "rejected",
     /// Rejections: an answer would have come too late to be worth anything.
     rejected_objective_missed => "rejected_late",
-    /// Rejections: all attempts were used up.
+    /// Rejections: all attempts were used up, or the retry budget that balancers share had no credit.
     rejected_attempts_exhausted => "rejected_spent",
     /// Rejections: no server was left that the request might be sent to.
     rejected_no_eligible_server => "rejected_nowhere",
-    /// Rejections: the time left was too short for the origin's usual latency.
+    /// Rejections: the useful time left was less than a share of the origin's baseline latency.
     rejected_deadline_unreachable => "rejected_deadline_unreachable",
     /// Rejections: the request had waited for capacity at the origin for as long as it may.
     rejected_queue_timeout => "rejected_queue_timeout",
@@ -69,17 +69,17 @@
     /// Attempts that a server answered with a value or a receipt.
     attempts_served => "ok",
     /// Attempts that a cache server answered with a miss.
-    misses => "misses",
+    attempts_missed => "misses",
     /// Attempts that ended in an error.
-    errors => "errors",
+    attempts_failed => "errors",
     /// Attempts that an overloaded server rejected.
     attempts_rejected => "full",
     /// Attempts that timed out.
-    timeouts => "timeouts",
-    /// Attempts that found no connection.
-    connect_failed => "connect_failed",
+    attempts_timed_out => "timeouts",
+    /// Attempts that were not fully written: no connection, a connection that broke, or the deadline came first.
+    attempts_not_connected => "connect_failed",
     /// Attempts whose connection broke.
-    resets => "resets",
+    attempts_reset => "resets",
     /// Attempts cancelled before their first byte, as the server drains or is gone.
     attempts_not_sent => "moot",
     /// Responses that came after their attempt had timed out.
--- a/dispatch/src/dispatcher/metrics.rs
+++ b/dispatch/src/dispatcher/metrics.rs
@@ -19,7 +19,7 @@
 /// How many cache servers there are, and how many of them are avoided now.
 struct ServerCounts {
     known: usize,
-    /// Offline by an operator, or inside their gap.
+    /// Offline by an operator, or gapped; servers avoided for another reason are not counted.
     skipped: usize,
 }
 
@@ -56,7 +56,7 @@
         let mut counts = ServerCounts { known: 0, skipped: 0 };
         for listed in state.overrides.discovered_servers() {
             let endpoint = &listed.endpoint;
-            if self.origin == Some(endpoint.kind) {
+            if self.origin_kind == Some(endpoint.kind) {
                 continue;
             }
             counts.known += 1;
--- a/src/action.rs
+++ b/src/action.rs
@@ -13,7 +13,7 @@
     AttemptsExhausted,
     /// No server is left that it may be sent to.
     NoEligibleServer,
-    /// The time left is too short for the origin's usual latency.
+    /// The useful time left is less than a share of the origin's baseline latency.
     DeadlineUnreachable,
     /// It has waited for capacity at the origin for as long as it may.
     QueueTimeout,
@@ -32,14 +32,14 @@
         id: RequestId,
         /// Where to.
         server: ServerId,
-        /// The attempt's timeout; zero is the request's deadline.
+        /// The attempt's timeout; `Micros::ZERO` is the request's deadline.
         timeout: Micros,
     },
     /// Final answer: not served, and trying again is harmless.
     Reject {
         /// The request.
         id: RequestId,
-        /// Retry-After for the client; zero is none.
+        /// Retry-After for the client; `Micros::ZERO` is none.
         retry_after: Micros,
         /// For counters and logs only.
         reason: RejectReason,
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -38,7 +38,7 @@
 use admission::Admission;
 use discovery_schedule::DiscoverySchedule;
 use endpoint_set::EndpointSet;
-use gap_ladder::{GapLadder, MAX_BALANCERS_AT_SHORTEST_TOP};
+use gap_ladder::{GapLadder, BALANCERS_WITHOUT_LONGER_GAPS};
 use hedging::HedgeBudget;
 use open_request::OpenRequest;
 use origin_queue::OriginQueue;
@@ -80,7 +80,7 @@
     /// A balancer that knows nothing yet but its settings.
     pub fn new(settings: Settings, seed: u64) -> Balancer {
         let settings = settings.sanitized();
-        let origin_balancers = settings.balancers.min(MAX_BALANCERS_AT_SHORTEST_TOP);
+        let origin_balancers = settings.balancers.min(BALANCERS_WITHOUT_LONGER_GAPS);
         Balancer {
             rng: fastrand::Rng::with_seed(seed),
             coordination: OptionalCoordination::default(),
@@ -106,8 +106,8 @@
     }
 
     /// The origin that requests go to now, if one serves.
-    pub fn origin(&self) -> Option<ServerId> {
-        let origin = &self.endpoints.servers[self.endpoints.origin?];
+    pub fn origin_server(&self) -> Option<ServerId> {
+        let origin = &self.endpoints.servers[self.endpoints.origin_index?];
         Some(origin.endpoint.server)
     }
 
@@ -121,7 +121,7 @@
             Event::ResponseStarted(id) => self.on_response_started(&id),
             Event::AttemptCompleted(completed) => self.on_attempt_completed(now, &completed, actions),
             Event::Timer(token) => self.on_timer(now, token, actions),
-            Event::ClientDisconnected(id) => self.on_client_disconnected(now, &id),
+            Event::RequestAbandoned(id) => self.on_request_abandoned(now, &id),
         }
     }
 
@@ -179,8 +179,8 @@
         }
     }
 
-    /// The client has left: its request is forgotten.
-    fn on_client_disconnected(&mut self, now: Micros, id: &RequestId) {
+    /// The caller decides this request from now on: it is forgotten.
+    fn on_request_abandoned(&mut self, now: Micros, id: &RequestId) {
         let Some(open) = self.open_requests.take(id) else { return };
         self.origin_queue.remove(id);
         let Some(attempt) = open.attempt_in_flight() else { return };
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -1,8 +1,9 @@
 //! When an attempt without a response is hedged or times out, and which budget pays for a hedged request.
 //!
 //! Inputs are the time for which an answer is still useful, and how long ago the server last responded: the
-//! longer ago, the less is known of it, and the sooner the request is hedged. Hedged requests are paid from
-//! the retry budget that balancers share, or else from this balancer's own, which first attempts refill.
+//! longer ago, the less is known of it, and the sooner the request is hedged. Every hedged request is taken
+//! off this balancer's own budget, which first attempts refill; that budget decides only where no retry
+//! budget is shared.
 
 use super::endpoint_set::Server;
 use super::gap_ladder::{GapLadder, SendOutcome, EVIDENCE_LIFETIME_IN_WINDOWS};
@@ -10,7 +11,7 @@
 use super::routing::Route;
 use super::Balancer;
 use crate::action::Action;
-use crate::coordination::Evidence;
+use crate::coordination::LoadEvidence;
 use crate::request::AttemptResult;
 use crate::settings::Idempotency;
 use crate::time::Micros;
@@ -28,6 +29,7 @@
 /// Hedged requests that this balancer may still send by itself.
 #[derive(Debug)]
 pub(super) struct HedgeBudget {
+    /// Hedged requests saved up; below zero where a shared budget allowed more.
     hedges: f64,
 }
 
@@ -37,8 +39,8 @@
         HedgeBudget { hedges: MAX_SAVED_HEDGES }
     }
 
-    /// A client's first attempt has come in.
-    pub(super) fn on_first_attempt(&mut self, ladder: &GapLadder) {
+    /// A request has come in that is not a client's retry.
+    pub(super) fn on_new_request(&mut self, ladder: &GapLadder) {
         let earned = HEDGES_PER_FIRST_ATTEMPT / ladder.window_outcomes;
         self.hedges = (self.hedges + earned).min(MAX_SAVED_HEDGES);
     }
@@ -95,6 +97,7 @@
     }
 
     /// Whether a hedged request may go out: nothing waits for the origin, and the budget allows it.
+    /// `choose_route` has asked the shared budget already.
     fn may_hedge(&mut self, now: Micros) -> bool {
         self.origin_queue.is_empty() && self.coordination.allows_hedge(now, self.hedge_budget.hedges)
     }
@@ -117,7 +120,7 @@
             now,
             &attempt.endpoint,
             AttemptResult::Timeout,
-            Evidence::Rejected,
+            LoadEvidence::Rejected,
         );
     }
 }
--- a/src/balancer/limit_view.rs
+++ b/src/balancer/limit_view.rs
@@ -1,5 +1,5 @@
-//! What an operator may see of the limits that hold: at which server, which limit, and why. Nothing here
-//! decides.
+//! The gap and the concurrency limit of each server. Slow start, unhealthy zones, reports of other balancers
+//! and shared limits also make a server passed over; they are not shown here.
 
 use super::endpoint_set::Server;
 use super::Balancer;
@@ -30,7 +30,7 @@
 pub struct LimitView {
     /// The server.
     pub server: ServerId,
-    /// The gap that each source has to leave between two sends; zero is none.
+    /// The gap that each source has to leave between two sends; `Micros::ZERO` is none.
     pub gap: Micros,
     /// When the gap ends if nothing renews it.
     pub gap_until: Micros,
@@ -80,7 +80,7 @@
         LimitView {
             server: endpoint.server,
             gap: if gap.is_active(now) { self.cache_ladder.length(gap.rung) } else { Micros::ZERO },
-            gap_until: gap.until,
+            gap_until: gap.ends_at,
             in_flight: concurrency.in_flight(),
             limit: concurrency.limit,
             baseline_latency: Micros(concurrency.baseline_latency as u64),
