--- a/dispatch/src/counters.rs
+++ b/dispatch/src/counters.rs
@@ -1,7 +1,7 @@
-//! What the balancer took in, sent and answered, counted since its start.
+//! Counters of requests, attempts, connections and errors since process start.
 //!
-//! Each counter has two names: the field's name in the code, and the figure's name in the log and in the operators'
-//! figures, which operators' own tools read and which never changes.
+//! Each counter has two names: the field name in the code, and the outer name in the log and in the metrics, which
+//! operators' tools read and which never changes.
 
 use std::cell::Cell;
 use std::fmt;
@@ -10,12 +10,12 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident => $figure:literal),* $(,)?) => {
-        /// One number for each kind of thing that happens.
+        /// Counts of events since process start.
         #[derive(Debug, Default)]
         pub struct Counters { $($(#[$doc])* pub $name: Cell<u64>),* }
 
         impl Counters {
-            /// Every counter with its figure's name, in a fixed order.
+            /// All counters with their outer names, in a fixed order.
             pub fn figures(&self) -> Vec<(&'static str, u64)> {
                 vec![$(($figure, self.$name.get())),*]
             }
@@ -30,27 +30,27 @@
     accepts_failed => "accepts_failed",
     /// Requests taken.
     requests => "commands",
-    /// Lines from clients that were no request.
+    /// Malformed request lines from clients.
     malformed_requests => "malformed",
-    /// Clients' connections closed as they had no request open for too long.
+    /// Client connections closed because they had no open request for too long.
     idle_connections_closed => "quiet",
-    /// Clients' connections that ended in the middle of a request.
+    /// Client connections that ended in the middle of a request.
     connections_cut => "cut",
-    /// Requests whose client left before the answer.
+    /// Requests whose client disconnected before the answer.
     requests_abandoned => "left",
     /// Requests answered with a value or a receipt.
     served => "served",
     /// Requests answered with a rejection.
     rejected => "rejected",
-    /// Rejections: an answer would have come too late to be worth anything.
+    /// Rejections: the answer would have been too late to be of any worth.
     rejected_objective_missed => "rejected_late",
     /// Rejections: all attempts were used up, or the retry budget that balancers share had no credit.
     rejected_attempts_exhausted => "rejected_spent",
-    /// Rejections: no server was left that the request might be sent to.
+    /// Rejections: no eligible server was left for the request.
     rejected_no_eligible_server => "rejected_nowhere",
     /// Rejections: the useful time left was less than a share of the origin's baseline latency.
     rejected_deadline_unreachable => "rejected_deadline_unreachable",
-    /// Rejections: the request had waited for capacity at the origin for as long as it may.
+    /// Rejections: the request had waited for capacity at the origin for the longest time allowed.
     rejected_queue_timeout => "rejected_queue_timeout",
     /// Rejections: requests of higher priority filled the queue before the origin.
     rejected_preempted => "rejected_preempted",
@@ -58,9 +58,9 @@
     rejected_all_servers_gapped => "rejected_gapped",
     /// Requests answered as failed.
     failed => "failed",
-    /// Requests that the decisions had not ended at their deadline.
+    /// Requests that the decision core had not ended by their deadline.
     overdue => "overdue",
-    /// Listed servers that were more than may be known.
+    /// Servers in endpoint lists that were ignored because too many are known.
     endpoints_left_out => "hosts_left_out",
     /// Attempts begun.
     attempts => "attempts",
@@ -76,36 +76,36 @@
     attempts_rejected => "full",
     /// Attempts that timed out.
     attempts_timed_out => "timeouts",
-    /// Attempts that were not fully written: no connection, a connection that broke, or the deadline came first.
+    /// Attempts that were not fully written: the connection failed or broke, or the deadline passed first.
     attempts_not_connected => "connect_failed",
     /// Attempts whose connection broke.
     attempts_reset => "resets",
-    /// Attempts cancelled before their first byte, as the server drains or is gone.
+    /// Attempts cancelled before their first byte because the server is draining or gone.
     attempts_not_sent => "moot",
-    /// Responses that came after their attempt had timed out.
+    /// Responses received after their attempt had timed out.
     late_responses => "late_answers",
     /// Requests served by such a response.
     served_late => "served_late",
-    /// Streamed values passed on in full while they came.
+    /// Streamed values forwarded in full to clients.
     downloads => "long",
-    /// Streamed values that broke off before their end.
+    /// Streamed values to clients that broke off before their end.
     downloads_broken => "long_broken",
-    /// Streamed values of clients that began to go to the origin while they came.
+    /// Streamed values of clients whose forwarding to the origin began before they were complete.
     uploads => "uploads",
-    /// Responses that were malformed or for another id.
+    /// Responses that were malformed or had another request id.
     malformed_responses => "bad_answers",
     /// Connections opened to servers.
     connections_opened => "opened",
-    /// Endpoint lists and changes that discovery has sent.
+    /// Endpoint lists and watch events received from discovery.
     endpoint_updates => "lists",
-    /// Configurations taken over on a signal.
+    /// Configurations reloaded on a signal.
     reloads => "reloads",
-    /// Calls to discovery that failed, and watches that ended.
+    /// Discovery calls that failed, and watches that ended.
     discovery_failures => "discovery_failures",
 }
 
 impl Counters {
-    /// The counter of rejections for this reason.
+    /// The counter of rejections with this reason.
     pub fn rejections(&self, reason: RejectReason) -> &Cell<u64> {
         match reason {
             RejectReason::ObjectiveMissed => &self.rejected_objective_missed,
@@ -119,7 +119,7 @@
     }
 }
 
-/// Adds one.
+/// Adds one to a counter.
 pub fn increment(counter: &Cell<u64>) {
     counter.set(counter.get() + 1);
 }
--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -1,7 +1,8 @@
-//! Where the client side and the server side meet. The dispatcher owns the decisions, the open requests, the
-//! attempts and the timers; it knows no protocol, and neither side knows the other.
+//! Connects the client side to the server side. The dispatcher owns the decision core ([`juniperladder::Balancer`]),
+//! the open requests, the attempts and the timers. It is independent of protocols, and neither side depends on the
+//! other.
 //!
-//! Guarantee: each request that was taken gets exactly one answer, before its deadline, unless its client is gone.
+//! Guarantee: each accepted request gets exactly one answer, before its deadline, unless its client disconnects.
 //! No method may be called from a [`Carrier`], which is called while the state is borrowed.
 
 mod attempts;
@@ -38,32 +39,32 @@
 pub use crate::values::{Answer, ListedServer, Reply};
 use state::{DispatcherState, OpenRequest, Timer, NO_DEADLINE};
 
-/// How long before its client gives up a request is over here: the way of the answer back, and of the
-/// request here, neither of which is known.
+/// How long before the client's time-out a request has to be answered: allows for the network latency of the request
+/// and of the answer, neither of which is known.
 const DEADLINE_MARGIN: Micros = Micros(10_000);
-/// The deadline of a request where the settings have no class at all.
+/// Time-out of a request if the settings have no classes.
 const DEFAULT_DEADLINE: Micros = Micros(1_000_000);
-/// The share of a request's time that a wait before it was read may take at most.
+/// The largest share of a request's time-out that is subtracted for a wait before the request was read.
 const MAX_WAIT_SHARE: f64 = 0.5;
 
-/// Turns client requests into attempts and their results into answers, as the decisions say.
+/// Turns client requests into attempts and attempt results into answers, as the decision core directs.
 pub struct Dispatcher {
     pub(crate) state: RefCell<DispatcherState>,
-    /// The kind of the origin.
+    /// The server kind of the origin; none unless the balancer fetches from the origin itself.
     pub(crate) origin_kind: Option<u32>,
     clock: Clock,
-    /// The longest time of a request, for each class.
+    /// The longest time-out of a request, by class.
     class_deadlines: Vec<Micros>,
-    /// For how long servers drop repeats of a request, for each class whose repeats they drop.
+    /// How long servers drop duplicates of a request, by class; none for a class whose duplicates they do not drop.
     deduplication_windows: Vec<Option<Micros>>,
     counters: Rc<Counters>,
     pub(crate) request_metrics: Rc<RequestMetrics>,
     timer_set: Notify,
     watch_requested: Notify,
     last_request_closed: Notify,
-    /// When the timers fire next.
+    /// When the timer loop wakes up next.
     next_timer: Cell<Micros>,
-    /// When the last request has to be answered.
+    /// When the last request has to be answered at shutdown.
     final_deadline: Cell<Micros>,
     stalls: StallTracker,
     log_throttle: LogThrottle,
@@ -71,7 +72,7 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher that sends attempts by this carrier.
+    /// Creates a dispatcher that sends attempts through this carrier.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -117,7 +118,7 @@
         })
     }
 
-    /// From now on this balancer obeys the limits that it shares with others, and uses what they report.
+    /// Makes this balancer obey the limits that it shares with other balancers and use their reports.
     pub fn join(&self, coordination: Box<dyn Coordination>) {
         let mut state = self.state.borrow_mut();
         state.start_times.trust_wall_clock();
@@ -129,7 +130,7 @@
         &self.counters
     }
 
-    /// How many requests were taken and are not yet answered in full.
+    /// The number of requests that were accepted and are not yet answered in full.
     pub fn requests_in_progress(&self) -> usize {
         self.state.borrow().requests.len() + self.request_metrics.downloads_in_progress()
     }
@@ -139,14 +140,15 @@
         &self.clock
     }
 
-    /// Takes a request; its one answer comes on the receiver. None if a request with its id is open: servers
-    /// could not distinguish the two, and one would be answered for the other.
+    /// Accepts a request; the receiver gets its answer. Returns none if another request with the same id is open:
+    /// servers could not distinguish the two, and one might get the other's answer.
     pub fn take(&self, request: ClientRequest) -> Option<(ClientRequestId, oneshot::Receiver<Answer>)> {
         self.take_after_wait(request, Micros(0))
     }
 
-    /// Takes a request that may have waited for so long, at most, before it could be read. The wait is subtracted from the
-    /// request's time, but at most `MAX_WAIT_SHARE` of it: it is an upper bound and may be far too large.
+    /// Accepts a request that may have waited for up to `longest_wait` before it was read. The wait is subtracted from
+    /// the request's time-out, but at most `MAX_WAIT_SHARE` of the time-out, as `longest_wait` is an upper bound that
+    /// may be far too large.
     pub fn take_after_wait(
         &self,
         request: ClientRequest,
@@ -189,8 +191,8 @@
         Some((id, receiver))
     }
 
-    /// Until when a request has to be answered. A client that names no time-out, or one longer than its class allows, waits
-    /// as the class has it.
+    /// When a request has to be answered. Its time-out is limited to that of its class, which also applies if the
+    /// request has none.
     fn deadline_of(&self, request: &ClientRequest, now: Micros, longest_wait: Micros) -> Micros {
         let class_deadline = self.class_deadlines.get(request.class as usize);
         let class_deadline = class_deadline.or(self.class_deadlines.last()).copied();
@@ -201,7 +203,7 @@
         deadline.min(self.final_deadline.get())
     }
 
-    /// From now on every request is answered by this time, those that are open already too: the process ends then.
+    /// Limits the deadline of all requests, including open ones, to the time at which the process ends.
     pub fn set_final_deadline(&self, deadline: Micros) {
         self.final_deadline.set(deadline);
         let mut state = self.state.borrow_mut();
@@ -213,13 +215,13 @@
         self.timer_set.notify_one();
     }
 
-    /// Whether a client may write streamed values: they go to the origin while they come.
+    /// Whether clients may write streamed values, which requires an origin to forward them to.
     pub fn can_upload(&self) -> bool {
         self.origin_kind.is_some()
     }
 
-    /// Begins to send a streamed value that this request writes, though the request is not complete and not taken yet: a
-    /// server begins a request with its last byte. None where there is nowhere to send it now.
+    /// Begins to send a streamed value that this request writes, before the request is complete and accepted: the
+    /// server does not execute a request before it has its last byte. None if no origin server is available.
     pub fn begin_upload(
         &self,
         request: &ClientRequest,
@@ -235,12 +237,12 @@
         Some((handle, sender))
     }
 
-    /// The client is gone: nothing is owed any more.
+    /// Closes a request whose client has disconnected, without an answer.
     pub fn on_client_gone(&self, id: ClientRequestId) {
         let mut state = self.state.borrow_mut();
         if let Some(open) = state.remove_request(id) {
             increment(&self.counters.requests_abandoned);
-            debug!(self.log, "request abandoned: the client is gone"; "request" => id.0,
+            debug!(self.log, "request abandoned: client disconnected"; "request" => id.0,
                 "client_id" => %ClientText(&open.request.id));
             if !open.is_half_closed {
                 let event = Event::RequestAbandoned(id.to_request_id());
@@ -250,15 +252,15 @@
         self.notify_if_idle(&state);
     }
 
-    /// The client sends no more. It may be gone or wait for its answer, which cannot be distinguished: no
-    /// new attempt begins for it, and what is in flight already may still answer it.
+    /// Handles a client that has closed its sending side. Whether it is gone or waits for its answer cannot be
+    /// distinguished, so no new attempt begins, and attempts in flight may still answer the request.
     pub fn on_client_half_closed(&self, id: ClientRequestId) {
         let mut state = self.state.borrow_mut();
         let Some(open) = state.requests.get_mut(&id).filter(|open| !open.is_half_closed) else { return };
         open.is_half_closed = true;
-        debug!(self.log, "request half-closed: the client sends no more"; "request" => id.0,
+        debug!(self.log, "request half-closed: client closed its sending side"; "request" => id.0,
             "client_id" => %ClientText(&open.request.id));
-        // What no byte was written of does not begin any more.
+        // Attempts of which no byte was written are cancelled.
         open.closed.set(true);
         let attempts_in_flight = open.attempts_in_flight;
         self.handle(&mut state, self.clock.now(), Event::RequestAbandoned(id.to_request_id()));
@@ -267,7 +269,7 @@
         }
     }
 
-    /// Waits until the decisions want the changes of the endpoint list.
+    /// Waits until the decision core requests a watch of the endpoint list.
     pub async fn wait_for_watch_request(&self) {
         self.watch_requested.notified().await;
     }
@@ -279,21 +281,21 @@
         }
     }
 
-    /// Gives a request its final answer, and removes it.
+    /// Sends a request's final answer and removes the request.
     fn answer(&self, state: &mut DispatcherState, id: ClientRequestId, answer: Answer) {
         if let Some(open) = state.remove_request(id) {
             debug!(self.log, "request answered"; "request" => id.0,
                 "client_id" => %ClientText(&open.request.id), "answer" => answer.label(),
                 "attempts" => open.attempts, "attempts_in_flight" => open.attempts_in_flight);
             let answer = self.count_answer(open.request.class, answer);
-            // The connection may have ended in this very moment; then nobody waits for it.
+            // Fails if the client's connection has just ended; the answer is then discarded.
             let _ = open.answer.send(answer);
         }
         self.notify_if_idle(state);
     }
 
-    /// Counts an answer. A streamed value is counted once its client has it or it broke off, and so goes on with a
-    /// counter of its own.
+    /// Counts an answer. The outcome of a streamed value is counted only when its client has it or it broke off, by
+    /// the counter attached to the returned answer.
     fn count_answer(&self, class: u32, answer: Answer) -> Answer {
         let (counter, outcome) = match answer {
             Answer::Streamed(value) => {
@@ -315,7 +317,7 @@
         }
     }
 
-    /// Notes when this process stands still, for as long as it is polled.
+    /// Detects stalls of this process, for as long as the future is polled.
     pub async fn watch_stalls(&self) {
         loop {
             let next = self.stalls.on_tick(self.clock.now());
@@ -323,13 +325,13 @@
         }
     }
 
-    /// How long ago something may have happened that is noticed now: this process may have stood still since.
+    /// The longest time ago at which an event that is noticed now may have happened, due to a stall of this process.
     pub fn longest_unnoticed(&self) -> Micros {
         let now = self.clock.now();
         now.saturating_sub(self.stalls.earliest_time(now))
     }
 
-    /// Passes an event to the decisions and carries their actions out.
+    /// Passes an event to the decision core and executes the resulting actions.
     fn handle(&self, state: &mut DispatcherState, now: Micros, event: Event) {
         self.stalls.on_event(now);
         let mut actions = std::mem::take(&mut state.actions);
@@ -346,12 +348,12 @@
     }
 }
 
-/// For how long servers drop repeats of this class's requests; `None` where they do not.
+/// How long servers drop duplicates of this class's requests; `None` if they do not.
 fn deduplication_window(class: &Class) -> Option<Micros> {
     (class.idempotency == Idempotency::WithIdempotencyKey).then_some(class.deduplication_window)
 }
 
-/// A client's text as the log shows it, formatted only where a line is written.
+/// Text from a client as shown in the log; formatted only if the line is written.
 struct ClientText<'a>(&'a [u8]);
 
 impl fmt::Display for ClientText<'_> {
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of the dispatcher: the decisions' actions begin them, and their ends go back to the decisions.
+//! Attempts: begins them as the decision core directs, and reports their results to it.
 
 use std::rc::Rc;
 
@@ -14,12 +14,12 @@
 use crate::request::{Attempt, ClientRequestId};
 use crate::values::{Answer, Reply};
 
-/// How an attempt was completed, in the decisions' terms.
+/// The result of an attempt as reported to the decision core, with the answer.
 struct Completion {
     result: AttemptResult,
-    /// On a miss: whether another fetch of the key is out.
+    /// On a miss: whether another fetch of the key is in flight.
     fetch_in_progress: bool,
-    /// The answer, if it was served.
+    /// The answer, if the attempt was served.
     answer: Option<Answer>,
 }
 
@@ -37,7 +37,7 @@
             AttemptEnd::Reply(Reply::Miss { fetch_in_progress }) => {
                 return Completion { result: AttemptResult::Miss, fetch_in_progress, answer: None };
             }
-            // The server is at work, so that its connections and its load are not in question.
+            // The server is running: the result is no evidence against its connections or its load.
             AttemptEnd::Reply(Reply::Error) | AttemptEnd::Malformed => AttemptResult::Error,
             AttemptEnd::Reply(Reply::Rejected) => AttemptResult::Rejected,
             AttemptEnd::ConnectFailed => AttemptResult::ConnectFailed,
@@ -49,7 +49,8 @@
 }
 
 impl Dispatcher {
-    /// An attempt has ended on the network. Its request is answered if that is final, and the decisions are notified.
+    /// Handles the end of an attempt on the network: answers the request if the result is final, and notifies the
+    /// decision core.
     pub fn on_attempt_ended(&self, id: AttemptId, end: AttemptEnd) {
         let mut state = self.state.borrow_mut();
         match state.attempts.remove(&id) {
@@ -58,8 +59,8 @@
         }
     }
 
-    /// An attempt has ended that had timed out before. Its answer was made for the request all the same:
-    /// where that is open, while a retry is out, a client that waits is better served than not.
+    /// Handles the end of an attempt that had already timed out. If the request is still open, as a retry is in flight,
+    /// the late answer is valid and is sent to the client.
     fn on_late_end(&self, state: &mut DispatcherState, id: AttemptId, end: AttemptEnd) {
         let Some(request) = state.timed_out.remove(&id) else { return };
         let AttemptEnd::Reply(Reply::Served(answer)) = end else { return };
@@ -73,11 +74,11 @@
         }
     }
 
-    /// The deadline of an attempt has come.
+    /// Handles the deadline of an attempt.
     pub(super) fn on_attempt_timeout(&self, state: &mut DispatcherState, id: AttemptId) {
         let Some(attempt) = state.attempts.remove(&id) else { return };
         let is_written = state.carrier.abandon(id, attempt.server);
-        // What was never written completely cannot have been executed.
+        // An attempt that was not fully written cannot have been executed.
         let result = if is_written { AttemptResult::Timeout } else { AttemptResult::ConnectFailed };
         if is_written {
             state.timed_out.insert(id, attempt.request);
@@ -85,7 +86,7 @@
         self.complete_attempt(state, attempt, Completion::without_answer(result));
     }
 
-    /// Counts a completed attempt, answers its request where that is over, and notifies the decisions.
+    /// Counts a completed attempt, answers its request if the result is final, and notifies the decision core.
     fn complete_attempt(
         &self,
         state: &mut DispatcherState,
@@ -124,8 +125,9 @@
         });
     }
 
-    /// Answers the request of a completed attempt with what the attempt brought, or with a failure where its client sends no
-    /// more and no other attempt is in flight. Returns whether the decisions have nothing more to do with the request.
+    /// Answers the request of a completed attempt with the attempt's answer, or as failed if the attempt has none, the
+    /// client is half-closed and no other attempt is in flight. Returns whether the request is closed for the decision
+    /// core.
     fn answer_if_final(
         &self,
         state: &mut DispatcherState,
@@ -146,7 +148,7 @@
         is_half_closed
     }
 
-    /// Carries one of the decisions' actions out.
+    /// Executes an action of the decision core.
     pub(super) fn execute(&self, state: &mut DispatcherState, now: Micros, action: Action) {
         match action {
             Action::Send { id, server, timeout } => {
@@ -164,14 +166,14 @@
             }
             Action::Timer { at, token } => state.add_timer(at, Timer::Decisions(token)),
             Action::WatchEndpoints => {
-                debug!(self.log, "discovery call requested");
+                debug!(self.log, "endpoint list watch requested");
                 self.watch_requested.notify_one();
             }
             Action::Log(line) => info!(self.log, "decision"; "line" => line),
         }
     }
 
-    /// Begins an attempt at an open request. A time-out of zero stands for the request's deadline.
+    /// Begins an attempt of an open request. A time-out of zero means the request's deadline.
     fn begin_attempt(
         &self,
         state: &mut DispatcherState,
@@ -189,7 +191,7 @@
         if open.attempts == 0 {
             let class = open.request.class as usize;
             let windows = &self.deduplication_windows;
-            // A class that the settings lack counts as the last one everywhere.
+            // A class that is not in the settings counts as the last one everywhere.
             let window = windows.get(class).or(windows.last()).copied().flatten();
             open.retry_write_deadline = window.map_or(NO_DEADLINE, |window| now.saturating_add(window));
         }
--- a/dispatch/src/dispatcher/endpoints.rs
+++ b/dispatch/src/dispatcher/endpoints.rs
@@ -1,4 +1,5 @@
-//! The endpoint list in the dispatcher: its changes go to the decisions and the carrier, operator overrides laid over.
+//! The dispatcher's endpoint list: updates are combined with operator overrides and passed to the decision core and
+//! the carrier.
 
 use juniperladder::{Endpoint, EndpointState, EndpointUpdate, Event};
 use slog::{info, warn};
@@ -8,17 +9,17 @@
 use crate::clock::to_ms;
 use crate::values::ListedServer;
 
-/// Servers that are known at once, several times what a fleet has: a list that goes on for ever must not fill the memory, nor
-/// the time that each request takes. The origin is always among them.
+/// Maximum number of servers known at once, several times the size of a fleet: an endless list must not exhaust the
+/// memory, nor slow each request down. The origin is always kept and does not count.
 pub(super) const MAX_SERVERS: usize = 4_096;
 
 impl Dispatcher {
-    /// Whether requests can be served: some server is known.
+    /// Whether requests can be served: at least one known server is serving.
     pub fn is_ready(&self) -> bool {
         self.state.borrow().servers.values().any(|known| known.state == EndpointState::Serving)
     }
 
-    /// Logs which limits hold something back, and why.
+    /// Logs the limits that currently hold requests back, with the reason.
     pub fn log_limits(&self) {
         let state = self.state.borrow();
         let limits = state.balancer.limits(self.clock.now());
@@ -37,7 +38,7 @@
             "waiting" => limits.waiting_for_origin);
     }
 
-    /// The endpoint list has changed, as `update` says.
+    /// Handles a change of the endpoint list.
     pub fn on_endpoints_changed(&self, update: EndpointUpdate, servers: &[ListedServer]) {
         let mut state = self.state.borrow_mut();
         let servers = match update {
@@ -47,13 +48,14 @@
         self.apply_endpoints(&mut state, update, &servers);
     }
 
-    /// Discovery has said that the list in use is the current one.
+    /// Handles discovery's confirmation that the list in use is current.
     pub fn on_endpoints_confirmed(&self) {
         let now = self.clock.now();
         self.state.borrow_mut().start_times.on_list_confirmed(now);
     }
 
-    /// The update as the decisions are to see it: bounded, with starts on the own clock, and with operator overrides.
+    /// Prepares an update for the decision core: bounds it, converts start times to the local clock and applies operator
+    /// overrides.
     fn prepare_update(
         &self,
         state: &mut DispatcherState,
@@ -71,7 +73,7 @@
         overrides.apply_update(update.is_complete(), &servers)
     }
 
-    /// The update without the servers that are more than may be known; they are counted, and logged in one line.
+    /// Removes the servers that exceed `MAX_SERVERS` from an update; they are counted, and logged in one line.
     fn drop_surplus_servers(
         &self,
         state: &DispatcherState,
@@ -107,12 +109,12 @@
         let counter = &self.counters.endpoints_left_out;
         counter.set(counter.get() + left_out);
         if self.log_throttle.allows() {
-            warn!(self.log, "endpoint list too long: the rest is left out"; "max_servers" => MAX_SERVERS,
+            warn!(self.log, "endpoint list too long: surplus servers are ignored"; "max_servers" => MAX_SERVERS,
                 "left_out" => left_out);
         }
     }
 
-    /// Puts a prepared update in force, for the decisions and for the carrier.
+    /// Applies a prepared update, and passes it to the carrier and the decision core.
     pub(crate) fn apply_endpoints(
         &self,
         state: &mut DispatcherState,
--- a/dispatch/src/dispatcher/metrics.rs
+++ b/dispatch/src/dispatcher/metrics.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's figures for operators.
+//! The dispatcher's metrics for operators.
 
 use juniperladder::ServerId;
 use rustc_hash::FxHashSet;
@@ -7,25 +7,25 @@
 use crate::metrics_text::{MetricKind, MetricsText};
 use crate::request_metrics::RequestOutcome;
 
-/// The line after the last figure.
+/// The line after the last metric.
 const END_OF_FIGURES: &str = "--\n";
-/// The figures of requests that have ended, by the class's name.
+/// Metric name of each request outcome; the samples are labelled with the class.
 const OUTCOME_FIGURES: [(&str, RequestOutcome); 3] = [
     ("passed", RequestOutcome::Served),
     ("dropped", RequestOutcome::Rejected),
     ("bad_gateway", RequestOutcome::Failed),
 ];
 
-/// How many cache servers there are, and how many of them are avoided now.
+/// Number of cache servers, and of those that are currently skipped.
 struct ServerCounts {
     known: usize,
-    /// Offline by an operator, or gapped; servers avoided for another reason are not counted.
+    /// Taken offline by an operator, or gapped; servers skipped for another reason are not counted.
     skipped: usize,
 }
 
 impl Dispatcher {
-    /// The figures in the Prometheus text format, then `additional` ones and the line `--`. `class_names` are in the order of the
-    /// classes' numbers.
+    /// The metrics in the Prometheus text format, followed by the `additional` ones and the line `--`. `class_names` are
+    /// indexed by class number.
     pub fn metrics_text(&self, class_names: &[String], additional: &str) -> String {
         let mut text = MetricsText::default();
         self.write_outcomes(&mut text, class_names);
--- a/dispatch/src/dispatcher/overrides.rs
+++ b/dispatch/src/dispatcher/overrides.rs
@@ -1,7 +1,7 @@
-//! Operators' calls that take a server offline and bring it online again. No I/O: the daemon reads the calls and writes the
-//! answers.
+//! Operator overrides: take a server offline and bring it online again. No I/O: the daemon reads the calls and writes
+//! the answers.
 //!
-//! A call is no change of discovery's: it neither answers a poll nor puts one off.
+//! An override is not an update from discovery: it neither answers a poll nor postpones one.
 
 use juniperladder::EndpointUpdate;
 
@@ -11,11 +11,11 @@
 use crate::values::ListedServer;
 
 impl Dispatcher {
-    /// Takes a cache server offline: nothing new goes there from now on, whatever discovery says, until
+    /// Takes a cache server offline: no new attempts are sent to it, whatever discovery reports, until
     /// [`Dispatcher::bring_online`].
     ///
     /// # Errors
-    /// The server has never been listed.
+    /// The server was never listed.
     pub fn take_offline(&self, name: &str) -> Result<(), UnknownServer> {
         let now = self.clock().now();
         let overridden = self.state.borrow_mut().overrides.take_offline(server_id(name), name, now)?;
@@ -23,17 +23,18 @@
         Ok(())
     }
 
-    /// Takes a server offline as an earlier process had it.
+    /// Restores the override of an earlier process that took this server offline.
     pub fn restore_override(&self, name: &str) {
         let now = self.clock().now();
         let overridden = self.state.borrow_mut().overrides.restore(server_id(name), name, now);
         self.apply_override(overridden);
     }
 
-    /// Brings a server online again: it serves as discovery has it, warming up as one that has just started.
+    /// Brings a server online again: its state is the one in discovery, and it warms up like a server that has just
+    /// started.
     ///
     /// # Errors
-    /// The server is not offline and has never been listed.
+    /// The server is not offline and was never listed.
     pub fn bring_online(&self, name: &str) -> Result<(), UnknownServer> {
         let now = self.clock().now();
         let overridden = self.state.borrow_mut().overrides.bring_online(server_id(name), now)?;
--- a/dispatch/src/dispatcher/overrides/tests.rs
+++ b/dispatch/src/dispatcher/overrides/tests.rs
@@ -1,4 +1,4 @@
-//! Operators' calls, on a dispatcher without a network.
+//! Operator overrides on a dispatcher without a network.
 
 use std::rc::Rc;
 
@@ -22,7 +22,7 @@
     (dispatcher, recorder)
 }
 
-/// So many requests for as many keys, each served by where it goes; how many go to the server.
+/// Sends requests for as many keys, each of which is served; returns how many attempts went to `SERVER`.
 async fn sent_there(dispatcher: &Dispatcher, recorder: &Recorder, requests: u64) -> usize {
     let mut there = 0;
     for n in 0..requests {
@@ -46,8 +46,8 @@
     listed_server
 }
 
-/// A call is no news from discovery: the balancer goes on to ask for the list, the first time as well as
-/// after a watch was lost, or it would send by a list that nobody keeps up to date.
+/// An override is not an update from discovery. Guards against an override that postpones the next watch request, at
+/// the start as well as after a watch was lost: the endpoint list in use would become stale.
 #[test]
 fn an_operators_call_puts_off_no_poll() {
     testing::run(async {
@@ -61,14 +61,15 @@
             dispatcher.bring_online(NAME).unwrap();
             timeout(within, dispatcher.wait_for_watch_request())
                 .await
-                .expect("the list has to be asked for in time");
+                .expect("a watch of the endpoint list is requested within the poll interval");
             dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[]);
             dispatcher.on_endpoints_changed(EndpointUpdate::Unavailable, &[]);
         }
     });
 }
 
-/// What discovery may say of the server while it is offline: gone, started anew, moved, left out of a list, and so on.
+/// Updates from discovery that concern the offline server: deleted, restarted, at a new address, missing from a list,
+/// discovery unavailable, list restored.
 fn updates_of_discovery() -> Vec<(EndpointUpdate, Vec<ListedServer>)> {
     let others: Vec<ListedServer> =
         (1..4).map(|n| listed_server(ServerId(SERVER.0 + n), EndpointState::Serving)).collect();
@@ -86,32 +87,33 @@
     ]
 }
 
-/// Whether discovery lists the server now.
+/// Whether discovery lists `SERVER`.
 fn is_listed(dispatcher: &Dispatcher) -> bool {
     let state = dispatcher.state.borrow();
     let mut listed = state.overrides.discovered_servers();
     listed.any(|listed| listed.endpoint.server == SERVER)
 }
 
-/// From the call that takes it offline to the one that brings it online, whoever replaces the process; then it serves again.
+/// Guards against an override that an update from discovery or a replacement of the process undoes: until the server is
+/// brought online no attempt may go to it, and from then on it has to serve again.
 #[test]
 fn nothing_goes_to_a_server_that_is_offline_whatever_discovery_says() {
     testing::run(async {
         let mut fleet: Vec<_> = (0..3).map(|_| balancer()).collect();
         for (dispatcher, recorder) in &fleet {
-            assert!(sent_there(dispatcher, recorder, 40).await > 0, "it is in use");
+            assert!(sent_there(dispatcher, recorder, 40).await > 0, "the server is in use");
             dispatcher.take_offline(NAME).unwrap();
         }
         for (kind, servers) in updates_of_discovery() {
             for (dispatcher, recorder) in &fleet {
                 dispatcher.on_endpoints_changed(kind, &servers);
                 assert_eq!(sent_there(dispatcher, recorder, 40).await, 0, "{kind:?} {servers:?}");
-                dispatcher.take_offline(NAME).expect("a second call is the same");
+                dispatcher.take_offline(NAME).expect("taking a server offline is idempotent");
                 if is_listed(dispatcher) {
                     assert!(dispatcher.metrics_text(&[], "").contains("skipped_cache_hosts 1\n"));
                 }
             }
-            // One is replaced: its overrides go on in its successor.
+            // One process is replaced; its successor restores the overrides.
             let (replaced, _) = fleet.remove(0);
             let (successor, recorder) = balancer();
             for name in replaced.offline_servers() {
@@ -122,7 +124,7 @@
         }
         for (dispatcher, recorder) in &fleet {
             dispatcher.bring_online(NAME).unwrap();
-            assert!(sent_there(dispatcher, recorder, 400).await > 0, "it serves again within 4 s");
+            assert!(sent_there(dispatcher, recorder, 400).await > 0, "the server serves again within 4 s");
         }
         assert_eq!(fleet[0].0.take_offline("s-0000abcd"), Err(UnknownServer));
         let answer = "no such cache host has been listed; give an instanceId of the list";
--- a/dispatch/src/dispatcher/state.rs
+++ b/dispatch/src/dispatcher/state.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher stores: open requests, attempts in flight, timers and the endpoint list in use.
+//! The dispatcher's state: open requests, attempts in flight, timers and the endpoint list in use.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
@@ -17,7 +17,7 @@
 use crate::start_times::StartTimes;
 use crate::values::Answer;
 
-/// A time that does not come.
+/// A time that is never reached.
 pub(super) const NO_DEADLINE: Micros = Micros(u64::MAX);
 
 /// A request that has no final answer yet.
@@ -25,12 +25,13 @@
     pub(super) request: Rc<ClientRequest>,
     pub(super) answer: oneshot::Sender<Answer>,
     pub(super) deadline: Micros,
-    /// How many attempts have begun.
+    /// The number of attempts begun.
     pub(super) attempts: u32,
     pub(super) attempts_in_flight: u32,
-    /// The client sends no more and may be gone; the decisions have closed the request.
+    /// Whether the client has closed its sending side and may be gone; the request is closed in the decision core.
     pub(super) is_half_closed: bool,
-    /// Until when a retry may be written, as servers drop it until then; counted from the first attempt.
+    /// The end of the deduplication window, counted from the first attempt. Until then servers drop a duplicate, so
+    /// that a retry may be written.
     pub(super) retry_write_deadline: Micros,
     pub(super) closed: ClosedFlag,
 }
@@ -39,15 +40,15 @@
 pub(super) struct InFlightAttempt {
     pub(super) request: ClientRequestId,
     pub(super) server: ServerId,
-    /// Which attempt of its request it is, from zero.
+    /// The attempt's number within its request, from zero.
     pub(super) attempt: u32,
     pub(super) begun: Micros,
 }
 
-/// What a timer is for. At the same time they fire in this order.
+/// The purpose of a timer. Timers due at the same time fire in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// One of the decisions', with their token.
+    /// A timer of the decision core, with its token.
     Decisions(u64),
     /// The deadline of an attempt.
     Attempt(AttemptId),
@@ -62,20 +63,20 @@
     pub(super) address: Option<SocketAddr>,
 }
 
-/// All that changes in the dispatcher.
+/// The mutable state of the dispatcher.
 pub(crate) struct DispatcherState {
     pub(crate) balancer: Balancer,
     pub(super) carrier: Rc<dyn Carrier>,
     pub(super) requests: FxHashMap<ClientRequestId, OpenRequest>,
-    /// The clients' ids of the open requests; peers choose them, so that their hash is seeded.
+    /// The client-chosen ids of the open requests. The set has a seeded hash, as clients could choose ids that collide.
     pub(super) client_ids: HashSet<Bytes>,
     pub(super) attempts: FxHashMap<AttemptId, InFlightAttempt>,
-    /// Attempts that have timed out and whose answer may still come.
+    /// Attempts that have timed out and whose reply may still arrive.
     pub(super) timed_out: FxHashMap<AttemptId, ClientRequestId>,
     pub(super) timers: BinaryHeap<Reverse<(Micros, Timer)>>,
-    /// The buffer for the decisions' actions, empty between two events.
+    /// Reused buffer for the actions of the decision core, empty between events.
     pub(super) actions: Vec<Action>,
-    /// The last number that was given to a request or an attempt.
+    /// The last number assigned to a request or an attempt.
     pub(super) last_id: u64,
     pub(super) servers: FxHashMap<ServerId, KnownServer>,
     pub(crate) overrides: OperatorOverrides,
@@ -83,13 +84,13 @@
 }
 
 impl DispatcherState {
-    /// The next number for a request or an attempt.
+    /// Assigns the next number for a request or an attempt.
     pub(super) fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// Removes a request, and cancels what of its attempts is not written yet.
+    /// Removes a request and cancels its attempts that are not fully written.
     pub(super) fn remove_request(&mut self, id: ClientRequestId) -> Option<OpenRequest> {
         let open = self.requests.remove(&id)?;
         self.client_ids.remove(&open.request.id);
--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -1,4 +1,4 @@
-//! Requests from their taking to their one answer, with a carrier that only records attempts.
+//! Requests from their acceptance to their answer, with a carrier that only records attempts.
 
 use bytes::Bytes;
 use juniperladder::{EndpointState, EndpointUpdate, ServerId};
@@ -17,7 +17,7 @@
     (dispatcher, recorder)
 }
 
-/// Rule 1: silent servers or not, the one answer comes before the client gives up.
+/// Guards against requests that get no answer before the client's time-out when all servers are silent.
 #[test]
 fn every_request_is_answered_before_its_deadline() {
     testing::run(async {
@@ -39,13 +39,13 @@
             assert_eq!(
                 dispatcher.counters.overdue.get(),
                 0,
-                "the decisions end it, not the deadline behind them"
+                "closed by the decision core, not by the deadline behind it"
             );
         }
     });
 }
 
-/// What the decisions gives up is answered at once, not at its deadline.
+/// Guards against a rejection that is delayed until the request's deadline.
 #[test]
 fn a_rejected_request_is_answered_at_once() {
     testing::run(async {
@@ -59,7 +59,8 @@
     });
 }
 
-/// A client that half-closes may be gone: nothing begins for it, what is out still answers it.
+/// A half-closed client may be gone or wait for its answer. Guards against new attempts for it, and against an attempt
+/// in flight whose answer is lost.
 #[test]
 fn a_half_closed_client_is_answered_by_attempts_in_flight() {
     testing::run(async {
@@ -78,7 +79,7 @@
     });
 }
 
-/// What comes after its time-out, while the request is tried elsewhere, is an answer all the same.
+/// Guards against discarding a valid answer that arrives after its attempt timed out, while a retry is in flight.
 #[test]
 fn a_late_answer_serves_a_request_that_is_still_open() {
     testing::run(async {
@@ -92,7 +93,9 @@
         while dispatcher.counters.attempts_timed_out.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let [first, second] = &recorder.begun.take()[..] else { panic!("it is tried elsewhere") };
+        let [first, second] = &recorder.begun.take()[..] else {
+            panic!("expected a retry at another server")
+        };
         let value = Answer::Value(Bytes::from_static(b"v"));
         dispatcher.on_attempt_ended(first.id, AttemptEnd::Reply(Reply::Served(value.clone())));
         assert_eq!(answer.await, Ok(value.clone()));
@@ -102,8 +105,8 @@
     });
 }
 
-/// With a request's final answer, or its client's end, all its attempts are over: those that no byte has gone out of
-/// must never begin.
+/// Guards against wasted work at servers: after a request's final answer, or after its client disconnects, no attempt of
+/// the request may still be written.
 #[test]
 fn attempts_are_cancelled_once_their_request_is_closed() {
     testing::run(async {
@@ -113,7 +116,7 @@
             while recorder.begun.borrow().len() < 2 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            let [first, second] = &recorder.begun.take()[..] else { panic!("a second copy is out") };
+            let [first, second] = &recorder.begun.take()[..] else { panic!("expected a hedged attempt") };
             let now = dispatcher.clock.now();
             assert!(!first.is_cancelled(now) && !second.is_cancelled(now));
             if gone {
@@ -128,7 +131,8 @@
     });
 }
 
-/// Servers drop a repeat for a while after the first attempt: one that still waits for a connection then must not go out.
+/// Servers drop duplicates only within a window after the first attempt. Guards against a duplicate execution by a retry
+/// that waits for a connection until the window has ended.
 #[test]
 fn a_retry_is_written_only_within_the_deduplication_window() {
     testing::run(async {
@@ -152,7 +156,8 @@
     });
 }
 
-/// Guards against a repeated write of a class that the settings lack: it counts as the last class everywhere, its window included.
+/// Guards against a duplicate write of a class that is not in the settings: it counts as the last class, whose
+/// deduplication window applies.
 #[test]
 fn a_retry_of_an_unknown_class_is_written_only_within_the_last_classes_window() {
     testing::run(async {
@@ -172,8 +177,8 @@
     });
 }
 
-/// A list as long as a fleet's is known completely; of one that is far too long a bounded part is, with the origin at its end.
-/// Servers that go leave capacity for others.
+/// Guards against an endless endpoint list that exhausts the memory. A list of a fleet's size is kept completely; of a
+/// longer one a bounded part is kept, and the origin even as its last entry. Deleted servers free capacity for others.
 #[test]
 fn an_endless_endpoint_list_is_bounded() {
     let recorder = Rc::new(Recorder::default());
@@ -201,8 +206,8 @@
     assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (MAX_SERVERS, 16));
 }
 
-/// A process that is to end has an answer for all that it took before its time is up: what was open then, what
-/// connections that are not closed yet still bring, and at once for what comes after.
+/// Guards against requests left unanswered when the process ends: requests open when the final deadline is set and
+/// requests accepted later are answered by that deadline, and requests accepted after it at once.
 #[test]
 fn every_open_request_is_answered_by_the_final_deadline() {
     testing::run(async {
@@ -222,7 +227,7 @@
     });
 }
 
-/// An id names one open request; once that is over it may come again.
+/// Two open requests with one id could get each other's answers. Once the first is closed its id may be used again.
 #[test]
 fn a_request_with_an_id_in_use_is_not_taken() {
     testing::run(async {
@@ -238,8 +243,8 @@
     });
 }
 
-/// A server that joins is in slow start, and one that joined long ago is not, however wrong the wall clock is that reports its
-/// start.
+/// Guards against a wrong wall clock that lets a server that has just joined skip slow start, or keeps one that joined
+/// long ago in slow start.
 #[test]
 fn a_wrong_wall_clock_changes_no_slow_start() {
     const WARM_UP: Duration = Duration::from_secs(9);
@@ -279,7 +284,7 @@
         let ahead = sends_in_a_second(&|now| now - HOUR, age);
         let behind = sends_in_a_second(&|now| now + HOUR, age);
         println!("{age:?}: {right} {ahead} {behind}");
-        // The part of its capacity that it is sent may be that of one which is older by the time until it is listed.
+        // The server may count as older by the time that discovery takes to list it, and so get a larger share.
         let part = |sends: usize| sends as f64 / right.max(1) as f64;
         assert!(part(ahead) < 1.8 && part(ahead) > 0.7, "{age:?}: {ahead} for {right}");
         assert!(part(behind) < 1.4 && part(behind) > 0.7, "{age:?}: {behind} for {right}");
--- a/dispatch/src/dispatcher/timers.rs
+++ b/dispatch/src/dispatcher/timers.rs
@@ -1,7 +1,8 @@
-//! The dispatcher's timers: the decisions' own, the deadline of each attempt, and each request's deadline behind them.
+//! The dispatcher's timers: those of the decision core, the deadline of each attempt and, as a backstop, the deadline of
+//! each request.
 //!
-//! Guarantee: a timer fires only after a turn of the event loop that began when it was due already. Whatever arrived in time is
-//! read in that turn, so that an event loop that is late lets no answer pass for a missing one.
+//! Guarantee: a timer fires only after a full turn of the event loop that began when the timer was already due. Replies
+//! that arrived in time are read in that turn, so that event loop delay does not turn them into time-outs.
 
 use std::cmp::Reverse;
 
@@ -16,11 +17,11 @@
 use crate::request::ClientRequestId;
 use crate::values::Answer;
 
-/// The longest sleep without a look at the timers: the runtime's clock reaches less far than [`NO_DEADLINE`].
+/// Longest sleep of the timer loop: the runtime's clock cannot represent [`NO_DEADLINE`].
 const MAX_SLEEP: Micros = Micros(3_600_000_000);
 
 impl Dispatcher {
-    /// Fires the timers, for as long as it is polled.
+    /// Fires the timers, for as long as the future is polled.
     pub async fn run_timers(&self) {
         loop {
             let now = self.clock.now();
@@ -39,13 +40,13 @@
         }
     }
 
-    /// When the next timer is due.
+    /// When the next timer is due; `NO_DEADLINE` if there is none.
     fn next_due(&self) -> Micros {
         let state = self.state.borrow();
         state.timers.peek().map_or(NO_DEADLINE, |Reverse((at, _))| *at)
     }
 
-    /// Fires all timers that were due by this time.
+    /// Fires all timers that are due by this time.
     fn fire_timers_due_by(&self, due_by: Micros) {
         loop {
             let mut state = self.state.borrow_mut();
@@ -63,8 +64,8 @@
         }
     }
 
-    /// The deadline of a request has come; most are over by then. The attempts' time-outs come first and let the
-    /// decisions end it: this guards against a request that they have forgotten.
+    /// Handles the deadline of a request. Most requests are closed by then; for an open one the decision core is first
+    /// given the time-outs of its attempts. A request that the decision core still does not close is answered as failed.
     fn on_request_deadline(&self, state: &mut DispatcherState, now: Micros, id: ClientRequestId) {
         if !state.requests.contains_key(&id) {
             return;
--- a/dispatch/src/identifiers.rs
+++ b/dispatch/src/identifiers.rs
@@ -1,17 +1,17 @@
 //! The identifiers of servers, keys and attempts.
 //!
-//! Guarantee: those of servers and keys are made from their names alone, and so are the same at every balancer and after
-//! every restart. Those of attempts are this process's own.
+//! Guarantee: identifiers of servers and keys are derived from their names alone, and so are equal at every balancer
+//! and after every restart. Identifiers of attempts are local to this process.
 
 use std::fmt;
 
 use juniperladder::{Key, ServerId};
 
-/// Identifies one attempt for as long as the process runs.
+/// Identifies one attempt for the lifetime of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId(pub u64);
 
-/// A hash of 64 bits that is the same at every balancer and after every restart (FNV-1a, then mixed).
+/// A 64-bit hash that is equal at every balancer and after every restart (FNV-1a with a final mix).
 pub fn hash(bytes: &[u8]) -> u64 {
     let mixed = bytes.iter().fold(0xcbf2_9ce4_8422_2325_u64, |sum, byte| {
         (sum ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3)
@@ -20,22 +20,22 @@
     mixed ^ (mixed >> 33)
 }
 
-/// A key's identifier: its own value where it is sixteen hexadecimal digits, so that no two of them meet,
-/// and a hash otherwise. Placement rests on its being the same everywhere.
+/// A key's identifier: the numeric value of a key of sixteen hexadecimal digits, so that no two such keys collide, and
+/// a hash of any other key. Placement relies on the identifier being equal at every balancer.
 pub fn key(text: &[u8]) -> Key {
     Key(hexadecimal(text, 16).unwrap_or_else(|| hash(text)))
 }
 
-/// A server's identifier, from its name alone: nothing is stored for servers that have gone, and every balancer has the
-/// same one whatever it has seen before. Names of the usual form have the value of their digits, below
-/// 2^32; the others have a hash above 2^63, so that the two kinds never meet.
+/// A server's identifier, derived from its name alone: nothing has to be stored for servers that are gone, and
+/// all balancers agree on it whatever lists they have received. A name of the form `s-` with eight hexadecimal digits
+/// has their value, below 2^32; any other name has a hash above 2^63, so that the two forms never collide.
 pub fn server_id(name: &str) -> ServerId {
     let digits = name.strip_prefix("s-").and_then(|digits| hexadecimal(digits.as_bytes(), 8));
     ServerId(digits.unwrap_or_else(|| hash(name.as_bytes()) | 1 << 63))
 }
 
-/// How the log names a server: by the name itself where it has the usual form, and by its identifier otherwise. Formatted only
-/// where a line is written, as the lines of single requests mostly are not.
+/// A server in a log line: its name if that has the usual form, and its identifier otherwise. Formatted only if the
+/// line is written, as the debug lines of single requests mostly are not.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLabel(pub ServerId);
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// The value of exactly so many lower-case hexadecimal digits.
+/// The value of a text of exactly `digits` lower-case hexadecimal digits.
 fn hexadecimal(text: &[u8], digits: usize) -> Option<u64> {
     let plain = text.len() == digits && text.iter().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
     let text = std::str::from_utf8(text).ok().filter(|_| plain)?;
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -1,9 +1,9 @@
-//! Where the client side and the server side of a balancer meet. It knows no protocol and no socket.
+//! Connects the client side of a balancer to its server side, without protocols or sockets.
 //!
-//! It is used from one thread: its types are shared by `Rc` and hold `Cell`s.
+//! Single-threaded: the types are shared by `Rc` and hold `Cell`s.
 //!
-//! [`dispatcher::Dispatcher`] owns the decisions, the open requests, the attempts and the timers;
-//! [`values`] are what every front and every protocol shares.
+//! [`dispatcher::Dispatcher`] owns the decision core ([`juniperladder::Balancer`]), the open requests, the
+//! attempts and the timers; [`values`] are the types that all protocols share.
 
 pub mod carrier;
 pub mod clock;
--- a/dispatch/src/log_throttle.rs
+++ b/dispatch/src/log_throttle.rs
@@ -1,11 +1,11 @@
-//! Limits the log to one line for each cause and second, as peers can bring things about as fast as they like.
+//! Limits the log to one line per cause and second, as peers can trigger log lines at any rate.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// The least time between two lines of one cause.
+/// Minimum time between two lines of one cause.
 const LINE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Limits the lines of one cause.
@@ -15,7 +15,7 @@
 }
 
 impl LogThrottle {
-    /// Whether a line may be written now. It is taken to be written.
+    /// Whether a line may be written now. If so, the caller is expected to write it: it counts from here on.
     pub fn allows(&self) -> bool {
         let now = Instant::now();
         let is_allowed = self.last_line.get().is_none_or(|last| now.duration_since(last) >= LINE_INTERVAL);
--- a/dispatch/src/log_throttle/tests.rs
+++ b/dispatch/src/log_throttle/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::testing;
 
-/// What a peer does without end fills no log: one line at once, and then one a second.
+/// Guards against a peer that floods the log: the first line is written at once, and then one per second.
 #[test]
 fn a_flood_is_logged_once_a_second() {
     testing::run(async {
--- a/dispatch/src/metrics_text.rs
+++ b/dispatch/src/metrics_text.rs
@@ -1,15 +1,15 @@
-//! Figures in the Prometheus text format, as operators' tools read them.
+//! Metrics in the Prometheus text format, as operators' tools read them.
 //!
-//! Every figure's name begins with `app_`, which is added here. Names and labels are an interface and never change.
+//! Every metric name begins with `app_`, which is added here. Names and labels are an interface and never change.
 
 use std::fmt::{Display, Write};
 
-/// What a figure's value means over time.
+/// The type of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricKind {
-    /// It only grows while the process runs.
+    /// A value that only grows while the process runs.
     Counter,
-    /// It goes up and down.
+    /// A value that rises and falls.
     Gauge,
 }
 
@@ -22,36 +22,36 @@
     }
 }
 
-/// A label's name and value.
+/// The name and value of a label.
 pub type Label<'a> = (&'a str, &'a str);
 
-/// Figures, one a line.
+/// Metrics text under construction, one sample per line.
 #[derive(Debug, Default)]
 pub struct MetricsText(String);
 
 impl MetricsText {
-    /// Writes the line that says of what kind a figure is.
+    /// Writes the line that declares the type of a metric.
     pub fn declare(&mut self, name: &str, kind: MetricKind) {
         self.write_line(format_args!("# TYPE app_{name} {}", kind.label()));
     }
 
-    /// Writes a figure.
+    /// Writes a sample.
     pub fn sample(&mut self, name: &str, value: impl Display) {
         self.write_line(format_args!("app_{name} {value}"));
     }
 
-    /// Writes a figure that a label distinguishes from others of its name.
+    /// Writes a sample with a label.
     pub fn labelled_sample(&mut self, name: &str, (label, text): Label<'_>, value: impl Display) {
         self.write_line(format_args!("app_{name}{{{label}=\"{}\"}} {value}", escape(text)));
     }
 
-    /// Writes the kind of a figure, and the figure.
+    /// Writes the type of a metric and its only sample.
     pub fn declared_sample(&mut self, name: &str, kind: MetricKind, value: impl Display) {
         self.declare(name, kind);
         self.sample(name, value);
     }
 
-    /// The text.
+    /// The complete text.
     pub fn into_string(self) -> String {
         self.0
     }
--- a/dispatch/src/metrics_text/tests.rs
+++ b/dispatch/src/metrics_text/tests.rs
@@ -1,4 +1,4 @@
-//! Lines as operators' tools read them.
+//! Metrics lines as operators' tools read them.
 
 use super::*;
 
--- a/dispatch/src/overrides.rs
+++ b/dispatch/src/overrides.rs
@@ -1,8 +1,8 @@
-//! Operator overrides: the servers that operators have put offline, laid over every list that discovery sends.
+//! Operator overrides: servers that operators have taken offline, applied to every list from discovery.
 //!
-//! Guarantee: from [`OperatorOverrides::take_offline`] on the server drains, whatever discovery says, until
-//! [`OperatorOverrides::bring_online`]. An override belongs to the server's id and stands outside the list's entries: no list,
-//! change or reset touches it. Times are on the caller's clock; no I/O and no clock here.
+//! Guarantee: from [`OperatorOverrides::take_offline`] to [`OperatorOverrides::bring_online`] the server is draining,
+//! whatever discovery reports. An override is keyed by the server's id and stored apart from the endpoint list, so that
+//! no list, change or reset removes it. The caller passes the time; no I/O and no clock here.
 
 use std::collections::VecDeque;
 
@@ -12,10 +12,10 @@
 
 use crate::values::ListedServer;
 
-/// How many ids of servers that have been listed are remembered; beyond it the oldest are forgotten.
+/// Maximum number of ids of servers that were ever listed to remember; beyond it the oldest are forgotten.
 const MAX_REMEMBERED_SERVERS: usize = 16_384;
 
-/// The server has never been listed, and is not offline either.
+/// The server was never listed, and is not offline either.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("no such cache host has been listed; give an instanceId of the list")]
 pub struct UnknownServer;
@@ -27,8 +27,8 @@
     since: Micros,
 }
 
-/// An ended override, kept until discovery reports that the server has started since the override began. Until then the server
-/// counts as started when the override ended.
+/// An ended override, kept until discovery reports a start of the server since the override began. Until then the
+/// server's start time is taken to be the end of the override, as the operator may have restarted it.
 #[derive(Clone, Copy, Debug)]
 struct EndedOverride {
     since: Micros,
@@ -39,18 +39,16 @@
 #[derive(Debug, Default)]
 pub struct OperatorOverrides {
     offline: FxHashMap<ServerId, OfflineOverride>,
-    /// Whatever an operator did to such a server, it counts as started when its override ended, until discovery reports a
-    /// start since the override began.
     ended: FxHashMap<ServerId, EndedOverride>,
     listed: FxHashMap<ServerId, ListedServer>,
-    /// The ids that have ever been listed, and the same in the order in which they first were.
+    /// The ids of servers that were ever listed, and the same ids in the order of their first listing.
     known: FxHashSet<ServerId>,
     known_in_order: VecDeque<ServerId>,
 }
 
 impl OperatorOverrides {
-    /// Takes in a list of discovery, or the changes to one, and returns it as the decisions are to see it: a server that is
-    /// offline drains.
+    /// Records a complete list from discovery, or changes to one, and returns it with the overrides applied: a serving
+    /// server that is offline is draining.
     pub fn apply_update(&mut self, is_complete: bool, servers: &[ListedServer]) -> Vec<ListedServer> {
         if is_complete {
             self.listed.clear();
@@ -104,10 +102,10 @@
         listed
     }
 
-    /// Takes a server offline. Returns it as the decisions are to see it if it is listed now.
+    /// Takes a server offline. Returns the server with the override applied if it is listed.
     ///
     /// # Errors
-    /// The server has never been listed, as far as that is remembered, and is not offline already.
+    /// The server is not offline, and was never listed as far as that is remembered.
     pub fn take_offline(
         &mut self,
         server: ServerId,
@@ -120,19 +118,19 @@
         Ok(self.restore(server, name, now))
     }
 
-    /// Takes a server offline as an earlier process had it, whether it was ever listed here or not. Returns it as the decisions
-    /// are to see it if it is listed now.
+    /// Restores the override of an earlier process, whether the server was ever listed here or not. Returns the
+    /// server with the override applied if it is listed.
     pub fn restore(&mut self, server: ServerId, name: &str, now: Micros) -> Option<ListedServer> {
         let new = || OfflineOverride { name: name.to_owned(), since: now };
         self.offline.entry(server).or_insert_with(new);
         self.current(server)
     }
 
-    /// Ends an override, if there is one. Returns the server as the decisions are to see it if it is listed: it comes back as one
-    /// that has just started, unless discovery has reported a start since the override began.
+    /// Ends an override, if there is one. Returns the server without the override if it is listed: its start time is
+    /// `now`, unless discovery has reported a start since the override began.
     ///
     /// # Errors
-    /// The server is not offline, and has never been listed as far as that is remembered.
+    /// The server is not offline, and was never listed as far as that is remembered.
     pub fn bring_online(
         &mut self,
         server: ServerId,
@@ -165,7 +163,7 @@
         names
     }
 
-    /// The servers listed now, as discovery has them.
+    /// The servers that are listed, as last reported by discovery.
     pub fn discovered_servers(&self) -> impl Iterator<Item = &ListedServer> {
         self.listed.values()
     }
--- a/dispatch/src/overrides/tests.rs
+++ b/dispatch/src/overrides/tests.rs
@@ -1,4 +1,4 @@
-//! Overrides against lists, changes and resets of discovery.
+//! Operator overrides under lists, changes and resets from discovery.
 
 use juniperladder::Endpoint;
 
@@ -30,9 +30,9 @@
     overrides.apply_update(true, &[serving(7), serving(8)]);
     let overridden = overrides.take_offline(ServerId(7), "s-7", NOW).unwrap().unwrap();
     assert_eq!(overridden.endpoint.state, EndpointState::Draining);
-    assert!(overrides.take_offline(ServerId(7), "s-7", NOW).is_ok(), "a second call is the same");
-    // Discovery says the server serves, in whole lists and in changes alike, that it is gone, that it has
-    // started anew, and has it in no list at all: it still drains whenever it is named.
+    assert!(overrides.take_offline(ServerId(7), "s-7", NOW).is_ok(), "taking a server offline is idempotent");
+    // Discovery reports the server as serving, in complete lists and in changes, as deleted and as restarted, and
+    // sends a list without it: the server is draining in every update that contains it.
     for replace in [true, false] {
         let seen = overrides.apply_update(replace, &[serving(7), serving(8)]);
         assert_eq!(
@@ -53,26 +53,27 @@
     assert!(overrides.bring_online(ServerId(9), NOW).is_err());
 }
 
-/// An id that was listed once is a server that operators know, though the list lacks it at this moment.
+/// Guards against rejecting an operator's call for a server that was listed once but is not in the current list.
 #[test]
 fn a_server_that_is_gone_from_the_list_can_be_taken_offline() {
     let mut overrides = OperatorOverrides::default();
     overrides.apply_update(true, &[serving(7)]);
     overrides.apply_update(false, &[listed_server(7, EndpointState::Deleted, 0)]);
-    assert!(overrides.bring_online(ServerId(7), NOW).unwrap().is_none(), "nothing to end, and no harm");
+    assert!(overrides.bring_online(ServerId(7), NOW).unwrap().is_none(), "no override to end, and no error");
     assert!(overrides.take_offline(ServerId(7), "s-7", NOW).unwrap().is_none());
     assert_eq!(overrides.apply_update(false, &[serving(7)])[0].endpoint.state, EndpointState::Draining);
-    // What is remembered for this is bounded.
+    // The number of remembered ids is bounded.
     (0..2 * MAX_REMEMBERED_SERVERS as u64)
         .for_each(|n| drop(overrides.apply_update(true, &[serving(100 + n)])));
     assert_eq!(
         (overrides.known.len(), overrides.known_in_order.len()),
         (MAX_REMEMBERED_SERVERS, MAX_REMEMBERED_SERVERS)
     );
-    assert!(overrides.is_offline(ServerId(7)), "an override is not forgotten with that");
+    assert!(overrides.is_offline(ServerId(7)), "an override is not forgotten with the id");
 }
 
-/// While a server is out it is restarted: it comes back cold, whether discovery has told that or not yet.
+/// A server that was offline may have been restarted. Guards against sending it full load without slow start, whether
+/// discovery has reported the restart or not.
 #[test]
 fn a_server_comes_back_as_one_that_has_just_started() {
     let later = Micros(NOW.0 + 6_000_000);
@@ -83,14 +84,14 @@
         overrides.apply_update(false, &[listed_server(7, EndpointState::Serving, started)]);
         let back = overrides.bring_online(ServerId(7), later).unwrap().unwrap();
         assert_eq!(back.endpoint.started, Micros(want));
-        // A whole list that knows nothing new does not make it warm.
+        // A complete list without a new start does not make the server warm.
         assert_eq!(
             overrides.apply_update(true, &[listed_server(7, EndpointState::Serving, started)])[0]
                 .endpoint
                 .started,
             Micros(want)
         );
-        // Discovery's word on the start, once it comes, is better than the guess.
+        // A start that discovery reports replaces the assumed one.
         let truth = listed_server(7, EndpointState::Serving, NOW.0 + 1_000_000);
         assert_eq!(overrides.apply_update(false, &[truth])[0].endpoint.started, Micros(NOW.0 + 1_000_000));
         assert!(overrides.ended.is_empty());
--- a/dispatch/src/request.rs
+++ b/dispatch/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests and the attempts at them, with the handle by which an attempt sends the last byte of a streamed value.
+//! Client requests and their attempts, and the handle by which an attempt sends the last byte of a streamed value.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -9,13 +9,13 @@
 
 use crate::identifiers::AttemptId;
 
-/// Names one request for as long as the program runs.
+/// Identifies one request for the lifetime of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClientRequestId(pub(crate) u64);
 
 impl ClientRequestId {
-    /// The id by which the decisions know it. It is one of the dispatcher's own: a client that gives one id twice
-    /// confuses nobody.
+    /// The request's id in the decision core. The dispatcher assigns it, so that clients that reuse an id cannot
+    /// make two requests collide.
     pub(crate) fn to_request_id(self) -> RequestId {
         let mut bytes = [0; 36];
         bytes[..8].copy_from_slice(&self.0.to_le_bytes());
@@ -27,71 +27,72 @@
     }
 }
 
-/// What a client asks for.
+/// A request of a client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClientRequest {
-    /// The client's id for it.
+    /// The id that the client chose.
     pub id: Bytes,
-    /// The key that it reads or writes.
+    /// The key to read or write.
     pub key: Bytes,
-    /// The value that it writes; none for a read, and empty for a streamed one.
+    /// The value to write; none for a read, and empty for a streamed value.
     pub value: Option<Bytes>,
-    /// For a streamed value that it writes: what sends the last byte of it, where the rest is on its way already.
+    /// For a write of a streamed value: the handle that sends the last byte, if the other bytes are already being
+    /// forwarded.
     pub upload: Option<UploadHandle>,
-    /// Its class, by its position in the settings.
+    /// Class, as its index in the settings.
     pub class: u32,
-    /// Its tenant, by its position in the settings; beyond them for one that they do not name, and for none.
+    /// Tenant, as its index in the settings; out of their range for an unknown tenant and for a request without one.
     pub tenant: u32,
-    /// Whether the client marked it as a retry of its own.
+    /// Whether the client marked the request as a retry.
     pub is_client_retry: bool,
-    /// How long the client waits; none if it does not say.
+    /// How long the client waits for the answer; none if the request does not state it.
     pub timeout: Option<Micros>,
-    /// All names and values that came with it.
+    /// All properties of the request, as names and values.
     pub properties: Vec<(Bytes, Bytes)>,
 }
 
 /// One attempt at a request at one server.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Its id.
+    /// The attempt's id.
     pub id: AttemptId,
-    /// What to send.
+    /// The request to send.
     pub request: Rc<ClientRequest>,
-    /// Where to.
+    /// The destination.
     pub server: ServerId,
-    /// Until when its answer is waited for.
+    /// When to stop waiting for the reply.
     pub deadline: Micros,
-    /// Until when its bytes may be written.
+    /// When to stop writing the request.
     pub(crate) write_deadline: Micros,
     pub(crate) request_closed: ClosedFlag,
 }
 
-/// Set once a request has its final answer, or its client is gone or sends no more: shared by all its attempts.
+/// Set once a request is answered or its client has disconnected or half-closed; shared by all its attempts.
 pub(crate) type ClosedFlag = Rc<Cell<bool>>;
 
 impl Attempt {
-    /// Whether no byte of it may be written any more: nobody waits for it, so that a server would do work that is for nobody,
-    /// after the request's final answer; or it is a retry, and servers may no longer know the request to drop it. Whoever
-    /// carries it asks before each write.
+    /// Whether no more bytes of the attempt may be written; the carrier checks this before each write. An attempt is
+    /// cancelled once its request is closed, as the server's work would be wasted, and a retry also at the end of
+    /// the deduplication window, after which servers may no longer recognize the request as a duplicate.
     pub fn is_cancelled(&self, now: Micros) -> bool {
         self.request_closed.get() || now >= self.write_deadline
     }
 }
 
-/// The attempt that a streamed value waits for, to send its last byte.
+/// The last byte of a streamed value, with the attempt that sends it.
 #[derive(Debug)]
 pub struct LastByte {
-    /// What to send, where to and until when.
+    /// The attempt, which names the destination and the deadline.
     pub attempt: Attempt,
     /// The last byte.
     pub byte: Bytes,
 }
 
-/// Where a connection that has all but the last byte of a value receives that.
+/// Receives the last byte on the connection that has sent all others of the value.
 pub type LastByteReceiver = oneshot::Receiver<LastByte>;
 
-/// Stands in a request for a streamed value, all of which but the last byte is on its way to one server. The connection ends
-/// where the last clone is dropped unused: that value was never executed.
+/// Represents in a request a streamed value of which all but the last byte is being sent to one server. If the last
+/// clone is dropped unused, the connection closes and the write is not executed.
 #[derive(Clone, Debug)]
 pub struct UploadHandle {
     server: ServerId,
@@ -99,7 +100,7 @@
     connection: Rc<RefCell<Option<oneshot::Sender<LastByte>>>>,
 }
 
-/// A handle of an upload to this server, and the receiver for its connection.
+/// Creates the handle of an upload to this server, and the receiver for its connection.
 pub fn upload_handle(server: ServerId) -> (UploadHandle, LastByteReceiver) {
     let (sender, receiver) = oneshot::channel();
     let connection = Rc::new(RefCell::new(Some(sender)));
@@ -107,13 +108,13 @@
 }
 
 impl UploadHandle {
-    /// The same handle with the last byte, once the complete value has come.
+    /// Returns the handle with the last byte, once the complete value has been received.
     pub fn with_last_byte(self, last_byte: Bytes) -> UploadHandle {
         UploadHandle { last_byte, ..self }
     }
 
-    /// Sends the last byte as this attempt. False where that cannot be: it has been used, leads to another
-    /// server, or its connection has ended.
+    /// Sends the last byte for this attempt. Returns false if the handle was used before or belongs to another
+    /// server, or its connection has closed.
     pub fn send_last_byte(&self, attempt: Attempt) -> bool {
         if attempt.server != self.server || self.last_byte.is_empty() {
             return false;
@@ -123,7 +124,7 @@
     }
 }
 
-/// Two handles are equal if they lead to the same connection.
+/// Two handles are equal if they belong to the same connection.
 impl PartialEq for UploadHandle {
     fn eq(&self, other: &UploadHandle) -> bool {
         Rc::ptr_eq(&self.connection, &other.connection)
--- a/dispatch/src/request_metrics.rs
+++ b/dispatch/src/request_metrics.rs
@@ -1,60 +1,60 @@
-//! How requests ended, by class, and how many streamed values are on their way to clients.
+//! Request outcomes by class, and the number of streamed values in transit to clients.
 //!
-//! Guarantee: each request that was answered is counted once. One with a streamed value is counted when its client has the
-//! complete value or it broke off.
+//! Guarantee: each answered request is counted once. A request with a streamed value is counted when its client has
+//! the complete value or the value broke off.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// How many outcomes there are.
+/// Number of [`RequestOutcome`]s.
 const OUTCOME_COUNT: usize = 3;
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// With a value or a receipt.
+    /// Answered with a value or a receipt.
     Served,
-    /// With a rejection.
+    /// Answered with a rejection.
     Rejected,
-    /// With neither.
+    /// Answered as failed, or the streamed value broke off.
     Failed,
 }
 
-/// Counts of how requests ended, and of the streamed values on their way.
+/// Counts of request outcomes and of streamed values in transit.
 #[derive(Debug)]
 pub struct RequestMetrics {
-    /// For each class, a count for each [`RequestOutcome`] in its order.
+    /// For each class, one count per [`RequestOutcome`], in the order of its variants.
     outcomes: RefCell<Vec<[u64; OUTCOME_COUNT]>>,
     downloads_in_progress: Cell<usize>,
 }
 
 impl RequestMetrics {
-    /// Metrics of this many classes, in which nothing has ended yet.
+    /// Creates metrics for this many classes, all zero.
     pub fn new(classes: usize) -> Rc<RequestMetrics> {
         let outcomes = RefCell::new(vec![[0; OUTCOME_COUNT]; classes.max(1)]);
         Rc::new(RequestMetrics { outcomes, downloads_in_progress: Cell::new(0) })
     }
 
-    /// Counts a request of this class; a class that the settings lack counts as the last.
+    /// Counts a request of this class. A class that is not in the settings counts as the last one.
     pub fn record(&self, class: u32, outcome: RequestOutcome) {
         let mut outcomes = self.outcomes.borrow_mut();
         let last_class = outcomes.len() - 1;
         outcomes[(class as usize).min(last_class)][outcome as usize] += 1;
     }
 
-    /// How many requests ended so, for each class.
+    /// The number of requests with this outcome, by class.
     pub fn count_by_class(&self, outcome: RequestOutcome) -> Vec<u64> {
         self.outcomes.borrow().iter().map(|counts| counts[outcome as usize]).collect()
     }
 
-    /// Streamed values on their way to their clients.
+    /// The number of streamed values in transit to clients.
     pub fn downloads_in_progress(&self) -> usize {
         self.downloads_in_progress.get()
     }
 }
 
-/// A streamed value on its way to its client. Dropped, it counts as served if the client has the complete value, and as
-/// failed if it broke off.
+/// A streamed value in transit to its client. When dropped, counts the request as served if the client has the complete
+/// value, and as failed otherwise.
 #[derive(Debug)]
 pub(crate) struct DownloadInProgress {
     metrics: Rc<RequestMetrics>,
@@ -63,13 +63,13 @@
 }
 
 impl DownloadInProgress {
-    /// One more is on its way, for a request of this class.
+    /// Counts a streamed value for a request of this class as in transit.
     pub(crate) fn begin(metrics: &Rc<RequestMetrics>, class: u32) -> DownloadInProgress {
         metrics.downloads_in_progress.set(metrics.downloads_in_progress.get() + 1);
         DownloadInProgress { metrics: Rc::clone(metrics), class, is_complete: Cell::new(false) }
     }
 
-    /// The client has the complete value.
+    /// The client has received the complete value.
     pub(crate) fn on_complete(&self) {
         self.is_complete.set(true);
     }
--- a/dispatch/src/stall_tracker.rs
+++ b/dispatch/src/stall_tracker.rs
@@ -1,30 +1,30 @@
-//! Notes when this process last stood still: it was stopped, or had no processor time.
+//! Detects stalls of this process: times in which it was stopped or had no processor time.
 //!
-//! What is noticed after a stall may have happened at any time of it. A tick that comes late tells a stall from a time in which there was
-//! nothing to do. Guarantee: the bound that is given is later than the true time by [`TICK_INTERVAL`] and [`MIN_LATENESS`] at the most, for stalls of
-//! up to [`MAX_STALL`].
+//! An event that is noticed after a stall may have happened at any time during the stall. A late tick distinguishes a
+//! stall from an idle time. Guarantee: for stalls of up to [`MAX_STALL`] the earliest time that the tracker gives for an
+//! event is later than the true one by at most [`TICK_INTERVAL`] and [`MIN_LATENESS`].
 
 use std::cell::Cell;
 
 use juniperladder::Micros;
 
-/// Between two ticks.
+/// Time between two ticks.
 pub const TICK_INTERVAL: Micros = Micros(50_000);
-/// The longest stall that is reckoned with.
+/// Longest stall that is taken into account.
 pub const MAX_STALL: Micros = Micros(300_000);
-/// A tick that is late by less shows no stall.
+/// Smallest delay of a tick that counts as a stall.
 const MIN_LATENESS: Micros = Micros(10_000);
-/// How long after the end of a stall something may still be noticed that happened in it.
+/// How long after the end of a stall an event that happened during it may still be noticed.
 const NOTICE_TIME: Micros = Micros(50_000);
 
-/// A time in which the process stood still.
+/// A time in which the process was stalled.
 #[derive(Clone, Copy, Debug, Default)]
 struct Stall {
     from: Micros,
     to: Micros,
 }
 
-/// When the process was last seen to run, and its last stall.
+/// Tracks when the process last ran, and its last stall.
 #[derive(Debug)]
 pub struct StallTracker {
     last_seen: Cell<Micros>,
@@ -34,12 +34,12 @@
 }
 
 impl StallTracker {
-    /// A tracker of a process that starts now.
+    /// Creates a tracker of a process that starts now.
     pub fn new(now: Micros) -> StallTracker {
         StallTracker { last_seen: Cell::new(now), next_tick: Cell::new(None), last_stall: Cell::default() }
     }
 
-    /// A tick has come, or the ticks begin. Gives when the next one is due.
+    /// Handles a tick, the first one included. Returns when the next one is due.
     pub fn on_tick(&self, now: Micros) -> Micros {
         self.on_event(now);
         let next = now.saturating_add(TICK_INTERVAL);
@@ -47,7 +47,7 @@
         next
     }
 
-    /// The process runs.
+    /// Handles any event, which shows that the process is running.
     pub fn on_event(&self, now: Micros) {
         let last_seen = self.last_seen.replace(now);
         let is_late = self.next_tick.get().is_some_and(|due| now >= due.saturating_add(MIN_LATENESS));
@@ -56,7 +56,8 @@
         }
     }
 
-    /// The process has stood still since `last_seen`. Stalls that follow each other within what may be one turn count as one.
+    /// Records a stall that began at `last_seen`. Stalls that follow each other within [`NOTICE_TIME`], which may be one
+    /// turn of the event loop, are merged.
     fn on_stall(&self, last_seen: Micros, now: Micros) {
         let before = self.last_stall.get();
         let is_same = last_seen.saturating_sub(before.to) <= NOTICE_TIME;
@@ -64,7 +65,7 @@
         self.next_tick.set(Some(now));
     }
 
-    /// The earliest time at which something may have happened that is noticed now.
+    /// The earliest time at which an event that is noticed now may have happened.
     pub fn earliest_time(&self, now: Micros) -> Micros {
         self.on_event(now);
         let stall = self.last_stall.get();
--- a/dispatch/src/stall_tracker/tests.rs
+++ b/dispatch/src/stall_tracker/tests.rs
@@ -4,7 +4,7 @@
     Micros(1_000_000 + ms * 1_000)
 }
 
-/// What a tracker sees.
+/// A call of the tracker, at a time in ms.
 #[derive(Clone, Copy, Debug)]
 enum Seen {
     Tick(u64),
@@ -24,25 +24,25 @@
     tracker
 }
 
-/// Guards against a signal that counts from its notice though the process stood still when it came, and against idle times that
-/// pass for stalls.
+/// Guards against a signal that is dated by its notice although it arrived during a stall, and against idle times that
+/// are taken for stalls.
 #[test]
 fn what_is_noticed_after_a_stall_may_have_happened_at_its_beginning() {
     for (seen, noticed, earliest) in [
-        // Without ticks nothing is known.
+        // Without ticks no stall is detected.
         (&[Event(10)][..], 400, 400),
-        // Ticks come in time, and nothing else does.
+        // Ticks in time without other events show no stall.
         (&[Tick(0), Tick(50), Tick(100), Tick(150)], 190, 190),
         (&[Tick(0), Tick(50), Tick(109)], 150, 150),
-        // The signal is the first thing that is seen after a stall.
+        // The signal is the first event after a stall.
         (&[Tick(0), Tick(50), Event(70)], 320, 70),
-        // Other things come before it.
+        // Other events after the stall precede the signal.
         (&[Tick(0), Tick(50), Event(70), Event(320)], 321, 70),
         (&[Tick(0), Tick(50), Event(70), Event(320), Tick(321), Event(330)], 369, 70),
         (&[Tick(0), Tick(50), Event(70), Event(320), Event(335), Tick(340)], 350, 70),
-        // Long before, so that it would have been noticed.
+        // The stall ended long enough ago that the signal would have been noticed.
         (&[Tick(0), Tick(50), Event(70), Tick(320), Tick(370)], 375, 375),
-        // No longer than a stall may be.
+        // A stall is taken into account up to its maximum length.
         (&[Tick(0), Tick(50)], 900, 600),
     ] {
         assert_eq!(tracker(seen).earliest_time(at_ms(noticed)), at_ms(earliest), "{seen:?} {noticed}");
--- a/dispatch/src/start_times.rs
+++ b/dispatch/src/start_times.rs
@@ -1,45 +1,48 @@
-//! When servers started, on this process's own clock.
+//! Converts start times of servers to this process's clock.
 //!
-//! Discovery reports a start by the wall clock, which may be an hour off here: ahead, a server that has just started would count
-//! as warm; behind, as in slow start for an hour. What this process has seen itself bounds the error: a start that is new lies
-//! between the last moment at which the list was known to lack it and now, both by the monotonic clock. What the first list of a
-//! process names is known by the wall clock alone, but never lies ahead.
+//! Discovery reports start times by the wall clock, and this process's wall clock may be wrong by an hour. With a clock
+//! that is ahead, a server that has just started would count as warm; with one that is behind, a server would be in slow
+//! start for an hour. The process's own observations bound the error: a new start lies between the last time at which
+//! the list was known not to contain it and now, both by the monotonic clock. Starts in the first list of a process are
+//! known by the wall clock alone, but are never in the future.
 
 use juniperladder::{Micros, ServerId};
 use rustc_hash::FxHashMap;
 
 use crate::values::ListedServer;
 
-/// How long after its start a server is listed, as discovery has to find it first.
+/// Longest delay between a server's start and its listing, as discovery has to find it first.
 const DISCOVERY_DELAY: Micros = Micros(2_500_000);
-/// Starts that are remembered at most, twice what may be listed: beyond it those that are not listed are forgotten.
+/// Maximum number of starts to remember, twice the number of servers that may be listed; beyond it starts of unlisted
+/// servers are forgotten.
 const MAX_REMEMBERED_STARTS: usize = 8_192;
 
-/// One start.
+/// One start of a server.
 #[derive(Clone, Copy, Debug)]
 struct Start {
-    /// As discovery reports it, by the wall clock.
+    /// As reported by discovery, by the wall clock.
     reported: Micros,
-    /// On the own clock.
+    /// Converted to the local clock.
     own: Micros,
 }
 
-/// The starts of the servers that have been listed.
+/// The known starts of listed servers.
 #[derive(Debug, Default)]
 pub struct StartTimes {
     known: FxHashMap<ServerId, Start>,
-    /// When the list in use was last known to be what discovery has; none before its first answer.
+    /// When discovery last sent or confirmed the list in use; none before its first answer.
     last_confirmed: Option<Micros>,
     is_wall_clock_trusted: bool,
 }
 
 impl StartTimes {
-    /// From now on the wall clock is trusted: balancers that share limits name a server's process by its reported start.
+    /// Turns the conversion off: balancers that share limits identify a server's incarnation by its reported start
+    /// time.
     pub fn trust_wall_clock(&mut self) {
         self.is_wall_clock_trusted = true;
     }
 
-    /// Discovery has said now that the list in use is what it has.
+    /// Handles an answer of discovery that the list in use is current.
     pub fn on_list_confirmed(&mut self, now: Micros) {
         self.last_confirmed = Some(now);
     }
@@ -49,25 +52,25 @@
         self.last_confirmed
     }
 
-    /// Sets the starts of these entries, which have just come, to the own clock.
+    /// Converts the start times of these entries, which have just been received, to the local clock.
     pub fn set_to_own_clock(&mut self, servers: &mut [ListedServer], now: Micros) {
         for server in servers {
             let endpoint = &mut server.endpoint;
-            // A start of zero is long ago, whatever the clock says.
+            // A start time of zero means long ago, whatever the clock.
             if endpoint.started.0 > 0 {
                 endpoint.started = self.own_start(endpoint.server, endpoint.started, now);
             }
         }
     }
 
-    /// The start of a server on the own clock, remembered for the next time that discovery reports it.
+    /// A server's start time on the local clock; remembered, so that the same start is always converted alike.
     fn own_start(&mut self, server: ServerId, reported: Micros, now: Micros) -> Micros {
         let earliest = self.last_confirmed.map_or(Micros(0), |at| at.saturating_sub(DISCOVERY_DELAY));
         let if_new = reported.max(earliest).min(now);
         let own = match self.known.get(&server) {
             _ if self.is_wall_clock_trusted => reported,
             Some(known) if known.reported == reported => known.own,
-            // A later start is another process, and has to be later here, too.
+            // A later start is another incarnation, and has to be later on the local clock, too.
             Some(known) if known.reported < reported => if_new.max(known.own.saturating_add(Micros(1))),
             _ => if_new,
         };
@@ -75,7 +78,7 @@
         own
     }
 
-    /// Keeps the memory bounded; `is_listed` says which servers are listed.
+    /// Bounds the memory by forgetting servers for which `is_listed` is false.
     pub fn forget_unlisted(&mut self, is_listed: impl Fn(&ServerId) -> bool) {
         if self.known.len() > MAX_REMEMBERED_STARTS {
             self.known.retain(|server, _| is_listed(server));
--- a/dispatch/src/start_times/tests.rs
+++ b/dispatch/src/start_times/tests.rs
@@ -1,4 +1,4 @@
-//! Starts by a wall clock that is right, ahead and behind.
+//! Start times with a wall clock that is right, ahead or behind.
 
 use juniperladder::EndpointState;
 
@@ -37,7 +37,8 @@
     assert_eq!(own_start(&mut times, 8, 0, later), 0, "long ago");
 }
 
-/// With the clock ahead a start seems long past. It is news, so that it can't be older than the list that lacked it.
+/// With the wall clock ahead a new start seems long past, and the server would skip slow start. Guards against that: the
+/// start cannot precede the last list without the server by more than the discovery delay.
 #[test]
 fn a_wall_clock_that_is_ahead_makes_no_new_server_warm() {
     for ahead in [10 * SECOND, HOUR] {
@@ -47,17 +48,17 @@
         let later = NOW.saturating_add(Micros(SECOND));
         let own = own_start(&mut times, 7, later.0 - ahead, later);
         assert_eq!(own, NOW.saturating_sub(DISCOVERY_DELAY).0, "{ahead}");
-        // The same again, in whatever list, and after the list has been confirmed anew, is the same start.
+        // The same reported start, also in a later list and after a confirmation, is the same start.
         times.on_list_confirmed(later);
         let much_later = NOW.saturating_add(Micros(20 * SECOND));
         assert_eq!(own_start(&mut times, 7, later.0 - ahead, much_later), own);
-        // A second start of the same server is news again.
+        // A second start of the same server is a new start.
         let restarted = own_start(&mut times, 7, later.0 - ahead + 1, much_later);
         assert_eq!(restarted, later.saturating_sub(DISCOVERY_DELAY).0);
     }
 }
 
-/// With the clock behind a start seems to lie ahead, and the server would be cold until then.
+/// With the wall clock behind a new start seems to be in the future, and the server would be in slow start until then.
 #[test]
 fn a_wall_clock_that_is_behind_keeps_no_server_in_slow_start() {
     let mut times = StartTimes::default();
@@ -68,7 +69,7 @@
     assert_eq!(own_start(&mut times, 7, later.0 + HOUR, later.saturating_add(Micros(9 * SECOND))), later.0);
 }
 
-/// Two starts between two words of discovery are two processes, in their order.
+/// Two starts reported at the same time are two incarnations of a server. Guards against losing their order.
 #[test]
 fn a_later_start_is_later_whatever_the_wall_clock() {
     for (first, second) in [(NOW.0 - HOUR, NOW.0 - HOUR + 1), (NOW.0 + HOUR, NOW.0 + HOUR + 1)] {
@@ -79,7 +80,7 @@
     }
 }
 
-/// Balancers that share limits need one name for a server's process.
+/// Balancers that share limits identify a server's incarnation by its reported start, which they all have to agree on.
 #[test]
 fn starts_by_a_trusted_wall_clock_are_unchanged() {
     let mut times = StartTimes::default();
--- a/dispatch/src/streamed_value.rs
+++ b/dispatch/src/streamed_value.rs
@@ -1,8 +1,8 @@
-//! A value that is passed on in chunks while it still comes: one side sends the chunks, the other receives them, and
-//! neither ever buffers more than a few.
+//! Forwards a value in chunks while it is being received. The channel between sender and receiver is bounded, so that
+//! neither side buffers more than a few chunks.
 //!
-//! Guarantee: the last byte is held back until the end of the value has been seen, so that a client can always distinguish
-//! a value that broke off, or whose end was malformed, from a complete one.
+//! Guarantee: the last byte is withheld until the end of the value has been received and is well-formed, so that a
+//! client can always distinguish a value that broke off, or whose end was malformed, from a complete one.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -14,10 +14,10 @@
 
 use crate::request_metrics::{DownloadInProgress, RequestMetrics};
 
-/// Chunks that may wait between the two sides.
+/// Number of chunks that the channel between sender and receiver holds.
 const WAITING_CHUNKS: usize = 1;
 
-/// The side that receives a streamed value.
+/// The receiving side of a streamed value.
 #[derive(Clone, Debug)]
 pub struct ChunkReceiver {
     length: usize,
@@ -25,7 +25,7 @@
     download: Option<Rc<DownloadInProgress>>,
 }
 
-/// The side that sends a streamed value.
+/// The sending side of a streamed value.
 #[derive(Debug)]
 pub struct ChunkSender {
     chunks: mpsc::Sender<Bytes>,
@@ -33,12 +33,12 @@
     last_byte: Bytes,
 }
 
-/// Nobody receives the value any longer; the rest of it need not be sent.
+/// The receiver was dropped; the rest of the value need not be sent.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("nobody receives the streamed value any longer")]
+#[error("cannot send a chunk of the streamed value: its receiver was dropped")]
 pub struct ReceiverGone;
 
-/// The two sides of a value of this many bytes.
+/// Creates the two sides of a streamed value of this many bytes.
 pub fn streamed_value(length: usize) -> (ChunkSender, ChunkReceiver) {
     let (sender, receiver) = mpsc::channel(WAITING_CHUNKS);
     let sender = ChunkSender { chunks: sender, remaining_bytes: length, last_byte: Bytes::new() };
@@ -47,22 +47,22 @@
 }
 
 impl ChunkReceiver {
-    /// How many bytes the value has.
+    /// The length of the value in bytes.
     pub fn length(&self) -> usize {
         self.length
     }
 
-    /// The next chunk; none at the value's end, and where it broke off.
+    /// Receives the next chunk; none after the last one and after the value broke off.
     pub async fn next(&self) -> Option<Bytes> {
         poll_fn(|context| self.chunks.borrow_mut().poll_recv(context)).await
     }
 
-    /// Counts the value as on its way to its client from now on, until the last clone is dropped.
+    /// Counts the value as in transit to its client until the last clone is dropped.
     pub(crate) fn count_in(self, metrics: &Rc<RequestMetrics>, class: u32) -> ChunkReceiver {
         ChunkReceiver { download: Some(Rc::new(DownloadInProgress::begin(metrics, class))), ..self }
     }
 
-    /// The client has the complete value.
+    /// The client has received the complete value.
     pub fn on_complete(&self) {
         if let Some(download) = &self.download {
             download.on_complete();
@@ -80,10 +80,10 @@
 impl Eq for ChunkReceiver {}
 
 impl ChunkSender {
-    /// Sends a chunk, and waits while the receiver has not taken the ones before it.
+    /// Sends a chunk, waiting while the channel is full.
     ///
     /// # Errors
-    /// Nobody receives the value any longer.
+    /// The receiver was dropped.
     pub async fn send(&mut self, chunk: Bytes) -> Result<(), ReceiverGone> {
         match self.hold_last_byte_back(chunk) {
             Some(chunk) => self.chunks.send(chunk).await.map_err(|_| ReceiverGone),
@@ -91,10 +91,10 @@
         }
     }
 
-    /// Sends a chunk without a wait; [`ChunkSender::is_ready`] says whether that is possible.
+    /// Sends a chunk without waiting; [`ChunkSender::is_ready`] says whether that is possible.
     ///
     /// # Errors
-    /// Nobody receives the value any longer, or a chunk waits already.
+    /// The receiver was dropped, or the channel is full.
     pub fn try_send(&mut self, chunk: Bytes) -> Result<(), ReceiverGone> {
         match self.hold_last_byte_back(chunk) {
             Some(chunk) => self.chunks.try_send(chunk).map_err(|_| ReceiverGone),
@@ -102,35 +102,35 @@
         }
     }
 
-    /// Whether a chunk can be sent, or fails, without a wait.
+    /// Whether sending a chunk would succeed or fail without waiting.
     pub fn is_ready(&self) -> bool {
         self.chunks.capacity() > 0 || self.chunks.is_closed()
     }
 
-    /// Waits until a chunk can be sent, or nobody receives the value any longer.
+    /// Waits until a chunk can be sent or the receiver is dropped.
     pub async fn wait_until_ready(&self) {
         drop(self.chunks.reserve().await);
     }
 
-    /// Waits until nobody receives the value any longer.
+    /// Waits until the receiver is dropped.
     pub async fn wait_for_receiver_gone(&self) {
         self.chunks.closed().await;
     }
 
-    /// The last byte, once all of the value was given to this side.
+    /// The last byte, once all of the value has been passed to this sender.
     pub fn last_byte(&self) -> Option<Bytes> {
         (!self.last_byte.is_empty()).then(|| self.last_byte.clone())
     }
 
-    /// Sends the last byte: the end of the value has been seen and is well-formed.
+    /// Sends the last byte. The caller has received the end of the value and found it well-formed.
     ///
     /// # Errors
-    /// Nobody receives the value any longer.
+    /// The receiver was dropped.
     pub async fn finish(self) -> Result<(), ReceiverGone> {
         self.chunks.send(self.last_byte).await.map_err(|_| ReceiverGone)
     }
 
-    /// What of this chunk may be sent now: all but the value's last byte.
+    /// Returns the part of this chunk that may be sent now: all but the value's last byte.
     fn hold_last_byte_back(&mut self, mut chunk: Bytes) -> Option<Bytes> {
         self.remaining_bytes = self.remaining_bytes.saturating_sub(chunk.len());
         if self.remaining_bytes == 0 && !chunk.is_empty() {
--- a/dispatch/src/streamed_value/tests.rs
+++ b/dispatch/src/streamed_value/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::testing;
 
-/// The client gets the last byte only once the end was found right, whatever the chunks.
+/// Guards against a truncated value that looks complete to the client, for any division into chunks.
 #[test]
 fn the_last_byte_is_sent_only_after_a_well_formed_end() {
     testing::run(async {
@@ -30,7 +30,7 @@
     });
 }
 
-/// The server's side waits for the client, and ends when the client is gone.
+/// Guards against unbounded buffering for a slow client, and against a sender that waits for a client that is gone.
 #[test]
 fn a_slow_client_holds_the_sender_back_until_it_is_gone() {
     testing::run(async {
--- a/dispatch/src/testing.rs
+++ b/dispatch/src/testing.rs
@@ -1,4 +1,4 @@
-//! Fixtures for the tests of requests and of the network: a dispatcher whose carrier only records the attempts.
+//! Test fixtures for requests and the network: a dispatcher whose carrier only records attempts.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -13,10 +13,10 @@
 use crate::counters::Counters;
 use crate::dispatcher::{self, Attempt, AttemptId, Carrier, Dispatcher, ListedServer, Upload};
 
-/// The only server.
+/// The first of the servers that [`dispatcher`] lists.
 pub const SERVER: ServerId = ServerId(9);
 
-/// A carrier that only records what it is asked for.
+/// A carrier that only records its calls.
 #[derive(Default)]
 pub struct Recorder {
     /// Attempts that have begun, oldest first.
@@ -41,10 +41,10 @@
     }
 }
 
-/// The origin's kind of machine.
+/// The server kind of the origin.
 pub const ORIGIN: u32 = 1;
 
-/// A site with one class and so many attempts.
+/// Settings with one class and this limit of attempts.
 pub fn settings(max_attempts: u32, idempotency: Idempotency) -> Settings {
     let class = Class {
         latency_objective: Micros(750_000),
@@ -85,12 +85,12 @@
     ListedServer { endpoint, address: Some(([127, 0, 0, 1], 1).into()) }
 }
 
-/// A dispatcher by this carrier that knows so many servers, the first of which is `SERVER`.
+/// A dispatcher with this carrier and this many servers, the first of which is `SERVER`.
 pub fn dispatcher(settings: Settings, carrier: Rc<dyn Carrier>, servers: u32) -> Rc<Dispatcher> {
     seeded_dispatcher(settings, 7, carrier, servers)
 }
 
-/// The same with a seed of its own, as each process of a fleet has.
+/// As [`dispatcher`], with a given seed: each process of a fleet has another one.
 pub fn seeded_dispatcher(
     settings: Settings,
     seed: u64,
@@ -121,12 +121,12 @@
     }
 }
 
-/// Runs a test on a clock that stands still until everyone waits for it.
+/// Runs a test on a paused clock, which advances only when all tasks wait for a timer.
 pub fn run<T>(test: impl Future<Output = T>) -> T {
     run_on(true, test)
 }
 
-/// Runs a test that has sockets of the kernel's and needs no clock.
+/// Runs a test that uses kernel sockets, on the real clock.
 pub fn run_on_sockets<T>(test: impl Future<Output = T>) -> T {
     run_on(false, test)
 }
@@ -136,14 +136,14 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), test)
 }
 
-/// Lets every other task go as far as it can.
+/// Yields until all other tasks are blocked.
 pub async fn settle() {
     for _ in 0..64 {
         tokio::task::yield_now().await;
     }
 }
 
-/// A log that nobody reads.
+/// A logger that discards all lines.
 pub fn log() -> Logger {
     Logger::root(Discard, o!())
 }
--- a/dispatch/src/values.rs
+++ b/dispatch/src/values.rs
@@ -1,4 +1,4 @@
-//! The values that every protocol and both sides share: answers, replies and servers.
+//! Types shared by all protocols, the client side and the server side: answers, replies and servers.
 
 use std::net::SocketAddr;
 
@@ -12,18 +12,18 @@
 pub enum Answer {
     /// Served: the value read.
     Value(Bytes),
-    /// Served: a value read that is passed on while it still comes.
+    /// Served: a value read that is forwarded to the client while the server still sends it.
     Streamed(ChunkReceiver),
     /// Served: the receipt of a write.
     Receipt(Bytes),
-    /// Rejected: a retry is harmless, after this time if it is not zero.
+    /// Rejected: a retry is safe, after this Retry-After delay if it is not zero.
     Rejected(Micros),
     /// Failed.
     Failed,
 }
 
 impl Answer {
-    /// Its name in the log.
+    /// The answer's name in the log.
     pub fn label(&self) -> &'static str {
         match self {
             Answer::Value(_) => "value",
@@ -35,27 +35,27 @@
     }
 }
 
-/// What a server replied to an attempt.
+/// A server's reply to an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// A final answer.
     Served(Answer),
-    /// The server lacks the key.
+    /// The server does not have the key.
     Miss {
-        /// Whether another fetch of the key is out.
+        /// Whether another fetch of the key is in flight.
         fetch_in_progress: bool,
     },
-    /// It failed; the attempt may have been executed.
+    /// The attempt failed and may have been executed.
     Error,
-    /// It rejected the attempt, which was not executed.
+    /// The server rejected the attempt without executing it.
     Rejected,
 }
 
 /// A server of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListedServer {
-    /// What the decisions know of it.
+    /// The server as the decision core knows it.
     pub endpoint: Endpoint,
-    /// Where it listens; none if discovery names no address.
+    /// Listening address; none if discovery names none.
     pub address: Option<SocketAddr>,
 }
