--- a/dispatch/src/dispatcher/endpoints.rs
+++ b/dispatch/src/dispatcher/endpoints.rs
@@ -65,7 +65,7 @@
         let now = self.clock.now();
         let mut servers = self.drop_surplus_servers(state, update, servers);
         let DispatcherState { start_times, overrides, servers: known, .. } = state;
-        start_times.set_to_own_clock(&mut servers, now);
+        start_times.convert_to_local_clock(&mut servers, now);
         start_times.forget_unlisted(|server| known.contains_key(server));
         if matches!(update, EndpointUpdate::Delta | EndpointUpdate::Snapshot) {
             start_times.on_list_confirmed(now);
--- a/dispatch/src/start_times.rs
+++ b/dispatch/src/start_times.rs
@@ -23,7 +23,7 @@
     /// As reported by discovery, by the wall clock.
     reported: Micros,
     /// Converted to the local clock.
-    own: Micros,
+    local: Micros,
 }
 
 /// The known starts of listed servers.
@@ -53,29 +53,29 @@
     }
 
     /// Converts the start times of these entries, which have just been received, to the local clock.
-    pub fn set_to_own_clock(&mut self, servers: &mut [ListedServer], now: Micros) {
+    pub fn convert_to_local_clock(&mut self, servers: &mut [ListedServer], now: Micros) {
         for server in servers {
             let endpoint = &mut server.endpoint;
             // A start time of zero means long ago, whatever the clock.
             if endpoint.started.0 > 0 {
-                endpoint.started = self.own_start(endpoint.server, endpoint.started, now);
+                endpoint.started = self.local_start(endpoint.server, endpoint.started, now);
             }
         }
     }
 
     /// A server's start time on the local clock; remembered, so that the same start is always converted alike.
-    fn own_start(&mut self, server: ServerId, reported: Micros, now: Micros) -> Micros {
+    fn local_start(&mut self, server: ServerId, reported: Micros, now: Micros) -> Micros {
         let earliest = self.last_confirmed.map_or(Micros(0), |at| at.saturating_sub(DISCOVERY_DELAY));
         let if_new = reported.max(earliest).min(now);
-        let own = match self.known.get(&server) {
+        let local = match self.known.get(&server) {
             _ if self.is_wall_clock_trusted => reported,
-            Some(known) if known.reported == reported => known.own,
+            Some(known) if known.reported == reported => known.local,
             // A later start is another incarnation, and has to be later on the local clock, too.
-            Some(known) if known.reported < reported => if_new.max(known.own.saturating_add(Micros(1))),
+            Some(known) if known.reported < reported => if_new.max(known.local.saturating_add(Micros(1))),
             _ => if_new,
         };
-        self.known.insert(server, Start { reported, own });
-        own
+        self.known.insert(server, Start { reported, local });
+        local
     }
 
     /// Bounds the memory by forgetting servers for which `is_listed` is false.
--- a/dispatch/src/start_times/tests.rs
+++ b/dispatch/src/start_times/tests.rs
@@ -9,15 +9,15 @@
 const HOUR: u64 = 3_600_000_000;
 const SECOND: u64 = 1_000_000;
 
-fn started(server: u64, started: u64) -> ListedServer {
+fn server_started_at(server: u64, started: u64) -> ListedServer {
     let mut listed_server = listed_server(ServerId(server), EndpointState::Serving);
     listed_server.endpoint.started = Micros(started);
     listed_server
 }
 
-fn own_start(times: &mut StartTimes, server: u64, told: u64, now: Micros) -> u64 {
-    let mut servers = [started(server, told)];
-    times.set_to_own_clock(&mut servers, now);
+fn local_start(times: &mut StartTimes, server: u64, reported: u64, now: Micros) -> u64 {
+    let mut servers = [server_started_at(server, reported)];
+    times.convert_to_local_clock(&mut servers, now);
     servers[0].endpoint.started.0
 }
 
@@ -25,16 +25,16 @@
 fn a_right_wall_clock_changes_no_start() {
     let mut times = StartTimes::default();
     for age in [0, 1, SECOND, HOUR] {
-        assert_eq!(own_start(&mut times, age, NOW.0 - age, NOW), NOW.0 - age, "in the first list");
+        assert_eq!(local_start(&mut times, age, NOW.0 - age, NOW), NOW.0 - age, "in the first list");
     }
     times.on_list_confirmed(NOW);
     let later = NOW.saturating_add(Micros(SECOND));
     assert_eq!(
-        own_start(&mut times, 7, NOW.0 - SECOND, later),
+        local_start(&mut times, 7, NOW.0 - SECOND, later),
         NOW.0 - SECOND,
         "listed two seconds after its start"
     );
-    assert_eq!(own_start(&mut times, 8, 0, later), 0, "long ago");
+    assert_eq!(local_start(&mut times, 8, 0, later), 0, "long ago");
 }
 
 /// With the wall clock ahead a new start seems long past, and the server would skip slow start. Guards against that: the
@@ -43,17 +43,17 @@
 fn a_wall_clock_that_is_ahead_makes_no_new_server_warm() {
     for ahead in [10 * SECOND, HOUR] {
         let mut times = StartTimes::default();
-        own_start(&mut times, 1, NOW.0 - 2 * HOUR, NOW);
+        local_start(&mut times, 1, NOW.0 - 2 * HOUR, NOW);
         times.on_list_confirmed(NOW);
         let later = NOW.saturating_add(Micros(SECOND));
-        let own = own_start(&mut times, 7, later.0 - ahead, later);
-        assert_eq!(own, NOW.saturating_sub(DISCOVERY_DELAY).0, "{ahead}");
+        let local = local_start(&mut times, 7, later.0 - ahead, later);
+        assert_eq!(local, NOW.saturating_sub(DISCOVERY_DELAY).0, "{ahead}");
         // The same reported start, also in a later list and after a confirmation, is the same start.
         times.on_list_confirmed(later);
         let much_later = NOW.saturating_add(Micros(20 * SECOND));
-        assert_eq!(own_start(&mut times, 7, later.0 - ahead, much_later), own);
+        assert_eq!(local_start(&mut times, 7, later.0 - ahead, much_later), local);
         // A second start of the same server is a new start.
-        let restarted = own_start(&mut times, 7, later.0 - ahead + 1, much_later);
+        let restarted = local_start(&mut times, 7, later.0 - ahead + 1, much_later);
         assert_eq!(restarted, later.saturating_sub(DISCOVERY_DELAY).0);
     }
 }
@@ -62,11 +62,11 @@
 #[test]
 fn a_wall_clock_that_is_behind_keeps_no_server_in_slow_start() {
     let mut times = StartTimes::default();
-    assert_eq!(own_start(&mut times, 1, NOW.0 + HOUR, NOW), NOW.0, "in the first list");
+    assert_eq!(local_start(&mut times, 1, NOW.0 + HOUR, NOW), NOW.0, "in the first list");
     times.on_list_confirmed(NOW);
     let later = NOW.saturating_add(Micros(SECOND));
-    assert_eq!(own_start(&mut times, 7, later.0 + HOUR, later), later.0);
-    assert_eq!(own_start(&mut times, 7, later.0 + HOUR, later.saturating_add(Micros(9 * SECOND))), later.0);
+    assert_eq!(local_start(&mut times, 7, later.0 + HOUR, later), later.0);
+    assert_eq!(local_start(&mut times, 7, later.0 + HOUR, later.saturating_add(Micros(9 * SECOND))), later.0);
 }
 
 /// Two starts reported at the same time are two incarnations of a server. Guards against losing their order.
@@ -75,8 +75,8 @@
     for (first, second) in [(NOW.0 - HOUR, NOW.0 - HOUR + 1), (NOW.0 + HOUR, NOW.0 + HOUR + 1)] {
         let mut times = StartTimes::default();
         times.on_list_confirmed(NOW);
-        let before = own_start(&mut times, 7, first, NOW);
-        assert!(own_start(&mut times, 7, second, NOW) > before);
+        let before = local_start(&mut times, 7, first, NOW);
+        assert!(local_start(&mut times, 7, second, NOW) > before);
     }
 }
 
@@ -86,8 +86,8 @@
     let mut times = StartTimes::default();
     times.trust_wall_clock();
     times.on_list_confirmed(NOW);
-    for told in [NOW.0 - HOUR, NOW.0 + HOUR] {
-        assert_eq!(own_start(&mut times, 7, told, NOW), told);
+    for reported in [NOW.0 - HOUR, NOW.0 + HOUR] {
+        assert_eq!(local_start(&mut times, 7, reported, NOW), reported);
     }
 }
 
@@ -95,7 +95,7 @@
 fn remembered_starts_are_bounded() {
     let mut times = StartTimes::default();
     for server in 0..3 * MAX_REMEMBERED_STARTS as u64 {
-        own_start(&mut times, server, 1 + server, NOW);
+        local_start(&mut times, server, 1 + server, NOW);
         times.forget_unlisted(|listed| listed.0 + 10 > server);
         assert!(times.known.len() <= MAX_REMEMBERED_STARTS + 1);
     }
