--- a/dispatch/src/stall_tracker/tests.rs
+++ b/dispatch/src/stall_tracker/tests.rs
@@ -6,17 +6,17 @@
 
 /// A call of the tracker, at a time in ms.
 #[derive(Clone, Copy, Debug)]
-enum Seen {
+enum Call {
     Tick(u64),
     Event(u64),
 }
 
-use Seen::{Event, Tick};
+use Call::{Event, Tick};
 
-fn tracker(seen: &[Seen]) -> StallTracker {
+fn tracker_after(calls: &[Call]) -> StallTracker {
     let tracker = StallTracker::new(at_ms(0));
-    for seen in seen {
-        match seen {
+    for call in calls {
+        match call {
             Tick(ms) => _ = tracker.on_tick(at_ms(*ms)),
             Event(ms) => tracker.on_event(at_ms(*ms)),
         }
@@ -27,8 +27,8 @@
 /// Guards against a signal that is dated by its notice although it arrived during a stall, and against idle times that
 /// are taken for stalls.
 #[test]
-fn what_is_noticed_after_a_stall_may_have_happened_at_its_beginning() {
-    for (seen, noticed, earliest) in [
+fn an_event_noticed_after_a_stall_is_dated_to_the_start_of_the_stall() {
+    for (calls, noticed, earliest) in [
         // Without ticks no stall is detected.
         (&[Event(10)][..], 400, 400),
         // Ticks in time without other events show no stall.
@@ -45,6 +45,10 @@
         // A stall is taken into account up to its maximum length.
         (&[Tick(0), Tick(50)], 900, 600),
     ] {
-        assert_eq!(tracker(seen).earliest_time(at_ms(noticed)), at_ms(earliest), "{seen:?} {noticed}");
+        assert_eq!(
+            tracker_after(calls).earliest_event_time(at_ms(noticed)),
+            at_ms(earliest),
+            "{calls:?} {noticed}"
+        );
     }
 }
