--- a/dispatch/src/counters.rs
+++ b/dispatch/src/counters.rs
@@ -9,7 +9,7 @@
 use juniperladder::RejectReason;
 
 macro_rules! counters {
-    ($($(#[$doc:meta])* $name:ident => $figure:literal),* $(,)?) => {
+    ($($(#[$doc:meta])* $name:ident => $metric:literal),* $(,)?) => {
         /// Counts of events since process start.
         #[derive(Debug, Default)]
         pub struct Counters { $($(#[$doc])* pub $name: Cell<u64>),* }
@@ -17,7 +17,7 @@
         impl Counters {
             /// All counters with their outer names, in a fixed order.
             pub fn figures(&self) -> Vec<(&'static str, u64)> {
-                vec![$(($figure, self.$name.get())),*]
+                vec![$(($metric, self.$name.get())),*]
             }
         }
     };
@@ -126,8 +126,8 @@
 
 impl fmt::Display for Counters {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, (figure, value)) in self.figures().into_iter().enumerate() {
-            write!(out, "{}{figure}={value}", if place > 0 { " " } else { "" })?;
+        for (position, (metric, value)) in self.figures().into_iter().enumerate() {
+            write!(out, "{}{metric}={value}", if position > 0 { " " } else { "" })?;
         }
         Ok(())
     }
--- a/dispatch/src/dispatcher/metrics.rs
+++ b/dispatch/src/dispatcher/metrics.rs
@@ -8,9 +8,9 @@
 use crate::request_metrics::RequestOutcome;
 
 /// The line after the last metric.
-const END_OF_FIGURES: &str = "--\n";
+const END_OF_METRICS: &str = "--\n";
 /// Metric name of each request outcome; the samples are labelled with the class.
-const OUTCOME_FIGURES: [(&str, RequestOutcome); 3] = [
+const OUTCOME_METRICS: [(&str, RequestOutcome); 3] = [
     ("passed", RequestOutcome::Served),
     ("dropped", RequestOutcome::Rejected),
     ("bad_gateway", RequestOutcome::Failed),
@@ -35,15 +35,15 @@
         text.declared_sample("in_progress", MetricKind::Gauge, self.requests_in_progress());
         text.declared_sample("known_cache_hosts", MetricKind::Gauge, servers.known);
         text.declared_sample("skipped_cache_hosts", MetricKind::Gauge, servers.skipped);
-        text.into_string() + additional + END_OF_FIGURES
+        text.into_string() + additional + END_OF_METRICS
     }
 
     fn write_outcomes(&self, text: &mut MetricsText, class_names: &[String]) {
-        for (figure, outcome) in OUTCOME_FIGURES {
-            text.declare(figure, MetricKind::Counter);
+        for (metric, outcome) in OUTCOME_METRICS {
+            text.declare(metric, MetricKind::Counter);
             for (class, count) in self.request_metrics.count_by_class(outcome).into_iter().enumerate() {
                 let name = class_names.get(class).map_or("unknown", String::as_str);
-                text.labelled_sample(figure, ("category", name), count);
+                text.labelled_sample(metric, ("category", name), count);
             }
         }
     }
--- a/dispatch/src/metrics_text/tests.rs
+++ b/dispatch/src/metrics_text/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn writes_a_line_for_each_figure_with_labels_escaped() {
+fn each_sample_is_one_line_with_its_label_escaped() {
     let mut text = MetricsText::default();
     text.declare("passed", MetricKind::Counter);
     text.labelled_sample("passed", ("category", "a\\b\"c\nd"), 2);
