--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -300,7 +300,7 @@
         let (counter, outcome) = match answer {
             Answer::Streamed(value) => {
                 increment(&self.counters.served);
-                return Answer::Streamed(value.count_in(&self.request_metrics, class));
+                return Answer::Streamed(value.track_download(&self.request_metrics, class));
             }
             Answer::Value(_) | Answer::Receipt(_) => (&self.counters.served, RequestOutcome::Served),
             Answer::Rejected(_) => (&self.counters.rejected, RequestOutcome::Rejected),
--- a/dispatch/src/dispatcher/metrics.rs
+++ b/dispatch/src/dispatcher/metrics.rs
@@ -41,7 +41,7 @@
     fn write_outcomes(&self, text: &mut MetricsText, class_names: &[String]) {
         for (metric, outcome) in OUTCOME_METRICS {
             text.declare(metric, MetricKind::Counter);
-            for (class, count) in self.request_metrics.count_by_class(outcome).into_iter().enumerate() {
+            for (class, count) in self.request_metrics.counts_by_class(outcome).into_iter().enumerate() {
                 let name = class_names.get(class).map_or("unknown", String::as_str);
                 text.labelled_sample(metric, ("category", name), count);
             }
--- a/dispatch/src/request_metrics.rs
+++ b/dispatch/src/request_metrics.rs
@@ -43,7 +43,7 @@
     }
 
     /// The number of requests with this outcome, by class.
-    pub fn count_by_class(&self, outcome: RequestOutcome) -> Vec<u64> {
+    pub fn counts_by_class(&self, outcome: RequestOutcome) -> Vec<u64> {
         self.outcomes.borrow().iter().map(|counts| counts[outcome as usize]).collect()
     }
 
--- a/dispatch/src/streamed_value.rs
+++ b/dispatch/src/streamed_value.rs
@@ -15,7 +15,7 @@
 use crate::request_metrics::{DownloadInProgress, RequestMetrics};
 
 /// Number of chunks that the channel between sender and receiver holds.
-const WAITING_CHUNKS: usize = 1;
+const CHANNEL_CAPACITY_CHUNKS: usize = 1;
 
 /// The receiving side of a streamed value.
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
 
 /// Creates the two sides of a streamed value of this many bytes.
 pub fn streamed_value(length: usize) -> (ChunkSender, ChunkReceiver) {
-    let (sender, receiver) = mpsc::channel(WAITING_CHUNKS);
+    let (sender, receiver) = mpsc::channel(CHANNEL_CAPACITY_CHUNKS);
     let sender = ChunkSender { chunks: sender, remaining_bytes: length, last_byte: Bytes::new() };
     let receiver = ChunkReceiver { length, chunks: Rc::new(RefCell::new(receiver)), download: None };
     (sender, receiver)
@@ -58,7 +58,7 @@
     }
 
     /// Counts the value as in transit to its client until the last clone is dropped.
-    pub(crate) fn count_in(self, metrics: &Rc<RequestMetrics>, class: u32) -> ChunkReceiver {
+    pub(crate) fn track_download(self, metrics: &Rc<RequestMetrics>, class: u32) -> ChunkReceiver {
         ChunkReceiver { download: Some(Rc::new(DownloadInProgress::begin(metrics, class))), ..self }
     }
 
@@ -85,7 +85,7 @@
     /// # Errors
     /// The receiver was dropped.
     pub async fn send(&mut self, chunk: Bytes) -> Result<(), ReceiverGone> {
-        match self.hold_last_byte_back(chunk) {
+        match self.withhold_last_byte(chunk) {
             Some(chunk) => self.chunks.send(chunk).await.map_err(|_| ReceiverGone),
             None => Ok(()),
         }
@@ -96,7 +96,7 @@
     /// # Errors
     /// The receiver was dropped, or the channel is full.
     pub fn try_send(&mut self, chunk: Bytes) -> Result<(), ReceiverGone> {
-        match self.hold_last_byte_back(chunk) {
+        match self.withhold_last_byte(chunk) {
             Some(chunk) => self.chunks.try_send(chunk).map_err(|_| ReceiverGone),
             None => Ok(()),
         }
@@ -131,7 +131,7 @@
     }
 
     /// Returns the part of this chunk that may be sent now: all but the value's last byte.
-    fn hold_last_byte_back(&mut self, mut chunk: Bytes) -> Option<Bytes> {
+    fn withhold_last_byte(&mut self, mut chunk: Bytes) -> Option<Bytes> {
         self.remaining_bytes = self.remaining_bytes.saturating_sub(chunk.len());
         if self.remaining_bytes == 0 && !chunk.is_empty() {
             self.last_byte = chunk.split_off(chunk.len() - 1);
--- a/dispatch/src/streamed_value/tests.rs
+++ b/dispatch/src/streamed_value/tests.rs
@@ -32,7 +32,7 @@
 
 /// Guards against unbounded buffering for a slow client, and against a sender that waits for a client that is gone.
 #[test]
-fn a_slow_client_holds_the_sender_back_until_it_is_gone() {
+fn a_sender_waits_for_a_slow_client_until_the_client_is_gone() {
     testing::run(async {
         let (mut sender, receiver) = streamed_value(100);
         sender.send(Bytes::from_static(b"a")).await.unwrap();
