--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -43,7 +43,7 @@
 /// and of the answer, neither of which is known.
 const DEADLINE_MARGIN: Micros = Micros(10_000);
 /// Time-out of a request if the settings have no classes.
-const DEFAULT_DEADLINE: Micros = Micros(1_000_000);
+const DEFAULT_TIMEOUT: Micros = Micros(1_000_000);
 /// The largest share of a request's time-out that is subtracted for a wait before the request was read.
 const MAX_WAIT_SHARE: f64 = 0.5;
 
@@ -54,7 +54,7 @@
     pub(crate) origin_kind: Option<u32>,
     clock: Clock,
     /// The longest time-out of a request, by class.
-    class_deadlines: Vec<Micros>,
+    class_timeouts: Vec<Micros>,
     /// How long servers drop duplicates of a request, by class; none for a class whose duplicates they do not drop.
     deduplication_windows: Vec<Option<Micros>>,
     counters: Rc<Counters>,
@@ -81,7 +81,7 @@
         counters: Rc<Counters>,
         log: Logger,
     ) -> Rc<Dispatcher> {
-        let class_deadlines = settings.classes.iter().map(|class| class.deadline).collect();
+        let class_timeouts = settings.classes.iter().map(|class| class.deadline).collect();
         let deduplication_windows = settings.classes.iter().map(deduplication_window).collect();
         let origin_kind = settings.mode.origin_kind();
         let request_metrics = RequestMetrics::new(settings.classes.len());
@@ -103,7 +103,7 @@
             state: RefCell::new(state),
             origin_kind,
             clock,
-            class_deadlines,
+            class_timeouts,
             deduplication_windows,
             counters,
             request_metrics,
@@ -194,10 +194,10 @@
     /// When a request has to be answered. Its time-out is limited to that of its class, which also applies if the
     /// request has none.
     fn deadline_of(&self, request: &ClientRequest, now: Micros, longest_wait: Micros) -> Micros {
-        let class_deadline = self.class_deadlines.get(request.class as usize);
-        let class_deadline = class_deadline.or(self.class_deadlines.last()).copied();
-        let longest = class_deadline.unwrap_or(DEFAULT_DEADLINE);
-        let timeout = request.timeout.map_or(longest, |timeout| timeout.min(longest));
+        let class_timeout = self.class_timeouts.get(request.class as usize);
+        let class_timeout = class_timeout.or(self.class_timeouts.last()).copied();
+        let max_timeout = class_timeout.unwrap_or(DEFAULT_TIMEOUT);
+        let timeout = request.timeout.map_or(max_timeout, |timeout| timeout.min(max_timeout));
         let time_left = timeout.saturating_sub(longest_wait.min(timeout.mul_f64(MAX_WAIT_SHARE)));
         let deadline = now.saturating_add(time_left.saturating_sub(DEADLINE_MARGIN));
         deadline.min(self.final_deadline.get())
@@ -207,9 +207,9 @@
     pub fn set_final_deadline(&self, deadline: Micros) {
         self.final_deadline.set(deadline);
         let mut state = self.state.borrow_mut();
-        let longer = state.requests.iter().filter(|(_, open)| open.deadline > deadline);
-        let longer: Vec<ClientRequestId> = longer.map(|(id, _)| *id).collect();
-        for id in longer {
+        let affected = state.requests.iter().filter(|(_, open)| open.deadline > deadline);
+        let affected: Vec<ClientRequestId> = affected.map(|(id, _)| *id).collect();
+        for id in affected {
             state.add_timer(deadline, Timer::Request(id));
         }
         self.timer_set.notify_one();
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -96,7 +96,7 @@
         let Completion { result, fetch_in_progress, answer } = completion;
         self.count_attempt(result);
         let now = self.clock.now();
-        let latency = now.saturating_sub(attempt.begun);
+        let latency = now.saturating_sub(attempt.begun_at);
         debug!(self.log, "attempt completed"; "request" => attempt.request.0, "attempt" => attempt.attempt,
             "server" => %ServerLabel(attempt.server), "result" => ?result, "latency_ms" => to_ms(latency));
         let is_request_over = self.answer_if_final(state, attempt.request, answer);
@@ -164,7 +164,7 @@
             Action::Fail { id } => {
                 self.answer(state, ClientRequestId::from_request_id(&id), Answer::Failed);
             }
-            Action::Timer { at, token } => state.add_timer(at, Timer::Decisions(token)),
+            Action::Timer { at, token } => state.add_timer(at, Timer::DecisionCore(token)),
             Action::WatchEndpoints => {
                 debug!(self.log, "endpoint list watch requested");
                 self.watch_requested.notify_one();
@@ -207,7 +207,7 @@
             "state" => ?state.servers.get(&server).map(|known| known.state),
             "endpoint_list_age_ms" => confirmed.map(|at| to_ms(now.saturating_sub(at))),
             "timeout_ms" => to_ms(deadline.saturating_sub(now)));
-        state.attempts.insert(id, InFlightAttempt { request: request_id, server, attempt, begun: now });
+        state.attempts.insert(id, InFlightAttempt { request: request_id, server, attempt, begun_at: now });
         state.add_timer(deadline, Timer::Attempt(id));
         state.carrier.begin_attempt(Attempt {
             id,
--- a/dispatch/src/dispatcher/state.rs
+++ b/dispatch/src/dispatcher/state.rs
@@ -42,14 +42,14 @@
     pub(super) server: ServerId,
     /// The attempt's number within its request, from zero.
     pub(super) attempt: u32,
-    pub(super) begun: Micros,
+    pub(super) begun_at: Micros,
 }
 
 /// The purpose of a timer. Timers due at the same time fire in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     /// A timer of the decision core, with its token.
-    Decisions(u64),
+    DecisionCore(u64),
     /// The deadline of an attempt.
     Attempt(AttemptId),
     /// The deadline of a request.
--- a/dispatch/src/dispatcher/timers.rs
+++ b/dispatch/src/dispatcher/timers.rs
@@ -57,7 +57,7 @@
             let Some(Reverse((_, timer))) = state.timers.pop() else { return };
             let now = self.clock.now();
             match timer {
-                Timer::Decisions(token) => self.handle(&mut state, now, Event::Timer(token)),
+                Timer::DecisionCore(token) => self.handle(&mut state, now, Event::Timer(token)),
                 Timer::Attempt(id) => self.on_attempt_timeout(&mut state, id),
                 Timer::Request(id) => self.on_request_deadline(&mut state, now, id),
             }
--- a/dispatch/src/identifiers.rs
+++ b/dispatch/src/identifiers.rs
@@ -23,14 +23,14 @@
 /// A key's identifier: the numeric value of a key of sixteen hexadecimal digits, so that no two such keys collide, and
 /// a hash of any other key. Placement relies on the identifier being equal at every balancer.
 pub fn key(text: &[u8]) -> Key {
-    Key(hexadecimal(text, 16).unwrap_or_else(|| hash(text)))
+    Key(parse_hexadecimal(text, 16).unwrap_or_else(|| hash(text)))
 }
 
 /// A server's identifier, derived from its name alone: nothing has to be stored for servers that are gone, and
 /// all balancers agree on it whatever lists they have received. A name of the form `s-` with eight hexadecimal digits
 /// has their value, below 2^32; any other name has a hash above 2^63, so that the two forms never collide.
 pub fn server_id(name: &str) -> ServerId {
-    let digits = name.strip_prefix("s-").and_then(|digits| hexadecimal(digits.as_bytes(), 8));
+    let digits = name.strip_prefix("s-").and_then(|digits| parse_hexadecimal(digits.as_bytes(), 8));
     ServerId(digits.unwrap_or_else(|| hash(name.as_bytes()) | 1 << 63))
 }
 
@@ -49,7 +49,7 @@
 }
 
 /// The value of a text of exactly `digits` lower-case hexadecimal digits.
-fn hexadecimal(text: &[u8], digits: usize) -> Option<u64> {
+fn parse_hexadecimal(text: &[u8], digits: usize) -> Option<u64> {
     let plain = text.len() == digits && text.iter().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
     let text = std::str::from_utf8(text).ok().filter(|_| plain)?;
     u64::from_str_radix(text, 16).ok()
