--- a/dispatch/src/overrides.rs
+++ b/dispatch/src/overrides.rs
@@ -42,8 +42,8 @@
     ended: FxHashMap<ServerId, EndedOverride>,
     listed: FxHashMap<ServerId, ListedServer>,
     /// The ids of servers that were ever listed, and the same ids in the order of their first listing.
-    known: FxHashSet<ServerId>,
-    known_in_order: VecDeque<ServerId>,
+    remembered: FxHashSet<ServerId>,
+    remembered_by_age: VecDeque<ServerId>,
 }
 
 impl OperatorOverrides {
@@ -74,18 +74,18 @@
     }
 
     fn remember(&mut self, server: ServerId) {
-        if !self.known.insert(server) {
+        if !self.remembered.insert(server) {
             return;
         }
-        self.known_in_order.push_back(server);
-        if self.known_in_order.len() > MAX_REMEMBERED_SERVERS {
+        self.remembered_by_age.push_back(server);
+        if self.remembered_by_age.len() > MAX_REMEMBERED_SERVERS {
             self.forget_oldest();
         }
     }
 
     fn forget_oldest(&mut self) {
-        if let Some(oldest) = self.known_in_order.pop_front() {
-            self.known.remove(&oldest);
+        if let Some(oldest) = self.remembered_by_age.pop_front() {
+            self.remembered.remove(&oldest);
             self.ended.remove(&oldest);
         }
     }
@@ -112,7 +112,7 @@
         name: &str,
         now: Micros,
     ) -> Result<Option<ListedServer>, UnknownServer> {
-        if !self.known.contains(&server) && !self.is_offline(server) {
+        if !self.remembered.contains(&server) && !self.is_offline(server) {
             return Err(UnknownServer);
         }
         Ok(self.restore(server, name, now))
@@ -121,9 +121,9 @@
     /// Restores the override of an earlier process, whether the server was ever listed here or not. Returns the
     /// server with the override applied if it is listed.
     pub fn restore(&mut self, server: ServerId, name: &str, now: Micros) -> Option<ListedServer> {
-        let new = || OfflineOverride { name: name.to_owned(), since: now };
-        self.offline.entry(server).or_insert_with(new);
-        self.current(server)
+        let new_override = || OfflineOverride { name: name.to_owned(), since: now };
+        self.offline.entry(server).or_insert_with(new_override);
+        self.listed_with_override(server)
     }
 
     /// Ends an override, if there is one. Returns the server without the override if it is listed: its start time is
@@ -137,17 +137,17 @@
         now: Micros,
     ) -> Result<Option<ListedServer>, UnknownServer> {
         let Some(offline) = self.offline.remove(&server) else {
-            return if self.known.contains(&server) { Ok(None) } else { Err(UnknownServer) };
+            return if self.remembered.contains(&server) { Ok(None) } else { Err(UnknownServer) };
         };
         let has_started_since =
             self.listed.get(&server).is_some_and(|listed| listed.endpoint.started >= offline.since);
         if !has_started_since {
             self.ended.insert(server, EndedOverride { since: offline.since, ended: now });
         }
-        Ok(self.current(server))
+        Ok(self.listed_with_override(server))
     }
 
-    fn current(&self, server: ServerId) -> Option<ListedServer> {
+    fn listed_with_override(&self, server: ServerId) -> Option<ListedServer> {
         self.listed.get(&server).map(|listed| self.with_override(listed))
     }
 
