--- a/dispatch/src/dispatcher/overrides/tests.rs
+++ b/dispatch/src/dispatcher/overrides/tests.rs
@@ -13,7 +13,7 @@
 
 const NAME: &str = "s-00000009";
 
-fn balancer() -> (Rc<Dispatcher>, Rc<Recorder>) {
+fn dispatcher_and_recorder() -> (Rc<Dispatcher>, Rc<Recorder>) {
     assert_eq!(server_id(NAME), SERVER);
     let recorder = Rc::new(Recorder::default());
     let dispatcher = dispatcher(settings(3, Idempotency::Idempotent), recorder.clone(), 4);
@@ -23,21 +23,21 @@
 }
 
 /// Sends requests for as many keys, each of which is served; returns how many attempts went to `SERVER`.
-async fn sent_there(dispatcher: &Dispatcher, recorder: &Recorder, requests: u64) -> usize {
-    let mut there = 0;
+async fn attempts_at_server(dispatcher: &Dispatcher, recorder: &Recorder, requests: u64) -> usize {
+    let mut attempts = 0;
     for n in 0..requests {
-        let mut asked = request("1", None);
-        asked.key = Bytes::from(format!("{n:016x}"));
-        let (_, answer) = dispatcher.take(asked).unwrap();
+        let mut read = request("1", None);
+        read.key = Bytes::from(format!("{n:016x}"));
+        let (_, answer) = dispatcher.take(read).unwrap();
         for attempt in recorder.begun.take() {
-            there += usize::from(attempt.server == SERVER);
+            attempts += usize::from(attempt.server == SERVER);
             dispatcher
                 .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value("v".into()))));
         }
         assert!(matches!(answer.await, Ok(Answer::Value(_) | Answer::Rejected(_))));
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    there
+    attempts
 }
 
 fn listed_as(state: EndpointState, started: u64) -> ListedServer {
@@ -49,17 +49,17 @@
 /// An override is not an update from discovery. Guards against an override that postpones the next watch request, at
 /// the start as well as after a watch was lost: the endpoint list in use would become stale.
 #[test]
-fn an_operators_call_puts_off_no_poll() {
+fn an_override_postpones_no_watch_request() {
     testing::run(async {
-        let (dispatcher, _) = balancer();
-        let within =
+        let (dispatcher, _) = dispatcher_and_recorder();
+        let poll_interval =
             Duration::from_micros(settings(3, Idempotency::Idempotent).rules.discovery_poll_interval.0);
         for _ in 0..3 {
             dispatcher.take_offline(NAME).unwrap();
             dispatcher.bring_online(NAME).unwrap();
             dispatcher.restore_override(NAME);
             dispatcher.bring_online(NAME).unwrap();
-            timeout(within, dispatcher.wait_for_watch_request())
+            timeout(poll_interval, dispatcher.wait_for_watch_request())
                 .await
                 .expect("a watch of the endpoint list is requested within the poll interval");
             dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[]);
@@ -70,7 +70,7 @@
 
 /// Updates from discovery that concern the offline server: deleted, restarted, at a new address, missing from a list,
 /// discovery unavailable, list restored.
-fn updates_of_discovery() -> Vec<(EndpointUpdate, Vec<ListedServer>)> {
+fn discovery_updates() -> Vec<(EndpointUpdate, Vec<ListedServer>)> {
     let others: Vec<ListedServer> =
         (1..4).map(|n| listed_server(ServerId(SERVER.0 + n), EndpointState::Serving)).collect();
     let with = |server: ListedServer| others.iter().cloned().chain([server]).collect::<Vec<_>>();
@@ -97,17 +97,17 @@
 /// Guards against an override that an update from discovery or a replacement of the process undoes: until the server is
 /// brought online no attempt may go to it, and from then on it has to serve again.
 #[test]
-fn nothing_goes_to_a_server_that_is_offline_whatever_discovery_says() {
+fn an_offline_server_gets_no_attempt_whatever_discovery_reports() {
     testing::run(async {
-        let mut fleet: Vec<_> = (0..3).map(|_| balancer()).collect();
+        let mut fleet: Vec<_> = (0..3).map(|_| dispatcher_and_recorder()).collect();
         for (dispatcher, recorder) in &fleet {
-            assert!(sent_there(dispatcher, recorder, 40).await > 0, "the server is in use");
+            assert!(attempts_at_server(dispatcher, recorder, 40).await > 0, "the server is in use");
             dispatcher.take_offline(NAME).unwrap();
         }
-        for (kind, servers) in updates_of_discovery() {
+        for (update, servers) in discovery_updates() {
             for (dispatcher, recorder) in &fleet {
-                dispatcher.on_endpoints_changed(kind, &servers);
-                assert_eq!(sent_there(dispatcher, recorder, 40).await, 0, "{kind:?} {servers:?}");
+                dispatcher.on_endpoints_changed(update, &servers);
+                assert_eq!(attempts_at_server(dispatcher, recorder, 40).await, 0, "{update:?} {servers:?}");
                 dispatcher.take_offline(NAME).expect("taking a server offline is idempotent");
                 if is_listed(dispatcher) {
                     assert!(dispatcher.metrics_text(&[], "").contains("skipped_cache_hosts 1\n"));
@@ -115,19 +115,22 @@
             }
             // One process is replaced; its successor restores the overrides.
             let (replaced, _) = fleet.remove(0);
-            let (successor, recorder) = balancer();
+            let (successor, recorder) = dispatcher_and_recorder();
             for name in replaced.offline_servers() {
                 successor.restore_override(&name);
             }
-            assert_eq!(sent_there(&successor, &recorder, 40).await, 0);
+            assert_eq!(attempts_at_server(&successor, &recorder, 40).await, 0);
             fleet.push((successor, recorder));
         }
         for (dispatcher, recorder) in &fleet {
             dispatcher.bring_online(NAME).unwrap();
-            assert!(sent_there(dispatcher, recorder, 400).await > 0, "the server serves again within 4 s");
+            assert!(
+                attempts_at_server(dispatcher, recorder, 400).await > 0,
+                "the server serves again within 4 s"
+            );
         }
         assert_eq!(fleet[0].0.take_offline("s-0000abcd"), Err(UnknownServer));
-        let answer = "no such cache host has been listed; give an instanceId of the list";
-        assert_eq!(UnknownServer.to_string(), answer);
+        let message = "no such cache host has been listed; give an instanceId of the list";
+        assert_eq!(UnknownServer.to_string(), message);
     });
 }
--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -9,7 +9,11 @@
 use tokio::task::spawn_local;
 use tokio::time::{Duration, Instant};
 
-fn with_timers(attempts: u32, idempotency: Idempotency, servers: u32) -> (Rc<Dispatcher>, Rc<Recorder>) {
+fn dispatcher_with_timers(
+    attempts: u32,
+    idempotency: Idempotency,
+    servers: u32,
+) -> (Rc<Dispatcher>, Rc<Recorder>) {
     let recorder = Rc::new(Recorder::default());
     let dispatcher = dispatcher(settings(attempts, idempotency), recorder.clone(), servers);
     let timers = Rc::clone(&dispatcher);
@@ -26,7 +30,7 @@
             (3, Idempotency::Idempotent),
             (3, Idempotency::WithIdempotencyKey),
         ] {
-            let (dispatcher, recorder) = with_timers(attempts, idempotency, 3);
+            let (dispatcher, recorder) = dispatcher_with_timers(attempts, idempotency, 3);
             let start = Instant::now();
             let (_, answer) = dispatcher.take(request("1", None)).unwrap();
             assert!(matches!(answer.await, Ok(Answer::Failed | Answer::Rejected(_))));
@@ -47,9 +51,9 @@
 
 /// Guards against a rejection that is delayed until the request's deadline.
 #[test]
-fn a_rejected_request_is_answered_at_once() {
+fn a_rejected_request_is_answered_without_delay() {
     testing::run(async {
-        let (dispatcher, recorder) = with_timers(1, Idempotency::Idempotent, 1);
+        let (dispatcher, recorder) = dispatcher_with_timers(1, Idempotency::Idempotent, 1);
         let start = Instant::now();
         let (_, answer) = dispatcher.take(request("1", None)).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
@@ -65,7 +69,7 @@
 fn a_half_closed_client_is_answered_by_attempts_in_flight() {
     testing::run(async {
         for served in [true, false] {
-            let (dispatcher, recorder) = with_timers(3, Idempotency::Idempotent, 3);
+            let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::Idempotent, 3);
             let (id, answer) = dispatcher.take(request("1", None)).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             dispatcher.on_client_half_closed(id);
@@ -110,8 +114,8 @@
 #[test]
 fn attempts_are_cancelled_once_their_request_is_closed() {
     testing::run(async {
-        for gone in [false, true] {
-            let (dispatcher, recorder) = with_timers(3, Idempotency::Idempotent, 3);
+        for is_client_gone in [false, true] {
+            let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::Idempotent, 3);
             let (id, answer) = dispatcher.take(request("1", None)).unwrap();
             while recorder.begun.borrow().len() < 2 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
@@ -119,7 +123,7 @@
             let [first, second] = &recorder.begun.take()[..] else { panic!("expected a hedged attempt") };
             let now = dispatcher.clock.now();
             assert!(!first.is_cancelled(now) && !second.is_cancelled(now));
-            if gone {
+            if is_client_gone {
                 dispatcher.on_client_gone(id);
             } else {
                 let value = Answer::Value(Bytes::from_static(b"v"));
@@ -184,26 +188,28 @@
     let recorder = Rc::new(Recorder::default());
     let mode = juniperladder::CacheMode::Aside(testing::ORIGIN);
     let dispatcher = dispatcher(Settings { mode, ..settings(3, Idempotency::Idempotent) }, recorder, 0);
-    let up = |n| testing::listed_server(ServerId(n), EndpointState::Serving);
-    let mut origin = up(u64::MAX);
+    let serving = |n| testing::listed_server(ServerId(n), EndpointState::Serving);
+    let mut origin = serving(u64::MAX);
     origin.endpoint.kind = testing::ORIGIN;
-    let known = || dispatcher.state.borrow().servers.len();
-    dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &(0..1_024).map(up).collect::<Vec<_>>());
-    assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (1_024, 0));
-    let most = MAX_SERVERS as u64;
+    let known_count = || dispatcher.state.borrow().servers.len();
+    dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &(0..1_024).map(serving).collect::<Vec<_>>());
+    assert_eq!((known_count(), dispatcher.counters.endpoints_left_out.get()), (1_024, 0));
+    let max_servers = MAX_SERVERS as u64;
     dispatcher.on_endpoints_changed(
         EndpointUpdate::Snapshot,
-        &(0..most + 10).map(up).chain([origin.clone()]).collect::<Vec<_>>(),
+        &(0..max_servers + 10).map(serving).chain([origin.clone()]).collect::<Vec<_>>(),
     );
     assert!(dispatcher.state.borrow().balancer.origin_server() == Some(origin.endpoint.server));
-    dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[up(most * 2)]);
-    assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (MAX_SERVERS + 1, 11));
-    let gone: Vec<ListedServer> =
+    dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[serving(max_servers * 2)]);
+    assert_eq!((known_count(), dispatcher.counters.endpoints_left_out.get()), (MAX_SERVERS + 1, 11));
+    let deleted: Vec<ListedServer> =
         (0..5).map(|n| testing::listed_server(ServerId(n), EndpointState::Deleted)).collect();
-    dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &gone);
-    dispatcher
-        .on_endpoints_changed(EndpointUpdate::Delta, &(most * 2..most * 2 + 9).map(up).collect::<Vec<_>>());
-    assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (MAX_SERVERS, 16));
+    dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &deleted);
+    dispatcher.on_endpoints_changed(
+        EndpointUpdate::Delta,
+        &(max_servers * 2..max_servers * 2 + 9).map(serving).collect::<Vec<_>>(),
+    );
+    assert_eq!((known_count(), dispatcher.counters.endpoints_left_out.get()), (MAX_SERVERS, 16));
 }
 
 /// Guards against requests left unanswered when the process ends: requests open when the final deadline is set and
@@ -211,27 +217,28 @@
 #[test]
 fn every_open_request_is_answered_by_the_final_deadline() {
     testing::run(async {
-        let (dispatcher, recorder) = with_timers(3, Idempotency::NotIdempotent, 3);
+        let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::NotIdempotent, 3);
         let start = Instant::now();
         let (_, first) = dispatcher.take(request("1", None)).unwrap();
         settle().await;
-        let last = Duration::from_millis(200);
-        dispatcher.set_final_deadline(dispatcher.clock.now().saturating_add(crate::clock::micros(last)));
-        tokio::time::sleep(last / 2).await;
+        let shutdown_time = Duration::from_millis(200);
+        dispatcher
+            .set_final_deadline(dispatcher.clock.now().saturating_add(crate::clock::micros(shutdown_time)));
+        tokio::time::sleep(shutdown_time / 2).await;
         let (_, second) = dispatcher.take(request("2", None)).unwrap();
         assert!(first.await.is_ok() && second.await.is_ok());
-        assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (last, 2));
+        assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (shutdown_time, 2));
         let (_, third) = dispatcher.take(request("3", None)).unwrap();
         assert!(third.await.is_ok());
-        assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (last, 2));
+        assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (shutdown_time, 2));
     });
 }
 
 /// Two open requests with one id could get each other's answers. Once the first is closed its id may be used again.
 #[test]
-fn a_request_with_an_id_in_use_is_not_taken() {
+fn a_request_with_an_id_in_use_is_refused() {
     testing::run(async {
-        let (dispatcher, recorder) = with_timers(1, Idempotency::Idempotent, 1);
+        let (dispatcher, recorder) = dispatcher_with_timers(1, Idempotency::Idempotent, 1);
         for _ in 0..2 {
             let (_, answer) = dispatcher.take(request("1", None)).unwrap();
             assert!(dispatcher.take(request("1", None)).is_none());
@@ -246,12 +253,12 @@
 /// Guards against a wrong wall clock that lets a server that has just joined skip slow start, or keeps one that joined
 /// long ago in slow start.
 #[test]
-fn a_wrong_wall_clock_changes_no_slow_start() {
+fn a_wrong_wall_clock_does_not_affect_slow_start() {
     const WARM_UP: Duration = Duration::from_secs(9);
     const HOUR: u64 = 3_600_000_000;
-    let sends_in_a_second = |reported: &dyn Fn(u64) -> u64, age: Duration| {
+    let attempts_in_a_second = |reported: &dyn Fn(u64) -> u64, age: Duration| {
         testing::run(async {
-            let (dispatcher, recorder) = with_timers(1, Idempotency::Idempotent, 3);
+            let (dispatcher, recorder) = dispatcher_with_timers(1, Idempotency::Idempotent, 3);
             let old: Vec<ListedServer> =
                 (0..3).map(|n| testing::listed_server(ServerId(9 + n), EndpointState::Serving)).collect();
             dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &old);
@@ -263,9 +270,9 @@
             tokio::time::sleep(age).await;
             recorder.begun.borrow_mut().clear();
             for number in 0..400 {
-                let mut one = request(&format!("c{number}"), None);
-                one.key = Bytes::from(format!("{number:016x}"));
-                let _answer = dispatcher.take(one);
+                let mut read = request(&format!("c{number}"), None);
+                read.key = Bytes::from(format!("{number:016x}"));
+                let _answer = dispatcher.take(read);
                 for attempt in recorder.begun.borrow().iter().filter(|a| a.request.id == format!("c{number}"))
                 {
                     dispatcher.on_attempt_ended(
@@ -280,13 +287,13 @@
         })
     };
     for age in [Duration::ZERO, WARM_UP] {
-        let right = sends_in_a_second(&|now| now, age);
-        let ahead = sends_in_a_second(&|now| now - HOUR, age);
-        let behind = sends_in_a_second(&|now| now + HOUR, age);
+        let right = attempts_in_a_second(&|now| now, age);
+        let ahead = attempts_in_a_second(&|now| now - HOUR, age);
+        let behind = attempts_in_a_second(&|now| now + HOUR, age);
         println!("{age:?}: {right} {ahead} {behind}");
         // The server may count as older by the time that discovery takes to list it, and so get a larger share.
-        let part = |sends: usize| sends as f64 / right.max(1) as f64;
-        assert!(part(ahead) < 1.8 && part(ahead) > 0.7, "{age:?}: {ahead} for {right}");
-        assert!(part(behind) < 1.4 && part(behind) > 0.7, "{age:?}: {behind} for {right}");
+        let ratio = |attempts: usize| attempts as f64 / right.max(1) as f64;
+        assert!(ratio(ahead) < 1.8 && ratio(ahead) > 0.7, "{age:?}: {ahead} for {right}");
+        assert!(ratio(behind) < 1.4 && ratio(behind) > 0.7, "{age:?}: {behind} for {right}");
     }
 }
--- a/dispatch/src/stall_tracker.rs
+++ b/dispatch/src/stall_tracker.rs
@@ -1,8 +1,8 @@
 //! Detects stalls of this process: times in which it was stopped or had no processor time.
 //!
 //! An event that is noticed after a stall may have happened at any time during the stall. A late tick distinguishes a
-//! stall from an idle time. Guarantee: for stalls of up to [`MAX_STALL_DURATION`] the earliest time that the tracker gives for an
-//! event is later than the true one by at most [`TICK_INTERVAL`] and [`MIN_TICK_DELAY`].
+//! stall from an idle time. Guarantee: for stalls of up to [`MAX_STALL_DURATION`] the earliest time that the tracker
+//! gives for an event is later than the true one by at most [`TICK_INTERVAL`] and [`MIN_TICK_DELAY`].
 
 use std::cell::Cell;
 
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Records a stall that began at `last_running`. Stalls that follow each other within [`NOTICE_WINDOW`], which may be one
-    /// turn of the event loop, are merged.
+    /// Records a stall that began at `last_running`. Stalls that follow each other within [`NOTICE_WINDOW`], which may be
+    /// one turn of the event loop, are merged.
     fn on_stall(&self, last_running: Micros, now: Micros) {
         let previous = self.last_stall.get();
         let is_continuation = last_running.saturating_sub(previous.end) <= NOTICE_WINDOW;
