--- a/protocols/src/admin.rs
+++ b/protocols/src/admin.rs
@@ -1,7 +1,7 @@
-//! The admin line protocol: one line in, one answer out, and nothing else on the connection. Without I/O.
+//! The admin line protocol, without I/O: one call and one reply per connection.
 //!
-//! A call is `HEALTH`, `DUMP`, `OFFLINE ID` or `ONLINE ID`, ended by `\n` (a `\r` before it is allowed). The
-//! reply is one line that starts with `ACK` or `NAK`; `DUMP` follows its `ACK` with the figures and a line `--`.
+//! A call is `HEALTH`, `DUMP`, `OFFLINE ID` or `ONLINE ID`, terminated by `\n` or `\r\n`. The reply is one line that
+//! starts with `ACK` or `NAK`; for `DUMP` the metrics and a line `--` follow the `ACK` line.
 
 use thiserror::Error;
 use winnow::ascii::space1;
@@ -9,48 +9,48 @@
 use winnow::prelude::*;
 use winnow::token::take_while;
 
-/// The longest line in bytes that a call may be, its end included.
+/// Maximum length of a call in bytes, line end included.
 pub const MAX_LINE_BYTES: usize = 256;
 
-/// A call of an operator.
+/// An operator's call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process is ready to serve.
+    /// Asks whether this process is ready to serve.
     Health,
-    /// The figures.
+    /// Requests the metrics.
     Dump,
-    /// Leave this cache server out until it is called back.
+    /// Takes the cache server with this id offline.
     Offline(String),
-    /// This cache server may serve again.
+    /// Brings the cache server with this id online again.
     Online(String),
 }
 
-/// Why a line is no call. The text names the calls.
+/// Why a line is not a valid call. Each message names the calls.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum CallError {
-    /// Nothing but blanks.
+    /// The line is blank.
     #[error("empty line; calls are HEALTH, DUMP, OFFLINE ID and ONLINE ID")]
     Empty,
-    /// Bytes that are not ASCII.
+    /// The line contains bytes that are not ASCII.
     #[error("not text; calls are HEALTH, DUMP, OFFLINE ID and ONLINE ID")]
     NotText,
-    /// Another word, or an id that is missing or malformed.
+    /// The call is unknown, or its id is missing or malformed.
     #[error("unknown call or a malformed id; calls are HEALTH, DUMP, OFFLINE ID and ONLINE ID")]
     Unknown,
 }
 
-/// What the bytes hold that came so far.
+/// The state of the input received so far.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Input {
-    /// A complete line: the call, or why it is none.
+    /// A complete line: the call, or why the line is not valid.
     Line(Result<Call, CallError>),
-    /// No complete line; more may come.
+    /// No complete line yet.
     Incomplete,
-    /// Too long to be a call, whatever comes.
+    /// The line exceeds [`MAX_LINE_BYTES`].
     TooLong,
 }
 
-/// Looks for a complete call at the start of what came so far.
+/// Reads the call at the start of the input received so far.
 pub fn read_call(input: &[u8]) -> Input {
     match memchr::memchr(b'\n', input) {
         Some(end) if end < MAX_LINE_BYTES => Input::Line(parse(&input[..end])),
@@ -81,7 +81,7 @@
 /// Parses one line without its `\n`.
 ///
 /// # Errors
-/// The line is no call.
+/// The line is not a valid call.
 pub fn parse(line: &[u8]) -> Result<Call, CallError> {
     if line.trim_ascii().is_empty() {
         return Err(CallError::Empty);
@@ -92,12 +92,12 @@
     call.parse(line).map_err(|_| CallError::Unknown)
 }
 
-/// A positive answer, with what it says.
+/// Formats a positive reply with this text.
 pub fn ack(text: &str) -> String {
     format!("ACK {}\n", one_line(text))
 }
 
-/// A negative answer, with the reason.
+/// Formats a negative reply with this reason.
 pub fn nak(reason: &str) -> String {
     format!("NAK {}\n", one_line(reason))
 }
--- a/protocols/src/admin/tests.rs
+++ b/protocols/src/admin/tests.rs
@@ -14,7 +14,7 @@
     for line in
         [&b"\n"[..], b"health\n", b"OFFLINE\n", b"OFFLINE a b\n", b"ONLINE \xff\n", b"DUMPS\n", b"\0\n"]
     {
-        let Input::Line(Err(error)) = read_call(line) else { panic!("{line:?} was taken") };
+        let Input::Line(Err(error)) = read_call(line) else { panic!("{line:?} was accepted") };
         assert!(error.to_string().contains("HEALTH"), "{error}");
     }
     assert_eq!(read_call(b"HEAL"), Input::Incomplete);
@@ -29,14 +29,14 @@
 }
 
 proptest! {
-    /// However a call is cut, its first pieces are never taken for a call, and the complete line is the same call.
+    /// Guards against a call that arrives in pieces being acted on before it is complete.
     #[test]
     fn a_call_cut_anywhere_is_read_completely_or_not_at_all(id in "[a-z0-9-]{1,40}", cut in 0usize..60, junk in proptest::collection::vec(any::<u8>(), 0..300)) {
         let line = format!("OFFLINE {id}\n");
         let cut = cut.min(line.len() - 1);
         prop_assert_eq!(read_call(&line.as_bytes()[..cut]), Input::Incomplete);
         prop_assert_eq!(read_call(line.as_bytes()), Input::Line(Ok(Call::Offline(id))));
-        // Nothing that a peer sends panics the reader.
+        // No input makes the reader panic.
         let _ = read_call(&junk);
     }
 }
--- a/protocols/src/http.rs
+++ b/protocols/src/http.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 as the origin and discovery speak it: bytes to values and back, without I/O.
+//! HTTP/1.1 codec for the origin and discovery, without I/O.
 //!
-//! Guarantee: nothing that a peer sends makes the codec panic, and the head of a response is bounded. The body is not: the
-//! caller takes from it, or ends the connection.
+//! Guarantee: no input from a peer makes the codec panic, and the size of a response head is bounded. The body is not
+//! bounded: the caller has to drain it or close the connection.
 
 mod request_writer;
 mod response;
--- a/protocols/src/http/request_writer.rs
+++ b/protocols/src/http/request_writer.rs
@@ -1,4 +1,4 @@
-//! Requests to the origin, and calls to discovery.
+//! Writes requests to the origin and calls to discovery.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use juniperladder::Micros;
@@ -6,10 +6,10 @@
 
 use crate::memcache::write_properties;
 
-/// Graphic ASCII characters that would end a path, or are no URI characters.
+/// Graphic ASCII characters that would end a path or are not allowed in a URI.
 const ESCAPED_IN_PATH: &[u8] = b"%?#\"<>\\^`{|}";
 
-/// Writes a request to the origin, with the time for which its answer is awaited.
+/// Writes a request to the origin, with the time left until its deadline.
 pub fn write_request(output: &mut BytesMut, request: &ClientRequest, host: &str, time_left: Micros) {
     write_request_head(output, request, host, time_left, request.value.as_ref().map(Bytes::len));
     if let Some(value) = &request.value {
@@ -17,7 +17,7 @@
     }
 }
 
-/// Writes the head of a request to the origin: a write, if there is the length of a value that follows.
+/// Writes the head of a request to the origin. The request is a write if it has a value length; the value has to follow.
 pub fn write_request_head(
     output: &mut BytesMut,
     request: &ClientRequest,
--- a/protocols/src/http/response.rs
+++ b/protocols/src/http/response.rs
@@ -1,4 +1,4 @@
-//! Responses as they come in, in whatever pieces.
+//! Parses responses incrementally.
 
 use bytes::{Bytes, BytesMut};
 use juniperladder_dispatch::values::{Answer, Reply};
@@ -10,57 +10,57 @@
 
 use crate::memcache::{parse_decimal, parse_receipt, MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES};
 
-/// The longest head of a response in bytes, and the longest line in a chunked body.
+/// Maximum length in bytes of a response head and of a line in a chunked body.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// How much of a malformed head an error shows.
+/// How many bytes of a malformed head an error shows.
 const SHOWN_BYTES: usize = 80;
-/// Responses with a status below this only say that the final one is on its way.
+/// Lowest status of a final response; lower ones are informational.
 const FIRST_FINAL_STATUS: u16 = 200;
 
-/// Why a response is malformed. Its connection has to end.
+/// Why a response is malformed. Its connection has to be closed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ResponseError {
-    /// The head is longer than any response's.
-    #[error("the response head has no end within the limit")]
+    /// The head exceeds the maximum length.
+    #[error("cannot read the HTTP response: its head exceeds {MAX_HEAD_BYTES} bytes")]
     EndlessHead,
-    /// The head is no response's.
-    #[error("not a response: {0:?}")]
+    /// The head is malformed; holds its first bytes.
+    #[error("cannot parse the HTTP response head: {0:?}")]
     NotAResponse(String),
-    /// The line with a chunk's size is longer than any.
-    #[error("the chunk size line has no end within the limit")]
+    /// A line in a chunked body exceeds the maximum length.
+    #[error("cannot read the chunked HTTP body: a line exceeds {MAX_HEAD_BYTES} bytes")]
     EndlessChunkSize,
-    /// The line with a chunk's size holds something else.
-    #[error("not a chunk's size")]
+    /// A chunk size line is malformed.
+    #[error("cannot read the chunked HTTP body: malformed chunk size")]
     NotAChunkSize,
-    /// Behind a chunk stands something else than the end of a line.
-    #[error("no line end after a chunk")]
+    /// A chunk is not followed by a line end.
+    #[error("cannot read the chunked HTTP body: no line end after a chunk")]
     ChunkWithoutEnd,
-    /// The body of a write's response is no receipt.
-    #[error("not a receipt, in {0} bytes")]
+    /// The body of the response to a write is not a receipt; holds the length of the body in bytes.
+    #[error("the response to a write has a malformed receipt of {0} bytes")]
     NotAReceipt(usize),
 }
 
 /// How a response's body is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
-    /// By its length in bytes.
+    /// By its length in bytes, stated in the head.
     Length(usize),
-    /// By the sizes of its chunks.
+    /// By chunk sizes.
     Chunked,
     /// By the end of the connection.
     UntilClose,
 }
 
-/// The head of a response, as far as it matters here.
+/// The relevant parts of a response head.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// The status.
+    /// Status code.
     pub status: u16,
-    /// Whether the response says that the request was not executed.
+    /// Whether the response states that the request was not executed.
     pub not_executed: bool,
     /// Whether the connection ends with this response.
     pub closes_connection: bool,
-    /// The id of the request, where the response names it.
+    /// The id of the request, if the response has it.
     pub request_id: Option<Bytes>,
     framing: Framing,
 }
@@ -75,7 +75,7 @@
         header.map(|(_, value)| value.trim_ascii())
     }
 
-    /// Whether a header of this name lists this item.
+    /// Whether a header of this name has this item in its comma-separated list.
     fn lists(&self, name: &str, item: &str) -> bool {
         self.0.iter().any(|(known, value)| {
             let mut items = value.split(|byte| *byte == b',');
@@ -89,7 +89,7 @@
     (opt(b'\r'), b'\n').void().parse_next(input)
 }
 
-/// The minor version, and the digits of the status.
+/// Parses the status line into the minor version and the digits of the status.
 fn status_line<'a>(input: &mut &'a [u8]) -> winnow::Result<(&'a [u8], &'a [u8])> {
     let version = preceded(b"HTTP/1.", digit1);
     let status = take_while(3..=3, |byte: u8| byte.is_ascii_digit());
@@ -99,7 +99,7 @@
 
 fn header<'a>(input: &mut &'a [u8]) -> winnow::Result<(&'a [u8], &'a [u8])> {
     let name = take_while(1.., |byte: u8| byte.is_ascii_graphic() && byte != b':');
-    // Whatever it holds: a load report that cannot be read makes no response malformed.
+    // Any bytes are allowed: an unreadable load report does not make the response malformed.
     let value = take_till(0.., b'\n');
     terminated(separated_pair(name, (b':', space0), value), b'\n').parse_next(input)
 }
@@ -119,7 +119,7 @@
     })
 }
 
-/// How the body is delimited; none if its length is malformed.
+/// The framing of the body; none if its length is malformed.
 fn framing(status: &[u8], headers: &Headers<'_>) -> Option<Framing> {
     if headers.lists("transfer-encoding", "chunked") {
         return Some(Framing::Chunked);
@@ -138,34 +138,34 @@
     terminated(hex_digit1, (take_till(0.., (b'\r', b'\n')), line_end)).parse_next(input)
 }
 
-/// Where a chunked body stands, once the bytes of the chunk in progress have come.
+/// What follows in a chunked body after the bytes of the current chunk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ChunkState {
-    /// Before the line with a chunk's size.
+    /// A chunk size line.
     #[default]
     Size,
-    /// Before the end of the line behind a chunk.
+    /// The line end after a chunk.
     ChunkEnd,
-    /// In the trailer, whose empty line ends the body.
+    /// The trailer, whose empty line ends the body.
     Trailer,
 }
 
-/// A response as it comes in. The caller takes from `body` what it wants while more is on its way.
+/// A response that is being received. The caller may drain `body` at any time.
 #[derive(Debug, Default)]
 pub struct Response {
     /// The head, once it is complete.
     pub head: Option<Head>,
-    /// The body so far, or what was not taken of it.
+    /// The part of the body that was received and not yet drained.
     pub body: BytesMut,
     /// Whether the response is complete.
     pub is_complete: bool,
-    /// Bytes of the body, or of the chunk in progress, that are still to come.
+    /// Bytes of the body, or of the current chunk, not yet received.
     remaining_bytes: usize,
     chunk_state: ChunkState,
 }
 
 impl Response {
-    /// Takes what belongs to this response off the input.
+    /// Consumes the input that belongs to this response.
     ///
     /// # Errors
     /// The response is malformed.
@@ -185,7 +185,7 @@
         Ok(())
     }
 
-    /// Reads the final head, behind any that only say that it is on its way, if it has come.
+    /// Reads the final head if it is complete, skipping informational ones.
     fn read_head(&mut self, input: &mut BytesMut) -> Result<(), ResponseError> {
         while let Some(length) = head_length(input) {
             let text = input.split_to(length);
@@ -208,13 +208,13 @@
         Ok(())
     }
 
-    /// The connection has ended: a body without a length is complete by that.
+    /// Handles the end of the connection, which completes a body without a length.
     pub fn on_connection_ended(&mut self) {
         self.is_complete |= self.head.as_ref().is_some_and(|head| head.framing == Framing::UntilClose);
     }
 
-    /// The length of the value that this response brings, where it has to be streamed. One without a length cannot, as
-    /// the client gets the length first.
+    /// The length of the value in this response if it has to be streamed. A body without a stated length cannot be
+    /// streamed, as the client gets the length first.
     pub fn streamed_length(&self) -> Option<usize> {
         match self.head.as_ref()? {
             Head { status: 200, framing: Framing::Length(length), .. } => {
@@ -224,22 +224,23 @@
         }
     }
 
-    /// Whether its body is, or is said to be, longer than what is buffered: it must not be read to its end.
+    /// Whether the received or the stated length of the body exceeds what may be buffered; such a body must not be
+    /// read to its end.
     pub fn is_too_large(&self) -> bool {
         let framing = self.head.as_ref().map(|head| head.framing);
         self.body.len() > MAX_BUFFERED_VALUE_BYTES
             || matches!(framing, Some(Framing::Length(length)) if length > MAX_BUFFERED_VALUE_BYTES)
     }
 
-    /// Whether its connection ends with it.
+    /// Whether the connection closes after this response.
     pub fn closes_connection(&self) -> bool {
         self.head.as_ref().is_none_or(|head| head.closes_connection)
     }
 
-    /// What the origin's complete response to a read or a write means.
+    /// The reply that the origin's complete response to a read or a write stands for.
     ///
     /// # Errors
-    /// A write's receipt is no token.
+    /// The receipt of a write is malformed.
     pub fn reply(&self, is_write: bool) -> Result<Reply, ResponseError> {
         let Some(head) = &self.head else { return Ok(Reply::Error) };
         Ok(match head.status {
@@ -253,7 +254,7 @@
         })
     }
 
-    /// Takes what has come of the body, or of the chunk in progress.
+    /// Consumes the received part of the body or of the current chunk.
     fn read_body(&mut self, input: &mut BytesMut) {
         let part = input.split_to(self.remaining_bytes.min(input.len()));
         self.remaining_bytes -= part.len();
@@ -275,7 +276,7 @@
         Ok(())
     }
 
-    /// Reads a line between the bytes of chunks.
+    /// Reads a line between chunks.
     fn read_chunk_line(&mut self, line: &[u8]) -> Result<(), ResponseError> {
         let is_blank = line.trim_ascii().is_empty();
         match self.chunk_state {
@@ -297,13 +298,13 @@
     usize::from_str_radix(std::str::from_utf8(digits).ok()?, 16).ok()
 }
 
-/// Whether these bytes may be the beginning of a response, or none at all.
+/// Whether these bytes, possibly none, may be the beginning of a response.
 pub fn may_begin_response(input: &[u8]) -> bool {
     const VERSION_PREFIX: &[u8] = b"HTTP/1.";
     input.iter().zip(VERSION_PREFIX).all(|(byte, expected)| byte == expected)
 }
 
-/// The length of the first head with its empty line; none until that has come.
+/// The length of the first head including its empty line; none while it is incomplete.
 fn head_length(input: &[u8]) -> Option<usize> {
     let mut from = 0;
     loop {
--- a/protocols/src/http/tests.rs
+++ b/protocols/src/http/tests.rs
@@ -60,7 +60,8 @@
     assert_eq!(says(b"HTTP/1.1 504 No\r\nx-never-ran: 1\r\nContent-Length: 0\r\n\r\n"), Reply::Rejected);
 }
 
-/// A receipt goes into a line of its client's connection: more than one word there would be more than one answer.
+/// A receipt is written into the answer line to the client. Guards against a receipt that would inject further tokens or
+/// answers there.
 #[test]
 fn a_receipt_that_is_no_word_is_an_error() {
     for body in ["", "r1 r2", "r1\r\n", "r1\nHD O8 cr2", "r1\u{7f}", "r1\u{e9}", &"r".repeat(5000)] {
--- a/protocols/src/lib.rs
+++ b/protocols/src/lib.rs
@@ -1,4 +1,4 @@
-//! Codecs: bytes to values and back, without I/O.
+//! Protocol codecs, without I/O.
 
 pub mod admin;
 pub mod http;
--- a/protocols/src/memcache.rs
+++ b/protocols/src/memcache.rs
@@ -1,10 +1,10 @@
-//! The meta commands of the memcache text protocol: bytes to values and back, without I/O.
+//! Codec for the meta commands of the memcache text protocol, without I/O.
 //!
-//! Clients send requests, which [`RequestReader`] finds in the bytes as they come; the answers to them are written by
-//! [`write_answer`]. The same requests go on to cache servers by [`write_request`], whose replies [`read_response`] reads.
+//! [`RequestReader`] reads the requests of clients, and [`write_answer`] writes the answers. [`write_request`] forwards
+//! a request to a cache server, and [`read_response`] reads the server's reply.
 //!
-//! Guarantee: nothing that a peer sends makes a codec panic or buffer more than a line and a value; what is malformed is an
-//! error or an answer that says so.
+//! Guarantee: no input from a peer makes a codec panic or buffer more than a line and a value. Malformed input yields an
+//! error, or an answer that reports the error.
 
 mod answer_writer;
 mod line;
@@ -20,23 +20,23 @@
     parse_receipt, read_answer, read_reply, read_response, RemainingValue, Response, ResponseError,
 };
 
-/// The longest line in bytes; a key, an id and a few properties are far shorter.
+/// Maximum length of a line in bytes; a key, an id and a few properties are far shorter.
 const MAX_LINE_BYTES: usize = 4096;
-/// The longest value in bytes that is buffered before it is forwarded.
+/// Maximum length in bytes of a value that is buffered before it is forwarded.
 pub const MAX_BUFFERED_VALUE_BYTES: usize = 64 * 1024;
-/// The longest value in bytes: one over [`MAX_BUFFERED_VALUE_BYTES`] is streamed.
+/// Maximum length of a value in bytes; a value longer than [`MAX_BUFFERED_VALUE_BYTES`] is streamed.
 pub const MAX_VALUE_BYTES: usize = 4 * 1024 * 1024;
-/// The longest value in bytes that is skipped to keep a connection in step.
+/// Maximum length in bytes of a rejected value that is skipped to keep the connection usable.
 const MAX_SKIPPED_BYTES: usize = 2 * MAX_VALUE_BYTES;
-/// The longest key in bytes, as memcache has it.
+/// Maximum length of a key in bytes, as in memcache.
 const MAX_KEY_BYTES: usize = 250;
-/// The longest receipt in bytes: with an id as long it fits into the longest line.
+/// Maximum length of a receipt in bytes; with an id of the same length it fits into the longest line.
 const MAX_RECEIPT_BYTES: usize = 1024;
-/// The answer to a request that was rejected; how long to wait may follow.
+/// The answer to a rejected request; a Retry-After delay in milliseconds may follow.
 pub const BUSY: &str = "SERVER_ERROR busy";
-/// The answer to a write whose value is longer than any that is taken.
+/// The answer to a write whose value exceeds [`MAX_VALUE_BYTES`].
 pub const VALUE_TOO_LARGE: &str = "SERVER_ERROR object too large for cache";
-/// What ends a line that is written, and a value.
+/// Terminates each line written, and each value.
 const LINE_END: &[u8] = b"\r\n";
 
 #[cfg(test)]
--- a/protocols/src/memcache/answer_writer.rs
+++ b/protocols/src/memcache/answer_writer.rs
@@ -1,4 +1,4 @@
-//! Answers as they go to clients, and replies as cache servers write them.
+//! Writes answers to clients, and replies in the form of cache servers.
 
 use bytes::{BufMut, BytesMut};
 use juniperladder::Micros;
@@ -7,7 +7,8 @@
 
 use super::{BUSY, LINE_END};
 
-/// Writes a final answer to a client. Behind the line of a streamed value its chunks follow, and then the end of a line.
+/// Writes a final answer to a client. For a streamed value only its line is written; the caller sends the chunks and a
+/// line end after it.
 pub fn write_answer(output: &mut BytesMut, id: &[u8], answer: &Answer) {
     match answer {
         Answer::Value(value) => {
@@ -26,8 +27,8 @@
     output.put_slice(LINE_END);
 }
 
-/// Writes a cache server's reply, which [`super::read_reply`] reads. `hit` says how a read went where servers report that,
-/// and `load` is the load report that may end the line.
+/// Writes a cache server's reply, which [`super::read_reply`] reads. `hit` states whether a read was a hit, if the
+/// server reports that; `load` is an optional load report at the end of the line.
 pub fn write_reply(output: &mut BytesMut, id: &[u8], reply: &Reply, hit: Option<bool>, load: Option<&str>) {
     match reply {
         Reply::Served(Answer::Value(value)) => write_value_line(output, id, value.len()),
--- a/protocols/src/memcache/request_reader.rs
+++ b/protocols/src/memcache/request_reader.rs
@@ -1,4 +1,4 @@
-//! The requests on a client's connection, found in the bytes as they come.
+//! Parses the requests on a client's connection incrementally.
 
 use bytes::{Buf, Bytes, BytesMut};
 use juniperladder_dispatch::clock::from_ms;
@@ -18,19 +18,19 @@
 const BAD_PROPERTIES: &str = "CLIENT_ERROR bad properties";
 const LINE_TOO_LONG: &str = "CLIENT_ERROR line too long";
 
-/// What a client's connection brought next.
+/// The next item on a client's connection.
 #[derive(Debug, PartialEq)]
 pub enum Incoming {
-    /// `mn`: the client asks whether requests are served.
+    /// `mn`: the client asks whether the balancer is ready.
     Ready,
     /// A complete request.
     Request {
-        /// The request.
+        /// The request, with the value of a write.
         request: Box<ClientRequest>,
         /// Its class, by name.
         class: Bytes,
     },
-    /// The line of a write whose value is streamed. Its chunks follow.
+    /// The line of a write whose value is streamed; [`Incoming::UploadChunk`]s follow.
     Upload {
         /// The request, without its value.
         request: Box<ClientRequest>,
@@ -43,18 +43,19 @@
     UploadChunk {
         /// The bytes.
         chunk: Bytes,
-        /// Whether the value is complete with it.
+        /// Whether this is the last chunk of the value.
         is_last: bool,
     },
-    /// No request; this line is the complete answer.
+    /// Malformed input; the text is the complete answer line.
     Malformed(&'static str),
-    /// The same, and what follows cannot be distinguished from it: the connection has to end.
+    /// Malformed input whose end is unknown, so that the connection has to be closed; the text is the complete answer
+    /// line.
     Unrecoverable(&'static str),
-    /// `quit`.
+    /// `quit`: the client closes the connection.
     Quit,
 }
 
-/// A write whose line was read.
+/// A write whose line has been read.
 #[derive(Debug)]
 struct Write {
     request: Box<ClientRequest>,
@@ -62,24 +63,24 @@
     length: usize,
 }
 
-/// Finds the requests on one connection.
+/// Reads the requests on one connection.
 #[derive(Debug, Default)]
 pub struct RequestReader {
-    /// Bytes of a rejected value that are still to come.
+    /// Bytes of a rejected value that are still to be skipped.
     skipped_bytes: usize,
-    /// A write whose value has not come, so that its line is read once.
+    /// A write whose value is incomplete; stored so that its line is parsed only once.
     pending_write: Option<Write>,
-    /// A streamed value that is coming.
+    /// The streamed value that is being received.
     upload: Option<RemainingValue>,
 }
 
 impl RequestReader {
-    /// Whether a request has begun that is not complete.
+    /// Whether a request has been received in part.
     pub fn has_incomplete_request(&self) -> bool {
         self.pending_write.is_some() || self.upload.is_some() || self.skipped_bytes > 0
     }
 
-    /// Takes the next request off the input; none until more has come.
+    /// Removes the next item from the input; none while it is incomplete.
     pub fn next(&mut self, input: &mut BytesMut) -> Option<Incoming> {
         self.skip(input);
         if self.skipped_bytes > 0 {
@@ -96,7 +97,7 @@
         self.complete_write(input)
     }
 
-    /// Drops what has come of a rejected value.
+    /// Discards the received part of a rejected value.
     fn skip(&mut self, input: &mut BytesMut) {
         let skipped = self.skipped_bytes.min(input.len());
         input.advance(skipped);
@@ -114,10 +115,11 @@
         (is_last || !chunk.is_empty()).then_some(Incoming::UploadChunk { chunk, is_last })
     }
 
-    /// Reads a line, if one has come. Without an incoming request it was that of a write, which now waits for its value.
+    /// Reads a line if it is complete. `Some(None)` means the line of a write, which is now pending until its value is
+    /// complete.
     fn next_line(&mut self, input: &mut BytesMut) -> Option<Option<Incoming>> {
         let Some(line) = first_line(input) else {
-            // A line that never ends must not fill the memory.
+            // An endless line must not exhaust the memory.
             let is_too_long = input.len() > MAX_LINE_BYTES;
             return is_too_long.then_some(Some(Incoming::Unrecoverable(LINE_TOO_LONG)));
         };
@@ -150,7 +152,7 @@
         Incoming::Malformed(VALUE_TOO_LARGE)
     }
 
-    /// Completes the write whose line was read, if its value has come.
+    /// Completes the pending write if its value has been received.
     fn complete_write(&mut self, input: &mut BytesMut) -> Option<Incoming> {
         let length = self.pending_write.as_ref()?.length;
         if input.len() < length + LINE_END.len() {
@@ -166,13 +168,13 @@
     }
 }
 
-/// What a line is.
+/// A parsed line.
 enum Line {
-    /// Complete by itself.
+    /// A line without a value.
     Incoming(Incoming),
     /// The line of a write, whose value follows.
     Write(Write),
-    /// The line of a write whose value has too many bytes.
+    /// The line of a write whose value exceeds [`MAX_VALUE_BYTES`]; holds its length in bytes.
     WriteTooLarge(usize),
 }
 
@@ -194,7 +196,7 @@
 }
 
 fn parse_write(text: &Bytes, key: &[u8], length: &[u8], flags: &[&[u8]]) -> Line {
-    // Without a length nobody knows where the value ends.
+    // Without a length the end of the value is unknown.
     let Some(length) = parse_decimal(length) else {
         return Line::Incoming(Incoming::Unrecoverable(BAD_DATA_CHUNK));
     };
@@ -204,12 +206,12 @@
     }
     match parse_request(text, key, flags) {
         Ok((request, class)) => Line::Write(Write { request, class, length }),
-        // The value follows all the same, and read as a line it would be another error.
+        // The value still follows, and its bytes would be parsed as further lines.
         Err(answer) => Line::Incoming(Incoming::Unrecoverable(answer)),
     }
 }
 
-/// The request that a line describes, and its class by name; an error is the answer to a malformed one.
+/// Parses the request in a line, and the name of its class. An error is the answer line to the client.
 fn parse_request(
     text: &Bytes,
     key: &[u8],
@@ -241,7 +243,7 @@
     Ok((Box::new(request), class))
 }
 
-/// The names and values of a list like `c=read,d=480`.
+/// Parses a list of properties such as `c=read,d=480`.
 fn parse_properties(list: &Bytes) -> Result<Vec<(Bytes, Bytes)>, &'static str> {
     let mut properties = Vec::new();
     for item in list.split(|byte| *byte == b',').filter(|item| !item.is_empty()) {
--- a/protocols/src/memcache/request_writer.rs
+++ b/protocols/src/memcache/request_writer.rs
@@ -1,4 +1,4 @@
-//! Requests as they go to cache servers.
+//! Writes requests to cache servers.
 
 use bytes::{BufMut, BytesMut};
 use juniperladder::Micros;
@@ -7,7 +7,7 @@
 
 use super::LINE_END;
 
-/// Writes a request to a cache server, with the time for which its answer is awaited.
+/// Writes a request to a cache server, with the time left until its deadline.
 pub fn write_request(output: &mut BytesMut, request: &ClientRequest, time_left: Micros) {
     output.put_slice(if request.value.is_some() { b"ms " } else { b"mg " });
     output.put_slice(&request.key);
@@ -28,7 +28,7 @@
     }
 }
 
-/// Writes the list of names and values as it came, but for `d`, which says for how long the answer is awaited.
+/// Writes the request's properties as received, except `d`, which becomes the time left in milliseconds.
 pub fn write_properties(output: &mut BytesMut, request: &ClientRequest, time_left: Micros) {
     for (position, (name, value)) in request.properties.iter().enumerate() {
         if position > 0 {
--- a/protocols/src/memcache/response_reader.rs
+++ b/protocols/src/memcache/response_reader.rs
@@ -1,4 +1,4 @@
-//! Cache servers' responses, and a balancer's answers as its client reads them.
+//! Parses cache servers' responses, and a balancer's answers as its client reads them.
 
 use bytes::{Buf, Bytes, BytesMut};
 use juniperladder::Micros;
@@ -10,57 +10,58 @@
 use super::line::{first_line, parse_decimal, response_tokens, LineBounds};
 use super::{LINE_END, MAX_BUFFERED_VALUE_BYTES, MAX_LINE_BYTES, MAX_RECEIPT_BYTES, MAX_VALUE_BYTES};
 
-/// How much of a malformed line an error shows: the beginning and not all of it.
+/// How many bytes of the beginning of a malformed line an error shows.
 const SHOWN_BYTES: usize = 80;
 
-/// Why a response is malformed. Its connection has to end.
+/// Why a response is malformed. Its connection has to be closed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ResponseError {
-    /// The line is longer than any answer's.
-    #[error("the response line has no end within the limit")]
+    /// The line exceeds the maximum length.
+    #[error("cannot read the memcache response: its line exceeds {MAX_LINE_BYTES} bytes")]
     EndlessLine,
-    /// The line is no answer to this request.
-    #[error("not an answer: {0:?}")]
+    /// The line is not a valid response to this request; holds its first bytes.
+    #[error("unexpected memcache response line: {0:?}")]
     NotAnAnswer(String),
-    /// The line answers another request.
-    #[error("an answer for another id: {0:?}")]
+    /// The response has the id of another request; holds the first bytes of its line.
+    #[error("the memcache response has another request's id: {0:?}")]
     OtherRequest(String),
-    /// Behind the value stands something else than the end of a line.
+    /// The value is not followed by a line end.
     #[error("no line end after the value")]
     ValueWithoutEnd,
-    /// A value came where only one that is buffered can be used.
-    #[error("a value of {0} bytes, too long to be taken whole")]
+    /// The value is too long to be buffered, and the caller cannot stream it; holds its length in bytes.
+    #[error("cannot buffer a value of {0} bytes: the limit is {MAX_BUFFERED_VALUE_BYTES}")]
     ValueTooLong(usize),
 }
 
-/// A cache server's response, as far as it has come.
+/// A cache server's response.
 #[derive(Debug, PartialEq)]
 pub enum Response {
     /// The complete reply.
     Complete(Reply),
-    /// The line of a value that is streamed.
+    /// The line of a streamed value, whose bytes follow.
     Streamed {
         /// The length of the value in bytes.
         length: usize,
-        /// Takes the value off the input.
+        /// Reads the value from the input.
         remaining: RemainingValue,
     },
 }
 
-/// The rest of a streamed value whose line has been read: how many bytes are still to come.
+/// The rest of a streamed value whose line has been read: the number of bytes not yet received.
 #[derive(Debug, PartialEq)]
 pub struct RemainingValue(usize);
 
 impl RemainingValue {
-    /// All of a value of this many bytes.
+    /// A value of this many bytes, none of which has been received.
     pub(super) fn new(length: usize) -> RemainingValue {
         RemainingValue(length)
     }
 
-    /// Takes off what has come of the value, and returns whether its end has been seen.
+    /// Removes the received part of the value from the input, and returns it with whether the value and its line end are
+    /// complete.
     ///
     /// # Errors
-    /// Something else stands where the value should end.
+    /// No line end follows the value.
     pub fn take(&mut self, input: &mut BytesMut) -> Result<(Bytes, bool), ResponseError> {
         let chunk = input.split_to(self.0.min(input.len())).freeze();
         self.0 -= chunk.len();
@@ -75,18 +76,18 @@
     }
 }
 
-/// A receipt as it may stand in an answer's line, where it is one token: with anything else in it the line would be another
-/// answer to its client, or several.
+/// Parses a receipt, which has to be a single token: it is written into the answer line to the client, where other bytes
+/// would change the answer or inject further ones.
 pub fn parse_receipt(text: &[u8]) -> Option<Bytes> {
     let has_valid_length = (1..=MAX_RECEIPT_BYTES).contains(&text.len());
     let is_token = has_valid_length && text.iter().all(u8::is_ascii_graphic);
     is_token.then(|| Bytes::copy_from_slice(text))
 }
 
-/// Takes a cache server's reply to this request off the input; none until it is complete.
+/// Removes a cache server's reply to this request from the input; none while it is incomplete.
 ///
 /// # Errors
-/// It is malformed, or holds a value that has to be streamed.
+/// The reply is malformed, or has a value that has to be streamed.
 pub fn read_reply(input: &mut BytesMut, request: &ClientRequest) -> Result<Option<Reply>, ResponseError> {
     match read_response(input, request)? {
         Some(Response::Complete(reply)) => Ok(Some(reply)),
@@ -95,10 +96,11 @@
     }
 }
 
-/// Takes a cache server's response to this request off the input, of a streamed value its line; none until it is complete.
+/// Removes a cache server's response to this request from the input, or only its line if the value is streamed; none
+/// while it is incomplete.
 ///
 /// # Errors
-/// It is malformed.
+/// The response is malformed.
 pub fn read_response(
     input: &mut BytesMut,
     request: &ClientRequest,
@@ -112,10 +114,10 @@
     Ok(Some(Response::Complete(reply)))
 }
 
-/// Takes a balancer's answer to this request off the input, as its client reads it; none until it is complete.
+/// Removes a balancer's answer to this request from the input, as its client reads it; none while it is incomplete.
 ///
 /// # Errors
-/// It is malformed.
+/// The answer is malformed.
 pub fn read_answer(input: &mut BytesMut, request: &ClientRequest) -> Result<Option<Answer>, ResponseError> {
     let Some(bounds) = first_line(input) else { return incomplete_line(input) };
     let tokens = input[..bounds.text].split(|byte| *byte == b' ').filter(|token| !token.is_empty());
@@ -135,7 +137,7 @@
     Ok(Some(answer))
 }
 
-/// What a line means whose end has not come.
+/// Handles an incomplete line: an error if it exceeds the maximum length.
 fn incomplete_line<T>(input: &[u8]) -> Result<Option<T>, ResponseError> {
     if input.len() > MAX_LINE_BYTES {
         Err(ResponseError::EndlessLine)
@@ -144,11 +146,11 @@
     }
 }
 
-/// What the line of a response says.
+/// A parsed response line.
 enum Line {
-    /// The complete reply.
+    /// A complete reply.
     Reply(Reply),
-    /// That a value of so many bytes follows.
+    /// The line of a value; holds the length of the value in bytes.
     Value(usize),
 }
 
@@ -163,7 +165,7 @@
     Ok(Line::Reply(match (name, flags.first().copied()) {
         (b"VA", Some(length)) if !is_write => {
             let length = parse_decimal(length).and_then(|length| usize::try_from(length).ok());
-            // A value far too long is rejected at its line: it would keep coming and fill the memory.
+            // A value that is too long is rejected at its line, so that it cannot exhaust the memory.
             let length = length.filter(|length| *length <= MAX_VALUE_BYTES);
             return length.map(Line::Value).ok_or_else(not_an_answer);
         }
@@ -178,7 +180,7 @@
     }))
 }
 
-/// Takes the value behind this line off the input, or the line alone where the value is streamed.
+/// Removes this line and the value after it from the input, or the line alone if the value is streamed.
 fn read_value(
     input: &mut BytesMut,
     line: &LineBounds,
--- a/protocols/src/objects.rs
+++ b/protocols/src/objects.rs
@@ -1,35 +1,35 @@
-//! JSON objects one behind another, found in the bytes as they come: one a line, or indented over many.
+//! Splits a byte stream into consecutive JSON objects, whether each is on one line or indented over many.
 //!
-//! Guarantee: each byte is looked at once. What stands in an object is not checked.
+//! Guarantee: each byte is scanned once. The content of an object is not validated.
 
 use bytes::BytesMut;
 use thiserror::Error;
 
-/// How many bytes an error shows.
+/// How many bytes of the unexpected input an error shows.
 const SHOWN_BYTES: usize = 40;
 
-/// Something else stands where an object should begin.
+/// Input other than an object where an object should begin; holds its first bytes.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("expected a JSON object, found {0:?}")]
 pub struct NotAnObject(String);
 
-/// Finds where each object ends.
+/// Finds the end of each object.
 #[derive(Debug, Default)]
 pub struct JsonObjectScanner {
-    /// How many bytes of the first object have been scanned.
+    /// Number of bytes of the current object that have been scanned.
     scanned_bytes: usize,
-    /// How many brackets are open there.
+    /// Number of brackets open at the scan position.
     open_brackets: usize,
     in_string: bool,
-    /// Whether a backslash stands before the next byte of a string.
+    /// Whether the next byte of the string follows an escaping backslash.
     is_escaped: bool,
 }
 
 impl JsonObjectScanner {
-    /// Takes the next object off the input; none until it is complete.
+    /// Removes the next object from the input; none while it is incomplete.
     ///
     /// # Errors
-    /// Something stands there that begins no object.
+    /// The input does not begin with an object.
     pub fn next(&mut self, input: &mut BytesMut) -> Result<Option<BytesMut>, NotAnObject> {
         if self.open_brackets == 0 {
             let blank = input.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
