--- a/protocols/src/http/response.rs
+++ b/protocols/src/http/response.rs
@@ -13,7 +13,7 @@
 /// Maximum length in bytes of a response head and of a line in a chunked body.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// How many bytes of a malformed head an error shows.
-const SHOWN_BYTES: usize = 80;
+const MAX_EXCERPT_BYTES: usize = 80;
 /// Lowest status of a final response; lower ones are informational.
 const FIRST_FINAL_STATUS: u16 = 200;
 
@@ -22,22 +22,22 @@
 pub enum ResponseError {
     /// The head exceeds the maximum length.
     #[error("cannot read the HTTP response: its head exceeds {MAX_HEAD_BYTES} bytes")]
-    EndlessHead,
+    HeadTooLong,
     /// The head is malformed; holds its first bytes.
     #[error("cannot parse the HTTP response head: {0:?}")]
-    NotAResponse(String),
+    MalformedHead(String),
     /// A line in a chunked body exceeds the maximum length.
     #[error("cannot read the chunked HTTP body: a line exceeds {MAX_HEAD_BYTES} bytes")]
-    EndlessChunkSize,
+    ChunkLineTooLong,
     /// A chunk size line is malformed.
     #[error("cannot read the chunked HTTP body: malformed chunk size")]
-    NotAChunkSize,
+    MalformedChunkSize,
     /// A chunk is not followed by a line end.
     #[error("cannot read the chunked HTTP body: no line end after a chunk")]
-    ChunkWithoutEnd,
+    MissingChunkEnd,
     /// The body of the response to a write is not a receipt; holds the length of the body in bytes.
     #[error("the response to a write has a malformed receipt of {0} bytes")]
-    NotAReceipt(usize),
+    MalformedReceipt(usize),
 }
 
 /// How a response's body is delimited.
@@ -190,8 +190,8 @@
         while let Some(length) = head_length(input) {
             let text = input.split_to(length);
             let head = head.parse(&text[..]).map_err(|_| {
-                let shown = &text[..length.min(SHOWN_BYTES)];
-                ResponseError::NotAResponse(String::from_utf8_lossy(shown).into_owned())
+                let excerpt = &text[..length.min(MAX_EXCERPT_BYTES)];
+                ResponseError::MalformedHead(String::from_utf8_lossy(excerpt).into_owned())
             })?;
             if head.status < FIRST_FINAL_STATUS {
                 continue;
@@ -203,7 +203,7 @@
             return Ok(());
         }
         if input.len() > MAX_HEAD_BYTES {
-            return Err(ResponseError::EndlessHead);
+            return Err(ResponseError::HeadTooLong);
         }
         Ok(())
     }
@@ -245,7 +245,8 @@
         let Some(head) = &self.head else { return Ok(Reply::Error) };
         Ok(match head.status {
             200 if is_write => {
-                let receipt = parse_receipt(&self.body).ok_or(ResponseError::NotAReceipt(self.body.len()))?;
+                let receipt =
+                    parse_receipt(&self.body).ok_or(ResponseError::MalformedReceipt(self.body.len()))?;
                 Reply::Served(Answer::Receipt(receipt))
             }
             200 => Reply::Served(Answer::Value(Bytes::copy_from_slice(&self.body))),
@@ -269,7 +270,7 @@
             }
             let Some(end) = memchr::memchr(b'\n', input) else {
                 let is_too_long = input.len() > MAX_HEAD_BYTES;
-                return if is_too_long { Err(ResponseError::EndlessChunkSize) } else { Ok(()) };
+                return if is_too_long { Err(ResponseError::ChunkLineTooLong) } else { Ok(()) };
             };
             self.read_chunk_line(&input.split_to(end + 1))?;
         }
@@ -280,11 +281,11 @@
     fn read_chunk_line(&mut self, line: &[u8]) -> Result<(), ResponseError> {
         let is_blank = line.trim_ascii().is_empty();
         match self.chunk_state {
-            ChunkState::ChunkEnd if !is_blank => return Err(ResponseError::ChunkWithoutEnd),
+            ChunkState::ChunkEnd if !is_blank => return Err(ResponseError::MissingChunkEnd),
             ChunkState::ChunkEnd => self.chunk_state = ChunkState::Size,
             ChunkState::Trailer => self.is_complete = is_blank,
             ChunkState::Size => {
-                let size = parse_chunk_size(line).ok_or(ResponseError::NotAChunkSize)?;
+                let size = parse_chunk_size(line).ok_or(ResponseError::MalformedChunkSize)?;
                 self.remaining_bytes = size;
                 self.chunk_state = if size > 0 { ChunkState::ChunkEnd } else { ChunkState::Trailer };
             }
--- a/protocols/src/memcache/response_reader.rs
+++ b/protocols/src/memcache/response_reader.rs
@@ -11,26 +11,26 @@
 use super::{LINE_END, MAX_BUFFERED_VALUE_BYTES, MAX_LINE_BYTES, MAX_RECEIPT_BYTES, MAX_VALUE_BYTES};
 
 /// How many bytes of the beginning of a malformed line an error shows.
-const SHOWN_BYTES: usize = 80;
+const MAX_EXCERPT_BYTES: usize = 80;
 
 /// Why a response is malformed. Its connection has to be closed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum ResponseError {
     /// The line exceeds the maximum length.
     #[error("cannot read the memcache response: its line exceeds {MAX_LINE_BYTES} bytes")]
-    EndlessLine,
+    LineTooLong,
     /// The line is not a valid response to this request; holds its first bytes.
     #[error("unexpected memcache response line: {0:?}")]
-    NotAnAnswer(String),
+    UnexpectedLine(String),
     /// The response has the id of another request; holds the first bytes of its line.
     #[error("the memcache response has another request's id: {0:?}")]
-    OtherRequest(String),
+    IdMismatch(String),
     /// The value is not followed by a line end.
     #[error("no line end after the value")]
     ValueWithoutEnd,
     /// The value is too long to be buffered, and the caller cannot stream it; holds its length in bytes.
     #[error("cannot buffer a value of {0} bytes: the limit is {MAX_BUFFERED_VALUE_BYTES}")]
-    ValueTooLong(usize),
+    ValueNotBufferable(usize),
 }
 
 /// A cache server's response.
@@ -91,7 +91,7 @@
 pub fn read_reply(input: &mut BytesMut, request: &ClientRequest) -> Result<Option<Reply>, ResponseError> {
     match read_response(input, request)? {
         Some(Response::Complete(reply)) => Ok(Some(reply)),
-        Some(Response::Streamed { length, .. }) => Err(ResponseError::ValueTooLong(length)),
+        Some(Response::Streamed { length, .. }) => Err(ResponseError::ValueNotBufferable(length)),
         None => Ok(None),
     }
 }
@@ -140,7 +140,7 @@
 /// Handles an incomplete line: an error if it exceeds the maximum length.
 fn incomplete_line<T>(input: &[u8]) -> Result<Option<T>, ResponseError> {
     if input.len() > MAX_LINE_BYTES {
-        Err(ResponseError::EndlessLine)
+        Err(ResponseError::LineTooLong)
     } else {
         Ok(None)
     }
@@ -155,11 +155,11 @@
 }
 
 fn parse_line(text: &[u8], request: &ClientRequest) -> Result<Line, ResponseError> {
-    let not_an_answer = || ResponseError::NotAnAnswer(shown(text));
-    let (name, flags) = response_tokens(text).ok_or_else(not_an_answer)?;
+    let unexpected_line = || ResponseError::UnexpectedLine(excerpt(text));
+    let (name, flags) = response_tokens(text).ok_or_else(unexpected_line)?;
     let flag = |name: u8| flags.iter().find(|flag| flag[0] == name).map(|flag| &flag[1..]);
     if matches!(name, b"VA" | b"HD" | b"EN") && flag(b'O') != Some(&request.id[..]) {
-        return Err(ResponseError::OtherRequest(shown(text)));
+        return Err(ResponseError::IdMismatch(excerpt(text)));
     }
     let is_write = request.value.is_some();
     Ok(Line::Reply(match (name, flags.first().copied()) {
@@ -167,16 +167,16 @@
             let length = parse_decimal(length).and_then(|length| usize::try_from(length).ok());
             // A value that is too long is rejected at its line, so that it cannot exhaust the memory.
             let length = length.filter(|length| *length <= MAX_VALUE_BYTES);
-            return length.map(Line::Value).ok_or_else(not_an_answer);
+            return length.map(Line::Value).ok_or_else(unexpected_line);
         }
         (b"HD", _) if is_write => {
-            let receipt = flag(b'c').and_then(parse_receipt).ok_or_else(not_an_answer)?;
+            let receipt = flag(b'c').and_then(parse_receipt).ok_or_else(unexpected_line)?;
             Reply::Served(Answer::Receipt(receipt))
         }
         (b"EN", _) => Reply::Miss { fetch_in_progress: flags.contains(&&b"Z"[..]) },
         (b"SERVER_ERROR", Some(b"failed")) => Reply::Error,
         (b"SERVER_ERROR", Some(b"busy")) => Reply::Rejected,
-        _ => return Err(not_an_answer()),
+        _ => return Err(unexpected_line()),
     }))
 }
 
@@ -204,6 +204,6 @@
 }
 
 /// The beginning of a malformed line.
-fn shown(text: &[u8]) -> String {
-    String::from_utf8_lossy(&text[..text.len().min(SHOWN_BYTES)]).into_owned()
+fn excerpt(text: &[u8]) -> String {
+    String::from_utf8_lossy(&text[..text.len().min(MAX_EXCERPT_BYTES)]).into_owned()
 }
--- a/protocols/src/objects.rs
+++ b/protocols/src/objects.rs
@@ -6,12 +6,12 @@
 use thiserror::Error;
 
 /// How many bytes of the unexpected input an error shows.
-const SHOWN_BYTES: usize = 40;
+const MAX_EXCERPT_BYTES: usize = 40;
 
 /// Input other than an object where an object should begin; holds its first bytes.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("expected a JSON object, found {0:?}")]
-pub struct NotAnObject(String);
+pub struct UnexpectedInput(String);
 
 /// Finds the end of each object.
 #[derive(Debug, Default)]
@@ -30,15 +30,15 @@
     ///
     /// # Errors
     /// The input does not begin with an object.
-    pub fn next(&mut self, input: &mut BytesMut) -> Result<Option<BytesMut>, NotAnObject> {
+    pub fn next(&mut self, input: &mut BytesMut) -> Result<Option<BytesMut>, UnexpectedInput> {
         if self.open_brackets == 0 {
             let blank = input.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
             let _ = input.split_to(blank);
         }
         while let Some(byte) = input.get(self.scanned_bytes).copied() {
             if self.open_brackets == 0 && byte != b'{' {
-                let shown = &input[..input.len().min(SHOWN_BYTES)];
-                return Err(NotAnObject(String::from_utf8_lossy(shown).into_owned()));
+                let excerpt = &input[..input.len().min(MAX_EXCERPT_BYTES)];
+                return Err(UnexpectedInput(String::from_utf8_lossy(excerpt).into_owned()));
             }
             self.scanned_bytes += 1;
             if self.in_string {
