--- a/settings/src/check.rs
+++ b/settings/src/check.rs
@@ -1,6 +1,6 @@
-//! What a real balancer cannot go by in a site's settings. The keys are named as the site writes them.
+//! Validates a site's settings for a real balancer. Keys are named as in the written settings.
 //!
-//! The first problem in the order of the keys below is reported, and nothing is mended.
+//! Only the first problem, in the order of the checks below, is reported, and no value is corrected.
 
 use std::collections::HashSet;
 
@@ -9,15 +9,15 @@
 
 use super::{SiteLimits, SiteRules, SiteSettings};
 
-const TIME_REMEDY: &str = "give it as a time in microseconds, over 0";
+const TIME_REMEDY: &str = "give a time in microseconds, greater than 0";
 
-/// A key that is missing or wrong.
+/// A key that is missing or has an invalid value.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("settings: {key} is missing or wrong; {remedy}")]
 pub struct SettingsError {
-    /// The key, with those that it stands in.
+    /// The path of the key.
     pub key: &'static str,
-    /// What to do about it.
+    /// How to fix the value.
     pub remedy: &'static str,
 }
 
@@ -26,8 +26,8 @@
 pub(crate) fn check(settings: &SiteSettings) -> Checked {
     check_classes(settings)?;
     check_tenants(settings)?;
-    require("kinds", !settings.kinds.is_empty(), "name the kinds of machine")?;
-    require("zones", !settings.zones.is_empty(), "name one zone at least")?;
+    require("kinds", !settings.kinds.is_empty(), "name at least one server kind")?;
+    require("zones", !settings.zones.is_empty(), "name at least one zone")?;
     check_origin(settings)?;
     require_time("tick", settings.tick_interval)?;
     check_limits(&settings.limits)?;
@@ -36,9 +36,9 @@
 
 fn check_classes(settings: &SiteSettings) -> Checked {
     let classes = &settings.classes;
-    require("categories", !classes.is_empty(), "name one class of requests at least")?;
+    require("categories", !classes.is_empty(), "name at least one request class")?;
     let names = classes.iter().map(|class| class.name.as_str());
-    require("categories[].name", are_nonempty_and_unique(names), "give each class a name of its own")?;
+    require("categories[].name", are_nonempty_and_unique(names), "give each class a unique, non-empty name")?;
     for class in classes {
         require_time("categories[].aim", class.latency_objective)?;
     }
@@ -51,7 +51,7 @@
 /// A tenant with an empty name would match requests that name no tenant.
 fn check_tenants(settings: &SiteSettings) -> Checked {
     let names = settings.tenants.iter().map(|tenant| tenant.name.as_str());
-    require("orgs[].name", are_nonempty_and_unique(names), "give each tenant a name of its own")
+    require("orgs[].name", are_nonempty_and_unique(names), "give each tenant a unique, non-empty name")
 }
 
 fn check_origin(settings: &SiteSettings) -> Checked {
@@ -60,7 +60,7 @@
     }
     let origin_kind = settings.cache.origin_kind.and_then(|kind| usize::try_from(kind).ok());
     let is_known = origin_kind.is_some_and(|kind| kind < settings.kinds.len());
-    require("extra.origin-kind", is_known, "with mode aside, give the origin's place among the kinds, from 0")
+    require("extra.origin-kind", is_known, "with mode aside, give the origin's index in kinds, from 0")
 }
 
 fn check_limits(limits: &SiteLimits) -> Checked {
@@ -72,7 +72,7 @@
 fn check_rules(rules: &SiteRules) -> Checked {
     require_time("rules.ask-within", rules.discovery_poll_interval)?;
     let is_share = (0.0..=1.0).contains(&rules.slow_start_initial_share);
-    require("rules.cold-share", is_share, "give a part from 0 to 1")?;
+    require("rules.cold-share", is_share, "give a share from 0 to 1")?;
     require_time("rules.warm-up", rules.slow_start_duration)
 }
 
@@ -88,7 +88,7 @@
     require(key, time > Micros::ZERO, TIME_REMEDY)
 }
 
-/// Whether none of the names is empty, and none stands twice.
+/// Whether all names are non-empty and unique.
 fn are_nonempty_and_unique<'a>(mut names: impl Iterator<Item = &'a str>) -> bool {
     let mut seen = HashSet::new();
     names.all(|name| !name.is_empty() && seen.insert(name))
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! The settings object of a site. The simulator's first message and a balancer's configuration hold the same one, so that the
-//! adapter and the daemon read it here, and the decisions get the same values from both.
+//! The settings of a site. The simulator's first message and a balancer's configuration contain the same object. Both
+//! the adapter and the daemon parse it here, so that the decision core gets the same values from both.
 //!
-//! Each key is mapped to the code's term once, by serde. All times are whole microseconds. A key that is absent has the value
-//! that permits least, and a word that is unknown the meaning that is safest; [`SiteSettings::check`] names the first key that a
-//! real balancer cannot do without.
+//! Each key is mapped to the code's term once, by serde. All times are whole microseconds. A missing key defaults to the
+//! most restrictive value, and an unknown word to the safest meaning; [`SiteSettings::check`] reports the first key that
+//! is missing or invalid for a real balancer.
 
 mod check;
 
@@ -14,60 +14,60 @@
 
 pub use check::SettingsError;
 
-/// The settings of a site as they are written.
+/// The settings of a site in their written form.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct SiteSettings {
-    /// The balancer's own zone, as a place in `zones`.
+    /// The balancer's own zone, as an index into `zones`.
     #[serde(rename = "az")]
     zone: u32,
-    /// How many balancers the site has.
+    /// Number of balancers of the site.
     balancers: u32,
-    /// The classes of requests, in the order of their numbers.
+    /// The request classes, in the order of their numbers.
     #[serde(rename = "categories")]
     pub classes: Vec<ClassSettings>,
     #[serde(rename = "extra")]
     cache: CacheSettings,
-    /// The names of the machine kinds, in the order of their numbers.
+    /// The names of the server kinds, in the order of their numbers.
     pub kinds: Vec<String>,
-    /// What the site permits.
+    /// Limits of the site.
     pub limits: SiteLimits,
-    /// `subscribe`: discovery has to be polled for its changes. Otherwise it pushes its lists.
+    /// Discovery mode: with `subscribe` the balancer has to poll for changes, otherwise discovery pushes its lists.
     #[serde(rename = "membership-mode")]
     membership_mode: String,
-    /// The tenants, in the order of their numbers; a site may name none.
+    /// The tenants, in the order of their numbers; may be empty.
     #[serde(rename = "orgs")]
     pub tenants: Vec<TenantSettings>,
-    /// This balancer's place among all, from 0.
+    /// This balancer's index among all balancers, from 0.
     pub position: Option<u32>,
     rules: SiteRules,
-    /// How often the decisions' clock ticks.
+    /// Tick interval of the decision core.
     #[serde(rename = "tick", deserialize_with = "micros")]
     tick_interval: Micros,
-    /// `nominal` or `rough`: the weights in the endpoint list mean capacity. Otherwise they mean nothing.
+    /// The meaning of the weights in the endpoint list: capacity if `nominal` or `rough`, otherwise they are ignored.
     weights: String,
     /// The names of the zones, in the order of their numbers.
     pub zones: Vec<String>,
 }
 
-/// One class of requests.
+/// A class of requests.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct ClassSettings {
-    /// Its name.
+    /// The class's name.
     pub name: String,
     #[serde(rename = "aim", deserialize_with = "micros")]
     latency_objective: Micros,
-    /// What each unit of expected work adds to the objective, in microseconds.
+    /// Addition to the latency objective per unit of expected work, in microseconds.
     #[serde(rename = "aim-stretch")]
     latency_objective_per_work: f64,
-    /// `pure`, `token` (with an idempotency key) or anything else: not idempotent.
+    /// `pure` (idempotent), `token` (idempotent with an idempotency key) or anything else (not idempotent).
     #[serde(rename = "effect")]
     idempotency: String,
-    /// When a client gives up, counted from its request.
+    /// The client's time-out, counted from its request.
     #[serde(rename = "give-up", deserialize_with = "micros")]
     deadline: Micros,
-    /// Where repeats are dropped: `zone`, `cell` or anything else: everywhere.
+    /// Scope in which servers drop duplicates: `zone`, `cell` or anything else for all servers.
     #[serde(rename = "group")]
     deduplication_scope: String,
     #[serde(rename = "late-worth")]
@@ -81,32 +81,32 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct CacheSettings {
-    /// `aside`: the balancer fetches from the origin. Otherwise the cache servers do.
+    /// Cache mode: with `aside` the balancer fetches from the origin, otherwise the cache servers do.
     mode: String,
-    /// The origin's place among the kinds.
+    /// The origin's kind, as an index into `kinds`.
     #[serde(rename = "origin-kind")]
     origin_kind: Option<i64>,
 }
 
-/// What a site permits.
+/// Limits of a site.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct SiteLimits {
-    /// How long a server keeps an idle connection.
+    /// Time after which a server closes an idle connection.
     #[serde(rename = "conn-idle", deserialize_with = "micros")]
     pub connection_idle_timeout: Micros,
-    /// How long a connection may take to be established.
+    /// Longest time to establish a connection.
     #[serde(rename = "connect-timeout", deserialize_with = "micros")]
     pub connect_timeout: Micros,
-    /// How many attempts a request may have, the first included.
+    /// Maximum number of attempts per request, including the first.
     #[serde(rename = "max-attempts")]
     max_attempts: u32,
     #[serde(rename = "max-retry-after", deserialize_with = "micros")]
     max_retry_after: Micros,
-    /// Whether a request may be at two servers at once.
+    /// Whether a request may be in flight at two servers at once.
     #[serde(rename = "may-duplicate")]
     may_duplicate: bool,
-    /// Whether a rejection may have a Retry-After.
+    /// Whether a rejection may carry a Retry-After delay.
     #[serde(rename = "retry-after")]
     retry_after: bool,
 }
@@ -115,9 +115,9 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub struct TenantSettings {
-    /// Its name.
+    /// The tenant's name.
     pub name: String,
-    /// The requests a second that it is entitled to.
+    /// The tenant's quota in requests per second.
     #[serde(rename = "allowance-per-s")]
     allowance_per_s: f64,
 }
@@ -127,12 +127,12 @@
 struct SiteRules {
     #[serde(rename = "ask-within", deserialize_with = "micros")]
     discovery_poll_interval: Micros,
-    /// The share of its capacity that a server has at its start.
+    /// Share of its capacity that a server has at the beginning of slow start.
     #[serde(rename = "cold-share")]
     slow_start_initial_share: f64,
     #[serde(rename = "warm-up", deserialize_with = "micros")]
     slow_start_duration: Micros,
-    /// How long after a drain was notified something new may still go to the server.
+    /// How long after the notification of a drain new attempts may still be sent to the server.
     #[serde(rename = "drain-grace", deserialize_with = "micros")]
     drain_grace: Micros,
 }
@@ -142,7 +142,7 @@
 }
 
 impl SiteSettings {
-    /// The settings in the decisions' terms.
+    /// Converts the settings for the decision core.
     pub fn to_decisions(&self) -> Settings {
         Settings {
             balancers: self.balancers,
@@ -158,15 +158,15 @@
         }
     }
 
-    /// How long after a server's drain or end was notified something new may still go there.
+    /// How long after the notification of a server's drain or removal new attempts may still be sent to the server.
     pub fn drain_grace(&self) -> Micros {
         self.rules.drain_grace
     }
 
-    /// Checks what a real balancer cannot go by; a misspelt key must not become a zero.
+    /// Checks that a real balancer can run with these settings; a misspelt key must not silently become zero.
     ///
     /// # Errors
-    /// The first key that is missing or wrong, with what to do about it.
+    /// The first key that is missing or invalid, with a remedy.
     pub fn check(&self) -> Result<(), SettingsError> {
         check::check(self)
     }
--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -1,4 +1,4 @@
-//! Settings as sites write them: every key, keys that are misspelt or missing, and values out of their range.
+//! Parsing and validation of site settings: all keys, misspelt and missing keys, and values out of range.
 
 use super::*;
 
@@ -24,7 +24,7 @@
     assert_eq!(read(&SOUND.replace("aside", "through")).to_decisions().mode, CacheMode::ReadThrough);
 }
 
-/// A tenant without a name would be whoever names none.
+/// Guards against a tenant with an empty name, which would match requests that name no tenant.
 #[test]
 fn rejects_a_tenant_without_a_name_of_its_own() {
     let with = |orgs: &str| read(&SOUND.replacen('{', &format!("{{\"orgs\":{orgs},"), 1)).check();
@@ -36,7 +36,7 @@
     assert!(with(r#"[{"name":"acme"},{"name":"acme"}]"#)
         .unwrap_err()
         .to_string()
-        .contains("a name of its own"));
+        .contains("a unique, non-empty name"));
 }
 
 #[test]
@@ -49,7 +49,8 @@
     }
 }
 
-/// What contradicts itself or is out of its range is named with what to do, and keys that are new are no error.
+/// Guards against an inconsistent or out-of-range value that passes or is reported without a remedy, and against unknown
+/// keys being rejected.
 #[test]
 fn names_a_value_out_of_its_range_with_what_to_do() {
     for (from, to, key) in [
@@ -65,7 +66,7 @@
     assert_eq!(read(&SOUND.replace("\"tick\"", "\"more\":{\"new\":[]},\"tick\"")).check(), Ok(()));
 }
 
-/// A site's settings with every key, each at a value of its own.
+/// A site's settings with every key, each with a distinct value.
 const EVERY_KEY: &str = r#"{
     "az": 1, "balancers": 7, "position": 3, "tick": 5000, "weights": "nominal", "membership-mode": "subscribe",
     "categories": [{"name": "read", "aim": 11, "aim-stretch": 0.5, "effect": "pure", "give-up": 12, "group": "zone",
@@ -76,7 +77,8 @@
     "orgs": [{"name": "acme", "allowance-per-s": 1.5}],
     "rules": {"ask-within": 31, "cold-share": 0.75, "warm-up": 32, "drain-grace": 33}}"#;
 
-/// The keys are an interface: sites and the simulator write them.
+/// The keys are an interface used by sites and the simulator. Guards against a key that is renamed or mapped to the
+/// wrong field.
 #[test]
 fn every_key_has_its_place() {
     let site = read(EVERY_KEY);
