--- a/settings/src/check.rs
+++ b/settings/src/check.rs
@@ -21,9 +21,9 @@
     pub remedy: &'static str,
 }
 
-type Checked = Result<(), SettingsError>;
+type CheckResult = Result<(), SettingsError>;
 
-pub(crate) fn check(settings: &SiteSettings) -> Checked {
+pub(crate) fn check(settings: &SiteSettings) -> CheckResult {
     check_classes(settings)?;
     check_tenants(settings)?;
     require("kinds", !settings.kinds.is_empty(), "name at least one server kind")?;
@@ -34,7 +34,7 @@
     check_rules(&settings.rules)
 }
 
-fn check_classes(settings: &SiteSettings) -> Checked {
+fn check_classes(settings: &SiteSettings) -> CheckResult {
     let classes = &settings.classes;
     require("categories", !classes.is_empty(), "name at least one request class")?;
     let names = classes.iter().map(|class| class.name.as_str());
@@ -49,12 +49,12 @@
 }
 
 /// A tenant with an empty name would match requests that name no tenant.
-fn check_tenants(settings: &SiteSettings) -> Checked {
+fn check_tenants(settings: &SiteSettings) -> CheckResult {
     let names = settings.tenants.iter().map(|tenant| tenant.name.as_str());
     require("orgs[].name", are_nonempty_and_unique(names), "give each tenant a unique, non-empty name")
 }
 
-fn check_origin(settings: &SiteSettings) -> Checked {
+fn check_origin(settings: &SiteSettings) -> CheckResult {
     if !settings.cache.is_cache_aside() {
         return Ok(());
     }
@@ -63,28 +63,28 @@
     require("extra.origin-kind", is_known, "with mode aside, give the origin's index in kinds, from 0")
 }
 
-fn check_limits(limits: &SiteLimits) -> Checked {
+fn check_limits(limits: &SiteLimits) -> CheckResult {
     require_time("limits.conn-idle", limits.connection_idle_timeout)?;
     require_time("limits.connect-timeout", limits.connect_timeout)?;
     require("limits.max-attempts", limits.max_attempts > 0, "allow one attempt at least")
 }
 
-fn check_rules(rules: &SiteRules) -> Checked {
+fn check_rules(rules: &SiteRules) -> CheckResult {
     require_time("rules.ask-within", rules.discovery_poll_interval)?;
     let is_share = (0.0..=1.0).contains(&rules.slow_start_initial_share);
     require("rules.cold-share", is_share, "give a share from 0 to 1")?;
     require_time("rules.warm-up", rules.slow_start_duration)
 }
 
-fn require(key: &'static str, holds: bool, remedy: &'static str) -> Checked {
-    if holds {
+fn require(key: &'static str, is_valid: bool, remedy: &'static str) -> CheckResult {
+    if is_valid {
         Ok(())
     } else {
         Err(SettingsError { key, remedy })
     }
 }
 
-fn require_time(key: &'static str, time: Micros) -> Checked {
+fn require_time(key: &'static str, time: Micros) -> CheckResult {
     require(key, time > Micros::ZERO, TIME_REMEDY)
 }
 
--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -2,18 +2,18 @@
 
 use super::*;
 
-const SOUND: &str = r#"{"az":1,"unknown-key":[1],"kinds":["a","b","origin"],"zones":["x","y"],"tick":5000,
+const VALID_SETTINGS: &str = r#"{"az":1,"unknown-key":[1],"kinds":["a","b","origin"],"zones":["x","y"],"tick":5000,
     "categories":[{"name":"put","aim":1200000,"give-up":3000000,"effect":"token","group":"cell"}],
     "extra":{"mode":"aside","origin-kind":2},"weights":"rough","membership-mode":"subscribe",
     "limits":{"conn-idle":1,"connect-timeout":1,"max-attempts":3},"rules":{"ask-within":1,"warm-up":1}}"#;
 
-fn read(text: &str) -> SiteSettings {
+fn parse(text: &str) -> SiteSettings {
     serde_json::from_str(text).unwrap()
 }
 
 #[test]
-fn words_are_mapped_to_the_values_of_the_decisions() {
-    let settings = read(SOUND).to_decisions();
+fn words_are_mapped_to_the_types_of_the_decision_core() {
+    let settings = parse(VALID_SETTINGS).to_decisions();
     let class = &settings.classes[0];
     assert_eq!(
         (class.idempotency, class.deduplication_scope, class.deadline),
@@ -21,38 +21,44 @@
     );
     assert_eq!((settings.mode, settings.zone), (CacheMode::Aside(2), 1));
     assert!(settings.subscribe && settings.weighted);
-    assert_eq!(read(&SOUND.replace("aside", "through")).to_decisions().mode, CacheMode::ReadThrough);
+    assert_eq!(
+        parse(&VALID_SETTINGS.replace("aside", "through")).to_decisions().mode,
+        CacheMode::ReadThrough
+    );
 }
 
 /// Guards against a tenant with an empty name, which would match requests that name no tenant.
 #[test]
-fn rejects_a_tenant_without_a_name_of_its_own() {
-    let with = |orgs: &str| read(&SOUND.replacen('{', &format!("{{\"orgs\":{orgs},"), 1)).check();
-    assert_eq!(with(r#"[{"name":"acme","allowance-per-s":3}]"#), Ok(()));
-    assert!(with(r#"[{"nmae":"acme","allowance-per-s":3}]"#)
+fn rejects_a_tenant_with_a_missing_or_duplicate_name() {
+    let check_with_tenants =
+        |orgs: &str| parse(&VALID_SETTINGS.replacen('{', &format!("{{\"orgs\":{orgs},"), 1)).check();
+    assert_eq!(check_with_tenants(r#"[{"name":"acme","allowance-per-s":3}]"#), Ok(()));
+    assert!(check_with_tenants(r#"[{"nmae":"acme","allowance-per-s":3}]"#)
         .unwrap_err()
         .to_string()
         .contains("orgs[].name"));
-    assert!(with(r#"[{"name":"acme"},{"name":"acme"}]"#)
+    assert!(check_with_tenants(r#"[{"name":"acme"},{"name":"acme"}]"#)
         .unwrap_err()
         .to_string()
         .contains("a unique, non-empty name"));
 }
 
 #[test]
-fn names_a_key_that_is_misspelt() {
-    assert_eq!(read(SOUND).check(), Ok(()));
+fn a_misspelt_key_is_rejected_by_name() {
+    assert_eq!(parse(VALID_SETTINGS).check(), Ok(()));
     for (key, name) in [("rules", "rules.ask-within"), ("give-up", "give-up"), ("kinds", "kinds")] {
-        let problem =
-            read(&SOUND.replace(&format!("\"{key}\""), "\"misspelt\"")).check().unwrap_err().to_string();
-        assert!(problem.contains(name), "{problem}");
+        let error = parse(&VALID_SETTINGS.replace(&format!("\"{key}\""), "\"misspelt\""))
+            .check()
+            .unwrap_err()
+            .to_string();
+        assert!(error.contains(name), "{error}");
     }
 }
 
 /// Guards against an inconsistent or out-of-range value that passes or is reported without a remedy, and against unknown
 /// keys being rejected.
 #[test]
-fn names_a_value_out_of_its_range_with_what_to_do() {
+fn an_out_of_range_value_is_rejected_with_a_remedy() {
     for (from, to, key) in [
         ("\"origin-kind\":2", "\"origin-kind\":3", "extra.origin-kind"),
         ("\"origin-kind\":2", "\"origin-kind\":null", "extra.origin-kind"),
@@ -60,14 +66,14 @@
         ("\"max-attempts\":3", "\"max-attempts\":0", "limits.max-attempts"),
         ("\"zones\":[\"x\",\"y\"]", "\"zones\":[]", "zones"),
     ] {
-        let problem = read(&SOUND.replace(from, to)).check().unwrap_err().to_string();
-        assert!(problem.contains(&format!("settings: {key} ")) && problem.contains("; "), "{problem}");
+        let error = parse(&VALID_SETTINGS.replace(from, to)).check().unwrap_err().to_string();
+        assert!(error.contains(&format!("settings: {key} ")) && error.contains("; "), "{error}");
     }
-    assert_eq!(read(&SOUND.replace("\"tick\"", "\"more\":{\"new\":[]},\"tick\"")).check(), Ok(()));
+    assert_eq!(parse(&VALID_SETTINGS.replace("\"tick\"", "\"more\":{\"new\":[]},\"tick\"")).check(), Ok(()));
 }
 
 /// A site's settings with every key, each with a distinct value.
-const EVERY_KEY: &str = r#"{
+const SETTINGS_WITH_EVERY_KEY: &str = r#"{
     "az": 1, "balancers": 7, "position": 3, "tick": 5000, "weights": "nominal", "membership-mode": "subscribe",
     "categories": [{"name": "read", "aim": 11, "aim-stretch": 0.5, "effect": "pure", "give-up": 12, "group": "zone",
         "late-worth": 0.25, "window": 13, "worth": 2.5}],
@@ -80,8 +86,8 @@
 /// The keys are an interface used by sites and the simulator. Guards against a key that is renamed or mapped to the
 /// wrong field.
 #[test]
-fn every_key_has_its_place() {
-    let site = read(EVERY_KEY);
+fn every_key_is_mapped_to_its_field() {
+    let site = parse(SETTINGS_WITH_EVERY_KEY);
     assert_eq!(site.check(), Ok(()));
     assert_eq!((site.position, site.drain_grace()), (Some(3), Micros(33)));
     assert_eq!((site.kinds.join(" "), site.zones.join(" ")), ("a origin".into(), "x y".into()));
