--- a/protocols/src/admin.rs
+++ b/protocols/src/admin.rs
@@ -94,15 +94,15 @@
 
 /// Formats a positive reply with this text.
 pub fn ack(text: &str) -> String {
-    format!("ACK {}\n", one_line(text))
+    format!("ACK {}\n", replace_control_characters(text))
 }
 
 /// Formats a negative reply with this reason.
 pub fn nak(reason: &str) -> String {
-    format!("NAK {}\n", one_line(reason))
+    format!("NAK {}\n", replace_control_characters(reason))
 }
 
-fn one_line(text: &str) -> String {
+fn replace_control_characters(text: &str) -> String {
     text.chars().map(|c| if c.is_control() { ' ' } else { c }).collect()
 }
 
--- a/protocols/src/admin/tests.rs
+++ b/protocols/src/admin/tests.rs
@@ -2,7 +2,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn each_call_is_read() {
+fn valid_calls_are_parsed() {
     assert_eq!(read_call(b"HEALTH\n"), Input::Line(Ok(Call::Health)));
     assert_eq!(read_call(b"DUMP\r\nmore"), Input::Line(Ok(Call::Dump)));
     assert_eq!(read_call(b"OFFLINE s-5be2a07c\n"), Input::Line(Ok(Call::Offline("s-5be2a07c".into()))));
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_line_that_is_no_call_is_an_error_that_names_the_calls() {
+fn an_invalid_line_is_rejected_with_the_names_of_the_calls() {
     for line in
         [&b"\n"[..], b"health\n", b"OFFLINE\n", b"OFFLINE a b\n", b"ONLINE \xff\n", b"DUMPS\n", b"\0\n"]
     {
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_answer_is_one_line() {
+fn a_reply_is_always_one_line() {
     assert_eq!(nak("no\nsuch\rhost"), "NAK no such host\n");
     assert_eq!(ack("ready"), "ACK ready\n");
 }
@@ -31,7 +31,7 @@
 proptest! {
     /// Guards against a call that arrives in pieces being acted on before it is complete.
     #[test]
-    fn a_call_cut_anywhere_is_read_completely_or_not_at_all(id in "[a-z0-9-]{1,40}", cut in 0usize..60, junk in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn a_partial_call_is_never_parsed(id in "[a-z0-9-]{1,40}", cut in 0usize..60, junk in proptest::collection::vec(any::<u8>(), 0..300)) {
         let line = format!("OFFLINE {id}\n");
         let cut = cut.min(line.len() - 1);
         prop_assert_eq!(read_call(&line.as_bytes()[..cut]), Input::Incomplete);
--- a/protocols/src/http/tests.rs
+++ b/protocols/src/http/tests.rs
@@ -5,9 +5,9 @@
 use super::*;
 use juniperladder_dispatch::testing::request;
 
-fn read(text: &[u8], cut: usize) -> Result<Response, ResponseError> {
+fn read(text: &[u8], piece_bytes: usize) -> Result<Response, ResponseError> {
     let (mut response, mut input) = (Response::default(), BytesMut::new());
-    for piece in text.chunks(cut) {
+    for piece in text.chunks(piece_bytes) {
         input.extend_from_slice(piece);
         response.read(&mut input)?;
     }
@@ -16,22 +16,22 @@
 }
 
 #[test]
-fn bodies_of_either_framing_are_read_in_whatever_pieces() {
+fn bodies_of_either_framing_are_read_from_pieces_of_any_size() {
     let plain = &b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\nEndpoint-Load-Metrics: qps=7\r\n\r\nhello"[..];
     let chunked =
         &b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nA: b\r\n\r\n"
             [..];
     for text in [plain, chunked] {
-        for cut in 1..text.len() {
-            let response = read(text, cut).unwrap();
-            assert!(response.is_complete && response.body == b"hello"[..], "cut at {cut}");
+        for piece_bytes in 1..text.len() {
+            let response = read(text, piece_bytes).unwrap();
+            assert!(response.is_complete && response.body == b"hello"[..], "pieces of {piece_bytes} bytes");
         }
         assert!(!read(&text[..text.len() - 1], 7).unwrap().is_complete);
     }
 }
 
 #[test]
-fn a_body_without_a_length_ends_with_its_connection() {
+fn a_body_without_a_length_is_complete_when_the_connection_ends() {
     let mut response = read(b"HTTP/1.1 200 OK\r\n\r\nhello", 4).unwrap();
     assert!(!response.is_complete);
     response.on_connection_ended();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_malformed_response_is_an_error() {
+fn a_malformed_response_is_rejected() {
     for text in [
         &b"SSH-2.0\r\n\r\n"[..],
         b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n",
@@ -51,19 +51,22 @@
 }
 
 #[test]
-fn the_origins_status_says_whether_a_request_was_executed() {
-    let says = |text: &[u8]| read(text, 99).unwrap().reply(true).unwrap();
+fn the_origins_status_maps_to_the_reply() {
+    let reply_to_write = |text: &[u8]| read(text, 99).unwrap().reply(true).unwrap();
     let receipt = Reply::Served(Answer::Receipt(Bytes::from_static(b"r1")));
-    assert_eq!(says(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1"), receipt);
-    assert_eq!(says(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Reply::Error);
-    assert_eq!(says(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), Reply::Error);
-    assert_eq!(says(b"HTTP/1.1 504 No\r\nx-never-ran: 1\r\nContent-Length: 0\r\n\r\n"), Reply::Rejected);
+    assert_eq!(reply_to_write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1"), receipt);
+    assert_eq!(reply_to_write(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Reply::Error);
+    assert_eq!(reply_to_write(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), Reply::Error);
+    assert_eq!(
+        reply_to_write(b"HTTP/1.1 504 No\r\nx-never-ran: 1\r\nContent-Length: 0\r\n\r\n"),
+        Reply::Rejected
+    );
 }
 
 /// A receipt is written into the answer line to the client. Guards against a receipt that would inject further tokens or
 /// answers there.
 #[test]
-fn a_receipt_that_is_no_word_is_an_error() {
+fn a_receipt_that_is_not_one_token_is_rejected() {
     for body in ["", "r1 r2", "r1\r\n", "r1\nHD O8 cr2", "r1\u{7f}", "r1\u{e9}", &"r".repeat(5000)] {
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         let response = read(text.as_bytes(), 99).unwrap();
@@ -73,12 +76,13 @@
 }
 
 #[test]
-fn a_request_to_the_origin_keeps_its_key_and_id() {
-    let mut out = BytesMut::new();
+fn a_request_to_the_origin_contains_its_key_and_id() {
+    let mut output = BytesMut::new();
     let mut write = request("9b", Some(b"v\r\n".to_vec()));
     write.key = Bytes::from_static(b"a/b?c%");
-    write_request(&mut out, &write, "127.0.0.1:1", Micros(79_500));
-    let want = "PUT /a/b%3Fc%25 HTTP/1.1\r\nHost: 127.0.0.1:1\r\nX-Trace-Id: 9b\r\nX-Props: c=read,d=80\r\n\
+    write_request(&mut output, &write, "127.0.0.1:1", Micros(79_500));
+    let expected =
+        "PUT /a/b%3Fc%25 HTTP/1.1\r\nHost: 127.0.0.1:1\r\nX-Trace-Id: 9b\r\nX-Props: c=read,d=80\r\n\
         Content-Length: 3\r\n\r\nv\r\n";
-    assert_eq!(out, want.as_bytes());
+    assert_eq!(output, expected.as_bytes());
 }
--- a/protocols/src/objects/tests.rs
+++ b/protocols/src/objects/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn objects_are_found_whatever_their_form_and_their_pieces() {
+fn objects_of_any_form_are_found_in_pieces_of_any_size() {
     let text = "\n{\"a\":[{\"b\":\"}\\\"]\\\\\"}]}\r\n\n  {\n  \"c\": [\n    1\n  ]\n}\n{}\n";
-    for cut in 1..text.len() {
+    for piece_bytes in 1..text.len() {
         let (mut objects, mut input, mut found) = (JsonObjectScanner::default(), BytesMut::new(), Vec::new());
-        for piece in text.as_bytes().chunks(cut) {
+        for piece in text.as_bytes().chunks(piece_bytes) {
             input.extend_from_slice(piece);
             while let Some(object) = objects.next(&mut input).unwrap() {
                 found.push(String::from_utf8(object.to_vec()).unwrap());
