--- a/dispatch/src/counters.rs
+++ b/dispatch/src/counters.rs
@@ -28,7 +28,7 @@
     connections_accepted => "clients",
     /// Connections that could not be accepted.
     accepts_failed => "accepts_failed",
-    /// Requests taken.
+    /// Requests accepted.
     requests => "commands",
     /// Malformed request lines from clients.
     malformed_requests => "malformed",
--- a/dispatch/src/dispatcher/endpoints.rs
+++ b/dispatch/src/dispatcher/endpoints.rs
@@ -10,7 +10,7 @@
 use crate::values::ListedServer;
 
 /// Maximum number of servers known at once, several times the size of a fleet: an endless list must not exhaust the
-/// memory, nor slow each request down. The origin is always kept and does not count.
+/// memory, nor slow each request down. The origin is always kept.
 pub(super) const MAX_SERVERS: usize = 4_096;
 
 impl Dispatcher {
--- a/dispatch/src/log_throttle.rs
+++ b/dispatch/src/log_throttle.rs
@@ -15,7 +15,7 @@
 }
 
 impl LogThrottle {
-    /// Whether a line may be written now. If so, the caller is expected to write it: it counts from here on.
+    /// Whether a line may be written now. If so, it is counted as written.
     pub fn allows(&self) -> bool {
         let now = Instant::now();
         let is_allowed = self.last_line.get().is_none_or(|last| now.duration_since(last) >= LINE_INTERVAL);
--- a/dispatch/src/overrides.rs
+++ b/dispatch/src/overrides.rs
@@ -12,7 +12,7 @@
 
 use crate::values::ListedServer;
 
-/// Maximum number of ids of servers that were ever listed to remember; beyond it the oldest are forgotten.
+/// Maximum number of remembered ids of servers that were ever listed; beyond it the oldest are forgotten.
 const MAX_REMEMBERED_SERVERS: usize = 16_384;
 
 /// The server was never listed, and is not offline either.
--- a/dispatch/src/values.rs
+++ b/dispatch/src/values.rs
@@ -18,7 +18,7 @@
     Receipt(Bytes),
     /// Rejected: a retry is safe, after this Retry-After delay if it is not zero.
     Rejected(Micros),
-    /// Failed.
+    /// Failed: neither served nor rejected.
     Failed,
 }
 
