--- a/dispatch/src/streamed_value.rs
+++ b/dispatch/src/streamed_value.rs
@@ -33,9 +33,9 @@
     last_byte: Bytes,
 }
 
-/// The receiver was dropped; the rest of the value need not be sent.
+/// The receiver was dropped, and the rest of the value need not be sent; or, for `try_send`, the channel is full.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("cannot send a chunk of the streamed value: its receiver was dropped")]
+#[error("cannot send a chunk of the streamed value: receiver dropped or channel full")]
 pub struct ReceiverGone;
 
 /// Creates the two sides of a streamed value of this many bytes.
