--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -1,4 +1,4 @@
-//! Requests from their taking to their one answer, with a carrier that only records attempts.
+//! Requests from their acceptance to their answer, with a carrier that only records attempts.
 
 use bytes::Bytes;
 use juniperladder::{EndpointState, EndpointUpdate, ServerId};
@@ -9,7 +9,11 @@
 use tokio::task::spawn_local;
 use tokio::time::{Duration, Instant};
 
-fn with_timers(attempts: u32, idempotency: Idempotency, servers: u32) -> (Rc<Dispatcher>, Rc<Recorder>) {
+fn dispatcher_with_timers(
+    attempts: u32,
+    idempotency: Idempotency,
+    servers: u32,
+) -> (Rc<Dispatcher>, Rc<Recorder>) {
     let recorder = Rc::new(Recorder::default());
     let dispatcher = dispatcher(settings(attempts, idempotency), recorder.clone(), servers);
     let timers = Rc::clone(&dispatcher);
@@ -17,7 +21,7 @@
     (dispatcher, recorder)
 }
 
-/// Rule 1: silent servers or not, the one answer comes before the client gives up.
+/// Guards against requests that get no answer before the client's time-out when all servers are silent.
 #[test]
 fn every_request_is_answered_before_its_deadline() {
     testing::run(async {
@@ -26,7 +30,7 @@
             (3, Idempotency::Idempotent),
             (3, Idempotency::WithIdempotencyKey),
         ] {
-            let (dispatcher, recorder) = with_timers(attempts, idempotency, 3);
+            let (dispatcher, recorder) = dispatcher_with_timers(attempts, idempotency, 3);
             let start = Instant::now();
             let (_, answer) = dispatcher.take(request("1", None)).unwrap();
             assert!(matches!(answer.await, Ok(Answer::Failed | Answer::Rejected(_))));
@@ -39,17 +43,17 @@
             assert_eq!(
                 dispatcher.counters.overdue.get(),
                 0,
-                "the decisions end it, not the deadline behind them"
+                "closed by the decision core, not by the deadline behind it"
             );
         }
     });
 }
 
-/// What the decisions gives up is answered at once, not at its deadline.
+/// Guards against a rejection that is delayed until the request's deadline.
 #[test]
-fn a_rejected_request_is_answered_at_once() {
+fn a_rejected_request_is_answered_without_delay() {
     testing::run(async {
-        let (dispatcher, recorder) = with_timers(1, Idempotency::Idempotent, 1);
+        let (dispatcher, recorder) = dispatcher_with_timers(1, Idempotency::Idempotent, 1);
         let start = Instant::now();
         let (_, answer) = dispatcher.take(request("1", None)).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
@@ -59,12 +63,13 @@
     });
 }
 
-/// A client that half-closes may be gone: nothing begins for it, what is out still answers it.
+/// A half-closed client may be gone or wait for its answer. Guards against new attempts for it, and against an attempt
+/// in flight whose answer is lost.
 #[test]
 fn a_half_closed_client_is_answered_by_attempts_in_flight() {
     testing::run(async {
         for served in [true, false] {
-            let (dispatcher, recorder) = with_timers(3, Idempotency::Idempotent, 3);
+            let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::Idempotent, 3);
             let (id, answer) = dispatcher.take(request("1", None)).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             dispatcher.on_client_half_closed(id);
@@ -78,7 +83,7 @@
     });
 }
 
-/// What comes after its time-out, while the request is tried elsewhere, is an answer all the same.
+/// Guards against discarding a valid answer that arrives after its attempt timed out, while a retry is in flight.
 #[test]
 fn a_late_answer_serves_a_request_that_is_still_open() {
     testing::run(async {
@@ -92,7 +97,9 @@
         while dispatcher.counters.attempts_timed_out.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let [first, second] = &recorder.begun.take()[..] else { panic!("it is tried elsewhere") };
+        let [first, second] = &recorder.begun.take()[..] else {
+            panic!("expected a retry at another server")
+        };
         let value = Answer::Value(Bytes::from_static(b"v"));
         dispatcher.on_attempt_ended(first.id, AttemptEnd::Reply(Reply::Served(value.clone())));
         assert_eq!(answer.await, Ok(value.clone()));
@@ -102,21 +109,21 @@
     });
 }
 
-/// With a request's final answer, or its client's end, all its attempts are over: those that no byte has gone out of
-/// must never begin.
+/// Guards against wasted work at servers: after a request's final answer, or after its client disconnects, no attempt of
+/// the request may still be written.
 #[test]
 fn attempts_are_cancelled_once_their_request_is_closed() {
     testing::run(async {
-        for gone in [false, true] {
-            let (dispatcher, recorder) = with_timers(3, Idempotency::Idempotent, 3);
+        for is_client_gone in [false, true] {
+            let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::Idempotent, 3);
             let (id, answer) = dispatcher.take(request("1", None)).unwrap();
             while recorder.begun.borrow().len() < 2 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            let [first, second] = &recorder.begun.take()[..] else { panic!("a second copy is out") };
+            let [first, second] = &recorder.begun.take()[..] else { panic!("expected a hedged attempt") };
             let now = dispatcher.clock.now();
             assert!(!first.is_cancelled(now) && !second.is_cancelled(now));
-            if gone {
+            if is_client_gone {
                 dispatcher.on_client_gone(id);
             } else {
                 let value = Answer::Value(Bytes::from_static(b"v"));
@@ -128,7 +135,8 @@
     });
 }
 
-/// Servers drop a repeat for a while after the first attempt: one that still waits for a connection then must not go out.
+/// Servers drop duplicates only within a window after the first attempt. Guards against a duplicate execution by a retry
+/// that waits for a connection until the window has ended.
 #[test]
 fn a_retry_is_written_only_within_the_deduplication_window() {
     testing::run(async {
@@ -152,7 +160,8 @@
     });
 }
 
-/// Guards against a repeated write of a class that the settings lack: it counts as the last class everywhere, its window included.
+/// Guards against a duplicate write of a class that is not in the settings: it counts as the last class, whose
+/// deduplication window applies.
 #[test]
 fn a_retry_of_an_unknown_class_is_written_only_within_the_last_classes_window() {
     testing::run(async {
@@ -172,61 +181,64 @@
     });
 }
 
-/// A list as long as a fleet's is known completely; of one that is far too long a bounded part is, with the origin at its end.
-/// Servers that go leave capacity for others.
+/// Guards against an endless endpoint list that exhausts the memory. A list of a fleet's size is kept completely; of a
+/// longer one a bounded part is kept, and the origin even as its last entry. Deleted servers free capacity for others.
 #[test]
 fn an_endless_endpoint_list_is_bounded() {
     let recorder = Rc::new(Recorder::default());
     let mode = juniperladder::CacheMode::Aside(testing::ORIGIN);
     let dispatcher = dispatcher(Settings { mode, ..settings(3, Idempotency::Idempotent) }, recorder, 0);
-    let up = |n| testing::listed_server(ServerId(n), EndpointState::Serving);
-    let mut origin = up(u64::MAX);
+    let serving = |n| testing::listed_server(ServerId(n), EndpointState::Serving);
+    let mut origin = serving(u64::MAX);
     origin.endpoint.kind = testing::ORIGIN;
-    let known = || dispatcher.state.borrow().servers.len();
-    dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &(0..1_024).map(up).collect::<Vec<_>>());
-    assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (1_024, 0));
-    let most = MAX_SERVERS as u64;
+    let known_count = || dispatcher.state.borrow().servers.len();
+    dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &(0..1_024).map(serving).collect::<Vec<_>>());
+    assert_eq!((known_count(), dispatcher.counters.endpoints_left_out.get()), (1_024, 0));
+    let max_servers = MAX_SERVERS as u64;
     dispatcher.on_endpoints_changed(
         EndpointUpdate::Snapshot,
-        &(0..most + 10).map(up).chain([origin.clone()]).collect::<Vec<_>>(),
+        &(0..max_servers + 10).map(serving).chain([origin.clone()]).collect::<Vec<_>>(),
     );
     assert!(dispatcher.state.borrow().balancer.origin_server() == Some(origin.endpoint.server));
-    dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[up(most * 2)]);
-    assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (MAX_SERVERS + 1, 11));
-    let gone: Vec<ListedServer> =
+    dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[serving(max_servers * 2)]);
+    assert_eq!((known_count(), dispatcher.counters.endpoints_left_out.get()), (MAX_SERVERS + 1, 11));
+    let deleted: Vec<ListedServer> =
         (0..5).map(|n| testing::listed_server(ServerId(n), EndpointState::Deleted)).collect();
-    dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &gone);
-    dispatcher
-        .on_endpoints_changed(EndpointUpdate::Delta, &(most * 2..most * 2 + 9).map(up).collect::<Vec<_>>());
-    assert_eq!((known(), dispatcher.counters.endpoints_left_out.get()), (MAX_SERVERS, 16));
+    dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &deleted);
+    dispatcher.on_endpoints_changed(
+        EndpointUpdate::Delta,
+        &(max_servers * 2..max_servers * 2 + 9).map(serving).collect::<Vec<_>>(),
+    );
+    assert_eq!((known_count(), dispatcher.counters.endpoints_left_out.get()), (MAX_SERVERS, 16));
 }
 
-/// A process that is to end has an answer for all that it took before its time is up: what was open then, what
-/// connections that are not closed yet still bring, and at once for what comes after.
+/// Guards against requests left unanswered when the process ends: requests open when the final deadline is set and
+/// requests accepted later are answered by that deadline, and requests accepted after it at once.
 #[test]
 fn every_open_request_is_answered_by_the_final_deadline() {
     testing::run(async {
-        let (dispatcher, recorder) = with_timers(3, Idempotency::NotIdempotent, 3);
+        let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::NotIdempotent, 3);
         let start = Instant::now();
         let (_, first) = dispatcher.take(request("1", None)).unwrap();
         settle().await;
-        let last = Duration::from_millis(200);
-        dispatcher.set_final_deadline(dispatcher.clock.now().saturating_add(crate::clock::micros(last)));
-        tokio::time::sleep(last / 2).await;
+        let shutdown_time = Duration::from_millis(200);
+        dispatcher
+            .set_final_deadline(dispatcher.clock.now().saturating_add(crate::clock::micros(shutdown_time)));
+        tokio::time::sleep(shutdown_time / 2).await;
         let (_, second) = dispatcher.take(request("2", None)).unwrap();
         assert!(first.await.is_ok() && second.await.is_ok());
-        assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (last, 2));
+        assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (shutdown_time, 2));
         let (_, third) = dispatcher.take(request("3", None)).unwrap();
         assert!(third.await.is_ok());
-        assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (last, 2));
+        assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (shutdown_time, 2));
     });
 }
 
-/// An id names one open request; once that is over it may come again.
+/// Two open requests with one id could get each other's answers. Once the first is closed its id may be used again.
 #[test]
-fn a_request_with_an_id_in_use_is_not_taken() {
+fn a_request_with_an_id_in_use_is_refused() {
     testing::run(async {
-        let (dispatcher, recorder) = with_timers(1, Idempotency::Idempotent, 1);
+        let (dispatcher, recorder) = dispatcher_with_timers(1, Idempotency::Idempotent, 1);
         for _ in 0..2 {
             let (_, answer) = dispatcher.take(request("1", None)).unwrap();
             assert!(dispatcher.take(request("1", None)).is_none());
@@ -238,15 +250,15 @@
     });
 }
 
-/// A server that joins is in slow start, and one that joined long ago is not, however wrong the wall clock is that reports its
-/// start.
+/// Guards against a wrong wall clock that lets a server that has just joined skip slow start, or keeps one that joined
+/// long ago in slow start.
 #[test]
-fn a_wrong_wall_clock_changes_no_slow_start() {
+fn a_wrong_wall_clock_does_not_affect_slow_start() {
     const WARM_UP: Duration = Duration::from_secs(9);
     const HOUR: u64 = 3_600_000_000;
-    let sends_in_a_second = |reported: &dyn Fn(u64) -> u64, age: Duration| {
+    let attempts_in_a_second = |reported: &dyn Fn(u64) -> u64, age: Duration| {
         testing::run(async {
-            let (dispatcher, recorder) = with_timers(1, Idempotency::Idempotent, 3);
+            let (dispatcher, recorder) = dispatcher_with_timers(1, Idempotency::Idempotent, 3);
             let old: Vec<ListedServer> =
                 (0..3).map(|n| testing::listed_server(ServerId(9 + n), EndpointState::Serving)).collect();
             dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &old);
@@ -258,9 +270,9 @@
             tokio::time::sleep(age).await;
             recorder.begun.borrow_mut().clear();
             for number in 0..400 {
-                let mut one = request(&format!("c{number}"), None);
-                one.key = Bytes::from(format!("{number:016x}"));
-                let _answer = dispatcher.take(one);
+                let mut read = request(&format!("c{number}"), None);
+                read.key = Bytes::from(format!("{number:016x}"));
+                let _answer = dispatcher.take(read);
                 for attempt in recorder.begun.borrow().iter().filter(|a| a.request.id == format!("c{number}"))
                 {
                     dispatcher.on_attempt_ended(
@@ -275,13 +287,13 @@
         })
     };
     for age in [Duration::ZERO, WARM_UP] {
-        let right = sends_in_a_second(&|now| now, age);
-        let ahead = sends_in_a_second(&|now| now - HOUR, age);
-        let behind = sends_in_a_second(&|now| now + HOUR, age);
+        let right = attempts_in_a_second(&|now| now, age);
+        let ahead = attempts_in_a_second(&|now| now - HOUR, age);
+        let behind = attempts_in_a_second(&|now| now + HOUR, age);
         println!("{age:?}: {right} {ahead} {behind}");
-        // The part of its capacity that it is sent may be that of one which is older by the time until it is listed.
-        let part = |sends: usize| sends as f64 / right.max(1) as f64;
-        assert!(part(ahead) < 1.8 && part(ahead) > 0.7, "{age:?}: {ahead} for {right}");
-        assert!(part(behind) < 1.4 && part(behind) > 0.7, "{age:?}: {behind} for {right}");
+        // The server may count as older by the time that discovery takes to list it, and so get a larger share.
+        let ratio = |attempts: usize| attempts as f64 / right.max(1) as f64;
+        assert!(ratio(ahead) < 1.8 && ratio(ahead) > 0.7, "{age:?}: {ahead} for {right}");
+        assert!(ratio(behind) < 1.4 && ratio(behind) > 0.7, "{age:?}: {behind} for {right}");
     }
 }
