--- a/src/action.rs
+++ b/src/action.rs
@@ -7,57 +7,57 @@
 /// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// An answer would be worth nothing any more.
+    /// A response would come too late to be useful.
     ObjectiveMissed,
-    /// It has had all its attempts, or the retry budget is exhausted.
+    /// The request has no attempts left, or the retry budget is exhausted.
     AttemptsExhausted,
-    /// No server is left that it may be sent to.
+    /// No server is left that the request may be sent to.
     NoEligibleServer,
-    /// The useful time left is less than a share of the origin's baseline latency.
+    /// The remaining useful time is less than a share of the origin's baseline latency.
     DeadlineUnreachable,
-    /// It has waited for capacity at the origin for as long as it may.
+    /// The request has waited in the origin queue for its maximum time.
     QueueTimeout,
-    /// Requests of higher priority fill the queue before the origin.
+    /// Requests of higher priority fill the origin queue.
     Preempted,
-    /// All its servers are gapped.
+    /// No server can take the request, and at least one is gapped.
     AllServersGapped,
 }
 
-/// What a balancer asks of its caller.
+/// An instruction to the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The server of the attempt.
         server: ServerId,
-        /// The attempt's timeout; `Micros::ZERO` is the request's deadline.
+        /// Timeout of the attempt; `Micros::ZERO` if the attempt may take until the request's deadline.
         timeout: Micros,
     },
-    /// Final answer: not served, and trying again is harmless.
+    /// Final answer: not served; repeating the request is harmless.
     Reject {
         /// The request.
         id: RequestId,
         /// Retry-After for the client; `Micros::ZERO` is none.
         retry_after: Micros,
-        /// For counters and logs only.
+        /// Reason of the rejection, for counters and logs only.
         reason: RejectReason,
     },
-    /// Final answer: failed; whether it was executed is unknown.
+    /// Final answer: failed; whether the request was executed is unknown.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Give an [`Event::Timer`](crate::Event::Timer) with this token at this time.
+    /// Report an [`Event::Timer`](crate::Event::Timer) with this token at this time.
     Timer {
-        /// When.
+        /// Time at which the timer is due.
         at: Micros,
-        /// Returned with the event.
+        /// Token of the event.
         token: u64,
     },
     /// Watch discovery for changes of the endpoint list.
     WatchEndpoints,
-    /// A line for the report.
+    /// Log a line.
     Log(String),
 }
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,7 +1,8 @@
-//! Who is called for which event: the events stand in `src/event.rs`, the actions in `src/action.rs`.
+//! Passes each event of `src/event.rs` to its handler, which appends actions of `src/action.rs`.
 //!
-//! Each decision and each state machine has a file of its own in `src/balancer/`; docs/design.md describes
-//! how they work together. The same events at the same times give the same actions for the same seed.
+//! Each decision and each state machine has its own file in `src/balancer/`; docs/design.md describes how
+//! they work together. Decisions are deterministic: the same events at the same times with the same seed give
+//! the same actions.
 
 mod admission;
 mod concurrency_limit;
@@ -49,9 +50,9 @@
 
 /// Token of the timer for the next call to discovery.
 const DISCOVERY_TIMER: u64 = 0;
-/// Token of the timer at which the queue before the origin is drained.
+/// Token of the timer that drains the origin queue.
 const ORIGIN_QUEUE_TIMER: u64 = 1;
-/// Token of the first timer of a request; later ones count up from here.
+/// First token of the request timers; later tokens count up from here.
 const FIRST_REQUEST_TIMER: u64 = 2;
 
 /// The decisions of one balancer; see the crate's documentation for its use.
@@ -63,12 +64,12 @@
     discovery: DiscoverySchedule,
     endpoints: EndpointSet,
     zones: ZoneHealth,
-    /// How often cache servers respond to this balancer.
+    /// Rate of responses from cache servers to this balancer.
     response_rate: RateEstimator,
     placement: Placement,
     cache_ladder: GapLadder,
-    /// Nothing stands in for the origin: what is not sent there is lost as well, so that its gaps are
-    /// shorter.
+    /// Gaps at the origin are shorter than those at cache servers: no other server can take its requests, so
+    /// every attempt that a gap holds back is lost.
     origin_ladder: GapLadder,
     origin_queue: OriginQueue,
     admission: Admission,
@@ -77,7 +78,7 @@
 }
 
 impl Balancer {
-    /// A balancer that knows nothing yet but its settings.
+    /// Creates a balancer with an empty endpoint list. Equal seeds give equal random numbers.
     pub fn new(settings: Settings, seed: u64) -> Balancer {
         let settings = settings.sanitized();
         let origin_balancers = settings.balancers.min(BALANCERS_WITHOUT_LONGER_GAPS);
@@ -99,19 +100,18 @@
         }
     }
 
-    /// From now on this balancer keeps to the limits that it shares with others, and acts on what they
-    /// report.
+    /// Makes this balancer obey the limits that it shares with other balancers, and act on their reports.
     pub fn join(&mut self, coordination: Box<dyn Coordination>) {
         self.coordination = OptionalCoordination(Some(coordination));
     }
 
-    /// The origin that requests go to now, if one serves.
+    /// The origin that requests currently go to; `None` if no origin is serving.
     pub fn origin_server(&self) -> Option<ServerId> {
         let origin = &self.endpoints.servers[self.endpoints.origin_index?];
         Some(origin.endpoint.server)
     }
 
-    /// Takes one event in and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointsChanged(update, endpoints) => {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Discovery answered or failed, or an operator changed endpoints.
+    /// Applies an endpoint update, or the failure of discovery, and schedules the next call to discovery.
     fn on_endpoints_changed(
         &mut self,
         now: Micros,
@@ -145,14 +145,14 @@
         }
     }
 
-    /// A streamed response has begun.
+    /// Records that a streamed response has begun, so that no other attempt may answer the request.
     fn on_response_started(&mut self, id: &RequestId) {
         if let Some(open) = self.open_requests.get_mut(id) {
             open.has_response_started = true;
         }
     }
 
-    /// The timer with this token is due.
+    /// Handles a timer that is due. Tokens of requests that are no longer open are ignored.
     fn on_timer(&mut self, now: Micros, token: u64, actions: &mut Vec<Action>) {
         match token {
             DISCOVERY_TIMER => {
@@ -169,7 +169,8 @@
         }
     }
 
-    /// A request has waited long enough for an answer, or for the origin.
+    /// Handles the timer of a request: hedges an attempt without a response, or routes a request again that
+    /// has waited in the origin queue for its maximum time.
     fn on_request_timer(&mut self, now: Micros, open: OpenRequest, actions: &mut Vec<Action>) {
         self.origin_queue.remove(&open.request.id);
         if open.attempt_in_flight().is_some() {
@@ -179,15 +180,15 @@
         }
     }
 
-    /// The caller decides this request from now on: it is forgotten.
+    /// Forgets a request on which the caller needs no further decisions.
     fn on_request_abandoned(&mut self, id: &RequestId) {
         let Some(open) = self.open_requests.take(id) else { return };
         self.origin_queue.remove(id);
         self.on_closed_with_attempts(&open);
     }
 
-    /// A request is closed whose attempts may still be in flight. Their ends will release reads, since the
-    /// request is not known any more then.
+    /// Counts the attempts of a closed write that are still in flight as reads. When they complete, the
+    /// request is no longer known, and they are released as reads.
     fn on_closed_with_attempts(&mut self, open: &OpenRequest) {
         if !open.request.is_write {
             return;
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Keeps a request until the end of an attempt or, after `wait`, a timer.
+    /// Keeps a request open until an attempt completes or, after `wait`, a timer is due.
     fn park(&mut self, now: Micros, wait: Micros, open: OpenRequest, actions: &mut Vec<Action>) {
         let (at, token) = self.open_requests.park(now, wait, open);
         actions.push(Action::Timer { at, token });
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -1,7 +1,8 @@
-//! Until when a request is worth serving, whether it is shed, and with which reason and Retry-After.
+//! Decides until when a response is useful, whether a request is shed, and with which reason and Retry-After
+//! a request is rejected.
 //!
-//! Inputs are its class's latency objective and deadline, its own deadline, and how long its client has tried
-//! before.
+//! Inputs are the latency objective and deadline of the request's class, the deadline of the request, and the
+//! time since the client's first attempt.
 
 use super::open_request::OpenRequest;
 use super::Balancer;
@@ -12,33 +13,34 @@
 
 /// Time over which the retries of clients that are rejected together are spread.
 pub(super) const RETRY_AFTER_SPREAD: Micros = Micros::from_millis(250);
-/// Ticks by which a client retry must have less time left than first attempts for this to be conclusive.
+/// Ticks by which the remaining time of a client retry must be below that of first attempts for the estimate
+/// of the elapsed time to be certain.
 const TIME_LEFT_TOLERANCE_IN_TICKS: f64 = 2.0;
-/// Share of the apparent time since the first attempt that counts where it is not conclusive.
+/// Share of the estimated time since the first attempt that counts if the estimate is uncertain.
 const UNCERTAIN_ELAPSED_SHARE: f64 = 0.5;
 
-/// How long clients wait, as their first attempts have shown.
+/// How long clients wait, as observed from their first attempts.
 #[derive(Debug)]
 pub(super) struct Admission {
-    /// The longest time that a first attempt had left when it came in, by class.
+    /// Longest remaining time of a first attempt on arrival, by class.
     longest_initial_time_left: Vec<Micros>,
 }
 
 impl Admission {
-    /// The state of a balancer that has seen no request, with this number of classes.
+    /// Creates the state without observations, for this number of classes.
     pub(super) fn new(classes: usize) -> Admission {
         Admission { longest_initial_time_left: vec![Micros::ZERO; classes] }
     }
 
-    /// A request has come in that is not a client's retry.
+    /// Records the remaining time of a request that is not a client's retry.
     fn on_new_request(&mut self, now: Micros, request: &Request, settings: &Settings) {
         let time_left = request.deadline - now;
         let longest = &mut self.longest_initial_time_left[settings.class_index(request.class)];
         *longest = time_left.max(*longest);
     }
 
-    /// Until when an answer is useful: within the latency objective, or within the deadline where later
-    /// answers have a priority weight too.
+    /// Time until which a response is useful: the latency objective, or the deadline if late responses have a
+    /// priority weight too.
     fn useful_until(&self, now: Micros, request: &Request, settings: &Settings) -> Micros {
         let class = settings.class(request.class);
         if class.late_priority_weight > 0.0 {
@@ -51,9 +53,9 @@
         (now + objective_left).min(request.deadline)
     }
 
-    /// The time since the client's first attempt. Over all its attempts a client waits for the deadline of
-    /// its class, so the time that a retry has left shows how much has passed, if it is less than first
-    /// attempts have.
+    /// Estimates the time since the client's first attempt. A client waits for the deadline of its class over
+    /// all its attempts, so the remaining time of a retry shows how much time has passed, if it is below that
+    /// of first attempts.
     fn elapsed_before_arrival(&self, now: Micros, request: &Request, settings: &Settings) -> Micros {
         if !request.is_client_retry {
             return Micros::ZERO;
@@ -68,9 +70,9 @@
 }
 
 impl Balancer {
-    /// A request has come in.
+    /// Handles a new request.
     pub(super) fn on_request(&mut self, now: Micros, mut request: Request, actions: &mut Vec<Action>) {
-        // Tenants that the settings do not name share one source at the gaps.
+        // Tenants beyond those of the settings share one source in the gaps.
         request.tenant = request.tenant.min(self.settings.tenants.len() as u32);
         if !request.is_client_retry {
             self.admission.on_new_request(now, &request, &self.settings);
@@ -85,7 +87,7 @@
         self.route(now, OpenRequest::new(request, useful_until), actions);
     }
 
-    /// Why a request is shed whatever the servers can do; `None` if it is worth another attempt.
+    /// Why a request is shed regardless of the state of the servers; `None` if another attempt is worthwhile.
     pub(super) fn shed_reason(&mut self, now: Micros, open: &OpenRequest) -> Option<RejectReason> {
         if !self.may_attempt(now, open) {
             return Some(RejectReason::AttemptsExhausted);
@@ -94,8 +96,8 @@
         is_too_late.then_some(RejectReason::ObjectiveMissed)
     }
 
-    /// Answers a request that is not served: rejects it where repeating it is harmless, and fails it
-    /// otherwise. The client may come back after `wait` and a drawn time.
+    /// Answers a request that is not served: rejects it if repeating it is harmless, and fails it otherwise.
+    /// Retry-After is `wait` plus a random spread, up to the site's maximum.
     pub(super) fn reject_or_fail(
         &mut self,
         now: Micros,
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -1,99 +1,102 @@
-//! How many of this balancer's own attempts may be in flight at one server: the paper's internal control
-//! (section 2).
+//! Limit on this balancer's own attempts in flight at one server: the paper's internal control (section 2).
 //!
-//! Inputs are the latencies of the attempts there and which of them timed out. Fast responses raise the limit
-//! while it is in use, and timeouts lower it; it needs no information from the server or from other
-//! balancers. Latencies are in microseconds; the limit counts attempts and may be a fraction.
+//! Inputs are the latencies and timeouts of the attempts at the server. Fast responses raise the limit while
+//! it is in use, and timeouts lower it; no information from the server or from other balancers is needed.
+//! Latencies are in microseconds; the limit is a number of attempts and may be fractional.
 
 use crate::time::Micros;
 
-/// Limit for a server of which nothing is known: one, and this divided among all balancers.
+/// Initial limit of all balancers together, in addition to one attempt for each balancer.
 const INITIAL_LIMIT_OF_ALL: f64 = 6.0;
-/// Smallest limit of all balancers together.
+/// Lower bound on the limit of all balancers together.
 const MINIMUM_LIMIT_OF_ALL: f64 = 3.0;
-/// What a fast response adds to a limit in use until the first timeout.
+/// Increase of a limit in use per fast response, until the first timeout.
 const INITIAL_LIMIT_INCREASE: f64 = 1.0;
-/// What it adds from then on.
+/// Increase of a limit in use per fast response, after the first timeout.
 const LIMIT_INCREASE: f64 = 0.12;
 /// The limit counts as in use if this many more attempts would exceed it.
 const IN_USE_MARGIN: f64 = 2.0;
-/// What a timeout leaves of the limit.
+/// Factor by which a timeout reduces the limit.
 const LIMIT_DECREASE_FACTOR: f64 = 0.8;
-/// Share of the recent peak limit that timeouts leave at a server that drops abandoned work.
+/// Lower bound on the limit after a timeout at a server that drops abandoned work, as a share of the recent
+/// peak limit.
 const RETAINED_PEAK_SHARE: f64 = 0.9;
-/// Share that the recent peak loses with each response where the minimum limit is one; more in proportion
-/// where it is less, as a balancer sees fewer of the server's responses then.
+/// Share by which each response reduces the recent peak limit if the minimum limit is one. A lower minimum
+/// limit increases the share in proportion, because in a larger fleet a balancer sees fewer of the server's
+/// responses.
 const PEAK_DECAY_SHARE: f64 = 0.001;
-/// Share of the limit that reads may use while writes take all that they can.
+/// Share of the limit that remains available to reads while writes take all that they can.
 const READ_SHARE: f64 = 0.3;
 
 /// Latency up to which a response is fast, as a ratio to the baseline.
 const FAST_RESPONSE_RATIO: f64 = 1.6;
-/// Latency from which a timeout says something about the server, as a ratio to the baseline.
+/// Latency from which a timeout is evidence about the server, as a ratio to the baseline.
 const MEANINGFUL_TIMEOUT_RATIO: f64 = 1.5;
-/// Time that must be left to send at all, as a ratio to the baseline.
+/// Minimum remaining time for a request to be sent at all, as a ratio to the baseline.
 const MIN_TIME_LEFT_RATIO: f64 = 0.3;
-/// Mean latency from which a sample is an outlier that hardly moves the baseline, as a ratio to the baseline.
+/// Mean latency from which a sample is an outlier that hardly changes the baseline, as a ratio to the
+/// baseline.
 const OUTLIER_RATIO: f64 = 2.0;
 
-/// Responses whose mean moves the baseline.
+/// Latencies in a sample whose mean updates the baseline.
 const SAMPLES_PER_MEAN: f64 = 4.0;
-/// Weight of such a mean in the baseline where it is lower.
+/// Weight of a sample mean below the baseline.
 const BASELINE_DECREASE_WEIGHT: f64 = 0.1;
-/// Weight of such a mean in the baseline where it is higher.
+/// Weight of a sample mean above the baseline.
 const BASELINE_INCREASE_WEIGHT: f64 = 0.03;
-/// Microseconds in which outliers, as of a queue, double the baseline: a server that is slower for good.
+/// Time in which outliers, such as the latencies of a queue, double the baseline, in microseconds. This
+/// covers a server that has become permanently slower.
 const BASELINE_DOUBLING_MICROS: f64 = 600e6;
-/// Weight of a latency in the recent latency.
+/// Weight of one latency in the recent latency.
 const RECENT_LATENCY_WEIGHT: f64 = 0.15;
-/// Share of the limit in flight from which latencies may hold a queue's delay.
+/// Share of the limit in flight from which latencies may contain queueing delay.
 const CROWDED_SHARE: f64 = 0.5;
-/// Lower bound on the recent latency in estimates, in microseconds: it is zero while unknown.
+/// Lower bound on the recent latency in estimates, in microseconds, since it is zero while unknown.
 const MIN_RECENT_LATENCY_MICROS: f64 = 1e5;
 
-/// The mean of the latest latencies, until there are enough of them to move the baseline.
+/// The latest latencies, collected until there are enough to update the baseline.
 #[derive(Debug, Default)]
 struct LatencySample {
     /// Sum of the latencies in microseconds.
     sum: f64,
-    /// Their number.
+    /// Number of latencies.
     count: f64,
-    /// Whether one of them was taken while the server was crowded.
+    /// Whether a latency was measured while the server was crowded.
     is_crowded: bool,
 }
 
-/// The limit on one server's attempts in flight, and the observations that move it.
+/// The limit on the attempts in flight at one server, and the observations that change it.
 #[derive(Debug, Default)]
 pub(super) struct ConcurrencyLimit {
-    /// Reads that the server works on for this balancer.
+    /// This balancer's reads in flight.
     reads_in_flight: f64,
-    /// Writes that the server works on for this balancer.
+    /// This balancer's writes in flight.
     writes_in_flight: f64,
-    /// Until when the server is assumed to work on each attempt that was abandoned.
+    /// Time until which the server is assumed to work on each abandoned attempt.
     abandoned_until: Vec<Micros>,
-    /// Attempts that may be in flight. One always may; a limit below one is kept by `paced_until`.
+    /// Limit on attempts in flight. One attempt is always allowed; `paced_until` enforces a limit below one.
     pub(super) limit: f64,
-    /// The limit never falls below this.
+    /// Lower bound on the limit.
     minimum_limit: f64,
-    /// A limit below one is kept by a pause between two sends: no read goes before this time, and a write
-    /// only when nothing else is in flight.
+    /// End of the pause between two sends that enforces a limit below one. Until then, no read is sent, and a
+    /// write is sent only if nothing else is in flight.
     paced_until: Micros,
-    /// The highest limit in use, decaying with the responses since.
+    /// The highest limit in use, decaying with each response since.
     recent_peak_limit: f64,
-    /// When the limit was last cut; `Micros::ZERO` is never.
+    /// Time of the last decrease of the limit; `Micros::ZERO` before the first.
     last_decrease: Micros,
-    /// Latency of the server when it is not crowded, in microseconds; zero while unknown.
+    /// Latency of the server while it is not crowded, in microseconds; zero while unknown.
     pub(super) baseline_latency: f64,
-    /// Mean latency of late, in microseconds; zero while unknown.
+    /// Moving average of the latency, in microseconds; zero while unknown.
     pub(super) recent_latency: f64,
-    /// The latencies since the baseline last moved.
+    /// The latencies since the last update of the baseline.
     sample: LatencySample,
-    /// When the baseline last moved.
+    /// Time of the last update of the baseline.
     baseline_updated: Micros,
 }
 
 impl ConcurrencyLimit {
-    /// The limit for a server of which nothing is known, at one of so many balancers.
+    /// Creates the limit for a server without observations, at one of this number of balancers.
     pub(super) fn new(balancers: u32) -> ConcurrencyLimit {
         let balancers = f64::from(balancers.max(1));
         ConcurrencyLimit {
@@ -103,22 +106,22 @@
         }
     }
 
-    /// Attempts that the server works on for this balancer, abandoned ones with them.
+    /// This balancer's attempts in flight, including abandoned ones that the server may still work on.
     pub(super) fn in_flight(&self) -> f64 {
         self.reads_in_flight + self.writes_in_flight + self.abandoned_until.len() as f64
     }
 
-    /// Attempts that the server can be expected to complete within this time.
+    /// Number of attempts that the server can be expected to complete within this time.
     pub(super) fn completions_within(&self, time: Micros) -> usize {
         (self.limit * time.as_f64() / self.recent_latency.max(MIN_RECENT_LATENCY_MICROS)) as usize
     }
 
-    /// Whether the pause between two sends that keeps a limit below one still lasts.
+    /// Whether the pause that enforces a limit below one is in effect.
     pub(super) fn is_paced(&self, now: Micros) -> bool {
         now < self.paced_until
     }
 
-    /// Whether one more attempt may go out now. Reads may always use their share of the limit.
+    /// Whether one more attempt may be sent now. Reads may always use their share of the limit.
     pub(super) fn has_capacity(&mut self, now: Micros, is_write: bool) -> bool {
         self.abandoned_until.retain(|until| *until > now);
         let is_paused = !is_write && self.is_paced(now);
@@ -127,13 +130,13 @@
         !is_paused && is_under_limit || is_under_read_share
     }
 
-    /// An attempt goes out.
+    /// Counts an attempt as in flight.
     pub(super) fn reserve(&mut self, is_write: bool) {
         *self.in_flight_of(is_write) += 1.0;
     }
 
-    /// An attempt ended. `abandoned_for` is for how much longer the server is taken to work on it all the
-    /// same.
+    /// Counts an attempt as completed. `abandoned_for` is the time for which the server is assumed to
+    /// continue an abandoned attempt.
     pub(super) fn release(&mut self, now: Micros, is_write: bool, abandoned_for: Option<Micros>) {
         let in_flight = self.in_flight_of(is_write);
         *in_flight = (*in_flight - 1.0).max(0.0);
@@ -146,7 +149,7 @@
         }
     }
 
-    /// A write that is out counts as a read from now on.
+    /// Counts one write in flight as a read from now on.
     pub(super) fn count_write_as_read(&mut self) {
         self.writes_in_flight = (self.writes_in_flight - 1.0).max(0.0);
         self.reads_in_flight += 1.0;
@@ -161,8 +164,8 @@
         }
     }
 
-    /// Whether a timeout after this time says something about the server: an earlier one may be due to a
-    /// client that was about to leave.
+    /// Whether a timeout after this time is evidence about the server. An earlier timeout may be due to a
+    /// client whose deadline was close.
     pub(super) fn is_timeout_meaningful(&self, latency: Micros) -> bool {
         latency.as_f64() >= MEANINGFUL_TIMEOUT_RATIO * self.baseline_latency
     }
@@ -172,7 +175,7 @@
         time_left.as_f64() >= MIN_TIME_LEFT_RATIO * self.baseline_latency
     }
 
-    /// The server responded after this time. A fast response raises a limit that is in use.
+    /// Records a response after this time. A fast response raises a limit that is in use.
     pub(super) fn on_response(&mut self, now: Micros, latency: Micros) {
         self.record_latency(now, latency);
         let is_fast =
@@ -185,8 +188,8 @@
         }
     }
 
-    /// The server has not responded within this time. A timeout of an attempt that went out after the last
-    /// decrease cuts the limit, less so at a server that drops abandoned work.
+    /// Records a timeout after this time. The timeout of an attempt that was sent after the last decrease
+    /// reduces the limit, less so at a server that drops abandoned work.
     pub(super) fn on_timeout(&mut self, now: Micros, latency: Micros, drops_abandoned: bool) {
         self.record_latency(now, latency);
         let sent = now - latency;
@@ -198,7 +201,7 @@
         self.last_decrease = now;
     }
 
-    /// Adds a latency to the means, be it that of a response or of a timeout.
+    /// Adds the latency of a response or of a timeout to the averages.
     fn record_latency(&mut self, now: Micros, latency: Micros) {
         let latency = latency.as_f64();
         let weight = if self.recent_latency == 0.0 { 1.0 } else { RECENT_LATENCY_WEIGHT };
@@ -213,8 +216,8 @@
         }
     }
 
-    /// Moves the baseline towards the sample's mean. It is learnt upwards only from samples without a queue,
-    /// so that a queue cannot become the baseline by growing slowly.
+    /// Updates the baseline with the mean of the sample. Outliers and samples of a crowded server raise it
+    /// only slowly, so that a growing queue does not become the baseline.
     fn update_baseline(&mut self, now: Micros) {
         let mean = self.sample.sum / self.sample.count;
         let difference = mean - self.baseline_latency;
--- a/src/balancer/discovery_schedule.rs
+++ b/src/balancer/discovery_schedule.rs
@@ -1,99 +1,103 @@
-//! When discovery is called next.
+//! Schedules the calls to discovery.
 //!
-//! Inputs are the endpoint updates, failed calls and broken watches, and the site's poll interval, of which
-//! all times are shares. Times are drawn, so that a fleet that starts together, or whose watches break
-//! together, does not call discovery all at once. A list that comes in ends all waits: its watch is open
-//! then.
+//! Inputs are the endpoint updates, failed calls and broken watches, and the site's poll interval; all delays
+//! are shares of this interval. Delays are random, so that balancers that start together, or whose watches
+//! break together, do not call discovery all at once. A received list cancels the pending call, since its
+//! watch is open then.
 
 use crate::endpoint::EndpointUpdate;
 use crate::settings::Settings;
 use crate::time::Micros;
 
-/// Longest poll interval that is reckoned with; the shares below are of the site's interval up to this.
+/// Upper bound on the poll interval in the computation of delays; a longer interval of the site counts as
+/// this.
 pub const MAX_POLL_INTERVAL: Micros = Micros::from_secs(10);
-/// Share of the interval over which balancers of a full-size fleet that start together call discovery.
+/// Share of the poll interval over which the balancers of a full-size fleet that start together spread their
+/// first calls.
 pub const START_SPREAD_SHARE: f64 = 0.33;
-/// Balancers from which on a start is spread over the whole of that; fewer take a part in proportion.
+/// Number of balancers from which first calls are spread over the whole of [`START_SPREAD_SHARE`]; fewer
+/// balancers use a proportional part.
 const FULL_SPREAD_BALANCERS: f64 = 90.0;
-/// Smallest such part.
+/// Lower bound on this part.
 const MIN_SPREAD_FACTOR: f64 = 0.3;
-/// Calls in a row that a start makes at its own pace, the first one included.
+/// Consecutive calls after a start that use the startup backoff, including the first call.
 const START_CALLS: u32 = 3;
 
-/// A time drawn evenly between two shares of the poll interval.
+/// The range of a random delay, uniform between two shares of the poll interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BackoffRange {
-    /// Share of the interval that passes at least.
+    /// Shortest delay, as a share of the poll interval.
     pub min_share: f64,
-    /// Share of the interval that passes at most.
+    /// Longest delay, as a share of the poll interval.
     pub max_share: f64,
 }
 
 impl BackoffRange {
-    /// A time in this range, of a poll interval of this length.
+    /// Draws a delay for a poll interval of this length.
     fn draw(self, interval: Micros, rng: &mut fastrand::Rng) -> Micros {
         interval.mul_f64(self.min_share + (self.max_share - self.min_share) * rng.f64())
     }
 }
 
-/// The times from one call to discovery to the next.
+/// Delays between calls to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DiscoveryBackoff {
-    /// From a list to the call after its watch broke.
+    /// From the receipt of a list to the call after its watch broke.
     pub after_watch: BackoffRange,
-    /// From that call to the next, if it failed.
+    /// From the call after a broken watch to the next call, if the first one failed.
     pub after_first_failure: BackoffRange,
-    /// From the second failed call to the next, and from one call of a start to the next; shorter in a small
-    /// fleet.
+    /// From the second failed call to the next, and between the calls of a start; shorter in a small fleet.
     pub after_second_failure: BackoffRange,
     /// From any later failed call to the next.
     pub after_more_failures: BackoffRange,
 }
 
-/// The times from one call to discovery to the next.
+/// Delays between calls to discovery.
 pub const DISCOVERY_BACKOFF: DiscoveryBackoff = DiscoveryBackoff {
     after_watch: BackoffRange { min_share: 0.12, max_share: 0.15 },
     after_first_failure: BackoffRange { min_share: 0.03, max_share: 0.06 },
     after_second_failure: BackoffRange { min_share: 0.3, max_share: 0.34 },
     after_more_failures: BackoffRange { min_share: 0.24, max_share: 0.28 },
 };
-/// The pause from the end of a call or a watch to the next call, where [`DISCOVERY_BACKOFF`] asks for none.
+/// Minimum delay from a failed call or a broken watch to the next call, where the delay of
+/// [`DISCOVERY_BACKOFF`] is already over.
 pub const MIN_DISCOVERY_PAUSE: BackoffRange = BackoffRange { min_share: 0.005, max_share: 0.03 };
 
-/// How discovery has fared since the last list.
+/// State of discovery since the last list was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// A list has come and its watch has not broken.
+    /// A list was received, and its watch is open.
     Watching,
     /// The watch has broken.
     WatchBroken,
-    /// One call after the watch has failed, or no list has come since the start. A process that starts has no
-    /// list from discovery, so that it makes [`START_CALLS`] calls at this pace.
+    /// The first call after a broken watch failed, or no list was received since the start. A started process
+    /// has no list from discovery, so it makes [`START_CALLS`] calls with this backoff.
     StartingOrFirstCallFailed,
-    /// More calls have failed.
+    /// Further calls failed.
     Failing,
 }
 
-/// When the next call to discovery is due.
+/// The schedule of the calls to discovery.
 #[derive(Debug)]
 pub(super) struct DiscoverySchedule {
-    /// Whether lists have to be called for at all.
+    /// Whether the endpoint list must be requested from discovery.
     is_polling: bool,
-    /// What the shares are of.
+    /// The poll interval that all shares refer to.
     interval: Micros,
-    /// By how much the calls of a start come sooner in a small fleet.
+    /// Factor on the delays of a start; below one in a small fleet.
     start_spread_factor: f64,
-    /// Shortest time to the first call.
+    /// Minimum delay of the first call.
     tick: Micros,
     stage: Stage,
-    /// Calls of a start that still come at its own pace.
+    /// Remaining calls with the startup backoff.
     start_calls_left: u32,
-    /// When the last call was due, or the last list came; zero before the first.
+    /// Time at which the latest call is or was due, or at which the last list was received; zero before the
+    /// first.
     call_due_or_last_list: Micros,
 }
 
 impl DiscoverySchedule {
-    /// The schedule of a balancer that starts.
+    /// Creates the schedule of a balancer that starts.
     pub(super) fn new(settings: &Settings) -> DiscoverySchedule {
         let spread_factor = f64::from(settings.balancers) / FULL_SPREAD_BALANCERS;
         DiscoverySchedule {
@@ -107,13 +111,13 @@
         }
     }
 
-    /// Whether a timer that is due now is that of the next call. One from before a list came, or before a
-    /// later call was planned, is not.
+    /// Whether a timer that is due now is the timer of the next call. Timers that were set before a list was
+    /// received, or before a later call was scheduled, are obsolete.
     pub(super) fn is_call_due(&self, now: Micros) -> bool {
         self.is_polling && self.stage != Stage::Watching && now >= self.call_due_or_last_list
     }
 
-    /// A call failed or a watch broke; returns when to call next.
+    /// Handles a failed call or a broken watch; returns the time of the next call.
     pub(super) fn on_unavailable(&mut self, now: Micros, rng: &mut fastrand::Rng) -> Micros {
         let earliest = now + MIN_DISCOVERY_PAUSE.draw(self.interval, rng);
         let backoff = self.backoff().draw(self.interval, rng);
@@ -125,7 +129,7 @@
         next_call
     }
 
-    /// Endpoints came in; returns when to call, if this asks for a first call.
+    /// Handles received endpoints; returns the time of the first call if a restored list requires one.
     pub(super) fn on_endpoints(
         &mut self,
         now: Micros,
@@ -139,7 +143,7 @@
             self.call_due_or_last_list = first_call;
             return Some(first_call);
         }
-        // An operator's override says nothing of discovery.
+        // An operator's override gives no information about discovery.
         if update != EndpointUpdate::OperatorOverride {
             self.stage = Stage::Watching;
             self.start_calls_left = 0;
@@ -148,7 +152,7 @@
         None
     }
 
-    /// The range from the last call, or the last list, to the next call.
+    /// Range of the delay from the last call, or the last list, to the next call.
     fn backoff(&self) -> BackoffRange {
         match self.stage {
             Stage::Watching => DISCOVERY_BACKOFF.after_watch,
@@ -158,7 +162,7 @@
         }
     }
 
-    /// Another call has failed, or the watch has broken.
+    /// Advances the stage after a failed call or a broken watch.
     fn advance(&mut self) {
         let is_starting = self.stage == Stage::StartingOrFirstCallFailed && self.start_calls_left > 0;
         if is_starting {
--- a/src/balancer/endpoint_set.rs
+++ b/src/balancer/endpoint_set.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in use, with what this balancer has learnt of each server.
+//! The current endpoint list, with this balancer's observations of each server.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use super::gap_ladder::Gap;
@@ -7,23 +7,23 @@
 use crate::settings::{Rules, Settings};
 use crate::time::Micros;
 
-/// A server of the list, and what this balancer's own attempts there have shown.
+/// A listed server, and the state that follows from this balancer's own attempts there.
 #[derive(Debug)]
 pub(super) struct Server {
-    /// The server as the list names it.
+    /// The server's entry in the endpoint list.
     pub(super) endpoint: Endpoint,
-    /// The pause between two sends while it rejects too many.
+    /// Gap between two sends while the server rejects too many.
     pub(super) gap: Gap,
-    /// How many attempts may be in flight there.
+    /// Limit on attempts in flight at the server.
     pub(super) concurrency: ConcurrencyLimit,
-    /// When it last responded to this balancer; `Micros::ZERO` is never.
+    /// Time of the last response to this balancer; `Micros::ZERO` before the first.
     pub(super) last_response: Micros,
-    /// Attempts that it may still get in slow start; none before the first count.
+    /// Credit for attempts in slow start; `None` until it is first needed.
     pub(super) slow_start_credit: Option<SlowStartCredit>,
 }
 
 impl Server {
-    /// A server of which nothing but its entry in the list is known.
+    /// A server without any observations.
     pub(super) fn new(endpoint: Endpoint, balancers: u32) -> Server {
         Server {
             endpoint,
@@ -34,8 +34,9 @@
         }
     }
 
-    /// Whether slow start lets one more attempt go to this server, where cache servers respond at this rate
-    /// on average. The first credit is drawn, so that balancers do not send their first attempts all at once.
+    /// Whether slow start allows one more attempt at this server. `responses_per_second` is the mean response
+    /// rate of one cache server. The initial credit is random, so that balancers do not send their first
+    /// attempts all at once.
     pub(super) fn has_slow_start_credit(
         &mut self,
         now: Micros,
@@ -54,7 +55,7 @@
         credit.is_sufficient()
     }
 
-    /// An attempt of this tenant goes out to this server.
+    /// Charges an attempt of this tenant to slow start, the gap and the concurrency limit.
     pub(super) fn on_send(&mut self, now: Micros, tenant: u32, is_write: bool) {
         if let Some(credit) = &mut self.slow_start_credit {
             credit.spend();
@@ -64,19 +65,19 @@
     }
 }
 
-/// The servers of the list in use.
+/// The servers of the current endpoint list.
 #[derive(Debug)]
 pub(super) struct EndpointSet {
-    /// How many balancers share the servers' capacity.
+    /// Number of balancers that share the servers' capacity.
     balancers: u32,
     /// The servers, sorted by id.
     pub(super) servers: Vec<Server>,
-    /// The index of the origin that requests go to, if one serves.
+    /// Index of the origin that requests go to; `None` if no origin is serving.
     pub(super) origin_index: Option<usize>,
 }
 
 impl EndpointSet {
-    /// An empty list, for one of so many balancers.
+    /// Creates an empty list, at one of this number of balancers.
     pub(super) fn new(balancers: u32) -> EndpointSet {
         EndpointSet { balancers, servers: vec![], origin_index: None }
     }
@@ -87,18 +88,19 @@
         Some(&mut self.servers[index])
     }
 
-    /// The origin that requests go to, if one serves.
+    /// The origin that requests go to; `None` if no origin is serving.
     pub(super) fn origin_mut(&mut self) -> Option<&mut Server> {
         self.origin_index.map(|index| &mut self.servers[index])
     }
 
-    /// The list's entries but for the origin.
+    /// The listed endpoints except the origin.
     pub(super) fn cache_servers(&self) -> impl Iterator<Item = &Endpoint> {
         let servers = self.servers.iter().enumerate();
         servers.filter(|(index, _)| Some(*index) != self.origin_index).map(|(_, server)| &server.endpoint)
     }
 
-    /// Applies an update of the list. What is known of a server is kept unless it is gone or has restarted.
+    /// Applies an update of the list. The observations of a server are kept unless it was removed or has
+    /// restarted.
     pub(super) fn apply_update(
         &mut self,
         update: EndpointUpdate,
@@ -136,8 +138,8 @@
         }
     }
 
-    /// Replaces a server's entry. One that has restarted is another process: nothing known of the old one
-    /// holds.
+    /// Replaces a server's entry. A restarted server is another process, so the observations of the old
+    /// process no longer apply.
     fn replace(&mut self, index: usize, endpoint: &Endpoint) {
         let server = &mut self.servers[index];
         if endpoint.started > server.endpoint.started {
@@ -147,7 +149,7 @@
         }
     }
 
-    /// The index of the server with this id, or the one at which it would stand.
+    /// Index of the server with this id, or the index at which to insert it.
     fn index_of(&self, id: ServerId) -> Result<usize, usize> {
         self.servers.binary_search_by_key(&id, |server| server.endpoint.server)
     }
--- a/src/balancer/forwarding.rs
+++ b/src/balancer/forwarding.rs
@@ -1,4 +1,4 @@
-//! What goes out with an attempt: which limits it uses, its timeout, and the timer to hedge it.
+//! Sends attempts: charges the limits, sets the timeout, and sets the timer to hedge the request.
 
 use super::hedging::SilencePolicy;
 use super::open_request::OpenRequest;
--- a/src/balancer/gap_ladder.rs
+++ b/src/balancer/gap_ladder.rs
@@ -1,75 +1,78 @@
-//! The gap of one server: how long each source leaves between two sends to it, while it rejects too many of
-//! them.
+//! The gap of one server: the minimum time between two sends from one source to a server that rejects too
+//! many of them.
 //!
-//! Inputs are the outcomes of this balancer's own attempts at the server. Their rejected share moves the
-//! gap on a ladder of lengths that grow by [`RUNG_RATIO`]: up where it is high, down where it is low (the
-//! paper, section 3.2). Rung 0 is no gap. The source of a send is its tenant, or the balancer where no tenant
-//! is named. A gap that nothing renews ends by itself.
+//! Inputs are the outcomes of this balancer's own attempts at the server. The gap is a rung of a ladder of
+//! lengths that grow by [`RUNG_RATIO`]; rung 0 is no gap. A high rejected share raises the gap, a low share
+//! lowers it (the paper, section 3.2), and a gap that no outcome renews expires. The source of a send is its
+//! tenant, or the balancer if no tenant is named.
 
 use rustc_hash::FxHashMap;
 
 use crate::settings::Settings;
 use crate::time::Micros;
 
-/// Ratio between the lengths of two rungs: a smaller one settles nearer the right gap, a larger one gets
-/// there sooner.
+/// Ratio of the lengths of adjacent rungs: a smaller ratio settles closer to the right gap, a larger ratio
+/// reaches it sooner.
 pub(super) const RUNG_RATIO: f64 = 1.5;
 /// Rejected share above which the gap grows, as the paper derives it from the ratio.
 pub(super) const RAISE_ABOVE_REJECTED_SHARE: f64 = 1.0 - 1.0 / RUNG_RATIO;
-/// Rejected share below which the gap shrinks, and down to which it is renewed.
+/// Rejected share below which the gap shrinks and above which it is renewed.
 pub(super) const LOWER_BELOW_REJECTED_SHARE: f64 = 0.05;
-/// Rungs that the gap falls at a time.
+/// Rungs by which one decrease lowers the gap.
 const RUNGS_PER_DECREASE: u32 = 3;
-/// Shortest duration of a gap, in gap lengths; up to twice as long is drawn. Long enough that the outcomes of
-/// what still passes renew it.
+/// Shortest lifetime of a gap, in gap lengths; the lifetime is drawn from one to two times this. It is long
+/// enough for the outcomes of the sends that the gap lets through to renew it.
 const MIN_DURATION_IN_GAPS: f64 = 4.0;
-/// Longest time after a raise in which sends are not counted as evidence for it, as a share of the gap.
+/// Longest settling time after a raise, as a share of the gap. Outcomes of sends before its end do not count.
 const SETTLING_SHARE_OF_GAP: f64 = 0.5;
 
-/// Outcomes that the first window needs, of all balancers together.
+/// Outcomes that complete a first window, over all balancers together.
 const FIRST_WINDOW_OUTCOMES: f64 = 12.0;
-/// Least outcomes that one balancer's first window needs.
+/// Lower bound on the outcomes that complete a first window at one balancer.
 const MIN_WINDOW_OUTCOMES: f64 = 1.0;
-/// Most outcomes that one balancer's first window needs.
+/// Upper bound on the outcomes that complete a first window at one balancer.
 const MAX_WINDOW_OUTCOMES: f64 = 4.0;
-/// Share of the window's length that a first window has to last for each outcome that it needs.
+/// Minimum length of a first window for each outcome that completes it, as a share of the window length.
 const MIN_WINDOW_SHARE_PER_OUTCOME: f64 = 0.25;
-/// Windows after which a first window that is not complete starts again.
+/// Age in window lengths after which an incomplete first window is discarded.
 pub(super) const EVIDENCE_LIFETIME_IN_WINDOWS: f64 = 8.0;
-/// Outcomes added to a window in which all were rejected: it may have hidden a few that would have been
-/// served.
+/// Outcomes added to the total of a window in which all were rejected: more outcomes might have included a
+/// few served ones.
 const UNSEEN_OUTCOMES: f64 = 0.25;
 
-/// Up to this number of balancers the longest gap is the longest deadline.
+/// Number of balancers up to which the longest gap equals the longest deadline.
 pub(super) const BALANCERS_WITHOUT_LONGER_GAPS: u32 = 3;
-/// Window's length as a share of the shortest latency objective.
+/// Window length as a share of the shortest latency objective.
 const WINDOW_SHARE_OF_OBJECTIVE: f64 = 0.5;
-/// Shortest length of the first rung, in microseconds.
+/// Lower bound on the base length of a ladder, in microseconds.
 const MIN_BASE_MICROS: u64 = 1_000;
-/// Most rungs of a ladder.
+/// Upper bound on the number of rungs.
 const MAX_RUNGS: f64 = 64.0;
-/// Latency objective where the settings have no class.
+/// Latency objective if the settings have no class.
 const DEFAULT_LATENCY_OBJECTIVE: Micros = Micros::from_millis(500);
-/// Deadline where the settings have no class.
+/// Deadline if the settings have no class.
 const DEFAULT_DEADLINE: Micros = Micros::SECOND;
 
-/// The lengths that a gap may have and the evidence that moves it: the same for all servers of a kind.
+/// The possible lengths of a gap and the evidence needed to change it. One ladder serves all cache servers,
+/// another one the origin.
 #[derive(Debug)]
 pub(super) struct GapLadder {
-    /// Length that the ladder starts from, in microseconds; rung 1 is longer by the ratio.
+    /// Base length in microseconds; rung 1 is longer by [`RUNG_RATIO`].
     base: f64,
     /// Length of a window of outcomes.
     pub(super) window: Micros,
     /// The highest rung.
     pub(super) highest_rung: u32,
-    /// Outcomes that a first window needs at this balancer; at least one.
+    /// Outcomes that complete a first window at this balancer; at least one.
     pub(super) window_outcomes: f64,
 }
 
 impl GapLadder {
-    /// The longest gap is the longest deadline times the square root of balancers / 3, at least 1. With more
-    /// balancers more attempts fail at a dead server in each gap, while a late return costs no more, so that
-    /// the gap may be longer.
+    /// Builds the ladder for this number of balancers.
+    ///
+    /// The longest gap is the longest deadline times the square root of balancers / 3, and at least the
+    /// longest deadline. With more balancers, more attempts fail at a dead server in each gap, while a late
+    /// return to a recovered server costs no more, so the gap may be longer.
     pub(super) fn new(settings: &Settings, balancers: u32) -> GapLadder {
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         let shortest_objective = objectives.min().unwrap_or(DEFAULT_LATENCY_OBJECTIVE);
@@ -90,7 +93,7 @@
         }
     }
 
-    /// The length of the gap on this rung; zero for rung 0.
+    /// Length of the gap on this rung; zero for rung 0.
     pub(super) fn length(&self, rung: u32) -> Micros {
         if rung == 0 {
             return Micros::ZERO;
@@ -104,21 +107,21 @@
         (rung.ceil().max(1.0) as u32).min(self.highest_rung)
     }
 
-    /// Whether a single outcome is a window: a balancer that is one of many sends so seldom to a server that
-    /// it cannot wait for several.
+    /// Whether a single outcome completes a first window. In a large fleet, one balancer sends to a server
+    /// too seldom to wait for several outcomes.
     pub(super) fn is_one_outcome_enough(&self) -> bool {
         self.window_outcomes <= 1.0
     }
 }
 
-/// How one send to a server ended.
+/// The outcome of one send to a server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SendOutcome {
-    /// When it was sent.
+    /// Time of the send.
     pub(super) sent: Micros,
-    /// When it ended.
+    /// Time at which the outcome was known.
     pub(super) completed: Micros,
-    /// Whether the server rejected it, was out of reach or did not respond in time.
+    /// Whether the server rejected the request, was unreachable or did not respond in time.
     pub(super) is_rejected: bool,
 }
 
@@ -127,22 +130,22 @@
 pub(super) struct Gap {
     /// Rung of the ladder; 0 is no gap.
     pub(super) rung: u32,
-    /// When the gap ends if nothing renews it.
+    /// Time at which the gap expires unless an outcome renews it.
     pub(super) ends_at: Micros,
-    /// Only sends from this time on are evidence for the current rung.
+    /// Outcomes of sends before this time do not count for the current rung.
     settled_from: Micros,
-    /// When the current window opened.
+    /// Start of the current window.
     window_opened: Micros,
     /// Outcomes in the current window.
     outcomes: f64,
-    /// Those of them that were rejected.
+    /// Rejected outcomes in the current window.
     rejected: f64,
-    /// The last send of each source.
+    /// Time of the last send, by source.
     last_sends: FxHashMap<u32, Micros>,
 }
 
 impl Gap {
-    /// Whether there is a gap at this time.
+    /// Whether the gap is in effect.
     pub(super) fn is_active(&self, now: Micros) -> bool {
         self.rung > 0 && now < self.ends_at
     }
@@ -156,13 +159,14 @@
         (last_send + ladder.length(self.rung)) - now
     }
 
-    /// This source sends now.
+    /// Records a send of this source.
     pub(super) fn on_send(&mut self, now: Micros, source: u32) {
         self.last_sends.insert(source, now);
     }
 
-    /// Counts how a send ended, and moves the gap where that completes a window. `random`, from 0 to 1,
-    /// varies how long the gap settles and lasts, so that balancers do not move together.
+    /// Counts the outcome of a send, and updates the gap if the outcome completes a window. `random`, from 0
+    /// to 1, varies the settling time and the lifetime of the gap, so that balancers do not change their gaps
+    /// in step.
     pub(super) fn on_outcome(&mut self, outcome: SendOutcome, ladder: &GapLadder, random: f64) {
         let now = outcome.completed;
         if now >= self.ends_at {
@@ -191,7 +195,8 @@
         self.open_window(now);
     }
 
-    /// Starts a new window where the current one has lasted too long; under a gap evidence stays.
+    /// Discards a first window that is older than the evidence lifetime. While there is a gap, evidence does
+    /// not expire.
     fn forget_old_evidence(&mut self, outcome: SendOutcome, ladder: &GapLadder) {
         let age = outcome.completed - self.window_opened;
         if self.rung == 0 && age > ladder.window.mul_f64(EVIDENCE_LIFETIME_IN_WINDOWS) {
@@ -199,14 +204,15 @@
         }
     }
 
-    /// Starts an empty window.
+    /// Opens an empty window.
     fn open_window(&mut self, opened: Micros) {
         self.outcomes = 0.0;
         self.rejected = 0.0;
         self.window_opened = opened;
     }
 
-    /// Whether the window holds enough to judge by. Under a gap each outcome is a window.
+    /// Whether the window has enough outcomes to change the gap. While there is a gap, each outcome completes
+    /// a window.
     fn is_window_complete(&self, now: Micros, ladder: &GapLadder) -> bool {
         if self.rung > 0 {
             return true;
@@ -215,14 +221,14 @@
         self.outcomes >= ladder.window_outcomes && now - self.window_opened >= shortest
     }
 
-    /// The rejected share of the window; below one, so that the pace that was served stays finite.
+    /// The rejected share of the window; always below one, so that the gap for the served rate stays finite.
     fn rejected_share(&self) -> f64 {
         let are_all_rejected = self.rejected == self.outcomes;
         self.rejected / if are_all_rejected { self.outcomes + UNSEEN_OUTCOMES } else { self.outcomes }
     }
 
-    /// The rung after a window with this rejected share: a first gap is that of the pace that was served, a
-    /// later one grows by as many rungs as the share asks for.
+    /// The rung after a window with this rejected share. The first gap is the one for the rate that was
+    /// served; a later gap grows by as many rungs as the rejected share requires.
     fn next_rung(&self, now: Micros, rejected_share: f64, ladder: &GapLadder) -> u32 {
         if rejected_share < LOWER_BELOW_REJECTED_SHARE {
             return self.rung.saturating_sub(RUNGS_PER_DECREASE);
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -1,9 +1,10 @@
-//! When an attempt without a response is hedged or times out, and which budget pays for a hedged request.
+//! Decides when an attempt without a response is hedged or times out, and which budget a hedged request is
+//! charged to.
 //!
-//! Inputs are the time for which an answer is still useful, and how long ago the server last responded: the
-//! longer ago, the less is known of it, and the sooner the request is hedged. Every hedged request is taken
-//! off this balancer's own budget, which first attempts refill; that budget decides only where no retry
-//! budget is shared.
+//! Inputs are the remaining time in which a response is useful, and the time since the server's last
+//! response: the longer ago, the less is known about the server, and the sooner the request is hedged. Every
+//! hedged request is charged to this balancer's own budget, which first attempts refill; that budget is a
+//! limit only if the balancers share no retry budget.
 
 use super::endpoint_set::Server;
 use super::gap_ladder::{GapLadder, SendOutcome, EVIDENCE_LIFETIME_IN_WINDOWS};
@@ -16,20 +17,20 @@
 use crate::settings::Idempotency;
 use crate::time::Micros;
 
-/// Share of the useful time left after which an attempt without a response is hedged or times out.
+/// Share of the remaining useful time after which an attempt without a response is hedged or times out.
 const HEDGE_AFTER_SHARE: f64 = 0.65;
-/// What is taken off that share for a server that has not responded for as long as evidence lasts.
+/// Largest reduction of [`HEDGE_AFTER_SHARE`], for a server without a response for a whole evidence lifetime.
 const MAX_HEDGE_SHARE_REDUCTION: f64 = 0.22;
-/// Hedged requests that a first attempt pays for, where one outcome is a window; fewer in proportion where
-/// more are.
+/// Hedged requests that each first attempt adds to the budget if one outcome completes a window; divided by
+/// the number of outcomes if more are needed.
 const HEDGES_PER_FIRST_ATTEMPT: f64 = 0.4;
-/// Most hedged requests that may be saved up.
+/// Upper bound on the budget, in hedged requests.
 const MAX_SAVED_HEDGES: f64 = 10.0;
 
-/// Hedged requests that this balancer may still send by itself.
+/// This balancer's own budget for hedged requests.
 #[derive(Debug)]
 pub(super) struct HedgeBudget {
-    /// Hedged requests saved up; below zero where a shared budget allowed more.
+    /// Hedged requests available; negative if a shared budget allowed more.
     hedges: f64,
 }
 
@@ -39,32 +40,32 @@
         HedgeBudget { hedges: MAX_SAVED_HEDGES }
     }
 
-    /// A request has come in that is not a client's retry.
+    /// Refills the budget for a request that is not a client's retry.
     pub(super) fn on_new_request(&mut self, ladder: &GapLadder) {
         let earned = HEDGES_PER_FIRST_ATTEMPT / ladder.window_outcomes;
         self.hedges = (self.hedges + earned).min(MAX_SAVED_HEDGES);
     }
 
-    /// A hedged request goes out.
+    /// Charges one hedged request to the budget.
     fn spend(&mut self) {
         self.hedges -= 1.0;
     }
 }
 
-/// What happens to an attempt that stays without a response.
+/// Policy for an attempt that gets no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SilencePolicy {
-    /// It may take until the request's deadline.
+    /// Wait until the request's deadline.
     KeepWaiting,
-    /// The request is hedged after this time, while the attempt goes on.
+    /// Hedge the request after this time, and keep the attempt in flight.
     HedgeAfter(Micros),
-    /// It times out after this time.
+    /// Time the attempt out after this time.
     TimeOutAfter(Micros),
 }
 
 impl Balancer {
-    /// What to do about an attempt at this server that stays without a response. Only what is idempotent can
-    /// be sent a second time, and no other server stands in for the origin.
+    /// The policy for an attempt at this server. Only idempotent requests may be sent a second time, and no
+    /// other server can take the requests of the origin.
     pub(super) fn silence_policy(&self, now: Micros, open: &OpenRequest, server: &Server) -> SilencePolicy {
         let class = self.settings.class(open.request.class);
         let is_origin = self.settings.is_origin(&server.endpoint);
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Sends a request whose attempt has no response yet to another server as well, if one can take it and
+    /// Sends a hedged request for an attempt without a response, if another server can take the request and
     /// the budget allows it.
     pub(super) fn hedge(&mut self, now: Micros, open: OpenRequest, actions: &mut Vec<Action>) {
         self.count_silence(now, &open);
@@ -96,14 +97,15 @@
         self.open_requests.insert(open);
     }
 
-    /// Whether a hedged request may go out: nothing waits for the origin, and the budget allows it.
-    /// `choose_route` has asked the shared budget already.
+    /// Whether a hedged request may be sent: no request waits for the origin, and the budget allows it.
+    /// `choose_route` has already queried the shared budget.
     fn may_hedge(&mut self, now: Micros) -> bool {
         self.origin_queue.is_empty() && self.coordination.allows_hedge(now, self.hedge_budget.hedges)
     }
 
-    /// Counts the silence of the attempt in flight as a rejection by its server, where one outcome is a
-    /// window: a balancer that sends there once in seconds cannot wait for the end of the attempt.
+    /// Counts the attempt in flight, which has no response yet, as rejected by its server if one outcome
+    /// completes a window: a balancer that sends to the server once in several seconds cannot wait for the
+    /// attempt to complete.
     fn count_silence(&mut self, now: Micros, open: &OpenRequest) {
         if !self.cache_ladder.is_one_outcome_enough() {
             return;
--- a/src/balancer/limit_view.rs
+++ b/src/balancer/limit_view.rs
@@ -1,22 +1,22 @@
-//! The gap and the concurrency limit of each server. Slow start, unhealthy zones, reports of other balancers
-//! and shared limits also make a server passed over; they are not shown here.
+//! View of the gap and the concurrency limit of each server. Slow start, unhealthy zones, reports of other
+//! balancers and shared limits can also exclude a server; the view does not contain them.
 
 use super::endpoint_set::Server;
 use super::Balancer;
 use crate::endpoint::ServerId;
 use crate::time::Micros;
 
-/// A limit that holds attempts at a server back.
+/// A limit that blocks attempts at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BindingLimit {
-    /// The gap between two sends.
+    /// The gap.
     Gap,
-    /// The attempts that may be in flight.
+    /// The limit on attempts in flight.
     Concurrency,
 }
 
 impl BindingLimit {
-    /// The operators' word for it.
+    /// The name of the limit in operators' views.
     pub fn label(self) -> &'static str {
         match self {
             BindingLimit::Gap => "gap",
@@ -25,32 +25,32 @@
     }
 }
 
-/// The limits of one server, as they are now.
+/// The current limits of one server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitView {
     /// The server.
     pub server: ServerId,
-    /// The gap that each source has to leave between two sends; `Micros::ZERO` is none.
+    /// Minimum time between two sends of one source; `Micros::ZERO` if there is no gap.
     pub gap: Micros,
-    /// When the gap ends if nothing renews it.
+    /// Time at which the gap expires unless an outcome renews it.
     pub gap_until: Micros,
-    /// Own attempts in flight, and abandoned ones that the server may still work on.
+    /// This balancer's attempts in flight, including abandoned ones that the server may still work on.
     pub in_flight: f64,
-    /// How many may be in flight.
+    /// Limit on the attempts in flight.
     pub limit: f64,
-    /// Latency while the server is not crowded; zero while unknown.
+    /// Latency of the server without queueing; zero while unknown.
     pub baseline_latency: Micros,
-    /// Mean latency of late; zero while unknown.
+    /// Moving average of the latency; zero while unknown.
     pub recent_latency: Micros,
 }
 
 impl LimitView {
-    /// The limit that holds attempts back right now, if one does.
+    /// The limit that currently blocks attempts, if there is one.
     pub fn binding_limit(&self) -> Option<BindingLimit> {
         if self.gap > Micros::ZERO {
             return Some(BindingLimit::Gap);
         }
-        // One attempt may always go out.
+        // One attempt is always allowed, however low the limit is.
         let is_full = self.in_flight + 1.0 > self.limit.max(1.0);
         is_full.then_some(BindingLimit::Concurrency)
     }
@@ -66,7 +66,7 @@
 }
 
 impl Balancer {
-    /// The limits of every listed server, as they are now.
+    /// The current limits of every listed server.
     pub fn limits(&self, now: Micros) -> LimitsView {
         let servers = self.endpoints.servers.iter();
         LimitsView {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The limits of one server, as they are now.
+    /// The current limits of one server.
     fn limits_of(&self, server: &Server, now: Micros) -> LimitView {
         let Server { gap, concurrency, endpoint, .. } = server;
         LimitView {
--- a/src/balancer/open_request.rs
+++ b/src/balancer/open_request.rs
@@ -1,27 +1,27 @@
-//! What may still be done with a request: whether it may be sent to a server, and whether it may be rejected.
+//! Decides whether a request may be sent to a server, and whether it may be rejected.
 //!
-//! Inputs are its class's idempotency, its attempts so far and its deadline. A request that is not idempotent
-//! is never executed a second time, and one that may have been executed is rejected only where repeating it
-//! is harmless.
+//! Inputs are the idempotency of the request's class, its attempts so far and its deadline. A request that is
+//! not idempotent is never executed a second time, and a request that may have been executed is rejected only
+//! if repeating it is harmless.
 
 use crate::endpoint::{Endpoint, EndpointState, ServerId};
 use crate::request::{AttemptResult, Request};
 use crate::settings::{Class, DeduplicationScope, Idempotency, Limits};
 use crate::time::Micros;
 
-/// How far an attempt has come.
+/// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptState {
-    /// No result yet.
+    /// The attempt has no result yet.
     InFlight,
-    /// It ended, and the server did not execute it.
+    /// The attempt has completed, and the server did not execute the request.
     NotExecuted,
-    /// It ended, and the server may have executed it or may do so yet.
+    /// The attempt has completed, and the server may have executed the request or may still execute it.
     MayHaveExecuted,
 }
 
 impl AttemptState {
-    /// The state of an attempt that ended with this result.
+    /// The state of an attempt that completed with this result.
     pub(super) fn after(result: AttemptResult) -> AttemptState {
         match result {
             AttemptResult::Rejected
@@ -40,48 +40,48 @@
 /// One attempt of a request.
 #[derive(Debug)]
 pub(super) struct Attempt {
-    /// The server it went to, as listed then.
+    /// The server, as listed at the time of the send.
     pub(super) endpoint: Endpoint,
-    /// When it was sent.
+    /// Time of the send.
     pub(super) sent: Micros,
-    /// How far it has come.
+    /// State of the attempt.
     pub(super) state: AttemptState,
 }
 
-/// Where a request stands in the queue before the origin.
+/// State of a request with respect to the origin queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QueueState {
-    /// It has not been queued since its last attempt.
+    /// Not queued since its last attempt.
     NotQueued,
-    /// It waits. If it is routed again in this state, it has waited for as long as it may.
+    /// Queued. A request that is routed again in this state has waited for its maximum time.
     Waiting,
-    /// It was taken out in favour of requests of higher priority.
+    /// Removed from the queue in favour of requests of higher priority.
     Preempted,
-    /// It was taken out because there is capacity for it.
+    /// Removed from the queue because the origin has capacity for it.
     CapacityReserved,
 }
 
 /// A request without a final answer.
 #[derive(Debug)]
 pub(super) struct OpenRequest {
-    /// The request as it came.
+    /// The request as received.
     pub(super) request: Request,
-    /// Until when an answer is worth anything; no later than the deadline.
+    /// Time until which a response is useful; no later than the deadline.
     pub(super) useful_until: Micros,
-    /// Its attempts, in the order in which they were sent.
+    /// Attempts of the request, in the order in which they were sent.
     pub(super) attempts: Vec<Attempt>,
     /// Whether a cache server has answered with a miss.
     pub(super) has_missed: bool,
     /// Whether a streamed response has begun.
     pub(super) has_response_started: bool,
-    /// Token of the timer that was last set for it; 0 is none.
+    /// Token of the request's latest timer; 0 if none was set.
     pub(super) timer_token: u64,
-    /// Where it stands in the queue before the origin.
+    /// State with respect to the origin queue.
     pub(super) queue_state: QueueState,
 }
 
 impl OpenRequest {
-    /// A request that has just come in.
+    /// A new request without attempts.
     pub(super) fn new(request: Request, useful_until: Micros) -> OpenRequest {
         OpenRequest {
             request,
@@ -94,13 +94,13 @@
         }
     }
 
-    /// It goes out to this server.
+    /// Records an attempt at this server.
     pub(super) fn on_send(&mut self, now: Micros, to: &Endpoint) {
         self.queue_state = QueueState::NotQueued;
         self.attempts.push(Attempt { endpoint: to.clone(), sent: now, state: AttemptState::InFlight });
     }
 
-    /// The attempt of this number ended with this result.
+    /// Records the result of the attempt with this number.
     pub(super) fn on_attempt_completed(&mut self, attempt: u32, result: AttemptResult) {
         if let Some(attempt) = self.attempts.get_mut(attempt as usize) {
             attempt.state = AttemptState::after(result);
@@ -114,13 +114,13 @@
         self.attempts.iter().filter(|attempt| attempt.state == AttemptState::InFlight)
     }
 
-    /// The latest of them.
+    /// The latest attempt without a result.
     pub(super) fn attempt_in_flight(&self) -> Option<&Attempt> {
         self.attempts_in_flight().next_back()
     }
 
-    /// Whether the next attempt is a retry or a hedged request. A fetch from the origin after a
-    /// miss counts as neither.
+    /// Whether the next attempt is a retry or a hedged request. A fetch from the origin after a miss is
+    /// neither.
     pub(super) fn uses_retry_budget(&self) -> bool {
         !self.attempts.is_empty() && !self.has_missed
     }
@@ -130,17 +130,17 @@
         self.attempts.iter().any(|attempt| attempt.endpoint.server == server)
     }
 
-    /// Attempts that it may still have.
+    /// Number of attempts that the request may still have.
     pub(super) fn attempts_left(&self, limits: &Limits) -> u32 {
         limits.max_attempts.max(1).saturating_sub(self.attempts.len() as u32)
     }
 
-    /// Attempts that were executed or may be.
+    /// Attempts that the server has executed or may execute.
     fn possibly_executed(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.state != AttemptState::NotExecuted)
     }
 
-    /// Whether it may be sent to this server now.
+    /// Whether the request may be sent to this server now.
     pub(super) fn may_send(&self, now: Micros, to: &Endpoint, class: &Class, limits: &Limits) -> bool {
         let may_overlap = class.idempotency == Idempotency::Idempotent && limits.may_duplicate;
         if self.attempt_in_flight().is_some() && !may_overlap {
@@ -153,7 +153,7 @@
             && self.may_execute_at(now, to, class)
     }
 
-    /// Whether executing it at this server cannot make it take effect twice.
+    /// Whether the request can be executed at this server without taking effect twice.
     fn may_execute_at(&self, now: Micros, to: &Endpoint, class: &Class) -> bool {
         match class.idempotency {
             Idempotency::Idempotent => true,
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Whether it may be rejected: the client may then send it again, to any server.
+    /// Whether the request may be rejected: the client may then send it again, to any server.
     pub(super) fn may_reject(&self, class: &Class) -> bool {
         let is_deduplicated_everywhere = class.idempotency == Idempotency::WithIdempotencyKey
             && class.deduplication_scope == DeduplicationScope::All;
--- a/src/balancer/origin.rs
+++ b/src/balancer/origin.rs
@@ -1,8 +1,8 @@
-//! Whether a request may go to the origin now, waits for it, or is preempted.
+//! Decides whether a request is sent to the origin now, waits in the origin queue, or is rejected.
 //!
-//! Inputs are the origin's gap and concurrency limit, the limit that balancers share, and the queue before
-//! the origin. No other server can stand in for it, so a request that may not go there yet waits, but only
-//! for as long as an answer can still be in time.
+//! Inputs are the origin's gap and concurrency limit, the limit that balancers share, and the origin queue.
+//! No other server can take the origin's requests, so a request that may not be sent yet waits, but only
+//! while a response can still be in time.
 
 use super::open_request::{OpenRequest, QueueState};
 use super::origin_queue::OriginCapacity;
@@ -13,20 +13,21 @@
 use crate::request::RequestId;
 use crate::time::Micros;
 
-/// Share of the useful time left that a read waits for the origin at most.
+/// Longest wait of a read for the origin, as a share of the remaining useful time.
 const READ_MAX_WAIT_SHARE: f64 = 0.3;
-/// Share of the useful time left that a write waits for the origin at most.
+/// Longest wait of a write for the origin, as a share of the remaining useful time.
 const WRITE_MAX_WAIT_SHARE: f64 = 0.8;
-/// The queue holds no more requests than the origin can complete within this time, plus the allowance below.
+/// Bounds the length of the queue: it holds at most the requests that the origin can complete within this
+/// time, plus [`QUEUE_LENGTH_ALLOWANCE`].
 const MAX_QUEUE_TIME: Micros = Micros::from_millis(400);
-/// Requests that may wait beyond that, however slow the origin is.
+/// Requests that may wait in addition, however slow the origin is.
 const QUEUE_LENGTH_ALLOWANCE: usize = 2;
-/// The tenant whose gap at the origin holds back the whole queue: the first one of the settings.
+/// Tenant whose gap at the origin delays the whole queue: the first tenant of the settings.
 const QUEUE_TENANT: u32 = 0;
 
 impl Balancer {
-    /// Decides on a request that only the origin can serve. One that has waited is sent or rejected; one that
-    /// comes in is sent, queued or rejected.
+    /// Chooses the route of a request that only the origin can serve. A request that has waited in the queue
+    /// is sent or rejected; any other request is sent, queued or rejected.
     pub(super) fn choose_origin(&mut self, now: Micros, open: &OpenRequest) -> Route {
         let wait = self.origin_wait(now, open.request.tenant);
         let no_server = Route::Reject { wait: Micros::ZERO, reason: RejectReason::NoEligibleServer };
@@ -54,21 +55,22 @@
         }
     }
 
-    /// Whether requests wait already that this one must not overtake: a read overtakes none.
+    /// Whether the request must queue behind requests that wait already. Writes may overtake them; reads may
+    /// not.
     fn must_queue_behind_others(&self, open: &OpenRequest) -> bool {
         !open.request.is_write && !self.origin_queue.is_empty()
     }
 
-    /// How long the origin's gap, or the limit on its requests that balancers share, holds back the next send
-    /// of this source; `Micros::ZERO` if it may go now.
+    /// Time until this source may send to the origin, by the origin's gap and the rate limit that balancers
+    /// share; `Micros::ZERO` if it may send now.
     pub(super) fn origin_wait(&mut self, now: Micros, source: u32) -> Micros {
         let shared_wait = self.coordination.wait_time(SharedLimit::OriginRate, now);
         let Some(origin) = self.endpoints.origin_mut() else { return shared_wait };
         origin.gap.wait(now, source, &self.origin_ladder).max(shared_wait)
     }
 
-    /// Queues a request before the origin. If the queue is too long then, its lowest priority is preempted
-    /// and rejected at once, so that its client need not wait for a timeout.
+    /// Puts a request into the origin queue. If the queue is then too long, the request of the lowest
+    /// priority is preempted and rejected at once, so that its client need not wait for a timeout.
     pub(super) fn enqueue(
         &mut self,
         now: Micros,
@@ -88,14 +90,14 @@
         }
     }
 
-    /// The number of requests that may wait for the origin now.
+    /// The current bound on the length of the queue.
     fn max_queue_length(&mut self) -> usize {
         let origin = self.endpoints.origin_mut();
         let completions = origin.map_or(0, |origin| origin.concurrency.completions_within(MAX_QUEUE_TIME));
         completions + QUEUE_LENGTH_ALLOWANCE
     }
 
-    /// Sends what waits for the origin, by priority, for as long as there is capacity for it.
+    /// Sends queued requests to the origin, by priority, while it has capacity for them.
     pub(super) fn admit_waiting(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some(id) = self.take_admissible(now) {
             self.resume(now, id, QueueState::CapacityReserved, actions);
@@ -103,9 +105,9 @@
         self.schedule_drain(now, actions);
     }
 
-    /// Takes the request out of the queue that may go to the origin now.
+    /// Removes the next request that may be sent to the origin from the queue.
     fn take_admissible(&mut self, now: Micros) -> Option<RequestId> {
-        // With nobody waiting the shared limit is not asked: it would count that as need.
+        // While no request waits, the shared limit is not queried, because it counts a query as demand.
         if self.origin_queue.is_empty() || self.origin_wait(now, QUEUE_TENANT) > Micros::ZERO {
             return None;
         }
@@ -117,7 +119,7 @@
         self.origin_queue.take_highest(capacity)
     }
 
-    /// Routes a request again that was taken out of the queue.
+    /// Routes a request again after its removal from the queue.
     fn resume(&mut self, now: Micros, id: RequestId, queue_state: QueueState, actions: &mut Vec<Action>) {
         if let Some(mut open) = self.open_requests.take(&id) {
             open.queue_state = queue_state;
@@ -125,8 +127,8 @@
         }
     }
 
-    /// Sets the timer at which the queue is looked through again, unless it is set or nothing but capacity is
-    /// missing: the end of an attempt gives that.
+    /// Sets the timer that drains the queue, unless it is already set. No timer is needed if only capacity is
+    /// missing: the completion of an attempt frees capacity and drains the queue.
     fn schedule_drain(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.origin_queue.is_empty() {
             return;
@@ -138,14 +140,14 @@
         }
     }
 
-    /// The timer is due that [`Balancer::schedule_drain`] has set.
+    /// Handles the timer that [`Balancer::schedule_drain`] has set.
     pub(super) fn on_drain_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.origin_queue.is_drain_timer_set = false;
         self.admit_waiting(now, actions);
     }
 }
 
-/// For how long a request that has this time left waits for the origin at most.
+/// Longest wait for the origin of a request with this remaining useful time.
 fn max_queue_wait(open: &OpenRequest, time_left: Micros) -> Micros {
     let share = if open.request.is_write { WRITE_MAX_WAIT_SHARE } else { READ_MAX_WAIT_SHARE };
     time_left.mul_f64(share)
--- a/src/balancer/origin_queue.rs
+++ b/src/balancer/origin_queue.rs
@@ -1,28 +1,28 @@
-//! The requests that wait for capacity at the origin, by priority.
+//! The queue of requests that wait for capacity at the origin, by priority.
 //!
-//! Writes come before reads; within each, popular keys come first, since a refilled copy of one serves many
+//! Writes come before reads. Among either, popular keys come first, because one refilled copy serves many
 //! requests.
 
 use crate::request::RequestId;
 
-/// What a write's priority is above that of a read.
+/// Added to the priority of a write, to place it above every read.
 const WRITE_PRIORITY: f64 = 1.0;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Copy, Debug)]
 struct QueuedRequest {
     id: RequestId,
     is_write: bool,
-    /// The higher, the sooner it goes.
+    /// Requests of higher priority are sent first.
     priority: f64,
 }
 
-/// Which requests the origin has capacity for.
+/// Whether the origin has capacity for reads and for writes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OriginCapacity {
-    /// Whether one more read may go there.
+    /// Whether one more read may be sent.
     pub(super) has_for_reads: bool,
-    /// Whether one more write may go there.
+    /// Whether one more write may be sent.
     pub(super) has_for_writes: bool,
 }
 
@@ -37,16 +37,16 @@
     }
 }
 
-/// The queue before the origin.
+/// The origin queue.
 #[derive(Debug, Default)]
 pub(super) struct OriginQueue {
     waiting: Vec<QueuedRequest>,
-    /// Whether a timer is set at which the queue is looked through again.
+    /// Whether the timer that drains the queue is set.
     pub(super) is_drain_timer_set: bool,
 }
 
 impl OriginQueue {
-    /// Whether nothing waits.
+    /// Whether no request waits.
     pub(super) fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
@@ -62,19 +62,19 @@
         self.waiting.push(QueuedRequest { id, is_write, priority });
     }
 
-    /// Forgets a request, if it waits here.
+    /// Removes a request, if it is queued.
     pub(super) fn remove(&mut self, id: &RequestId) {
         self.waiting.retain(|request| request.id != *id);
     }
 
-    /// Takes the request of the lowest priority out.
+    /// Removes the request of the lowest priority.
     pub(super) fn take_lowest(&mut self) -> Option<RequestId> {
         let indices = 0..self.waiting.len();
         let lowest = indices.min_by(|a, b| self.priority(*a).total_cmp(&self.priority(*b)))?;
         Some(self.waiting.swap_remove(lowest).id)
     }
 
-    /// Takes the request of the highest priority out that there is capacity for.
+    /// Removes the request of the highest priority for which there is capacity.
     pub(super) fn take_highest(&mut self, capacity: OriginCapacity) -> Option<RequestId> {
         let fitting = (0..self.waiting.len()).filter(|index| capacity.fits(&self.waiting[*index]));
         let highest = fitting.max_by(|a, b| self.priority(*a).total_cmp(&self.priority(*b)))?;
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -1,8 +1,8 @@
-//! Which cache servers a key belongs to: weighted rendezvous hashing, alike at every balancer.
+//! Maps keys to cache servers by weighted rendezvous hashing, identically at every balancer.
 //!
-//! Inputs are the key, the servers of the endpoint list and how popular the key is at this balancer. A
-//! popular key has several owners. Placement knows nothing of load: routing passes over servers that cannot
-//! take a request now.
+//! Inputs are the key, the servers of the endpoint list and the popularity of the key at this balancer. A
+//! popular key has several owners. Placement ignores load: routing skips servers that cannot take a request
+//! now.
 
 use rustc_hash::FxHashMap;
 
@@ -14,33 +14,34 @@
 use crate::settings::Settings;
 use crate::time::Micros;
 
-/// Reads counted before all counts are halved: this bounds the table and lets old popularity fade.
+/// Total of counted reads at which all counts are halved, to bound the table and to let old popularity decay.
 pub(super) const MAX_COUNTED_READS: f64 = 2048.0;
 /// Reads added to the total, so that the first few reads make no key popular.
 const PRIOR_READS: f64 = 8.0;
-/// Share of one average server's requests that one key may bring before it gets one more owner.
+/// Requests for a key per owner, as a share of an average server's requests: a key that exceeds it gets one
+/// more owner.
 pub(super) const OWNER_REQUEST_SHARE: f64 = 0.25;
-/// Attempts at cache servers before a request goes to the origin outright; as many candidates are ranked
-/// behind the owners.
+/// Attempts at cache servers before a request goes directly to the origin. The same number of candidates is
+/// ranked after the owners.
 pub(super) const MAX_CACHE_ATTEMPTS: usize = 3;
 
-/// A server in the order of preference for a key.
+/// A server that is ranked for a key.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     /// Rendezvous score; the lowest comes first.
     score: f64,
-    /// The server's index in the endpoint list.
+    /// Index of the server in the endpoint list.
     pub(super) server: usize,
 }
 
 /// Counts how popular keys are, and ranks the servers for one key.
 #[derive(Debug, Default)]
 pub(super) struct Placement {
-    /// Reads of each key, halved with the total.
+    /// Reads by key, halved together with the total.
     pub(super) read_counts: FxHashMap<Key, f64>,
-    /// All reads counted.
+    /// Total of the counted reads.
     pub(super) total_reads: f64,
-    /// The servers for the key that was ranked last, best first.
+    /// Candidates for the key that was ranked last, best first.
     pub(super) candidates: Vec<Candidate>,
 }
 
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Halves all counts, and forgets keys that were hardly read.
+    /// Halves all counts and drops keys whose count falls below one.
     fn halve_counts(&mut self) {
         for count in self.read_counts.values_mut() {
             *count /= 2.0;
@@ -63,13 +64,14 @@
         self.total_reads /= 2.0;
     }
 
-    /// The key's share of this balancer's reads, from 0 to 1, less what chance alone would show.
+    /// The key's share of this balancer's reads, from 0 to 1. The first read does not count, since a single
+    /// read may be chance.
     pub(super) fn popularity(&self, key: Key) -> f64 {
         let count = self.read_counts.get(&key).copied().unwrap_or(0.0);
         (count - 1.0).max(0.0) / (self.total_reads + PRIOR_READS)
     }
 
-    /// Fills `candidates` with servers for the key, best first; returns how many of them own it.
+    /// Ranks the servers for the key into `candidates`, best first; returns the number of owners among them.
     pub(super) fn rank(&mut self, key: Key, now: Micros, servers: &[Server], settings: &Settings) -> usize {
         self.candidates.clear();
         let popularity_per_server = self.popularity(key) * servers.len() as f64;
@@ -88,9 +90,9 @@
         owners
     }
 
-    /// Inserts a server by its score, if it is among the best.
+    /// Inserts a server by its score if it ranks among the best `max_candidates`.
     fn insert_candidate(&mut self, server: usize, uniform: f64, weight: f64, max_candidates: usize) {
-        // The logarithm costs most, so it is taken only of those that may come in: -ln u > 1 - u.
+        // The logarithm dominates the cost, so it is computed only for servers that may rank: -ln u > 1 - u.
         let lowest_possible_score = (1.0 - uniform) / weight;
         let worst = self.candidates.get(max_candidates - 1);
         let may_come_in = worst.is_none_or(|worst| lowest_possible_score < worst.score);
@@ -103,7 +105,7 @@
         self.candidates.truncate(max_candidates);
     }
 
-    /// Moves the first owner in the own zone to the front: the way there is short.
+    /// Moves the best owner in this balancer's zone to the front, because the network path to it is short.
     fn prefer_own_zone(&mut self, owners: usize, servers: &[Server], own_zone: u32) {
         let owning = &self.candidates[..owners];
         let nearest = owning.iter().position(|owner| servers[owner.server].endpoint.zone == own_zone);
@@ -113,8 +115,8 @@
     }
 }
 
-/// Whether a server may take requests for a key of this popularity. A popular key by itself would be more
-/// than a server in slow start may get.
+/// Whether a server may take requests for a key of this popularity. A popular key alone may exceed the load
+/// that is allowed to a server in slow start.
 fn is_eligible(
     endpoint: &Endpoint,
     slow_start: f64,
@@ -125,7 +127,7 @@
     endpoint.state == EndpointState::Serving && !settings.is_origin(endpoint) && !is_too_popular
 }
 
-/// The server's relative size; one where the list does not compare sizes.
+/// The server's relative capacity; 1 if the weights in the endpoint list are not comparable.
 fn capacity_weight(endpoint: &Endpoint, settings: &Settings) -> f64 {
     let is_usable = settings.weighted && endpoint.weight.is_finite() && endpoint.weight > 0.0;
     if is_usable {
--- a/src/balancer/rate_estimator.rs
+++ b/src/balancer/rate_estimator.rs
@@ -1,25 +1,27 @@
-//! A rate of events, as a mean that forgets exponentially: how often cache servers answer this balancer.
+//! Estimates an event rate by an exponentially weighted count. The events are cache servers' responses to
+//! this balancer.
 
 use crate::time::Micros;
 
-/// Time constant of the mean, in microseconds: long enough for some requests even at a balancer with few.
+/// Time constant of the decay, in microseconds: long enough to cover several requests even at a balancer with
+/// little traffic.
 const TIME_CONSTANT_MICROS: f64 = 8e6;
-/// Shortest age of the estimator that a rate is computed over, in microseconds.
+/// Lower bound on the age of the estimator in the computation of a rate, in microseconds.
 const MIN_AGE_MICROS: f64 = 1e6;
 
 /// Counts events with exponentially decaying weight.
 #[derive(Debug, Default)]
 pub(super) struct RateEstimator {
-    /// Events so far, each decayed by its age.
+    /// Events, each decayed by its age.
     decayed_count: f64,
-    /// When the first event came; zero is not yet.
+    /// Time of the first event; zero before it.
     first: Micros,
-    /// When the count was last decayed.
+    /// Time to which the count is decayed.
     last_decay: Micros,
 }
 
 impl RateEstimator {
-    /// Events a second. While the estimator is young, the rate is corrected for the time it has not seen.
+    /// Events per second, corrected for the short observation time of a young estimator.
     pub(super) fn per_second(&mut self, now: Micros) -> f64 {
         self.decay(now);
         let age = (now - self.first).as_f64().max(MIN_AGE_MICROS);
@@ -27,7 +29,7 @@
         self.decayed_count / (TIME_CONSTANT_MICROS * counted_share) * Micros::SECOND.as_f64()
     }
 
-    /// One more event.
+    /// Counts one event.
     pub(super) fn on_event(&mut self, now: Micros) {
         if self.first == Micros::ZERO {
             self.first = now;
--- a/src/balancer/request_table.rs
+++ b/src/balancer/request_table.rs
@@ -1,6 +1,6 @@
-//! Which requests are open, and which of them waits for which timer.
+//! Table of the open requests and of the timers that they wait for.
 //!
-//! A request is taken out of the table to decide on it, and put back if it stays open.
+//! A request is removed from the table for a decision, and inserted again if it stays open.
 
 use rustc_hash::FxHashMap;
 
@@ -12,25 +12,25 @@
 #[derive(Debug)]
 pub(super) struct RequestTable {
     requests: FxHashMap<RequestId, OpenRequest>,
-    /// The requests that wait for a timer, by its token.
+    /// Requests that wait for a timer, by its token.
     parked: FxHashMap<u64, RequestId>,
-    /// Token of the next timer; each is used once.
+    /// Token of the next timer; each token is used once.
     next_token: u64,
 }
 
 impl RequestTable {
-    /// An empty table, whose timers are numbered from this token on.
+    /// Creates an empty table, whose timers are numbered from this token on.
     pub(super) fn new(first_token: u64) -> RequestTable {
         RequestTable { requests: FxHashMap::default(), parked: FxHashMap::default(), next_token: first_token }
     }
 
-    /// Puts a request in that waits for a result of an attempt.
+    /// Inserts a request that waits for the result of an attempt.
     pub(super) fn insert(&mut self, open: OpenRequest) {
         self.requests.insert(open.request.id, open);
     }
 
-    /// Puts a request in that waits for a timer as well; returns the timer's time and token. It comes after
-    /// `wait`, at the latest at the request's deadline, and always later than now.
+    /// Inserts a request that also waits for a timer; returns the timer's time and token. The timer is due
+    /// after `wait` or at the request's deadline, whichever is earlier, and always later than now.
     pub(super) fn park(&mut self, now: Micros, wait: Micros, mut open: OpenRequest) -> (Micros, u64) {
         let at = (now + wait).min(open.request.deadline).max(now + Micros(1));
         let token = self.next_token;
@@ -46,14 +46,14 @@
         self.requests.get_mut(id)
     }
 
-    /// Takes a request out; its timer is forgotten.
+    /// Removes a request and its timer.
     pub(super) fn take(&mut self, id: &RequestId) -> Option<OpenRequest> {
         let open = self.requests.remove(id)?;
         self.parked.remove(&open.timer_token);
         Some(open)
     }
 
-    /// Takes the request out whose timer is due.
+    /// Removes the request whose timer is due.
     pub(super) fn take_due(&mut self, token: u64) -> Option<OpenRequest> {
         let id = self.parked.remove(&token)?;
         self.requests.remove(&id)
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -1,8 +1,8 @@
-//! What follows a completed attempt.
+//! Handles completed attempts.
 //!
-//! Inputs are the attempt's result and latency, and its request. First the state of its server and zone is
-//! updated; then the request is closed, waits for another attempt, or is routed again; last, requests that
-//! wait for the origin may be sent. Retries are paid from the retry budget that balancers share, if they
+//! Inputs are the attempt's result and latency, and its request. First, the state of the server and of its
+//! zone is updated. Then the request is closed, waits for another attempt, or is routed again. Last, requests
+//! in the origin queue may be sent. Retries are charged to the retry budget that balancers share, if they
 //! share one.
 
 use super::concurrency_limit::ConcurrencyLimit;
@@ -14,19 +14,19 @@
 use crate::request::{AttemptResult, CompletedAttempt};
 use crate::time::Micros;
 
-/// What follows a completed attempt for its request.
+/// The next step of a request after a completed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NextStep {
-    /// It has its final answer.
+    /// The request has its final answer.
     Close,
     /// Another attempt is in flight, or a response has begun.
     Wait,
-    /// It is routed again: to another server, into the queue, or it is rejected.
+    /// The request is routed again: to another server, into the queue, or it is rejected.
     RouteAgain,
 }
 
 impl Balancer {
-    /// Whether a request may have one more attempt, and the retry budget pays for it if it is a retry.
+    /// Whether a request may have one more attempt. A retry must also be within the shared retry budget.
     pub(super) fn may_attempt(&mut self, now: Micros, open: &OpenRequest) -> bool {
         if open.attempts_left(&self.settings.limits) == 0 {
             return false;
@@ -39,7 +39,7 @@
         budget_wait == Micros::ZERO
     }
 
-    /// An attempt has ended.
+    /// Handles a completed attempt.
     pub(super) fn on_attempt_completed(
         &mut self,
         now: Micros,
@@ -106,7 +106,7 @@
     }
 }
 
-/// What follows for a request that has recorded the attempt's result.
+/// The next step of a request that has recorded the attempt's result.
 fn next_step(open: &OpenRequest, completed: &CompletedAttempt) -> NextStep {
     if completed.is_request_over {
         NextStep::Close
@@ -117,23 +117,23 @@
     }
 }
 
-/// How an attempt ended, as far as its server's state follows from it.
+/// The outcome of an attempt, as far as the state of its server depends on it.
 #[derive(Clone, Copy, Debug)]
 struct AttemptEnding {
     result: AttemptResult,
-    /// Time since it was sent.
+    /// Time since the send.
     latency: Micros,
     is_write: bool,
-    /// Whether it went to the origin.
+    /// Whether the attempt went to the origin.
     is_origin: bool,
-    /// Whether it timed out after a time that says something about the server.
+    /// Whether the attempt timed out after a time that is evidence about the server.
     is_meaningful_timeout: bool,
 }
 
 impl AttemptEnding {
     /// Updates the concurrency limit of the attempt's server.
     fn apply_to(self, concurrency: &mut ConcurrencyLimit, now: Micros) {
-        // The origin drops abandoned work. A cache server goes on with it, probably for as long again.
+        // The origin drops abandoned work. A cache server continues it, probably for as long again.
         let goes_on = self.result == AttemptResult::Timeout && !self.is_origin;
         concurrency.release(now, self.is_write, goes_on.then_some(self.latency));
         if self.is_meaningful_timeout {
@@ -145,15 +145,16 @@
         }
     }
 
-    /// What the attempt shows of its server's load.
+    /// The evidence that the attempt gives about the load of its server.
     fn evidence(self) -> LoadEvidence {
         match self.result {
             AttemptResult::Rejected | AttemptResult::ConnectFailed => LoadEvidence::Rejected,
-            // A broken connection does not show overload; if the server is gone, the next connection fails.
+            // A broken connection is no sign of overload; if the server is gone, the next connection fails.
             AttemptResult::Served | AttemptResult::Miss | AttemptResult::Error | AttemptResult::Reset => {
                 LoadEvidence::Accepted
             }
-            // A slow origin still refills caches, and its concurrency limit bounds what waits there.
+            // A slow origin still refills caches, and its concurrency limit bounds the attempts that wait
+            // there.
             AttemptResult::Timeout if self.is_meaningful_timeout && !self.is_origin => LoadEvidence::Rejected,
             AttemptResult::Timeout | AttemptResult::Cancelled | AttemptResult::NotSent => {
                 LoadEvidence::Inconclusive
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -1,8 +1,8 @@
-//! Which server a request goes to next.
+//! Chooses the server for a request's next attempt.
 //!
-//! Inputs are the candidates that placement ranks for its key, and the state of each. The first one that no
-//! [`PassedOver`] reason excludes gets the request. Writes, and reads that no cache server can take, go to
-//! the origin; see `origin.rs`.
+//! Inputs are the candidates that placement ranks for the request's key, and the state of each. The request
+//! goes to the first candidate without a [`PassedOver`]. Writes, and reads that no cache server can take, go
+//! to the origin; see `origin.rs`.
 
 use super::open_request::OpenRequest;
 use super::placement::MAX_CACHE_ATTEMPTS;
@@ -12,49 +12,49 @@
 use crate::settings::CacheMode;
 use crate::time::Micros;
 
-/// Where a request goes next.
+/// The next step of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Route {
-    /// To the server with this index in the endpoint list.
+    /// Send the request to a server.
     Forward {
-        /// The index.
+        /// Index of the server in the endpoint list.
         server: usize,
     },
-    /// Into the queue before the origin.
+    /// Put the request into the origin queue.
     Enqueue {
-        /// For how long at most.
+        /// Longest time in the queue.
         max_wait: Micros,
     },
-    /// Nowhere: it is answered now.
+    /// Answer the request without another attempt.
     Reject {
-        /// How long what holds it back will last; `Micros::ZERO` where that is not known.
+        /// Time until the blocking limit allows another attempt; `Micros::ZERO` if unknown.
         wait: Micros,
-        /// Why.
+        /// Why the request is not served.
         reason: RejectReason,
     },
 }
 
-/// Why a candidate does not get a request.
+/// Why a candidate is skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PassedOver {
-    /// Its zone is unhealthy, and this attempt is not one of those that find out whether it is back.
+    /// The candidate's zone is unhealthy, and this attempt does not probe whether the zone has recovered.
     ZoneUnhealthy,
-    /// An attempt of the request has gone there.
+    /// An attempt of the request has already gone to the candidate.
     AlreadyTried,
-    /// Its gap holds the next send back for this time.
+    /// The candidate's gap delays the next send by this time.
     Gapped(Micros),
-    /// As many attempts as it can take are in flight.
+    /// The concurrency limit of the candidate is reached.
     NoCapacity,
-    /// It has started lately and has had its share of attempts.
+    /// The candidate is in slow start and has used up its attempts.
     SlowStart,
-    /// Other balancers report it silent.
+    /// Other balancers report that the candidate does not respond.
     Suspected,
-    /// It is draining, or executing the request there might make it take effect twice.
+    /// The candidate is draining, or executing the request there might make it take effect twice.
     NotPermitted,
 }
 
 impl Balancer {
-    /// Decides where a request goes next, and does it.
+    /// Chooses the next step of a request and carries it out.
     pub(super) fn route(&mut self, now: Micros, open: OpenRequest, actions: &mut Vec<Action>) {
         match self.choose_route(now, &open) {
             Route::Forward { server } => self.forward(now, server, open, actions),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Decides where a request goes next.
+    /// Chooses the next step of a request.
     pub(super) fn choose_route(&mut self, now: Micros, open: &OpenRequest) -> Route {
         if let Some(reason) = self.shed_reason(now, open) {
             return Route::Reject { wait: Micros::ZERO, reason };
@@ -85,10 +85,11 @@
         !open.request.is_write && !has_had_cache && !is_last_attempt
     }
 
-    /// The first candidate that is not passed over. If all are, a read-through request is rejected if a gap
-    /// is among the reasons; otherwise there is no result.
+    /// The first candidate that is not skipped. If all are skipped, a read-through request is rejected if at
+    /// least one candidate is gapped; otherwise the result is `None`.
     fn choose_cache_server(&mut self, now: Micros, open: &OpenRequest) -> Option<Route> {
-        // Drawn for requests with a key too, so that the sequence of draws does not depend on it.
+        // Drawn for requests with a key too, so that the random sequence does not depend on the presence of a
+        // key.
         let random_key = Key(self.rng.u64(..));
         let key = open.request.key.unwrap_or(random_key);
         let owners = self.placement.rank(key, now, &self.endpoints.servers, &self.settings);
@@ -104,7 +105,8 @@
             if let PassedOver::Gapped(wait) = reason {
                 shortest_gap = Some(shortest_gap.unwrap_or(wait).min(wait));
             }
-            // A crowded owner is no reason to move a key where the origin can serve it.
+            // A server without capacity is no reason to try servers that do not own the key if the origin can
+            // serve it.
             let has_owner_left = rank + 1 < owners;
             if reason == PassedOver::NoCapacity && !has_owner_left && !is_read_through {
                 break;
@@ -134,7 +136,7 @@
         if gap > Micros::ZERO {
             return Some(PassedOver::Gapped(gap));
         }
-        // Asked as for a write: at a cache server no share of the limit is kept for reads.
+        // Queried as for a write, because no share of the limit is reserved for reads at a cache server.
         if server.concurrency.is_paced(now) || !server.concurrency.has_capacity(now, true) {
             return Some(PassedOver::NoCapacity);
         }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,18 +1,19 @@
-//! How much may be sent to a server that has started lately.
+//! Slow start: limits the attempts at a recently started server.
 //!
-//! Its capacity is assumed to grow linearly with its age, so that all balancers ramp it alike without any
-//! coordination. The weight is a factor in placement; the credit bounds this balancer's own attempts.
+//! The server's capacity is assumed to grow linearly with its age, so that all balancers ramp up its load
+//! alike without coordination. The weight is a factor in placement; the credit bounds this balancer's own
+//! attempts.
 
 use crate::endpoint::Endpoint;
 use crate::settings::Rules;
 use crate::time::Micros;
 
-/// Attempts at a server in slow start relative to what its weight allows: above one, as few
-/// attempts are not evenly spread.
+/// Attempts allowed at a server in slow start, relative to its weight. The factor is above one because a
+/// small number of attempts is not evenly spread.
 pub(super) const CREDIT_FACTOR: f64 = 1.25;
-/// Most attempts that may be saved up.
+/// Upper bound on the credit, in attempts.
 const MAX_CREDIT: f64 = 1.0;
-/// Share of its capacity that a server has when it starts, where the site names none.
+/// Initial share of a started server's capacity, if the site configures none.
 const DEFAULT_INITIAL_SHARE: f64 = 0.05;
 
 /// The share of its capacity that a server is assumed to have, from the site's initial share up to 1.
@@ -32,17 +33,17 @@
     1.0 - (1.0 - initial_share) * (1.0 - elapsed_share)
 }
 
-/// Attempts that a server in slow start may still get from this balancer.
+/// This balancer's credit for attempts at a server in slow start.
 #[derive(Debug)]
 pub(super) struct SlowStartCredit {
-    /// Attempts; a whole one is needed to send.
+    /// Attempts available; a send needs at least one.
     pub(super) attempts: f64,
-    /// When they were last counted.
+    /// Time of the last refill.
     pub(super) updated: Micros,
 }
 
 impl SlowStartCredit {
-    /// Adds what has been earned since the last count: the rate at which other servers answer, cut by the
+    /// Adds the credit earned since the last refill: the mean response rate of one server, scaled by the
     /// weight.
     pub(super) fn refill(&mut self, now: Micros, weight: f64, responses_per_second: f64) {
         let elapsed_seconds = (now - self.updated).as_f64() / Micros::SECOND.as_f64();
@@ -51,12 +52,12 @@
         self.updated = now;
     }
 
-    /// Whether one attempt may go out.
+    /// Whether one attempt may be sent.
     pub(super) fn is_sufficient(&self) -> bool {
         self.attempts >= 1.0
     }
 
-    /// An attempt goes out.
+    /// Charges one attempt to the credit.
     pub(super) fn spend(&mut self) {
         self.attempts -= 1.0;
     }
--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -1,6 +1,5 @@
-//! What balancers share, seen from the decisions: limits that hold for all of them together, and what they
-//! report to one another of servers. Where nothing is shared, every method of [`OptionalCoordination`] lets
-//! the balancer go on.
+//! The state that balancers share: limits on all balancers together, and their reports about servers. If
+//! nothing is shared, every method of [`OptionalCoordination`] permits the balancer to proceed.
 
 use crate::action::RejectReason;
 use crate::endpoint::{Endpoint, EndpointState, ServerId};
@@ -10,46 +9,49 @@
 /// A limit on all balancers together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SharedLimit {
-    /// Attempts at the origin.
+    /// Rate of attempts at the origin.
     OriginRate,
-    /// Attempts at a server in slow start: which, and when it started.
+    /// Attempts at a server in slow start, which is identified by its id and start time.
     SlowStart(ServerId, Micros),
     /// Retries and hedged requests, as a budget relative to first attempts.
     RetryBudget,
 }
 
-/// A cache server that serves, by the endpoint list in use.
+/// A serving cache server of the current endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServingServer {
     /// The server.
     pub server: ServerId,
-    /// When it last started; a server that started anew counts as another.
+    /// Time of the last start; a restarted server counts as another server.
     pub started: Micros,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: u32,
 }
 
-/// The limits that a balancer shares with others, and what these report of servers. Without one only the
-/// balancer's own limits and observations hold.
+/// The limits that a balancer shares with others, and the others' reports about servers. Without an
+/// implementation, only the balancer's own limits and observations apply.
 pub trait Coordination: std::fmt::Debug {
-    /// How long one more use of the limit has to wait: `Some(Micros::ZERO)` if it may begin now, `None` if
-    /// the limit is not shared. Asking counts as need: where it has to wait, this member asks others for
-    /// tokens (credits).
+    /// Time until one more use of the limit may begin: `Some(Micros::ZERO)` if it may begin now, `None` if
+    /// the limit is not shared. A query counts as demand: if the use has to wait, this balancer requests
+    /// tokens (credits) from others.
     fn wait_time(&mut self, limit: SharedLimit, now: Micros) -> Option<Micros>;
-    /// One use begins. [`Coordination::wait_time`] was `Some(Micros::ZERO)` or `None` at the same time.
+    /// Takes one use of the limit. [`Coordination::wait_time`] returned `Some(Micros::ZERO)` or `None` at the
+    /// same time.
     fn acquire(&mut self, limit: SharedLimit, now: Micros);
-    /// A request that needed the limit was rejected.
+    /// Records the rejection of a request that needed the limit.
     fn on_rejected(&mut self, limit: SharedLimit, now: Micros);
-    /// A request has come in that is not a client's retry.
+    /// Records a new request that is not a client's retry.
     fn on_new_request(&mut self, now: Micros);
-    /// The endpoint list changed; these cache servers serve.
+    /// Records the cache servers that serve after a change of the endpoint list.
     fn on_endpoints_changed(&mut self, servers: &[ServingServer]);
-    /// An own attempt showed that the server with this start is silent, or that it answers.
+    /// Records whether the server with this start time failed to respond to this balancer's own attempt
+    /// (`silent`) or responded.
     fn on_server_observed(&mut self, server: ServerId, started: Micros, silent: bool, now: Micros);
-    /// Whether this attempt avoids the server because others report it silent. A suspected server is tried
-    /// now and then; each call may draw such a trial. `last_response` is when the server last answered this
-    /// balancer, `responses_per_second` the mean rate at which one server responds to this balancer; it
-    /// stands in for the rate of its attempts.
+    /// Whether this attempt should avoid the server because other balancers report that it does not respond.
+    /// A suspected server still gets occasional trial attempts, and each call may select the attempt as a
+    /// trial. `last_response` is the time of the server's last response to this balancer.
+    /// `responses_per_second` is the mean rate at which one server responds to this balancer, an estimate of
+    /// the rate of its attempts.
     fn should_avoid(
         &mut self,
         server: ServerId,
@@ -60,19 +62,19 @@
     ) -> bool;
 }
 
-/// What a completed attempt shows of its server's load.
+/// The evidence that a completed attempt gives about the load of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadEvidence {
-    /// It takes requests.
+    /// The server accepts requests.
     Accepted,
-    /// It is overloaded or out of reach.
+    /// The server is overloaded or unreachable.
     Rejected,
-    /// Nothing.
+    /// No evidence either way.
     Inconclusive,
 }
 
 impl LoadEvidence {
-    /// Whether the server rejected the attempt; `None` where that is not known.
+    /// Whether the server rejected the attempt; `None` if unknown.
     pub(crate) fn is_rejected(self) -> Option<bool> {
         match self {
             LoadEvidence::Accepted => Some(false),
@@ -87,12 +89,12 @@
 pub(crate) struct OptionalCoordination(pub(crate) Option<Box<dyn Coordination>>);
 
 impl OptionalCoordination {
-    /// How long one more use of the limit has to wait; `Micros::ZERO` where nothing is shared.
+    /// Time until one more use of the limit may begin; `Micros::ZERO` if it is not shared.
     pub(crate) fn wait_time(&mut self, limit: SharedLimit, now: Micros) -> Micros {
         self.0.as_mut().and_then(|shared| shared.wait_time(limit, now)).unwrap_or_default()
     }
 
-    /// Whether a hedged request is within its budget: the shared one where there is one, otherwise the
+    /// Whether a hedged request is within its budget: the shared budget if there is one, otherwise the
     /// balancer's own.
     pub(crate) fn allows_hedge(&mut self, now: Micros, own_budget: f64) -> bool {
         self.0
@@ -101,7 +103,7 @@
             .map_or(own_budget >= 1.0, |wait| wait.0 == 0)
     }
 
-    /// A request was rejected; some reasons mean that it needed the origin's limit.
+    /// Records a rejection, if its reason means that the request needed the limit on the origin.
     pub(crate) fn on_rejected(&mut self, now: Micros, reason: RejectReason) {
         let needed_origin = matches!(
             reason,
@@ -115,14 +117,15 @@
         }
     }
 
-    /// A request has come in that is not a client's retry.
+    /// Records a new request that is not a client's retry.
     pub(crate) fn on_new_request(&mut self, now: Micros) {
         if let Some(shared) = &mut self.0 {
             shared.on_new_request(now);
         }
     }
 
-    /// An attempt goes out: to the origin or to a cache server, as a retry or as the first.
+    /// Takes the shared limits that an attempt uses: that of the origin or of slow start, and the retry
+    /// budget.
     pub(crate) fn on_send(&mut self, now: Micros, to: &Endpoint, is_origin: bool, uses_retry_budget: bool) {
         let Some(shared) = &mut self.0 else { return };
         let limit =
@@ -133,7 +136,7 @@
         }
     }
 
-    /// The endpoint list in use has changed.
+    /// Passes on the serving cache servers of a changed endpoint list.
     pub(crate) fn on_endpoints_changed<'a>(&mut self, servers: impl Iterator<Item = &'a Endpoint>) {
         let Some(shared) = &mut self.0 else { return };
         let serving: Vec<ServingServer> = servers
@@ -147,7 +150,8 @@
         shared.on_endpoints_changed(&serving);
     }
 
-    /// Whether this attempt avoids the cache server because other balancers report it silent.
+    /// Whether this attempt should avoid the cache server because other balancers report that it does not
+    /// respond.
     pub(crate) fn should_avoid(
         &mut self,
         now: Micros,
@@ -159,8 +163,8 @@
         shared.should_avoid(server.server, server.started, last_response, responses_per_second, now)
     }
 
-    /// Whether an attempt may go to this cache server by the limit that balancers share while it is in slow
-    /// start. Being denied counts as need.
+    /// Whether the shared limit on slow start allows an attempt at this cache server. A denied attempt counts
+    /// as demand.
     pub(crate) fn allows_slow_start(&mut self, now: Micros, server: &Endpoint) -> bool {
         let Some(shared) = &mut self.0 else { return true };
         let limit = SharedLimit::SlowStart(server.server, server.started);
@@ -171,8 +175,8 @@
         !is_exhausted
     }
 
-    /// Reports whether an attempt showed a server as silent. One that rejects is not silent, and what it
-    /// rejects says nothing of the other balancers' attempts.
+    /// Reports whether the server responded to an attempt. A server that rejects does respond, but a
+    /// rejection is no evidence about the other balancers' attempts, so it is not reported.
     pub(crate) fn on_attempt_completed(
         &mut self,
         now: Micros,
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,42 +1,42 @@
-//! The endpoint list: the servers that discovery names, and how a change relates to the list in use.
+//! The endpoint list: the servers that discovery returns, and the updates of the list.
 
 use crate::time::Micros;
 
-/// A cache server or the origin, as the endpoint list names it.
+/// Id of a cache server or of the origin in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u64);
 
 /// A server's state in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// The server accepts requests.
     Serving,
-    /// Finishes what it has; nothing new may be sent.
+    /// The server completes its open requests; no new ones may be sent to it.
     Draining,
-    /// No longer there.
+    /// The server is gone.
     Deleted,
 }
 
 /// One server of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The server.
+    /// Id of the server.
     pub server: ServerId,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: u32,
-    /// Its kind of machine.
+    /// Kind of machine.
     pub kind: u32,
-    /// Its cell.
+    /// Cell of the server.
     pub cell: u32,
-    /// Its state.
+    /// State of the server.
     pub state: EndpointState,
-    /// Its relative size.
+    /// Relative capacity.
     pub weight: f64,
-    /// When it last started; zero is long ago.
+    /// Time of the last start; zero if that was long ago.
     pub started: Micros,
 }
 
-/// How given endpoints relate to the list in use.
+/// How the endpoints of an update relate to the current list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
     /// Changed endpoints only.
@@ -45,15 +45,15 @@
     Snapshot,
     /// The complete list as last stored, possibly stale.
     Restored,
-    /// Endpoints that an operator changed. They say nothing of discovery: neither that it answers nor that a
-    /// watch on it is open.
+    /// Endpoints that an operator changed. They give no information about discovery: neither that it responds
+    /// nor that a watch is open.
     OperatorOverride,
-    /// A call to discovery failed or a watch broke; the list in use stays.
+    /// A call to discovery failed or a watch broke; the current list stays in use.
     Unavailable,
 }
 
 impl EndpointUpdate {
-    /// Whether it names every server, so that those it does not name are gone.
+    /// Whether the update contains every server, so that servers missing from it are gone.
     pub fn is_complete(self) -> bool {
         matches!(self, EndpointUpdate::Snapshot | EndpointUpdate::Restored)
     }
--- a/src/event.rs
+++ b/src/event.rs
@@ -3,20 +3,20 @@
 use crate::endpoint::{Endpoint, EndpointUpdate};
 use crate::request::{CompletedAttempt, Request, RequestId};
 
-/// What the caller reports to its balancer.
+/// An event that the caller reports to its balancer.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// Discovery answered or failed, or an operator changed endpoints.
+    /// Discovery returned endpoints or failed, or an operator changed endpoints.
     EndpointsChanged(EndpointUpdate, &'a [Endpoint]),
-    /// A request has come in.
+    /// A client sent a request.
     Request(Request),
-    /// A streamed response has begun; no other attempt may answer the request now.
+    /// A streamed response has begun; from now on no other attempt may answer the request.
     ResponseStarted(RequestId),
-    /// An attempt has ended.
+    /// An attempt has completed.
     AttemptCompleted(CompletedAttempt),
     /// The timer with this token is due.
     Timer(u64),
-    /// The caller decides this request from now on: its client has left or sends no more, or it has been
-    /// answered otherwise. Attempts in flight still report their completion.
+    /// The caller needs no further decisions on the request: its client has disconnected or stopped sending,
+    /// or the request has been answered otherwise. Attempts in flight still report their completion.
     RequestAbandoned(RequestId),
 }
--- a/src/request.rs
+++ b/src/request.rs
@@ -3,74 +3,74 @@
 use crate::endpoint::ServerId;
 use crate::time::Micros;
 
-/// What a request is about; equal keys ask for the same object.
+/// Key of the requested object; equal keys refer to the same object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(pub u64);
 
-/// A request's id: the 36 characters of a UUID, never interpreted.
+/// Id of a request: the 36 characters of a UUID, not interpreted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub [u8; 36]);
 
 /// A client's request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id, never used again.
+    /// Id of the request, never reused.
     pub id: RequestId,
-    /// When its client gives up.
+    /// Time at which the client stops waiting.
     pub deadline: Micros,
-    /// Expected work, where known.
+    /// Expected work, if known.
     pub expected_work: Option<Micros>,
-    /// What it is about.
+    /// Key of the requested object, if any.
     pub key: Option<Key>,
-    /// Whether it writes.
+    /// Whether the request is a write.
     pub is_write: bool,
-    /// Its class.
+    /// Index of the class in the settings.
     pub class: u32,
-    /// Its tenant.
+    /// Index of the tenant in the settings.
     pub tenant: u32,
-    /// Whether the client marked it as a retry of its own.
+    /// Whether the client marked the request as its own retry.
     pub is_client_retry: bool,
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// Served.
+    /// The server served the request.
     Served,
-    /// The server failed it; it may have been executed.
+    /// The server reported an error; the request may have been executed.
     Error,
-    /// The server was overloaded and rejected it; it was not executed.
+    /// The server was overloaded and rejected the request; it was not executed.
     Rejected,
-    /// No answer in time; it may have been or may still be executed.
+    /// No response in time; the request may have been executed or may still be.
     Timeout,
-    /// No connection, or not fully written when the connection broke or its deadline came; it was not
-    /// executed.
+    /// The connection failed, or the request was not fully written when the connection broke or its deadline
+    /// passed; it was not executed.
     ConnectFailed,
-    /// The connection broke; it may have been executed.
+    /// The connection broke; the request may have been executed.
     Reset,
-    /// Cancelled by the balancer; it may have been executed.
+    /// The balancer cancelled the attempt; the request may have been executed.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
     /// The server does not have the key; nothing was executed.
     Miss,
 }
 
-/// The end of one attempt.
+/// A completed attempt.
 #[derive(Clone, Debug)]
 pub struct CompletedAttempt {
     /// The request.
     pub id: RequestId,
-    /// The server the attempt went to.
+    /// The server of the attempt.
     pub server: ServerId,
-    /// The attempt's number, from zero.
+    /// Number of the attempt within its request, from zero.
     pub attempt: u32,
     /// Time since the send.
     pub latency: Micros,
-    /// How it ended.
+    /// Result of the attempt.
     pub result: AttemptResult,
-    /// Whether the decisions have nothing more to do with the request.
+    /// Whether the request is closed and needs no further decisions.
     pub is_request_over: bool,
-    /// On a miss: whether the server has asked another request to fetch the key.
+    /// On a miss: whether the server has already asked another request to fetch the key.
     pub fetch_in_progress: bool,
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,14 +1,14 @@
-//! What a balancer is configured with once, at its start.
+//! Settings of a balancer, fixed at its start.
 
 use crate::endpoint::Endpoint;
 use crate::time::Micros;
 
-/// What a repeated request of a class may do.
+/// Whether a request of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// Repeating it is harmless.
     Idempotent,
-    /// It carries an idempotency key: servers of a [`DeduplicationScope`] drop repeats for a while.
+    /// The request carries an idempotency key: servers of a [`DeduplicationScope`] drop repeats for a while.
     WithIdempotencyKey,
     /// A repeat may take effect a second time.
     NotIdempotent,
@@ -28,26 +28,27 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this time earns the full priority weight.
+    /// Time within which a response has the full priority weight.
     pub latency_objective: Micros,
-    /// Factor: latency objective that is added per unit of expected work.
+    /// Addition to the latency objective, as a factor on the expected work.
     pub latency_objective_per_work: f64,
-    /// How long a client waits in all, its own retries included.
+    /// Total time that a client waits, including its own retries.
     pub deadline: Micros,
-    /// Whether it may be repeated.
+    /// Whether requests of the class may be repeated.
     pub idempotency: Idempotency,
-    /// For requests with an idempotency key: who drops repeats.
+    /// For requests with an idempotency key: the servers that drop repeats.
     pub deduplication_scope: DeduplicationScope,
-    /// For requests with an idempotency key: how long repeats are dropped, from the first attempt on.
+    /// For requests with an idempotency key: the time during which repeats are dropped, from the first
+    /// attempt on.
     pub deduplication_window: Micros,
-    /// What an answer within the latency objective is worth.
+    /// Value of a response within the latency objective.
     pub priority_weight: f64,
-    /// What an answer after the latency objective, within the deadline, is worth.
+    /// Value of a response after the latency objective and within the deadline.
     pub late_priority_weight: f64,
 }
 
 impl Default for Class {
-    /// A class of which nothing is known: never repeated, and answered within a second.
+    /// Defaults for an unknown class: its requests are never repeated, and their deadline is one second.
     fn default() -> Class {
         Class {
             latency_objective: Micros(1_000_000),
@@ -65,22 +66,21 @@
 /// A tenant of the service.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests per second within its quota, over all balancers. Not enforced: only the number of tenants is
-    /// used.
+    /// Quota in requests per second, over all balancers. Not enforced: only the number of tenants is used.
     pub allowance_per_s: f64,
 }
 
 /// How cache misses are served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheMode {
-    /// Read-through: cache servers fetch for themselves.
+    /// Read-through: cache servers fetch missing objects themselves.
     ReadThrough,
     /// Cache-aside: the balancer forwards misses and writes to the origin, the endpoint of this kind.
     Aside(u32),
 }
 
 impl CacheMode {
-    /// The kind of endpoint that is the origin; `None` where cache servers fetch for themselves.
+    /// The kind of the origin's endpoint; `None` if cache servers fetch missing objects themselves.
     pub fn origin_kind(self) -> Option<u32> {
         match self {
             CacheMode::Aside(kind) => Some(kind),
@@ -89,74 +89,74 @@
     }
 }
 
-/// What a site permits.
+/// Limits that the site sets.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Attempts a request may have in all.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// The longest Retry-After that a client follows.
+    /// Longest Retry-After that a client follows.
     pub max_retry_after: Micros,
-    /// Whether a Retry-After reaches clients.
+    /// Whether clients receive a Retry-After.
     pub retry_after: bool,
-    /// Whether two attempts of one request may be in flight together.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub may_duplicate: bool,
 }
 
-/// The site's terms for discovery and for servers that warm up.
+/// The site's parameters for discovery and slow start.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// The longest time between two polls of discovery, where the endpoint list must be asked for.
+    /// Longest time between two polls of discovery, if the endpoint list must be polled.
     pub discovery_poll_interval: Micros,
-    /// The share of its capacity that a server has when it starts.
+    /// Share of its capacity that a server has when it starts.
     pub slow_start_initial_share: f64,
-    /// The time after its start at which a server has its whole capacity.
+    /// Time from its start after which a server has its full capacity.
     pub slow_start_duration: Micros,
 }
 
-/// What a balancer is configured with at its start.
+/// Settings of a balancer.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How many balancers there are.
+    /// Number of balancers.
     pub balancers: u32,
     /// This balancer's zone.
     pub zone: u32,
-    /// The classes, in the order in which requests name them.
+    /// Request classes; requests refer to them by index.
     pub classes: Vec<Class>,
-    /// The tenants, in the order in which requests name them.
+    /// Tenants; requests refer to them by index.
     pub tenants: Vec<Tenant>,
     /// How cache misses are served.
     pub mode: CacheMode,
-    /// Whether changes of the endpoint list must be watched for, and are not pushed.
+    /// Whether discovery must be watched for changes of the endpoint list, because they are not pushed.
     pub subscribe: bool,
-    /// Whether the weights in the endpoint list compare the servers' sizes.
+    /// Whether the weights in the endpoint list are comparable capacities of the servers.
     pub weighted: bool,
-    /// The shortest time between two batches of events.
+    /// Shortest time between two batches of events.
     pub tick: Micros,
-    /// What the site permits.
+    /// Limits that the site sets.
     pub limits: Limits,
-    /// The site's terms for discovery and for servers that warm up.
+    /// The site's parameters for discovery and slow start.
     pub rules: Rules,
 }
 
 impl Settings {
-    /// The class of this index; an index beyond the settings means the last class. There is at least one: see
-    /// [`Settings::sanitized`].
+    /// The class with this index; an index out of range selects the last class. There is at least one class:
+    /// see [`Settings::sanitized`].
     pub fn class(&self, index: u32) -> &Class {
         &self.classes[self.class_index(index)]
     }
 
-    /// The place of the class that [`Settings::class`] gives.
+    /// Index of the class that [`Settings::class`] returns.
     pub(crate) fn class_index(&self, index: u32) -> usize {
         (index as usize).min(self.classes.len() - 1)
     }
 
-    /// Whether this is the origin.
+    /// Whether the endpoint is the origin.
     pub fn is_origin(&self, endpoint: &Endpoint) -> bool {
         self.mode == CacheMode::Aside(endpoint.kind)
     }
 
-    /// These settings with unusable values replaced by the least harmful ones: at least one class and one
-    /// balancer, and a finite initial share of slow start.
+    /// Replaces unusable values by the least harmful ones: at least one class and one balancer, and a finite
+    /// initial share of slow start.
     pub fn sanitized(mut self) -> Settings {
         if self.classes.is_empty() {
             self.classes.push(Class::default());
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,46 +1,45 @@
-//! Time as the decisions see it.
+//! Points in time and durations.
 
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
-/// A time or a duration in whole microseconds, on the clock of the caller.
+/// A point in time or a duration in whole microseconds, on the clock of the caller.
 ///
-/// Sums and differences stop at the largest value and at zero, so that times that a peer states cannot
-/// overflow.
+/// Additions and subtractions saturate, so that times sent by a peer cannot cause an overflow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// No time; as a point in time, the start of the clock.
+    /// Zero duration; as a point in time, the start of the clock.
     pub const ZERO: Micros = Micros(0);
     /// One second.
     pub const SECOND: Micros = Micros(1_000_000);
 
-    /// So many milliseconds.
+    /// A duration of this number of milliseconds.
     pub const fn from_millis(millis: u64) -> Micros {
         Micros(millis * 1_000)
     }
 
-    /// So many seconds.
+    /// A duration of this number of seconds.
     pub const fn from_secs(seconds: u64) -> Micros {
         Micros(seconds * Micros::SECOND.0)
     }
 
-    /// Whether this is no time at all.
+    /// Whether the value is zero.
     pub const fn is_zero(self) -> bool {
         self.0 == 0
     }
 
-    /// Sum, stopping at the largest value.
+    /// Sum, saturating at the largest value.
     pub const fn saturating_add(self, other: Micros) -> Micros {
         Micros(self.0.saturating_add(other.0))
     }
 
-    /// Difference, stopping at zero.
+    /// Difference, saturating at zero.
     pub const fn saturating_sub(self, other: Micros) -> Micros {
         Micros(self.0.saturating_sub(other.0))
     }
 
-    /// This duration times a factor; a factor below zero or NaN gives zero.
+    /// The duration times a factor; a negative factor or NaN gives zero.
     pub fn mul_f64(self, factor: f64) -> Micros {
         Micros((self.0 as f64 * factor) as u64)
     }
@@ -73,7 +72,7 @@
     }
 }
 
-/// A multiple, stopping at the largest value.
+/// Multiplication, saturating at the largest value.
 impl Mul<u64> for Micros {
     type Output = Micros;
 
@@ -82,7 +81,7 @@
     }
 }
 
-/// A part, in whole microseconds.
+/// Division, rounded down to whole microseconds.
 impl Div<u64> for Micros {
     type Output = Micros;
 
