--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -54,7 +54,7 @@
 
 /// Policy for an attempt that gets no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum SilencePolicy {
+pub(super) enum NoResponsePolicy {
     /// Wait until the request's deadline.
     KeepWaiting,
     /// Hedge the request after this time, and keep the attempt in flight.
@@ -66,27 +66,32 @@
 impl Balancer {
     /// The policy for an attempt at this server. Only idempotent requests may be sent a second time, and no
     /// other server can take the requests of the origin.
-    pub(super) fn silence_policy(&self, now: Micros, open: &OpenRequest, server: &Server) -> SilencePolicy {
+    pub(super) fn no_response_policy(
+        &self,
+        now: Micros,
+        open: &OpenRequest,
+        server: &Server,
+    ) -> NoResponsePolicy {
         let class = self.settings.class(open.request.class);
         let is_origin = self.settings.is_origin(&server.endpoint);
         if class.idempotency != Idempotency::Idempotent || is_origin {
-            return SilencePolicy::KeepWaiting;
+            return NoResponsePolicy::KeepWaiting;
         }
         let evidence_lifetime = EVIDENCE_LIFETIME_IN_WINDOWS * self.cache_ladder.window.as_f64();
-        let silent_share = ((now - server.last_response).as_f64() / evidence_lifetime).min(1.0);
-        let share = HEDGE_AFTER_SHARE - MAX_HEDGE_SHARE_REDUCTION * silent_share;
+        let no_response_share = ((now - server.last_response).as_f64() / evidence_lifetime).min(1.0);
+        let share = HEDGE_AFTER_SHARE - MAX_HEDGE_SHARE_REDUCTION * no_response_share;
         let delay = (open.useful_until - now).mul_f64(share).max(Micros(1));
         if self.settings.limits.may_duplicate {
-            SilencePolicy::HedgeAfter(delay)
+            NoResponsePolicy::HedgeAfter(delay)
         } else {
-            SilencePolicy::TimeOutAfter(delay)
+            NoResponsePolicy::TimeOutAfter(delay)
         }
     }
 
     /// Sends a hedged request for an attempt without a response, if another server can take the request and
     /// the budget allows it.
     pub(super) fn hedge(&mut self, now: Micros, open: OpenRequest, actions: &mut Vec<Action>) {
-        self.count_silence(now, &open);
+        self.count_missing_response(now, &open);
         if let Route::Forward { server } = self.choose_route(now, &open) {
             if self.may_hedge(now) {
                 self.hedge_budget.spend();
@@ -106,7 +111,7 @@
     /// Counts the attempt in flight, which has no response yet, as rejected by its server if one outcome
     /// completes a window: a balancer that sends to the server once in several seconds cannot wait for the
     /// attempt to complete.
-    fn count_silence(&mut self, now: Micros, open: &OpenRequest) {
+    fn count_missing_response(&mut self, now: Micros, open: &OpenRequest) {
         if !self.cache_ladder.is_one_outcome_enough() {
             return;
         }
