--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -31,7 +31,7 @@
 /// Latency up to which a response is fast, as a ratio to the baseline.
 const FAST_RESPONSE_RATIO: f64 = 1.6;
 /// Latency from which a timeout is evidence about the server, as a ratio to the baseline.
-const MEANINGFUL_TIMEOUT_RATIO: f64 = 1.5;
+const CONCLUSIVE_TIMEOUT_RATIO: f64 = 1.5;
 /// Minimum remaining time for a request to be sent at all, as a ratio to the baseline.
 const MIN_TIME_LEFT_RATIO: f64 = 0.3;
 /// Mean latency from which a sample is an outlier that hardly changes the baseline, as a ratio to the
@@ -166,8 +166,8 @@
 
     /// Whether a timeout after this time is evidence about the server. An earlier timeout may be due to a
     /// client whose deadline was close.
-    pub(super) fn is_timeout_meaningful(&self, latency: Micros) -> bool {
-        latency.as_f64() >= MEANINGFUL_TIMEOUT_RATIO * self.baseline_latency
+    pub(super) fn is_timeout_conclusive(&self, latency: Micros) -> bool {
+        latency.as_f64() >= CONCLUSIVE_TIMEOUT_RATIO * self.baseline_latency
     }
 
     /// Whether a response within this time is likely enough to send the request at all.
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -117,7 +117,7 @@
         }
         let Some(attempt) = open.attempt_in_flight() else { return };
         let Some(server) = self.endpoints.server_mut(attempt.endpoint.server) else { return };
-        if !server.concurrency.is_timeout_meaningful(now - attempt.sent) {
+        if !server.concurrency.is_timeout_conclusive(now - attempt.sent) {
             return;
         }
         let outcome = SendOutcome { sent: attempt.sent, completed: now, is_rejected: true };
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -65,8 +65,8 @@
             latency,
             is_write,
             is_origin,
-            is_meaningful_timeout: result == AttemptResult::Timeout
-                && server.concurrency.is_timeout_meaningful(latency),
+            is_conclusive_timeout: result == AttemptResult::Timeout
+                && server.concurrency.is_timeout_conclusive(latency),
         };
         ending.apply_to(&mut server.concurrency, now);
 
@@ -127,7 +127,7 @@
     /// Whether the attempt went to the origin.
     is_origin: bool,
     /// Whether the attempt timed out after a time that is evidence about the server.
-    is_meaningful_timeout: bool,
+    is_conclusive_timeout: bool,
 }
 
 impl AttemptEnding {
@@ -136,7 +136,7 @@
         // The origin drops abandoned work. A cache server continues it, probably for as long again.
         let goes_on = self.result == AttemptResult::Timeout && !self.is_origin;
         concurrency.release(now, self.is_write, goes_on.then_some(self.latency));
-        if self.is_meaningful_timeout {
+        if self.is_conclusive_timeout {
             let drops_abandoned = self.is_origin;
             concurrency.on_timeout(now, self.latency, drops_abandoned);
         }
@@ -155,7 +155,7 @@
             }
             // A slow origin still refills caches, and its concurrency limit bounds the attempts that wait
             // there.
-            AttemptResult::Timeout if self.is_meaningful_timeout && !self.is_origin => LoadEvidence::Rejected,
+            AttemptResult::Timeout if self.is_conclusive_timeout && !self.is_origin => LoadEvidence::Rejected,
             AttemptResult::Timeout | AttemptResult::Cancelled | AttemptResult::NotSent => {
                 LoadEvidence::Inconclusive
             }
