--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -1,7 +1,7 @@
 //! Chooses the server for a request's next attempt.
 //!
 //! Inputs are the candidates that placement ranks for the request's key, and the state of each. The request
-//! goes to the first candidate without a [`PassedOver`]. Writes, and reads that no cache server can take, go
+//! goes to the first candidate without a [`SkipReason`]. Writes, and reads that no cache server can take, go
 //! to the origin; see `origin.rs`.
 
 use super::open_request::OpenRequest;
@@ -36,7 +36,7 @@
 
 /// Why a candidate is skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum PassedOver {
+enum SkipReason {
     /// The candidate's zone is unhealthy, and this attempt does not probe whether the zone has recovered.
     ZoneUnhealthy,
     /// An attempt of the request has already gone to the candidate.
@@ -79,10 +79,10 @@
             return true;
         }
         let is_last_attempt = open.attempts_left(&self.settings.limits) == 1;
-        let has_had_cache = open.has_missed
+        let is_cache_exhausted = open.has_missed
             || open.attempt_in_flight().is_some()
             || open.attempts.len() >= MAX_CACHE_ATTEMPTS;
-        !open.request.is_write && !has_had_cache && !is_last_attempt
+        !open.request.is_write && !is_cache_exhausted && !is_last_attempt
     }
 
     /// The first candidate that is not skipped. If all are skipped, a read-through request is rejected if at
@@ -100,15 +100,15 @@
         let mut shortest_gap: Option<Micros> = None;
         for rank in 0..self.placement.candidates.len() {
             let server = self.placement.candidates[rank].server;
-            let passed_over = self.reason_to_pass_over(now, open, server, responses_per_second);
-            let Some(reason) = passed_over else { return Some(Route::Forward { server }) };
-            if let PassedOver::Gapped(wait) = reason {
+            let skip_reason = self.skip_reason(now, open, server, responses_per_second);
+            let Some(reason) = skip_reason else { return Some(Route::Forward { server }) };
+            if let SkipReason::Gapped(wait) = reason {
                 shortest_gap = Some(shortest_gap.unwrap_or(wait).min(wait));
             }
             // A server without capacity is no reason to try servers that do not own the key if the origin can
             // serve it.
             let has_owner_left = rank + 1 < owners;
-            if reason == PassedOver::NoCapacity && !has_owner_left && !is_read_through {
+            if reason == SkipReason::NoCapacity && !has_owner_left && !is_read_through {
                 break;
             }
         }
@@ -117,41 +117,41 @@
     }
 
     /// Why this server cannot take the request now; `None` if it can.
-    fn reason_to_pass_over(
+    fn skip_reason(
         &mut self,
         now: Micros,
         open: &OpenRequest,
         server: usize,
         responses_per_second: f64,
-    ) -> Option<PassedOver> {
+    ) -> Option<SkipReason> {
         let server = &mut self.endpoints.servers[server];
         let avoided_share = self.zones.avoided_share(server.endpoint.zone);
         if avoided_share > 0.0 && self.rng.f64() < avoided_share {
-            return Some(PassedOver::ZoneUnhealthy);
+            return Some(SkipReason::ZoneUnhealthy);
         }
         if open.has_tried(server.endpoint.server) {
-            return Some(PassedOver::AlreadyTried);
+            return Some(SkipReason::AlreadyTried);
         }
         let gap = server.gap.wait(now, open.request.tenant, &self.cache_ladder);
         if gap > Micros::ZERO {
-            return Some(PassedOver::Gapped(gap));
+            return Some(SkipReason::Gapped(gap));
         }
         // Queried as for a write, because no share of the limit is reserved for reads at a cache server.
         if server.concurrency.is_paced(now) || !server.concurrency.has_capacity(now, true) {
-            return Some(PassedOver::NoCapacity);
+            return Some(SkipReason::NoCapacity);
         }
         if !server.has_slow_start_credit(now, responses_per_second, &self.settings.rules, &mut self.rng) {
-            return Some(PassedOver::SlowStart);
+            return Some(SkipReason::SlowStart);
         }
         let last_response = server.last_response;
         if self.coordination.should_avoid(now, &server.endpoint, last_response, responses_per_second) {
-            return Some(PassedOver::Suspected);
+            return Some(SkipReason::Suspected);
         }
         if !self.coordination.allows_slow_start(now, &server.endpoint) {
-            return Some(PassedOver::SlowStart);
+            return Some(SkipReason::SlowStart);
         }
         let class = self.settings.class(open.request.class);
         let is_permitted = open.may_send(now, &server.endpoint, class, &self.settings.limits);
-        (!is_permitted).then_some(PassedOver::NotPermitted)
+        (!is_permitted).then_some(SkipReason::NotPermitted)
     }
 }
