--- a/src/balancer/open_request.rs
+++ b/src/balancer/open_request.rs
@@ -58,7 +58,7 @@
     /// Removed from the queue in favour of requests of higher priority.
     Preempted,
     /// Removed from the queue because the origin has capacity for it.
-    CapacityReserved,
+    Admitted,
 }
 
 /// A request without a final answer.
--- a/src/balancer/origin.rs
+++ b/src/balancer/origin.rs
@@ -39,7 +39,7 @@
         }
         let must_wait = wait > Micros::ZERO || !origin.concurrency.has_capacity(now, open.request.is_write);
         match open.queue_state {
-            QueueState::CapacityReserved => Route::Forward { server },
+            QueueState::Admitted => Route::Forward { server },
             QueueState::Preempted => Route::Reject { wait, reason: RejectReason::Preempted },
             QueueState::Waiting => Route::Reject { wait, reason: RejectReason::QueueTimeout },
             QueueState::NotQueued => {
@@ -100,7 +100,7 @@
     /// Sends queued requests to the origin, by priority, while it has capacity for them.
     pub(super) fn admit_waiting(&mut self, now: Micros, actions: &mut Vec<Action>) {
         while let Some(id) = self.take_admissible(now) {
-            self.resume(now, id, QueueState::CapacityReserved, actions);
+            self.resume(now, id, QueueState::Admitted, actions);
         }
         self.schedule_drain(now, actions);
     }
@@ -113,8 +113,8 @@
         }
         let origin = self.endpoints.origin_mut()?;
         let capacity = OriginCapacity {
-            has_for_reads: origin.concurrency.has_capacity(now, false),
-            has_for_writes: origin.concurrency.has_capacity(now, true),
+            accepts_reads: origin.concurrency.has_capacity(now, false),
+            accepts_writes: origin.concurrency.has_capacity(now, true),
         };
         self.origin_queue.take_highest(capacity)
     }
--- a/src/balancer/origin_queue.rs
+++ b/src/balancer/origin_queue.rs
@@ -21,18 +21,18 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OriginCapacity {
     /// Whether one more read may be sent.
-    pub(super) has_for_reads: bool,
+    pub(super) accepts_reads: bool,
     /// Whether one more write may be sent.
-    pub(super) has_for_writes: bool,
+    pub(super) accepts_writes: bool,
 }
 
 impl OriginCapacity {
     /// Whether there is capacity for this request.
-    fn fits(self, request: &QueuedRequest) -> bool {
+    fn has_capacity_for(self, request: &QueuedRequest) -> bool {
         if request.is_write {
-            self.has_for_writes
+            self.accepts_writes
         } else {
-            self.has_for_reads
+            self.accepts_reads
         }
     }
 }
@@ -76,8 +76,9 @@
 
     /// Removes the request of the highest priority for which there is capacity.
     pub(super) fn take_highest(&mut self, capacity: OriginCapacity) -> Option<RequestId> {
-        let fitting = (0..self.waiting.len()).filter(|index| capacity.fits(&self.waiting[*index]));
-        let highest = fitting.max_by(|a, b| self.priority(*a).total_cmp(&self.priority(*b)))?;
+        let admissible =
+            (0..self.waiting.len()).filter(|index| capacity.has_capacity_for(&self.waiting[*index]));
+        let highest = admissible.max_by(|a, b| self.priority(*a).total_cmp(&self.priority(*b)))?;
         Some(self.waiting.swap_remove(highest).id)
     }
 
