--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -7,9 +7,9 @@
 use crate::time::Micros;
 
 /// Initial limit of all balancers together, in addition to one attempt for each balancer.
-const INITIAL_LIMIT_OF_ALL: f64 = 6.0;
+const INITIAL_FLEET_LIMIT: f64 = 6.0;
 /// Lower bound on the limit of all balancers together.
-const MINIMUM_LIMIT_OF_ALL: f64 = 3.0;
+const MIN_FLEET_LIMIT: f64 = 3.0;
 /// Increase of a limit in use per fast response, until the first timeout.
 const INITIAL_LIMIT_INCREASE: f64 = 1.0;
 /// Increase of a limit in use per fast response, after the first timeout.
@@ -100,8 +100,8 @@
     pub(super) fn new(balancers: u32) -> ConcurrencyLimit {
         let balancers = f64::from(balancers.max(1));
         ConcurrencyLimit {
-            limit: 1.0 + INITIAL_LIMIT_OF_ALL / balancers,
-            minimum_limit: (MINIMUM_LIMIT_OF_ALL / balancers).min(1.0),
+            limit: 1.0 + INITIAL_FLEET_LIMIT / balancers,
+            minimum_limit: (MIN_FLEET_LIMIT / balancers).min(1.0),
             ..ConcurrencyLimit::default()
         }
     }
@@ -182,8 +182,8 @@
             self.baseline_latency == 0.0 || latency.as_f64() < FAST_RESPONSE_RATIO * self.baseline_latency;
         let is_in_use = self.in_flight() + IN_USE_MARGIN > self.limit;
         if is_fast && is_in_use {
-            let was_never_cut = self.last_decrease == Micros::ZERO;
-            self.limit += if was_never_cut { INITIAL_LIMIT_INCREASE } else { LIMIT_INCREASE };
+            let was_never_decreased = self.last_decrease == Micros::ZERO;
+            self.limit += if was_never_decreased { INITIAL_LIMIT_INCREASE } else { LIMIT_INCREASE };
             self.recent_peak_limit = self.recent_peak_limit.max(self.limit);
         }
     }
@@ -196,8 +196,8 @@
         if sent < self.last_decrease {
             return;
         }
-        let kept = if drops_abandoned { self.recent_peak_limit * RETAINED_PEAK_SHARE } else { 0.0 };
-        self.limit = (self.limit * LIMIT_DECREASE_FACTOR).max(kept).max(self.minimum_limit);
+        let retained_limit = if drops_abandoned { self.recent_peak_limit * RETAINED_PEAK_SHARE } else { 0.0 };
+        self.limit = (self.limit * LIMIT_DECREASE_FACTOR).max(retained_limit).max(self.minimum_limit);
         self.last_decrease = now;
     }
 
