--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -184,12 +184,12 @@
     fn on_request_abandoned(&mut self, id: &RequestId) {
         let Some(open) = self.open_requests.take(id) else { return };
         self.origin_queue.remove(id);
-        self.on_closed_with_attempts(&open);
+        self.on_request_closed(&open);
     }
 
     /// Counts the attempts of a closed write that are still in flight as reads. When they complete, the
     /// request is no longer known, and they are released as reads.
-    fn on_closed_with_attempts(&mut self, open: &OpenRequest) {
+    fn on_request_closed(&mut self, open: &OpenRequest) {
         if !open.request.is_write {
             return;
         }
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -60,7 +60,7 @@
         let CompletedAttempt { result, latency, .. } = *completed;
         let Some(server) = self.endpoints.server_mut(completed.server) else { return };
         let is_origin = self.settings.is_origin(&server.endpoint);
-        let ending = AttemptEnding {
+        let attempt_outcome = AttemptOutcome {
             result,
             latency,
             is_write,
@@ -68,9 +68,9 @@
             is_conclusive_timeout: result == AttemptResult::Timeout
                 && server.concurrency.is_timeout_conclusive(latency),
         };
-        ending.apply_to(&mut server.concurrency, now);
+        attempt_outcome.apply_to(&mut server.concurrency, now);
 
-        let evidence = ending.evidence();
+        let evidence = attempt_outcome.evidence();
         if let Some(is_rejected) = evidence.is_rejected() {
             let outcome = SendOutcome { sent: now - latency, completed: now, is_rejected };
             let ladder = if is_origin { &self.origin_ladder } else { &self.cache_ladder };
@@ -99,7 +99,7 @@
     ) {
         open.on_attempt_completed(completed.attempt, completed.result);
         match next_step(&open, completed) {
-            NextStep::Close => self.on_closed_with_attempts(&open),
+            NextStep::Close => self.on_request_closed(&open),
             NextStep::Wait => self.open_requests.insert(open),
             NextStep::RouteAgain => self.route(now, open, actions),
         }
@@ -119,7 +119,7 @@
 
 /// The outcome of an attempt, as far as the state of its server depends on it.
 #[derive(Clone, Copy, Debug)]
-struct AttemptEnding {
+struct AttemptOutcome {
     result: AttemptResult,
     /// Time since the send.
     latency: Micros,
@@ -130,12 +130,12 @@
     is_conclusive_timeout: bool,
 }
 
-impl AttemptEnding {
+impl AttemptOutcome {
     /// Updates the concurrency limit of the attempt's server.
     fn apply_to(self, concurrency: &mut ConcurrencyLimit, now: Micros) {
         // The origin drops abandoned work. A cache server continues it, probably for as long again.
-        let goes_on = self.result == AttemptResult::Timeout && !self.is_origin;
-        concurrency.release(now, self.is_write, goes_on.then_some(self.latency));
+        let continues_work = self.result == AttemptResult::Timeout && !self.is_origin;
+        concurrency.release(now, self.is_write, continues_work.then_some(self.latency));
         if self.is_conclusive_timeout {
             let drops_abandoned = self.is_origin;
             concurrency.on_timeout(now, self.latency, drops_abandoned);
