--- a/src/balancer/discovery_schedule.rs
+++ b/src/balancer/discovery_schedule.rs
@@ -121,8 +121,8 @@
     pub(super) fn on_unavailable(&mut self, now: Micros, rng: &mut fastrand::Rng) -> Micros {
         let earliest = now + MIN_DISCOVERY_PAUSE.draw(self.interval, rng);
         let backoff = self.backoff().draw(self.interval, rng);
-        let is_start_pace = self.stage == Stage::StartingOrFirstCallFailed;
-        let backoff = backoff.mul_f64(if is_start_pace { self.start_spread_factor } else { 1.0 });
+        let is_startup_backoff = self.stage == Stage::StartingOrFirstCallFailed;
+        let backoff = backoff.mul_f64(if is_startup_backoff { self.start_spread_factor } else { 1.0 });
         let next_call = (self.call_due_or_last_list + backoff).max(earliest);
         self.advance();
         self.call_due_or_last_list = next_call;
--- a/src/balancer/gap_ladder.rs
+++ b/src/balancer/gap_ladder.rs
@@ -38,7 +38,7 @@
 pub(super) const EVIDENCE_LIFETIME_IN_WINDOWS: f64 = 8.0;
 /// Outcomes added to the total of a window in which all were rejected: more outcomes might have included a
 /// few served ones.
-const UNSEEN_OUTCOMES: f64 = 0.25;
+const UNOBSERVED_OUTCOMES: f64 = 0.25;
 
 /// Number of balancers up to which the longest gap equals the longest deadline.
 pub(super) const BALANCERS_WITHOUT_LONGER_GAPS: u32 = 3;
@@ -109,7 +109,7 @@
 
     /// Whether a single outcome completes a first window. In a large fleet, one balancer sends to a server
     /// too seldom to wait for several outcomes.
-    pub(super) fn is_one_outcome_enough(&self) -> bool {
+    pub(super) fn is_one_outcome_sufficient(&self) -> bool {
         self.window_outcomes <= 1.0
     }
 }
@@ -175,7 +175,7 @@
         if outcome.sent < self.settled_from {
             return;
         }
-        self.forget_old_evidence(outcome, ladder);
+        self.discard_expired_evidence(outcome, ladder);
         self.outcomes += 1.0;
         self.rejected += f64::from(outcome.is_rejected);
         if !self.is_window_complete(now, ladder) {
@@ -197,7 +197,7 @@
 
     /// Discards a first window that is older than the evidence lifetime. While there is a gap, evidence does
     /// not expire.
-    fn forget_old_evidence(&mut self, outcome: SendOutcome, ladder: &GapLadder) {
+    fn discard_expired_evidence(&mut self, outcome: SendOutcome, ladder: &GapLadder) {
         let age = outcome.completed - self.window_opened;
         if self.rung == 0 && age > ladder.window.mul_f64(EVIDENCE_LIFETIME_IN_WINDOWS) {
             self.open_window(outcome.sent);
@@ -224,7 +224,7 @@
     /// The rejected share of the window; always below one, so that the gap for the served rate stays finite.
     fn rejected_share(&self) -> f64 {
         let are_all_rejected = self.rejected == self.outcomes;
-        self.rejected / if are_all_rejected { self.outcomes + UNSEEN_OUTCOMES } else { self.outcomes }
+        self.rejected / if are_all_rejected { self.outcomes + UNOBSERVED_OUTCOMES } else { self.outcomes }
     }
 
     /// The rung after a window with this rejected share. The first gap is the one for the rate that was
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -112,7 +112,7 @@
     /// completes a window: a balancer that sends to the server once in several seconds cannot wait for the
     /// attempt to complete.
     fn count_missing_response(&mut self, now: Micros, open: &OpenRequest) {
-        if !self.cache_ladder.is_one_outcome_enough() {
+        if !self.cache_ladder.is_one_outcome_sufficient() {
             return;
         }
         let Some(attempt) = open.attempt_in_flight() else { return };
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -95,8 +95,8 @@
         // The logarithm dominates the cost, so it is computed only for servers that may rank: -ln u > 1 - u.
         let lowest_possible_score = (1.0 - uniform) / weight;
         let worst = self.candidates.get(max_candidates - 1);
-        let may_come_in = worst.is_none_or(|worst| lowest_possible_score < worst.score);
-        if !may_come_in {
+        let may_rank = worst.is_none_or(|worst| lowest_possible_score < worst.score);
+        if !may_rank {
             return;
         }
         let score = -uniform.ln() / weight;
--- a/src/balancer/rate_estimator.rs
+++ b/src/balancer/rate_estimator.rs
@@ -15,7 +15,7 @@
     /// Events, each decayed by its age.
     decayed_count: f64,
     /// Time of the first event; zero before it.
-    first: Micros,
+    first_event: Micros,
     /// Time to which the count is decayed.
     last_decay: Micros,
 }
@@ -24,15 +24,15 @@
     /// Events per second, corrected for the short observation time of a young estimator.
     pub(super) fn per_second(&mut self, now: Micros) -> f64 {
         self.decay(now);
-        let age = (now - self.first).as_f64().max(MIN_AGE_MICROS);
-        let counted_share = 1.0 - (-age / TIME_CONSTANT_MICROS).exp();
-        self.decayed_count / (TIME_CONSTANT_MICROS * counted_share) * Micros::SECOND.as_f64()
+        let age = (now - self.first_event).as_f64().max(MIN_AGE_MICROS);
+        let observed_share = 1.0 - (-age / TIME_CONSTANT_MICROS).exp();
+        self.decayed_count / (TIME_CONSTANT_MICROS * observed_share) * Micros::SECOND.as_f64()
     }
 
     /// Counts one event.
     pub(super) fn on_event(&mut self, now: Micros) {
-        if self.first == Micros::ZERO {
-            self.first = now;
+        if self.first_event == Micros::ZERO {
+            self.first_event = now;
         }
         self.decay(now);
         self.decayed_count += 1.0;
