--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -1,59 +1,59 @@
-//! Why the adapter stops.
+//! Errors that stop the adapter.
 
 use std::io;
 
 use thiserror::Error;
 
-/// Why the adapter stops; `line` counts the lines of input from 1.
+/// An error that stops the adapter; `line` is the number of the input line, from 1.
 #[derive(Debug, Error)]
 pub enum RunError {
     /// Standard input cannot be read.
     #[error("cannot read line {line}: {source}")]
     Read {
-        /// The line that was to be read.
+        /// Number of the line to be read.
         line: u64,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// A line cannot be answered.
     #[error("line {line}: {source}")]
     Line {
-        /// The line.
+        /// Number of the line.
         line: u64,
-        /// What is wrong with it.
+        /// The error in the line.
         source: AdapterError,
     },
     /// The reply cannot be flushed.
     #[error("cannot write the reply to line {line}: {source}")]
     Flush {
-        /// The line that was answered.
+        /// Number of the line that was answered.
         line: u64,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// What is wrong with a line, or with its reply.
+/// An error in a line of events, or in the reply to it.
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// The line is not a batch of events.
     #[error("not a batch: {0}")]
     Batch(#[source] serde_json::Error),
-    /// The event names a balancer that is not there.
+    /// The event refers to a balancer that was not started, or was stopped.
     #[error("router {instance} was never started")]
     UnknownInstance {
-        /// Its number.
+        /// Number of the balancer.
         instance: u32,
     },
-    /// The slot lies beyond the last one.
+    /// The slot is out of range.
     #[error("manifest slot {slot} is not within 0 to {last}")]
     SlotOutOfRange {
         /// The slot.
         slot: usize,
-        /// The last slot there is.
+        /// Highest valid slot.
         last: usize,
     },
-    /// The event names a slot without a list.
+    /// The event refers to a slot without an endpoint list.
     #[error("endpoints name manifest slot {slot}, which was never given")]
     EmptySlot {
         /// The slot.
@@ -62,15 +62,15 @@
     /// The id of a request has a wrong length.
     #[error("op-id {text:?} is not 36 characters long")]
     RequestId {
-        /// The id as given.
+        /// The id as received.
         text: String,
     },
     /// A message from another balancer is not base64.
     #[error("message for router {instance} is not base64: {source}")]
     Message {
-        /// The balancer that it is for.
+        /// Number of the receiving balancer.
         instance: u32,
-        /// What is wrong with it.
+        /// The error of the decoder.
         source: base64::DecodeError,
     },
     /// An action cannot be written as JSON.
--- a/simulator-adapter/src/instances.rs
+++ b/simulator-adapter/src/instances.rs
@@ -1,4 +1,4 @@
-//! The balancers of one process, and the endpoint lists that their events name.
+//! The balancers of one process, and the endpoint lists that their events refer to.
 
 use std::io::Write;
 
@@ -9,24 +9,25 @@
 use crate::error::AdapterError;
 use crate::wire::{request_id, write_action, Batch, EndpointsForm, IncomingEvent};
 
-/// The last slot that an endpoint list may be put in.
+/// Highest slot number of an endpoint list.
 const LAST_SLOT: usize = 15;
 
-/// All balancers of this process. They share nothing but the endpoint lists, which the simulator sends once for all.
+/// All balancers of this process. They share only the endpoint lists, which the simulator sends once for all
+/// of them.
 #[derive(Default)]
 pub struct Instances {
     balancers: FxHashMap<u32, Balancer>,
     endpoint_lists: Vec<Vec<Endpoint>>,
-    /// Kept between events to save allocations.
+    /// Reused between events to save allocations.
     actions: Vec<Action>,
     reply: Vec<u8>,
 }
 
 impl Instances {
-    /// Answers one line of input with one line.
+    /// Reads one line of events and writes one line of actions.
     ///
     /// # Errors
-    /// The line is malformed or names what is not there, or the reply cannot be written.
+    /// The line is malformed or refers to an unknown balancer or slot, or the reply cannot be written.
     pub fn answer(&mut self, line: &[u8], output: &mut impl Write) -> Result<(), AdapterError> {
         let batch: Batch = serde_json::from_slice(line).map_err(AdapterError::Batch)?;
         let now = Micros(batch.now);
@@ -97,14 +98,14 @@
             return self.dispatch(now, instance, event);
         }
         let stored = self.endpoint_lists.get_mut(slot).ok_or(AdapterError::EmptySlot { slot })?;
-        // Taken out while the balancer, which is borrowed with it, reads it.
+        // Moved out of `self`, which `dispatch` borrows mutably, while the balancer reads the list.
         let endpoints = std::mem::take(stored);
         let result = self.dispatch(now, instance, Event::EndpointsChanged(form.into(), &endpoints));
         self.endpoint_lists[slot] = endpoints;
         result
     }
 
-    /// These decisions use no messages; a malformed one is an error all the same.
+    /// Checks a message. The balancers use no messages, but a malformed one is still an error.
     fn check_message(&self, instance: u32, base64_text: &str) -> Result<(), AdapterError> {
         base64::engine::general_purpose::STANDARD
             .decode(base64_text)
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Hands an event to one balancer and appends its actions to the reply.
+    /// Passes an event to one balancer and appends its actions to the reply.
     fn dispatch(&mut self, now: Micros, instance: u32, event: Event) -> Result<(), AdapterError> {
         let balancer = self.balancers.get_mut(&instance).ok_or(AdapterError::UnknownInstance { instance })?;
         balancer.handle(now, event, &mut self.actions);
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs juniperladder balancers for the simulator: reads batches of events as JSON lines from standard input and answers
-//! each with one line of actions. It translates and decides nothing.
+//! Runs juniperladder balancers for the simulator: reads batches of events as JSON lines from standard input
+//! and answers each with one line of actions. The adapter only translates; the balancers make all decisions.
 
 mod error;
 mod instances;
@@ -11,9 +11,9 @@
 use error::RunError;
 use instances::Instances;
 
-/// Bytes read ahead; a batch may be megabytes long.
+/// Size of the input buffer in bytes; a batch may be megabytes long.
 const INPUT_BUFFER_BYTES: usize = 1 << 20;
-/// Bytes of a reply gathered before they are written.
+/// Size of the output buffer in bytes.
 const OUTPUT_BUFFER_BYTES: usize = 1 << 18;
 
 fn main() -> ExitCode {
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The simulator's JSON lines: one module reads batches of events, one writes actions. The words of the wire stay in
-//! these two modules.
+//! The simulator's JSON lines: `incoming` reads batches of events, `outgoing` writes actions. Only these two
+//! modules use the names of the wire format.
 
 mod incoming;
 mod outgoing;
--- a/simulator-adapter/src/wire/incoming.rs
+++ b/simulator-adapter/src/wire/incoming.rs
@@ -1,4 +1,4 @@
-//! Events as the simulator writes them, and their translation to the terms of the decisions.
+//! Events in the simulator's format, and their conversion to the types of `juniperladder`.
 
 use juniperladder::{
     AttemptResult, CompletedAttempt, Endpoint, EndpointState, EndpointUpdate, Key, Micros, Request,
@@ -9,151 +9,151 @@
 
 use crate::error::AdapterError;
 
-/// The remark of a miss whose key the server has asked another request to fetch.
+/// Remark code of a miss if the server has asked another request to fetch the key.
 const REMARK_FETCH_IN_PROGRESS: u32 = 3;
 
-/// One line of input: the clock in microseconds, and the events that happen at that time.
+/// One line of input: a time, and the events at that time.
 #[derive(Deserialize)]
 pub struct Batch<'a> {
-    /// The time of the events in microseconds.
+    /// Time of the events in microseconds.
     #[serde(rename = "t")]
     pub now: u64,
-    /// What happened then, in order.
+    /// The events, in order.
     #[serde(borrow, rename = "in")]
     pub events: Vec<IncomingEvent<'a>>,
 }
 
-/// One event. `instance` is the number of the balancer that it concerns.
+/// One event. `instance` is the number of the balancer that the event is for.
 #[derive(Deserialize)]
 #[serde(tag = "event_type", rename_all = "kebab-case")]
 pub enum IncomingEvent<'a> {
-    /// A balancer starts, without any state.
+    /// A balancer starts without any state.
     Start {
-        /// The balancer that it concerns.
+        /// Number of the balancer.
         #[serde(rename = "router")]
         instance: u32,
-        /// For its random numbers.
+        /// Seed of the balancer's random numbers.
         seed: u64,
-        /// Its settings.
+        /// Settings of the balancer.
         #[serde(rename = "env")]
         settings: Box<SiteSettings>,
     },
-    /// An endpoint list that later events name by its slot.
+    /// An endpoint list, which later events refer to by its slot.
     #[serde(rename = "manifest")]
     EndpointList {
-        /// The slot of the list.
+        /// Slot of the list.
         slot: usize,
-        /// The servers.
+        /// The listed servers.
         #[serde(rename = "entries")]
         endpoints: Vec<EndpointEntry>,
     },
-    /// Discovery answered with the list in this slot, or failed.
+    /// Discovery returned the list in this slot, or failed.
     #[serde(rename = "endpoints")]
     EndpointsChanged {
-        /// The balancer that it concerns.
+        /// Number of the balancer.
         #[serde(rename = "router")]
         instance: u32,
-        /// The slot of the list.
+        /// Slot of the list.
         #[serde(default)]
         slot: usize,
-        /// How the list relates to the one in use.
+        /// How the list relates to the current one.
         form: EndpointsForm,
     },
-    /// A request has come in.
+    /// A client sent a request.
     #[serde(rename = "req")]
     Request(IncomingRequest<'a>),
-    /// Another balancer sent bytes, which these decisions do not use.
+    /// Another balancer sent a message, which the balancers of this crate do not use.
     Message {
-        /// The balancer that it concerns.
+        /// Number of the balancer.
         #[serde(rename = "router")]
         instance: u32,
-        /// The bytes.
+        /// Content of the message, in base64.
         #[serde(rename = "msg")]
         base64_text: &'a str,
     },
     /// A streamed response has begun.
     #[serde(rename = "started")]
     ResponseStarted {
-        /// The balancer that it concerns.
+        /// Number of the balancer.
         #[serde(rename = "router")]
         instance: u32,
-        /// The id of the request.
+        /// Id of the request.
         #[serde(rename = "op-id")]
         request_id: &'a str,
     },
-    /// An attempt has ended.
+    /// An attempt has completed.
     #[serde(rename = "done")]
     AttemptCompleted(IncomingCompletedAttempt<'a>),
-    /// A load report, which these decisions do not use.
+    /// A load report, which the balancers of this crate do not use.
     #[serde(rename = "sampled")]
     LoadReport {
-        /// The balancer that it concerns.
+        /// Number of the balancer.
         #[serde(rename = "router")]
         instance: u32,
     },
-    /// A balancer ends.
+    /// A balancer stops.
     #[serde(rename = "retire")]
     Stop {
-        /// The balancer that it concerns.
+        /// Number of the balancer.
         #[serde(rename = "router")]
         instance: u32,
     },
     /// A timer is due.
     #[serde(rename = "fired")]
     Timer {
-        /// The balancer that it concerns.
+        /// Number of the balancer.
         #[serde(rename = "router")]
         instance: u32,
-        /// Which timer.
+        /// Token of the timer.
         token: u64,
     },
-    /// The client has left.
+    /// The client has disconnected.
     #[serde(rename = "aborted")]
     ClientDisconnected {
-        /// The balancer that it concerns.
+        /// Number of the balancer.
         #[serde(rename = "router")]
         instance: u32,
-        /// The id of the request.
+        /// Id of the request.
         #[serde(rename = "op-id")]
         request_id: &'a str,
     },
 }
 
-/// A request as the simulator writes it.
+/// A request in the simulator's format.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct IncomingRequest<'a> {
-    /// The balancer that it concerns.
+    /// Number of the balancer.
     #[serde(rename = "router")]
     pub instance: u32,
-    /// The id of the request.
+    /// Id of the request.
     #[serde(rename = "op-id")]
     request_id: &'a str,
-    /// When the client gives up, in microseconds.
+    /// Time at which the client stops waiting, in microseconds.
     #[serde(rename = "client-deadline")]
     deadline: u64,
-    /// The work that it is expected to cost, in microseconds.
+    /// Expected work of the request, in microseconds.
     #[serde(rename = "estimate")]
     expected_work: Option<u64>,
-    /// The key of the object.
+    /// Key of the object.
     #[serde(rename = "resource")]
     key: Option<u64>,
-    /// Whether it writes the object.
+    /// Whether the request writes the object.
     #[serde(default)]
     is_write: bool,
-    /// The number of its class.
+    /// Index of the request's class.
     #[serde(default, rename = "lane")]
     class: u32,
-    /// The number of its tenant.
+    /// Index of the request's tenant.
     #[serde(default, rename = "user-group")]
     tenant: u32,
-    /// Whether the client has sent it before.
+    /// Whether the request is the client's retry of an earlier request.
     #[serde(default, rename = "again-by-client")]
     is_client_retry: bool,
 }
 
 impl IncomingRequest<'_> {
-    /// The request in the terms of the decisions.
+    /// Converts the request to the type of `juniperladder`.
     ///
     /// # Errors
     /// The id is not 36 characters long.
@@ -171,35 +171,35 @@
     }
 }
 
-/// The end of an attempt as the simulator writes it.
+/// A completed attempt in the simulator's format.
 #[derive(Deserialize)]
 pub struct IncomingCompletedAttempt<'a> {
-    /// The balancer that it concerns.
+    /// Number of the balancer.
     #[serde(rename = "router")]
     pub instance: u32,
-    /// The id of the request.
+    /// Id of the request.
     #[serde(rename = "op-id")]
     request_id: &'a str,
-    /// What the server remarked, as a code; 0 for nothing.
+    /// Remark of the server as a code; 0 for none.
     #[serde(default)]
     remark: u32,
-    /// Whether the request has ended as well.
+    /// Whether the request is closed as well.
     #[serde(default, rename = "closed")]
     request_closed: bool,
-    /// The number of the attempt within its request.
+    /// Number of the attempt within its request.
     #[serde(default, rename = "round-no")]
     attempt: u32,
-    /// The number of the server.
+    /// Number of the server.
     server: u32,
-    /// How long it took, in microseconds.
+    /// Latency of the attempt in microseconds.
     #[serde(default, rename = "elapsed")]
     latency: u64,
-    /// How it ended.
+    /// Result of the attempt.
     result: IncomingResult,
 }
 
 impl IncomingCompletedAttempt<'_> {
-    /// The attempt in the terms of the decisions.
+    /// Converts the attempt to the type of `juniperladder`.
     ///
     /// # Errors
     /// The id is not 36 characters long.
@@ -255,7 +255,7 @@
     }
 }
 
-/// How a list relates to the one in use.
+/// How an endpoint list relates to the current one.
 #[derive(Deserialize, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointsForm {
     #[serde(rename = "update")]
@@ -282,29 +282,29 @@
 /// One server of an endpoint list.
 #[derive(Deserialize)]
 pub struct EndpointEntry {
-    /// The number of the server.
+    /// Number of the server.
     server: u32,
-    /// The number of its zone.
+    /// Number of the server's zone.
     #[serde(default, rename = "locality")]
     zone: u32,
-    /// The number of its kind of machine.
+    /// Number of the server's kind of machine.
     #[serde(default, rename = "sku")]
     kind: u32,
-    /// The number of its cell.
+    /// Number of the server's cell.
     #[serde(default, rename = "bay")]
     cell: u32,
-    /// Whether it serves.
+    /// State of the server.
     #[serde(default, rename = "stage-state")]
     state: IncomingState,
-    /// Its size relative to others.
+    /// Capacity of the server relative to others.
     #[serde(default = "default_weight", rename = "capacity-hint")]
     weight: f64,
-    /// When it started, in microseconds.
+    /// Time of the server's start, in microseconds.
     #[serde(default, rename = "came-up")]
     started: u64,
 }
 
-/// The weight of a server whose size is not given.
+/// Weight of a server whose capacity is not given.
 fn default_weight() -> f64 {
     1.0
 }
@@ -323,7 +323,7 @@
     }
 }
 
-/// A server's state.
+/// State of a server.
 #[derive(Deserialize, Clone, Copy, Default)]
 #[serde(rename_all = "UPPERCASE")]
 enum IncomingState {
@@ -343,7 +343,7 @@
     }
 }
 
-/// A request's id from its text.
+/// Parses the id of a request.
 ///
 /// # Errors
 /// The text is not 36 characters long.
--- a/simulator-adapter/src/wire/outgoing.rs
+++ b/simulator-adapter/src/wire/outgoing.rs
@@ -1,9 +1,9 @@
-//! Actions as the simulator reads them.
+//! Actions in the simulator's format.
 
 use juniperladder::{Action, RequestId};
 use serde::Serialize;
 
-/// One action. `instance` is the number of the balancer that asks for it; times are in microseconds.
+/// One action. `instance` is the number of the balancer that issues the action; times are in microseconds.
 #[derive(Serialize)]
 #[serde(tag = "event_type", rename_all = "kebab-case")]
 enum OutgoingAction<'a> {
@@ -81,12 +81,12 @@
     String::from_utf8_lossy(&id.0).into_owned()
 }
 
-/// Appends an action of this instance as one JSON object, its keys in alphabetical order.
+/// Appends an action of this balancer as one JSON object with its keys in alphabetical order.
 ///
 /// # Errors
 /// The action cannot be written as JSON.
 pub fn write_action(out: &mut Vec<u8>, instance: u32, action: &Action) -> serde_json::Result<()> {
-    // A `Value` sorts the keys.
+    // Converting to a `Value` sorts the keys.
     let object = serde_json::to_value(OutgoingAction::new(instance, action))?;
     serde_json::to_writer(out, &object)
 }
