--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Error)]
 pub enum RunError {
     /// Standard input cannot be read.
-    #[error("cannot read line {line}: {source}")]
+    #[error("cannot read line {line} of standard input: {source}")]
     Read {
         /// Number of the line to be read.
         line: u64,
@@ -37,16 +37,16 @@
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// The line is not a batch of events.
-    #[error("not a batch: {0}")]
+    #[error("not a valid batch of events: {0}")]
     Batch(#[source] serde_json::Error),
     /// The event refers to a balancer that was not started, or was stopped.
-    #[error("router {instance} was never started")]
+    #[error("event refers to router {instance}, which is not running")]
     UnknownInstance {
         /// Number of the balancer.
         instance: u32,
     },
     /// The slot is out of range.
-    #[error("manifest slot {slot} is not within 0 to {last}")]
+    #[error("manifest slot {slot} is out of range; slots are numbered 0 to {last}")]
     SlotOutOfRange {
         /// The slot.
         slot: usize,
@@ -54,7 +54,7 @@
         last: usize,
     },
     /// The event refers to a slot without an endpoint list.
-    #[error("endpoints name manifest slot {slot}, which was never given")]
+    #[error("endpoints event refers to manifest slot {slot}, but no manifest with this slot was received")]
     EmptySlot {
         /// The slot.
         slot: usize,
@@ -74,9 +74,9 @@
         source: base64::DecodeError,
     },
     /// An action cannot be written as JSON.
-    #[error("cannot write an action: {0}")]
+    #[error("cannot serialize an action as JSON: {0}")]
     Action(#[source] serde_json::Error),
     /// The reply cannot be written.
-    #[error("cannot write the reply: {0}")]
+    #[error("cannot write the reply to standard output: {0}")]
     Reply(#[source] io::Error),
 }
--- a/simulator-adapter/tests/transcripts.rs
+++ b/simulator-adapter/tests/transcripts.rs
@@ -96,12 +96,12 @@
 #[test]
 fn malformed_input_gets_a_message_and_a_failing_exit() {
     let cases = [
-        ("not json\n".to_owned(), "not a batch"),
-        ("{\"t\":1}\n".to_owned(), "not a batch"),
+        ("not json\n".to_owned(), "not a valid batch of events"),
+        ("{\"t\":1}\n".to_owned(), "not a valid batch of events"),
         (batch(1, &[r#"{"event_type":"nonsense","router":1}"#.into()]), "nonsense"),
-        (batch(1, &[req(5, ID)]), "router 5 was never started"),
-        (batch(1, &[start(1), ends(1, 9, "replace")]), "manifest slot 9"),
-        (batch(1, &[start(1), list(16, 1)]), "manifest slot 16"),
+        (batch(1, &[req(5, ID)]), "event refers to router 5, which is not running"),
+        (batch(1, &[start(1), ends(1, 9, "replace")]), "endpoints event refers to manifest slot 9,"),
+        (batch(1, &[start(1), list(16, 1)]), "manifest slot 16 is out of range"),
         (batch(1, &[start(1), req(1, "short")]), "36 characters"),
         (
             batch(1, &[start(1), r#"{"event_type":"message","router":1,"neighbour":2,"msg":"!"}"#.into()]),
