--- a/src/balancer/tests.rs
+++ b/src/balancer/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions: fixtures here, one file a subject beside.
+//! Tests of the decisions: shared fixtures, and one module for each subject.
 
 use super::admission::RETRY_AFTER_SPREAD;
 use super::concurrency_limit::ConcurrencyLimit;
@@ -33,12 +33,12 @@
 
 /// One second, in microseconds.
 const SECOND: u64 = 1_000_000;
-/// The id of the origin.
+/// Id of the origin.
 const ORIGIN: ServerId = ServerId(900);
-/// The kind of the origin.
+/// Endpoint kind of the origin.
 const ORIGIN_KIND: u32 = 7;
 
-/// Settings with one class of this idempotency, for one of a hundred balancers.
+/// Settings with one class of this idempotency, for one of 100 balancers.
 fn settings(idempotency: Idempotency, scope: DeduplicationScope) -> Settings {
     let class = Class {
         latency_objective: Micros(250_000),
@@ -77,7 +77,7 @@
     settings(Idempotency::Idempotent, DeduplicationScope::All)
 }
 
-/// A serving endpoint; zone and cell follow from its id.
+/// A serving endpoint whose zone and cell are derived from its id.
 fn endpoint(server: u64) -> Endpoint {
     let kind = if ServerId(server) == ORIGIN { ORIGIN_KIND } else { 0 };
     let (zone, cell) = ((server % 2) as u32, (server % 4) as u32);
@@ -92,7 +92,7 @@
     }
 }
 
-/// This number of cache servers, with ids from zero on, and the origin.
+/// This number of cache servers with ids from zero, and the origin.
 fn endpoints(cache_servers: u64) -> Vec<Endpoint> {
     (0..cache_servers).chain([ORIGIN.0]).map(endpoint).collect()
 }
@@ -103,7 +103,7 @@
     balancer
 }
 
-/// The actions that follow an event.
+/// Passes an event to the balancer and returns the resulting actions.
 fn handle(balancer: &mut Balancer, now: u64, event: Event) -> Vec<Action> {
     let mut actions = Vec::new();
     balancer.handle(Micros(now), event, &mut actions);
@@ -116,7 +116,7 @@
     RequestId(bytes)
 }
 
-/// A read that comes in now and may take a second.
+/// A read that arrives now with a deadline in one second.
 fn request(n: u64, now: u64, key: u64) -> Request {
     Request {
         id: request_id(n),
@@ -130,7 +130,7 @@
     }
 }
 
-/// An attempt ended after a millisecond.
+/// An attempt that completed after one millisecond.
 fn completed_attempt(n: u64, attempt: u32, server: ServerId, result: AttemptResult) -> CompletedAttempt {
     CompletedAttempt {
         id: request_id(n),
@@ -143,18 +143,18 @@
     }
 }
 
-/// The event that an attempt ended and its request is still open.
+/// The event for a completed attempt whose request stays open.
 fn completed(n: u64, attempt: u32, server: ServerId, result: AttemptResult) -> Event<'static> {
     Event::AttemptCompleted(completed_attempt(n, attempt, server, result))
 }
 
-/// The event that an attempt ended and its request has its final answer.
+/// The event for a completed attempt that closes its request.
 fn closing(n: u64, attempt: u32, server: ServerId, result: AttemptResult) -> Event<'static> {
     let ended = completed_attempt(n, attempt, server, result);
     Event::AttemptCompleted(CompletedAttempt { is_request_over: true, ..ended })
 }
 
-/// The server of the first send among these actions.
+/// Server of the first send among these actions.
 fn sent_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|action| match action {
         Action::Send { server, .. } => Some(*server),
@@ -162,7 +162,7 @@
     })
 }
 
-/// The only owner of a key.
+/// The owner of a key that has only one.
 fn owner_of(balancer: &mut Balancer, key: u64) -> ServerId {
     let servers = &balancer.endpoints.servers;
     let owners = balancer.placement.rank(Key(key), Micros(5), servers, &idempotent_settings());
@@ -170,7 +170,7 @@
     balancer.endpoints.servers[balancer.placement.candidates[0].server].endpoint.server
 }
 
-/// A gap on this rung that does not end by itself.
+/// A gap on this rung that does not expire during a test.
 fn gapped(rung: u32) -> Gap {
     let mut gap = Gap::default();
     gap.rung = rung;
@@ -179,7 +179,7 @@
     gap
 }
 
-/// Reserves all that reads may have at the origin.
+/// Reserves the whole capacity for reads at the origin.
 fn fill_origin(balancer: &mut Balancer) {
     let origin = &mut balancer.endpoints.server_mut(ORIGIN).expect("listed").concurrency;
     while origin.has_capacity(Micros(SECOND), false) {
--- a/src/balancer/tests/admission.rs
+++ b/src/balancer/tests/admission.rs
@@ -1,8 +1,8 @@
-//! Until when a request is worth serving.
+//! Tests of the time until which a request is worth serving.
 
 use super::*;
 
-/// A marked retry whose first attempt is past its latency objective is worth nothing, and takes nothing.
+/// A client retry whose first attempt is past its latency objective is rejected without an attempt.
 #[test]
 fn client_retry_past_its_objective_is_rejected_at_once() {
     let mut balancer = new_balancer(idempotent_settings(), &endpoints(4));
--- a/src/balancer/tests/capacity.rs
+++ b/src/balancer/tests/capacity.rs
@@ -1,5 +1,5 @@
-//! Measures the data path by number of balancers for docs/CAPACITY.md, in virtual time and seeded. Nothing is
-//! asserted here and nothing of it runs in CI: each entry point prints rows of comma-separated values.
+//! Measures the data path by number of balancers for docs/CAPACITY.md, in virtual time and seeded. The entry
+//! points assert nothing and do not run in CI: each prints rows of comma-separated values.
 //!
 //! `cargo test --release -p juniperladder --locked capacity_ -- --ignored --nocapture --test-threads 1`
 
@@ -11,14 +11,15 @@
 const SIZES: [usize; 5] = [125, 250, 500, 1_000, 2_000];
 const SEEDS: [u64; 3] = [1, 2, 3];
 const CACHES: u64 = 12;
-/// Requests a second from one balancer to one cache server at the peak: 1.3 million over 2,000 and 230.
+/// Requests per second from one balancer to one cache server at the peak: 1.3 million over 2,000 balancers
+/// and 230 cache servers.
 const PAIR_RATE: f64 = 2.8;
-/// How busy a cache server is at the ordinary peak.
+/// Utilisation of a cache server at the ordinary peak.
 const UTILISATION: f64 = 0.5;
-/// Requests a second that one worker of a cache serves: the base model has two for 20.
+/// Requests per second that one worker of a cache server can serve: the base model has two workers for 20.
 const WORKER_RATE: f64 = 10.0;
 
-/// As many workers and keys as keep the utilisation while the number of balancers grows.
+/// The scale of workers and keys that keeps the utilisation constant as the number of balancers grows.
 fn scale(balancers: usize) -> Scale {
     let workers = balancers as f64 * PAIR_RATE / UTILISATION / WORKER_RATE;
     Scale { factor: (workers / 2.0).round() as u64, ..Scale::default() }
@@ -37,7 +38,7 @@
     }
 }
 
-/// Greatest load over mean load of the caches, over these seconds.
+/// Ratio of the highest to the mean load of the cache servers in this range of seconds.
 fn peak_over_mean(day: &Day, from: usize, to: usize) -> f64 {
     let load = |cache: usize| day.cache_sends[from..to].iter().map(|second| second[cache]).sum::<f64>();
     let loads: Vec<f64> = (0..day.cache_sends[0].len()).map(load).collect();
@@ -53,7 +54,7 @@
     }
 }
 
-/// The ordinary peak: spread over the caches, attempts and fetches a request.
+/// The ordinary peak: load spread over the cache servers, attempts and fetches per request.
 #[test]
 #[ignore = "measures for docs/CAPACITY.md, minutes in a release build"]
 fn capacity_calm() {
@@ -71,7 +72,7 @@
     });
 }
 
-/// The ordinary peak by number of caches, before 125 balancers: spread over the caches.
+/// The ordinary peak with 125 balancers, by number of cache servers: load spread over them.
 #[test]
 #[ignore = "measures for docs/CAPACITY.md, minutes in a release build"]
 fn capacity_spread_by_servers() {
@@ -92,8 +93,8 @@
     }
 }
 
-/// One cache has a tenth, or a hundredth, of its strength from second 4 to 12: what is sent there over what
-/// it can do, in the first second and once all have had four.
+/// One cache server has a tenth or a hundredth of its capacity from second 4 to 12: the ratio of its sends to
+/// its capacity, in the first second and after four seconds.
 #[test]
 #[ignore = "measures for docs/CAPACITY.md, minutes in a release build"]
 fn capacity_overloaded_server() {
@@ -122,7 +123,7 @@
     );
 }
 
-/// All cache servers get twice what they can do.
+/// All cache servers receive twice the load that they can serve.
 #[test]
 #[ignore = "measures for docs/CAPACITY.md, minutes in a release build"]
 fn capacity_overloaded_fleet() {
@@ -132,7 +133,8 @@
         let calm = plan(balancers, seed, 10);
         let day = play_scaled(Plan { rate: calm.rate * 2.0 / UTILISATION, ..calm }, scale);
         let capacity = CACHES as f64 * scale.cache_rate();
-        // The origin has as many workers as all caches and takes half as long again.
+        // The origin has as many workers as all cache servers together and takes 1.5 times as long per
+        // request.
         let origin_capacity = capacity / 1.5;
         let admitted = day.cache_sends[5..10].iter().flatten().sum::<f64>() / 5.0;
         let useful = day.served[5..10].iter().sum::<f64>() / 5.0;
@@ -146,8 +148,9 @@
     });
 }
 
-/// Two caches of twelve are silent for three seconds and restart: the most sends in a second over what one
-/// in slow start can do then, and the most by which they passed what it bears and chance together.
+/// Two cache servers of twelve do not respond for three seconds and restart: the peak of the sends in one
+/// second relative to the capacity in slow start, and the peak excess over the tolerated load and random
+/// variation.
 #[test]
 #[ignore = "measures for docs/CAPACITY.md, minutes in a release build"]
 fn capacity_cold_server() {
@@ -168,19 +171,19 @@
     });
 }
 
-/// Discovery's calls, answered in turn.
+/// A discovery service that answers calls in order of arrival.
 struct CallQueue {
-    /// Microseconds for one call.
+    /// Time for one call, in microseconds.
     service_time: u64,
-    /// When the next call can be begun.
+    /// Time at which the next call can start.
     free_at: u64,
 }
 
 impl CallQueue {
-    /// The longest wait before a caller gives up, as in `node/src/discovery/timing.rs`.
+    /// Longest wait before a caller times out, as in `node/src/discovery/timing.rs`.
     const PATIENCE: u64 = 1_900_000;
 
-    /// When a call that comes now is answered, or given up.
+    /// Time at which a call that arrives now is answered, or else times out.
     fn call(&mut self, now: u64) -> Result<u64, u64> {
         let begin = self.free_at.max(now);
         if begin + self.service_time > now + Self::PATIENCE {
@@ -191,8 +194,8 @@
     }
 }
 
-/// Two balancers in five start at once before a discovery that answers calls in turn: when half, 99% and all
-/// of them have their list, and how many calls that took.
+/// Two of five balancers start at once with a discovery that answers calls in order of arrival: the time
+/// until half, 99% and all of them have their list, and the number of calls.
 #[test]
 #[ignore = "measures for docs/CAPACITY.md"]
 fn capacity_discovery_wave() {
--- a/src/balancer/tests/concurrency_limit.rs
+++ b/src/balancer/tests/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! The limit on attempts in flight at one server.
+//! Tests of the limit on attempts in flight at one server.
 
 use super::*;
 
@@ -11,8 +11,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// A server that responds well again has its limit back: each fast response that finds it in use raises
-    /// it. The latency of a server that has become slower for good is the baseline in half an hour.
+    /// The limit recovers for a server that responds well again: each fast response raises a limit in use.
+    /// The latency of a permanently slower server becomes the baseline within half an hour.
     #[test]
     fn limit_recovers_whatever_came_before(seed: u64, steps in 1usize..400, slower in 1u64..6) {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -48,9 +48,9 @@
     }
 }
 
-/// Under one attempt at a slow origin: reads pause between sends, a write goes as soon as nothing else is in
-/// flight. Three hundred balancers once served a quarter of their writes while reads that could not be in
-/// time took the rest.
+/// Guards against reads that block writes at a slow origin with a limit below one: reads pause between sends,
+/// while a write is sent as soon as nothing else is in flight. Without this rule, 300 balancers served a
+/// quarter of their writes, because reads that could not be in time used the rest of the capacity.
 #[test]
 fn limit_below_one_admits_a_write_before_reads() {
     let (now, mut concurrency) = (Micros(60 * SECOND), ConcurrencyLimit::new(300));
@@ -90,8 +90,8 @@
     assert_eq!((before, concurrency.in_flight()), (7.0, 9.0));
 }
 
-/// A client that is about to leave waits no meaningful time: its time-outs once limited healthy servers, and
-/// the retries that this caused fed them.
+/// Guards against a limit that drops for a healthy server because of timeouts of clients with little time
+/// left; the retries that this causes lead to more such timeouts.
 #[test]
 fn short_timeouts_do_not_decrease_the_limit() {
     for (latency, is_decreased) in [(20_000, false), (600_000, true)] {
--- a/src/balancer/tests/coordination.rs
+++ b/src/balancer/tests/coordination.rs
@@ -1,4 +1,4 @@
-//! How the decisions keep to what balancers share; a fake stands for the other balancers.
+//! Tests of shared limits and reports, with a fake in place of the other balancers.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -6,10 +6,10 @@
 
 use super::*;
 
-/// What the fake answers, and the calls that it got.
+/// Return values of the fake, and the calls that it received.
 #[derive(Debug, Default)]
 struct FakeState {
-    /// How long the next use of each limit has to wait; `None` if the limit is not shared.
+    /// Wait time of each limit; `None` if the limit is not shared.
     origin_wait: Option<Micros>,
     slow_start_wait: Option<Micros>,
     retry_wait: Option<Micros>,
@@ -17,7 +17,7 @@
     origin_queries: usize,
     acquired: Vec<SharedLimit>,
     rejected: Vec<SharedLimit>,
-    /// Servers observed, and whether each was silent.
+    /// Observed servers, and whether each failed to respond.
     observed: Vec<(ServerId, bool)>,
     first_attempts: usize,
     serving: Vec<ServingServer>,
@@ -72,7 +72,7 @@
     (balancer, coordination)
 }
 
-/// The first attempt has served its request, which is closed.
+/// The event for a first attempt that served and closed its request.
 fn served(n: u64, server: ServerId) -> Event<'static> {
     closing(n, 0, server, AttemptResult::Served)
 }
@@ -160,8 +160,8 @@
     assert_eq!((to, fake.0.borrow().acquired.last()), (Some(ServerId(0)), Some(&slow_start)));
 }
 
-/// A query that finds no token free counts as need: with nobody waiting, a balancer borrowed what it did not
-/// need.
+/// Guards against a balancer that borrows capacity without need: a query that finds no free token counts as
+/// demand, so it must not be made while no request waits.
 #[test]
 fn shared_origin_limit_is_not_queried_while_nobody_waits() {
     let (mut balancer, fake) = balancer_with_coordination(&endpoints(12));
--- a/src/balancer/tests/discovery_schedule.rs
+++ b/src/balancer/tests/discovery_schedule.rs
@@ -1,4 +1,4 @@
-//! When discovery is called: spread over a fleet, and within the poll interval.
+//! Tests of the schedule of discovery calls: spread over a fleet, and within the poll interval.
 
 use super::*;
 
@@ -24,8 +24,8 @@
     assert!(times.len() > 45 && times[49.min(times.len() - 1)] - times[0] > 3 * SECOND);
 }
 
-/// Ninety balancers start at once before a discovery that answers ten calls a second and fails the rest: the
-/// calls come spread out, and all have their list soon.
+/// Ninety balancers start at once with a discovery that answers ten calls a second and fails the others: the
+/// calls are spread out, and all balancers soon have their list.
 #[test]
 fn simultaneous_starts_do_not_overload_discovery() {
     const CALLS_PER_SECOND: usize = 10;
--- a/src/balancer/tests/endpoint_set.rs
+++ b/src/balancer/tests/endpoint_set.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in use: updates, drains, restarts, lists of any size.
+//! Tests of the endpoint list: updates, draining, restarts, lists of any size.
 
 use super::*;
 
@@ -28,7 +28,7 @@
     assert_eq!(balancer.endpoints.servers[1].gap.rung, 0);
 }
 
-/// Lists as discovery may give them: none, one, very many, one server twice.
+/// Lists that discovery may return: empty, with one server, with very many, with duplicates.
 #[test]
 fn endpoint_lists_of_any_size_are_routed() {
     let twice = [endpoints(3), endpoints(3)].concat();
--- a/src/balancer/tests/fleet.rs
+++ b/src/balancer/tests/fleet.rs
@@ -1,11 +1,11 @@
-//! Many balancers in one simulation: what they do together that is harmless in one. Sums over all of them are
-//! asserted.
+//! Simulations of many balancers, to find behaviour that is harmless in one balancer but not in a fleet.
+//! Assertions are on sums over all balancers.
 
 use super::simulation::{play, Day, Plan, Silence, Slowdown};
 
 const SIZES: [usize; 5] = [3, 12, 50, 100, 200];
 
-/// The plan of most tests here; some of it varies.
+/// The base scenario of the tests.
 fn plan(balancers: usize, silence: Silence) -> Plan {
     let slow_origin = Slowdown::NONE;
     Plan { seed: 5, balancers, caches: 24, rate: 240.0, seconds: 30, slow_origin, silence }
@@ -19,7 +19,8 @@
     by_second[from..to].iter().sum()
 }
 
-/// The same load by more balancers costs the origin and the caches no more, and is served as well.
+/// The same load over more balancers causes no more requests to the origin and the cache servers, and is
+/// served as well.
 #[test]
 fn more_balancers_cost_no_more_for_the_same_load() {
     let few = day(3, Silence::NONE);
@@ -38,9 +39,9 @@
     }
 }
 
-/// One cache server in six answers nothing for ten seconds, and each balancer meets it once in seconds: it
-/// loses its share of the attempts, most requests are served all the same, and it is not overloaded when it
-/// has restarted.
+/// One cache server in six does not respond for ten seconds, while each balancer sends to it only once in
+/// several seconds. It loses part of its share of the attempts, most requests are still served, and it is not
+/// overloaded after its restart.
 #[test]
 fn silent_server_that_each_balancer_meets_seldom_is_avoided_and_recovers() {
     for balancers in SIZES {
@@ -53,7 +54,8 @@
             day.served_share(22, 30),
             day.peak_slow_start_load
         );
-        // Two hundred meet a server once in 20 s each: hedged requests serve while none can have learnt.
+        // Each of 200 balancers sends to a server once in 20 s: hedged requests serve the clients before the
+        // balancers can detect the failure.
         assert!(
             lost < 0.75 || balancers > 100,
             "{balancers}: {lost:.2} of a silent server's share still goes there"
@@ -72,9 +74,9 @@
     }
 }
 
-/// Servers that restart under a busy day's load bear what all balancers together send: no more than 1.5 times
-/// what they can do then (sites bear three or four times), and what chance adds to that, whether three send
-/// or three hundred, with retries and hedged requests counted.
+/// Servers that restart at peak load tolerate the sends of all balancers together: at most 1.5 times their
+/// capacity at that time (sites tolerate three or four times) plus random variation, with 3 to 300 balancers,
+/// including retries and hedged requests.
 #[test]
 fn restarted_server_is_ramped_by_all_balancers_together() {
     for balancers in [3, 30, 300] {
@@ -95,7 +97,8 @@
     }
 }
 
-/// More than all caches can do, by few or by many balancers: the excess is rejected and the rest is served.
+/// Requests exceed the capacity of all cache servers, with few or many balancers: the excess is rejected and
+/// the rest is served.
 #[test]
 fn overloaded_fleet_sheds_the_excess_and_serves_the_rest() {
     for (balancers, min_served) in [(3, 300.0), (12, 250.0), (100, 80.0)] {
@@ -106,9 +109,9 @@
     }
 }
 
-/// Half of the caches are gone for four seconds and come back empty, while lists are up to two seconds apart
-/// between balancers: those who know and those who do not together overload no restarted server, and service
-/// goes on.
+/// Half of the cache servers do not respond for four seconds and restart empty, while balancers receive the
+/// updated list up to two seconds apart. Balancers with the old and the new list together overload no
+/// restarted server, and requests are still served.
 #[test]
 fn half_of_the_servers_restart_while_endpoint_lists_differ() {
     for balancers in SIZES {
@@ -131,7 +134,7 @@
             day.served_share(8, 14)
         );
         assert!(day.served_share(20, 30) > 0.97, "{balancers}: {:.3} served after", day.served_share(20, 30));
-        // The origin can do 320 a second and falls at 2.5 times that.
+        // The origin can serve 320 a second and fails at 2.5 times that rate.
         assert!(max_fetches < 2.0 * 320.0, "{balancers}: {max_fetches} fetches in a second");
     }
 }
--- a/src/balancer/tests/gap_ladder.rs
+++ b/src/balancer/tests/gap_ladder.rs
@@ -1,4 +1,4 @@
-//! The gap of one server, and what makes balancers gap a server.
+//! Tests of the gap of one server and of the results that raise it.
 
 use super::*;
 
@@ -10,12 +10,12 @@
     GapLadder::new(&idempotent_settings(), balancers)
 }
 
-/// The outcome of a send between these times, in microseconds.
+/// Outcome of a send, with its start and end in microseconds.
 fn send_outcome(sent: u64, completed: u64, is_rejected: bool) -> SendOutcome {
     SendOutcome { sent: Micros(sent), completed: Micros(completed), is_rejected }
 }
 
-/// Gives a gap outcomes that are `interval` apart, true for a rejection; returns the time of the last one.
+/// Passes outcomes at this interval to a gap, true for a rejection; returns the time of the last one.
 fn feed(gap: &mut Gap, from: u64, interval: u64, outcomes: &[bool]) -> u64 {
     let mut now = from;
     for is_rejected in outcomes {
@@ -58,7 +58,7 @@
 
 #[test]
 fn first_gap_is_that_of_the_rate_that_was_served() {
-    // Ten a second, half of them served: five a second pass from now on, at the nearest rungs.
+    // Ten sends a second, half of them served: the gap allows five a second, up to the spacing of the rungs.
     let mut gap = Gap::default();
     gap.on_send(Micros(SECOND), 0);
     feed(&mut gap, 2 * SECOND, 100_000, &[true, false, true, false, true, false]);
@@ -66,8 +66,8 @@
     assert!((150_000..=300_000).contains(&length), "{length}");
 }
 
-/// The answers to what filled a server come for a second after it was gapped; counting them as the gap's
-/// doing once drove it to the top.
+/// Guards against a gap that grows to the longest one: responses to the sends that overloaded a server arrive
+/// for a second after the gap was set, and must not count as evidence about the gap.
 #[test]
 fn outcomes_of_sends_before_a_raise_do_not_raise_again() {
     let mut gap = Gap::default();
@@ -131,7 +131,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// With demand it is gone 3 longest deadlines after its cause, without demand after 8 of them.
+    /// A gap ends within 3 longest deadlines after its cause with demand, and within 8 without demand.
     #[test]
     fn gap_ends_whatever_came_before(seed: u64, steps in 1usize..400) {
         let ladder = ladder();
@@ -159,8 +159,8 @@
     }
 }
 
-/// One of a hundred balancers sends to a server every few seconds: a window of four outcomes never fills, and
-/// it once sent on to servers that had been silent for half a minute.
+/// Guards against sends to a server that has not responded for half a minute: one of 100 balancers sends to a
+/// server every few seconds, so that a window of four outcomes would never be complete.
 #[test]
 fn one_of_many_balancers_gaps_a_silent_server_at_the_first_timeout() {
     for (balancers, is_gapped) in [(3, false), (100, true)] {
--- a/src/balancer/tests/hedging.rs
+++ b/src/balancer/tests/hedging.rs
@@ -1,9 +1,9 @@
-//! When an attempt without an answer is hedged, and what its silence shows.
+//! Tests of hedged requests, and of attempts without a response as evidence against their server.
 
 use super::*;
 
-/// Who seldom meets a server knows little of it: where it has not responded lately, the hedged request goes
-/// sooner.
+/// A balancer that seldom sends to a server knows little about it: without a recent response, the request is
+/// hedged sooner.
 #[test]
 fn server_without_a_recent_response_is_hedged_sooner() {
     let mut settings = idempotent_settings();
@@ -21,7 +21,7 @@
     assert!(soon > 150_000 && later < 110_000 && first == later, "{first} {soon} {later}");
 }
 
-/// A server whose response is overdue is gapped when the hedged request is due, unless all servers are as
+/// A server whose response is overdue is gapped when the hedging timer is due, unless all servers are as
 /// slow.
 #[test]
 fn silence_gaps_a_server_only_where_others_are_fast() {
@@ -53,8 +53,8 @@
     }
 }
 
-/// A read whose cache server does not respond is sent to the origin as well, within the budget and where the
-/// site allows it; the first response serves it, and it is not sent a third time.
+/// A read without a response from its cache server is also sent to the origin, within the budget and if the
+/// site allows it. The first response serves the request, and no third attempt is sent.
 #[test]
 fn hedged_request_goes_to_the_origin_within_the_budget() {
     for (allowed, balancers, range) in [(true, 1, 31..=40), (true, 100, 121..=130), (false, 1, 0..=0)] {
@@ -88,7 +88,7 @@
     }
 }
 
-/// A write that is out at two servers, the second by a hedged request, and when that was.
+/// A write in flight at two servers, the second of them by a hedged request, and the time of the second send.
 fn hedged_write() -> (Balancer, [ServerId; 2], u64) {
     let mut settings = idempotent_settings();
     settings.mode = CacheMode::ReadThrough;
@@ -118,7 +118,8 @@
     }
 }
 
-/// Guards against capacity that stays reserved for good for a write whose client left while it was out at two servers.
+/// Guards against capacity that stays reserved forever for a write whose client disconnected while the write
+/// was in flight at two servers.
 #[test]
 fn abandoned_write_with_a_hedged_request_out_leaves_nothing_reserved() {
     let (mut balancer, servers, now) = hedged_write();
@@ -129,7 +130,8 @@
     assert_nothing_reserved(&mut balancer, servers);
 }
 
-/// Guards against the same where one of the two answers first.
+/// Guards against capacity that stays reserved forever for a write in flight at two servers after one of them
+/// has responded.
 #[test]
 fn write_that_one_of_two_servers_served_leaves_nothing_reserved() {
     for answers_first in [0, 1] {
--- a/src/balancer/tests/history.rs
+++ b/src/balancer/tests/history.rs
@@ -1,6 +1,6 @@
-//! Random histories of one balancer, checked against its guarantees after each event: every request gets one
-//! final answer, nothing is executed twice that must not be, and nothing new goes to a server that is
-//! draining or gone.
+//! Random histories of one balancer, checked against its guarantees after each event: every request gets
+//! exactly one final answer, no request is executed twice unless that is safe, and no new attempt goes to a
+//! server that is draining or gone.
 
 use std::collections::BTreeMap;
 
@@ -8,11 +8,11 @@
 
 const CACHE_SERVERS: u64 = 6;
 
-/// An attempt, as the history knows it.
+/// An attempt as recorded by the history.
 struct KnownAttempt {
     server: ServerId,
     sent: u64,
-    /// None while it is in flight.
+    /// `None` while the attempt is in flight.
     result: Option<AttemptResult>,
 }
 
@@ -31,14 +31,14 @@
     }
 }
 
-/// What the history knows of one request, to check the balancer's actions by.
+/// A request as recorded by the history, to check the balancer's actions.
 #[derive(Default)]
 struct KnownRequest {
     deadline: u64,
     attempts: Vec<KnownAttempt>,
 }
 
-/// Something that happens to the balancer.
+/// An input to the balancer.
 enum Happening {
     EndpointChanged(Endpoint),
     Other(Event<'static>),
@@ -52,7 +52,7 @@
     may_duplicate: bool,
     server_states: Vec<EndpointState>,
     open: BTreeMap<RequestId, KnownRequest>,
-    /// Time and token of each timer.
+    /// Time and token of each pending timer.
     timers: Vec<(u64, u64)>,
     actions: Vec<Action>,
 }
@@ -74,12 +74,12 @@
         }
     }
 
-    /// Draws what happens next, lets it happen and checks what the balancer does about it.
+    /// Draws the inputs of one step, applies them and checks the resulting actions.
     fn step(&mut self, n: u64) -> Result<(), TestCaseError> {
         self.now += self.rng.u64(1..20_000);
         let mut happenings = self.due_timers();
         match self.rng.u32(0..10) {
-            // The history knows of the change at once, so the balancer must hear of it first.
+            // The history records the change immediately, so the balancer must receive it first.
             0 => {
                 let change = self.draw_endpoint_change();
                 happenings.insert(0, change);
@@ -123,7 +123,7 @@
         Happening::Other(Event::Request(Request { is_write, is_client_retry, ..read }))
     }
 
-    /// Ends an attempt of the first request whose turn it is, if there is one.
+    /// Completes an attempt of the first open request that is late or is drawn, if there is one.
     fn draw_attempt_result(&mut self) -> Option<Happening> {
         let Self { open, rng, now, .. } = self;
         let (id, attempt, is_late) = open.iter().find_map(|(id, known)| {
@@ -237,7 +237,7 @@
     }
 }
 
-/// Plays a history; returns all actions and the number of requests that stay open.
+/// Runs a history; returns all actions and the number of requests that are still open.
 fn play(
     seed: u64,
     idempotency: Idempotency,
--- a/src/balancer/tests/limit_view.rs
+++ b/src/balancer/tests/limit_view.rs
@@ -1,4 +1,4 @@
-//! What operators see of the limits.
+//! Tests of the operators' view of the limits.
 
 use super::*;
 
@@ -19,7 +19,8 @@
     assert_eq!(limits.waiting_for_origin, 1);
 }
 
-/// Guards against an idle server named as full: one attempt may always go out, however low the limit is.
+/// Guards against a view that shows an idle server as full: one attempt is always allowed, however low the
+/// limit is.
 #[test]
 fn idle_server_with_a_limit_below_one_is_not_full() {
     let mut balancer = new_balancer(idempotent_settings(), &endpoints(1));
--- a/src/balancer/tests/open_request.rs
+++ b/src/balancer/tests/open_request.rs
@@ -1,9 +1,9 @@
-//! What may be done with a request, by its idempotency and the results of its attempts.
+//! Tests of whether a request may be sent or rejected, by its idempotency and the results of its attempts.
 
 use super::*;
 
-/// Every combination of idempotency, deduplication scope, result and time: may it be sent again, may it be
-/// rejected?
+/// Checks every combination of idempotency, deduplication scope, result and time: whether the request may be
+/// sent again, and whether it may be rejected.
 #[test]
 fn idempotency_and_result_decide_on_retries_and_rejection() {
     let never_executed =
--- a/src/balancer/tests/origin.rs
+++ b/src/balancer/tests/origin.rs
@@ -1,9 +1,10 @@
-//! The way to the origin: its gap, its limit and the queue before it.
+//! Tests of the origin's gap, concurrency limit and queue.
 
 use super::*;
 
-/// What is not sent to the origin is lost as well: where many balancers found it out of reach, a write goes
-/// again within the longest deadline of its being back. The gap of one of three hundred was ten of those.
+/// Guards against a gap at the origin of ten times the longest deadline, which one of 300 balancers once had
+/// after connection failures. No other server can take the origin's requests, so a write must be sent within
+/// the longest deadline of the origin's recovery.
 #[test]
 fn unreachable_origin_is_tried_again_within_the_longest_deadline() {
     let mut settings = settings(Idempotency::WithIdempotencyKey, DeduplicationScope::All);
@@ -24,8 +25,8 @@
     assert!(longest < SECOND + 200_000 && now - last < SECOND + 200_000, "{longest} µs without an attempt");
 }
 
-/// The queue before a full origin is short, preempts the lowest priority at once, and serves the highest
-/// first.
+/// The queue for an origin without capacity is short, preempts the lowest priority at once, and sends the
+/// highest priority first.
 #[test]
 fn queue_keeps_and_serves_the_highest_priorities() {
     let mut balancer = new_balancer(idempotent_settings(), &endpoints(0));
@@ -62,7 +63,7 @@
     assert_eq!(order[..2], [request_id(7), request_id(4)], "the write, then the read of the popular key");
 }
 
-/// A request whose time to wait is over is rejected while its client can still go elsewhere.
+/// A request that has waited for its maximum time is rejected while its client can still retry elsewhere.
 #[test]
 fn queued_request_is_rejected_before_its_objective() {
     let mut balancer = new_balancer(idempotent_settings(), &endpoints(0));
--- a/src/balancer/tests/placement.rs
+++ b/src/balancer/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: which servers own a key, and in which order they are tried.
+//! Tests of placement: the owners of a key, and the order in which they are tried.
 
 use std::collections::BTreeSet;
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// The owners of a popular key are the same at every balancer; each reads from one in its own zone first.
+/// All balancers agree on the owners of a popular key; each of them prefers an owner in its own zone.
 #[test]
 fn popular_key_is_read_in_the_own_zone_first() {
     let owners_seen_from = |zone: u32| {
--- a/src/balancer/tests/settings.rs
+++ b/src/balancer/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that make no sense, and the list of the decisions' files.
+//! Tests of unusable settings and of the list of decision files.
 
 use super::*;
 
@@ -28,7 +28,7 @@
     handle(&mut empty, 10, Event::Timer(u64::MAX));
 }
 
-/// Settings that make no sense have sound defaults, and nothing is divided by zero.
+/// Unusable settings are replaced by usable ones, and nothing is divided by zero.
 #[test]
 fn senseless_settings_lose_no_request() {
     for (balancers, initial_share) in [(0, 0.0), (u32::MAX, f64::NAN), (1, f64::INFINITY)] {
@@ -47,7 +47,7 @@
     }
 }
 
-/// All files of the decisions are named in the deploy file, and their lines are short.
+/// The deploy file lists all files of the decisions, and their lines are short.
 #[test]
 fn deploy_file_lists_every_file_of_decisions() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
--- a/src/balancer/tests/simulation.rs
+++ b/src/balancer/tests/simulation.rs
@@ -1,21 +1,21 @@
-//! A deterministic simulation of balancers, cache servers whose copies writes invalidate, an origin and
-//! clients that retry, in virtual time and seeded.
+//! A deterministic simulation, in virtual time and seeded, of balancers, cache servers whose copies are
+//! invalidated by writes, an origin, and clients that retry.
 //!
-//! It reproduces a feedback loop: a rejected miss stays a miss for all who ask for the key, and their retries
-//! ask again.
+//! It reproduces a feedback loop: after a rejected miss the key is still not cached, so later requests for it
+//! miss as well, and client retries repeat them.
 
 mod engine;
 
 use super::*;
 use engine::Simulation;
 
-/// Keys at scale 1.
+/// Number of keys at scale 1.
 const KEYS: u64 = 120;
-/// Mean seconds of work for a hit at a cache server, and for a request at the origin.
+/// Mean work in seconds of a hit at a cache server and of a request at the origin.
 const HIT_SECONDS: f64 = 0.1;
 const FETCH_SECONDS: f64 = 0.15;
 
-/// Between these seconds work takes so many times as long.
+/// A period in seconds during which work takes longer by a factor.
 #[derive(Clone, Copy)]
 pub struct Slowdown {
     pub from: u64,
@@ -35,8 +35,8 @@
     }
 }
 
-/// Between these seconds the cache servers answer nothing whose number is a multiple of `every`. Then they
-/// have restarted empty, and balancers hear of it within two seconds.
+/// A period in seconds during which the cache servers whose number is a multiple of `every` do not respond.
+/// At its end they restart with empty caches, and the balancers receive the update within two seconds.
 #[derive(Clone, Copy)]
 pub struct Silence {
     pub from: u64,
@@ -48,25 +48,25 @@
     pub const NONE: Silence = Silence { from: 0, to: 0, every: 1 };
 }
 
-/// What is simulated.
+/// Parameters of a simulation.
 #[derive(Clone, Copy)]
 pub struct Plan {
     pub seed: u64,
     pub balancers: usize,
     pub caches: u64,
-    /// Requests a second, of all balancers together.
+    /// Requests per second over all balancers.
     pub rate: f64,
     pub seconds: u64,
     pub slow_origin: Slowdown,
     pub silence: Silence,
 }
 
-/// How large the model is: the tests simulate one time its base, the capacity figures more.
+/// Size of the model: the tests simulate the base size, the capacity measurements larger ones.
 #[derive(Clone, Copy)]
 pub struct Scale {
-    /// Factor on the workers of each cache and of the origin, and on the keys.
+    /// Factor on the numbers of workers of each cache server and of the origin, and of keys.
     pub factor: u64,
-    /// When cache server 1 is slow.
+    /// Slowdown of cache server 1.
     pub slow_cache: Slowdown,
 }
 
@@ -81,36 +81,36 @@
         KEYS * self.factor
     }
 
-    /// The workers of a cache server.
+    /// Number of workers of a cache server.
     fn workers(&self) -> u64 {
         2 * self.factor
     }
 
-    /// Requests a second that a cache server with all its capacity can serve.
+    /// Requests per second that a cache server can serve at full capacity.
     pub fn cache_rate(&self) -> f64 {
         self.workers() as f64 / HIT_SECONDS
     }
 }
 
-/// What happened, by second where it is a list.
+/// Results of a simulation; lists are indexed by second.
 #[derive(Default)]
 pub struct Day {
     /// First attempts of clients.
     pub requested: Vec<f64>,
-    /// Those of them that were served within the objective.
+    /// First attempts that were served within the latency objective.
     pub served: Vec<f64>,
     /// Sends to the origin.
     pub fetches: Vec<f64>,
-    /// Sends to cache servers while they were silent.
+    /// Sends to cache servers that do not respond.
     pub lost_sends: Vec<f64>,
     pub hits: f64,
     pub sends: f64,
-    /// The most sends in a second to one server in slow start, relative to what it can do then.
+    /// Peak of the sends to one server in slow start in one second, relative to its capacity at that time.
     pub peak_slow_start_load: f64,
-    /// The most by which those of balancers that had heard of its start were over what it bears, and what
-    /// chance adds to that, 2 roots and 2.
+    /// Peak excess of the sends from balancers that know of the restart over the load that the server
+    /// tolerates plus the random variation, which is taken as 2 square roots of that load and 2.
     pub excess_over_chance: f64,
-    /// Sends to each cache server, by second.
+    /// Sends by second and cache server.
     pub cache_sends: Vec<Vec<f64>>,
 }
 
@@ -127,7 +127,7 @@
         }
     }
 
-    /// The share of requests that was served in time between these seconds.
+    /// Share of the requests in this range of seconds that was served in time.
     pub fn served_share(&self, from: usize, to: usize) -> f64 {
         self.served[from..to].iter().sum::<f64>() / self.requested[from..to].iter().sum::<f64>()
     }
@@ -146,8 +146,8 @@
     Simulation::new(plan, scale).run()
 }
 
-/// A rejected miss stays a miss for all who ask for the key, and their retries ask again: the collapse once
-/// outlived a slow origin for the rest of the day.
+/// Guards against a collapse that outlasts a slow origin for the rest of the day: after a rejected miss the
+/// key is still not cached, so later requests for it miss as well, and client retries repeat them.
 #[test]
 fn service_recovers_with_a_slow_origin() {
     for seed in 0..6 {
@@ -161,8 +161,8 @@
     }
 }
 
-/// Six caches of two workers can do 120 hits a second: the excess is rejected in time to leave them work that
-/// still counts.
+/// Six cache servers with two workers each can serve 120 hits a second. The excess is rejected early enough
+/// to leave them work that is still useful.
 #[test]
 fn overloaded_caches_shed_the_excess_and_serve_the_rest() {
     for seed in 0..4 {
--- a/src/balancer/tests/simulation/engine.rs
+++ b/src/balancer/tests/simulation/engine.rs
@@ -1,28 +1,28 @@
-//! The events of the simulation: arrivals, attempts, responses and client retries.
+//! The event loop of the simulation: arrivals, attempts, responses and client retries.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
 use super::*;
 
-/// Work of a miss, as a share of that of a hit.
+/// Work of a miss at a cache server, as a share of the work of a hit.
 const MISS_WORK_SHARE: f64 = 0.45;
-/// Requests that count as served in time are answered within this time.
+/// Latency objective: requests answered within this time in microseconds count as served.
 const OBJECTIVE: u64 = 750_000;
-/// The time that a client waits over all its attempts, and that of one attempt of its own.
+/// Total time that a client waits over all its attempts, and for one attempt of its own, in microseconds.
 const CLIENT_DEADLINE: u64 = 1_500_000;
 const CLIENT_ATTEMPT_DEADLINE: u64 = 1_100_000;
-/// Retries of a client's own.
+/// Maximum number of retries by a client.
 const MAX_CLIENT_RETRIES: usize = 2;
-/// A cache server's share of its capacity when it starts, what it gains, and the seconds until it has all of
-/// it.
+/// Share of its capacity that a cache server has when it starts, the growth of this share, and the seconds
+/// until the server has its full capacity.
 const INITIAL_SHARE: f64 = 0.32;
 const SHARE_GROWTH: f64 = 0.68;
 const SLOW_START_SECONDS: u64 = 9;
-/// What a server in slow start bears, relative to what it can do.
+/// Load that a server in slow start tolerates, as a ratio to its capacity.
 const BEARABLE_LOAD: f64 = 1.5;
 
-/// Something that is due.
+/// A scheduled event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Arrival,
@@ -42,7 +42,7 @@
         request: u64,
         attempt: u32,
     },
-    /// A balancer hears that the silent cache servers have restarted.
+    /// A balancer receives the update that cache servers have restarted.
     RestartsListed {
         balancer: usize,
     },
@@ -54,16 +54,16 @@
     is_in_flight: bool,
 }
 
-/// One attempt of a client, which is a request to a balancer.
+/// One attempt of a client, which is one request to a balancer.
 struct ClientAttempt {
-    /// When the client first sent it.
+    /// Time of the client's first attempt.
     first_sent: u64,
     retries: usize,
     key: u64,
     is_write: bool,
     deadline: u64,
     balancer: usize,
-    /// Cache servers that answered with a miss.
+    /// Cache servers that responded with a miss.
     missed_at: Vec<u64>,
     attempts: Vec<SimulatedAttempt>,
     is_open: bool,
@@ -73,22 +73,23 @@
     rng: fastrand::Rng,
     now: u64,
     due: BinaryHeap<Reverse<(u64, u64, Due)>>,
-    /// Numbers what is due, and requests.
+    /// Counter that numbers scheduled events and requests.
     count: u64,
     balancers: Vec<Balancer>,
     requests: HashMap<u64, ClientAttempt>,
-    /// The keys that each cache server holds.
+    /// Cached keys, by cache server.
     cached: Vec<HashSet<u64>>,
-    /// When each worker is free, of each cache server and of the origin, which comes last.
+    /// Time at which each worker is free, by server; the origin is the last server.
     workers: Vec<BinaryHeap<Reverse<u64>>>,
     plan: Plan,
     scale: Scale,
-    /// The cache servers that have restarted.
+    /// Cache servers that have restarted.
     restarted: HashSet<u64>,
-    /// The balancers that have heard of the restarts.
+    /// Balancers that have received the update about the restarts.
     informed: HashSet<usize>,
-    /// Sends to each server in slow start, by second; and those of informed balancers.
+    /// Sends by server in slow start and second.
     slow_start_sends: HashMap<(u64, u64), f64>,
+    /// Sends of informed balancers, by server in slow start and second.
     informed_sends: HashMap<(u64, u64), f64>,
     day: Day,
 }
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Plays all that is due until nothing is.
+    /// Processes scheduled events until none is left.
     pub fn run(mut self) -> Day {
         self.schedule(SECOND, Due::Arrival);
         self.schedule_restart_news();
@@ -184,14 +185,14 @@
         }
     }
 
-    /// A client sends its first attempt, and the next arrival is drawn.
+    /// Sends the first attempt of a client and schedules the next arrival.
     fn on_arrival(&mut self) {
         if self.now >= (self.plan.seconds + 1) * SECOND {
             return;
         }
         let pause_seconds = -(1.0 - self.rng.f64()).ln() / self.plan.rate;
         self.schedule(self.now + (pause_seconds * 1e6) as u64, Due::Arrival);
-        // A few keys are far more popular than the rest.
+        // A few keys are far more popular than the others.
         let key = ((self.scale.keys() as f64).powf(self.rng.f64()) - 1.0) as u64;
         let is_write = self.rng.f64() < 0.1;
         let balancer = self.rng.usize(..self.plan.balancers);
@@ -285,7 +286,8 @@
         }
     }
 
-    /// Counts what a cache server that restarts is sent; returns whether it is silent now.
+    /// Counts the sends to a cache server in slow start; returns whether the server currently does not
+    /// respond.
     fn count_restarts_and_silence(&mut self, number: u64, server: u64, second: u64) -> bool {
         let Silence { from, to, every } = self.plan.silence;
         if to == 0 || !server.is_multiple_of(every) {
@@ -316,7 +318,7 @@
         }
     }
 
-    /// Queues work, first come first served; returns when it is done.
+    /// Queues work at a server in order of arrival; returns the time of its completion.
     fn occupy_worker(&mut self, index: usize, server: u64, is_hit: bool, expires: u64) -> u64 {
         let is_origin = ServerId(server) == ORIGIN;
         let second = self.now / SECOND;
@@ -327,7 +329,7 @@
         let work = (drawn * if is_hit { 1.0 } else { MISS_WORK_SHARE } * 1e6) as u64;
         let mut free = self.workers[index].peek_mut().expect("workers");
         let begin = free.0.max(self.now);
-        // The origin drops what nobody waits for; a cache server goes on with it.
+        // The origin drops abandoned work; a cache server continues it.
         if !is_origin || begin < expires {
             *free = Reverse(begin + work);
         }
@@ -376,7 +378,7 @@
         self.handle(balancer, Event::AttemptCompleted(ended));
     }
 
-    /// A client whose request was rejected or failed sends it again, twice at most.
+    /// Schedules a client's retry of a rejected or failed request, up to the maximum number of retries.
     fn on_not_served(&mut self, number: u64, retry_after: u64) {
         let request = self.requests.get_mut(&number).expect("requested");
         request.is_open = false;
--- a/src/balancer/tests/slow_start.rs
+++ b/src/balancer/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: how much a server gets that has started lately.
+//! Tests of slow start, the load limit of recently started servers.
 
 use super::*;
 
@@ -13,7 +13,7 @@
     assert!((weight_at(0) - 0.1).abs() < 1e-9, "one that starts in the future has the initial share");
 }
 
-/// Gapped servers once shed all their keys onto one that had just started.
+/// Guards against overload of a server that has just started, when gapped servers pass all their keys to it.
 #[test]
 fn server_in_slow_start_gets_its_weight_of_the_response_rate() {
     let rules = idempotent_settings().rules;
@@ -30,6 +30,6 @@
             sent += 1;
         }
     }
-    // Two seconds at 50 a second and a weight of 0.10 to 0.19, times CREDIT_FACTOR.
+    // Two seconds at 50 responses a second and a weight of 0.10 to 0.19, times CREDIT_FACTOR.
     assert!((14..=20).contains(&sent), "{sent}");
 }
--- a/src/balancer/tests/zone_health.rs
+++ b/src/balancer/tests/zone_health.rs
@@ -1,16 +1,16 @@
-//! Zones that are unhealthy as a whole.
+//! Tests of the detection of unhealthy zones.
 
 use super::*;
 
-/// Attempts in zones 0 and 1 in turn, of which zone 0 rejects all.
+/// Records attempts in zones 0 and 1 in turn; all attempts in zone 0 are rejected.
 fn reject_all_in_even_zone(balancer: &mut Balancer, attempts: u32) {
     for n in 0..attempts {
         balancer.zones.on_attempt_completed(n % 2, n % 2 == 0);
     }
 }
 
-/// A zone that is lost as a whole is found by a few attempts there, not by each of its servers in turn; while
-/// all zones fail alike none is avoided; and it is back after a few responses.
+/// The outage of a zone is detected by a few attempts there, not server by server. No zone is avoided while
+/// all fail alike, and a zone is used again after a few responses.
 #[test]
 fn zone_is_avoided_and_used_again_as_a_whole() {
     let mut zones = ZoneHealth::default();
@@ -46,8 +46,8 @@
     assert!(even * 4 < all, "{even} of {all} to a zone in which every attempt was rejected");
 }
 
-/// However long a zone was unhealthy, one attempt in twenty still goes there: it is found again as soon as it
-/// is back.
+/// One attempt in twenty still goes to a zone that has been unhealthy for long, so that its recovery is
+/// detected soon.
 #[test]
 fn zone_that_is_unhealthy_for_long_still_gets_some_attempts() {
     let mut balancer = new_balancer(idempotent_settings(), &endpoints(24));
