--- a/src/balancer/tests/capacity.rs
+++ b/src/balancer/tests/capacity.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use super::simulation::{play_scaled, Day, Plan, Scale, Silence, Slowdown};
+use super::simulation::{simulate_scaled, Plan, Scale, Silence, SimulationResult, Slowdown};
 use super::*;
 
 const SIZES: [usize; 5] = [125, 250, 500, 1_000, 2_000];
@@ -39,9 +39,9 @@
 }
 
 /// Ratio of the highest to the mean load of the cache servers in this range of seconds.
-fn peak_over_mean(day: &Day, from: usize, to: usize) -> f64 {
-    let load = |cache: usize| day.cache_sends[from..to].iter().map(|second| second[cache]).sum::<f64>();
-    let loads: Vec<f64> = (0..day.cache_sends[0].len()).map(load).collect();
+fn peak_over_mean(result: &SimulationResult, from: usize, to: usize) -> f64 {
+    let load = |cache: usize| result.cache_sends[from..to].iter().map(|second| second[cache]).sum::<f64>();
+    let loads: Vec<f64> = (0..result.cache_sends[0].len()).map(load).collect();
     let mean = loads.iter().sum::<f64>() / loads.len() as f64;
     loads.into_iter().fold(0.0, f64::max) / mean
 }
@@ -60,14 +60,14 @@
 fn capacity_calm() {
     println!("balancers,seed,served,peak_over_mean,attempts_per_request,fetches_per_request");
     each_size(|balancers, seed| {
-        let day = play_scaled(plan(balancers, seed, 10), scale(balancers));
-        let requested: f64 = day.requested[..10].iter().sum();
+        let result = simulate_scaled(plan(balancers, seed, 10), scale(balancers));
+        let requested: f64 = result.requested[..10].iter().sum();
         println!(
             "{balancers},{seed},{:.4},{:.3},{:.4},{:.4}",
-            day.served_share(5, 10),
-            peak_over_mean(&day, 5, 10),
-            day.sends / requested,
-            day.fetches.iter().sum::<f64>() / requested
+            result.served_share(5, 10),
+            peak_over_mean(&result, 5, 10),
+            result.sends / requested,
+            result.fetches.iter().sum::<f64>() / requested
         );
     });
 }
@@ -81,13 +81,13 @@
     for caches in [12, 30, 60, 115, 230] {
         for seed in SEEDS {
             let rate = BALANCERS as f64 * caches as f64 * PAIR_RATE;
-            let day = play_scaled(Plan { caches, rate, ..plan(BALANCERS, seed, 6) }, scale(BALANCERS));
-            let requested: f64 = day.requested[..6].iter().sum();
+            let result = simulate_scaled(Plan { caches, rate, ..plan(BALANCERS, seed, 6) }, scale(BALANCERS));
+            let requested: f64 = result.requested[..6].iter().sum();
             println!(
                 "{caches},{seed},{:.4},{:.3},{:.4}",
-                day.served_share(3, 6),
-                peak_over_mean(&day, 3, 6),
-                day.sends / requested
+                result.served_share(3, 6),
+                peak_over_mean(&result, 3, 6),
+                result.sends / requested
             );
         }
     }
@@ -106,11 +106,11 @@
 
 fn overloaded_server(balancers: usize, seed: u64, times: f64) {
     let scale = Scale { slow_cache: Slowdown { from: 5, to: 13, factor: times }, ..scale(balancers) };
-    let day = play_scaled(plan(balancers, seed, 12), scale);
+    let result = simulate_scaled(plan(balancers, seed, 12), scale);
     let capacity = scale.cache_rate() / times;
-    let load: Vec<f64> = (4..12).map(|second| day.cache_sends[second][1]).collect();
+    let load: Vec<f64> = (4..12).map(|second| result.cache_sends[second][1]).collect();
     let settled = load[4..].iter().sum::<f64>() / 4.0;
-    let demand = day.cache_sends[..4].iter().map(|second| second[1]).sum::<f64>() / 4.0;
+    let demand = result.cache_sends[..4].iter().map(|second| second[1]).sum::<f64>() / 4.0;
     println!(
         "{times},{balancers},{seed},{:.2},{:.2},{:.2},{:.2},{:.2},{:.4},{:.3}",
         demand / capacity,
@@ -118,7 +118,7 @@
         settled / capacity,
         load[4..].iter().copied().fold(f64::MAX, f64::min) / capacity,
         load[4..].iter().copied().fold(0.0, f64::max) / capacity,
-        day.served_share(8, 12),
+        result.served_share(8, 12),
         settled / balancers as f64
     );
 }
@@ -131,14 +131,14 @@
     each_size(|balancers, seed| {
         let scale = scale(balancers);
         let calm = plan(balancers, seed, 10);
-        let day = play_scaled(Plan { rate: calm.rate * 2.0 / UTILISATION, ..calm }, scale);
+        let result = simulate_scaled(Plan { rate: calm.rate * 2.0 / UTILISATION, ..calm }, scale);
         let capacity = CACHES as f64 * scale.cache_rate();
         // The origin has as many workers as all cache servers together and takes 1.5 times as long per
         // request.
         let origin_capacity = capacity / 1.5;
-        let admitted = day.cache_sends[5..10].iter().flatten().sum::<f64>() / 5.0;
-        let useful = day.served[5..10].iter().sum::<f64>() / 5.0;
-        let fetches = day.fetches[5..10].iter().sum::<f64>() / 5.0;
+        let admitted = result.cache_sends[5..10].iter().flatten().sum::<f64>() / 5.0;
+        let useful = result.served[5..10].iter().sum::<f64>() / 5.0;
+        let fetches = result.fetches[5..10].iter().sum::<f64>() / 5.0;
         println!(
             "{balancers},{seed},{:.3},{:.3},{:.3}",
             admitted / capacity,
@@ -159,13 +159,13 @@
     );
     each_size(|balancers, seed| {
         let plan = Plan { silence: Silence { from: 4, to: 7, every: 6 }, ..plan(balancers, seed, 14) };
-        let day = play_scaled(plan, scale(balancers));
-        let lost: f64 = day.lost_sends.iter().sum();
+        let result = simulate_scaled(plan, scale(balancers));
+        let lost: f64 = result.lost_sends.iter().sum();
         println!(
             "{balancers},{seed},{:.3},{:.1},{:.4},{lost:.0},{:.2}",
-            day.peak_slow_start_load,
-            day.excess_over_chance,
-            day.served_share(3, 6),
+            result.peak_slow_start_load,
+            result.excess_over_chance,
+            result.served_share(3, 6),
             lost / balancers as f64
         );
     });
--- a/src/balancer/tests/fleet.rs
+++ b/src/balancer/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Simulations of many balancers, to find behaviour that is harmless in one balancer but not in a fleet.
 //! Assertions are on sums over all balancers.
 
-use super::simulation::{play, Day, Plan, Silence, Slowdown};
+use super::simulation::{simulate, Plan, Silence, SimulationResult, Slowdown};
 
 const SIZES: [usize; 5] = [3, 12, 50, 100, 200];
 
@@ -11,8 +11,8 @@
     Plan { seed: 5, balancers, caches: 24, rate: 240.0, seconds: 30, slow_origin, silence }
 }
 
-fn day(balancers: usize, silence: Silence) -> Day {
-    play(plan(balancers, silence))
+fn simulate_default(balancers: usize, silence: Silence) -> SimulationResult {
+    simulate(plan(balancers, silence))
 }
 
 fn sum(by_second: &[f64], from: usize, to: usize) -> f64 {
@@ -23,9 +23,9 @@
 /// served as well.
 #[test]
 fn more_balancers_cost_no_more_for_the_same_load() {
-    let few = day(3, Silence::NONE);
+    let few = simulate_default(3, Silence::NONE);
     for balancers in SIZES {
-        let many = day(balancers, Silence::NONE);
+        let many = simulate_default(balancers, Silence::NONE);
         let (fetches, before) = (sum(&many.fetches, 5, 30), sum(&few.fetches, 5, 30));
         println!(
             "{balancers:4} balancers: {:.3} served, {:.1} fetches a second, {:.3} hits and {:.3} attempts a request",
@@ -45,14 +45,14 @@
 #[test]
 fn silent_server_that_each_balancer_meets_seldom_is_avoided_and_recovers() {
     for balancers in SIZES {
-        let day = day(balancers, Silence { from: 8, to: 18, every: 6 });
-        let silent_share = 4.0 / 24.0 * sum(&day.requested, 11, 17);
-        let lost = sum(&day.lost_sends, 11, 17) / silent_share;
+        let result = simulate_default(balancers, Silence { from: 8, to: 18, every: 6 });
+        let silent_share = 4.0 / 24.0 * sum(&result.requested, 11, 17);
+        let lost = sum(&result.lost_sends, 11, 17) / silent_share;
         println!(
             "{balancers:4} balancers: {lost:.2} of its share lost, {:.3} served, {:.3} after, restarted server at {:.2}",
-            day.served_share(11, 17),
-            day.served_share(22, 30),
-            day.peak_slow_start_load
+            result.served_share(11, 17),
+            result.served_share(22, 30),
+            result.peak_slow_start_load
         );
         // Each of 200 balancers sends to a server once in 20 s: hedged requests serve the clients before the
         // balancers can detect the failure.
@@ -61,15 +61,19 @@
             "{balancers}: {lost:.2} of a silent server's share still goes there"
         );
         assert!(
-            day.served_share(11, 17) > 0.97,
+            result.served_share(11, 17) > 0.97,
             "{balancers}: {:.3} served meanwhile",
-            day.served_share(11, 17)
+            result.served_share(11, 17)
         );
-        assert!(day.served_share(22, 30) > 0.97, "{balancers}: {:.3} served after", day.served_share(22, 30));
         assert!(
-            day.peak_slow_start_load < 4.0,
+            result.served_share(22, 30) > 0.97,
+            "{balancers}: {:.3} served after",
+            result.served_share(22, 30)
+        );
+        assert!(
+            result.peak_slow_start_load < 4.0,
             "{balancers}: a restarted server was sent {:.2} times what it can do",
-            day.peak_slow_start_load
+            result.peak_slow_start_load
         );
     }
 }
@@ -82,16 +86,16 @@
     for balancers in [3, 30, 300] {
         for seed in [5, 6, 7] {
             let silence = Silence { from: 6, to: 9, every: 6 };
-            let day = play(Plan { seed, rate: 360.0, seconds: 19, ..plan(balancers, silence) });
+            let result = simulate(Plan { seed, rate: 360.0, seconds: 19, ..plan(balancers, silence) });
             println!(
                 "{balancers:4} balancers: restarted server at {:.2}, {:.1} over",
-                day.peak_slow_start_load, day.excess_over_chance
+                result.peak_slow_start_load, result.excess_over_chance
             );
-            assert!(day.peak_slow_start_load > 0.2, "{balancers}: it is sent something");
+            assert!(result.peak_slow_start_load > 0.2, "{balancers}: it is sent something");
             assert!(
-                day.excess_over_chance <= 0.0,
+                result.excess_over_chance <= 0.0,
                 "{balancers}, seed {seed}: {:.1} sends over",
-                day.excess_over_chance
+                result.excess_over_chance
             );
         }
     }
@@ -102,8 +106,8 @@
 #[test]
 fn overloaded_fleet_sheds_the_excess_and_serves_the_rest() {
     for (balancers, min_served) in [(3, 300.0), (12, 250.0), (100, 80.0)] {
-        let day = play(Plan { rate: 1000.0, seconds: 20, ..plan(balancers, Silence::NONE) });
-        let served = sum(&day.served, 5, 20) / 15.0;
+        let result = simulate(Plan { rate: 1000.0, seconds: 20, ..plan(balancers, Silence::NONE) });
+        let served = sum(&result.served, 5, 20) / 15.0;
         println!("{balancers:4} balancers: {served:.0} a second served of 1000 requested, 480 can be");
         assert!(served > min_served, "{balancers}: {served:.0} a second served");
     }
@@ -115,25 +119,29 @@
 #[test]
 fn half_of_the_servers_restart_while_endpoint_lists_differ() {
     for balancers in SIZES {
-        let day = day(balancers, Silence { from: 8, to: 12, every: 2 });
-        let max_fetches = day.fetches.iter().fold(0.0, |a: f64, b| a.max(*b));
+        let result = simulate_default(balancers, Silence { from: 8, to: 12, every: 2 });
+        let max_fetches = result.fetches.iter().fold(0.0, |a: f64, b| a.max(*b));
         println!(
             "{balancers:4} balancers: {:.3} served, {:.3} after, restarted server at {:.2}, {max_fetches} fetches at most in a second",
-            day.served_share(8, 14),
-            day.served_share(20, 30),
-            day.peak_slow_start_load
+            result.served_share(8, 14),
+            result.served_share(20, 30),
+            result.peak_slow_start_load
         );
         assert!(
-            day.peak_slow_start_load < 4.0,
+            result.peak_slow_start_load < 4.0,
             "{balancers}: a restarted server was sent {:.2} times what it can do",
-            day.peak_slow_start_load
+            result.peak_slow_start_load
         );
         assert!(
-            day.served_share(8, 14) > 0.8,
+            result.served_share(8, 14) > 0.8,
             "{balancers}: {:.3} served meanwhile",
-            day.served_share(8, 14)
+            result.served_share(8, 14)
+        );
+        assert!(
+            result.served_share(20, 30) > 0.97,
+            "{balancers}: {:.3} served after",
+            result.served_share(20, 30)
         );
-        assert!(day.served_share(20, 30) > 0.97, "{balancers}: {:.3} served after", day.served_share(20, 30));
         // The origin can serve 320 a second and fails at 2.5 times that rate.
         assert!(max_fetches < 2.0 * 320.0, "{balancers}: {max_fetches} fetches in a second");
     }
--- a/src/balancer/tests/simulation.rs
+++ b/src/balancer/tests/simulation.rs
@@ -94,7 +94,7 @@
 
 /// Results of a simulation; lists are indexed by second.
 #[derive(Default)]
-pub struct Day {
+pub struct SimulationResult {
     /// First attempts of clients.
     pub requested: Vec<f64>,
     /// First attempts that were served within the latency objective.
@@ -114,16 +114,16 @@
     pub cache_sends: Vec<Vec<f64>>,
 }
 
-impl Day {
-    fn new(seconds: u64, caches: u64) -> Day {
+impl SimulationResult {
+    fn new(seconds: u64, caches: u64) -> SimulationResult {
         let zeros = vec![0.0; seconds as usize + 5];
-        Day {
+        SimulationResult {
             requested: zeros.clone(),
             served: zeros.clone(),
             fetches: zeros.clone(),
             lost_sends: zeros.clone(),
             cache_sends: vec![vec![0.0; caches as usize]; zeros.len()],
-            ..Day::default()
+            ..SimulationResult::default()
         }
     }
 
@@ -134,15 +134,15 @@
 }
 
 /// Simulates three balancers and six cache servers.
-fn play_small(seed: u64, rate: f64, seconds: u64, slow_origin: Slowdown) -> Day {
-    play(Plan { seed, balancers: 3, caches: 6, rate, seconds, slow_origin, silence: Silence::NONE })
+fn simulate_small_fleet(seed: u64, rate: f64, seconds: u64, slow_origin: Slowdown) -> SimulationResult {
+    simulate(Plan { seed, balancers: 3, caches: 6, rate, seconds, slow_origin, silence: Silence::NONE })
 }
 
-pub fn play(plan: Plan) -> Day {
-    play_scaled(plan, Scale::default())
+pub fn simulate(plan: Plan) -> SimulationResult {
+    simulate_scaled(plan, Scale::default())
 }
 
-pub fn play_scaled(plan: Plan, scale: Scale) -> Day {
+pub fn simulate_scaled(plan: Plan, scale: Scale) -> SimulationResult {
     Simulation::new(plan, scale).run()
 }
 
@@ -151,10 +151,10 @@
 #[test]
 fn service_recovers_with_a_slow_origin() {
     for seed in 0..6 {
-        let day = play_small(seed, 75.0, 40, Slowdown { from: 10, to: 18, factor: 7.0 });
-        let before = day.served_share(2, 10);
-        let during = day.served_share(10, 18);
-        let after = day.served_share(21, 40);
+        let result = simulate_small_fleet(seed, 75.0, 40, Slowdown { from: 10, to: 18, factor: 7.0 });
+        let before = result.served_share(2, 10);
+        let during = result.served_share(10, 18);
+        let after = result.served_share(21, 40);
         assert!(before > 0.93, "seed {seed}: {before:.3} before");
         assert!(during > 0.25, "seed {seed}: {during:.3} while it is slow: caches are kept filled");
         assert!(after > 0.95, "seed {seed}: {after:.3} from three seconds after it was slow");
@@ -166,8 +166,8 @@
 #[test]
 fn overloaded_caches_shed_the_excess_and_serve_the_rest() {
     for seed in 0..4 {
-        let day = play_small(seed, 260.0, 20, Slowdown::NONE);
-        let served = day.served[5..20].iter().sum::<f64>() / 15.0;
+        let result = simulate_small_fleet(seed, 260.0, 20, Slowdown::NONE);
+        let served = result.served[5..20].iter().sum::<f64>() / 15.0;
         assert!(served > 100.0, "seed {seed}: {served:.0} a second served of 260 requested");
     }
 }
--- a/src/balancer/tests/simulation/engine.rs
+++ b/src/balancer/tests/simulation/engine.rs
@@ -91,7 +91,7 @@
     slow_start_sends: HashMap<(u64, u64), f64>,
     /// Sends of informed balancers, by server in slow start and second.
     informed_sends: HashMap<(u64, u64), f64>,
-    day: Day,
+    result: SimulationResult,
 }
 
 fn balancer_settings(balancers: usize) -> Settings {
@@ -139,19 +139,19 @@
             informed: HashSet::new(),
             slow_start_sends: HashMap::new(),
             informed_sends: HashMap::new(),
-            day: Day::new(plan.seconds, plan.caches),
+            result: SimulationResult::new(plan.seconds, plan.caches),
         }
     }
 
     /// Processes scheduled events until none is left.
-    pub fn run(mut self) -> Day {
+    pub fn run(mut self) -> SimulationResult {
         self.schedule(SECOND, Due::Arrival);
         self.schedule_restart_news();
         while let Some(Reverse((at, _, due))) = self.due.pop() {
             self.now = at;
             self.on_due(due);
         }
-        self.day
+        self.result
     }
 
     fn schedule(&mut self, at: u64, due: Due) {
@@ -196,7 +196,7 @@
         let key = ((self.scale.keys() as f64).powf(self.rng.f64()) - 1.0) as u64;
         let is_write = self.rng.f64() < 0.1;
         let balancer = self.rng.usize(..self.plan.balancers);
-        self.day.requested[(self.now / SECOND - 1) as usize] += 1.0;
+        self.result.requested[(self.now / SECOND - 1) as usize] += 1.0;
         self.send_request(self.now, 0, key, is_write, balancer);
     }
 
@@ -257,7 +257,7 @@
         let is_origin = ServerId(server) == ORIGIN;
         let second = self.now / SECOND;
         let is_silent = !is_origin && self.count_restarts_and_silence(number, server, second);
-        self.day.sends += 1.0;
+        self.result.sends += 1.0;
 
         let index = if is_origin { self.plan.caches } else { server } as usize;
         let request = self.requests.get_mut(&number).expect("requested");
@@ -269,16 +269,16 @@
         let done = self.occupy_worker(index, server, is_hit, expires);
         let by_second = second as usize - 1;
         if is_origin {
-            self.day.fetches[by_second] += 1.0;
+            self.result.fetches[by_second] += 1.0;
         } else {
-            self.day.cache_sends[by_second][index] += 1.0;
+            self.result.cache_sends[by_second][index] += 1.0;
         }
         if is_silent {
-            self.day.lost_sends[by_second] += 1.0;
+            self.result.lost_sends[by_second] += 1.0;
             self.schedule(expires, Due::Expired { request: number, attempt });
             return;
         }
-        self.day.hits += f64::from(!is_origin && is_hit);
+        self.result.hits += f64::from(!is_origin && is_hit);
         if done < expires {
             self.schedule(done, Due::Done { request: number, attempt });
         } else {
@@ -308,13 +308,13 @@
         let capacity = self.scale.cache_rate() * capacity_share;
         let sends = self.slow_start_sends.entry((server, second)).or_default();
         *sends += 1.0;
-        self.day.peak_slow_start_load = self.day.peak_slow_start_load.max(*sends / capacity);
+        self.result.peak_slow_start_load = self.result.peak_slow_start_load.max(*sends / capacity);
         if self.informed.contains(&self.requests[&number].balancer) {
             let sends = self.informed_sends.entry((server, second)).or_default();
             *sends += 1.0;
             let bearable = BEARABLE_LOAD * capacity;
             let excess = *sends - (bearable + 2.0 * bearable.sqrt() + 2.0);
-            self.day.excess_over_chance = self.day.excess_over_chance.max(excess);
+            self.result.excess_over_chance = self.result.excess_over_chance.max(excess);
         }
     }
 
@@ -369,7 +369,7 @@
         if result == AttemptResult::Served && request.is_open {
             request.is_open = false;
             if self.now <= request.first_sent + OBJECTIVE {
-                self.day.served[(request.first_sent / SECOND - 1) as usize] += 1.0;
+                self.result.served[(request.first_sent / SECOND - 1) as usize] += 1.0;
             }
         }
         let (balancer, is_request_over) = (request.balancer, !request.is_open);
