--- a/src/balancer/tests/capacity.rs
+++ b/src/balancer/tests/capacity.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use super::simulation::{simulate_scaled, Plan, Scale, Silence, SimulationResult, Slowdown};
+use super::simulation::{simulate_scaled, Outage, Scale, Scenario, SimulationResult, Slowdown};
 use super::*;
 
 const SIZES: [usize; 5] = [125, 250, 500, 1_000, 2_000];
@@ -25,16 +25,16 @@
     Scale { factor: (workers / 2.0).round() as u64, ..Scale::default() }
 }
 
-fn plan(balancers: usize, seed: u64, seconds: u64) -> Plan {
+fn scenario(balancers: usize, seed: u64, seconds: u64) -> Scenario {
     let rate = balancers as f64 * CACHES as f64 * PAIR_RATE;
-    Plan {
+    Scenario {
         seed,
         balancers,
         caches: CACHES,
         rate,
         seconds,
         slow_origin: Slowdown::NONE,
-        silence: Silence::NONE,
+        outage: Outage::NONE,
     }
 }
 
@@ -60,7 +60,7 @@
 fn capacity_calm() {
     println!("balancers,seed,served,peak_over_mean,attempts_per_request,fetches_per_request");
     each_size(|balancers, seed| {
-        let result = simulate_scaled(plan(balancers, seed, 10), scale(balancers));
+        let result = simulate_scaled(scenario(balancers, seed, 10), scale(balancers));
         let requested: f64 = result.requested[..10].iter().sum();
         println!(
             "{balancers},{seed},{:.4},{:.3},{:.4},{:.4}",
@@ -81,7 +81,8 @@
     for caches in [12, 30, 60, 115, 230] {
         for seed in SEEDS {
             let rate = BALANCERS as f64 * caches as f64 * PAIR_RATE;
-            let result = simulate_scaled(Plan { caches, rate, ..plan(BALANCERS, seed, 6) }, scale(BALANCERS));
+            let result =
+                simulate_scaled(Scenario { caches, rate, ..scenario(BALANCERS, seed, 6) }, scale(BALANCERS));
             let requested: f64 = result.requested[..6].iter().sum();
             println!(
                 "{caches},{seed},{:.4},{:.3},{:.4}",
@@ -106,7 +107,7 @@
 
 fn overloaded_server(balancers: usize, seed: u64, times: f64) {
     let scale = Scale { slow_cache: Slowdown { from: 5, to: 13, factor: times }, ..scale(balancers) };
-    let result = simulate_scaled(plan(balancers, seed, 12), scale);
+    let result = simulate_scaled(scenario(balancers, seed, 12), scale);
     let capacity = scale.cache_rate() / times;
     let load: Vec<f64> = (4..12).map(|second| result.cache_sends[second][1]).collect();
     let settled = load[4..].iter().sum::<f64>() / 4.0;
@@ -130,8 +131,8 @@
     println!("balancers,seed,admitted_over_capacity,useful_over_capacity,fetches_over_origin");
     each_size(|balancers, seed| {
         let scale = scale(balancers);
-        let calm = plan(balancers, seed, 10);
-        let result = simulate_scaled(Plan { rate: calm.rate * 2.0 / UTILISATION, ..calm }, scale);
+        let calm = scenario(balancers, seed, 10);
+        let result = simulate_scaled(Scenario { rate: calm.rate * 2.0 / UTILISATION, ..calm }, scale);
         let capacity = CACHES as f64 * scale.cache_rate();
         // The origin has as many workers as all cache servers together and takes 1.5 times as long per
         // request.
@@ -158,8 +159,9 @@
         "cold,balancers,seed,most_over_capacity,over_chance,served_meanwhile,sends_lost,lost_per_balancer"
     );
     each_size(|balancers, seed| {
-        let plan = Plan { silence: Silence { from: 4, to: 7, every: 6 }, ..plan(balancers, seed, 14) };
-        let result = simulate_scaled(plan, scale(balancers));
+        let scenario =
+            Scenario { outage: Outage { from: 4, to: 7, every: 6 }, ..scenario(balancers, seed, 14) };
+        let result = simulate_scaled(scenario, scale(balancers));
         let lost: f64 = result.lost_sends.iter().sum();
         println!(
             "{balancers},{seed},{:.3},{:.1},{:.4},{lost:.0},{:.2}",
--- a/src/balancer/tests/fleet.rs
+++ b/src/balancer/tests/fleet.rs
@@ -1,18 +1,18 @@
 //! Simulations of many balancers, to find behaviour that is harmless in one balancer but not in a fleet.
 //! Assertions are on sums over all balancers.
 
-use super::simulation::{simulate, Plan, Silence, SimulationResult, Slowdown};
+use super::simulation::{simulate, Outage, Scenario, SimulationResult, Slowdown};
 
 const SIZES: [usize; 5] = [3, 12, 50, 100, 200];
 
 /// The base scenario of the tests.
-fn plan(balancers: usize, silence: Silence) -> Plan {
+fn scenario(balancers: usize, outage: Outage) -> Scenario {
     let slow_origin = Slowdown::NONE;
-    Plan { seed: 5, balancers, caches: 24, rate: 240.0, seconds: 30, slow_origin, silence }
+    Scenario { seed: 5, balancers, caches: 24, rate: 240.0, seconds: 30, slow_origin, outage }
 }
 
-fn simulate_default(balancers: usize, silence: Silence) -> SimulationResult {
-    simulate(plan(balancers, silence))
+fn simulate_default(balancers: usize, outage: Outage) -> SimulationResult {
+    simulate(scenario(balancers, outage))
 }
 
 fn sum(by_second: &[f64], from: usize, to: usize) -> f64 {
@@ -23,9 +23,9 @@
 /// served as well.
 #[test]
 fn more_balancers_cost_no_more_for_the_same_load() {
-    let few = simulate_default(3, Silence::NONE);
+    let few = simulate_default(3, Outage::NONE);
     for balancers in SIZES {
-        let many = simulate_default(balancers, Silence::NONE);
+        let many = simulate_default(balancers, Outage::NONE);
         let (fetches, before) = (sum(&many.fetches, 5, 30), sum(&few.fetches, 5, 30));
         println!(
             "{balancers:4} balancers: {:.3} served, {:.1} fetches a second, {:.3} hits and {:.3} attempts a request",
@@ -45,9 +45,9 @@
 #[test]
 fn silent_server_that_each_balancer_meets_seldom_is_avoided_and_recovers() {
     for balancers in SIZES {
-        let result = simulate_default(balancers, Silence { from: 8, to: 18, every: 6 });
-        let silent_share = 4.0 / 24.0 * sum(&result.requested, 11, 17);
-        let lost = sum(&result.lost_sends, 11, 17) / silent_share;
+        let result = simulate_default(balancers, Outage { from: 8, to: 18, every: 6 });
+        let outage_share = 4.0 / 24.0 * sum(&result.requested, 11, 17);
+        let lost = sum(&result.lost_sends, 11, 17) / outage_share;
         println!(
             "{balancers:4} balancers: {lost:.2} of its share lost, {:.3} served, {:.3} after, restarted server at {:.2}",
             result.served_share(11, 17),
@@ -85,8 +85,8 @@
 fn restarted_server_is_ramped_by_all_balancers_together() {
     for balancers in [3, 30, 300] {
         for seed in [5, 6, 7] {
-            let silence = Silence { from: 6, to: 9, every: 6 };
-            let result = simulate(Plan { seed, rate: 360.0, seconds: 19, ..plan(balancers, silence) });
+            let outage = Outage { from: 6, to: 9, every: 6 };
+            let result = simulate(Scenario { seed, rate: 360.0, seconds: 19, ..scenario(balancers, outage) });
             println!(
                 "{balancers:4} balancers: restarted server at {:.2}, {:.1} over",
                 result.peak_slow_start_load, result.excess_over_chance
@@ -106,7 +106,7 @@
 #[test]
 fn overloaded_fleet_sheds_the_excess_and_serves_the_rest() {
     for (balancers, min_served) in [(3, 300.0), (12, 250.0), (100, 80.0)] {
-        let result = simulate(Plan { rate: 1000.0, seconds: 20, ..plan(balancers, Silence::NONE) });
+        let result = simulate(Scenario { rate: 1000.0, seconds: 20, ..scenario(balancers, Outage::NONE) });
         let served = sum(&result.served, 5, 20) / 15.0;
         println!("{balancers:4} balancers: {served:.0} a second served of 1000 requested, 480 can be");
         assert!(served > min_served, "{balancers}: {served:.0} a second served");
@@ -119,7 +119,7 @@
 #[test]
 fn half_of_the_servers_restart_while_endpoint_lists_differ() {
     for balancers in SIZES {
-        let result = simulate_default(balancers, Silence { from: 8, to: 12, every: 2 });
+        let result = simulate_default(balancers, Outage { from: 8, to: 12, every: 2 });
         let max_fetches = result.fetches.iter().fold(0.0, |a: f64, b| a.max(*b));
         println!(
             "{balancers:4} balancers: {:.3} served, {:.3} after, restarted server at {:.2}, {max_fetches} fetches at most in a second",
--- a/src/balancer/tests/simulation.rs
+++ b/src/balancer/tests/simulation.rs
@@ -38,19 +38,19 @@
 /// A period in seconds during which the cache servers whose number is a multiple of `every` do not respond.
 /// At its end they restart with empty caches, and the balancers receive the update within two seconds.
 #[derive(Clone, Copy)]
-pub struct Silence {
+pub struct Outage {
     pub from: u64,
     pub to: u64,
     pub every: u64,
 }
 
-impl Silence {
-    pub const NONE: Silence = Silence { from: 0, to: 0, every: 1 };
+impl Outage {
+    pub const NONE: Outage = Outage { from: 0, to: 0, every: 1 };
 }
 
 /// Parameters of a simulation.
 #[derive(Clone, Copy)]
-pub struct Plan {
+pub struct Scenario {
     pub seed: u64,
     pub balancers: usize,
     pub caches: u64,
@@ -58,7 +58,7 @@
     pub rate: f64,
     pub seconds: u64,
     pub slow_origin: Slowdown,
-    pub silence: Silence,
+    pub outage: Outage,
 }
 
 /// Size of the model: the tests simulate the base size, the capacity measurements larger ones.
@@ -135,15 +135,15 @@
 
 /// Simulates three balancers and six cache servers.
 fn simulate_small_fleet(seed: u64, rate: f64, seconds: u64, slow_origin: Slowdown) -> SimulationResult {
-    simulate(Plan { seed, balancers: 3, caches: 6, rate, seconds, slow_origin, silence: Silence::NONE })
+    simulate(Scenario { seed, balancers: 3, caches: 6, rate, seconds, slow_origin, outage: Outage::NONE })
 }
 
-pub fn simulate(plan: Plan) -> SimulationResult {
-    simulate_scaled(plan, Scale::default())
+pub fn simulate(scenario: Scenario) -> SimulationResult {
+    simulate_scaled(scenario, Scale::default())
 }
 
-pub fn simulate_scaled(plan: Plan, scale: Scale) -> SimulationResult {
-    Simulation::new(plan, scale).run()
+pub fn simulate_scaled(scenario: Scenario, scale: Scale) -> SimulationResult {
+    Simulation::new(scenario, scale).run()
 }
 
 /// Guards against a collapse that outlasts a slow origin for the rest of the day: after a rejected miss the
--- a/src/balancer/tests/simulation/engine.rs
+++ b/src/balancer/tests/simulation/engine.rs
@@ -81,7 +81,7 @@
     cached: Vec<HashSet<u64>>,
     /// Time at which each worker is free, by server; the origin is the last server.
     workers: Vec<BinaryHeap<Reverse<u64>>>,
-    plan: Plan,
+    scenario: Scenario,
     scale: Scale,
     /// Cache servers that have restarted.
     restarted: HashSet<u64>,
@@ -111,35 +111,35 @@
 }
 
 impl Simulation {
-    pub fn new(plan: Plan, scale: Scale) -> Simulation {
-        let settings = balancer_settings(plan.balancers);
+    pub fn new(scenario: Scenario, scale: Scale) -> Simulation {
+        let settings = balancer_settings(scenario.balancers);
         let new_balancer = |n| {
-            let mut balancer = Balancer::new(settings.clone(), plan.seed * 10 + n);
-            let list = endpoints(plan.caches);
+            let mut balancer = Balancer::new(settings.clone(), scenario.seed * 10 + n);
+            let list = endpoints(scenario.caches);
             handle(&mut balancer, 1, Event::EndpointsChanged(EndpointUpdate::Restored, &list));
             balancer
         };
         let workers = |server| {
-            let is_origin = server == plan.caches;
-            let count = if is_origin { scale.workers() * plan.caches } else { scale.workers() };
+            let is_origin = server == scenario.caches;
+            let count = if is_origin { scale.workers() * scenario.caches } else { scale.workers() };
             (0..count).map(|_| Reverse(0)).collect()
         };
         Simulation {
-            rng: fastrand::Rng::with_seed(plan.seed),
+            rng: fastrand::Rng::with_seed(scenario.seed),
             now: SECOND,
             due: BinaryHeap::new(),
             count: 0,
-            balancers: (0..plan.balancers as u64).map(new_balancer).collect(),
+            balancers: (0..scenario.balancers as u64).map(new_balancer).collect(),
             requests: HashMap::new(),
-            cached: vec![(0..scale.keys()).collect(); plan.caches as usize],
-            workers: (0..=plan.caches).map(workers).collect(),
-            plan,
+            cached: vec![(0..scale.keys()).collect(); scenario.caches as usize],
+            workers: (0..=scenario.caches).map(workers).collect(),
+            scenario,
             scale,
             restarted: HashSet::new(),
             informed: HashSet::new(),
             slow_start_sends: HashMap::new(),
             informed_sends: HashMap::new(),
-            result: SimulationResult::new(plan.seconds, plan.caches),
+            result: SimulationResult::new(scenario.seconds, scenario.caches),
         }
     }
 
@@ -160,12 +160,12 @@
     }
 
     fn schedule_restart_news(&mut self) {
-        if self.plan.silence.to == 0 {
+        if self.scenario.outage.to == 0 {
             return;
         }
-        for balancer in 0..self.plan.balancers {
+        for balancer in 0..self.scenario.balancers {
             let delay = self.rng.u64(..2 * SECOND);
-            self.schedule(self.plan.silence.to * SECOND + delay, Due::RestartsListed { balancer });
+            self.schedule(self.scenario.outage.to * SECOND + delay, Due::RestartsListed { balancer });
         }
     }
 
@@ -187,23 +187,23 @@
 
     /// Sends the first attempt of a client and schedules the next arrival.
     fn on_arrival(&mut self) {
-        if self.now >= (self.plan.seconds + 1) * SECOND {
+        if self.now >= (self.scenario.seconds + 1) * SECOND {
             return;
         }
-        let pause_seconds = -(1.0 - self.rng.f64()).ln() / self.plan.rate;
+        let pause_seconds = -(1.0 - self.rng.f64()).ln() / self.scenario.rate;
         self.schedule(self.now + (pause_seconds * 1e6) as u64, Due::Arrival);
         // A few keys are far more popular than the others.
         let key = ((self.scale.keys() as f64).powf(self.rng.f64()) - 1.0) as u64;
         let is_write = self.rng.f64() < 0.1;
-        let balancer = self.rng.usize(..self.plan.balancers);
+        let balancer = self.rng.usize(..self.scenario.balancers);
         self.result.requested[(self.now / SECOND - 1) as usize] += 1.0;
         self.send_request(self.now, 0, key, is_write, balancer);
     }
 
     fn list_restarts(&mut self, balancer: usize) {
-        let Silence { to, every, .. } = self.plan.silence;
+        let Outage { to, every, .. } = self.scenario.outage;
         let started = Micros(to * SECOND);
-        let restarted = (0..self.plan.caches).filter(|server| server.is_multiple_of(every));
+        let restarted = (0..self.scenario.caches).filter(|server| server.is_multiple_of(every));
         let list: Vec<_> = restarted.map(|server| Endpoint { started, ..endpoint(server) }).collect();
         self.informed.insert(balancer);
         self.handle(balancer, Event::EndpointsChanged(EndpointUpdate::Delta, &list));
@@ -256,10 +256,10 @@
     fn start_attempt(&mut self, number: u64, server: u64, timeout: u64) {
         let is_origin = ServerId(server) == ORIGIN;
         let second = self.now / SECOND;
-        let is_silent = !is_origin && self.count_restarts_and_silence(number, server, second);
+        let is_unresponsive = !is_origin && self.count_restarts_and_unresponsiveness(number, server, second);
         self.result.sends += 1.0;
 
-        let index = if is_origin { self.plan.caches } else { server } as usize;
+        let index = if is_origin { self.scenario.caches } else { server } as usize;
         let request = self.requests.get_mut(&number).expect("requested");
         let is_hit = is_origin || self.cached[index].contains(&request.key);
         request.attempts.push(SimulatedAttempt { server, sent: self.now, is_in_flight: true });
@@ -273,7 +273,7 @@
         } else {
             self.result.cache_sends[by_second][index] += 1.0;
         }
-        if is_silent {
+        if is_unresponsive {
             self.result.lost_sends[by_second] += 1.0;
             self.schedule(expires, Due::Expired { request: number, attempt });
             return;
@@ -288,8 +288,8 @@
 
     /// Counts the sends to a cache server in slow start; returns whether the server currently does not
     /// respond.
-    fn count_restarts_and_silence(&mut self, number: u64, server: u64, second: u64) -> bool {
-        let Silence { from, to, every } = self.plan.silence;
+    fn count_restarts_and_unresponsiveness(&mut self, number: u64, server: u64, second: u64) -> bool {
+        let Outage { from, to, every } = self.scenario.outage;
         if to == 0 || !server.is_multiple_of(every) {
             return false;
         }
@@ -303,7 +303,7 @@
     }
 
     fn count_slow_start_send(&mut self, number: u64, server: u64, second: u64) {
-        let age = self.now - self.plan.silence.to * SECOND;
+        let age = self.now - self.scenario.outage.to * SECOND;
         let capacity_share = INITIAL_SHARE + SHARE_GROWTH * age as f64 / (SLOW_START_SECONDS * SECOND) as f64;
         let capacity = self.scale.cache_rate() * capacity_share;
         let sends = self.slow_start_sends.entry((server, second)).or_default();
@@ -322,7 +322,7 @@
     fn occupy_worker(&mut self, index: usize, server: u64, is_hit: bool, expires: u64) -> u64 {
         let is_origin = ServerId(server) == ORIGIN;
         let second = self.now / SECOND;
-        let origin_factor = if is_origin { self.plan.slow_origin.factor_at(second) } else { 1.0 };
+        let origin_factor = if is_origin { self.scenario.slow_origin.factor_at(second) } else { 1.0 };
         let cache_factor = if server == 1 { self.scale.slow_cache.factor_at(second) } else { 1.0 };
         let mean = if is_origin { FETCH_SECONDS } else { HIT_SECONDS } * (origin_factor * cache_factor);
         let drawn = mean * (0.4 - 0.6 * (1.0 - self.rng.f64()).ln());
