--- a/src/balancer/tests/fleet.rs
+++ b/src/balancer/tests/fleet.rs
@@ -46,8 +46,8 @@
 fn silent_server_that_each_balancer_meets_seldom_is_avoided_and_recovers() {
     for balancers in SIZES {
         let result = simulate_default(balancers, Outage { from: 8, to: 18, every: 6 });
-        let outage_share = 4.0 / 24.0 * sum(&result.requested, 11, 17);
-        let lost = sum(&result.lost_sends, 11, 17) / outage_share;
+        let expected_sends = 4.0 / 24.0 * sum(&result.requested, 11, 17);
+        let lost = sum(&result.lost_sends, 11, 17) / expected_sends;
         println!(
             "{balancers:4} balancers: {lost:.2} of its share lost, {:.3} served, {:.3} after, restarted server at {:.2}",
             result.served_share(11, 17),
--- a/src/balancer/tests/simulation/engine.rs
+++ b/src/balancer/tests/simulation/engine.rs
@@ -20,11 +20,11 @@
 const SHARE_GROWTH: f64 = 0.68;
 const SLOW_START_SECONDS: u64 = 9;
 /// Load that a server in slow start tolerates, as a ratio to its capacity.
-const BEARABLE_LOAD: f64 = 1.5;
+const TOLERABLE_LOAD_RATIO: f64 = 1.5;
 
 /// A scheduled event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum ScheduledEvent {
     Arrival,
     ClientRetry {
         request: u64,
@@ -43,7 +43,7 @@
         attempt: u32,
     },
     /// A balancer receives the update that cache servers have restarted.
-    RestartsListed {
+    RestartUpdate {
         balancer: usize,
     },
 }
@@ -72,9 +72,9 @@
 pub struct Simulation {
     rng: fastrand::Rng,
     now: u64,
-    due: BinaryHeap<Reverse<(u64, u64, Due)>>,
+    events: BinaryHeap<Reverse<(u64, u64, ScheduledEvent)>>,
     /// Counter that numbers scheduled events and requests.
-    count: u64,
+    last_number: u64,
     balancers: Vec<Balancer>,
     requests: HashMap<u64, ClientAttempt>,
     /// Cached keys, by cache server.
@@ -121,14 +121,14 @@
         };
         let workers = |server| {
             let is_origin = server == scenario.caches;
-            let count = if is_origin { scale.workers() * scenario.caches } else { scale.workers() };
-            (0..count).map(|_| Reverse(0)).collect()
+            let worker_count = if is_origin { scale.workers() * scenario.caches } else { scale.workers() };
+            (0..worker_count).map(|_| Reverse(0)).collect()
         };
         Simulation {
             rng: fastrand::Rng::with_seed(scenario.seed),
             now: SECOND,
-            due: BinaryHeap::new(),
-            count: 0,
+            events: BinaryHeap::new(),
+            last_number: 0,
             balancers: (0..scenario.balancers as u64).map(new_balancer).collect(),
             requests: HashMap::new(),
             cached: vec![(0..scale.keys()).collect(); scenario.caches as usize],
@@ -145,43 +145,46 @@
 
     /// Processes scheduled events until none is left.
     pub fn run(mut self) -> SimulationResult {
-        self.schedule(SECOND, Due::Arrival);
-        self.schedule_restart_news();
-        while let Some(Reverse((at, _, due))) = self.due.pop() {
+        self.schedule(SECOND, ScheduledEvent::Arrival);
+        self.schedule_restart_updates();
+        while let Some(Reverse((at, _, event))) = self.events.pop() {
             self.now = at;
-            self.on_due(due);
+            self.on_scheduled_event(event);
         }
         self.result
     }
 
-    fn schedule(&mut self, at: u64, due: Due) {
-        self.count += 1;
-        self.due.push(Reverse((at, self.count, due)));
+    fn schedule(&mut self, at: u64, event: ScheduledEvent) {
+        self.last_number += 1;
+        self.events.push(Reverse((at, self.last_number, event)));
     }
 
-    fn schedule_restart_news(&mut self) {
+    fn schedule_restart_updates(&mut self) {
         if self.scenario.outage.to == 0 {
             return;
         }
         for balancer in 0..self.scenario.balancers {
             let delay = self.rng.u64(..2 * SECOND);
-            self.schedule(self.scenario.outage.to * SECOND + delay, Due::RestartsListed { balancer });
+            self.schedule(
+                self.scenario.outage.to * SECOND + delay,
+                ScheduledEvent::RestartUpdate { balancer },
+            );
         }
     }
 
-    fn on_due(&mut self, due: Due) {
-        match due {
-            Due::Arrival => self.on_arrival(),
-            Due::ClientRetry { request, balancer } => {
+    fn on_scheduled_event(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Arrival => self.on_arrival(),
+            ScheduledEvent::ClientRetry { request, balancer } => {
                 let ClientAttempt { first_sent, retries, key, is_write, .. } = self.requests[&request];
                 self.send_request(first_sent, retries + 1, key, is_write, balancer);
             }
-            Due::Timer { balancer, token } => self.handle(balancer, Event::Timer(token)),
-            Due::Done { request, attempt } => self.on_done(request, attempt),
-            Due::Expired { request, attempt } => {
+            ScheduledEvent::Timer { balancer, token } => self.handle(balancer, Event::Timer(token)),
+            ScheduledEvent::Done { request, attempt } => self.on_done(request, attempt),
+            ScheduledEvent::Expired { request, attempt } => {
                 self.end_attempt(request, attempt, AttemptResult::Timeout);
             }
-            Due::RestartsListed { balancer } => self.list_restarts(balancer),
+            ScheduledEvent::RestartUpdate { balancer } => self.deliver_restart_update(balancer),
         }
     }
 
@@ -191,7 +194,7 @@
             return;
         }
         let pause_seconds = -(1.0 - self.rng.f64()).ln() / self.scenario.rate;
-        self.schedule(self.now + (pause_seconds * 1e6) as u64, Due::Arrival);
+        self.schedule(self.now + (pause_seconds * 1e6) as u64, ScheduledEvent::Arrival);
         // A few keys are far more popular than the others.
         let key = ((self.scale.keys() as f64).powf(self.rng.f64()) - 1.0) as u64;
         let is_write = self.rng.f64() < 0.1;
@@ -200,7 +203,7 @@
         self.send_request(self.now, 0, key, is_write, balancer);
     }
 
-    fn list_restarts(&mut self, balancer: usize) {
+    fn deliver_restart_update(&mut self, balancer: usize) {
         let Outage { to, every, .. } = self.scenario.outage;
         let started = Micros(to * SECOND);
         let restarted = (0..self.scenario.caches).filter(|server| server.is_multiple_of(every));
@@ -210,8 +213,8 @@
     }
 
     fn send_request(&mut self, first_sent: u64, retries: usize, key: u64, is_write: bool, balancer: usize) {
-        self.count += 1;
-        let number = self.count;
+        self.last_number += 1;
+        let number = self.last_number;
         let deadline = (self.now + CLIENT_ATTEMPT_DEADLINE).min(first_sent + CLIENT_DEADLINE);
         if deadline <= self.now {
             return;
@@ -247,7 +250,7 @@
                     self.on_not_served(request_number(&id), retry_after.0);
                 }
                 Action::Fail { id } => self.on_not_served(request_number(&id), 0),
-                Action::Timer { at, token } => self.schedule(at.0, Due::Timer { balancer, token }),
+                Action::Timer { at, token } => self.schedule(at.0, ScheduledEvent::Timer { balancer, token }),
                 Action::WatchEndpoints | Action::Log(_) => {}
             }
         }
@@ -275,14 +278,14 @@
         }
         if is_unresponsive {
             self.result.lost_sends[by_second] += 1.0;
-            self.schedule(expires, Due::Expired { request: number, attempt });
+            self.schedule(expires, ScheduledEvent::Expired { request: number, attempt });
             return;
         }
         self.result.hits += f64::from(!is_origin && is_hit);
         if done < expires {
-            self.schedule(done, Due::Done { request: number, attempt });
+            self.schedule(done, ScheduledEvent::Done { request: number, attempt });
         } else {
-            self.schedule(expires, Due::Expired { request: number, attempt });
+            self.schedule(expires, ScheduledEvent::Expired { request: number, attempt });
         }
     }
 
@@ -312,8 +315,8 @@
         if self.informed.contains(&self.requests[&number].balancer) {
             let sends = self.informed_sends.entry((server, second)).or_default();
             *sends += 1.0;
-            let bearable = BEARABLE_LOAD * capacity;
-            let excess = *sends - (bearable + 2.0 * bearable.sqrt() + 2.0);
+            let tolerable_load = TOLERABLE_LOAD_RATIO * capacity;
+            let excess = *sends - (tolerable_load + 2.0 * tolerable_load.sqrt() + 2.0);
             self.result.excess_over_chance = self.result.excess_over_chance.max(excess);
         }
     }
@@ -386,7 +389,7 @@
             let backoff = (100_000 << request.retries) * self.rng.u64(50..150) / 100;
             let balancer = self.rng.usize(..self.balancers.len());
             let at = self.now + backoff.max(retry_after);
-            self.schedule(at, Due::ClientRetry { request: number, balancer });
+            self.schedule(at, ScheduledEvent::ClientRetry { request: number, balancer });
         }
     }
 }
