--- a/src/balancer/tests/history.rs
+++ b/src/balancer/tests/history.rs
@@ -9,14 +9,14 @@
 const CACHE_SERVERS: u64 = 6;
 
 /// An attempt as recorded by the history.
-struct KnownAttempt {
+struct RecordedAttempt {
     server: ServerId,
     sent: u64,
     /// `None` while the attempt is in flight.
     result: Option<AttemptResult>,
 }
 
-impl KnownAttempt {
+impl RecordedAttempt {
     fn is_possibly_executed(&self) -> bool {
         let is_never_executed = matches!(
             self.result,
@@ -33,13 +33,13 @@
 
 /// A request as recorded by the history, to check the balancer's actions.
 #[derive(Default)]
-struct KnownRequest {
+struct RecordedRequest {
     deadline: u64,
-    attempts: Vec<KnownAttempt>,
+    attempts: Vec<RecordedAttempt>,
 }
 
 /// An input to the balancer.
-enum Happening {
+enum Input {
     EndpointChanged(Endpoint),
     Other(Event<'static>),
 }
@@ -51,7 +51,7 @@
     class: Class,
     may_duplicate: bool,
     server_states: Vec<EndpointState>,
-    open: BTreeMap<RequestId, KnownRequest>,
+    open: BTreeMap<RequestId, RecordedRequest>,
     /// Time and token of each pending timer.
     timers: Vec<(u64, u64)>,
     actions: Vec<Action>,
@@ -77,58 +77,58 @@
     /// Draws the inputs of one step, applies them and checks the resulting actions.
     fn step(&mut self, n: u64) -> Result<(), TestCaseError> {
         self.now += self.rng.u64(1..20_000);
-        let mut happenings = self.due_timers();
+        let mut inputs = self.due_timers();
         match self.rng.u32(0..10) {
             // The history records the change immediately, so the balancer must receive it first.
             0 => {
                 let change = self.draw_endpoint_change();
-                happenings.insert(0, change);
+                inputs.insert(0, change);
             }
-            1..=4 => happenings.push(self.draw_request(n)),
-            5 => happenings.push(Happening::Other(Event::Timer(self.rng.u64(1_000_000..)))),
+            1..=4 => inputs.push(self.draw_request(n)),
+            5 => inputs.push(Input::Other(Event::Timer(self.rng.u64(1_000_000..)))),
             _ => {}
         }
-        happenings.extend(self.draw_attempt_result());
-        for happening in happenings {
-            self.apply(happening)?;
+        inputs.extend(self.draw_attempt_result());
+        for input in inputs {
+            self.apply(input)?;
         }
         self.check_state()
     }
 
-    fn due_timers(&mut self) -> Vec<Happening> {
+    fn due_timers(&mut self) -> Vec<Input> {
         let mut due = vec![];
         self.timers.sort_unstable();
         while self.timers.first().is_some_and(|(at, _)| *at <= self.now) {
             let (_, token) = self.timers.remove(0);
-            due.push(Happening::Other(Event::Timer(token)));
+            due.push(Input::Other(Event::Timer(token)));
         }
         due
     }
 
-    fn draw_endpoint_change(&mut self) -> Happening {
+    fn draw_endpoint_change(&mut self) -> Input {
         let server = self.rng.u32(0..CACHE_SERVERS as u32);
         let states = [EndpointState::Serving, EndpointState::Draining, EndpointState::Deleted];
         let state = states[self.rng.usize(..3)];
         self.server_states[server as usize] = state;
         let started = Micros(self.now / 2);
-        Happening::EndpointChanged(Endpoint { state, started, ..endpoint(server.into()) })
+        Input::EndpointChanged(Endpoint { state, started, ..endpoint(server.into()) })
     }
 
-    fn draw_request(&mut self, n: u64) -> Happening {
+    fn draw_request(&mut self, n: u64) -> Input {
         let is_write = self.rng.u32(0..5) == 0;
         let is_client_retry = self.rng.u32(0..5) == 0;
         let read = request(n, self.now, self.rng.u64(0..40));
-        let known = KnownRequest { deadline: self.now + SECOND, attempts: vec![] };
-        self.open.insert(request_id(n), known);
-        Happening::Other(Event::Request(Request { is_write, is_client_retry, ..read }))
+        let recorded = RecordedRequest { deadline: self.now + SECOND, attempts: vec![] };
+        self.open.insert(request_id(n), recorded);
+        Input::Other(Event::Request(Request { is_write, is_client_retry, ..read }))
     }
 
     /// Completes an attempt of the first open request that is late or is drawn, if there is one.
-    fn draw_attempt_result(&mut self) -> Option<Happening> {
+    fn draw_attempt_result(&mut self) -> Option<Input> {
         let Self { open, rng, now, .. } = self;
-        let (id, attempt, is_late) = open.iter().find_map(|(id, known)| {
-            let in_flight = known.attempts.iter().position(|attempt| attempt.result.is_none())?;
-            let is_late = *now >= known.deadline;
+        let (id, attempt, is_late) = open.iter().find_map(|(id, recorded)| {
+            let in_flight = recorded.attempts.iter().position(|attempt| attempt.result.is_none())?;
+            let is_late = *now >= recorded.deadline;
             (is_late || rng.u32(0..4) == 0).then_some((*id, in_flight, is_late))
         })?;
         let results = [
@@ -141,13 +141,13 @@
             AttemptResult::Served,
         ];
         let result = if is_late { AttemptResult::Timeout } else { results[rng.usize(..results.len())] };
-        let known = &mut open.get_mut(&id).expect("open").attempts[attempt];
-        known.result = Some(result);
+        let recorded = &mut open.get_mut(&id).expect("open").attempts[attempt];
+        recorded.result = Some(result);
         let completed = CompletedAttempt {
             id,
-            server: known.server,
+            server: recorded.server,
             attempt: attempt as u32,
-            latency: Micros(*now - known.sent),
+            latency: Micros(*now - recorded.sent),
             result,
             is_request_over: result == AttemptResult::Served,
             fetch_in_progress: rng.bool(),
@@ -155,16 +155,16 @@
         if completed.is_request_over {
             open.remove(&id);
         }
-        Some(Happening::Other(Event::AttemptCompleted(completed)))
+        Some(Input::Other(Event::AttemptCompleted(completed)))
     }
 
-    fn apply(&mut self, happening: Happening) -> Result<(), TestCaseError> {
-        let actions = match happening {
-            Happening::EndpointChanged(change) => {
+    fn apply(&mut self, input: Input) -> Result<(), TestCaseError> {
+        let actions = match input {
+            Input::EndpointChanged(change) => {
                 let event = Event::EndpointsChanged(EndpointUpdate::Delta, std::slice::from_ref(&change));
                 handle(&mut self.balancer, self.now, event)
             }
-            Happening::Other(event) => handle(&mut self.balancer, self.now, event),
+            Input::Other(event) => handle(&mut self.balancer, self.now, event),
         };
         for action in &actions {
             self.check_action(action)?;
@@ -177,10 +177,10 @@
         match action {
             Action::Send { id, server, .. } => self.check_send(id, *server)?,
             Action::Reject { id, .. } => {
-                let known = self.open.remove(id).expect("answered twice");
+                let recorded = self.open.remove(id).expect("answered twice");
                 let is_deduplicated_everywhere = self.class.idempotency == Idempotency::WithIdempotencyKey
                     && self.class.deduplication_scope == DeduplicationScope::All;
-                let is_harmless = !known.attempts.iter().any(KnownAttempt::is_possibly_executed)
+                let is_harmless = !recorded.attempts.iter().any(RecordedAttempt::is_possibly_executed)
                     || self.class.idempotency == Idempotency::Idempotent
                     || is_deduplicated_everywhere;
                 prop_assert!(is_harmless, "rejected what may have been executed");
@@ -198,11 +198,11 @@
     fn check_send(&mut self, id: &RequestId, server: ServerId) -> Result<(), TestCaseError> {
         let Self { now, class, .. } = self;
         let may_overlap = class.idempotency == Idempotency::Idempotent && self.may_duplicate;
-        let known = self.open.get_mut(id).expect("sent for a request that is over");
-        let in_flight = known.attempts.iter().filter(|attempt| attempt.result.is_none()).count();
+        let recorded = self.open.get_mut(id).expect("sent for a request that is over");
+        let in_flight = recorded.attempts.iter().filter(|attempt| attempt.result.is_none()).count();
         prop_assert!(in_flight == 0 || may_overlap && in_flight == 1, "too many attempts in flight");
-        prop_assert!(*now < known.deadline && known.attempts.len() < 4);
-        for earlier in known.attempts.iter().filter(|attempt| attempt.is_possibly_executed()) {
+        prop_assert!(*now < recorded.deadline && recorded.attempts.len() < 4);
+        for earlier in recorded.attempts.iter().filter(|attempt| attempt.is_possibly_executed()) {
             let is_in_scope = match class.deduplication_scope {
                 DeduplicationScope::All => true,
                 DeduplicationScope::Zone => earlier.server.0 % 2 == server.0 % 2,
@@ -218,14 +218,14 @@
         }
         let is_serving = server == ORIGIN || self.server_states[server.0 as usize] == EndpointState::Serving;
         prop_assert!(is_serving, "sent to a draining server");
-        known.attempts.push(KnownAttempt { server, sent: *now, result: None });
+        recorded.attempts.push(RecordedAttempt { server, sent: *now, result: None });
         Ok(())
     }
 
     fn check_state(&self) -> Result<(), TestCaseError> {
-        for known in self.open.values() {
-            let is_in_flight = known.attempts.iter().any(|attempt| attempt.result.is_none());
-            prop_assert!(is_in_flight || self.now <= known.deadline + 20_000, "a request was lost");
+        for recorded in self.open.values() {
+            let is_in_flight = recorded.attempts.iter().any(|attempt| attempt.result.is_none());
+            prop_assert!(is_in_flight || self.now <= recorded.deadline + 20_000, "a request was lost");
         }
         let Self { balancer, open, .. } = self;
         prop_assert_eq!(balancer.open_requests.len(), open.len(), "closed requests are forgotten");
@@ -238,7 +238,7 @@
 }
 
 /// Runs a history; returns all actions and the number of requests that are still open.
-fn play(
+fn run_history(
     seed: u64,
     idempotency: Idempotency,
     scope: DeduplicationScope,
@@ -269,8 +269,8 @@
             (Idempotency::WithIdempotencyKey, DeduplicationScope::Cell),
             (Idempotency::NotIdempotent, DeduplicationScope::All),
         ][kind];
-        let first = play(seed, idempotency, scope, 1_500)?;
+        let first = run_history(seed, idempotency, scope, 1_500)?;
         prop_assert!(first.0.len() > 500);
-        prop_assert_eq!(first, play(seed, idempotency, scope, 1_500)?, "same events, same actions");
+        prop_assert_eq!(first, run_history(seed, idempotency, scope, 1_500)?, "same events, same actions");
     }
 }
