--- a/src/balancer/tests.rs
+++ b/src/balancer/tests.rs
@@ -149,7 +149,7 @@
 }
 
 /// The event for a completed attempt that closes its request.
-fn closing(n: u64, attempt: u32, server: ServerId, result: AttemptResult) -> Event<'static> {
+fn completed_and_closed(n: u64, attempt: u32, server: ServerId, result: AttemptResult) -> Event<'static> {
     let ended = completed_attempt(n, attempt, server, result);
     Event::AttemptCompleted(CompletedAttempt { is_request_over: true, ..ended })
 }
@@ -171,7 +171,7 @@
 }
 
 /// A gap on this rung that does not expire during a test.
-fn gapped(rung: u32) -> Gap {
+fn active_gap(rung: u32) -> Gap {
     let mut gap = Gap::default();
     gap.rung = rung;
     gap.ends_at = Micros(900 * SECOND);
--- a/src/balancer/tests/capacity.rs
+++ b/src/balancer/tests/capacity.rs
@@ -46,7 +46,7 @@
     loads.into_iter().fold(0.0, f64::max) / mean
 }
 
-fn each_size(mut row: impl FnMut(usize, u64)) {
+fn for_each_size_and_seed(mut row: impl FnMut(usize, u64)) {
     for balancers in SIZES {
         for seed in SEEDS {
             row(balancers, seed);
@@ -59,7 +59,7 @@
 #[ignore = "measures for docs/CAPACITY.md, minutes in a release build"]
 fn capacity_calm() {
     println!("balancers,seed,served,peak_over_mean,attempts_per_request,fetches_per_request");
-    each_size(|balancers, seed| {
+    for_each_size_and_seed(|balancers, seed| {
         let result = simulate_scaled(scenario(balancers, seed, 10), scale(balancers));
         let requested: f64 = result.requested[..10].iter().sum();
         println!(
@@ -100,20 +100,20 @@
 #[ignore = "measures for docs/CAPACITY.md, minutes in a release build"]
 fn capacity_overloaded_server() {
     println!("times,balancers,seed,demand,first_second,settled,least,most,served,sends_per_balancer");
-    for times in [10.0, 100.0] {
-        each_size(|balancers, seed| overloaded_server(balancers, seed, times));
+    for slowdown in [10.0, 100.0] {
+        for_each_size_and_seed(|balancers, seed| overloaded_server(balancers, seed, slowdown));
     }
 }
 
-fn overloaded_server(balancers: usize, seed: u64, times: f64) {
-    let scale = Scale { slow_cache: Slowdown { from: 5, to: 13, factor: times }, ..scale(balancers) };
+fn overloaded_server(balancers: usize, seed: u64, slowdown: f64) {
+    let scale = Scale { slow_cache: Slowdown { from: 5, to: 13, factor: slowdown }, ..scale(balancers) };
     let result = simulate_scaled(scenario(balancers, seed, 12), scale);
-    let capacity = scale.cache_rate() / times;
+    let capacity = scale.cache_rate() / slowdown;
     let load: Vec<f64> = (4..12).map(|second| result.cache_sends[second][1]).collect();
     let settled = load[4..].iter().sum::<f64>() / 4.0;
     let demand = result.cache_sends[..4].iter().map(|second| second[1]).sum::<f64>() / 4.0;
     println!(
-        "{times},{balancers},{seed},{:.2},{:.2},{:.2},{:.2},{:.2},{:.4},{:.3}",
+        "{slowdown},{balancers},{seed},{:.2},{:.2},{:.2},{:.2},{:.2},{:.4},{:.3}",
         demand / capacity,
         load[0] / capacity,
         settled / capacity,
@@ -129,10 +129,10 @@
 #[ignore = "measures for docs/CAPACITY.md, minutes in a release build"]
 fn capacity_overloaded_fleet() {
     println!("balancers,seed,admitted_over_capacity,useful_over_capacity,fetches_over_origin");
-    each_size(|balancers, seed| {
+    for_each_size_and_seed(|balancers, seed| {
         let scale = scale(balancers);
-        let calm = scenario(balancers, seed, 10);
-        let result = simulate_scaled(Scenario { rate: calm.rate * 2.0 / UTILISATION, ..calm }, scale);
+        let base = scenario(balancers, seed, 10);
+        let result = simulate_scaled(Scenario { rate: base.rate * 2.0 / UTILISATION, ..base }, scale);
         let capacity = CACHES as f64 * scale.cache_rate();
         // The origin has as many workers as all cache servers together and takes 1.5 times as long per
         // request.
@@ -158,7 +158,7 @@
     println!(
         "cold,balancers,seed,most_over_capacity,over_chance,served_meanwhile,sends_lost,lost_per_balancer"
     );
-    each_size(|balancers, seed| {
+    for_each_size_and_seed(|balancers, seed| {
         let scenario =
             Scenario { outage: Outage { from: 4, to: 7, every: 6 }, ..scenario(balancers, seed, 14) };
         let result = simulate_scaled(scenario, scale(balancers));
@@ -183,13 +183,13 @@
 
 impl CallQueue {
     /// Longest wait before a caller times out, as in `node/src/discovery/timing.rs`.
-    const PATIENCE: u64 = 1_900_000;
+    const MAX_WAIT_MICROS: u64 = 1_900_000;
 
     /// Time at which a call that arrives now is answered, or else times out.
     fn call(&mut self, now: u64) -> Result<u64, u64> {
         let begin = self.free_at.max(now);
-        if begin + self.service_time > now + Self::PATIENCE {
-            return Err(now + Self::PATIENCE);
+        if begin + self.service_time > now + Self::MAX_WAIT_MICROS {
+            return Err(now + Self::MAX_WAIT_MICROS);
         }
         self.free_at = begin + self.service_time;
         Ok(self.free_at)
@@ -203,7 +203,7 @@
 fn capacity_discovery_wave() {
     println!("balancers,seed,service_ms,callers,half_s,p99_s,all_s,calls,most_calls_in_a_second");
     for service_ms in [1, 5, 20, 100] {
-        each_size(|balancers, seed| discovery_wave(balancers, seed, service_ms));
+        for_each_size_and_seed(|balancers, seed| discovery_wave(balancers, seed, service_ms));
     }
 }
 
--- a/src/balancer/tests/coordination.rs
+++ b/src/balancer/tests/coordination.rs
@@ -74,7 +74,7 @@
 
 /// The event for a first attempt that served and closed its request.
 fn served(n: u64, server: ServerId) -> Event<'static> {
-    closing(n, 0, server, AttemptResult::Served)
+    completed_and_closed(n, 0, server, AttemptResult::Served)
 }
 
 #[test]
--- a/src/balancer/tests/gap_ladder.rs
+++ b/src/balancer/tests/gap_ladder.rs
@@ -16,7 +16,7 @@
 }
 
 /// Passes outcomes at this interval to a gap, true for a rejection; returns the time of the last one.
-fn feed(gap: &mut Gap, from: u64, interval: u64, outcomes: &[bool]) -> u64 {
+fn record_outcomes(gap: &mut Gap, from: u64, interval: u64, outcomes: &[bool]) -> u64 {
     let mut now = from;
     for is_rejected in outcomes {
         now += interval;
@@ -42,17 +42,17 @@
 #[test]
 fn rejected_share_gaps_only_above_the_threshold() {
     let mut healthy = Gap::default();
-    feed(&mut healthy, 2 * SECOND, 100_000, &[false, false, true, false].repeat(20));
+    record_outcomes(&mut healthy, 2 * SECOND, 100_000, &[false, false, true, false].repeat(20));
     assert_eq!(healthy.rung, 0);
     let mut overloaded = Gap::default();
-    feed(&mut overloaded, 2 * SECOND, 100_000, &[true, false, true, true]);
+    record_outcomes(&mut overloaded, 2 * SECOND, 100_000, &[true, false, true, true]);
     assert!(overloaded.rung > 0);
 }
 
 #[test]
 fn rejections_seconds_apart_do_not_gap() {
     let mut gap = Gap::default();
-    feed(&mut gap, 20 * SECOND, 3 * SECOND, &[true, true, true, true]);
+    record_outcomes(&mut gap, 20 * SECOND, 3 * SECOND, &[true, true, true, true]);
     assert_eq!(gap.rung, 0, "rejections seconds apart must not gap a server");
 }
 
@@ -61,7 +61,7 @@
     // Ten sends a second, half of them served: the gap allows five a second, up to the spacing of the rungs.
     let mut gap = Gap::default();
     gap.on_send(Micros(SECOND), 0);
-    feed(&mut gap, 2 * SECOND, 100_000, &[true, false, true, false, true, false]);
+    record_outcomes(&mut gap, 2 * SECOND, 100_000, &[true, false, true, false, true, false]);
     let length = ladder().length(gap.rung).0;
     assert!((150_000..=300_000).contains(&length), "{length}");
 }
@@ -71,7 +71,7 @@
 #[test]
 fn outcomes_of_sends_before_a_raise_do_not_raise_again() {
     let mut gap = Gap::default();
-    let now = feed(&mut gap, 2 * SECOND, 50_000, &[true; 4]);
+    let now = record_outcomes(&mut gap, 2 * SECOND, 50_000, &[true; 4]);
     let rung = gap.rung;
     assert!(rung > 0);
     for late in 1..40 {
@@ -82,13 +82,13 @@
 
 #[test]
 fn gap_shrinks_in_steps_and_rejections_renew_it() {
-    let mut gap = gapped(12);
-    feed(&mut gap, 2 * SECOND, 300_000, &[false, false]);
+    let mut gap = active_gap(12);
+    record_outcomes(&mut gap, 2 * SECOND, 300_000, &[false, false]);
     assert_eq!(gap.rung, 6);
-    let mut renewed = gapped(10);
-    feed(&mut renewed, 2 * SECOND, 300_000, &[true]);
+    let mut renewed = active_gap(10);
+    record_outcomes(&mut renewed, 2 * SECOND, 300_000, &[true]);
     assert!(renewed.rung > 10 && renewed.ends_at > Micros(2 * SECOND), "a high share raises and renews it");
-    let mut ended = gapped(9);
+    let mut ended = active_gap(9);
     ended.ends_at = Micros(5 * SECOND);
     assert!(ended.is_active(Micros(5 * SECOND - 1)) && !ended.is_active(Micros(5 * SECOND)));
 }
@@ -96,7 +96,7 @@
 #[test]
 fn one_send_passes_per_gap_and_source() {
     let ladder = ladder();
-    let mut gap = gapped(9);
+    let mut gap = active_gap(9);
     let length = ladder.length(9).0;
     let mut passed = [0u64; 2];
     for now in (3 * SECOND..3 * SECOND + 10 * length).step_by(1_000) {
@@ -112,14 +112,14 @@
 
 #[test]
 fn gaps_with_different_draws_end_at_different_times() {
-    let until = |draw: f64| {
+    let end_of_gap = |draw: f64| {
         let mut gap = Gap::default();
         for i in 0..6 {
             gap.on_outcome(send_outcome(3 * SECOND, 3 * SECOND + i * 30_000, true), &ladder(), draw);
         }
         gap.ends_at
     };
-    assert!(until(0.9) > until(0.1));
+    assert!(end_of_gap(0.9) > end_of_gap(0.1));
 }
 
 proptest! {
--- a/src/balancer/tests/hedging.rs
+++ b/src/balancer/tests/hedging.rs
@@ -12,7 +12,7 @@
     let mut hedge_delay = |n: u64, now: u64| {
         let sends = handle(&mut balancer, now, Event::Request(request(n, now, n)));
         let [Action::Send { server, .. }, Action::Timer { at, .. }] = sends[..] else { panic!("{sends:?}") };
-        let end = closing(n, 0, server, AttemptResult::Served);
+        let end = completed_and_closed(n, 0, server, AttemptResult::Served);
         handle(&mut balancer, now + 20_000, end);
         at.0 - now
     };
@@ -77,10 +77,10 @@
             if let Some(second) = sent_to(&handle(&mut balancer, at, Event::Timer(token))) {
                 hedged += 1;
                 assert_eq!(second, ORIGIN);
-                let end = closing(n, 1, second, AttemptResult::Served);
+                let end = completed_and_closed(n, 1, second, AttemptResult::Served);
                 assert_eq!(handle(&mut balancer, at + 50_000, end), []);
             }
-            let end = closing(n, 0, to, AttemptResult::Served);
+            let end = completed_and_closed(n, 0, to, AttemptResult::Served);
             assert_eq!(handle(&mut balancer, at + 60_000, end), []);
         }
         assert!(range.contains(&hedged), "{balancers} balancers: {hedged} hedged of 300");
@@ -100,7 +100,7 @@
         now += 200_000;
         let sends = handle(&mut balancer, now, Event::Request(write(n, now)));
         let server = sent_to(&sends).expect("it is sent");
-        handle(&mut balancer, now + 20_000, closing(n, 0, server, AttemptResult::Served));
+        handle(&mut balancer, now + 20_000, completed_and_closed(n, 0, server, AttemptResult::Served));
     }
     now += 200_000;
     let sends = handle(&mut balancer, now, Event::Request(write(500, now)));
@@ -125,7 +125,7 @@
     let (mut balancer, servers, now) = hedged_write();
     handle(&mut balancer, now + 1_000, Event::RequestAbandoned(request_id(500)));
     for (attempt, server) in (0..).zip(servers) {
-        handle(&mut balancer, now + 2_000, closing(500, attempt, server, AttemptResult::Served));
+        handle(&mut balancer, now + 2_000, completed_and_closed(500, attempt, server, AttemptResult::Served));
     }
     assert_nothing_reserved(&mut balancer, servers);
 }
@@ -137,7 +137,7 @@
     for answers_first in [0, 1] {
         let (mut balancer, servers, now) = hedged_write();
         for attempt in [answers_first, 1 - answers_first] {
-            let end = closing(500, attempt as u32, servers[attempt], AttemptResult::Served);
+            let end = completed_and_closed(500, attempt as u32, servers[attempt], AttemptResult::Served);
             handle(&mut balancer, now + 2_000, end);
         }
         assert_nothing_reserved(&mut balancer, servers);
--- a/src/balancer/tests/origin.rs
+++ b/src/balancer/tests/origin.rs
@@ -18,7 +18,7 @@
         if let Some(server) = sent_to(&handle(&mut balancer, now, Event::Request(write))) {
             longest = longest.max(now - last);
             last = now;
-            let end = closing(n, 0, server, AttemptResult::ConnectFailed);
+            let end = completed_and_closed(n, 0, server, AttemptResult::ConnectFailed);
             handle(&mut balancer, now + 1, end);
         }
     }
@@ -81,11 +81,11 @@
 fn read_gapped_at_all_caches_is_rejected_only_if_the_origin_is_gapped() {
     let mut balancer = new_balancer(idempotent_settings(), &endpoints(4));
     for server in balancer.endpoints.servers.iter_mut().filter(|server| server.endpoint.server != ORIGIN) {
-        server.gap = gapped(12);
+        server.gap = active_gap(12);
     }
     let now = SECOND + 1;
     assert_eq!(sent_to(&handle(&mut balancer, now, Event::Request(request(1, now, 7)))), Some(ORIGIN));
-    balancer.endpoints.server_mut(ORIGIN).unwrap().gap = gapped(12);
+    balancer.endpoints.server_mut(ORIGIN).unwrap().gap = active_gap(12);
     let actions = handle(&mut balancer, now, Event::Request(request(2, now, 8)));
     let timers: Vec<u64> = actions
         .iter()
--- a/src/balancer/tests/settings.rs
+++ b/src/balancer/tests/settings.rs
@@ -4,25 +4,25 @@
 
 #[test]
 fn unusable_settings_and_unknown_ids_are_survived() {
-    let mut odd = idempotent_settings();
-    odd.classes.clear();
-    odd.balancers = 0;
-    odd.tick = Micros(0);
-    odd.limits.max_attempts = 0;
-    odd.rules = Rules {
+    let mut unusable = idempotent_settings();
+    unusable.classes.clear();
+    unusable.balancers = 0;
+    unusable.tick = Micros(0);
+    unusable.limits.max_attempts = 0;
+    unusable.rules = Rules {
         discovery_poll_interval: Micros(0),
         slow_start_initial_share: f64::NAN,
         slow_start_duration: Micros(0),
     };
-    odd.weighted = true;
+    unusable.weighted = true;
     let mut list = endpoints(3);
     for (endpoint, weight) in list.iter_mut().zip([f64::NAN, 0.0, -1.0]) {
         endpoint.weight = weight;
     }
-    let mut balancer = new_balancer(odd.clone(), &list);
+    let mut balancer = new_balancer(unusable.clone(), &list);
     let unknown_ids = Request { class: 99, tenant: 99, key: None, ..request(1, 10, 1) };
     assert!(sent_to(&handle(&mut balancer, 10, Event::Request(unknown_ids.clone()))).is_some());
-    let mut empty = new_balancer(odd, &[]);
+    let mut empty = new_balancer(unusable, &[]);
     assert_eq!(handle(&mut empty, 10, Event::Request(unknown_ids)).len(), 1, "no server: answered at once");
     handle(&mut empty, 10, completed(77, 9, ServerId(5), AttemptResult::Rejected));
     handle(&mut empty, 10, Event::Timer(u64::MAX));
@@ -32,12 +32,12 @@
 #[test]
 fn senseless_settings_lose_no_request() {
     for (balancers, initial_share) in [(0, 0.0), (u32::MAX, f64::NAN), (1, f64::INFINITY)] {
-        let mut odd = idempotent_settings();
-        odd.balancers = balancers;
-        odd.rules.slow_start_initial_share = initial_share;
-        odd.rules.slow_start_duration = Micros(0);
-        odd.classes.clear();
-        let mut balancer = new_balancer(odd, &endpoints(3));
+        let mut unusable = idempotent_settings();
+        unusable.balancers = balancers;
+        unusable.rules.slow_start_initial_share = initial_share;
+        unusable.rules.slow_start_duration = Micros(0);
+        unusable.classes.clear();
+        let mut balancer = new_balancer(unusable, &endpoints(3));
         for n in 0..50 {
             let now = SECOND + n * 10_000;
             let to = sent_to(&handle(&mut balancer, now, Event::Request(request(n, now, n)))).expect("sent");
--- a/src/balancer/tests/zone_health.rs
+++ b/src/balancer/tests/zone_health.rs
@@ -33,17 +33,20 @@
     assert!(zones.excess_rejection_rate(0) < UNHEALTHY_EXCESS_RATE, "{}", zones.excess_rejection_rate(0));
 
     let mut balancer = new_balancer(idempotent_settings(), &endpoints(24));
-    let (mut even, mut all) = (0, 0);
+    let (mut even_zone_sends, mut all_sends) = (0, 0);
     for n in 0..200 {
         reject_all_in_even_zone(&mut balancer, 12);
         let now = SECOND + n * 200_000;
         let to = sent_to(&handle(&mut balancer, now, Event::Request(request(n, now, n)))).expect("sent");
-        all += u32::from(to != ORIGIN);
-        even += u32::from(to != ORIGIN && to.0.is_multiple_of(2));
-        let end = closing(n, 0, to, AttemptResult::Served);
+        all_sends += u32::from(to != ORIGIN);
+        even_zone_sends += u32::from(to != ORIGIN && to.0.is_multiple_of(2));
+        let end = completed_and_closed(n, 0, to, AttemptResult::Served);
         handle(&mut balancer, now + 1_000, end);
     }
-    assert!(even * 4 < all, "{even} of {all} to a zone in which every attempt was rejected");
+    assert!(
+        even_zone_sends * 4 < all_sends,
+        "{even_zone_sends} of {all_sends} attempts to a zone in which every attempt was rejected"
+    );
 }
 
 /// One attempt in twenty still goes to a zone that has been unhealthy for long, so that its recovery is
@@ -57,7 +60,7 @@
         let now = SECOND + n * 200_000;
         let to = sent_to(&handle(&mut balancer, now, Event::Request(request(n, now, n)))).expect("sent");
         attempts += u32::from(to != ORIGIN && to.0.is_multiple_of(2));
-        let end = closing(n, 0, to, AttemptResult::Served);
+        let end = completed_and_closed(n, 0, to, AttemptResult::Served);
         handle(&mut balancer, now + 1_000, end);
     }
     assert!(attempts > 25, "{attempts} attempts of 2000 to a zone in which every attempt was rejected");
