--- a/src/balancer/tests/concurrency_limit.rs
+++ b/src/balancer/tests/concurrency_limit.rs
@@ -14,7 +14,7 @@
     /// The limit recovers for a server that responds well again: each fast response raises a limit in use.
     /// The latency of a permanently slower server becomes the baseline within half an hour.
     #[test]
-    fn limit_recovers_whatever_came_before(seed: u64, steps in 1usize..400, slower in 1u64..6) {
+    fn limit_recovers_from_any_state(seed: u64, steps in 1usize..400, slower in 1u64..6) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut concurrency, mut now) = (ConcurrencyLimit::new(3), SECOND);
         for _ in 0..steps {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn abandoned_attempt_counts_as_in_flight_as_long_again() {
+fn abandoned_attempt_counts_as_in_flight_for_its_latency_again() {
     let mut concurrency = ConcurrencyLimit::new(6);
     let now = Micros(SECOND);
     (0..2).for_each(|_| concurrency.reserve(false));
--- a/src/balancer/tests/coordination.rs
+++ b/src/balancer/tests/coordination.rs
@@ -163,7 +163,7 @@
 /// Guards against a balancer that borrows capacity without need: a query that finds no free token counts as
 /// demand, so it must not be made while no request waits.
 #[test]
-fn shared_origin_limit_is_not_queried_while_nobody_waits() {
+fn shared_origin_limit_is_not_queried_while_no_request_waits() {
     let (mut balancer, fake) = balancer_with_coordination(&endpoints(12));
     fake.0.borrow_mut().origin_wait = Some(Micros(10_000));
     for n in 0..20 {
--- a/src/balancer/tests/fleet.rs
+++ b/src/balancer/tests/fleet.rs
@@ -43,7 +43,7 @@
 /// several seconds. It loses part of its share of the attempts, most requests are still served, and it is not
 /// overloaded after its restart.
 #[test]
-fn silent_server_that_each_balancer_meets_seldom_is_avoided_and_recovers() {
+fn unresponsive_server_with_few_sends_per_balancer_is_avoided_and_recovers() {
     for balancers in SIZES {
         let result = simulate_default(balancers, Outage { from: 8, to: 18, every: 6 });
         let expected_sends = 4.0 / 24.0 * sum(&result.requested, 11, 17);
@@ -117,7 +117,7 @@
 /// updated list up to two seconds apart. Balancers with the old and the new list together overload no
 /// restarted server, and requests are still served.
 #[test]
-fn half_of_the_servers_restart_while_endpoint_lists_differ() {
+fn restart_of_half_the_servers_with_differing_lists_overloads_no_server() {
     for balancers in SIZES {
         let result = simulate_default(balancers, Outage { from: 8, to: 12, every: 2 });
         let max_fetches = result.fetches.iter().fold(0.0, |a: f64, b| a.max(*b));
--- a/src/balancer/tests/gap_ladder.rs
+++ b/src/balancer/tests/gap_ladder.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn first_gap_is_that_of_the_rate_that_was_served() {
+fn first_gap_matches_the_served_rate() {
     // Ten sends a second, half of them served: the gap allows five a second, up to the spacing of the rungs.
     let mut gap = Gap::default();
     gap.on_send(Micros(SECOND), 0);
@@ -133,7 +133,7 @@
 
     /// A gap ends within 3 longest deadlines after its cause with demand, and within 8 without demand.
     #[test]
-    fn gap_ends_whatever_came_before(seed: u64, steps in 1usize..400) {
+    fn gap_ends_from_any_state(seed: u64, steps in 1usize..400) {
         let ladder = ladder();
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut gap, mut now) = (Gap::default(), SECOND);
@@ -162,7 +162,7 @@
 /// Guards against sends to a server that has not responded for half a minute: one of 100 balancers sends to a
 /// server every few seconds, so that a window of four outcomes would never be complete.
 #[test]
-fn one_of_many_balancers_gaps_a_silent_server_at_the_first_timeout() {
+fn one_of_many_balancers_gaps_an_unresponsive_server_at_the_first_timeout() {
     for (balancers, is_gapped) in [(3, false), (100, true)] {
         let (ladder, mut gap, mut now) = (ladder_of(balancers), Gap::default(), 20 * SECOND);
         gap.on_outcome(send_outcome(now - SECOND, now, true), &ladder, 0.5);
--- a/src/balancer/tests/hedging.rs
+++ b/src/balancer/tests/hedging.rs
@@ -24,7 +24,7 @@
 /// A server whose response is overdue is gapped when the hedging timer is due, unless all servers are as
 /// slow.
 #[test]
-fn silence_gaps_a_server_only_where_others_are_fast() {
+fn unresponsive_server_is_gapped_only_if_others_are_fast() {
     for (latency_of_others, is_gapped) in [(20_000, true), (150_000, false)] {
         let mut settings = idempotent_settings();
         settings.limits.may_duplicate = true;
@@ -121,7 +121,7 @@
 /// Guards against capacity that stays reserved forever for a write whose client disconnected while the write
 /// was in flight at two servers.
 #[test]
-fn abandoned_write_with_a_hedged_request_out_leaves_nothing_reserved() {
+fn abandoned_write_with_a_hedged_request_in_flight_leaves_nothing_reserved() {
     let (mut balancer, servers, now) = hedged_write();
     handle(&mut balancer, now + 1_000, Event::RequestAbandoned(request_id(500)));
     for (attempt, server) in (0..).zip(servers) {
--- a/src/balancer/tests/history.rs
+++ b/src/balancer/tests/history.rs
@@ -261,7 +261,7 @@
     })]
 
     #[test]
-    fn any_history_keeps_the_guarantees_and_replays_exactly(seed: u64, kind in 0usize..5) {
+    fn any_history_keeps_the_guarantees_and_is_deterministic(seed: u64, kind in 0usize..5) {
         let (idempotency, scope) = [
             (Idempotency::Idempotent, DeduplicationScope::All),
             (Idempotency::WithIdempotencyKey, DeduplicationScope::All),
--- a/src/balancer/tests/limit_view.rs
+++ b/src/balancer/tests/limit_view.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn view_names_the_binding_limit_and_none_where_none_binds() {
+fn view_shows_the_binding_limit_or_none() {
     let mut balancer = new_balancer(idempotent_settings(), &endpoints(2));
     assert!(balancer.limits(Micros(SECOND)).servers.iter().all(|limit| limit.binding_limit().is_none()));
     fill_origin(&mut balancer);
--- a/src/balancer/tests/settings.rs
+++ b/src/balancer/tests/settings.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn unusable_settings_and_unknown_ids_are_survived() {
+fn unusable_settings_and_unknown_ids_are_handled() {
     let mut unusable = idempotent_settings();
     unusable.classes.clear();
     unusable.balancers = 0;
@@ -30,7 +30,7 @@
 
 /// Unusable settings are replaced by usable ones, and nothing is divided by zero.
 #[test]
-fn senseless_settings_lose_no_request() {
+fn unusable_settings_lose_no_request() {
     for (balancers, initial_share) in [(0, 0.0), (u32::MAX, f64::NAN), (1, f64::INFINITY)] {
         let mut unusable = idempotent_settings();
         unusable.balancers = balancers;
--- a/src/balancer/tests/simulation.rs
+++ b/src/balancer/tests/simulation.rs
@@ -149,7 +149,7 @@
 /// Guards against a collapse that outlasts a slow origin for the rest of the day: after a rejected miss the
 /// key is still not cached, so later requests for it miss as well, and client retries repeat them.
 #[test]
-fn service_recovers_with_a_slow_origin() {
+fn service_recovers_after_a_slow_origin() {
     for seed in 0..6 {
         let result = simulate_small_fleet(seed, 75.0, 40, Slowdown { from: 10, to: 18, factor: 7.0 });
         let before = result.served_share(2, 10);
--- a/src/balancer/tests/zone_health.rs
+++ b/src/balancer/tests/zone_health.rs
@@ -12,7 +12,7 @@
 /// The outage of a zone is detected by a few attempts there, not server by server. No zone is avoided while
 /// all fail alike, and a zone is used again after a few responses.
 #[test]
-fn zone_is_avoided_and_used_again_as_a_whole() {
+fn unhealthy_zone_is_avoided_and_used_again_after_recovery() {
     let mut zones = ZoneHealth::default();
     for _ in 0..12 {
         zones.on_attempt_completed(0, true);
