--- a/src/balancer/tests/concurrency_limit.rs
+++ b/src/balancer/tests/concurrency_limit.rs
@@ -44,7 +44,10 @@
             concurrency.release(Micros(now), true, None);
             concurrency.on_response(Micros(now), Micros(latency));
         }
-        prop_assert!((latency as f64) < 1.6 * concurrency.baseline_latency, "it is fast again");
+        prop_assert!(
+            (latency as f64) < 1.6 * concurrency.baseline_latency,
+            "the baseline must adapt to the new latency"
+        );
     }
 }
 
@@ -60,10 +63,13 @@
     }
     assert!(concurrency.limit < 0.7, "{}", concurrency.limit);
     concurrency.reserve(true);
-    assert!(!concurrency.has_capacity(now, true) && !concurrency.has_capacity(now, false), "one at a time");
+    assert!(
+        !concurrency.has_capacity(now, true) && !concurrency.has_capacity(now, false),
+        "one attempt at a time"
+    );
     concurrency.release(now, true, None);
     assert!(concurrency.has_capacity(now, true) && !concurrency.has_capacity(now, false));
-    assert!(concurrency.has_capacity(now + Micros(30 * SECOND), false), "a read's time comes");
+    assert!(concurrency.has_capacity(now + Micros(30 * SECOND), false), "a read is admitted after the pause");
 }
 
 #[test]
--- a/src/balancer/tests/coordination.rs
+++ b/src/balancer/tests/coordination.rs
@@ -80,7 +80,7 @@
 #[test]
 fn suspected_server_is_passed_over_for_the_next_candidate() {
     let (mut balancer, fake) = balancer_with_coordination(&endpoints(12));
-    assert_eq!(fake.0.borrow().serving.len(), 12, "the origin is no cache server");
+    assert_eq!(fake.0.borrow().serving.len(), 12, "the origin must not be listed as a cache server");
     for n in 0..50 {
         let now = SECOND * (1 + n);
         let first = sent_to(&handle(&mut balancer, now, Event::Request(request(n, now, n)))).unwrap();
@@ -88,7 +88,7 @@
         fake.0.borrow_mut().suspected = HashSet::from([first]);
         let now = now + SECOND / 2;
         let next = sent_to(&handle(&mut balancer, now, Event::Request(request(1_000 + n, now, n)))).unwrap();
-        assert!(next != first && next != ORIGIN, "to another cache server, not to the origin");
+        assert!(next != first && next != ORIGIN, "the request must go to another cache server");
         handle(&mut balancer, now + 9, served(1_000 + n, next));
         fake.0.borrow_mut().suspected.clear();
     }
@@ -134,7 +134,7 @@
             let is_exhausted = |action: &Action| {
                 matches!(action, Action::Reject { reason: RejectReason::AttemptsExhausted, .. })
             };
-            assert!(actions.iter().any(is_exhausted), "rejected at once: {actions:?}");
+            assert!(actions.iter().any(is_exhausted), "the request must be rejected at once: {actions:?}");
         }
         let is_paid = fake.0.borrow().acquired.contains(&SharedLimit::RetryBudget);
         assert_eq!(is_paid, is_retried && result != AttemptResult::Miss, "{retry_wait:?} {result:?}");
--- a/src/balancer/tests/discovery_schedule.rs
+++ b/src/balancer/tests/discovery_schedule.rs
@@ -58,5 +58,9 @@
     }
     assert_eq!(listed, 90);
     assert!(calls.iter().all(|n| *n <= 3 * CALLS_PER_SECOND), "{calls:?}");
-    assert_eq!(calls[22..].iter().sum::<usize>(), 0, "all have their list in 20 s: {calls:?}");
+    assert_eq!(
+        calls[22..].iter().sum::<usize>(),
+        0,
+        "all balancers must have their list within 20 s: {calls:?}"
+    );
 }
--- a/src/balancer/tests/fleet.rs
+++ b/src/balancer/tests/fleet.rs
@@ -35,7 +35,7 @@
             many.sends / sum(&many.requested, 0, 30)
         );
         assert!(many.served_share(5, 30) > 0.95, "{balancers}: {:.3}", many.served_share(5, 30));
-        assert!(fetches < 1.35 * before, "{balancers}: {fetches} fetches, {before} by three");
+        assert!(fetches < 1.35 * before, "{balancers}: {fetches} fetches, {before} with three balancers");
     }
 }
 
@@ -49,7 +49,7 @@
         let expected_sends = 4.0 / 24.0 * sum(&result.requested, 11, 17);
         let lost = sum(&result.lost_sends, 11, 17) / expected_sends;
         println!(
-            "{balancers:4} balancers: {lost:.2} of its share lost, {:.3} served, {:.3} after, restarted server at {:.2}",
+            "{balancers:4} balancers: {lost:.2} of the share of unresponsive servers lost, {:.3} served, {:.3} after the restart, restarted server at {:.2} of its capacity",
             result.served_share(11, 17),
             result.served_share(22, 30),
             result.peak_slow_start_load
@@ -58,21 +58,21 @@
         // balancers can detect the failure.
         assert!(
             lost < 0.75 || balancers > 100,
-            "{balancers}: {lost:.2} of a silent server's share still goes there"
+            "{balancers}: unresponsive servers still get {lost:.2} of their share"
         );
         assert!(
             result.served_share(11, 17) > 0.97,
-            "{balancers}: {:.3} served meanwhile",
+            "{balancers}: {:.3} served during the outage",
             result.served_share(11, 17)
         );
         assert!(
             result.served_share(22, 30) > 0.97,
-            "{balancers}: {:.3} served after",
+            "{balancers}: {:.3} served after the restart",
             result.served_share(22, 30)
         );
         assert!(
             result.peak_slow_start_load < 4.0,
-            "{balancers}: a restarted server was sent {:.2} times what it can do",
+            "{balancers}: a restarted server got {:.2} times its capacity",
             result.peak_slow_start_load
         );
     }
@@ -88,13 +88,13 @@
             let outage = Outage { from: 6, to: 9, every: 6 };
             let result = simulate(Scenario { seed, rate: 360.0, seconds: 19, ..scenario(balancers, outage) });
             println!(
-                "{balancers:4} balancers: restarted server at {:.2}, {:.1} over",
+                "{balancers:4} balancers: restarted server at {:.2} of its capacity, excess {:.1}",
                 result.peak_slow_start_load, result.excess_over_chance
             );
-            assert!(result.peak_slow_start_load > 0.2, "{balancers}: it is sent something");
+            assert!(result.peak_slow_start_load > 0.2, "{balancers}: the restarted server gets no sends");
             assert!(
                 result.excess_over_chance <= 0.0,
-                "{balancers}, seed {seed}: {:.1} sends over",
+                "{balancers}, seed {seed}: {:.1} sends above the tolerated load",
                 result.excess_over_chance
             );
         }
@@ -108,7 +108,7 @@
     for (balancers, min_served) in [(3, 300.0), (12, 250.0), (100, 80.0)] {
         let result = simulate(Scenario { rate: 1000.0, seconds: 20, ..scenario(balancers, Outage::NONE) });
         let served = sum(&result.served, 5, 20) / 15.0;
-        println!("{balancers:4} balancers: {served:.0} a second served of 1000 requested, 480 can be");
+        println!("{balancers:4} balancers: {served:.0} a second served of 1000 requested, capacity 480");
         assert!(served > min_served, "{balancers}: {served:.0} a second served");
     }
 }
@@ -122,24 +122,24 @@
         let result = simulate_default(balancers, Outage { from: 8, to: 12, every: 2 });
         let max_fetches = result.fetches.iter().fold(0.0, |a: f64, b| a.max(*b));
         println!(
-            "{balancers:4} balancers: {:.3} served, {:.3} after, restarted server at {:.2}, {max_fetches} fetches at most in a second",
+            "{balancers:4} balancers: {:.3} served, {:.3} after the restart, restarted server at {:.2} of its capacity, {max_fetches} fetches at most in a second",
             result.served_share(8, 14),
             result.served_share(20, 30),
             result.peak_slow_start_load
         );
         assert!(
             result.peak_slow_start_load < 4.0,
-            "{balancers}: a restarted server was sent {:.2} times what it can do",
+            "{balancers}: a restarted server got {:.2} times its capacity",
             result.peak_slow_start_load
         );
         assert!(
             result.served_share(8, 14) > 0.8,
-            "{balancers}: {:.3} served meanwhile",
+            "{balancers}: {:.3} served during the outage",
             result.served_share(8, 14)
         );
         assert!(
             result.served_share(20, 30) > 0.97,
-            "{balancers}: {:.3} served after",
+            "{balancers}: {:.3} served after the restart",
             result.served_share(20, 30)
         );
         // The origin can serve 320 a second and fails at 2.5 times that rate.
--- a/src/balancer/tests/gap_ladder.rs
+++ b/src/balancer/tests/gap_ladder.rs
@@ -87,7 +87,10 @@
     assert_eq!(gap.rung, 6);
     let mut renewed = active_gap(10);
     record_outcomes(&mut renewed, 2 * SECOND, 300_000, &[true]);
-    assert!(renewed.rung > 10 && renewed.ends_at > Micros(2 * SECOND), "a high share raises and renews it");
+    assert!(
+        renewed.rung > 10 && renewed.ends_at > Micros(2 * SECOND),
+        "a high rejected share must raise and renew the gap"
+    );
     let mut ended = active_gap(9);
     ended.ends_at = Micros(5 * SECOND);
     assert!(ended.is_active(Micros(5 * SECOND - 1)) && !ended.is_active(Micros(5 * SECOND)));
@@ -146,7 +149,7 @@
                 gap.on_outcome(send_outcome(sent, now, rng.f64() < rejected_share), &ladder, rng.f64());
             }
         }
-        prop_assert!(!gap.is_active(Micros(now + 8 * SECOND)), "without demand");
+        prop_assert!(!gap.is_active(Micros(now + 8 * SECOND)), "gap still in effect without demand");
         let end = now + 3 * SECOND;
         while now < end {
             now += 10_000;
@@ -155,7 +158,7 @@
                 gap.on_outcome(send_outcome(now - 1, now, false), &ladder, rng.f64());
             }
         }
-        prop_assert!(!gap.is_active(Micros(now)), "rung {} with demand", gap.rung);
+        prop_assert!(!gap.is_active(Micros(now)), "gap still in effect with demand, rung {}", gap.rung);
     }
 }
 
@@ -174,7 +177,7 @@
         assert_eq!(gap.is_active(Micros(now)), is_gapped, "{balancers} balancers");
     }
     let sends_of_all = |n: u32| f64::from(n) / ladder_of(n).length(ladder_of(n).highest_rung).0 as f64;
-    assert!(sends_of_all(100) < 9.0 * sends_of_all(3), "sends to a dead server by all together");
+    assert!(sends_of_all(100) < 9.0 * sends_of_all(3), "sends of all balancers to a dead server");
 }
 
 #[test]
--- a/src/balancer/tests/hedging.rs
+++ b/src/balancer/tests/hedging.rs
@@ -73,7 +73,7 @@
             });
             assert_eq!(timer.is_some(), allowed);
             let (at, token) = timer.unwrap_or((now, 0));
-            assert!(at < now + 250_000, "before its objective");
+            assert!(at < now + 250_000, "the hedging timer must be due before the latency objective");
             if let Some(second) = sent_to(&handle(&mut balancer, at, Event::Timer(token))) {
                 hedged += 1;
                 assert_eq!(second, ORIGIN);
@@ -99,7 +99,7 @@
     for n in 0..100 {
         now += 200_000;
         let sends = handle(&mut balancer, now, Event::Request(write(n, now)));
-        let server = sent_to(&sends).expect("it is sent");
+        let server = sent_to(&sends).expect("the write is sent");
         handle(&mut balancer, now + 20_000, completed_and_closed(n, 0, server, AttemptResult::Served));
     }
     now += 200_000;
@@ -107,7 +107,7 @@
     let [Action::Send { server: first, .. }, Action::Timer { at, token }] = sends[..] else {
         panic!("{sends:?}")
     };
-    let second = sent_to(&handle(&mut balancer, at.0, Event::Timer(token))).expect("it is hedged");
+    let second = sent_to(&handle(&mut balancer, at.0, Event::Timer(token))).expect("the write is hedged");
     (balancer, [first, second], at.0)
 }
 
--- a/src/balancer/tests/history.rs
+++ b/src/balancer/tests/history.rs
@@ -177,15 +177,17 @@
         match action {
             Action::Send { id, server, .. } => self.check_send(id, *server)?,
             Action::Reject { id, .. } => {
-                let recorded = self.open.remove(id).expect("answered twice");
+                let recorded = self.open.remove(id).expect("second final answer to a request");
                 let is_deduplicated_everywhere = self.class.idempotency == Idempotency::WithIdempotencyKey
                     && self.class.deduplication_scope == DeduplicationScope::All;
                 let is_harmless = !recorded.attempts.iter().any(RecordedAttempt::is_possibly_executed)
                     || self.class.idempotency == Idempotency::Idempotent
                     || is_deduplicated_everywhere;
-                prop_assert!(is_harmless, "rejected what may have been executed");
+                prop_assert!(is_harmless, "rejected a request that may have been executed");
+            }
+            Action::Fail { id } => {
+                prop_assert!(self.open.remove(id).is_some(), "second final answer to a request")
             }
-            Action::Fail { id } => prop_assert!(self.open.remove(id).is_some(), "answered twice"),
             Action::Timer { at, token } => {
                 prop_assert!(at.0 > self.now);
                 self.timers.push((at.0, *token));
@@ -198,7 +200,7 @@
     fn check_send(&mut self, id: &RequestId, server: ServerId) -> Result<(), TestCaseError> {
         let Self { now, class, .. } = self;
         let may_overlap = class.idempotency == Idempotency::Idempotent && self.may_duplicate;
-        let recorded = self.open.get_mut(id).expect("sent for a request that is over");
+        let recorded = self.open.get_mut(id).expect("attempt of a closed request");
         let in_flight = recorded.attempts.iter().filter(|attempt| attempt.result.is_none()).count();
         prop_assert!(in_flight == 0 || may_overlap && in_flight == 1, "too many attempts in flight");
         prop_assert!(*now < recorded.deadline && recorded.attempts.len() < 4);
@@ -213,11 +215,11 @@
                 && *now - earlier.sent < class.deduplication_window.0;
             prop_assert!(
                 class.idempotency == Idempotency::Idempotent || is_deduplicated,
-                "may be executed twice"
+                "attempt may execute a request twice"
             );
         }
         let is_serving = server == ORIGIN || self.server_states[server.0 as usize] == EndpointState::Serving;
-        prop_assert!(is_serving, "sent to a draining server");
+        prop_assert!(is_serving, "attempt at a server that is draining or gone");
         recorded.attempts.push(RecordedAttempt { server, sent: *now, result: None });
         Ok(())
     }
@@ -225,13 +227,16 @@
     fn check_state(&self) -> Result<(), TestCaseError> {
         for recorded in self.open.values() {
             let is_in_flight = recorded.attempts.iter().any(|attempt| attempt.result.is_none());
-            prop_assert!(is_in_flight || self.now <= recorded.deadline + 20_000, "a request was lost");
+            prop_assert!(
+                is_in_flight || self.now <= recorded.deadline + 20_000,
+                "no final answer to a request after its deadline"
+            );
         }
         let Self { balancer, open, .. } = self;
-        prop_assert_eq!(balancer.open_requests.len(), open.len(), "closed requests are forgotten");
+        prop_assert_eq!(balancer.open_requests.len(), open.len(), "closed requests must be removed");
         prop_assert!(balancer.open_requests.parked_len() <= open.len());
         prop_assert!(balancer.endpoints.servers.len() as u64 <= CACHE_SERVERS + 1);
-        prop_assert!(balancer.origin_queue.len() <= open.len(), "only open requests wait");
+        prop_assert!(balancer.origin_queue.len() <= open.len(), "only open requests may be queued");
         prop_assert!((balancer.placement.read_counts.len() as f64) < MAX_COUNTED_READS);
         Ok(())
     }
@@ -271,6 +276,10 @@
         ][kind];
         let first = run_history(seed, idempotency, scope, 1_500)?;
         prop_assert!(first.0.len() > 500);
-        prop_assert_eq!(first, run_history(seed, idempotency, scope, 1_500)?, "same events, same actions");
+        prop_assert_eq!(
+            first,
+            run_history(seed, idempotency, scope, 1_500)?,
+            "the same events must give the same actions"
+        );
     }
 }
--- a/src/balancer/tests/open_request.rs
+++ b/src/balancer/tests/open_request.rs
@@ -25,7 +25,7 @@
             let (class, limits) = (&settings.classes[0], &settings.limits);
             let first = endpoint(first.0);
             let other = endpoint((first.server.0 + 1) % 4);
-            assert!(!open.may_send(Micros(20), &first, class, limits), "one is in flight");
+            assert!(!open.may_send(Micros(20), &first, class, limits), "an attempt is in flight");
             let overlapping = Limits { may_duplicate: true, ..limits.clone() };
             let may_overlap = open.may_send(Micros(20), &first, class, &overlapping);
             assert_eq!(
@@ -43,7 +43,7 @@
             assert_eq!(may_send(&first, 20), is_unrestricted || has_key, "{name}");
             let is_safe_everywhere = is_unrestricted || has_key && scope == DeduplicationScope::All;
             assert_eq!(may_send(&other, 20), is_safe_everywhere, "{name}");
-            assert_eq!(may_send(&first, 400_010), is_unrestricted, "{name}: past its window");
+            assert_eq!(may_send(&first, 400_010), is_unrestricted, "{name}: past the deduplication window");
             assert_eq!(open.may_reject(class), is_safe_everywhere, "{name}");
             let draining = Endpoint { state: EndpointState::Draining, ..first.clone() };
             assert!(!may_send(&draining, 20) && !may_send(&first, SECOND + 10), "{name}");
--- a/src/balancer/tests/origin.rs
+++ b/src/balancer/tests/origin.rs
@@ -49,7 +49,10 @@
         }));
     }
     let waiting = balancer.origin_queue.len();
-    assert!(waiting < 12 && rejected.len() + waiting == 30, "preempted at once");
+    assert!(
+        waiting < 12 && rejected.len() + waiting == 30,
+        "requests of low priority must be rejected at once"
+    );
     assert!(!rejected.contains(&request_id(4)) && !rejected.contains(&request_id(7)));
     balancer.endpoints.server_mut(ORIGIN).expect("listed").concurrency = ConcurrencyLimit::new(3);
     let actions = handle(&mut balancer, SECOND + 1_000, completed(999, 0, ORIGIN, AttemptResult::Served));
@@ -70,7 +73,10 @@
     fill_origin(&mut balancer);
     let actions = handle(&mut balancer, SECOND, Event::Request(request(1, SECOND, 5)));
     let [Action::Timer { at, token }] = actions[..] else { panic!("{actions:?}") };
-    assert!(at < Micros(SECOND + 125_000), "well before half of the time to its objective");
+    assert!(
+        at < Micros(SECOND + 125_000),
+        "the wait must end well before half of the time to the latency objective"
+    );
     let end = handle(&mut balancer, at.0, Event::Timer(token));
     assert!(matches!(end[..], [Action::Reject { .. }]), "{end:?}");
     assert!(balancer.origin_queue.is_empty());
@@ -94,10 +100,13 @@
             _ => None,
         })
         .collect();
-    assert!(sent_to(&actions).is_none() && timers.len() == 2, "it waits a moment for the gap: {actions:?}");
+    assert!(
+        sent_to(&actions).is_none() && timers.len() == 2,
+        "the request must wait for the gap: {actions:?}"
+    );
     let end = handle(&mut balancer, now + 100_000, Event::Timer(timers[0]));
     assert!(
         matches!(end[..], [Action::Reject { retry_after, .. }] if retry_after > Micros(0)),
-        "and comes back when that is over: {end:?}"
+        "the request must be rejected with a Retry-After: {end:?}"
     );
 }
--- a/src/balancer/tests/placement.rs
+++ b/src/balancer/tests/placement.rs
@@ -58,5 +58,5 @@
         assert!(zones.len() > 2 && zones[0] == zone, "{zones:?}");
         owners.iter().map(|owner| owner.server).collect::<BTreeSet<_>>()
     };
-    assert_eq!(owners_seen_from(0), owners_seen_from(1), "they are the same for all");
+    assert_eq!(owners_seen_from(0), owners_seen_from(1), "the owners must be the same at all balancers");
 }
--- a/src/balancer/tests/settings.rs
+++ b/src/balancer/tests/settings.rs
@@ -23,7 +23,11 @@
     let unknown_ids = Request { class: 99, tenant: 99, key: None, ..request(1, 10, 1) };
     assert!(sent_to(&handle(&mut balancer, 10, Event::Request(unknown_ids.clone()))).is_some());
     let mut empty = new_balancer(unusable, &[]);
-    assert_eq!(handle(&mut empty, 10, Event::Request(unknown_ids)).len(), 1, "no server: answered at once");
+    assert_eq!(
+        handle(&mut empty, 10, Event::Request(unknown_ids)).len(),
+        1,
+        "a request must be answered at once if there is no server"
+    );
     handle(&mut empty, 10, completed(77, 9, ServerId(5), AttemptResult::Rejected));
     handle(&mut empty, 10, Event::Timer(u64::MAX));
 }
@@ -58,7 +62,11 @@
         names.iter().map(|name| std::fs::read_to_string(root.join(name)).expect(name)).collect();
     let folder = std::fs::read_dir(root.join("src/balancer")).expect("a folder");
     let count = folder.filter(|entry| entry.as_ref().is_ok_and(|entry| entry.path().is_file())).count();
-    assert_eq!(files.len(), count - 1, "balancer.rs, and all beside it but the tests and the view");
+    assert_eq!(
+        files.len(),
+        count - 1,
+        "the list must contain balancer.rs and all files in src/balancer but tests.rs and limit_view.rs"
+    );
     for entry in std::fs::read_dir(root.join("src/balancer")).expect("a folder") {
         let file = entry.expect("an entry").file_name().into_string().expect("a name");
         let decides = file.ends_with(".rs") && file != "tests.rs" && file != "limit_view.rs";
--- a/src/balancer/tests/simulation.rs
+++ b/src/balancer/tests/simulation.rs
@@ -155,9 +155,12 @@
         let before = result.served_share(2, 10);
         let during = result.served_share(10, 18);
         let after = result.served_share(21, 40);
-        assert!(before > 0.93, "seed {seed}: {before:.3} before");
-        assert!(during > 0.25, "seed {seed}: {during:.3} while it is slow: caches are kept filled");
-        assert!(after > 0.95, "seed {seed}: {after:.3} from three seconds after it was slow");
+        assert!(before > 0.93, "seed {seed}: {before:.3} served before the slowdown");
+        assert!(
+            during > 0.25,
+            "seed {seed}: {during:.3} served during the slowdown; caches must stay filled"
+        );
+        assert!(after > 0.95, "seed {seed}: {after:.3} served from three seconds after the slowdown");
     }
 }
 
--- a/src/balancer/tests/slow_start.rs
+++ b/src/balancer/tests/slow_start.rs
@@ -10,7 +10,7 @@
     assert!((weight_at(100) - 0.1).abs() < 1e-9);
     assert!((weight_at(110) - 0.55).abs() < 1e-9);
     assert!(weight_at(120) == 1.0);
-    assert!((weight_at(0) - 0.1).abs() < 1e-9, "one that starts in the future has the initial share");
+    assert!((weight_at(0) - 0.1).abs() < 1e-9, "a start time in the future gives the initial share");
 }
 
 /// Guards against overload of a server that has just started, when gapped servers pass all their keys to it.
