--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -38,11 +38,11 @@
 /// baseline.
 const OUTLIER_RATIO: f64 = 2.0;
 
-/// Latencies in a sample whose mean updates the baseline.
+/// Number of latencies in a sample; the mean of a complete sample updates the baseline.
 const SAMPLES_PER_MEAN: f64 = 4.0;
-/// Weight of a sample mean below the baseline.
+/// Weight of a sample mean in the baseline, if the mean is below it.
 const BASELINE_DECREASE_WEIGHT: f64 = 0.1;
-/// Weight of a sample mean above the baseline.
+/// Weight of a sample mean in the baseline, if the mean is above it.
 const BASELINE_INCREASE_WEIGHT: f64 = 0.03;
 /// Time in which outliers, such as the latencies of a queue, double the baseline, in microseconds. This
 /// covers a server that has become permanently slower.
@@ -61,7 +61,7 @@
     sum: f64,
     /// Number of latencies.
     count: f64,
-    /// Whether a latency was measured while the server was crowded.
+    /// Whether a latency was measured while the server may have had a queue.
     is_crowded: bool,
 }
 
@@ -85,7 +85,7 @@
     recent_peak_limit: f64,
     /// Time of the last decrease of the limit; `Micros::ZERO` before the first.
     last_decrease: Micros,
-    /// Latency of the server while it is not crowded, in microseconds; zero while unknown.
+    /// Latency of the server without queueing, in microseconds; zero while unknown.
     pub(super) baseline_latency: f64,
     /// Moving average of the latency, in microseconds; zero while unknown.
     pub(super) recent_latency: f64,
@@ -216,8 +216,8 @@
         }
     }
 
-    /// Updates the baseline with the mean of the sample. Outliers and samples of a crowded server raise it
-    /// only slowly, so that a growing queue does not become the baseline.
+    /// Updates the baseline with the mean of the sample. Outliers and samples that may include queueing delay
+    /// raise it only slowly, so that a growing queue does not become the baseline.
     fn update_baseline(&mut self, now: Micros) {
         let mean = self.sample.sum / self.sample.count;
         let difference = mean - self.baseline_latency;
--- a/src/balancer/discovery_schedule.rs
+++ b/src/balancer/discovery_schedule.rs
@@ -9,8 +9,8 @@
 use crate::settings::Settings;
 use crate::time::Micros;
 
-/// Upper bound on the poll interval in the computation of delays; a longer interval of the site counts as
-/// this.
+/// Longest poll interval that delays are computed from; a longer interval of the site is capped at this
+/// value.
 pub const MAX_POLL_INTERVAL: Micros = Micros::from_secs(10);
 /// Share of the poll interval over which the balancers of a full-size fleet that start together spread their
 /// first calls.
@@ -18,7 +18,7 @@
 /// Number of balancers from which first calls are spread over the whole of [`START_SPREAD_SHARE`]; fewer
 /// balancers use a proportional part.
 const FULL_SPREAD_BALANCERS: f64 = 90.0;
-/// Lower bound on this part.
+/// Lower bound on the proportional part of a small fleet.
 const MIN_SPREAD_FACTOR: f64 = 0.3;
 /// Consecutive calls after a start that use the startup backoff, including the first call.
 const START_CALLS: u32 = 3;
--- a/src/balancer/tests/capacity.rs
+++ b/src/balancer/tests/capacity.rs
@@ -196,8 +196,8 @@
     }
 }
 
-/// Two of five balancers start at once with a discovery that answers calls in order of arrival: the time
-/// until half, 99% and all of them have their list, and the number of calls.
+/// 40% of the balancers start at once with a discovery service that answers calls in order of arrival: the
+/// time until half, 99% and all of them have their list, and the number of calls.
 #[test]
 #[ignore = "measures for docs/CAPACITY.md"]
 fn capacity_discovery_wave() {
