--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -50,7 +50,7 @@
 /// Weight of one latency in the recent latency.
 const RECENT_LATENCY_WEIGHT: f64 = 0.15;
 /// Share of the limit in flight from which latencies may contain queueing delay.
-const CROWDED_SHARE: f64 = 0.5;
+const QUEUEING_SHARE: f64 = 0.5;
 /// Lower bound on the recent latency in estimates, in microseconds, since it is zero while unknown.
 const MIN_RECENT_LATENCY_MICROS: f64 = 1e5;
 
@@ -62,7 +62,7 @@
     /// Number of latencies.
     count: f64,
     /// Whether a latency was measured while the server may have had a queue.
-    is_crowded: bool,
+    may_include_queueing: bool,
 }
 
 /// The limit on the attempts in flight at one server, and the observations that change it.
@@ -209,7 +209,7 @@
 
         self.sample.sum += latency;
         self.sample.count += 1.0;
-        self.sample.is_crowded |= self.in_flight() > CROWDED_SHARE * self.limit;
+        self.sample.may_include_queueing |= self.in_flight() > QUEUEING_SHARE * self.limit;
         self.recent_peak_limit *= (1.0 - PEAK_DECAY_SHARE / self.minimum_limit).max(0.0);
         if self.sample.count >= SAMPLES_PER_MEAN {
             self.update_baseline(now);
@@ -226,7 +226,7 @@
             mean
         } else if difference < 0.0 {
             difference * BASELINE_DECREASE_WEIGHT
-        } else if !is_outlier && !self.sample.is_crowded {
+        } else if !is_outlier && !self.sample.may_include_queueing {
             difference * BASELINE_INCREASE_WEIGHT
         } else {
             self.baseline_latency * (now - self.baseline_updated).as_f64() / BASELINE_DOUBLING_MICROS
