--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -35,8 +35,8 @@
     /// Records the remaining time of a request that is not a client's retry.
     fn on_new_request(&mut self, now: Micros, request: &Request, settings: &Settings) {
         let time_left = request.deadline - now;
-        let longest = &mut self.longest_initial_time_left[settings.class_index(request.class)];
-        *longest = time_left.max(*longest);
+        let longest_time_left = &mut self.longest_initial_time_left[settings.class_index(request.class)];
+        *longest_time_left = time_left.max(*longest_time_left);
     }
 
     /// Time until which a response is useful: the latency objective, or the deadline if late responses have a
@@ -113,8 +113,8 @@
             return;
         }
         let limits = &self.settings.limits;
-        let longest = if limits.retry_after { limits.max_retry_after } else { Micros::ZERO };
+        let max_retry_after = if limits.retry_after { limits.max_retry_after } else { Micros::ZERO };
         let spread = RETRY_AFTER_SPREAD.mul_f64(self.rng.f64());
-        actions.push(Action::Reject { id, retry_after: (wait + spread).min(longest), reason });
+        actions.push(Action::Reject { id, retry_after: (wait + spread).min(max_retry_after), reason });
     }
 }
--- a/src/balancer/gap_ladder.rs
+++ b/src/balancer/gap_ladder.rs
@@ -217,8 +217,8 @@
         if self.rung > 0 {
             return true;
         }
-        let shortest = ladder.window.mul_f64(MIN_WINDOW_SHARE_PER_OUTCOME * ladder.window_outcomes);
-        self.outcomes >= ladder.window_outcomes && now - self.window_opened >= shortest
+        let min_length = ladder.window.mul_f64(MIN_WINDOW_SHARE_PER_OUTCOME * ladder.window_outcomes);
+        self.outcomes >= ladder.window_outcomes && now - self.window_opened >= min_length
     }
 
     /// The rejected share of the window; always below one, so that the gap for the served rate stays finite.
--- a/src/balancer/origin.rs
+++ b/src/balancer/origin.rs
@@ -84,7 +84,7 @@
         self.park(now, max_wait, open, actions);
         self.schedule_drain(now, actions);
         if self.origin_queue.len() > self.max_queue_length() {
-            if let Some(id) = self.origin_queue.take_lowest() {
+            if let Some(id) = self.origin_queue.remove_lowest_priority() {
                 self.resume(now, id, QueueState::Preempted, actions);
             }
         }
@@ -116,7 +116,7 @@
             accepts_reads: origin.concurrency.has_capacity(now, false),
             accepts_writes: origin.concurrency.has_capacity(now, true),
         };
-        self.origin_queue.take_highest(capacity)
+        self.origin_queue.remove_highest_priority(capacity)
     }
 
     /// Routes a request again after its removal from the queue.
--- a/src/balancer/origin_queue.rs
+++ b/src/balancer/origin_queue.rs
@@ -68,14 +68,14 @@
     }
 
     /// Removes the request of the lowest priority.
-    pub(super) fn take_lowest(&mut self) -> Option<RequestId> {
+    pub(super) fn remove_lowest_priority(&mut self) -> Option<RequestId> {
         let indices = 0..self.waiting.len();
         let lowest = indices.min_by(|a, b| self.priority(*a).total_cmp(&self.priority(*b)))?;
         Some(self.waiting.swap_remove(lowest).id)
     }
 
     /// Removes the request of the highest priority for which there is capacity.
-    pub(super) fn take_highest(&mut self, capacity: OriginCapacity) -> Option<RequestId> {
+    pub(super) fn remove_highest_priority(&mut self, capacity: OriginCapacity) -> Option<RequestId> {
         let admissible =
             (0..self.waiting.len()).filter(|index| capacity.has_capacity_for(&self.waiting[*index]));
         let highest = admissible.max_by(|a, b| self.priority(*a).total_cmp(&self.priority(*b)))?;
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -107,10 +107,11 @@
 
     /// Moves the best owner in this balancer's zone to the front, because the network path to it is short.
     fn prefer_own_zone(&mut self, owners: usize, servers: &[Server], own_zone: u32) {
-        let owning = &self.candidates[..owners];
-        let nearest = owning.iter().position(|owner| servers[owner.server].endpoint.zone == own_zone);
-        if let Some(nearest) = nearest {
-            self.candidates[..=nearest].rotate_right(1);
+        let owner_candidates = &self.candidates[..owners];
+        let own_zone_rank =
+            owner_candidates.iter().position(|owner| servers[owner.server].endpoint.zone == own_zone);
+        if let Some(own_zone_rank) = own_zone_rank {
+            self.candidates[..=own_zone_rank].rotate_right(1);
         }
     }
 }
--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -180,7 +180,7 @@
     pub(crate) fn on_attempt_completed(
         &mut self,
         now: Micros,
-        at: &Endpoint,
+        server: &Endpoint,
         result: AttemptResult,
         evidence: LoadEvidence,
     ) {
@@ -192,7 +192,7 @@
             _ => return,
         };
         if let Some(shared) = &mut self.0 {
-            shared.on_server_observed(at.server, at.started, silent, now);
+            shared.on_server_observed(server.server, server.started, silent, now);
         }
     }
 }
