--- a/src/balancer/tests.rs
+++ b/src/balancer/tests.rs
@@ -110,16 +110,16 @@
     actions
 }
 
-fn request_id(n: u64) -> RequestId {
+fn request_id(number: u64) -> RequestId {
     let mut bytes = [b'-'; 36];
-    bytes[..8].copy_from_slice(&n.to_be_bytes());
+    bytes[..8].copy_from_slice(&number.to_be_bytes());
     RequestId(bytes)
 }
 
 /// A read that arrives now with a deadline in one second.
-fn request(n: u64, now: u64, key: u64) -> Request {
+fn request(number: u64, now: u64, key: u64) -> Request {
     Request {
-        id: request_id(n),
+        id: request_id(number),
         deadline: Micros(now + SECOND),
         expected_work: None,
         key: Some(Key(key)),
@@ -131,9 +131,9 @@
 }
 
 /// An attempt that completed after one millisecond.
-fn completed_attempt(n: u64, attempt: u32, server: ServerId, result: AttemptResult) -> CompletedAttempt {
+fn completed_attempt(number: u64, attempt: u32, server: ServerId, result: AttemptResult) -> CompletedAttempt {
     CompletedAttempt {
-        id: request_id(n),
+        id: request_id(number),
         server,
         attempt,
         latency: Micros(1_000),
@@ -144,13 +144,18 @@
 }
 
 /// The event for a completed attempt whose request stays open.
-fn completed(n: u64, attempt: u32, server: ServerId, result: AttemptResult) -> Event<'static> {
-    Event::AttemptCompleted(completed_attempt(n, attempt, server, result))
+fn completed(number: u64, attempt: u32, server: ServerId, result: AttemptResult) -> Event<'static> {
+    Event::AttemptCompleted(completed_attempt(number, attempt, server, result))
 }
 
 /// The event for a completed attempt that closes its request.
-fn completed_and_closed(n: u64, attempt: u32, server: ServerId, result: AttemptResult) -> Event<'static> {
-    let ended = completed_attempt(n, attempt, server, result);
+fn completed_and_closed(
+    number: u64,
+    attempt: u32,
+    server: ServerId,
+    result: AttemptResult,
+) -> Event<'static> {
+    let ended = completed_attempt(number, attempt, server, result);
     Event::AttemptCompleted(CompletedAttempt { is_request_over: true, ..ended })
 }
 
--- a/src/balancer/tests/coordination.rs
+++ b/src/balancer/tests/coordination.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn suspected_server_is_passed_over_for_the_next_candidate() {
+fn suspected_server_is_skipped_for_the_next_candidate() {
     let (mut balancer, fake) = balancer_with_coordination(&endpoints(12));
     assert_eq!(fake.0.borrow().serving.len(), 12, "the origin must not be listed as a cache server");
     for n in 0..50 {
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn attempt_results_report_silence_but_not_load() {
+fn attempt_results_report_unresponsive_servers_but_not_load() {
     let cases = [
         (AttemptResult::Served, Some(false)),
         (AttemptResult::Miss, Some(false)),
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn exhausted_slow_start_limit_keeps_requests_away_and_is_reported() {
+fn exhausted_slow_start_limit_diverts_requests_and_is_reported() {
     let mut list = endpoints(1);
     list[0].started = Micros(100 * SECOND);
     let (mut balancer, fake) = balancer_with_coordination(&list);
--- a/src/balancer/tests/hedging.rs
+++ b/src/balancer/tests/hedging.rs
@@ -5,7 +5,7 @@
 /// A balancer that seldom sends to a server knows little about it: without a recent response, the request is
 /// hedged sooner.
 #[test]
-fn server_without_a_recent_response_is_hedged_sooner() {
+fn request_to_a_server_without_a_recent_response_is_hedged_sooner() {
     let mut settings = idempotent_settings();
     settings.limits.may_duplicate = true;
     let mut balancer = new_balancer(settings, &endpoints(1));
--- a/src/balancer/tests/origin.rs
+++ b/src/balancer/tests/origin.rs
@@ -6,7 +6,7 @@
 /// after connection failures. No other server can take the origin's requests, so a write must be sent within
 /// the longest deadline of the origin's recovery.
 #[test]
-fn unreachable_origin_is_tried_again_within_the_longest_deadline() {
+fn unreachable_origin_is_retried_within_the_longest_deadline() {
     let mut settings = settings(Idempotency::WithIdempotencyKey, DeduplicationScope::All);
     settings.balancers = 300;
     let mut balancer = new_balancer(settings, &endpoints(3));
