--- a/src/balancer/tests/coordination.rs
+++ b/src/balancer/tests/coordination.rs
@@ -55,8 +55,14 @@
         self.0.borrow_mut().serving = servers.to_vec();
     }
 
-    fn on_server_observed(&mut self, server: ServerId, _started: Micros, silent: bool, _now: Micros) {
-        self.0.borrow_mut().observed.push((server, silent));
+    fn on_server_observed(
+        &mut self,
+        server: ServerId,
+        _started: Micros,
+        is_unresponsive: bool,
+        _now: Micros,
+    ) {
+        self.0.borrow_mut().observed.push((server, is_unresponsive));
     }
 
     fn should_avoid(&mut self, server: ServerId, _started: Micros, _: Micros, _: f64, _now: Micros) -> bool {
@@ -94,7 +100,8 @@
     }
     assert_eq!(fake.0.borrow().first_attempts, 100);
     assert!(
-        fake.0.borrow().observed.iter().all(|(_, silent)| !silent) && fake.0.borrow().observed.len() == 100
+        fake.0.borrow().observed.iter().all(|(_, is_unresponsive)| !is_unresponsive)
+            && fake.0.borrow().observed.len() == 100
     );
 }
 
@@ -113,7 +120,7 @@
         let to = sent_to(&handle(&mut balancer, 10, Event::Request(request(1, 10, 5)))).unwrap();
         handle(&mut balancer, 20, completed(1, 0, to, result));
         let observed = fake.0.borrow().observed.first().copied();
-        assert_eq!(observed, expected.map(|silent| (to, silent)), "{result:?}");
+        assert_eq!(observed, expected.map(|is_unresponsive| (to, is_unresponsive)), "{result:?}");
     }
 }
 
--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -45,8 +45,8 @@
     /// Records the cache servers that serve after a change of the endpoint list.
     fn on_endpoints_changed(&mut self, servers: &[ServingServer]);
     /// Records whether the server with this start time failed to respond to this balancer's own attempt
-    /// (`silent`) or responded.
-    fn on_server_observed(&mut self, server: ServerId, started: Micros, silent: bool, now: Micros);
+    /// (`is_unresponsive`) or responded.
+    fn on_server_observed(&mut self, server: ServerId, started: Micros, is_unresponsive: bool, now: Micros);
     /// Whether this attempt should avoid the server because other balancers report that it does not respond.
     /// A suspected server still gets occasional trial attempts, and each call may select the attempt as a
     /// trial. `last_response` is the time of the server's last response to this balancer.
@@ -184,7 +184,7 @@
         result: AttemptResult,
         evidence: LoadEvidence,
     ) {
-        let silent = match result {
+        let is_unresponsive = match result {
             AttemptResult::Served | AttemptResult::Miss if evidence == LoadEvidence::Accepted => false,
             AttemptResult::Timeout | AttemptResult::ConnectFailed if evidence == LoadEvidence::Rejected => {
                 true
@@ -192,7 +192,7 @@
             _ => return,
         };
         if let Some(shared) = &mut self.0 {
-            shared.on_server_observed(server.server, server.started, silent, now);
+            shared.on_server_observed(server.server, server.started, is_unresponsive, now);
         }
     }
 }
