--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -46,12 +46,12 @@
         instance: u32,
     },
     /// The slot is out of range.
-    #[error("manifest slot {slot} is out of range; slots are numbered 0 to {last}")]
+    #[error("manifest slot {slot} is out of range; slots are numbered 0 to {max}")]
     SlotOutOfRange {
         /// The slot.
         slot: usize,
         /// Highest valid slot.
-        last: usize,
+        max: usize,
     },
     /// The event refers to a slot without an endpoint list.
     #[error("endpoints event refers to manifest slot {slot}, but no manifest with this slot was received")]
--- a/simulator-adapter/src/instances.rs
+++ b/simulator-adapter/src/instances.rs
@@ -10,7 +10,7 @@
 use crate::wire::{request_id, write_action, Batch, EndpointsForm, IncomingEvent};
 
 /// Highest slot number of an endpoint list.
-const LAST_SLOT: usize = 15;
+const MAX_SLOT: usize = 15;
 
 /// All balancers of this process. They share only the endpoint lists, which the simulator sends once for all
 /// of them.
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     /// The line is malformed or refers to an unknown balancer or slot, or the reply cannot be written.
-    pub fn answer(&mut self, line: &[u8], output: &mut impl Write) -> Result<(), AdapterError> {
+    pub fn process_line(&mut self, line: &[u8], output: &mut impl Write) -> Result<(), AdapterError> {
         let batch: Batch = serde_json::from_slice(line).map_err(AdapterError::Batch)?;
         let now = Micros(batch.now);
         self.reply.clear();
@@ -54,7 +54,7 @@
                 self.store_endpoint_list(slot, endpoints.iter().map(Endpoint::from).collect())
             }
             IncomingEvent::EndpointsChanged { instance, slot, form } => {
-                self.change_endpoints(now, instance, slot, form)
+                self.on_endpoints_changed(now, instance, slot, form)
             }
             IncomingEvent::Request(request) => {
                 self.dispatch(now, request.instance, Event::Request(request.to_request()?))
@@ -76,8 +76,8 @@
     }
 
     fn store_endpoint_list(&mut self, slot: usize, endpoints: Vec<Endpoint>) -> Result<(), AdapterError> {
-        if slot > LAST_SLOT {
-            return Err(AdapterError::SlotOutOfRange { slot, last: LAST_SLOT });
+        if slot > MAX_SLOT {
+            return Err(AdapterError::SlotOutOfRange { slot, max: MAX_SLOT });
         }
         if self.endpoint_lists.len() <= slot {
             self.endpoint_lists.resize_with(slot + 1, Vec::new);
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    fn change_endpoints(
+    fn on_endpoints_changed(
         &mut self,
         now: Micros,
         instance: u32,
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -31,16 +31,17 @@
     let mut input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     let mut output = BufWriter::with_capacity(OUTPUT_BUFFER_BYTES, io::stdout().lock());
     let mut instances = Instances::default();
-    let mut text = Vec::new();
+    let mut input_line = Vec::new();
     let mut line = 0;
     loop {
-        text.clear();
+        input_line.clear();
         line += 1;
-        let length = input.read_until(b'\n', &mut text).map_err(|source| RunError::Read { line, source })?;
+        let length =
+            input.read_until(b'\n', &mut input_line).map_err(|source| RunError::Read { line, source })?;
         if length == 0 {
             return Ok(());
         }
-        instances.answer(&text, &mut output).map_err(|source| RunError::Line { line, source })?;
+        instances.process_line(&input_line, &mut output).map_err(|source| RunError::Line { line, source })?;
         output.flush().map_err(|source| RunError::Flush { line, source })?;
     }
 }
