--- a/simulator-adapter/src/instances.rs
+++ b/simulator-adapter/src/instances.rs
@@ -1,4 +1,4 @@
-//! The balancers of one process, and the endpoint lists that their events name.
+//! The balancers of one process, and the endpoint lists that their events refer to.
 
 use std::io::Write;
 
@@ -9,25 +9,26 @@
 use crate::error::AdapterError;
 use crate::wire::{request_id, write_action, Batch, EndpointsForm, IncomingEvent};
 
-/// The last slot that an endpoint list may be put in.
-const LAST_SLOT: usize = 15;
+/// Highest slot number of an endpoint list.
+const MAX_SLOT: usize = 15;
 
-/// All balancers of this process. They share nothing but the endpoint lists, which the simulator sends once for all.
+/// All balancers of this process. They share only the endpoint lists, which the simulator sends once for all
+/// of them.
 #[derive(Default)]
 pub struct Instances {
     balancers: FxHashMap<u32, Balancer>,
     endpoint_lists: Vec<Vec<Endpoint>>,
-    /// Kept between events to save allocations.
+    /// Reused between events to save allocations.
     actions: Vec<Action>,
     reply: Vec<u8>,
 }
 
 impl Instances {
-    /// Answers one line of input with one line.
+    /// Reads one line of events and writes one line of actions.
     ///
     /// # Errors
-    /// The line is malformed or names what is not there, or the reply cannot be written.
-    pub fn answer(&mut self, line: &[u8], output: &mut impl Write) -> Result<(), AdapterError> {
+    /// The line is malformed or refers to an unknown balancer or slot, or the reply cannot be written.
+    pub fn process_line(&mut self, line: &[u8], output: &mut impl Write) -> Result<(), AdapterError> {
         let batch: Batch = serde_json::from_slice(line).map_err(AdapterError::Batch)?;
         let now = Micros(batch.now);
         self.reply.clear();
@@ -53,7 +54,7 @@
                 self.store_endpoint_list(slot, endpoints.iter().map(Endpoint::from).collect())
             }
             IncomingEvent::EndpointsChanged { instance, slot, form } => {
-                self.change_endpoints(now, instance, slot, form)
+                self.on_endpoints_changed(now, instance, slot, form)
             }
             IncomingEvent::Request(request) => {
                 self.dispatch(now, request.instance, Event::Request(request.to_request()?))
@@ -75,8 +76,8 @@
     }
 
     fn store_endpoint_list(&mut self, slot: usize, endpoints: Vec<Endpoint>) -> Result<(), AdapterError> {
-        if slot > LAST_SLOT {
-            return Err(AdapterError::SlotOutOfRange { slot, last: LAST_SLOT });
+        if slot > MAX_SLOT {
+            return Err(AdapterError::SlotOutOfRange { slot, max: MAX_SLOT });
         }
         if self.endpoint_lists.len() <= slot {
             self.endpoint_lists.resize_with(slot + 1, Vec::new);
@@ -85,7 +86,7 @@
         Ok(())
     }
 
-    fn change_endpoints(
+    fn on_endpoints_changed(
         &mut self,
         now: Micros,
         instance: u32,
@@ -97,14 +98,14 @@
             return self.dispatch(now, instance, event);
         }
         let stored = self.endpoint_lists.get_mut(slot).ok_or(AdapterError::EmptySlot { slot })?;
-        // Taken out while the balancer, which is borrowed with it, reads it.
+        // Moved out of `self`, which `dispatch` borrows mutably, while the balancer reads the list.
         let endpoints = std::mem::take(stored);
         let result = self.dispatch(now, instance, Event::EndpointsChanged(form.into(), &endpoints));
         self.endpoint_lists[slot] = endpoints;
         result
     }
 
-    /// These decisions use no messages; a malformed one is an error all the same.
+    /// Checks a message. The balancers use no messages, but a malformed one is still an error.
     fn check_message(&self, instance: u32, base64_text: &str) -> Result<(), AdapterError> {
         base64::engine::general_purpose::STANDARD
             .decode(base64_text)
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Hands an event to one balancer and appends its actions to the reply.
+    /// Passes an event to one balancer and appends its actions to the reply.
     fn dispatch(&mut self, now: Micros, instance: u32, event: Event) -> Result<(), AdapterError> {
         let balancer = self.balancers.get_mut(&instance).ok_or(AdapterError::UnknownInstance { instance })?;
         balancer.handle(now, event, &mut self.actions);
--- a/src/balancer/tests/concurrency_limit.rs
+++ b/src/balancer/tests/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! The limit on attempts in flight at one server.
+//! Tests of the limit on attempts in flight at one server.
 
 use super::*;
 
@@ -11,10 +11,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// A server that responds well again has its limit back: each fast response that finds it in use raises
-    /// it. The latency of a server that has become slower for good is the baseline in half an hour.
+    /// The limit recovers for a server that responds well again: each fast response raises a limit in use.
+    /// The latency of a permanently slower server becomes the baseline within half an hour.
     #[test]
-    fn limit_recovers_whatever_came_before(seed: u64, steps in 1usize..400, slower in 1u64..6) {
+    fn limit_recovers_from_any_state(seed: u64, steps in 1usize..400, slower in 1u64..6) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut concurrency, mut now) = (ConcurrencyLimit::new(3), SECOND);
         for _ in 0..steps {
@@ -44,13 +44,16 @@
             concurrency.release(Micros(now), true, None);
             concurrency.on_response(Micros(now), Micros(latency));
         }
-        prop_assert!((latency as f64) < 1.6 * concurrency.baseline_latency, "it is fast again");
+        prop_assert!(
+            (latency as f64) < 1.6 * concurrency.baseline_latency,
+            "the baseline must adapt to the new latency"
+        );
     }
 }
 
-/// Under one attempt at a slow origin: reads pause between sends, a write goes as soon as nothing else is in
-/// flight. Three hundred balancers once served a quarter of their writes while reads that could not be in
-/// time took the rest.
+/// Guards against reads that block writes at a slow origin with a limit below one: reads pause between sends,
+/// while a write is sent as soon as nothing else is in flight. Without this rule, 300 balancers served a
+/// quarter of their writes, because reads that could not be in time used the rest of the capacity.
 #[test]
 fn limit_below_one_admits_a_write_before_reads() {
     let (now, mut concurrency) = (Micros(60 * SECOND), ConcurrencyLimit::new(300));
@@ -60,14 +63,17 @@
     }
     assert!(concurrency.limit < 0.7, "{}", concurrency.limit);
     concurrency.reserve(true);
-    assert!(!concurrency.has_capacity(now, true) && !concurrency.has_capacity(now, false), "one at a time");
+    assert!(
+        !concurrency.has_capacity(now, true) && !concurrency.has_capacity(now, false),
+        "one attempt at a time"
+    );
     concurrency.release(now, true, None);
     assert!(concurrency.has_capacity(now, true) && !concurrency.has_capacity(now, false));
-    assert!(concurrency.has_capacity(now + Micros(30 * SECOND), false), "a read's time comes");
+    assert!(concurrency.has_capacity(now + Micros(30 * SECOND), false), "a read is admitted after the pause");
 }
 
 #[test]
-fn abandoned_attempt_counts_as_in_flight_as_long_again() {
+fn abandoned_attempt_counts_as_in_flight_for_its_latency_again() {
     let mut concurrency = ConcurrencyLimit::new(6);
     let now = Micros(SECOND);
     (0..2).for_each(|_| concurrency.reserve(false));
@@ -90,8 +96,8 @@
     assert_eq!((before, concurrency.in_flight()), (7.0, 9.0));
 }
 
-/// A client that is about to leave waits no meaningful time: its time-outs once limited healthy servers, and
-/// the retries that this caused fed them.
+/// Guards against a limit that drops for a healthy server because of timeouts of clients with little time
+/// left; the retries that this causes lead to more such timeouts.
 #[test]
 fn short_timeouts_do_not_decrease_the_limit() {
     for (latency, is_decreased) in [(20_000, false), (600_000, true)] {
--- a/src/balancer/tests/coordination.rs
+++ b/src/balancer/tests/coordination.rs
@@ -1,4 +1,4 @@
-//! How the decisions keep to what balancers share; a fake stands for the other balancers.
+//! Tests of shared limits and reports, with a fake in place of the other balancers.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -6,10 +6,10 @@
 
 use super::*;
 
-/// What the fake answers, and the calls that it got.
+/// Return values of the fake, and the calls that it received.
 #[derive(Debug, Default)]
 struct FakeState {
-    /// How long the next use of each limit has to wait; `None` if the limit is not shared.
+    /// Wait time of each limit; `None` if the limit is not shared.
     origin_wait: Option<Micros>,
     slow_start_wait: Option<Micros>,
     retry_wait: Option<Micros>,
@@ -17,7 +17,7 @@
     origin_queries: usize,
     acquired: Vec<SharedLimit>,
     rejected: Vec<SharedLimit>,
-    /// Servers observed, and whether each was silent.
+    /// Observed servers, and whether each failed to respond.
     observed: Vec<(ServerId, bool)>,
     first_attempts: usize,
     serving: Vec<ServingServer>,
@@ -55,8 +55,14 @@
         self.0.borrow_mut().serving = servers.to_vec();
     }
 
-    fn on_server_observed(&mut self, server: ServerId, _started: Micros, silent: bool, _now: Micros) {
-        self.0.borrow_mut().observed.push((server, silent));
+    fn on_server_observed(
+        &mut self,
+        server: ServerId,
+        _started: Micros,
+        is_unresponsive: bool,
+        _now: Micros,
+    ) {
+        self.0.borrow_mut().observed.push((server, is_unresponsive));
     }
 
     fn should_avoid(&mut self, server: ServerId, _started: Micros, _: Micros, _: f64, _now: Micros) -> bool {
@@ -72,15 +78,15 @@
     (balancer, coordination)
 }
 
-/// The first attempt has served its request, which is closed.
+/// The event for a first attempt that served and closed its request.
 fn served(n: u64, server: ServerId) -> Event<'static> {
-    closing(n, 0, server, AttemptResult::Served)
+    completed_and_closed(n, 0, server, AttemptResult::Served)
 }
 
 #[test]
-fn suspected_server_is_passed_over_for_the_next_candidate() {
+fn suspected_server_is_skipped_for_the_next_candidate() {
     let (mut balancer, fake) = balancer_with_coordination(&endpoints(12));
-    assert_eq!(fake.0.borrow().serving.len(), 12, "the origin is no cache server");
+    assert_eq!(fake.0.borrow().serving.len(), 12, "the origin must not be listed as a cache server");
     for n in 0..50 {
         let now = SECOND * (1 + n);
         let first = sent_to(&handle(&mut balancer, now, Event::Request(request(n, now, n)))).unwrap();
@@ -88,18 +94,19 @@
         fake.0.borrow_mut().suspected = HashSet::from([first]);
         let now = now + SECOND / 2;
         let next = sent_to(&handle(&mut balancer, now, Event::Request(request(1_000 + n, now, n)))).unwrap();
-        assert!(next != first && next != ORIGIN, "to another cache server, not to the origin");
+        assert!(next != first && next != ORIGIN, "the request must go to another cache server");
         handle(&mut balancer, now + 9, served(1_000 + n, next));
         fake.0.borrow_mut().suspected.clear();
     }
     assert_eq!(fake.0.borrow().first_attempts, 100);
     assert!(
-        fake.0.borrow().observed.iter().all(|(_, silent)| !silent) && fake.0.borrow().observed.len() == 100
+        fake.0.borrow().observed.iter().all(|(_, is_unresponsive)| !is_unresponsive)
+            && fake.0.borrow().observed.len() == 100
     );
 }
 
 #[test]
-fn attempt_results_report_silence_but_not_load() {
+fn attempt_results_report_unresponsive_servers_but_not_load() {
     let cases = [
         (AttemptResult::Served, Some(false)),
         (AttemptResult::Miss, Some(false)),
@@ -113,7 +120,7 @@
         let to = sent_to(&handle(&mut balancer, 10, Event::Request(request(1, 10, 5)))).unwrap();
         handle(&mut balancer, 20, completed(1, 0, to, result));
         let observed = fake.0.borrow().observed.first().copied();
-        assert_eq!(observed, expected.map(|silent| (to, silent)), "{result:?}");
+        assert_eq!(observed, expected.map(|is_unresponsive| (to, is_unresponsive)), "{result:?}");
     }
 }
 
@@ -134,7 +141,7 @@
             let is_exhausted = |action: &Action| {
                 matches!(action, Action::Reject { reason: RejectReason::AttemptsExhausted, .. })
             };
-            assert!(actions.iter().any(is_exhausted), "rejected at once: {actions:?}");
+            assert!(actions.iter().any(is_exhausted), "the request must be rejected at once: {actions:?}");
         }
         let is_paid = fake.0.borrow().acquired.contains(&SharedLimit::RetryBudget);
         assert_eq!(is_paid, is_retried && result != AttemptResult::Miss, "{retry_wait:?} {result:?}");
@@ -142,7 +149,7 @@
 }
 
 #[test]
-fn exhausted_slow_start_limit_keeps_requests_away_and_is_reported() {
+fn exhausted_slow_start_limit_diverts_requests_and_is_reported() {
     let mut list = endpoints(1);
     list[0].started = Micros(100 * SECOND);
     let (mut balancer, fake) = balancer_with_coordination(&list);
@@ -160,10 +167,10 @@
     assert_eq!((to, fake.0.borrow().acquired.last()), (Some(ServerId(0)), Some(&slow_start)));
 }
 
-/// A query that finds no token free counts as need: with nobody waiting, a balancer borrowed what it did not
-/// need.
+/// Guards against a balancer that borrows capacity without need: a query that finds no free token counts as
+/// demand, so it must not be made while no request waits.
 #[test]
-fn shared_origin_limit_is_not_queried_while_nobody_waits() {
+fn shared_origin_limit_is_not_queried_while_no_request_waits() {
     let (mut balancer, fake) = balancer_with_coordination(&endpoints(12));
     fake.0.borrow_mut().origin_wait = Some(Micros(10_000));
     for n in 0..20 {
--- a/src/balancer/tests/fleet.rs
+++ b/src/balancer/tests/fleet.rs
@@ -1,30 +1,31 @@
-//! Many balancers in one simulation: what they do together that is harmless in one. Sums over all of them are
-//! asserted.
+//! Simulations of many balancers, to find behaviour that is harmless in one balancer but not in a fleet.
+//! Assertions are on sums over all balancers.
 
-use super::simulation::{play, Day, Plan, Silence, Slowdown};
+use super::simulation::{simulate, Outage, Scenario, SimulationResult, Slowdown};
 
 const SIZES: [usize; 5] = [3, 12, 50, 100, 200];
 
-/// The plan of most tests here; some of it varies.
-fn plan(balancers: usize, silence: Silence) -> Plan {
+/// The base scenario of the tests.
+fn scenario(balancers: usize, outage: Outage) -> Scenario {
     let slow_origin = Slowdown::NONE;
-    Plan { seed: 5, balancers, caches: 24, rate: 240.0, seconds: 30, slow_origin, silence }
+    Scenario { seed: 5, balancers, caches: 24, rate: 240.0, seconds: 30, slow_origin, outage }
 }
 
-fn day(balancers: usize, silence: Silence) -> Day {
-    play(plan(balancers, silence))
+fn simulate_default(balancers: usize, outage: Outage) -> SimulationResult {
+    simulate(scenario(balancers, outage))
 }
 
 fn sum(by_second: &[f64], from: usize, to: usize) -> f64 {
     by_second[from..to].iter().sum()
 }
 
-/// The same load by more balancers costs the origin and the caches no more, and is served as well.
+/// The same load over more balancers causes no more requests to the origin and the cache servers, and is
+/// served as well.
 #[test]
 fn more_balancers_cost_no_more_for_the_same_load() {
-    let few = day(3, Silence::NONE);
+    let few = simulate_default(3, Outage::NONE);
     for balancers in SIZES {
-        let many = day(balancers, Silence::NONE);
+        let many = simulate_default(balancers, Outage::NONE);
         let (fetches, before) = (sum(&many.fetches, 5, 30), sum(&few.fetches, 5, 30));
         println!(
             "{balancers:4} balancers: {:.3} served, {:.1} fetches a second, {:.3} hits and {:.3} attempts a request",
@@ -34,104 +35,114 @@
             many.sends / sum(&many.requested, 0, 30)
         );
         assert!(many.served_share(5, 30) > 0.95, "{balancers}: {:.3}", many.served_share(5, 30));
-        assert!(fetches < 1.35 * before, "{balancers}: {fetches} fetches, {before} by three");
+        assert!(fetches < 1.35 * before, "{balancers}: {fetches} fetches, {before} with three balancers");
     }
 }
 
-/// One cache server in six answers nothing for ten seconds, and each balancer meets it once in seconds: it
-/// loses its share of the attempts, most requests are served all the same, and it is not overloaded when it
-/// has restarted.
+/// One cache server in six does not respond for ten seconds, while each balancer sends to it only once in
+/// several seconds. It loses part of its share of the attempts, most requests are still served, and it is not
+/// overloaded after its restart.
 #[test]
-fn silent_server_that_each_balancer_meets_seldom_is_avoided_and_recovers() {
+fn unresponsive_server_with_few_sends_per_balancer_is_avoided_and_recovers() {
     for balancers in SIZES {
-        let day = day(balancers, Silence { from: 8, to: 18, every: 6 });
-        let silent_share = 4.0 / 24.0 * sum(&day.requested, 11, 17);
-        let lost = sum(&day.lost_sends, 11, 17) / silent_share;
+        let result = simulate_default(balancers, Outage { from: 8, to: 18, every: 6 });
+        let expected_sends = 4.0 / 24.0 * sum(&result.requested, 11, 17);
+        let lost = sum(&result.lost_sends, 11, 17) / expected_sends;
         println!(
-            "{balancers:4} balancers: {lost:.2} of its share lost, {:.3} served, {:.3} after, restarted server at {:.2}",
-            day.served_share(11, 17),
-            day.served_share(22, 30),
-            day.peak_slow_start_load
+            "{balancers:4} balancers: {lost:.2} of the share of unresponsive servers lost, {:.3} served, {:.3} after the restart, restarted server at {:.2} of its capacity",
+            result.served_share(11, 17),
+            result.served_share(22, 30),
+            result.peak_slow_start_load
         );
-        // Two hundred meet a server once in 20 s each: hedged requests serve while none can have learnt.
+        // Each of 200 balancers sends to a server once in 20 s: hedged requests serve the clients before the
+        // balancers can detect the failure.
         assert!(
             lost < 0.75 || balancers > 100,
-            "{balancers}: {lost:.2} of a silent server's share still goes there"
+            "{balancers}: unresponsive servers still get {lost:.2} of their share"
         );
         assert!(
-            day.served_share(11, 17) > 0.97,
-            "{balancers}: {:.3} served meanwhile",
-            day.served_share(11, 17)
+            result.served_share(11, 17) > 0.97,
+            "{balancers}: {:.3} served during the outage",
+            result.served_share(11, 17)
         );
-        assert!(day.served_share(22, 30) > 0.97, "{balancers}: {:.3} served after", day.served_share(22, 30));
         assert!(
-            day.peak_slow_start_load < 4.0,
-            "{balancers}: a restarted server was sent {:.2} times what it can do",
-            day.peak_slow_start_load
+            result.served_share(22, 30) > 0.97,
+            "{balancers}: {:.3} served after the restart",
+            result.served_share(22, 30)
+        );
+        assert!(
+            result.peak_slow_start_load < 4.0,
+            "{balancers}: a restarted server got {:.2} times its capacity",
+            result.peak_slow_start_load
         );
     }
 }
 
-/// Servers that restart under a busy day's load bear what all balancers together send: no more than 1.5 times
-/// what they can do then (sites bear three or four times), and what chance adds to that, whether three send
-/// or three hundred, with retries and hedged requests counted.
+/// Servers that restart at peak load tolerate the sends of all balancers together: at most 1.5 times their
+/// capacity at that time (sites tolerate three or four times) plus random variation, with 3 to 300 balancers,
+/// including retries and hedged requests.
 #[test]
 fn restarted_server_is_ramped_by_all_balancers_together() {
     for balancers in [3, 30, 300] {
         for seed in [5, 6, 7] {
-            let silence = Silence { from: 6, to: 9, every: 6 };
-            let day = play(Plan { seed, rate: 360.0, seconds: 19, ..plan(balancers, silence) });
+            let outage = Outage { from: 6, to: 9, every: 6 };
+            let result = simulate(Scenario { seed, rate: 360.0, seconds: 19, ..scenario(balancers, outage) });
             println!(
-                "{balancers:4} balancers: restarted server at {:.2}, {:.1} over",
-                day.peak_slow_start_load, day.excess_over_chance
+                "{balancers:4} balancers: restarted server at {:.2} of its capacity, excess {:.1}",
+                result.peak_slow_start_load, result.excess_over_chance
             );
-            assert!(day.peak_slow_start_load > 0.2, "{balancers}: it is sent something");
+            assert!(result.peak_slow_start_load > 0.2, "{balancers}: the restarted server gets no sends");
             assert!(
-                day.excess_over_chance <= 0.0,
-                "{balancers}, seed {seed}: {:.1} sends over",
-                day.excess_over_chance
+                result.excess_over_chance <= 0.0,
+                "{balancers}, seed {seed}: {:.1} sends above the tolerated load",
+                result.excess_over_chance
             );
         }
     }
 }
 
-/// More than all caches can do, by few or by many balancers: the excess is rejected and the rest is served.
+/// Requests exceed the capacity of all cache servers, with few or many balancers: the excess is rejected and
+/// the rest is served.
 #[test]
 fn overloaded_fleet_sheds_the_excess_and_serves_the_rest() {
     for (balancers, min_served) in [(3, 300.0), (12, 250.0), (100, 80.0)] {
-        let day = play(Plan { rate: 1000.0, seconds: 20, ..plan(balancers, Silence::NONE) });
-        let served = sum(&day.served, 5, 20) / 15.0;
-        println!("{balancers:4} balancers: {served:.0} a second served of 1000 requested, 480 can be");
+        let result = simulate(Scenario { rate: 1000.0, seconds: 20, ..scenario(balancers, Outage::NONE) });
+        let served = sum(&result.served, 5, 20) / 15.0;
+        println!("{balancers:4} balancers: {served:.0} a second served of 1000 requested, capacity 480");
         assert!(served > min_served, "{balancers}: {served:.0} a second served");
     }
 }
 
-/// Half of the caches are gone for four seconds and come back empty, while lists are up to two seconds apart
-/// between balancers: those who know and those who do not together overload no restarted server, and service
-/// goes on.
+/// Half of the cache servers do not respond for four seconds and restart empty, while balancers receive the
+/// updated list up to two seconds apart. Balancers with the old and the new list together overload no
+/// restarted server, and requests are still served.
 #[test]
-fn half_of_the_servers_restart_while_endpoint_lists_differ() {
+fn restart_of_half_the_servers_with_differing_lists_overloads_no_server() {
     for balancers in SIZES {
-        let day = day(balancers, Silence { from: 8, to: 12, every: 2 });
-        let max_fetches = day.fetches.iter().fold(0.0, |a: f64, b| a.max(*b));
+        let result = simulate_default(balancers, Outage { from: 8, to: 12, every: 2 });
+        let max_fetches = result.fetches.iter().fold(0.0, |a: f64, b| a.max(*b));
         println!(
-            "{balancers:4} balancers: {:.3} served, {:.3} after, restarted server at {:.2}, {max_fetches} fetches at most in a second",
-            day.served_share(8, 14),
-            day.served_share(20, 30),
-            day.peak_slow_start_load
+            "{balancers:4} balancers: {:.3} served, {:.3} after the restart, restarted server at {:.2} of its capacity, {max_fetches} fetches at most in a second",
+            result.served_share(8, 14),
+            result.served_share(20, 30),
+            result.peak_slow_start_load
+        );
+        assert!(
+            result.peak_slow_start_load < 4.0,
+            "{balancers}: a restarted server got {:.2} times its capacity",
+            result.peak_slow_start_load
         );
         assert!(
-            day.peak_slow_start_load < 4.0,
-            "{balancers}: a restarted server was sent {:.2} times what it can do",
-            day.peak_slow_start_load
+            result.served_share(8, 14) > 0.8,
+            "{balancers}: {:.3} served during the outage",
+            result.served_share(8, 14)
         );
         assert!(
-            day.served_share(8, 14) > 0.8,
-            "{balancers}: {:.3} served meanwhile",
-            day.served_share(8, 14)
+            result.served_share(20, 30) > 0.97,
+            "{balancers}: {:.3} served after the restart",
+            result.served_share(20, 30)
         );
-        assert!(day.served_share(20, 30) > 0.97, "{balancers}: {:.3} served after", day.served_share(20, 30));
-        // The origin can do 320 a second and falls at 2.5 times that.
+        // The origin can serve 320 a second and fails at 2.5 times that rate.
         assert!(max_fetches < 2.0 * 320.0, "{balancers}: {max_fetches} fetches in a second");
     }
 }
--- a/src/balancer/tests/gap_ladder.rs
+++ b/src/balancer/tests/gap_ladder.rs
@@ -1,4 +1,4 @@
-//! The gap of one server, and what makes balancers gap a server.
+//! Tests of the gap of one server and of the results that raise it.
 
 use super::*;
 
@@ -10,13 +10,13 @@
     GapLadder::new(&idempotent_settings(), balancers)
 }
 
-/// The outcome of a send between these times, in microseconds.
+/// Outcome of a send, with its start and end in microseconds.
 fn send_outcome(sent: u64, completed: u64, is_rejected: bool) -> SendOutcome {
     SendOutcome { sent: Micros(sent), completed: Micros(completed), is_rejected }
 }
 
-/// Gives a gap outcomes that are `interval` apart, true for a rejection; returns the time of the last one.
-fn feed(gap: &mut Gap, from: u64, interval: u64, outcomes: &[bool]) -> u64 {
+/// Passes outcomes at this interval to a gap, true for a rejection; returns the time of the last one.
+fn record_outcomes(gap: &mut Gap, from: u64, interval: u64, outcomes: &[bool]) -> u64 {
     let mut now = from;
     for is_rejected in outcomes {
         now += interval;
@@ -42,36 +42,36 @@
 #[test]
 fn rejected_share_gaps_only_above_the_threshold() {
     let mut healthy = Gap::default();
-    feed(&mut healthy, 2 * SECOND, 100_000, &[false, false, true, false].repeat(20));
+    record_outcomes(&mut healthy, 2 * SECOND, 100_000, &[false, false, true, false].repeat(20));
     assert_eq!(healthy.rung, 0);
     let mut overloaded = Gap::default();
-    feed(&mut overloaded, 2 * SECOND, 100_000, &[true, false, true, true]);
+    record_outcomes(&mut overloaded, 2 * SECOND, 100_000, &[true, false, true, true]);
     assert!(overloaded.rung > 0);
 }
 
 #[test]
 fn rejections_seconds_apart_do_not_gap() {
     let mut gap = Gap::default();
-    feed(&mut gap, 20 * SECOND, 3 * SECOND, &[true, true, true, true]);
+    record_outcomes(&mut gap, 20 * SECOND, 3 * SECOND, &[true, true, true, true]);
     assert_eq!(gap.rung, 0, "rejections seconds apart must not gap a server");
 }
 
 #[test]
-fn first_gap_is_that_of_the_rate_that_was_served() {
-    // Ten a second, half of them served: five a second pass from now on, at the nearest rungs.
+fn first_gap_matches_the_served_rate() {
+    // Ten sends a second, half of them served: the gap allows five a second, up to the spacing of the rungs.
     let mut gap = Gap::default();
     gap.on_send(Micros(SECOND), 0);
-    feed(&mut gap, 2 * SECOND, 100_000, &[true, false, true, false, true, false]);
+    record_outcomes(&mut gap, 2 * SECOND, 100_000, &[true, false, true, false, true, false]);
     let length = ladder().length(gap.rung).0;
     assert!((150_000..=300_000).contains(&length), "{length}");
 }
 
-/// The answers to what filled a server come for a second after it was gapped; counting them as the gap's
-/// doing once drove it to the top.
+/// Guards against a gap that grows to the longest one: responses to the sends that overloaded a server arrive
+/// for a second after the gap was set, and must not count as evidence about the gap.
 #[test]
 fn outcomes_of_sends_before_a_raise_do_not_raise_again() {
     let mut gap = Gap::default();
-    let now = feed(&mut gap, 2 * SECOND, 50_000, &[true; 4]);
+    let now = record_outcomes(&mut gap, 2 * SECOND, 50_000, &[true; 4]);
     let rung = gap.rung;
     assert!(rung > 0);
     for late in 1..40 {
@@ -82,13 +82,16 @@
 
 #[test]
 fn gap_shrinks_in_steps_and_rejections_renew_it() {
-    let mut gap = gapped(12);
-    feed(&mut gap, 2 * SECOND, 300_000, &[false, false]);
+    let mut gap = active_gap(12);
+    record_outcomes(&mut gap, 2 * SECOND, 300_000, &[false, false]);
     assert_eq!(gap.rung, 6);
-    let mut renewed = gapped(10);
-    feed(&mut renewed, 2 * SECOND, 300_000, &[true]);
-    assert!(renewed.rung > 10 && renewed.ends_at > Micros(2 * SECOND), "a high share raises and renews it");
-    let mut ended = gapped(9);
+    let mut renewed = active_gap(10);
+    record_outcomes(&mut renewed, 2 * SECOND, 300_000, &[true]);
+    assert!(
+        renewed.rung > 10 && renewed.ends_at > Micros(2 * SECOND),
+        "a high rejected share must raise and renew the gap"
+    );
+    let mut ended = active_gap(9);
     ended.ends_at = Micros(5 * SECOND);
     assert!(ended.is_active(Micros(5 * SECOND - 1)) && !ended.is_active(Micros(5 * SECOND)));
 }
@@ -96,7 +99,7 @@
 #[test]
 fn one_send_passes_per_gap_and_source() {
     let ladder = ladder();
-    let mut gap = gapped(9);
+    let mut gap = active_gap(9);
     let length = ladder.length(9).0;
     let mut passed = [0u64; 2];
     for now in (3 * SECOND..3 * SECOND + 10 * length).step_by(1_000) {
@@ -112,14 +115,14 @@
 
 #[test]
 fn gaps_with_different_draws_end_at_different_times() {
-    let until = |draw: f64| {
+    let end_of_gap = |draw: f64| {
         let mut gap = Gap::default();
         for i in 0..6 {
             gap.on_outcome(send_outcome(3 * SECOND, 3 * SECOND + i * 30_000, true), &ladder(), draw);
         }
         gap.ends_at
     };
-    assert!(until(0.9) > until(0.1));
+    assert!(end_of_gap(0.9) > end_of_gap(0.1));
 }
 
 proptest! {
@@ -131,9 +134,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// With demand it is gone 3 longest deadlines after its cause, without demand after 8 of them.
+    /// A gap ends within 3 longest deadlines after its cause with demand, and within 8 without demand.
     #[test]
-    fn gap_ends_whatever_came_before(seed: u64, steps in 1usize..400) {
+    fn gap_ends_from_any_state(seed: u64, steps in 1usize..400) {
         let ladder = ladder();
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut gap, mut now) = (Gap::default(), SECOND);
@@ -146,7 +149,7 @@
                 gap.on_outcome(send_outcome(sent, now, rng.f64() < rejected_share), &ladder, rng.f64());
             }
         }
-        prop_assert!(!gap.is_active(Micros(now + 8 * SECOND)), "without demand");
+        prop_assert!(!gap.is_active(Micros(now + 8 * SECOND)), "gap still in effect without demand");
         let end = now + 3 * SECOND;
         while now < end {
             now += 10_000;
@@ -155,14 +158,14 @@
                 gap.on_outcome(send_outcome(now - 1, now, false), &ladder, rng.f64());
             }
         }
-        prop_assert!(!gap.is_active(Micros(now)), "rung {} with demand", gap.rung);
+        prop_assert!(!gap.is_active(Micros(now)), "gap still in effect with demand, rung {}", gap.rung);
     }
 }
 
-/// One of a hundred balancers sends to a server every few seconds: a window of four outcomes never fills, and
-/// it once sent on to servers that had been silent for half a minute.
+/// Guards against sends to a server that has not responded for half a minute: one of 100 balancers sends to a
+/// server every few seconds, so that a window of four outcomes would never be complete.
 #[test]
-fn one_of_many_balancers_gaps_a_silent_server_at_the_first_timeout() {
+fn one_of_many_balancers_gaps_an_unresponsive_server_at_the_first_timeout() {
     for (balancers, is_gapped) in [(3, false), (100, true)] {
         let (ladder, mut gap, mut now) = (ladder_of(balancers), Gap::default(), 20 * SECOND);
         gap.on_outcome(send_outcome(now - SECOND, now, true), &ladder, 0.5);
@@ -174,7 +177,7 @@
         assert_eq!(gap.is_active(Micros(now)), is_gapped, "{balancers} balancers");
     }
     let sends_of_all = |n: u32| f64::from(n) / ladder_of(n).length(ladder_of(n).highest_rung).0 as f64;
-    assert!(sends_of_all(100) < 9.0 * sends_of_all(3), "sends to a dead server by all together");
+    assert!(sends_of_all(100) < 9.0 * sends_of_all(3), "sends of all balancers to a dead server");
 }
 
 #[test]
--- a/src/balancer/tests/hedging.rs
+++ b/src/balancer/tests/hedging.rs
@@ -1,18 +1,18 @@
-//! When an attempt without an answer is hedged, and what its silence shows.
+//! Tests of hedged requests, and of attempts without a response as evidence against their server.
 
 use super::*;
 
-/// Who seldom meets a server knows little of it: where it has not responded lately, the hedged request goes
-/// sooner.
+/// A balancer that seldom sends to a server knows little about it: without a recent response, the request is
+/// hedged sooner.
 #[test]
-fn server_without_a_recent_response_is_hedged_sooner() {
+fn request_to_a_server_without_a_recent_response_is_hedged_sooner() {
     let mut settings = idempotent_settings();
     settings.limits.may_duplicate = true;
     let mut balancer = new_balancer(settings, &endpoints(1));
     let mut hedge_delay = |n: u64, now: u64| {
         let sends = handle(&mut balancer, now, Event::Request(request(n, now, n)));
         let [Action::Send { server, .. }, Action::Timer { at, .. }] = sends[..] else { panic!("{sends:?}") };
-        let end = closing(n, 0, server, AttemptResult::Served);
+        let end = completed_and_closed(n, 0, server, AttemptResult::Served);
         handle(&mut balancer, now + 20_000, end);
         at.0 - now
     };
@@ -21,10 +21,10 @@
     assert!(soon > 150_000 && later < 110_000 && first == later, "{first} {soon} {later}");
 }
 
-/// A server whose response is overdue is gapped when the hedged request is due, unless all servers are as
+/// A server whose response is overdue is gapped when the hedging timer is due, unless all servers are as
 /// slow.
 #[test]
-fn silence_gaps_a_server_only_where_others_are_fast() {
+fn unresponsive_server_is_gapped_only_if_others_are_fast() {
     for (latency_of_others, is_gapped) in [(20_000, true), (150_000, false)] {
         let mut settings = idempotent_settings();
         settings.limits.may_duplicate = true;
@@ -53,8 +53,8 @@
     }
 }
 
-/// A read whose cache server does not respond is sent to the origin as well, within the budget and where the
-/// site allows it; the first response serves it, and it is not sent a third time.
+/// A read without a response from its cache server is also sent to the origin, within the budget and if the
+/// site allows it. The first response serves the request, and no third attempt is sent.
 #[test]
 fn hedged_request_goes_to_the_origin_within_the_budget() {
     for (allowed, balancers, range) in [(true, 1, 31..=40), (true, 100, 121..=130), (false, 1, 0..=0)] {
@@ -73,14 +73,14 @@
             });
             assert_eq!(timer.is_some(), allowed);
             let (at, token) = timer.unwrap_or((now, 0));
-            assert!(at < now + 250_000, "before its objective");
+            assert!(at < now + 250_000, "the hedging timer must be due before the latency objective");
             if let Some(second) = sent_to(&handle(&mut balancer, at, Event::Timer(token))) {
                 hedged += 1;
                 assert_eq!(second, ORIGIN);
-                let end = closing(n, 1, second, AttemptResult::Served);
+                let end = completed_and_closed(n, 1, second, AttemptResult::Served);
                 assert_eq!(handle(&mut balancer, at + 50_000, end), []);
             }
-            let end = closing(n, 0, to, AttemptResult::Served);
+            let end = completed_and_closed(n, 0, to, AttemptResult::Served);
             assert_eq!(handle(&mut balancer, at + 60_000, end), []);
         }
         assert!(range.contains(&hedged), "{balancers} balancers: {hedged} hedged of 300");
@@ -88,7 +88,7 @@
     }
 }
 
-/// A write that is out at two servers, the second by a hedged request, and when that was.
+/// A write in flight at two servers, the second of them by a hedged request, and the time of the second send.
 fn hedged_write() -> (Balancer, [ServerId; 2], u64) {
     let mut settings = idempotent_settings();
     settings.mode = CacheMode::ReadThrough;
@@ -99,15 +99,15 @@
     for n in 0..100 {
         now += 200_000;
         let sends = handle(&mut balancer, now, Event::Request(write(n, now)));
-        let server = sent_to(&sends).expect("it is sent");
-        handle(&mut balancer, now + 20_000, closing(n, 0, server, AttemptResult::Served));
+        let server = sent_to(&sends).expect("the write is sent");
+        handle(&mut balancer, now + 20_000, completed_and_closed(n, 0, server, AttemptResult::Served));
     }
     now += 200_000;
     let sends = handle(&mut balancer, now, Event::Request(write(500, now)));
     let [Action::Send { server: first, .. }, Action::Timer { at, token }] = sends[..] else {
         panic!("{sends:?}")
     };
-    let second = sent_to(&handle(&mut balancer, at.0, Event::Timer(token))).expect("it is hedged");
+    let second = sent_to(&handle(&mut balancer, at.0, Event::Timer(token))).expect("the write is hedged");
     (balancer, [first, second], at.0)
 }
 
@@ -118,24 +118,26 @@
     }
 }
 
-/// Guards against capacity that stays reserved for good for a write whose client left while it was out at two servers.
+/// Guards against capacity that stays reserved forever for a write whose client disconnected while the write
+/// was in flight at two servers.
 #[test]
-fn abandoned_write_with_a_hedged_request_out_leaves_nothing_reserved() {
+fn abandoned_write_with_a_hedged_request_in_flight_leaves_nothing_reserved() {
     let (mut balancer, servers, now) = hedged_write();
     handle(&mut balancer, now + 1_000, Event::RequestAbandoned(request_id(500)));
     for (attempt, server) in (0..).zip(servers) {
-        handle(&mut balancer, now + 2_000, closing(500, attempt, server, AttemptResult::Served));
+        handle(&mut balancer, now + 2_000, completed_and_closed(500, attempt, server, AttemptResult::Served));
     }
     assert_nothing_reserved(&mut balancer, servers);
 }
 
-/// Guards against the same where one of the two answers first.
+/// Guards against capacity that stays reserved forever for a write in flight at two servers after one of them
+/// has responded.
 #[test]
 fn write_that_one_of_two_servers_served_leaves_nothing_reserved() {
     for answers_first in [0, 1] {
         let (mut balancer, servers, now) = hedged_write();
         for attempt in [answers_first, 1 - answers_first] {
-            let end = closing(500, attempt as u32, servers[attempt], AttemptResult::Served);
+            let end = completed_and_closed(500, attempt as u32, servers[attempt], AttemptResult::Served);
             handle(&mut balancer, now + 2_000, end);
         }
         assert_nothing_reserved(&mut balancer, servers);
--- a/src/balancer/tests/limit_view.rs
+++ b/src/balancer/tests/limit_view.rs
@@ -1,13 +1,13 @@
-//! What operators see of the limits.
+//! Tests of the operators' view of the limits.
 
 use super::*;
 
 #[test]
-fn view_names_the_binding_limit_and_none_where_none_binds() {
+fn view_shows_the_binding_limit_or_none() {
     let mut balancer = new_balancer(idempotent_settings(), &endpoints(2));
     assert!(balancer.limits(Micros(SECOND)).servers.iter().all(|limit| limit.binding_limit().is_none()));
     fill_origin(&mut balancer);
-    balancer.endpoints.server_mut(ServerId(1)).expect("listed").gap = gapped(9);
+    balancer.endpoints.server_mut(ServerId(1)).expect("listed").gap = active_gap(9);
     handle(&mut balancer, SECOND, Event::Request(Request { is_write: true, ..request(1, SECOND, 7) }));
     let limits = balancer.limits(Micros(SECOND + 1));
     let binding: Vec<_> = limits
@@ -19,7 +19,8 @@
     assert_eq!(limits.waiting_for_origin, 1);
 }
 
-/// Guards against an idle server named as full: one attempt may always go out, however low the limit is.
+/// Guards against a view that shows an idle server as full: one attempt is always allowed, however low the
+/// limit is.
 #[test]
 fn idle_server_with_a_limit_below_one_is_not_full() {
     let mut balancer = new_balancer(idempotent_settings(), &endpoints(1));
--- a/src/balancer/tests/simulation/engine.rs
+++ b/src/balancer/tests/simulation/engine.rs
@@ -1,30 +1,30 @@
-//! The events of the simulation: arrivals, attempts, responses and client retries.
+//! The event loop of the simulation: arrivals, attempts, responses and client retries.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
 
 use super::*;
 
-/// Work of a miss, as a share of that of a hit.
+/// Work of a miss at a cache server, as a share of the work of a hit.
 const MISS_WORK_SHARE: f64 = 0.45;
-/// Requests that count as served in time are answered within this time.
+/// Latency objective: requests answered within this time in microseconds count as served.
 const OBJECTIVE: u64 = 750_000;
-/// The time that a client waits over all its attempts, and that of one attempt of its own.
+/// Total time that a client waits over all its attempts, and for one attempt of its own, in microseconds.
 const CLIENT_DEADLINE: u64 = 1_500_000;
 const CLIENT_ATTEMPT_DEADLINE: u64 = 1_100_000;
-/// Retries of a client's own.
+/// Maximum number of retries by a client.
 const MAX_CLIENT_RETRIES: usize = 2;
-/// A cache server's share of its capacity when it starts, what it gains, and the seconds until it has all of
-/// it.
+/// Share of its capacity that a cache server has when it starts, the growth of this share, and the seconds
+/// until the server has its full capacity.
 const INITIAL_SHARE: f64 = 0.32;
 const SHARE_GROWTH: f64 = 0.68;
 const SLOW_START_SECONDS: u64 = 9;
-/// What a server in slow start bears, relative to what it can do.
-const BEARABLE_LOAD: f64 = 1.5;
+/// Load that a server in slow start tolerates, as a ratio to its capacity.
+const TOLERABLE_LOAD_RATIO: f64 = 1.5;
 
-/// Something that is due.
+/// A scheduled event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum ScheduledEvent {
     Arrival,
     ClientRetry {
         request: u64,
@@ -42,8 +42,8 @@
         request: u64,
         attempt: u32,
     },
-    /// A balancer hears that the silent cache servers have restarted.
-    RestartsListed {
+    /// A balancer receives the update that cache servers have restarted.
+    RestartUpdate {
         balancer: usize,
     },
 }
@@ -54,16 +54,16 @@
     is_in_flight: bool,
 }
 
-/// One attempt of a client, which is a request to a balancer.
+/// One attempt of a client, which is one request to a balancer.
 struct ClientAttempt {
-    /// When the client first sent it.
+    /// Time of the client's first attempt.
     first_sent: u64,
     retries: usize,
     key: u64,
     is_write: bool,
     deadline: u64,
     balancer: usize,
-    /// Cache servers that answered with a miss.
+    /// Cache servers that responded with a miss.
     missed_at: Vec<u64>,
     attempts: Vec<SimulatedAttempt>,
     is_open: bool,
@@ -72,25 +72,26 @@
 pub struct Simulation {
     rng: fastrand::Rng,
     now: u64,
-    due: BinaryHeap<Reverse<(u64, u64, Due)>>,
-    /// Numbers what is due, and requests.
-    count: u64,
+    events: BinaryHeap<Reverse<(u64, u64, ScheduledEvent)>>,
+    /// Counter that numbers scheduled events and requests.
+    last_number: u64,
     balancers: Vec<Balancer>,
     requests: HashMap<u64, ClientAttempt>,
-    /// The keys that each cache server holds.
+    /// Cached keys, by cache server.
     cached: Vec<HashSet<u64>>,
-    /// When each worker is free, of each cache server and of the origin, which comes last.
+    /// Time at which each worker is free, by server; the origin is the last server.
     workers: Vec<BinaryHeap<Reverse<u64>>>,
-    plan: Plan,
+    scenario: Scenario,
     scale: Scale,
-    /// The cache servers that have restarted.
+    /// Cache servers that have restarted.
     restarted: HashSet<u64>,
-    /// The balancers that have heard of the restarts.
+    /// Balancers that have received the update about the restarts.
     informed: HashSet<usize>,
-    /// Sends to each server in slow start, by second; and those of informed balancers.
+    /// Sends by server in slow start and second.
     slow_start_sends: HashMap<(u64, u64), f64>,
+    /// Sends of informed balancers, by server in slow start and second.
     informed_sends: HashMap<(u64, u64), f64>,
-    day: Day,
+    result: SimulationResult,
 }
 
 fn balancer_settings(balancers: usize) -> Settings {
@@ -110,107 +111,110 @@
 }
 
 impl Simulation {
-    pub fn new(plan: Plan, scale: Scale) -> Simulation {
-        let settings = balancer_settings(plan.balancers);
+    pub fn new(scenario: Scenario, scale: Scale) -> Simulation {
+        let settings = balancer_settings(scenario.balancers);
         let new_balancer = |n| {
-            let mut balancer = Balancer::new(settings.clone(), plan.seed * 10 + n);
-            let list = endpoints(plan.caches);
+            let mut balancer = Balancer::new(settings.clone(), scenario.seed * 10 + n);
+            let list = endpoints(scenario.caches);
             handle(&mut balancer, 1, Event::EndpointsChanged(EndpointUpdate::Restored, &list));
             balancer
         };
         let workers = |server| {
-            let is_origin = server == plan.caches;
-            let count = if is_origin { scale.workers() * plan.caches } else { scale.workers() };
-            (0..count).map(|_| Reverse(0)).collect()
+            let is_origin = server == scenario.caches;
+            let worker_count = if is_origin { scale.workers() * scenario.caches } else { scale.workers() };
+            (0..worker_count).map(|_| Reverse(0)).collect()
         };
         Simulation {
-            rng: fastrand::Rng::with_seed(plan.seed),
+            rng: fastrand::Rng::with_seed(scenario.seed),
             now: SECOND,
-            due: BinaryHeap::new(),
-            count: 0,
-            balancers: (0..plan.balancers as u64).map(new_balancer).collect(),
+            events: BinaryHeap::new(),
+            last_number: 0,
+            balancers: (0..scenario.balancers as u64).map(new_balancer).collect(),
             requests: HashMap::new(),
-            cached: vec![(0..scale.keys()).collect(); plan.caches as usize],
-            workers: (0..=plan.caches).map(workers).collect(),
-            plan,
+            cached: vec![(0..scale.keys()).collect(); scenario.caches as usize],
+            workers: (0..=scenario.caches).map(workers).collect(),
+            scenario,
             scale,
             restarted: HashSet::new(),
             informed: HashSet::new(),
             slow_start_sends: HashMap::new(),
             informed_sends: HashMap::new(),
-            day: Day::new(plan.seconds, plan.caches),
+            result: SimulationResult::new(scenario.seconds, scenario.caches),
         }
     }
 
-    /// Plays all that is due until nothing is.
-    pub fn run(mut self) -> Day {
-        self.schedule(SECOND, Due::Arrival);
-        self.schedule_restart_news();
-        while let Some(Reverse((at, _, due))) = self.due.pop() {
+    /// Processes scheduled events until none is left.
+    pub fn run(mut self) -> SimulationResult {
+        self.schedule(SECOND, ScheduledEvent::Arrival);
+        self.schedule_restart_updates();
+        while let Some(Reverse((at, _, event))) = self.events.pop() {
             self.now = at;
-            self.on_due(due);
+            self.on_scheduled_event(event);
         }
-        self.day
+        self.result
     }
 
-    fn schedule(&mut self, at: u64, due: Due) {
-        self.count += 1;
-        self.due.push(Reverse((at, self.count, due)));
+    fn schedule(&mut self, at: u64, event: ScheduledEvent) {
+        self.last_number += 1;
+        self.events.push(Reverse((at, self.last_number, event)));
     }
 
-    fn schedule_restart_news(&mut self) {
-        if self.plan.silence.to == 0 {
+    fn schedule_restart_updates(&mut self) {
+        if self.scenario.outage.to == 0 {
             return;
         }
-        for balancer in 0..self.plan.balancers {
+        for balancer in 0..self.scenario.balancers {
             let delay = self.rng.u64(..2 * SECOND);
-            self.schedule(self.plan.silence.to * SECOND + delay, Due::RestartsListed { balancer });
+            self.schedule(
+                self.scenario.outage.to * SECOND + delay,
+                ScheduledEvent::RestartUpdate { balancer },
+            );
         }
     }
 
-    fn on_due(&mut self, due: Due) {
-        match due {
-            Due::Arrival => self.on_arrival(),
-            Due::ClientRetry { request, balancer } => {
+    fn on_scheduled_event(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Arrival => self.on_arrival(),
+            ScheduledEvent::ClientRetry { request, balancer } => {
                 let ClientAttempt { first_sent, retries, key, is_write, .. } = self.requests[&request];
                 self.send_request(first_sent, retries + 1, key, is_write, balancer);
             }
-            Due::Timer { balancer, token } => self.handle(balancer, Event::Timer(token)),
-            Due::Done { request, attempt } => self.on_done(request, attempt),
-            Due::Expired { request, attempt } => {
+            ScheduledEvent::Timer { balancer, token } => self.handle(balancer, Event::Timer(token)),
+            ScheduledEvent::Done { request, attempt } => self.on_done(request, attempt),
+            ScheduledEvent::Expired { request, attempt } => {
                 self.end_attempt(request, attempt, AttemptResult::Timeout);
             }
-            Due::RestartsListed { balancer } => self.list_restarts(balancer),
+            ScheduledEvent::RestartUpdate { balancer } => self.deliver_restart_update(balancer),
         }
     }
 
-    /// A client sends its first attempt, and the next arrival is drawn.
+    /// Sends the first attempt of a client and schedules the next arrival.
     fn on_arrival(&mut self) {
-        if self.now >= (self.plan.seconds + 1) * SECOND {
+        if self.now >= (self.scenario.seconds + 1) * SECOND {
             return;
         }
-        let pause_seconds = -(1.0 - self.rng.f64()).ln() / self.plan.rate;
-        self.schedule(self.now + (pause_seconds * 1e6) as u64, Due::Arrival);
-        // A few keys are far more popular than the rest.
+        let pause_seconds = -(1.0 - self.rng.f64()).ln() / self.scenario.rate;
+        self.schedule(self.now + (pause_seconds * 1e6) as u64, ScheduledEvent::Arrival);
+        // A few keys are far more popular than the others.
         let key = ((self.scale.keys() as f64).powf(self.rng.f64()) - 1.0) as u64;
         let is_write = self.rng.f64() < 0.1;
-        let balancer = self.rng.usize(..self.plan.balancers);
-        self.day.requested[(self.now / SECOND - 1) as usize] += 1.0;
+        let balancer = self.rng.usize(..self.scenario.balancers);
+        self.result.requested[(self.now / SECOND - 1) as usize] += 1.0;
         self.send_request(self.now, 0, key, is_write, balancer);
     }
 
-    fn list_restarts(&mut self, balancer: usize) {
-        let Silence { to, every, .. } = self.plan.silence;
+    fn deliver_restart_update(&mut self, balancer: usize) {
+        let Outage { to, every, .. } = self.scenario.outage;
         let started = Micros(to * SECOND);
-        let restarted = (0..self.plan.caches).filter(|server| server.is_multiple_of(every));
+        let restarted = (0..self.scenario.caches).filter(|server| server.is_multiple_of(every));
         let list: Vec<_> = restarted.map(|server| Endpoint { started, ..endpoint(server) }).collect();
         self.informed.insert(balancer);
         self.handle(balancer, Event::EndpointsChanged(EndpointUpdate::Delta, &list));
     }
 
     fn send_request(&mut self, first_sent: u64, retries: usize, key: u64, is_write: bool, balancer: usize) {
-        self.count += 1;
-        let number = self.count;
+        self.last_number += 1;
+        let number = self.last_number;
         let deadline = (self.now + CLIENT_ATTEMPT_DEADLINE).min(first_sent + CLIENT_DEADLINE);
         if deadline <= self.now {
             return;
@@ -246,7 +250,7 @@
                     self.on_not_served(request_number(&id), retry_after.0);
                 }
                 Action::Fail { id } => self.on_not_served(request_number(&id), 0),
-                Action::Timer { at, token } => self.schedule(at.0, Due::Timer { balancer, token }),
+                Action::Timer { at, token } => self.schedule(at.0, ScheduledEvent::Timer { balancer, token }),
                 Action::WatchEndpoints | Action::Log(_) => {}
             }
         }
@@ -255,10 +259,10 @@
     fn start_attempt(&mut self, number: u64, server: u64, timeout: u64) {
         let is_origin = ServerId(server) == ORIGIN;
         let second = self.now / SECOND;
-        let is_silent = !is_origin && self.count_restarts_and_silence(number, server, second);
-        self.day.sends += 1.0;
+        let is_unresponsive = !is_origin && self.count_restarts_and_unresponsiveness(number, server, second);
+        self.result.sends += 1.0;
 
-        let index = if is_origin { self.plan.caches } else { server } as usize;
+        let index = if is_origin { self.scenario.caches } else { server } as usize;
         let request = self.requests.get_mut(&number).expect("requested");
         let is_hit = is_origin || self.cached[index].contains(&request.key);
         request.attempts.push(SimulatedAttempt { server, sent: self.now, is_in_flight: true });
@@ -268,26 +272,27 @@
         let done = self.occupy_worker(index, server, is_hit, expires);
         let by_second = second as usize - 1;
         if is_origin {
-            self.day.fetches[by_second] += 1.0;
+            self.result.fetches[by_second] += 1.0;
         } else {
-            self.day.cache_sends[by_second][index] += 1.0;
+            self.result.cache_sends[by_second][index] += 1.0;
         }
-        if is_silent {
-            self.day.lost_sends[by_second] += 1.0;
-            self.schedule(expires, Due::Expired { request: number, attempt });
+        if is_unresponsive {
+            self.result.lost_sends[by_second] += 1.0;
+            self.schedule(expires, ScheduledEvent::Expired { request: number, attempt });
             return;
         }
-        self.day.hits += f64::from(!is_origin && is_hit);
+        self.result.hits += f64::from(!is_origin && is_hit);
         if done < expires {
-            self.schedule(done, Due::Done { request: number, attempt });
+            self.schedule(done, ScheduledEvent::Done { request: number, attempt });
         } else {
-            self.schedule(expires, Due::Expired { request: number, attempt });
+            self.schedule(expires, ScheduledEvent::Expired { request: number, attempt });
         }
     }
 
-    /// Counts what a cache server that restarts is sent; returns whether it is silent now.
-    fn count_restarts_and_silence(&mut self, number: u64, server: u64, second: u64) -> bool {
-        let Silence { from, to, every } = self.plan.silence;
+    /// Counts the sends to a cache server in slow start; returns whether the server currently does not
+    /// respond.
+    fn count_restarts_and_unresponsiveness(&mut self, number: u64, server: u64, second: u64) -> bool {
+        let Outage { from, to, every } = self.scenario.outage;
         if to == 0 || !server.is_multiple_of(every) {
             return false;
         }
@@ -301,33 +306,33 @@
     }
 
     fn count_slow_start_send(&mut self, number: u64, server: u64, second: u64) {
-        let age = self.now - self.plan.silence.to * SECOND;
+        let age = self.now - self.scenario.outage.to * SECOND;
         let capacity_share = INITIAL_SHARE + SHARE_GROWTH * age as f64 / (SLOW_START_SECONDS * SECOND) as f64;
         let capacity = self.scale.cache_rate() * capacity_share;
         let sends = self.slow_start_sends.entry((server, second)).or_default();
         *sends += 1.0;
-        self.day.peak_slow_start_load = self.day.peak_slow_start_load.max(*sends / capacity);
+        self.result.peak_slow_start_load = self.result.peak_slow_start_load.max(*sends / capacity);
         if self.informed.contains(&self.requests[&number].balancer) {
             let sends = self.informed_sends.entry((server, second)).or_default();
             *sends += 1.0;
-            let bearable = BEARABLE_LOAD * capacity;
-            let excess = *sends - (bearable + 2.0 * bearable.sqrt() + 2.0);
-            self.day.excess_over_chance = self.day.excess_over_chance.max(excess);
+            let tolerable_load = TOLERABLE_LOAD_RATIO * capacity;
+            let excess = *sends - (tolerable_load + 2.0 * tolerable_load.sqrt() + 2.0);
+            self.result.excess_over_chance = self.result.excess_over_chance.max(excess);
         }
     }
 
-    /// Queues work, first come first served; returns when it is done.
+    /// Queues work at a server in order of arrival; returns the time of its completion.
     fn occupy_worker(&mut self, index: usize, server: u64, is_hit: bool, expires: u64) -> u64 {
         let is_origin = ServerId(server) == ORIGIN;
         let second = self.now / SECOND;
-        let origin_factor = if is_origin { self.plan.slow_origin.factor_at(second) } else { 1.0 };
+        let origin_factor = if is_origin { self.scenario.slow_origin.factor_at(second) } else { 1.0 };
         let cache_factor = if server == 1 { self.scale.slow_cache.factor_at(second) } else { 1.0 };
         let mean = if is_origin { FETCH_SECONDS } else { HIT_SECONDS } * (origin_factor * cache_factor);
         let drawn = mean * (0.4 - 0.6 * (1.0 - self.rng.f64()).ln());
         let work = (drawn * if is_hit { 1.0 } else { MISS_WORK_SHARE } * 1e6) as u64;
         let mut free = self.workers[index].peek_mut().expect("workers");
         let begin = free.0.max(self.now);
-        // The origin drops what nobody waits for; a cache server goes on with it.
+        // The origin drops abandoned work; a cache server continues it.
         if !is_origin || begin < expires {
             *free = Reverse(begin + work);
         }
@@ -367,7 +372,7 @@
         if result == AttemptResult::Served && request.is_open {
             request.is_open = false;
             if self.now <= request.first_sent + OBJECTIVE {
-                self.day.served[(request.first_sent / SECOND - 1) as usize] += 1.0;
+                self.result.served[(request.first_sent / SECOND - 1) as usize] += 1.0;
             }
         }
         let (balancer, is_request_over) = (request.balancer, !request.is_open);
@@ -376,7 +381,7 @@
         self.handle(balancer, Event::AttemptCompleted(ended));
     }
 
-    /// A client whose request was rejected or failed sends it again, twice at most.
+    /// Schedules a client's retry of a rejected or failed request, up to the maximum number of retries.
     fn on_not_served(&mut self, number: u64, retry_after: u64) {
         let request = self.requests.get_mut(&number).expect("requested");
         request.is_open = false;
@@ -384,7 +389,7 @@
             let backoff = (100_000 << request.retries) * self.rng.u64(50..150) / 100;
             let balancer = self.rng.usize(..self.balancers.len());
             let at = self.now + backoff.max(retry_after);
-            self.schedule(at, Due::ClientRetry { request: number, balancer });
+            self.schedule(at, ScheduledEvent::ClientRetry { request: number, balancer });
         }
     }
 }
