--- a/cluster/src/cluster.rs
+++ b/cluster/src/cluster.rs
@@ -1,9 +1,9 @@
-//! One balancer's side of all that balancers coordinate: packets and times in, packets and metrics out.
+//! One balancer's part of the coordination: takes packets and times, and produces packets and metrics.
 //!
-//! It guarantees what its modules guarantee, and that whatever others send, it neither fails nor says more than
-//! `MAX_OUTGOING_PACKETS` packets between two calls of [`Cluster::drain`]. Packets that cannot be read, or come from nobody
-//! that is known, are counted and dropped; so are messages of members with other terms. Times are on the caller's clock, which
-//! never goes back.
+//! Beyond the guarantees of its modules, [`Cluster`] guarantees that it neither fails nor sends more than
+//! `MAX_OUTGOING_PACKETS` packets between two calls of [`Cluster::drain`], whatever other members send. Malformed packets,
+//! packets from unknown addresses and messages of members with different terms are counted and dropped. Times are on the
+//! caller's clock, which never goes back.
 
 mod config;
 mod metrics;
@@ -28,9 +28,10 @@
 pub use metrics::{ClusterMetrics, NamedRateLimitMetrics, PacketCounts};
 use peer_sampler::PeerSampler;
 
-/// Packets out between two drains: far more than a balancer has to say, and an end to what a faulty peer can make it say.
+/// The maximum number of packets sent between two drains: far more than a healthy balancer sends, and a bound on what a faulty
+/// peer can make it send.
 const MAX_OUTGOING_PACKETS: usize = 256;
-/// Sets the random numbers of the failure detector apart from those of the membership.
+/// Makes the seed of the failure detector differ from that of the membership.
 const FAILURE_DETECTOR_SEED_MASK: u64 = 1;
 
 /// A module's state and the digest of its terms.
@@ -39,15 +40,15 @@
     state: T,
 }
 
-/// A module's state where its terms are those of a message's sender.
+/// A module's state, if its terms match those of the message's sender.
 fn with_terms<T>(part: Option<&mut Coordinated<T>>, terms_digest: u32) -> Option<&mut T> {
     part.filter(|part| part.terms_digest == terms_digest).map(|part| &mut part.state)
 }
 
-/// A balancer's side of the cluster.
+/// One balancer's part of the coordination.
 pub struct Cluster {
     membership: Membership,
-    /// In the order of the configuration; a rate limit's number in messages is its index.
+    /// The rate limits in the order of the configuration; messages name a rate limit by its index.
     rate_limits: Vec<Coordinated<RateLimit>>,
     rate_limit_names: Vec<String>,
     slow_start: Option<Coordinated<SlowStartLimits>>,
@@ -67,7 +68,7 @@
 }
 
 impl Cluster {
-    /// A balancer's side of the cluster, whose process starts now.
+    /// Creates the state of a balancer whose process starts now.
     pub fn new(config: ClusterConfig, now: Micros) -> Cluster {
         let ClusterConfig { address, incarnation, position, zone, random_seed, .. } = config;
         let member = MemberId { address, incarnation };
@@ -103,7 +104,7 @@
         }
     }
 
-    /// A packet has come.
+    /// Handles a packet received from another member.
     pub fn on_packet(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
         self.received.add(bytes);
         match packet::decode(bytes) {
@@ -123,7 +124,7 @@
         self.terms_mismatches += u64::from(!is_delivered);
     }
 
-    /// Hands a message to its module; false where there is none with the sender's terms.
+    /// Passes a message to its module; false if this balancer does not have the module with the sender's terms.
     fn deliver(&mut self, now: Micros, from: SocketAddr, message: CoordinationMessage) -> bool {
         let CoordinationMessage { terms_digest, payload } = message;
         match payload {
@@ -151,7 +152,7 @@
         true
     }
 
-    /// Does what is due; to be called about every 50 ms.
+    /// Does the periodic work of all modules; to be called about every 50 ms.
     pub fn tick(&mut self, now: Micros) {
         self.membership.tick(now);
         self.tick_modules(now);
@@ -159,7 +160,7 @@
     }
 
     fn tick_modules(&mut self, now: Micros) {
-        // Counting the members takes time, and the failure detector alone needs it.
+        // Counting the members takes time, and only the failure detector needs the count.
         let members = if self.failure_detector.is_some() { self.membership.counts().alive } else { 1 };
         let sampler = PeerSampler::new(&mut self.membership);
         for limit in &mut self.rate_limits {
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Tells the others that this balancer leaves. What it owns is not used until it is back; what it has leased goes back at
-    /// once where its uses allow it.
+    /// Announces to the other members that this balancer leaves. The tokens that it owns stay unused until it is back; leased
+    /// tokens are returned at once as far as its recent uses allow.
     pub fn leave(&mut self, now: Micros) {
         self.membership.leave(now);
         for limit in &mut self.rate_limits {
@@ -189,7 +190,7 @@
         self.collect_outgoing();
     }
 
-    /// Takes what the modules send and makes packets of it.
+    /// Collects the modules' messages and encodes them into packets.
     fn collect_outgoing(&mut self) {
         for (to, bytes) in self.membership.drain() {
             self.outgoing.push((to, packet::encode_membership(&bytes)));
@@ -227,7 +228,7 @@
         messages
     }
 
-    /// The packets that go out with their receivers, none longer than [`MAX_PACKET_BYTES`].
+    /// Takes the outgoing packets with their receivers, none longer than [`MAX_PACKET_BYTES`].
     pub fn drain(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         let outgoing = std::mem::take(&mut self.outgoing);
         for (_, bytes) in &outgoing {
@@ -243,7 +244,7 @@
         self.rate_limits.get_mut(index).map(|limit| &mut limit.state)
     }
 
-    /// Whether and how requests to a server are limited because it is in slow start.
+    /// The limit on requests to a server that is in slow start, if any.
     pub fn slow_start(&mut self, server: ServerIncarnation, now: Micros) -> SlowStartAccess<'_> {
         match &mut self.slow_start {
             Some(limits) => limits.state.access(server, now),
@@ -251,27 +252,27 @@
         }
     }
 
-    /// This balancer's part of the retry budget; `None` where retries are not limited here.
+    /// This balancer's part of the retry budget; `None` if no retry budget is configured.
     pub fn retry_budget(&mut self) -> Option<&mut RetryBudget> {
         self.retry_budget.as_mut().map(|budget| &mut budget.state)
     }
 
-    /// This balancer's failure detector; `None` where there is none here.
+    /// This balancer's failure detector; `None` if none is configured.
     pub fn failure_detector(&mut self) -> Option<&mut FailureDetector> {
         self.failure_detector.as_mut().map(|detector| &mut detector.state)
     }
 
-    /// Who is there.
+    /// The members known to this balancer.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Members by state, this one included.
+    /// Numbers of members by state, including this one.
     pub fn member_counts(&self) -> MemberCounts {
         self.membership.counts()
     }
 
-    /// What operators see.
+    /// Metrics of all modules and of the packets.
     pub fn metrics(&mut self, now: Micros) -> ClusterMetrics {
         let names = self.rate_limit_names.iter().cloned();
         let limits = self.rate_limits.iter_mut();
--- a/cluster/src/cluster/config.rs
+++ b/cluster/src/cluster/config.rs
@@ -1,4 +1,4 @@
-//! What a balancer's side of the cluster is given at its start.
+//! The configuration of one balancer's part of the coordination.
 
 use std::net::SocketAddr;
 
@@ -7,36 +7,36 @@
 use crate::retry_budget::RetryBudgetTerms;
 use crate::slow_start_limit::SlowStartTerms;
 
-/// A rate limit and the name by which it is used.
+/// The terms of a rate limit and its name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedRateLimit {
-    /// The name.
+    /// The name by which the limit is looked up.
     pub name: String,
-    /// The terms.
+    /// The terms, the same at every member.
     pub terms: RateLimitTerms,
 }
 
-/// What a balancer's side of the cluster is given at its start.
+/// The configuration of one balancer's part of the coordination.
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
-    /// The address that others know this balancer by.
+    /// The address at which other members reach this balancer.
     pub address: SocketAddr,
-    /// Which process at that address this is; a later one has a greater number.
+    /// Identifies the process at that address; a later process has a greater number.
     pub incarnation: u64,
-    /// Its position in the fleet, from 0; no two processes may have the same.
+    /// The balancer's position in the fleet, from 0; no two processes may have the same.
     pub position: u32,
-    /// Its zone.
+    /// The balancer's zone.
     pub zone: u32,
-    /// Members that are called first.
+    /// Members to which the balancer announces itself at its start.
     pub seeds: Vec<SocketAddr>,
     /// The rate limits; their order has to be the same at every member.
     pub rate_limits: Vec<NamedRateLimit>,
-    /// The limit on requests to each server in slow start; `None` if they are not limited here.
+    /// The limit on requests to each server in slow start; `None` for no limit.
     pub slow_start: Option<SlowStartTerms>,
-    /// The retry budget; none, retries are not limited here.
+    /// The retry budget; `None` for no limit on retries.
     pub retry_budget: Option<RetryBudgetTerms>,
-    /// The failure detector; none, each balancer goes by its own observations.
+    /// The failure detector; `None` if each balancer relies on its own observations.
     pub failure_detector: Option<FailureDetectorTerms>,
-    /// The seed of its random numbers.
+    /// The seed of the balancer's random numbers.
     pub random_seed: u64,
 }
--- a/cluster/src/cluster/metrics.rs
+++ b/cluster/src/cluster/metrics.rs
@@ -1,4 +1,4 @@
-//! What operators see of a balancer's side of the cluster.
+//! Metrics of one balancer's part of the coordination.
 
 use crate::failure_detector::FailureDetectorMetrics;
 use crate::membership::MemberCounts;
@@ -9,9 +9,9 @@
 /// Packets and their bytes since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PacketCounts {
-    /// How many packets.
+    /// The number of packets.
     pub packets: u64,
-    /// How many bytes in all of them.
+    /// The total number of bytes in them.
     pub bytes: u64,
 }
 
@@ -22,34 +22,34 @@
     }
 }
 
-/// The metrics of a rate limit and its name.
+/// The metrics of a rate limit, and its name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedRateLimitMetrics {
-    /// The name.
+    /// The name in the configuration.
     pub name: String,
-    /// The metrics.
+    /// The metrics of this member's part of the limit.
     pub metrics: RateLimitMetrics,
 }
 
-/// What operators see of a balancer's side of the cluster.
+/// Metrics of one balancer's part of the coordination.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClusterMetrics {
-    /// Members by state.
+    /// Numbers of members by state.
     pub members: MemberCounts,
-    /// The rate limits, in the order of the configuration.
+    /// Metrics of the rate limits, in the order of the configuration.
     pub rate_limits: Vec<NamedRateLimitMetrics>,
-    /// The limits of servers in slow start.
+    /// Metrics of the limits on servers in slow start.
     pub slow_start: Option<SlowStartMetrics>,
-    /// The retry budget.
+    /// Metrics of the retry budget.
     pub retry_budget: Option<RetryBudgetMetrics>,
-    /// The failure detector.
+    /// Metrics of the failure detector.
     pub failure_detector: Option<FailureDetectorMetrics>,
-    /// Packets out.
+    /// Packets sent.
     pub sent: PacketCounts,
-    /// Packets in.
+    /// Packets received.
     pub received: PacketCounts,
-    /// Packets in that were malformed, of another version, or from no member.
+    /// Received packets that were malformed, of another version, or from an address that is not a member's.
     pub dropped_packets: u64,
-    /// Messages in whose sender has other terms: another configuration is in force there.
+    /// Received messages whose sender has different terms, that is, another configuration.
     pub terms_mismatches: u64,
 }
--- a/cluster/src/cluster/peer_sampler.rs
+++ b/cluster/src/cluster/peer_sampler.rs
@@ -1,14 +1,14 @@
-//! Draws members to ask, the same for all modules that ask in one tick, so that their requests go in one packet.
+//! Samples random members to query, the same ones for all modules in one tick, so that their requests share packets.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
 
 use crate::membership::Membership;
 
-/// Members drawn in one tick at the most.
+/// The maximum number of members sampled in one tick.
 const MAX_DRAWN: usize = 4;
 
-/// The members that are drawn in one tick. One is drawn only where somebody asks for it.
+/// The members sampled in one tick. A member is sampled only when a module needs it.
 pub(super) struct PeerSampler<'a> {
     state: RefCell<SamplerState<'a>>,
 }
@@ -23,7 +23,7 @@
         PeerSampler { state: RefCell::new(SamplerState { drawn: Vec::new(), membership }) }
     }
 
-    /// A source of the drawn members, from the first on.
+    /// Returns a source of the sampled members, starting from the first.
     pub(super) fn peers<'s>(&'s self) -> impl FnMut() -> Option<SocketAddr> + use<'s, 'a> {
         let mut next = 0;
         move || {
--- a/cluster/src/cluster/terms_digest.rs
+++ b/cluster/src/cluster/terms_digest.rs
@@ -1,13 +1,13 @@
-//! Digests of terms, the same at every balancer that is configured alike. A message carries the digest of its sender's terms.
+//! Digests of terms, equal at balancers with the same configuration. A message carries the digest of its sender's terms.
 
 use crate::failure_detector::FailureDetectorTerms;
 use crate::rate_limit::RateLimitTerms;
 use crate::retry_budget::RetryBudgetTerms;
 use crate::slow_start_limit::SlowStartTerms;
 
-/// The offset basis of the hash FNV-1a of 64 bits.
+/// The offset basis of 64-bit FNV-1a.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-/// The prime of the hash FNV-1a of 64 bits.
+/// The prime of 64-bit FNV-1a.
 const FNV_PRIME: u64 = 0x100_0000_01b3;
 
 pub(super) fn of_rate_limit(terms: &RateLimitTerms) -> u32 {
--- a/cluster/src/cluster/tests.rs
+++ b/cluster/src/cluster/tests.rs
@@ -1,4 +1,4 @@
-//! Two balancers that exchange packets, and what is dropped.
+//! Coordination of two balancers that exchange packets, and packets that are dropped.
 
 use juniperladder::ServerId;
 
@@ -53,7 +53,7 @@
     Cluster::new(config, Micros::ZERO)
 }
 
-/// A tick of one balancer, whose packets reach the other at once.
+/// Ticks one balancer and delivers its packets to the other without delay.
 fn tick_and_deliver(balancers: &mut [Cluster; 2], from: usize, now: Micros) {
     balancers[from].tick(now);
     for (_, bytes) in balancers[from].drain() {
@@ -71,7 +71,7 @@
     may_begin
 }
 
-/// Runs two balancers for so long; the first of them wants six requests a second.
+/// Runs two balancers for a number of seconds; the first has a demand of six requests a second.
 fn run(balancers: &mut [Cluster; 2], seconds: u64) {
     for now in times(Micros::ZERO, Micros::from_secs(seconds), TICK) {
         for from in 0..2 {
@@ -113,7 +113,7 @@
             budget.on_rejected(now);
         }
         let SlowStartAccess::Limited(limit) = balancers[0].slow_start(server, now) else {
-            panic!("it is in slow start")
+            panic!("the server is in slow start, and its limit is missing")
         };
         begun += usize::from(use_token(limit, now));
         if now.0 % 60_000 == 0 {
@@ -123,8 +123,11 @@
         }
     }
     let budget = balancers[0].metrics(Micros::from_secs(12)).retry_budget.unwrap();
-    assert!(budget.retries > 10 && budget.first_attempts == 0, "it has earned none itself: {budget:?}");
-    // From 4 to 7 tokens in these four seconds, of which it owns half.
+    assert!(
+        budget.retries > 10 && budget.first_attempts == 0,
+        "the first balancer has earned no credits itself: {budget:?}"
+    );
+    // The limit grows from 4 to 7 tokens in these four seconds; the balancer owns half of them.
     assert!((15..=24).contains(&begun), "{begun}");
 }
 
--- a/cluster/src/failure_detector.rs
+++ b/cluster/src/failure_detector.rs
@@ -1,28 +1,30 @@
-//! Failure detection of servers: what balancers saw of a server's incarnation, reported to all, with an age that is proven and
-//! an end.
+//! Failure detection of servers: balancers report what they observed of a server incarnation to all other balancers. Each
+//! report carries an upper bound of its age and expires.
 //!
 //! # Guarantee
 //!
-//! - **Evidence, not requests.** A report says that one reporter saw one incarnation of a server (its id and when it started,
-//!   never an address) silent, or answering. Reports merge by a join: per server and reporter the newest stamp wins; any order
-//!   and any repeats give the same.
-//! - **An end.** A report acts at no member later than `report_lifetime` after its reporter saw what it says, by any clock that
-//!   runs within the stated drift: not where it comes late, nor at a member that was cut off, frozen or started again. Only the
-//!   reporter itself can renew it.
-//! - **Nobody is believed alone.** A server is suspected on others' reports only where `min_reporters` different ones report it
-//!   silent: all of the own zone, or from two zones at least. A reporter that finds more than half of the servers silent has
-//!   lost its own link and is not believed. At most `max_suspected_share` of all servers, and half of a zone's, are suspected;
-//!   those that most report first, and the others go by each balancer's own observations.
-//! - **Recovery.** An answer that is newer than the reports of silence clears a server; each member draws its own wait for that.
-//!   While a server is suspected, all members together try it about `trials_per_s` times a second, whatever their number.
+//! - **Observations only.** A report states that one reporter observed one incarnation of a server (its id and start time,
+//!   never an address) as silent or as answering. Merging reports is a join: for each server and reporter the newest stamp
+//!   wins, so that reordered and duplicated reports give the same result.
+//! - **Bounded lifetime.** No member acts on a report later than `report_lifetime` after the reporter's observation, by any
+//!   clock within the stated drift. This includes reports that are delayed, and members that were partitioned, frozen or
+//!   restarted. Only the reporter itself can renew a report.
+//! - **Quorum.** A server is suspected on the reports of others only if `min_reporters` different members report it silent,
+//!   either all in the own zone or from at least two zones. A reporter that finds more than half of the servers silent is
+//!   assumed to have lost its own link and is discredited. At most `max_suspected_share` of all servers, and half of a zone's
+//!   servers, are suspected: first those already suspected, then those with the most reporters. For the others each balancer
+//!   relies on its own observations.
+//! - **Recovery.** An answer that is newer than the reports of silence clears a server; each member then waits for a random
+//!   delay before it uses the server again. While a server is suspected, all members together send it about `trials_per_s`
+//!   trial requests a second, whatever the number of members.
 //!
-//! # Why an age can be trusted
+//! # Why the bound of an age holds
 //!
-//! Reports travel only in answers to queries. The answer has each report's age when it was written, which is after the query
-//! was sent; so at its receipt a report is at most that age and the time since the query old. Both are spans by one clock each:
-//! no clocks are compared.
+//! Reports are sent only in answers to queries. An answer contains each report's age at the time of writing, which is after the
+//! query was sent. So at its receipt a report is at most as old as that age plus the time since the query was sent. Each of the
+//! two durations is measured by a single clock; no clocks are compared.
 //!
-//! Times are on the caller's clock, which never goes back. Nothing here fails: a message that does not fit is ignored.
+//! Times are on the caller's clock, which never goes back. No operation fails: invalid messages are ignored.
 
 mod dissemination;
 mod evidence;
@@ -54,19 +56,19 @@
 use suspicion::{ServingServers, SuspectedServers, SuspicionRules};
 pub use terms::FailureDetectorTerms;
 
-/// Between two reports of one reporter that say the same of one server.
+/// The minimum time between two reports of one reporter with the same observation of one server.
 const MIN_REPORT_INTERVAL: Micros = Micros::from_millis(500);
-/// Reports of silence on one server that are enough: with so many from within [`RECENT_REPORT`] none is added.
+/// The number of reports of silence on one server, each newer than [`RECENT_REPORT`], at which this member adds no own report.
 const ENOUGH_REPORTS: usize = 5;
-/// How old a report is at most that counts as recent.
+/// The maximum age of a recent report.
 const RECENT_REPORT: Micros = Micros::SECOND;
-/// A server that has answered here within this time is not avoided.
+/// A server that has answered this member within this time is not avoided.
 const NOT_AVOIDED_AFTER_RESPONSE: Micros = Micros::SECOND;
-/// Between two trials of one suspected server by one member.
+/// The minimum time between two trials of one suspected server by one member.
 const MIN_TRIAL_INTERVAL: Micros = Micros::SECOND;
-/// How long it is remembered when a suspected server was tried.
+/// How long the time of the last trial of a suspected server is stored.
 const TRIAL_MEMORY: Micros = Micros::from_secs(10);
-/// The least rate of requests, of all members to one server, that trials are drawn by.
+/// The lower bound of the rate of requests of all members to one server, from which the probability of a trial is computed.
 const MIN_REQUESTS_PER_S: f64 = 1e-3;
 
 /// One member's failure detector.
@@ -79,13 +81,13 @@
     reports: ReportTable,
     serving: ServingServers,
     suspected: SuspectedServers,
-    /// When a suspected server was last tried by this member.
+    /// When this member last sent a trial request to a suspected server.
     last_trials: BTreeMap<ServerIncarnation, Micros>,
     own_observations: OwnObservations,
     dissemination: Dissemination,
-    /// Members that are there, this one included.
+    /// The number of live members, including this one.
     members: usize,
-    /// Whether anything has changed since it was last decided which servers are suspected.
+    /// Whether reports or endpoints have changed since suspicion was last decided.
     has_changed: bool,
     outgoing: Vec<(SocketAddr, Message)>,
     metrics: FailureDetectorMetrics,
@@ -93,7 +95,7 @@
 }
 
 impl FailureDetector {
-    /// That of the member at this position and in this zone, whose process starts now.
+    /// Creates the failure detector of the member at this position and in this zone, whose process starts now.
     pub fn new(
         terms: FailureDetectorTerms,
         position: u32,
@@ -120,7 +122,7 @@
         }
     }
 
-    /// The endpoint list changed; these servers serve.
+    /// Handles a new endpoint list, given its serving servers.
     pub fn on_endpoints_changed(&mut self, servers: &[ServingServer]) {
         self.serving.clear();
         for serving in servers {
@@ -130,7 +132,7 @@
         self.has_changed = true;
     }
 
-    /// An own request showed that a server is silent, or that it answers.
+    /// Records the outcome of an own request: the server was silent, or it answered.
     pub fn on_server_observed(&mut self, server: ServerIncarnation, is_silent: bool, now: Micros) {
         let server = self.lookup_key(server);
         self.own_observations.add(now, server.server, is_silent);
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Whether others are to learn of what an own request showed.
+    /// Whether the outcome of an own request is to be reported to other members.
     fn is_worth_reporting(&self, server: ServerIncarnation, is_silent: bool, now: Micros) -> bool {
         let has_just_reported = self
             .own_report(server)
@@ -157,7 +159,7 @@
             && !self.own_observations.has_just_answered(server.server, now)
     }
 
-    /// Makes a report, which is spread urgently.
+    /// Makes an own report, which is spread urgently.
     fn report(&mut self, server: ServerIncarnation, is_silent: bool, now: Micros) {
         self.metrics.own_reports += 1;
         let own = self.own_report(server);
@@ -187,7 +189,8 @@
         self.reports_on(server).iter().find(|report| report.reporter == self.position)
     }
 
-    /// Stores a report, beyond [`MAX_SERVER_INCARNATIONS`] none on a server that is new. News that changes something is spread urgently.
+    /// Stores a report, unless it is on a new server beyond [`MAX_SERVER_INCARNATIONS`]. A new report that may change whether
+    /// the server is suspected is spread urgently.
     fn add_report(&mut self, server: ServerIncarnation, report: StoredReport, now: Micros) {
         if !self.reports.contains_key(&server) && self.reports.len() >= MAX_SERVER_INCARNATIONS {
             return;
@@ -205,14 +208,14 @@
         }
     }
 
-    /// Does what is due; to be called about every 50 ms. `members` are there now, this one included; `draw_peer` draws one of
-    /// the others to ask.
+    /// Expires reports, decides which servers are suspected and sends queries; to be called about every 50 ms. `members` is the
+    /// number of live members, including this one; `draw_peer` returns a random other member to query.
     pub fn tick(&mut self, now: Micros, members: usize, draw_peer: impl FnMut() -> Option<SocketAddr>) {
         self.members = members.max(1);
         self.dissemination.on_tick(now);
         self.expire_reports(now);
         let has_changed = std::mem::take(&mut self.has_changed);
-        // Servers that are cleared wait for their time without anything new.
+        // Cleared servers become usable at a set time, without a change of the reports.
         if has_changed || !self.suspected.is_empty() {
             self.last_trials.retain(|_, at| now < *at + TRIAL_MEMORY);
             self.dissemination.update_digests(&self.reports, self.terms.min_reporters);
@@ -224,7 +227,7 @@
         }
     }
 
-    /// Drops the reports that act no more.
+    /// Removes expired reports.
     fn expire_reports(&mut self, now: Micros) {
         let lifetime = self.terms.local_lifetime();
         for reports in self.reports.values_mut() {
@@ -251,9 +254,9 @@
         self.metrics.discredited_reporters = decision.discredited;
     }
 
-    /// Whether this attempt avoids the server because others report it silent. A suspected server is tried now and then; each
-    /// call may draw such a trial. `last_response` is when it last answered here, `responses_per_second` the mean rate at which
-    /// one server responds to this balancer; it stands in for the rate of its attempts.
+    /// Whether an attempt has to avoid the server because others report it silent. A call occasionally allows an attempt to a
+    /// suspected server as a trial. `last_response` is when the server last answered this balancer; `responses_per_second` is
+    /// the mean rate at which one server responds to this balancer, which approximates the rate of its attempts.
     pub fn should_avoid(
         &mut self,
         server: ServerIncarnation,
@@ -274,15 +277,16 @@
         true
     }
 
-    /// When the newest report of silence that still acts was seen. A process that stood still has not dropped the others yet.
+    /// The observation time of the newest unexpired report of silence. Expired reports are still stored after a stall of this
+    /// process, until the next tick.
     fn newest_silent_report(&self, server: ServerIncarnation, now: Micros) -> Option<Micros> {
         let silent = self.reports_on(server).iter().filter(|report| report.is_silent);
         let newest = silent.map(|report| report.seen).max();
         newest.filter(|seen| now < *seen + self.terms.local_lifetime())
     }
 
-    /// Whether a suspected server is tried all the same: all members together make so many trials a second, and each draws its
-    /// part of them.
+    /// Randomly decides whether to send a trial request to a suspected server, such that all members together send about
+    /// `trials_per_s` trial requests a second.
     fn draw_trial(&mut self, server: ServerIncarnation, responses_per_second: f64, now: Micros) -> bool {
         let has_rested = self.last_trials.get(&server).is_none_or(|last| now >= *last + MIN_TRIAL_INTERVAL);
         if !has_rested {
@@ -297,12 +301,12 @@
         is_trial
     }
 
-    /// The messages that go out, with their receivers.
+    /// Takes the outgoing messages with their receivers.
     pub fn drain(&mut self) -> std::vec::Drain<'_, (SocketAddr, Message)> {
         self.outgoing.drain(..)
     }
 
-    /// What operators see.
+    /// Metrics of the failure detector.
     pub fn metrics(&self) -> FailureDetectorMetrics {
         let reports = self.reports.values().flatten();
         let silent_reports = reports.clone().filter(|report| report.is_silent).count();
@@ -310,7 +314,7 @@
         FailureDetectorMetrics { silent_reports, answer_reports, ..self.metrics }
     }
 
-    /// What a server is looked up by.
+    /// The key under which reports on a server are stored.
     fn lookup_key(&self, server: ServerIncarnation) -> ServerIncarnation {
         if self.defect.is_active(Defect::AddressForIncarnation) {
             ServerIncarnation { started: Micros::ZERO, ..server }
@@ -320,13 +324,13 @@
     }
 }
 
-/// Defects that tests inject, to show that their checks catch them.
+/// Defects that tests inject, to show that their checks detect them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Defect {
-    /// The age that a report had at its sender is forgotten.
+    /// The age of a report at its sender is ignored.
     AgeNotCarried,
-    /// A report that is received once more is taken for new.
+    /// A report counts as observed at its receipt, so that every repetition renews it.
     RenewedByHearsay,
-    /// A server is known by its address alone: a new incarnation inherits the old one's reports.
+    /// The start time of a server is ignored: a new incarnation inherits the reports on the old one.
     AddressForIncarnation,
 }
--- a/cluster/src/failure_detector/dissemination.rs
+++ b/cluster/src/failure_detector/dissemination.rs
@@ -1,4 +1,4 @@
-//! How reports spread: which queries are due and to whom, how many are answered, and what an answer has room for.
+//! Dissemination of reports: which queries are due and to whom, how many are answered, and which reports fit into an answer.
 
 use std::net::SocketAddr;
 
@@ -10,54 +10,54 @@
 use crate::interval::Interval;
 use crate::open_requests::OpenRequests;
 
-/// Answers between two ticks: a flood of queries is not answered beyond.
+/// The maximum number of answers between two ticks; further queries of a flood are ignored.
 pub(super) const MAX_ANSWERS: usize = 12;
-/// Queries back, to members whose queries show that they have something else, between two ticks.
+/// The maximum number of queries back between two ticks, to members whose queries show that they have different reports.
 pub(super) const MAX_QUERIES_BACK: usize = 2;
-/// Members that are asked in an urgent round.
+/// The number of members queried in an urgent round.
 const MEMBERS_PER_URGENT_ROUND: usize = 2;
-/// Between two rounds of queries while something urgent spreads.
+/// The time between two rounds of queries while urgent reports are spread.
 const URGENT_INTERVAL: Micros = Micros::from_millis(100);
-/// Between two rounds of queries while there are reports.
+/// The time between two rounds of queries while there are reports.
 const ROUND_INTERVAL: Micros = Micros::from_millis(500);
-/// Between two rounds of queries while there are no reports.
+/// The time between two rounds of queries while there are no reports.
 const IDLE_INTERVAL: Micros = Micros::from_secs(2);
 /// How long an own report is spread urgently.
 const OWN_REPORT_URGENT_FOR: Micros = Micros::from_millis(200);
 /// How long a report that may change which servers are suspected is spread urgently.
 const NEWS_URGENT_FOR: Micros = Micros::from_millis(500);
-/// After its start a member asks urgently for so long.
+/// How long a member sends urgent queries after its start.
 const START_URGENT_FOR: Micros = Micros::from_secs(2);
-/// A query is answered within this time or not at all.
+/// The time after which answers to a query are ignored.
 const QUERY_TIMEOUT: Micros = Micros::SECOND;
 
-/// A query that is due.
+/// A query to be sent now.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DueQuery {
     pub(super) to: SocketAddr,
     pub(super) scope: QueryScope,
 }
 
-/// One member's queries and answers.
+/// The state of one member's queries and answers.
 #[derive(Debug)]
 pub(super) struct Dissemination {
     queries: OpenRequests,
     rounds: Interval,
     urgent_rounds: Interval,
-    /// Until then news is spread urgently.
+    /// The time until which reports that may change suspicion are spread urgently.
     urgent_until: Micros,
-    /// Until then an own report is spread urgently.
+    /// The time until which an own report is spread urgently.
     own_report_urgent_until: Micros,
-    /// Queries answered since the last tick.
+    /// The number of queries answered since the last tick.
     answered: usize,
-    /// Of all reports.
+    /// The digest of all reports.
     digest: u64,
-    /// Of the urgent reports; zero where there is none.
+    /// The digest of the urgent reports; zero if there are none.
     urgent_digest: u64,
 }
 
 impl Dissemination {
-    /// That of a member which starts now.
+    /// Creates the state of a member that starts now.
     pub(super) fn new(now: Micros) -> Dissemination {
         Dissemination {
             queries: OpenRequests::new(QUERY_TIMEOUT),
@@ -71,13 +71,13 @@
         }
     }
 
-    /// This member has made a report.
+    /// Handles a report that this member has made.
     pub(super) fn on_own_report(&mut self, now: Micros) {
         self.own_report_urgent_until = now + OWN_REPORT_URGENT_FOR;
     }
 
-    /// A report was new here: it is urgent where it may change whether its server is suspected. `silent_reports` counts the
-    /// reports of silence on that server, cleared ones included.
+    /// Handles a report that was not known: it is urgent if it may change whether its server is suspected. `silent_reports`
+    /// counts the reports of silence on that server, including cleared ones.
     pub(super) fn on_news(
         &mut self,
         now: Micros,
@@ -92,13 +92,13 @@
         }
     }
 
-    /// Takes the digests of the reports that there are now.
+    /// Recomputes the digests for the stored reports.
     pub(super) fn update_digests(&mut self, table: &ReportTable, min_reporters: usize) {
         self.digest = reports::digest(table);
         self.urgent_digest = evidence::urgent_digest(table, min_reporters);
     }
 
-    /// The digest of the reports that a query is about.
+    /// The digest of the reports in a query's scope.
     pub(super) fn digest(&self, scope: QueryScope) -> u64 {
         match scope {
             QueryScope::All | QueryScope::AllMutual => self.digest,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Takes the right to answer one more query before the next tick; false where there is none left.
+    /// Takes one answer from the limit for the current tick; false if none is left.
     pub(super) fn take_answer(&mut self) -> bool {
         if self.answered >= MAX_ANSWERS {
             return false;
@@ -115,8 +115,8 @@
         true
     }
 
-    /// What to query a member back for, whose query showed that it has something else; `None` where its reports can wait for the
-    /// next own query.
+    /// The scope of a query back to a member whose query showed that it has different reports; `None` if its reports can wait
+    /// for the next own query.
     pub(super) fn query_back(&self, scope: QueryScope) -> Option<QueryScope> {
         let scope_back = match scope {
             QueryScope::UrgentMutual => QueryScope::Urgent,
@@ -126,23 +126,23 @@
         (self.answered <= MAX_QUERIES_BACK).then_some(scope_back)
     }
 
-    /// Opens a query to a member; returns the time that names it.
+    /// Opens a query to a member and returns its send time, which identifies it.
     pub(super) fn open_query(&mut self, now: Micros, to: SocketAddr) -> Micros {
         self.queries.open(now, to)
     }
 
-    /// Closes the query that an answer names; false where the answer does not count.
+    /// Closes the query that an answer refers to; false if the answer is not awaited.
     pub(super) fn close_query(&mut self, now: Micros, from: SocketAddr, sent: Micros) -> bool {
         self.queries.close(now, from, sent)
     }
 
-    /// A tick begins.
+    /// Resets the limit of answers and removes queries that have timed out.
     pub(super) fn on_tick(&mut self, now: Micros) {
         self.answered = 0;
         self.queries.expire(now);
     }
 
-    /// The queries that are due now.
+    /// The queries that are due now, to random members.
     pub(super) fn due_queries(
         &mut self,
         now: Micros,
@@ -164,8 +164,8 @@
         queries
     }
 
-    /// What an urgent query is about. Reports that are missing for a decision may be with members that have but one of them,
-    /// to whom it is not urgent: these are asked for all that they have.
+    /// The scope of an urgent query. While reports are missing for a decision, it is all reports: a member that has only one of
+    /// the missing reports does not treat it as urgent.
     fn urgent_scope(&self, now: Micros, table: &ReportTable, min_reporters: usize) -> QueryScope {
         let is_undecided = |reports: &Vec<StoredReport>| {
             evidence::is_urgent(reports) && !evidence::is_decided(reports, min_reporters)
@@ -179,19 +179,19 @@
     }
 }
 
-/// Where a report stands among those that compete for the room of an answer.
+/// The rank of a report among those that compete for the limited space of an answer; the lowest ranks are sent.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AnswerRank {
-    /// How many times as many reports of its server as have to agree are newer.
+    /// The number of newer reports on the same server, divided by `min_reporters`.
     layer: usize,
-    /// Its server's place after the first one.
+    /// The server's distance from the first server in the order of the table, with wrap-around.
     turn: usize,
-    /// Its place among the reports of its server.
+    /// The report's index among the reports on its server.
     place: usize,
 }
 
-/// The reports of an answer, with their ages. Where it has no room for all: the newest of each server, as many as have to agree,
-/// of servers from number `first` on, and then the others.
+/// The reports of an answer, with their ages. If not all reports fit, the newest `min_reporters` reports on each server come
+/// first, beginning with the server at index `first`, and then older reports.
 pub(super) fn answer(
     table: &ReportTable,
     now: Micros,
--- a/cluster/src/failure_detector/evidence.rs
+++ b/cluster/src/failure_detector/evidence.rs
@@ -1,4 +1,4 @@
-//! What follows from the reports on one server: who is believed, whether it is disputed, and how many report it silent.
+//! Evaluation of the reports on a server: which reporters are believed, and how many of them report the server silent.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,13 +6,15 @@
 
 use super::reports::{ReportTable, StoredReport};
 
-/// Reports of silence on a server from which on they are urgent: one alone is mostly a server that is slow for a moment.
+/// The number of reports of silence on a server from which they are urgent: a single report mostly means that the server was
+/// slow for a moment.
 pub(super) const URGENT_REPORTS: usize = 2;
-/// A reporter of no more silent servers than this is believed, however few servers there are.
+/// A reporter of at most this number of silent servers is never discredited, even if there are very few servers.
 const MIN_DISCREDITING_REPORTS: usize = 2;
 
-/// Reports of silence that no answer has cleared. An answer clears what is older of its own zone, and of other zones where it
-/// is a recovery, which is news of the server; otherwise it tells of its own path alone.
+/// Reports of silence that no answer has cleared. An answer clears older reports of its own zone. It clears older reports of
+/// other zones only if it is a recovery, which shows a change of the server; otherwise it is evidence only for its own network
+/// path.
 fn uncleared<'a>(
     reports: &'a [StoredReport],
     discredited: &'a BTreeSet<u32>,
@@ -28,29 +30,30 @@
     })
 }
 
-/// The number of reports of silence that no answer has cleared, whoever made them.
+/// The number of reports of silence that no answer has cleared, including those of discredited reporters.
 fn uncleared_count(reports: &[StoredReport]) -> usize {
     uncleared(reports, &BTreeSet::new()).count()
 }
 
-/// Whether a server is reported silent and no answer has cleared that.
+/// Whether there is a report of silence that no answer has cleared.
 pub(super) fn is_disputed(reports: &[StoredReport]) -> bool {
     uncleared_count(reports) > 0
 }
 
-/// Whether the reports on a server are spread urgently: enough reports of silence, or one that it is back.
+/// Whether the reports on a server are spread urgently: there are enough reports of silence, or one of recovery.
 pub(super) fn is_urgent(reports: &[StoredReport]) -> bool {
     uncleared_count(reports) >= URGENT_REPORTS || reports.iter().any(|report| report.is_recovery)
 }
 
-/// Whether enough members report an urgent server silent, or none does any more: more reports would change nothing.
+/// Whether further reports cannot change the decision on a server with urgent reports: enough members report it silent, or none
+/// does any more.
 pub(super) fn is_decided(reports: &[StoredReport], min_reporters: usize) -> bool {
     let count = uncleared_count(reports);
     count == 0 || count >= min_reporters
 }
 
-/// A digest of the urgent reports. A server that enough members report silent is one thing in it, however many do and
-/// whenever they last said so.
+/// A digest of the urgent reports. A server that enough members report silent contributes the same value whatever the number
+/// and the stamps of the reports.
 pub(super) fn urgent_digest(table: &ReportTable, min_reporters: usize) -> u64 {
     let everybody_believed = BTreeSet::new();
     let mut digest: u64 = 0;
@@ -71,7 +74,7 @@
     digest
 }
 
-/// Reporters of silence of more than half of the servers: they have lost their own link.
+/// Reporters that report more than half of the servers silent; they are assumed to have lost their own link.
 pub(super) fn discredited_reporters(table: &ReportTable, servers: usize) -> BTreeSet<u32> {
     let mut silent_servers: BTreeMap<u32, usize> = BTreeMap::new();
     for report in table.values().flatten().filter(|report| report.is_silent) {
@@ -81,8 +84,8 @@
     silent_servers.into_iter().filter(|(_, count)| *count > most).map(|(reporter, _)| reporter).collect()
 }
 
-/// How many reporters a member of this zone believes that a server is silent; zero where it does not suspect the server. Of a
-/// server that it suspects already, one uncleared report is enough.
+/// The number of reporters on whose reports a member of this zone suspects a server; zero if it does not suspect the server.
+/// For a server that is already suspected, one uncleared report is enough.
 pub(super) fn believed_reporters(
     reports: &[StoredReport],
     discredited: &BTreeSet<u32>,
@@ -93,12 +96,12 @@
     let silent: Vec<&StoredReport> = uncleared(reports, discredited).collect();
     let in_zone = silent.iter().filter(|report| report.zone == zone).count();
     let zones: BTreeSet<u32> = silent.iter().map(|report| report.zone).collect();
-    // An answer in the own zone counts for more than silence in others.
+    // An answer in the own zone outweighs reports of silence from other zones.
     let has_answer_in_zone = reports.iter().any(|report| !report.is_silent && report.zone == zone);
     let in_all_zones = if has_answer_in_zone && in_zone == 0 { 0 } else { silent.len() };
     let needed = if is_suspected { 1 } else { min_reporters };
     let is_believed_in_zone = in_zone >= needed;
-    // Reports of one other zone alone may tell of its path to the server.
+    // Reports from only one other zone may be due to that zone's network path to the server.
     let is_believed_across_zones = in_all_zones >= needed && (is_suspected || zones.len() >= 2);
     if is_believed_in_zone || is_believed_across_zones {
         in_zone.max(in_all_zones)
--- a/cluster/src/failure_detector/exchange.rs
+++ b/cluster/src/failure_detector/exchange.rs
@@ -1,4 +1,4 @@
-//! Messages in and out: queries that are answered, and reports that are taken with a bound of their age.
+//! Exchange of messages: queries are answered, and received reports are stored with a bound of their age.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use super::{Defect, FailureDetector};
 
 impl FailureDetector {
-    /// A message has come from another member.
+    /// Handles a message from another member.
     pub fn on_message(&mut self, now: Micros, from: SocketAddr, message: Message) {
         match message {
             Message::Query { sent, digest, scope } => self.on_query(now, from, sent, digest, scope),
@@ -19,7 +19,7 @@
         }
     }
 
-    /// A member asks; it is answered where this one has something else, and queried back where that is urgent.
+    /// Answers a query of a member that has different reports, and queries the member back if its scope asks for that.
     fn on_query(&mut self, now: Micros, from: SocketAddr, sent: Micros, digest: u64, scope: QueryScope) {
         if digest == self.dissemination.digest(scope) || !self.dissemination.take_answer() {
             return;
@@ -34,7 +34,7 @@
         }
     }
 
-    /// A member has answered the query of that time.
+    /// Handles an answer to the query with this send time.
     fn on_reports(&mut self, now: Micros, from: SocketAddr, sent: Micros, reports: Vec<Report>) {
         if !self.dissemination.close_query(now, from, sent) {
             return;
@@ -44,12 +44,12 @@
         }
     }
 
-    /// A report has come in the answer to the query of that time.
+    /// Handles a report in the answer to the query with this send time.
     fn on_report(&mut self, now: Micros, sent: Micros, report: Report) {
         let is_own = report.reporter == self.position;
         let seen = self.earliest_seen(now, sent, report.age);
         let has_expired = seen + self.terms.local_lifetime().0 as i64 <= now.0 as i64;
-        // Of itself a member knows better; what is over does not come back.
+        // A member ignores copies of its own reports, and expired reports.
         if is_own || has_expired {
             return;
         }
@@ -64,8 +64,8 @@
         self.add_report(report.server, stored, now);
     }
 
-    /// The earliest that a report can have been seen, in microseconds of the own clock; below zero, before the clock began.
-    /// The answer was written after the query was sent, so that no later time can be proven.
+    /// The earliest possible time of a report's observation, in microseconds of the own clock; negative if before its zero.
+    /// The bound starts from the send time of the query, because the answer is only known to have been written after that.
     fn earliest_seen(&self, now: Micros, sent: Micros, age: Micros) -> i64 {
         if self.defect.is_active(Defect::RenewedByHearsay) {
             return now.0 as i64;
--- a/cluster/src/failure_detector/message.rs
+++ b/cluster/src/failure_detector/message.rs
@@ -1,16 +1,16 @@
-//! What two members say to each other about servers.
+//! Messages between members about servers.
 //!
-//! The order of fields and variants is part of the protocol: `postcard` writes them as they stand here.
+//! The order of fields and variants is part of the protocol: `postcard` encodes them in the order of declaration.
 
 use juniperladder::Micros;
 use serde::{Deserialize, Serialize};
 
 use crate::server_incarnation::ServerIncarnation;
 
-/// Reports in one answer: as many as a packet has room for, with the rest of it.
+/// The maximum number of reports in one answer; with this number an answer fits into one packet.
 pub const MAX_REPORTS: usize = 24;
 
-/// What one member saw of one incarnation of a server.
+/// One member's observation of one server incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The server.
@@ -19,50 +19,50 @@
     pub reporter: u32,
     /// The reporter's zone.
     pub zone: u32,
-    /// When, by the reporter's clock: a later report of the same reporter replaces an earlier one.
+    /// The time of the report by the reporter's clock; a later report of the same reporter replaces an earlier one.
     #[serde(with = "crate::wire::micros")]
     pub stamp: Micros,
-    /// How old it was at the most when this message was written.
+    /// The maximum age of the observation when this message was written.
     #[serde(with = "crate::wire::micros")]
     pub age: Micros,
-    /// Whether the server was silent; otherwise it answered.
+    /// Whether the server was silent; if false, it answered.
     pub is_silent: bool,
-    /// Of an answer, whether the reporter's zone had found the server silent before.
+    /// Whether this is an answer after the reporter's zone had reported the server silent.
     pub is_recovery: bool,
 }
 
-/// Which reports a query is about.
+/// The reports that a query covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QueryScope {
     /// All reports.
     All,
-    /// All reports, where the asker has a report of its own that has to meet others: it is queried back.
+    /// All reports; the receiver queries back, because the sender has new reports of its own or lacks reports for a decision.
     AllMutual,
-    /// The urgent reports, where the asker has some of them: it is queried back.
+    /// The urgent reports; the receiver queries back, because the sender has some of them.
     UrgentMutual,
-    /// The urgent reports, queried back.
+    /// The urgent reports; the scope of a query back to [`QueryScope::UrgentMutual`].
     Urgent,
 }
 
 /// A message about servers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Tells what the asker has; a member that has something else answers.
+    /// A query with a digest of the sender's reports; a member with different reports answers.
     Query {
-        /// When it was sent, by the asker's clock; it names the query.
+        /// The send time by the sender's clock; it identifies the query.
         #[serde(with = "crate::wire::micros")]
         sent: Micros,
-        /// A digest of the reports that the query is about.
+        /// The digest of the sender's reports in the scope.
         digest: u64,
-        /// Which these are.
+        /// The reports that the query covers.
         scope: QueryScope,
     },
     /// The answer to a query.
     Reports {
-        /// The time in the query.
+        /// The send time of the query.
         #[serde(with = "crate::wire::micros")]
         sent: Micros,
-        /// The reports, no more than [`MAX_REPORTS`].
+        /// The reports, at most [`MAX_REPORTS`].
         reports: Vec<Report>,
     },
 }
--- a/cluster/src/failure_detector/metrics.rs
+++ b/cluster/src/failure_detector/metrics.rs
@@ -1,26 +1,26 @@
-//! What operators see of the failure detector.
+//! Metrics of the failure detector.
 
 use juniperladder::Micros;
 
-/// What operators see of the failure detector. Reports, servers and reporters are counted now, the rest since the start.
+/// Metrics of the failure detector. Reports, servers and reporters are current numbers; the rest accumulates since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FailureDetectorMetrics {
-    /// Stored reports of silence.
+    /// The number of stored reports of silence.
     pub silent_reports: usize,
-    /// Stored reports of answers.
+    /// The number of stored reports of answers.
     pub answer_reports: usize,
-    /// Servers that are suspected.
+    /// The number of suspected servers.
     pub suspected_servers: usize,
-    /// Servers that would be suspected, were it not for the most that may be.
+    /// The number of servers that are not suspected only because the limit on suspected servers is reached.
     pub servers_beyond_limit: usize,
-    /// Reporters that are not believed now.
+    /// The number of discredited reporters.
     pub discredited_reporters: usize,
-    /// Requests that passed over a suspected server.
+    /// The number of requests that avoided a suspected server.
     pub avoided_requests: u64,
-    /// Trials of suspected servers.
+    /// The number of trial requests to suspected servers.
     pub trials: u64,
-    /// Reports of this member.
+    /// The number of reports that this member made.
     pub own_reports: u64,
-    /// The greatest age of a report that made a request pass over a server.
+    /// The greatest age of a report on which a request avoided a server.
     pub oldest_used_report: Micros,
 }
--- a/cluster/src/failure_detector/own_observations.rs
+++ b/cluster/src/failure_detector/own_observations.rs
@@ -1,4 +1,4 @@
-//! How the own requests of late ended: whether a server is silent, or the own link is down.
+//! Outcomes of recent own requests, which show whether a server is silent or the own link is down.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,13 +6,13 @@
 
 /// How long observations are kept.
 const OBSERVATION_LIFETIME: Micros = Micros::from_secs(2);
-/// How many observations are kept.
+/// The maximum number of observations kept.
 const MAX_OBSERVATIONS: usize = 64;
-/// A server that has answered here within this time is not reported silent: a time-out takes about as long, so that the
-/// server has answered since the request was sent.
+/// A server that has answered this member within this time is not reported silent: a request times out after about this time,
+/// so that the server has answered since the request was sent.
 const NOT_REPORTED_AFTER_RESPONSE: Micros = Micros::from_millis(500);
 
-/// The end of one own request.
+/// The outcome of one own request.
 #[derive(Clone, Copy, Debug)]
 struct Observation {
     at: Micros,
@@ -20,14 +20,14 @@
     is_silent: bool,
 }
 
-/// The ends of the own requests of late, oldest first.
+/// The outcomes of recent own requests, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct OwnObservations {
     observations: VecDeque<Observation>,
 }
 
 impl OwnObservations {
-    /// A request to a server has ended, without an answer where the server was silent.
+    /// Records the outcome of a request: the server was silent, or it answered.
     pub(super) fn add(&mut self, now: Micros, server: ServerId, is_silent: bool) {
         self.observations.push_back(Observation { at: now, server, is_silent });
         while self.observations.len() > MAX_OBSERVATIONS || self.is_oldest_outdated(now) {
@@ -39,7 +39,7 @@
         self.observations.front().is_some_and(|oldest| oldest.at + OBSERVATION_LIFETIME < now)
     }
 
-    /// Whether the observations tell of servers and not of the own link: no more than half of the servers are silent.
+    /// Whether silence can be attributed to servers and not to the own link: at most half of the observed servers are silent.
     pub(super) fn is_link_healthy(&self) -> bool {
         let mut is_silent_by_server: BTreeMap<ServerId, bool> = BTreeMap::new();
         for observation in &self.observations {
@@ -49,7 +49,7 @@
         2 * silent <= is_silent_by_server.len()
     }
 
-    /// Whether a server has answered here a moment ago.
+    /// Whether a server has answered within [`NOT_REPORTED_AFTER_RESPONSE`].
     pub(super) fn has_just_answered(&self, server: ServerId, now: Micros) -> bool {
         self.observations.iter().any(|observation| {
             !observation.is_silent
--- a/cluster/src/failure_detector/reports.rs
+++ b/cluster/src/failure_detector/reports.rs
@@ -1,4 +1,5 @@
-//! The reports that a member has stored: a join, so that any order and any repeats give the same, and a digest.
+//! The reports that a member has stored, and their digest. Merging is a join, so that reordered and duplicated reports give the
+//! same result.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,16 +9,16 @@
 use super::message::Report;
 use crate::server_incarnation::ServerIncarnation;
 
-/// Reports of silence that are kept of one server and zone: the newest.
+/// The number of reports of silence kept for one server and zone; the newest are kept.
 const MAX_SILENT_REPORTS: usize = 4;
-/// Reports that are kept of one server and zone for either kind of answer: the newest.
+/// The number of reports kept for one server, zone and kind of answer (recovery or not); the newest are kept.
 const MAX_ANSWER_REPORTS: usize = 1;
-/// Zones of which reports are kept of one server.
+/// The maximum number of zones from which reports on one server are kept.
 const MAX_ZONES: usize = 4;
-/// Where the reporter stands in a report's digest, above the microseconds of most stamps.
+/// The bit position of the reporter in the digest of a report, above the microseconds of most stamps.
 const REPORTER_SHIFT: u32 = 40;
 
-/// The stored reports by server; no list is empty.
+/// The stored reports by server; no list of reports is empty.
 pub(super) type ReportTable = BTreeMap<ServerIncarnation, Vec<StoredReport>>;
 
 /// One reporter's newest report on one server.
@@ -25,22 +26,23 @@
 pub(super) struct StoredReport {
     pub(super) reporter: u32,
     pub(super) zone: u32,
-    /// When, by the reporter's clock.
+    /// The time of the report by the reporter's clock.
     pub(super) stamp: Micros,
-    /// The earliest that the reporter can have seen it, by the own clock.
+    /// The earliest possible time of the observation by the own clock.
     pub(super) seen: Micros,
     pub(super) is_silent: bool,
-    /// An answer where its own zone had found the server silent: news of the server, not of a path.
+    /// Whether this is an answer after the reporter's zone had reported the server silent, which shows a change of the server
+    /// and not only of a network path.
     pub(super) is_recovery: bool,
 }
 
 impl StoredReport {
-    /// What reports of the same reporter are compared by: the newer stamp, and of one stamp the tighter bound of its age.
+    /// The order of reports of the same reporter: by stamp, and for equal stamps by the tighter bound of the age.
     fn rank(&self) -> (Micros, Micros) {
         (self.stamp, self.seen)
     }
 
-    /// The report as it is sent to another member now.
+    /// The report in the form in which it is sent now.
     pub(super) fn to_report(self, server: ServerIncarnation, now: Micros) -> Report {
         Report {
             server,
@@ -54,8 +56,8 @@
     }
 }
 
-/// Merges a report into those of its server; returns whether it says something that was not known. What cannot act again is
-/// dropped, so that the order in which reports come makes no difference.
+/// Merges a report into those of its server; returns whether the report was new and is kept. Reports that can no longer have an
+/// effect are dropped, so that the order in which reports are merged makes no difference.
 pub(super) fn merge(reports: &mut Vec<StoredReport>, report: StoredReport) -> bool {
     let mut is_news = true;
     match reports.iter_mut().find(|known| known.reporter == report.reporter) {
@@ -66,21 +68,21 @@
         }
         None => reports.push(report),
     }
-    // By reporter where times are the same, so that the order of arrival does not matter.
+    // Reports with equal times are ordered by reporter, so that the order of arrival does not matter.
     reports.sort_unstable_by_key(|one| (Reverse(one.seen), one.reporter));
     let mut retention = Retention::default();
     reports.retain(|one| retention.keeps(one));
     is_news && reports.contains(&report)
 }
 
-/// Which reports on one server are kept, asked of each from the newest to the oldest.
+/// Selects the reports on one server that are kept; applied to each report from the newest to the oldest.
 #[derive(Default)]
 struct Retention {
     zones: BTreeSet<u32>,
     counts: BTreeMap<ReportKind, usize>,
 }
 
-/// What reports have in common that differ in their age and reporter alone.
+/// The properties by which reports are grouped for the limits on kept reports.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ReportKind {
     zone: u32,
@@ -89,7 +91,7 @@
 }
 
 impl Retention {
-    /// Whether a report is among the newest of its kind and not cleared by a later answer in its zone.
+    /// Whether a report is among the newest of its kind and not cleared by a newer answer from its zone.
     fn keeps(&mut self, report: &StoredReport) -> bool {
         let StoredReport { zone, is_silent, is_recovery, .. } = *report;
         let is_zone_kept = self.zones.contains(&zone) || self.zones.len() < MAX_ZONES;
@@ -109,7 +111,7 @@
     }
 }
 
-/// A digest of all reports: the same for the same reports, whatever bounds of their ages are known.
+/// A digest of all reports, independent of the known bounds of their ages.
 pub(super) fn digest(table: &ReportTable) -> u64 {
     let mut digest: u64 = 0;
     for (server, reports) in table {
--- a/cluster/src/failure_detector/suspicion.rs
+++ b/cluster/src/failure_detector/suspicion.rs
@@ -1,5 +1,5 @@
-//! Which servers are suspected: those that enough members report silent, within what may be suspected at all, and those that
-//! are cleared until each member's own wait for them is over.
+//! Selection of the suspected servers: those that enough members report silent, within the limits on suspected servers, and
+//! cleared servers until this member's random return delay is over.
 
 use std::collections::BTreeMap;
 
@@ -12,27 +12,27 @@
 use super::terms::FailureDetectorTerms;
 use crate::server_incarnation::ServerIncarnation;
 
-/// The share of a zone's servers that are suspected at the most.
+/// The maximum share of a zone's servers that are suspected.
 const MAX_SUSPECTED_SHARE_OF_ZONE: f64 = 0.5;
-/// The longest that a member waits until it uses a server again that is cleared: not all come back to it at once.
+/// The maximum delay before a member uses a cleared server again, random so that not all members return to it at once.
 const MAX_RETURN_DELAY: Micros = Micros::from_millis(400);
 
-/// The servers that serve, by the endpoint list in use.
+/// The serving servers of the endpoint list in use.
 pub(super) type ServingServers = BTreeMap<ServerId, ServingServer>;
 
-/// The servers that are suspected.
+/// The suspected servers and the reason for each.
 pub(super) type SuspectedServers = BTreeMap<ServerIncarnation, Suspicion>;
 
-/// Why a server is suspected.
+/// The reason why a server is suspected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Suspicion {
-    /// Enough members report it silent.
+    /// Enough members report the server silent.
     Reported,
-    /// An answer has cleared it; this member avoids it until this time, so that not all come back at once.
+    /// An answer has cleared the server; this member avoids it until this time, so that not all members return at once.
     ClearedButAvoidedUntil(Micros),
 }
 
-/// What suspicion is decided by.
+/// The input of a decision on the suspected servers.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SuspicionRules<'a> {
     pub(super) terms: &'a FailureDetectorTerms,
@@ -40,21 +40,21 @@
     pub(super) zone: u32,
     pub(super) reports: &'a ReportTable,
     pub(super) serving: &'a ServingServers,
-    /// The servers that have been suspected up to now.
+    /// The servers suspected by the previous decision.
     pub(super) before: &'a SuspectedServers,
 }
 
-/// What was decided.
+/// The result of a decision on the suspected servers.
 #[derive(Debug)]
 pub(super) struct Decision {
     pub(super) suspected: SuspectedServers,
-    /// Servers that would be suspected, were it not for the most that may be.
+    /// The number of servers that are not suspected only because the limit on suspected servers is reached.
     pub(super) beyond_limit: usize,
-    /// Reporters that are not believed now.
+    /// The number of discredited reporters.
     pub(super) discredited: usize,
 }
 
-/// The servers of one zone.
+/// The numbers of servers of one zone.
 #[derive(Default)]
 struct ZoneCounts {
     serving: usize,
@@ -68,7 +68,7 @@
 }
 
 impl SuspicionRules<'_> {
-    /// Decides which servers are suspected from now on.
+    /// Decides which servers are suspected.
     pub(super) fn decide(&self, now: Micros, rng: &mut ChaCha8Rng) -> Decision {
         let discredited = evidence::discredited_reporters(self.reports, self.serving.len());
         let mut candidates: Vec<(usize, ServerIncarnation)> = Vec::new();
@@ -81,7 +81,7 @@
                 candidates.push((reporters, *server));
             }
         }
-        // Those that are suspected already stay before others that as many report.
+        // Servers that are already suspected take precedence, then those with more reporters.
         candidates.sort_by_key(|(reporters, server)| {
             (!self.before.contains_key(server), usize::MAX - reporters, *server)
         });
@@ -92,7 +92,7 @@
         decision
     }
 
-    /// Of servers in the order in which they are to be suspected, those that may be.
+    /// Selects the suspected servers from candidates in order of precedence, within the limits on suspected servers.
     fn within_limits(&self, candidates: impl Iterator<Item = ServerIncarnation>) -> Decision {
         let max_suspected = (self.terms.max_suspected_share * self.serving.len() as f64) as usize;
         let mut zones: BTreeMap<u32, ZoneCounts> = BTreeMap::new();
@@ -102,7 +102,7 @@
         let mut suspected = SuspectedServers::new();
         let mut beyond_limit = 0;
         for server in candidates {
-            // Reports on an earlier incarnation, or on a server that is gone, concern nobody any more.
+            // Reports on an earlier incarnation, or on a server that is not listed any more, are ignored.
             let Some(serving) = self.serving.get(&server.server) else { continue };
             if serving.started != server.started {
                 continue;
@@ -118,7 +118,7 @@
         Decision { suspected, beyond_limit, discredited: 0 }
     }
 
-    /// Adds the servers that are cleared and whose wait is not over; one whose reports have all expired is used at once.
+    /// Adds the cleared servers whose return delay is not over; a server whose reports have all expired is used at once.
     fn add_cleared(&self, suspected: &mut SuspectedServers, now: Micros, rng: &mut ChaCha8Rng) {
         for (server, suspicion) in self.before {
             let until = match suspicion {
--- a/cluster/src/failure_detector/terms.rs
+++ b/cluster/src/failure_detector/terms.rs
@@ -2,23 +2,25 @@
 
 use juniperladder::Micros;
 
-/// The terms. They have to be the same at every member; members whose terms differ ignore each other's reports.
+/// The terms of the failure detector. They have to be the same at every member; members whose terms differ ignore each other's
+/// reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FailureDetectorTerms {
-    /// How many members have to report a server silent before others suspect it.
+    /// The number of members that have to report a server silent before others suspect it.
     pub min_reporters: usize,
-    /// How long a report acts after its reporter saw what it says.
+    /// The lifetime of a report, counted from the reporter's observation.
     pub report_lifetime: Micros,
-    /// The share of all servers that are suspected at the most.
+    /// The maximum share of all servers that are suspected.
     pub max_suspected_share: f64,
-    /// Trials a second of one suspected server by all members together.
+    /// The number of trial requests a second to one suspected server by all members together.
     pub trials_per_s: f64,
-    /// By which ratio clocks may run faster or slower than each other.
+    /// The maximum ratio by which the clock rates of members differ.
     pub clock_drift: f64,
 }
 
 impl FailureDetectorTerms {
-    /// How long a report acts by the own clock, so that by every clock it is no longer than stated.
+    /// The lifetime of a report by the own clock, shortened by the drift so that it does not exceed the stated one by any
+    /// clock.
     pub(super) fn local_lifetime(&self) -> Micros {
         self.report_lifetime.mul_f64(1.0 - 2.0 * self.clock_drift)
     }
--- a/cluster/src/failure_detector/tests.rs
+++ b/cluster/src/failure_detector/tests.rs
@@ -1,4 +1,4 @@
-//! What fleets in virtual time do, and what follows from reports that are given by hand.
+//! Simulated fleets in virtual time, and unit tests with given reports.
 
 mod fleet;
 
@@ -22,7 +22,7 @@
     for seed in 0..2_000 {
         let result = run_fleet(seed, drawn_scenario(seed));
         assert_eq!(result.violation, None, "seed {seed}: {:?}", drawn_scenario(seed));
-        assert_eq!(result.wrongly_avoided, 0, "seed {seed}: a server that was never silent was passed over");
+        assert_eq!(result.wrongly_avoided, 0, "seed {seed}: a server that was never silent was avoided");
         avoided += result.avoided;
         lost += result.lost;
     }
@@ -45,8 +45,11 @@
     for seed in 0..20 {
         let scenario = Scenario { members: 20, servers: 12, silent_servers: 1, liars: 2, ..MILD };
         let result = run_fleet(seed, scenario);
-        assert_eq!(result.wrongly_avoided, 0, "seed {seed}: two of three needed");
-        assert!(result.avoided > 0, "seed {seed}: the one that is silent is passed over all the same");
+        assert_eq!(
+            result.wrongly_avoided, 0,
+            "seed {seed}: a server was suspected on two of the three required reporters"
+        );
+        assert!(result.avoided > 0, "seed {seed}: the silent server was not avoided");
         assert_eq!(result.violation, None, "seed {seed}");
     }
 }
@@ -62,12 +65,12 @@
         detector.on_server_observed(server(number), false, Micros(20_000 + number));
     }
     detector.on_server_observed(server(5), true, Micros(30_000));
-    assert_eq!(detector.metrics().own_reports, 1, "now most answer");
+    assert_eq!(detector.metrics().own_reports, 1, "most servers answer, so that the report is made");
     detector.on_server_observed(server(6), true, Micros(30_000) + Micros::from_secs(3));
-    assert_eq!(detector.metrics().own_reports, 1, "and that is long ago");
+    assert_eq!(detector.metrics().own_reports, 1, "the answers have expired, so that no report is made");
 }
 
-/// Of four zones' members in a full view: a path that is cut for one zone tells the others nothing.
+/// Guards against a partition of one zone's network path that makes members of other zones suspect a healthy server.
 #[test]
 fn a_zone_that_cannot_reach_a_server_reports_for_itself_alone() {
     let report = |reporter, zone, seen: u64, is_silent| StoredReport {
@@ -76,7 +79,7 @@
         stamp: Micros(seen),
         seen: Micros(seen),
         is_silent,
-        // Zone 2 had found it silent before it answered there.
+        // Zone 2 reported the server silent before it answered there.
         is_recovery: !is_silent && zone == 2,
     };
     let all_believed = BTreeSet::new();
@@ -88,13 +91,13 @@
         reports::merge(&mut reports, report(reporter, 0, 100 + u64::from(reporter), true));
     }
     assert_eq!((believed(&reports, 0, false), believed(&reports, 1, false)), (3, 0));
-    // An answer in another zone, which had never found it silent, clears nothing here.
+    // An answer in another zone that had not reported the server silent clears nothing in zone 0.
     reports::merge(&mut reports, report(7, 1, 200, false));
     assert_eq!((believed(&reports, 0, true), believed(&reports, 1, true)), (3, 0));
-    // One more zone finds it silent: that is the server, for a third zone as well.
+    // Once a second zone reports the server silent, members of other zones suspect it as well.
     reports::merge(&mut reports, report(8, 2, 210, true));
     assert_eq!((believed(&reports, 0, false), believed(&reports, 3, false)), (4, 4));
-    // And an answer in that zone is news of the server.
+    // An answer in the second zone is a recovery, which clears the server for all zones.
     reports::merge(&mut reports, report(9, 2, 220, false));
     assert_eq!((believed(&reports, 0, true), believed(&reports, 3, true)), (0, 0));
     let discredited = BTreeSet::from([0, 1]);
@@ -105,7 +108,7 @@
     assert_ne!(reports::digest(&table), before);
 }
 
-/// A drawn report. Of one stamp of a reporter there is one report, whose age is bounded more or less tightly.
+/// A random report. Reports with the same reporter and stamp are equal except for the bound of their age.
 fn drawn_report(rng: &mut ChaCha8Rng, number: u64) -> StoredReport {
     let reporter: u32 = rng.random_range(0..24);
     let stamp: u64 = rng.random_range(0..50);
@@ -128,7 +131,7 @@
         for report in drawn.iter().chain(drawn.iter().rev()) {
             reports::merge(&mut reports, *report);
         }
-        // What has been cleared or is not among the newest may stay behind here and not there; it does not act.
+        // Which answers are kept may depend on the order of merging, but has no effect on suspicion.
         reports.retain(|report| report.is_silent);
         let believed = |report: &StoredReport| {
             evidence::believed_reporters(&reports, &BTreeSet::new(), report.zone, 3, false)
@@ -151,7 +154,7 @@
     let mut detector = FailureDetector::new(terms(), 0, 0, 1, Micros::ZERO);
     detector.tick(now, 2, || Some(address(1)));
     let Some((_, Message::Query { sent, .. })) = detector.drain().next() else {
-        panic!("it asks when it starts")
+        panic!("the detector sends no query at its start")
     };
     let report = |number| Report {
         server: server(number),
@@ -169,14 +172,14 @@
         detector.on_message(now, address(1), query);
     }
     let stored = detector.reports.len();
-    assert!(stored <= MAX_REPORTS, "one query, one answer: {stored}");
+    assert!(stored <= MAX_REPORTS, "more than one answer to one query was accepted: {stored} reports");
     assert!(detector.drain().count() <= MAX_ANSWERS + MAX_QUERIES_BACK);
 }
 
-/// Detection times by fleet size, by hand:
+/// Prints detection times by fleet size; run manually with
 /// `cargo test --release -p juniperladder-cluster failure_detector_tables -- --ignored --nocapture`.
 #[test]
-#[ignore = "prints a table, run by hand"]
+#[ignore = "prints a table; run manually"]
 fn failure_detector_tables() {
     println!("| members | loss | detection p50, p99, max (ms) | recovery, max (ms) | lost a server | packets a second a member |");
     for (members, loss) in [(12, 0.0), (100, 0.0), (100, 0.3), (300, 0.0), (300, 0.3), (500, 0.0)] {
--- a/cluster/src/failure_detector/tests/fleet.rs
+++ b/cluster/src/failure_detector/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: servers that fall silent, start again and recover, and members that are killed, frozen, cut off or
-//! lie. What acts is held against what was truly seen, whenever a server is passed over.
+//! A simulated fleet in virtual time: servers become silent, restart and recover; members are killed, frozen, partitioned, or
+//! report false silence. Whenever a request avoids a server, the reports are checked against the true observations.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,36 +11,36 @@
 use super::super::*;
 use crate::virtual_network::{address, Arrival, Conditions, Faults, Partition, VirtualNetwork, NO_FAULTS};
 
-/// By how much at most a late packet is late.
+/// The maximum delay of a late packet.
 const LATE_DELAYS: &[Micros] = &[Micros::from_secs(9)];
-/// The longest freeze of a process.
+/// The maximum duration of a freeze of a process.
 const MAX_FREEZE: Micros = Micros::from_secs(8);
-/// The longest cut of the network.
+/// The maximum duration of a network partition.
 const MAX_CUT: Micros = Micros::from_secs(8);
-/// The zones of the servers; members have as many as the scenario says.
+/// The number of server zones; the number of member zones is set by the scenario.
 const SERVER_ZONES: u32 = 3;
-/// After how long a request to a silent server ends.
+/// The time after which a request to a silent server times out.
 const REQUEST_TIMEOUT: Micros = Micros::from_millis(400);
-/// After how long a server that is not silent answers.
+/// The response time of a server that is not silent.
 const RESPONSE_TIME: Micros = Micros::from_millis(5);
-/// When each server started first.
+/// The start time of the first incarnation of each server.
 const FIRST_START: Micros = Micros(1);
 
-/// A fleet, its servers, and what goes wrong in it.
+/// The configuration of a fleet, its servers and its faults.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Scenario {
     pub(super) members: usize,
     pub(super) servers: usize,
-    /// The zones of the members.
+    /// The number of member zones.
     pub(super) zones: u32,
     pub(super) seconds: u64,
-    /// Requests a second of each member.
+    /// The number of requests a second of each member.
     pub(super) requests_per_s: f64,
     pub(super) conditions: Conditions,
     pub(super) faults: Faults,
-    /// Servers that fall silent for some seconds; at every second of them another process starts at its address meanwhile.
+    /// The number of servers that become silent for some seconds; every other one of them is restarted at the end of that time.
     pub(super) silent_servers: usize,
-    /// Members that report every server silent all the time.
+    /// The number of faulty members that report every server silent at each tick.
     pub(super) liars: usize,
     pub(super) defect: Option<Defect>,
 }
@@ -68,7 +68,7 @@
     defect: None,
 };
 
-/// A drawn scenario with everything in it that can go wrong between members.
+/// A random scenario with all kinds of faults between members.
 pub(super) fn drawn_scenario(seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
     Scenario {
@@ -93,14 +93,14 @@
     }
 }
 
-/// What is scheduled beside what the network does.
+/// Events of this test in the network's schedule.
 #[derive(Debug)]
 enum Scheduled {
     /// A member sends a request to a server.
     Request(usize),
-    /// A member learns how a request ended.
+    /// A member's request ends, with an answer or a timeout.
     RequestEnded { member: usize, server: usize, is_silent: bool, incarnation: ServerIncarnation },
-    /// A server falls silent, or answers again.
+    /// A server becomes silent, or answers again.
     SetSilent(usize, bool),
     /// Another process starts at a server's address.
     ServerStarted(usize),
@@ -108,29 +108,29 @@
 
 struct Member {
     detector: FailureDetector,
-    /// When each server last answered here.
+    /// The time of each server's last answer to this member.
     last_responses: Vec<Micros>,
 }
 
-/// What a fleet did.
+/// The result of a run of a fleet.
 #[derive(Debug, Default)]
 pub(super) struct RunResult {
-    /// The first guarantee that did not hold.
+    /// The first violation of a guarantee.
     pub(super) violation: Option<String>,
-    /// Requests to silent servers.
+    /// The number of requests sent to silent servers.
     pub(super) lost: usize,
-    /// Requests that passed over a server.
+    /// The number of requests that avoided a server.
     pub(super) avoided: usize,
-    /// Those of them that passed over a server that was never silent.
+    /// The number of requests that avoided a server that was never silent.
     pub(super) wrongly_avoided: usize,
     pub(super) packets: u64,
-    /// From the moment at which enough had seen a server silent until nearly all members suspected it.
+    /// Times from when enough members had observed a server silent until nearly all members suspected it.
     pub(super) detection_times: Vec<Micros>,
-    /// From the first answer of a server that recovered until the last members passed over it.
+    /// Times from the first answer of a recovered server to each later request that avoided it.
     pub(super) recovery_times: Vec<Micros>,
 }
 
-/// Who truly saw an incarnation silent, and when last.
+/// The members that truly observed an incarnation silent, and the time of the last observation.
 #[derive(Clone, Debug, Default)]
 struct TrueSilence {
     last_seen: Micros,
@@ -143,12 +143,12 @@
     members: Vec<Member>,
     is_silent: Vec<bool>,
     started: Vec<Micros>,
-    /// Servers that fall silent at some time.
+    /// Servers that become silent at some time.
     faulty: BTreeSet<usize>,
     true_silence: BTreeMap<ServerIncarnation, TrueSilence>,
-    /// When enough members had seen an incarnation silent; none, once nearly all suspected it.
+    /// The time at which enough members had observed an incarnation silent; `None` once nearly all members suspect it.
     detectable_since: BTreeMap<ServerIncarnation, Option<Micros>>,
-    /// When an incarnation first answered again.
+    /// The time at which an incarnation first answered again.
     recovered_at: BTreeMap<ServerIncarnation, Micros>,
     result: RunResult,
 }
@@ -212,13 +212,13 @@
             self.network.schedule(silent_from, Scheduled::SetSilent(server, true));
             self.network.schedule(silent_until, Scheduled::SetSilent(server, false));
             if server % 2 == 1 {
-                // While it is suspected another process starts at its address, and that one is healthy.
+                // A healthy process starts at the server's address while the earlier one is still suspected.
                 self.network.schedule(silent_until, Scheduled::ServerStarted(server));
             }
         }
     }
 
-    /// The process of a member as it starts.
+    /// Starts the process of a member.
     fn start_member(&mut self, member: usize) -> Member {
         let seed = self.network.rng.random();
         let zone = self.zone_of(member);
@@ -281,7 +281,7 @@
         }
     }
 
-    /// Measures how long it takes until nearly all members suspect a server that enough have seen silent.
+    /// Measures the time until nearly all members suspect a server that enough members have observed silent.
     fn measure_detection(&mut self) {
         let nearly_all = self.scenario.members - self.scenario.members / 100;
         for (incarnation, detectable_since) in &mut self.detectable_since {
@@ -309,7 +309,7 @@
         self.network.tick_after(member, Micros::from_millis(50));
     }
 
-    /// A liar reports every server silent again at each tick.
+    /// Adds a false report of silence on every server.
     fn lie(&mut self, member: usize, now: Micros) {
         let report = StoredReport {
             reporter: member as u32,
@@ -329,7 +329,7 @@
         self.network.send(member, self.members[member].detector.drain());
     }
 
-    /// A member sends a request to a server, unless it passes over it.
+    /// Sends a request of a member to a random server, unless the member avoids the server.
     fn request(&mut self, number: usize) {
         let twice_average = self.network.draw(Micros::from_secs(2)).as_f64() / self.scenario.requests_per_s;
         let next = self.network.now() + Micros(twice_average as u64);
@@ -376,7 +376,7 @@
         self.members[member].detector.on_server_observed(incarnation, is_silent, now);
     }
 
-    /// A request passed over a server: it must have been seen silent, by enough, and lately.
+    /// Checks that a server that a request avoided was recently observed silent by enough members.
     fn on_avoided(&mut self, member: usize, server: usize, incarnation: ServerIncarnation) {
         self.result.avoided += 1;
         self.result.wrongly_avoided += usize::from(!self.faulty.contains(&server));
@@ -392,28 +392,30 @@
         let TrueSilence { last_seen, seen_by } =
             self.true_silence.get(&incarnation).cloned().unwrap_or_default();
         if seen_by.len() + liars < terms().min_reporters {
-            let violation = format!("{member} passed over {incarnation:?} on the reports of {seen_by:?}");
+            let violation = format!("member {member} avoided {incarnation:?} on the reports of {seen_by:?}");
             self.result.violation = Some(violation);
         }
-        // Clocks may differ by the drift; a microsecond is lost to rounding.
+        // The tolerance covers the clock drift and rounding.
         let max_age = terms().report_lifetime.mul_f64(1.0005) + Micros(2);
         let now = self.network.now();
         if liars == 0 && now > last_seen + max_age {
             let age = (now - last_seen).0;
-            let violation = format!("{member} passed over {incarnation:?}, last seen silent {age} us ago");
+            let violation =
+                format!("member {member} avoided {incarnation:?}, last observed silent {age} us ago");
             self.result.violation = Some(violation);
         }
     }
 
     fn check_suspected_share(&mut self, member: usize) {
         let detector = &self.members[member].detector;
-        // Servers that are cleared and wait for their return come on top.
+        // Cleared servers within their return delay do not count towards the limit.
         let is_reported = |suspicion: &&Suspicion| **suspicion == Suspicion::Reported;
         let reported = detector.suspected.values().filter(is_reported).count();
         let serving = detector.serving.len();
         if reported as f64 > terms().max_suspected_share * serving as f64 {
             let suspected = detector.suspected.len();
-            self.result.violation = Some(format!("{member} suspects {suspected} of {serving} servers"));
+            self.result.violation =
+                Some(format!("member {member} suspects {suspected} of {serving} servers"));
         }
     }
 }
--- a/cluster/src/injected_defect.rs
+++ b/cluster/src/injected_defect.rs
@@ -1,12 +1,12 @@
-//! Defects that tests inject into a state machine, to show that their checks catch them. Outside of tests there is never one.
+//! Defects that tests inject into a state machine, to show that their checks detect them. Other builds never contain a defect.
 
 #[cfg(not(test))]
 use std::marker::PhantomData;
 
-/// The defect that a state machine has been given, if any. `D` names those that it knows.
+/// The defect injected into a state machine, if any. `D` enumerates the possible defects.
 #[derive(Debug)]
 pub(crate) struct InjectedDefect<D> {
-    /// None, the state machine is as it should be.
+    /// The injected defect; `None` for a correct state machine.
     #[cfg(test)]
     active: Option<D>,
     #[cfg(not(test))]
@@ -14,7 +14,7 @@
 }
 
 impl<D: PartialEq> InjectedDefect<D> {
-    /// A state machine as it should be.
+    /// No defect: the state machine is correct.
     pub(crate) fn none() -> InjectedDefect<D> {
         InjectedDefect {
             #[cfg(test)]
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A state machine with this defect, or with none.
+    /// Injects this defect, or none.
     #[cfg(test)]
     pub(crate) fn new(active: Option<D>) -> InjectedDefect<D> {
         InjectedDefect { active }
@@ -36,7 +36,7 @@
         self.active == Some(defect)
     }
 
-    /// Whether the state machine has this defect: outside of tests it has none.
+    /// Whether the state machine has this defect: never outside of tests.
     #[cfg(not(test))]
     pub(crate) fn is_active(&self, _defect: D) -> bool {
         false
--- a/cluster/src/interval.rs
+++ b/cluster/src/interval.rs
@@ -1,19 +1,19 @@
-//! When something is due again: a minimum interval between two rounds, and a backoff while rounds bring nothing.
+//! Timing of periodic rounds: a minimum interval between two rounds, and a backoff for rounds without result.
 
 #[cfg(test)]
 mod tests;
 
 use juniperladder::Micros;
 
-/// Keeps rounds an interval apart; the first is due at once.
+/// Enforces a minimum interval between rounds; the first round is due at once.
 #[derive(Debug, Default)]
 pub(crate) struct Interval {
-    /// When the last round began; `Micros::ZERO` if there was none.
+    /// When the last round began; `Micros::ZERO` if none has begun.
     last_round: Micros,
 }
 
 impl Interval {
-    /// Whether a round is due, at least `interval` after the one before. One that is due counts as begun.
+    /// Whether a round is due, that is, at least `interval` after the previous one. A round that is due counts as begun.
     pub(crate) fn is_due(&mut self, now: Micros, interval: Micros) -> bool {
         let is_due = now >= self.last_round + interval;
         if is_due {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Keeps rounds apart by an interval that doubles, up to a longest one, while they bring nothing.
+/// Enforces an interval between rounds that doubles, up to a maximum, while rounds have no result.
 #[derive(Debug)]
 pub(crate) struct Backoff {
     shortest: Micros,
@@ -33,22 +33,22 @@
 }
 
 impl Backoff {
-    /// Rounds that are `shortest` apart at first.
+    /// Creates a backoff that begins with the shortest interval.
     pub(crate) fn new(shortest: Micros, longest: Micros) -> Backoff {
         Backoff { shortest, longest, current: shortest, rounds: Interval::default() }
     }
 
-    /// Whether a round is due; one that is due counts as begun.
+    /// Whether a round is due. A round that is due counts as begun.
     pub(crate) fn is_due(&mut self, now: Micros) -> bool {
         self.rounds.is_due(now, self.current)
     }
 
-    /// The next round comes after twice the interval, but no more than the longest.
+    /// Doubles the interval before the next round, up to the longest.
     pub(crate) fn lengthen(&mut self) {
         self.current = (self.current * 2).min(self.longest);
     }
 
-    /// The next round comes after the shortest interval.
+    /// Resets the interval before the next round to the shortest.
     pub(crate) fn reset(&mut self) {
         self.current = self.shortest;
     }
--- a/cluster/src/interval/tests.rs
+++ b/cluster/src/interval/tests.rs
@@ -1,4 +1,4 @@
-//! Rounds that are due, and how far apart they are.
+//! Intervals between rounds, fixed and with backoff.
 
 use super::*;
 
--- a/cluster/src/lib.rs
+++ b/cluster/src/lib.rs
@@ -1,10 +1,10 @@
-//! What balancers that may talk to each other coordinate: who is there ([`membership`]), who may use which part of a limit that
-//! holds for all of them together ([`rate_limit`]; [`slow_start_limit`] for each server that warms up; [`retry_budget`] for
-//! retries), and which servers are silent ([`failure_detector`]). [`cluster`] holds one balancer's side of all of them.
+//! Coordination among balancers that may talk to each other: the list of live members ([`membership`]), rate limits on all
+//! balancers together ([`rate_limit`]; [`slow_start_limit`] for each server that warms up; [`retry_budget`] for retries), and
+//! the detection of silent servers ([`failure_detector`]). [`cluster`] combines one balancer's part of all of them.
 //!
-//! All are state machines without I/O and without a clock: they are given packets and times and drained of packets; `node/`
-//! carries those by UDP. What each guarantees stands at the top of its module; the argument is in `docs/design/cluster.md` and
-//! `docs/design/verdicts.md`.
+//! All modules are state machines without I/O and without a clock: the caller passes in packets and times and drains the
+//! outgoing packets; `node/` exchanges them over UDP. The documentation of each module states its guarantee; the reasoning is
+//! in `docs/design/cluster.md` and `docs/design/verdicts.md`.
 
 pub mod cluster;
 pub mod failure_detector;
@@ -25,11 +25,11 @@
 pub use juniperladder::{Micros, ServerId, ServingServer};
 pub use server_incarnation::ServerIncarnation;
 
-/// The longest packet in bytes, out and in: what fits into an Ethernet frame with room to spare.
+/// The maximum length of a packet, sent or received, in bytes; it fits into an Ethernet frame with room to spare.
 pub const MAX_PACKET_BYTES: usize = 1_200;
 
-/// The most members of a fleet. Memory for them is taken only once they are there.
+/// The maximum number of members of a fleet. Memory is allocated only for members that exist.
 pub const MAX_MEMBERS: usize = 4_096;
 
-/// The most incarnations of servers of which something is stored at once: all servers of a fleet, and as many that they replace.
+/// The maximum number of server incarnations with stored state: all servers of a fleet, and as many that they replace.
 pub const MAX_SERVER_INCARNATIONS: usize = 8_192;
--- a/cluster/src/membership.rs
+++ b/cluster/src/membership.rs
@@ -1,13 +1,14 @@
-//! Who is there: the SWIM protocol by `foca`, with suspicion and incarnations, given packets and times and drained of packets.
+//! The membership of the fleet: the SWIM protocol as implemented by `foca`, with suspicion and incarnations. The caller passes
+//! in packets and times and drains the outgoing packets.
 //!
 //! # Guarantee
 //!
-//! None but this: it is advice. A member that is there is known to all that it can reach after a few seconds, one that is
-//! gone is forgotten after a few seconds, and an address has one member, that of its newest incarnation. Nothing that must hold
-//! depends on it: rate limits are safe whatever it says. It stores at most `MAX_KNOWN_MEMBERS` members; if a flood of made-up
-//! ones fills it, it starts over from its seeds.
+//! The membership is best effort. Within a few seconds a live member is known to all members that it can reach and a failed
+//! member is removed; an address has one member, its newest incarnation. No safety property depends on the membership: rate
+//! limits hold whatever it reports. It stores at most `MAX_KNOWN_MEMBERS` members; if a flood of nonexistent members exceeds
+//! that, the membership restarts from its seeds.
 //!
-//! Times are on the caller's clock, which never goes back. What the protocol does not understand is counted and dropped.
+//! Times are on the caller's clock, which never goes back. Packets that the protocol rejects are counted and dropped.
 
 #[cfg(test)]
 mod tests;
@@ -30,29 +31,29 @@
 use crate::packet::HEADER_BYTES;
 use crate::{MAX_MEMBERS, MAX_PACKET_BYTES};
 
-/// Members that are stored, those that are gone included.
+/// The maximum number of stored members, including those that are down.
 const MAX_KNOWN_MEMBERS: usize = 2 * MAX_MEMBERS;
-/// Timers that are stored; far more than the protocol sets.
+/// The maximum number of stored timers; far more than the protocol sets.
 const MAX_TIMERS: usize = 8 * MAX_KNOWN_MEMBERS;
-/// How often a member that knows nobody announces itself to seeds.
+/// How often a member that knows no other member announces itself to seeds.
 const SEED_INTERVAL_ALONE: Micros = Micros::SECOND;
-/// How often a member that knows others announces itself to a seed all the same: parts of a fleet that were cut off find each
-/// other by it.
+/// How often a member that knows other members announces itself to a seed, so that the parts of a fleet find each other after a
+/// network partition.
 const SEED_INTERVAL: Micros = Micros::from_secs(3);
-/// Seeds that a member announces itself to at once while it knows nobody: hundreds that lost each other must not call all
-/// seeds in one moment again and again.
+/// The number of seeds to which a member announces itself in one round while it knows no other member. It is small so that
+/// hundreds of members that lost each other do not repeatedly contact all seeds at the same moment.
 const SEEDS_PER_ROUND_ALONE: usize = 3;
-/// Seeds that a member announces itself to at once while it knows others.
+/// The number of seeds to which a member announces itself in one round while it knows other members.
 const SEEDS_PER_ROUND: usize = 1;
-/// The incarnation in an announcement, which is for whatever process is at the seed's address.
+/// The incarnation in an announcement, which is addressed to any process at the seed's address.
 const ANY_INCARNATION: u64 = 0;
 
-/// A process of a member. The order of the fields is part of the protocol.
+/// Identifies a member's process. The order of the fields is part of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberId {
-    /// Where it receives the others' packets.
+    /// The address at which the process receives packets.
     pub address: SocketAddr,
-    /// Which process at that address it is; a later one has a greater number.
+    /// Identifies the process at that address; a later process has a greater number.
     pub incarnation: u64,
 }
 
@@ -72,14 +73,14 @@
     }
 }
 
-/// Members by state.
+/// Numbers of members by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberCounts {
-    /// There, this one included.
+    /// Members that are alive, including this one.
     pub alive: usize,
-    /// Perhaps gone.
+    /// Members that failed a health check but are not yet declared down.
     pub suspect: usize,
-    /// Gone.
+    /// Members that are declared down.
     pub down: usize,
 }
 
@@ -90,7 +91,7 @@
     swim: Swim,
     runtime: AccumulatingRuntime<MemberId>,
     timers: BinaryHeap<Reverse<ScheduledTimer>>,
-    /// Timers scheduled so far.
+    /// The number of timers scheduled so far.
     scheduled: u64,
     seeds: Vec<SocketAddr>,
     /// When this member last announced itself to seeds.
@@ -107,11 +108,11 @@
     }
 }
 
-/// A timer of the protocol. Those that are due at one time are handled in the order in which they were scheduled.
+/// A timer of the protocol. Timers due at the same time are handled in the order in which they were scheduled.
 #[derive(Debug)]
 struct ScheduledTimer {
     due: Micros,
-    /// No two timers have the same.
+    /// The sequence number, unique to the timer.
     sequence: u64,
     timer: Timer<MemberId>,
 }
@@ -142,7 +143,8 @@
     }
 }
 
-/// The protocol's settings: a health check a second and gossip twice a second, so that a member sends about five packets.
+/// The protocol's settings: with one health check and two rounds of gossip a second, a member sends about five packets a
+/// second.
 fn protocol_config() -> Config {
     let once_every =
         |interval: Duration| Some(PeriodicParams { frequency: interval, num_members: NonZeroUsize::MIN });
@@ -167,7 +169,7 @@
 }
 
 impl Membership {
-    /// A member that knows its seeds alone.
+    /// Creates the membership of a member that knows only its seeds.
     pub fn new(member: MemberId, seeds: Vec<SocketAddr>, random_seed: u64, now: Micros) -> Membership {
         let mut rng = ChaCha8Rng::seed_from_u64(random_seed);
         let seeds = seeds.into_iter().filter(|seed| *seed != member.address).collect();
@@ -187,11 +189,11 @@
         membership
     }
 
-    /// Announces this member to so many seeds at the most, from a drawn one on.
-    fn announce_to_seeds(&mut self, now: Micros, most: usize) {
+    /// Announces this member to at most `max_seeds` seeds, starting from a random one.
+    fn announce_to_seeds(&mut self, now: Micros, max_seeds: usize) {
         self.last_announcement = now;
         let first = self.rng.random_range(0..self.seeds.len().max(1));
-        let count = self.seeds.len().min(most);
+        let count = self.seeds.len().min(max_seeds);
         let seeds: Vec<SocketAddr> = self.seeds.iter().cycle().skip(first).take(count).copied().collect();
         for address in seeds {
             let seed = MemberId { address, incarnation: ANY_INCARNATION };
@@ -201,7 +203,7 @@
         self.collect(now);
     }
 
-    /// A packet of the membership has come, without the header.
+    /// Handles a received membership packet, without its header.
     pub fn on_packet(&mut self, now: Micros, bytes: &[u8]) {
         let result = self.swim.handle_data(bytes, &mut self.runtime);
         self.dropped_packets += u64::from(result.is_err());
@@ -211,7 +213,7 @@
         }
     }
 
-    /// Forgets everybody and begins with the seeds: no flood of members fills the memory.
+    /// Removes all members and restarts from the seeds, so that a flood of members cannot exhaust the memory.
     fn restart(&mut self, now: Micros) {
         self.restarts += 1;
         let current = self.swim.identity();
@@ -222,10 +224,11 @@
         self.announce_to_seeds(now, usize::MAX);
     }
 
-    /// Does what is due; to be called about every 50 ms.
+    /// Handles the timers that are due and announces this member; to be called about every 50 ms.
     pub fn tick(&mut self, now: Micros) {
         while let Some(timer) = self.pop_due_timer(now) {
-            // After a freeze a health check's stages may come out of order; the protocol goes on with the next one.
+            // After a stall of the process, the stages of a health check may be out of order, which is an error here; the
+            // protocol continues with the next health check.
             let _ = self.swim.handle_timer(timer, &mut self.runtime);
             self.collect(now);
         }
@@ -244,13 +247,13 @@
         self.timers.pop().map(|Reverse(scheduled)| scheduled.timer)
     }
 
-    /// Tells the others that this member leaves.
+    /// Announces to the other members that this member leaves.
     pub fn leave(&mut self, now: Micros) {
         let _ = self.swim.leave_cluster(&mut self.runtime);
         self.collect(now);
     }
 
-    /// Takes packets and timers from the protocol.
+    /// Collects outgoing packets and new timers from the protocol.
     fn collect(&mut self, now: Micros) {
         while let Some((to, bytes)) = self.runtime.to_send() {
             self.outgoing.push((to.address, bytes.to_vec()));
@@ -265,12 +268,12 @@
         while self.runtime.to_notify().is_some() {}
     }
 
-    /// The packets that go out, without headers, with their receivers.
+    /// Takes the outgoing packets, without headers, with their receivers.
     pub fn drain(&mut self) -> std::vec::Drain<'_, (SocketAddr, Vec<u8>)> {
         self.outgoing.drain(..)
     }
 
-    /// A member that is there, drawn; `None` where there is nobody else.
+    /// A random live member; `None` if there is no other member.
     pub fn draw_peer(&mut self) -> Option<SocketAddr> {
         let count = self.swim.num_members();
         let index = self.rng.random_range(0..count.max(1));
@@ -278,17 +281,17 @@
         member.map(|member| member.id().address)
     }
 
-    /// Whether this address is a member's, be it there or thought to be gone.
+    /// Whether this address is that of a known member, in any state.
     pub fn is_known(&self, address: SocketAddr) -> bool {
         self.swim.iter_membership_state().any(|member| member.id().address == address)
     }
 
-    /// Whether a member at this address is thought to be there, in whatever incarnation.
+    /// Whether any incarnation of a member at this address is considered active, that is, not declared down.
     pub fn is_alive(&self, address: SocketAddr) -> bool {
         self.swim.iter_members().any(|member| member.id().address == address)
     }
 
-    /// Members by state, this one included.
+    /// Numbers of members by state, including this one.
     pub fn counts(&self) -> MemberCounts {
         let mut counts = MemberCounts { alive: 1, ..MemberCounts::default() };
         for member in self.swim.iter_membership_state() {
@@ -301,12 +304,12 @@
         counts
     }
 
-    /// Packets that the protocol could not read or answer.
+    /// The number of packets that the protocol rejected or could not send.
     pub fn dropped_packets(&self) -> u64 {
         self.dropped_packets
     }
 
-    /// Times at which a flood of members made it start over.
+    /// The number of restarts of the membership because of a flood of members.
     pub fn restarts(&self) -> u64 {
         self.restarts
     }
--- a/cluster/src/membership/tests.rs
+++ b/cluster/src/membership/tests.rs
@@ -1,4 +1,4 @@
-//! Members that join, leave and come back, halves that were cut off, and a flood of made-up members.
+//! Members that join, fail and return, network partitions, and floods of nonexistent members.
 
 use std::net::Ipv4Addr;
 
@@ -7,7 +7,7 @@
 
 const FIRST_PORT: u16 = 1_000;
 const PACKET_DELAY: Micros = Micros::from_millis(5);
-/// Members of a test have numbers below this, made-up ones greater ones.
+/// Members of a test have numbers below this bound; nonexistent members have greater numbers.
 const MAX_TEST_MEMBERS: usize = 64;
 
 fn address(number: usize) -> SocketAddr {
@@ -20,7 +20,7 @@
     Membership::new(member, seeds, number as u64 ^ incarnation << 32, Micros::ZERO)
 }
 
-/// A packet on its way; those that arrive at one time do so in the order in which they were sent.
+/// A packet in flight; packets that arrive at the same time are delivered in the order in which they were sent.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct PacketInFlight {
     arrives: Micros,
@@ -29,7 +29,7 @@
     bytes: Vec<u8>,
 }
 
-/// Members, none where a process is gone, and the packets between them.
+/// Members, `None` for a process that has stopped, and the packets between them.
 struct Fleet {
     members: Vec<Option<Membership>>,
     packets: BinaryHeap<Reverse<PacketInFlight>>,
@@ -42,8 +42,8 @@
         Fleet { members, packets: BinaryHeap::new(), sent: 0 }
     }
 
-    /// Runs the members from one second to another; `is_cut` tells which pairs do not reach each other. Returns the number of
-    /// packets sent.
+    /// Runs the members from one second to another; packets between pairs for which `is_cut` is true are lost. Returns the
+    /// number of packets sent.
     fn run(&mut self, from_s: u64, until_s: u64, is_cut: impl Fn(usize, usize) -> bool) -> u64 {
         self.packets.clear();
         self.sent = 0;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// How many members each process finds alive.
+    /// The number of live members that each process knows.
     fn alive(&self) -> Vec<usize> {
         self.members.iter().flatten().map(|member| member.counts().alive).collect()
     }
@@ -89,7 +89,7 @@
 fn members_join_by_seeds_are_forgotten_when_gone_and_come_back_in_a_new_incarnation() {
     let mut fleet = Fleet::new(20);
     fleet.run(0, 3, |_, _| false);
-    assert_eq!(fleet.alive(), [20; 20], "all know all within three seconds");
+    assert_eq!(fleet.alive(), [20; 20], "every member knows all others within three seconds");
     fleet.members[5] = None;
     fleet.members[0] = None;
     fleet.run(3, 20, |_, _| false);
@@ -111,7 +111,7 @@
     assert_eq!(fleet.alive(), [16; 16]);
 }
 
-/// Members that do not exist, made up by the hundred, packet after packet.
+/// Guards against unbounded memory: each packet announces another member that does not exist, and malformed packets follow.
 #[test]
 fn a_flood_of_members_and_of_malformed_packets_fills_nothing() {
     let mut flooded = member(0, 1);
--- a/cluster/src/open_requests.rs
+++ b/cluster/src/open_requests.rs
@@ -1,4 +1,4 @@
-//! Tracks requests that wait for a response: each response counts once, and none that comes late or from somebody else counts.
+//! Tracks requests that await a response. A response is accepted once; late ones and those from another peer are not accepted.
 
 #[cfg(test)]
 mod tests;
@@ -8,10 +8,10 @@
 
 use juniperladder::Micros;
 
-/// The most requests that are open at once; beyond it the oldest are forgotten.
+/// The maximum number of open requests; beyond it the oldest are removed.
 const MAX_OPEN_REQUESTS: usize = 64;
 
-/// A request that waits for its response.
+/// A request that awaits its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct OpenRequest {
     sent: Micros,
@@ -22,19 +22,19 @@
 #[derive(Debug)]
 pub(crate) struct OpenRequests {
     timeout: Micros,
-    /// The send time of the last request; no two have the same.
+    /// The send time of the last request; each request has a different one.
     last_sent: Micros,
-    /// Oldest first.
+    /// The open requests, oldest first.
     open: VecDeque<OpenRequest>,
 }
 
 impl OpenRequests {
-    /// None are open; each waits for its response for this long at most.
+    /// Creates an empty table, whose requests time out after `timeout`.
     pub(crate) fn new(timeout: Micros) -> OpenRequests {
         OpenRequests { timeout, last_sent: Micros::ZERO, open: VecDeque::new() }
     }
 
-    /// Opens a request to a peer. Its send time names it in the packets, so that no two requests have the same.
+    /// Opens a request to a peer and returns its send time, which is unique and identifies the request in packets.
     pub(crate) fn open(&mut self, now: Micros, to: SocketAddr) -> Micros {
         let sent = now.max(self.last_sent + Micros(1));
         self.last_sent = sent;
@@ -42,7 +42,7 @@
         sent
     }
 
-    /// Closes the request that a response of this peer names; false where there is none, or it has timed out.
+    /// Closes the request that a response of this peer names; false if there is no such request or it has timed out.
     pub(crate) fn close(&mut self, now: Micros, from: SocketAddr, sent: Micros) -> bool {
         let request = OpenRequest { sent, to: from };
         let Some(index) = self.open.iter().position(|open| *open == request) else { return false };
@@ -53,7 +53,7 @@
         true
     }
 
-    /// Forgets the requests that have timed out.
+    /// Removes the requests that have timed out.
     pub(crate) fn expire(&mut self, now: Micros) {
         while self.open.len() > MAX_OPEN_REQUESTS || self.has_oldest_timed_out(now) {
             self.open.pop_front();
--- a/cluster/src/open_requests/tests.rs
+++ b/cluster/src/open_requests/tests.rs
@@ -1,4 +1,4 @@
-//! Which responses count.
+//! Responses that are accepted and rejected, and the bound on open requests.
 
 use super::*;
 
@@ -11,10 +11,13 @@
     let mut requests = OpenRequests::new(Micros::SECOND);
     let first = requests.open(Micros(5), peer(1));
     let second = requests.open(Micros(5), peer(2));
-    assert_ne!(first, second, "two requests of one moment have names of their own");
-    assert!(!requests.close(Micros(6), peer(2), first), "another peer was asked that");
+    assert_ne!(first, second, "requests opened at the same time have different send times");
+    assert!(
+        !requests.close(Micros(6), peer(2), first),
+        "the response comes from a peer to which this request was not sent"
+    );
     assert!(requests.close(Micros(6), peer(1), first));
-    assert!(!requests.close(Micros(6), peer(1), first), "a repeat");
+    assert!(!requests.close(Micros(6), peer(1), first), "a duplicate response");
     assert!(!requests.close(second + Micros::SECOND, peer(2), second), "too late");
 }
 
--- a/cluster/src/packet.rs
+++ b/cluster/src/packet.rs
@@ -1,8 +1,8 @@
-//! Packets between balancers: a header of four bytes, then what `postcard` makes of the values. Messages to one member go in as
-//! few packets as hold them.
+//! Packets between balancers: a header of four bytes, followed by values encoded with `postcard`. Messages to one member are
+//! batched into as few packets as possible.
 //!
-//! A packet that is truncated, too long, of another version or malformed is an error of its reader, and nothing else: none of
-//! its messages is taken.
+//! Decoding a packet that is truncated, too long, of another version or malformed is an error, and none of its messages is
+//! handled.
 //!
 //! The order of fields and variants is part of the protocol.
 
@@ -16,43 +16,43 @@
 use crate::server_incarnation::ServerIncarnation;
 use crate::{failure_detector, rate_limit, retry_budget, MAX_PACKET_BYTES};
 
-/// The first bytes of every packet: two for the program, one for the version.
+/// The first bytes of every packet: two identify the program, one the protocol version.
 const MAGIC_BYTES: [u8; 3] = [b'J', b'L', 2];
 /// The length of a packet's header: the magic bytes and the kind.
 pub const HEADER_BYTES: usize = MAGIC_BYTES.len() + 1;
-/// The kind of a packet of the membership.
+/// The kind of a membership packet.
 const KIND_MEMBERSHIP: u8 = 0;
-/// The kind of a packet of coordination messages.
+/// The kind of a packet with coordination messages.
 const KIND_COORDINATION: u8 = 1;
-/// The most messages in a packet; those that are sent have no more.
+/// The maximum number of messages in a packet, sent or received.
 const MAX_MESSAGES: usize = 64;
 
-/// What a coordination message is for.
+/// The payload of a coordination message, by the module that it is for.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// A rate limit, by its number in the configuration.
+    /// A message of a rate limit, given by its index in the configuration.
     RateLimit(u8, rate_limit::Message),
-    /// The limit of a server in slow start.
+    /// A message of the limit on a server in slow start.
     SlowStart(ServerIncarnation, rate_limit::Message),
-    /// The retry budget.
+    /// A message of the retry budget.
     RetryBudget(retry_budget::Message),
-    /// The failure detector.
+    /// A message of the failure detector.
     FailureDetector(failure_detector::Message),
 }
 
 /// A message from one balancer to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoordinationMessage {
-    /// A digest of the terms: members whose configurations differ do not coordinate.
+    /// A digest of the sender's terms: members whose configurations differ do not coordinate.
     pub terms_digest: u32,
-    /// What it says.
+    /// The payload.
     pub payload: Payload,
 }
 
-/// What a packet holds.
+/// The contents of a packet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Packet<'a> {
-    /// The membership protocol's own bytes.
+    /// The encoded bytes of the membership protocol.
     Membership(&'a [u8]),
     /// Coordination messages, in order.
     Coordination(Vec<CoordinationMessage>),
@@ -61,22 +61,22 @@
 /// Why a packet was dropped.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PacketError {
-    /// It is longer than any that is sent.
+    /// The packet exceeds the maximum length.
     #[error("the packet is longer than {MAX_PACKET_BYTES} bytes")]
     TooLong,
-    /// Another program or another version sent it.
+    /// The packet was sent by another program or version.
     #[error("the packet is not of this version of the protocol")]
     UnknownVersion,
-    /// Its kind is none of this version.
+    /// The packet's kind is not known to this version.
     #[error("the packet is of an unknown kind")]
     UnknownKind,
-    /// It has no message.
+    /// The packet holds no message.
     #[error("the packet holds no message")]
     Empty,
-    /// It has more messages than any that is sent.
+    /// The packet exceeds the maximum number of messages.
     #[error("the packet holds more than {MAX_MESSAGES} messages")]
     TooManyMessages,
-    /// Its bytes are no messages.
+    /// The packet's bytes cannot be decoded into messages.
     #[error("the packet's messages cannot be decoded")]
     Malformed(#[from] postcard::Error),
 }
@@ -84,7 +84,7 @@
 /// Decodes a packet.
 ///
 /// # Errors
-/// Why it is dropped.
+/// The reason why the packet has to be dropped.
 pub fn decode(bytes: &[u8]) -> Result<Packet<'_>, PacketError> {
     if bytes.len() > MAX_PACKET_BYTES {
         return Err(PacketError::TooLong);
@@ -97,7 +97,7 @@
     }
 }
 
-/// All messages, or an error: half a packet is no packet.
+/// Decodes all messages, or none if any of them is malformed.
 fn decode_messages(mut rest: &[u8]) -> Result<Vec<CoordinationMessage>, PacketError> {
     let mut messages = Vec::new();
     while !rest.is_empty() {
@@ -114,12 +114,12 @@
     Ok(messages)
 }
 
-/// Encodes a packet of the membership.
+/// Encodes a membership packet.
 pub fn encode_membership(bytes: &[u8]) -> Vec<u8> {
     [&MAGIC_BYTES[..], &[KIND_MEMBERSHIP], bytes].concat()
 }
 
-/// A packet that is filled with messages to one member.
+/// A packet to one member that messages can still be added to.
 struct OpenPacket {
     to: SocketAddr,
     bytes: Vec<u8>,
@@ -142,13 +142,13 @@
     }
 }
 
-/// Encodes messages into packets, those to one member together as far as they fit.
+/// Encodes messages into packets, batching messages to one member as far as they fit.
 pub fn encode_messages(
     messages: impl IntoIterator<Item = (SocketAddr, CoordinationMessage)>,
 ) -> Vec<(SocketAddr, Vec<u8>)> {
     let mut packets: Vec<OpenPacket> = Vec::new();
     for (to, message) in messages {
-        // Neither can happen with what the modules send; what cannot be sent is lost, as any packet may be.
+        // No message of the modules fails to encode or is too long; such a message would be lost, as any packet may be.
         let Ok(message) = postcard::to_stdvec(&message) else { continue };
         if HEADER_BYTES + message.len() > MAX_PACKET_BYTES {
             continue;
--- a/cluster/src/packet/tests.rs
+++ b/cluster/src/packet/tests.rs
@@ -1,4 +1,4 @@
-//! What is decoded is what was encoded, and nothing else is.
+//! Packets decode to what was encoded; malformed packets are errors; the encoding stays compatible.
 
 use juniperladder::{Micros, ServerId};
 
@@ -59,7 +59,7 @@
         other => panic!("{other:?}"),
     });
     let mut decoded: Vec<CoordinationMessage> = decoded.collect();
-    // What fits goes into an earlier packet: the order between packets is free.
+    // A message may be batched into an earlier packet, so that the order across packets is not preserved.
     decoded.sort_by_key(|message| format!("{message:?}"));
     let mut sent = all_messages();
     sent.sort_by_key(|message| format!("{message:?}"));
@@ -93,7 +93,7 @@
     assert_eq!(decode(&both), Err(PacketError::TooManyMessages));
 }
 
-/// Balancers of two versions talk to each other while one replaces the other: the bytes of a message are part of the protocol.
+/// Guards against an incompatible change of the encoding: during an upgrade balancers of two versions exchange messages.
 #[test]
 fn messages_keep_their_bytes_on_the_wire() {
     let server = ServerIncarnation { server: ServerId(300), started: Micros(70_000_000) };
--- a/cluster/src/rate_limit.rs
+++ b/cluster/src/rate_limit.rs
@@ -1,31 +1,31 @@
-//! A rate limit on all balancers together: tokens that are owned by position and leased to whoever needs them.
+//! A rate limit on all balancers together: tokens are owned by position in the fleet and leased to the members that need them.
 //!
 //! # Guarantee
 //!
-//! Requests may differ by up to `arrival_spread`, s seconds, in the time that they take to whoever counts them. A limit of
+//! The travel times of requests to the server that counts them may differ by up to `arrival_spread`, s seconds. A limit of
 //! `requests_per_s` is divided into `requests_per_s` times 1 + s *tokens*. A token is the right to one request in any window of
-//! 1 + s seconds. Each token has an owner, by position in the fleet; the owner uses it or leases it out. Whatever is lost, late,
-//! repeated or in disorder, whoever is cut off, killed, started again without memory or frozen: **in no second do more than
-//! `requests_per_s` times 1 + s requests of all members together arrive**, as long as clocks run within the stated drift of each
-//! other and no two processes live at one position.
+//! 1 + s seconds. Each token has an owner, by position in the fleet; the owner uses it or leases it out. **In no second do more
+//! than `requests_per_s` times 1 + s requests of all members together arrive.** This holds if packets are lost, delayed,
+//! duplicated or reordered, and if members are partitioned, killed, restarted without memory or frozen, as long as clocks run
+//! within the stated drift of each other and no two processes run at one position.
 //!
-//! # Why
+//! # Why the bound holds
 //!
-//! A token is at any moment in one place: usable by its owner, usable by one borrower, or locked. A borrower counts its
-//! lease from when it *sent* the request that was granted; the owner locks the token from when it *received* that request, for
-//! the lease, the drift and one window more. So when the owner has it again, the borrower's last use is a window old. What is
-//! given back early, or leased out, leaves only while its holder's uses in the last window fit into what it keeps. A process
-//! that starts uses and leases out nothing of its own until all that an earlier incarnation may have leased out or used has
-//! expired. Hence a holder's uses in the last window never exceed its usable tokens and those that expired there within the
-//! window (which their owner still locks), and the sum over all holders never exceeds the tokens. What arrives within a second
-//! began within one window.
+//! At any time a token is usable by its owner, usable by one borrower, or locked. A borrower counts its lease from when it
+//! *sent* the granted request. The owner locks the token from when it *received* that request, for the lease duration, the
+//! drift and one window more, so that the borrower's last use is at least a window old when the token is unlocked. A holder
+//! returns a token early, or leases it out, only while its uses in the last window fit into the tokens that it keeps. A process
+//! that starts neither uses nor leases out its own tokens until all that an earlier incarnation may have leased out or used has
+//! expired. Hence a holder's uses in the last window never exceed its usable tokens plus those that expired there within the
+//! window (which their owner still locks), and the sum over all holders never exceeds the number of tokens. Requests that
+//! arrive within one second began within one window.
 //!
-//! # What it does not need
+//! # What is not required
 //!
-//! No leader, no agreement, no count of who is alive: a part of the fleet that is cut off has what its own members own,
-//! and a member that no message reaches has its own tokens, as if the limit were divided by count.
+//! No leader, no consensus and no count of live members is required: a partitioned part of the fleet has the tokens that its
+//! own members own, and an isolated member has its own tokens, as if the limit were divided statically.
 //!
-//! Times are on the caller's clock, which never goes back. Nothing here fails: a message that does not fit is ignored.
+//! Times are on the caller's clock, which never goes back. No operation fails: invalid messages are ignored.
 
 mod borrower;
 mod demand;
@@ -51,63 +51,64 @@
 pub use terms::RateLimitTerms;
 use use_window::UseWindow;
 
-/// Between two rounds of requests for more tokens, while rounds bring some.
+/// The time between two rounds of requests for more tokens while rounds obtain tokens.
 const MIN_LEASE_REQUEST_INTERVAL: Micros = Micros::from_millis(100);
-/// Between two rounds of requests for more tokens at the most.
+/// The maximum time between two rounds of requests for more tokens.
 const MAX_LEASE_REQUEST_INTERVAL: Micros = Micros::from_millis(800);
-/// How long tokens that are not needed are kept, in case they are needed again.
+/// How long surplus tokens are kept before they are returned, in case they are needed again.
 const SURPLUS_RETENTION: Micros = Micros::SECOND;
-/// How long a request waits where this member may use no token at all now: some may be leased to it by then.
+/// How long a request waits if this member has no usable token; by then it may have leased some.
 pub const WAIT_WITHOUT_TOKENS: Micros = Micros::from_millis(50);
-/// Tokens that a member wants beyond those that it has while a request waits for one.
+/// The number of tokens that a member wants in addition to its usable ones while a request waits.
 const TOKENS_FOR_WAITING_REQUEST: u32 = 2;
 
-/// One member's part of one limit. Guarantees the rate, not the supply: a member without tokens waits. Own tokens are unusable
-/// for a while after a start.
+/// One member's part of one limit. It enforces the maximum rate but does not guarantee a minimum: a member without tokens
+/// waits, and own tokens are unusable for [`RateLimitTerms::lock_time`] after a start.
 #[derive(Debug)]
 pub struct RateLimit {
     terms: RateLimitTerms,
-    /// Differs between the processes at one position; requests and grants name it.
+    /// Distinguishes the processes at one position; part of requests and grants.
     incarnation: u64,
-    /// Tokens that this member owns, those that are leased out included; never fewer than before, until it leaves.
+    /// The number of tokens that this member owns, including those leased out; it never decreases until the member leaves.
     owned_tokens: u32,
-    /// From when on own tokens may be used or leased out: all that an earlier incarnation may have leased out has expired.
+    /// The time from which own tokens may be used or leased out; by then the leases and uses of an earlier incarnation have
+    /// expired.
     own_usable_from: Micros,
-    /// Leases of own tokens to others; those whose lock has ended do not count and go with the next tick.
+    /// Leases of own tokens to other members; leases whose lock has ended do not count and are removed by the next tick.
     granted: Vec<GrantedLease>,
-    /// Leases from others, one record an owner.
+    /// Leases from other members, one record for each owner.
     held: Vec<HeldLease>,
     uses: UseWindow,
     demand: DemandEstimate,
-    /// Keeps rounds of requests apart, longer while they bring nothing.
+    /// The backoff between rounds of requests, longer while they obtain no tokens.
     request_backoff: Backoff,
-    /// Usable tokens at the last round of requests.
+    /// The number of usable tokens at the last round of requests.
     tokens_at_last_round: u32,
-    /// Keeps rounds of recalls apart.
+    /// The interval between recalls of leased tokens.
     recalls: Interval,
-    /// Since when there have been more tokens than were wanted; `None` if there are not.
+    /// The time since which this member has had more tokens than it wanted; `None` if it has no surplus.
     surplus_since: Option<Micros>,
     last_contact: Option<Micros>,
-    /// Time spent with fewer tokens than were wanted.
+    /// The total time with fewer usable tokens than wanted.
     short_time: Micros,
     last_tick: Micros,
     rejected: u64,
-    /// Whether a request has found no token free since the last tick.
+    /// Whether a request has found no free token since the last tick.
     has_waiting_request: bool,
     outgoing: Vec<(SocketAddr, Message)>,
     defect: InjectedDefect<Defect>,
 }
 
 impl RateLimit {
-    /// The part of the member at this position, whose process starts now. Each process at a position has another
+    /// Creates the part of the member at this position, whose process starts now. Each process at a position has a different
     /// `incarnation`.
     pub fn new(terms: RateLimitTerms, position: u32, incarnation: u64, now: Micros) -> RateLimit {
         let own_usable_from = now + terms.lock_time();
         RateLimit::with_owned_tokens(terms, terms.owned_tokens(position), incarnation, own_usable_from, now)
     }
 
-    /// The part of a member that owns so many tokens. It may use them from `own_usable_from` on, when all that an earlier
-    /// incarnation may have used or leased out of this limit has expired.
+    /// Creates the part of a member that owns `owned_tokens`. They are usable from `own_usable_from` on, when the leases and
+    /// uses of an earlier incarnation have expired.
     pub fn with_owned_tokens(
         terms: RateLimitTerms,
         owned_tokens: u32,
@@ -138,13 +139,13 @@
         }
     }
 
-    /// From now on this member owns so many tokens; never fewer than it did.
+    /// Raises the number of tokens that this member owns; a lower number has no effect.
     pub fn raise_owned_tokens(&mut self, owned_tokens: u32) {
         self.owned_tokens = self.owned_tokens.max(owned_tokens);
     }
 
-    /// How long a request has to wait for a token; `Micros::ZERO` if it may begin now. Asking counts as need: where it has to
-    /// wait, this member asks others for tokens.
+    /// How long a request has to wait for a token; `Micros::ZERO` if it may begin now. If it has to wait, the call counts as
+    /// demand, and this member requests tokens from others.
     pub fn wait_time(&mut self, now: Micros) -> Micros {
         let used = self.uses.count(now);
         let usable = self.usable_tokens(now) as usize;
@@ -158,24 +159,24 @@
         self.uses.time_until_below(usable, now)
     }
 
-    /// A request begins and takes a token. [`RateLimit::wait_time`] was zero at the same time.
+    /// Takes a token for a request that begins. [`RateLimit::wait_time`] must have been zero at the same time.
     pub fn acquire(&mut self, now: Micros) {
         self.demand.add_request(now);
         self.uses.add(now);
     }
 
-    /// A request was rejected for want of a token.
+    /// Records that a request was rejected because no token was free.
     pub fn on_rejected(&mut self, now: Micros) {
         self.demand.add_request(now);
         self.rejected += 1;
     }
 
-    /// Tokens that this member may use now.
+    /// The number of tokens that this member may use now.
     pub fn usable_tokens(&self, now: Micros) -> u32 {
         self.usable_own_tokens(now) + self.borrowed_tokens(now)
     }
 
-    /// Tokens that this member owns and may use now.
+    /// The number of own tokens that this member may use now.
     fn usable_own_tokens(&self, now: Micros) -> u32 {
         if now < self.own_usable_from {
             return 0;
@@ -183,22 +184,22 @@
         self.owned_tokens.saturating_sub(self.leased_out_tokens(now))
     }
 
-    /// Tokens that are leased out, or locked after that.
+    /// The number of own tokens that are leased out, or locked after a lease.
     fn leased_out_tokens(&self, now: Micros) -> u32 {
         self.granted.iter().filter(|lease| lease.is_locked(now)).map(|lease| lease.tokens).sum()
     }
 
-    /// Tokens of others under leases that have not expired.
+    /// The number of usable tokens leased from other members.
     fn borrowed_tokens(&self, now: Micros) -> u32 {
         self.held.iter().map(|lease| lease.usable_tokens(now)).sum()
     }
 
-    /// Tokens that this member's demand lately needed.
+    /// The number of tokens that this member's recent demand needs.
     fn demanded_tokens(&self) -> u32 {
         self.demand.tokens(Micros::SECOND + self.terms.arrival_spread)
     }
 
-    /// A message has come from another member.
+    /// Handles a message from another member.
     pub fn on_message(&mut self, now: Micros, from: SocketAddr, message: Message) {
         self.last_contact = Some(now);
         match message {
@@ -207,13 +208,14 @@
         }
     }
 
-    /// This member leaves: leased tokens are given back where its uses of the last window allow it.
+    /// Makes this member leave: it owns no tokens any more and returns leased tokens as far as its uses in the last window
+    /// allow.
     pub fn leave(&mut self, now: Micros) {
         self.owned_tokens = 0;
         self.release_all(now);
     }
 
-    /// Does what is due: renews, requests, gives back. To be called about every 50 ms; `draw_peer` draws a member to ask.
+    /// Renews, requests and returns leases; to be called about every 50 ms. `draw_peer` returns a random other member.
     pub fn tick(&mut self, now: Micros, mut draw_peer: impl FnMut() -> Option<SocketAddr>) {
         self.demand.decay(now);
         self.granted.retain(|lease| lease.is_locked(now));
@@ -225,7 +227,7 @@
         self.renew_leases(now);
     }
 
-    /// Tokens that this member wants to have: those of its average demand, and more while a request waits.
+    /// The number of tokens that this member wants: for its average demand, and more while a request waits.
     fn wanted_tokens(&mut self, usable: u32) -> u32 {
         let demanded = self.demanded_tokens();
         let has_waiting_request = std::mem::take(&mut self.has_waiting_request);
@@ -243,7 +245,7 @@
         self.last_tick = now;
     }
 
-    /// Gives tokens back that have not been wanted for a while.
+    /// Returns tokens after they have been surplus for [`SURPLUS_RETENTION`].
     fn return_surplus(&mut self, now: Micros, usable: u32, wanted: u32) {
         if usable <= wanted {
             self.surplus_since = None;
@@ -255,7 +257,7 @@
         }
     }
 
-    /// Requests the tokens that are missing, less often while that brings none.
+    /// Requests the missing tokens, with a backoff while no tokens are obtained.
     fn request_shortfall(
         &mut self,
         now: Micros,
@@ -279,12 +281,12 @@
         self.request_tokens(now, wanted - usable, draw_peer);
     }
 
-    /// The messages that go out, with their receivers.
+    /// Takes the outgoing messages with their receivers.
     pub fn drain(&mut self) -> std::vec::Drain<'_, (SocketAddr, Message)> {
         self.outgoing.drain(..)
     }
 
-    /// What operators see.
+    /// Metrics of this member's part of the limit.
     pub fn metrics(&mut self, now: Micros) -> RateLimitMetrics {
         self.demand.decay(now);
         RateLimitMetrics {
@@ -302,13 +304,13 @@
     }
 }
 
-/// Defects that tests inject, to show that their checks catch them.
+/// Defects that tests inject, to show that their checks detect them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Defect {
-    /// A lease counts from the receipt of its grant.
+    /// The borrower counts a lease from the receipt of its grant.
     LeaseFromReceipt,
-    /// An older request takes and gives back like a newer one.
+    /// The owner applies a request that is older than one already applied.
     OldRequestsObeyed,
-    /// A new incarnation's request stands for the old one's.
+    /// The owner applies a request of a new incarnation to the lease of the old one.
     OldIncarnationObeyed,
 }
--- a/cluster/src/rate_limit/borrower.rs
+++ b/cluster/src/rate_limit/borrower.rs
@@ -1,4 +1,4 @@
-//! The borrower's side of a lease: which owners are asked, and what may be used until when.
+//! The borrower's side of leases: requests to owners, renewal, return and expiry.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -9,20 +9,20 @@
 use super::message::{LeaseGrant, LeaseRequest, Message};
 use super::{Defect, RateLimit};
 
-/// Owners that are asked in one round.
+/// The maximum number of owners to which one round sends requests.
 const OWNERS_PER_ROUND: usize = 2;
-/// Members that are drawn in one round, some of which may have been asked just now.
+/// The maximum number of members sampled in one round; some of them may be skipped because of a recent request.
 const DRAWS_PER_ROUND: usize = 2 * OWNERS_PER_ROUND;
-/// How long a borrower waits before it asks a drawn owner again.
+/// The minimum time between two requests for more tokens to the same sampled owner.
 const SAME_OWNER_INTERVAL: Micros = Micros::from_millis(600);
-/// Owners of whom one borrower holds or requests leases at once.
+/// The maximum number of owners from which one borrower holds or requests leases.
 const MAX_HELD_LEASES: usize = 64;
 
 /// One round of requests for more tokens.
 struct RequestRound {
-    /// Tokens that are still missing.
+    /// The number of tokens that are still missing.
     shortfall: u32,
-    /// Owners that have been asked.
+    /// The number of owners to which requests were sent.
     asked: usize,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl RateLimit {
-    /// An owner has answered.
+    /// Handles an owner's answer.
     pub(super) fn on_lease_grant(&mut self, now: Micros, owner: SocketAddr, grant: LeaseGrant) {
         let counted_from = if self.defect.is_active(Defect::LeaseFromReceipt) { now } else { grant.sent };
         let expires = counted_from + self.terms.lease_duration;
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Requests the missing tokens: of owners that said that they have some, then of members as they are drawn.
+    /// Requests the missing tokens, first from owners that reported available tokens, then from random members.
     pub(super) fn request_tokens(
         &mut self,
         now: Micros,
@@ -106,15 +106,15 @@
         self.held.len() - 1
     }
 
-    /// Requests so many tokens more of an owner than are held of it.
+    /// Requests additional tokens from an owner, beyond those held from it.
     fn request_additional(&mut self, now: Micros, index: usize, additional: u32) {
         let lease = &mut self.held[index];
         lease.target_tokens = lease.usable_tokens(now) + additional;
         self.send_request(now, index);
     }
 
-    /// Requests the target of an owner. A target below what the owner knows of is requested only when the uses of the last
-    /// window fit into what is left, because the owner frees the rest at once.
+    /// Sends a request for the target number of tokens to an owner. A target below the number known to the owner is requested
+    /// only if the uses in the last window fit into the remaining tokens, because the owner frees the rest at once.
     fn send_request(&mut self, now: Micros, index: usize) {
         let uses_fit = self.uses.count(now) <= self.usable_tokens(now) as usize;
         let lease = &mut self.held[index];
@@ -126,7 +126,7 @@
         self.outgoing.push((lease.owner, Message::Request(request)));
     }
 
-    /// Gives back all that can be given back now; the rest expires.
+    /// Returns all tokens that can be returned now; the others expire.
     pub(super) fn release_all(&mut self, now: Micros) {
         for lease in &mut self.held {
             lease.target_tokens = 0;
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Lowers the targets by so many tokens, the smallest leases first: fewer owners are fewer packets.
+    /// Lowers the targets by the surplus, smallest leases first: leases from fewer owners need fewer packets.
     pub(super) fn lower_targets(&mut self, now: Micros, mut surplus: u32) {
         self.held.sort_unstable_by_key(|lease| lease.usable_tokens(now));
         for lease in &mut self.held {
@@ -149,7 +149,8 @@
         }
     }
 
-    /// Renews leases, repeats requests without an answer, and says what is given back.
+    /// Sends the requests that are due, to renew leases, repeat unanswered requests and return tokens, and removes unused
+    /// records.
     pub(super) fn renew_leases(&mut self, now: Micros) {
         for index in 0..self.held.len() {
             let lease = &mut self.held[index];
--- a/cluster/src/rate_limit/demand.rs
+++ b/cluster/src/rate_limit/demand.rs
@@ -1,42 +1,42 @@
-//! How many tokens a member lately needed.
+//! Estimate of the tokens that a member needs, from its recent requests.
 
 use juniperladder::Micros;
 
-/// The demand is averaged over about this time.
+/// The time constant of the exponential average of the demand.
 const AVERAGED_OVER: Micros = Micros::from_millis(1_500);
-/// Tokens for each that is needed on average: demand varies about its average.
+/// The ratio of wanted tokens to the average demand; the demand varies around its average.
 const HEADROOM_FACTOR: f64 = 1.05;
-/// Added before a number of tokens is cut to a whole one, so that seven tenths of a token are one.
+/// Added to a number of tokens before it is rounded down, so that 0.7 of a token counts as one.
 const ROUNDING_TOKENS: f64 = 0.3;
 
-/// An average of the requests that needed a token, which falls exponentially with time.
+/// An exponentially decaying average of the rate of requests that needed a token.
 #[derive(Debug)]
 pub(super) struct DemandEstimate {
-    /// Requests a microsecond, at `updated`.
+    /// The rate in requests per microsecond, at `updated`.
     rate: f64,
     updated: Micros,
 }
 
 impl DemandEstimate {
-    /// No demand so far.
+    /// Creates an estimate without demand.
     pub(super) fn new(now: Micros) -> DemandEstimate {
         DemandEstimate { rate: 0.0, updated: now }
     }
 
-    /// A request needs a token.
+    /// Adds a request that needs a token.
     pub(super) fn add_request(&mut self, now: Micros) {
         self.decay(now);
         self.rate += 1.0 / AVERAGED_OVER.as_f64();
     }
 
-    /// Brings the average to this time.
+    /// Decays the average to this time.
     pub(super) fn decay(&mut self, now: Micros) {
         let elapsed = now - self.updated;
         self.rate *= (-elapsed.as_f64() / AVERAGED_OVER.as_f64()).exp();
         self.updated = now;
     }
 
-    /// The tokens that serve this demand, each being one request in this time.
+    /// The number of tokens for this demand, where a token permits one request in each `token_time`.
     pub(super) fn tokens(&self, token_time: Micros) -> u32 {
         (self.rate * token_time.as_f64() * HEADROOM_FACTOR + ROUNDING_TOKENS) as u32
     }
--- a/cluster/src/rate_limit/lease.rs
+++ b/cluster/src/rate_limit/lease.rs
@@ -1,4 +1,4 @@
-//! A lease as its owner records it, and as its borrower does.
+//! Records of a lease at its owner and at its borrower.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -7,15 +7,15 @@
 
 use super::message::LeaseGrant;
 
-/// Requests of a borrower that are remembered for one owner: more than it sends within a lease.
+/// The maximum number of sent requests that a borrower stores for one owner; more than it sends within a lease.
 const MAX_REMEMBERED_REQUESTS: usize = 32;
-/// Renewals within a lease.
+/// The number of renewals within a lease duration.
 const RENEWALS_PER_LEASE: u64 = 2;
-/// Renewals within a lease with an owner of whose answers some are lost.
+/// The number of renewals within a lease duration if packets to or from the owner are lost.
 const RENEWALS_PER_LEASE_WITH_LOSS: u64 = 3;
-/// After how long a request that was not answered is repeated.
+/// The time after which an unanswered request is repeated.
 const REPEAT_UNANSWERED_AFTER: Micros = Micros::from_millis(200);
-/// After how long a request that was not answered is abandoned.
+/// The time after which an unanswered request is abandoned.
 const ABANDON_UNANSWERED_AFTER: Micros = Micros::SECOND;
 
 /// The owner's record of a lease.
@@ -23,15 +23,15 @@
 pub(super) struct GrantedLease {
     pub(super) borrower: SocketAddr,
     pub(super) incarnation: u64,
-    /// The send time of this borrower's newest request.
+    /// The send time of the borrower's newest request.
     pub(super) newest_request: Micros,
     pub(super) tokens: u32,
-    /// Until then the owner neither uses the tokens nor leases them to others.
+    /// The time until which the owner neither uses the tokens nor leases them to others.
     pub(super) locked_until: Micros,
 }
 
 impl GrantedLease {
-    /// A lease of nothing, to a borrower that has none yet.
+    /// Creates the record of a lease of no tokens, for a borrower without a lease.
     pub(super) fn empty(borrower: SocketAddr, incarnation: u64) -> GrantedLease {
         GrantedLease {
             borrower,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Whether the tokens are not the owner's now.
+    /// Whether the tokens are locked now, that is, not available to the owner.
     pub(super) fn is_locked(&self, now: Micros) -> bool {
         now < self.locked_until
     }
@@ -59,24 +59,24 @@
 #[derive(Clone, Debug)]
 pub(super) struct HeldLease {
     pub(super) owner: SocketAddr,
-    /// How many tokens the lease covers.
+    /// The number of tokens that the lease covers.
     pub(super) tokens: u32,
-    /// How many are to be held: more than `tokens` while they are requested, fewer while some are given back.
+    /// The number of tokens to hold: more than `tokens` while more are requested, fewer while some are being returned.
     pub(super) target_tokens: u32,
-    /// The end of the lease, counted from when the request was sent that it answers.
+    /// The end of the lease, counted from the send time of the request that was granted.
     pub(super) expires: Micros,
     /// The send time of the newest request that was answered.
     pub(super) newest_answered: Micros,
-    /// The last requests, oldest first.
+    /// The last requests to the owner, oldest first.
     pub(super) requests: VecDeque<SentRequest>,
-    /// How many more tokens the owner said that it could lease out.
+    /// The number of further tokens that the owner reported as available.
     pub(super) available_at_owner: u32,
-    /// Whether the newest answer came only to a repeated request.
+    /// Whether the newest answer came only after more than one request, which indicates packet loss.
     pub(super) has_loss: bool,
 }
 
 impl HeldLease {
-    /// Nothing is held of this owner yet.
+    /// Creates the record of an owner from which no tokens are held.
     pub(super) fn empty(owner: SocketAddr) -> HeldLease {
         HeldLease {
             owner,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// How many tokens may be used now.
+    /// The number of tokens that may be used now.
     pub(super) fn usable_tokens(&self, now: Micros) -> u32 {
         if now < self.expires {
             self.tokens.min(self.target_tokens)
@@ -104,41 +104,42 @@
         now < self.expires && self.tokens > 0
     }
 
-    /// The send time of the oldest request that still waits for its answer.
+    /// The send time of the oldest request that awaits its answer.
     fn oldest_unanswered(&self) -> Option<Micros> {
         self.requests.iter().map(|request| request.sent).find(|sent| *sent > self.newest_answered)
     }
 
-    /// When the last request was sent; zero, never.
+    /// The send time of the last request; zero if none was sent.
     pub(super) fn last_request(&self) -> Micros {
         self.requests.back().map_or(Micros::ZERO, |request| request.sent)
     }
 
-    /// How many tokens the owner may believe to be held here: the most that was requested of it or granted by it.
+    /// The maximum number of tokens that the owner may consider held here: the most that was requested from it or granted by
+    /// it.
     pub(super) fn most_known_to_owner(&self) -> u32 {
         let most_requested = self.requests.iter().map(|request| request.tokens).max().unwrap_or(0);
         most_requested.max(self.tokens)
     }
 
-    /// Whether a grant answers a request that was sent from here and is newer than the last one answered.
+    /// Whether a grant answers a request that this borrower sent and that is newer than the last one answered.
     pub(super) fn awaits(&self, grant: &LeaseGrant) -> bool {
         grant.sent > self.newest_answered && self.requests.iter().any(|request| request.sent == grant.sent)
     }
 
-    /// Records the request that is sent now for the target; returns its send time, which names it.
+    /// Records a request for the target that is sent now; returns its send time, which identifies it.
     pub(super) fn record_request(&mut self, now: Micros) -> Micros {
-        // Two requests of one moment could not be distinguished.
+        // Each request needs a different send time to be distinguished from the others.
         let sent = now.max(self.last_request() + Micros(1));
         self.requests.push_back(SentRequest { sent, tokens: self.target_tokens });
         if self.requests.len() > MAX_REMEMBERED_REQUESTS {
             self.requests.pop_front();
         }
-        // What this request gives back is the owner's from now on, whatever is wanted later.
+        // Tokens that this request returns belong to the owner from now on, even if the target rises again.
         self.tokens = self.tokens.min(self.target_tokens);
         sent
     }
 
-    /// Takes what an answer says of the owner and of the path to it.
+    /// Records what an answer shows about the owner's available tokens and about packet loss.
     pub(super) fn record_answer(&mut self, grant: &LeaseGrant) {
         let is_covered =
             |request: &&SentRequest| request.sent > self.newest_answered && request.sent <= grant.sent;
@@ -147,9 +148,9 @@
         self.available_at_owner = grant.available;
     }
 
-    /// Takes the tokens of a grant, until the lease expires.
+    /// Takes over the tokens and the expiry of a grant.
     pub(super) fn extend(&mut self, grant: &LeaseGrant, expires: Micros) {
-        // The owner may have received a later request already and freed what that one no longer asked for.
+        // The owner may already have received a later request for fewer tokens and freed the difference.
         let requested_since = self.requests.iter().filter(|request| request.sent >= grant.sent);
         let least_requested = requested_since.map(|request| request.tokens).min().unwrap_or(0);
         self.tokens = grant.tokens.min(least_requested);
@@ -157,7 +158,7 @@
         self.target_tokens = self.target_tokens.min(grant.tokens);
     }
 
-    /// Drops what was requested in vain: neither granted nor to be expected any more.
+    /// Abandons the target if there is no active lease and no request can still be answered.
     pub(super) fn abandon_if_unanswered(&mut self, now: Micros) {
         let may_be_answered =
             self.oldest_unanswered().is_some_and(|sent| now < sent + ABANDON_UNANSWERED_AFTER);
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Whether the owner has to hear of this lease now: to get tokens back, to renew the lease or to answer at last.
+    /// Whether a request to the owner is due, to return tokens, to renew the lease or to repeat an unanswered request.
     pub(super) fn is_request_due(&self, now: Micros, lease_duration: Micros) -> bool {
         let last_requested_tokens = self.requests.back().map_or(0, |request| request.tokens);
         let gives_back = self.target_tokens < last_requested_tokens;
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Whether nothing of this owner was used or requested within the last window.
+    /// Whether the record can be removed: no token of this owner was usable or requested within the last window.
     pub(super) fn is_forgotten(&self, now: Micros, window: Micros) -> bool {
         now >= self.expires + window && now >= self.last_request() + window
     }
--- a/cluster/src/rate_limit/message.rs
+++ b/cluster/src/rate_limit/message.rs
@@ -1,19 +1,20 @@
-//! What two members say to each other about one limit.
+//! Messages between members about a rate limit.
 //!
-//! The order of fields and variants is part of the protocol: `postcard` writes them as they stand here.
+//! The order of fields and variants is part of the protocol: `postcard` encodes them in the order of declaration.
 
 use juniperladder::Micros;
 use serde::{Deserialize, Serialize};
 
-/// A borrower tells an owner how many of its tokens it wants, or still holds: asks for a lease, renews it, or gives it up.
+/// A borrower's request to an owner, with the total number of tokens that it wants to hold: requests, renews or returns a
+/// lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// The borrower's incarnation: a process that starts again has another.
+    /// The borrower's incarnation; a restarted process has a different one.
     pub incarnation: u64,
-    /// When it was sent, by the borrower's clock; no two requests to one owner have the same.
+    /// The send time by the borrower's clock; unique among its requests to one owner.
     #[serde(with = "crate::wire::micros")]
     pub sent: Micros,
-    /// How many tokens.
+    /// The total number of tokens wanted from the owner.
     pub tokens: u32,
 }
 
@@ -22,20 +23,20 @@
 pub struct LeaseGrant {
     /// The borrower's incarnation, as in the request.
     pub incarnation: u64,
-    /// The time in the request: the lease counts from then.
+    /// The send time of the request, from which the lease counts.
     #[serde(with = "crate::wire::micros")]
     pub sent: Micros,
-    /// How many tokens the lease covers.
+    /// The number of tokens that the lease covers.
     pub tokens: u32,
-    /// How many more the owner could lease out.
+    /// The number of further tokens that the owner could lease out.
     pub available: u32,
 }
 
-/// A message about one limit.
+/// A message about a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// From a borrower to an owner.
+    /// A request from a borrower to an owner.
     Request(LeaseRequest),
-    /// From an owner to a borrower.
+    /// A grant from an owner to a borrower.
     Grant(LeaseGrant),
 }
--- a/cluster/src/rate_limit/metrics.rs
+++ b/cluster/src/rate_limit/metrics.rs
@@ -1,34 +1,35 @@
-//! What operators see of a limit at one member.
+//! Metrics of one member's part of a rate limit.
 
 use juniperladder::Micros;
 
-/// What operators see of a limit at one member. Tokens are counted now, times and requests since the process started.
+/// Metrics of one member's part of a rate limit. Tokens are current numbers; times and requests accumulate since the process
+/// started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RateLimitMetrics {
-    /// All tokens, of all members.
+    /// The total number of tokens of all members.
     pub total_tokens: u32,
-    /// Tokens that this member owns.
+    /// The number of tokens that this member owns.
     pub owned_tokens: u32,
-    /// Tokens that it may use.
+    /// The number of tokens that this member may use.
     pub usable_tokens: u32,
-    /// Tokens that it has used in the last window.
+    /// The number of tokens used in the last window.
     pub used_tokens: u32,
-    /// Tokens that it has leased out or that are locked after that.
+    /// The number of own tokens that are leased out, or locked after a lease.
     pub leased_out_tokens: u32,
-    /// Tokens that it has leased from others.
+    /// The number of usable tokens leased from other members.
     pub borrowed_tokens: u32,
-    /// Tokens that its demand lately needed.
+    /// The number of tokens that the recent demand needs.
     pub demanded_tokens: u32,
-    /// Time since the last message of an owner or borrower; `None` if there was none.
+    /// The time since the last message from an owner or borrower; `None` if there was none.
     pub since_contact: Option<Micros>,
-    /// Time spent with fewer tokens than were wanted.
+    /// The total time with fewer usable tokens than wanted.
     pub short_time: Micros,
-    /// Requests that were rejected for want of a token.
+    /// The number of requests rejected because no token was free.
     pub rejected: u64,
 }
 
 impl RateLimitMetrics {
-    /// These and those of another limit in one: sums, and the latest contact.
+    /// Combines the metrics of two limits: sums, and the time since the latest contact.
     pub fn combined_with(&self, other: &RateLimitMetrics) -> RateLimitMetrics {
         RateLimitMetrics {
             total_tokens: self.total_tokens + other.total_tokens,
--- a/cluster/src/rate_limit/owner.rs
+++ b/cluster/src/rate_limit/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's side of a lease: which tokens it grants, and how long they are locked.
+//! The owner's side of leases: how many tokens it grants, how long they are locked, and recalls.
 
 use std::net::SocketAddr;
 
@@ -8,13 +8,13 @@
 use super::message::{LeaseGrant, LeaseRequest, Message};
 use super::{Defect, RateLimit};
 
-/// Between two rounds in which an owner asks for tokens back.
+/// The minimum time between two recalls of leased tokens.
 const RECALL_INTERVAL: Micros = Micros::from_millis(200);
-/// An owner keeps at least this many of its tokens for its own next request.
+/// The minimum number of tokens that an owner keeps for its own next request.
 const MIN_RESERVED_TOKENS: u32 = 1;
 
 impl RateLimit {
-    /// A borrower requests, renews or gives up a lease; it is answered with what it may use.
+    /// Handles a request that obtains, renews or returns a lease; the answer names the tokens that the borrower may use.
     pub(super) fn on_lease_request(&mut self, now: Micros, borrower: SocketAddr, request: LeaseRequest) {
         let leasable = self.leasable_tokens(now);
         let Some(mut lease) = self.take_lease_for(now, borrower, &request) else { return };
@@ -35,7 +35,8 @@
         self.outgoing.push((borrower, Message::Grant(grant)));
     }
 
-    /// How many tokens may be leased out now: not needed here, and the uses of the last window fit into what stays.
+    /// The number of tokens that may be leased out now: they are not needed here, and the uses in the last window fit into the
+    /// remaining tokens.
     fn leasable_tokens(&mut self, now: Micros) -> u32 {
         let usable_own = self.usable_own_tokens(now);
         let kept = self.demanded_tokens().max(MIN_RESERVED_TOKENS).min(usable_own);
@@ -44,8 +45,8 @@
         (usable_own - kept).min(unused)
     }
 
-    /// Takes the borrower's lease out of the records, an empty one where it has none; `None` where the request is older than
-    /// one that was obeyed, so that it must neither take nor give back.
+    /// Removes the borrower's lease from the records and returns it, or an empty lease if there is none; `None` if the request
+    /// is older than one already applied and must be ignored.
     fn take_lease_for(
         &mut self,
         now: Micros,
@@ -67,15 +68,16 @@
         Some(self.granted.swap_remove(index))
     }
 
-    /// Whether a newer request of the same incarnation has been obeyed already.
+    /// Whether a newer request of the same incarnation has already been applied.
     fn is_outdated(&self, request: &LeaseRequest, lease: &GrantedLease) -> bool {
         request.sent <= lease.newest_request
             && request.incarnation == lease.incarnation
             && !self.defect.is_active(Defect::OldRequestsObeyed)
     }
 
-    /// How many tokens an owner that is short itself asks back now. The answer names so many fewer; they stay locked until
-    /// the borrower has said that it holds no more. One borrower a round is asked, not all at once.
+    /// The number of tokens that this owner recalls now because it has too few itself. The grant is reduced by this number, but
+    /// the tokens stay locked until the borrower confirms that it holds fewer. Each round recalls tokens from one borrower
+    /// only.
     fn begin_recall(&mut self, now: Micros) -> u32 {
         let shortfall = self.demanded_tokens().saturating_sub(self.usable_tokens(now));
         if shortfall == 0 || !self.recalls.is_due(now, RECALL_INTERVAL) {
@@ -85,7 +87,8 @@
     }
 }
 
-/// How many tokens a lease covers after a request: a smaller one is obeyed, a greater one as far as there are any.
+/// The number of tokens that a lease covers after a request: a decrease is applied in full, an increase as far as tokens are
+/// leasable.
 fn granted_tokens(before: u32, requested: u32, leasable: u32) -> u32 {
     if requested <= before {
         requested
--- a/cluster/src/rate_limit/tests.rs
+++ b/cluster/src/rate_limit/tests.rs
@@ -1,4 +1,4 @@
-//! The bound in drawn fleets whatever fails, and how tokens follow the demand.
+//! The rate bound in random fleets with faults, and the distribution of tokens by demand.
 
 mod fleet;
 
@@ -6,7 +6,7 @@
 use crate::virtual_network::Conditions;
 use fleet::{drawn_scenario, run_fleet, terms, RunResult, Scenario, CALM, CALM_CONDITIONS};
 
-/// Seeds of the schedules that are drawn in each run of the tests.
+/// The number of random schedules in each test run.
 const SCHEDULES: u64 = 2_000;
 
 #[test]
@@ -23,10 +23,10 @@
         );
         begun += result.begun.len();
     }
-    assert!(begun > 100_000, "the limits have to have been used: {begun}");
+    assert!(begun > 100_000, "too few requests began to test the limits: {begun}");
 }
 
-/// Each injected defect is caught by the same schedules.
+/// Guards against checks that would miss an error: each injected defect has to violate the bound in some random schedule.
 #[test]
 fn injected_defects_are_caught() {
     let defects =
@@ -42,14 +42,15 @@
     }
 }
 
-/// The share of the limit that was used between two seconds of a run.
+/// The share of the limit that was used in a period of a run, given in seconds.
 fn used_share(result: &RunResult, scenario: &Scenario, from_s: u64, to_s: u64) -> f64 {
     let during = Micros::from_secs(from_s)..Micros::from_secs(to_s);
     let begun = result.begun.iter().filter(|(at, _)| during.contains(at)).count();
     begun as f64 / (f64::from(scenario.requests_per_s) * (to_s - from_s) as f64)
 }
 
-/// Where requests differ in the time that they take, tokens for one second let more arrive in one than a bound by rates says.
+/// Guards against a token window without the arrival spread: if travel times of requests differ, tokens for one second let more
+/// requests arrive within a second than the limit.
 #[test]
 fn tokens_for_one_second_exceed_the_limit_where_requests_arrive() {
     let scenario =
@@ -62,7 +63,7 @@
     assert!(exceeding_runs(Scenario { without_spread: true, ..scenario }) > 0);
 }
 
-/// Four fifths of the demand at a fifth of the members, twice the limit in all.
+/// Guards against unused tokens under uneven demand: a fifth of the members has four fifths of a demand of twice the limit.
 #[test]
 fn tokens_follow_an_uneven_demand() {
     let scenario = Scenario {
@@ -91,7 +92,7 @@
     let result = run_fleet(1, scenario);
     for member in 0..10 {
         let own = result.begun.iter().filter(|(_, by)| *by == member).count() as f64 / 20.0;
-        assert!((3.5..=4.0).contains(&own), "{member}: {own} a second of 4");
+        assert!((3.5..=4.0).contains(&own), "member {member} used {own} of 4 tokens a second");
     }
 }
 
@@ -114,10 +115,10 @@
     }
 }
 
-/// Prints the use of a limit that is half of the demand, four fifths of which come to a fifth of the members, and what
-/// that costs; by hand: `cargo test --release -p juniperladder-cluster rate_limit_tables -- --ignored --nocapture`.
+/// Prints the use of a limit and the packets sent if the demand is twice the limit and four fifths of it come to a fifth of the
+/// members; run manually with `cargo test --release -p juniperladder-cluster rate_limit_tables -- --ignored --nocapture`.
 #[test]
-#[ignore = "prints tables, run by hand"]
+#[ignore = "prints tables; run manually"]
 fn rate_limit_tables() {
     print_use_under_shortage();
     print_rejections_with_enough_tokens();
@@ -150,7 +151,7 @@
     }
 }
 
-/// Where less is wanted than there is, requests are rejected because each member has but few tokens.
+/// Prints the share of requests that are rejected although the demand is below the limit, because each member has few tokens.
 fn print_rejections_with_enough_tokens() {
     for (demand_share, uneven_share) in [(0.5, 0.0), (0.7, 0.0), (0.9, 0.0), (0.5, 0.5), (0.7, 0.5)] {
         let scenario = Scenario {
--- a/cluster/src/rate_limit/tests/fleet.rs
+++ b/cluster/src/rate_limit/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet in virtual time: drawn networks, kills, freezes and clocks; what arrives is counted at each request that begins.
+//! A simulated fleet in virtual time with random network faults, kills, freezes and clocks. Arrivals within a second are
+//! counted whenever a request begins.
 
 use std::collections::VecDeque;
 
@@ -8,63 +9,63 @@
 use super::super::*;
 use crate::virtual_network::{address, Arrival, Conditions, Faults, Partition, VirtualNetwork, NO_FAULTS};
 
-/// What is scheduled beside what the network does.
+/// Events of this test in the network's schedule.
 #[derive(Debug)]
 enum Scheduled {
-    /// A request of a member, which waits until then.
+    /// A request of a member, which waits for a token until this time.
     Request(usize, Micros),
-    /// A process that was killed starts again.
+    /// A killed process restarts.
     Start(usize),
 }
 
-/// How long a request waits for a token, as a read does at the origin.
+/// How long a request waits for a token; the same as for a read at the origin.
 const REQUEST_TIMEOUT: Micros = Micros::from_millis(200);
-/// The longest wait before a request asks for a token again.
+/// The maximum time until a waiting request checks for a token again.
 const MAX_RECHECK: Micros = Micros::from_millis(20);
-/// The longest freeze of a process.
+/// The maximum duration of a freeze of a process.
 const MAX_FREEZE: Micros = Micros::from_secs(6);
-/// The longest cut of the network.
+/// The maximum duration of a network partition.
 const MAX_CUT: Micros = Micros::from_secs(5);
-/// By how much at most a late packet is late: half by little more than a lease bears, half by far more.
+/// The maximum delays of late packets: for half of them little more than a lease tolerates, for the other half far more.
 const LATE_DELAYS: &[Micros] = &[Micros::from_secs(2), Micros::from_secs(8)];
 
-/// A fleet, its demand, and what goes wrong in it.
+/// The configuration of a fleet, its demand and its faults.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Scenario {
     pub(super) members: usize,
     pub(super) owners: u32,
     pub(super) requests_per_s: u32,
-    /// By how much requests differ in the time that they take.
+    /// The maximum difference between the travel times of requests.
     pub(super) arrival_spread: Micros,
     pub(super) seconds: u64,
-    /// Requests a second that all members together want to begin.
+    /// The number of requests a second that all members together want to begin.
     pub(super) demand_per_s: f64,
-    /// The share of the demand that comes to the first fifth of the members alone.
+    /// The share of the demand that comes only to the first fifth of the members.
     pub(super) uneven_share: f64,
     pub(super) conditions: Conditions,
     pub(super) faults: Faults,
     pub(super) defect: Option<Defect>,
-    /// A process uses what it owns at once when it starts.
+    /// Whether a process uses its own tokens immediately after its start (a defect).
     pub(super) without_start_wait: bool,
-    /// Tokens are for one second, whatever the time that requests take.
+    /// Whether the window of a token ignores the arrival spread (a defect).
     pub(super) without_spread: bool,
 }
 
-/// What a fleet did.
+/// The result of a run of a fleet.
 #[derive(Debug, Default)]
 pub(super) struct RunResult {
-    /// When requests began, and at whom.
+    /// The time and member of each request that began.
     pub(super) begun: Vec<(Micros, usize)>,
     pub(super) rejected: u64,
     pub(super) packets: u64,
-    /// The most that arrived in any second.
+    /// The maximum number of requests that arrived within any second.
     pub(super) max_arrived: usize,
 }
 
 struct Fleet {
     scenario: Scenario,
     network: VirtualNetwork<Message, Scheduled>,
-    /// Each member's part; none while its process is killed.
+    /// Each member's part of the limit; `None` while its process is not running.
     members: Vec<Option<RateLimit>>,
     recent_arrivals: VecDeque<Micros>,
     result: RunResult,
@@ -135,7 +136,7 @@
         let mut limit = RateLimit::new(terms(&self.scenario), member as u32, u64::from(incarnation), now);
         limit.defect = InjectedDefect::new(self.scenario.defect);
         if self.scenario.without_start_wait || incarnation == 1 {
-            // The first of all incarnations has nothing before it.
+            // No incarnation precedes the first one.
             limit.own_usable_from = now;
         }
         self.members[member] = Some(limit);
@@ -169,7 +170,7 @@
         }
     }
 
-    /// A request wants to begin: the bound is asserted here, at each of them, by the fleet's own time.
+    /// Begins, delays or rejects a request, and counts arrivals by the network's true time.
     fn on_request(&mut self, member: usize, until: Micros) {
         let now = self.network.clock(member);
         let true_now = self.network.now();
@@ -190,7 +191,8 @@
         self.result.begun.push((true_now, member));
     }
 
-    /// What arrives up to the spread later is counted by the windows that begin at it, once all of them are known.
+    /// Counts an arrival. All windows of a second that begin at a recent arrival are counted again, because later requests may
+    /// arrive up to the spread earlier than this one.
     fn count_arrival(&mut self, true_now: Micros, arrives: Micros) {
         let index = self.recent_arrivals.partition_point(|at| *at <= arrives);
         self.recent_arrivals.insert(index, arrives);
@@ -236,7 +238,7 @@
     without_spread: false,
 };
 
-/// A scenario as bad as the terms allow for, drawn.
+/// A random scenario with faults up to the limits under which the guarantee has to hold.
 pub(super) fn drawn_scenario(seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let members = rng.random_range(2..9);
--- a/cluster/src/retry_budget.rs
+++ b/cluster/src/retry_budget.rs
@@ -1,21 +1,22 @@
-//! The retry budget of all balancers together, relative to first attempts: credits that are earned, spent and passed on. A
-//! retry here is any attempt after the first one, hedged requests included.
+//! The retry budget of all balancers together, relative to first attempts: members earn, spend and transfer credits. A retry
+//! here is any attempt after the first one, including hedged requests.
 //!
 //! # Guarantee
 //!
-//! Whatever is lost, late, repeated or in disorder, whoever is cut off, killed, started again or frozen: **in any time, all
-//! balancers together begin at most `retries_per_first_attempt` retries for each first attempt of that time and the two seconds
-//! before it, and `max_saved_credits` more.**
+//! **In any period all balancers together begin at most `retries_per_first_attempt` retries for each first attempt in that
+//! period and the two seconds before it, plus `max_saved_credits`.** This holds if packets are lost, delayed, duplicated or
+//! reordered, and if members are partitioned, killed, restarted or frozen.
 //!
-//! # Why
+//! # Why the bound holds
 //!
-//! A credit is made by first attempts alone, `retries_per_first_attempt` of one each, and is in one place or lost: whoever passes
-//! one on has taken it off its own first; whoever receives one takes it for a request that it sent within the last second and
-//! that has not been answered, so that no repeat and nothing late counts. Own credits are kept up to `max_saved_credits` over
-//! the number of holders; received ones for a second. So a credit that is spent at t was among the own credits of some member at
-//! t - 2 s, which are `max_saved_credits` at the most, or was made since. A process that starts has none.
+//! Credits are created only by first attempts, `retries_per_first_attempt` each, and a credit is held by one member or lost. A
+//! member deducts credits from its own before it sends them. A member accepts credits only for a request that it sent within
+//! the last second and that has not been answered, so that duplicated and late transfers do not count. Own credits are limited
+//! to `max_saved_credits` divided by the number of holders; received credits are kept for a second. So a credit that is spent
+//! at t was either among the own credits of some member at t - 2 s, which are at most `max_saved_credits` in total, or was
+//! created since. A process starts without credits.
 //!
-//! Times are on the caller's clock, which never goes back. Nothing here fails: a message that does not fit is ignored.
+//! Times are on the caller's clock, which never goes back. No operation fails: invalid messages are ignored.
 
 mod message;
 #[cfg(test)]
@@ -30,54 +31,56 @@
 use crate::open_requests::OpenRequests;
 pub use message::Message;
 
-/// How long a request for credits may wait for its answer. With [`RECEIVED_CREDIT_LIFETIME`] it makes the two seconds of the guarantee.
+/// The time after which an answer to a request for credits is ignored. Together with [`RECEIVED_CREDIT_LIFETIME`] it is the two
+/// seconds of the guarantee.
 const REQUEST_TIMEOUT: Micros = Micros::SECOND;
 /// How long received credits are kept.
 const RECEIVED_CREDIT_LIFETIME: Micros = Micros::SECOND;
-/// For how long after a retry found no credit a member asks others for some, and passes none on.
+/// How long after a retry found no credit a member requests credits from others and transfers none.
 const SHORTAGE_MEMORY: Micros = Micros::SECOND;
-/// Between two rounds of requests for credits.
+/// The time between two rounds of requests for credits.
 const REQUEST_INTERVAL: Micros = Micros::from_millis(200);
-/// Members asked in a round.
+/// The number of members to which a round sends requests.
 const MEMBERS_PER_ROUND: usize = 2;
-/// The most credits in one request or transfer.
+/// The maximum number of credits in one request or transfer.
 const MAX_TRANSFER: u32 = 16;
-/// Credits that a member does not pass on.
+/// The number of own credits that a member does not transfer.
 const RESERVED_CREDITS: f64 = 1.0;
-/// The share of its other credits that a member passes on at once: the next that asks finds some, too.
+/// The maximum share of its other credits that a member transfers at once, so that some remain for the next request.
 const TRANSFERRED_SHARE: f64 = 0.5;
-/// What a retry costs.
+/// The cost of a retry in credits.
 const CREDITS_PER_RETRY: f64 = 1.0;
 
-/// The terms. They have to be the same at every member; members whose terms differ pass no credits to each other.
+/// The terms of the retry budget. They have to be the same at every member; members whose terms differ do not transfer credits
+/// to each other.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetTerms {
-    /// Retries for each first attempt.
+    /// The number of retries allowed for each first attempt.
     pub retries_per_first_attempt: f64,
-    /// Credits that all holders together may have saved.
+    /// The maximum number of saved credits of all holders together.
     pub max_saved_credits: f64,
-    /// Among how many positions the saved credits are divided.
+    /// The number of positions among which the saved credits are divided.
     pub holders: u32,
 }
 
-/// What operators see of the retry budget. Credits are counted now, the rest since the process started.
+/// Metrics of the retry budget. Own and received credits are current numbers; the rest accumulates since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RetryBudgetMetrics {
-    /// Credits that this member earned.
+    /// The number of credits that this member earned and still has.
     pub own_credits: f64,
-    /// Credits that it received from others.
+    /// The number of credits received from others and not yet spent or expired.
     pub received_credits: f64,
-    /// Retries that began.
+    /// The number of retries that began.
     pub retries: u64,
-    /// First attempts.
+    /// The number of first attempts.
     pub first_attempts: u64,
-    /// Credits that were passed on to others.
+    /// The number of credits transferred to others.
     pub transferred_credits: u64,
-    /// Calls of `on_rejected`; the decisions make none today, so that an exhausted budget shows in the rejections alone.
+    /// The number of calls of `on_rejected`. The balancer makes none today; an exhausted budget shows only in its rejections.
     pub rejected: u64,
 }
 
-/// Credits that came in one transfer.
+/// Credits received in one transfer.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedCredits {
     at: Micros,
@@ -88,12 +91,12 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     terms: RetryBudgetTerms,
-    /// Differs between the processes at one position; requests and transfers name it.
+    /// Distinguishes the processes at one position; part of requests and transfers.
     incarnation: u64,
-    /// At most `max_own_credits`.
+    /// The own credits, at most `max_own_credits`.
     own_credits: f64,
     max_own_credits: f64,
-    /// Credits from others, oldest first, each until [`RECEIVED_CREDIT_LIFETIME`] is over.
+    /// Credits from others, oldest first, each kept for [`RECEIVED_CREDIT_LIFETIME`].
     received: VecDeque<ReceivedCredits>,
     requests: OpenRequests,
     rounds: Interval,
@@ -104,8 +107,8 @@
 }
 
 impl RetryBudget {
-    /// The part of the member at this position, whose process starts now: it has no credit. Beyond the holders none are kept,
-    /// so that what is earned there is lost.
+    /// Creates the part of the member at this position, whose process starts now, without credits. A position beyond the
+    /// holders keeps no own credits: those that it earns are lost.
     pub fn new(terms: RetryBudgetTerms, position: u32, incarnation: u64) -> RetryBudget {
         let is_holder = position < terms.holders;
         let part = terms.max_saved_credits / f64::from(terms.holders.max(1));
@@ -123,14 +126,14 @@
         }
     }
 
-    /// A first attempt has come in.
+    /// Earns credits for a first attempt.
     pub fn on_first_attempt(&mut self) {
         self.metrics.first_attempts += 1;
         let earned = self.own_credits + self.terms.retries_per_first_attempt;
         self.own_credits = earned.min(self.max_own_credits);
     }
 
-    /// Credits that have come from others and are not too old.
+    /// The number of unexpired credits from others.
     fn received_credits(&mut self, now: Micros) -> f64 {
         while self.received.front().is_some_and(|received| now >= received.at + RECEIVED_CREDIT_LIFETIME) {
             self.received.pop_front();
@@ -142,7 +145,7 @@
         self.own_credits >= CREDITS_PER_RETRY || self.received_credits(now) >= CREDITS_PER_RETRY
     }
 
-    /// Whether one more retry may begin. Asking counts as need: where it has to wait, this member asks others for credits.
+    /// Whether one more retry may begin. If not, the call counts as demand, and this member requests credits from others.
     pub fn has_credit(&mut self, now: Micros) -> bool {
         let has_credit = self.can_pay(now);
         if !has_credit {
@@ -151,8 +154,8 @@
         has_credit
     }
 
-    /// A retry begins and takes a credit; what came from others goes first. [`RetryBudget::has_credit`] was true at the same
-    /// time.
+    /// Takes a credit for a retry that begins, received credits first. [`RetryBudget::has_credit`] must have been true at the
+    /// same time.
     pub fn acquire(&mut self, now: Micros) {
         self.metrics.retries += 1;
         if self.received_credits(now) < CREDITS_PER_RETRY {
@@ -165,18 +168,19 @@
         self.received.retain(|received| received.credits >= CREDITS_PER_RETRY);
     }
 
-    /// A retry was rejected for want of a credit.
+    /// Records that a retry was rejected because there was no credit.
     pub fn on_rejected(&mut self, now: Micros) {
         self.metrics.rejected += 1;
         self.last_shortage = Some(now);
     }
 
-    /// Whether a retry found no credit a short while ago.
+    /// Whether a retry has found no credit within [`SHORTAGE_MEMORY`].
     fn is_short(&self, now: Micros) -> bool {
         self.last_shortage.is_some_and(|at| now < at + SHORTAGE_MEMORY)
     }
 
-    /// Asks others for credits while there was lately none; to be called about every 50 ms. `draw_peer` draws a member.
+    /// Requests credits from others during a shortage; to be called about every 50 ms. `draw_peer` returns a random other
+    /// member.
     pub fn tick(&mut self, now: Micros, mut draw_peer: impl FnMut() -> Option<SocketAddr>) {
         self.requests.expire(now);
         if !self.is_short(now) || self.can_pay(now) || !self.rounds.is_due(now, REQUEST_INTERVAL) {
@@ -190,7 +194,7 @@
         }
     }
 
-    /// A message has come from another member.
+    /// Handles a message from another member.
     pub fn on_message(&mut self, now: Micros, from: SocketAddr, message: Message) {
         match message {
             Message::Request { incarnation, sent, credits } => {
@@ -201,7 +205,8 @@
             }
             Message::Transfer { incarnation, sent, credits } => {
                 let is_awaited = incarnation == self.incarnation && self.requests.close(now, from, sent);
-                // The oldest received credits pay first, so that none may stand there that pay nothing.
+                // A retry is charged to the oldest received credits, so that an empty transfer must not be stored: a retry
+                // charged to it would be free.
                 if is_awaited && credits > 0 {
                     let credits = f64::from(credits.min(MAX_TRANSFER));
                     self.received.push_back(ReceivedCredits { at: now, credits });
@@ -210,7 +215,7 @@
         }
     }
 
-    /// Takes whole credits off the own ones to pass them on, none while this member is short itself.
+    /// Deducts whole own credits for a transfer; none during an own shortage.
     fn take_transferable(&mut self, now: Micros, requested: u32) -> u32 {
         let beyond_kept = (self.own_credits - RESERVED_CREDITS).max(0.0);
         let most = f64::from(requested.min(MAX_TRANSFER));
@@ -223,12 +228,12 @@
         credits as u32
     }
 
-    /// The messages that go out, with their receivers.
+    /// Takes the outgoing messages with their receivers.
     pub fn drain(&mut self) -> std::vec::Drain<'_, (SocketAddr, Message)> {
         self.outgoing.drain(..)
     }
 
-    /// What operators see.
+    /// Metrics of this member's part of the budget.
     pub fn metrics(&mut self, now: Micros) -> RetryBudgetMetrics {
         let received_credits = self.received_credits(now);
         RetryBudgetMetrics { own_credits: self.own_credits, received_credits, ..self.metrics }
--- a/cluster/src/retry_budget/message.rs
+++ b/cluster/src/retry_budget/message.rs
@@ -1,6 +1,6 @@
-//! What two members say to each other about the retry budget.
+//! Messages between members about the retry budget.
 //!
-//! The order of fields and variants is part of the protocol: `postcard` writes them as they stand here.
+//! The order of fields and variants is part of the protocol: `postcard` encodes them in the order of declaration.
 
 use juniperladder::Micros;
 use serde::{Deserialize, Serialize};
@@ -8,24 +8,24 @@
 /// A message about the retry budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A member that has no credit asks for some.
+    /// A request for credits from a member that has none.
     Request {
-        /// The asker's incarnation.
+        /// The sender's incarnation.
         incarnation: u64,
-        /// When it was sent, by the asker's clock; it names the request.
+        /// The send time by the sender's clock; it identifies the request.
         #[serde(with = "crate::wire::micros")]
         sent: Micros,
-        /// How many credits at the most.
+        /// The maximum number of credits wanted.
         credits: u32,
     },
-    /// Credits are passed on, for that request.
+    /// A transfer of credits in answer to a request.
     Transfer {
         /// The incarnation in the request.
         incarnation: u64,
-        /// The time in the request.
+        /// The send time of the request.
         #[serde(with = "crate::wire::micros")]
         sent: Micros,
-        /// How many credits.
+        /// The number of credits transferred.
         credits: u32,
     },
 }
--- a/cluster/src/retry_budget/tests.rs
+++ b/cluster/src/retry_budget/tests.rs
@@ -1,4 +1,4 @@
-//! Fleets in virtual time, the bound asserted at each retry, and transfers that do not count.
+//! Simulated fleets in virtual time with the bound checked at each retry, and transfers that are not accepted.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -6,23 +6,23 @@
 use super::*;
 use crate::virtual_network::{address, Arrival, Conditions, VirtualNetwork};
 
-/// What is scheduled beside what the network does: members may begin attempts, and be killed or frozen.
+/// The event of this test in the network's schedule: members may begin attempts, and be killed or frozen.
 #[derive(Debug)]
 struct Step;
 
 const STEP_INTERVAL: Micros = Micros::from_millis(5);
 const END: Micros = Micros::from_secs(20);
-/// The longest freeze of a process.
+/// The maximum duration of a freeze of a process.
 const MAX_FREEZE: Micros = Micros::from_secs(3);
-/// The windows against which the bound is asserted: a second, and the complete run.
+/// The windows for which the bound is checked: a second, and the complete run.
 const WINDOWS: [Micros; 2] = [Micros::SECOND, Micros::from_secs(30)];
-/// How long before a window the first attempts count whose credits may be spent in it.
+/// The maximum age of credits: first attempts up to this time before a window may pay for retries in it.
 const CREDIT_AGE: Micros = Micros::from_secs(2);
-/// By how much at most a late packet is late.
+/// The maximum delay of a late packet.
 const LATE_DELAYS: &[Micros] = &[Micros::from_secs(4)];
 
-/// A fleet with losses, repeats, late packets, new incarnations and freezes, in which only the first member needs retries, and
-/// more of them than it earns.
+/// A fleet with lost, duplicated and late packets, restarts and freezes. Only the first member begins retries, and its demand
+/// exceeds the credits that it earns.
 struct Fleet {
     terms: RetryBudgetTerms,
     network: VirtualNetwork<Message, Step>,
@@ -33,7 +33,7 @@
     is_bound_kept: bool,
 }
 
-/// What a fleet did.
+/// The result of a run of a fleet.
 struct RunResult {
     retries: usize,
     rejected: usize,
@@ -120,7 +120,7 @@
         self.network.schedule(self.network.now() + STEP_INTERVAL, Step);
     }
 
-    /// A retry at the first member.
+    /// Begins or rejects a retry at the first member.
     fn retry(&mut self) {
         let clock = self.network.clock(0);
         if !self.members[0].has_credit(clock) {
@@ -157,8 +157,8 @@
         retries += result.retries;
         rejected += result.rejected;
     }
-    assert!(rejected > 50_000, "more was wanted than there is: {rejected}");
-    // Of the 200 credits of a run the first member earns about 40 itself; most of the others' reach it as well.
+    assert!(rejected > 50_000, "the demand did not exceed the budget: only {rejected} rejections");
+    // Of about 200 credits in a run the first member earns about 40 itself and receives most of the others.
     assert!(retries > 100_000, "{retries}");
 }
 
@@ -173,20 +173,29 @@
     let Message::Request { incarnation, sent, .. } = requests[0].1 else { panic!("{requests:?}") };
     let transfer = Message::Transfer { incarnation, sent, credits: 3 };
     budget.on_message(now, address(2), transfer);
-    assert_eq!(budget.metrics(now).received_credits, 0.0, "it was not asked");
+    assert_eq!(
+        budget.metrics(now).received_credits,
+        0.0,
+        "the transfer comes from a member that was not asked"
+    );
     budget.on_message(now, address(1), transfer);
     budget.on_message(now, address(1), transfer);
     assert_eq!(budget.metrics(now).received_credits, 3.0);
     budget.acquire(now);
     assert_eq!(budget.metrics(now).received_credits, 2.0);
-    assert_eq!(budget.metrics(Micros::from_secs(2)).received_credits, 0.0, "kept for a second");
+    assert_eq!(
+        budget.metrics(Micros::from_secs(2)).received_credits,
+        0.0,
+        "received credits expire after a second"
+    );
     let Message::Request { incarnation, sent, .. } = requests[1].1 else { panic!("{requests:?}") };
     let late = Micros::from_secs(3);
     budget.on_message(late, address(1), Message::Transfer { incarnation, sent, credits: 3 });
-    assert_eq!(budget.metrics(late).received_credits, 0.0, "too late");
+    assert_eq!(budget.metrics(late).received_credits, 0.0, "the request has timed out");
 }
 
-/// Guards against a retry for nothing: a transfer of no credits stood before one that pays, and was charged in its place.
+/// Guards against a free retry: a transfer of no credits was stored before a transfer of one credit, and the retry was charged
+/// to the empty one.
 #[test]
 fn transfer_without_credits_pays_no_retry() {
     let terms = RetryBudgetTerms { retries_per_first_attempt: 0.1, max_saved_credits: 10.0, holders: 1 };
