--- a/cluster/src/slow_start_limit.rs
+++ b/cluster/src/slow_start_limit.rs
@@ -2,17 +2,18 @@
 //!
 //! # Guarantee
 //!
-//! With `requests_per_s` that a warm server bears and a capacity share that grows from `initial_share` to 1 over `duration`: in
-//! no second do more requests arrive at a server than `requests_per_s` times its share at the end of that second, times 1 + s
-//! (the spread of the rate limit), as long as what [`crate::rate_limit`] assumes holds and balancers' clocks of the day agree;
-//! clocks that differ by d make it the share of d later.
+//! A warm server has a capacity of `requests_per_s`; the capacity share of a server in slow start grows from `initial_share` to
+//! 1 over `duration`. In no second do more requests arrive at a server than `requests_per_s` times its share at the end of that
+//! second, times 1 + s (the arrival spread of the rate limit). This holds under the assumptions of [`crate::rate_limit`] and if
+//! the balancers' wall clocks agree; if they differ by d, the share is that of d later.
 //!
-//! # Why
+//! # Why the bound holds
 //!
-//! Tokens are dealt to positions in turn, beginning at one that follows from the server's incarnation, so that the tokens of a
-//! smaller share are among those of a greater one: what a position owns only grows, and what all own sums up to the total of
-//! that share. Each incarnation of a server has a limit of its own, so that no process of a balancer that ended before it can
-//! have used a token of it; a process that began after it waits as with every limit.
+//! Tokens are assigned to positions round-robin, beginning at a position derived from the server's incarnation, so that the
+//! tokens of a smaller share are a subset of those of a greater share. The number of tokens that a position owns never
+//! decreases, and the sum over all positions is the total of the share. Each incarnation of a server has its own limit: a
+//! balancer process that ended before the incarnation started cannot have used its tokens, and a process that started later
+//! waits as in every rate limit.
 
 #[cfg(test)]
 mod tests;
@@ -26,19 +27,19 @@
 use crate::server_incarnation::ServerIncarnation;
 use crate::MAX_SERVER_INCARNATIONS;
 
-/// The terms. They have to be the same at every member.
+/// The terms of the slow-start limits. They have to be the same at every member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartTerms {
     /// The rate limit of a warm server.
     pub rate_limit: RateLimitTerms,
-    /// The share of it that a server has when it starts, from 0 to 1.
+    /// The initial share of the rate limit at the start of a server, from 0 to 1.
     pub initial_share: f64,
-    /// After how long a server has all of it.
+    /// The duration of slow start, after which the full rate limit applies.
     pub duration: Micros,
 }
 
 impl SlowStartTerms {
-    /// The share of its capacity that a server has. One without a start time has all of it.
+    /// The capacity share of a server; 1 for a server without a start time.
     fn capacity_share(&self, started: Micros, now: Micros) -> f64 {
         let progress = (now - started).as_f64() / self.duration.max(Micros(1)).as_f64();
         if started.is_zero() || progress >= 1.0 {
@@ -47,13 +48,13 @@
         self.initial_share + (1.0 - self.initial_share) * progress
     }
 
-    /// All tokens that there are now for a server with this start.
+    /// The total number of tokens now for a server with this start time.
     pub fn total_tokens(&self, started: Micros, now: Micros) -> u32 {
         let share = self.capacity_share(started, now);
         self.rate_limit.tokens_for_rate(f64::from(self.rate_limit.requests_per_s) * share)
     }
 
-    /// Those of them that a position owns.
+    /// The number of a server's tokens that a position owns now.
     pub fn owned_tokens(&self, server: ServerIncarnation, position: u32, now: Micros) -> u32 {
         let owners = self.rate_limit.owners.max(1);
         if position >= owners {
@@ -66,23 +67,23 @@
     }
 }
 
-/// Whether requests to a server are limited.
+/// How requests to a server are limited.
 #[derive(Debug)]
 pub enum SlowStartAccess<'a> {
-    /// The server is warm, or nothing is limited here.
+    /// The server is warm, or no slow-start limit is configured.
     Unlimited,
     /// The server is in slow start; this is the member's part of its limit.
     Limited(&'a mut RateLimit),
-    /// The server is in slow start and no limit can be kept for it, so that nothing may be sent to it.
+    /// The server is in slow start but no limit can be kept for it, so that no requests may be sent to it.
     Unavailable,
 }
 
-/// What operators see of all servers in slow start.
+/// Metrics of the limits of all servers in slow start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SlowStartMetrics {
-    /// Their limits, summed.
+    /// The combined metrics of the limits.
     pub rate_limits: RateLimitMetrics,
-    /// How many servers have a limit.
+    /// The number of server incarnations with a limit.
     pub servers: usize,
 }
 
@@ -92,17 +93,18 @@
     terms: SlowStartTerms,
     position: u32,
     incarnation: u64,
-    /// From when on own tokens may be used: all that an earlier incarnation of this member used or leased out has expired.
+    /// The time from which own tokens may be used; by then the leases and uses of an earlier incarnation of this member have
+    /// expired.
     own_usable_from: Micros,
-    /// Whether this member has left, and owns nothing any more.
+    /// Whether this member has left and owns no tokens any more.
     has_left: bool,
     limits: BTreeMap<ServerIncarnation, RateLimit>,
-    /// Requests for which no limit could be kept, because there were [`MAX_SERVER_INCARNATIONS`] already.
+    /// The number of accesses for which no limit could be kept because there were already [`MAX_SERVER_INCARNATIONS`] limits.
     pub unavailable: u64,
 }
 
 impl SlowStartLimits {
-    /// Those of the member at this position, whose process starts now.
+    /// Creates the limits of the member at this position, whose process starts now.
     pub fn new(terms: SlowStartTerms, position: u32, incarnation: u64, now: Micros) -> SlowStartLimits {
         SlowStartLimits {
             terms,
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Whether and how requests to a server are limited now.
+    /// How requests to a server are limited now.
     pub fn access(&mut self, server: ServerIncarnation, now: Micros) -> SlowStartAccess<'_> {
         if self.terms.capacity_share(server.started, now) >= 1.0 {
             return SlowStartAccess::Unlimited;
@@ -124,7 +126,7 @@
         let is_full = self.limits.len() >= MAX_SERVER_INCARNATIONS;
         let limit = match self.limits.entry(server) {
             Entry::Occupied(known) => known.into_mut(),
-            // No endpoint list names a server that is to start so much later than now.
+            // A start time this far in the future does not come from a valid endpoint list.
             Entry::Vacant(_) if server.started > now + self.terms.duration => {
                 return SlowStartAccess::Unavailable;
             }
@@ -144,16 +146,16 @@
         SlowStartAccess::Limited(limit)
     }
 
-    /// A message about a server's limit has come from another member. One about a server that is warm here, or whose limit
-    /// cannot be kept, is ignored.
+    /// Handles a message from another member about a server's limit. It is ignored if the server is warm or its limit cannot be
+    /// kept.
     pub fn on_message(&mut self, now: Micros, from: SocketAddr, server: ServerIncarnation, message: Message) {
         if let SlowStartAccess::Limited(limit) = self.access(server, now) {
             limit.on_message(now, from, message);
         }
     }
 
-    /// Does what is due at each limit, and forgets those of servers that are warm and have no token locked any more.
-    /// `peers` gives a source of members to ask for each server, each from the first member on.
+    /// Ticks each limit, and removes the limits of servers that are warm and have no locked tokens left. `peers` returns a new
+    /// source of the sampled members for each server.
     pub fn tick<P: FnMut() -> Option<SocketAddr>>(&mut self, now: Micros, peers: impl Fn() -> P) {
         let kept_for = self.terms.duration + self.terms.rate_limit.lock_time();
         self.limits.retain(|server, _| now < server.started + kept_for);
@@ -165,7 +167,7 @@
         self.limits = limits;
     }
 
-    /// The tokens of a server's limit that this member owns now.
+    /// The number of a server's tokens that this member owns now.
     fn owned_tokens(&self, server: ServerIncarnation, now: Micros) -> u32 {
         if self.has_left {
             0
@@ -174,7 +176,7 @@
         }
     }
 
-    /// This member leaves: leased tokens are given back where its uses allow it.
+    /// Makes this member leave: it owns no tokens any more and returns leased tokens as far as its recent uses allow.
     pub fn leave(&mut self, now: Micros) {
         self.has_left = true;
         for limit in self.limits.values_mut() {
@@ -182,7 +184,7 @@
         }
     }
 
-    /// The messages that go out, with their receivers and servers.
+    /// Takes the outgoing messages with their receivers and servers.
     pub fn drain(&mut self) -> impl Iterator<Item = (SocketAddr, ServerIncarnation, Message)> + '_ {
         self.limits.iter_mut().flat_map(|(server, limit)| {
             let server = *server;
@@ -190,7 +192,7 @@
         })
     }
 
-    /// What operators see.
+    /// Metrics of all limits.
     pub fn metrics(&mut self, now: Micros) -> SlowStartMetrics {
         let mut metrics = SlowStartMetrics { servers: self.limits.len(), ..SlowStartMetrics::default() };
         for limit in self.limits.values_mut() {
--- a/cluster/src/slow_start_limit/tests.rs
+++ b/cluster/src/slow_start_limit/tests.rs
@@ -1,11 +1,11 @@
-//! What positions own of a server in slow start, how long its limit is kept, and what a new process may use.
+//! Token ownership by position, retention of limits, and the usable tokens of a new process.
 
 use juniperladder::ServerId;
 
 use super::*;
 use crate::virtual_network::times;
 
-/// When the servers of these tests start.
+/// The start time of the servers in these tests.
 const STARTED: Micros = Micros::from_secs(100);
 
 fn terms() -> SlowStartTerms {
@@ -50,11 +50,14 @@
     }
     assert_eq!(limits.unavailable, 5);
     let far_later = ServerIncarnation { server: ServerId(1), started: STARTED + Micros::from_secs(60) };
-    assert!(matches!(limits.access(far_later, STARTED), SlowStartAccess::Unavailable), "no such start");
+    assert!(
+        matches!(limits.access(far_later, STARTED), SlowStartAccess::Unavailable),
+        "the start time is too far in the future"
+    );
     limits.tick(STARTED + Micros::from_secs(12), || || None);
-    assert_eq!(limits.limits.len(), MAX_SERVER_INCARNATIONS, "what was leased out is locked still");
+    assert_eq!(limits.limits.len(), MAX_SERVER_INCARNATIONS, "leased tokens are still locked");
     let warm = limits.access(server(1), STARTED + Micros::from_secs(10));
-    assert!(matches!(warm, SlowStartAccess::Unlimited), "it is warm");
+    assert!(matches!(warm, SlowStartAccess::Unlimited), "the server is warm");
     limits.tick(STARTED + Micros::from_secs(14), || || None);
     assert_eq!(limits.limits.len(), 0);
 }
@@ -73,7 +76,8 @@
     assert_eq!(usable_tokens(STARTED + Micros::from_secs(8), now), 0);
 }
 
-/// Guards against own tokens that rise again at the tick after this member has left: others use them then.
+/// Guards against the next tick restoring the own tokens of a member that has left, while others already use
+/// them.
 #[test]
 fn member_that_left_owns_nothing_any_more() {
     let mut limits = SlowStartLimits::new(terms(), 3, 1, Micros::ZERO);
--- a/cluster/src/virtual_network.rs
+++ b/cluster/src/virtual_network.rs
@@ -1,8 +1,9 @@
-//! A network in virtual time, for the tests of this crate: members whose clocks run apart and that are killed and frozen, and
-//! packets that are lost, repeated, late or cut off. Everything is drawn from one seed, so that a seed always gives the same.
+//! A simulated network in virtual time, for the tests of this crate. Members have drifting clocks and are killed and frozen;
+//! packets are lost, duplicated, delayed or cut off by a partition. All randomness comes from one seed, so that runs are
+//! reproducible.
 //!
-//! The network keeps the time and the queue of what happens; a test keeps its state machines, takes one [`Arrival`] after the
-//! other and gives the network what its machines send.
+//! The network holds the time and the event queue. A test holds its state machines, takes one [`Arrival`] after the other and
+//! passes the messages of its state machines to the network.
 
 mod conditions;
 
@@ -17,9 +18,9 @@
 
 /// The port of the first member.
 const FIRST_PORT: u16 = 1_000;
-/// The first tick of a process comes within this time of its start.
+/// The maximum time from the start of a process to its first tick.
 const MAX_FIRST_TICK_DELAY: Micros = Micros::from_millis(50);
-/// Members' clocks show less than this when a run begins.
+/// The upper bound of the time that members' clocks show at the beginning of a run.
 const MAX_CLOCK_OFFSET: Micros = Micros::from_secs(1_000);
 
 /// The address of a member.
@@ -32,52 +33,52 @@
     usize::from(address.port() - FIRST_PORT)
 }
 
-/// The times from one until another, a step apart.
+/// The times in a half-open range, in steps.
 pub(crate) fn times(from: Micros, until: Micros, step: Micros) -> impl Iterator<Item = Micros> {
     (from.0..until.0).step_by(step.0 as usize).map(Micros)
 }
 
-/// What a test has to do next.
+/// An event that the test has to handle.
 #[derive(Debug)]
 pub(crate) enum Arrival<M, E> {
-    /// A member does what is due.
+    /// A member has a tick.
     Tick(usize),
-    /// A message has come to a member.
+    /// A message arrives at a member.
     Packet {
-        /// Who sent it.
+        /// The sender.
         from: usize,
-        /// Whom it has come to.
+        /// The receiver.
         to: usize,
-        /// What it says.
+        /// The message.
         message: M,
     },
-    /// A member's process has been killed; the test starts it again.
+    /// A member's process has been killed; the test has to restart it.
     Killed(usize),
-    /// Something that the test has put on the schedule.
+    /// An event that the test has scheduled.
     Scheduled(E),
 }
 
-/// What happens in the network.
+/// An event in the queue.
 #[derive(Debug)]
 enum Event<M, E> {
-    /// A process does what is due, unless it has been killed since.
+    /// A process has a tick, unless it has been killed since.
     Tick { member: usize, incarnation: u32 },
     /// A packet arrives.
     Packet { from: usize, to: usize, message: M },
     /// A process is killed.
     Kill { member: usize },
-    /// A process stands still for so long.
+    /// A process is frozen for a duration.
     Freeze { member: usize, duration: Micros },
-    /// A process goes on.
+    /// A frozen process resumes.
     Thaw { member: usize },
-    /// The network is cut, or whole again.
+    /// The network is partitioned, or the partition ends.
     Cut(Partition),
-    /// What a test has scheduled; one that is for a member waits while that is frozen.
+    /// An event of the test; an event for a member is deferred while the member is frozen.
     Scheduled { member: Option<usize>, event: E },
 }
 
 impl<M, E> Event<M, E> {
-    /// The member whose process this needs.
+    /// The member whose process handles the event.
     fn member(&self) -> Option<usize> {
         match self {
             Event::Tick { member, .. } | Event::Packet { to: member, .. } => Some(*member),
@@ -90,37 +91,37 @@
 /// One member's process and clock.
 #[derive(Debug)]
 struct Process<M, E> {
-    /// Counts the starts.
+    /// The number of starts.
     incarnation: u32,
     is_running: bool,
     is_frozen: bool,
-    /// What waits until it thaws.
+    /// Events that are deferred until the process resumes.
     waiting: Vec<Event<M, E>>,
-    /// How fast its clock runs, as a ratio to the network's time.
+    /// The rate of the process's clock, as a ratio to the network's time.
     clock_rate: f64,
-    /// What its clock showed when the run began.
+    /// The time that the process's clock showed at the beginning of the run.
     clock_offset: Micros,
 }
 
-/// The network. `M` is what its members send, `E` what a test puts on its schedule.
+/// The simulated network. `M` is the type of messages, `E` the type of events scheduled by a test.
 #[derive(Debug)]
 pub(crate) struct VirtualNetwork<M, E> {
-    /// The source of all that is drawn.
+    /// The source of all randomness.
     pub(crate) rng: ChaCha8Rng,
-    /// Packets sent so far.
+    /// The number of packets sent so far.
     pub(crate) packets: u64,
     conditions: Conditions,
     now: Micros,
-    /// Events scheduled so far.
+    /// The number of events scheduled so far.
     scheduled: u64,
-    /// What is to happen, by its time and in the order of scheduling.
+    /// The event queue, ordered by time and then by the order of scheduling.
     queue: BTreeMap<(Micros, u64), Event<M, E>>,
     processes: Vec<Process<M, E>>,
     partition: Partition,
 }
 
 impl<M: Clone, E> VirtualNetwork<M, E> {
-    /// A network of so many members, none of which has been started.
+    /// Creates a network of members that have not been started.
     pub(crate) fn new(seed: u64, members: usize, conditions: Conditions) -> VirtualNetwork<M, E> {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let processes = (0..members).map(|_| Process {
@@ -144,38 +145,38 @@
         }
     }
 
-    /// The time that is everybody's, from the beginning of the run.
+    /// The true time since the beginning of the run.
     pub(crate) fn now(&self) -> Micros {
         self.now
     }
 
-    /// What a member's clock shows.
+    /// The time on a member's clock.
     pub(crate) fn clock(&self, member: usize) -> Micros {
         let process = &self.processes[member];
         process.clock_offset + self.now.mul_f64(process.clock_rate)
     }
 
-    /// How often a member has been started.
+    /// The number of times that a member has been started.
     pub(crate) fn incarnation(&self, member: usize) -> u32 {
         self.processes[member].incarnation
     }
 
-    /// A drawn time below this.
+    /// A random time below a bound.
     pub(crate) fn draw(&mut self, most: Micros) -> Micros {
         Micros(self.rng.random_range(0..most.0.max(1)))
     }
 
-    /// A drawn member.
+    /// A random member.
     pub(crate) fn draw_member(&mut self) -> usize {
         self.rng.random_range(0..self.processes.len())
     }
 
-    /// A drawn member for another to ask; `None` where it has drawn itself.
+    /// A random peer of a member; `None` if the member itself was selected.
     pub(crate) fn draw_peer(&mut self, member: usize) -> Option<SocketAddr> {
         Some(self.draw_member()).filter(|peer| *peer != member).map(address)
     }
 
-    /// A member's process starts, with its first tick to come.
+    /// Starts a member's process and schedules its first tick.
     pub(crate) fn start(&mut self, member: usize) {
         let process = &mut self.processes[member];
         process.incarnation += 1;
@@ -184,39 +185,39 @@
         self.tick_after(member, first_tick);
     }
 
-    /// The next tick of a member's process comes after this time.
+    /// Schedules the next tick of a member's process after a pause.
     pub(crate) fn tick_after(&mut self, member: usize, pause: Micros) {
         let incarnation = self.processes[member].incarnation;
         self.push(self.now + pause, Event::Tick { member, incarnation });
     }
 
-    /// At that time something happens that needs no member's process.
+    /// Schedules an event that does not depend on a member's process.
     pub(crate) fn schedule(&mut self, at: Micros, event: E) {
         self.push(at, Event::Scheduled { member: None, event });
     }
 
-    /// At that time something happens at a member, or when it thaws.
+    /// Schedules an event for a member; it is deferred while the member is frozen.
     pub(crate) fn schedule_for(&mut self, at: Micros, member: usize, event: E) {
         self.push(at, Event::Scheduled { member: Some(member), event });
     }
 
-    /// Whether a member's process stands still.
+    /// Whether a member's process is frozen.
     pub(crate) fn is_frozen(&self, member: usize) -> bool {
         self.processes[member].is_frozen
     }
 
-    /// A member's process is killed at that time.
+    /// Schedules the kill of a member's process.
     pub(crate) fn schedule_kill(&mut self, at: Micros, member: usize) {
         self.push(at, Event::Kill { member });
     }
 
-    /// Drawn members are killed and frozen at drawn times until `end`, frozen for up to `max_freeze` each.
+    /// Schedules kills and freezes of random members at random times before `end`, each freeze for up to `max_freeze`.
     pub(crate) fn schedule_process_faults(&mut self, faults: Faults, end: Micros, max_freeze: Micros) {
         self.schedule_kills(faults.kills, end);
         self.schedule_freezes(faults.freezes, end, max_freeze);
     }
 
-    /// Drawn members are killed at drawn times until `end`.
+    /// Schedules kills of random members at random times before `end`.
     fn schedule_kills(&mut self, count: usize, end: Micros) {
         for _ in 0..count {
             let at = self.draw(end);
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Drawn members are frozen at drawn times until `end`, each for up to `longest`.
+    /// Schedules freezes of random members at random times before `end`, each for up to `longest`.
     fn schedule_freezes(&mut self, count: usize, end: Micros, longest: Micros) {
         for _ in 0..count {
             let at = self.draw(end);
@@ -235,7 +236,7 @@
         }
     }
 
-    /// The network is cut from one time until another.
+    /// Schedules a network partition from one time until another.
     pub(crate) fn schedule_cut(&mut self, from: Micros, until: Micros, partition: Partition) {
         self.push(from, Event::Cut(partition));
         self.push(until, Event::Cut(Partition::default()));
@@ -246,7 +247,7 @@
         self.queue.insert((at, self.scheduled), event);
     }
 
-    /// A member's packets go on their way.
+    /// Sends a member's messages.
     pub(crate) fn send(&mut self, from: usize, messages: impl IntoIterator<Item = (SocketAddr, M)>) {
         for (to, message) in messages {
             self.packets += 1;
@@ -274,12 +275,12 @@
         min_delay + self.draw(most)
     }
 
-    /// Whether something happens that does so in this share of cases.
+    /// Returns true with a probability.
     fn is_drawn(&mut self, share: f64) -> bool {
         self.rng.random::<f64>() < share
     }
 
-    /// Goes on to what a test has to do next; nothing until `end`.
+    /// Advances the time to the next event that the test has to handle; `None` if there is none until `end`.
     pub(crate) fn next(&mut self, end: Micros) -> Option<Arrival<M, E>> {
         loop {
             let ((at, _), event) = self.queue.pop_first()?;
@@ -295,7 +296,7 @@
         }
     }
 
-    /// Does what an event does here; returns what is left to the test.
+    /// Applies an event to the network; returns the part that the test has to handle.
     fn handle(&mut self, event: Event<M, E>) -> Option<Arrival<M, E>> {
         match event {
             Event::Tick { member, incarnation } => {
@@ -320,7 +321,7 @@
         }
     }
 
-    /// A process is killed, with all that waited for it; false where there is none.
+    /// Kills a process and drops its deferred events; false if it is not running.
     fn kill(&mut self, member: usize) -> bool {
         let process = &mut self.processes[member];
         let was_running = std::mem::take(&mut process.is_running);
@@ -331,13 +332,13 @@
         was_running
     }
 
-    /// A process stands still from now on, for so long.
+    /// Freezes a process from now on for a duration.
     pub(crate) fn freeze(&mut self, member: usize, duration: Micros) {
         self.processes[member].is_frozen = true;
         self.push(self.now + duration, Event::Thaw { member });
     }
 
-    /// A process goes on, with what waited for it, in order.
+    /// Resumes a process and delivers its deferred events in order.
     fn thaw(&mut self, member: usize) {
         self.processes[member].is_frozen = false;
         for event in std::mem::take(&mut self.processes[member].waiting) {
--- a/cluster/src/virtual_network/conditions.rs
+++ b/cluster/src/virtual_network/conditions.rs
@@ -1,51 +1,51 @@
-//! What a virtual network does to packets, clocks and processes.
+//! Network conditions and faults of a simulated run.
 
 use juniperladder::Micros;
 
-/// How packets fare, and how far clocks run apart.
+/// The conditions for packets and clocks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Conditions {
     /// The share of packets that are lost.
     pub(crate) loss: f64,
-    /// The share of packets that come twice; either copy may be lost.
+    /// The share of packets that are duplicated; either copy may be lost.
     pub(crate) repeat: f64,
-    /// The shortest delay of a packet.
+    /// The minimum delay of a packet.
     pub(crate) min_delay: Micros,
-    /// How much longer than the shortest delay a packet usually takes at most.
+    /// The maximum random delay of a packet in addition to the minimum, unless the packet is late.
     pub(crate) delay: Micros,
-    /// The share of packets that come far later than usual.
+    /// The share of packets that are late, that is, delayed far longer than usual.
     pub(crate) late: f64,
-    /// By how much a late packet is late at most: one of these, drawn for each; without any, no packet is late.
+    /// The maximum random delays of late packets, one of them selected at random for each packet; if empty, no packet is late.
     pub(crate) late_delays: &'static [Micros],
-    /// By which ratio clocks run faster or slower than the network's time at most.
+    /// The maximum ratio by which clocks run faster or slower than the network's time.
     pub(crate) drift: f64,
 }
 
-/// What goes wrong during a run beside lost and late packets.
+/// The faults of a run other than those of single packets.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Faults {
-    /// Processes that are killed.
+    /// The number of kills of processes.
     pub(crate) kills: usize,
-    /// Processes that are frozen for a while.
+    /// The number of temporary freezes of processes.
     pub(crate) freezes: usize,
-    /// Cuts of the network for a while.
+    /// The number of temporary network partitions.
     pub(crate) cuts: usize,
 }
 
-/// Nothing goes wrong.
+/// A run without faults.
 pub(crate) const NO_FAULTS: Faults = Faults { kills: 0, freezes: 0, cuts: 0 };
 
-/// Which members are cut off from which.
+/// A partition of the members into two sides.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Partition {
-    /// The members on the second side, a bit for each.
+    /// The members on the second side, as a bit mask.
     pub(crate) second_side: u64,
-    /// Packets from the second side to the first still arrive.
+    /// Whether packets from the second side to the first still arrive.
     pub(crate) one_way: bool,
 }
 
 impl Partition {
-    /// Whether packets of one member do not reach another.
+    /// Whether packets from one member to another are lost.
     pub(super) fn separates(&self, from: usize, to: usize) -> bool {
         let from_second_side = self.is_on_second_side(from);
         let to_second_side = self.is_on_second_side(to);
--- a/cluster/src/wire.rs
+++ b/cluster/src/wire.rs
@@ -1,7 +1,7 @@
-//! How the root crate's values are written in packets: as the number that each of them holds.
+//! Serialization in packets of types of the root crate, each as its inner number.
 
 pub(crate) mod micros {
-    //! A time, as its number of microseconds.
+    //! Serializes a time as its number of microseconds.
 
     use juniperladder::Micros;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
@@ -16,7 +16,7 @@
 }
 
 pub(crate) mod server_id {
-    //! A server, as its number.
+    //! Serializes a server id as its number.
 
     use juniperladder::ServerId;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
