--- a/cluster/src/cluster/peer_sampler.rs
+++ b/cluster/src/cluster/peer_sampler.rs
@@ -6,7 +6,7 @@
 use crate::membership::Membership;
 
 /// The maximum number of members sampled in one tick.
-const MAX_DRAWN: usize = 4;
+const MAX_SAMPLED_PEERS: usize = 4;
 
 /// The members sampled in one tick. A member is sampled only when a module needs it.
 pub(super) struct PeerSampler<'a> {
@@ -14,13 +14,13 @@
 }
 
 struct SamplerState<'a> {
-    drawn: Vec<SocketAddr>,
+    sampled: Vec<SocketAddr>,
     membership: &'a mut Membership,
 }
 
 impl<'a> PeerSampler<'a> {
     pub(super) fn new(membership: &'a mut Membership) -> PeerSampler<'a> {
-        PeerSampler { state: RefCell::new(SamplerState { drawn: Vec::new(), membership }) }
+        PeerSampler { state: RefCell::new(SamplerState { sampled: Vec::new(), membership }) }
     }
 
     /// Returns a source of the sampled members, starting from the first.
@@ -28,11 +28,11 @@
         let mut next = 0;
         move || {
             let state = &mut *self.state.borrow_mut();
-            if next == state.drawn.len() && next < MAX_DRAWN {
-                state.drawn.extend(state.membership.draw_peer());
+            if next == state.sampled.len() && next < MAX_SAMPLED_PEERS {
+                state.sampled.extend(state.membership.random_peer());
             }
             next += 1;
-            state.drawn.get(next - 1).copied()
+            state.sampled.get(next - 1).copied()
         }
     }
 }
--- a/cluster/src/failure_detector.rs
+++ b/cluster/src/failure_detector.rs
@@ -209,8 +209,8 @@
     }
 
     /// Expires reports, decides which servers are suspected and sends queries; to be called about every 50 ms. `members` is the
-    /// number of live members, including this one; `draw_peer` returns a random other member to query.
-    pub fn tick(&mut self, now: Micros, members: usize, draw_peer: impl FnMut() -> Option<SocketAddr>) {
+    /// number of live members, including this one; `random_peer` returns a random other member to query.
+    pub fn tick(&mut self, now: Micros, members: usize, random_peer: impl FnMut() -> Option<SocketAddr>) {
         self.members = members.max(1);
         self.dissemination.on_tick(now);
         self.expire_reports(now);
@@ -222,7 +222,7 @@
             self.decide_suspected(now);
         }
         let min_reporters = self.terms.min_reporters;
-        for query in self.dissemination.due_queries(now, &self.reports, min_reporters, draw_peer) {
+        for query in self.dissemination.due_queries(now, &self.reports, min_reporters, random_peer) {
             self.send_query(now, query);
         }
     }
@@ -269,7 +269,7 @@
             return false;
         }
         let Some(seen) = self.newest_silent_report(server, now) else { return false };
-        if self.draw_trial(server, responses_per_second, now) {
+        if self.sample_trial(server, responses_per_second, now) {
             return false;
         }
         self.metrics.avoided_requests += 1;
@@ -287,7 +287,7 @@
 
     /// Randomly decides whether to send a trial request to a suspected server, such that all members together send about
     /// `trials_per_s` trial requests a second.
-    fn draw_trial(&mut self, server: ServerIncarnation, responses_per_second: f64, now: Micros) -> bool {
+    fn sample_trial(&mut self, server: ServerIncarnation, responses_per_second: f64, now: Micros) -> bool {
         let has_rested = self.last_trials.get(&server).is_none_or(|last| now >= *last + MIN_TRIAL_INTERVAL);
         if !has_rested {
             return false;
--- a/cluster/src/failure_detector/tests.rs
+++ b/cluster/src/failure_detector/tests.rs
@@ -9,7 +9,7 @@
 use super::dissemination::{MAX_ANSWERS, MAX_QUERIES_BACK};
 use super::*;
 use crate::virtual_network::{address, Conditions};
-use fleet::{drawn_scenario, run_fleet, terms, Scenario, MILD, MILD_CONDITIONS};
+use fleet::{random_scenario, run_fleet, terms, Scenario, MILD, MILD_CONDITIONS};
 
 fn server(number: u64) -> ServerIncarnation {
     ServerIncarnation { server: ServerId(number), started: Micros(1) }
@@ -20,8 +20,8 @@
     let mut avoided = 0;
     let mut lost = 0;
     for seed in 0..2_000 {
-        let result = run_fleet(seed, drawn_scenario(seed));
-        assert_eq!(result.violation, None, "seed {seed}: {:?}", drawn_scenario(seed));
+        let result = run_fleet(seed, random_scenario(seed));
+        assert_eq!(result.violation, None, "seed {seed}: {:?}", random_scenario(seed));
         assert_eq!(result.wrongly_avoided, 0, "seed {seed}: a server that was never silent was avoided");
         avoided += result.avoided;
         lost += result.lost;
@@ -33,7 +33,7 @@
 fn injected_defects_are_caught() {
     for defect in [Defect::AgeNotCarried, Defect::RenewedByHearsay, Defect::AddressForIncarnation] {
         let caught = (0..200).find(|seed| {
-            let scenario = Scenario { defect: Some(defect), ..drawn_scenario(*seed) };
+            let scenario = Scenario { defect: Some(defect), ..random_scenario(*seed) };
             run_fleet(*seed, scenario).violation.is_some()
         });
         assert!(caught.is_some(), "{defect:?}");
@@ -109,7 +109,7 @@
 }
 
 /// A random report. Reports with the same reporter and stamp are equal except for the bound of their age.
-fn drawn_report(rng: &mut ChaCha8Rng, number: u64) -> StoredReport {
+fn random_report(rng: &mut ChaCha8Rng, number: u64) -> StoredReport {
     let reporter: u32 = rng.random_range(0..24);
     let stamp: u64 = rng.random_range(0..50);
     let is_silent = rng.random_range(0..50) != stamp;
@@ -126,9 +126,9 @@
 
 #[test]
 fn reports_merge_to_the_same_in_any_order_and_with_any_repeats() {
-    let merged = |drawn: &[StoredReport]| {
+    let merged = |random_reports: &[StoredReport]| {
         let mut reports = Vec::new();
-        for report in drawn.iter().chain(drawn.iter().rev()) {
+        for report in random_reports.iter().chain(random_reports.iter().rev()) {
             reports::merge(&mut reports, *report);
         }
         // Which answers are kept may depend on the order of merging, but has no effect on suspicion.
@@ -140,10 +140,11 @@
     };
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     for _ in 0..200 {
-        let mut drawn: Vec<StoredReport> = (0..30).map(|number| drawn_report(&mut rng, number)).collect();
-        let in_order = merged(&drawn);
-        drawn.reverse();
-        let reversed = merged(&drawn);
+        let mut random_reports: Vec<StoredReport> =
+            (0..30).map(|number| random_report(&mut rng, number)).collect();
+        let in_order = merged(&random_reports);
+        random_reports.reverse();
+        let reversed = merged(&random_reports);
         assert_eq!(in_order, reversed);
     }
 }
--- a/cluster/src/failure_detector/tests/fleet.rs
+++ b/cluster/src/failure_detector/tests/fleet.rs
@@ -69,7 +69,7 @@
 };
 
 /// A random scenario with all kinds of faults between members.
-pub(super) fn drawn_scenario(seed: u64) -> Scenario {
+pub(super) fn random_scenario(seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
     Scenario {
         members: rng.random_range(6..14),
@@ -187,7 +187,7 @@
         for member in 0..self.scenario.members {
             let started = self.start_member(member);
             self.members.push(started);
-            let first_request = self.network.draw(Micros::from_millis(200));
+            let first_request = self.network.random_time(Micros::from_millis(200));
             self.network.schedule_for(first_request, member, Scheduled::Request(member));
         }
         self.schedule_faults(end);
@@ -200,14 +200,15 @@
     fn schedule_faults(&mut self, end: Micros) {
         self.network.schedule_process_faults(self.scenario.faults, end, MAX_FREEZE);
         for _ in 0..self.scenario.faults.cuts {
-            let at = self.network.draw(end);
-            let duration = self.network.draw(MAX_CUT);
+            let at = self.network.random_time(end);
+            let duration = self.network.random_time(MAX_CUT);
             let second_side = self.network.rng.random();
             self.network.schedule_cut(at, at + duration, Partition { second_side, one_way: false });
         }
         for server in 0..self.scenario.silent_servers {
-            let silent_from = Micros::from_secs(4) + self.network.draw(end / 4);
-            let silent_until = silent_from + Micros::from_secs(6) + self.network.draw(Micros::from_secs(6));
+            let silent_from = Micros::from_secs(4) + self.network.random_time(end / 4);
+            let silent_until =
+                silent_from + Micros::from_secs(6) + self.network.random_time(Micros::from_secs(6));
             self.faulty.insert(server);
             self.network.schedule(silent_from, Scheduled::SetSilent(server, true));
             self.network.schedule(silent_until, Scheduled::SetSilent(server, false));
@@ -299,8 +300,8 @@
             self.measure_detection();
         }
         let now = self.network.clock(member);
-        let drawn = [self.network.draw_peer(member), self.network.draw_peer(member)];
-        let mut peers = drawn.into_iter().flatten();
+        let random_peers = [self.network.random_peer(member), self.network.random_peer(member)];
+        let mut peers = random_peers.into_iter().flatten();
         self.members[member].detector.tick(now, self.scenario.members, || peers.next());
         if member < self.scenario.liars {
             self.lie(member, now);
@@ -331,7 +332,8 @@
 
     /// Sends a request of a member to a random server, unless the member avoids the server.
     fn request(&mut self, number: usize) {
-        let twice_average = self.network.draw(Micros::from_secs(2)).as_f64() / self.scenario.requests_per_s;
+        let twice_average =
+            self.network.random_time(Micros::from_secs(2)).as_f64() / self.scenario.requests_per_s;
         let next = self.network.now() + Micros(twice_average as u64);
         self.network.schedule_for(next, number, Scheduled::Request(number));
         let server = self.network.rng.random_range(0..self.scenario.servers);
--- a/cluster/src/membership.rs
+++ b/cluster/src/membership.rs
@@ -274,7 +274,7 @@
     }
 
     /// A random live member; `None` if there is no other member.
-    pub fn draw_peer(&mut self) -> Option<SocketAddr> {
+    pub fn random_peer(&mut self) -> Option<SocketAddr> {
         let count = self.swim.num_members();
         let index = self.rng.random_range(0..count.max(1));
         let member = self.swim.iter_members().nth(index);
--- a/cluster/src/rate_limit.rs
+++ b/cluster/src/rate_limit.rs
@@ -215,15 +215,15 @@
         self.release_all(now);
     }
 
-    /// Renews, requests and returns leases; to be called about every 50 ms. `draw_peer` returns a random other member.
-    pub fn tick(&mut self, now: Micros, mut draw_peer: impl FnMut() -> Option<SocketAddr>) {
+    /// Renews, requests and returns leases; to be called about every 50 ms. `random_peer` returns a random other member.
+    pub fn tick(&mut self, now: Micros, mut random_peer: impl FnMut() -> Option<SocketAddr>) {
         self.demand.decay(now);
         self.granted.retain(|lease| lease.is_locked(now));
         let usable = self.usable_tokens(now);
         let wanted = self.wanted_tokens(usable);
         self.record_shortage(now, usable, wanted);
         self.return_surplus(now, usable, wanted);
-        self.request_shortfall(now, usable, wanted, &mut draw_peer);
+        self.request_shortfall(now, usable, wanted, &mut random_peer);
         self.renew_leases(now);
     }
 
@@ -263,7 +263,7 @@
         now: Micros,
         usable: u32,
         wanted: u32,
-        draw_peer: &mut impl FnMut() -> Option<SocketAddr>,
+        random_peer: &mut impl FnMut() -> Option<SocketAddr>,
     ) {
         if usable >= wanted {
             self.request_backoff.reset();
@@ -278,7 +278,7 @@
             self.request_backoff.lengthen();
         }
         self.tokens_at_last_round = usable;
-        self.request_tokens(now, wanted - usable, draw_peer);
+        self.request_tokens(now, wanted - usable, random_peer);
     }
 
     /// Takes the outgoing messages with their receivers.
--- a/cluster/src/rate_limit/borrower.rs
+++ b/cluster/src/rate_limit/borrower.rs
@@ -12,7 +12,7 @@
 /// The maximum number of owners to which one round sends requests.
 const OWNERS_PER_ROUND: usize = 2;
 /// The maximum number of members sampled in one round; some of them may be skipped because of a recent request.
-const DRAWS_PER_ROUND: usize = 2 * OWNERS_PER_ROUND;
+const SAMPLES_PER_ROUND: usize = 2 * OWNERS_PER_ROUND;
 /// The minimum time between two requests for more tokens to the same sampled owner.
 const SAME_OWNER_INTERVAL: Micros = Micros::from_millis(600);
 /// The maximum number of owners from which one borrower holds or requests leases.
@@ -53,11 +53,11 @@
         &mut self,
         now: Micros,
         shortfall: u32,
-        draw_peer: &mut impl FnMut() -> Option<SocketAddr>,
+        random_peer: &mut impl FnMut() -> Option<SocketAddr>,
     ) {
         let mut round = RequestRound { shortfall, asked: 0 };
         self.request_from_known_owners(now, &mut round);
-        self.request_from_drawn_members(now, &mut round, draw_peer);
+        self.request_from_random_members(now, &mut round, random_peer);
     }
 
     fn request_from_known_owners(&mut self, now: Micros, round: &mut RequestRound) {
@@ -76,17 +76,17 @@
         }
     }
 
-    fn request_from_drawn_members(
+    fn request_from_random_members(
         &mut self,
         now: Micros,
         round: &mut RequestRound,
-        draw_peer: &mut impl FnMut() -> Option<SocketAddr>,
+        random_peer: &mut impl FnMut() -> Option<SocketAddr>,
     ) {
-        for _ in 0..DRAWS_PER_ROUND {
+        for _ in 0..SAMPLES_PER_ROUND {
             if round.is_over() {
                 return;
             }
-            let Some(owner) = draw_peer() else { return };
+            let Some(owner) = random_peer() else { return };
             let known = self.held.iter().position(|lease| lease.owner == owner);
             if known.is_some_and(|index| now < self.held[index].last_request() + SAME_OWNER_INTERVAL) {
                 continue;
--- a/cluster/src/rate_limit/tests.rs
+++ b/cluster/src/rate_limit/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use crate::virtual_network::Conditions;
-use fleet::{drawn_scenario, run_fleet, terms, RunResult, Scenario, CALM, CALM_CONDITIONS};
+use fleet::{random_scenario, run_fleet, terms, RunResult, Scenario, CALM, CALM_CONDITIONS};
 
 /// The number of random schedules in each test run.
 const SCHEDULES: u64 = 2_000;
@@ -13,7 +13,7 @@
 fn the_limit_is_never_exceeded_whatever_fails() {
     let mut begun = 0;
     for seed in 0..SCHEDULES {
-        let scenario = drawn_scenario(seed);
+        let scenario = random_scenario(seed);
         let result = run_fleet(seed, scenario);
         assert!(
             result.max_arrived <= terms(&scenario).total_tokens() as usize,
@@ -34,7 +34,7 @@
     let with_start_wait = defects.into_iter().map(|defect| (defect, false));
     for (defect, without_start_wait) in with_start_wait.chain([(None, true)]) {
         let caught = (0..10 * SCHEDULES).find(|seed| {
-            let scenario = Scenario { defect, without_start_wait, ..drawn_scenario(*seed) };
+            let scenario = Scenario { defect, without_start_wait, ..random_scenario(*seed) };
             run_fleet(*seed, scenario).max_arrived > terms(&scenario).total_tokens() as usize
         });
         println!("{defect:?}, without start wait {without_start_wait}: caught by {caught:?}");
--- a/cluster/src/rate_limit/tests/fleet.rs
+++ b/cluster/src/rate_limit/tests/fleet.rs
@@ -102,10 +102,10 @@
         }
         self.network.schedule_process_faults(self.scenario.faults, end, MAX_FREEZE);
         for _ in 0..self.scenario.faults.cuts {
-            let at = self.network.draw(end);
+            let at = self.network.random_time(end);
             let second_side = self.network.rng.random();
             let one_way = self.network.rng.random();
-            let duration = self.network.draw(MAX_CUT);
+            let duration = self.network.random_time(MAX_CUT);
             self.network.schedule_cut(at, at + duration, Partition { second_side, one_way });
         }
         self.schedule_requests(end);
@@ -147,10 +147,10 @@
             Arrival::Tick(member) => {
                 let now = self.network.clock(member);
                 if let Some(limit) = &mut self.members[member] {
-                    limit.tick(now, || self.network.draw_peer(member));
+                    limit.tick(now, || self.network.random_peer(member));
                 }
                 self.send(member);
-                let pause = Micros::from_millis(45) + self.network.draw(Micros::from_millis(10));
+                let pause = Micros::from_millis(45) + self.network.random_time(Micros::from_millis(10));
                 self.network.tick_after(member, pause);
             }
             Arrival::Packet { from, to, message } => {
@@ -162,7 +162,7 @@
             }
             Arrival::Killed(member) => {
                 self.members[member] = None;
-                let restart = self.network.now() + self.network.draw(Micros::from_secs(2));
+                let restart = self.network.now() + self.network.random_time(Micros::from_secs(2));
                 self.network.schedule(restart, Scheduled::Start(member));
             }
             Arrival::Scheduled(Scheduled::Request(member, until)) => self.on_request(member, until),
@@ -186,7 +186,7 @@
             return;
         }
         limit.acquire(now);
-        let arrives = true_now + self.network.draw(self.scenario.arrival_spread + Micros(1));
+        let arrives = true_now + self.network.random_time(self.scenario.arrival_spread + Micros(1));
         self.count_arrival(true_now, arrives);
         self.result.begun.push((true_now, member));
     }
@@ -239,7 +239,7 @@
 };
 
 /// A random scenario with faults up to the limits under which the guarantee has to hold.
-pub(super) fn drawn_scenario(seed: u64) -> Scenario {
+pub(super) fn random_scenario(seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let members = rng.random_range(2..9);
     let mut up_to = |most: f64| most * rng.random::<f64>();
--- a/cluster/src/retry_budget.rs
+++ b/cluster/src/retry_budget.rs
@@ -179,15 +179,15 @@
         self.last_shortage.is_some_and(|at| now < at + SHORTAGE_MEMORY)
     }
 
-    /// Requests credits from others during a shortage; to be called about every 50 ms. `draw_peer` returns a random other
+    /// Requests credits from others during a shortage; to be called about every 50 ms. `random_peer` returns a random other
     /// member.
-    pub fn tick(&mut self, now: Micros, mut draw_peer: impl FnMut() -> Option<SocketAddr>) {
+    pub fn tick(&mut self, now: Micros, mut random_peer: impl FnMut() -> Option<SocketAddr>) {
         self.requests.expire(now);
         if !self.is_short(now) || self.can_pay(now) || !self.rounds.is_due(now, REQUEST_INTERVAL) {
             return;
         }
         for _ in 0..MEMBERS_PER_ROUND {
-            let Some(to) = draw_peer() else { return };
+            let Some(to) = random_peer() else { return };
             let sent = self.requests.open(now, to);
             let request = Message::Request { incarnation: self.incarnation, sent, credits: MAX_TRANSFER };
             self.outgoing.push((to, request));
--- a/cluster/src/retry_budget/tests.rs
+++ b/cluster/src/retry_budget/tests.rs
@@ -82,7 +82,7 @@
         match arrival {
             Arrival::Tick(member) => {
                 let now = self.network.clock(member);
-                self.members[member].tick(now, || self.network.draw_peer(member));
+                self.members[member].tick(now, || self.network.random_peer(member));
                 self.network.send(member, self.members[member].drain());
                 self.network.tick_after(member, Micros::from_millis(50));
             }
@@ -101,11 +101,11 @@
     }
 
     fn step(&mut self) {
-        let member = self.network.draw_member();
+        let member = self.network.random_member();
         match self.network.rng.random_range(0..1_000) {
             0 => self.network.schedule_kill(self.network.now(), member),
             1 => {
-                let duration = self.network.draw(MAX_FREEZE);
+                let duration = self.network.random_time(MAX_FREEZE);
                 self.network.freeze(member, duration);
             }
             _ => {}
--- a/cluster/src/virtual_network.rs
+++ b/cluster/src/virtual_network.rs
@@ -162,18 +162,18 @@
     }
 
     /// A random time below a bound.
-    pub(crate) fn draw(&mut self, most: Micros) -> Micros {
-        Micros(self.rng.random_range(0..most.0.max(1)))
+    pub(crate) fn random_time(&mut self, bound: Micros) -> Micros {
+        Micros(self.rng.random_range(0..bound.0.max(1)))
     }
 
     /// A random member.
-    pub(crate) fn draw_member(&mut self) -> usize {
+    pub(crate) fn random_member(&mut self) -> usize {
         self.rng.random_range(0..self.processes.len())
     }
 
     /// A random peer of a member; `None` if the member itself was selected.
-    pub(crate) fn draw_peer(&mut self, member: usize) -> Option<SocketAddr> {
-        Some(self.draw_member()).filter(|peer| *peer != member).map(address)
+    pub(crate) fn random_peer(&mut self, member: usize) -> Option<SocketAddr> {
+        Some(self.random_member()).filter(|peer| *peer != member).map(address)
     }
 
     /// Starts a member's process and schedules its first tick.
@@ -181,7 +181,7 @@
         let process = &mut self.processes[member];
         process.incarnation += 1;
         process.is_running = true;
-        let first_tick = self.draw(MAX_FIRST_TICK_DELAY);
+        let first_tick = self.random_time(MAX_FIRST_TICK_DELAY);
         self.tick_after(member, first_tick);
     }
 
@@ -220,8 +220,8 @@
     /// Schedules kills of random members at random times before `end`.
     fn schedule_kills(&mut self, count: usize, end: Micros) {
         for _ in 0..count {
-            let at = self.draw(end);
-            let member = self.draw_member();
+            let at = self.random_time(end);
+            let member = self.random_member();
             self.schedule_kill(at, member);
         }
     }
@@ -229,9 +229,9 @@
     /// Schedules freezes of random members at random times before `end`, each for up to `longest`.
     fn schedule_freezes(&mut self, count: usize, end: Micros, longest: Micros) {
         for _ in 0..count {
-            let at = self.draw(end);
-            let member = self.draw_member();
-            let duration = self.draw(longest);
+            let at = self.random_time(end);
+            let member = self.random_member();
+            let duration = self.random_time(longest);
             self.push(at, Event::Freeze { member, duration });
         }
     }
@@ -253,10 +253,10 @@
             self.packets += 1;
             let to = member_at(to);
             let is_cut = self.partition.separates(from, to);
-            let copies = 1 + usize::from(self.is_drawn(self.conditions.repeat));
+            let copies = 1 + usize::from(self.random_bool(self.conditions.repeat));
             for _ in 0..copies {
-                let delay = self.draw_delay();
-                if !is_cut && !self.is_drawn(self.conditions.loss) {
+                let delay = self.random_delay();
+                if !is_cut && !self.random_bool(self.conditions.loss) {
                     let message = message.clone();
                     self.push(self.now + delay, Event::Packet { from, to, message });
                 }
@@ -264,20 +264,20 @@
         }
     }
 
-    fn draw_delay(&mut self) -> Micros {
+    fn random_delay(&mut self) -> Micros {
         let Conditions { min_delay, delay, late, late_delays, .. } = self.conditions;
-        let most = match late_delays {
+        let max_delay = match late_delays {
             [] => delay,
-            _ if !self.is_drawn(late) => delay,
+            _ if !self.random_bool(late) => delay,
             [latest] => *latest,
             _ => late_delays[self.rng.random_range(0..late_delays.len())],
         };
-        min_delay + self.draw(most)
+        min_delay + self.random_time(max_delay)
     }
 
     /// Returns true with a probability.
-    fn is_drawn(&mut self, share: f64) -> bool {
-        self.rng.random::<f64>() < share
+    fn random_bool(&mut self, probability: f64) -> bool {
+        self.rng.random::<f64>() < probability
     }
 
     /// Advances the time to the next event that the test has to handle; `None` if there is none until `end`.
