--- a/cluster/src/failure_detector/tests/fleet.rs
+++ b/cluster/src/failure_detector/tests/fleet.rs
@@ -14,9 +14,9 @@
 /// The maximum delay of a late packet.
 const LATE_DELAYS: &[Micros] = &[Micros::from_secs(9)];
 /// The maximum duration of a freeze of a process.
-const MAX_FREEZE: Micros = Micros::from_secs(8);
+const MAX_FREEZE_DURATION: Micros = Micros::from_secs(8);
 /// The maximum duration of a network partition.
-const MAX_CUT: Micros = Micros::from_secs(8);
+const MAX_PARTITION_DURATION: Micros = Micros::from_secs(8);
 /// The number of server zones; the number of member zones is set by the scenario.
 const SERVER_ZONES: u32 = 3;
 /// The time after which a request to a silent server times out.
@@ -86,7 +86,7 @@
         faults: Faults {
             kills: rng.random_range(0..4),
             freezes: rng.random_range(0..4),
-            cuts: rng.random_range(0..3),
+            partitions: rng.random_range(0..3),
         },
         silent_servers: rng.random_range(1..5),
         ..MILD
@@ -198,12 +198,12 @@
     }
 
     fn schedule_faults(&mut self, end: Micros) {
-        self.network.schedule_process_faults(self.scenario.faults, end, MAX_FREEZE);
-        for _ in 0..self.scenario.faults.cuts {
+        self.network.schedule_process_faults(self.scenario.faults, end, MAX_FREEZE_DURATION);
+        for _ in 0..self.scenario.faults.partitions {
             let at = self.network.random_time(end);
-            let duration = self.network.random_time(MAX_CUT);
+            let duration = self.network.random_time(MAX_PARTITION_DURATION);
             let second_side = self.network.rng.random();
-            self.network.schedule_cut(at, at + duration, Partition { second_side, one_way: false });
+            self.network.schedule_partition(at, at + duration, Partition { second_side, one_way: false });
         }
         for server in 0..self.scenario.silent_servers {
             let silent_from = Micros::from_secs(4) + self.network.random_time(end / 4);
--- a/cluster/src/membership/tests.rs
+++ b/cluster/src/membership/tests.rs
@@ -42,15 +42,15 @@
         Fleet { members, packets: BinaryHeap::new(), sent: 0 }
     }
 
-    /// Runs the members from one second to another; packets between pairs for which `is_cut` is true are lost. Returns the
+    /// Runs the members from one second to another; packets between pairs for which `is_partitioned` is true are lost. Returns the
     /// number of packets sent.
-    fn run(&mut self, from_s: u64, until_s: u64, is_cut: impl Fn(usize, usize) -> bool) -> u64 {
+    fn run(&mut self, from_s: u64, until_s: u64, is_partitioned: impl Fn(usize, usize) -> bool) -> u64 {
         self.packets.clear();
         self.sent = 0;
         for now in times(Micros::from_secs(from_s), Micros::from_secs(until_s), Micros::from_millis(10)) {
             self.deliver(now);
             for number in 0..self.members.len() {
-                self.tick(now, number, &is_cut);
+                self.tick(now, number, &is_partitioned);
             }
         }
         self.sent
@@ -65,14 +65,14 @@
         }
     }
 
-    fn tick(&mut self, now: Micros, number: usize, is_cut: impl Fn(usize, usize) -> bool) {
+    fn tick(&mut self, now: Micros, number: usize, is_partitioned: impl Fn(usize, usize) -> bool) {
         let Some(member) = &mut self.members[number] else { return };
         member.tick(now);
         for (to, bytes) in member.drain() {
             let to = usize::from(to.port() - FIRST_PORT);
             self.sent += 1;
             assert!(bytes.len() + HEADER_BYTES <= MAX_PACKET_BYTES);
-            if to < MAX_TEST_MEMBERS && !is_cut(number, to) {
+            if to < MAX_TEST_MEMBERS && !is_partitioned(number, to) {
                 let packet = PacketInFlight { arrives: now + PACKET_DELAY, sequence: self.sent, to, bytes };
                 self.packets.push(Reverse(packet));
             }
--- a/cluster/src/rate_limit/tests/fleet.rs
+++ b/cluster/src/rate_limit/tests/fleet.rs
@@ -23,9 +23,9 @@
 /// The maximum time until a waiting request checks for a token again.
 const MAX_RECHECK: Micros = Micros::from_millis(20);
 /// The maximum duration of a freeze of a process.
-const MAX_FREEZE: Micros = Micros::from_secs(6);
+const MAX_FREEZE_DURATION: Micros = Micros::from_secs(6);
 /// The maximum duration of a network partition.
-const MAX_CUT: Micros = Micros::from_secs(5);
+const MAX_PARTITION_DURATION: Micros = Micros::from_secs(5);
 /// The maximum delays of late packets: for half of them little more than a lease tolerates, for the other half far more.
 const LATE_DELAYS: &[Micros] = &[Micros::from_secs(2), Micros::from_secs(8)];
 
@@ -100,13 +100,13 @@
         for member in 0..self.scenario.members {
             self.start(member);
         }
-        self.network.schedule_process_faults(self.scenario.faults, end, MAX_FREEZE);
-        for _ in 0..self.scenario.faults.cuts {
+        self.network.schedule_process_faults(self.scenario.faults, end, MAX_FREEZE_DURATION);
+        for _ in 0..self.scenario.faults.partitions {
             let at = self.network.random_time(end);
             let second_side = self.network.rng.random();
             let one_way = self.network.rng.random();
-            let duration = self.network.random_time(MAX_CUT);
-            self.network.schedule_cut(at, at + duration, Partition { second_side, one_way });
+            let duration = self.network.random_time(MAX_PARTITION_DURATION);
+            self.network.schedule_partition(at, at + duration, Partition { second_side, one_way });
         }
         self.schedule_requests(end);
         while let Some(arrival) = self.network.next(end) {
@@ -262,7 +262,7 @@
         faults: Faults {
             kills: rng.random_range(0..8),
             freezes: rng.random_range(0..5),
-            cuts: rng.random_range(0..4),
+            partitions: rng.random_range(0..4),
         },
         ..CALM
     }
--- a/cluster/src/retry_budget/tests.rs
+++ b/cluster/src/retry_budget/tests.rs
@@ -13,7 +13,7 @@
 const STEP_INTERVAL: Micros = Micros::from_millis(5);
 const END: Micros = Micros::from_secs(20);
 /// The maximum duration of a freeze of a process.
-const MAX_FREEZE: Micros = Micros::from_secs(3);
+const MAX_FREEZE_DURATION: Micros = Micros::from_secs(3);
 /// The windows for which the bound is checked: a second, and the complete run.
 const WINDOWS: [Micros; 2] = [Micros::SECOND, Micros::from_secs(30)];
 /// The maximum age of credits: first attempts up to this time before a window may pay for retries in it.
@@ -105,7 +105,7 @@
         match self.network.rng.random_range(0..1_000) {
             0 => self.network.schedule_kill(self.network.now(), member),
             1 => {
-                let duration = self.network.random_time(MAX_FREEZE);
+                let duration = self.network.random_time(MAX_FREEZE_DURATION);
                 self.network.freeze(member, duration);
             }
             _ => {}
--- a/cluster/src/virtual_network.rs
+++ b/cluster/src/virtual_network.rs
@@ -70,9 +70,9 @@
     /// A process is frozen for a duration.
     Freeze { member: usize, duration: Micros },
     /// A frozen process resumes.
-    Thaw { member: usize },
+    Resume { member: usize },
     /// The network is partitioned, or the partition ends.
-    Cut(Partition),
+    SetPartition(Partition),
     /// An event of the test; an event for a member is deferred while the member is frozen.
     Scheduled { member: Option<usize>, event: E },
 }
@@ -83,7 +83,7 @@
         match self {
             Event::Tick { member, .. } | Event::Packet { to: member, .. } => Some(*member),
             Event::Scheduled { member, .. } => *member,
-            Event::Kill { .. } | Event::Freeze { .. } | Event::Thaw { .. } | Event::Cut(_) => None,
+            Event::Kill { .. } | Event::Freeze { .. } | Event::Resume { .. } | Event::SetPartition(_) => None,
         }
     }
 }
@@ -237,9 +237,9 @@
     }
 
     /// Schedules a network partition from one time until another.
-    pub(crate) fn schedule_cut(&mut self, from: Micros, until: Micros, partition: Partition) {
-        self.push(from, Event::Cut(partition));
-        self.push(until, Event::Cut(Partition::default()));
+    pub(crate) fn schedule_partition(&mut self, from: Micros, until: Micros, partition: Partition) {
+        self.push(from, Event::SetPartition(partition));
+        self.push(until, Event::SetPartition(Partition::default()));
     }
 
     fn push(&mut self, at: Micros, event: Event<M, E>) {
@@ -252,11 +252,11 @@
         for (to, message) in messages {
             self.packets += 1;
             let to = member_at(to);
-            let is_cut = self.partition.separates(from, to);
+            let is_partitioned = self.partition.separates(from, to);
             let copies = 1 + usize::from(self.random_bool(self.conditions.repeat));
             for _ in 0..copies {
                 let delay = self.random_delay();
-                if !is_cut && !self.random_bool(self.conditions.loss) {
+                if !is_partitioned && !self.random_bool(self.conditions.loss) {
                     let message = message.clone();
                     self.push(self.now + delay, Event::Packet { from, to, message });
                 }
@@ -310,11 +310,11 @@
                 self.freeze(member, duration);
                 None
             }
-            Event::Thaw { member } => {
-                self.thaw(member);
+            Event::Resume { member } => {
+                self.resume(member);
                 None
             }
-            Event::Cut(partition) => {
+            Event::SetPartition(partition) => {
                 self.partition = partition;
                 None
             }
@@ -335,11 +335,11 @@
     /// Freezes a process from now on for a duration.
     pub(crate) fn freeze(&mut self, member: usize, duration: Micros) {
         self.processes[member].is_frozen = true;
-        self.push(self.now + duration, Event::Thaw { member });
+        self.push(self.now + duration, Event::Resume { member });
     }
 
     /// Resumes a process and delivers its deferred events in order.
-    fn thaw(&mut self, member: usize) {
+    fn resume(&mut self, member: usize) {
         self.processes[member].is_frozen = false;
         for event in std::mem::take(&mut self.processes[member].waiting) {
             self.push(self.now, event);
--- a/cluster/src/virtual_network/conditions.rs
+++ b/cluster/src/virtual_network/conditions.rs
@@ -29,11 +29,11 @@
     /// The number of temporary freezes of processes.
     pub(crate) freezes: usize,
     /// The number of temporary network partitions.
-    pub(crate) cuts: usize,
+    pub(crate) partitions: usize,
 }
 
 /// A run without faults.
-pub(crate) const NO_FAULTS: Faults = Faults { kills: 0, freezes: 0, cuts: 0 };
+pub(crate) const NO_FAULTS: Faults = Faults { kills: 0, freezes: 0, partitions: 0 };
 
 /// A partition of the members into two sides.
 #[derive(Clone, Copy, Debug, Default)]
