--- a/cluster/src/failure_detector/tests.rs
+++ b/cluster/src/failure_detector/tests.rs
@@ -183,13 +183,13 @@
 #[ignore = "prints a table; run manually"]
 fn failure_detector_tables() {
     println!("| members | loss | detection p50, p99, max (ms) | recovery, max (ms) | lost a server | packets a second a member |");
-    for (members, loss) in [(12, 0.0), (100, 0.0), (100, 0.3), (300, 0.0), (300, 0.3), (500, 0.0)] {
+    for (members, loss_ratio) in [(12, 0.0), (100, 0.0), (100, 0.3), (300, 0.0), (300, 0.3), (500, 0.0)] {
         let scenario = Scenario {
             members,
             servers: 60,
             silent_servers: 7,
             requests_per_s: 1500.0 / members as f64,
-            conditions: Conditions { loss, ..MILD_CONDITIONS },
+            conditions: Conditions { loss_ratio, ..MILD_CONDITIONS },
             ..MILD
         };
         print_detection_times(scenario);
@@ -217,7 +217,7 @@
     println!(
         "| {} | {} | {} {} {} of {} | {} | {:.1} | {:.1} |",
         scenario.members,
-        scenario.conditions.loss,
+        scenario.conditions.loss_ratio,
         quantile(0.5),
         quantile(0.99),
         quantile(1.0),
--- a/cluster/src/failure_detector/tests/fleet.rs
+++ b/cluster/src/failure_detector/tests/fleet.rs
@@ -12,7 +12,7 @@
 use crate::virtual_network::{address, Arrival, Conditions, Faults, Partition, VirtualNetwork, NO_FAULTS};
 
 /// The maximum delay of a late packet.
-const LATE_DELAYS: &[Micros] = &[Micros::from_secs(9)];
+const MAX_LATE_DELAYS: &[Micros] = &[Micros::from_secs(9)];
 /// The maximum duration of a freeze of a process.
 const MAX_FREEZE_DURATION: Micros = Micros::from_secs(8);
 /// The maximum duration of a network partition.
@@ -46,13 +46,13 @@
 }
 
 pub(super) const MILD_CONDITIONS: Conditions = Conditions {
-    loss: 0.0,
-    repeat: 0.0,
+    loss_ratio: 0.0,
+    duplicate_ratio: 0.0,
     min_delay: Micros::ZERO,
-    delay: Micros::from_millis(20),
-    late: 0.0,
-    late_delays: LATE_DELAYS,
-    drift: 0.0005,
+    max_jitter: Micros::from_millis(20),
+    late_ratio: 0.0,
+    max_late_delays: MAX_LATE_DELAYS,
+    max_clock_drift: 0.0005,
 };
 
 pub(super) const MILD: Scenario = Scenario {
@@ -78,9 +78,9 @@
         seconds: 22,
         requests_per_s: 12.0,
         conditions: Conditions {
-            loss: 0.5 * rng.random::<f64>(),
-            repeat: 0.2 * rng.random::<f64>(),
-            late: 0.2 * rng.random::<f64>(),
+            loss_ratio: 0.5 * rng.random::<f64>(),
+            duplicate_ratio: 0.2 * rng.random::<f64>(),
+            late_ratio: 0.2 * rng.random::<f64>(),
             ..MILD_CONDITIONS
         },
         faults: Faults {
--- a/cluster/src/rate_limit/tests.rs
+++ b/cluster/src/rate_limit/tests.rs
@@ -78,8 +78,12 @@
     let used = used_share(&result, &scenario, 4, 20);
     println!("{used} {}", result.packets as f64 / 20.0 / 50.0);
     assert!(used > 0.85, "{used}");
-    let conditions =
-        Conditions { loss: 0.3, repeat: 0.05, delay: Micros::from_millis(50), ..CALM_CONDITIONS };
+    let conditions = Conditions {
+        loss_ratio: 0.3,
+        duplicate_ratio: 0.05,
+        max_jitter: Micros::from_millis(50),
+        ..CALM_CONDITIONS
+    };
     let lossy = Scenario { conditions, ..scenario };
     let used = used_share(&run_fleet(1, lossy), &lossy, 4, 20);
     assert!(used > 0.8, "with loss: {used}");
@@ -87,7 +91,7 @@
 
 #[test]
 fn a_member_that_no_message_reaches_uses_its_own_tokens() {
-    let conditions = Conditions { loss: 1.0, ..CALM_CONDITIONS };
+    let conditions = Conditions { loss_ratio: 1.0, ..CALM_CONDITIONS };
     let scenario = Scenario { conditions, requests_per_s: 40, demand_per_s: 200.0, ..CALM };
     let result = run_fleet(1, scenario);
     for member in 0..10 {
@@ -130,14 +134,14 @@
         "members", "limit", "loss", "use, three seeds"
     );
     for (members, requests_per_s) in [(10, 40), (50, 200), (100, 300), (100, 600), (300, 600), (500, 1_000)] {
-        for loss in [0.0, 0.3] {
+        for loss_ratio in [0.0, 0.3] {
             let scenario = Scenario {
                 members,
                 owners: members as u32,
                 requests_per_s,
                 demand_per_s: 2.0 * f64::from(requests_per_s),
                 uneven_share: 0.75,
-                conditions: Conditions { loss, delay: Micros::from_millis(25), ..CALM_CONDITIONS },
+                conditions: Conditions { loss_ratio, max_jitter: Micros::from_millis(25), ..CALM_CONDITIONS },
                 ..CALM
             };
             let results: Vec<RunResult> = (1..4).map(|seed| run_fleet(seed, scenario)).collect();
@@ -146,7 +150,10 @@
             let total = terms(&scenario).total_tokens() as usize;
             assert!(results.iter().all(|result| result.max_arrived <= total));
             let packets = results[0].packets as f64 / scenario.seconds as f64 / members as f64;
-            println!("{members:>8} {requests_per_s:>6} {loss:>5}  {:>22}  {packets:.1}", used.join(" "));
+            println!(
+                "{members:>8} {requests_per_s:>6} {loss_ratio:>5}  {:>22}  {packets:.1}",
+                used.join(" ")
+            );
         }
     }
 }
@@ -160,7 +167,7 @@
             requests_per_s: 500,
             demand_per_s: demand_share * 500.0,
             uneven_share,
-            conditions: Conditions { delay: Micros::from_millis(25), ..CALM_CONDITIONS },
+            conditions: Conditions { max_jitter: Micros::from_millis(25), ..CALM_CONDITIONS },
             ..CALM
         };
         let results: Vec<RunResult> = (1..=3).map(|seed| run_fleet(seed, scenario)).collect();
--- a/cluster/src/rate_limit/tests/fleet.rs
+++ b/cluster/src/rate_limit/tests/fleet.rs
@@ -27,7 +27,7 @@
 /// The maximum duration of a network partition.
 const MAX_PARTITION_DURATION: Micros = Micros::from_secs(5);
 /// The maximum delays of late packets: for half of them little more than a lease tolerates, for the other half far more.
-const LATE_DELAYS: &[Micros] = &[Micros::from_secs(2), Micros::from_secs(8)];
+const MAX_LATE_DELAYS: &[Micros] = &[Micros::from_secs(2), Micros::from_secs(8)];
 
 /// The configuration of a fleet, its demand and its faults.
 #[derive(Clone, Copy, Debug)]
@@ -214,13 +214,13 @@
 }
 
 pub(super) const CALM_CONDITIONS: Conditions = Conditions {
-    loss: 0.0,
-    repeat: 0.0,
+    loss_ratio: 0.0,
+    duplicate_ratio: 0.0,
     min_delay: Micros(500),
-    delay: Micros::from_millis(5),
-    late: 0.0,
-    late_delays: LATE_DELAYS,
-    drift: 0.0,
+    max_jitter: Micros::from_millis(5),
+    late_ratio: 0.0,
+    max_late_delays: MAX_LATE_DELAYS,
+    max_clock_drift: 0.0,
 };
 
 pub(super) const CALM: Scenario = Scenario {
@@ -245,11 +245,11 @@
     let mut up_to = |most: f64| most * rng.random::<f64>();
     let demand_per_s = up_to(150.0) + 10.0;
     let uneven_share = up_to(1.0);
-    let loss = up_to(0.5);
-    let repeat = up_to(0.2);
-    let late = up_to(0.4);
-    let delay = Micros(up_to(300_000.0) as u64 + 1);
-    let drift = up_to(0.001);
+    let loss_ratio = up_to(0.5);
+    let duplicate_ratio = up_to(0.2);
+    let late_ratio = up_to(0.4);
+    let max_jitter = Micros(up_to(300_000.0) as u64 + 1);
+    let max_clock_drift = up_to(0.001);
     Scenario {
         members,
         owners: rng.random_range(1..2 * members as u32),
@@ -258,7 +258,14 @@
         seconds: 14,
         demand_per_s,
         uneven_share,
-        conditions: Conditions { loss, repeat, late, delay, drift, ..CALM_CONDITIONS },
+        conditions: Conditions {
+            loss_ratio,
+            duplicate_ratio,
+            late_ratio,
+            max_jitter,
+            max_clock_drift,
+            ..CALM_CONDITIONS
+        },
         faults: Faults {
             kills: rng.random_range(0..8),
             freezes: rng.random_range(0..5),
--- a/cluster/src/retry_budget/tests.rs
+++ b/cluster/src/retry_budget/tests.rs
@@ -19,7 +19,7 @@
 /// The maximum age of credits: first attempts up to this time before a window may pay for retries in it.
 const CREDIT_AGE: Micros = Micros::from_secs(2);
 /// The maximum delay of a late packet.
-const LATE_DELAYS: &[Micros] = &[Micros::from_secs(4)];
+const MAX_LATE_DELAYS: &[Micros] = &[Micros::from_secs(4)];
 
 /// A fleet with lost, duplicated and late packets, restarts and freezes. Only the first member begins retries, and its demand
 /// exceeds the credits that it earns.
@@ -41,16 +41,16 @@
     is_bound_kept: bool,
 }
 
-fn run_fleet(seed: u64, retries_per_first_attempt: f64, repeats_all: bool) -> RunResult {
+fn run_fleet(seed: u64, retries_per_first_attempt: f64, duplicates_all: bool) -> RunResult {
     let members = ChaCha8Rng::seed_from_u64(seed).random_range(2..9);
     let conditions = Conditions {
-        loss: 0.2,
-        repeat: if repeats_all { 1.0 } else { 0.1 },
+        loss_ratio: 0.2,
+        duplicate_ratio: if duplicates_all { 1.0 } else { 0.1 },
         min_delay: Micros::ZERO,
-        delay: Micros::from_millis(50),
-        late: 0.05,
-        late_delays: LATE_DELAYS,
-        drift: 0.0,
+        max_jitter: Micros::from_millis(50),
+        late_ratio: 0.05,
+        max_late_delays: MAX_LATE_DELAYS,
+        max_clock_drift: 0.0,
     };
     let max_saved_credits = 10.0 * members as f64;
     let terms = RetryBudgetTerms { retries_per_first_attempt, max_saved_credits, holders: members as u32 };
--- a/cluster/src/virtual_network.rs
+++ b/cluster/src/virtual_network.rs
@@ -129,7 +129,7 @@
             is_running: false,
             is_frozen: false,
             waiting: Vec::new(),
-            clock_rate: 1.0 + conditions.drift * (2.0 * rng.random::<f64>() - 1.0),
+            clock_rate: 1.0 + conditions.max_clock_drift * (2.0 * rng.random::<f64>() - 1.0),
             clock_offset: Micros(rng.random_range(0..MAX_CLOCK_OFFSET.0)),
         });
         let processes = processes.collect();
@@ -253,10 +253,10 @@
             self.packets += 1;
             let to = member_at(to);
             let is_partitioned = self.partition.separates(from, to);
-            let copies = 1 + usize::from(self.random_bool(self.conditions.repeat));
+            let copies = 1 + usize::from(self.random_bool(self.conditions.duplicate_ratio));
             for _ in 0..copies {
                 let delay = self.random_delay();
-                if !is_partitioned && !self.random_bool(self.conditions.loss) {
+                if !is_partitioned && !self.random_bool(self.conditions.loss_ratio) {
                     let message = message.clone();
                     self.push(self.now + delay, Event::Packet { from, to, message });
                 }
@@ -265,14 +265,14 @@
     }
 
     fn random_delay(&mut self) -> Micros {
-        let Conditions { min_delay, delay, late, late_delays, .. } = self.conditions;
-        let max_delay = match late_delays {
-            [] => delay,
-            _ if !self.random_bool(late) => delay,
+        let Conditions { min_delay, max_jitter, late_ratio, max_late_delays, .. } = self.conditions;
+        let max_random_delay = match max_late_delays {
+            [] => max_jitter,
+            _ if !self.random_bool(late_ratio) => max_jitter,
             [latest] => *latest,
-            _ => late_delays[self.rng.random_range(0..late_delays.len())],
+            _ => max_late_delays[self.rng.random_range(0..max_late_delays.len())],
         };
-        min_delay + self.random_time(max_delay)
+        min_delay + self.random_time(max_random_delay)
     }
 
     /// Returns true with a probability.
--- a/cluster/src/virtual_network/conditions.rs
+++ b/cluster/src/virtual_network/conditions.rs
@@ -6,19 +6,19 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Conditions {
     /// The share of packets that are lost.
-    pub(crate) loss: f64,
+    pub(crate) loss_ratio: f64,
     /// The share of packets that are duplicated; either copy may be lost.
-    pub(crate) repeat: f64,
+    pub(crate) duplicate_ratio: f64,
     /// The minimum delay of a packet.
     pub(crate) min_delay: Micros,
     /// The maximum random delay of a packet in addition to the minimum, unless the packet is late.
-    pub(crate) delay: Micros,
+    pub(crate) max_jitter: Micros,
     /// The share of packets that are late, that is, delayed far longer than usual.
-    pub(crate) late: f64,
+    pub(crate) late_ratio: f64,
     /// The maximum random delays of late packets, one of them selected at random for each packet; if empty, no packet is late.
-    pub(crate) late_delays: &'static [Micros],
+    pub(crate) max_late_delays: &'static [Micros],
     /// The maximum ratio by which clocks run faster or slower than the network's time.
-    pub(crate) drift: f64,
+    pub(crate) max_clock_drift: f64,
 }
 
 /// The faults of a run other than those of single packets.
