--- a/cluster/src/failure_detector.rs
+++ b/cluster/src/failure_detector.rs
@@ -58,16 +58,16 @@
 
 /// The minimum time between two reports of one reporter with the same observation of one server.
 const MIN_REPORT_INTERVAL: Micros = Micros::from_millis(500);
-/// The number of reports of silence on one server, each newer than [`RECENT_REPORT`], at which this member adds no own report.
-const ENOUGH_REPORTS: usize = 5;
+/// The number of reports of silence on one server, each newer than [`MAX_RECENT_REPORT_AGE`], at which this member adds no own report.
+const SUFFICIENT_RECENT_REPORTS: usize = 5;
 /// The maximum age of a recent report.
-const RECENT_REPORT: Micros = Micros::SECOND;
+const MAX_RECENT_REPORT_AGE: Micros = Micros::SECOND;
 /// A server that has answered this member within this time is not avoided.
-const NOT_AVOIDED_AFTER_RESPONSE: Micros = Micros::SECOND;
+const NO_AVOIDANCE_AFTER_RESPONSE: Micros = Micros::SECOND;
 /// The minimum time between two trials of one suspected server by one member.
 const MIN_TRIAL_INTERVAL: Micros = Micros::SECOND;
 /// How long the time of the last trial of a suspected server is stored.
-const TRIAL_MEMORY: Micros = Micros::from_secs(10);
+const TRIAL_TIME_RETENTION: Micros = Micros::from_secs(10);
 /// The lower bound of the rate of requests of all members to one server, from which the probability of a trial is computed.
 const MIN_REQUESTS_PER_S: f64 = 1e-3;
 
@@ -153,8 +153,9 @@
         if !is_silent {
             return evidence::is_disputed(reports);
         }
-        let is_recent = |report: &&StoredReport| report.is_silent && now < report.seen + RECENT_REPORT;
-        reports.iter().filter(is_recent).count() < ENOUGH_REPORTS
+        let is_recent =
+            |report: &&StoredReport| report.is_silent && now < report.seen + MAX_RECENT_REPORT_AGE;
+        reports.iter().filter(is_recent).count() < SUFFICIENT_RECENT_REPORTS
             && self.own_observations.is_link_healthy()
             && !self.own_observations.has_just_answered(server.server, now)
     }
@@ -196,15 +197,15 @@
             return;
         }
         let reports = self.reports.entry(server).or_default();
-        let is_news = reports::merge(reports, report);
+        let is_new = reports::merge(reports, report);
         let silent_reports = reports.iter().filter(|report| report.is_silent).count();
         if reports.is_empty() {
             self.reports.remove(&server);
         }
-        if is_news {
+        if is_new {
             self.has_changed = true;
             let is_suspected = self.suspected.contains_key(&server);
-            self.dissemination.on_news(now, report.is_silent, silent_reports, is_suspected);
+            self.dissemination.on_new_report(now, report.is_silent, silent_reports, is_suspected);
         }
     }
 
@@ -217,7 +218,7 @@
         let has_changed = std::mem::take(&mut self.has_changed);
         // Cleared servers become usable at a set time, without a change of the reports.
         if has_changed || !self.suspected.is_empty() {
-            self.last_trials.retain(|_, at| now < *at + TRIAL_MEMORY);
+            self.last_trials.retain(|_, at| now < *at + TRIAL_TIME_RETENTION);
             self.dissemination.update_digests(&self.reports, self.terms.min_reporters);
             self.decide_suspected(now);
         }
@@ -231,9 +232,9 @@
     fn expire_reports(&mut self, now: Micros) {
         let lifetime = self.terms.local_lifetime();
         for reports in self.reports.values_mut() {
-            let before = reports.len();
+            let previous_count = reports.len();
             reports.retain(|report| now < report.seen + lifetime);
-            self.has_changed |= reports.len() < before;
+            self.has_changed |= reports.len() < previous_count;
         }
         self.reports.retain(|_, reports| !reports.is_empty());
     }
@@ -245,7 +246,7 @@
             zone: self.zone,
             reports: &self.reports,
             serving: &self.serving,
-            before: &self.suspected,
+            previous: &self.suspected,
         };
         let decision = rules.decide(now, &mut self.rng);
         self.suspected = decision.suspected;
@@ -265,7 +266,7 @@
         now: Micros,
     ) -> bool {
         let server = self.lookup_key(server);
-        if !self.suspected.contains_key(&server) || now < last_response + NOT_AVOIDED_AFTER_RESPONSE {
+        if !self.suspected.contains_key(&server) || now < last_response + NO_AVOIDANCE_AFTER_RESPONSE {
             return false;
         }
         let Some(seen) = self.newest_silent_report(server, now) else { return false };
@@ -288,8 +289,9 @@
     /// Randomly decides whether to send a trial request to a suspected server, such that all members together send about
     /// `trials_per_s` trial requests a second.
     fn sample_trial(&mut self, server: ServerIncarnation, responses_per_second: f64, now: Micros) -> bool {
-        let has_rested = self.last_trials.get(&server).is_none_or(|last| now >= *last + MIN_TRIAL_INTERVAL);
-        if !has_rested {
+        let is_interval_over =
+            self.last_trials.get(&server).is_none_or(|last| now >= *last + MIN_TRIAL_INTERVAL);
+        if !is_interval_over {
             return false;
         }
         let requests_of_all = (self.members as f64 * responses_per_second).max(MIN_REQUESTS_PER_S);
--- a/cluster/src/failure_detector/dissemination.rs
+++ b/cluster/src/failure_detector/dissemination.rs
@@ -11,9 +11,9 @@
 use crate::open_requests::OpenRequests;
 
 /// The maximum number of answers between two ticks; further queries of a flood are ignored.
-pub(super) const MAX_ANSWERS: usize = 12;
+pub(super) const MAX_ANSWERS_PER_TICK: usize = 12;
 /// The maximum number of queries back between two ticks, to members whose queries show that they have different reports.
-pub(super) const MAX_QUERIES_BACK: usize = 2;
+pub(super) const MAX_QUERIES_BACK_PER_TICK: usize = 2;
 /// The number of members queried in an urgent round.
 const MEMBERS_PER_URGENT_ROUND: usize = 2;
 /// The time between two rounds of queries while urgent reports are spread.
@@ -23,11 +23,11 @@
 /// The time between two rounds of queries while there are no reports.
 const IDLE_INTERVAL: Micros = Micros::from_secs(2);
 /// How long an own report is spread urgently.
-const OWN_REPORT_URGENT_FOR: Micros = Micros::from_millis(200);
+const OWN_REPORT_URGENT_DURATION: Micros = Micros::from_millis(200);
 /// How long a report that may change which servers are suspected is spread urgently.
-const NEWS_URGENT_FOR: Micros = Micros::from_millis(500);
+const NEW_REPORT_URGENT_DURATION: Micros = Micros::from_millis(500);
 /// How long a member sends urgent queries after its start.
-const START_URGENT_FOR: Micros = Micros::from_secs(2);
+const START_URGENT_DURATION: Micros = Micros::from_secs(2);
 /// The time after which answers to a query are ignored.
 const QUERY_TIMEOUT: Micros = Micros::SECOND;
 
@@ -63,7 +63,7 @@
             queries: OpenRequests::new(QUERY_TIMEOUT),
             rounds: Interval::default(),
             urgent_rounds: Interval::default(),
-            urgent_until: now + START_URGENT_FOR,
+            urgent_until: now + START_URGENT_DURATION,
             own_report_urgent_until: Micros::ZERO,
             answered: 0,
             digest: 0,
@@ -73,22 +73,22 @@
 
     /// Handles a report that this member has made.
     pub(super) fn on_own_report(&mut self, now: Micros) {
-        self.own_report_urgent_until = now + OWN_REPORT_URGENT_FOR;
+        self.own_report_urgent_until = now + OWN_REPORT_URGENT_DURATION;
     }
 
     /// Handles a report that was not known: it is urgent if it may change whether its server is suspected. `silent_reports`
     /// counts the reports of silence on that server, including cleared ones.
-    pub(super) fn on_news(
+    pub(super) fn on_new_report(
         &mut self,
         now: Micros,
         is_silent: bool,
         silent_reports: usize,
         is_suspected: bool,
     ) {
-        let may_be_suspected = is_silent && !is_suspected && silent_reports >= evidence::URGENT_REPORTS;
+        let may_be_suspected = is_silent && !is_suspected && silent_reports >= evidence::MIN_URGENT_REPORTS;
         let may_be_cleared = !is_silent && is_suspected;
         if may_be_suspected || may_be_cleared {
-            self.urgent_until = now + NEWS_URGENT_FOR;
+            self.urgent_until = now + NEW_REPORT_URGENT_DURATION;
         }
     }
 
@@ -108,7 +108,7 @@
 
     /// Takes one answer from the limit for the current tick; false if none is left.
     pub(super) fn take_answer(&mut self) -> bool {
-        if self.answered >= MAX_ANSWERS {
+        if self.answered >= MAX_ANSWERS_PER_TICK {
             return false;
         }
         self.answered += 1;
@@ -123,7 +123,7 @@
             QueryScope::AllMutual => QueryScope::All,
             QueryScope::All | QueryScope::Urgent => return None,
         };
-        (self.answered <= MAX_QUERIES_BACK).then_some(scope_back)
+        (self.answered <= MAX_QUERIES_BACK_PER_TICK).then_some(scope_back)
     }
 
     /// Opens a query to a member and returns its send time, which identifies it.
@@ -183,35 +183,38 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AnswerRank {
     /// The number of newer reports on the same server, divided by `min_reporters`.
-    layer: usize,
+    quorum_index: usize,
     /// The server's distance from the first server in the order of the table, with wrap-around.
-    turn: usize,
+    server_distance: usize,
     /// The report's index among the reports on its server.
-    place: usize,
+    report_index: usize,
 }
 
 /// The reports of an answer, with their ages. If not all reports fit, the newest `min_reporters` reports on each server come
-/// first, beginning with the server at index `first`, and then older reports.
+/// first, beginning with the server at index `first_server`, and then older reports.
 pub(super) fn answer(
     table: &ReportTable,
     now: Micros,
     scope: QueryScope,
-    first: usize,
+    first_server: usize,
     min_reporters: usize,
 ) -> Vec<Report> {
     let is_complete = matches!(scope, QueryScope::All | QueryScope::AllMutual);
-    let mut ranked: Vec<(AnswerRank, Report)> = Vec::new();
-    for (number, (server, reports)) in table.iter().enumerate() {
+    let mut ranked_reports: Vec<(AnswerRank, Report)> = Vec::new();
+    for (server_index, (server, reports)) in table.iter().enumerate() {
         if !is_complete && !evidence::is_urgent(reports) {
             continue;
         }
-        let turn = (number + table.len() - first) % table.len();
-        for (place, report) in reports.iter().enumerate() {
-            let layer = place / min_reporters.max(1);
-            ranked.push((AnswerRank { layer, turn, place }, report.to_report(*server, now)));
+        let server_distance = (server_index + table.len() - first_server) % table.len();
+        for (report_index, report) in reports.iter().enumerate() {
+            let quorum_index = report_index / min_reporters.max(1);
+            ranked_reports.push((
+                AnswerRank { quorum_index, server_distance, report_index },
+                report.to_report(*server, now),
+            ));
         }
     }
-    ranked.sort_unstable_by_key(|(rank, _)| *rank);
-    ranked.truncate(MAX_REPORTS);
-    ranked.into_iter().map(|(_, report)| report).collect()
+    ranked_reports.sort_unstable_by_key(|(rank, _)| *rank);
+    ranked_reports.truncate(MAX_REPORTS);
+    ranked_reports.into_iter().map(|(_, report)| report).collect()
 }
--- a/cluster/src/failure_detector/evidence.rs
+++ b/cluster/src/failure_detector/evidence.rs
@@ -8,9 +8,9 @@
 
 /// The number of reports of silence on a server from which they are urgent: a single report mostly means that the server was
 /// slow for a moment.
-pub(super) const URGENT_REPORTS: usize = 2;
+pub(super) const MIN_URGENT_REPORTS: usize = 2;
 /// A reporter of at most this number of silent servers is never discredited, even if there are very few servers.
-const MIN_DISCREDITING_REPORTS: usize = 2;
+const MIN_CREDIBLE_SILENT_SERVERS: usize = 2;
 
 /// Reports of silence that no answer has cleared. An answer clears older reports of its own zone. It clears older reports of
 /// other zones only if it is a recovery, which shows a change of the server; otherwise it is evidence only for its own network
@@ -42,7 +42,7 @@
 
 /// Whether the reports on a server are spread urgently: there are enough reports of silence, or one of recovery.
 pub(super) fn is_urgent(reports: &[StoredReport]) -> bool {
-    uncleared_count(reports) >= URGENT_REPORTS || reports.iter().any(|report| report.is_recovery)
+    uncleared_count(reports) >= MIN_URGENT_REPORTS || reports.iter().any(|report| report.is_recovery)
 }
 
 /// Whether further reports cannot change the decision on a server with urgent reports: enough members report it silent, or none
@@ -55,11 +55,11 @@
 /// A digest of the urgent reports. A server that enough members report silent contributes the same value whatever the number
 /// and the stamps of the reports.
 pub(super) fn urgent_digest(table: &ReportTable, min_reporters: usize) -> u64 {
-    let everybody_believed = BTreeSet::new();
+    let no_discredited = BTreeSet::new();
     let mut digest: u64 = 0;
     for (server, reports) in table.iter().filter(|(_, reports)| is_urgent(reports)) {
         let server = server.hash();
-        let silent: Vec<&StoredReport> = uncleared(reports, &everybody_believed).collect();
+        let silent: Vec<&StoredReport> = uncleared(reports, &no_discredited).collect();
         if silent.len() >= min_reporters {
             digest ^= server;
         } else {
@@ -80,8 +80,12 @@
     for report in table.values().flatten().filter(|report| report.is_silent) {
         *silent_servers.entry(report.reporter).or_default() += 1;
     }
-    let most = (servers / 2).max(MIN_DISCREDITING_REPORTS);
-    silent_servers.into_iter().filter(|(_, count)| *count > most).map(|(reporter, _)| reporter).collect()
+    let max_silent_servers = (servers / 2).max(MIN_CREDIBLE_SILENT_SERVERS);
+    silent_servers
+        .into_iter()
+        .filter(|(_, count)| *count > max_silent_servers)
+        .map(|(reporter, _)| reporter)
+        .collect()
 }
 
 /// The number of reporters on whose reports a member of this zone suspects a server; zero if it does not suspect the server.
--- a/cluster/src/failure_detector/exchange.rs
+++ b/cluster/src/failure_detector/exchange.rs
@@ -24,8 +24,9 @@
         if digest == self.dissemination.digest(scope) || !self.dissemination.take_answer() {
             return;
         }
-        let first = self.rng.random_range(0..self.reports.len().max(1));
-        let reports = dissemination::answer(&self.reports, now, scope, first, self.terms.min_reporters);
+        let first_server = self.rng.random_range(0..self.reports.len().max(1));
+        let reports =
+            dissemination::answer(&self.reports, now, scope, first_server, self.terms.min_reporters);
         if !reports.is_empty() {
             self.outgoing.push((from, Message::Reports { sent, reports }));
         }
--- a/cluster/src/failure_detector/own_observations.rs
+++ b/cluster/src/failure_detector/own_observations.rs
@@ -10,7 +10,7 @@
 const MAX_OBSERVATIONS: usize = 64;
 /// A server that has answered this member within this time is not reported silent: a request times out after about this time,
 /// so that the server has answered since the request was sent.
-const NOT_REPORTED_AFTER_RESPONSE: Micros = Micros::from_millis(500);
+const NO_REPORT_AFTER_RESPONSE: Micros = Micros::from_millis(500);
 
 /// The outcome of one own request.
 #[derive(Clone, Copy, Debug)]
@@ -49,12 +49,12 @@
         2 * silent <= is_silent_by_server.len()
     }
 
-    /// Whether a server has answered within [`NOT_REPORTED_AFTER_RESPONSE`].
+    /// Whether a server has answered within [`NO_REPORT_AFTER_RESPONSE`].
     pub(super) fn has_just_answered(&self, server: ServerId, now: Micros) -> bool {
         self.observations.iter().any(|observation| {
             !observation.is_silent
                 && observation.server == server
-                && now < observation.at + NOT_REPORTED_AFTER_RESPONSE
+                && now < observation.at + NO_REPORT_AFTER_RESPONSE
         })
     }
 }
--- a/cluster/src/failure_detector/reports.rs
+++ b/cluster/src/failure_detector/reports.rs
@@ -59,20 +59,20 @@
 /// Merges a report into those of its server; returns whether the report was new and is kept. Reports that can no longer have an
 /// effect are dropped, so that the order in which reports are merged makes no difference.
 pub(super) fn merge(reports: &mut Vec<StoredReport>, report: StoredReport) -> bool {
-    let mut is_news = true;
+    let mut is_new = true;
     match reports.iter_mut().find(|known| known.reporter == report.reporter) {
         Some(known) if known.rank() >= report.rank() => return false,
         Some(known) => {
-            is_news = known.stamp < report.stamp;
+            is_new = known.stamp < report.stamp;
             *known = report;
         }
         None => reports.push(report),
     }
     // Reports with equal times are ordered by reporter, so that the order of arrival does not matter.
-    reports.sort_unstable_by_key(|one| (Reverse(one.seen), one.reporter));
+    reports.sort_unstable_by_key(|stored| (Reverse(stored.seen), stored.reporter));
     let mut retention = Retention::default();
-    reports.retain(|one| retention.keeps(one));
-    is_news && reports.contains(&report)
+    reports.retain(|stored| retention.keeps(stored));
+    is_new && reports.contains(&report)
 }
 
 /// Selects the reports on one server that are kept; applied to each report from the newest to the oldest.
--- a/cluster/src/failure_detector/suspicion.rs
+++ b/cluster/src/failure_detector/suspicion.rs
@@ -41,7 +41,7 @@
     pub(super) reports: &'a ReportTable,
     pub(super) serving: &'a ServingServers,
     /// The servers suspected by the previous decision.
-    pub(super) before: &'a SuspectedServers,
+    pub(super) previous: &'a SuspectedServers,
 }
 
 /// The result of a decision on the suspected servers.
@@ -73,7 +73,7 @@
         let discredited = evidence::discredited_reporters(self.reports, self.serving.len());
         let mut candidates: Vec<(usize, ServerIncarnation)> = Vec::new();
         for (server, reports) in self.reports {
-            let is_suspected = self.before.contains_key(server);
+            let is_suspected = self.previous.contains_key(server);
             let min_reporters = self.terms.min_reporters;
             let reporters =
                 evidence::believed_reporters(reports, &discredited, self.zone, min_reporters, is_suspected);
@@ -83,7 +83,7 @@
         }
         // Servers that are already suspected take precedence, then those with more reporters.
         candidates.sort_by_key(|(reporters, server)| {
-            (!self.before.contains_key(server), usize::MAX - reporters, *server)
+            (!self.previous.contains_key(server), usize::MAX - reporters, *server)
         });
         let candidates = candidates.into_iter().map(|(_, server)| server);
         let mut decision = self.within_limits(candidates);
@@ -120,7 +120,7 @@
 
     /// Adds the cleared servers whose return delay is not over; a server whose reports have all expired is used at once.
     fn add_cleared(&self, suspected: &mut SuspectedServers, now: Micros, rng: &mut ChaCha8Rng) {
-        for (server, suspicion) in self.before {
+        for (server, suspicion) in self.previous {
             let until = match suspicion {
                 Suspicion::Reported => now + Micros(rng.random_range(0..MAX_RETURN_DELAY.0)),
                 Suspicion::ClearedButAvoidedUntil(until) => *until,
--- a/cluster/src/failure_detector/tests.rs
+++ b/cluster/src/failure_detector/tests.rs
@@ -6,7 +6,7 @@
 
 use juniperladder::ServerId;
 
-use super::dissemination::{MAX_ANSWERS, MAX_QUERIES_BACK};
+use super::dissemination::{MAX_ANSWERS_PER_TICK, MAX_QUERIES_BACK_PER_TICK};
 use super::*;
 use crate::virtual_network::{address, Conditions};
 use fleet::{random_scenario, run_fleet, terms, Scenario, MILD, MILD_CONDITIONS};
@@ -82,9 +82,9 @@
         // Zone 2 reported the server silent before it answered there.
         is_recovery: !is_silent && zone == 2,
     };
-    let all_believed = BTreeSet::new();
+    let no_discredited = BTreeSet::new();
     let believed = |reports: &[StoredReport], zone, is_suspected| {
-        evidence::believed_reporters(reports, &all_believed, zone, 3, is_suspected)
+        evidence::believed_reporters(reports, &no_discredited, zone, 3, is_suspected)
     };
     let mut reports = Vec::new();
     for reporter in 0..3 {
@@ -174,7 +174,7 @@
     }
     let stored = detector.reports.len();
     assert!(stored <= MAX_REPORTS, "more than one answer to one query was accepted: {stored} reports");
-    assert!(detector.drain().count() <= MAX_ANSWERS + MAX_QUERIES_BACK);
+    assert!(detector.drain().count() <= MAX_ANSWERS_PER_TICK + MAX_QUERIES_BACK_PER_TICK);
 }
 
 /// Prints detection times by fleet size; run manually with
