--- a/cluster/src/failure_detector.rs
+++ b/cluster/src/failure_detector.rs
@@ -318,7 +318,7 @@
 
     /// The key under which reports on a server are stored.
     fn lookup_key(&self, server: ServerIncarnation) -> ServerIncarnation {
-        if self.defect.is_active(Defect::AddressForIncarnation) {
+        if self.defect.is_active(Defect::StartTimeIgnored) {
             ServerIncarnation { started: Micros::ZERO, ..server }
         } else {
             server
@@ -330,9 +330,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Defect {
     /// The age of a report at its sender is ignored.
-    AgeNotCarried,
+    SenderAgeIgnored,
     /// A report counts as observed at its receipt, so that every repetition renews it.
-    RenewedByHearsay,
+    ObservedAtReceipt,
     /// The start time of a server is ignored: a new incarnation inherits the reports on the old one.
-    AddressForIncarnation,
+    StartTimeIgnored,
 }
--- a/cluster/src/failure_detector/exchange.rs
+++ b/cluster/src/failure_detector/exchange.rs
@@ -68,10 +68,10 @@
     /// The earliest possible time of a report's observation, in microseconds of the own clock; negative if before its zero.
     /// The bound starts from the send time of the query, because the answer is only known to have been written after that.
     fn earliest_seen(&self, now: Micros, sent: Micros, age: Micros) -> i64 {
-        if self.defect.is_active(Defect::RenewedByHearsay) {
+        if self.defect.is_active(Defect::ObservedAtReceipt) {
             return now.0 as i64;
         }
-        let age = if self.defect.is_active(Defect::AgeNotCarried) { 0.0 } else { age.as_f64() };
+        let age = if self.defect.is_active(Defect::SenderAgeIgnored) { 0.0 } else { age.as_f64() };
         (sent.as_f64() - age * (1.0 + 2.0 * self.terms.clock_drift)) as i64
     }
 
--- a/cluster/src/failure_detector/tests.rs
+++ b/cluster/src/failure_detector/tests.rs
@@ -31,7 +31,7 @@
 
 #[test]
 fn injected_defects_are_caught() {
-    for defect in [Defect::AgeNotCarried, Defect::RenewedByHearsay, Defect::AddressForIncarnation] {
+    for defect in [Defect::SenderAgeIgnored, Defect::ObservedAtReceipt, Defect::StartTimeIgnored] {
         let caught = (0..200).find(|seed| {
             let scenario = Scenario { defect: Some(defect), ..random_scenario(*seed) };
             run_fleet(*seed, scenario).violation.is_some()
--- a/cluster/src/rate_limit.rs
+++ b/cluster/src/rate_limit.rs
@@ -310,7 +310,7 @@
     /// The borrower counts a lease from the receipt of its grant.
     LeaseFromReceipt,
     /// The owner applies a request that is older than one already applied.
-    OldRequestsObeyed,
+    OutdatedRequestsApplied,
     /// The owner applies a request of a new incarnation to the lease of the old one.
-    OldIncarnationObeyed,
+    RequestIncarnationIgnored,
 }
--- a/cluster/src/rate_limit/owner.rs
+++ b/cluster/src/rate_limit/owner.rs
@@ -56,7 +56,7 @@
         let is_borrowers = |lease: &GrantedLease| {
             let is_same_incarnation = lease.incarnation == request.incarnation;
             lease.borrower == borrower
-                && (is_same_incarnation || self.defect.is_active(Defect::OldIncarnationObeyed))
+                && (is_same_incarnation || self.defect.is_active(Defect::RequestIncarnationIgnored))
         };
         let index = self.granted.iter().position(|lease| is_borrowers(lease) && lease.is_locked(now));
         let Some(index) = index else {
@@ -72,7 +72,7 @@
     fn is_outdated(&self, request: &LeaseRequest, lease: &GrantedLease) -> bool {
         request.sent <= lease.newest_request
             && request.incarnation == lease.incarnation
-            && !self.defect.is_active(Defect::OldRequestsObeyed)
+            && !self.defect.is_active(Defect::OutdatedRequestsApplied)
     }
 
     /// The number of tokens that this owner recalls now because it has too few itself. The grant is reduced by this number, but
--- a/cluster/src/rate_limit/tests.rs
+++ b/cluster/src/rate_limit/tests.rs
@@ -30,7 +30,8 @@
 #[test]
 fn injected_defects_are_caught() {
     let defects =
-        [Defect::LeaseFromReceipt, Defect::OldRequestsObeyed, Defect::OldIncarnationObeyed].map(Some);
+        [Defect::LeaseFromReceipt, Defect::OutdatedRequestsApplied, Defect::RequestIncarnationIgnored]
+            .map(Some);
     let with_start_wait = defects.into_iter().map(|defect| (defect, false));
     for (defect, without_start_wait) in with_start_wait.chain([(None, true)]) {
         let caught = (0..10 * SCHEDULES).find(|seed| {
