--- a/cluster/src/rate_limit.rs
+++ b/cluster/src/rate_limit.rs
@@ -60,7 +60,7 @@
 /// How long a request waits if this member has no usable token; by then it may have leased some.
 pub const WAIT_WITHOUT_TOKENS: Micros = Micros::from_millis(50);
 /// The number of tokens that a member wants in addition to its usable ones while a request waits.
-const TOKENS_FOR_WAITING_REQUEST: u32 = 2;
+const EXTRA_TOKENS_FOR_WAITING_REQUEST: u32 = 2;
 
 /// One member's part of one limit. It enforces the maximum rate but does not guarantee a minimum: a member without tokens
 /// waits, and own tokens are unusable for [`RateLimitTerms::lock_time`] after a start.
@@ -232,7 +232,7 @@
         let demanded = self.demanded_tokens();
         let has_waiting_request = std::mem::take(&mut self.has_waiting_request);
         if has_waiting_request && demanded <= usable {
-            usable + TOKENS_FOR_WAITING_REQUEST
+            usable + EXTRA_TOKENS_FOR_WAITING_REQUEST
         } else {
             demanded
         }
--- a/cluster/src/rate_limit/borrower.rs
+++ b/cluster/src/rate_limit/borrower.rs
@@ -10,9 +10,9 @@
 use super::{Defect, RateLimit};
 
 /// The maximum number of owners to which one round sends requests.
-const OWNERS_PER_ROUND: usize = 2;
+const MAX_OWNERS_PER_ROUND: usize = 2;
 /// The maximum number of members sampled in one round; some of them may be skipped because of a recent request.
-const SAMPLES_PER_ROUND: usize = 2 * OWNERS_PER_ROUND;
+const SAMPLES_PER_ROUND: usize = 2 * MAX_OWNERS_PER_ROUND;
 /// The minimum time between two requests for more tokens to the same sampled owner.
 const SAME_OWNER_INTERVAL: Micros = Micros::from_millis(600);
 /// The maximum number of owners from which one borrower holds or requests leases.
@@ -27,8 +27,8 @@
 }
 
 impl RequestRound {
-    fn is_over(&self) -> bool {
-        self.asked == OWNERS_PER_ROUND || self.shortfall == 0
+    fn is_complete(&self) -> bool {
+        self.asked == MAX_OWNERS_PER_ROUND || self.shortfall == 0
     }
 }
 
@@ -65,7 +65,7 @@
             (0..self.held.len()).filter(|index| self.held[*index].available_at_owner > 0).collect();
         known.sort_unstable_by_key(|index| Reverse(self.held[*index].available_at_owner));
         for index in known {
-            if round.is_over() {
+            if round.is_complete() {
                 return;
             }
             let additional = self.held[index].available_at_owner.min(round.shortfall);
@@ -83,7 +83,7 @@
         random_peer: &mut impl FnMut() -> Option<SocketAddr>,
     ) {
         for _ in 0..SAMPLES_PER_ROUND {
-            if round.is_over() {
+            if round.is_complete() {
                 return;
             }
             let Some(owner) = random_peer() else { return };
@@ -118,7 +118,7 @@
     fn send_request(&mut self, now: Micros, index: usize) {
         let uses_fit = self.uses.count(now) <= self.usable_tokens(now) as usize;
         let lease = &mut self.held[index];
-        if lease.target_tokens < lease.most_known_to_owner() && !uses_fit {
+        if lease.target_tokens < lease.max_known_to_owner() && !uses_fit {
             return;
         }
         let sent = lease.record_request(now);
@@ -141,10 +141,10 @@
         self.held.sort_unstable_by_key(|lease| lease.usable_tokens(now));
         for lease in &mut self.held {
             let usable = lease.usable_tokens(now);
-            let given_back = usable.min(surplus);
-            if given_back > 0 {
-                lease.target_tokens = usable - given_back;
-                surplus -= given_back;
+            let returned = usable.min(surplus);
+            if returned > 0 {
+                lease.target_tokens = usable - returned;
+                surplus -= returned;
             }
         }
     }
@@ -160,6 +160,6 @@
             }
         }
         let window = self.terms.window();
-        self.held.retain(|lease| !lease.is_forgotten(now, window));
+        self.held.retain(|lease| !lease.is_unused(now, window));
     }
 }
--- a/cluster/src/rate_limit/demand.rs
+++ b/cluster/src/rate_limit/demand.rs
@@ -3,7 +3,7 @@
 use juniperladder::Micros;
 
 /// The time constant of the exponential average of the demand.
-const AVERAGED_OVER: Micros = Micros::from_millis(1_500);
+const AVERAGING_TIME: Micros = Micros::from_millis(1_500);
 /// The ratio of wanted tokens to the average demand; the demand varies around its average.
 const HEADROOM_FACTOR: f64 = 1.05;
 /// Added to a number of tokens before it is rounded down, so that 0.7 of a token counts as one.
@@ -26,13 +26,13 @@
     /// Adds a request that needs a token.
     pub(super) fn add_request(&mut self, now: Micros) {
         self.decay(now);
-        self.rate += 1.0 / AVERAGED_OVER.as_f64();
+        self.rate += 1.0 / AVERAGING_TIME.as_f64();
     }
 
     /// Decays the average to this time.
     pub(super) fn decay(&mut self, now: Micros) {
         let elapsed = now - self.updated;
-        self.rate *= (-elapsed.as_f64() / AVERAGED_OVER.as_f64()).exp();
+        self.rate *= (-elapsed.as_f64() / AVERAGING_TIME.as_f64()).exp();
         self.updated = now;
     }
 
--- a/cluster/src/rate_limit/lease.rs
+++ b/cluster/src/rate_limit/lease.rs
@@ -8,7 +8,7 @@
 use super::message::LeaseGrant;
 
 /// The maximum number of sent requests that a borrower stores for one owner; more than it sends within a lease.
-const MAX_REMEMBERED_REQUESTS: usize = 32;
+const MAX_STORED_REQUESTS: usize = 32;
 /// The number of renewals within a lease duration.
 const RENEWALS_PER_LEASE: u64 = 2;
 /// The number of renewals within a lease duration if packets to or from the owner are lost.
@@ -116,9 +116,9 @@
 
     /// The maximum number of tokens that the owner may consider held here: the most that was requested from it or granted by
     /// it.
-    pub(super) fn most_known_to_owner(&self) -> u32 {
-        let most_requested = self.requests.iter().map(|request| request.tokens).max().unwrap_or(0);
-        most_requested.max(self.tokens)
+    pub(super) fn max_known_to_owner(&self) -> u32 {
+        let max_requested = self.requests.iter().map(|request| request.tokens).max().unwrap_or(0);
+        max_requested.max(self.tokens)
     }
 
     /// Whether a grant answers a request that this borrower sent and that is newer than the last one answered.
@@ -131,7 +131,7 @@
         // Each request needs a different send time to be distinguished from the others.
         let sent = now.max(self.last_request() + Micros(1));
         self.requests.push_back(SentRequest { sent, tokens: self.target_tokens });
-        if self.requests.len() > MAX_REMEMBERED_REQUESTS {
+        if self.requests.len() > MAX_STORED_REQUESTS {
             self.requests.pop_front();
         }
         // Tokens that this request returns belong to the owner from now on, even if the target rises again.
@@ -152,8 +152,8 @@
     pub(super) fn extend(&mut self, grant: &LeaseGrant, expires: Micros) {
         // The owner may already have received a later request for fewer tokens and freed the difference.
         let requested_since = self.requests.iter().filter(|request| request.sent >= grant.sent);
-        let least_requested = requested_since.map(|request| request.tokens).min().unwrap_or(0);
-        self.tokens = grant.tokens.min(least_requested);
+        let min_requested = requested_since.map(|request| request.tokens).min().unwrap_or(0);
+        self.tokens = grant.tokens.min(min_requested);
         self.expires = expires;
         self.target_tokens = self.target_tokens.min(grant.tokens);
     }
@@ -171,9 +171,9 @@
     /// Whether a request to the owner is due, to return tokens, to renew the lease or to repeat an unanswered request.
     pub(super) fn is_request_due(&self, now: Micros, lease_duration: Micros) -> bool {
         let last_requested_tokens = self.requests.back().map_or(0, |request| request.tokens);
-        let gives_back = self.target_tokens < last_requested_tokens;
+        let returns_tokens = self.target_tokens < last_requested_tokens;
         let is_wanted = self.is_active(now) || self.target_tokens > 0;
-        gives_back || (is_wanted && now >= self.last_request() + self.request_interval(lease_duration))
+        returns_tokens || (is_wanted && now >= self.last_request() + self.request_interval(lease_duration))
     }
 
     fn request_interval(&self, lease_duration: Micros) -> Micros {
@@ -187,7 +187,7 @@
     }
 
     /// Whether the record can be removed: no token of this owner was usable or requested within the last window.
-    pub(super) fn is_forgotten(&self, now: Micros, window: Micros) -> bool {
+    pub(super) fn is_unused(&self, now: Micros, window: Micros) -> bool {
         now >= self.expires + window && now >= self.last_request() + window
     }
 }
--- a/cluster/src/rate_limit/owner.rs
+++ b/cluster/src/rate_limit/owner.rs
@@ -39,10 +39,10 @@
     /// remaining tokens.
     fn leasable_tokens(&mut self, now: Micros) -> u32 {
         let usable_own = self.usable_own_tokens(now);
-        let kept = self.demanded_tokens().max(MIN_RESERVED_TOKENS).min(usable_own);
+        let reserved = self.demanded_tokens().max(MIN_RESERVED_TOKENS).min(usable_own);
         let used = self.uses.count(now);
         let unused = (self.usable_tokens(now) as usize).saturating_sub(used) as u32;
-        (usable_own - kept).min(unused)
+        (usable_own - reserved).min(unused)
     }
 
     /// Removes the borrower's lease from the records and returns it, or an empty lease if there is none; `None` if the request
@@ -53,12 +53,12 @@
         borrower: SocketAddr,
         request: &LeaseRequest,
     ) -> Option<GrantedLease> {
-        let is_borrowers = |lease: &GrantedLease| {
+        let is_lease_of_borrower = |lease: &GrantedLease| {
             let is_same_incarnation = lease.incarnation == request.incarnation;
             lease.borrower == borrower
                 && (is_same_incarnation || self.defect.is_active(Defect::RequestIncarnationIgnored))
         };
-        let index = self.granted.iter().position(|lease| is_borrowers(lease) && lease.is_locked(now));
+        let index = self.granted.iter().position(|lease| is_lease_of_borrower(lease) && lease.is_locked(now));
         let Some(index) = index else {
             return Some(GrantedLease::empty(borrower, request.incarnation));
         };
--- a/cluster/src/rate_limit/use_window.rs
+++ b/cluster/src/rate_limit/use_window.rs
@@ -33,7 +33,7 @@
     /// The time until fewer than `tokens` of the counted requests are within the window, at least a microsecond. `tokens` must
     /// be from one to the number of counted requests.
     pub(super) fn time_until_below(&self, tokens: usize, now: Micros) -> Micros {
-        let last_to_leave = self.uses[self.uses.len() - tokens];
-        (last_to_leave + self.window - now).max(Micros(1))
+        let last_to_expire = self.uses[self.uses.len() - tokens];
+        (last_to_expire + self.window - now).max(Micros(1))
     }
 }
--- a/cluster/src/slow_start_limit.rs
+++ b/cluster/src/slow_start_limit.rs
@@ -62,8 +62,8 @@
         }
         let total = self.total_tokens(server.started, now);
         let first_position = server.hash() % u64::from(owners);
-        let turn = (position + owners - first_position as u32) % owners;
-        total / owners + u32::from(turn < total % owners)
+        let offset = (position + owners - first_position as u32) % owners;
+        total / owners + u32::from(offset < total % owners)
     }
 }
 
@@ -157,8 +157,8 @@
     /// Ticks each limit, and removes the limits of servers that are warm and have no locked tokens left. `peers` returns a new
     /// source of the sampled members for each server.
     pub fn tick<P: FnMut() -> Option<SocketAddr>>(&mut self, now: Micros, peers: impl Fn() -> P) {
-        let kept_for = self.terms.duration + self.terms.rate_limit.lock_time();
-        self.limits.retain(|server, _| now < server.started + kept_for);
+        let retention = self.terms.duration + self.terms.rate_limit.lock_time();
+        self.limits.retain(|server, _| now < server.started + retention);
         let mut limits = std::mem::take(&mut self.limits);
         for (server, limit) in &mut limits {
             limit.raise_owned_tokens(self.owned_tokens(*server, now));
