--- a/cluster/src/retry_budget.rs
+++ b/cluster/src/retry_budget.rs
@@ -37,17 +37,17 @@
 /// How long received credits are kept.
 const RECEIVED_CREDIT_LIFETIME: Micros = Micros::SECOND;
 /// How long after a retry found no credit a member requests credits from others and transfers none.
-const SHORTAGE_MEMORY: Micros = Micros::SECOND;
+const SHORTAGE_DURATION: Micros = Micros::SECOND;
 /// The time between two rounds of requests for credits.
 const REQUEST_INTERVAL: Micros = Micros::from_millis(200);
 /// The number of members to which a round sends requests.
 const MEMBERS_PER_ROUND: usize = 2;
 /// The maximum number of credits in one request or transfer.
-const MAX_TRANSFER: u32 = 16;
+const MAX_TRANSFERRED_CREDITS: u32 = 16;
 /// The number of own credits that a member does not transfer.
 const RESERVED_CREDITS: f64 = 1.0;
 /// The maximum share of its other credits that a member transfers at once, so that some remain for the next request.
-const TRANSFERRED_SHARE: f64 = 0.5;
+const MAX_TRANSFERRED_SHARE: f64 = 0.5;
 /// The cost of a retry in credits.
 const CREDITS_PER_RETRY: f64 = 1.0;
 
@@ -99,7 +99,7 @@
     /// Credits from others, oldest first, each kept for [`RECEIVED_CREDIT_LIFETIME`].
     received: VecDeque<ReceivedCredits>,
     requests: OpenRequests,
-    rounds: Interval,
+    request_interval: Interval,
     /// When a retry last found no credit.
     last_shortage: Option<Micros>,
     outgoing: Vec<(SocketAddr, Message)>,
@@ -111,15 +111,15 @@
     /// holders keeps no own credits: those that it earns are lost.
     pub fn new(terms: RetryBudgetTerms, position: u32, incarnation: u64) -> RetryBudget {
         let is_holder = position < terms.holders;
-        let part = terms.max_saved_credits / f64::from(terms.holders.max(1));
+        let max_saved_per_holder = terms.max_saved_credits / f64::from(terms.holders.max(1));
         RetryBudget {
             terms,
             incarnation,
             own_credits: 0.0,
-            max_own_credits: if is_holder { part } else { 0.0 },
+            max_own_credits: if is_holder { max_saved_per_holder } else { 0.0 },
             received: VecDeque::new(),
             requests: OpenRequests::new(REQUEST_TIMEOUT),
-            rounds: Interval::default(),
+            request_interval: Interval::default(),
             last_shortage: None,
             outgoing: Vec::new(),
             metrics: RetryBudgetMetrics::default(),
@@ -141,13 +141,13 @@
         self.received.iter().fold(0.0, |sum, received| sum + received.credits)
     }
 
-    fn can_pay(&mut self, now: Micros) -> bool {
+    fn has_enough_credits(&mut self, now: Micros) -> bool {
         self.own_credits >= CREDITS_PER_RETRY || self.received_credits(now) >= CREDITS_PER_RETRY
     }
 
     /// Whether one more retry may begin. If not, the call counts as demand, and this member requests credits from others.
     pub fn has_credit(&mut self, now: Micros) -> bool {
-        let has_credit = self.can_pay(now);
+        let has_credit = self.has_enough_credits(now);
         if !has_credit {
             self.last_shortage = Some(now);
         }
@@ -174,22 +174,26 @@
         self.last_shortage = Some(now);
     }
 
-    /// Whether a retry has found no credit within [`SHORTAGE_MEMORY`].
+    /// Whether a retry has found no credit within [`SHORTAGE_DURATION`].
     fn is_short(&self, now: Micros) -> bool {
-        self.last_shortage.is_some_and(|at| now < at + SHORTAGE_MEMORY)
+        self.last_shortage.is_some_and(|at| now < at + SHORTAGE_DURATION)
     }
 
     /// Requests credits from others during a shortage; to be called about every 50 ms. `random_peer` returns a random other
     /// member.
     pub fn tick(&mut self, now: Micros, mut random_peer: impl FnMut() -> Option<SocketAddr>) {
         self.requests.expire(now);
-        if !self.is_short(now) || self.can_pay(now) || !self.rounds.is_due(now, REQUEST_INTERVAL) {
+        if !self.is_short(now)
+            || self.has_enough_credits(now)
+            || !self.request_interval.is_due(now, REQUEST_INTERVAL)
+        {
             return;
         }
         for _ in 0..MEMBERS_PER_ROUND {
             let Some(to) = random_peer() else { return };
             let sent = self.requests.open(now, to);
-            let request = Message::Request { incarnation: self.incarnation, sent, credits: MAX_TRANSFER };
+            let request =
+                Message::Request { incarnation: self.incarnation, sent, credits: MAX_TRANSFERRED_CREDITS };
             self.outgoing.push((to, request));
         }
     }
@@ -208,7 +212,7 @@
                 // A retry is charged to the oldest received credits, so that an empty transfer must not be stored: a retry
                 // charged to it would be free.
                 if is_awaited && credits > 0 {
-                    let credits = f64::from(credits.min(MAX_TRANSFER));
+                    let credits = f64::from(credits.min(MAX_TRANSFERRED_CREDITS));
                     self.received.push_back(ReceivedCredits { at: now, credits });
                 }
             }
@@ -217,9 +221,9 @@
 
     /// Deducts whole own credits for a transfer; none during an own shortage.
     fn take_transferable(&mut self, now: Micros, requested: u32) -> u32 {
-        let beyond_kept = (self.own_credits - RESERVED_CREDITS).max(0.0);
-        let most = f64::from(requested.min(MAX_TRANSFER));
-        let credits = (beyond_kept * TRANSFERRED_SHARE).floor().min(most);
+        let transferable = (self.own_credits - RESERVED_CREDITS).max(0.0);
+        let max_credits = f64::from(requested.min(MAX_TRANSFERRED_CREDITS));
+        let credits = (transferable * MAX_TRANSFERRED_SHARE).floor().min(max_credits);
         if credits < 1.0 || self.is_short(now) {
             return 0;
         }
--- a/cluster/src/retry_budget/tests.rs
+++ b/cluster/src/retry_budget/tests.rs
@@ -17,7 +17,7 @@
 /// The windows for which the bound is checked: a second, and the complete run.
 const WINDOWS: [Micros; 2] = [Micros::SECOND, Micros::from_secs(30)];
 /// The maximum age of credits: first attempts up to this time before a window may pay for retries in it.
-const CREDIT_AGE: Micros = Micros::from_secs(2);
+const MAX_CREDIT_AGE: Micros = Micros::from_secs(2);
 /// The maximum delay of a late packet.
 const MAX_LATE_DELAYS: &[Micros] = &[Micros::from_secs(4)];
 
@@ -139,7 +139,7 @@
             let from = now.0.checked_sub(window.0).map(Micros);
             let is_within = |at: Micros| from.is_none_or(|from| at > from);
             let retries = self.retries.iter().rev().take_while(|at| is_within(**at)).count() as f64;
-            let may_be_spent = |at: &&Micros| is_within(**at + CREDIT_AGE);
+            let may_be_spent = |at: &&Micros| is_within(**at + MAX_CREDIT_AGE);
             let first_attempts = self.first_attempts.iter().rev().take_while(may_be_spent).count() as f64;
             let bound = self.terms.retries_per_first_attempt * first_attempts + self.terms.max_saved_credits;
             self.is_bound_kept &= retries <= bound + 1e-6;
