--- a/cluster/src/cluster.rs
+++ b/cluster/src/cluster.rs
@@ -35,25 +35,25 @@
 const FAILURE_DETECTOR_SEED_MASK: u64 = 1;
 
 /// A module's state and the digest of its terms.
-struct Coordinated<T> {
+struct Module<T> {
     terms_digest: u32,
     state: T,
 }
 
 /// A module's state, if its terms match those of the message's sender.
-fn with_terms<T>(part: Option<&mut Coordinated<T>>, terms_digest: u32) -> Option<&mut T> {
-    part.filter(|part| part.terms_digest == terms_digest).map(|part| &mut part.state)
+fn module_with_terms<T>(module: Option<&mut Module<T>>, terms_digest: u32) -> Option<&mut T> {
+    module.filter(|module| module.terms_digest == terms_digest).map(|module| &mut module.state)
 }
 
 /// One balancer's part of the coordination.
 pub struct Cluster {
     membership: Membership,
     /// The rate limits in the order of the configuration; messages name a rate limit by its index.
-    rate_limits: Vec<Coordinated<RateLimit>>,
+    rate_limits: Vec<Module<RateLimit>>,
     rate_limit_names: Vec<String>,
-    slow_start: Option<Coordinated<SlowStartLimits>>,
-    retry_budget: Option<Coordinated<RetryBudget>>,
-    failure_detector: Option<Coordinated<FailureDetector>>,
+    slow_start: Option<Module<SlowStartLimits>>,
+    retry_budget: Option<Module<RetryBudget>>,
+    failure_detector: Option<Module<FailureDetector>>,
     sent: PacketCounts,
     received: PacketCounts,
     dropped_packets: u64,
@@ -72,20 +72,20 @@
     pub fn new(config: ClusterConfig, now: Micros) -> Cluster {
         let ClusterConfig { address, incarnation, position, zone, random_seed, .. } = config;
         let member = MemberId { address, incarnation };
-        let rate_limits = config.rate_limits.iter().map(|limit| Coordinated {
+        let rate_limits = config.rate_limits.iter().map(|limit| Module {
             terms_digest: terms_digest::of_rate_limit(&limit.terms),
             state: RateLimit::new(limit.terms, position, incarnation, now),
         });
-        let slow_start = config.slow_start.map(|terms| Coordinated {
+        let slow_start = config.slow_start.map(|terms| Module {
             terms_digest: terms_digest::of_slow_start(&terms),
             state: SlowStartLimits::new(terms, position, incarnation, now),
         });
-        let retry_budget = config.retry_budget.map(|terms| Coordinated {
+        let retry_budget = config.retry_budget.map(|terms| Module {
             terms_digest: terms_digest::of_retry_budget(&terms),
             state: RetryBudget::new(terms, position, incarnation),
         });
         let detector_seed = random_seed ^ FAILURE_DETECTOR_SEED_MASK;
-        let failure_detector = config.failure_detector.map(|terms| Coordinated {
+        let failure_detector = config.failure_detector.map(|terms| Module {
             terms_digest: terms_digest::of_failure_detector(&terms),
             state: FailureDetector::new(terms, position, zone, detector_seed, now),
         });
@@ -116,12 +116,12 @@
             }
             Ok(Packet::Coordination(_)) | Err(_) => self.dropped_packets += 1,
         }
-        self.collect_outgoing();
+        self.encode_outgoing();
     }
 
     fn on_message(&mut self, now: Micros, from: SocketAddr, message: CoordinationMessage) {
-        let is_delivered = self.deliver(now, from, message);
-        self.terms_mismatches += u64::from(!is_delivered);
+        let has_matching_terms = self.deliver(now, from, message);
+        self.terms_mismatches += u64::from(!has_matching_terms);
     }
 
     /// Passes a message to its module; false if this balancer does not have the module with the sender's terms.
@@ -130,22 +130,22 @@
         match payload {
             Payload::RateLimit(number, message) => {
                 let limit = self.rate_limits.get_mut(usize::from(number));
-                let Some(limit) = with_terms(limit, terms_digest) else { return false };
+                let Some(limit) = module_with_terms(limit, terms_digest) else { return false };
                 limit.on_message(now, from, message);
             }
             Payload::SlowStart(server, message) => {
                 let limits = self.slow_start.as_mut();
-                let Some(limits) = with_terms(limits, terms_digest) else { return false };
+                let Some(limits) = module_with_terms(limits, terms_digest) else { return false };
                 limits.on_message(now, from, server, message);
             }
             Payload::RetryBudget(message) => {
                 let budget = self.retry_budget.as_mut();
-                let Some(budget) = with_terms(budget, terms_digest) else { return false };
+                let Some(budget) = module_with_terms(budget, terms_digest) else { return false };
                 budget.on_message(now, from, message);
             }
             Payload::FailureDetector(message) => {
                 let detector = self.failure_detector.as_mut();
-                let Some(detector) = with_terms(detector, terms_digest) else { return false };
+                let Some(detector) = module_with_terms(detector, terms_digest) else { return false };
                 detector.on_message(now, from, message);
             }
         }
@@ -156,7 +156,7 @@
     pub fn tick(&mut self, now: Micros) {
         self.membership.tick(now);
         self.tick_modules(now);
-        self.collect_outgoing();
+        self.encode_outgoing();
     }
 
     fn tick_modules(&mut self, now: Micros) {
@@ -187,11 +187,11 @@
         if let Some(limits) = &mut self.slow_start {
             limits.state.leave(now);
         }
-        self.collect_outgoing();
+        self.encode_outgoing();
     }
 
     /// Collects the modules' messages and encodes them into packets.
-    fn collect_outgoing(&mut self) {
+    fn encode_outgoing(&mut self) {
         for (to, bytes) in self.membership.drain() {
             self.outgoing.push((to, packet::encode_membership(&bytes)));
         }
--- a/cluster/src/cluster/tests.rs
+++ b/cluster/src/cluster/tests.rs
@@ -61,7 +61,7 @@
     }
 }
 
-fn use_token(limit: &mut RateLimit, now: Micros) -> bool {
+fn try_acquire_token(limit: &mut RateLimit, now: Micros) -> bool {
     let may_begin = limit.wait_time(now).is_zero();
     if may_begin {
         limit.acquire(now);
@@ -78,7 +78,7 @@
             tick_and_deliver(balancers, from, now);
         }
         if now.0 % 160_000 == 0 {
-            use_token(balancers[0].rate_limit(LIMIT).unwrap(), now);
+            try_acquire_token(balancers[0].rate_limit(LIMIT).unwrap(), now);
         }
     }
 }
@@ -93,8 +93,8 @@
     assert_eq!(metrics.rate_limits[0].name, LIMIT);
     let limit = &metrics.rate_limits[0].metrics;
     assert!(limit.borrowed_tokens >= 2 && limit.usable_tokens >= 6, "{limit:?}");
-    let of_other = &balancers[1].metrics(now).rate_limits[0].metrics;
-    assert_eq!(of_other.leased_out_tokens, limit.borrowed_tokens);
+    let other_limit = &balancers[1].metrics(now).rate_limits[0].metrics;
+    assert_eq!(other_limit.leased_out_tokens, limit.borrowed_tokens);
     assert_eq!((metrics.dropped_packets, metrics.terms_mismatches), (0, 0));
 }
 
@@ -115,7 +115,7 @@
         let SlowStartAccess::Limited(limit) = balancers[0].slow_start(server, now) else {
             panic!("the server is in slow start, and its limit is missing")
         };
-        begun += usize::from(use_token(limit, now));
+        begun += usize::from(try_acquire_token(limit, now));
         if now.0 % 60_000 == 0 {
             for from in 0..2 {
                 tick_and_deliver(&mut balancers, from, now);
@@ -145,15 +145,15 @@
 fn packets_of_a_stranger_and_malformed_ones_are_dropped_and_counted() {
     let mut balancer = cluster(0, 8);
     let now = Micros::from_secs(10);
-    let stranger = SocketAddr::from(([127, 0, 0, 1], 9));
+    let unknown_sender = SocketAddr::from(([127, 0, 0, 1], 9));
     let request = Message::Request(LeaseRequest { incarnation: 1, sent: Micros(1), tokens: 4 });
     let message = CoordinationMessage {
         terms_digest: balancer.rate_limits[0].terms_digest,
         payload: Payload::RateLimit(0, request),
     };
-    let packet = packet::encode_messages([(stranger, message)]).remove(0).1;
-    balancer.on_packet(now, stranger, &packet);
-    balancer.on_packet(now, stranger, b"nonsense");
+    let packet = packet::encode_messages([(unknown_sender, message)]).remove(0).1;
+    balancer.on_packet(now, unknown_sender, &packet);
+    balancer.on_packet(now, unknown_sender, b"nonsense");
     let metrics = balancer.metrics(now);
     assert_eq!(metrics.dropped_packets, 2);
     assert_eq!(metrics.rate_limits[0].metrics.leased_out_tokens, 0);
--- a/cluster/src/failure_detector/evidence.rs
+++ b/cluster/src/failure_detector/evidence.rs
@@ -10,7 +10,7 @@
 /// slow for a moment.
 pub(super) const MIN_URGENT_REPORTS: usize = 2;
 /// A reporter of at most this number of silent servers is never discredited, even if there are very few servers.
-const MIN_CREDIBLE_SILENT_SERVERS: usize = 2;
+const ALWAYS_CREDIBLE_SILENT_SERVERS: usize = 2;
 
 /// Reports of silence that no answer has cleared. An answer clears older reports of its own zone. It clears older reports of
 /// other zones only if it is a recovery, which shows a change of the server; otherwise it is evidence only for its own network
@@ -80,7 +80,7 @@
     for report in table.values().flatten().filter(|report| report.is_silent) {
         *silent_servers.entry(report.reporter).or_default() += 1;
     }
-    let max_silent_servers = (servers / 2).max(MIN_CREDIBLE_SILENT_SERVERS);
+    let max_silent_servers = (servers / 2).max(ALWAYS_CREDIBLE_SILENT_SERVERS);
     silent_servers
         .into_iter()
         .filter(|(_, count)| *count > max_silent_servers)
