--- a/cluster/src/failure_detector/tests.rs
+++ b/cluster/src/failure_detector/tests.rs
@@ -9,7 +9,7 @@
 use super::dissemination::{MAX_ANSWERS_PER_TICK, MAX_QUERIES_BACK_PER_TICK};
 use super::*;
 use crate::virtual_network::{address, Conditions};
-use fleet::{random_scenario, run_fleet, terms, Scenario, MILD, MILD_CONDITIONS};
+use fleet::{random_scenario, run_fleet, terms, Scenario, LOSSLESS_CONDITIONS, LOSSLESS_SCENARIO};
 
 fn server(number: u64) -> ServerIncarnation {
     ServerIncarnation { server: ServerId(number), started: Micros(1) }
@@ -18,15 +18,18 @@
 #[test]
 fn no_report_outlives_its_end_or_is_believed_of_too_few_in_two_thousand_drawn_fleets() {
     let mut avoided = 0;
-    let mut lost = 0;
+    let mut lost_requests = 0;
     for seed in 0..2_000 {
         let result = run_fleet(seed, random_scenario(seed));
         assert_eq!(result.violation, None, "seed {seed}: {:?}", random_scenario(seed));
         assert_eq!(result.wrongly_avoided, 0, "seed {seed}: a server that was never silent was avoided");
         avoided += result.avoided;
-        lost += result.lost;
+        lost_requests += result.lost_requests;
     }
-    assert!(avoided > 100_000 && lost > 10_000, "{avoided} {lost}");
+    assert!(
+        avoided > 100_000 && lost_requests > 10_000,
+        "{avoided} requests avoided a server, {lost_requests} were lost"
+    );
 }
 
 #[test]
@@ -43,7 +46,13 @@
 #[test]
 fn liars_alone_get_no_server_passed_over_and_cannot_hide_a_healthy_one() {
     for seed in 0..20 {
-        let scenario = Scenario { members: 20, servers: 12, silent_servers: 1, liars: 2, ..MILD };
+        let scenario = Scenario {
+            members: 20,
+            servers: 12,
+            silent_servers: 1,
+            faulty_reporters: 2,
+            ..LOSSLESS_SCENARIO
+        };
         let result = run_fleet(seed, scenario);
         assert_eq!(
             result.wrongly_avoided, 0,
@@ -166,10 +175,10 @@
         is_silent: true,
         is_recovery: false,
     };
-    for turn in 0..1_000 {
-        let reports = (0..100).map(|number| report(100 * turn + number)).collect();
+    for batch in 0..1_000 {
+        let reports = (0..100).map(|number| report(100 * batch + number)).collect();
         detector.on_message(now, address(1), Message::Reports { sent, reports });
-        let query = Message::Query { sent: Micros(turn), digest: turn, scope: QueryScope::UrgentMutual };
+        let query = Message::Query { sent: Micros(batch), digest: batch, scope: QueryScope::UrgentMutual };
         detector.on_message(now, address(1), query);
     }
     let stored = detector.reports.len();
@@ -189,8 +198,8 @@
             servers: 60,
             silent_servers: 7,
             requests_per_s: 1500.0 / members as f64,
-            conditions: Conditions { loss_ratio, ..MILD_CONDITIONS },
-            ..MILD
+            conditions: Conditions { loss_ratio, ..LOSSLESS_CONDITIONS },
+            ..LOSSLESS_SCENARIO
         };
         print_detection_times(scenario);
     }
@@ -199,12 +208,12 @@
 fn print_detection_times(scenario: Scenario) {
     let mut detection_times = Vec::new();
     let mut longest_recovery = Micros::ZERO;
-    let mut lost = 0;
+    let mut lost_requests = 0;
     let mut packets = 0;
     for seed in 1..=3 {
         let mut result = run_fleet(seed, scenario);
         assert_eq!(result.violation, None);
-        lost += result.lost;
+        lost_requests += result.lost_requests;
         packets += result.packets;
         detection_times.append(&mut result.detection_times);
         longest_recovery = longest_recovery.max(result.recovery_times.into_iter().max().unwrap_or_default());
@@ -223,7 +232,7 @@
         quantile(1.0),
         detection_times.len(),
         longest_recovery.0 / 1_000,
-        lost as f64 / 21.0,
+        lost_requests as f64 / 21.0,
         packets as f64 / 3.0 / 24.0 / scenario.members as f64
     );
 }
--- a/cluster/src/failure_detector/tests/fleet.rs
+++ b/cluster/src/failure_detector/tests/fleet.rs
@@ -41,11 +41,11 @@
     /// The number of servers that become silent for some seconds; every other one of them is restarted at the end of that time.
     pub(super) silent_servers: usize,
     /// The number of faulty members that report every server silent at each tick.
-    pub(super) liars: usize,
+    pub(super) faulty_reporters: usize,
     pub(super) defect: Option<Defect>,
 }
 
-pub(super) const MILD_CONDITIONS: Conditions = Conditions {
+pub(super) const LOSSLESS_CONDITIONS: Conditions = Conditions {
     loss_ratio: 0.0,
     duplicate_ratio: 0.0,
     min_delay: Micros::ZERO,
@@ -55,16 +55,16 @@
     max_clock_drift: 0.0005,
 };
 
-pub(super) const MILD: Scenario = Scenario {
+pub(super) const LOSSLESS_SCENARIO: Scenario = Scenario {
     members: 60,
     servers: 24,
     zones: 3,
     seconds: 24,
     requests_per_s: 10.0,
-    conditions: MILD_CONDITIONS,
+    conditions: LOSSLESS_CONDITIONS,
     faults: NO_FAULTS,
     silent_servers: 3,
-    liars: 0,
+    faulty_reporters: 0,
     defect: None,
 };
 
@@ -81,7 +81,7 @@
             loss_ratio: 0.5 * rng.random::<f64>(),
             duplicate_ratio: 0.2 * rng.random::<f64>(),
             late_ratio: 0.2 * rng.random::<f64>(),
-            ..MILD_CONDITIONS
+            ..LOSSLESS_CONDITIONS
         },
         faults: Faults {
             kills: rng.random_range(0..4),
@@ -89,7 +89,7 @@
             partitions: rng.random_range(0..3),
         },
         silent_servers: rng.random_range(1..5),
-        ..MILD
+        ..LOSSLESS_SCENARIO
     }
 }
 
@@ -118,7 +118,7 @@
     /// The first violation of a guarantee.
     pub(super) violation: Option<String>,
     /// The number of requests sent to silent servers.
-    pub(super) lost: usize,
+    pub(super) lost_requests: usize,
     /// The number of requests that avoided a server.
     pub(super) avoided: usize,
     /// The number of requests that avoided a server that was never silent.
@@ -303,15 +303,15 @@
         let random_peers = [self.network.random_peer(member), self.network.random_peer(member)];
         let mut peers = random_peers.into_iter().flatten();
         self.members[member].detector.tick(now, self.scenario.members, || peers.next());
-        if member < self.scenario.liars {
-            self.lie(member, now);
+        if member < self.scenario.faulty_reporters {
+            self.report_all_silent(member, now);
         }
         self.send(member);
         self.network.tick_after(member, Micros::from_millis(50));
     }
 
     /// Adds a false report of silence on every server.
-    fn lie(&mut self, member: usize, now: Micros) {
+    fn report_all_silent(&mut self, member: usize, now: Micros) {
         let report = StoredReport {
             reporter: member as u32,
             zone: self.zone_of(member),
@@ -347,7 +347,7 @@
             return;
         }
         let is_silent = self.is_silent[server];
-        self.result.lost += usize::from(is_silent);
+        self.result.lost_requests += usize::from(is_silent);
         let duration = if is_silent { REQUEST_TIMEOUT } else { RESPONSE_TIME };
         let ended = Scheduled::RequestEnded { member: number, server, is_silent, incarnation };
         self.network.schedule_for(self.network.now() + duration, number, ended);
@@ -390,17 +390,17 @@
     }
 
     fn check_evidence(&mut self, member: usize, incarnation: ServerIncarnation) {
-        let liars = self.scenario.liars;
+        let faulty_reporters = self.scenario.faulty_reporters;
         let TrueSilence { last_seen, seen_by } =
             self.true_silence.get(&incarnation).cloned().unwrap_or_default();
-        if seen_by.len() + liars < terms().min_reporters {
+        if seen_by.len() + faulty_reporters < terms().min_reporters {
             let violation = format!("member {member} avoided {incarnation:?} on the reports of {seen_by:?}");
             self.result.violation = Some(violation);
         }
         // The tolerance covers the clock drift and rounding.
         let max_age = terms().report_lifetime.mul_f64(1.0005) + Micros(2);
         let now = self.network.now();
-        if liars == 0 && now > last_seen + max_age {
+        if faulty_reporters == 0 && now > last_seen + max_age {
             let age = (now - last_seen).0;
             let violation =
                 format!("member {member} avoided {incarnation:?}, last observed silent {age} us ago");
--- a/cluster/src/membership/tests.rs
+++ b/cluster/src/membership/tests.rs
@@ -118,10 +118,10 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for number in 0..20_000u64 {
         let now = Micros(number * 100);
-        let made_up = address(MAX_TEST_MEMBERS + number as usize % 60_000);
-        let made_up = MemberId { address: made_up, incarnation: 1 };
-        let mut liar = Membership::new(made_up, vec![address(0)], number, Micros::ZERO);
-        for (_, bytes) in liar.drain() {
+        let nonexistent_address = address(MAX_TEST_MEMBERS + number as usize % 60_000);
+        let nonexistent_id = MemberId { address: nonexistent_address, incarnation: 1 };
+        let mut nonexistent_member = Membership::new(nonexistent_id, vec![address(0)], number, Micros::ZERO);
+        for (_, bytes) in nonexistent_member.drain() {
             flooded.on_packet(now, &bytes);
         }
         let malformed: Vec<u8> = (0..rng.random_range(0..300)).map(|_| rng.random()).collect();
--- a/cluster/src/rate_limit/tests.rs
+++ b/cluster/src/rate_limit/tests.rs
@@ -4,7 +4,9 @@
 
 use super::*;
 use crate::virtual_network::Conditions;
-use fleet::{random_scenario, run_fleet, terms, RunResult, Scenario, CALM, CALM_CONDITIONS};
+use fleet::{
+    random_scenario, run_fleet, terms, RunResult, Scenario, FAULT_FREE_SCENARIO, LOSSLESS_CONDITIONS,
+};
 
 /// The number of random schedules in each test run.
 const SCHEDULES: u64 = 2_000;
@@ -32,14 +34,14 @@
     let defects =
         [Defect::LeaseFromReceipt, Defect::OutdatedRequestsApplied, Defect::RequestIncarnationIgnored]
             .map(Some);
-    let with_start_wait = defects.into_iter().map(|defect| (defect, false));
-    for (defect, without_start_wait) in with_start_wait.chain([(None, true)]) {
+    let with_wait = defects.into_iter().map(|defect| (defect, false));
+    for (defect, skips_start_wait) in with_wait.chain([(None, true)]) {
         let caught = (0..10 * SCHEDULES).find(|seed| {
-            let scenario = Scenario { defect, without_start_wait, ..random_scenario(*seed) };
+            let scenario = Scenario { defect, skips_start_wait, ..random_scenario(*seed) };
             run_fleet(*seed, scenario).max_arrived > terms(&scenario).total_tokens() as usize
         });
-        println!("{defect:?}, without start wait {without_start_wait}: caught by {caught:?}");
-        assert!(caught.is_some(), "{defect:?}, without start wait {without_start_wait}: not caught");
+        println!("{defect:?}, without start wait {skips_start_wait}: caught by {caught:?}");
+        assert!(caught.is_some(), "{defect:?}, without start wait {skips_start_wait}: not caught");
     }
 }
 
@@ -54,14 +56,18 @@
 /// requests arrive within a second than the limit.
 #[test]
 fn tokens_for_one_second_exceed_the_limit_where_requests_arrive() {
-    let scenario =
-        Scenario { arrival_spread: Micros::from_millis(100), requests_per_s: 20, demand_per_s: 60.0, ..CALM };
+    let scenario = Scenario {
+        arrival_spread: Micros::from_millis(100),
+        requests_per_s: 20,
+        demand_per_s: 60.0,
+        ..FAULT_FREE_SCENARIO
+    };
     let exceeding_runs = |scenario: Scenario| {
         let exceeds = |arrived: usize| arrived as f64 > 1.1 * f64::from(scenario.requests_per_s);
         (0..20).filter(|seed| exceeds(run_fleet(*seed, scenario).max_arrived)).count()
     };
     assert_eq!(exceeding_runs(scenario), 0);
-    assert!(exceeding_runs(Scenario { without_spread: true, ..scenario }) > 0);
+    assert!(exceeding_runs(Scenario { ignores_arrival_spread: true, ..scenario }) > 0);
 }
 
 /// Guards against unused tokens under uneven demand: a fifth of the members has four fifths of a demand of twice the limit.
@@ -73,7 +79,7 @@
         requests_per_s: 200,
         demand_per_s: 400.0,
         uneven_share: 0.75,
-        ..CALM
+        ..FAULT_FREE_SCENARIO
     };
     let result = run_fleet(1, scenario);
     let used = used_share(&result, &scenario, 4, 20);
@@ -83,7 +89,7 @@
         loss_ratio: 0.3,
         duplicate_ratio: 0.05,
         max_jitter: Micros::from_millis(50),
-        ..CALM_CONDITIONS
+        ..LOSSLESS_CONDITIONS
     };
     let lossy = Scenario { conditions, ..scenario };
     let used = used_share(&run_fleet(1, lossy), &lossy, 4, 20);
@@ -92,8 +98,8 @@
 
 #[test]
 fn a_member_that_no_message_reaches_uses_its_own_tokens() {
-    let conditions = Conditions { loss_ratio: 1.0, ..CALM_CONDITIONS };
-    let scenario = Scenario { conditions, requests_per_s: 40, demand_per_s: 200.0, ..CALM };
+    let conditions = Conditions { loss_ratio: 1.0, ..LOSSLESS_CONDITIONS };
+    let scenario = Scenario { conditions, requests_per_s: 40, demand_per_s: 200.0, ..FAULT_FREE_SCENARIO };
     let result = run_fleet(1, scenario);
     for member in 0..10 {
         let own = result.begun.iter().filter(|(_, by)| *by == member).count() as f64 / 20.0;
@@ -142,8 +148,12 @@
                 requests_per_s,
                 demand_per_s: 2.0 * f64::from(requests_per_s),
                 uneven_share: 0.75,
-                conditions: Conditions { loss_ratio, max_jitter: Micros::from_millis(25), ..CALM_CONDITIONS },
-                ..CALM
+                conditions: Conditions {
+                    loss_ratio,
+                    max_jitter: Micros::from_millis(25),
+                    ..LOSSLESS_CONDITIONS
+                },
+                ..FAULT_FREE_SCENARIO
             };
             let results: Vec<RunResult> = (1..4).map(|seed| run_fleet(seed, scenario)).collect();
             let used: Vec<String> =
@@ -168,8 +178,8 @@
             requests_per_s: 500,
             demand_per_s: demand_share * 500.0,
             uneven_share,
-            conditions: Conditions { max_jitter: Micros::from_millis(25), ..CALM_CONDITIONS },
-            ..CALM
+            conditions: Conditions { max_jitter: Micros::from_millis(25), ..LOSSLESS_CONDITIONS },
+            ..FAULT_FREE_SCENARIO
         };
         let results: Vec<RunResult> = (1..=3).map(|seed| run_fleet(seed, scenario)).collect();
         let rejected_share = |result: &RunResult| {
--- a/cluster/src/rate_limit/tests/fleet.rs
+++ b/cluster/src/rate_limit/tests/fleet.rs
@@ -46,9 +46,9 @@
     pub(super) faults: Faults,
     pub(super) defect: Option<Defect>,
     /// Whether a process uses its own tokens immediately after its start (a defect).
-    pub(super) without_start_wait: bool,
+    pub(super) skips_start_wait: bool,
     /// Whether the window of a token ignores the arrival spread (a defect).
-    pub(super) without_spread: bool,
+    pub(super) ignores_arrival_spread: bool,
 }
 
 /// The result of a run of a fleet.
@@ -74,7 +74,7 @@
 pub(super) fn terms(scenario: &Scenario) -> RateLimitTerms {
     RateLimitTerms {
         requests_per_s: scenario.requests_per_s,
-        arrival_spread: if scenario.without_spread { Micros::ZERO } else { scenario.arrival_spread },
+        arrival_spread: if scenario.ignores_arrival_spread { Micros::ZERO } else { scenario.arrival_spread },
         owners: scenario.owners,
         lease_duration: Micros::from_secs(2),
         clock_drift: 0.001,
@@ -135,7 +135,7 @@
         let incarnation = self.network.incarnation(member);
         let mut limit = RateLimit::new(terms(&self.scenario), member as u32, u64::from(incarnation), now);
         limit.defect = InjectedDefect::new(self.scenario.defect);
-        if self.scenario.without_start_wait || incarnation == 1 {
+        if self.scenario.skips_start_wait || incarnation == 1 {
             // No incarnation precedes the first one.
             limit.own_usable_from = now;
         }
@@ -213,7 +213,7 @@
     }
 }
 
-pub(super) const CALM_CONDITIONS: Conditions = Conditions {
+pub(super) const LOSSLESS_CONDITIONS: Conditions = Conditions {
     loss_ratio: 0.0,
     duplicate_ratio: 0.0,
     min_delay: Micros(500),
@@ -223,7 +223,7 @@
     max_clock_drift: 0.0,
 };
 
-pub(super) const CALM: Scenario = Scenario {
+pub(super) const FAULT_FREE_SCENARIO: Scenario = Scenario {
     members: 10,
     owners: 10,
     requests_per_s: 40,
@@ -231,25 +231,25 @@
     seconds: 20,
     demand_per_s: 80.0,
     uneven_share: 0.0,
-    conditions: CALM_CONDITIONS,
+    conditions: LOSSLESS_CONDITIONS,
     faults: NO_FAULTS,
     defect: None,
-    without_start_wait: false,
-    without_spread: false,
+    skips_start_wait: false,
+    ignores_arrival_spread: false,
 };
 
 /// A random scenario with faults up to the limits under which the guarantee has to hold.
 pub(super) fn random_scenario(seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let members = rng.random_range(2..9);
-    let mut up_to = |most: f64| most * rng.random::<f64>();
-    let demand_per_s = up_to(150.0) + 10.0;
-    let uneven_share = up_to(1.0);
-    let loss_ratio = up_to(0.5);
-    let duplicate_ratio = up_to(0.2);
-    let late_ratio = up_to(0.4);
-    let max_jitter = Micros(up_to(300_000.0) as u64 + 1);
-    let max_clock_drift = up_to(0.001);
+    let mut random_below = |bound: f64| bound * rng.random::<f64>();
+    let demand_per_s = random_below(150.0) + 10.0;
+    let uneven_share = random_below(1.0);
+    let loss_ratio = random_below(0.5);
+    let duplicate_ratio = random_below(0.2);
+    let late_ratio = random_below(0.4);
+    let max_jitter = Micros(random_below(300_000.0) as u64 + 1);
+    let max_clock_drift = random_below(0.001);
     Scenario {
         members,
         owners: rng.random_range(1..2 * members as u32),
@@ -264,13 +264,13 @@
             late_ratio,
             max_jitter,
             max_clock_drift,
-            ..CALM_CONDITIONS
+            ..LOSSLESS_CONDITIONS
         },
         faults: Faults {
             kills: rng.random_range(0..8),
             freezes: rng.random_range(0..5),
             partitions: rng.random_range(0..4),
         },
-        ..CALM
+        ..FAULT_FREE_SCENARIO
     }
 }
--- a/cluster/src/slow_start_limit/tests.rs
+++ b/cluster/src/slow_start_limit/tests.rs
@@ -28,14 +28,20 @@
     let terms = terms();
     for number in 0..50 {
         let server = server(number);
-        let mut before = [0; 9];
+        let mut previously_owned = [0; 9];
         for now in times(STARTED, STARTED + Micros::from_secs(12), Micros::from_millis(100)) {
             let owned: Vec<u32> = (0..9).map(|position| terms.owned_tokens(server, position, now)).collect();
             assert_eq!(owned.iter().sum::<u32>(), terms.total_tokens(STARTED, now));
-            assert!(owned[7..] == [0, 0] && owned.iter().zip(before).all(|(owned, before)| *owned >= before));
-            before = owned.try_into().unwrap();
+            assert!(
+                owned[7..] == [0, 0]
+                    && owned
+                        .iter()
+                        .zip(previously_owned)
+                        .all(|(owned, previously_owned)| *owned >= previously_owned)
+            );
+            previously_owned = owned.try_into().unwrap();
         }
-        assert_eq!(before.iter().sum::<u32>(), 50);
+        assert_eq!(previously_owned.iter().sum::<u32>(), 50);
     }
     assert_eq!(terms.total_tokens(Micros::ZERO, Micros(5)), 50);
     assert_eq!(terms.total_tokens(STARTED, STARTED), 5);
