--- a/cluster/src/cluster/tests.rs
+++ b/cluster/src/cluster/tests.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn two_balancers_share_what_one_of_them_needs() {
+fn tokens_are_leased_to_the_balancer_with_demand() {
     let mut balancers = [cluster(0, 8), cluster(1, 8)];
     run(&mut balancers, 8);
     let now = Micros::from_secs(8);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn retry_credits_and_slow_start_tokens_reach_who_needs_them() {
+fn retry_credits_and_slow_start_tokens_reach_the_balancer_with_demand() {
     let mut balancers = [cluster(0, 8), cluster(1, 8)];
     run(&mut balancers, 8);
     let server = ServerIncarnation { server: ServerId(7), started: Micros::from_secs(4) };
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn members_with_different_terms_share_nothing() {
+fn members_with_different_terms_do_not_lease_tokens() {
     let mut balancers = [cluster(0, 8), cluster(1, 9)];
     run(&mut balancers, 8);
     let metrics = balancers[1].metrics(Micros::from_secs(8));
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn packets_of_a_stranger_and_malformed_ones_are_dropped_and_counted() {
+fn packets_from_unknown_senders_and_malformed_packets_are_dropped_and_counted() {
     let mut balancer = cluster(0, 8);
     let now = Micros::from_secs(10);
     let unknown_sender = SocketAddr::from(([127, 0, 0, 1], 9));
--- a/cluster/src/failure_detector/tests.rs
+++ b/cluster/src/failure_detector/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn no_report_outlives_its_end_or_is_believed_of_too_few_in_two_thousand_drawn_fleets() {
+fn servers_are_avoided_only_on_unexpired_reports_of_enough_members_in_random_fleets() {
     let mut avoided = 0;
     let mut lost_requests = 0;
     for seed in 0..2_000 {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn injected_defects_are_caught() {
+fn injected_defects_are_detected() {
     for defect in [Defect::SenderAgeIgnored, Defect::ObservedAtReceipt, Defect::StartTimeIgnored] {
         let caught = (0..200).find(|seed| {
             let scenario = Scenario { defect: Some(defect), ..random_scenario(*seed) };
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn liars_alone_get_no_server_passed_over_and_cannot_hide_a_healthy_one() {
+fn too_few_faulty_reporters_cause_no_avoidance_of_healthy_servers() {
     for seed in 0..20 {
         let scenario = Scenario {
             members: 20,
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_member_that_finds_most_servers_silent_reports_nothing() {
+fn member_that_observes_most_servers_silent_makes_no_report() {
     let mut detector = FailureDetector::new(terms(), 0, 0, 1, Micros::ZERO);
     for number in 0..10 {
         detector.on_server_observed(server(number), true, Micros(1_000 * number));
@@ -81,7 +81,7 @@
 
 /// Guards against a partition of one zone's network path that makes members of other zones suspect a healthy server.
 #[test]
-fn a_zone_that_cannot_reach_a_server_reports_for_itself_alone() {
+fn silence_reported_by_one_zone_is_not_believed_in_other_zones() {
     let report = |reporter, zone, seen: u64, is_silent| StoredReport {
         reporter,
         zone,
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn reports_merge_to_the_same_in_any_order_and_with_any_repeats() {
+fn reordered_and_duplicated_reports_merge_to_the_same_result() {
     let merged = |random_reports: &[StoredReport]| {
         let mut reports = Vec::new();
         for report in random_reports.iter().chain(random_reports.iter().rev()) {
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_flood_fills_nothing_and_is_answered_within_bounds() {
+fn flood_of_messages_is_bounded_in_stored_reports_and_answers() {
     let now = Micros::from_secs(2);
     let mut detector = FailureDetector::new(terms(), 0, 0, 1, Micros::ZERO);
     detector.tick(now, 2, || Some(address(1)));
--- a/cluster/src/interval/tests.rs
+++ b/cluster/src/interval/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_backoff_doubles_up_to_the_longest_and_starts_anew() {
+fn backoff_doubles_up_to_the_longest_interval_and_resets() {
     let mut backoff = Backoff::new(Micros(100), Micros(300));
     assert!(backoff.is_due(Micros(1_000)));
     backoff.lengthen();
--- a/cluster/src/membership/tests.rs
+++ b/cluster/src/membership/tests.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn members_join_by_seeds_are_forgotten_when_gone_and_come_back_in_a_new_incarnation() {
+fn members_join_through_seeds_are_removed_when_down_and_rejoin_as_a_new_incarnation() {
     let mut fleet = Fleet::new(20);
     fleet.run(0, 3, |_, _| false);
     assert_eq!(fleet.alive(), [20; 20], "every member knows all others within three seconds");
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn halves_that_were_cut_off_find_each_other_again() {
+fn halves_rejoin_after_a_network_partition() {
     let mut fleet = Fleet::new(16);
     fleet.run(0, 4, |_, _| false);
     fleet.run(4, 30, |from, to| (from < 8) != (to < 8));
@@ -113,7 +113,7 @@
 
 /// Guards against unbounded memory: each packet announces another member that does not exist, and malformed packets follow.
 #[test]
-fn a_flood_of_members_and_of_malformed_packets_fills_nothing() {
+fn flood_of_nonexistent_members_and_malformed_packets_is_bounded_in_memory() {
     let mut flooded = member(0, 1);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for number in 0..20_000u64 {
--- a/cluster/src/open_requests/tests.rs
+++ b/cluster/src/open_requests/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_response_counts_once_in_time_and_from_the_peer_that_was_asked() {
+fn response_is_accepted_once_in_time_from_the_queried_peer() {
     let mut requests = OpenRequests::new(Micros::SECOND);
     let first = requests.open(Micros(5), peer(1));
     let second = requests.open(Micros(5), peer(2));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn open_requests_are_bounded_and_forgotten_when_they_time_out() {
+fn open_requests_are_bounded_and_removed_when_they_time_out() {
     let mut requests = OpenRequests::new(Micros::SECOND);
     for _ in 0..200 {
         requests.open(Micros(10), peer(1));
--- a/cluster/src/packet/tests.rs
+++ b/cluster/src/packet/tests.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn more_messages_than_are_ever_sent_are_an_error() {
+fn packet_with_too_many_messages_is_an_error() {
     let message = CoordinationMessage { terms_digest: 1, payload: Payload::RetryBudget(transfer(3, 4, 5)) };
     let packets = encode_messages(std::iter::repeat_n((receiver(), message), MAX_MESSAGES + 1));
     assert_eq!(packets.len(), 2);
--- a/cluster/src/rate_limit/tests.rs
+++ b/cluster/src/rate_limit/tests.rs
@@ -12,7 +12,7 @@
 const SCHEDULES: u64 = 2_000;
 
 #[test]
-fn the_limit_is_never_exceeded_whatever_fails() {
+fn limit_is_not_exceeded_in_random_fleets_with_faults() {
     let mut begun = 0;
     for seed in 0..SCHEDULES {
         let scenario = random_scenario(seed);
@@ -30,7 +30,7 @@
 
 /// Guards against checks that would miss an error: each injected defect has to violate the bound in some random schedule.
 #[test]
-fn injected_defects_are_caught() {
+fn injected_defects_are_detected() {
     let defects =
         [Defect::LeaseFromReceipt, Defect::OutdatedRequestsApplied, Defect::RequestIncarnationIgnored]
             .map(Some);
@@ -55,7 +55,7 @@
 /// Guards against a token window without the arrival spread: if travel times of requests differ, tokens for one second let more
 /// requests arrive within a second than the limit.
 #[test]
-fn tokens_for_one_second_exceed_the_limit_where_requests_arrive() {
+fn window_without_arrival_spread_exceeds_the_limit() {
     let scenario = Scenario {
         arrival_spread: Micros::from_millis(100),
         requests_per_s: 20,
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_member_that_no_message_reaches_uses_its_own_tokens() {
+fn isolated_member_uses_its_own_tokens() {
     let conditions = Conditions { loss_ratio: 1.0, ..LOSSLESS_CONDITIONS };
     let scenario = Scenario { conditions, requests_per_s: 40, demand_per_s: 200.0, ..FAULT_FREE_SCENARIO };
     let result = run_fleet(1, scenario);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn positions_divide_all_tokens_and_none_beyond_the_owners_has_any() {
+fn all_tokens_are_divided_evenly_among_the_owners() {
     for (requests_per_s, owners) in [(400, 300), (7, 3), (3, 7), (1, 1), (600, 100)] {
         let terms = RateLimitTerms {
             requests_per_s,
--- a/cluster/src/retry_budget/tests.rs
+++ b/cluster/src/retry_budget/tests.rs
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn retries_never_exceed_the_budget_in_a_thousand_drawn_fleets() {
+fn retries_do_not_exceed_the_budget_in_random_fleets() {
     let mut retries = 0;
     let mut rejected = 0;
     for seed in 0..1_000 {
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_repeated_or_late_transfer_does_not_count() {
+fn duplicated_or_late_transfer_is_not_accepted() {
     let now = Micros::SECOND;
     let terms = RetryBudgetTerms { retries_per_first_attempt: 0.5, max_saved_credits: 40.0, holders: 2 };
     let mut budget = RetryBudget::new(terms, 0, 1);
--- a/cluster/src/slow_start_limit/tests.rs
+++ b/cluster/src/slow_start_limit/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn what_positions_own_only_grows_and_sums_up_to_the_tokens_of_the_share() {
+fn owned_tokens_never_decrease_and_sum_up_to_the_total() {
     let terms = terms();
     for number in 0..50 {
         let server = server(number);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn limits_are_forgotten_once_servers_are_warm_and_their_number_is_bounded() {
+fn limits_are_removed_once_servers_are_warm_and_their_number_is_bounded() {
     let mut limits = SlowStartLimits::new(terms(), 3, 1, Micros::ZERO);
     for number in 0..MAX_SERVER_INCARNATIONS as u64 + 5 {
         let access = limits.access(server(number), STARTED);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn an_incarnation_that_began_after_the_server_waits_and_one_from_before_does_not() {
+fn balancer_started_after_the_server_waits_and_one_started_before_does_not() {
     let usable_tokens = |process_started: Micros, now: Micros| {
         let mut limits = SlowStartLimits::new(terms(), 3, 1, process_started);
         match limits.access(server(9), now) {
@@ -85,7 +85,7 @@
 /// Guards against the next tick restoring the own tokens of a member that has left, while others already use
 /// them.
 #[test]
-fn member_that_left_owns_nothing_any_more() {
+fn member_that_left_owns_no_tokens() {
     let mut limits = SlowStartLimits::new(terms(), 3, 1, Micros::ZERO);
     let now = STARTED + Micros::from_secs(9);
     let owned = |limits: &mut SlowStartLimits| limits.metrics(now).rate_limits.owned_tokens;
