--- a/cluster/src/failure_detector.rs
+++ b/cluster/src/failure_detector.rs
@@ -58,7 +58,8 @@
 
 /// The minimum time between two reports of one reporter with the same observation of one server.
 const MIN_REPORT_INTERVAL: Micros = Micros::from_millis(500);
-/// The number of reports of silence on one server, each newer than [`MAX_RECENT_REPORT_AGE`], at which this member adds no own report.
+/// The number of reports of silence on one server, each newer than [`MAX_RECENT_REPORT_AGE`], at which this member adds no own
+/// report.
 const SUFFICIENT_RECENT_REPORTS: usize = 5;
 /// The maximum age of a recent report.
 const MAX_RECENT_REPORT_AGE: Micros = Micros::SECOND;
--- a/cluster/src/failure_detector/tests.rs
+++ b/cluster/src/failure_detector/tests.rs
@@ -35,11 +35,11 @@
 #[test]
 fn injected_defects_are_detected() {
     for defect in [Defect::SenderAgeIgnored, Defect::ObservedAtReceipt, Defect::StartTimeIgnored] {
-        let caught = (0..200).find(|seed| {
+        let detected_by = (0..200).find(|seed| {
             let scenario = Scenario { defect: Some(defect), ..random_scenario(*seed) };
             run_fleet(*seed, scenario).violation.is_some()
         });
-        assert!(caught.is_some(), "{defect:?}");
+        assert!(detected_by.is_some(), "{defect:?}");
     }
 }
 
--- a/cluster/src/failure_detector/tests/fleet.rs
+++ b/cluster/src/failure_detector/tests/fleet.rs
@@ -332,9 +332,9 @@
 
     /// Sends a request of a member to a random server, unless the member avoids the server.
     fn request(&mut self, number: usize) {
-        let twice_average =
+        let time_to_next_request =
             self.network.random_time(Micros::from_secs(2)).as_f64() / self.scenario.requests_per_s;
-        let next = self.network.now() + Micros(twice_average as u64);
+        let next = self.network.now() + Micros(time_to_next_request as u64);
         self.network.schedule_for(next, number, Scheduled::Request(number));
         let server = self.network.rng.random_range(0..self.scenario.servers);
         let incarnation = self.incarnation(server);
@@ -397,7 +397,7 @@
             let violation = format!("member {member} avoided {incarnation:?} on the reports of {seen_by:?}");
             self.result.violation = Some(violation);
         }
-        // The tolerance covers the clock drift and rounding.
+        // Clocks may differ by the drift, and rounding may lose a microsecond.
         let max_age = terms().report_lifetime.mul_f64(1.0005) + Micros(2);
         let now = self.network.now();
         if faulty_reporters == 0 && now > last_seen + max_age {
--- a/cluster/src/membership/tests.rs
+++ b/cluster/src/membership/tests.rs
@@ -42,8 +42,8 @@
         Fleet { members, packets: BinaryHeap::new(), sent: 0 }
     }
 
-    /// Runs the members from one second to another; packets between pairs for which `is_partitioned` is true are lost. Returns the
-    /// number of packets sent.
+    /// Runs the members from one second to another; packets between pairs for which `is_partitioned` is true are lost. Returns
+    /// the number of packets sent.
     fn run(&mut self, from_s: u64, until_s: u64, is_partitioned: impl Fn(usize, usize) -> bool) -> u64 {
         self.packets.clear();
         self.sent = 0;
--- a/cluster/src/rate_limit/tests.rs
+++ b/cluster/src/rate_limit/tests.rs
@@ -34,14 +34,14 @@
     let defects =
         [Defect::LeaseFromReceipt, Defect::OutdatedRequestsApplied, Defect::RequestIncarnationIgnored]
             .map(Some);
-    let with_wait = defects.into_iter().map(|defect| (defect, false));
-    for (defect, skips_start_wait) in with_wait.chain([(None, true)]) {
-        let caught = (0..10 * SCHEDULES).find(|seed| {
+    let defects_with_wait = defects.into_iter().map(|defect| (defect, false));
+    for (defect, skips_start_wait) in defects_with_wait.chain([(None, true)]) {
+        let detected_by = (0..10 * SCHEDULES).find(|seed| {
             let scenario = Scenario { defect, skips_start_wait, ..random_scenario(*seed) };
             run_fleet(*seed, scenario).max_arrived > terms(&scenario).total_tokens() as usize
         });
-        println!("{defect:?}, without start wait {skips_start_wait}: caught by {caught:?}");
-        assert!(caught.is_some(), "{defect:?}, without start wait {skips_start_wait}: not caught");
+        println!("{defect:?}, without start wait {skips_start_wait}: detected by {detected_by:?}");
+        assert!(detected_by.is_some(), "{defect:?}, without start wait {skips_start_wait}: not detected");
     }
 }
 
--- a/cluster/src/retry_budget.rs
+++ b/cluster/src/retry_budget.rs
@@ -175,7 +175,7 @@
     }
 
     /// Whether a retry has found no credit within [`SHORTAGE_DURATION`].
-    fn is_short(&self, now: Micros) -> bool {
+    fn has_shortage(&self, now: Micros) -> bool {
         self.last_shortage.is_some_and(|at| now < at + SHORTAGE_DURATION)
     }
 
@@ -183,7 +183,7 @@
     /// member.
     pub fn tick(&mut self, now: Micros, mut random_peer: impl FnMut() -> Option<SocketAddr>) {
         self.requests.expire(now);
-        if !self.is_short(now)
+        if !self.has_shortage(now)
             || self.has_enough_credits(now)
             || !self.request_interval.is_due(now, REQUEST_INTERVAL)
         {
@@ -224,7 +224,7 @@
         let transferable = (self.own_credits - RESERVED_CREDITS).max(0.0);
         let max_credits = f64::from(requested.min(MAX_TRANSFERRED_CREDITS));
         let credits = (transferable * MAX_TRANSFERRED_SHARE).floor().min(max_credits);
-        if credits < 1.0 || self.is_short(now) {
+        if credits < 1.0 || self.has_shortage(now) {
             return 0;
         }
         self.own_credits -= credits;
