--- a/cluster/src/cluster/tests.rs
+++ b/cluster/src/cluster/tests.rs
@@ -1,4 +1,4 @@
-//! Two balancers that exchange packets, and what is dropped.
+//! Coordination of two balancers that exchange packets, and packets that are dropped.
 
 use juniperladder::ServerId;
 
@@ -53,7 +53,7 @@
     Cluster::new(config, Micros::ZERO)
 }
 
-/// A tick of one balancer, whose packets reach the other at once.
+/// Ticks one balancer and delivers its packets to the other without delay.
 fn tick_and_deliver(balancers: &mut [Cluster; 2], from: usize, now: Micros) {
     balancers[from].tick(now);
     for (_, bytes) in balancers[from].drain() {
@@ -61,7 +61,7 @@
     }
 }
 
-fn use_token(limit: &mut RateLimit, now: Micros) -> bool {
+fn try_acquire_token(limit: &mut RateLimit, now: Micros) -> bool {
     let may_begin = limit.wait_time(now).is_zero();
     if may_begin {
         limit.acquire(now);
@@ -71,20 +71,20 @@
     may_begin
 }
 
-/// Runs two balancers for so long; the first of them wants six requests a second.
+/// Runs two balancers for a number of seconds; the first has a demand of six requests a second.
 fn run(balancers: &mut [Cluster; 2], seconds: u64) {
     for now in times(Micros::ZERO, Micros::from_secs(seconds), TICK) {
         for from in 0..2 {
             tick_and_deliver(balancers, from, now);
         }
         if now.0 % 160_000 == 0 {
-            use_token(balancers[0].rate_limit(LIMIT).unwrap(), now);
+            try_acquire_token(balancers[0].rate_limit(LIMIT).unwrap(), now);
         }
     }
 }
 
 #[test]
-fn two_balancers_share_what_one_of_them_needs() {
+fn tokens_are_leased_to_the_balancer_with_demand() {
     let mut balancers = [cluster(0, 8), cluster(1, 8)];
     run(&mut balancers, 8);
     let now = Micros::from_secs(8);
@@ -93,13 +93,13 @@
     assert_eq!(metrics.rate_limits[0].name, LIMIT);
     let limit = &metrics.rate_limits[0].metrics;
     assert!(limit.borrowed_tokens >= 2 && limit.usable_tokens >= 6, "{limit:?}");
-    let of_other = &balancers[1].metrics(now).rate_limits[0].metrics;
-    assert_eq!(of_other.leased_out_tokens, limit.borrowed_tokens);
+    let other_limit = &balancers[1].metrics(now).rate_limits[0].metrics;
+    assert_eq!(other_limit.leased_out_tokens, limit.borrowed_tokens);
     assert_eq!((metrics.dropped_packets, metrics.terms_mismatches), (0, 0));
 }
 
 #[test]
-fn retry_credits_and_slow_start_tokens_reach_who_needs_them() {
+fn retry_credits_and_slow_start_tokens_reach_the_balancer_with_demand() {
     let mut balancers = [cluster(0, 8), cluster(1, 8)];
     run(&mut balancers, 8);
     let server = ServerIncarnation { server: ServerId(7), started: Micros::from_secs(4) };
@@ -113,9 +113,9 @@
             budget.on_rejected(now);
         }
         let SlowStartAccess::Limited(limit) = balancers[0].slow_start(server, now) else {
-            panic!("it is in slow start")
+            panic!("the server is in slow start, and its limit is missing")
         };
-        begun += usize::from(use_token(limit, now));
+        begun += usize::from(try_acquire_token(limit, now));
         if now.0 % 60_000 == 0 {
             for from in 0..2 {
                 tick_and_deliver(&mut balancers, from, now);
@@ -123,13 +123,16 @@
         }
     }
     let budget = balancers[0].metrics(Micros::from_secs(12)).retry_budget.unwrap();
-    assert!(budget.retries > 10 && budget.first_attempts == 0, "it has earned none itself: {budget:?}");
-    // From 4 to 7 tokens in these four seconds, of which it owns half.
+    assert!(
+        budget.retries > 10 && budget.first_attempts == 0,
+        "the first balancer has earned no credits itself: {budget:?}"
+    );
+    // The limit grows from 4 to 7 tokens in these four seconds; the balancer owns half of them.
     assert!((15..=24).contains(&begun), "{begun}");
 }
 
 #[test]
-fn members_with_different_terms_share_nothing() {
+fn members_with_different_terms_do_not_lease_tokens() {
     let mut balancers = [cluster(0, 8), cluster(1, 9)];
     run(&mut balancers, 8);
     let metrics = balancers[1].metrics(Micros::from_secs(8));
@@ -139,18 +142,18 @@
 }
 
 #[test]
-fn packets_of_a_stranger_and_malformed_ones_are_dropped_and_counted() {
+fn packets_from_unknown_senders_and_malformed_packets_are_dropped_and_counted() {
     let mut balancer = cluster(0, 8);
     let now = Micros::from_secs(10);
-    let stranger = SocketAddr::from(([127, 0, 0, 1], 9));
+    let unknown_sender = SocketAddr::from(([127, 0, 0, 1], 9));
     let request = Message::Request(LeaseRequest { incarnation: 1, sent: Micros(1), tokens: 4 });
     let message = CoordinationMessage {
         terms_digest: balancer.rate_limits[0].terms_digest,
         payload: Payload::RateLimit(0, request),
     };
-    let packet = packet::encode_messages([(stranger, message)]).remove(0).1;
-    balancer.on_packet(now, stranger, &packet);
-    balancer.on_packet(now, stranger, b"nonsense");
+    let packet = packet::encode_messages([(unknown_sender, message)]).remove(0).1;
+    balancer.on_packet(now, unknown_sender, &packet);
+    balancer.on_packet(now, unknown_sender, b"nonsense");
     let metrics = balancer.metrics(now);
     assert_eq!(metrics.dropped_packets, 2);
     assert_eq!(metrics.rate_limits[0].metrics.leased_out_tokens, 0);
--- a/cluster/src/membership/tests.rs
+++ b/cluster/src/membership/tests.rs
@@ -1,4 +1,4 @@
-//! Members that join, leave and come back, halves that were cut off, and a flood of made-up members.
+//! Members that join, fail and return, network partitions, and floods of nonexistent members.
 
 use std::net::Ipv4Addr;
 
@@ -7,7 +7,7 @@
 
 const FIRST_PORT: u16 = 1_000;
 const PACKET_DELAY: Micros = Micros::from_millis(5);
-/// Members of a test have numbers below this, made-up ones greater ones.
+/// Members of a test have numbers below this bound; nonexistent members have greater numbers.
 const MAX_TEST_MEMBERS: usize = 64;
 
 fn address(number: usize) -> SocketAddr {
@@ -20,7 +20,7 @@
     Membership::new(member, seeds, number as u64 ^ incarnation << 32, Micros::ZERO)
 }
 
-/// A packet on its way; those that arrive at one time do so in the order in which they were sent.
+/// A packet in flight; packets that arrive at the same time are delivered in the order in which they were sent.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct PacketInFlight {
     arrives: Micros,
@@ -29,7 +29,7 @@
     bytes: Vec<u8>,
 }
 
-/// Members, none where a process is gone, and the packets between them.
+/// Members, `None` for a process that has stopped, and the packets between them.
 struct Fleet {
     members: Vec<Option<Membership>>,
     packets: BinaryHeap<Reverse<PacketInFlight>>,
@@ -42,15 +42,15 @@
         Fleet { members, packets: BinaryHeap::new(), sent: 0 }
     }
 
-    /// Runs the members from one second to another; `is_cut` tells which pairs do not reach each other. Returns the number of
-    /// packets sent.
-    fn run(&mut self, from_s: u64, until_s: u64, is_cut: impl Fn(usize, usize) -> bool) -> u64 {
+    /// Runs the members from one second to another; packets between pairs for which `is_partitioned` is true are lost. Returns
+    /// the number of packets sent.
+    fn run(&mut self, from_s: u64, until_s: u64, is_partitioned: impl Fn(usize, usize) -> bool) -> u64 {
         self.packets.clear();
         self.sent = 0;
         for now in times(Micros::from_secs(from_s), Micros::from_secs(until_s), Micros::from_millis(10)) {
             self.deliver(now);
             for number in 0..self.members.len() {
-                self.tick(now, number, &is_cut);
+                self.tick(now, number, &is_partitioned);
             }
         }
         self.sent
@@ -65,31 +65,31 @@
         }
     }
 
-    fn tick(&mut self, now: Micros, number: usize, is_cut: impl Fn(usize, usize) -> bool) {
+    fn tick(&mut self, now: Micros, number: usize, is_partitioned: impl Fn(usize, usize) -> bool) {
         let Some(member) = &mut self.members[number] else { return };
         member.tick(now);
         for (to, bytes) in member.drain() {
             let to = usize::from(to.port() - FIRST_PORT);
             self.sent += 1;
             assert!(bytes.len() + HEADER_BYTES <= MAX_PACKET_BYTES);
-            if to < MAX_TEST_MEMBERS && !is_cut(number, to) {
+            if to < MAX_TEST_MEMBERS && !is_partitioned(number, to) {
                 let packet = PacketInFlight { arrives: now + PACKET_DELAY, sequence: self.sent, to, bytes };
                 self.packets.push(Reverse(packet));
             }
         }
     }
 
-    /// How many members each process finds alive.
+    /// The number of live members that each process knows.
     fn alive(&self) -> Vec<usize> {
         self.members.iter().flatten().map(|member| member.counts().alive).collect()
     }
 }
 
 #[test]
-fn members_join_by_seeds_are_forgotten_when_gone_and_come_back_in_a_new_incarnation() {
+fn members_join_through_seeds_are_removed_when_down_and_rejoin_as_a_new_incarnation() {
     let mut fleet = Fleet::new(20);
     fleet.run(0, 3, |_, _| false);
-    assert_eq!(fleet.alive(), [20; 20], "all know all within three seconds");
+    assert_eq!(fleet.alive(), [20; 20], "every member knows all others within three seconds");
     fleet.members[5] = None;
     fleet.members[0] = None;
     fleet.run(3, 20, |_, _| false);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn halves_that_were_cut_off_find_each_other_again() {
+fn halves_rejoin_after_a_network_partition() {
     let mut fleet = Fleet::new(16);
     fleet.run(0, 4, |_, _| false);
     fleet.run(4, 30, |from, to| (from < 8) != (to < 8));
@@ -111,17 +111,17 @@
     assert_eq!(fleet.alive(), [16; 16]);
 }
 
-/// Members that do not exist, made up by the hundred, packet after packet.
+/// Guards against unbounded memory: each packet announces another member that does not exist, and malformed packets follow.
 #[test]
-fn a_flood_of_members_and_of_malformed_packets_fills_nothing() {
+fn flood_of_nonexistent_members_and_malformed_packets_is_bounded_in_memory() {
     let mut flooded = member(0, 1);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for number in 0..20_000u64 {
         let now = Micros(number * 100);
-        let made_up = address(MAX_TEST_MEMBERS + number as usize % 60_000);
-        let made_up = MemberId { address: made_up, incarnation: 1 };
-        let mut liar = Membership::new(made_up, vec![address(0)], number, Micros::ZERO);
-        for (_, bytes) in liar.drain() {
+        let nonexistent_address = address(MAX_TEST_MEMBERS + number as usize % 60_000);
+        let nonexistent_id = MemberId { address: nonexistent_address, incarnation: 1 };
+        let mut nonexistent_member = Membership::new(nonexistent_id, vec![address(0)], number, Micros::ZERO);
+        for (_, bytes) in nonexistent_member.drain() {
             flooded.on_packet(now, &bytes);
         }
         let malformed: Vec<u8> = (0..rng.random_range(0..300)).map(|_| rng.random()).collect();
--- a/cluster/src/rate_limit/tests.rs
+++ b/cluster/src/rate_limit/tests.rs
@@ -1,19 +1,21 @@
-//! The bound in drawn fleets whatever fails, and how tokens follow the demand.
+//! The rate bound in random fleets with faults, and the distribution of tokens by demand.
 
 mod fleet;
 
 use super::*;
 use crate::virtual_network::Conditions;
-use fleet::{drawn_scenario, run_fleet, terms, RunResult, Scenario, CALM, CALM_CONDITIONS};
+use fleet::{
+    random_scenario, run_fleet, terms, RunResult, Scenario, FAULT_FREE_SCENARIO, LOSSLESS_CONDITIONS,
+};
 
-/// Seeds of the schedules that are drawn in each run of the tests.
+/// The number of random schedules in each test run.
 const SCHEDULES: u64 = 2_000;
 
 #[test]
-fn the_limit_is_never_exceeded_whatever_fails() {
+fn limit_is_not_exceeded_in_random_fleets_with_faults() {
     let mut begun = 0;
     for seed in 0..SCHEDULES {
-        let scenario = drawn_scenario(seed);
+        let scenario = random_scenario(seed);
         let result = run_fleet(seed, scenario);
         assert!(
             result.max_arrived <= terms(&scenario).total_tokens() as usize,
@@ -23,46 +25,52 @@
         );
         begun += result.begun.len();
     }
-    assert!(begun > 100_000, "the limits have to have been used: {begun}");
+    assert!(begun > 100_000, "too few requests began to test the limits: {begun}");
 }
 
-/// Each injected defect is caught by the same schedules.
+/// Guards against checks that would miss an error: each injected defect has to violate the bound in some random schedule.
 #[test]
-fn injected_defects_are_caught() {
+fn injected_defects_are_detected() {
     let defects =
-        [Defect::LeaseFromReceipt, Defect::OldRequestsObeyed, Defect::OldIncarnationObeyed].map(Some);
-    let with_start_wait = defects.into_iter().map(|defect| (defect, false));
-    for (defect, without_start_wait) in with_start_wait.chain([(None, true)]) {
-        let caught = (0..10 * SCHEDULES).find(|seed| {
-            let scenario = Scenario { defect, without_start_wait, ..drawn_scenario(*seed) };
+        [Defect::LeaseFromReceipt, Defect::OutdatedRequestsApplied, Defect::RequestIncarnationIgnored]
+            .map(Some);
+    let defects_with_wait = defects.into_iter().map(|defect| (defect, false));
+    for (defect, skips_start_wait) in defects_with_wait.chain([(None, true)]) {
+        let detected_by = (0..10 * SCHEDULES).find(|seed| {
+            let scenario = Scenario { defect, skips_start_wait, ..random_scenario(*seed) };
             run_fleet(*seed, scenario).max_arrived > terms(&scenario).total_tokens() as usize
         });
-        println!("{defect:?}, without start wait {without_start_wait}: caught by {caught:?}");
-        assert!(caught.is_some(), "{defect:?}, without start wait {without_start_wait}: not caught");
+        println!("{defect:?}, without start wait {skips_start_wait}: detected by {detected_by:?}");
+        assert!(detected_by.is_some(), "{defect:?}, without start wait {skips_start_wait}: not detected");
     }
 }
 
-/// The share of the limit that was used between two seconds of a run.
+/// The share of the limit that was used in a period of a run, given in seconds.
 fn used_share(result: &RunResult, scenario: &Scenario, from_s: u64, to_s: u64) -> f64 {
     let during = Micros::from_secs(from_s)..Micros::from_secs(to_s);
     let begun = result.begun.iter().filter(|(at, _)| during.contains(at)).count();
     begun as f64 / (f64::from(scenario.requests_per_s) * (to_s - from_s) as f64)
 }
 
-/// Where requests differ in the time that they take, tokens for one second let more arrive in one than a bound by rates says.
+/// Guards against a token window without the arrival spread: if travel times of requests differ, tokens for one second let more
+/// requests arrive within a second than the limit.
 #[test]
-fn tokens_for_one_second_exceed_the_limit_where_requests_arrive() {
-    let scenario =
-        Scenario { arrival_spread: Micros::from_millis(100), requests_per_s: 20, demand_per_s: 60.0, ..CALM };
+fn window_without_arrival_spread_exceeds_the_limit() {
+    let scenario = Scenario {
+        arrival_spread: Micros::from_millis(100),
+        requests_per_s: 20,
+        demand_per_s: 60.0,
+        ..FAULT_FREE_SCENARIO
+    };
     let exceeding_runs = |scenario: Scenario| {
         let exceeds = |arrived: usize| arrived as f64 > 1.1 * f64::from(scenario.requests_per_s);
         (0..20).filter(|seed| exceeds(run_fleet(*seed, scenario).max_arrived)).count()
     };
     assert_eq!(exceeding_runs(scenario), 0);
-    assert!(exceeding_runs(Scenario { without_spread: true, ..scenario }) > 0);
+    assert!(exceeding_runs(Scenario { ignores_arrival_spread: true, ..scenario }) > 0);
 }
 
-/// Four fifths of the demand at a fifth of the members, twice the limit in all.
+/// Guards against unused tokens under uneven demand: a fifth of the members has four fifths of a demand of twice the limit.
 #[test]
 fn tokens_follow_an_uneven_demand() {
     let scenario = Scenario {
@@ -71,32 +79,36 @@
         requests_per_s: 200,
         demand_per_s: 400.0,
         uneven_share: 0.75,
-        ..CALM
+        ..FAULT_FREE_SCENARIO
     };
     let result = run_fleet(1, scenario);
     let used = used_share(&result, &scenario, 4, 20);
     println!("{used} {}", result.packets as f64 / 20.0 / 50.0);
     assert!(used > 0.85, "{used}");
-    let conditions =
-        Conditions { loss: 0.3, repeat: 0.05, delay: Micros::from_millis(50), ..CALM_CONDITIONS };
+    let conditions = Conditions {
+        loss_ratio: 0.3,
+        duplicate_ratio: 0.05,
+        max_jitter: Micros::from_millis(50),
+        ..LOSSLESS_CONDITIONS
+    };
     let lossy = Scenario { conditions, ..scenario };
     let used = used_share(&run_fleet(1, lossy), &lossy, 4, 20);
     assert!(used > 0.8, "with loss: {used}");
 }
 
 #[test]
-fn a_member_that_no_message_reaches_uses_its_own_tokens() {
-    let conditions = Conditions { loss: 1.0, ..CALM_CONDITIONS };
-    let scenario = Scenario { conditions, requests_per_s: 40, demand_per_s: 200.0, ..CALM };
+fn isolated_member_uses_its_own_tokens() {
+    let conditions = Conditions { loss_ratio: 1.0, ..LOSSLESS_CONDITIONS };
+    let scenario = Scenario { conditions, requests_per_s: 40, demand_per_s: 200.0, ..FAULT_FREE_SCENARIO };
     let result = run_fleet(1, scenario);
     for member in 0..10 {
         let own = result.begun.iter().filter(|(_, by)| *by == member).count() as f64 / 20.0;
-        assert!((3.5..=4.0).contains(&own), "{member}: {own} a second of 4");
+        assert!((3.5..=4.0).contains(&own), "member {member} used {own} of 4 tokens a second");
     }
 }
 
 #[test]
-fn positions_divide_all_tokens_and_none_beyond_the_owners_has_any() {
+fn all_tokens_are_divided_evenly_among_the_owners() {
     for (requests_per_s, owners) in [(400, 300), (7, 3), (3, 7), (1, 1), (600, 100)] {
         let terms = RateLimitTerms {
             requests_per_s,
@@ -114,10 +126,10 @@
     }
 }
 
-/// Prints the use of a limit that is half of the demand, four fifths of which come to a fifth of the members, and what
-/// that costs; by hand: `cargo test --release -p juniperladder-cluster rate_limit_tables -- --ignored --nocapture`.
+/// Prints the use of a limit and the packets sent if the demand is twice the limit and four fifths of it come to a fifth of the
+/// members; run manually with `cargo test --release -p juniperladder-cluster rate_limit_tables -- --ignored --nocapture`.
 #[test]
-#[ignore = "prints tables, run by hand"]
+#[ignore = "prints tables; run manually"]
 fn rate_limit_tables() {
     print_use_under_shortage();
     print_rejections_with_enough_tokens();
@@ -129,15 +141,19 @@
         "members", "limit", "loss", "use, three seeds"
     );
     for (members, requests_per_s) in [(10, 40), (50, 200), (100, 300), (100, 600), (300, 600), (500, 1_000)] {
-        for loss in [0.0, 0.3] {
+        for loss_ratio in [0.0, 0.3] {
             let scenario = Scenario {
                 members,
                 owners: members as u32,
                 requests_per_s,
                 demand_per_s: 2.0 * f64::from(requests_per_s),
                 uneven_share: 0.75,
-                conditions: Conditions { loss, delay: Micros::from_millis(25), ..CALM_CONDITIONS },
-                ..CALM
+                conditions: Conditions {
+                    loss_ratio,
+                    max_jitter: Micros::from_millis(25),
+                    ..LOSSLESS_CONDITIONS
+                },
+                ..FAULT_FREE_SCENARIO
             };
             let results: Vec<RunResult> = (1..4).map(|seed| run_fleet(seed, scenario)).collect();
             let used: Vec<String> =
@@ -145,12 +161,15 @@
             let total = terms(&scenario).total_tokens() as usize;
             assert!(results.iter().all(|result| result.max_arrived <= total));
             let packets = results[0].packets as f64 / scenario.seconds as f64 / members as f64;
-            println!("{members:>8} {requests_per_s:>6} {loss:>5}  {:>22}  {packets:.1}", used.join(" "));
+            println!(
+                "{members:>8} {requests_per_s:>6} {loss_ratio:>5}  {:>22}  {packets:.1}",
+                used.join(" ")
+            );
         }
     }
 }
 
-/// Where less is wanted than there is, requests are rejected because each member has but few tokens.
+/// Prints the share of requests that are rejected although the demand is below the limit, because each member has few tokens.
 fn print_rejections_with_enough_tokens() {
     for (demand_share, uneven_share) in [(0.5, 0.0), (0.7, 0.0), (0.9, 0.0), (0.5, 0.5), (0.7, 0.5)] {
         let scenario = Scenario {
@@ -159,8 +178,8 @@
             requests_per_s: 500,
             demand_per_s: demand_share * 500.0,
             uneven_share,
-            conditions: Conditions { delay: Micros::from_millis(25), ..CALM_CONDITIONS },
-            ..CALM
+            conditions: Conditions { max_jitter: Micros::from_millis(25), ..LOSSLESS_CONDITIONS },
+            ..FAULT_FREE_SCENARIO
         };
         let results: Vec<RunResult> = (1..=3).map(|seed| run_fleet(seed, scenario)).collect();
         let rejected_share = |result: &RunResult| {
--- a/cluster/src/rate_limit/tests/fleet.rs
+++ b/cluster/src/rate_limit/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet in virtual time: drawn networks, kills, freezes and clocks; what arrives is counted at each request that begins.
+//! A simulated fleet in virtual time with random network faults, kills, freezes and clocks. Arrivals within a second are
+//! counted whenever a request begins.
 
 use std::collections::VecDeque;
 
@@ -8,63 +9,63 @@
 use super::super::*;
 use crate::virtual_network::{address, Arrival, Conditions, Faults, Partition, VirtualNetwork, NO_FAULTS};
 
-/// What is scheduled beside what the network does.
+/// Events of this test in the network's schedule.
 #[derive(Debug)]
 enum Scheduled {
-    /// A request of a member, which waits until then.
+    /// A request of a member, which waits for a token until this time.
     Request(usize, Micros),
-    /// A process that was killed starts again.
+    /// A killed process restarts.
     Start(usize),
 }
 
-/// How long a request waits for a token, as a read does at the origin.
+/// How long a request waits for a token; the same as for a read at the origin.
 const REQUEST_TIMEOUT: Micros = Micros::from_millis(200);
-/// The longest wait before a request asks for a token again.
+/// The maximum time until a waiting request checks for a token again.
 const MAX_RECHECK: Micros = Micros::from_millis(20);
-/// The longest freeze of a process.
-const MAX_FREEZE: Micros = Micros::from_secs(6);
-/// The longest cut of the network.
-const MAX_CUT: Micros = Micros::from_secs(5);
-/// By how much at most a late packet is late: half by little more than a lease bears, half by far more.
-const LATE_DELAYS: &[Micros] = &[Micros::from_secs(2), Micros::from_secs(8)];
+/// The maximum duration of a freeze of a process.
+const MAX_FREEZE_DURATION: Micros = Micros::from_secs(6);
+/// The maximum duration of a network partition.
+const MAX_PARTITION_DURATION: Micros = Micros::from_secs(5);
+/// The maximum delays of late packets: for half of them little more than a lease tolerates, for the other half far more.
+const MAX_LATE_DELAYS: &[Micros] = &[Micros::from_secs(2), Micros::from_secs(8)];
 
-/// A fleet, its demand, and what goes wrong in it.
+/// The configuration of a fleet, its demand and its faults.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Scenario {
     pub(super) members: usize,
     pub(super) owners: u32,
     pub(super) requests_per_s: u32,
-    /// By how much requests differ in the time that they take.
+    /// The maximum difference between the travel times of requests.
     pub(super) arrival_spread: Micros,
     pub(super) seconds: u64,
-    /// Requests a second that all members together want to begin.
+    /// The number of requests a second that all members together want to begin.
     pub(super) demand_per_s: f64,
-    /// The share of the demand that comes to the first fifth of the members alone.
+    /// The share of the demand that comes only to the first fifth of the members.
     pub(super) uneven_share: f64,
     pub(super) conditions: Conditions,
     pub(super) faults: Faults,
     pub(super) defect: Option<Defect>,
-    /// A process uses what it owns at once when it starts.
-    pub(super) without_start_wait: bool,
-    /// Tokens are for one second, whatever the time that requests take.
-    pub(super) without_spread: bool,
+    /// Whether a process uses its own tokens immediately after its start (a defect).
+    pub(super) skips_start_wait: bool,
+    /// Whether the window of a token ignores the arrival spread (a defect).
+    pub(super) ignores_arrival_spread: bool,
 }
 
-/// What a fleet did.
+/// The result of a run of a fleet.
 #[derive(Debug, Default)]
 pub(super) struct RunResult {
-    /// When requests began, and at whom.
+    /// The time and member of each request that began.
     pub(super) begun: Vec<(Micros, usize)>,
     pub(super) rejected: u64,
     pub(super) packets: u64,
-    /// The most that arrived in any second.
+    /// The maximum number of requests that arrived within any second.
     pub(super) max_arrived: usize,
 }
 
 struct Fleet {
     scenario: Scenario,
     network: VirtualNetwork<Message, Scheduled>,
-    /// Each member's part; none while its process is killed.
+    /// Each member's part of the limit; `None` while its process is not running.
     members: Vec<Option<RateLimit>>,
     recent_arrivals: VecDeque<Micros>,
     result: RunResult,
@@ -73,7 +74,7 @@
 pub(super) fn terms(scenario: &Scenario) -> RateLimitTerms {
     RateLimitTerms {
         requests_per_s: scenario.requests_per_s,
-        arrival_spread: if scenario.without_spread { Micros::ZERO } else { scenario.arrival_spread },
+        arrival_spread: if scenario.ignores_arrival_spread { Micros::ZERO } else { scenario.arrival_spread },
         owners: scenario.owners,
         lease_duration: Micros::from_secs(2),
         clock_drift: 0.001,
@@ -99,13 +100,13 @@
         for member in 0..self.scenario.members {
             self.start(member);
         }
-        self.network.schedule_process_faults(self.scenario.faults, end, MAX_FREEZE);
-        for _ in 0..self.scenario.faults.cuts {
-            let at = self.network.draw(end);
+        self.network.schedule_process_faults(self.scenario.faults, end, MAX_FREEZE_DURATION);
+        for _ in 0..self.scenario.faults.partitions {
+            let at = self.network.random_time(end);
             let second_side = self.network.rng.random();
             let one_way = self.network.rng.random();
-            let duration = self.network.draw(MAX_CUT);
-            self.network.schedule_cut(at, at + duration, Partition { second_side, one_way });
+            let duration = self.network.random_time(MAX_PARTITION_DURATION);
+            self.network.schedule_partition(at, at + duration, Partition { second_side, one_way });
         }
         self.schedule_requests(end);
         while let Some(arrival) = self.network.next(end) {
@@ -134,8 +135,8 @@
         let incarnation = self.network.incarnation(member);
         let mut limit = RateLimit::new(terms(&self.scenario), member as u32, u64::from(incarnation), now);
         limit.defect = InjectedDefect::new(self.scenario.defect);
-        if self.scenario.without_start_wait || incarnation == 1 {
-            // The first of all incarnations has nothing before it.
+        if self.scenario.skips_start_wait || incarnation == 1 {
+            // No incarnation precedes the first one.
             limit.own_usable_from = now;
         }
         self.members[member] = Some(limit);
@@ -146,10 +147,10 @@
             Arrival::Tick(member) => {
                 let now = self.network.clock(member);
                 if let Some(limit) = &mut self.members[member] {
-                    limit.tick(now, || self.network.draw_peer(member));
+                    limit.tick(now, || self.network.random_peer(member));
                 }
                 self.send(member);
-                let pause = Micros::from_millis(45) + self.network.draw(Micros::from_millis(10));
+                let pause = Micros::from_millis(45) + self.network.random_time(Micros::from_millis(10));
                 self.network.tick_after(member, pause);
             }
             Arrival::Packet { from, to, message } => {
@@ -161,7 +162,7 @@
             }
             Arrival::Killed(member) => {
                 self.members[member] = None;
-                let restart = self.network.now() + self.network.draw(Micros::from_secs(2));
+                let restart = self.network.now() + self.network.random_time(Micros::from_secs(2));
                 self.network.schedule(restart, Scheduled::Start(member));
             }
             Arrival::Scheduled(Scheduled::Request(member, until)) => self.on_request(member, until),
@@ -169,7 +170,7 @@
         }
     }
 
-    /// A request wants to begin: the bound is asserted here, at each of them, by the fleet's own time.
+    /// Begins, delays or rejects a request, and counts arrivals by the network's true time.
     fn on_request(&mut self, member: usize, until: Micros) {
         let now = self.network.clock(member);
         let true_now = self.network.now();
@@ -185,12 +186,13 @@
             return;
         }
         limit.acquire(now);
-        let arrives = true_now + self.network.draw(self.scenario.arrival_spread + Micros(1));
+        let arrives = true_now + self.network.random_time(self.scenario.arrival_spread + Micros(1));
         self.count_arrival(true_now, arrives);
         self.result.begun.push((true_now, member));
     }
 
-    /// What arrives up to the spread later is counted by the windows that begin at it, once all of them are known.
+    /// Counts an arrival. All windows of a second that begin at a recent arrival are counted again, because later requests may
+    /// arrive up to the spread earlier than this one.
     fn count_arrival(&mut self, true_now: Micros, arrives: Micros) {
         let index = self.recent_arrivals.partition_point(|at| *at <= arrives);
         self.recent_arrivals.insert(index, arrives);
@@ -211,17 +213,17 @@
     }
 }
 
-pub(super) const CALM_CONDITIONS: Conditions = Conditions {
-    loss: 0.0,
-    repeat: 0.0,
+pub(super) const LOSSLESS_CONDITIONS: Conditions = Conditions {
+    loss_ratio: 0.0,
+    duplicate_ratio: 0.0,
     min_delay: Micros(500),
-    delay: Micros::from_millis(5),
-    late: 0.0,
-    late_delays: LATE_DELAYS,
-    drift: 0.0,
+    max_jitter: Micros::from_millis(5),
+    late_ratio: 0.0,
+    max_late_delays: MAX_LATE_DELAYS,
+    max_clock_drift: 0.0,
 };
 
-pub(super) const CALM: Scenario = Scenario {
+pub(super) const FAULT_FREE_SCENARIO: Scenario = Scenario {
     members: 10,
     owners: 10,
     requests_per_s: 40,
@@ -229,25 +231,25 @@
     seconds: 20,
     demand_per_s: 80.0,
     uneven_share: 0.0,
-    conditions: CALM_CONDITIONS,
+    conditions: LOSSLESS_CONDITIONS,
     faults: NO_FAULTS,
     defect: None,
-    without_start_wait: false,
-    without_spread: false,
+    skips_start_wait: false,
+    ignores_arrival_spread: false,
 };
 
-/// A scenario as bad as the terms allow for, drawn.
-pub(super) fn drawn_scenario(seed: u64) -> Scenario {
+/// A random scenario with faults up to the limits under which the guarantee has to hold.
+pub(super) fn random_scenario(seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let members = rng.random_range(2..9);
-    let mut up_to = |most: f64| most * rng.random::<f64>();
-    let demand_per_s = up_to(150.0) + 10.0;
-    let uneven_share = up_to(1.0);
-    let loss = up_to(0.5);
-    let repeat = up_to(0.2);
-    let late = up_to(0.4);
-    let delay = Micros(up_to(300_000.0) as u64 + 1);
-    let drift = up_to(0.001);
+    let mut random_below = |bound: f64| bound * rng.random::<f64>();
+    let demand_per_s = random_below(150.0) + 10.0;
+    let uneven_share = random_below(1.0);
+    let loss_ratio = random_below(0.5);
+    let duplicate_ratio = random_below(0.2);
+    let late_ratio = random_below(0.4);
+    let max_jitter = Micros(random_below(300_000.0) as u64 + 1);
+    let max_clock_drift = random_below(0.001);
     Scenario {
         members,
         owners: rng.random_range(1..2 * members as u32),
@@ -256,12 +258,19 @@
         seconds: 14,
         demand_per_s,
         uneven_share,
-        conditions: Conditions { loss, repeat, late, delay, drift, ..CALM_CONDITIONS },
+        conditions: Conditions {
+            loss_ratio,
+            duplicate_ratio,
+            late_ratio,
+            max_jitter,
+            max_clock_drift,
+            ..LOSSLESS_CONDITIONS
+        },
         faults: Faults {
             kills: rng.random_range(0..8),
             freezes: rng.random_range(0..5),
-            cuts: rng.random_range(0..4),
+            partitions: rng.random_range(0..4),
         },
-        ..CALM
+        ..FAULT_FREE_SCENARIO
     }
 }
--- a/cluster/src/slow_start_limit/tests.rs
+++ b/cluster/src/slow_start_limit/tests.rs
@@ -1,11 +1,11 @@
-//! What positions own of a server in slow start, how long its limit is kept, and what a new process may use.
+//! Token ownership by position, retention of limits, and the usable tokens of a new process.
 
 use juniperladder::ServerId;
 
 use super::*;
 use crate::virtual_network::times;
 
-/// When the servers of these tests start.
+/// The start time of the servers in these tests.
 const STARTED: Micros = Micros::from_secs(100);
 
 fn terms() -> SlowStartTerms {
@@ -24,25 +24,31 @@
 }
 
 #[test]
-fn what_positions_own_only_grows_and_sums_up_to_the_tokens_of_the_share() {
+fn owned_tokens_never_decrease_and_sum_up_to_the_total() {
     let terms = terms();
     for number in 0..50 {
         let server = server(number);
-        let mut before = [0; 9];
+        let mut previously_owned = [0; 9];
         for now in times(STARTED, STARTED + Micros::from_secs(12), Micros::from_millis(100)) {
             let owned: Vec<u32> = (0..9).map(|position| terms.owned_tokens(server, position, now)).collect();
             assert_eq!(owned.iter().sum::<u32>(), terms.total_tokens(STARTED, now));
-            assert!(owned[7..] == [0, 0] && owned.iter().zip(before).all(|(owned, before)| *owned >= before));
-            before = owned.try_into().unwrap();
+            assert!(
+                owned[7..] == [0, 0]
+                    && owned
+                        .iter()
+                        .zip(previously_owned)
+                        .all(|(owned, previously_owned)| *owned >= previously_owned)
+            );
+            previously_owned = owned.try_into().unwrap();
         }
-        assert_eq!(before.iter().sum::<u32>(), 50);
+        assert_eq!(previously_owned.iter().sum::<u32>(), 50);
     }
     assert_eq!(terms.total_tokens(Micros::ZERO, Micros(5)), 50);
     assert_eq!(terms.total_tokens(STARTED, STARTED), 5);
 }
 
 #[test]
-fn limits_are_forgotten_once_servers_are_warm_and_their_number_is_bounded() {
+fn limits_are_removed_once_servers_are_warm_and_their_number_is_bounded() {
     let mut limits = SlowStartLimits::new(terms(), 3, 1, Micros::ZERO);
     for number in 0..MAX_SERVER_INCARNATIONS as u64 + 5 {
         let access = limits.access(server(number), STARTED);
@@ -50,17 +56,20 @@
     }
     assert_eq!(limits.unavailable, 5);
     let far_later = ServerIncarnation { server: ServerId(1), started: STARTED + Micros::from_secs(60) };
-    assert!(matches!(limits.access(far_later, STARTED), SlowStartAccess::Unavailable), "no such start");
+    assert!(
+        matches!(limits.access(far_later, STARTED), SlowStartAccess::Unavailable),
+        "the start time is too far in the future"
+    );
     limits.tick(STARTED + Micros::from_secs(12), || || None);
-    assert_eq!(limits.limits.len(), MAX_SERVER_INCARNATIONS, "what was leased out is locked still");
+    assert_eq!(limits.limits.len(), MAX_SERVER_INCARNATIONS, "leased tokens are still locked");
     let warm = limits.access(server(1), STARTED + Micros::from_secs(10));
-    assert!(matches!(warm, SlowStartAccess::Unlimited), "it is warm");
+    assert!(matches!(warm, SlowStartAccess::Unlimited), "the server is warm");
     limits.tick(STARTED + Micros::from_secs(14), || || None);
     assert_eq!(limits.limits.len(), 0);
 }
 
 #[test]
-fn an_incarnation_that_began_after_the_server_waits_and_one_from_before_does_not() {
+fn balancer_started_after_the_server_waits_and_one_started_before_does_not() {
     let usable_tokens = |process_started: Micros, now: Micros| {
         let mut limits = SlowStartLimits::new(terms(), 3, 1, process_started);
         match limits.access(server(9), now) {
@@ -73,9 +82,10 @@
     assert_eq!(usable_tokens(STARTED + Micros::from_secs(8), now), 0);
 }
 
-/// Guards against own tokens that rise again at the tick after this member has left: others use them then.
+/// Guards against the next tick restoring the own tokens of a member that has left, while others already use
+/// them.
 #[test]
-fn member_that_left_owns_nothing_any_more() {
+fn member_that_left_owns_no_tokens() {
     let mut limits = SlowStartLimits::new(terms(), 3, 1, Micros::ZERO);
     let now = STARTED + Micros::from_secs(9);
     let owned = |limits: &mut SlowStartLimits| limits.metrics(now).rate_limits.owned_tokens;
