--- a/node/src/downstream.rs
+++ b/node/src/downstream.rs
@@ -1,7 +1,8 @@
-//! The downstream side: clients' connections, the requests on them, and the answers in their order.
+//! Client connections: accepting them, reading their requests and writing the answers in request order.
 //!
-//! Guarantee: connections stay within the configured limit, and idle ones give way to clients that have a request.
-//! A failed accept ends nothing: it is counted, logged and tried again.
+//! Guarantee: the number of connections stays within the configured limit, and idle connections are evicted
+//! for clients that have a request. A failed accept is counted, logged and retried; it never ends the
+//! process.
 
 mod backlog;
 mod connection;
@@ -31,28 +32,28 @@
 use slots::{Slot, SPARE_SLOT_DIVISOR};
 pub use stream::{ClientReader, ClientStream};
 
-/// For how long what a client still sends is read off after its last answer, as a close over unread bytes would reset
-/// the connection and might take that answer with it.
+/// How long input is still read and discarded after the last answer: closing a socket with unread bytes would
+/// reset the connection and could lose that answer.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a connection that is about to close is read once more.
+/// How long an idle connection waits for a last request before it closes.
 const FINAL_READ_TIMEOUT: Duration = Duration::from_millis(2);
-/// How long a new connection without a slot waits for the one that was evicted.
+/// How long an accepted connection without a slot waits for an evicted one to close before it checks again.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(10);
-/// How long the connections in the backlog wait for slots once the listener is about to close.
+/// How long connections in the backlog wait for slots, in total, once the listener is about to close.
 const FINAL_ACCEPT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Descriptors of clients that are not for slots: the connection that is accepted next waits for its slot with one.
+/// Client descriptors that are not for slots: an accepted connection that still waits for its slot holds one.
 const UNSERVED_CONNECTIONS: usize = 1;
 
-/// The names by which clients call the classes and the tenants of the settings, in the settings' order.
+/// The names that clients use for the classes and tenants, in the order of the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Labels {
-    /// Of the classes.
+    /// The names of the classes.
     pub classes: Vec<String>,
-    /// Of the tenants; a site may have none.
+    /// The names of the tenants; empty if the site has none.
     pub tenants: Vec<String>,
 }
 
-/// What all downstream connections share.
+/// State shared by all downstream connections.
 pub struct Downstream {
     dispatcher: Rc<Dispatcher>,
     labels: Labels,
@@ -61,26 +62,26 @@
     /// Bytes buffered for all clients together.
     buffered_bytes: Cell<usize>,
     slots: RefCell<Vec<Rc<Slot>>>,
-    /// Operators' connections, who share the descriptors.
+    /// The number of operators' connections, which share the descriptors.
     admin_connections: Rc<Cell<usize>>,
-    /// Connections that are over but for what may cross their close.
+    /// The number of lingering connections: they have no slot any more and discard input until they close.
     lingering: Cell<usize>,
-    /// Notified when a connection has closed, or stays open though it was to be evicted.
+    /// Notified when a connection has closed or its eviction was withdrawn.
     connection_closed: Notify,
     log_throttle: LogThrottle,
     log: Logger,
 }
 
-/// How a connection that is about to close is read once more.
+/// How to check an idle connection for a last request before it closes.
 enum FinalRead {
-    /// For [`FINAL_READ_TIMEOUT`].
+    /// Wait for input for up to [`FINAL_READ_TIMEOUT`].
     Wait,
-    /// For what has arrived already: another connection waits for its slot.
+    /// Read only what has already arrived, as another connection waits for the slot.
     AtOnce,
 }
 
 impl Downstream {
-    /// A downstream side that knows these names and keeps within these limits.
+    /// Creates the downstream side with these labels and limits.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         labels: Labels,
@@ -111,7 +112,8 @@
                 accepted = backlog.accept() => accepted,
                 () = self.shutdown.wait_for_closing() => {
                     self.accept_remaining(&mut backlog).await;
-                    // Closed, the listener leaves new connections to a balancer that shares its address.
+                    // Closing the listener leaves new connections to another balancer that listens on the
+                    // same address.
                     return;
                 }
             };
@@ -126,8 +128,9 @@
         }
     }
 
-    /// Serves a connection as soon as it has a slot. Connections that send nothing must not shut it out; where all are
-    /// busy it waits until one closes, and the backlog holds those behind it.
+    /// Serves a connection as soon as it has a slot. An idle connection is evicted for it if necessary, since
+    /// connections that send nothing must not block new ones. If all are busy, it waits until one closes, and
+    /// later connections stay in the backlog.
     async fn serve_in_turn(self: &Rc<Downstream>, accepted: Accepted) {
         let accepted_at = Instant::now();
         while self.is_full() {
@@ -136,11 +139,11 @@
         self.serve_accepted(accepted, accepted_at.elapsed());
     }
 
-    /// Accepts the connections that wait in the backlog already: those would be reset when it closes. Where all slots are
-    /// occupied they wait a moment for one, as the descriptors beyond those are others'. Time in which this process did not
-    /// run is no part of that.
+    /// Accepts the connections that already wait in the backlog, as they would be reset when the listener
+    /// closes. If all slots are occupied, they wait up to [`FINAL_ACCEPT_TIMEOUT`] in total, since all other
+    /// descriptors are reserved. Time in which this process did not run does not count.
     async fn accept_remaining(self: &Rc<Downstream>, backlog: &mut Backlog) {
-        // In this turn the runtime notices what has arrived until now.
+        // Lets the runtime poll for connections that have arrived by now.
         yield_now().await;
         let mut waited = Duration::ZERO;
         while let Some(accepted) = backlog.accept_waiting() {
@@ -157,7 +160,8 @@
         }
     }
 
-    /// Out of descriptors, or a client that left at once: neither may end the program.
+    /// Counts and logs a failed accept, and waits before the next. Neither a lack of descriptors nor a client
+    /// that left at once may end the process.
     async fn on_accept_failed(&self, error: &std::io::Error) {
         let failed = &self.dispatcher.counters().accepts_failed;
         increment(failed);
@@ -167,8 +171,9 @@
         sleep(ACCEPT_RETRY_DELAY).await;
     }
 
-    /// Evicts one connection for the one that waits for a slot, unless that is under way already, and waits for a moment until
-    /// one has closed. The evicted one may have brought a request meanwhile: then another is evicted.
+    /// Evicts one connection for the one that waits for a slot, unless an eviction is already pending, and
+    /// waits up to [`EVICTION_TIMEOUT`] until one has closed. If the evicted connection receives a request
+    /// meanwhile, it stays open and the next call evicts another.
     async fn evict_for_waiting(&self) {
         if !self.is_evicting() {
             self.evict(1);
@@ -176,7 +181,8 @@
         let _ = timeout(EVICTION_TIMEOUT, self.connection_closed.notified()).await;
     }
 
-    /// Evicts one connection where nearly all slots are occupied, though nobody waits for one yet.
+    /// Evicts one idle connection when nearly all slots are occupied, before another connection waits for a
+    /// slot.
     fn keep_spare_slots(&self) {
         let limit = self.resource_limits.client_connections;
         if self.occupied_descriptors() + limit / SPARE_SLOT_DIVISOR > limit {
@@ -188,8 +194,8 @@
         self.occupied_descriptors() + UNSERVED_CONNECTIONS >= self.resource_limits.client_connections
     }
 
-    /// Clients' descriptors that are in use. Operators' connections beyond those that have descriptors of their own
-    /// count as well.
+    /// The client descriptors in use. Operators' connections beyond those with reserved descriptors count as
+    /// well.
     fn occupied_descriptors(&self) -> usize {
         let admin = self.admin_connections.get().saturating_sub(RESERVED_ADMIN_CONNECTIONS);
         self.slots.borrow().len() + self.lingering.get() + admin
@@ -200,26 +206,27 @@
         Rc::clone(&self.admin_connections)
     }
 
-    /// Serves a connection that has waited so long for its slot.
+    /// Serves an accepted connection that waited for its slot for `slot_wait`.
     fn serve_accepted(self: &Rc<Downstream>, accepted: Accepted, slot_wait: Duration) {
         let _ = accepted.stream.set_nodelay(true);
         self.serve(Socket(accepted.stream), accepted.backlog_wait + slot_wait);
     }
 
-    /// Gives a client that has just connected a slot, and serves it; it may have waited this long for that at most.
+    /// Occupies a slot for a new connection and serves it. `backlog_wait` is the longest that it may have
+    /// waited for that.
     pub(crate) fn serve(self: &Rc<Downstream>, stream: impl ClientStream, backlog_wait: Duration) {
         increment(&self.dispatcher.counters().connections_accepted);
         let slot = self.occupy_slot(backlog_wait);
         let log = self.log.clone();
         spawn_local(async move {
-            // Nobody is left to be notified of a broken connection.
+            // The client is gone, so that the error is only logged.
             if let Err(error) = slot.serve(stream).await {
                 debug!(log, "downstream connection broke"; "error" => %error);
             }
         });
     }
 
-    /// Waits until this connection, whose client is owed nothing, is to close.
+    /// Waits until this idle connection has to close: for the shutdown, an eviction or the idle timeout.
     async fn wait_for_close(&self, slot: &Slot, idle_until: Option<Instant>) -> FinalRead {
         tokio::select! {
             () = self.shutdown.wait_for_closing() => FinalRead::Wait,
--- a/node/src/downstream/backlog.rs
+++ b/node/src/downstream/backlog.rs
@@ -1,8 +1,9 @@
 //! Accepts connections from the listener's queue and bounds how long each of them may have waited there.
 //!
-//! Guarantee: the wait that is reported is not shorter than the true one, as far as the process can know it. A connection that was
-//! already queued arrived after the last time at which the queue was seen empty, so that the time since then is an upper bound.
-//! For how long one waited while the process had no processor time cannot be known here.
+//! Guarantee: the reported wait is not shorter than the true one, as far as the process can know it. A
+//! connection that was already queued arrived after the queue was last seen empty, so that the time since
+//! then is an upper bound. How long a connection waited while the process had no CPU time cannot be known
+//! here.
 
 use std::future::poll_fn;
 use std::io;
@@ -11,17 +12,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{Duration, Instant};
 
-/// How many failures in a row are taken to be of single connections.
+/// Consecutive failed accepts that are attributed to single connections; after more the queue is taken to be
+/// broken.
 const MAX_FAILED_ACCEPTS: usize = 64;
 
 /// A connection that was accepted.
 pub(super) struct Accepted {
     pub(super) stream: TcpStream,
-    /// The longest that it may have waited unaccepted.
+    /// The longest that the connection may have waited in the backlog.
     pub(super) backlog_wait: Duration,
 }
 
-/// The queue of connections that the system has taken up and that nobody has accepted yet.
+/// The listener's queue of connections that the kernel has established and the process has not accepted yet.
 pub(super) struct Backlog {
     listener: TcpListener,
     /// When the queue was last known to be empty.
@@ -29,7 +31,7 @@
 }
 
 impl Backlog {
-    /// The queue of this listener, taken to be empty now.
+    /// Creates the backlog of a listener whose queue is taken to be empty now.
     pub(super) fn new(listener: TcpListener) -> Backlog {
         Backlog { listener, last_empty: Instant::now() }
     }
@@ -49,8 +51,9 @@
         Ok(Accepted { stream, backlog_wait: self.longest_wait() })
     }
 
-    /// Accepts a connection that waits already; none if the queue is empty or broken. One that cannot be accepted, as its
-    /// client has gone or for a moment, keeps nobody behind it out.
+    /// Accepts a connection that is already queued; `None` if the queue is empty or broken. A connection that
+    /// cannot be accepted, because its client has gone or for a transient reason, does not block those behind
+    /// it.
     pub(super) fn accept_waiting(&mut self) -> Option<Accepted> {
         let mut context = Context::from_waker(Waker::noop());
         for _ in 0..MAX_FAILED_ACCEPTS {
@@ -65,7 +68,7 @@
         None
     }
 
-    /// The longest that a connection which waits in the queue now may have waited.
+    /// The longest that a connection now in the queue may have waited.
     pub(super) fn longest_wait(&self) -> Duration {
         self.last_empty.elapsed()
     }
--- a/node/src/downstream/backlog/tests.rs
+++ b/node/src/downstream/backlog/tests.rs
@@ -1,4 +1,4 @@
-//! How long connections may have waited unaccepted, and what that means for what they bring.
+//! Upper bounds of the wait in the backlog, and their effect on the deadlines of requests.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,7 +20,8 @@
     std::net::TcpStream::connect(address).unwrap()
 }
 
-/// One that was awaited has not waited; one that was there already may have come right after the queue was last empty.
+/// A connection accepted from an empty queue has not waited; one that was already queued may have arrived
+/// right after the queue was last empty.
 #[test]
 fn backlog_wait_counts_from_when_the_queue_was_last_empty() {
     testing::run(async {
@@ -41,7 +42,8 @@
     });
 }
 
-/// In a flood of silent connections several leave at once, so that the queue is worked off in few turns of the event loop.
+/// In a flood of silent connections several must be evicted at once, so that the queue is processed in few
+/// turns of the event loop.
 #[test]
 fn several_silent_connections_are_evicted_at_once_in_a_flood() {
     testing::run(async {
@@ -71,8 +73,9 @@
     });
 }
 
-/// What a connection brings right behind its accept may have waited as long as that did, and its time ends sooner by it; what
-/// comes later has all its time. A wait that may be far over the truth leaves half of the time.
+/// A request read right after the accept may have waited as long as its connection, so that its deadline is
+/// earlier by that wait; a later request has its full time. A bound that may be far above the true wait
+/// leaves half of the time.
 #[test]
 fn the_backlog_wait_is_subtracted_from_the_deadline() {
     for (waited, early) in [(0, 0), (100, 100), (2_000, 240)] {
--- a/node/src/downstream/connection.rs
+++ b/node/src/downstream/connection.rs
@@ -1,8 +1,8 @@
-//! One downstream connection: its requests, taken as they come, and their answers in the same order.
+//! One downstream connection: its requests are taken as they arrive and answered in the same order.
 //!
-//! Guarantee: each request that was read completely gets its one answer, in the order of the requests, unless its client has
-//! gone. What is buffered for the connection is bounded, and so is the time for which it may hold its slot without an
-//! open request.
+//! Guarantee: each request that was read completely gets exactly one answer, in the order of the requests,
+//! unless its client has left. What is buffered for the connection is bounded, and so is the time for which
+//! it may hold its slot without an open request.
 
 mod answers;
 mod requests;
@@ -25,13 +25,14 @@
 use crate::memcache::RequestReader;
 use answers::{next_answer, next_chunk, Download, PendingAnswer};
 
-/// Requests that one connection may have open: enough for any pipeline, a bound for one that runs away.
+/// Requests that one connection may have open: enough for any pipeline, and a bound for a runaway client.
 pub(super) const MAX_PENDING_ANSWERS: usize = 128;
-/// Invalid requests on one connection before it ends: more is garbage, or a client that reads no answers.
+/// Invalid requests after which a connection ends: more are garbage, or come from a client that reads no
+/// answers.
 pub(super) const MAX_INVALID_REQUESTS: usize = 64;
 /// Bytes reserved for each read.
 pub(super) const READ_BYTES: usize = 2048;
-/// Bytes that a connection may buffer whatever the others do: a request as clients send it.
+/// Bytes that a connection may buffer regardless of all others: enough for a typical request.
 pub(super) const ALWAYS_ALLOWED_BYTES: usize = 8 * 1024;
 
 /// One downstream connection.
@@ -41,72 +42,72 @@
     request_reader: RequestReader,
     input: BytesMut,
     output: BytesMut,
-    /// What the client is owed, in order.
+    /// The answers that the client waits for, in order.
     pending: VecDeque<PendingAnswer>,
-    /// Bytes of the values of its open requests.
+    /// Bytes of the values of the open requests.
     request_bytes: usize,
-    /// Bytes that the connection was last counted with in [`Downstream::buffered_bytes`].
+    /// The bytes of this connection that are included in [`Downstream::buffered_bytes`].
     counted_bytes: usize,
-    /// How many invalid requests it has brought.
+    /// The number of invalid requests received.
     invalid_requests: usize,
-    /// Since when a request has been coming that is not complete.
+    /// Since when an incomplete request has been arriving.
     incomplete_since: Option<Instant>,
-    /// When bytes came last, or were last kept from coming.
+    /// When bytes were last received, or reading was last blocked by the upload.
     last_received: Instant,
-    /// When the client last read a part of what waits for it.
+    /// When the client last read part of its pending output, or there was none.
     last_drained: Instant,
-    /// When a part of an answer was last written to the client.
+    /// When part of an answer was last written to the client.
     last_written: Option<Instant>,
-    /// The streamed value that is on its way to the client.
+    /// The streamed value that is being sent to the client.
     download: Option<Download>,
-    /// The streamed value that the client is writing.
+    /// The streamed value that is being received from the client.
     upload: Option<StreamedUpload>,
-    /// No further request is taken: the client closed its side or sent `quit`, or the connection ends because of invalid or
-    /// unfinished input.
+    /// Whether no further request is taken, as the client closed its side or sent `quit`, or the connection
+    /// ends because of invalid or unfinished input.
     takes_no_more_requests: bool,
-    /// The client has left, though not all that it sent has been read: none of that is forwarded.
+    /// Whether the client has left before all its input was read; the rest is not forwarded.
     has_client_left: bool,
-    /// The final phase of the shutdown: what has been read is answered, and no more is read.
+    /// Whether the shutdown is in its final phase: what has been read is answered, and no more is read.
     is_final_phase: bool,
 }
 
-/// What the connection waits for next, as its state allows.
+/// The events that the connection waits for in its current state.
 struct Interests {
-    /// Whether more answers may be put into the output: those to a client that does not read them wait unformatted.
+    /// Whether answers may be added to the output. Those to a client that does not read wait unformatted.
     can_answer: bool,
-    /// Whether more may be read.
+    /// Whether more input may be read.
     can_read: bool,
-    /// Whether the client's leaving has to be noticed without a read.
+    /// Whether a disconnect has to be detected without reading.
     must_watch_disconnect: bool,
-    /// Whether the upload waits for the origin's side.
+    /// Whether the upload waits for the origin side.
     is_upload_blocked: bool,
-    /// Whether the client is owed nothing and has sent no part of a request.
+    /// Whether the client waits for no answer and has sent no part of a request.
     is_idle: bool,
-    /// Until when the connection may go on as it is.
+    /// When the connection times out in its current state.
     deadline: Option<Instant>,
 }
 
-/// What happened on the connection.
+/// An event on the connection.
 enum ConnectionEvent {
-    /// The process ends, and reads no more.
+    /// The final phase of the shutdown has begun: no more is read.
     ReadingStopped,
-    /// The first pending answer is there.
+    /// The first pending answer is available.
     Answered(PendingAnswer, Answer),
-    /// Some of the output was written.
+    /// Part of the output was written.
     Written,
-    /// A chunk of the download; none where it broke off.
+    /// A chunk of the download; `None` if the download was interrupted.
     Chunk(Option<Bytes>),
-    /// The upload goes on.
+    /// The upload is no longer blocked.
     UploadUnblocked,
-    /// So many bytes came.
+    /// This many bytes were received; 0 is the end of the input.
     Received(usize),
-    /// The client left while nothing was read.
+    /// The client disconnected while nothing was read.
     Disconnected,
-    /// The idle connection is to close.
+    /// The idle connection has to close.
     CloseRequested(FinalRead),
-    /// The time of the connection is up.
+    /// The deadline of the connection has passed.
     TimedOut,
-    /// The slot is needed though a part of a request has come.
+    /// The slot is needed although part of a request has been received.
     EvictedMidRequest,
 }
 
@@ -135,7 +136,8 @@
         }
     }
 
-    /// Serves the connection until its end. The reader that is returned may still bring something that crossed the close.
+    /// Serves the connection until its end. Returns the reader if input that crosses the close may still
+    /// arrive.
     pub(super) async fn serve<S: ClientStream>(&mut self, stream: S) -> io::Result<Option<S::Reader>> {
         let (mut reader, mut writer) = stream.halves();
         loop {
@@ -212,8 +214,8 @@
         }
     }
 
-    /// Waits for the first thing that happens. The end of the process comes before all that a client which never stops
-    /// to send keeps ready.
+    /// Waits for the next event. The final phase of the shutdown has priority, so that a client that never
+    /// stops sending cannot delay it.
     async fn next_event<S: ClientStream>(
         &mut self,
         reader: &mut S::Reader,
@@ -241,7 +243,7 @@
                 ConnectionEvent::CloseRequested(final_read)
             }
             () = wait_until(interests.deadline), if !interests.is_idle => ConnectionEvent::TimedOut,
-            // A connection in the middle of a request gives its slot up too, but only when no other can.
+            // A connection in the middle of a request is evicted only when no other can be.
             () = self.slot.wait_for_eviction(&self.slot.evicted_mid_request),
                 if !interests.is_idle && !self.slot.is_busy.get() => ConnectionEvent::EvictedMidRequest,
         })
@@ -265,8 +267,9 @@
         Ok(())
     }
 
-    /// Reads an idle connection once more before it closes, and returns whether it may close. A request may have come that
-    /// the runtime has not looked for yet: it is taken, and a close over unread bytes would reset the connection.
+    /// Reads an idle connection once more before it closes, and returns whether it may close. A request may
+    /// have arrived that the runtime has not polled for yet: it is taken, and closing the socket with unread
+    /// bytes would reset the connection.
     async fn read_before_close(
         &mut self,
         reader: &mut impl ClientReader,
@@ -289,8 +292,8 @@
         Ok(true)
     }
 
-    /// Reads what has arrived already, whether or not the runtime has looked for it, and returns whether there was anything:
-    /// however late the event loop is, nothing is concluded from a silence that was none.
+    /// Reads what has already arrived, even if the runtime has not polled for it, and returns whether there
+    /// was anything. Even a long event loop delay must not make unread input look like silence.
     fn read_arrived(&mut self, reader: &mut impl ClientReader) -> io::Result<bool> {
         match reader.read_arrived(&mut self.input) {
             Poll::Ready(read) => {
@@ -301,12 +304,12 @@
         }
     }
 
-    /// Whether an answer may still be on its way, which must not be lost to what crosses the close.
+    /// Whether an answer may still be in transit and would be lost by a reset, if input crosses the close.
     fn has_answered_lately(&self) -> bool {
         self.last_written.is_some_and(|written| written.elapsed() < LINGER_TIMEOUT)
     }
 
-    /// So many bytes came; none at the end of the input.
+    /// Handles a read of `length` bytes; 0 is the end of the input.
     fn on_received(&mut self, length: usize) {
         if length == 0 {
             self.on_input_ended();
@@ -315,13 +318,13 @@
         }
     }
 
-    /// The client has closed its side, and that has been read: it is gone, or waits for the answers that it is owed.
+    /// Handles the end of the input: the client has left, or waits for its remaining answers.
     fn on_input_ended(&mut self) {
         self.takes_no_more_requests = true;
         self.half_close_pending();
     }
 
-    /// The client has closed its side while bytes are still unread. They are read and answered, but not forwarded.
+    /// Handles a disconnect with input still unread, which is read and answered but not forwarded.
     fn on_disconnected(&mut self) {
         self.has_client_left = true;
         if let Some(upload) = &mut self.upload {
@@ -330,7 +333,7 @@
         self.half_close_pending();
     }
 
-    /// Nothing new begins for the requests that are open.
+    /// Reports the half-close for all open requests, so that no new attempt begins for them.
     fn half_close_pending(&self) {
         for pending in &self.pending {
             if let PendingAnswer::Request(request) = pending {
@@ -341,7 +344,7 @@
 }
 
 impl Drop for DownstreamConnection<'_> {
-    /// The connection has ended: clients of what is still pending are gone.
+    /// Reports the client of each pending request as gone, as the connection has ended.
     fn drop(&mut self) {
         let buffered_bytes = &self.downstream.buffered_bytes;
         buffered_bytes.set(buffered_bytes.get() - self.counted_bytes);
@@ -353,7 +356,7 @@
     }
 }
 
-/// Waits until this time, or for ever.
+/// Waits until this time; forever if there is none.
 pub(super) async fn wait_until(time: Option<Instant>) {
     match time {
         Some(time) => sleep_until(time).await,
@@ -361,7 +364,7 @@
     }
 }
 
-/// Reads more. Where nothing may be read: waits until the client has left.
+/// Reads more input; if nothing may be read, waits until the client has disconnected.
 async fn receive(
     reader: &mut impl ClientReader,
     input: &mut BytesMut,
--- a/node/src/downstream/connection/answers.rs
+++ b/node/src/downstream/connection/answers.rs
@@ -1,5 +1,5 @@
-//! The answers of a connection, which wait in the order of their requests, and the streamed value that is written
-//! behind one of them.
+//! The pending answers of a connection, in the order of their requests, and the streamed value that is
+//! written after one of them.
 
 use std::collections::VecDeque;
 use std::io;
@@ -13,10 +13,10 @@
 use crate::dispatcher::{Answer, ClientRequestId};
 use crate::memcache;
 
-/// What a connection owes its client.
+/// An answer that the client waits for.
 #[derive(Debug)]
 pub(super) enum PendingAnswer {
-    /// A line that is known already.
+    /// A fixed line.
     Line(&'static str),
     /// The answer to a request.
     Request(PendingRequest),
@@ -25,24 +25,24 @@
 /// A request that waits for its answer.
 #[derive(Debug)]
 pub(super) struct PendingRequest {
-    /// What the dispatcher calls it.
+    /// The id that the dispatcher gave it.
     pub(super) id: ClientRequestId,
     /// The id that the client gave it.
     pub(super) client_id: Bytes,
-    /// Brings the answer.
+    /// The channel that delivers the answer.
     pub(super) answer: oneshot::Receiver<Answer>,
-    /// Bytes of its value.
+    /// The length of the request's value in bytes.
     pub(super) value_bytes: usize,
 }
 
-/// A streamed value on its way to the client.
+/// A streamed value that is being sent to the client.
 pub(super) struct Download {
     value: ChunkReceiver,
     remaining_bytes: usize,
 }
 
 impl DownstreamConnection<'_> {
-    /// Puts an answer into the output.
+    /// Appends an answer to the output.
     pub(super) fn write_answer(&mut self, pending: PendingAnswer, answer: Answer) {
         let request = match pending {
             PendingAnswer::Line(line) => {
@@ -60,11 +60,11 @@
         }
     }
 
-    /// Puts a chunk of the download into the output.
+    /// Appends a chunk of the download to the output.
     ///
     /// # Errors
-    /// The download broke off. It cannot be repaired: only the end of the connection shows the client that its
-    /// value is not complete.
+    /// The download was interrupted. It cannot be resumed: only the end of the connection shows the client
+    /// that its value is incomplete.
     pub(super) fn write_chunk(&mut self, chunk: Option<Bytes>) -> io::Result<()> {
         let Some(download) = &mut self.download else { return Ok(()) };
         let chunk = chunk.ok_or(io::ErrorKind::UnexpectedEof)?;
@@ -78,7 +78,7 @@
         Ok(())
     }
 
-    /// A part of the output was written.
+    /// Records that part of the output was written.
     pub(super) fn on_written(&mut self) {
         let now = Instant::now();
         self.last_drained = now;
@@ -86,7 +86,7 @@
     }
 }
 
-/// Waits for the next chunk of a download; for ever where there is none.
+/// Waits for the next chunk of a download; forever if there is none.
 pub(super) async fn next_chunk(download: &Option<Download>) -> Option<Bytes> {
     match download {
         Some(download) => download.value.next().await,
@@ -94,13 +94,13 @@
     }
 }
 
-/// Waits for the answer that is first in order; the others wait behind it.
+/// Waits for the first pending answer; the others wait behind it.
 pub(super) async fn next_answer(pending: &mut VecDeque<PendingAnswer>) -> (PendingAnswer, Answer) {
     let answer = match pending.front_mut() {
         None => std::future::pending().await,
-        // Not used, as the line is the answer.
+        // Unused, as the line is the answer.
         Some(PendingAnswer::Line(_)) => Answer::Failed,
-        // The dispatcher answers everything it took; should it ever drop one, that request has failed.
+        // The dispatcher answers every request that it took; one that it dropped has failed.
         Some(PendingAnswer::Request(request)) => (&mut request.answer).await.unwrap_or(Answer::Failed),
     };
     match pending.pop_front() {
--- a/node/src/downstream/connection/requests.rs
+++ b/node/src/downstream/connection/requests.rs
@@ -1,4 +1,4 @@
-//! The requests of a connection: what was read is taken, rejected, or passed on while it comes.
+//! The requests of a connection, which are dispatched, rejected, or forwarded while they arrive.
 
 use bytes::Bytes;
 use juniperladder::Micros;
@@ -12,11 +12,11 @@
 use crate::downstream::upload::StreamedUpload;
 use crate::memcache::{Incoming, BUSY, VALUE_TOO_LARGE};
 
-/// Requests read this soon after the accept may have waited in the backlog with their connection.
+/// Requests read within this time after the accept may have waited in the backlog with their connection.
 const EARLY_REQUEST_WINDOW: Duration = Duration::from_millis(20);
 
 impl DownstreamConnection<'_> {
-    /// Takes every complete request off the input, as far as their answers may be pending.
+    /// Takes the complete requests from the input, up to the limits on pending answers and unread output.
     pub(super) fn take_requests(&mut self) {
         while self.can_take_request() {
             let Some(incoming) = self.request_reader.next(&mut self.input) else { return };
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Passes a chunk on. Where the request was rejected at its line the value is read past.
+    /// Forwards a chunk of an upload. If the request line was rejected, the value is skipped.
     fn on_upload_chunk(&mut self, chunk: Bytes, is_last: bool) {
         if let Some(upload) = &mut self.upload {
             upload.on_chunk(&self.downstream.dispatcher, chunk, is_last);
@@ -76,9 +76,10 @@
         }
     }
 
-    /// The request with its class and tenant; none if there is no such class in the settings, which is the answer then: such
-    /// a one has no deadline and no idempotency, and servers reject it too. One that names no tenant of the settings, or none
-    /// at all, is served like all others and counts for nobody's quota.
+    /// Sets the class and the tenant of a request. If the settings lack the class, that is answered and
+    /// `None` is returned, as there is no deadline and no idempotency for the request, and servers would
+    /// reject it too. A request with a tenant that the settings lack, or with none, is served like all others
+    /// and counts for no tenant's quota.
     fn classify(&mut self, mut request: Box<ClientRequest>, class: &[u8]) -> Option<Box<ClientRequest>> {
         let labels = &self.downstream.labels;
         let Some(class) = position_of(&labels.classes, class) else {
@@ -92,7 +93,7 @@
         Some(request)
     }
 
-    /// Takes a request whose last byte has come.
+    /// Dispatches a request whose last byte has been received.
     fn take_complete(&mut self, request: ClientRequest) {
         self.incomplete_since = None;
         if self.has_client_left {
@@ -111,8 +112,8 @@
         }
     }
 
-    /// The longest that a request which is read now may have waited before: what comes right behind the accept of its
-    /// connection may have come long before that.
+    /// The longest that a request read now may have waited unread: one read right after the accept of its
+    /// connection may have arrived long before.
     fn longest_unread_wait(&self) -> Micros {
         if self.slot.accepted.elapsed() < EARLY_REQUEST_WINDOW {
             clock::micros(self.slot.backlog_wait)
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Owes this line for what was no request. A client that goes on sending such things loses the connection.
+    /// Answers invalid input with this line. The connection ends after [`MAX_INVALID_REQUESTS`].
     fn reject_invalid(&mut self, line: &'static str) {
         increment(&self.downstream.dispatcher.counters().malformed_requests);
         self.pending.push_back(PendingAnswer::Line(line));
@@ -135,7 +136,7 @@
         self.pending.push_back(PendingAnswer::Line(BUSY));
     }
 
-    /// Ends a connection whose client is owed nothing and has sent a part of a request.
+    /// Ends a connection whose client waits for no answer and has sent part of a request.
     pub(super) fn end_mid_request(&mut self) {
         increment(&self.downstream.dispatcher.counters().connections_cut);
         self.pending.push_back(PendingAnswer::Line("CLIENT_ERROR command not finished in time"));
--- a/node/src/downstream/connection/timing.rs
+++ b/node/src/downstream/connection/timing.rs
@@ -1,24 +1,24 @@
-//! How long a connection may go on as it is, and how much it may buffer.
+//! The deadlines of a connection, and how much it may buffer.
 
 use tokio::time::{Duration, Instant};
 
 use super::{DownstreamConnection, ALWAYS_ALLOWED_BYTES};
 use crate::downstream::upload::StreamedUpload;
 
-/// How long a connection may go without an open request: one that is silent, kept for good or in the middle
-/// of a request holds a descriptor that others need. A partial request does not restart the time.
+/// How long a connection may be without an open request: one that is silent, kept open for good or in the
+/// middle of a request holds a descriptor that others need. A partial request does not restart the timeout.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// How long a request may take from its first byte to its last, if that is longer.
+/// How long a request may take from its first byte to its last, if that ends after the idle timeout.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long a value may stand still before it is complete.
+/// How long an incomplete value may make no progress.
 const VALUE_STALL_TIMEOUT: Duration = Duration::from_millis(2200);
-/// How long a value may take to come to its end while chunks of it keep coming.
+/// How long a value may take in total while its chunks keep arriving.
 const VALUE_TIMEOUT: Duration = Duration::from_secs(15);
-/// How long a client may take to read any part of the answers that wait for it.
+/// How long a client may leave its pending answers without reading any part of them.
 const UNREAD_ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
 impl DownstreamConnection<'_> {
-    /// Until when this connection may go on as it is; none while its client waits for the dispatcher.
+    /// When this connection times out in its current state; `None` while its client waits for the dispatcher.
     pub(super) fn deadline(&self) -> Option<Instant> {
         if !self.output.is_empty() {
             return Some(self.last_drained + UNREAD_ANSWER_TIMEOUT);
@@ -28,7 +28,7 @@
         }
         let idle_until = self.slot.idle_since.get() + IDLE_TIMEOUT;
         let incomplete_until = match self.incomplete_since {
-            // A value may come slowly, but it has to come.
+            // A value may arrive slowly, but must not stall.
             Some(since) if self.request_reader.has_incomplete_request() => {
                 (self.last_received + VALUE_STALL_TIMEOUT).min(since + VALUE_TIMEOUT)
             }
@@ -38,7 +38,7 @@
         Some(incomplete_until.max(idle_until))
     }
 
-    /// Updates the times on which the connection's deadline stands.
+    /// Updates the times that the deadline depends on.
     pub(super) fn update_times(&mut self) {
         let now = Instant::now();
         let is_busy = !self.owes_nothing();
@@ -52,7 +52,7 @@
         }
         self.incomplete_since = has_incomplete_request.then(|| self.incomplete_since.unwrap_or(now));
         if self.is_upload_blocked() {
-            // It is not the client who is waited for.
+            // The connection waits for the origin side and not for the client.
             self.last_received = now;
         }
         if self.output.is_empty() {
@@ -60,14 +60,15 @@
         }
     }
 
-    /// The connection goes on, so that another has to be evicted where one is still needed.
+    /// Withdraws a pending eviction, as the connection stays open. Another is evicted if a slot is still
+    /// needed.
     fn withdraw_eviction(&self) {
         if self.slot.withdraw_eviction() {
             self.downstream.connection_closed.notify_one();
         }
     }
 
-    /// Counts what this connection buffers.
+    /// Updates the shared total by the bytes that this connection buffers.
     pub(super) fn count_buffered_bytes(&mut self) {
         let upload_bytes = self.upload.as_ref().map_or(0, StreamedUpload::buffered_bytes);
         let bytes = self.input.len() + self.output.len() + self.request_bytes + upload_bytes;
@@ -76,8 +77,8 @@
         self.counted_bytes = bytes;
     }
 
-    /// Whether more may be read. Where clients' connections buffer too much together, those that buffer much themselves
-    /// wait until the others are done or run out of time.
+    /// Whether more may be read. When all client connections together buffer too much, those that buffer much
+    /// wait until others finish or time out.
     pub(super) fn may_buffer_more(&self) -> bool {
         self.counted_bytes <= ALWAYS_ALLOWED_BYTES
             || self.downstream.buffered_bytes.get() < self.downstream.resource_limits.client_buffer_bytes
--- a/node/src/downstream/lingering.rs
+++ b/node/src/downstream/lingering.rs
@@ -1,7 +1,7 @@
-//! A connection's service from its start to the moment after its close, in which it still counts as a descriptor.
+//! Serves a connection to its end and then lets it linger: its remaining input is discarded for a moment.
 //!
-//! A close over unread bytes would reset the connection and could take the last answer with it, so that what still comes is
-//! read off for a moment. The connection's slot is free meanwhile.
+//! Closing a socket with unread bytes would reset the connection and could lose the last answer. A lingering
+//! connection has freed its slot, but still counts as a descriptor.
 
 use std::rc::Rc;
 
@@ -13,18 +13,19 @@
 use super::stream::ClientStream;
 use super::{Downstream, LINGER_TIMEOUT};
 
-/// How many bytes are read off then at most.
+/// Bytes that a lingering connection discards at most.
 const LINGER_BYTES: u64 = 256 * 1024;
-/// The part of the clients' connections (one in so many) above which no more may linger: their descriptors still count.
+/// The share of the client connections (one in this many) above which no more may linger, as their
+/// descriptors still count.
 const LINGERING_DIVISOR: usize = 16;
 
 impl OccupiedSlot {
-    /// Serves this connection to its end, and reads it off for a moment after the slot is free.
+    /// Serves this connection to its end, frees the slot and discards the remaining input for a moment.
     pub(super) async fn serve(self, stream: impl ClientStream) -> std::io::Result<()> {
         let reader = DownstreamConnection::new(&self.downstream, &self.slot).serve(stream).await?;
         let downstream = Rc::clone(&self.downstream);
         if let Some(reader) = reader.filter(|_| downstream.may_linger()) {
-            // The descriptor is still counted.
+            // Created before the slot is freed, so that the descriptor stays counted.
             let _lingering = LingeringConnection::new(&downstream);
             drop(self);
             linger(reader).await;
@@ -33,7 +34,7 @@
     }
 }
 
-/// Counts a connection that is over but for what may cross its close.
+/// Counts a lingering connection until dropped.
 struct LingeringConnection(Rc<Downstream>);
 
 impl LingeringConnection {
@@ -56,7 +57,7 @@
     }
 }
 
-/// Reads off for a moment what a client still sends that has its last answer.
+/// Discards what a client still sends after its last answer, for a limited time and number of bytes.
 async fn linger(reader: impl AsyncRead + Unpin) {
     let (mut rest, mut sink) = (reader.take(LINGER_BYTES), tokio::io::sink());
     let _ = timeout(LINGER_TIMEOUT, tokio::io::copy(&mut rest, &mut sink)).await;
--- a/node/src/downstream/slots.rs
+++ b/node/src/downstream/slots.rs
@@ -1,9 +1,9 @@
-//! The slots of downstream connections: how many there are, and which of them are evicted when others need theirs.
+//! The slots of downstream connections: how many are occupied, and which connections are evicted for others.
 //!
-//! Guarantee: a connection with an open request is never evicted, and one in the middle of a request only when
-//! there is no other. One that may be about to send its first request is evicted only for a connection that waits, so that no
-//! more of those close than wait; and an evicted connection is read once more before it closes, so that however late the
-//! event loop is, no request that has arrived is lost.
+//! Guarantee: a connection with an open request is never evicted, and one in the middle of a request only
+//! when there is no other. A connection that may be about to send its first request is evicted only for one
+//! that waits for a slot, so that no more of them close than wait. An evicted connection is read once more
+//! before it closes, so that no request that has arrived is lost, however long the event loop is delayed.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,31 +13,32 @@
 
 use super::Downstream;
 
-/// How long a new connection that has sent nothing yet is taken to be about to.
+/// How long a new connection that has sent nothing is expected to be about to send its first request.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(500);
-/// The part of the slots (one in so many) that is kept free for new connections, by evicting idle ones in time.
+/// The share of the slots (one in this many) that is kept free for new connections by evicting idle ones
+/// early.
 pub(super) const SPARE_SLOT_DIVISOR: usize = 16;
 
-/// The place of a connection among those that the limit allows.
+/// The slot of one connection, with the state that decides on its eviction.
 #[derive(Debug)]
 pub(super) struct Slot {
-    /// When it was accepted.
+    /// When the connection was accepted.
     pub(super) accepted: Instant,
-    /// How long it may have waited for that at most.
+    /// The longest that the connection may have waited before it had this slot.
     pub(super) backlog_wait: Duration,
-    /// Since when it has had no request open.
+    /// Since when the connection has had no open request.
     pub(super) idle_since: Cell<Instant>,
-    /// Whether it has a request open or an answer unwritten.
+    /// Whether the connection has an open request or an unwritten answer.
     pub(super) is_busy: Cell<bool>,
-    /// Whether a part of a request has come.
+    /// Whether part of a request has been received.
     pub(super) has_incomplete_request: Cell<bool>,
-    /// Whether it has ever brought a request.
+    /// Whether the connection has ever had a request.
     pub(super) has_had_request: Cell<bool>,
-    /// Whether it is to be evicted and has neither closed nor brought anything since.
+    /// Whether an eviction is pending: the connection has neither closed nor received anything since.
     is_evicted: Cell<bool>,
-    /// Notified when it is to close as soon as its client is owed nothing.
+    /// Notified to close the connection as soon as its client waits for no answer.
     pub(super) evicted: Notify,
-    /// Notified when it is to end in the middle of a request.
+    /// Notified to end the connection in the middle of a request.
     pub(super) evicted_mid_request: Notify,
 }
 
@@ -57,18 +58,18 @@
         }
     }
 
-    /// Whether it has brought nothing at all.
+    /// Whether the connection has received nothing at all.
     fn is_silent(&self) -> bool {
         !self.has_incomplete_request.get() && !self.has_had_request.get()
     }
 
-    /// Whether its client may be about to send its first request: to close on it loses that. A client that was answered
-    /// and is idle has nothing to lose.
+    /// Whether the client may be about to send its first request, which a close would lose. A client that was
+    /// answered and is idle loses nothing.
     fn is_new(&self, now: Instant) -> bool {
         !self.has_had_request.get() && now.duration_since(self.idle_since.get()) < NEW_CONNECTION_GRACE
     }
 
-    /// Lowest is evicted first.
+    /// The sort key for evictions: the lowest is evicted first.
     fn eviction_order(&self, now: Instant) -> impl Ord {
         (
             self.has_incomplete_request.get(),
@@ -78,12 +79,13 @@
         )
     }
 
-    /// Whether it may be chosen for eviction.
+    /// Whether the connection may be chosen for eviction.
     fn is_evictable(&self) -> bool {
         !self.is_busy.get() && !self.is_evicted.get()
     }
 
-    /// Notifies its connection that it is to close. One that brings a request, or a part of one, before that stays open.
+    /// Notifies the connection to close. If it receives a request, or part of one, before that, it stays
+    /// open.
     fn evict(&self) {
         self.is_evicted.set(true);
         if self.has_incomplete_request.get() {
@@ -93,12 +95,13 @@
         }
     }
 
-    /// Its connection has brought something since it was to be evicted, and stays open. Returns whether it was.
+    /// Withdraws a pending eviction, as the connection has received input and stays open. Returns whether one
+    /// was pending.
     pub(super) fn withdraw_eviction(&self) -> bool {
         self.is_evicted.replace(false)
     }
 
-    /// Waits until this notification says that it is to be evicted, and it still is.
+    /// Waits until `notification` announces an eviction that is still pending.
     pub(super) async fn wait_for_eviction(&self, notification: &Notify) {
         loop {
             notification.notified().await;
@@ -109,7 +112,7 @@
     }
 }
 
-/// Holds a slot for as long as it lives.
+/// Holds a slot until dropped.
 pub(super) struct OccupiedSlot {
     pub(super) downstream: Rc<Downstream>,
     pub(super) slot: Rc<Slot>,
@@ -123,7 +126,7 @@
 }
 
 impl Downstream {
-    /// A slot for a connection that may have waited so long to be accepted.
+    /// Occupies a slot for a connection that may have waited up to `backlog_wait` for it.
     pub(super) fn occupy_slot(self: &Rc<Downstream>, backlog_wait: Duration) -> OccupiedSlot {
         let slot = Rc::new(Slot::new(backlog_wait));
         self.slots.borrow_mut().push(Rc::clone(&slot));
@@ -140,8 +143,9 @@
         self.shutdown.set_open_connections(self.slots.borrow().len() + self.lingering.get());
     }
 
-    /// Closes the connections that are idle longest when more than may stay open have brought requests. Clients
-    /// hold only so many, and some keep theirs for good: a client with a request would find none left.
+    /// Closes the longest idle connections when more connections have had requests than may stay open. The
+    /// number of connections is limited and some clients keep idle ones open for good, so that a client with
+    /// a request would find none left.
     pub(super) fn close_surplus_idle_connections(&self) {
         let slots = self.slots.borrow();
         let used: Vec<_> = slots.iter().filter(|slot| slot.has_had_request.get()).collect();
@@ -157,14 +161,15 @@
         }
     }
 
-    /// Whether a connection is being evicted that has not closed yet.
+    /// Whether an eviction is pending for any connection.
     pub(super) fn is_evicting(&self) -> bool {
         self.slots.borrow().iter().any(|slot| slot.is_evicted.get())
     }
 
-    /// Evicts up to this many connections that have no request open, for as many that wait: the longest idle of those that
-    /// never brought one, or else of the others, then one that has only just come, and one in the middle of a request only
-    /// when there is no other. Beyond the first only those are evicted that have brought nothing.
+    /// Evicts up to `count` connections without an open request, for as many that wait: the longest idle of
+    /// those that never had a request, or else of the others, then new connections, and those in the middle
+    /// of a request only when there is no other. After the first, only connections that have received nothing
+    /// are evicted.
     pub(super) fn evict(&self, count: usize) {
         for position in 0..count {
             let is_allowed = |slot: &Slot| position == 0 || slot.is_silent();
@@ -174,13 +179,15 @@
         }
     }
 
-    /// Evicts the connection that is idle longest and loses nothing by it: it is neither new nor in the middle of a request.
+    /// Evicts the first connection in the eviction order if it loses nothing: it is neither new nor in the
+    /// middle of a request.
     pub(super) fn evict_settled(&self) {
         let now = Instant::now();
         self.evict_first(now, |slot| !slot.is_new(now) && !slot.has_incomplete_request.get());
     }
 
-    /// Evicts the first in the order of eviction, if this allows it. Returns whether one was evicted.
+    /// Evicts the first connection in the eviction order if `is_allowed` accepts it. Returns whether one was
+    /// evicted.
     fn evict_first(&self, now: Instant, is_allowed: impl Fn(&Slot) -> bool) -> bool {
         let slots = self.slots.borrow();
         let candidates = slots.iter().filter(|slot| slot.is_evictable());
--- a/node/src/downstream/stream.rs
+++ b/node/src/downstream/stream.rs
@@ -1,4 +1,4 @@
-//! A client's connection in two halves, and whether its client has left, which a half that is not read does not show by itself.
+//! A client connection split into its halves, and the detection of a disconnect while nothing is read.
 
 use std::future::Future;
 use std::io;
@@ -11,26 +11,28 @@
 
 use crate::socket::{Socket, SocketReader, SocketWriter};
 
-/// How often a connection that must not be read is checked. A client that has left gets no new attempt 100 ms later.
+/// How often a connection that must not be read is checked for a disconnect. No new attempt may begin 100 ms
+/// after the client has left.
 pub const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A client's connection.
+/// A client connection.
 pub trait ClientStream: 'static {
-    /// The half that is read.
+    /// The read half.
     type Reader: ClientReader;
-    /// The half that is written.
+    /// The write half.
     type Writer: AsyncWrite + Unpin;
 
-    /// Its halves.
+    /// Splits the connection into its halves.
     fn halves(self) -> (Self::Reader, Self::Writer);
 }
 
-/// The half of a client's connection that is read.
+/// The read half of a client connection.
 pub trait ClientReader: AsyncRead + Unpin {
-    /// Whether the connection has ended or broken behind whatever stands unread before that.
+    /// Whether the connection has been closed or has broken, even if unread bytes precede that.
     fn has_disconnected(&self) -> bool;
 
-    /// Reads what has arrived, even if the runtime has had no turn to notice it since. Pending if there is nothing.
+    /// Reads what has already arrived, even if the runtime has not polled for it since. Pending if there is
+    /// nothing.
     fn read_arrived(&mut self, input: &mut BytesMut) -> Poll<io::Result<usize>>;
 }
 
@@ -45,7 +47,7 @@
 
 impl ClientReader for SocketReader {
     fn has_disconnected(&self) -> bool {
-        // Polled once and not waited for: only what the runtime knows already.
+        // Polled once without waiting, for the readiness that the runtime already knows.
         let mut context = Context::from_waker(Waker::noop());
         let readiness = pin!(self.0.ready(Interest::READABLE)).poll(&mut context);
         matches!(readiness, Poll::Ready(Ok(ready)) if ready.is_read_closed())
@@ -56,7 +58,7 @@
     }
 }
 
-/// Waits until the client has left though nothing is read.
+/// Waits until the client has disconnected, without reading.
 pub async fn wait_for_disconnect(reader: &impl ClientReader) {
     while !reader.has_disconnected() {
         sleep(DISCONNECT_CHECK_INTERVAL).await;
--- a/node/src/downstream/tests.rs
+++ b/node/src/downstream/tests.rs
@@ -1,4 +1,4 @@
-//! The client side, against clients played in memory and on loopback.
+//! The downstream side, with clients simulated in memory and on loopback.
 
 mod closing;
 mod eviction;
@@ -17,12 +17,12 @@
 use proptest::prelude::*;
 use tokio::io::{duplex, AsyncReadExt, AsyncWriteExt};
 
-/// A step on a client's connection.
+/// A step of a test case.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The client sends this; the answer is known at once where there is one.
+    /// The client sends this text; its answer, if that is known at once.
     Line(&'static str, Option<&'static str>),
-    /// The oldest attempt that is out, or the newest, ends.
+    /// The oldest or the newest attempt in flight ends.
     AttemptEnd { newest: bool, served: bool },
 }
 
@@ -49,7 +49,7 @@
     serve_after(downstream, stream, Duration::ZERO).await
 }
 
-/// Serves a connection that may have waited so long to be accepted.
+/// Serves a connection that may have waited for its slot for up to `waited`.
 pub(super) async fn serve_after(
     downstream: Rc<Downstream>,
     stream: impl ClientStream,
@@ -62,8 +62,8 @@
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    /// Whatever comes in whatever pieces, each request gets its one answer, in the order of the
-    /// requests, and a client that closes its side still gets all of them.
+    /// The boundaries of reads must not change the answers: each request gets exactly one, in the order of
+    /// the requests, and a client that half-closes still gets all of them.
     #[test]
     fn answers_keep_the_order_of_requests(steps in prop::collection::vec(step(), 1..24), cut in 1..40usize) {
         let (got, want) = testing::run(async {
@@ -71,13 +71,13 @@
             let downstream = downstream(&recorder);
             let (near, mut far) = duplex(1 << 16);
             let task = spawn_local(serve(Rc::clone(&downstream), near));
-            // The model: the answers owed, and which attempts they wait for.
+            // The model: the expected answers, and which of them wait for an attempt.
             let mut owed: Vec<Option<String>> = Vec::new();
             let mut out: Vec<usize> = Vec::new();
             for step in steps {
                 match step {
                     Step::Line(text, answer) => {
-                        // Ids in use are rejected: each request has its own, of one length.
+                        // An id in use is rejected: each request has its own id, all of the same length.
                         let text = text.replace("Oid", &format!("O{:02}", owed.len()));
                         for piece in text.as_bytes().chunks(cut) {
                             far.write_all(piece).await.unwrap();
@@ -120,7 +120,8 @@
     }
 }
 
-/// Values that never come to their end hold a bounded part of the memory, and small requests go on.
+/// Incomplete values must not exhaust the memory: what is buffered of them is bounded, and small requests are
+/// still served.
 #[test]
 fn incomplete_values_hold_a_bounded_part_of_the_memory() {
     testing::run(async {
@@ -158,8 +159,8 @@
     });
 }
 
-/// What is no request is answered with an error and never taken: an unknown class, an id that another request has, no
-/// deadline, and garbage without end, whose connection ends.
+/// Invalid requests are answered with an error and never dispatched: an unknown class, an id in use, a
+/// missing deadline, and endless garbage, which also ends its connection.
 #[test]
 fn malformed_requests_are_rejected_and_never_taken() {
     testing::run(async {
@@ -183,7 +184,7 @@
             far.read_exact(&mut got).await.unwrap();
             assert_eq!(String::from_utf8(got).unwrap(), answer);
         }
-        assert_eq!(recorder.begun.borrow().len(), 1, "only the honest client's has begun");
+        assert_eq!(recorder.begun.borrow().len(), 1, "only the request of the well-behaved client has begun");
         far.write_all(&b"\n".repeat(MAX_INVALID_REQUESTS * 2)).await.unwrap();
         let mut got = String::new();
         far.read_to_string(&mut got).await.unwrap();
@@ -198,7 +199,8 @@
     });
 }
 
-/// A request counts for the tenant that it names; one that the settings lack, or none, is nobody's and served all the same.
+/// A request counts for the tenant that it names. One with an unknown tenant, or none, counts for no tenant
+/// and is served all the same.
 #[test]
 fn a_request_counts_for_the_tenant_that_it_names() {
     testing::run(async {
--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -1,8 +1,8 @@
-//! Connections that end, by their client or by the graceful shutdown, and what becomes of their requests.
+//! The end of connections, by their client or by the graceful shutdown, and the requests pending then.
 
 use super::*;
 
-/// A client whose connection breaks has gone away: nothing is sent for it any more.
+/// A broken connection abandons its requests: no attempt may begin any more for a client that has gone.
 #[test]
 fn a_broken_connection_abandons_its_requests() {
     testing::run(async {
@@ -14,7 +14,7 @@
         let mut client = DownstreamConnection::new(&occupied.downstream, &occupied.slot);
         tokio::select! {
             biased;
-            _ = client.serve(near) => panic!("it still owes answers"),
+            _ = client.serve(near) => panic!("the connection ended with answers pending"),
             () = settle() => {}
         }
         assert_eq!(recorder.begun.borrow().len(), 2);
@@ -24,8 +24,8 @@
     });
 }
 
-/// Requests that a bound kept from being taken at once are answered too, though the client has closed
-/// its side meanwhile.
+/// Requests that were held back by the limit on pending answers are answered too, even if the client has
+/// half-closed meanwhile.
 #[test]
 fn a_long_pipeline_is_answered_after_a_half_close() {
     testing::run(async {
@@ -45,14 +45,16 @@
         }
         let mut got = String::new();
         far.read_to_string(&mut got).await.unwrap();
-        // What no server has capacity for is rejected, and has that answer in its place in the order as well.
+        // Requests that no server has capacity for are rejected, and those answers keep their place in the
+        // order as well.
         let told = |line: &&str| *line == "SERVER_ERROR failed" || line.starts_with("SERVER_ERROR busy");
         assert_eq!(got.lines().filter(told).count(), requests);
         assert!(got.contains("failed") && got.lines().count() == requests);
     });
 }
 
-/// On a planned end a connection closes between requests, never with one owed or half read.
+/// In a graceful shutdown a connection closes between requests, never with an answer pending or a request
+/// half read.
 #[test]
 fn a_closing_connection_answers_its_open_requests_first() {
     testing::run(async {
@@ -73,7 +75,7 @@
     });
 }
 
-/// A request that stands unread in the kernel when the closing begins was taken, and is answered.
+/// A request in the socket buffer when the closing begins must not be lost: it is read and answered.
 #[test]
 fn a_closing_connection_is_read_once_more() {
     testing::run_on_sockets(async {
@@ -99,7 +101,7 @@
     far
 }
 
-/// How a client leaves whose answers are still owed.
+/// How a client leaves that still waits for answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Leaves {
     Closes,
@@ -119,7 +121,7 @@
     None
 }
 
-/// Sends more requests than are read at once, and waits until as many are open as may be.
+/// Sends more requests than are read at once, and waits until the limit on pending answers is reached.
 async fn fill_pipeline(downstream: &Downstream, stream: &mut tokio::net::TcpStream, requests: usize) {
     let text: String = (0..requests).map(|id| format!("mg k v O{id} Pc=read,d=1400\r\n")).collect();
     stream.write_all(text.as_bytes()).await.unwrap();
@@ -140,11 +142,12 @@
     let start = Instant::now();
     while !is_cancelled() {
         sleep(Duration::from_millis(1)).await;
-        assert!(start.elapsed() < Duration::from_secs(1), "{case}: not noticed");
+        assert!(start.elapsed() < Duration::from_secs(1), "{case}: the disconnect was not noticed");
     }
 }
 
-/// A client leaves while nothing of it is read, as its pipeline is full or, with `has_answers`, it does not take its answers.
+/// A client leaves while its connection is not read, as its pipeline is full or, with `has_answers`, it does
+/// not read its answers.
 async fn leave_unread(leaves: Leaves, has_answers: bool) {
     let case = format!("{leaves:?}, {has_answers}");
     let recorder = Rc::new(Recorder::default());
@@ -154,7 +157,7 @@
     fill_pipeline(&downstream, &mut far, requests).await;
     let begun = recorder.begun.borrow().len();
     if has_answers {
-        // The first answers are more than the client, who takes none, has buffers for.
+        // The first answer exceeds the buffers of the client, which does not read.
         let attempt = recorder.begun.borrow_mut().remove(0);
         let value = Answer::Value(Bytes::from(vec![b'v'; 16 << 20]));
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(value)));
@@ -162,14 +165,14 @@
     }
     let far = leave(far, leaves).await;
     wait_until_cancelled(&downstream, &recorder, &case).await;
-    // What is in flight still ends; nothing begins any more.
+    // Attempts in flight still end; no new one begins.
     let in_flight: Vec<_> = recorder.begun.take();
     assert_eq!(in_flight.len() + usize::from(has_answers), begun);
     for attempt in in_flight {
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::NotSent);
     }
     if let Some(mut far) = far {
-        // A client that only ended its side has an answer for each all the same.
+        // A client that only half-closed still gets an answer to each request.
         let mut received = Vec::new();
         far.read_to_end(&mut received).await.unwrap();
         let lines = received.split(|byte| *byte == b'\n');
@@ -179,12 +182,12 @@
     while !downstream.slots.borrow().is_empty() {
         sleep(Duration::from_millis(1)).await;
     }
-    assert!(recorder.begun.borrow().is_empty(), "{case}: begun for nobody");
+    assert!(recorder.begun.borrow().is_empty(), "{case}: an attempt began for a client that had left");
     assert_eq!(downstream.dispatcher.requests_in_progress(), 0);
 }
 
-/// A client that leaves while nothing of it is read has gone all the same: what waits is cancelled at once, and what it had
-/// sent behind it never begins.
+/// A disconnect must be noticed even while the connection is not read: pending requests are cancelled at
+/// once, and requests sent behind them never begin.
 #[test]
 fn a_disconnect_is_noticed_while_nothing_is_read() {
     assert!(stream::DISCONNECT_CHECK_INTERVAL * 2 < Duration::from_millis(100));
@@ -195,8 +198,8 @@
     }
 }
 
-/// A request that comes in the moment in which its idle connection is closed is not forwarded, and its crossing takes nothing of
-/// the answer before it: the client has that completely, and an end that is no reset.
+/// A request that crosses the close of its idle connection is not forwarded, and must not cause a reset: the
+/// client receives the complete answer before it and an orderly end of the connection.
 #[test]
 fn a_request_that_crosses_the_close_takes_no_answer_with_it() {
     testing::run_on_sockets(async {
@@ -210,14 +213,16 @@
                 break attempt;
             }
         };
-        // More than the client's machine takes while its client does not read, and less than the own one does.
+        // More than the client's receive buffer takes while the client does not read, and less than the own
+        // send buffer does.
         const LENGTH: usize = 200 << 10;
         let value = Bytes::from(vec![b'v'; LENGTH]);
         downstream
             .dispatcher
             .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value(value))));
         downstream.shutdown.begin_closing();
-        // The connection is shut for writing by now, and its client, who has read nothing yet, sends one more.
+        // By now the connection is shut down for writing, and the client, which has read nothing yet, sends
+        // another request.
         while !downstream.slots.borrow().is_empty() {
             sleep(Duration::from_millis(1)).await;
         }
@@ -229,8 +234,8 @@
     });
 }
 
-/// At the very end no more is read, what has been read is answered, and the connection ends in a way that takes no answer with it,
-/// though its client never stops to send.
+/// A client that never stops sending must neither delay the shutdown nor lose answers to a reset: in the
+/// final phase no more is read, and what has been read is answered before the connection ends.
 #[test]
 fn a_connection_that_never_rests_is_answered_and_ended_at_the_shutdown() {
     testing::run_on_sockets(async {
@@ -256,7 +261,7 @@
             let mut got = Vec::new();
             reader.read_to_end(&mut got).await.map(|_| got)
         });
-        // The time for answers is up in a moment.
+        // The time for answers ends in 100 ms.
         let last = crate::graceful_shutdown::time_for_answers(Duration::from_millis(600));
         let signal = Instant::now() - (last - Duration::from_millis(100));
         dispatcher
@@ -266,10 +271,6 @@
         assert!(got.ends_with(b"\r\n"));
         let answers =
             got.split(|byte| *byte == b'\n').filter(|line| line.starts_with(b"SERVER_ERROR")).count();
-        assert_eq!(
-            answers as u64,
-            dispatcher.counters().requests.get(),
-            "one answer for each that was taken"
-        );
+        assert_eq!(answers as u64, dispatcher.counters().requests.get(), "one answer for each request taken");
     });
 }
--- a/node/src/downstream/tests/eviction.rs
+++ b/node/src/downstream/tests/eviction.rs
@@ -1,5 +1,5 @@
-//! Evictions after a late turn of the event loop, in orders that are forced: time passes only where a test says so, and what
-//! clients do between two turns is done by blocking calls.
+//! Evictions after an event loop delay, in a forced order: time advances only where a test says so, and
+//! clients act between two turns of the event loop by direct socket calls.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::SocketAddr;
@@ -8,12 +8,12 @@
 
 use super::*;
 
-/// The slots of [`testing::resource_limits`].
+/// The number of slots in [`testing::resource_limits`].
 const SLOTS: usize = 8;
-/// A turn of the event loop that is late by more than any wait of the downstream side.
+/// An event loop delay that is longer than any wait of the downstream side.
 const LATE_TURN: Duration = Duration::from_millis(300);
 
-/// A client whose calls never wait.
+/// A client with non-blocking calls.
 struct Client(std::net::TcpStream);
 
 impl Client {
@@ -34,7 +34,7 @@
         self.0.write_all(text.as_bytes()).unwrap();
     }
 
-    /// What has come, and whether the connection has ended.
+    /// The text received, and whether the connection has ended.
     fn received(&mut self) -> (String, bool) {
         let mut bytes = Vec::new();
         let has_ended = match self.0.read_to_end(&mut bytes) {
@@ -45,7 +45,7 @@
     }
 }
 
-/// A downstream side that accepts connections at this address.
+/// Starts a downstream side that accepts connections, and returns it with its recorder and its address.
 async fn accepting() -> (Rc<Downstream>, Rc<Recorder>, SocketAddr) {
     let recorder = Rc::new(Recorder::default());
     let downstream = downstream(&recorder);
@@ -56,7 +56,7 @@
     (downstream, recorder, address)
 }
 
-/// Lets the event loop turn until nothing is left to do at this time.
+/// Runs the event loop until nothing is left to do at the current time.
 async fn turn() {
     for _ in 0..10 {
         settle().await;
@@ -67,7 +67,7 @@
     format!("mg k v O{id} Pc=read,d=480\r\n")
 }
 
-/// Ends the attempts that have begun as served.
+/// Ends all attempts that have begun as served.
 fn serve_attempts(downstream: &Downstream, recorder: &Recorder) {
     for attempt in recorder.begun.take() {
         let value = Answer::Value(Bytes::from_static(b"v"));
@@ -75,7 +75,8 @@
     }
 }
 
-/// A late turn while so many connections wait beyond the slots, after so many turns in which some of them were accepted.
+/// Delays the event loop while `waiting` connections more than there are slots wait, after `turns_before`
+/// turns in which some of them were accepted. Connections that should keep their slots must be answered.
 async fn connect_in_a_late_turn(waiting: usize, turns_before: usize) {
     let (_downstream, _, address) = accepting().await;
     let mut clients: Vec<_> = (0..SLOTS + waiting).map(|_| Client::connect(address)).collect();
@@ -91,12 +92,13 @@
         assert_eq!(
             client.received(),
             ("MN\r\n".into(), false),
-            "{waiting} wait, late after {turns_before} turns"
+            "{waiting} waiting, delayed after {turns_before} turns"
         );
     }
 }
 
-/// A connection that was accepted in a late turn is not evicted while nobody waits for its slot: its request would be lost.
+/// A connection that was accepted during an event loop delay must not be evicted while none waits for its
+/// slot: its request would be lost.
 #[test]
 fn a_late_turn_evicts_no_more_connections_than_wait() {
     for waiting in 0..4 {
@@ -106,7 +108,8 @@
     }
 }
 
-/// A client that connected and sent its request during a late turn is answered, however many did.
+/// Clients that connect and send their requests during an event loop delay must all be answered, however many
+/// they are.
 #[test]
 fn all_that_connect_and_send_during_a_late_turn_are_answered() {
     testing::run(async {
@@ -121,7 +124,7 @@
         }
         turn().await;
         for (id, client) in clients.iter_mut().enumerate() {
-            // Served, or rejected as the only server has no capacity left.
+            // Served, or rejected because the only server has no capacity left.
             let answer = client.received().0;
             let is_served = answer == format!("VA 1 O{id}\r\nv\r\n");
             assert!(is_served || answer.starts_with("SERVER_ERROR busy "), "client {id}: {answer:?}");
@@ -130,7 +133,8 @@
     });
 }
 
-/// A connection in the middle of a request is not cut for its slot while the rest of that request stands unread.
+/// A connection in the middle of a request must not be evicted while the rest of that request is in the
+/// socket buffer.
 #[test]
 fn a_request_whose_rest_has_arrived_is_not_cut_for_its_slot() {
     testing::run(async {
@@ -144,7 +148,8 @@
     });
 }
 
-/// An eviction that was not needed, as the connection brought the rest of its request, cuts no later request of it.
+/// An eviction is withdrawn when the connection receives the rest of its request, and must not cut off a
+/// later request.
 #[test]
 fn an_eviction_in_the_middle_of_a_request_is_over_with_that_request() {
     testing::run(async {
@@ -163,7 +168,7 @@
     });
 }
 
-/// A connection that has just come keeps its slot while others have requests open and nobody waits for it.
+/// A new connection must keep its slot while others have open requests and none waits for its slot.
 #[test]
 fn a_new_connection_beside_busy_ones_keeps_its_slot() {
     testing::run(async {
@@ -180,8 +185,8 @@
     });
 }
 
-/// The wait for slots at the end of the listener counts only turns of the event loop: a late one gives nobody up who could
-/// have had a slot in it.
+/// An event loop delay must not count as time waited for slots when the listener is about to close: requests
+/// would be lost whose connections could have had a slot.
 #[test]
 fn a_late_turn_of_the_last_accepts_gives_no_request_up() {
     testing::run(async {
--- a/node/src/downstream/tests/slots.rs
+++ b/node/src/downstream/tests/slots.rs
@@ -1,9 +1,9 @@
-//! Which connections close, and when, while others need their slots.
+//! Which connections close, and when, so that others have slots.
 
 use super::*;
 
-/// A connection that stays silent, stays open for good or stops half-way through a request closes, the last with an
-/// error.
+/// A connection that is silent, kept open or stalled in the middle of a request must not hold its slot for
+/// good: it closes in time, the last with an error.
 #[test]
 fn an_idle_or_stalled_connection_closes_in_time() {
     testing::run(async {
@@ -29,7 +29,8 @@
     });
 }
 
-/// Connections that asked once and stay close, the longest quiet first, before clients run out of them.
+/// Connections that stay open after a request must not use up the limit: the longest idle are closed first,
+/// before clients run out of connections.
 #[test]
 fn surplus_idle_connections_close_longest_idle_first() {
     testing::run(async {
@@ -58,7 +59,7 @@
     });
 }
 
-/// A connection that is evicted while idle and begins a request at that moment may finish it.
+/// A request whose first byte arrives while its idle connection is evicted must not be lost.
 #[test]
 fn a_request_begun_during_eviction_is_answered() {
     testing::run(async {
@@ -76,7 +77,7 @@
     });
 }
 
-/// Giving up a seat takes no time: in a flood of connections a request must not wait behind each of them.
+/// An eviction takes no time: otherwise a request behind a flood of connections would wait for each of them.
 #[test]
 fn an_evicted_connection_closes_at_once() {
     testing::run(async {
@@ -92,8 +93,8 @@
     });
 }
 
-/// Where seats run out, who has just come and not spoken yet stays, who is idle after an answer goes first, and
-/// who has been silent for long before that.
+/// The order of evictions when slots run out: first a connection that was silent for long, then those idle
+/// after an answer, and a new one that has sent nothing yet stays.
 #[test]
 fn a_new_connection_is_evicted_last() {
     testing::run(async {
@@ -124,7 +125,7 @@
     });
 }
 
-/// Silent connections by the hundred must not shut out a client that has something to say.
+/// Hundreds of silent connections must not shut out a client with a request.
 #[test]
 fn a_silent_connection_is_evicted_for_a_new_one() {
     testing::run_on_sockets(async {
--- a/node/src/downstream/upload.rs
+++ b/node/src/downstream/upload.rs
@@ -1,7 +1,7 @@
-//! The client's side of a streamed value that is being written: its chunks go on to the origin as they come.
+//! The client side of a streamed upload, whose chunks are forwarded to the origin as they arrive.
 //!
-//! Whoever carries attempts has the origin's side of it; the two meet in the dispatcher. A value that cannot go on is
-//! still read to its end, and its request is taken then: the attempt at it fails as not sent.
+//! The carrier of attempts has the origin side, and the dispatcher connects the two. A value that cannot be
+//! forwarded is still read to its end, and its request is dispatched then: its attempt fails as not sent.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use juniperladder::ServerId;
@@ -10,20 +10,20 @@
 
 use crate::dispatcher::{ClientRequest, Dispatcher};
 
-/// How many bytes of a value a client has brought before a connection to the origin is opened for it.
+/// Bytes of a value to receive before a connection to the origin is opened for it.
 const BYTES_BEFORE_CONNECTION: usize = 16 * 1024;
 
-/// Where the value goes.
+/// What happens to the chunks of the value.
 enum UploadState {
-    /// Nowhere yet: what came before it was worth a connection is buffered.
+    /// They are buffered, as too few have arrived to open a connection.
     Buffering(BytesMut),
-    /// To a connection to the origin.
+    /// They are sent on a connection to the origin.
     Sending(UploadHandle, ChunkSender),
-    /// Nowhere any more: the origin's side has ended, or the client has left.
+    /// They are discarded: the origin side has ended, or the client has left.
     Discarding,
 }
 
-/// A request whose streamed value is coming.
+/// A request whose streamed value is being received.
 pub struct StreamedUpload {
     request: Box<ClientRequest>,
     /// The length of the value in bytes.
@@ -32,19 +32,19 @@
 }
 
 impl StreamedUpload {
-    /// A request whose line has come, and then a value of so many bytes.
+    /// Creates the upload of a request whose line has been received and whose value has `length` bytes.
     pub fn new(mut request: Box<ClientRequest>, length: usize) -> StreamedUpload {
-        // A write all the same, whose value goes another way.
+        // Marks the request as a write; its value is streamed separately.
         request.value = Some(Bytes::new());
         StreamedUpload { request, length, state: UploadState::Buffering(BytesMut::new()) }
     }
 
-    /// Discards the value: its client has left. It is still read to its end.
+    /// Discards the value, as its client has left. The value is still read to its end.
     pub fn discard(&mut self) {
         self.state = UploadState::Discarding;
     }
 
-    /// How many bytes of it are buffered here.
+    /// How many bytes of the value are buffered here.
     pub fn buffered_bytes(&self) -> usize {
         match &self.state {
             UploadState::Buffering(bytes) => bytes.len(),
@@ -52,13 +52,13 @@
         }
     }
 
-    /// Whether the next chunk has to wait for the origin's side.
+    /// Whether the next chunk has to wait for the origin side.
     pub fn is_blocked(&self) -> bool {
         matches!(&self.state, UploadState::Sending(_, sender) if !sender.is_ready())
     }
 
-    /// Takes a chunk of the value. Where nobody receives the value any longer it is discarded: the request is answered at its
-    /// end.
+    /// Buffers or sends a chunk of the value. If the origin side has ended, the value is discarded and the
+    /// request is answered at its end.
     pub fn on_chunk(&mut self, dispatcher: &Dispatcher, chunk: Bytes, is_last: bool) {
         let chunk = match &mut self.state {
             UploadState::Buffering(buffered) => {
@@ -99,7 +99,7 @@
     }
 }
 
-/// Waits until the next chunk of the value that a client writes can go on; for ever where none is on its way.
+/// Waits until the next chunk of the upload can be sent; forever if none is being sent.
 pub async fn wait_until_unblocked(upload: &Option<StreamedUpload>) {
     match upload.as_ref().map(|upload| &upload.state) {
         Some(UploadState::Sending(_, sender)) => sender.wait_until_ready().await,
--- a/node/src/graceful_shutdown/tests.rs
+++ b/node/src/graceful_shutdown/tests.rs
@@ -6,8 +6,8 @@
 use super::*;
 use crate::testing::{self, settle};
 
-/// The front deals out connections for up to 0.4 s after the signal; to close those that are open
-/// meanwhile would only bring more.
+/// The platform routes new connections here for up to 0.4 s after the signal; closing the open ones meanwhile
+/// would only cause more new ones.
 #[test]
 fn connections_close_once_no_new_ones_come() {
     testing::run(async {
@@ -26,7 +26,7 @@
     });
 }
 
-/// What the protocol leaves a process after the signal covers its last answer and the way out of it.
+/// The time that the protocol allows after the signal must cover the last answer and its transmission.
 #[test]
 fn the_last_answer_comes_before_the_protocols_time_is_up() {
     for (longest, there) in [(600, 1300), (1200, 1900), (3000, 3700), (9000, 3700)] {
@@ -36,7 +36,7 @@
     }
 }
 
-/// A client that stops in the middle of a request must not keep the program for ever.
+/// A client that stalls in the middle of a request must not keep the process running for good.
 #[test]
 fn the_shutdown_ends_though_a_connection_stands_still() {
     testing::run(async {
@@ -48,7 +48,8 @@
     });
 }
 
-/// Connections that come and go in a flood must not wake each other: every one that opened or closed cost a turn of all.
+/// Connections that open and close in a flood must not wake each other: each of them would cost a poll of all
+/// others.
 #[test]
 fn connections_that_open_and_close_wake_no_other() {
     testing::run(async {
--- a/node/src/testing.rs
+++ b/node/src/testing.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the daemon's tests, beside those of the dispatcher's.
+//! Test fixtures of the daemon, in addition to those of the dispatcher.
 
 use std::future::Future;
 use std::io;
@@ -17,7 +17,7 @@
 use crate::resource_limits::ResourceLimits;
 use crate::upstream::{Upstream, UpstreamLimits};
 
-/// Pools that may have this many connections.
+/// Connection pools with this limit on connections.
 pub fn upstream(connections: usize) -> Rc<Upstream> {
     let second = std::time::Duration::from_secs(1);
     let limits = UpstreamLimits {
@@ -48,7 +48,7 @@
 }
 
 impl ClientReader for ReadHalf<DuplexStream> {
-    /// A stream in memory shows its end only to who reads it.
+    /// An in-memory stream shows its end only to a read.
     fn has_disconnected(&self) -> bool {
         false
     }
@@ -59,7 +59,7 @@
     }
 }
 
-/// Limits of a small balancer.
+/// The resource limits of a small balancer.
 pub fn resource_limits(chunk_bytes: usize) -> ResourceLimits {
     ResourceLimits {
         client_connections: 8,
