--- a/node/src/simulation.rs
+++ b/node/src/simulation.rs
@@ -1,13 +1,15 @@
-//! A deterministic simulation of the whole daemon in virtual time, between clients and servers that do what real ones do on bad
-//! days, all drawn from a seed. It is judged by what clients and servers see, and by nothing that it says of itself.
+//! A deterministic simulation of the whole daemon in virtual time, with clients and servers that show the
+//! faults of real ones, all drawn from a seed. It is judged by what clients and servers observe, and by
+//! nothing that the daemon reports of itself.
 //!
 //! # The invariant
 //!
-//! Every request whose last byte has come on a connection that was accepted gets one complete final answer, made for it by a
-//! server or the origin or saying that there is none, before its client's time is up, whether the daemon has just started, runs
-//! or shuts down; or its client can see that a value is not complete. No byte of it reaches a server after that answer, after
-//! its client has gone, or after the balancer was notified of that server's end; there are no more attempts than the settings
-//! say, and none once one may have been executed, but as its class allows.
+//! Every request whose last byte arrived on an accepted connection gets one complete final answer before its
+//! client's deadline, whether the daemon has just started, runs or shuts down. The answer was made for that
+//! request by a server or the origin, or says that there is none. The only exception is a value that its
+//! client can see to be incomplete. No byte of a request reaches a server after that answer, after its client
+//! has gone, or after the balancer was notified of that server's end. There are no more attempts than the
+//! settings allow, and after one that may have been executed only those that the class allows.
 
 mod clients;
 mod servers;
@@ -32,7 +34,7 @@
 use crate::upstream::{Upstream, UpstreamLimits};
 use servers::{Behaviour, Servers};
 
-/// How many simulations are run.
+/// The number of simulations.
 const SEED_COUNT: u64 = 250;
 /// A class of requests.
 struct SimulatedClass {
@@ -48,14 +50,14 @@
 ];
 const MAX_ATTEMPTS: u32 = 3;
 const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(250);
-/// For how long after the longest deadline the protocol lets a process stay.
+/// How long the protocol lets a process run after the longest deadline has passed.
 const TIME_AFTER_LONGEST_DEADLINE: Duration = Duration::from_millis(700);
 
-/// What is known of one request from outside.
+/// What clients and servers have observed of one request.
 #[derive(Debug, Default)]
 struct RequestRecord {
     class: usize,
-    /// When its client had its answer, or left.
+    /// When the client received the answer, or left.
     over: Option<Instant>,
     arrivals: Vec<Arrival>,
 }
@@ -68,7 +70,7 @@
     may_have_been_executed: Rc<Cell<bool>>,
 }
 
-/// What may happen, counted so that a simulation in which it never happens is found out.
+/// What may occur, counted to detect a simulation in which it never does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Occurrence {
     Served,
@@ -83,12 +85,12 @@
     Server(Behaviour),
 }
 
-/// What clients and servers see.
+/// What clients and servers observe.
 #[derive(Debug, Default)]
 struct EventLog {
     requests: RefCell<HashMap<String, RequestRecord>>,
     violations: RefCell<Vec<String>>,
-    /// Clients that wait for answers.
+    /// The number of clients that wait for answers.
     waiting_clients: Cell<usize>,
     counts: RefCell<HashMap<Occurrence, u64>>,
 }
@@ -106,24 +108,24 @@
         self.requests.borrow_mut().insert(id.to_owned(), RequestRecord { class, ..RequestRecord::default() });
     }
 
-    /// A request has its answer, or its client has left.
+    /// Records that a request has its answer, or that its client has left.
     fn on_request_over(&self, id: &str) {
         self.requests.borrow_mut().entry(id.to_owned()).or_default().over.get_or_insert(Instant::now());
     }
 
-    /// A server has the complete request. The cell that is returned says whether it may have been executed there, until the
-    /// server knows better.
+    /// Records that a server has received the complete request. The returned cell tells whether the server
+    /// may have executed it; the server clears it if it did not.
     fn on_request_arrived(&self, id: &str, now: Instant) -> Rc<Cell<bool>> {
         let mut requests = self.requests.borrow_mut();
         let Some(request) = requests.get_mut(id) else {
-            self.violation(id, "no client sent it");
+            self.violation(id, "arrived at a server, but no client sent the request");
             return Rc::default();
         };
         if request.over.is_some_and(|over| over < now) {
-            self.violation(id, "reached a server after it was over");
+            self.violation(id, "reached a server after its answer or after its client had left");
         }
         if request.arrivals.len() >= MAX_ATTEMPTS as usize {
-            self.violation(id, "more attempts than the settings say");
+            self.violation(id, "more attempts than the settings allow");
         }
         let executed = request.arrivals.iter().filter(|arrival| arrival.may_have_been_executed.get());
         let earlier = executed.map(|arrival| arrival.at).min();
@@ -133,7 +135,7 @@
             Idempotency::NotIdempotent => earlier.is_none(),
         };
         if !is_allowed {
-            self.violation(id, "sent again though it may have been executed");
+            self.violation(id, "sent again although an earlier attempt may have been executed");
         }
         let may_have_been_executed = Rc::new(Cell::new(true));
         let arrival = Arrival { at: now, may_have_been_executed: Rc::clone(&may_have_been_executed) };
@@ -206,8 +208,8 @@
         Simulation { dispatcher, downstream, shutdown, servers, event_log }
     }
 
-    /// Changes of the endpoint list: servers drain, end, and others start at their addresses; now and then discovery is
-    /// unavailable.
+    /// Changes the endpoint list: servers drain, end, and others start at their addresses; occasionally
+    /// discovery is unavailable.
     async fn change_endpoints(&self, mut rng: Rng) {
         loop {
             sleep(Duration::from_millis(rng.u64(50..400))).await;
@@ -244,7 +246,7 @@
         Rc::clone(&simulation.event_log)
     }
 
-    /// Shuts the daemon down, and checks that no client waits at the end of its time.
+    /// Shuts the daemon down, and checks that no client still waits at the end of the allowed time.
     async fn shut_down(&self) {
         let signalled_at = Instant::now();
         let longest_deadline =
@@ -254,7 +256,8 @@
         self.dispatcher.set_final_deadline(now.saturating_add(crate::clock::micros(time_for_answers)));
         self.shutdown.run(signalled_at, time_for_answers + EXIT_DELAY).await;
         self.dispatcher.wait_until_idle().await;
-        // The protocol's time for a planned end: a client that still waits has lost its request.
+        // The time that the protocol allows for a graceful shutdown: a client that still waits has lost its
+        // request.
         sleep_until(signalled_at + longest_deadline + TIME_AFTER_LONGEST_DEADLINE).await;
         if self.event_log.waiting_clients.get() > 0 {
             self.event_log.violation("-", "a client still waits at the end of the process");
@@ -262,7 +265,7 @@
     }
 }
 
-/// The invariant, in simulations drawn from seeds.
+/// Checks the invariant in simulations drawn from seeds.
 #[test]
 fn every_request_taken_has_one_complete_answer_in_time() {
     let mut counts: HashMap<Occurrence, u64> = HashMap::new();
--- a/node/src/simulation/clients.rs
+++ b/node/src/simulation/clients.rs
@@ -14,7 +14,8 @@
 use crate::memcache::{read_answer, write_request};
 use crate::testing;
 
-/// How long a request may have been on its way that crosses the close of its connection: it is sent once more, and no loss.
+/// The time before the close of its connection in which a request may have been sent to count as crossing the
+/// close: its client sends it once more, so that it is not lost.
 const MAX_CROSSING_TIME: Duration = Duration::from_millis(2);
 
 /// A request that waits for its answer.
@@ -37,7 +38,7 @@
             };
             match rng.u8(..100) {
                 0..8 => {
-                    // It leaves with its answers owed.
+                    // The client leaves with answers pending.
                     sleep(Duration::from_millis(rng.u64(..300))).await;
                     leave(&simulation, requests);
                     break;
@@ -51,7 +52,7 @@
                 _ if !read_answers(&simulation, requests, &mut stream).await => break,
                 _ => {}
             }
-            // Some come again at once, also to a balancer that is about to end.
+            // Some clients continue at once, even with a balancer that is about to end.
             if rng.bool() {
                 sleep(Duration::from_millis(rng.u64(..60))).await;
             }
@@ -61,7 +62,7 @@
     }
 }
 
-/// A client that misbehaves: malformed requests, parts of requests, and complete ones behind them; then it goes.
+/// A faulty client: it sends malformed requests, complete ones behind them and part of another, and leaves.
 pub async fn misbehave(simulation: Rc<Simulation>, client: usize, mut rng: Rng) {
     let mut sent_requests = 0;
     while !simulation.shutdown.is_stopping() {
@@ -98,13 +99,13 @@
 
 fn leave(simulation: &Simulation, requests: VecDeque<OpenRequest>) {
     simulation.event_log.count(Occurrence::ClientLeft);
-    // The connection goes in this very moment.
+    // The connection is dropped at the same instant.
     for open in &requests {
         simulation.event_log.on_request_over(&String::from_utf8_lossy(&open.request.id));
     }
 }
 
-/// Sends some requests in one go. An error if the connection has closed.
+/// Sends some requests in one write. An error if the connection has closed.
 async fn send_requests(
     simulation: &Simulation,
     client: usize,
@@ -132,13 +133,13 @@
         };
         write_request(&mut text, &request, request.timeout.unwrap_or_default());
         simulation.event_log.on_request_sent(&id, class);
-        // The wait for the answers before it does not count.
+        // Time spent waiting for the answers before it does not count.
         deadline = deadline.max(Instant::now() + Duration::from_millis(wait));
         requests.push_back(OpenRequest { request, sent: Instant::now(), deadline });
     }
     let sent = stream.write_all(&text).await;
     if sent.is_err() {
-        // Nothing of it was read.
+        // None of the requests was read.
         simulation.event_log.count(Occurrence::ConnectionClosed);
     }
     sent.map(|()| requests)
@@ -179,14 +180,17 @@
         match timeout_at(open.deadline, stream.read_buf(&mut input)).await {
             Err(_) => {
                 let waited = open.sent.elapsed();
-                event_log.violation(&id, format!("no answer in time, sent {waited:?} before"));
+                event_log.violation(&id, format!("no answer before the deadline, sent {waited:?} ago"));
                 return false;
             }
             Ok(Ok(1..)) => {}
             Ok(_) => {
                 let waited = open.sent.elapsed();
                 if !input.is_empty() || waited > MAX_CROSSING_TIME {
-                    event_log.violation(&id, format!("its connection ended with {input:?} in {waited:?}"));
+                    event_log.violation(
+                        &id,
+                        format!("connection ended after {waited:?} with only {input:?} received"),
+                    );
                 }
                 event_log.count(Occurrence::ConnectionClosed);
                 return false;
@@ -194,12 +198,12 @@
         }
     }
     if !input.is_empty() {
-        event_log.violation("-", format!("more than was owed: {input:?}"));
+        event_log.violation("-", format!("bytes after the last expected answer: {input:?}"));
     }
     true
 }
 
-/// What this answer is, and whether a server made it for the request.
+/// Classifies an answer, and reports one that no server made for the request.
 fn check_answer(event_log: &EventLog, id: &str, answer: &Answer) -> Occurrence {
     match answer {
         Answer::Value(value) if value.starts_with(format!("v-{id}").as_bytes()) => Occurrence::Served,
@@ -207,7 +211,7 @@
         Answer::Rejected(_) => Occurrence::Rejected,
         Answer::Failed => Occurrence::Failed,
         other => {
-            event_log.violation(id, format!("no server made this for it: {other:?}"));
+            event_log.violation(id, format!("an answer that no server made for the request: {other:?}"));
             Occurrence::UnexpectedAnswer
         }
     }
--- a/node/src/simulation/servers.rs
+++ b/node/src/simulation/servers.rs
@@ -1,4 +1,4 @@
-//! Cache servers and an origin that are slow, silent, gone or wrong, by draw.
+//! Simulated cache servers and an origin that are slow, silent, unreachable or faulty at random.
 
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
@@ -19,15 +19,15 @@
 use crate::memcache::{Incoming, RequestReader};
 use crate::testing::ORIGIN;
 
-/// The origin, which is the first, and cache servers.
+/// The number of servers: the origin, which is the first, and cache servers.
 pub const SERVER_COUNT: usize = 6;
 
 /// What a server does with a request, or with a connection that comes up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Behaviour {
-    /// It answers as it should.
+    /// Answers correctly.
     Correct,
-    /// It lacks the key; the origin never does.
+    /// Answers that it lacks the key; the origin never does.
     Miss,
     Busy,
     Fail,
@@ -35,12 +35,12 @@
     Slow,
     Reset,
     Malformed,
-    /// It answers with another request's id.
+    /// Answers with another request's id.
     OtherRequest,
     AnswerTwice,
-    /// It answers with bytes without end.
+    /// Sends an endless answer.
     EndlessAnswer,
-    /// It closes in the middle of the answer.
+    /// Closes in the middle of the answer.
     TruncatedAnswer,
     AnswerInPieces,
     ConnectLate,
@@ -48,7 +48,7 @@
     ConnectNever,
 }
 
-/// What a server does with a request beside what is correct, and how often in a hundred.
+/// The behaviours on a request other than the correct one, with their probabilities in percent.
 pub const REQUEST_BEHAVIOURS: [(Behaviour, u8); 12] = [
     (Behaviour::Miss, 25),
     (Behaviour::Busy, 4),
@@ -64,11 +64,11 @@
     (Behaviour::AnswerInPieces, 4),
 ];
 
-/// What a server does with a connection that comes up beside what is correct; [`Servers::connect`] draws it.
+/// The behaviours on a new connection other than the correct one; [`Servers::connect`] draws them.
 pub const CONNECT_BEHAVIOURS: [Behaviour; 3] =
     [Behaviour::ConnectLate, Behaviour::ConnectRefused, Behaviour::ConnectNever];
 
-/// What a server does with a request.
+/// Draws what a server does with a request.
 fn draw_behaviour(rng: &mut Rng) -> Behaviour {
     let mut draw = rng.u8(..100);
     for (behaviour, percent) in REQUEST_BEHAVIOURS {
@@ -126,8 +126,8 @@
         (0..SERVER_COUNT).map(|slot| self.listed_server(slot)).collect()
     }
 
-    /// The next thing that happens to the server in this slot, as discovery reports it: it drains, it ends, and another starts
-    /// at its address.
+    /// Advances the server in this slot to its next state, as discovery reports it: the server drains, ends,
+    /// and another starts at its address.
     pub fn next_state(&self, slot: usize) -> ListedServer {
         if let Some(slot) = self.slots.borrow_mut().get_mut(slot) {
             slot.state = match slot.state {
@@ -197,7 +197,7 @@
     rng: Rng,
     stream: DuplexStream,
     input: BytesMut,
-    /// When something came last.
+    /// When bytes were last received.
     last_received: Instant,
 }
 
@@ -222,7 +222,7 @@
         behaviour == Behaviour::Miss && !self.is_origin
     }
 
-    /// The answer to a request; none where the connection closes without one.
+    /// The answer to a request; `None` if the connection closes without one.
     async fn answer(&mut self, behaviour: Behaviour, id: &str, is_write: bool) -> Option<Vec<u8>> {
         Some(match behaviour {
             Behaviour::Miss if !self.is_origin => format!("EN O{id} h0\r\n").into_bytes(),
@@ -250,7 +250,7 @@
             Behaviour::AnswerInPieces => self.write_in_pieces(answer).await,
             Behaviour::AnswerTwice => {
                 let first = self.stream.write_all(answer).await;
-                // The next request may begin to come before the second.
+                // The next request may begin to arrive before the second answer is sent.
                 let second_at = Instant::now() + Duration::from_millis(self.rng.u64(..20));
                 while let Ok(Some(())) = timeout_at(second_at, self.read(false)).await {}
                 sleep_until(second_at).await;
@@ -272,7 +272,7 @@
         Ok(())
     }
 
-    /// An answer without a value, in this server's own protocol.
+    /// An answer without a value, in the protocol of this server.
     fn error_response(&self, meta: &str, status: &str) -> Vec<u8> {
         if self.is_origin {
             return format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").into_bytes();
@@ -280,7 +280,7 @@
         meta.as_bytes().to_vec()
     }
 
-    /// The correct answer: a value that says whose it is, or a receipt.
+    /// The correct answer: a value that contains the request's id, or a receipt.
     fn well_formed_response(&self, id: &str, is_write: bool) -> Vec<u8> {
         let body = if is_write { format!("r-{id}") } else { format!("v-{id}\r\nHD O{id}") };
         match (self.is_origin, is_write) {
@@ -306,7 +306,7 @@
         }
     }
 
-    /// The next request; none once the balancer has closed the connection.
+    /// The next request; `None` once the balancer has closed the connection.
     async fn next(&mut self) -> Option<ReceivedRequest> {
         let mut requests = RequestReader::default();
         loop {
@@ -324,7 +324,10 @@
         }
         self.last_received = Instant::now();
         if is_first_byte && self.notified_at.get().is_some_and(|notified_at| notified_at < Instant::now()) {
-            self.event_log.violation("-", "a first byte to a server after its end was notified");
+            self.event_log.violation(
+                "-",
+                "the first byte of a request to a server after the balancer was notified of its end",
+            );
         }
         Some(())
     }
@@ -337,7 +340,7 @@
                     Some(ReceivedRequest { id, is_write: request.value.is_some() })
                 }
                 other => {
-                    self.event_log.violation("-", format!("a server got {other:?}"));
+                    self.event_log.violation("-", format!("a server received an invalid request: {other:?}"));
                     None
                 }
             };
