--- a/node/src/downstream.rs
+++ b/node/src/downstream.rs
@@ -42,7 +42,7 @@
 /// How long connections in the backlog wait for slots, in total, once the listener is about to close.
 const FINAL_ACCEPT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Client descriptors that are not for slots: an accepted connection that still waits for its slot holds one.
-const UNSERVED_CONNECTIONS: usize = 1;
+const DESCRIPTORS_WITHOUT_SLOT: usize = 1;
 
 /// The names that clients use for the classes and tenants, in the order of the settings.
 #[derive(Clone, Debug, Default)]
@@ -77,7 +77,7 @@
     /// Wait for input for up to [`FINAL_READ_TIMEOUT`].
     Wait,
     /// Read only what has already arrived, as another connection waits for the slot.
-    AtOnce,
+    Immediate,
 }
 
 impl Downstream {
@@ -120,7 +120,7 @@
             match accepted {
                 Ok(accepted) => {
                     self.shutdown.on_connection_accepted();
-                    self.serve_in_turn(accepted).await;
+                    self.serve_when_slot_is_free(accepted).await;
                     self.keep_spare_slots();
                 }
                 Err(error) => self.on_accept_failed(&error).await,
@@ -131,7 +131,7 @@
     /// Serves a connection as soon as it has a slot. An idle connection is evicted for it if necessary, since
     /// connections that send nothing must not block new ones. If all are busy, it waits until one closes, and
     /// later connections stay in the backlog.
-    async fn serve_in_turn(self: &Rc<Downstream>, accepted: Accepted) {
+    async fn serve_when_slot_is_free(self: &Rc<Downstream>, accepted: Accepted) {
         let accepted_at = Instant::now();
         while self.is_full() {
             self.evict_for_waiting().await;
@@ -146,7 +146,7 @@
         // Lets the runtime poll for connections that have arrived by now.
         yield_now().await;
         let mut waited = Duration::ZERO;
-        while let Some(accepted) = backlog.accept_waiting() {
+        while let Some(accepted) = backlog.accept_queued() {
             let accepted_at = Instant::now();
             while self.is_full() {
                 if waited >= FINAL_ACCEPT_TIMEOUT {
@@ -175,7 +175,7 @@
     /// waits up to [`EVICTION_TIMEOUT`] until one has closed. If the evicted connection receives a request
     /// meanwhile, it stays open and the next call evicts another.
     async fn evict_for_waiting(&self) {
-        if !self.is_evicting() {
+        if !self.has_pending_eviction() {
             self.evict(1);
         }
         let _ = timeout(EVICTION_TIMEOUT, self.connection_closed.notified()).await;
@@ -186,12 +186,12 @@
     fn keep_spare_slots(&self) {
         let limit = self.resource_limits.client_connections;
         if self.occupied_descriptors() + limit / SPARE_SLOT_DIVISOR > limit {
-            self.evict_settled();
+            self.evict_idle();
         }
     }
 
     fn is_full(&self) -> bool {
-        self.occupied_descriptors() + UNSERVED_CONNECTIONS >= self.resource_limits.client_connections
+        self.occupied_descriptors() + DESCRIPTORS_WITHOUT_SLOT >= self.resource_limits.client_connections
     }
 
     /// The client descriptors in use. Operators' connections beyond those with reserved descriptors count as
@@ -230,7 +230,7 @@
     async fn wait_for_close(&self, slot: &Slot, idle_until: Option<Instant>) -> FinalRead {
         tokio::select! {
             () = self.shutdown.wait_for_closing() => FinalRead::Wait,
-            () = slot.wait_for_eviction(&slot.evicted) => FinalRead::AtOnce,
+            () = slot.wait_for_eviction(&slot.evicted) => FinalRead::Immediate,
             () = wait_until(idle_until) => {
                 increment(&self.dispatcher.counters().idle_connections_closed);
                 debug!(self.log, "downstream connection idle for too long");
--- a/node/src/downstream/backlog.rs
+++ b/node/src/downstream/backlog.rs
@@ -54,7 +54,7 @@
     /// Accepts a connection that is already queued; `None` if the queue is empty or broken. A connection that
     /// cannot be accepted, because its client has gone or for a transient reason, does not block those behind
     /// it.
-    pub(super) fn accept_waiting(&mut self) -> Option<Accepted> {
+    pub(super) fn accept_queued(&mut self) -> Option<Accepted> {
         let mut context = Context::from_waker(Waker::noop());
         for _ in 0..MAX_FAILED_ACCEPTS {
             match self.listener.poll_accept(&mut context) {
--- a/node/src/downstream/backlog/tests.rs
+++ b/node/src/downstream/backlog/tests.rs
@@ -35,8 +35,8 @@
             let behind = [connect(address), connect(address)];
             advance(wait).await;
             assert_eq!(backlog.accept().await.unwrap().backlog_wait, wait);
-            assert_eq!(backlog.accept_waiting().unwrap().backlog_wait, wait);
-            assert!(backlog.accept_waiting().is_none());
+            assert_eq!(backlog.accept_queued().unwrap().backlog_wait, wait);
+            assert!(backlog.accept_queued().is_none());
             drop((awaited, behind));
         }
     });
--- a/node/src/downstream/connection.rs
+++ b/node/src/downstream/connection.rs
@@ -284,7 +284,7 @@
         if self.read_arrived(reader)? {
             return Ok(false);
         }
-        if let FinalRead::AtOnce = final_read {
+        if let FinalRead::Immediate = final_read {
             debug!(self.downstream.log, "downstream connection evicted"; "had_request" => self.slot.has_had_request.get(),
                 "accepted_ms_ago" => self.slot.accepted.elapsed().as_millis(),
                 "backlog_wait_ms" => self.slot.backlog_wait.as_millis());
--- a/node/src/downstream/slots.rs
+++ b/node/src/downstream/slots.rs
@@ -35,7 +35,7 @@
     /// Whether the connection has ever had a request.
     pub(super) has_had_request: Cell<bool>,
     /// Whether an eviction is pending: the connection has neither closed nor received anything since.
-    is_evicted: Cell<bool>,
+    is_eviction_pending: Cell<bool>,
     /// Notified to close the connection as soon as its client waits for no answer.
     pub(super) evicted: Notify,
     /// Notified to end the connection in the middle of a request.
@@ -52,14 +52,14 @@
             is_busy: Cell::default(),
             has_incomplete_request: Cell::default(),
             has_had_request: Cell::default(),
-            is_evicted: Cell::default(),
+            is_eviction_pending: Cell::default(),
             evicted: Notify::new(),
             evicted_mid_request: Notify::new(),
         }
     }
 
     /// Whether the connection has received nothing at all.
-    fn is_silent(&self) -> bool {
+    fn has_received_nothing(&self) -> bool {
         !self.has_incomplete_request.get() && !self.has_had_request.get()
     }
 
@@ -81,13 +81,13 @@
 
     /// Whether the connection may be chosen for eviction.
     fn is_evictable(&self) -> bool {
-        !self.is_busy.get() && !self.is_evicted.get()
+        !self.is_busy.get() && !self.is_eviction_pending.get()
     }
 
     /// Notifies the connection to close. If it receives a request, or part of one, before that, it stays
     /// open.
     fn evict(&self) {
-        self.is_evicted.set(true);
+        self.is_eviction_pending.set(true);
         if self.has_incomplete_request.get() {
             self.evicted_mid_request.notify_one();
         } else {
@@ -98,14 +98,14 @@
     /// Withdraws a pending eviction, as the connection has received input and stays open. Returns whether one
     /// was pending.
     pub(super) fn withdraw_eviction(&self) -> bool {
-        self.is_evicted.replace(false)
+        self.is_eviction_pending.replace(false)
     }
 
     /// Waits until `notification` announces an eviction that is still pending.
     pub(super) async fn wait_for_eviction(&self, notification: &Notify) {
         loop {
             notification.notified().await;
-            if self.is_evicted.get() {
+            if self.is_eviction_pending.get() {
                 return;
             }
         }
@@ -162,8 +162,8 @@
     }
 
     /// Whether an eviction is pending for any connection.
-    pub(super) fn is_evicting(&self) -> bool {
-        self.slots.borrow().iter().any(|slot| slot.is_evicted.get())
+    pub(super) fn has_pending_eviction(&self) -> bool {
+        self.slots.borrow().iter().any(|slot| slot.is_eviction_pending.get())
     }
 
     /// Evicts up to `count` connections without an open request, for as many that wait: the longest idle of
@@ -172,7 +172,7 @@
     /// are evicted.
     pub(super) fn evict(&self, count: usize) {
         for position in 0..count {
-            let is_allowed = |slot: &Slot| position == 0 || slot.is_silent();
+            let is_allowed = |slot: &Slot| position == 0 || slot.has_received_nothing();
             if !self.evict_first(Instant::now(), is_allowed) {
                 return;
             }
@@ -181,7 +181,7 @@
 
     /// Evicts the first connection in the eviction order if it loses nothing: it is neither new nor in the
     /// middle of a request.
-    pub(super) fn evict_settled(&self) {
+    pub(super) fn evict_idle(&self) {
         let now = Instant::now();
         self.evict_first(now, |slot| !slot.is_new(now) && !slot.has_incomplete_request.get());
     }
