--- a/node/src/downstream/connection.rs
+++ b/node/src/downstream/connection.rs
@@ -33,7 +33,7 @@
 /// Bytes reserved for each read.
 pub(super) const READ_BYTES: usize = 2048;
 /// Bytes that a connection may buffer regardless of all others: enough for a typical request.
-pub(super) const ALWAYS_ALLOWED_BYTES: usize = 8 * 1024;
+pub(super) const GUARANTEED_BUFFER_BYTES: usize = 8 * 1024;
 
 /// One downstream connection.
 pub(super) struct DownstreamConnection<'a> {
@@ -143,8 +143,8 @@
         loop {
             self.take_requests();
             self.update_times();
-            self.count_buffered_bytes();
-            if (self.takes_no_more_requests || self.is_final_phase) && self.owes_nothing() {
+            self.update_buffered_bytes();
+            if (self.takes_no_more_requests || self.is_final_phase) && self.has_sent_all_answers() {
                 writer.shutdown().await?;
                 return Ok(Some(reader));
             }
@@ -158,7 +158,7 @@
                 ConnectionEvent::CloseRequested(final_read) => {
                     if self.read_before_close(&mut reader, final_read).await? {
                         writer.shutdown().await?;
-                        return Ok(Some(reader).filter(|_| self.has_answered_lately()));
+                        return Ok(Some(reader).filter(|_| self.has_written_recently()));
                     }
                 }
                 ConnectionEvent::TimedOut | ConnectionEvent::EvictedMidRequest
@@ -174,10 +174,10 @@
     }
 
     fn is_idle(&self) -> bool {
-        self.owes_nothing() && self.input.is_empty() && !self.request_reader.has_incomplete_request()
+        self.has_sent_all_answers() && self.input.is_empty() && !self.request_reader.has_incomplete_request()
     }
 
-    fn owes_nothing(&self) -> bool {
+    fn has_sent_all_answers(&self) -> bool {
         self.pending.is_empty() && self.output.is_empty() && self.download.is_none()
     }
 
@@ -194,7 +194,7 @@
             && !self.is_final_phase
             && !is_upload_blocked
             && self.pending.len() < MAX_PENDING_ANSWERS
-            && self.may_buffer_more();
+            && self.can_buffer_more();
         let can_answer = self.output.len() < limits.unread_answer_bytes;
         let can_read = has_room_for_requests && can_answer;
         Interests {
@@ -305,7 +305,7 @@
     }
 
     /// Whether an answer may still be in transit and would be lost by a reset, if input crosses the close.
-    fn has_answered_lately(&self) -> bool {
+    fn has_written_recently(&self) -> bool {
         self.last_written.is_some_and(|written| written.elapsed() < LINGER_TIMEOUT)
     }
 
@@ -321,7 +321,7 @@
     /// Handles the end of the input: the client has left, or waits for its remaining answers.
     fn on_input_ended(&mut self) {
         self.takes_no_more_requests = true;
-        self.half_close_pending();
+        self.report_half_close();
     }
 
     /// Handles a disconnect with input still unread, which is read and answered but not forwarded.
@@ -330,11 +330,11 @@
         if let Some(upload) = &mut self.upload {
             upload.discard();
         }
-        self.half_close_pending();
+        self.report_half_close();
     }
 
     /// Reports the half-close for all open requests, so that no new attempt begins for them.
-    fn half_close_pending(&self) {
+    fn report_half_close(&self) {
         for pending in &self.pending {
             if let PendingAnswer::Request(request) = pending {
                 self.downstream.dispatcher.on_client_half_closed(request.id);
--- a/node/src/downstream/connection/timing.rs
+++ b/node/src/downstream/connection/timing.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::{Duration, Instant};
 
-use super::{DownstreamConnection, ALWAYS_ALLOWED_BYTES};
+use super::{DownstreamConnection, GUARANTEED_BUFFER_BYTES};
 use crate::downstream::upload::StreamedUpload;
 
 /// How long a connection may be without an open request: one that is silent, kept open for good or in the
@@ -41,7 +41,7 @@
     /// Updates the times that the deadline depends on.
     pub(super) fn update_times(&mut self) {
         let now = Instant::now();
-        let is_busy = !self.owes_nothing();
+        let is_busy = !self.has_sent_all_answers();
         if self.slot.is_busy.replace(is_busy) && !is_busy {
             self.slot.idle_since.set(now);
         }
@@ -69,7 +69,7 @@
     }
 
     /// Updates the shared total by the bytes that this connection buffers.
-    pub(super) fn count_buffered_bytes(&mut self) {
+    pub(super) fn update_buffered_bytes(&mut self) {
         let upload_bytes = self.upload.as_ref().map_or(0, StreamedUpload::buffered_bytes);
         let bytes = self.input.len() + self.output.len() + self.request_bytes + upload_bytes;
         let buffered_bytes = &self.downstream.buffered_bytes;
@@ -79,8 +79,8 @@
 
     /// Whether more may be read. When all client connections together buffer too much, those that buffer much
     /// wait until others finish or time out.
-    pub(super) fn may_buffer_more(&self) -> bool {
-        self.counted_bytes <= ALWAYS_ALLOWED_BYTES
+    pub(super) fn can_buffer_more(&self) -> bool {
+        self.counted_bytes <= GUARANTEED_BUFFER_BYTES
             || self.downstream.buffered_bytes.get() < self.downstream.resource_limits.client_buffer_bytes
     }
 }
--- a/node/src/downstream/lingering.rs
+++ b/node/src/downstream/lingering.rs
@@ -14,7 +14,7 @@
 use super::{Downstream, LINGER_TIMEOUT};
 
 /// Bytes that a lingering connection discards at most.
-const LINGER_BYTES: u64 = 256 * 1024;
+const MAX_LINGER_BYTES: u64 = 256 * 1024;
 /// The share of the client connections (one in this many) above which no more may linger, as their
 /// descriptors still count.
 const LINGERING_DIVISOR: usize = 16;
@@ -24,7 +24,7 @@
     pub(super) async fn serve(self, stream: impl ClientStream) -> std::io::Result<()> {
         let reader = DownstreamConnection::new(&self.downstream, &self.slot).serve(stream).await?;
         let downstream = Rc::clone(&self.downstream);
-        if let Some(reader) = reader.filter(|_| downstream.may_linger()) {
+        if let Some(reader) = reader.filter(|_| downstream.can_linger()) {
             // Created before the slot is freed, so that the descriptor stays counted.
             let _lingering = LingeringConnection::new(&downstream);
             drop(self);
@@ -52,13 +52,13 @@
 }
 
 impl Downstream {
-    fn may_linger(&self) -> bool {
+    fn can_linger(&self) -> bool {
         self.lingering.get() <= self.resource_limits.client_connections / LINGERING_DIVISOR
     }
 }
 
 /// Discards what a client still sends after its last answer, for a limited time and number of bytes.
 async fn linger(reader: impl AsyncRead + Unpin) {
-    let (mut rest, mut sink) = (reader.take(LINGER_BYTES), tokio::io::sink());
+    let (mut rest, mut sink) = (reader.take(MAX_LINGER_BYTES), tokio::io::sink());
     let _ = timeout(LINGER_TIMEOUT, tokio::io::copy(&mut rest, &mut sink)).await;
 }
--- a/node/src/downstream/tests.rs
+++ b/node/src/downstream/tests.rs
@@ -7,7 +7,7 @@
 use std::io;
 
 use super::connection::{
-    DownstreamConnection, ALWAYS_ALLOWED_BYTES, MAX_INVALID_REQUESTS, MAX_PENDING_ANSWERS, READ_BYTES,
+    DownstreamConnection, GUARANTEED_BUFFER_BYTES, MAX_INVALID_REQUESTS, MAX_PENDING_ANSWERS, READ_BYTES,
 };
 use super::*;
 use crate::dispatcher::{Answer, AttemptEnd, Reply};
@@ -139,7 +139,7 @@
         let held = downstream.buffered_bytes.get();
         assert!(
             held <= downstream.resource_limits.client_buffer_bytes
-                + 8 * (ALWAYS_ALLOWED_BYTES + 2 * READ_BYTES)
+                + 8 * (GUARANTEED_BUFFER_BYTES + 2 * READ_BYTES)
                 + 60_000,
             "{held}"
         );
