--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -81,16 +81,16 @@
 }
 
 /// Increments a counter until dropped.
-struct Counted(Rc<Cell<usize>>);
+struct CounterGuard(Rc<Cell<usize>>);
 
-impl Counted {
-    fn one(counter: &Rc<Cell<usize>>) -> Counted {
+impl CounterGuard {
+    fn one(counter: &Rc<Cell<usize>>) -> CounterGuard {
         counter.set(counter.get() + 1);
-        Counted(Rc::clone(counter))
+        CounterGuard(Rc::clone(counter))
     }
 }
 
-impl Drop for Counted {
+impl Drop for CounterGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -143,7 +143,7 @@
     /// Runs a connection to its end in a task. It is counted at once, as more may be opened before the task
     /// starts; when it has ended, connections are opened for waiting attempts.
     fn spawn_connection(self: &Rc<Upstream>, connection: impl Future<Output = ()> + 'static) {
-        let counted = Counted::one(&self.connections);
+        let counted = CounterGuard::one(&self.connections);
         let upstream = Rc::clone(self);
         spawn_local(async move {
             connection.await;
@@ -204,7 +204,7 @@
     }
 
     /// Returns an attempt of which nothing was written to the head of its queue.
-    fn put_back(&self, server: ServerId, attempt: Attempt) {
+    fn requeue(&self, server: ServerId, attempt: Attempt) {
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(&server) else {
             return self.report_end_later(attempt.id, AttemptEnd::NotSent);
@@ -218,7 +218,7 @@
     }
 
     /// Whether the server accepts attempts and this connection leads to its current address.
-    fn may_send_on(&self, connection: &UpstreamConnection) -> bool {
+    fn can_send_on(&self, connection: &UpstreamConnection) -> bool {
         self.pools.borrow().get(&connection.server).is_some_and(|pool| pool.is_reached_by(connection))
     }
 
@@ -356,7 +356,7 @@
         if attempt.request.upload.is_some() {
             return self.finish_upload(pool, attempt);
         }
-        let Some(attempt) = pool.give_to_idle(attempt) else { return };
+        let Some(attempt) = pool.assign_to_idle(attempt) else { return };
         pool.waiting.push_back(attempt);
         self.open_connections_to(server, pool);
         if pool.lacks_connections() {
--- a/node/src/upstream/connection.rs
+++ b/node/src/upstream/connection.rs
@@ -29,7 +29,7 @@
 
 /// A write on a connection that the server had already closed is reset within this time; a later break has
 /// another cause.
-const IMMEDIATE_RESET: Duration = Duration::from_millis(10);
+const IMMEDIATE_RESET_WINDOW: Duration = Duration::from_millis(10);
 
 /// One connection to a server.
 pub(super) struct UpstreamConnection {
@@ -151,16 +151,16 @@
             // Lets the runtime notice a close that arrived right after the last answer.
             yield_now().await;
             // Nothing has been written yet, so that the attempt can move to another connection.
-            if !upstream.may_send_on(self) {
-                return upstream.put_back(self.server, attempt);
+            if !upstream.can_send_on(self) {
+                return upstream.requeue(self.server, attempt);
             }
-            if !is_quiet(&mut stream, &mut input) {
+            if !is_open_and_silent(&mut stream, &mut input) {
                 return self.on_ended_before_attempt(upstream, attempt, is_new_connection);
             }
             let (idle, begun) = (idle_since.elapsed(), Instant::now());
             match self.execute(upstream, &mut stream, &mut input, attempt).await {
                 AfterAttempt::KeepOpen => upstream.idle_timeout.on_reused(idle),
-                AfterAttempt::Broken if has_carried && begun.elapsed() < IMMEDIATE_RESET => {
+                AfterAttempt::Broken if has_carried && begun.elapsed() < IMMEDIATE_RESET_WINDOW => {
                     return upstream.idle_timeout.on_broken(idle);
                 }
                 AfterAttempt::Broken | AfterAttempt::Close => return,
@@ -176,7 +176,7 @@
         if is_new_connection {
             upstream.end_attempt(self.server, attempt.id, AttemptEnd::ConnectFailed);
         } else {
-            upstream.put_back(self.server, attempt);
+            upstream.requeue(self.server, attempt);
         }
     }
 
@@ -198,7 +198,7 @@
         }
         upstream.remove_idle(self.server, id);
         if let Ok(attempt) = next.try_recv() {
-            upstream.put_back(self.server, attempt);
+            upstream.requeue(self.server, attempt);
         }
         None
     }
@@ -370,7 +370,7 @@
 }
 
 /// Whether an idle connection is still open and has received nothing.
-fn is_quiet<S: AsyncRead + Unpin>(stream: &mut S, input: &mut BytesMut) -> bool {
+fn is_open_and_silent<S: AsyncRead + Unpin>(stream: &mut S, input: &mut BytesMut) -> bool {
     let mut context = Context::from_waker(Waker::noop());
     let is_silent = pin!(stream.read_buf(input)).poll(&mut context).is_pending();
     is_silent && input.is_empty()
--- a/node/src/upstream/download.rs
+++ b/node/src/upstream/download.rs
@@ -70,7 +70,7 @@
         sender.send(chunk).await?;
         if is_complete {
             if matches!(body, ValueBody::Http(_)) {
-                check_nothing_behind(stream, input).await?;
+                check_following_bytes(stream, input).await?;
             }
             return Ok(sender.finish().await?);
         }
@@ -92,7 +92,7 @@
 ///
 /// # Errors
 /// Other bytes follow, or the connection broke.
-pub(super) async fn check_nothing_behind<S: AsyncRead + Unpin>(
+pub(super) async fn check_following_bytes<S: AsyncRead + Unpin>(
     stream: &mut S,
     input: &mut BytesMut,
 ) -> Result<(), ReadError> {
--- a/node/src/upstream/pool.rs
+++ b/node/src/upstream/pool.rs
@@ -63,7 +63,7 @@
 
     /// Gives an attempt to the most recently used idle connection, so that surplus connections reach their
     /// idle timeout. Returns the attempt if there is no idle connection.
-    pub(super) fn give_to_idle(&mut self, mut attempt: Attempt) -> Option<Attempt> {
+    pub(super) fn assign_to_idle(&mut self, mut attempt: Attempt) -> Option<Attempt> {
         while let Some(idle) = self.idle.pop() {
             let id = attempt.id;
             match idle.attempt_sender.send(attempt) {
--- a/node/src/upstream/response.rs
+++ b/node/src/upstream/response.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-use super::download::{check_nothing_behind, ValueBody};
+use super::download::{check_following_bytes, ValueBody};
 use super::read_error::{MalformedResponse, ReadError};
 use super::READ_BYTES;
 use crate::dispatcher::{ClientRequest, Reply};
@@ -79,7 +79,7 @@
             return Err(MalformedResponse::UnstreamableBodyTooLong.into());
         }
         if response.is_complete {
-            check_nothing_behind(stream, input).await?;
+            check_following_bytes(stream, input).await?;
             let reply = response.reply(is_write)?;
             return Ok(ServerResponse::Complete { reply, closes_connection: response.closes_connection() });
         }
--- a/node/src/upstream/upload.rs
+++ b/node/src/upstream/upload.rs
@@ -13,7 +13,7 @@
 
 use super::connection::{AfterAttempt, UpstreamConnection};
 use super::download::STALL_TIMEOUT;
-use super::{Counted, Upstream};
+use super::{CounterGuard, Upstream};
 use crate::connect::ServerStream;
 use crate::dispatcher::{AttemptEnd, Upload};
 use crate::http;
@@ -35,15 +35,15 @@
         let pool = pools.get(&upload.server).filter(|pool| pool.accepts_attempts && pool.is_origin);
         let Some(address) = pool.and_then(|pool| pool.address) else { return };
         let connection = UpstreamConnection { server: upload.server, is_origin: true, address };
-        let counted_upload = Counted::one(&self.uploads);
+        let upload_guard = CounterGuard::one(&self.uploads);
         let owner = Rc::clone(&upstream);
-        upstream.spawn_connection(async move { connection.upload(&owner, upload, counted_upload).await });
+        upstream.spawn_connection(async move { connection.upload(&owner, upload, upload_guard).await });
     }
 }
 
 impl UpstreamConnection {
     /// Sends the value, with the last byte as the attempt; then the connection carries other attempts.
-    async fn upload(&self, upstream: &Upstream, mut upload: Upload, counted_upload: Counted) {
+    async fn upload(&self, upstream: &Upstream, mut upload: Upload, upload_guard: CounterGuard) {
         let stream = self.send_all_but_last_byte(upstream, &upload).await;
         // From here on the client side sees that no further chunk is accepted.
         drop(upload.value);
@@ -55,10 +55,10 @@
             return;
         };
         let Ok(last_byte) = upload.last_byte.await else { return };
-        drop(counted_upload);
+        drop(upload_guard);
         let attempt = last_byte.attempt;
         let time_left = attempt.deadline.saturating_sub(upstream.clock.now());
-        if time_left.0 == 0 || !upstream.may_send_on(self) {
+        if time_left.0 == 0 || !upstream.can_send_on(self) {
             return upstream.end_attempt(self.server, attempt.id, AttemptEnd::NotSent);
         }
         let input = &mut BytesMut::new();
