--- a/node/src/simulation.rs
+++ b/node/src/simulation.rs
@@ -58,7 +58,7 @@
 struct RequestRecord {
     class: usize,
     /// When the client received the answer, or left.
-    over: Option<Instant>,
+    closed_at: Option<Instant>,
     arrivals: Vec<Arrival>,
 }
 
@@ -109,8 +109,8 @@
     }
 
     /// Records that a request has its answer, or that its client has left.
-    fn on_request_over(&self, id: &str) {
-        self.requests.borrow_mut().entry(id.to_owned()).or_default().over.get_or_insert(Instant::now());
+    fn on_request_closed(&self, id: &str) {
+        self.requests.borrow_mut().entry(id.to_owned()).or_default().closed_at.get_or_insert(Instant::now());
     }
 
     /// Records that a server has received the complete request. The returned cell tells whether the server
@@ -121,7 +121,7 @@
             self.violation(id, "arrived at a server, but no client sent the request");
             return Rc::default();
         };
-        if request.over.is_some_and(|over| over < now) {
+        if request.closed_at.is_some_and(|closed_at| closed_at < now) {
             self.violation(id, "reached a server after its answer or after its client had left");
         }
         if request.arrivals.len() >= MAX_ATTEMPTS as usize {
@@ -189,7 +189,7 @@
         let carrier = Rc::clone(&upstream) as Rc<dyn Carrier>;
         let dispatcher = Dispatcher::new(settings(), seed, carrier, clock, counters, log());
         upstream.attach(&dispatcher);
-        dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &servers.listed());
+        dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &servers.listed_servers());
         let shutdown = Rc::new(GracefulShutdown::default());
         let classes = SIMULATED_CLASSES.map(|class| class.name.to_owned()).into();
         let labels = Labels { classes, tenants: vec![] };
@@ -234,8 +234,8 @@
         for n in 0..7 {
             let (simulation, draw) = (Rc::clone(&simulation), rng.fork());
             clients.push(match n {
-                0..5 => spawn_local(clients::behave(simulation, n, draw)),
-                _ => spawn_local(clients::misbehave(simulation, n, draw)),
+                0..5 => spawn_local(clients::run_valid_client(simulation, n, draw)),
+                _ => spawn_local(clients::run_faulty_client(simulation, n, draw)),
             });
         }
         sleep(Duration::from_millis(rng.u64(1500..3000))).await;
--- a/node/src/simulation/clients.rs
+++ b/node/src/simulation/clients.rs
@@ -26,7 +26,7 @@
 }
 
 /// A client that sends requests, waits and sends others, until the daemon shuts down.
-pub async fn behave(simulation: Rc<Simulation>, client: usize, mut rng: Rng) {
+pub async fn run_valid_client(simulation: Rc<Simulation>, client: usize, mut rng: Rng) {
     let mut sent_requests = 0;
     while !simulation.shutdown.is_stopping() {
         let mut stream = open(&simulation);
@@ -40,7 +40,7 @@
                 0..8 => {
                     // The client leaves with answers pending.
                     sleep(Duration::from_millis(rng.u64(..300))).await;
-                    leave(&simulation, requests);
+                    record_departure(&simulation, requests);
                     break;
                 }
                 8..12 => {
@@ -63,7 +63,7 @@
 }
 
 /// A faulty client: it sends malformed requests, complete ones behind them and part of another, and leaves.
-pub async fn misbehave(simulation: Rc<Simulation>, client: usize, mut rng: Rng) {
+pub async fn run_faulty_client(simulation: Rc<Simulation>, client: usize, mut rng: Rng) {
     let mut sent_requests = 0;
     while !simulation.shutdown.is_stopping() {
         let mut stream = open(&simulation);
@@ -85,7 +85,7 @@
         sleep(Duration::from_millis(rng.u64(..200))).await;
         let _ = stream.write_all(b"mg half v O").await;
         sleep(Duration::from_millis(rng.u64(..100))).await;
-        leave(&simulation, requests.unwrap_or_default());
+        record_departure(&simulation, requests.unwrap_or_default());
         drop(stream);
     }
 }
@@ -97,11 +97,11 @@
     stream
 }
 
-fn leave(simulation: &Simulation, requests: VecDeque<OpenRequest>) {
+fn record_departure(simulation: &Simulation, requests: VecDeque<OpenRequest>) {
     simulation.event_log.count(Occurrence::ClientLeft);
     // The connection is dropped at the same instant.
     for open in &requests {
-        simulation.event_log.on_request_over(&String::from_utf8_lossy(&open.request.id));
+        simulation.event_log.on_request_closed(&String::from_utf8_lossy(&open.request.id));
     }
 }
 
@@ -153,9 +153,9 @@
 ) -> bool {
     let waiting = &simulation.event_log.waiting_clients;
     waiting.set(waiting.get() + 1);
-    let goes_on = read_each_answer(simulation, requests, stream).await;
+    let can_continue = read_each_answer(simulation, requests, stream).await;
     waiting.set(waiting.get() - 1);
-    goes_on
+    can_continue
 }
 
 async fn read_each_answer(
@@ -169,7 +169,7 @@
         let id = String::from_utf8_lossy(&open.request.id).into_owned();
         match read_answer(&mut input, &open.request) {
             Ok(Some(answer)) => {
-                event_log.on_request_over(&id);
+                event_log.on_request_closed(&id);
                 event_log.count(check_answer(event_log, &id, &answer));
                 requests.pop_front();
                 continue;
--- a/node/src/simulation/servers.rs
+++ b/node/src/simulation/servers.rs
@@ -122,7 +122,7 @@
         ListedServer { endpoint, address: Some(([127, 0, 0, 1], slot as u16 + 1).into()) }
     }
 
-    pub fn listed(&self) -> Vec<ListedServer> {
+    pub fn listed_servers(&self) -> Vec<ListedServer> {
         (0..SERVER_COUNT).map(|slot| self.listed_server(slot)).collect()
     }
 
