--- a/node/src/downstream/backlog/tests.rs
+++ b/node/src/downstream/backlog/tests.rs
@@ -82,13 +82,13 @@
         testing::run(async {
             let recorder = Rc::new(Recorder::default());
             let downstream = downstream(&recorder);
-            let (near, mut far) = duplex(1 << 10);
-            spawn_local(serve_after(Rc::clone(&downstream), near, Duration::from_millis(waited)));
+            let (stream, mut client) = duplex(1 << 10);
+            spawn_local(serve_after(Rc::clone(&downstream), stream, Duration::from_millis(waited)));
             let now = downstream.dispatcher.clock().now();
-            far.write_all(b"mg a v O1 Pc=read,d=480\r\nmg b v O2 Pc=read,d=480\r\n").await.unwrap();
+            client.write_all(b"mg a v O1 Pc=read,d=480\r\nmg b v O2 Pc=read,d=480\r\n").await.unwrap();
             settle().await;
             advance(Duration::from_millis(50)).await;
-            far.write_all(b"mg c v O3 Pc=read,d=480\r\n").await.unwrap();
+            client.write_all(b"mg c v O3 Pc=read,d=480\r\n").await.unwrap();
             settle().await;
             let times: Vec<_> =
                 recorder.begun.borrow().iter().map(|attempt| attempt.deadline.saturating_sub(now)).collect();
--- a/node/src/downstream/tests.rs
+++ b/node/src/downstream/tests.rs
@@ -69,8 +69,8 @@
         let (got, want) = testing::run(async {
             let recorder = Rc::new(Recorder::default());
             let downstream = downstream(&recorder);
-            let (near, mut far) = duplex(1 << 16);
-            let task = spawn_local(serve(Rc::clone(&downstream), near));
+            let (stream, mut client) = duplex(1 << 16);
+            let task = spawn_local(serve(Rc::clone(&downstream), stream));
             // The model: the expected answers, and which of them wait for an attempt.
             let mut owed: Vec<Option<String>> = Vec::new();
             let mut out: Vec<usize> = Vec::new();
@@ -80,7 +80,7 @@
                         // An id in use is rejected: each request has its own id, all of the same length.
                         let text = text.replace("Oid", &format!("O{:02}", owed.len()));
                         for piece in text.as_bytes().chunks(cut) {
-                            far.write_all(piece).await.unwrap();
+                            client.write_all(piece).await.unwrap();
                             settle().await;
                         }
                         if answer.is_none() {
@@ -106,13 +106,13 @@
                 }
                 settle().await;
             }
-            far.shutdown().await.unwrap();
+            client.shutdown().await.unwrap();
             settle().await;
             for attempt in recorder.begun.take() {
                 downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Broken);
             }
             let mut got = String::new();
-            far.read_to_string(&mut got).await.unwrap();
+            client.read_to_string(&mut got).await.unwrap();
             task.await.unwrap().unwrap();
             (got, owed.into_iter().map(|a| a.unwrap_or("SERVER_ERROR failed\r\n".into())).collect::<String>())
         });
@@ -129,11 +129,11 @@
         let downstream = downstream(&recorder);
         let mut clients = Vec::new();
         for _ in 0..8 {
-            let (near, mut far) = duplex(1 << 20);
-            spawn_local(serve(Rc::clone(&downstream), near));
-            far.write_all(b"ms k 65536 Oid Pc=read,d=480\r\n").await.unwrap();
-            far.write_all(&[b'x'; 60_000]).await.unwrap();
-            clients.push(far);
+            let (stream, mut client) = duplex(1 << 20);
+            spawn_local(serve(Rc::clone(&downstream), stream));
+            client.write_all(b"ms k 65536 Oid Pc=read,d=480\r\n").await.unwrap();
+            client.write_all(&[b'x'; 60_000]).await.unwrap();
+            clients.push(client);
         }
         settle().await;
         let held = downstream.buffered_bytes.get();
@@ -143,15 +143,15 @@
                 + 60_000,
             "{held}"
         );
-        let (near, mut far) = duplex(1 << 10);
-        spawn_local(serve(Rc::clone(&downstream), near));
-        far.write_all(b"mn\r\n").await.unwrap();
+        let (stream, mut client) = duplex(1 << 10);
+        spawn_local(serve(Rc::clone(&downstream), stream));
+        client.write_all(b"mn\r\n").await.unwrap();
         let mut got = [0; 4];
-        far.read_exact(&mut got).await.unwrap();
-        drop(far);
-        for mut far in clients {
+        client.read_exact(&mut got).await.unwrap();
+        drop(client);
+        for mut client in clients {
             let mut got = String::new();
-            far.read_to_string(&mut got).await.unwrap();
+            client.read_to_string(&mut got).await.unwrap();
             assert_eq!(got, "CLIENT_ERROR command not finished in time\r\n");
         }
         settle().await;
@@ -166,8 +166,8 @@
     testing::run(async {
         let recorder = Rc::new(Recorder::default());
         let downstream = downstream(&recorder);
-        let (near, mut far) = duplex(1 << 16);
-        spawn_local(serve(Rc::clone(&downstream), near));
+        let (stream, mut client) = duplex(1 << 16);
+        spawn_local(serve(Rc::clone(&downstream), stream));
         let (other, mut honest) = duplex(1 << 16);
         spawn_local(serve(Rc::clone(&downstream), other));
         honest.write_all(b"mg k v O1 Pc=read,d=480\r\n").await.unwrap();
@@ -179,15 +179,15 @@
             ("mg k v O2 Pc=read", "CLIENT_ERROR no deadline\r\n"),
             ("mg k v O2 Pc=read,d=-1", "CLIENT_ERROR bad properties\r\n"),
         ] {
-            far.write_all(format!("{line}\r\n").as_bytes()).await.unwrap();
+            client.write_all(format!("{line}\r\n").as_bytes()).await.unwrap();
             let mut got = vec![0; answer.len()];
-            far.read_exact(&mut got).await.unwrap();
+            client.read_exact(&mut got).await.unwrap();
             assert_eq!(String::from_utf8(got).unwrap(), answer);
         }
         assert_eq!(recorder.begun.borrow().len(), 1, "only the request of the well-behaved client has begun");
-        far.write_all(&b"\n".repeat(MAX_INVALID_REQUESTS * 2)).await.unwrap();
+        client.write_all(&b"\n".repeat(MAX_INVALID_REQUESTS * 2)).await.unwrap();
         let mut got = String::new();
-        far.read_to_string(&mut got).await.unwrap();
+        client.read_to_string(&mut got).await.unwrap();
         assert_eq!(got, "ERROR\r\n".repeat(MAX_INVALID_REQUESTS - 5));
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         downstream
@@ -206,10 +206,10 @@
     testing::run(async {
         let recorder = Rc::new(Recorder::default());
         let downstream = downstream(&recorder);
-        let (near, mut far) = duplex(1 << 10);
-        spawn_local(serve(Rc::clone(&downstream), near));
+        let (stream, mut client) = duplex(1 << 10);
+        spawn_local(serve(Rc::clone(&downstream), stream));
         for (named, place) in [(",t=beta", 1), (",t=acme", 0), (",t=acm", 2), (",t=", 2), ("", 2)] {
-            far.write_all(format!("mg k v O1 Pc=read{named},d=480\r\n").as_bytes()).await.unwrap();
+            client.write_all(format!("mg k v O1 Pc=read{named},d=480\r\n").as_bytes()).await.unwrap();
             settle().await;
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             assert_eq!(attempt.request.tenant, place, "{named}");
@@ -217,7 +217,7 @@
                 .dispatcher
                 .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value("v".into()))));
             let mut got = [0; 12];
-            far.read_exact(&mut got).await.unwrap();
+            client.read_exact(&mut got).await.unwrap();
             assert_eq!(&got, b"VA 1 O1\r\nv\r\n");
         }
     });
--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -8,17 +8,17 @@
     testing::run(async {
         let recorder = Rc::new(Recorder::default());
         let downstream = downstream(&recorder);
-        let (near, mut far) = duplex(1 << 16);
-        far.write_all(b"mg a v O1 Pc=read,d=480\r\nmg b v O2 Pc=read,d=480\r\n").await.unwrap();
+        let (stream, mut client) = duplex(1 << 16);
+        client.write_all(b"mg a v O1 Pc=read,d=480\r\nmg b v O2 Pc=read,d=480\r\n").await.unwrap();
         let occupied = downstream.occupy_slot(Duration::ZERO);
-        let mut client = DownstreamConnection::new(&occupied.downstream, &occupied.slot);
+        let mut connection = DownstreamConnection::new(&occupied.downstream, &occupied.slot);
         tokio::select! {
             biased;
-            _ = client.serve(near) => panic!("the connection ended with answers pending"),
+            _ = connection.serve(stream) => panic!("the connection ended with answers pending"),
             () = settle() => {}
         }
         assert_eq!(recorder.begun.borrow().len(), 2);
-        drop(client);
+        drop(connection);
         downstream.dispatcher.wait_until_idle().await;
         assert_eq!(downstream.dispatcher.counters().requests_abandoned.get(), 2);
     });
@@ -31,12 +31,12 @@
     testing::run(async {
         let recorder = Rc::new(Recorder::default());
         let downstream = downstream(&recorder);
-        let (near, mut far) = duplex(1 << 20);
+        let (stream, mut client) = duplex(1 << 20);
         let requests = MAX_PENDING_ANSWERS * 2 + 7;
         let text: String = (0..requests).map(|id| format!("mg a v O{id} Pc=read,d=480\r\n")).collect();
-        far.write_all(text.as_bytes()).await.unwrap();
-        far.shutdown().await.unwrap();
-        let task = spawn_local(serve(Rc::clone(&downstream), near));
+        client.write_all(text.as_bytes()).await.unwrap();
+        client.shutdown().await.unwrap();
+        let task = spawn_local(serve(Rc::clone(&downstream), stream));
         while !task.is_finished() {
             settle().await;
             for attempt in recorder.begun.take() {
@@ -44,7 +44,7 @@
             }
         }
         let mut got = String::new();
-        far.read_to_string(&mut got).await.unwrap();
+        client.read_to_string(&mut got).await.unwrap();
         // Requests that no server has capacity for are rejected, and those answers keep their place in the
         // order as well.
         let told = |line: &&str| *line == "SERVER_ERROR failed" || line.starts_with("SERVER_ERROR busy");
@@ -60,9 +60,9 @@
     testing::run(async {
         let recorder = Rc::new(Recorder::default());
         let downstream = downstream(&recorder);
-        let (near, mut far) = duplex(1 << 16);
-        spawn_local(serve(Rc::clone(&downstream), near));
-        far.write_all(b"mg a v O1 Pc=read,d=480\r\n").await.unwrap();
+        let (stream, mut client) = duplex(1 << 16);
+        spawn_local(serve(Rc::clone(&downstream), stream));
+        client.write_all(b"mg a v O1 Pc=read,d=480\r\n").await.unwrap();
         settle().await;
         downstream.shutdown.run(Instant::now(), Duration::from_secs(3)).await;
         settle().await;
@@ -70,7 +70,7 @@
         let value = Answer::Value(Bytes::from_static(b"v"));
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(value)));
         let mut got = String::new();
-        far.read_to_string(&mut got).await.unwrap();
+        client.read_to_string(&mut got).await.unwrap();
         assert_eq!(got, "VA 1 O1\r\nv\r\n");
     });
 }
@@ -82,23 +82,23 @@
         let recorder = Rc::new(Recorder::default());
         let downstream = downstream(&recorder);
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
-        let mut far = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        let (near, _) = listener.accept().await.unwrap();
-        let task = spawn_local(serve(Rc::clone(&downstream), Socket(near)));
+        let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        let (stream, _) = listener.accept().await.unwrap();
+        let task = spawn_local(serve(Rc::clone(&downstream), Socket(stream)));
         settle().await;
-        io::Write::write_all(&mut far, b"mn\r\n").unwrap();
+        io::Write::write_all(&mut client, b"mn\r\n").unwrap();
         downstream.shutdown.begin_closing();
         task.await.unwrap().unwrap();
-        assert_eq!(io::read_to_string(far).unwrap(), "MN\r\n");
+        assert_eq!(io::read_to_string(client).unwrap(), "MN\r\n");
     });
 }
 
 async fn connected(downstream: &Rc<Downstream>) -> tokio::net::TcpStream {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
-    let far = tokio::net::TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-    let (near, _) = listener.accept().await.unwrap();
-    spawn_local(serve(Rc::clone(downstream), Socket(near)));
-    far
+    let client = tokio::net::TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let (stream, _) = listener.accept().await.unwrap();
+    spawn_local(serve(Rc::clone(downstream), Socket(stream)));
+    client
 }
 
 /// How a client leaves that still waits for answers.
@@ -109,13 +109,13 @@
     EndsItsSide,
 }
 
-async fn leave(mut far: tokio::net::TcpStream, how: Leaves) -> Option<tokio::net::TcpStream> {
+async fn leave(mut client: tokio::net::TcpStream, how: Leaves) -> Option<tokio::net::TcpStream> {
     match how {
-        Leaves::Closes => drop(far),
-        Leaves::Resets => far.set_zero_linger().unwrap(),
+        Leaves::Closes => drop(client),
+        Leaves::Resets => client.set_zero_linger().unwrap(),
         Leaves::EndsItsSide => {
-            far.shutdown().await.unwrap();
-            return Some(far);
+            client.shutdown().await.unwrap();
+            return Some(client);
         }
     }
     None
@@ -152,9 +152,9 @@
     let case = format!("{leaves:?}, {has_answers}");
     let recorder = Rc::new(Recorder::default());
     let downstream = downstream(&recorder);
-    let mut far = connected(&downstream).await;
+    let mut client = connected(&downstream).await;
     let requests = MAX_PENDING_ANSWERS + 40;
-    fill_pipeline(&downstream, &mut far, requests).await;
+    fill_pipeline(&downstream, &mut client, requests).await;
     let begun = recorder.begun.borrow().len();
     if has_answers {
         // The first answer exceeds the buffers of the client, which does not read.
@@ -163,7 +163,7 @@
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(value)));
         settle().await;
     }
-    let far = leave(far, leaves).await;
+    let client = leave(client, leaves).await;
     wait_until_cancelled(&downstream, &recorder, &case).await;
     // Attempts in flight still end; no new one begins.
     let in_flight: Vec<_> = recorder.begun.take();
@@ -171,10 +171,10 @@
     for attempt in in_flight {
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::NotSent);
     }
-    if let Some(mut far) = far {
+    if let Some(mut client) = client {
         // A client that only half-closed still gets an answer to each request.
         let mut received = Vec::new();
-        far.read_to_end(&mut received).await.unwrap();
+        client.read_to_end(&mut received).await.unwrap();
         let lines = received.split(|byte| *byte == b'\n');
         let failed = lines.filter(|line| line.starts_with(b"SERVER_ERROR")).count();
         assert_eq!(failed + usize::from(has_answers), requests);
@@ -205,8 +205,8 @@
     testing::run_on_sockets(async {
         let recorder = Rc::new(Recorder::default());
         let downstream = downstream(&recorder);
-        let mut far = connected(&downstream).await;
-        far.write_all(b"mg a v O1 Pc=read,d=1400\r\n").await.unwrap();
+        let mut client = connected(&downstream).await;
+        client.write_all(b"mg a v O1 Pc=read,d=1400\r\n").await.unwrap();
         let attempt = loop {
             settle().await;
             if let Some(attempt) = recorder.begun.borrow_mut().pop() {
@@ -226,9 +226,9 @@
         while !downstream.slots.borrow().is_empty() {
             sleep(Duration::from_millis(1)).await;
         }
-        far.write_all(b"mg b v O2 Pc=read,d=1400\r\n").await.unwrap();
+        client.write_all(b"mg b v O2 Pc=read,d=1400\r\n").await.unwrap();
         let mut got = Vec::new();
-        far.read_to_end(&mut got).await.unwrap();
+        client.read_to_end(&mut got).await.unwrap();
         assert_eq!(got.len(), "VA 204800 O1\r\n".len() + LENGTH + 2);
         assert!(recorder.begun.borrow().is_empty(), "nothing that came after the close is forwarded");
     });
@@ -241,11 +241,11 @@
     testing::run_on_sockets(async {
         let recorder = Rc::new(Recorder::default());
         let downstream = downstream(&recorder);
-        let far = connected(&downstream).await;
+        let client = connected(&downstream).await;
         let dispatcher = Rc::clone(&downstream.dispatcher);
         let timers = Rc::clone(&dispatcher);
         spawn_local(async move { timers.run_timers().await });
-        let (mut reader, mut writer) = far.into_split();
+        let (mut reader, mut writer) = client.into_split();
         spawn_local(async move {
             for id in 0.. {
                 let some = format!("mg a v O{id} Pc=read,d=1400\r\n");
--- a/node/src/downstream/tests/slots.rs
+++ b/node/src/downstream/tests/slots.rs
@@ -14,15 +14,15 @@
             ("mg a v O1 Pc=re", "CLIENT_ERROR command not finished in time\r\n"),
             ("ms k 5 Oid Pc=read,d=480\r\nab", "CLIENT_ERROR command not finished in time\r\n"),
         ] {
-            let (near, mut far) = duplex(1 << 16);
-            spawn_local(serve(downstream(&recorder), near));
+            let (stream, mut client) = duplex(1 << 16);
+            spawn_local(serve(downstream(&recorder), stream));
             let start = Instant::now();
             for piece in sent.as_bytes().chunks(4) {
-                far.write_all(piece).await.unwrap();
+                client.write_all(piece).await.unwrap();
                 sleep(Duration::from_millis(1)).await;
             }
             let mut got = String::new();
-            far.read_to_string(&mut got).await.unwrap();
+            client.read_to_string(&mut got).await.unwrap();
             assert_eq!(got, answer);
             assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
         }
@@ -38,21 +38,21 @@
         let downstream = downstream(&recorder);
         let mut clients = Vec::new();
         for id in 0..6 {
-            let (near, mut far) = duplex(1 << 10);
-            spawn_local(serve(Rc::clone(&downstream), near));
-            far.write_all(format!("mg k v O{id} Pc=read,d=480\r\n").as_bytes()).await.unwrap();
+            let (stream, mut client) = duplex(1 << 10);
+            spawn_local(serve(Rc::clone(&downstream), stream));
+            client.write_all(format!("mg k v O{id} Pc=read,d=480\r\n").as_bytes()).await.unwrap();
             settle().await;
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Error));
-            clients.push(far);
+            clients.push(client);
             sleep(Duration::from_millis(5)).await;
         }
         let open = downstream.slots.borrow().len();
         assert_eq!(open, downstream.resource_limits.idle_client_connections);
         let start = Instant::now();
-        for mut far in clients.drain(..2) {
+        for mut client in clients.drain(..2) {
             let mut got = String::new();
-            far.read_to_string(&mut got).await.unwrap();
+            client.read_to_string(&mut got).await.unwrap();
             assert_eq!(got, "SERVER_ERROR failed\r\n");
         }
         assert_eq!(start.elapsed(), Duration::ZERO);
@@ -64,15 +64,15 @@
 fn a_request_begun_during_eviction_is_answered() {
     testing::run(async {
         let downstream = downstream(&Rc::new(Recorder::default()));
-        let (near, mut far) = duplex(1 << 10);
-        spawn_local(serve(Rc::clone(&downstream), near));
+        let (stream, mut client) = duplex(1 << 10);
+        spawn_local(serve(Rc::clone(&downstream), stream));
         settle().await;
         downstream.evict(1);
-        far.write_all(b"m").await.unwrap();
+        client.write_all(b"m").await.unwrap();
         settle().await;
-        far.write_all(b"n\r\n").await.unwrap();
+        client.write_all(b"n\r\n").await.unwrap();
         let mut got = String::new();
-        far.read_to_string(&mut got).await.unwrap();
+        client.read_to_string(&mut got).await.unwrap();
         assert_eq!(got, "MN\r\n");
     });
 }
@@ -82,12 +82,12 @@
 fn an_evicted_connection_closes_at_once() {
     testing::run(async {
         let downstream = downstream(&Rc::new(Recorder::default()));
-        let (near, mut far) = duplex(1 << 10);
-        spawn_local(serve(Rc::clone(&downstream), near));
+        let (stream, mut client) = duplex(1 << 10);
+        spawn_local(serve(Rc::clone(&downstream), stream));
         settle().await;
         let start = Instant::now();
         downstream.evict(1);
-        assert_eq!(far.read(&mut [0; 8]).await.unwrap(), 0);
+        assert_eq!(client.read(&mut [0; 8]).await.unwrap(), 0);
         downstream.connection_closed.notified().await;
         assert_eq!(start.elapsed(), Duration::ZERO);
     });
@@ -101,14 +101,14 @@
         let downstream = downstream(&Rc::new(Recorder::default()));
         let mut clients = Vec::new();
         for (spoke, wait) in [(false, 900), (true, 100), (true, 100), (false, 0)] {
-            let (near, mut far) = duplex(1 << 10);
+            let (stream, mut client) = duplex(1 << 10);
             let occupied = downstream.occupy_slot(Duration::ZERO);
             occupied.slot.has_had_request.set(spoke);
             spawn_local(async move {
-                let _ = DownstreamConnection::new(&occupied.downstream, &occupied.slot).serve(near).await;
+                let _ = DownstreamConnection::new(&occupied.downstream, &occupied.slot).serve(stream).await;
             });
-            far.write_all(b"").await.unwrap();
-            clients.push(far);
+            client.write_all(b"").await.unwrap();
+            clients.push(client);
             sleep(Duration::from_millis(wait)).await;
         }
         let mut fresh = clients.pop().unwrap();
@@ -137,10 +137,10 @@
         for _ in 0..40 {
             silent.push(tokio::net::TcpStream::connect(address).await.unwrap());
         }
-        let mut far = tokio::net::TcpStream::connect(address).await.unwrap();
-        far.write_all(b"mn\r\n").await.unwrap();
+        let mut client = tokio::net::TcpStream::connect(address).await.unwrap();
+        client.write_all(b"mn\r\n").await.unwrap();
         let mut got = [0; 4];
-        far.read_exact(&mut got).await.unwrap();
+        client.read_exact(&mut got).await.unwrap();
         assert_eq!(&got, b"MN\r\n");
         assert_eq!(silent[0].read(&mut got).await.unwrap(), 0, "the first was evicted");
     });
--- a/node/src/simulation/clients.rs
+++ b/node/src/simulation/clients.rs
@@ -91,9 +91,9 @@
 }
 
 fn open(simulation: &Simulation) -> DuplexStream {
-    let (near, stream) = duplex(1 << 16);
+    let (balancer_end, stream) = duplex(1 << 16);
     simulation.shutdown.on_connection_accepted();
-    simulation.downstream.serve(near, Duration::ZERO);
+    simulation.downstream.serve(balancer_end, Duration::ZERO);
     stream
 }
 
--- a/node/src/simulation/servers.rs
+++ b/node/src/simulation/servers.rs
@@ -167,7 +167,7 @@
                 }
                 _ => {}
             }
-            let (near, stream) = duplex(rng.usize(16..4096));
+            let (balancer_end, stream) = duplex(rng.usize(16..4096));
             let peer = ServerConnection {
                 is_origin: slot == 0,
                 notified_at,
@@ -178,7 +178,7 @@
                 last_received: Instant::now(),
             };
             spawn_local(peer.serve());
-            Ok(Box::new(near) as Box<dyn ServerStream>)
+            Ok(Box::new(balancer_end) as Box<dyn ServerStream>)
         })
     }
 }
--- a/node/src/upstream/download/tests.rs
+++ b/node/src/upstream/download/tests.rs
@@ -35,21 +35,21 @@
     testing::run(async {
         for (mut body, end) in bodies() {
             let (sender, receiver) = streamed_value(VALUE_BYTES);
-            let (mut near, mut far) = duplex(PIPE_BYTES);
+            let (mut stream, mut server) = duplex(PIPE_BYTES);
             let given = std::rc::Rc::new(std::cell::Cell::new(0));
             let so_far = std::rc::Rc::clone(&given);
             spawn_local(async move {
                 while so_far.get() < VALUE_BYTES {
                     let some: Vec<u8> =
                         (so_far.get()..VALUE_BYTES.min(so_far.get() + 1000)).map(byte).collect();
-                    far.write_all(&some).await.unwrap();
+                    server.write_all(&some).await.unwrap();
                     so_far.set(so_far.get() + some.len());
                 }
-                far.write_all(end).await.unwrap();
+                server.write_all(end).await.unwrap();
                 std::future::pending::<()>().await;
             });
             let forwarded = spawn_local(async move {
-                forward_value(&mut near, &mut BytesMut::new(), &mut body, sender, CHUNK_BYTES).await
+                forward_value(&mut stream, &mut BytesMut::new(), &mut body, sender, CHUNK_BYTES).await
             });
             settle().await;
             assert!(
@@ -85,16 +85,16 @@
             for stays in [true, false] {
                 let [(mut body, _), _] = bodies();
                 let (sender, receiver) = streamed_value(VALUE_BYTES);
-                let (mut near, mut far) = duplex(PIPE_BYTES);
+                let (mut stream, mut server) = duplex(PIPE_BYTES);
                 spawn_local(async move {
-                    far.write_all(&vec![b'v'; sent]).await.unwrap();
-                    far.write_all(end).await.unwrap();
+                    server.write_all(&vec![b'v'; sent]).await.unwrap();
+                    server.write_all(end).await.unwrap();
                     if stays {
                         std::future::pending::<()>().await;
                     }
                 });
                 let forwarded = spawn_local(async move {
-                    forward_value(&mut near, &mut BytesMut::new(), &mut body, sender, CHUNK_BYTES).await
+                    forward_value(&mut stream, &mut BytesMut::new(), &mut body, sender, CHUNK_BYTES).await
                 });
                 let mut got = 0;
                 while let Some(chunk) = receiver.next().await {
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -56,7 +56,7 @@
             upstream.attach(&dispatcher);
             let (_, answer) = dispatcher.take(testing::request("7", Some(vec![b'x'; size]))).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
-            let (mut near, mut far) = duplex(room);
+            let (mut stream, mut server) = duplex(room);
             let connection = UpstreamConnection { server: SERVER, is_origin: false, address: ([127, 0, 0, 1], 1).into() };
             let mut wire = BytesMut::new();
             memcache::write_request(&mut wire, &attempt.request, juniperladder::Micros(470_000));
@@ -75,22 +75,22 @@
             let leaves = matches!(peer, Peer::Leaves(_));
             let listed_server = async {
                 let mut seen = vec![0; match peer { Peer::Leaves(n) => n.min(length), _ => length }];
-                far.read_exact(&mut seen).await.unwrap();
+                server.read_exact(&mut seen).await.unwrap();
                 match peer {
                     Peer::Answers(text) => for piece in text.as_bytes().chunks(cut) {
                         // The balancer may close once it has read enough.
-                        let _ = far.write_all(piece).await;
+                        let _ = server.write_all(piece).await;
                         settle().await;
                     },
                     Peer::Silent => sleep(Duration::from_secs(60)).await,
                     Peer::Leaves(_) => settle().await,
                 }
-                drop(far);
+                drop(server);
             };
             let mut input = BytesMut::new();
             let carry = async {
-                let after = connection.execute(&upstream, &mut near, &mut input, attempt).await;
-                drop(near);
+                let after = connection.execute(&upstream, &mut stream, &mut input, attempt).await;
+                drop(stream);
                 after
             };
             let (after, ()) = tokio::join!(carry, listed_server);
@@ -160,19 +160,19 @@
         upstream.attach(&dispatcher);
         let (id, _answer) = dispatcher.take(testing::request("7", Some(vec![b'x'; 300]))).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
-        let (mut near, mut far) = duplex(100);
+        let (mut stream, mut server) = duplex(100);
         let connection =
             UpstreamConnection { server: SERVER, is_origin: false, address: ([127, 0, 0, 1], 1).into() };
         let listed_server = async {
             settle().await;
             dispatcher.on_client_gone(id);
             let mut got = Vec::new();
-            far.read_to_end(&mut got).await.unwrap();
+            server.read_to_end(&mut got).await.unwrap();
             got.len()
         };
         let carry = async {
-            let after = connection.execute(&upstream, &mut near, &mut BytesMut::new(), attempt).await;
-            drop(near);
+            let after = connection.execute(&upstream, &mut stream, &mut BytesMut::new(), attempt).await;
+            drop(stream);
             after
         };
         assert_eq!(tokio::join!(carry, listed_server), (AfterAttempt::Close, 100));
@@ -236,12 +236,12 @@
             upstream.attach(&dispatcher);
             let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
-            let (mut near, mut far) = duplex(1 << 12);
+            let (mut stream, mut server) = duplex(1 << 12);
             let connection =
                 UpstreamConnection { server: SERVER, is_origin: true, address: ([127, 0, 0, 1], 1).into() };
-            far.write_all(text.as_bytes()).await.unwrap();
+            server.write_all(text.as_bytes()).await.unwrap();
             let mut input = BytesMut::new();
-            connection.execute(&upstream, &mut near, &mut input, attempt).await;
+            connection.execute(&upstream, &mut stream, &mut input, attempt).await;
             assert_eq!(upstream.counters.malformed_responses.get(), malformed, "{text:?}");
             let chunked = text.contains("chunked");
             let value = Answer::Value(bytes::Bytes::from_static(b"ab"));
@@ -261,16 +261,19 @@
         upstream.attach(&dispatcher);
         let _answer = dispatcher.take(testing::request("7", None)).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
-        let (mut near, mut far) = duplex(1 << 12);
+        let (mut stream, mut server) = duplex(1 << 12);
         let connection =
             UpstreamConnection { server: SERVER, is_origin: true, address: ([127, 0, 0, 1], 1).into() };
         spawn_local(async move {
             let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nb2d05e00\r\n";
-            far.write_all(head).await.unwrap();
-            while far.write_all(&[b'x'; 4096]).await.is_ok() {}
+            server.write_all(head).await.unwrap();
+            while server.write_all(&[b'x'; 4096]).await.is_ok() {}
         });
         let mut input = BytesMut::new();
-        assert_eq!(connection.execute(&upstream, &mut near, &mut input, attempt).await, AfterAttempt::Close);
+        assert_eq!(
+            connection.execute(&upstream, &mut stream, &mut input, attempt).await,
+            AfterAttempt::Close
+        );
         assert_eq!(upstream.counters.malformed_responses.get(), 1);
     });
 }
