--- a/node/src/downstream/tests.rs
+++ b/node/src/downstream/tests.rs
@@ -66,41 +66,41 @@
     /// the requests, and a client that half-closes still gets all of them.
     #[test]
     fn answers_keep_the_order_of_requests(steps in prop::collection::vec(step(), 1..24), cut in 1..40usize) {
-        let (got, want) = testing::run(async {
+        let (received, expected) = testing::run(async {
             let recorder = Rc::new(Recorder::default());
             let downstream = downstream(&recorder);
             let (stream, mut client) = duplex(1 << 16);
             let task = spawn_local(serve(Rc::clone(&downstream), stream));
             // The model: the expected answers, and which of them wait for an attempt.
-            let mut owed: Vec<Option<String>> = Vec::new();
-            let mut out: Vec<usize> = Vec::new();
+            let mut expected_answers: Vec<Option<String>> = Vec::new();
+            let mut awaiting_attempts: Vec<usize> = Vec::new();
             for step in steps {
                 match step {
                     Step::Line(text, answer) => {
                         // An id in use is rejected: each request has its own id, all of the same length.
-                        let text = text.replace("Oid", &format!("O{:02}", owed.len()));
+                        let text = text.replace("Oid", &format!("O{:02}", expected_answers.len()));
                         for piece in text.as_bytes().chunks(cut) {
                             client.write_all(piece).await.unwrap();
                             settle().await;
                         }
                         if answer.is_none() {
-                            out.push(owed.len());
+                            awaiting_attempts.push(expected_answers.len());
                         }
-                        owed.push(answer.map(str::to_owned));
+                        expected_answers.push(answer.map(str::to_owned));
                     }
-                    Step::AttemptEnd { newest, served } if !out.is_empty() => {
-                        let at = if newest { out.len() - 1 } else { 0 };
+                    Step::AttemptEnd { newest, served } if !awaiting_attempts.is_empty() => {
+                        let at = if newest { awaiting_attempts.len() - 1 } else { 0 };
                         let attempt = recorder.begun.borrow_mut().remove(at);
                         let value = Bytes::from_static(b"x\r\ny");
-                        let place = out.remove(at);
+                        let index = awaiting_attempts.remove(at);
                         let (reply, answer) = if served {
-                            let answer = format!("VA 4 O{place:02}\r\nx\r\ny\r\n");
+                            let answer = format!("VA 4 O{index:02}\r\nx\r\ny\r\n");
                             (Reply::Served(Answer::Value(value)), answer)
                         } else {
                             (Reply::Error, "SERVER_ERROR failed\r\n".into())
                         };
                         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(reply));
-                        owed[place] = Some(answer);
+                        expected_answers[index] = Some(answer);
                     }
                     Step::AttemptEnd { .. } => {}
                 }
@@ -111,12 +111,12 @@
             for attempt in recorder.begun.take() {
                 downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Broken);
             }
-            let mut got = String::new();
-            client.read_to_string(&mut got).await.unwrap();
+            let mut received = String::new();
+            client.read_to_string(&mut received).await.unwrap();
             task.await.unwrap().unwrap();
-            (got, owed.into_iter().map(|a| a.unwrap_or("SERVER_ERROR failed\r\n".into())).collect::<String>())
+            (received, expected_answers.into_iter().map(|a| a.unwrap_or("SERVER_ERROR failed\r\n".into())).collect::<String>())
         });
-        prop_assert_eq!(got, want);
+        prop_assert_eq!(received, expected);
     }
 }
 
@@ -136,23 +136,24 @@
             clients.push(client);
         }
         settle().await;
-        let held = downstream.buffered_bytes.get();
+        let buffered_bytes = downstream.buffered_bytes.get();
         assert!(
-            held <= downstream.resource_limits.client_buffer_bytes
-                + 8 * (GUARANTEED_BUFFER_BYTES + 2 * READ_BYTES)
-                + 60_000,
-            "{held}"
+            buffered_bytes
+                <= downstream.resource_limits.client_buffer_bytes
+                    + 8 * (GUARANTEED_BUFFER_BYTES + 2 * READ_BYTES)
+                    + 60_000,
+            "{buffered_bytes}"
         );
         let (stream, mut client) = duplex(1 << 10);
         spawn_local(serve(Rc::clone(&downstream), stream));
         client.write_all(b"mn\r\n").await.unwrap();
-        let mut got = [0; 4];
-        client.read_exact(&mut got).await.unwrap();
+        let mut received = [0; 4];
+        client.read_exact(&mut received).await.unwrap();
         drop(client);
         for mut client in clients {
-            let mut got = String::new();
-            client.read_to_string(&mut got).await.unwrap();
-            assert_eq!(got, "CLIENT_ERROR command not finished in time\r\n");
+            let mut received = String::new();
+            client.read_to_string(&mut received).await.unwrap();
+            assert_eq!(received, "CLIENT_ERROR command not finished in time\r\n");
         }
         settle().await;
         assert_eq!(downstream.buffered_bytes.get(), 0);
@@ -168,9 +169,9 @@
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 16);
         spawn_local(serve(Rc::clone(&downstream), stream));
-        let (other, mut honest) = duplex(1 << 16);
-        spawn_local(serve(Rc::clone(&downstream), other));
-        honest.write_all(b"mg k v O1 Pc=read,d=480\r\n").await.unwrap();
+        let (valid_stream, mut valid_client) = duplex(1 << 16);
+        spawn_local(serve(Rc::clone(&downstream), valid_stream));
+        valid_client.write_all(b"mg k v O1 Pc=read,d=480\r\n").await.unwrap();
         settle().await;
         for (line, answer) in [
             ("mg k v O2 Pc=reads,d=480", "CLIENT_ERROR unknown class\r\n"),
@@ -180,22 +181,22 @@
             ("mg k v O2 Pc=read,d=-1", "CLIENT_ERROR bad properties\r\n"),
         ] {
             client.write_all(format!("{line}\r\n").as_bytes()).await.unwrap();
-            let mut got = vec![0; answer.len()];
-            client.read_exact(&mut got).await.unwrap();
-            assert_eq!(String::from_utf8(got).unwrap(), answer);
+            let mut received = vec![0; answer.len()];
+            client.read_exact(&mut received).await.unwrap();
+            assert_eq!(String::from_utf8(received).unwrap(), answer);
         }
         assert_eq!(recorder.begun.borrow().len(), 1, "only the request of the well-behaved client has begun");
         client.write_all(&b"\n".repeat(MAX_INVALID_REQUESTS * 2)).await.unwrap();
-        let mut got = String::new();
-        client.read_to_string(&mut got).await.unwrap();
-        assert_eq!(got, "ERROR\r\n".repeat(MAX_INVALID_REQUESTS - 5));
+        let mut received = String::new();
+        client.read_to_string(&mut received).await.unwrap();
+        assert_eq!(received, "ERROR\r\n".repeat(MAX_INVALID_REQUESTS - 5));
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         downstream
             .dispatcher
             .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value("v".into()))));
-        let mut got = [0; 12];
-        honest.read_exact(&mut got).await.unwrap();
-        assert_eq!(&got, b"VA 1 O1\r\nv\r\n");
+        let mut received = [0; 12];
+        valid_client.read_exact(&mut received).await.unwrap();
+        assert_eq!(&received, b"VA 1 O1\r\nv\r\n");
     });
 }
 
@@ -208,17 +209,17 @@
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 10);
         spawn_local(serve(Rc::clone(&downstream), stream));
-        for (named, place) in [(",t=beta", 1), (",t=acme", 0), (",t=acm", 2), (",t=", 2), ("", 2)] {
+        for (named, index) in [(",t=beta", 1), (",t=acme", 0), (",t=acm", 2), (",t=", 2), ("", 2)] {
             client.write_all(format!("mg k v O1 Pc=read{named},d=480\r\n").as_bytes()).await.unwrap();
             settle().await;
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
-            assert_eq!(attempt.request.tenant, place, "{named}");
+            assert_eq!(attempt.request.tenant, index, "{named}");
             downstream
                 .dispatcher
                 .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value("v".into()))));
-            let mut got = [0; 12];
-            client.read_exact(&mut got).await.unwrap();
-            assert_eq!(&got, b"VA 1 O1\r\nv\r\n");
+            let mut received = [0; 12];
+            client.read_exact(&mut received).await.unwrap();
+            assert_eq!(&received, b"VA 1 O1\r\nv\r\n");
         }
     });
 }
--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -43,13 +43,13 @@
                 downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Error));
             }
         }
-        let mut got = String::new();
-        client.read_to_string(&mut got).await.unwrap();
+        let mut received = String::new();
+        client.read_to_string(&mut received).await.unwrap();
         // Requests that no server has capacity for are rejected, and those answers keep their place in the
         // order as well.
         let told = |line: &&str| *line == "SERVER_ERROR failed" || line.starts_with("SERVER_ERROR busy");
-        assert_eq!(got.lines().filter(told).count(), requests);
-        assert!(got.contains("failed") && got.lines().count() == requests);
+        assert_eq!(received.lines().filter(told).count(), requests);
+        assert!(received.contains("failed") && received.lines().count() == requests);
     });
 }
 
@@ -69,9 +69,9 @@
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         let value = Answer::Value(Bytes::from_static(b"v"));
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(value)));
-        let mut got = String::new();
-        client.read_to_string(&mut got).await.unwrap();
-        assert_eq!(got, "VA 1 O1\r\nv\r\n");
+        let mut received = String::new();
+        client.read_to_string(&mut received).await.unwrap();
+        assert_eq!(received, "VA 1 O1\r\nv\r\n");
     });
 }
 
@@ -227,9 +227,9 @@
             sleep(Duration::from_millis(1)).await;
         }
         client.write_all(b"mg b v O2 Pc=read,d=1400\r\n").await.unwrap();
-        let mut got = Vec::new();
-        client.read_to_end(&mut got).await.unwrap();
-        assert_eq!(got.len(), "VA 204800 O1\r\n".len() + LENGTH + 2);
+        let mut received = Vec::new();
+        client.read_to_end(&mut received).await.unwrap();
+        assert_eq!(received.len(), "VA 204800 O1\r\n".len() + LENGTH + 2);
         assert!(recorder.begun.borrow().is_empty(), "nothing that came after the close is forwarded");
     });
 }
@@ -258,8 +258,8 @@
             settle().await;
         }
         let end = spawn_local(async move {
-            let mut got = Vec::new();
-            reader.read_to_end(&mut got).await.map(|_| got)
+            let mut received = Vec::new();
+            reader.read_to_end(&mut received).await.map(|_| received)
         });
         // The time for answers ends in 100 ms.
         let last = crate::graceful_shutdown::time_for_answers(Duration::from_millis(600));
@@ -267,10 +267,11 @@
         dispatcher
             .set_final_deadline(dispatcher.clock().now().saturating_add(juniperladder::Micros(100_000)));
         downstream.shutdown.run(signal, last + crate::graceful_shutdown::EXIT_DELAY).await;
-        let got = timeout(Duration::from_secs(5), end).await.expect("the connection ends").unwrap().unwrap();
-        assert!(got.ends_with(b"\r\n"));
+        let received =
+            timeout(Duration::from_secs(5), end).await.expect("the connection ends").unwrap().unwrap();
+        assert!(received.ends_with(b"\r\n"));
         let answers =
-            got.split(|byte| *byte == b'\n').filter(|line| line.starts_with(b"SERVER_ERROR")).count();
+            received.split(|byte| *byte == b'\n').filter(|line| line.starts_with(b"SERVER_ERROR")).count();
         assert_eq!(answers as u64, dispatcher.counters().requests.get(), "one answer for each request taken");
     });
 }
--- a/node/src/downstream/tests/slots.rs
+++ b/node/src/downstream/tests/slots.rs
@@ -21,9 +21,9 @@
                 client.write_all(piece).await.unwrap();
                 sleep(Duration::from_millis(1)).await;
             }
-            let mut got = String::new();
-            client.read_to_string(&mut got).await.unwrap();
-            assert_eq!(got, answer);
+            let mut received = String::new();
+            client.read_to_string(&mut received).await.unwrap();
+            assert_eq!(received, answer);
             assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
         }
     });
@@ -51,9 +51,9 @@
         assert_eq!(open, downstream.resource_limits.idle_client_connections);
         let start = Instant::now();
         for mut client in clients.drain(..2) {
-            let mut got = String::new();
-            client.read_to_string(&mut got).await.unwrap();
-            assert_eq!(got, "SERVER_ERROR failed\r\n");
+            let mut received = String::new();
+            client.read_to_string(&mut received).await.unwrap();
+            assert_eq!(received, "SERVER_ERROR failed\r\n");
         }
         assert_eq!(start.elapsed(), Duration::ZERO);
     });
@@ -71,9 +71,9 @@
         client.write_all(b"m").await.unwrap();
         settle().await;
         client.write_all(b"n\r\n").await.unwrap();
-        let mut got = String::new();
-        client.read_to_string(&mut got).await.unwrap();
-        assert_eq!(got, "MN\r\n");
+        let mut received = String::new();
+        client.read_to_string(&mut received).await.unwrap();
+        assert_eq!(received, "MN\r\n");
     });
 }
 
@@ -119,9 +119,9 @@
             assert_eq!(downstream.slots.borrow().len(), 3 - gone);
         }
         fresh.write_all(b"mn\r\n").await.unwrap();
-        let mut got = [0; 4];
-        fresh.read_exact(&mut got).await.unwrap();
-        assert_eq!(&got, b"MN\r\n");
+        let mut received = [0; 4];
+        fresh.read_exact(&mut received).await.unwrap();
+        assert_eq!(&received, b"MN\r\n");
     });
 }
 
@@ -139,9 +139,9 @@
         }
         let mut client = tokio::net::TcpStream::connect(address).await.unwrap();
         client.write_all(b"mn\r\n").await.unwrap();
-        let mut got = [0; 4];
-        client.read_exact(&mut got).await.unwrap();
-        assert_eq!(&got, b"MN\r\n");
-        assert_eq!(silent[0].read(&mut got).await.unwrap(), 0, "the first was evicted");
+        let mut received = [0; 4];
+        client.read_exact(&mut received).await.unwrap();
+        assert_eq!(&received, b"MN\r\n");
+        assert_eq!(silent[0].read(&mut received).await.unwrap(), 0, "the first was evicted");
     });
 }
--- a/node/src/graceful_shutdown/tests.rs
+++ b/node/src/graceful_shutdown/tests.rs
@@ -29,10 +29,10 @@
 /// The time that the protocol allows after the signal must cover the last answer and its transmission.
 #[test]
 fn the_last_answer_comes_before_the_protocols_time_is_up() {
-    for (longest, there) in [(600, 1300), (1200, 1900), (3000, 3700), (9000, 3700)] {
+    for (longest, allowed) in [(600, 1300), (1200, 1900), (3000, 3700), (9000, 3700)] {
         let end = time_for_answers(Duration::from_millis(longest)) + EXIT_DELAY;
-        let there = Duration::from_millis(there);
-        assert!(end < there && end + EXIT_DELAY * 2 > there, "{end:?}");
+        let allowed = Duration::from_millis(allowed);
+        assert!(end < allowed && end + EXIT_DELAY * 2 > allowed, "{end:?}");
     }
 }
 
--- a/node/src/upstream/download/tests.rs
+++ b/node/src/upstream/download/tests.rs
@@ -9,7 +9,7 @@
 const CHUNK_BYTES: usize = 8 << 10;
 const PIPE_BYTES: usize = 4 << 10;
 
-fn byte(at: usize) -> u8 {
+fn value_byte(at: usize) -> u8 {
     (at % 251) as u8
 }
 
@@ -36,14 +36,14 @@
         for (mut body, end) in bodies() {
             let (sender, receiver) = streamed_value(VALUE_BYTES);
             let (mut stream, mut server) = duplex(PIPE_BYTES);
-            let given = std::rc::Rc::new(std::cell::Cell::new(0));
-            let so_far = std::rc::Rc::clone(&given);
+            let bytes_sent = std::rc::Rc::new(std::cell::Cell::new(0));
+            let so_far = std::rc::Rc::clone(&bytes_sent);
             spawn_local(async move {
                 while so_far.get() < VALUE_BYTES {
-                    let some: Vec<u8> =
-                        (so_far.get()..VALUE_BYTES.min(so_far.get() + 1000)).map(byte).collect();
-                    server.write_all(&some).await.unwrap();
-                    so_far.set(so_far.get() + some.len());
+                    let piece: Vec<u8> =
+                        (so_far.get()..VALUE_BYTES.min(so_far.get() + 1000)).map(value_byte).collect();
+                    server.write_all(&piece).await.unwrap();
+                    so_far.set(so_far.get() + piece.len());
                 }
                 server.write_all(end).await.unwrap();
                 std::future::pending::<()>().await;
@@ -53,19 +53,20 @@
             });
             settle().await;
             assert!(
-                given.get() <= PIPE_BYTES + 3 * CHUNK_BYTES + 1000,
+                bytes_sent.get() <= PIPE_BYTES + 3 * CHUNK_BYTES + 1000,
                 "{} bytes sent without a reader",
-                given.get()
+                bytes_sent.get()
             );
-            let mut got = 0;
+            let mut bytes_received = 0;
             while let Some(chunk) = receiver.next().await {
                 assert!(
-                    chunk.len() <= CHUNK_BYTES && chunk.iter().enumerate().all(|(n, b)| *b == byte(got + n))
+                    chunk.len() <= CHUNK_BYTES
+                        && chunk.iter().enumerate().all(|(n, b)| *b == value_byte(bytes_received + n))
                 );
-                got += chunk.len();
-                assert!(given.get() <= got + PIPE_BYTES + 3 * CHUNK_BYTES + 1000);
+                bytes_received += chunk.len();
+                assert!(bytes_sent.get() <= bytes_received + PIPE_BYTES + 3 * CHUNK_BYTES + 1000);
             }
-            assert_eq!(got, VALUE_BYTES);
+            assert_eq!(bytes_received, VALUE_BYTES);
             assert_eq!(forwarded.await.unwrap(), Ok(()));
         }
     });
@@ -82,25 +83,25 @@
             (1000, b"", ReadError::Disconnected),
             (VALUE_BYTES, b"xx", ReadError::Malformed(without_end)),
         ] {
-            for stays in [true, false] {
+            for stalls in [true, false] {
                 let [(mut body, _), _] = bodies();
                 let (sender, receiver) = streamed_value(VALUE_BYTES);
                 let (mut stream, mut server) = duplex(PIPE_BYTES);
                 spawn_local(async move {
                     server.write_all(&vec![b'v'; sent]).await.unwrap();
                     server.write_all(end).await.unwrap();
-                    if stays {
+                    if stalls {
                         std::future::pending::<()>().await;
                     }
                 });
                 let forwarded = spawn_local(async move {
                     forward_value(&mut stream, &mut BytesMut::new(), &mut body, sender, CHUNK_BYTES).await
                 });
-                let mut got = 0;
+                let mut bytes_received = 0;
                 while let Some(chunk) = receiver.next().await {
-                    got += chunk.len();
+                    bytes_received += chunk.len();
                 }
-                assert!(got < VALUE_BYTES, "{got}");
+                assert!(bytes_received < VALUE_BYTES, "{bytes_received}");
                 assert_eq!(forwarded.await.unwrap(), Err(error.clone()));
             }
         }
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -61,7 +61,7 @@
             let mut wire = BytesMut::new();
             memcache::write_request(&mut wire, &attempt.request, juniperladder::Micros(470_000));
             let length = wire.len();
-            let want = match &peer {
+            let expected = match &peer {
                 Peer::Leaves(n) if n + room >= length => "resets",
                 Peer::Leaves(_) => "connect_failed",
                 Peer::Answers(text) if text.starts_with("HD O7") => "ok",
@@ -97,12 +97,12 @@
             let counted: Vec<_> = dispatcher.counters().figures().into_iter()
                 .filter(|(name, n)| *n > 0 && !name.starts_with("rejected_") && !["commands", "attempts", "served", "rejected", "failed", "bad_answers"].contains(name))
                 .collect();
-            assert_eq!(counted, [(want, 1)]);
-            assert_eq!(after == AfterAttempt::Broken, leaves && want == "resets");
+            assert_eq!(counted, [(expected, 1)]);
+            assert_eq!(after == AfterAttempt::Broken, leaves && expected == "resets");
             let is_malformed = upstream.counters.malformed_responses.get() > 0;
-            assert_eq!(after == AfterAttempt::KeepOpen, !is_malformed && ["ok", "misses", "full", "errors"].contains(&want));
+            assert_eq!(after == AfterAttempt::KeepOpen, !is_malformed && ["ok", "misses", "full", "errors"].contains(&expected));
             let served = matches!(answer.await, Ok(Answer::Receipt(_)));
-            assert_eq!(served, want == "ok");
+            assert_eq!(served, expected == "ok");
         });
     }
 }
@@ -137,8 +137,11 @@
         let (mut stream, _) = listener.accept().await.unwrap();
         settle().await;
         let (_, answer) = dispatcher.take(testing::request("2", None)).unwrap();
-        let got = request_at(&mut stream).await;
-        assert!(got.starts_with("mg ") && got.contains(" O2 ") && !got.contains(" O1 "), "{got}");
+        let received = request_at(&mut stream).await;
+        assert!(
+            received.starts_with("mg ") && received.contains(" O2 ") && !received.contains(" O1 "),
+            "{received}"
+        );
         stream.write_all(b"VA 1 O2\r\nv\r\n").await.unwrap();
         assert_eq!(answer.await, Ok(Answer::Value("v".into())));
         assert_eq!(
@@ -166,9 +169,9 @@
         let listed_server = async {
             settle().await;
             dispatcher.on_client_gone(id);
-            let mut got = Vec::new();
-            server.read_to_end(&mut got).await.unwrap();
-            got.len()
+            let mut received = Vec::new();
+            server.read_to_end(&mut received).await.unwrap();
+            received.len()
         };
         let carry = async {
             let after = connection.execute(&upstream, &mut stream, &mut BytesMut::new(), attempt).await;
@@ -298,8 +301,9 @@
                 .insert(id, CarriedAttempt::default());
             let close_requested = upstream.on_attempt_written(SERVER, id);
             assert!(upstream.abandon(id, SERVER));
-            let is_stopped = timeout(Duration::from_secs(1), close_requested.notified()).await.is_ok();
-            assert_eq!(is_stopped, kind == testing::ORIGIN);
+            let is_close_requested =
+                timeout(Duration::from_secs(1), close_requested.notified()).await.is_ok();
+            assert_eq!(is_close_requested, kind == testing::ORIGIN);
         }
     });
 }
@@ -313,12 +317,12 @@
         let longest = idle_timeout.current();
         let configured = upstream.limits.server_idle_timeout;
         assert_eq!(longest, configured.mul_f64(0.95));
-        let spare = configured - longest;
+        let margin = configured - longest;
         assert!(
             longest > configured.mul_f64(0.9),
             "one of many balancers reuses a connection only after seconds"
         );
-        assert!(spare >= configured / 25, "margin for the network round trip: {spare:?}");
+        assert!(margin >= configured / 25, "margin for the network round trip: {margin:?}");
         idle_timeout.on_broken(Duration::from_millis(1));
         assert_eq!(idle_timeout.current(), longest, "a connection that was hardly idle shows nothing");
         idle_timeout.on_broken(Duration::from_millis(100));
@@ -465,9 +469,9 @@
             dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[origin]);
             let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
-            let mut got = BytesMut::new();
-            while !got.ends_with(b"\r\n\r\n") {
-                stream.read_buf(&mut got).await.unwrap();
+            let mut received = BytesMut::new();
+            while !received.ends_with(b"\r\n\r\n") {
+                stream.read_buf(&mut received).await.unwrap();
             }
             let text: &[u8] = if body { b"HTTP/1.1 200 OK\r\n\r\nab" } else { b"HTTP/1.1 200 OK\r\n\r\n" };
             stream.write_all(text).await.unwrap();
@@ -485,11 +489,14 @@
 
 /// Reads one request's line.
 async fn request_at(stream: &mut tokio::net::TcpStream) -> String {
-    let mut got = BytesMut::new();
-    while !got.ends_with(b"\r\n") {
-        assert!(stream.read_buf(&mut got).await.unwrap() > 0, "the connection ended within a request line");
+    let mut received = BytesMut::new();
+    while !received.ends_with(b"\r\n") {
+        assert!(
+            stream.read_buf(&mut received).await.unwrap() > 0,
+            "the connection ended within a request line"
+        );
     }
-    String::from_utf8_lossy(&got).into_owned()
+    String::from_utf8_lossy(&received).into_owned()
 }
 
 /// An endpoint update between the assignment of a request to an idle connection and its first byte takes
--- a/node/src/upstream/upload/tests.rs
+++ b/node/src/upstream/upload/tests.rs
@@ -29,11 +29,11 @@
     (upstream, client, origin)
 }
 
-fn byte(at: usize) -> u8 {
+fn value_byte(at: usize) -> u8 {
     (at % 251) as u8
 }
 
-async fn line(client: &mut TcpStream) -> String {
+async fn read_line(client: &mut TcpStream) -> String {
     let mut received = Vec::new();
     while !received.ends_with(b"\r\n") {
         received.push(client.read_u8().await.unwrap());
@@ -57,13 +57,13 @@
     testing::run_on_sockets(async {
         let (upstream, client, origin) = balancer_and_origin().await;
         let (mut reads, mut writes) = client.into_split();
-        let value: Vec<u8> = (0..LENGTH).map(byte).collect();
-        let (all, last) = (value.clone(), tokio::sync::oneshot::channel::<()>());
-        let (go, going) = last;
+        let value: Vec<u8> = (0..LENGTH).map(value_byte).collect();
+        let (all, last_byte_signal) = (value.clone(), tokio::sync::oneshot::channel::<()>());
+        let (allow_last_byte, last_byte_allowed) = last_byte_signal;
         tokio::task::spawn_local(async move {
             writes.write_all(format!("ms k {LENGTH} O7 Pc=read,d=480,k=5c\r\n").as_bytes()).await.unwrap();
             writes.write_all(&all[..LENGTH - 1]).await.unwrap();
-            going.await.unwrap();
+            last_byte_allowed.await.unwrap();
             writes.write_all(&all[LENGTH - 1..]).await.unwrap();
             writes.write_all(b"\r\nmn\r\n").await.unwrap();
             std::future::pending::<()>().await;
@@ -72,15 +72,15 @@
         let head = head(&mut at_origin).await;
         assert!(head.starts_with("PUT /k HTTP/1.1\r\n") && head.contains("X-Trace-Id: 7\r\n"), "{head}");
         assert!(head.contains(&format!("Content-Length: {LENGTH}\r\n")), "{head}");
-        let mut got = vec![0; LENGTH - 1];
-        at_origin.read_exact(&mut got).await.unwrap();
-        assert!(got == value[..LENGTH - 1]);
+        let mut forwarded = vec![0; LENGTH - 1];
+        at_origin.read_exact(&mut forwarded).await.unwrap();
+        assert!(forwarded == value[..LENGTH - 1]);
         assert_eq!(
             (upstream.counters.attempts_written.get(), upstream.uploads.get()),
             (0, 1),
             "nothing is executed yet"
         );
-        go.send(()).unwrap();
+        allow_last_byte.send(()).unwrap();
         assert_eq!(at_origin.read_u8().await.unwrap(), value[LENGTH - 1]);
         at_origin.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1").await.unwrap();
         let mut received = [0; 14];
@@ -98,10 +98,10 @@
         let (upstream, _client, _origin) = balancer_and_origin().await;
         let dispatcher = upstream.dispatcher.borrow().upgrade().unwrap();
         let begin = |_| dispatcher.begin_upload(&testing::request("7", None), LENGTH).unwrap();
-        let mut ways: Vec<_> = (0..5).map(begin).collect();
+        let mut uploads: Vec<_> = (0..5).map(begin).collect();
         assert_eq!((upstream.uploads.get(), upstream.connections.get()), (2, 2));
-        let mut taken = |place: usize| ways[place].1.try_send("v".into()).is_ok();
-        assert_eq!([0, 1, 2, 3, 4].map(&mut taken), [true, true, false, false, false]);
+        let mut accepts_chunk = |index: usize| uploads[index].1.try_send("v".into()).is_ok();
+        assert_eq!([0, 1, 2, 3, 4].map(&mut accepts_chunk), [true, true, false, false, false]);
     });
 }
 
@@ -111,15 +111,15 @@
 fn a_streamed_write_that_cannot_go_on_is_rejected() {
     testing::run_on_sockets(async {
         let (upstream, mut client, origin) = balancer_and_origin().await;
-        let leaves = tokio::task::spawn_local(async move {
+        let origin_closes = tokio::task::spawn_local(async move {
             let (mut at_origin, _) = origin.accept().await.unwrap();
             head(&mut at_origin).await;
         });
         client.write_all(format!("ms k {LENGTH} O7 Pc=read,d=480,k=5c\r\n").as_bytes()).await.unwrap();
         client.write_all(&vec![b'v'; LENGTH]).await.unwrap();
         client.write_all(b"\r\n").await.unwrap();
-        leaves.await.unwrap();
-        assert!(line(&mut client).await.starts_with("SERVER_ERROR busy"));
+        origin_closes.await.unwrap();
+        assert!(read_line(&mut client).await.starts_with("SERVER_ERROR busy"));
         assert_eq!(
             (upstream.counters.attempts_written.get(), upstream.counters.attempts_reset.get()),
             (0, 0)
@@ -131,13 +131,13 @@
 #[test]
 fn a_streamed_write_that_breaks_off_is_not_executed() {
     testing::run_on_sockets(async {
-        for (sent, behind) in [(LENGTH / 2, &b""[..]), (LENGTH, b"xx")] {
+        for (sent, after_value) in [(LENGTH / 2, &b""[..]), (LENGTH, b"xx")] {
             let (upstream, mut client, origin) = balancer_and_origin().await;
             let text = format!("ms k {LENGTH} O7 Pc=read,d=480,k=5c\r\n");
             let writes = tokio::task::spawn_local(async move {
                 client.write_all(text.as_bytes()).await.unwrap();
                 client.write_all(&vec![b'v'; sent]).await.unwrap();
-                client.write_all(behind).await.unwrap();
+                client.write_all(after_value).await.unwrap();
                 let _ = client.shutdown().await;
                 let mut received = String::new();
                 let _ = client.read_to_string(&mut received).await;
@@ -145,9 +145,9 @@
             });
             let (mut at_origin, _) = origin.accept().await.unwrap();
             head(&mut at_origin).await;
-            let mut got = Vec::new();
-            let _ = at_origin.read_to_end(&mut got).await;
-            assert!(got.len() < LENGTH, "{}", got.len());
+            let mut forwarded = Vec::new();
+            let _ = at_origin.read_to_end(&mut forwarded).await;
+            assert!(forwarded.len() < LENGTH, "{}", forwarded.len());
             let received = writes.await.unwrap();
             assert!(
                 !received.contains("HD") && (sent < LENGTH || received.starts_with("CLIENT_ERROR")),
