--- a/node/src/downstream/tests/eviction.rs
+++ b/node/src/downstream/tests/eviction.rs
@@ -11,7 +11,7 @@
 /// The number of slots in [`testing::resource_limits`].
 const SLOTS: usize = 8;
 /// An event loop delay that is longer than any wait of the downstream side.
-const LATE_TURN: Duration = Duration::from_millis(300);
+const LOOP_DELAY: Duration = Duration::from_millis(300);
 
 /// A client with non-blocking calls.
 struct Client(std::net::TcpStream);
@@ -46,7 +46,7 @@
 }
 
 /// Starts a downstream side that accepts connections, and returns it with its recorder and its address.
-async fn accepting() -> (Rc<Downstream>, Rc<Recorder>, SocketAddr) {
+async fn start_downstream() -> (Rc<Downstream>, Rc<Recorder>, SocketAddr) {
     let recorder = Rc::new(Recorder::default());
     let downstream = downstream(&recorder);
     let listener = crate::listener::listen("127.0.0.1:0".parse().unwrap()).unwrap();
@@ -57,7 +57,7 @@
 }
 
 /// Runs the event loop until nothing is left to do at the current time.
-async fn turn() {
+async fn run_event_loop() {
     for _ in 0..10 {
         settle().await;
     }
@@ -77,18 +77,18 @@
 
 /// Delays the event loop while `waiting` connections more than there are slots wait, after `turns_before`
 /// turns in which some of them were accepted. Connections that should keep their slots must be answered.
-async fn connect_in_a_late_turn(waiting: usize, turns_before: usize) {
-    let (_downstream, _, address) = accepting().await;
+async fn connect_during_loop_delay(waiting: usize, turns_before: usize) {
+    let (_downstream, _, address) = start_downstream().await;
     let mut clients: Vec<_> = (0..SLOTS + waiting).map(|_| Client::connect(address)).collect();
     for _ in 0..turns_before {
         yield_now().await;
     }
-    advance(LATE_TURN).await;
-    turn().await;
+    advance(LOOP_DELAY).await;
+    run_event_loop().await;
     // One descriptor is for the connection that waits for a slot.
     for client in clients.iter_mut().skip(waiting + 1) {
         client.send("mn\r\n");
-        turn().await;
+        run_event_loop().await;
         assert_eq!(
             client.received(),
             ("MN\r\n".into(), false),
@@ -100,10 +100,10 @@
 /// A connection that was accepted during an event loop delay must not be evicted while none waits for its
 /// slot: its request would be lost.
 #[test]
-fn a_late_turn_evicts_no_more_connections_than_wait() {
+fn an_event_loop_delay_evicts_no_more_connections_than_wait() {
     for waiting in 0..4 {
         for turns_before in 0..8 {
-            testing::run(connect_in_a_late_turn(waiting, turns_before));
+            testing::run(connect_during_loop_delay(waiting, turns_before));
         }
     }
 }
@@ -111,18 +111,18 @@
 /// Clients that connect and send their requests during an event loop delay must all be answered, however many
 /// they are.
 #[test]
-fn all_that_connect_and_send_during_a_late_turn_are_answered() {
+fn clients_that_connect_during_an_event_loop_delay_are_answered() {
     testing::run(async {
-        let (downstream, recorder, address) = accepting().await;
+        let (downstream, recorder, address) = start_downstream().await;
         let mut clients: Vec<_> =
             (0..SLOTS * 5).map(|id| Client::connect_and_send(address, &request(id))).collect();
-        advance(LATE_TURN).await;
+        advance(LOOP_DELAY).await;
         for _ in 0..clients.len() {
-            turn().await;
+            run_event_loop().await;
             serve_attempts(&downstream, &recorder);
             advance(EVICTION_TIMEOUT).await;
         }
-        turn().await;
+        run_event_loop().await;
         for (id, client) in clients.iter_mut().enumerate() {
             // Served, or rejected because the only server has no capacity left.
             let answer = client.received().0;
@@ -136,14 +136,14 @@
 /// A connection in the middle of a request must not be evicted while the rest of that request is in the
 /// socket buffer.
 #[test]
-fn a_request_whose_rest_has_arrived_is_not_cut_for_its_slot() {
+fn a_request_whose_rest_has_arrived_is_not_evicted() {
     testing::run(async {
-        let (downstream, _, address) = accepting().await;
+        let (downstream, _, address) = start_downstream().await;
         let mut client = Client::connect_and_send(address, "m");
-        turn().await;
+        run_event_loop().await;
         client.send("n\r\n");
         downstream.evict(1);
-        turn().await;
+        run_event_loop().await;
         assert_eq!(client.received().0, "MN\r\n");
     });
 }
@@ -151,64 +151,64 @@
 /// An eviction is withdrawn when the connection receives the rest of its request, and must not cut off a
 /// later request.
 #[test]
-fn an_eviction_in_the_middle_of_a_request_is_over_with_that_request() {
+fn an_eviction_withdrawn_mid_request_does_not_end_a_later_request() {
     testing::run(async {
-        let (downstream, _, address) = accepting().await;
+        let (downstream, _, address) = start_downstream().await;
         let mut client = Client::connect_and_send(address, "m");
-        turn().await;
+        run_event_loop().await;
         client.send("n\r\n");
         downstream.evict(1);
-        turn().await;
+        run_event_loop().await;
         assert_eq!(client.received(), ("MN\r\n".into(), false));
         client.send("m");
-        turn().await;
+        run_event_loop().await;
         client.send("n\r\n");
-        turn().await;
+        run_event_loop().await;
         assert_eq!(client.received().0, "MN\r\n");
     });
 }
 
 /// A new connection must keep its slot while others have open requests and none waits for its slot.
 #[test]
-fn a_new_connection_beside_busy_ones_keeps_its_slot() {
+fn a_new_connection_keeps_its_slot_while_others_are_busy() {
     testing::run(async {
-        let (_downstream, recorder, address) = accepting().await;
+        let (_downstream, recorder, address) = start_downstream().await;
         let busy: Vec<_> = (0..SLOTS - 2).map(|id| Client::connect_and_send(address, &request(id))).collect();
-        turn().await;
+        run_event_loop().await;
         assert_eq!(recorder.begun.borrow().len(), busy.len());
-        let mut new = Client::connect(address);
-        turn().await;
+        let mut new_client = Client::connect(address);
+        run_event_loop().await;
         advance(Duration::from_millis(30)).await;
-        new.send("mn\r\n");
-        turn().await;
-        assert_eq!(new.received(), ("MN\r\n".into(), false));
+        new_client.send("mn\r\n");
+        run_event_loop().await;
+        assert_eq!(new_client.received(), ("MN\r\n".into(), false));
     });
 }
 
 /// An event loop delay must not count as time waited for slots when the listener is about to close: requests
 /// would be lost whose connections could have had a slot.
 #[test]
-fn a_late_turn_of_the_last_accepts_gives_no_request_up() {
+fn an_event_loop_delay_during_the_last_accepts_loses_no_request() {
     testing::run(async {
-        let (downstream, _, address) = accepting().await;
+        let (downstream, _, address) = start_downstream().await;
         let silent: Vec<_> = (0..SLOTS).map(|_| Client::connect(address)).collect();
-        turn().await;
+        run_event_loop().await;
         let listener = crate::listener::listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
         let mut backlog = Backlog::new(listener);
         let mut clients: Vec<_> =
             (0..SLOTS / 2).map(|_| Client::connect_and_send(address, "mn\r\n")).collect();
-        let accepts = downstream.accept_remaining(&mut backlog);
-        tokio::pin!(accepts);
-        let mut are_over = false;
-        while !are_over {
-            are_over = tokio::select! {
+        let accept_remaining = downstream.accept_remaining(&mut backlog);
+        tokio::pin!(accept_remaining);
+        let mut has_finished = false;
+        while !has_finished {
+            has_finished = tokio::select! {
                 biased;
-                () = &mut accepts => true,
-                () = advance(LATE_TURN) => false,
+                () = &mut accept_remaining => true,
+                () = advance(LOOP_DELAY) => false,
             };
         }
-        turn().await;
+        run_event_loop().await;
         for client in &mut clients {
             assert_eq!(client.received().0, "MN\r\n");
         }
