--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -15,29 +15,29 @@
 
 /// What a server does with one attempt.
 #[derive(Clone, Debug)]
-enum Peer {
+enum ServerAction {
     /// Reads this many bytes and closes.
-    Leaves(usize),
+    Closes(usize),
     /// Answers with this text, in pieces, and closes.
     Answers(&'static str),
     /// Never answers.
     Silent,
 }
 
-fn peer() -> impl Strategy<Value = Peer> {
+fn action() -> impl Strategy<Value = ServerAction> {
     prop_oneof![
-        (0..400usize).prop_map(Peer::Leaves),
-        Just(Peer::Answers("HD O7 cr1 h1 Lqps=7,queue=2\r\n")),
-        Just(Peer::Answers("EN O7 h0 Z\r\n")),
-        Just(Peer::Answers("SERVER_ERROR busy Lqps=7\r\n")),
-        Just(Peer::Answers("SERVER_ERROR failed\r\n")),
-        Just(Peer::Answers("HD O8 cr1\r\n")),
-        Just(Peer::Answers("HD O7 cr1 h1 L\u{1}\u{7f}={\r\n")),
-        Just(Peer::Answers("VA 2 O7\r\nab\r\n")),
-        Just(Peer::Answers("HD O")),
-        Just(Peer::Answers("VA 99999999 O7\r\n")),
-        Just(Peer::Answers("nonsense\r\n")),
-        Just(Peer::Silent),
+        (0..400usize).prop_map(ServerAction::Closes),
+        Just(ServerAction::Answers("HD O7 cr1 h1 Lqps=7,queue=2\r\n")),
+        Just(ServerAction::Answers("EN O7 h0 Z\r\n")),
+        Just(ServerAction::Answers("SERVER_ERROR busy Lqps=7\r\n")),
+        Just(ServerAction::Answers("SERVER_ERROR failed\r\n")),
+        Just(ServerAction::Answers("HD O8 cr1\r\n")),
+        Just(ServerAction::Answers("HD O7 cr1 h1 L\u{1}\u{7f}={\r\n")),
+        Just(ServerAction::Answers("VA 2 O7\r\nab\r\n")),
+        Just(ServerAction::Answers("HD O")),
+        Just(ServerAction::Answers("VA 99999999 O7\r\n")),
+        Just(ServerAction::Answers("nonsense\r\n")),
+        Just(ServerAction::Silent),
     ]
 }
 
@@ -48,42 +48,42 @@
     /// The end of an attempt must follow from the bytes written and the answer read: the attempt was not
     /// executed while its last byte was not written, and an answer with another id counts for none.
     #[test]
-    fn an_attempt_ends_by_what_was_written(peer in peer(), size in 0..300usize, cut in 1..9usize, room in 1..200usize) {
+    fn an_attempt_ends_by_what_was_written(action in action(), value_bytes in 0..300usize, piece_bytes in 1..9usize, pipe_bytes in 1..200usize) {
         testing::run(async {
             let recorder = Rc::new(Recorder::default());
             let dispatcher = testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
             let upstream = testing::upstream(1);
             upstream.attach(&dispatcher);
-            let (_, answer) = dispatcher.take(testing::request("7", Some(vec![b'x'; size]))).unwrap();
+            let (_, answer) = dispatcher.take(testing::request("7", Some(vec![b'x'; value_bytes]))).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
-            let (mut stream, mut server) = duplex(room);
+            let (mut stream, mut server) = duplex(pipe_bytes);
             let connection = UpstreamConnection { server: SERVER, is_origin: false, address: ([127, 0, 0, 1], 1).into() };
             let mut wire = BytesMut::new();
             memcache::write_request(&mut wire, &attempt.request, juniperladder::Micros(470_000));
             let length = wire.len();
-            let expected = match &peer {
-                Peer::Leaves(n) if n + room >= length => "resets",
-                Peer::Leaves(_) => "connect_failed",
-                Peer::Answers(text) if text.starts_with("HD O7") => "ok",
-                Peer::Answers(text) if text.starts_with("EN") => "misses",
-                Peer::Answers(text) if text.contains("busy") => "full",
-                Peer::Answers(text) if text.contains("failed") => "errors",
+            let expected = match &action {
+                ServerAction::Closes(n) if n + pipe_bytes >= length => "resets",
+                ServerAction::Closes(_) => "connect_failed",
+                ServerAction::Answers(text) if text.starts_with("HD O7") => "ok",
+                ServerAction::Answers(text) if text.starts_with("EN") => "misses",
+                ServerAction::Answers(text) if text.contains("busy") => "full",
+                ServerAction::Answers(text) if text.contains("failed") => "errors",
                 // Malformed: the attempt was executed, the server works, and the connection cannot be reused.
-                Peer::Answers(text) if text.ends_with("\r\n") => "errors",
-                Peer::Answers(_) | Peer::Silent => "resets",
+                ServerAction::Answers(text) if text.ends_with("\r\n") => "errors",
+                ServerAction::Answers(_) | ServerAction::Silent => "resets",
             };
-            let leaves = matches!(peer, Peer::Leaves(_));
-            let listed_server = async {
-                let mut seen = vec![0; match peer { Peer::Leaves(n) => n.min(length), _ => length }];
+            let has_closed = matches!(action, ServerAction::Closes(_));
+            let serve = async {
+                let mut seen = vec![0; match action { ServerAction::Closes(n) => n.min(length), _ => length }];
                 server.read_exact(&mut seen).await.unwrap();
-                match peer {
-                    Peer::Answers(text) => for piece in text.as_bytes().chunks(cut) {
+                match action {
+                    ServerAction::Answers(text) => for piece in text.as_bytes().chunks(piece_bytes) {
                         // The balancer may close once it has read enough.
                         let _ = server.write_all(piece).await;
                         settle().await;
                     },
-                    Peer::Silent => sleep(Duration::from_secs(60)).await,
-                    Peer::Leaves(_) => settle().await,
+                    ServerAction::Silent => sleep(Duration::from_secs(60)).await,
+                    ServerAction::Closes(_) => settle().await,
                 }
                 drop(server);
             };
@@ -93,12 +93,12 @@
                 drop(stream);
                 after
             };
-            let (after, ()) = tokio::join!(carry, listed_server);
+            let (after, ()) = tokio::join!(carry, serve);
             let counted: Vec<_> = dispatcher.counters().figures().into_iter()
                 .filter(|(name, n)| *n > 0 && !name.starts_with("rejected_") && !["commands", "attempts", "served", "rejected", "failed", "bad_answers"].contains(name))
                 .collect();
             assert_eq!(counted, [(expected, 1)]);
-            assert_eq!(after == AfterAttempt::Broken, leaves && expected == "resets");
+            assert_eq!(after == AfterAttempt::Broken, has_closed && expected == "resets");
             let is_malformed = upstream.counters.malformed_responses.get() > 0;
             assert_eq!(after == AfterAttempt::KeepOpen, !is_malformed && ["ok", "misses", "full", "errors"].contains(&expected));
             let served = matches!(answer.await, Ok(Answer::Receipt(_)));
@@ -131,13 +131,13 @@
 #[test]
 fn a_late_connection_gets_nothing_of_a_closed_request() {
     testing::run_on_sockets(async {
-        let (dispatcher, upstream, listener) = world(1).await;
+        let (dispatcher, upstream, listener) = pool_with_one_server(1).await;
         let (id, _answer) = dispatcher.take(testing::request("1", None)).unwrap();
         dispatcher.on_client_gone(id);
         let (mut stream, _) = listener.accept().await.unwrap();
         settle().await;
         let (_, answer) = dispatcher.take(testing::request("2", None)).unwrap();
-        let received = request_at(&mut stream).await;
+        let received = read_request_line(&mut stream).await;
         assert!(
             received.starts_with("mg ") && received.contains(" O2 ") && !received.contains(" O1 "),
             "{received}"
@@ -166,7 +166,7 @@
         let (mut stream, mut server) = duplex(100);
         let connection =
             UpstreamConnection { server: SERVER, is_origin: false, address: ([127, 0, 0, 1], 1).into() };
-        let listed_server = async {
+        let serve = async {
             settle().await;
             dispatcher.on_client_gone(id);
             let mut received = Vec::new();
@@ -178,7 +178,7 @@
             drop(stream);
             after
         };
-        assert_eq!(tokio::join!(carry, listed_server), (AfterAttempt::Close, 100));
+        assert_eq!(tokio::join!(carry, serve), (AfterAttempt::Close, 100));
         assert_eq!(upstream.counters.attempts_written.get(), 0);
     });
 }
@@ -214,20 +214,30 @@
 /// Which responses of the origin are complete, and which are malformed.
 #[test]
 fn an_origins_response_is_complete_or_malformed() {
-    let good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab";
-    let behind = |more: &str| (format!("{good}{more}"), 0);
+    let complete_response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab";
+    let followed_by = |more: &str| (format!("{complete_response}{more}"), 0);
     let cases = [
-        behind(""),
-        behind(good),
-        behind("HTT"),
-        (format!("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nA: b\r\n\r\n{good}"), 0),
-        (good.replace("\r\n\r\n", "\r\nEndpoint-Load-Metrics: {\u{1}\r=,\r\n\r\n"), 0),
-        (good.replace("\r\n\r\n", "\r\nX-Trace-Id: 7\r\n\r\n"), 0),
-        (good.replace("\r\n\r\n", "\r\nX-Trace-Id: 8\r\n\r\n"), 1),
-        (format!("{good}c"), 1),
-        (good.replace(": 2", ": 3000000000"), 1),
-        (good.replace(": 2", ": -2"), 1),
-        (good.replace("Content-Length: 2", "Transfer-Encoding: chunked").replace("ab", "fffff0\r\n"), 0),
+        followed_by(""),
+        followed_by(complete_response),
+        followed_by("HTT"),
+        (
+            format!(
+                "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nA: b\r\n\r\n{complete_response}"
+            ),
+            0,
+        ),
+        (complete_response.replace("\r\n\r\n", "\r\nEndpoint-Load-Metrics: {\u{1}\r=,\r\n\r\n"), 0),
+        (complete_response.replace("\r\n\r\n", "\r\nX-Trace-Id: 7\r\n\r\n"), 0),
+        (complete_response.replace("\r\n\r\n", "\r\nX-Trace-Id: 8\r\n\r\n"), 1),
+        (format!("{complete_response}c"), 1),
+        (complete_response.replace(": 2", ": 3000000000"), 1),
+        (complete_response.replace(": 2", ": -2"), 1),
+        (
+            complete_response
+                .replace("Content-Length: 2", "Transfer-Encoding: chunked")
+                .replace("ab", "fffff0\r\n"),
+            0,
+        ),
         ("nonsense\r\n\r\n".to_owned(), 1),
     ];
     for (text, malformed) in cases {
@@ -378,7 +388,7 @@
 
 /// A pool with one server on loopback, that server's listener, and a dispatcher with this many attempts per
 /// request.
-async fn world(attempts: u32) -> (Rc<Dispatcher>, Rc<Upstream>, tokio::net::TcpListener) {
+async fn pool_with_one_server(attempts: u32) -> (Rc<Dispatcher>, Rc<Upstream>, tokio::net::TcpListener) {
     let listener = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let upstream = testing::upstream(4);
     let dispatcher =
@@ -394,9 +404,9 @@
 /// each attempt opens one connection, and the request is rejected as not executed.
 #[test]
 fn a_server_that_closes_new_connections_gets_no_endless_attempts() {
-    for greets in [false, true] {
+    for sends_unasked in [false, true] {
         testing::run_on_sockets(async {
-            let (dispatcher, upstream, listener) = world(3).await;
+            let (dispatcher, upstream, listener) = pool_with_one_server(3).await;
             let accepted = Rc::new(Cell::new(0));
             let so_far = Rc::clone(&accepted);
             let timers = Rc::clone(&dispatcher);
@@ -406,7 +416,7 @@
                 loop {
                     let (mut stream, _) = listener.accept().await.unwrap();
                     so_far.set(so_far.get() + 1);
-                    if greets {
+                    if sends_unasked {
                         stream.write_all(b"SERVER_ERROR no\r\n").await.unwrap();
                         kept.push(stream);
                     }
@@ -425,28 +435,28 @@
 /// to it.
 #[test]
 fn half_a_line_closes_its_connection_and_fails_no_request() {
-    for at_once in [false, true] {
+    for during_assignment in [false, true] {
         testing::run_on_sockets(async {
-            let (dispatcher, upstream, listener) = world(3).await;
+            let (dispatcher, upstream, listener) = pool_with_one_server(3).await;
             let (_, first) = dispatcher.take(testing::request("1", None)).unwrap();
-            let (mut resting, _) = listener.accept().await.unwrap();
-            request_at(&mut resting).await;
-            resting.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
+            let (mut idle_stream, _) = listener.accept().await.unwrap();
+            read_request_line(&mut idle_stream).await;
+            idle_stream.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
             assert!(first.await.is_ok());
             settle().await;
-            let second = if at_once {
+            let second = if during_assignment {
                 // The pool has not polled the connection since, and assigns it with the bytes unread.
                 let (_, second) = dispatcher.take(testing::request("2", None)).unwrap();
-                resting.try_write(b"VA 1").unwrap();
+                idle_stream.try_write(b"VA 1").unwrap();
                 second
             } else {
-                resting.write_all(b"VA 1").await.unwrap();
+                idle_stream.write_all(b"VA 1").await.unwrap();
                 settle().await;
                 dispatcher.take(testing::request("2", None)).unwrap().1
             };
-            let (mut fresh, _) = listener.accept().await.unwrap();
-            request_at(&mut fresh).await;
-            fresh.write_all(b"VA 1 O2\r\nw\r\n").await.unwrap();
+            let (mut new_stream, _) = listener.accept().await.unwrap();
+            read_request_line(&mut new_stream).await;
+            new_stream.write_all(b"VA 1 O2\r\nw\r\n").await.unwrap();
             assert_eq!(second.await, Ok(Answer::Value("w".into())));
             assert_eq!(
                 (upstream.counters.malformed_responses.get(), upstream.counters.attempts_written.get()),
@@ -462,7 +472,7 @@
 fn a_reset_is_no_end_of_an_answer_without_a_length() {
     for (reset, body) in [(false, true), (true, true), (true, false)] {
         testing::run_on_sockets(async {
-            let (dispatcher, _upstream, listener) = world(3).await;
+            let (dispatcher, _upstream, listener) = pool_with_one_server(3).await;
             let mut origin = listed_server(SERVER, EndpointState::Serving);
             origin.address = listener.local_addr().ok();
             origin.endpoint.kind = testing::ORIGIN;
@@ -488,7 +498,7 @@
 }
 
 /// Reads one request's line.
-async fn request_at(stream: &mut tokio::net::TcpStream) -> String {
+async fn read_request_line(stream: &mut tokio::net::TcpStream) -> String {
     let mut received = BytesMut::new();
     while !received.ends_with(b"\r\n") {
         assert!(
@@ -505,12 +515,12 @@
 fn an_endpoint_update_that_crosses_a_hand_over_comes_first() {
     for change in [EndpointState::Draining, EndpointState::Deleted, EndpointState::Serving] {
         testing::run_on_sockets(async {
-            let (dispatcher, upstream, old) = world(3).await;
+            let (dispatcher, upstream, old) = pool_with_one_server(3).await;
             let new = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
             let (_, first) = dispatcher.take(testing::request("1", None)).unwrap();
-            let (mut resting, _) = old.accept().await.unwrap();
-            request_at(&mut resting).await;
-            resting.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
+            let (mut idle_stream, _) = old.accept().await.unwrap();
+            read_request_line(&mut idle_stream).await;
+            idle_stream.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
             assert!(first.await.is_ok());
             settle().await;
             assert_eq!(upstream.connections.get(), 1, "the connection is idle");
@@ -523,14 +533,14 @@
             if change == EndpointState::Serving {
                 let accepted = timeout(Duration::from_secs(5), new.accept()).await;
                 let (mut stream, _) = accepted.expect("the request is sent to the new address").unwrap();
-                assert!(request_at(&mut stream).await.contains(" O2 "));
+                assert!(read_request_line(&mut stream).await.contains(" O2 "));
                 stream.write_all(b"VA 1 O2\r\nw\r\n").await.unwrap();
                 assert_eq!(second.await, Ok(Answer::Value("w".into())));
             } else {
                 assert!(matches!(second.await, Ok(Answer::Rejected(_))));
             }
             let mut more = Vec::new();
-            resting.read_to_end(&mut more).await.unwrap();
+            idle_stream.read_to_end(&mut more).await.unwrap();
             assert!(more.is_empty(), "{change:?}: {:?}", String::from_utf8_lossy(&more));
         });
     }
--- a/node/src/upstream/tests/late_turn.rs
+++ b/node/src/upstream/tests/late_turn.rs
@@ -15,12 +15,12 @@
 #[test]
 fn an_answer_that_arrived_during_an_event_loop_delay_is_served() {
     testing::run_on_sockets(async {
-        let (dispatcher, _upstream, listener) = world(1).await;
+        let (dispatcher, _upstream, listener) = pool_with_one_server(1).await;
         let timers = Rc::clone(&dispatcher);
         spawn_local(async move { timers.run_timers().await });
         let (_, answer) = dispatcher.take(request_with_timeout("1", 100)).unwrap();
         let (mut stream, _) = listener.accept().await.unwrap();
-        request_at(&mut stream).await;
+        read_request_line(&mut stream).await;
         // In one turn: the answer is in the socket buffer, a timer is set that is due before the attempt's,
         // and the process stalls.
         stream.try_write(b"VA 1 O1\r\nv\r\n").unwrap();
