--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -47,8 +47,8 @@
         client.read_to_string(&mut received).await.unwrap();
         // Requests that no server has capacity for are rejected, and those answers keep their place in the
         // order as well.
-        let told = |line: &&str| *line == "SERVER_ERROR failed" || line.starts_with("SERVER_ERROR busy");
-        assert_eq!(received.lines().filter(told).count(), requests);
+        let is_answer = |line: &&str| *line == "SERVER_ERROR failed" || line.starts_with("SERVER_ERROR busy");
+        assert_eq!(received.lines().filter(is_answer).count(), requests);
         assert!(received.contains("failed") && received.lines().count() == requests);
     });
 }
@@ -93,7 +93,7 @@
     });
 }
 
-async fn connected(downstream: &Rc<Downstream>) -> tokio::net::TcpStream {
+async fn connect(downstream: &Rc<Downstream>) -> tokio::net::TcpStream {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let client = tokio::net::TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
     let (stream, _) = listener.accept().await.unwrap();
@@ -103,17 +103,17 @@
 
 /// How a client leaves that still waits for answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Leaves {
-    Closes,
-    Resets,
-    EndsItsSide,
+enum ClientExit {
+    Close,
+    Reset,
+    HalfClose,
 }
 
-async fn leave(mut client: tokio::net::TcpStream, how: Leaves) -> Option<tokio::net::TcpStream> {
+async fn leave(mut client: tokio::net::TcpStream, how: ClientExit) -> Option<tokio::net::TcpStream> {
     match how {
-        Leaves::Closes => drop(client),
-        Leaves::Resets => client.set_zero_linger().unwrap(),
-        Leaves::EndsItsSide => {
+        ClientExit::Close => drop(client),
+        ClientExit::Reset => client.set_zero_linger().unwrap(),
+        ClientExit::HalfClose => {
             client.shutdown().await.unwrap();
             return Some(client);
         }
@@ -148,11 +148,11 @@
 
 /// A client leaves while its connection is not read, as its pipeline is full or, with `has_answers`, it does
 /// not read its answers.
-async fn leave_unread(leaves: Leaves, has_answers: bool) {
-    let case = format!("{leaves:?}, {has_answers}");
+async fn leave_unread(exit: ClientExit, has_answers: bool) {
+    let case = format!("{exit:?}, {has_answers}");
     let recorder = Rc::new(Recorder::default());
     let downstream = downstream(&recorder);
-    let mut client = connected(&downstream).await;
+    let mut client = connect(&downstream).await;
     let requests = MAX_PENDING_ANSWERS + 40;
     fill_pipeline(&downstream, &mut client, requests).await;
     let begun = recorder.begun.borrow().len();
@@ -163,7 +163,7 @@
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(value)));
         settle().await;
     }
-    let client = leave(client, leaves).await;
+    let client = leave(client, exit).await;
     wait_until_cancelled(&downstream, &recorder, &case).await;
     // Attempts in flight still end; no new one begins.
     let in_flight: Vec<_> = recorder.begun.take();
@@ -191,9 +191,9 @@
 #[test]
 fn a_disconnect_is_noticed_while_nothing_is_read() {
     assert!(stream::DISCONNECT_CHECK_INTERVAL * 2 < Duration::from_millis(100));
-    for leaves in [Leaves::Closes, Leaves::Resets, Leaves::EndsItsSide] {
+    for exit in [ClientExit::Close, ClientExit::Reset, ClientExit::HalfClose] {
         for has_answers in [false, true] {
-            testing::run_on_sockets(leave_unread(leaves, has_answers));
+            testing::run_on_sockets(leave_unread(exit, has_answers));
         }
     }
 }
@@ -205,7 +205,7 @@
     testing::run_on_sockets(async {
         let recorder = Rc::new(Recorder::default());
         let downstream = downstream(&recorder);
-        let mut client = connected(&downstream).await;
+        let mut client = connect(&downstream).await;
         client.write_all(b"mg a v O1 Pc=read,d=1400\r\n").await.unwrap();
         let attempt = loop {
             settle().await;
@@ -241,15 +241,15 @@
     testing::run_on_sockets(async {
         let recorder = Rc::new(Recorder::default());
         let downstream = downstream(&recorder);
-        let client = connected(&downstream).await;
+        let client = connect(&downstream).await;
         let dispatcher = Rc::clone(&downstream.dispatcher);
         let timers = Rc::clone(&dispatcher);
         spawn_local(async move { timers.run_timers().await });
         let (mut reader, mut writer) = client.into_split();
         spawn_local(async move {
             for id in 0.. {
-                let some = format!("mg a v O{id} Pc=read,d=1400\r\n");
-                if writer.write_all(some.as_bytes()).await.is_err() {
+                let request = format!("mg a v O{id} Pc=read,d=1400\r\n");
+                if writer.write_all(request.as_bytes()).await.is_err() {
                     return;
                 }
             }
@@ -262,11 +262,11 @@
             reader.read_to_end(&mut received).await.map(|_| received)
         });
         // The time for answers ends in 100 ms.
-        let last = crate::graceful_shutdown::time_for_answers(Duration::from_millis(600));
-        let signal = Instant::now() - (last - Duration::from_millis(100));
+        let time_for_answers = crate::graceful_shutdown::time_for_answers(Duration::from_millis(600));
+        let signalled_at = Instant::now() - (time_for_answers - Duration::from_millis(100));
         dispatcher
             .set_final_deadline(dispatcher.clock().now().saturating_add(juniperladder::Micros(100_000)));
-        downstream.shutdown.run(signal, last + crate::graceful_shutdown::EXIT_DELAY).await;
+        downstream.shutdown.run(signalled_at, time_for_answers + crate::graceful_shutdown::EXIT_DELAY).await;
         let received =
             timeout(Duration::from_secs(5), end).await.expect("the connection ends").unwrap().unwrap();
         assert!(received.ends_with(b"\r\n"));
--- a/node/src/downstream/tests/slots.rs
+++ b/node/src/downstream/tests/slots.rs
@@ -100,10 +100,10 @@
     testing::run(async {
         let downstream = downstream(&Rc::new(Recorder::default()));
         let mut clients = Vec::new();
-        for (spoke, wait) in [(false, 900), (true, 100), (true, 100), (false, 0)] {
+        for (has_had_request, wait) in [(false, 900), (true, 100), (true, 100), (false, 0)] {
             let (stream, mut client) = duplex(1 << 10);
             let occupied = downstream.occupy_slot(Duration::ZERO);
-            occupied.slot.has_had_request.set(spoke);
+            occupied.slot.has_had_request.set(has_had_request);
             spawn_local(async move {
                 let _ = DownstreamConnection::new(&occupied.downstream, &occupied.slot).serve(stream).await;
             });
@@ -111,16 +111,16 @@
             clients.push(client);
             sleep(Duration::from_millis(wait)).await;
         }
-        let mut fresh = clients.pop().unwrap();
-        for (gone, mut client) in clients.into_iter().enumerate() {
+        let mut new_client = clients.pop().unwrap();
+        for (evicted, mut client) in clients.into_iter().enumerate() {
             downstream.evict(1);
             settle().await;
             assert_eq!(client.read(&mut [0; 8]).await.unwrap(), 0);
-            assert_eq!(downstream.slots.borrow().len(), 3 - gone);
+            assert_eq!(downstream.slots.borrow().len(), 3 - evicted);
         }
-        fresh.write_all(b"mn\r\n").await.unwrap();
+        new_client.write_all(b"mn\r\n").await.unwrap();
         let mut received = [0; 4];
-        fresh.read_exact(&mut received).await.unwrap();
+        new_client.read_exact(&mut received).await.unwrap();
         assert_eq!(&received, b"MN\r\n");
     });
 }
--- a/node/src/upstream/upload/tests.rs
+++ b/node/src/upstream/upload/tests.rs
@@ -42,7 +42,7 @@
 }
 
 /// Reads the head of an HTTP request.
-async fn head(origin: &mut TcpStream) -> String {
+async fn read_head(origin: &mut TcpStream) -> String {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(origin.read_u8().await.unwrap());
@@ -69,7 +69,7 @@
             std::future::pending::<()>().await;
         });
         let (mut at_origin, _) = origin.accept().await.unwrap();
-        let head = head(&mut at_origin).await;
+        let head = read_head(&mut at_origin).await;
         assert!(head.starts_with("PUT /k HTTP/1.1\r\n") && head.contains("X-Trace-Id: 7\r\n"), "{head}");
         assert!(head.contains(&format!("Content-Length: {LENGTH}\r\n")), "{head}");
         let mut forwarded = vec![0; LENGTH - 1];
@@ -113,7 +113,7 @@
         let (upstream, mut client, origin) = balancer_and_origin().await;
         let origin_closes = tokio::task::spawn_local(async move {
             let (mut at_origin, _) = origin.accept().await.unwrap();
-            head(&mut at_origin).await;
+            read_head(&mut at_origin).await;
         });
         client.write_all(format!("ms k {LENGTH} O7 Pc=read,d=480,k=5c\r\n").as_bytes()).await.unwrap();
         client.write_all(&vec![b'v'; LENGTH]).await.unwrap();
@@ -144,7 +144,7 @@
                 received
             });
             let (mut at_origin, _) = origin.accept().await.unwrap();
-            head(&mut at_origin).await;
+            read_head(&mut at_origin).await;
             let mut forwarded = Vec::new();
             let _ = at_origin.read_to_end(&mut forwarded).await;
             assert!(forwarded.len() < LENGTH, "{}", forwarded.len());
