--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -77,7 +77,7 @@
 
 /// A request in the socket buffer when the closing begins must not be lost: it is read and answered.
 #[test]
-fn a_closing_connection_is_read_once_more() {
+fn a_request_unread_when_the_closing_begins_is_answered() {
     testing::run_on_sockets(async {
         let recorder = Rc::new(Recorder::default());
         let downstream = downstream(&recorder);
@@ -201,7 +201,7 @@
 /// A request that crosses the close of its idle connection is not forwarded, and must not cause a reset: the
 /// client receives the complete answer before it and an orderly end of the connection.
 #[test]
-fn a_request_that_crosses_the_close_takes_no_answer_with_it() {
+fn a_request_that_crosses_the_close_does_not_reset_the_connection() {
     testing::run_on_sockets(async {
         let recorder = Rc::new(Recorder::default());
         let downstream = downstream(&recorder);
@@ -237,7 +237,7 @@
 /// A client that never stops sending must neither delay the shutdown nor lose answers to a reset: in the
 /// final phase no more is read, and what has been read is answered before the connection ends.
 #[test]
-fn a_connection_that_never_rests_is_answered_and_ended_at_the_shutdown() {
+fn a_client_that_never_stops_sending_is_answered_and_closed_at_shutdown() {
     testing::run_on_sockets(async {
         let recorder = Rc::new(Recorder::default());
         let downstream = downstream(&recorder);
--- a/node/src/graceful_shutdown/tests.rs
+++ b/node/src/graceful_shutdown/tests.rs
@@ -28,7 +28,7 @@
 
 /// The time that the protocol allows after the signal must cover the last answer and its transmission.
 #[test]
-fn the_last_answer_comes_before_the_protocols_time_is_up() {
+fn the_last_answer_is_within_the_time_of_the_protocol() {
     for (longest, allowed) in [(600, 1300), (1200, 1900), (3000, 3700), (9000, 3700)] {
         let end = time_for_answers(Duration::from_millis(longest)) + EXIT_DELAY;
         let allowed = Duration::from_millis(allowed);
@@ -38,7 +38,7 @@
 
 /// A client that stalls in the middle of a request must not keep the process running for good.
 #[test]
-fn the_shutdown_ends_though_a_connection_stands_still() {
+fn the_shutdown_ends_at_its_limit_despite_a_stalled_connection() {
     testing::run(async {
         let shutdown = GracefulShutdown::default();
         shutdown.set_open_connections(1);
--- a/node/src/upstream/download/tests.rs
+++ b/node/src/upstream/download/tests.rs
@@ -74,7 +74,7 @@
 
 /// If the server closes, stalls or ends the value wrongly, the client must never receive the last byte.
 #[test]
-fn a_value_that_breaks_off_is_never_complete() {
+fn an_interrupted_value_is_never_complete() {
     testing::run(async {
         let without_end = MalformedResponse::from(memcache::ResponseError::ValueWithoutEnd);
         assert_eq!(without_end.to_string(), "no line end after the value");
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -434,7 +434,7 @@
 /// connection, whether the bytes arrive before the request or at the moment when the connection is assigned
 /// to it.
 #[test]
-fn half_a_line_closes_its_connection_and_fails_no_request() {
+fn stray_bytes_close_their_connection_and_fail_no_request() {
     for during_assignment in [false, true] {
         testing::run_on_sockets(async {
             let (dispatcher, upstream, listener) = pool_with_one_server(3).await;
@@ -469,7 +469,7 @@
 /// An answer without a length ends with an orderly close of its connection: a reset, at whatever point, must
 /// not complete it.
 #[test]
-fn a_reset_is_no_end_of_an_answer_without_a_length() {
+fn a_reset_does_not_complete_an_answer_without_a_length() {
     for (reset, body) in [(false, true), (true, true), (true, false)] {
         testing::run_on_sockets(async {
             let (dispatcher, _upstream, listener) = pool_with_one_server(3).await;
@@ -512,7 +512,7 @@
 /// An endpoint update between the assignment of a request to an idle connection and its first byte takes
 /// precedence: if the server drains, is gone or has moved, nothing is written on the old connection.
 #[test]
-fn an_endpoint_update_that_crosses_a_hand_over_comes_first() {
+fn an_endpoint_update_before_the_first_byte_prevents_the_write() {
     for change in [EndpointState::Draining, EndpointState::Deleted, EndpointState::Serving] {
         testing::run_on_sockets(async {
             let (dispatcher, upstream, old) = pool_with_one_server(3).await;
--- a/node/src/upstream/upload/tests.rs
+++ b/node/src/upstream/upload/tests.rs
@@ -53,7 +53,7 @@
 /// All but the last byte of a value of four megabytes must reach the origin while the client is still
 /// writing; the last byte is the attempt. The connection can be reused afterwards.
 #[test]
-fn a_streamed_write_is_forwarded_while_it_comes() {
+fn a_streamed_write_is_forwarded_while_it_arrives() {
     testing::run_on_sockets(async {
         let (upstream, client, origin) = balancer_and_origin().await;
         let (mut reads, mut writes) = client.into_split();
@@ -108,7 +108,7 @@
 /// If the origin closes early, the write is not executed, and the client gets that answer at once at the end
 /// of its value.
 #[test]
-fn a_streamed_write_that_cannot_go_on_is_rejected() {
+fn a_streamed_write_is_rejected_if_the_origin_closes() {
     testing::run_on_sockets(async {
         let (upstream, mut client, origin) = balancer_and_origin().await;
         let origin_closes = tokio::task::spawn_local(async move {
@@ -129,7 +129,7 @@
 
 /// If the client leaves or ends its value wrongly, the origin must never receive the last byte.
 #[test]
-fn a_streamed_write_that_breaks_off_is_not_executed() {
+fn an_interrupted_streamed_write_is_not_executed() {
     testing::run_on_sockets(async {
         for (sent, after_value) in [(LENGTH / 2, &b""[..]), (LENGTH, b"xx")] {
             let (upstream, mut client, origin) = balancer_and_origin().await;
