--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -84,7 +84,7 @@
 struct CounterGuard(Rc<Cell<usize>>);
 
 impl CounterGuard {
-    fn one(counter: &Rc<Cell<usize>>) -> CounterGuard {
+    fn new(counter: &Rc<Cell<usize>>) -> CounterGuard {
         counter.set(counter.get() + 1);
         CounterGuard(Rc::clone(counter))
     }
@@ -143,11 +143,11 @@
     /// Runs a connection to its end in a task. It is counted at once, as more may be opened before the task
     /// starts; when it has ended, connections are opened for waiting attempts.
     fn spawn_connection(self: &Rc<Upstream>, connection: impl Future<Output = ()> + 'static) {
-        let counted = CounterGuard::one(&self.connections);
+        let connection_guard = CounterGuard::new(&self.connections);
         let upstream = Rc::clone(self);
         spawn_local(async move {
             connection.await;
-            drop(counted);
+            drop(connection_guard);
             upstream.open_connections();
         });
     }
--- a/node/src/upstream/idle_timeout.rs
+++ b/node/src/upstream/idle_timeout.rs
@@ -21,15 +21,15 @@
 /// The adaptive idle timeout.
 #[derive(Debug)]
 pub(super) struct IdleTimeout {
-    longest: Duration,
+    maximum: Duration,
     current: Cell<Duration>,
 }
 
 impl IdleTimeout {
     /// Creates the timeout for servers that close connections after this configured idle time.
     pub(super) fn new(configured: Duration) -> IdleTimeout {
-        let longest = configured.mul_f64(CONFIGURED_SHARE);
-        IdleTimeout { longest, current: Cell::new(longest) }
+        let maximum = configured.mul_f64(CONFIGURED_SHARE);
+        IdleTimeout { maximum, current: Cell::new(maximum) }
     }
 
     /// How long a connection may be idle now.
@@ -40,7 +40,7 @@
     /// Raises the timeout where a connection was reused after being idle for long enough.
     pub(super) fn on_reused(&self, idle: Duration) {
         if idle * 2 > self.current() {
-            self.current.set(self.current().mul_f64(GROWTH_FACTOR).min(self.longest));
+            self.current.set(self.current().mul_f64(GROWTH_FACTOR).min(self.maximum));
         }
     }
 
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -324,25 +324,25 @@
     testing::run(async {
         let upstream = testing::upstream(4);
         let idle_timeout = &upstream.idle_timeout;
-        let longest = idle_timeout.current();
+        let maximum = idle_timeout.current();
         let configured = upstream.limits.server_idle_timeout;
-        assert_eq!(longest, configured.mul_f64(0.95));
-        let margin = configured - longest;
+        assert_eq!(maximum, configured.mul_f64(0.95));
+        let margin = configured - maximum;
         assert!(
-            longest > configured.mul_f64(0.9),
+            maximum > configured.mul_f64(0.9),
             "one of many balancers reuses a connection only after seconds"
         );
         assert!(margin >= configured / 25, "margin for the network round trip: {margin:?}");
         idle_timeout.on_broken(Duration::from_millis(1));
-        assert_eq!(idle_timeout.current(), longest, "a connection that was hardly idle shows nothing");
+        assert_eq!(idle_timeout.current(), maximum, "a connection that was hardly idle shows nothing");
         idle_timeout.on_broken(Duration::from_millis(100));
         assert_eq!(idle_timeout.current(), Duration::from_millis(70));
         idle_timeout.on_reused(Duration::from_millis(60));
         assert!(idle_timeout.current() > Duration::from_millis(70));
         for _ in 0..1000 {
-            idle_timeout.on_reused(longest);
+            idle_timeout.on_reused(maximum);
         }
-        assert_eq!(idle_timeout.current(), longest);
+        assert_eq!(idle_timeout.current(), maximum);
     });
 }
 
--- a/node/src/upstream/upload.rs
+++ b/node/src/upstream/upload.rs
@@ -35,7 +35,7 @@
         let pool = pools.get(&upload.server).filter(|pool| pool.accepts_attempts && pool.is_origin);
         let Some(address) = pool.and_then(|pool| pool.address) else { return };
         let connection = UpstreamConnection { server: upload.server, is_origin: true, address };
-        let upload_guard = CounterGuard::one(&self.uploads);
+        let upload_guard = CounterGuard::new(&self.uploads);
         let owner = Rc::clone(&upstream);
         upstream.spawn_connection(async move { connection.upload(&owner, upload, upload_guard).await });
     }
