--- a/node/src/simulation.rs
+++ b/node/src/simulation.rs
@@ -228,14 +228,14 @@
         let simulation = Rc::new(self);
         let (timers, endpoints) = (Rc::clone(&simulation), Rc::clone(&simulation));
         spawn_local(async move { timers.dispatcher.run_timers().await });
-        let draw = rng.fork();
-        spawn_local(async move { endpoints.change_endpoints(draw).await });
+        let endpoint_rng = rng.fork();
+        spawn_local(async move { endpoints.change_endpoints(endpoint_rng).await });
         let mut clients: Vec<JoinHandle<()>> = Vec::new();
-        for n in 0..7 {
-            let (simulation, draw) = (Rc::clone(&simulation), rng.fork());
-            clients.push(match n {
-                0..5 => spawn_local(clients::run_valid_client(simulation, n, draw)),
-                _ => spawn_local(clients::run_faulty_client(simulation, n, draw)),
+        for client in 0..7 {
+            let (simulation, client_rng) = (Rc::clone(&simulation), rng.fork());
+            clients.push(match client {
+                0..5 => spawn_local(clients::run_valid_client(simulation, client, client_rng)),
+                _ => spawn_local(clients::run_faulty_client(simulation, client, client_rng)),
             });
         }
         sleep(Duration::from_millis(rng.u64(1500..3000))).await;
--- a/node/src/simulation/clients.rs
+++ b/node/src/simulation/clients.rs
@@ -29,7 +29,7 @@
 pub async fn run_valid_client(simulation: Rc<Simulation>, client: usize, mut rng: Rng) {
     let mut sent_requests = 0;
     while !simulation.shutdown.is_stopping() {
-        let mut stream = open(&simulation);
+        let mut stream = connect(&simulation);
         for _ in 0..rng.usize(1..12) {
             let Ok(requests) =
                 send_requests(&simulation, client, &mut sent_requests, &mut stream, &mut rng).await
@@ -66,7 +66,7 @@
 pub async fn run_faulty_client(simulation: Rc<Simulation>, client: usize, mut rng: Rng) {
     let mut sent_requests = 0;
     while !simulation.shutdown.is_stopping() {
-        let mut stream = open(&simulation);
+        let mut stream = connect(&simulation);
         simulation.event_log.count(Occurrence::MalformedRequests);
         for _ in 0..rng.usize(1..40) {
             let malformed: &[u8] = match rng.u8(..6) {
@@ -90,7 +90,7 @@
     }
 }
 
-fn open(simulation: &Simulation) -> DuplexStream {
+fn connect(simulation: &Simulation) -> DuplexStream {
     let (balancer_end, stream) = duplex(1 << 16);
     simulation.shutdown.on_connection_accepted();
     simulation.downstream.serve(balancer_end, Duration::ZERO);
@@ -100,8 +100,8 @@
 fn record_departure(simulation: &Simulation, requests: VecDeque<OpenRequest>) {
     simulation.event_log.count(Occurrence::ClientLeft);
     // The connection is dropped at the same instant.
-    for open in &requests {
-        simulation.event_log.on_request_closed(&String::from_utf8_lossy(&open.request.id));
+    for open_request in &requests {
+        simulation.event_log.on_request_closed(&String::from_utf8_lossy(&open_request.request.id));
     }
 }
 
@@ -153,21 +153,21 @@
 ) -> bool {
     let waiting = &simulation.event_log.waiting_clients;
     waiting.set(waiting.get() + 1);
-    let can_continue = read_each_answer(simulation, requests, stream).await;
+    let can_continue = read_answers_in_order(simulation, requests, stream).await;
     waiting.set(waiting.get() - 1);
     can_continue
 }
 
-async fn read_each_answer(
+async fn read_answers_in_order(
     simulation: &Simulation,
     mut requests: VecDeque<OpenRequest>,
     stream: &mut DuplexStream,
 ) -> bool {
     let event_log = &simulation.event_log;
     let mut input = BytesMut::new();
-    while let Some(open) = requests.front() {
-        let id = String::from_utf8_lossy(&open.request.id).into_owned();
-        match read_answer(&mut input, &open.request) {
+    while let Some(open_request) = requests.front() {
+        let id = String::from_utf8_lossy(&open_request.request.id).into_owned();
+        match read_answer(&mut input, &open_request.request) {
             Ok(Some(answer)) => {
                 event_log.on_request_closed(&id);
                 event_log.count(check_answer(event_log, &id, &answer));
@@ -177,15 +177,15 @@
             Ok(None) => {}
             Err(error) => event_log.violation(&id, error.to_string()),
         }
-        match timeout_at(open.deadline, stream.read_buf(&mut input)).await {
+        match timeout_at(open_request.deadline, stream.read_buf(&mut input)).await {
             Err(_) => {
-                let waited = open.sent.elapsed();
+                let waited = open_request.sent.elapsed();
                 event_log.violation(&id, format!("no answer before the deadline, sent {waited:?} ago"));
                 return false;
             }
             Ok(Ok(1..)) => {}
             Ok(_) => {
-                let waited = open.sent.elapsed();
+                let waited = open_request.sent.elapsed();
                 if !input.is_empty() || waited > MAX_CROSSING_TIME {
                     event_log.violation(
                         &id,
--- a/node/src/simulation/servers.rs
+++ b/node/src/simulation/servers.rs
@@ -168,7 +168,7 @@
                 _ => {}
             }
             let (balancer_end, stream) = duplex(rng.usize(16..4096));
-            let peer = ServerConnection {
+            let connection = ServerConnection {
                 is_origin: slot == 0,
                 notified_at,
                 event_log,
@@ -177,7 +177,7 @@
                 input: BytesMut::new(),
                 last_received: Instant::now(),
             };
-            spawn_local(peer.serve());
+            spawn_local(connection.serve());
             Ok(Box::new(balancer_end) as Box<dyn ServerStream>)
         })
     }
