--- a/node/src/downstream.rs
+++ b/node/src/downstream.rs
@@ -140,8 +140,9 @@
     }
 
     /// Accepts the connections that already wait in the backlog, as they would be reset when the listener
-    /// closes. If all slots are occupied, they wait up to [`FINAL_ACCEPT_TIMEOUT`] in total, since all other
-    /// descriptors are reserved. Time in which this process did not run does not count.
+    /// closes. If all slots are occupied, they wait up to [`FINAL_ACCEPT_TIMEOUT`] in total, since the
+    /// descriptors beyond the slots are reserved for others. Time in which this process did not run does not
+    /// count.
     async fn accept_remaining(self: &Rc<Downstream>, backlog: &mut Backlog) {
         // Lets the runtime poll for connections that have arrived by now.
         yield_now().await;
--- a/node/src/downstream/connection.rs
+++ b/node/src/downstream/connection.rs
@@ -50,7 +50,7 @@
     counted_bytes: usize,
     /// The number of invalid requests received.
     invalid_requests: usize,
-    /// Since when an incomplete request has been arriving.
+    /// Since when an incomplete request has been arriving; `None` if there is none.
     incomplete_since: Option<Instant>,
     /// When bytes were last received, or reading was last blocked by the upload.
     last_received: Instant,
--- a/node/src/downstream/upload.rs
+++ b/node/src/downstream/upload.rs
@@ -15,11 +15,11 @@
 
 /// What happens to the chunks of the value.
 enum UploadState {
-    /// They are buffered, as too few have arrived to open a connection.
+    /// The chunks are buffered, as too few have arrived to open a connection.
     Buffering(BytesMut),
-    /// They are sent on a connection to the origin.
+    /// The chunks are sent on a connection to the origin.
     Sending(UploadHandle, ChunkSender),
-    /// They are discarded: the origin side has ended, or the client has left.
+    /// The chunks are discarded: the origin side has ended, or the client has left.
     Discarding,
 }
 
@@ -90,8 +90,8 @@
     pub fn into_request(self) -> ClientRequest {
         let (handle, last_byte) = match self.state {
             UploadState::Sending(handle, sender) => (handle, sender.last_byte()),
-            // The request is still taken, with a disconnected handle, so that its attempt fails as not sent and the client
-            // gets an answer.
+            // The request is still dispatched, with a disconnected handle, so that its attempt fails as not
+            // sent and the client gets an answer.
             UploadState::Buffering(_) | UploadState::Discarding => (upload_handle(ServerId(0)).0, None),
         };
         let upload = Some(handle.with_last_byte(last_byte.unwrap_or_default()));
--- a/node/src/graceful_shutdown.rs
+++ b/node/src/graceful_shutdown.rs
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Waits until no connection has come for [`QUIET_PERIOD`], at most for [`MAX_DRAIN_TIME`].
+    /// Waits until no connection has come for [`QUIET_PERIOD`], at most until [`MAX_DRAIN_TIME`] after the
+    /// signal.
     async fn drain(&self, signalled_at: Instant) {
         loop {
             let last_accept = self.last_accept.get().unwrap_or(signalled_at).max(signalled_at);
--- a/node/src/simulation.rs
+++ b/node/src/simulation.rs
@@ -36,7 +36,7 @@
 
 /// The number of simulations.
 const SEED_COUNT: u64 = 250;
-/// A class of requests.
+/// A class of requests in the simulation.
 struct SimulatedClass {
     name: &'static str,
     idempotency: Idempotency,
--- a/node/src/simulation/servers.rs
+++ b/node/src/simulation/servers.rs
@@ -22,7 +22,7 @@
 /// The number of servers: the origin, which is the first, and cache servers.
 pub const SERVER_COUNT: usize = 6;
 
-/// What a server does with a request, or with a connection that comes up.
+/// What a server does with a request, or with a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Behaviour {
     /// Answers correctly.
--- a/node/src/upstream/connection.rs
+++ b/node/src/upstream/connection.rs
@@ -41,10 +41,10 @@
 /// Why a connection could not be established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectError {
-    /// The server refused it, or did not answer.
+    /// The server refused the connection, or did not answer.
     Server,
-    /// This machine could not open it now, whatever the state of the server: it lacks ports, descriptors,
-    /// buffers or a route.
+    /// This machine could not open the connection now, whatever the state of the server: it lacks ports,
+    /// descriptors, buffers or a route.
     Local,
 }
 
@@ -83,11 +83,11 @@
 /// What happens to a connection after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterAttempt {
-    /// It carries further attempts.
+    /// The connection carries further attempts.
     KeepOpen,
-    /// It closes.
+    /// The connection closes.
     Close,
-    /// It broke before the first byte of an answer.
+    /// The connection broke before the first byte of an answer.
     Broken,
 }
 
@@ -170,8 +170,8 @@
     }
 
     /// Handles a connection that ended, or received stray bytes, before any byte of this attempt was written.
-    /// On a new connection this counts against the server, which could otherwise close new connections
-    /// without end.
+    /// On a new connection this counts against the server: one that closes every new connection would
+    /// otherwise be retried without end.
     fn on_ended_before_attempt(&self, upstream: &Upstream, attempt: Attempt, is_new_connection: bool) {
         if is_new_connection {
             upstream.end_attempt(self.server, attempt.id, AttemptEnd::ConnectFailed);
--- a/node/src/upstream/download.rs
+++ b/node/src/upstream/download.rs
@@ -87,8 +87,8 @@
 }
 
 /// Checks the bytes that follow a response of the origin. If the stated length is too short, the rest of the
-/// body follows, which cannot be distinguished from garbage after a well-formed response; only the beginning
-/// of another response is neither.
+/// body follows, which cannot be distinguished from garbage after a well-formed response. Only the beginning
+/// of another response is accepted.
 ///
 /// # Errors
 /// Other bytes follow, or the connection broke.
--- a/node/src/upstream/idle_timeout.rs
+++ b/node/src/upstream/idle_timeout.rs
@@ -37,7 +37,7 @@
         self.current.get()
     }
 
-    /// Raises the timeout where a connection was reused after being idle for long enough.
+    /// Raises the timeout if a connection was reused after being idle for more than half of it.
     pub(super) fn on_reused(&self, idle: Duration) {
         if idle * 2 > self.current() {
             self.current.set(self.current().mul_f64(GROWTH_FACTOR).min(self.maximum));
--- a/node/src/upstream/pool.rs
+++ b/node/src/upstream/pool.rs
@@ -22,7 +22,7 @@
 /// An attempt that is carried on a connection.
 #[derive(Default)]
 pub(super) struct CarriedAttempt {
-    /// Whether its last byte is written.
+    /// Whether the last byte of the attempt is written.
     pub(super) is_written: bool,
     /// Notified to close the connection instead of waiting for a late answer.
     pub(super) close_requested: Rc<Notify>,
