--- a/node/src/downstream/backlog/tests.rs
+++ b/node/src/downstream/backlog/tests.rs
@@ -14,7 +14,7 @@
 
 const CLIENTS: usize = 200;
 /// How long a turn of the event loop takes in these tests.
-const TURN: Duration = Duration::from_millis(1);
+const TURN_DURATION: Duration = Duration::from_millis(1);
 
 fn connect(address: std::net::SocketAddr) -> std::net::TcpStream {
     std::net::TcpStream::connect(address).unwrap()
@@ -32,12 +32,12 @@
         for _ in 0..2 {
             let (first, awaited) = tokio::join!(backlog.accept(), async { connect(address) });
             assert_eq!(first.unwrap().backlog_wait, Duration::ZERO);
-            let behind = [connect(address), connect(address)];
+            let queued = [connect(address), connect(address)];
             advance(wait).await;
             assert_eq!(backlog.accept().await.unwrap().backlog_wait, wait);
             assert_eq!(backlog.accept_queued().unwrap().backlog_wait, wait);
             assert!(backlog.accept_queued().is_none());
-            drop((awaited, behind));
+            drop((awaited, queued));
         }
     });
 }
@@ -54,11 +54,11 @@
         settle().await;
         let flood: Vec<_> = (0..CLIENTS).map(|_| connect(address)).collect();
         let turns = Rc::new(Cell::new(0));
-        let counted = Rc::clone(&turns);
+        let turn_counter = Rc::clone(&turns);
         spawn_local(async move {
             loop {
-                advance(TURN).await;
-                counted.set(counted.get() + 1);
+                advance(TURN_DURATION).await;
+                turn_counter.set(turn_counter.get() + 1);
             }
         });
         while (downstream.dispatcher.counters().connections_accepted.get() as usize) < CLIENTS {
@@ -90,10 +90,10 @@
             advance(Duration::from_millis(50)).await;
             client.write_all(b"mg c v O3 Pc=read,d=480\r\n").await.unwrap();
             settle().await;
-            let times: Vec<_> =
+            let times_left: Vec<_> =
                 recorder.begun.borrow().iter().map(|attempt| attempt.deadline.saturating_sub(now)).collect();
-            let right_behind = Micros((480 - 10 - early) * 1_000);
-            assert_eq!(times, [right_behind, right_behind, Micros((480 - 10 + 50) * 1_000)]);
+            let early_time_left = Micros((480 - 10 - early) * 1_000);
+            assert_eq!(times_left, [early_time_left, early_time_left, Micros((480 - 10 + 50) * 1_000)]);
         });
     }
 }
--- a/node/src/graceful_shutdown/tests.rs
+++ b/node/src/graceful_shutdown/tests.rs
@@ -55,11 +55,11 @@
     testing::run(async {
         let shutdown = Rc::new(GracefulShutdown::default());
         let polls = Rc::new(Cell::new(0));
-        let (waited_for, counted) = (Rc::clone(&shutdown), Rc::clone(&polls));
+        let (waiting_shutdown, poll_counter) = (Rc::clone(&shutdown), Rc::clone(&polls));
         let idle = tokio::task::spawn_local(async move {
-            let mut closing = pin!(waited_for.wait_for_closing());
+            let mut closing = pin!(waiting_shutdown.wait_for_closing());
             poll_fn(|context| {
-                counted.set(counted.get() + 1);
+                poll_counter.set(poll_counter.get() + 1);
                 closing.as_mut().poll(context)
             })
             .await;
