--- a/node/src/downstream/backlog/tests.rs
+++ b/node/src/downstream/backlog/tests.rs
@@ -1,4 +1,4 @@
-//! How long connections may have waited unaccepted, and what that means for what they bring.
+//! Upper bounds of the wait in the backlog, and their effect on the deadlines of requests.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,13 +14,14 @@
 
 const CLIENTS: usize = 200;
 /// How long a turn of the event loop takes in these tests.
-const TURN: Duration = Duration::from_millis(1);
+const TURN_DURATION: Duration = Duration::from_millis(1);
 
 fn connect(address: std::net::SocketAddr) -> std::net::TcpStream {
     std::net::TcpStream::connect(address).unwrap()
 }
 
-/// One that was awaited has not waited; one that was there already may have come right after the queue was last empty.
+/// A connection accepted from an empty queue has not waited; one that was already queued may have arrived
+/// right after the queue was last empty.
 #[test]
 fn backlog_wait_counts_from_when_the_queue_was_last_empty() {
     testing::run(async {
@@ -31,17 +32,18 @@
         for _ in 0..2 {
             let (first, awaited) = tokio::join!(backlog.accept(), async { connect(address) });
             assert_eq!(first.unwrap().backlog_wait, Duration::ZERO);
-            let behind = [connect(address), connect(address)];
+            let queued = [connect(address), connect(address)];
             advance(wait).await;
             assert_eq!(backlog.accept().await.unwrap().backlog_wait, wait);
-            assert_eq!(backlog.accept_waiting().unwrap().backlog_wait, wait);
-            assert!(backlog.accept_waiting().is_none());
-            drop((awaited, behind));
+            assert_eq!(backlog.accept_queued().unwrap().backlog_wait, wait);
+            assert!(backlog.accept_queued().is_none());
+            drop((awaited, queued));
         }
     });
 }
 
-/// In a flood of silent connections several leave at once, so that the queue is worked off in few turns of the event loop.
+/// In a flood of silent connections several must be evicted at once, so that the queue is processed in few
+/// turns of the event loop.
 #[test]
 fn several_silent_connections_are_evicted_at_once_in_a_flood() {
     testing::run(async {
@@ -52,11 +54,11 @@
         settle().await;
         let flood: Vec<_> = (0..CLIENTS).map(|_| connect(address)).collect();
         let turns = Rc::new(Cell::new(0));
-        let counted = Rc::clone(&turns);
+        let turn_counter = Rc::clone(&turns);
         spawn_local(async move {
             loop {
-                advance(TURN).await;
-                counted.set(counted.get() + 1);
+                advance(TURN_DURATION).await;
+                turn_counter.set(turn_counter.get() + 1);
             }
         });
         while (downstream.dispatcher.counters().connections_accepted.get() as usize) < CLIENTS {
@@ -71,26 +73,27 @@
     });
 }
 
-/// What a connection brings right behind its accept may have waited as long as that did, and its time ends sooner by it; what
-/// comes later has all its time. A wait that may be far over the truth leaves half of the time.
+/// A request read right after the accept may have waited as long as its connection, so that its deadline is
+/// earlier by that wait; a later request has its full time. A bound that may be far above the true wait
+/// leaves half of the time.
 #[test]
 fn the_backlog_wait_is_subtracted_from_the_deadline() {
     for (waited, early) in [(0, 0), (100, 100), (2_000, 240)] {
         testing::run(async {
             let recorder = Rc::new(Recorder::default());
             let downstream = downstream(&recorder);
-            let (near, mut far) = duplex(1 << 10);
-            spawn_local(serve_after(Rc::clone(&downstream), near, Duration::from_millis(waited)));
+            let (stream, mut client) = duplex(1 << 10);
+            spawn_local(serve_after(Rc::clone(&downstream), stream, Duration::from_millis(waited)));
             let now = downstream.dispatcher.clock().now();
-            far.write_all(b"mg a v O1 Pc=read,d=480\r\nmg b v O2 Pc=read,d=480\r\n").await.unwrap();
+            client.write_all(b"mg a v O1 Pc=read,d=480\r\nmg b v O2 Pc=read,d=480\r\n").await.unwrap();
             settle().await;
             advance(Duration::from_millis(50)).await;
-            far.write_all(b"mg c v O3 Pc=read,d=480\r\n").await.unwrap();
+            client.write_all(b"mg c v O3 Pc=read,d=480\r\n").await.unwrap();
             settle().await;
-            let times: Vec<_> =
+            let times_left: Vec<_> =
                 recorder.begun.borrow().iter().map(|attempt| attempt.deadline.saturating_sub(now)).collect();
-            let right_behind = Micros((480 - 10 - early) * 1_000);
-            assert_eq!(times, [right_behind, right_behind, Micros((480 - 10 + 50) * 1_000)]);
+            let early_time_left = Micros((480 - 10 - early) * 1_000);
+            assert_eq!(times_left, [early_time_left, early_time_left, Micros((480 - 10 + 50) * 1_000)]);
         });
     }
 }
--- a/node/src/downstream/tests.rs
+++ b/node/src/downstream/tests.rs
@@ -1,4 +1,4 @@
-//! The client side, against clients played in memory and on loopback.
+//! The downstream side, with clients simulated in memory and on loopback.
 
 mod closing;
 mod eviction;
@@ -7,7 +7,7 @@
 use std::io;
 
 use super::connection::{
-    DownstreamConnection, ALWAYS_ALLOWED_BYTES, MAX_INVALID_REQUESTS, MAX_PENDING_ANSWERS, READ_BYTES,
+    DownstreamConnection, GUARANTEED_BUFFER_BYTES, MAX_INVALID_REQUESTS, MAX_PENDING_ANSWERS, READ_BYTES,
 };
 use super::*;
 use crate::dispatcher::{Answer, AttemptEnd, Reply};
@@ -17,12 +17,12 @@
 use proptest::prelude::*;
 use tokio::io::{duplex, AsyncReadExt, AsyncWriteExt};
 
-/// A step on a client's connection.
+/// A step of a test case.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The client sends this; the answer is known at once where there is one.
+    /// The client sends this text; its answer, if that is known at once.
     Line(&'static str, Option<&'static str>),
-    /// The oldest attempt that is out, or the newest, ends.
+    /// The oldest or the newest attempt in flight ends.
     AttemptEnd { newest: bool, served: bool },
 }
 
@@ -49,7 +49,7 @@
     serve_after(downstream, stream, Duration::ZERO).await
 }
 
-/// Serves a connection that may have waited so long to be accepted.
+/// Serves a connection that may have waited for its slot for up to `waited`.
 pub(super) async fn serve_after(
     downstream: Rc<Downstream>,
     stream: impl ClientStream,
@@ -62,65 +62,66 @@
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    /// Whatever comes in whatever pieces, each request gets its one answer, in the order of the
-    /// requests, and a client that closes its side still gets all of them.
+    /// The boundaries of reads must not change the answers: each request gets exactly one, in the order of
+    /// the requests, and a client that half-closes still gets all of them.
     #[test]
     fn answers_keep_the_order_of_requests(steps in prop::collection::vec(step(), 1..24), cut in 1..40usize) {
-        let (got, want) = testing::run(async {
+        let (received, expected) = testing::run(async {
             let recorder = Rc::new(Recorder::default());
             let downstream = downstream(&recorder);
-            let (near, mut far) = duplex(1 << 16);
-            let task = spawn_local(serve(Rc::clone(&downstream), near));
-            // The model: the answers owed, and which attempts they wait for.
-            let mut owed: Vec<Option<String>> = Vec::new();
-            let mut out: Vec<usize> = Vec::new();
+            let (stream, mut client) = duplex(1 << 16);
+            let task = spawn_local(serve(Rc::clone(&downstream), stream));
+            // The model: the expected answers, and which of them wait for an attempt.
+            let mut expected_answers: Vec<Option<String>> = Vec::new();
+            let mut awaiting_attempts: Vec<usize> = Vec::new();
             for step in steps {
                 match step {
                     Step::Line(text, answer) => {
-                        // Ids in use are rejected: each request has its own, of one length.
-                        let text = text.replace("Oid", &format!("O{:02}", owed.len()));
+                        // An id in use is rejected: each request has its own id, all of the same length.
+                        let text = text.replace("Oid", &format!("O{:02}", expected_answers.len()));
                         for piece in text.as_bytes().chunks(cut) {
-                            far.write_all(piece).await.unwrap();
+                            client.write_all(piece).await.unwrap();
                             settle().await;
                         }
                         if answer.is_none() {
-                            out.push(owed.len());
+                            awaiting_attempts.push(expected_answers.len());
                         }
-                        owed.push(answer.map(str::to_owned));
+                        expected_answers.push(answer.map(str::to_owned));
                     }
-                    Step::AttemptEnd { newest, served } if !out.is_empty() => {
-                        let at = if newest { out.len() - 1 } else { 0 };
+                    Step::AttemptEnd { newest, served } if !awaiting_attempts.is_empty() => {
+                        let at = if newest { awaiting_attempts.len() - 1 } else { 0 };
                         let attempt = recorder.begun.borrow_mut().remove(at);
                         let value = Bytes::from_static(b"x\r\ny");
-                        let place = out.remove(at);
+                        let index = awaiting_attempts.remove(at);
                         let (reply, answer) = if served {
-                            let answer = format!("VA 4 O{place:02}\r\nx\r\ny\r\n");
+                            let answer = format!("VA 4 O{index:02}\r\nx\r\ny\r\n");
                             (Reply::Served(Answer::Value(value)), answer)
                         } else {
                             (Reply::Error, "SERVER_ERROR failed\r\n".into())
                         };
                         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(reply));
-                        owed[place] = Some(answer);
+                        expected_answers[index] = Some(answer);
                     }
                     Step::AttemptEnd { .. } => {}
                 }
                 settle().await;
             }
-            far.shutdown().await.unwrap();
+            client.shutdown().await.unwrap();
             settle().await;
             for attempt in recorder.begun.take() {
                 downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Broken);
             }
-            let mut got = String::new();
-            far.read_to_string(&mut got).await.unwrap();
+            let mut received = String::new();
+            client.read_to_string(&mut received).await.unwrap();
             task.await.unwrap().unwrap();
-            (got, owed.into_iter().map(|a| a.unwrap_or("SERVER_ERROR failed\r\n".into())).collect::<String>())
+            (received, expected_answers.into_iter().map(|a| a.unwrap_or("SERVER_ERROR failed\r\n".into())).collect::<String>())
         });
-        prop_assert_eq!(got, want);
+        prop_assert_eq!(received, expected);
     }
 }
 
-/// Values that never come to their end hold a bounded part of the memory, and small requests go on.
+/// Incomplete values must not exhaust the memory: what is buffered of them is bounded, and small requests are
+/// still served.
 #[test]
 fn incomplete_values_hold_a_bounded_part_of_the_memory() {
     testing::run(async {
@@ -128,48 +129,49 @@
         let downstream = downstream(&recorder);
         let mut clients = Vec::new();
         for _ in 0..8 {
-            let (near, mut far) = duplex(1 << 20);
-            spawn_local(serve(Rc::clone(&downstream), near));
-            far.write_all(b"ms k 65536 Oid Pc=read,d=480\r\n").await.unwrap();
-            far.write_all(&[b'x'; 60_000]).await.unwrap();
-            clients.push(far);
+            let (stream, mut client) = duplex(1 << 20);
+            spawn_local(serve(Rc::clone(&downstream), stream));
+            client.write_all(b"ms k 65536 Oid Pc=read,d=480\r\n").await.unwrap();
+            client.write_all(&[b'x'; 60_000]).await.unwrap();
+            clients.push(client);
         }
         settle().await;
-        let held = downstream.buffered_bytes.get();
+        let buffered_bytes = downstream.buffered_bytes.get();
         assert!(
-            held <= downstream.resource_limits.client_buffer_bytes
-                + 8 * (ALWAYS_ALLOWED_BYTES + 2 * READ_BYTES)
-                + 60_000,
-            "{held}"
+            buffered_bytes
+                <= downstream.resource_limits.client_buffer_bytes
+                    + 8 * (GUARANTEED_BUFFER_BYTES + 2 * READ_BYTES)
+                    + 60_000,
+            "{buffered_bytes}"
         );
-        let (near, mut far) = duplex(1 << 10);
-        spawn_local(serve(Rc::clone(&downstream), near));
-        far.write_all(b"mn\r\n").await.unwrap();
-        let mut got = [0; 4];
-        far.read_exact(&mut got).await.unwrap();
-        drop(far);
-        for mut far in clients {
-            let mut got = String::new();
-            far.read_to_string(&mut got).await.unwrap();
-            assert_eq!(got, "CLIENT_ERROR command not finished in time\r\n");
+        let (stream, mut client) = duplex(1 << 10);
+        spawn_local(serve(Rc::clone(&downstream), stream));
+        client.write_all(b"mn\r\n").await.unwrap();
+        let mut received = [0; 4];
+        client.read_exact(&mut received).await.unwrap();
+        drop(client);
+        for mut client in clients {
+            let mut received = String::new();
+            client.read_to_string(&mut received).await.unwrap();
+            assert_eq!(received, "CLIENT_ERROR command not finished in time\r\n");
         }
         settle().await;
         assert_eq!(downstream.buffered_bytes.get(), 0);
     });
 }
 
-/// What is no request is answered with an error and never taken: an unknown class, an id that another request has, no
-/// deadline, and garbage without end, whose connection ends.
+/// Invalid requests are answered with an error and never dispatched: an unknown class, an id in use, a
+/// missing deadline, and endless garbage, which also ends its connection.
 #[test]
 fn malformed_requests_are_rejected_and_never_taken() {
     testing::run(async {
         let recorder = Rc::new(Recorder::default());
         let downstream = downstream(&recorder);
-        let (near, mut far) = duplex(1 << 16);
-        spawn_local(serve(Rc::clone(&downstream), near));
-        let (other, mut honest) = duplex(1 << 16);
-        spawn_local(serve(Rc::clone(&downstream), other));
-        honest.write_all(b"mg k v O1 Pc=read,d=480\r\n").await.unwrap();
+        let (stream, mut client) = duplex(1 << 16);
+        spawn_local(serve(Rc::clone(&downstream), stream));
+        let (valid_stream, mut valid_client) = duplex(1 << 16);
+        spawn_local(serve(Rc::clone(&downstream), valid_stream));
+        valid_client.write_all(b"mg k v O1 Pc=read,d=480\r\n").await.unwrap();
         settle().await;
         for (line, answer) in [
             ("mg k v O2 Pc=reads,d=480", "CLIENT_ERROR unknown class\r\n"),
@@ -178,45 +180,46 @@
             ("mg k v O2 Pc=read", "CLIENT_ERROR no deadline\r\n"),
             ("mg k v O2 Pc=read,d=-1", "CLIENT_ERROR bad properties\r\n"),
         ] {
-            far.write_all(format!("{line}\r\n").as_bytes()).await.unwrap();
-            let mut got = vec![0; answer.len()];
-            far.read_exact(&mut got).await.unwrap();
-            assert_eq!(String::from_utf8(got).unwrap(), answer);
+            client.write_all(format!("{line}\r\n").as_bytes()).await.unwrap();
+            let mut received = vec![0; answer.len()];
+            client.read_exact(&mut received).await.unwrap();
+            assert_eq!(String::from_utf8(received).unwrap(), answer);
         }
-        assert_eq!(recorder.begun.borrow().len(), 1, "only the honest client's has begun");
-        far.write_all(&b"\n".repeat(MAX_INVALID_REQUESTS * 2)).await.unwrap();
-        let mut got = String::new();
-        far.read_to_string(&mut got).await.unwrap();
-        assert_eq!(got, "ERROR\r\n".repeat(MAX_INVALID_REQUESTS - 5));
+        assert_eq!(recorder.begun.borrow().len(), 1, "only the request of the well-behaved client has begun");
+        client.write_all(&b"\n".repeat(MAX_INVALID_REQUESTS * 2)).await.unwrap();
+        let mut received = String::new();
+        client.read_to_string(&mut received).await.unwrap();
+        assert_eq!(received, "ERROR\r\n".repeat(MAX_INVALID_REQUESTS - 5));
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         downstream
             .dispatcher
             .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value("v".into()))));
-        let mut got = [0; 12];
-        honest.read_exact(&mut got).await.unwrap();
-        assert_eq!(&got, b"VA 1 O1\r\nv\r\n");
+        let mut received = [0; 12];
+        valid_client.read_exact(&mut received).await.unwrap();
+        assert_eq!(&received, b"VA 1 O1\r\nv\r\n");
     });
 }
 
-/// A request counts for the tenant that it names; one that the settings lack, or none, is nobody's and served all the same.
+/// A request counts for the tenant that it names. One with an unknown tenant, or none, counts for no tenant
+/// and is served all the same.
 #[test]
 fn a_request_counts_for_the_tenant_that_it_names() {
     testing::run(async {
         let recorder = Rc::new(Recorder::default());
         let downstream = downstream(&recorder);
-        let (near, mut far) = duplex(1 << 10);
-        spawn_local(serve(Rc::clone(&downstream), near));
-        for (named, place) in [(",t=beta", 1), (",t=acme", 0), (",t=acm", 2), (",t=", 2), ("", 2)] {
-            far.write_all(format!("mg k v O1 Pc=read{named},d=480\r\n").as_bytes()).await.unwrap();
+        let (stream, mut client) = duplex(1 << 10);
+        spawn_local(serve(Rc::clone(&downstream), stream));
+        for (named, index) in [(",t=beta", 1), (",t=acme", 0), (",t=acm", 2), (",t=", 2), ("", 2)] {
+            client.write_all(format!("mg k v O1 Pc=read{named},d=480\r\n").as_bytes()).await.unwrap();
             settle().await;
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
-            assert_eq!(attempt.request.tenant, place, "{named}");
+            assert_eq!(attempt.request.tenant, index, "{named}");
             downstream
                 .dispatcher
                 .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value("v".into()))));
-            let mut got = [0; 12];
-            far.read_exact(&mut got).await.unwrap();
-            assert_eq!(&got, b"VA 1 O1\r\nv\r\n");
+            let mut received = [0; 12];
+            client.read_exact(&mut received).await.unwrap();
+            assert_eq!(&received, b"VA 1 O1\r\nv\r\n");
         }
     });
 }
--- a/node/src/simulation/clients.rs
+++ b/node/src/simulation/clients.rs
@@ -14,7 +14,8 @@
 use crate::memcache::{read_answer, write_request};
 use crate::testing;
 
-/// How long a request may have been on its way that crosses the close of its connection: it is sent once more, and no loss.
+/// The time before the close of its connection in which a request may have been sent to count as crossing the
+/// close: its client sends it once more, so that it is not lost.
 const MAX_CROSSING_TIME: Duration = Duration::from_millis(2);
 
 /// A request that waits for its answer.
@@ -25,10 +26,10 @@
 }
 
 /// A client that sends requests, waits and sends others, until the daemon shuts down.
-pub async fn behave(simulation: Rc<Simulation>, client: usize, mut rng: Rng) {
+pub async fn run_valid_client(simulation: Rc<Simulation>, client: usize, mut rng: Rng) {
     let mut sent_requests = 0;
     while !simulation.shutdown.is_stopping() {
-        let mut stream = open(&simulation);
+        let mut stream = connect(&simulation);
         for _ in 0..rng.usize(1..12) {
             let Ok(requests) =
                 send_requests(&simulation, client, &mut sent_requests, &mut stream, &mut rng).await
@@ -37,9 +38,9 @@
             };
             match rng.u8(..100) {
                 0..8 => {
-                    // It leaves with its answers owed.
+                    // The client leaves with answers pending.
                     sleep(Duration::from_millis(rng.u64(..300))).await;
-                    leave(&simulation, requests);
+                    record_departure(&simulation, requests);
                     break;
                 }
                 8..12 => {
@@ -51,7 +52,7 @@
                 _ if !read_answers(&simulation, requests, &mut stream).await => break,
                 _ => {}
             }
-            // Some come again at once, also to a balancer that is about to end.
+            // Some clients continue at once, even with a balancer that is about to end.
             if rng.bool() {
                 sleep(Duration::from_millis(rng.u64(..60))).await;
             }
@@ -61,11 +62,11 @@
     }
 }
 
-/// A client that misbehaves: malformed requests, parts of requests, and complete ones behind them; then it goes.
-pub async fn misbehave(simulation: Rc<Simulation>, client: usize, mut rng: Rng) {
+/// A faulty client: it sends malformed requests, complete ones behind them and part of another, and leaves.
+pub async fn run_faulty_client(simulation: Rc<Simulation>, client: usize, mut rng: Rng) {
     let mut sent_requests = 0;
     while !simulation.shutdown.is_stopping() {
-        let mut stream = open(&simulation);
+        let mut stream = connect(&simulation);
         simulation.event_log.count(Occurrence::MalformedRequests);
         for _ in 0..rng.usize(1..40) {
             let malformed: &[u8] = match rng.u8(..6) {
@@ -84,27 +85,27 @@
         sleep(Duration::from_millis(rng.u64(..200))).await;
         let _ = stream.write_all(b"mg half v O").await;
         sleep(Duration::from_millis(rng.u64(..100))).await;
-        leave(&simulation, requests.unwrap_or_default());
+        record_departure(&simulation, requests.unwrap_or_default());
         drop(stream);
     }
 }
 
-fn open(simulation: &Simulation) -> DuplexStream {
-    let (near, stream) = duplex(1 << 16);
+fn connect(simulation: &Simulation) -> DuplexStream {
+    let (balancer_end, stream) = duplex(1 << 16);
     simulation.shutdown.on_connection_accepted();
-    simulation.downstream.serve(near, Duration::ZERO);
+    simulation.downstream.serve(balancer_end, Duration::ZERO);
     stream
 }
 
-fn leave(simulation: &Simulation, requests: VecDeque<OpenRequest>) {
+fn record_departure(simulation: &Simulation, requests: VecDeque<OpenRequest>) {
     simulation.event_log.count(Occurrence::ClientLeft);
-    // The connection goes in this very moment.
-    for open in &requests {
-        simulation.event_log.on_request_over(&String::from_utf8_lossy(&open.request.id));
+    // The connection is dropped at the same instant.
+    for open_request in &requests {
+        simulation.event_log.on_request_closed(&String::from_utf8_lossy(&open_request.request.id));
     }
 }
 
-/// Sends some requests in one go. An error if the connection has closed.
+/// Sends some requests in one write. An error if the connection has closed.
 async fn send_requests(
     simulation: &Simulation,
     client: usize,
@@ -132,13 +133,13 @@
         };
         write_request(&mut text, &request, request.timeout.unwrap_or_default());
         simulation.event_log.on_request_sent(&id, class);
-        // The wait for the answers before it does not count.
+        // Time spent waiting for the answers before it does not count.
         deadline = deadline.max(Instant::now() + Duration::from_millis(wait));
         requests.push_back(OpenRequest { request, sent: Instant::now(), deadline });
     }
     let sent = stream.write_all(&text).await;
     if sent.is_err() {
-        // Nothing of it was read.
+        // None of the requests was read.
         simulation.event_log.count(Occurrence::ConnectionClosed);
     }
     sent.map(|()| requests)
@@ -152,23 +153,23 @@
 ) -> bool {
     let waiting = &simulation.event_log.waiting_clients;
     waiting.set(waiting.get() + 1);
-    let goes_on = read_each_answer(simulation, requests, stream).await;
+    let can_continue = read_answers_in_order(simulation, requests, stream).await;
     waiting.set(waiting.get() - 1);
-    goes_on
+    can_continue
 }
 
-async fn read_each_answer(
+async fn read_answers_in_order(
     simulation: &Simulation,
     mut requests: VecDeque<OpenRequest>,
     stream: &mut DuplexStream,
 ) -> bool {
     let event_log = &simulation.event_log;
     let mut input = BytesMut::new();
-    while let Some(open) = requests.front() {
-        let id = String::from_utf8_lossy(&open.request.id).into_owned();
-        match read_answer(&mut input, &open.request) {
+    while let Some(open_request) = requests.front() {
+        let id = String::from_utf8_lossy(&open_request.request.id).into_owned();
+        match read_answer(&mut input, &open_request.request) {
             Ok(Some(answer)) => {
-                event_log.on_request_over(&id);
+                event_log.on_request_closed(&id);
                 event_log.count(check_answer(event_log, &id, &answer));
                 requests.pop_front();
                 continue;
@@ -176,17 +177,20 @@
             Ok(None) => {}
             Err(error) => event_log.violation(&id, error.to_string()),
         }
-        match timeout_at(open.deadline, stream.read_buf(&mut input)).await {
+        match timeout_at(open_request.deadline, stream.read_buf(&mut input)).await {
             Err(_) => {
-                let waited = open.sent.elapsed();
-                event_log.violation(&id, format!("no answer in time, sent {waited:?} before"));
+                let waited = open_request.sent.elapsed();
+                event_log.violation(&id, format!("no answer before the deadline, sent {waited:?} ago"));
                 return false;
             }
             Ok(Ok(1..)) => {}
             Ok(_) => {
-                let waited = open.sent.elapsed();
+                let waited = open_request.sent.elapsed();
                 if !input.is_empty() || waited > MAX_CROSSING_TIME {
-                    event_log.violation(&id, format!("its connection ended with {input:?} in {waited:?}"));
+                    event_log.violation(
+                        &id,
+                        format!("connection ended after {waited:?} with only {input:?} received"),
+                    );
                 }
                 event_log.count(Occurrence::ConnectionClosed);
                 return false;
@@ -194,12 +198,12 @@
         }
     }
     if !input.is_empty() {
-        event_log.violation("-", format!("more than was owed: {input:?}"));
+        event_log.violation("-", format!("bytes after the last expected answer: {input:?}"));
     }
     true
 }
 
-/// What this answer is, and whether a server made it for the request.
+/// Classifies an answer, and reports one that no server made for the request.
 fn check_answer(event_log: &EventLog, id: &str, answer: &Answer) -> Occurrence {
     match answer {
         Answer::Value(value) if value.starts_with(format!("v-{id}").as_bytes()) => Occurrence::Served,
@@ -207,7 +211,7 @@
         Answer::Rejected(_) => Occurrence::Rejected,
         Answer::Failed => Occurrence::Failed,
         other => {
-            event_log.violation(id, format!("no server made this for it: {other:?}"));
+            event_log.violation(id, format!("an answer that no server made for the request: {other:?}"));
             Occurrence::UnexpectedAnswer
         }
     }
--- a/node/src/upstream/download/tests.rs
+++ b/node/src/upstream/download/tests.rs
@@ -9,11 +9,11 @@
 const CHUNK_BYTES: usize = 8 << 10;
 const PIPE_BYTES: usize = 4 << 10;
 
-fn byte(at: usize) -> u8 {
+fn value_byte(at: usize) -> u8 {
     (at % 251) as u8
 }
 
-/// Both protocols' bodies of a value, and what ends them.
+/// The body of a value in both protocols, with the bytes that end it.
 fn bodies() -> [(ValueBody, &'static [u8]); 2] {
     let mut line = BytesMut::from(format!("VA {VALUE_BYTES} O7 h1\r\n").as_bytes());
     let Ok(Some(Response::Streamed { length: VALUE_BYTES, remaining })) =
@@ -28,52 +28,53 @@
     [(ValueBody::Memcache(remaining), b"\r\n"), (ValueBody::Http(response), b"")]
 }
 
-/// A value of four megabytes passes completely, and a client that does not read holds the server back at a few
-/// chunks: the value is never buffered.
+/// A value of four megabytes must be forwarded completely and never be buffered: a client that does not read
+/// blocks the server after a few chunks.
 #[test]
 fn a_large_value_passes_in_a_few_bounded_chunks() {
     testing::run(async {
         for (mut body, end) in bodies() {
             let (sender, receiver) = streamed_value(VALUE_BYTES);
-            let (mut near, mut far) = duplex(PIPE_BYTES);
-            let given = std::rc::Rc::new(std::cell::Cell::new(0));
-            let so_far = std::rc::Rc::clone(&given);
+            let (mut stream, mut server) = duplex(PIPE_BYTES);
+            let bytes_sent = std::rc::Rc::new(std::cell::Cell::new(0));
+            let so_far = std::rc::Rc::clone(&bytes_sent);
             spawn_local(async move {
                 while so_far.get() < VALUE_BYTES {
-                    let some: Vec<u8> =
-                        (so_far.get()..VALUE_BYTES.min(so_far.get() + 1000)).map(byte).collect();
-                    far.write_all(&some).await.unwrap();
-                    so_far.set(so_far.get() + some.len());
+                    let piece: Vec<u8> =
+                        (so_far.get()..VALUE_BYTES.min(so_far.get() + 1000)).map(value_byte).collect();
+                    server.write_all(&piece).await.unwrap();
+                    so_far.set(so_far.get() + piece.len());
                 }
-                far.write_all(end).await.unwrap();
+                server.write_all(end).await.unwrap();
                 std::future::pending::<()>().await;
             });
             let forwarded = spawn_local(async move {
-                forward_value(&mut near, &mut BytesMut::new(), &mut body, sender, CHUNK_BYTES).await
+                forward_value(&mut stream, &mut BytesMut::new(), &mut body, sender, CHUNK_BYTES).await
             });
             settle().await;
             assert!(
-                given.get() <= PIPE_BYTES + 3 * CHUNK_BYTES + 1000,
-                "{} with nobody reading",
-                given.get()
+                bytes_sent.get() <= PIPE_BYTES + 3 * CHUNK_BYTES + 1000,
+                "{} bytes sent without a reader",
+                bytes_sent.get()
             );
-            let mut got = 0;
+            let mut bytes_received = 0;
             while let Some(chunk) = receiver.next().await {
                 assert!(
-                    chunk.len() <= CHUNK_BYTES && chunk.iter().enumerate().all(|(n, b)| *b == byte(got + n))
+                    chunk.len() <= CHUNK_BYTES
+                        && chunk.iter().enumerate().all(|(n, b)| *b == value_byte(bytes_received + n))
                 );
-                got += chunk.len();
-                assert!(given.get() <= got + PIPE_BYTES + 3 * CHUNK_BYTES + 1000);
+                bytes_received += chunk.len();
+                assert!(bytes_sent.get() <= bytes_received + PIPE_BYTES + 3 * CHUNK_BYTES + 1000);
             }
-            assert_eq!(got, VALUE_BYTES);
+            assert_eq!(bytes_received, VALUE_BYTES);
             assert_eq!(forwarded.await.unwrap(), Ok(()));
         }
     });
 }
 
-/// A server that leaves, stands still or brings a wrong end: the client never has the last byte.
+/// If the server closes, stalls or ends the value wrongly, the client must never receive the last byte.
 #[test]
-fn a_value_that_breaks_off_is_never_complete() {
+fn an_interrupted_value_is_never_complete() {
     testing::run(async {
         let without_end = MalformedResponse::from(memcache::ResponseError::ValueWithoutEnd);
         assert_eq!(without_end.to_string(), "no line end after the value");
@@ -82,25 +83,25 @@
             (1000, b"", ReadError::Disconnected),
             (VALUE_BYTES, b"xx", ReadError::Malformed(without_end)),
         ] {
-            for stays in [true, false] {
+            for stalls in [true, false] {
                 let [(mut body, _), _] = bodies();
                 let (sender, receiver) = streamed_value(VALUE_BYTES);
-                let (mut near, mut far) = duplex(PIPE_BYTES);
+                let (mut stream, mut server) = duplex(PIPE_BYTES);
                 spawn_local(async move {
-                    far.write_all(&vec![b'v'; sent]).await.unwrap();
-                    far.write_all(end).await.unwrap();
-                    if stays {
+                    server.write_all(&vec![b'v'; sent]).await.unwrap();
+                    server.write_all(end).await.unwrap();
+                    if stalls {
                         std::future::pending::<()>().await;
                     }
                 });
                 let forwarded = spawn_local(async move {
-                    forward_value(&mut near, &mut BytesMut::new(), &mut body, sender, CHUNK_BYTES).await
+                    forward_value(&mut stream, &mut BytesMut::new(), &mut body, sender, CHUNK_BYTES).await
                 });
-                let mut got = 0;
+                let mut bytes_received = 0;
                 while let Some(chunk) = receiver.next().await {
-                    got += chunk.len();
+                    bytes_received += chunk.len();
                 }
-                assert!(got < VALUE_BYTES, "{got}");
+                assert!(bytes_received < VALUE_BYTES, "{bytes_received}");
                 assert_eq!(forwarded.await.unwrap(), Err(error.clone()));
             }
         }
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -1,4 +1,4 @@
-//! Pools and connections, against servers simulated in memory and on loopback.
+//! Pools and connections, with servers simulated in memory and on loopback.
 
 mod late_turn;
 
@@ -15,29 +15,29 @@
 
 /// What a server does with one attempt.
 #[derive(Clone, Debug)]
-enum Peer {
-    /// Reads so many bytes and closes.
-    Leaves(usize),
-    /// Answers this, in pieces, and closes.
+enum ServerAction {
+    /// Reads this many bytes and closes.
+    Closes(usize),
+    /// Answers with this text, in pieces, and closes.
     Answers(&'static str),
-    /// Says nothing.
+    /// Never answers.
     Silent,
 }
 
-fn peer() -> impl Strategy<Value = Peer> {
+fn action() -> impl Strategy<Value = ServerAction> {
     prop_oneof![
-        (0..400usize).prop_map(Peer::Leaves),
-        Just(Peer::Answers("HD O7 cr1 h1 Lqps=7,queue=2\r\n")),
-        Just(Peer::Answers("EN O7 h0 Z\r\n")),
-        Just(Peer::Answers("SERVER_ERROR busy Lqps=7\r\n")),
-        Just(Peer::Answers("SERVER_ERROR failed\r\n")),
-        Just(Peer::Answers("HD O8 cr1\r\n")),
-        Just(Peer::Answers("HD O7 cr1 h1 L\u{1}\u{7f}={\r\n")),
-        Just(Peer::Answers("VA 2 O7\r\nab\r\n")),
-        Just(Peer::Answers("HD O")),
-        Just(Peer::Answers("VA 99999999 O7\r\n")),
-        Just(Peer::Answers("nonsense\r\n")),
-        Just(Peer::Silent),
+        (0..400usize).prop_map(ServerAction::Closes),
+        Just(ServerAction::Answers("HD O7 cr1 h1 Lqps=7,queue=2\r\n")),
+        Just(ServerAction::Answers("EN O7 h0 Z\r\n")),
+        Just(ServerAction::Answers("SERVER_ERROR busy Lqps=7\r\n")),
+        Just(ServerAction::Answers("SERVER_ERROR failed\r\n")),
+        Just(ServerAction::Answers("HD O8 cr1\r\n")),
+        Just(ServerAction::Answers("HD O7 cr1 h1 L\u{1}\u{7f}={\r\n")),
+        Just(ServerAction::Answers("VA 2 O7\r\nab\r\n")),
+        Just(ServerAction::Answers("HD O")),
+        Just(ServerAction::Answers("VA 99999999 O7\r\n")),
+        Just(ServerAction::Answers("nonsense\r\n")),
+        Just(ServerAction::Silent),
     ]
 }
 
@@ -45,69 +45,70 @@
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None,
         rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    /// An attempt ends by what was written and what came back: it never ran while its last byte
-    /// was not written, and an answer for another id is none.
+    /// The end of an attempt must follow from the bytes written and the answer read: the attempt was not
+    /// executed while its last byte was not written, and an answer with another id counts for none.
     #[test]
-    fn an_attempt_ends_by_what_was_written(peer in peer(), size in 0..300usize, cut in 1..9usize, room in 1..200usize) {
+    fn an_attempt_ends_by_what_was_written(action in action(), value_bytes in 0..300usize, piece_bytes in 1..9usize, pipe_bytes in 1..200usize) {
         testing::run(async {
             let recorder = Rc::new(Recorder::default());
             let dispatcher = testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
             let upstream = testing::upstream(1);
             upstream.attach(&dispatcher);
-            let (_, answer) = dispatcher.take(testing::request("7", Some(vec![b'x'; size]))).unwrap();
+            let (_, answer) = dispatcher.take(testing::request("7", Some(vec![b'x'; value_bytes]))).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
-            let (mut near, mut far) = duplex(room);
+            let (mut stream, mut server) = duplex(pipe_bytes);
             let connection = UpstreamConnection { server: SERVER, is_origin: false, address: ([127, 0, 0, 1], 1).into() };
             let mut wire = BytesMut::new();
             memcache::write_request(&mut wire, &attempt.request, juniperladder::Micros(470_000));
             let length = wire.len();
-            let want = match &peer {
-                Peer::Leaves(n) if n + room >= length => "resets",
-                Peer::Leaves(_) => "connect_failed",
-                Peer::Answers(text) if text.starts_with("HD O7") => "ok",
-                Peer::Answers(text) if text.starts_with("EN") => "misses",
-                Peer::Answers(text) if text.contains("busy") => "full",
-                Peer::Answers(text) if text.contains("failed") => "errors",
-                // Spoilt: it has run, the server is at work, and the connection is of no further use.
-                Peer::Answers(text) if text.ends_with("\r\n") => "errors",
-                Peer::Answers(_) | Peer::Silent => "resets",
+            let expected = match &action {
+                ServerAction::Closes(n) if n + pipe_bytes >= length => "resets",
+                ServerAction::Closes(_) => "connect_failed",
+                ServerAction::Answers(text) if text.starts_with("HD O7") => "ok",
+                ServerAction::Answers(text) if text.starts_with("EN") => "misses",
+                ServerAction::Answers(text) if text.contains("busy") => "full",
+                ServerAction::Answers(text) if text.contains("failed") => "errors",
+                // Malformed: the attempt was executed, the server works, and the connection cannot be reused.
+                ServerAction::Answers(text) if text.ends_with("\r\n") => "errors",
+                ServerAction::Answers(_) | ServerAction::Silent => "resets",
             };
-            let leaves = matches!(peer, Peer::Leaves(_));
-            let listed_server = async {
-                let mut seen = vec![0; match peer { Peer::Leaves(n) => n.min(length), _ => length }];
-                far.read_exact(&mut seen).await.unwrap();
-                match peer {
-                    Peer::Answers(text) => for piece in text.as_bytes().chunks(cut) {
-                        // Whoever has read enough may hang up on the rest.
-                        let _ = far.write_all(piece).await;
+            let has_closed = matches!(action, ServerAction::Closes(_));
+            let serve = async {
+                let mut seen = vec![0; match action { ServerAction::Closes(n) => n.min(length), _ => length }];
+                server.read_exact(&mut seen).await.unwrap();
+                match action {
+                    ServerAction::Answers(text) => for piece in text.as_bytes().chunks(piece_bytes) {
+                        // The balancer may close once it has read enough.
+                        let _ = server.write_all(piece).await;
                         settle().await;
                     },
-                    Peer::Silent => sleep(Duration::from_secs(60)).await,
-                    Peer::Leaves(_) => settle().await,
+                    ServerAction::Silent => sleep(Duration::from_secs(60)).await,
+                    ServerAction::Closes(_) => settle().await,
                 }
-                drop(far);
+                drop(server);
             };
             let mut input = BytesMut::new();
             let carry = async {
-                let after = connection.execute(&upstream, &mut near, &mut input, attempt).await;
-                drop(near);
+                let after = connection.execute(&upstream, &mut stream, &mut input, attempt).await;
+                drop(stream);
                 after
             };
-            let (after, ()) = tokio::join!(carry, listed_server);
+            let (after, ()) = tokio::join!(carry, serve);
             let counted: Vec<_> = dispatcher.counters().figures().into_iter()
                 .filter(|(name, n)| *n > 0 && !name.starts_with("rejected_") && !["commands", "attempts", "served", "rejected", "failed", "bad_answers"].contains(name))
                 .collect();
-            assert_eq!(counted, [(want, 1)]);
-            assert_eq!(after == AfterAttempt::Broken, leaves && want == "resets");
+            assert_eq!(counted, [(expected, 1)]);
+            assert_eq!(after == AfterAttempt::Broken, has_closed && expected == "resets");
             let is_malformed = upstream.counters.malformed_responses.get() > 0;
-            assert_eq!(after == AfterAttempt::KeepOpen, !is_malformed && ["ok", "misses", "full", "errors"].contains(&want));
+            assert_eq!(after == AfterAttempt::KeepOpen, !is_malformed && ["ok", "misses", "full", "errors"].contains(&expected));
             let served = matches!(answer.await, Ok(Answer::Receipt(_)));
-            assert_eq!(served, want == "ok");
+            assert_eq!(served, expected == "ok");
         });
     }
 }
 
-/// The drain rule counts a send's first byte: what still waits for a connection must not begin.
+/// The drain rule counts from the first byte of an attempt: an attempt that still waits for a connection must
+/// not begin.
 #[test]
 fn a_draining_server_gets_no_waiting_attempt() {
     testing::run(async {
@@ -125,19 +126,22 @@
     });
 }
 
-/// A connection that comes up when its request is over, its client gone or answered from elsewhere, gets nothing of
-/// that request, and the next request can use it.
+/// A connection established after its request was closed, as the client left or another server answered, must
+/// receive no byte of that request, and the next request can use it.
 #[test]
 fn a_late_connection_gets_nothing_of_a_closed_request() {
     testing::run_on_sockets(async {
-        let (dispatcher, upstream, listener) = world(1).await;
+        let (dispatcher, upstream, listener) = pool_with_one_server(1).await;
         let (id, _answer) = dispatcher.take(testing::request("1", None)).unwrap();
         dispatcher.on_client_gone(id);
         let (mut stream, _) = listener.accept().await.unwrap();
         settle().await;
         let (_, answer) = dispatcher.take(testing::request("2", None)).unwrap();
-        let got = request_at(&mut stream).await;
-        assert!(got.starts_with("mg ") && got.contains(" O2 ") && !got.contains(" O1 "), "{got}");
+        let received = read_request_line(&mut stream).await;
+        assert!(
+            received.starts_with("mg ") && received.contains(" O2 ") && !received.contains(" O1 "),
+            "{received}"
+        );
         stream.write_all(b"VA 1 O2\r\nv\r\n").await.unwrap();
         assert_eq!(answer.await, Ok(Answer::Value("v".into())));
         assert_eq!(
@@ -147,7 +151,8 @@
     });
 }
 
-/// A write that stands still half-way is not carried on once its request is over, though the way clears.
+/// A half-written attempt must not be continued once its request is closed, even if the socket accepts bytes
+/// again.
 #[test]
 fn a_half_written_attempt_ends_with_its_request() {
     testing::run(async {
@@ -158,27 +163,27 @@
         upstream.attach(&dispatcher);
         let (id, _answer) = dispatcher.take(testing::request("7", Some(vec![b'x'; 300]))).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
-        let (mut near, mut far) = duplex(100);
+        let (mut stream, mut server) = duplex(100);
         let connection =
             UpstreamConnection { server: SERVER, is_origin: false, address: ([127, 0, 0, 1], 1).into() };
-        let listed_server = async {
+        let serve = async {
             settle().await;
             dispatcher.on_client_gone(id);
-            let mut got = Vec::new();
-            far.read_to_end(&mut got).await.unwrap();
-            got.len()
+            let mut received = Vec::new();
+            server.read_to_end(&mut received).await.unwrap();
+            received.len()
         };
         let carry = async {
-            let after = connection.execute(&upstream, &mut near, &mut BytesMut::new(), attempt).await;
-            drop(near);
+            let after = connection.execute(&upstream, &mut stream, &mut BytesMut::new(), attempt).await;
+            drop(stream);
             after
         };
-        assert_eq!(tokio::join!(carry, listed_server), (AfterAttempt::Close, 100));
+        assert_eq!(tokio::join!(carry, serve), (AfterAttempt::Close, 100));
         assert_eq!(upstream.counters.attempts_written.get(), 0);
     });
 }
 
-/// Connections are bounded over all servers: one that is idle gives way to an attempt elsewhere.
+/// The connection limit covers all servers: an idle connection closes for an attempt at another server.
 #[test]
 fn an_idle_connection_closes_for_another_server() {
     testing::run_on_sockets(async {
@@ -206,23 +211,33 @@
     });
 }
 
-/// What the origin does with the one answer on a connection, and what it means.
+/// Which responses of the origin are complete, and which are malformed.
 #[test]
 fn an_origins_response_is_complete_or_malformed() {
-    let good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab";
-    let behind = |more: &str| (format!("{good}{more}"), 0);
+    let complete_response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nab";
+    let followed_by = |more: &str| (format!("{complete_response}{more}"), 0);
     let cases = [
-        behind(""),
-        behind(good),
-        behind("HTT"),
-        (format!("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nA: b\r\n\r\n{good}"), 0),
-        (good.replace("\r\n\r\n", "\r\nEndpoint-Load-Metrics: {\u{1}\r=,\r\n\r\n"), 0),
-        (good.replace("\r\n\r\n", "\r\nX-Trace-Id: 7\r\n\r\n"), 0),
-        (good.replace("\r\n\r\n", "\r\nX-Trace-Id: 8\r\n\r\n"), 1),
-        (format!("{good}c"), 1),
-        (good.replace(": 2", ": 3000000000"), 1),
-        (good.replace(": 2", ": -2"), 1),
-        (good.replace("Content-Length: 2", "Transfer-Encoding: chunked").replace("ab", "fffff0\r\n"), 0),
+        followed_by(""),
+        followed_by(complete_response),
+        followed_by("HTT"),
+        (
+            format!(
+                "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nA: b\r\n\r\n{complete_response}"
+            ),
+            0,
+        ),
+        (complete_response.replace("\r\n\r\n", "\r\nEndpoint-Load-Metrics: {\u{1}\r=,\r\n\r\n"), 0),
+        (complete_response.replace("\r\n\r\n", "\r\nX-Trace-Id: 7\r\n\r\n"), 0),
+        (complete_response.replace("\r\n\r\n", "\r\nX-Trace-Id: 8\r\n\r\n"), 1),
+        (format!("{complete_response}c"), 1),
+        (complete_response.replace(": 2", ": 3000000000"), 1),
+        (complete_response.replace(": 2", ": -2"), 1),
+        (
+            complete_response
+                .replace("Content-Length: 2", "Transfer-Encoding: chunked")
+                .replace("ab", "fffff0\r\n"),
+            0,
+        ),
         ("nonsense\r\n\r\n".to_owned(), 1),
     ];
     for (text, malformed) in cases {
@@ -234,12 +249,12 @@
             upstream.attach(&dispatcher);
             let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
-            let (mut near, mut far) = duplex(1 << 12);
+            let (mut stream, mut server) = duplex(1 << 12);
             let connection =
                 UpstreamConnection { server: SERVER, is_origin: true, address: ([127, 0, 0, 1], 1).into() };
-            far.write_all(text.as_bytes()).await.unwrap();
+            server.write_all(text.as_bytes()).await.unwrap();
             let mut input = BytesMut::new();
-            connection.execute(&upstream, &mut near, &mut input, attempt).await;
+            connection.execute(&upstream, &mut stream, &mut input, attempt).await;
             assert_eq!(upstream.counters.malformed_responses.get(), malformed, "{text:?}");
             let chunked = text.contains("chunked");
             let value = Answer::Value(bytes::Bytes::from_static(b"ab"));
@@ -248,7 +263,7 @@
     }
 }
 
-/// A value with a huge length that keeps coming is dropped before it fills the memory.
+/// An endless body with a huge length must be dropped before it fills the memory.
 #[test]
 fn an_endless_body_is_not_read_to_its_end() {
     testing::run(async {
@@ -259,22 +274,25 @@
         upstream.attach(&dispatcher);
         let _answer = dispatcher.take(testing::request("7", None)).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
-        let (mut near, mut far) = duplex(1 << 12);
+        let (mut stream, mut server) = duplex(1 << 12);
         let connection =
             UpstreamConnection { server: SERVER, is_origin: true, address: ([127, 0, 0, 1], 1).into() };
         spawn_local(async move {
             let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nb2d05e00\r\n";
-            far.write_all(head).await.unwrap();
-            while far.write_all(&[b'x'; 4096]).await.is_ok() {}
+            server.write_all(head).await.unwrap();
+            while server.write_all(&[b'x'; 4096]).await.is_ok() {}
         });
         let mut input = BytesMut::new();
-        assert_eq!(connection.execute(&upstream, &mut near, &mut input, attempt).await, AfterAttempt::Close);
+        assert_eq!(
+            connection.execute(&upstream, &mut stream, &mut input, attempt).await,
+            AfterAttempt::Close
+        );
         assert_eq!(upstream.counters.malformed_responses.get(), 1);
     });
 }
 
-/// The origin does no work that nobody waits for, and only a close shows it. At a cache server the answer is
-/// read off, as nothing stops there.
+/// The origin stops working on a timed-out request only when the connection closes. A cache server does not
+/// stop, so that its connection stays open and the late answer is read and discarded.
 #[test]
 fn a_timeout_closes_only_connections_to_the_origin() {
     testing::run(async {
@@ -293,38 +311,42 @@
                 .insert(id, CarriedAttempt::default());
             let close_requested = upstream.on_attempt_written(SERVER, id);
             assert!(upstream.abandon(id, SERVER));
-            let is_stopped = timeout(Duration::from_secs(1), close_requested.notified()).await.is_ok();
-            assert_eq!(is_stopped, kind == testing::ORIGIN);
+            let is_close_requested =
+                timeout(Duration::from_secs(1), close_requested.notified()).await.is_ok();
+            assert_eq!(is_close_requested, kind == testing::ORIGIN);
         }
     });
 }
 
-/// Idle connections that break at their next use are kept for a shorter time from then on, which wears off.
+/// The idle timeout is shortened when reused connections break, and grows back.
 #[test]
 fn a_shorter_idle_timeout_is_learnt_and_forgotten() {
     testing::run(async {
         let upstream = testing::upstream(4);
         let idle_timeout = &upstream.idle_timeout;
-        let longest = idle_timeout.current();
+        let maximum = idle_timeout.current();
         let configured = upstream.limits.server_idle_timeout;
-        assert_eq!(longest, configured.mul_f64(0.95));
-        let spare = configured - longest;
-        assert!(longest > configured.mul_f64(0.9), "one of many balancers comes back after seconds");
-        assert!(spare >= configured / 25, "the way there and back: {spare:?}");
+        assert_eq!(maximum, configured.mul_f64(0.95));
+        let margin = configured - maximum;
+        assert!(
+            maximum > configured.mul_f64(0.9),
+            "one of many balancers reuses a connection only after seconds"
+        );
+        assert!(margin >= configured / 25, "margin for the network round trip: {margin:?}");
         idle_timeout.on_broken(Duration::from_millis(1));
-        assert_eq!(idle_timeout.current(), longest, "a connection that was hardly idle shows nothing");
+        assert_eq!(idle_timeout.current(), maximum, "a connection that was hardly idle shows nothing");
         idle_timeout.on_broken(Duration::from_millis(100));
         assert_eq!(idle_timeout.current(), Duration::from_millis(70));
         idle_timeout.on_reused(Duration::from_millis(60));
         assert!(idle_timeout.current() > Duration::from_millis(70));
         for _ in 0..1000 {
-            idle_timeout.on_reused(longest);
+            idle_timeout.on_reused(maximum);
         }
-        assert_eq!(idle_timeout.current(), longest);
+        assert_eq!(idle_timeout.current(), maximum);
     });
 }
 
-/// A server that has moved has nothing to do with whoever listens at its old address.
+/// A connection to the old address of a server must not be used, as another process may listen there.
 #[test]
 fn a_connection_to_an_old_address_is_not_used() {
     testing::run(async {
@@ -364,8 +386,9 @@
     });
 }
 
-/// A pool over one server on loopback, with so many attempts for each request, and what listens there.
-async fn world(attempts: u32) -> (Rc<Dispatcher>, Rc<Upstream>, tokio::net::TcpListener) {
+/// A pool with one server on loopback, that server's listener, and a dispatcher with this many attempts per
+/// request.
+async fn pool_with_one_server(attempts: u32) -> (Rc<Dispatcher>, Rc<Upstream>, tokio::net::TcpListener) {
     let listener = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let upstream = testing::upstream(4);
     let dispatcher =
@@ -377,13 +400,13 @@
     (dispatcher, upstream, listener)
 }
 
-/// A server that takes connections and ends them at once, or greets whoever comes, is no server that may be tried without end: each
-/// attempt opens one connection, and the request is rejected as not executed.
+/// A server that closes each new connection at once, or sends bytes unasked, must not be retried without end:
+/// each attempt opens one connection, and the request is rejected as not executed.
 #[test]
 fn a_server_that_closes_new_connections_gets_no_endless_attempts() {
-    for greets in [false, true] {
+    for sends_unasked in [false, true] {
         testing::run_on_sockets(async {
-            let (dispatcher, upstream, listener) = world(3).await;
+            let (dispatcher, upstream, listener) = pool_with_one_server(3).await;
             let accepted = Rc::new(Cell::new(0));
             let so_far = Rc::clone(&accepted);
             let timers = Rc::clone(&dispatcher);
@@ -393,7 +416,7 @@
                 loop {
                     let (mut stream, _) = listener.accept().await.unwrap();
                     so_far.set(so_far.get() + 1);
-                    if greets {
+                    if sends_unasked {
                         stream.write_all(b"SERVER_ERROR no\r\n").await.unwrap();
                         kept.push(stream);
                     }
@@ -402,37 +425,38 @@
             let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
             assert!(matches!(answer.await, Ok(Answer::Rejected(_) | Answer::Failed)));
             assert!(accepted.get() <= 3, "{} connections for three attempts", accepted.get());
-            assert_eq!(upstream.counters.attempts_written.get(), 0, "nothing of it was written");
+            assert_eq!(upstream.counters.attempts_written.get(), 0, "no byte of the request was written");
         });
     }
 }
 
-/// Half a line that comes on an idle connection closes that connection and fails nothing else: the next request goes out on a new
-/// one, whether the bytes come before it or in the moment in which the connection is given to it.
+/// Stray bytes on an idle connection close it and must not fail the next request, which is sent on a new
+/// connection, whether the bytes arrive before the request or at the moment when the connection is assigned
+/// to it.
 #[test]
-fn half_a_line_closes_its_connection_and_fails_no_request() {
-    for at_once in [false, true] {
+fn stray_bytes_close_their_connection_and_fail_no_request() {
+    for during_assignment in [false, true] {
         testing::run_on_sockets(async {
-            let (dispatcher, upstream, listener) = world(3).await;
+            let (dispatcher, upstream, listener) = pool_with_one_server(3).await;
             let (_, first) = dispatcher.take(testing::request("1", None)).unwrap();
-            let (mut resting, _) = listener.accept().await.unwrap();
-            request_at(&mut resting).await;
-            resting.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
+            let (mut idle_stream, _) = listener.accept().await.unwrap();
+            read_request_line(&mut idle_stream).await;
+            idle_stream.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
             assert!(first.await.is_ok());
             settle().await;
-            let second = if at_once {
-                // The pool has not looked at the connection since: it gives it away, and the bytes are there.
+            let second = if during_assignment {
+                // The pool has not polled the connection since, and assigns it with the bytes unread.
                 let (_, second) = dispatcher.take(testing::request("2", None)).unwrap();
-                resting.try_write(b"VA 1").unwrap();
+                idle_stream.try_write(b"VA 1").unwrap();
                 second
             } else {
-                resting.write_all(b"VA 1").await.unwrap();
+                idle_stream.write_all(b"VA 1").await.unwrap();
                 settle().await;
                 dispatcher.take(testing::request("2", None)).unwrap().1
             };
-            let (mut fresh, _) = listener.accept().await.unwrap();
-            request_at(&mut fresh).await;
-            fresh.write_all(b"VA 1 O2\r\nw\r\n").await.unwrap();
+            let (mut new_stream, _) = listener.accept().await.unwrap();
+            read_request_line(&mut new_stream).await;
+            new_stream.write_all(b"VA 1 O2\r\nw\r\n").await.unwrap();
             assert_eq!(second.await, Ok(Answer::Value("w".into())));
             assert_eq!(
                 (upstream.counters.malformed_responses.get(), upstream.counters.attempts_written.get()),
@@ -442,21 +466,22 @@
     }
 }
 
-/// An answer without a length ends with its connection, and only with an end: a reset is none, wherever it comes.
+/// An answer without a length ends with an orderly close of its connection: a reset, at whatever point, must
+/// not complete it.
 #[test]
-fn a_reset_is_no_end_of_an_answer_without_a_length() {
+fn a_reset_does_not_complete_an_answer_without_a_length() {
     for (reset, body) in [(false, true), (true, true), (true, false)] {
         testing::run_on_sockets(async {
-            let (dispatcher, _upstream, listener) = world(3).await;
+            let (dispatcher, _upstream, listener) = pool_with_one_server(3).await;
             let mut origin = listed_server(SERVER, EndpointState::Serving);
             origin.address = listener.local_addr().ok();
             origin.endpoint.kind = testing::ORIGIN;
             dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[origin]);
             let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
-            let mut got = BytesMut::new();
-            while !got.ends_with(b"\r\n\r\n") {
-                stream.read_buf(&mut got).await.unwrap();
+            let mut received = BytesMut::new();
+            while !received.ends_with(b"\r\n\r\n") {
+                stream.read_buf(&mut received).await.unwrap();
             }
             let text: &[u8] = if body { b"HTTP/1.1 200 OK\r\n\r\nab" } else { b"HTTP/1.1 200 OK\r\n\r\n" };
             stream.write_all(text).await.unwrap();
@@ -473,45 +498,49 @@
 }
 
 /// Reads one request's line.
-async fn request_at(stream: &mut tokio::net::TcpStream) -> String {
-    let mut got = BytesMut::new();
-    while !got.ends_with(b"\r\n") {
-        assert!(stream.read_buf(&mut got).await.unwrap() > 0, "it ends");
+async fn read_request_line(stream: &mut tokio::net::TcpStream) -> String {
+    let mut received = BytesMut::new();
+    while !received.ends_with(b"\r\n") {
+        assert!(
+            stream.read_buf(&mut received).await.unwrap() > 0,
+            "the connection ended within a request line"
+        );
     }
-    String::from_utf8_lossy(&got).into_owned()
+    String::from_utf8_lossy(&received).into_owned()
 }
 
-/// A list that crosses a hand-over: the resting connection has been given its next request, and before a byte of that is written
-/// the server drains, is gone, or stands elsewhere. Nothing goes out on the old connection.
+/// An endpoint update between the assignment of a request to an idle connection and its first byte takes
+/// precedence: if the server drains, is gone or has moved, nothing is written on the old connection.
 #[test]
-fn an_endpoint_update_that_crosses_a_hand_over_comes_first() {
+fn an_endpoint_update_before_the_first_byte_prevents_the_write() {
     for change in [EndpointState::Draining, EndpointState::Deleted, EndpointState::Serving] {
         testing::run_on_sockets(async {
-            let (dispatcher, upstream, old) = world(3).await;
+            let (dispatcher, upstream, old) = pool_with_one_server(3).await;
             let new = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
             let (_, first) = dispatcher.take(testing::request("1", None)).unwrap();
-            let (mut resting, _) = old.accept().await.unwrap();
-            request_at(&mut resting).await;
-            resting.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
+            let (mut idle_stream, _) = old.accept().await.unwrap();
+            read_request_line(&mut idle_stream).await;
+            idle_stream.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
             assert!(first.await.is_ok());
             settle().await;
-            assert_eq!(upstream.connections.get(), 1, "it rests");
-            // Without a moment between: the request is given to the connection, and the list comes.
+            assert_eq!(upstream.connections.get(), 1, "the connection is idle");
+            // No turn of the event loop lies between the assignment of the request to the connection and the
+            // update.
             let (_, second) = dispatcher.take(testing::request("2", None)).unwrap();
             let mut listed = listed_server(SERVER, change);
             listed.address = new.local_addr().ok();
             dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[listed]);
             if change == EndpointState::Serving {
                 let accepted = timeout(Duration::from_secs(5), new.accept()).await;
-                let (mut stream, _) = accepted.expect("it goes to the new place").unwrap();
-                assert!(request_at(&mut stream).await.contains(" O2 "));
+                let (mut stream, _) = accepted.expect("the request is sent to the new address").unwrap();
+                assert!(read_request_line(&mut stream).await.contains(" O2 "));
                 stream.write_all(b"VA 1 O2\r\nw\r\n").await.unwrap();
                 assert_eq!(second.await, Ok(Answer::Value("w".into())));
             } else {
                 assert!(matches!(second.await, Ok(Answer::Rejected(_))));
             }
             let mut more = Vec::new();
-            resting.read_to_end(&mut more).await.unwrap();
+            idle_stream.read_to_end(&mut more).await.unwrap();
             assert!(more.is_empty(), "{change:?}: {:?}", String::from_utf8_lossy(&more));
         });
     }
