--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -1,8 +1,8 @@
-//! The life of the daemon: it builds its parts, starts them, and serves until a signal ends it.
+//! The lifecycle of the daemon: builds and starts its components, and serves until a signal ends it.
 //!
-//! Guarantee: from the first signal to end on, no request that was taken is left without an answer, as
-//! [`crate::graceful_shutdown`] says. A part that cannot be created at the start, such as an address, ends the start
-//! with an error; nothing ends the daemon later but a signal.
+//! Guarantee: after the first termination signal every accepted request is still answered (see
+//! [`crate::graceful_shutdown`]). A component that cannot be created, such as a listener, makes the start fail with an
+//! error; once started, only a signal ends the daemon.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -35,15 +35,15 @@
 use crate::transient_errors::retry_transient;
 use crate::upstream::{Upstream, UpstreamLimits};
 
-/// How often the counters go to the log: a process that is killed writes none at its end.
+/// How often the counters are logged. A process that is killed cannot log them at its end.
 const COUNTERS_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Runs a balancer until a signal ends it.
 ///
 /// # Errors
-/// A part of the daemon cannot be started: its address is in use, or the operators' file does not fit it.
+/// A component of the daemon cannot be started: its address is in use, or the operators' file is incomplete.
 pub async fn run(config: Config, log: Logger) -> Result<(), StartError> {
-    // The default of each of these signals would end the program, so that they are caught before the rest.
+    // The default action of each of these signals ends the process, so the handlers are installed first.
     let mut signals = Signals::catch()?;
     let (daemon, reloader) = Daemon::start(config, log).await?;
     daemon.serve_until_stopped(&mut signals, &reloader).await;
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-/// The parts of the daemon that other parts, its run and its end need.
+/// The components needed while the daemon serves and while it shuts down.
 struct Daemon {
     dispatcher: Rc<Dispatcher>,
     downstream: Rc<Downstream>,
@@ -63,7 +63,7 @@
 }
 
 impl Daemon {
-    /// Builds every part and starts its tasks.
+    /// Builds every component and starts its tasks.
     async fn start(mut config: Config, log: Logger) -> Result<(Daemon, Rc<Reloader>), StartError> {
         let resource_limits = ResourceLimits::from_configured(config.resource_limits);
         let longest_deadline = longest_deadline(&config);
@@ -111,8 +111,8 @@
         spawn_local(async move { dispatcher.watch_stalls().await });
     }
 
-    /// Starts to answer operators, if the configuration names an address for that. Returns whether this process replaces
-    /// another.
+    /// Starts the admin listener, if one is configured. Returns whether an earlier process of the same name left an
+    /// override file, which suggests that this process replaces it.
     async fn start_admin(&self, config: &Config) -> Result<bool, StartError> {
         let Some(address) = config.admin_address else { return Ok(false) };
         let listener = bind_admin_listener(address).await?;
@@ -136,7 +136,7 @@
         Ok(found_override_file)
     }
 
-    /// Starts to follow the endpoint list. The reloader that is returned can change discovery's address.
+    /// Starts to follow the endpoint list. The returned reloader can change discovery's address.
     fn start_discovery(
         &self,
         config: Config,
@@ -162,7 +162,7 @@
         Rc::new(Reloader::new(config.path, discovery, dispatcher, self.log.clone()))
     }
 
-    /// Serves until a signal to end has come; the other signals are obeyed meanwhile.
+    /// Serves until a termination signal arrives; handles the other signals meanwhile.
     async fn serve_until_stopped(&self, signals: &mut Signals, reloader: &Rc<Reloader>) {
         let mut counters_due = tokio::time::interval(COUNTERS_LOG_INTERVAL);
         counters_due.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -175,17 +175,17 @@
                     self.dispatcher.log_limits();
                 }
                 _ = signals.reload.recv() => {
-                    // The file may have to be read for a moment, which must not hold up a signal to end.
+                    // Reading the file may be retried for a while, which must not delay a termination signal.
                     spawn_local(Rc::clone(reloader).run());
                 }
             }
         }
     }
 
-    /// Ends the service after a signal; returns when every request that was taken has its answer.
+    /// Shuts down gracefully; returns once every accepted request has been answered.
     async fn stop(self) {
         let noticed_at = Instant::now();
-        // The signal may have come while this process stood still: its time counts from then.
+        // The signal may have arrived while this process was stalled; the time for answers counts from its arrival.
         let longest_unnoticed = self.dispatcher.longest_unnoticed();
         info!(self.log, "stopping"; "signalled_ms_ago_at_most" => clock::to_ms(longest_unnoticed));
         let time_for_answers = graceful_shutdown::time_for_answers(self.longest_deadline)
@@ -205,13 +205,13 @@
     }
 }
 
-/// The longest deadline of the classes.
+/// The longest deadline of any class.
 fn longest_deadline(config: &Config) -> Duration {
     let deadlines = config.settings.classes.iter().map(|class| class.deadline);
     clock::duration(deadlines.max().unwrap_or_default())
 }
 
-/// The dispatcher, with the connections to the servers below it.
+/// Builds the dispatcher, and the upstream that carries its attempts to the servers.
 fn build_dispatcher(
     config: &Config,
     resource_limits: &ResourceLimits,
@@ -237,7 +237,7 @@
     dispatcher
 }
 
-/// Joins the other balancers where the operators' file says so.
+/// Joins the cluster of balancers, if an operators' file is configured.
 fn join_peers(
     config: &Config,
     dispatcher: &Rc<Dispatcher>,
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -1,11 +1,12 @@
-//! Discovery: when it is polled, and the watch on its changes.
+//! The client of discovery: schedules polls and follows the watch on endpoint list changes.
 //!
-//! [`follow`] owns all that is known of discovery here. Each poll runs in a task of its own ([`poll`]) and sends its events;
-//! [`watches`] keeps which polls are open and what is overdue, and [`timing`] has all times.
+//! [`follow`] owns the state of the discovery client. Each poll runs in its own task ([`poll`]), which sends events to
+//! [`follow`]; [`watches`] tracks which polls are open and which are overdue, and [`timing`] holds all timeouts.
 //!
-//! Guarantee: a change is known here before it counts as notified, [`timing::CHANGE_NOTIFIED_AFTER`] after discovery had
-//! it. It fails where discovery cannot be reached; the list in use stays in use then, and polls go on after each backoff. The waits between polls come from the
-//! decisions, except at a new address and where discovery pushes its lists.
+//! Guarantee: a change is received before it counts as notified, [`timing::CHANGE_NOTIFIED_AFTER`] after discovery had
+//! it. The guarantee does not hold while discovery is unreachable: the list in use then stays in use, and polls are
+//! repeated after a backoff. The decision logic sets the time between polls, except after an address change and where
+//! discovery pushes its lists.
 
 mod poll;
 pub mod timing;
@@ -32,38 +33,38 @@
 use timing::new_address_backoff;
 use watches::{Heartbeat, ListUse, PollId, Watches};
 
-/// How many events of polls may wait to be handled.
+/// The number of poll events that may be queued.
 const INBOX_EVENTS: usize = 4;
 
-/// When discovery is polled.
+/// The polls that are made without a request of the decision logic.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PollPolicy {
-    /// At the start, not when the decisions would: a process that replaces another starts from a list that may be old, and
-    /// what discovery says binds it soon after its start.
+    /// Whether discovery is polled at the start, before the decision logic asks for a poll. A process that replaces
+    /// another starts from a list that may be outdated, and is bound by discovery's changes soon after its start.
     pub polls_at_start: bool,
-    /// Where lists are pushed: at the start, and so long after each poll or watch that failed. What discovery has counts as
-    /// notified at once there, whether a watch is open or not, and the decisions do not ask for one.
+    /// The backoff after a failed poll or watch where discovery pushes its lists; there it is also polled at the start.
+    /// Changes then count as notified at once, whether a watch is open or not, and the decision logic requests no watch.
     pub pushed_list_backoff: Option<Duration>,
-    /// For the backoffs at a new address.
+    /// The random seed of the backoffs at a new address.
     pub seed: u64,
 }
 
 /// Why a poll is made.
 #[derive(Clone, Copy, Debug)]
 enum PollReason {
-    /// The process has started, and its list may be old.
+    /// The process has started, and its list may be outdated.
     Start,
-    /// The decisions ask for it.
+    /// The decision logic requested it.
     Requested,
-    /// A new configuration names another address.
+    /// A reloaded configuration changed discovery's address.
     NewAddress,
-    /// The last one failed, and the decisions do not space the polls out.
+    /// The last poll failed, and the decision logic does not schedule the next one.
     Backoff,
 }
 
-/// Watches discovery whenever the decisions ask for it, and reports what comes to them. When the address changes the new one
-/// is polled at once, and what the old one's watch sends is used until the new one has sent its list. `known_version` is that
-/// of the list in use. Runs for as long as the address has a sender.
+/// Watches discovery when the decision logic requests it, and passes on the lists received. After an address change the
+/// new address is polled at once, and the watch on the old one is used until the new one has sent its list.
+/// `known_version` is the version of the list in use. Runs until the sender of the address is dropped.
 pub async fn follow(
     reader: EndpointListReader,
     known_version: Option<u64>,
@@ -95,7 +96,7 @@
             () = dispatcher.wait_for_watch_request() => follower.on_watch_requested(),
             () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
                 let due_by = Instant::now();
-                // What arrived in time is read in this turn, however late it is.
+                // If the event loop was delayed, events that arrived before the deadline are handled first.
                 yield_now().await;
                 while let Ok(message) = events.try_recv() {
                     follower.on_poll_event(message);
@@ -111,9 +112,9 @@
     reader: EndpointListReader,
     watches: Watches<Poll>,
     address: SocketAddr,
-    /// When the next poll is made that the decisions do not ask for.
+    /// The time of the next poll that the decision logic does not schedule.
     next_poll: Option<Instant>,
-    /// Polls that failed at a new address that has sent no list yet.
+    /// The number of failed polls of a new address before its first list.
     new_address_failures: u32,
     pushed_list_backoff: Option<Duration>,
     rng: Rng,
@@ -165,7 +166,8 @@
         self.start_poll(PollReason::NewAddress);
     }
 
-    /// The decisions ask for a watch. At a new address the polls are spaced out here until it has sent its list.
+    /// Handles a watch request of the decision logic. While a new address has not sent its list, [`Self::next_poll`]
+    /// schedules the polls instead.
     fn on_watch_requested(&mut self) {
         if !self.watches.awaits_new_address() && self.watches.needs_poll() {
             self.start_poll(PollReason::Requested);
@@ -176,7 +178,7 @@
         self.watches.deadline().into_iter().chain(self.next_poll).min()
     }
 
-    /// Acts on all that was due by this time.
+    /// Reports overdue polls and watches, and starts a scheduled poll that is due at this time.
     fn on_deadline(&mut self, due_by: Instant) {
         for overdue in self.watches.take_overdue(due_by) {
             self.on_failure(overdue.kind.label(), overdue.age);
@@ -202,7 +204,7 @@
 
     fn on_heartbeat(&mut self, poll_id: PollId) {
         match self.watches.on_heartbeat(poll_id, Instant::now()) {
-            // Discovery has answered, though without a change: the decisions need not ask again.
+            // An answer without changes still ends the decision logic's wait for this poll.
             Heartbeat::Answered => self.dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[]),
             Heartbeat::Confirmed => self.dispatcher.on_endpoints_confirmed(),
             Heartbeat::Ignored => {}
@@ -220,13 +222,14 @@
                 return;
             }
             ListUse::UnknownPoll => {
-                info!(self.log, "endpoint list of a closed poll ignored"; "poll" => ?poll_id,
+                info!(self.log, "endpoint list from a closed poll ignored"; "poll" => ?poll_id,
                     "endpoint_list_version" => version);
                 return;
             }
             ListUse::Contradictory { known } => {
-                // The list in use stays in use, and the complete one is asked for when the decisions ask again.
-                let reason = format!("endpoint list version {version} after {known} without a reset");
+                // The list in use stays in use, and the next poll that the decision logic requests fetches a complete one.
+                let reason =
+                    format!("endpoint list version went back from {known} to {version} without a reset");
                 return self.on_failure(&reason, Duration::ZERO);
             }
         };
@@ -249,7 +252,7 @@
             "is_complete" => update == EndpointUpdate::Snapshot, "entries" => servers.len());
     }
 
-    /// A poll or a watch has failed, `age` after the poll started: another poll is due after a backoff.
+    /// Handles the failure of a poll or watch, `age` after the poll started. Another poll follows after a backoff.
     fn on_failure(&mut self, reason: &str, age: Duration) {
         let failures = &self.dispatcher.counters().discovery_failures;
         increment(failures);
@@ -264,7 +267,7 @@
             return;
         }
         self.next_poll = self.pushed_list_backoff.map(|backoff| now + backoff);
-        // From here on the decisions space the polls out: they ask again after a backoff of their own.
+        // The decision logic requests the next poll, after its own backoff.
         self.dispatcher.on_endpoints_changed(EndpointUpdate::Unavailable, &[]);
     }
 }
--- a/node/src/discovery/poll.rs
+++ b/node/src/discovery/poll.rs
@@ -1,8 +1,8 @@
-//! One poll of discovery on a connection of its own: it asks for the changes and reads them, list by list, until the
-//! connection ends. What the lists mean, and for how long the poll is waited for, is decided by whoever owns it.
+//! One poll of discovery on its own connection: requests the changes and reads them, list by list, until the connection
+//! ends. The owner of the poll interprets the lists and applies the timeouts for the answer.
 //!
-//! Guarantee: the last event of a poll that is not dropped is [`PollEvent::Ended`], with the reason. A connection that stays
-//! silent does not end by itself; [`super::watches`] finds it.
+//! Guarantee: the last event of a poll that is not dropped is [`PollEvent::Ended`], with the reason. A poll does not time
+//! out on a silent connection; [`super::watches`] detects that.
 
 use std::net::SocketAddr;
 
@@ -21,65 +21,65 @@
 use crate::http::{write_discovery_call, Response};
 use crate::socket::Socket;
 
-/// The longest list.
+/// The maximum length of a list.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
-/// The status of an answer that is a watch.
+/// The HTTP status of a response that carries a watch.
 const STATUS_OK: u16 = 200;
 
 /// Why a poll has ended.
 #[derive(Debug, Error)]
 pub enum PollError {
-    /// Discovery has closed the connection, or ended its response.
+    /// Discovery closed the connection, or ended its response.
     #[error("discovery closed the connection")]
     WatchEnded,
     /// No connection was established within [`DISCOVERY_CONNECT_TIMEOUT`].
-    #[error("no connection in time")]
+    #[error("connecting to discovery timed out after {} ms", DISCOVERY_CONNECT_TIMEOUT.as_millis())]
     ConnectTimeout,
     /// The connection could not be established, or broke.
-    #[error("{0}")]
+    #[error("connection to discovery failed: {0}")]
     Connection(#[from] std::io::Error),
-    /// What came is no HTTP response, or no list stands in it.
-    #[error("{0}")]
+    /// The bytes received are not an HTTP response, or its body is not a sequence of JSON objects.
+    #[error("malformed response from discovery: {0}")]
     MalformedResponse(String),
-    /// Discovery answered with another status than 200.
-    #[error("status {0}")]
+    /// Discovery responded with a status other than 200.
+    #[error("discovery responded with HTTP status {0}")]
     Status(u16),
-    /// A list can't be read.
-    #[error("not a list: {0}")]
+    /// A list is not valid JSON, or lacks a required field.
+    #[error("malformed endpoint list: {0}")]
     MalformedList(#[source] simd_json::Error),
-    /// A list is longer than any may be.
-    #[error("the list is longer than {MAX_LIST_BYTES} bytes")]
+    /// A list exceeds [`MAX_LIST_BYTES`].
+    #[error("endpoint list exceeds {MAX_LIST_BYTES} bytes")]
     ListTooLong,
 }
 
-/// What has come on a poll's connection.
+/// An event on a poll's connection.
 #[derive(Debug)]
 pub enum PollEvent {
     /// The connection is established.
     Connected,
     /// A list, or the changes to one.
     List(EndpointList),
-    /// An empty line, which stands for no change, has come to its end.
+    /// A complete empty line, which means that nothing has changed.
     Heartbeat,
-    /// The poll is over.
+    /// The poll has ended.
     Ended(PollError),
 }
 
-/// An event with the poll that it belongs to.
+/// An event and the poll that it belongs to.
 #[derive(Debug)]
 pub struct PollMessage {
-    /// Which poll.
+    /// The poll that sent the event.
     pub poll_id: PollId,
-    /// What has come.
+    /// The event.
     pub event: PollEvent,
 }
 
-/// A poll that goes on until this is dropped.
+/// A running poll; dropping it closes its connection.
 #[derive(Debug)]
 pub struct Poll(JoinHandle<()>);
 
 impl Poll {
-    /// Starts a poll of this address with this path; its events go to `inbox`.
+    /// Starts a poll of this address with this path; its events are sent to `inbox`.
     pub fn start(
         poll_id: PollId,
         address: SocketAddr,
@@ -100,7 +100,7 @@
     }
 }
 
-/// Where the events of one poll go.
+/// Sends the events of one poll.
 struct EventSender {
     poll_id: PollId,
     inbox: mpsc::Sender<PollMessage>,
@@ -108,7 +108,7 @@
 
 impl EventSender {
     async fn send(&self, event: PollEvent) {
-        // The receiver is gone only where the whole balancer ends.
+        // The receiver is dropped only when the balancer ends.
         let _ = self.inbox.send(PollMessage { poll_id: self.poll_id, event }).await;
     }
 }
@@ -145,7 +145,7 @@
         let has_more_body = response.body.len() > length_before;
         let lists = send_lists(&mut response, &mut objects, events).await?;
         if has_more_body && lists == 0 && response.body.is_empty() {
-            // A part of a list is no sign of life: only a line that has come to its end is.
+            // Only a complete line counts as a heartbeat, not a part of a list.
             events.send(PollEvent::Heartbeat).await;
         }
         if response.body.len() > MAX_LIST_BYTES {
@@ -165,7 +165,7 @@
     }
 }
 
-/// Sends the lists that have come to their end, and says how many there were.
+/// Sends the complete lists in the input, and returns their number.
 async fn send_lists(
     response: &mut Response,
     objects: &mut JsonObjectScanner,
--- a/node/src/discovery/watches.rs
+++ b/node/src/discovery/watches.rs
@@ -1,9 +1,9 @@
-//! The polls of discovery that are open, which watch is in force, and what is overdue; no I/O, and time is passed in.
+//! The open polls of discovery: which one is the current watch, and which are overdue. Does no I/O; time is passed in.
 //!
-//! A poll that has been answered is a watch. Guarantee: the watch in force ends only when a later poll has been answered, so
-//! that no change that discovery writes in between is missed; a poll is not abandoned while it may still have its turn; at
-//! most [`MAX_OPEN`] are open, whatever discovery does. A caller that does not poll again when [`Watches::needs_poll`] says so
-//! misses changes.
+//! A poll that has been answered is a watch. Guarantees: the current watch ends only after a later poll has been
+//! answered, so that no change written in between is missed; a poll is not abandoned while discovery may still answer it;
+//! at most [`MAX_OPEN`] are open, whatever discovery does. The caller must poll when [`Watches::needs_poll`] is
+//! true, or it misses changes.
 
 use std::time::Duration;
 
@@ -11,24 +11,24 @@
 
 use super::timing::{ANSWER_TIMEOUT, OVERDUE_GRACE, WATCH_SILENCE_TIMEOUT};
 
-/// How many may be open at once: the watch in force, a poll that waits, and one beside it.
+/// The maximum number of open polls: the current watch, a poll waiting for its answer, and one made in parallel.
 pub const MAX_OPEN: usize = 3;
 
-/// Names one poll and the watch that it becomes.
+/// Identifies a poll and the watch that it becomes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollId(u64);
 
-/// Why a poll or a watch counts as failed while its connection stands.
+/// Why a poll or a watch counts as failed although its connection is open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Overdue {
-    /// The poll has no answer yet.
+    /// The poll has not been answered within [`ANSWER_TIMEOUT`].
     NoAnswer,
-    /// The watch has fallen silent.
+    /// The watch has sent no line for [`WATCH_SILENCE_TIMEOUT`].
     Silent,
 }
 
 impl Overdue {
-    /// What the log calls it.
+    /// The name in the log.
     pub fn label(self) -> &'static str {
         match self {
             Overdue::NoAnswer => "no answer yet",
@@ -37,35 +37,35 @@
     }
 }
 
-/// Something overdue, to be reported once.
+/// An overdue poll or watch; each is reported once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OverdueReport {
-    /// What it is.
+    /// Why it is overdue.
     pub kind: Overdue,
-    /// How long ago the poll started.
+    /// The time since the poll started.
     pub age: Duration,
 }
 
-/// One poll, or the watch that it has become. `T` is what keeps its connection open.
+/// One poll, or the watch that it has become. `T` owns the connection: dropping it closes the connection.
 #[derive(Debug)]
 struct OpenPoll<T> {
     id: PollId,
-    /// Which of the addresses that followed each other it polls.
+    /// The number of the polled address; each address change increments it.
     address_number: u32,
     started: Instant,
-    /// When its last line ended; none, it has not been answered.
+    /// The time of the last complete line; none while the poll has not been answered.
     last_line: Option<Instant>,
-    /// The list's version that was known when it started.
+    /// The version of the list in use when the poll started.
     requested_since: Option<u64>,
-    /// The version that it sent last, or that was known when it started.
+    /// The version last received on this connection, or `requested_since` before the first list.
     version: Option<u64>,
-    /// When it was reported as failed.
+    /// The time at which the poll was reported as overdue.
     reported: Option<Instant>,
     _connection: T,
 }
 
 impl<T> OpenPoll<T> {
-    /// When it counts as failed or, if it has failed already, when it is dropped.
+    /// The time at which the poll becomes overdue or, if already reported, is closed.
     fn deadline(&self) -> Instant {
         match (self.reported, self.last_line) {
             (Some(reported), _) => reported + OVERDUE_GRACE,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Reported ones come first, those reported longest ago before others.
+    /// The sort key for eviction: polls reported as overdue first, the ones reported longest ago before others.
     fn eviction_order(&self) -> (bool, Option<Instant>, Instant) {
         (self.reported.is_none(), self.reported, self.started)
     }
@@ -85,50 +85,50 @@
     }
 }
 
-/// What a received list is to be used as.
+/// How a received list is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUse {
-    /// The complete list.
+    /// Replaces the list in use.
     Snapshot,
-    /// Changes to the list in use.
+    /// Changes the list in use.
     Delta,
-    /// Nothing: it is older than what another watch has sent.
+    /// Ignored: older than a list from another watch.
     Outdated,
-    /// Nothing, nor can the version in use be used any more: it holds changes to an older list than the watch itself has sent.
+    /// Ignored: changes to an older version than the same watch has sent. The known version is no longer valid either.
     Contradictory {
-        /// The version that the watch had sent.
+        /// The version that the watch had sent before.
         known: u64,
     },
-    /// Nothing: it belongs to a poll that is over.
+    /// Ignored: the poll has been closed.
     UnknownPoll,
 }
 
-/// What a heartbeat says.
+/// What a heartbeat means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Heartbeat {
-    /// Nothing of the list in use.
+    /// It does not concern the list in use.
     Ignored,
-    /// It is the answer to its poll, which is the watch in force now.
+    /// It answers its poll, which becomes the current watch.
     Answered,
-    /// The list in use is what discovery has.
+    /// The list in use is discovery's current list.
     Confirmed,
 }
 
-/// All polls and watches that are open.
+/// All open polls and watches.
 #[derive(Debug)]
 pub struct Watches<T> {
     open: Vec<OpenPoll<T>>,
     last_id: u64,
-    /// How many new addresses there were.
+    /// The number of address changes so far.
     address_number: u32,
-    /// The version of the list in use, as the address in force counts them; none, the complete list is wanted.
+    /// The version of the list in use at the current address; none if a complete list is needed.
     version: Option<u64>,
-    /// Whether the address in force has sent no list yet, after another one had been in force.
+    /// Whether the address has changed and the current one has not sent a list yet.
     awaits_new_address: bool,
 }
 
 impl<T> Watches<T> {
-    /// None yet; a list of this version is in use.
+    /// No open polls; a list of this version is in use.
     pub fn new(version: Option<u64>) -> Watches<T> {
         Watches { open: Vec::new(), last_id: 0, address_number: 0, version, awaits_new_address: false }
     }
@@ -138,23 +138,23 @@
         self.version
     }
 
-    /// Whether a new address has sent no list yet.
+    /// Whether the address has changed and the new one has not sent a list yet.
     pub fn awaits_new_address(&self) -> bool {
         self.awaits_new_address
     }
 
-    /// Whether a poll is needed: no watch is in force at this address, and no poll waits for its answer in time.
+    /// Whether a poll is needed: every watch or poll of the current address, if any, is overdue.
     pub fn needs_poll(&self) -> bool {
         !self.open.iter().any(|poll| poll.address_number == self.address_number && poll.reported.is_none())
     }
 
-    /// A name for the next poll.
+    /// Allocates the id of the next poll.
     pub fn next_id(&mut self) -> PollId {
         self.last_id += 1;
         PollId(self.last_id)
     }
 
-    /// A poll has started. Where too many are open, the one that has been overdue for longest is let go of.
+    /// Adds a started poll. If too many are open, closes the one reported as overdue longest ago.
     pub fn on_poll_started(&mut self, id: PollId, connection: T, now: Instant) {
         while self.open.len() >= MAX_OPEN {
             self.evict_one();
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Another address is in force: it may count its versions otherwise, and is asked for the complete list. Until it sends
-    /// one the old address's watch stays; polls there that have no answer yet are over.
+    /// Switches to a new address. Its version numbers may differ, so the next poll requests a complete list. The watch on
+    /// the old address stays open until the list arrives; unanswered polls of the old address are closed.
     pub fn on_new_address(&mut self) {
         self.address_number += 1;
         self.version = None;
@@ -187,13 +187,13 @@
         self.open.retain(|poll| poll.last_line.is_some());
     }
 
-    /// A line that holds no change has ended; what that says.
+    /// Handles a complete line without a change.
     pub fn on_heartbeat(&mut self, id: PollId, now: Instant) -> Heartbeat {
         let Some(poll) = self.open.iter_mut().find(|poll| poll.id == id) else {
             return Heartbeat::Ignored;
         };
         if poll.version.is_none() {
-            // Where the complete list was asked for, only that is an answer.
+            // Only a complete list answers a request for one.
             return Heartbeat::Ignored;
         }
         let is_answer = poll.last_line.is_none();
@@ -212,7 +212,7 @@
         }
     }
 
-    /// A list of this version has come, complete or not; notes it, and returns what it is to be used as.
+    /// Records a received list of this version, and returns how it is applied.
     pub fn on_list(&mut self, id: PollId, version: u64, is_complete: bool, now: Instant) -> ListUse {
         let Some(index) = self.open.iter().position(|poll| poll.id == id) else {
             return ListUse::UnknownPoll;
@@ -238,7 +238,7 @@
         usual
     }
 
-    /// A watch has contradicted itself: it is over, and the complete list is asked for next.
+    /// Closes a watch that contradicted itself; the next poll requests a complete list.
     fn on_contradiction(&mut self, index: usize, known: u64) -> ListUse {
         let poll = self.open.remove(index);
         if poll.address_number != self.address_number {
@@ -248,12 +248,12 @@
         ListUse::Contradictory { known }
     }
 
-    /// This one has been answered: all other polls and watches are closed.
+    /// Closes all polls and watches but this one, which has been answered.
     fn keep_only(&mut self, id: PollId) {
         self.open.retain(|poll| poll.id == id);
     }
 
-    /// A connection has ended. How long it stood, where that is a failure that has not been reported yet.
+    /// Removes a poll whose connection has ended. Returns its age if this is a failure that has not been reported yet.
     pub fn on_ended(&mut self, id: PollId, now: Instant) -> Option<Duration> {
         let index = self.open.iter().position(|poll| poll.id == id)?;
         let ended = self.open.remove(index);
@@ -261,12 +261,13 @@
         is_new_failure.then(|| now - ended.started)
     }
 
-    /// When something is due next.
+    /// The next time at which a poll or watch becomes overdue or is closed.
     pub fn deadline(&self) -> Option<Instant> {
         self.open.iter().map(OpenPoll::deadline).min()
     }
 
-    /// Notes what is overdue now, and returns it where it is to be reported; what has been so for long is let go of.
+    /// Marks polls and watches that are overdue at this time, and returns those at the current address for reporting.
+    /// Closes the ones that have been overdue for [`OVERDUE_GRACE`].
     pub fn take_overdue(&mut self, now: Instant) -> Vec<OverdueReport> {
         self.open.retain(|poll| poll.deadline() > now || poll.reported.is_none());
         let mut reports = Vec::new();
@@ -281,9 +282,9 @@
     }
 }
 
-/// Whether this version is older than the one in use because a newer list came on another watch while this one's poll was
-/// open: it will send the rest itself. A list that is older than what was known when its poll started is another matter:
-/// discovery counts anew.
+/// Whether this version is older than the one in use because another watch delivered a newer list while this poll was
+/// open; this watch will catch up by itself. A version older than the one known when the poll started means instead
+/// that discovery has restarted its version numbers.
 fn has_outdated_version<T>(poll: &OpenPoll<T>, version: u64, in_use: Option<u64>) -> bool {
     let started_before = poll.requested_since.is_some_and(|since| since <= version);
     started_before && in_use.is_some_and(|known| version < known)
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon as a library: juniperladder's decisions on real sockets.
+//! The daemon as a library: runs the balancer's decision logic on real sockets.
 //!
-//! The client side ([`downstream`]) and the server side ([`upstream`]) meet only in the [`dispatcher`]; [`daemon`]
-//! builds and starts all parts.
+//! The client side ([`downstream`]) and the server side ([`upstream`]) communicate only through the [`dispatcher`];
+//! [`daemon`] builds and starts all components.
 
 pub mod admin;
 pub mod cluster_config;
@@ -42,20 +42,20 @@
 use error::StartError;
 use transient_errors::retry_transient_blocking;
 
-/// Runs a balancer as the environment describes it, until a signal ends it; `cluster_config_path` is the path
-/// of the operators' file where the command line names one.
+/// Runs a balancer with the configuration that the environment names, until a signal ends it. `cluster_config_path`
+/// is the operators' file given on the command line, if any.
 ///
 /// # Errors
-/// The configuration cannot be used, or a part of the daemon cannot be started.
+/// The configuration is invalid, or a component of the daemon cannot be started.
 pub fn run_from_environment(cluster_config_path: Option<OsString>) -> Result<(), StartError> {
     let config = Config::from_environment(cluster_config_path);
     serve(config.map_err(|error| StartError::Configuration(error.into()))?)
 }
 
-/// Runs a balancer as this configuration describes it, until a signal ends it.
+/// Runs a balancer with this configuration, until a signal ends it.
 ///
 /// # Errors
-/// A part of the daemon cannot be started.
+/// A component of the daemon cannot be started.
 pub fn serve(config: Config) -> Result<(), StartError> {
     let runtime = retry_transient_blocking(|| runtime::Builder::new_current_thread().enable_all().build());
     let runtime = runtime.map_err(StartError::Runtime)?;
