--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -184,15 +184,15 @@
 
     /// Shuts down gracefully; returns once every accepted request has been answered.
     async fn stop(self) {
-        let noticed_at = Instant::now();
+        let signal_handled_at = Instant::now();
         // The signal may have arrived while this process was stalled; the time for answers counts from its arrival.
-        let longest_unnoticed = self.dispatcher.longest_unnoticed();
-        info!(self.log, "stopping"; "signalled_ms_ago_at_most" => clock::to_ms(longest_unnoticed));
+        let max_signal_delay = self.dispatcher.longest_unnoticed();
+        info!(self.log, "stopping"; "signalled_ms_ago_at_most" => clock::to_ms(max_signal_delay));
         let time_for_answers = graceful_shutdown::time_for_answers(self.longest_deadline)
-            .saturating_sub(clock::duration(longest_unnoticed));
+            .saturating_sub(clock::duration(max_signal_delay));
         let clock = self.dispatcher.clock();
         self.dispatcher.set_final_deadline(clock.now().saturating_add(clock::micros(time_for_answers)));
-        self.shutdown.run(noticed_at, time_for_answers + graceful_shutdown::EXIT_DELAY).await;
+        self.shutdown.run(signal_handled_at, time_for_answers + graceful_shutdown::EXIT_DELAY).await;
         self.dispatcher.wait_until_idle().await;
         if let Some(peers) = &self.peers {
             peers.leave();
@@ -248,8 +248,8 @@
     let peers = Peers::start(cluster, config.position, &config.settings, config.seed, clock, log.clone())
         .map_err(|error| StartError::Peers(error.into()))?;
     dispatcher.join(peers.coordination());
-    let running = Rc::clone(&peers);
-    spawn_local(async move { running.run().await });
+    let task_peers = Rc::clone(&peers);
+    spawn_local(async move { task_peers.run().await });
     Ok(Some(peers))
 }
 
