--- a/node/src/discovery/timing.rs
+++ b/node/src/discovery/timing.rs
@@ -41,28 +41,29 @@
 }
 
 /// The first backoff at a new address that has not sent a list yet. A whole fleet switches to a new address at once, so
-/// both bounds grow by [`NEW_ADDRESS_BACKOFF_GROWTH`] with each failed poll, up to [`NEW_ADDRESS_BACKOFF_LIMIT`].
+/// both bounds grow by [`NEW_ADDRESS_BACKOFF_GROWTH_FACTOR`] with each failed poll, up to [`NEW_ADDRESS_BACKOFF_LIMIT`].
 pub const NEW_ADDRESS_BACKOFF: BackoffBounds =
     BackoffBounds { shortest: Duration::from_millis(200), longest: Duration::from_millis(600) };
-const NEW_ADDRESS_BACKOFF_GROWTH: f64 = 1.5;
+const NEW_ADDRESS_BACKOFF_GROWTH_FACTOR: f64 = 1.5;
 const NEW_ADDRESS_BACKOFF_LIMIT: BackoffBounds =
     BackoffBounds { shortest: Duration::from_millis(600), longest: Duration::from_millis(1_000) };
 /// The number of failures after which both bounds have reached their limit.
-const NEW_ADDRESS_BACKOFF_STEPS: u32 = 16;
+const MAX_NEW_ADDRESS_BACKOFF_STEPS: u32 = 16;
 
 /// The backoff where discovery pushes its lists, as a share of the drain grace. It is short because changes count as
 /// notified at once there.
 const PUSHED_LIST_BACKOFF_SHARE: f64 = 0.2;
-const PUSHED_LIST_BACKOFF_MINIMUM: Duration = Duration::from_millis(20);
+const MIN_PUSHED_LIST_BACKOFF: Duration = Duration::from_millis(20);
 
 /// The backoff after a failed poll or watch where discovery pushes its lists.
 pub fn pushed_list_backoff(drain_grace: Duration) -> Duration {
-    drain_grace.mul_f64(PUSHED_LIST_BACKOFF_SHARE).max(PUSHED_LIST_BACKOFF_MINIMUM)
+    drain_grace.mul_f64(PUSHED_LIST_BACKOFF_SHARE).max(MIN_PUSHED_LIST_BACKOFF)
 }
 
-/// The backoff after a failed poll of a new address, where `failed_before` polls had failed before it.
-pub fn new_address_backoff(failed_before: u32, rng: &mut Rng) -> Duration {
-    let growth = NEW_ADDRESS_BACKOFF_GROWTH.powi(failed_before.min(NEW_ADDRESS_BACKOFF_STEPS) as i32);
+/// The backoff after a failed poll of a new address, where `previous_failures` polls had failed before it.
+pub fn new_address_backoff(previous_failures: u32, rng: &mut Rng) -> Duration {
+    let growth =
+        NEW_ADDRESS_BACKOFF_GROWTH_FACTOR.powi(previous_failures.min(MAX_NEW_ADDRESS_BACKOFF_STEPS) as i32);
     let shortest = NEW_ADDRESS_BACKOFF.shortest.mul_f64(growth).min(NEW_ADDRESS_BACKOFF_LIMIT.shortest);
     let longest = NEW_ADDRESS_BACKOFF.longest.mul_f64(growth).min(NEW_ADDRESS_BACKOFF_LIMIT.longest);
     shortest + (longest - shortest).mul_f64(rng.f64())
--- a/node/src/discovery/watches.rs
+++ b/node/src/discovery/watches.rs
@@ -2,7 +2,7 @@
 //!
 //! A poll that has been answered is a watch. Guarantees: the current watch ends only after a later poll has been
 //! answered, so that no change written in between is missed; a poll is not abandoned while discovery may still answer it;
-//! at most [`MAX_OPEN`] are open, whatever discovery does. The caller must poll when [`Watches::needs_poll`] is
+//! at most [`MAX_OPEN_POLLS`] are open, whatever discovery does. The caller must poll when [`Watches::needs_poll`] is
 //! true, or it misses changes.
 
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use super::timing::{ANSWER_TIMEOUT, OVERDUE_GRACE, WATCH_SILENCE_TIMEOUT};
 
 /// The maximum number of open polls: the current watch, a poll waiting for its answer, and one made in parallel.
-pub const MAX_OPEN: usize = 3;
+pub const MAX_OPEN_POLLS: usize = 3;
 
 /// Identifies a poll and the watch that it becomes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -156,7 +156,7 @@
 
     /// Adds a started poll. If too many are open, closes the one reported as overdue longest ago.
     pub fn on_poll_started(&mut self, id: PollId, connection: T, now: Instant) {
-        while self.open.len() >= MAX_OPEN {
+        while self.open.len() >= MAX_OPEN_POLLS {
             self.evict_one();
         }
         self.open.push(OpenPoll {
--- a/node/src/discovery/watches/tests.rs
+++ b/node/src/discovery/watches/tests.rs
@@ -144,7 +144,7 @@
     let mut fixture = Fixture::new(Some(3));
     for call in 0..100 {
         fixture.begin(call * 2_700);
-        assert!(fixture.watches.open.len() <= MAX_OPEN);
+        assert!(fixture.watches.open.len() <= MAX_OPEN_POLLS);
         assert_eq!(fixture.overdue(call * 2_700 + 2_650), [Overdue::NoAnswer]);
     }
     fixture.overdue(1_000_000);
