--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -34,7 +34,7 @@
 use watches::{Heartbeat, ListUse, PollId, Watches};
 
 /// The number of poll events that may be queued.
-const INBOX_EVENTS: usize = 4;
+const MAX_QUEUED_EVENTS: usize = 4;
 
 /// The polls that are made without a request of the decision logic.
 #[derive(Clone, Copy, Debug, Default)]
@@ -73,16 +73,16 @@
     policy: PollPolicy,
     log: Logger,
 ) {
-    let (inbox, mut events) = mpsc::channel(INBOX_EVENTS);
+    let (event_sender, mut events) = mpsc::channel(MAX_QUEUED_EVENTS);
     let first_address = *address.borrow_and_update();
     let watches = Watches::new(known_version);
     let mut follower =
-        Follower::new(reader, watches, first_address, Rc::clone(&dispatcher), &policy, inbox, log);
+        Follower::new(reader, watches, first_address, Rc::clone(&dispatcher), &policy, event_sender, log);
     if policy.polls_at_start || policy.pushed_list_backoff.is_some() {
         follower.start_poll(PollReason::Start);
     }
     loop {
-        let due = follower.deadline();
+        let next_deadline = follower.deadline();
         tokio::select! {
             biased;
             changed = address.changed() => {
@@ -94,14 +94,14 @@
             }
             Some(message) = events.recv() => follower.on_poll_event(message),
             () = dispatcher.wait_for_watch_request() => follower.on_watch_requested(),
-            () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
-                let due_by = Instant::now();
+            () = sleep_until(next_deadline.unwrap_or_else(Instant::now)), if next_deadline.is_some() => {
+                let woken_at = Instant::now();
                 // If the event loop was delayed, events that arrived before the deadline are handled first.
                 yield_now().await;
                 while let Ok(message) = events.try_recv() {
                     follower.on_poll_event(message);
                 }
-                follower.on_deadline(due_by);
+                follower.on_deadline(woken_at);
             }
         }
     }
@@ -119,7 +119,7 @@
     pushed_list_backoff: Option<Duration>,
     rng: Rng,
     dispatcher: Rc<Dispatcher>,
-    inbox: mpsc::Sender<PollMessage>,
+    event_sender: mpsc::Sender<PollMessage>,
     log_throttle: LogThrottle,
     log: Logger,
 }
@@ -131,7 +131,7 @@
         address: SocketAddr,
         dispatcher: Rc<Dispatcher>,
         policy: &PollPolicy,
-        inbox: mpsc::Sender<PollMessage>,
+        event_sender: mpsc::Sender<PollMessage>,
         log: Logger,
     ) -> Follower {
         Follower {
@@ -143,7 +143,7 @@
             pushed_list_backoff: policy.pushed_list_backoff,
             rng: Rng::with_seed(policy.seed),
             dispatcher,
-            inbox,
+            event_sender,
             log_throttle: LogThrottle::default(),
             log,
         }
@@ -155,7 +155,7 @@
         let since = self.watches.version();
         info!(self.log, "discovery poll started"; "poll" => ?id, "reason" => ?reason,
             "address" => %self.address, "since" => since);
-        let poll = Poll::start(id, self.address, watch_path(since), self.inbox.clone());
+        let poll = Poll::start(id, self.address, watch_path(since), self.event_sender.clone());
         self.watches.on_poll_started(id, poll, Instant::now());
     }
 
@@ -179,11 +179,11 @@
     }
 
     /// Reports overdue polls and watches, and starts a scheduled poll that is due at this time.
-    fn on_deadline(&mut self, due_by: Instant) {
-        for overdue in self.watches.take_overdue(due_by) {
+    fn on_deadline(&mut self, now: Instant) {
+        for overdue in self.watches.take_overdue(now) {
             self.on_failure(overdue.kind.label(), overdue.age);
         }
-        if self.next_poll.is_some_and(|due| due <= due_by) {
+        if self.next_poll.is_some_and(|due| due <= now) {
             self.start_poll(PollReason::Backoff);
         }
     }
--- a/node/src/discovery/poll.rs
+++ b/node/src/discovery/poll.rs
@@ -79,14 +79,14 @@
 pub struct Poll(JoinHandle<()>);
 
 impl Poll {
-    /// Starts a poll of this address with this path; its events are sent to `inbox`.
+    /// Starts a poll of this address with this path; its events are sent to `sender`.
     pub fn start(
         poll_id: PollId,
         address: SocketAddr,
         path: String,
-        inbox: mpsc::Sender<PollMessage>,
+        sender: mpsc::Sender<PollMessage>,
     ) -> Poll {
-        let events = EventSender { poll_id, inbox };
+        let events = EventSender { poll_id, sender };
         Poll(spawn_local(async move {
             let error = run(address, &path, &events).await.err().unwrap_or(PollError::WatchEnded);
             events.send(PollEvent::Ended(error)).await;
@@ -103,13 +103,13 @@
 /// Sends the events of one poll.
 struct EventSender {
     poll_id: PollId,
-    inbox: mpsc::Sender<PollMessage>,
+    sender: mpsc::Sender<PollMessage>,
 }
 
 impl EventSender {
     async fn send(&self, event: PollEvent) {
         // The receiver is dropped only when the balancer ends.
-        let _ = self.inbox.send(PollMessage { poll_id: self.poll_id, event }).await;
+        let _ = self.sender.send(PollMessage { poll_id: self.poll_id, event }).await;
     }
 }
 
