--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -1,4 +1,5 @@
-//! Discovery played on loopback and in memory: silence, refusals, calls that hang, a new address, lists that are pushed.
+//! The discovery client against fake discoveries on loopback: silent watches, refused and unanswered polls, address
+//! changes, pushed lists.
 
 mod fake_discovery;
 mod late_turn;
@@ -17,8 +18,8 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// What is known after discovery has said this and nothing more: how many lists were taken in, and the version that the next
-/// call asks for the changes since.
+/// Answers the first poll with this text and nothing more. Returns the number of lists applied, and the version from
+/// which the next poll requests changes.
 async fn known_after(text: &'static [u8]) -> (u64, u64) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let balancer = balancer_at(listener.local_addr().unwrap(), NOW, true);
@@ -29,7 +30,7 @@
     }
     assert!(call.starts_with(b"GET /catalog/members?follow=1 "));
     first.write_all(text).await.unwrap();
-    // The connection stays up: what is silent is found by the clock alone.
+    // The connection stays open, so only a timeout can detect the silence.
     let (mut next, _) = listener.accept().await.unwrap();
     let mut line = String::new();
     tokio::io::BufReader::new(&mut next).read_line(&mut line).await.unwrap();
@@ -37,7 +38,8 @@
     (balancer.dispatcher.counters().endpoint_updates.get(), since.unwrap_or_default())
 }
 
-/// A watch that says nothing, fails or makes no sense ends, and what came before it stays.
+/// Guards against a broken watch that is kept: a silent, failed or malformed watch ends, and the lists received before
+/// stay in use.
 #[test]
 fn a_watch_that_is_dead_or_malformed_ends() {
     testing::run(async {
@@ -59,10 +61,11 @@
     });
 }
 
-/// What is still there of the six seconds for a call that discovery answers at once.
+/// The longest time that a poll takes when discovery answers at once.
 const ROUND: Duration = Duration::from_millis(250);
 
-/// Silence, waits, calls and their repeats stay within the time after which a change counts as notified, in whatever order they come.
+/// The timeouts, backoffs and polls of every foreseen sequence of failures add up to no more than the time after which a
+/// change counts as notified.
 #[test]
 fn a_change_is_known_before_it_counts_as_notified() {
     let poll_interval = Duration::from_micros(MAX_POLL_INTERVAL.0);
@@ -71,47 +74,47 @@
     let after_failure = longest(DISCOVERY_BACKOFF.after_first_failure);
     let after_more_failures = longest(DISCOVERY_BACKOFF.after_more_failures);
     let soon = longest(MIN_DISCOVERY_PAUSE);
-    // The time for the connection is part of it.
+    // It includes the time to connect.
     let call = ANSWER_TIMEOUT;
     assert!(DISCOVERY_CONNECT_TIMEOUT < ANSWER_TIMEOUT);
-    // A watch that falls silent has lasted longer than calls are apart.
+    // A watch that became silent has lasted longer than the backoff, so the next poll needs only the minimum pause.
     assert!(WATCH_SILENCE_TIMEOUT > after_watch);
     let chains = [
-        ("silent, called, answered slowly", WATCH_SILENCE_TIMEOUT + soon + call),
+        ("silent, polled, answered slowly", WATCH_SILENCE_TIMEOUT + soon + call),
         (
-            "silent, refused, called, answered slowly",
+            "silent, refused, polled, answered slowly",
             WATCH_SILENCE_TIMEOUT + soon + after_failure.max(soon) + call,
         ),
-        ("silent, given up, called", WATCH_SILENCE_TIMEOUT + soon + call + soon + ROUND),
-        ("ended at once, called, answered slowly", after_watch.max(soon) + call),
+        ("silent, poll timed out, polled", WATCH_SILENCE_TIMEOUT + soon + call + soon + ROUND),
+        ("ended at once, polled, answered slowly", after_watch.max(soon) + call),
         (
-            "ended at once, refused, called, answered slowly",
+            "ended at once, refused, polled, answered slowly",
             after_watch.max(soon) + after_failure.max(soon) + call,
         ),
-        ("back right after a call was refused, answered slowly", after_more_failures + call),
+        ("available right after a poll was refused, answered slowly", after_more_failures + call),
         (
-            "back right after a call began that hangs, answered slowly",
+            "available right after a poll started that hangs, answered slowly",
             after_more_failures.max(call + soon) + call,
         ),
-        ("back, refused once, called", after_more_failures + after_more_failures + ROUND),
+        ("available, refused once, polled", after_more_failures + after_more_failures + ROUND),
         ("started, answered slowly", poll_interval.mul_f64(START_SPREAD_SHARE) + call),
     ];
     for (chain, time) in chains {
         assert!(time <= CHANGE_NOTIFIED_AFTER, "{chain}: {time:?}");
     }
-    // At a new address: a call that hangs, and one that is answered.
+    // At a new address: a poll that hangs, and one that is answered.
     assert!(
         call + NEW_ADDRESS_BACKOFF.longest + ROUND <= NEW_ADDRESS_NOTIFIED_AFTER
             && NEW_ADDRESS_BACKOFF.shortest < NEW_ADDRESS_BACKOFF.longest
     );
-    // Heartbeats come every two seconds, and one a little late is no reason to call.
+    // Heartbeats are sent every two seconds; a slightly delayed one must not cause a poll.
     assert!(WATCH_SILENCE_TIMEOUT >= Duration::from_millis(2_400));
     for grace in [50, 400, 500, 600].map(Duration::from_millis) {
         assert!(pushed_list_backoff(grace) + PUSHED_ROUND <= grace, "{grace:?}");
     }
 }
 
-/// A call to an agent beside the balancer.
+/// The longest time that a poll of an agent on the balancer's host takes.
 const PUSHED_ROUND: Duration = Duration::from_millis(25);
 
 struct Balancer {
@@ -145,7 +148,8 @@
 
 const NOW: PollPolicy = PollPolicy { polls_at_start: true, pushed_list_backoff: None, seed: 3 };
 
-/// A watch that falls silent, in whatever way, is opened anew in time, also where the next call is refused, too many or hangs.
+/// Guards against an outdated list after a silent failure: a watch that sends nothing, or never completes a line, is
+/// replaced in time, even if the next poll is refused, rejected as too many or never answered.
 #[test]
 fn a_silent_watch_is_opened_anew_within_six_seconds() {
     for silent in [Behaviour::FallsSilent(1), Behaviour::Trickles(1)] {
@@ -163,7 +167,7 @@
                     "{silent:?}, {between:?}: {delay:?}"
                 );
                 assert_eq!(discovery.calls(), 2 + usize::from(between.is_some()));
-                // What is alive is left alone.
+                // A healthy watch is kept open.
                 sleep(Duration::from_secs(60)).await;
                 assert_eq!(
                     (balancer.dispatcher.counters().endpoint_updates.get(), discovery.calls()),
@@ -174,7 +178,7 @@
     }
 }
 
-/// Discovery that has been away for long, refusing or silent, is found soon after its return, and not called without end meanwhile.
+/// Polls of an unavailable discovery are spaced out, and it is reached soon after its recovery.
 #[test]
 fn discovery_is_found_soon_after_its_return() {
     for away in [Behaviour::Refuses, Behaviour::Busy, Behaviour::Hangs] {
@@ -205,7 +209,7 @@
     }
 }
 
-/// Discovery that ends each watch right behind its list is not called without end for that.
+/// Guards against a poll storm: a discovery that ends each watch after its list is polled at bounded intervals.
 #[test]
 fn a_watch_that_ends_at_once_is_not_opened_without_end() {
     testing::run(async {
@@ -219,13 +223,13 @@
     });
 }
 
-/// A new address is called at once and asked for its whole list, also where its first calls fail, and what the old one had to
-/// do with it is over.
+/// After an address change the new address is polled at once for its complete list, also if the first poll fails, and
+/// the old address is not polled any more.
 #[test]
 fn a_new_address_is_followed_within_four_seconds() {
     for first in [Behaviour::Refuses, Behaviour::Busy, Behaviour::Hangs, Behaviour::SendsList(1)] {
         testing::run(async {
-            // The old one has failed for so long that the decisions waits long.
+            // The old address has failed for so long that the decision logic uses its longest backoff.
             let old = Discovery::new(vec![Behaviour::Refuses]).await;
             let new = Discovery::new(vec![first, Behaviour::SendsList(1)]).await;
             let balancer = balancer(&old, NOW, true);
@@ -246,8 +250,8 @@
     }
 }
 
-/// Where lists are pushed, what discovery has counts as notified at once: a watch is opened with the process, without being asked
-/// for, and again as soon as discovery can be reached.
+/// Where discovery pushes its lists, changes count as notified at once: a watch is opened at the start without a request
+/// of the decision logic, and reopened as soon as discovery is reachable.
 #[test]
 fn where_lists_are_pushed_a_watch_is_always_open() {
     testing::run(async {
@@ -277,8 +281,9 @@
     });
 }
 
-/// A whole fleet calls a discovery that can take far fewer calls a second. Each call that it has taken on is waited for, so that
-/// it is at work for one caller after the other, and all have the list as soon as its pace allows.
+/// Guards against wasted work in an overloaded discovery: a fleet polls a discovery that handles far fewer polls a
+/// second. No balancer abandons an accepted poll, so discovery answers no closed connection, and all balancers have the
+/// list as soon as its rate allows.
 #[test]
 fn a_fleet_does_not_bury_a_discovery_that_takes_its_calls_in_turn() {
     const FLEET: u64 = 44;
@@ -320,7 +325,7 @@
                 elapsed <= pace + Duration::from_secs(5),
                 "new_address {new_address}: {elapsed:?}, {refused} refused"
             );
-            // A refusal costs discovery something too.
+            // Each refused poll also costs discovery work.
             assert!(
                 refused <= 6 * FLEET as usize,
                 "new_address {new_address}: {elapsed:?}, {refused} refused"
@@ -329,7 +334,8 @@
     }
 }
 
-/// Until the new address has sent its list, what the old one sends is still taken in: the new one may be crowded or away.
+/// Changes from the old address are applied until the new address has sent its list, since the new one may be overloaded
+/// or unreachable.
 #[test]
 fn the_old_address_is_used_until_the_new_one_has_sent_its_list() {
     testing::run(async {
@@ -359,7 +365,7 @@
         assert!(new.calls() < 3, "the change came from the old address");
         balancer.lists(3).await;
         for generation in 7.. {
-            assert!(generation < 100, "the old one is let go of");
+            assert!(generation < 100, "the watch on the old address is closed");
             settle().await;
             if changes.send(generation).await.is_err() {
                 break;
--- a/node/src/discovery/tests/fake_discovery.rs
+++ b/node/src/discovery/tests/fake_discovery.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for discovery on loopback.
+//! Fake discoveries on loopback.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -11,27 +11,27 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
-/// What discovery does with one connection.
+/// How discovery handles one connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Behaviour {
-    /// Says nothing and keeps it.
+    /// Keeps the connection open without an answer.
     Hangs,
-    /// Closes it at once.
+    /// Closes the connection at once.
     Refuses,
-    /// Is too busy.
+    /// Responds with status 503.
     Busy,
-    /// Sends this list, and goes on with an empty line every two seconds.
+    /// Sends a list of this generation, then an empty line every two seconds.
     SendsList(u64),
-    /// Sends this list, and ends the watch.
+    /// Sends a list of this generation, and closes the connection.
     Ends(u64),
-    /// Sends this list, and falls silent.
+    /// Sends a list of this generation, then nothing.
     FallsSilent(u64),
-    /// Sends this list, and then brings the next a byte at a time, never to its end.
+    /// Sends a list of this generation, then the next one byte by byte, without ever completing it.
     Trickles(u64),
 }
 
-/// A discovery that does these things with the connections that come, the last with all that come then. What it was asked, and
-/// when, is noted.
+/// A discovery that applies one behaviour to each connection in turn, and the last one to all further connections.
+/// Records the time and the request line of each poll.
 pub(super) struct Discovery {
     pub(super) address: SocketAddr,
     pub(super) asked: Rc<RefCell<Vec<(Instant, String)>>>,
@@ -110,17 +110,20 @@
     }
 }
 
-/// A discovery that handles its calls in turn, as the protocol page has it: one that would wait too long is refused at once.
+/// A discovery that handles its polls in turn, as the protocol documents; a poll that would be queued for too long is
+/// refused at once.
 pub(super) struct CrowdedDiscovery {
     pub(super) address: SocketAddr,
-    /// PollPolicy refused, answered, and answered though their caller had gone.
+    /// The number of polls refused because of the length of the queue.
     pub(super) refused: Rc<Cell<usize>>,
+    /// The number of polls answered.
     pub(super) answered: Rc<Cell<usize>>,
+    /// The number of polls handled although their balancer had closed the connection.
     pub(super) wasted: Rc<Cell<usize>>,
 }
 
 impl CrowdedDiscovery {
-    /// The longest that a call waits for its turn.
+    /// How long a poll may be queued.
     pub(super) const LONGEST_WAIT: Duration = Duration::from_secs(2);
 
     pub(super) async fn new(calls_per_second: u32) -> CrowdedDiscovery {
--- a/node/src/discovery/tests/late_turn.rs
+++ b/node/src/discovery/tests/late_turn.rs
@@ -1,8 +1,8 @@
-//! Turns of the event loop that are late: this process does not run while lists arrive and times pass.
+//! Event loop delays: lists arrive and deadlines pass while the process is stalled.
 
 use super::*;
 
-/// The repeats of an order in which two branches are ready at once, so that none is taken first by chance each time.
+/// Repetitions, because the order of branches that are ready at once is random.
 const ROUNDS: usize = 16;
 
 fn list(version: u64) -> Vec<u8> {
@@ -10,7 +10,8 @@
     format!("{:x}\r\n{object}\r\n", object.len()).into_bytes()
 }
 
-/// A list that arrived while this process stood still is taken first: its watch is not silent, and discovery is not called again.
+/// Guards against a healthy watch that is taken for silent after a stall: a list that arrived meanwhile is handled before
+/// the silence timeout, and discovery is not polled again.
 #[test]
 fn a_list_that_arrived_in_a_late_turn_keeps_its_watch() {
     for round in 0..ROUNDS {
--- a/node/src/discovery/watches/tests.rs
+++ b/node/src/discovery/watches/tests.rs
@@ -1,4 +1,4 @@
-//! Calls and watches in forced order, on instants that the test names.
+//! Polls and watches whose events come in a fixed order, at explicit instants.
 
 use super::*;
 
@@ -39,7 +39,7 @@
     }
 }
 
-/// Discovery without a version is asked for everything: what it tells then is the whole list, whether it says so or not.
+/// A poll without a known version requests a complete list, so its first list is a snapshot even if it is not marked so.
 #[test]
 fn the_first_list_of_a_new_address_replaces_the_old_ones() {
     let mut fixture = Fixture::new(None);
@@ -54,7 +54,7 @@
     assert!(!fixture.watches.awaits_new_address());
 }
 
-/// A call that is answered late is answered all the same, and ends the one that was made beside it.
+/// Guards against a lost answer: an answer after the timeout is applied, and closes the poll made in parallel.
 #[test]
 fn a_late_answer_is_accepted_and_ends_the_poll_beside_it() {
     let mut fixture = Fixture::new(Some(3));
@@ -63,16 +63,16 @@
     assert_eq!(fixture.watches.deadline(), Some(fixture.start + ANSWER_TIMEOUT));
     assert_eq!(fixture.overdue(2_599), []);
     assert_eq!(fixture.overdue(2_600), [Overdue::NoAnswer]);
-    assert_eq!(fixture.overdue(2_700), [], "it is reported once");
+    assert_eq!(fixture.overdue(2_700), [], "an overdue poll is reported once");
     assert!(fixture.watches.needs_poll());
     let second = fixture.begin(2_800);
     assert!(!fixture.watches.needs_poll());
     assert_eq!(fixture.list(first, 5, false, 3_000), ListUse::Delta);
     assert!(!fixture.end(second, 3_001) && fixture.list(second, 5, false, 3_002) == ListUse::UnknownPoll);
-    assert!(fixture.end(first, 6_000), "the watch in force has ended");
+    assert!(fixture.end(first, 6_000), "the current watch has ended");
 }
 
-/// A watch that falls silent is listened to until a later call has been answered, and its end is no second failure.
+/// A silent watch is used until a later poll has been answered, and its end is not reported as a second failure.
 #[test]
 fn a_silent_watch_is_used_until_the_next_poll_is_answered() {
     let mut fixture = Fixture::new(Some(3));
@@ -80,16 +80,16 @@
     assert_eq!(fixture.list(first, 4, false, 100), ListUse::Delta);
     assert_eq!(fixture.overdue(2_600), [Overdue::Silent]);
     let second = fixture.begin(2_700);
-    assert_eq!(fixture.list(first, 5, false, 2_800), ListUse::Delta, "it was only slow");
+    assert_eq!(fixture.list(first, 5, false, 2_800), ListUse::Delta, "the watch was only slow");
     let third = fixture.begin(2_900);
     assert_eq!(fixture.list(second, 6, false, 2_950), ListUse::UnknownPoll);
     let answered = fixture.watches.on_heartbeat(third, fixture.start + Duration::from_secs(3));
     assert_eq!(answered, Heartbeat::Answered);
-    assert!(!fixture.end(first, 3_100), "a later call has been answered");
-    assert!(fixture.end(third, 3_200), "the watch in force has ended");
+    assert!(!fixture.end(first, 3_100), "a later poll has been answered");
+    assert!(fixture.end(third, 3_200), "the current watch has ended");
 }
 
-/// What one watch sends after another has sent a newer list changes nothing, whatever order they come in.
+/// Guards against a list that reverts a newer one: a list is ignored if another watch has delivered a newer version.
 #[test]
 fn an_older_list_changes_nothing() {
     let mut fixture = Fixture::new(Some(3));
@@ -101,23 +101,24 @@
     assert_eq!(fixture.list(second, 5, false, 2_800), ListUse::Outdated);
     assert_eq!(fixture.watches.version(), Some(6));
     assert_eq!(fixture.list(second, 6, false, 2_900), ListUse::Delta);
-    // Discovery that counts anew says so by a whole list of an older version than was known when it was called.
+    // A complete list of an older version than was known when the poll started means restarted version numbers.
     let third = fixture.begin(3_000);
     assert_eq!(fixture.list(third, 2, true, 3_100), ListUse::Snapshot);
     assert_eq!(fixture.watches.version(), Some(2));
 }
 
-/// Changes to an older list than the watch has sent can't be told apart from its own.
+/// Changes to an older version than the watch has sent cannot be applied consistently, so the watch is closed.
 #[test]
 fn changes_that_contradict_the_watch_end_it() {
     let mut fixture = Fixture::new(Some(3));
     let first = fixture.begin(0);
     assert_eq!(fixture.list(first, 2, false, 100), ListUse::Contradictory { known: 3 });
-    assert_eq!(fixture.watches.version(), None, "the whole list is asked for next");
+    assert_eq!(fixture.watches.version(), None, "the next poll requests a complete list");
     assert!(fixture.watches.needs_poll());
 }
 
-/// New configurations in quick succession: the watch in force stays, calls without an answer at addresses that are over end.
+/// Guards against losing the only watch in repeated reloads: it stays open until a new address has sent its list, while
+/// unanswered polls of superseded addresses are closed.
 #[test]
 fn the_watch_in_force_outlives_addresses_that_never_answer() {
     let mut fixture = Fixture::new(Some(3));
@@ -128,9 +129,13 @@
         let unanswered = fixture.begin(address * 200);
         assert!(fixture.watches.awaits_new_address());
         let nothing = fixture.watches.on_heartbeat(unanswered, fixture.start);
-        assert_eq!(nothing, Heartbeat::Ignored, "a whole list is wanted");
+        assert_eq!(nothing, Heartbeat::Ignored, "only a complete list is an answer");
         assert_eq!(fixture.list(first, 4 + address, false, address * 200 + 50), ListUse::Delta);
-        assert_eq!(fixture.watches.version(), None, "the old address's versions mean nothing at the new one");
+        assert_eq!(
+            fixture.watches.version(),
+            None,
+            "versions of the old address are not valid at the new one"
+        );
     }
     let last = fixture.begin(1_100);
     assert_eq!(fixture.list(last, 1, true, 1_200), ListUse::Snapshot);
@@ -138,7 +143,7 @@
     assert_eq!(fixture.watches.version(), Some(1));
 }
 
-/// However long discovery hangs, only so many connections stand.
+/// Guards against a leak of connections: while discovery hangs, the number of open polls stays bounded.
 #[test]
 fn polls_that_hang_are_bounded() {
     let mut fixture = Fixture::new(Some(3));
