--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -4,7 +4,7 @@
 mod fake_discovery;
 mod late_turn;
 
-use fake_discovery::{Behaviour, CrowdedDiscovery, Discovery};
+use fake_discovery::{Behaviour, FakeDiscovery, QueueingDiscovery};
 
 use super::timing::*;
 use super::*;
@@ -20,15 +20,15 @@
 
 /// Answers the first poll with this text and nothing more. Returns the number of lists applied, and the version from
 /// which the next poll requests changes.
-async fn known_after(text: &'static [u8]) -> (u64, u64) {
+async fn lists_and_version_after(text: &'static [u8]) -> (u64, u64) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
-    let balancer = balancer_at(listener.local_addr().unwrap(), NOW, true);
+    let balancer = balancer_at(listener.local_addr().unwrap(), POLL_AT_START, true);
     let (mut first, _) = listener.accept().await.unwrap();
-    let mut call = BytesMut::new();
-    while !call.ends_with(b"\r\n\r\n") {
-        assert!(first.read_buf(&mut call).await.unwrap() > 0);
+    let mut request = BytesMut::new();
+    while !request.ends_with(b"\r\n\r\n") {
+        assert!(first.read_buf(&mut request).await.unwrap() > 0);
     }
-    assert!(call.starts_with(b"GET /catalog/members?follow=1 "));
+    assert!(request.starts_with(b"GET /catalog/members?follow=1 "));
     first.write_all(text).await.unwrap();
     // The connection stays open, so only a timeout can detect the silence.
     let (mut next, _) = listener.accept().await.unwrap();
@@ -41,7 +41,7 @@
 /// Guards against a broken watch that is kept: a silent, failed or malformed watch ends, and the lists received before
 /// stay in use.
 #[test]
-fn a_watch_that_is_dead_or_malformed_ends() {
+fn a_silent_failed_or_malformed_watch_is_closed() {
     testing::run(async {
         const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let list = "2a\r\n{\"generation\":3,\"reset\":true,\"instances\":[\r\n3\r\n]}\n\r\n1\r\n\n\r\n";
@@ -55,74 +55,92 @@
             ("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".to_owned(), (0, 0)),
             ("nonsense\r\n\r\n".to_owned(), (0, 0)),
         ];
-        for (text, want) in texts {
-            assert_eq!(known_after(text.into_bytes().leak()).await, want);
+        for (text, expected) in texts {
+            assert_eq!(lists_and_version_after(text.into_bytes().leak()).await, expected);
         }
     });
 }
 
 /// The longest time that a poll takes when discovery answers at once.
-const ROUND: Duration = Duration::from_millis(250);
+const MAX_PROMPT_POLL_DURATION: Duration = Duration::from_millis(250);
 
 /// The timeouts, backoffs and polls of every foreseen sequence of failures add up to no more than the time after which a
 /// change counts as notified.
 #[test]
-fn a_change_is_known_before_it_counts_as_notified() {
+fn every_failure_sequence_ends_before_a_change_counts_as_notified() {
     let poll_interval = Duration::from_micros(MAX_POLL_INTERVAL.0);
-    let longest = |range: BackoffRange| poll_interval.mul_f64(range.max_share);
-    let after_watch = longest(DISCOVERY_BACKOFF.after_watch);
-    let after_failure = longest(DISCOVERY_BACKOFF.after_first_failure);
-    let after_more_failures = longest(DISCOVERY_BACKOFF.after_more_failures);
-    let soon = longest(MIN_DISCOVERY_PAUSE);
+    let max_duration = |range: BackoffRange| poll_interval.mul_f64(range.max_share);
+    let max_pause_after_watch = max_duration(DISCOVERY_BACKOFF.after_watch);
+    let max_pause_after_failure = max_duration(DISCOVERY_BACKOFF.after_first_failure);
+    let max_pause_after_more_failures = max_duration(DISCOVERY_BACKOFF.after_more_failures);
+    let max_minimum_pause = max_duration(MIN_DISCOVERY_PAUSE);
     // It includes the time to connect.
-    let call = ANSWER_TIMEOUT;
+    let slow_poll = ANSWER_TIMEOUT;
     assert!(DISCOVERY_CONNECT_TIMEOUT < ANSWER_TIMEOUT);
     // A watch that became silent has lasted longer than the backoff, so the next poll needs only the minimum pause.
-    assert!(WATCH_SILENCE_TIMEOUT > after_watch);
+    assert!(WATCH_SILENCE_TIMEOUT > max_pause_after_watch);
     let chains = [
-        ("silent, polled, answered slowly", WATCH_SILENCE_TIMEOUT + soon + call),
+        ("silent, polled, answered slowly", WATCH_SILENCE_TIMEOUT + max_minimum_pause + slow_poll),
         (
             "silent, refused, polled, answered slowly",
-            WATCH_SILENCE_TIMEOUT + soon + after_failure.max(soon) + call,
+            WATCH_SILENCE_TIMEOUT
+                + max_minimum_pause
+                + max_pause_after_failure.max(max_minimum_pause)
+                + slow_poll,
         ),
-        ("silent, poll timed out, polled", WATCH_SILENCE_TIMEOUT + soon + call + soon + ROUND),
-        ("ended at once, polled, answered slowly", after_watch.max(soon) + call),
+        (
+            "silent, poll timed out, polled",
+            WATCH_SILENCE_TIMEOUT
+                + max_minimum_pause
+                + slow_poll
+                + max_minimum_pause
+                + MAX_PROMPT_POLL_DURATION,
+        ),
+        ("ended at once, polled, answered slowly", max_pause_after_watch.max(max_minimum_pause) + slow_poll),
         (
             "ended at once, refused, polled, answered slowly",
-            after_watch.max(soon) + after_failure.max(soon) + call,
+            max_pause_after_watch.max(max_minimum_pause)
+                + max_pause_after_failure.max(max_minimum_pause)
+                + slow_poll,
+        ),
+        (
+            "available right after a poll was refused, answered slowly",
+            max_pause_after_more_failures + slow_poll,
         ),
-        ("available right after a poll was refused, answered slowly", after_more_failures + call),
         (
             "available right after a poll started that hangs, answered slowly",
-            after_more_failures.max(call + soon) + call,
+            max_pause_after_more_failures.max(slow_poll + max_minimum_pause) + slow_poll,
+        ),
+        (
+            "available, refused once, polled",
+            max_pause_after_more_failures + max_pause_after_more_failures + MAX_PROMPT_POLL_DURATION,
         ),
-        ("available, refused once, polled", after_more_failures + after_more_failures + ROUND),
-        ("started, answered slowly", poll_interval.mul_f64(START_SPREAD_SHARE) + call),
+        ("started, answered slowly", poll_interval.mul_f64(START_SPREAD_SHARE) + slow_poll),
     ];
     for (chain, time) in chains {
         assert!(time <= CHANGE_NOTIFIED_AFTER, "{chain}: {time:?}");
     }
     // At a new address: a poll that hangs, and one that is answered.
     assert!(
-        call + NEW_ADDRESS_BACKOFF.longest + ROUND <= NEW_ADDRESS_NOTIFIED_AFTER
+        slow_poll + NEW_ADDRESS_BACKOFF.longest + MAX_PROMPT_POLL_DURATION <= NEW_ADDRESS_NOTIFIED_AFTER
             && NEW_ADDRESS_BACKOFF.shortest < NEW_ADDRESS_BACKOFF.longest
     );
     // Heartbeats are sent every two seconds; a slightly delayed one must not cause a poll.
     assert!(WATCH_SILENCE_TIMEOUT >= Duration::from_millis(2_400));
     for grace in [50, 400, 500, 600].map(Duration::from_millis) {
-        assert!(pushed_list_backoff(grace) + PUSHED_ROUND <= grace, "{grace:?}");
+        assert!(pushed_list_backoff(grace) + MAX_LOCAL_POLL_DURATION <= grace, "{grace:?}");
     }
 }
 
 /// The longest time that a poll of an agent on the balancer's host takes.
-const PUSHED_ROUND: Duration = Duration::from_millis(25);
+const MAX_LOCAL_POLL_DURATION: Duration = Duration::from_millis(25);
 
 struct Balancer {
     dispatcher: Rc<Dispatcher>,
     address: watch::Sender<SocketAddr>,
 }
 
-fn balancer(discovery: &Discovery, policy: PollPolicy, subscribe: bool) -> Balancer {
+fn balancer(discovery: &FakeDiscovery, policy: PollPolicy, subscribe: bool) -> Balancer {
     balancer_at(discovery.address, policy, subscribe)
 }
 
@@ -132,13 +150,20 @@
     let dispatcher = testing::seeded_dispatcher(settings, policy.seed, Rc::new(Recorder::default()), 1);
     let timers = Rc::clone(&dispatcher);
     spawn_local(async move { timers.run_timers().await });
-    let (address, turns) = watch::channel(address);
-    spawn_local(follow(EndpointListReader::default(), None, turns, Rc::clone(&dispatcher), policy, log()));
+    let (address, address_changes) = watch::channel(address);
+    spawn_local(follow(
+        EndpointListReader::default(),
+        None,
+        address_changes,
+        Rc::clone(&dispatcher),
+        policy,
+        log(),
+    ));
     Balancer { dispatcher, address }
 }
 
 impl Balancer {
-    async fn lists(&self, lists: u64) -> Instant {
+    async fn wait_for_lists(&self, lists: u64) -> Instant {
         while self.dispatcher.counters().endpoint_updates.get() < lists {
             sleep(Duration::from_millis(5)).await;
         }
@@ -146,31 +171,32 @@
     }
 }
 
-const NOW: PollPolicy = PollPolicy { polls_at_start: true, pushed_list_backoff: None, seed: 3 };
+const POLL_AT_START: PollPolicy = PollPolicy { polls_at_start: true, pushed_list_backoff: None, seed: 3 };
 
 /// Guards against an outdated list after a silent failure: a watch that sends nothing, or never completes a line, is
 /// replaced in time, even if the next poll is refused, rejected as too many or never answered.
 #[test]
-fn a_silent_watch_is_opened_anew_within_six_seconds() {
+fn a_silent_watch_is_replaced_within_six_seconds() {
     for silent in [Behaviour::FallsSilent(1), Behaviour::Trickles(1)] {
         for between in [None, Some(Behaviour::Refuses), Some(Behaviour::Busy), Some(Behaviour::Hangs)] {
             testing::run(async {
                 let mut behaviours = vec![silent];
                 behaviours.extend(between);
                 behaviours.push(Behaviour::SendsList(2));
-                let discovery = Discovery::new(behaviours).await;
-                let balancer = balancer(&discovery, NOW, true);
-                let fell = balancer.lists(1).await;
-                let delay = balancer.lists(2).await - fell;
+                let discovery = FakeDiscovery::new(behaviours).await;
+                let balancer = balancer(&discovery, POLL_AT_START, true);
+                let silent_since = balancer.wait_for_lists(1).await;
+                let delay = balancer.wait_for_lists(2).await - silent_since;
                 assert!(
-                    delay >= WATCH_SILENCE_TIMEOUT - ROUND && delay <= CHANGE_NOTIFIED_AFTER,
+                    delay >= WATCH_SILENCE_TIMEOUT - MAX_PROMPT_POLL_DURATION
+                        && delay <= CHANGE_NOTIFIED_AFTER,
                     "{silent:?}, {between:?}: {delay:?}"
                 );
-                assert_eq!(discovery.calls(), 2 + usize::from(between.is_some()));
+                assert_eq!(discovery.poll_count(), 2 + usize::from(between.is_some()));
                 // A healthy watch is kept open.
                 sleep(Duration::from_secs(60)).await;
                 assert_eq!(
-                    (balancer.dispatcher.counters().endpoint_updates.get(), discovery.calls()),
+                    (balancer.dispatcher.counters().endpoint_updates.get(), discovery.poll_count()),
                     (2, 2 + usize::from(between.is_some()))
                 );
             });
@@ -180,10 +206,10 @@
 
 /// Polls of an unavailable discovery are spaced out, and it is reached soon after its recovery.
 #[test]
-fn discovery_is_found_soon_after_its_return() {
+fn an_unavailable_discovery_is_reached_soon_after_its_recovery() {
     for away in [Behaviour::Refuses, Behaviour::Busy, Behaviour::Hangs] {
         testing::run(async {
-            let discovery = Discovery::new(vec![
+            let discovery = FakeDiscovery::new(vec![
                 Behaviour::FallsSilent(1),
                 away,
                 away,
@@ -194,32 +220,32 @@
                 Behaviour::SendsList(2),
             ])
             .await;
-            let balancer = balancer(&discovery, NOW, true);
-            let received = balancer.lists(2).await;
-            let asked = discovery.asked.borrow();
-            for calls in asked[3..].windows(2) {
-                let apart = calls[1].0 - calls[0].0;
+            let balancer = balancer(&discovery, POLL_AT_START, true);
+            let received = balancer.wait_for_lists(2).await;
+            let polls = discovery.polls.borrow();
+            for pair in polls[3..].windows(2) {
+                let apart = pair[1].0 - pair[0].0;
                 assert!(
                     apart >= Duration::from_secs(2) && apart < CHANGE_NOTIFIED_AFTER - ANSWER_TIMEOUT,
                     "{away:?}: {apart:?}"
                 );
             }
-            assert!(received - asked.last().unwrap().0 < ROUND);
+            assert!(received - polls.last().unwrap().0 < MAX_PROMPT_POLL_DURATION);
         });
     }
 }
 
 /// Guards against a poll storm: a discovery that ends each watch after its list is polled at bounded intervals.
 #[test]
-fn a_watch_that_ends_at_once_is_not_opened_without_end() {
+fn a_watch_that_ends_at_once_is_reopened_at_bounded_intervals() {
     testing::run(async {
-        let discovery = Discovery::new(vec![Behaviour::Ends(1)]).await;
-        let _balancer = balancer(&discovery, PollPolicy { polls_at_start: false, ..NOW }, true);
+        let discovery = FakeDiscovery::new(vec![Behaviour::Ends(1)]).await;
+        let _balancer = balancer(&discovery, PollPolicy { polls_at_start: false, ..POLL_AT_START }, true);
         sleep(Duration::from_secs(60)).await;
-        let asked = discovery.asked.borrow();
-        let apart = |calls: &[(Instant, String)]| calls[1].0 - calls[0].0;
-        assert!(asked.windows(2).all(|calls| apart(calls) >= Duration::from_millis(1_100)), "{asked:?}");
-        assert!(asked.windows(2).all(|calls| apart(calls) <= CHANGE_NOTIFIED_AFTER - ANSWER_TIMEOUT));
+        let polls = discovery.polls.borrow();
+        let apart = |pair: &[(Instant, String)]| pair[1].0 - pair[0].0;
+        assert!(polls.windows(2).all(|pair| apart(pair) >= Duration::from_millis(1_100)), "{polls:?}");
+        assert!(polls.windows(2).all(|pair| apart(pair) <= CHANGE_NOTIFIED_AFTER - ANSWER_TIMEOUT));
     });
 }
 
@@ -230,21 +256,21 @@
     for first in [Behaviour::Refuses, Behaviour::Busy, Behaviour::Hangs, Behaviour::SendsList(1)] {
         testing::run(async {
             // The old address has failed for so long that the decision logic uses its longest backoff.
-            let old = Discovery::new(vec![Behaviour::Refuses]).await;
-            let new = Discovery::new(vec![first, Behaviour::SendsList(1)]).await;
-            let balancer = balancer(&old, NOW, true);
+            let old = FakeDiscovery::new(vec![Behaviour::Refuses]).await;
+            let new = FakeDiscovery::new(vec![first, Behaviour::SendsList(1)]).await;
+            let balancer = balancer(&old, POLL_AT_START, true);
             sleep(Duration::from_secs(30)).await;
             let changed_at = Instant::now();
             balancer.address.send_replace(new.address);
-            let delay = balancer.lists(1).await - changed_at;
+            let delay = balancer.wait_for_lists(1).await - changed_at;
             assert!(delay <= NEW_ADDRESS_NOTIFIED_AFTER, "{first:?}: {delay:?}");
-            let before = old.calls();
+            let before = old.poll_count();
             sleep(Duration::from_secs(30)).await;
-            assert_eq!(old.calls(), before);
+            assert_eq!(old.poll_count(), before);
             assert!(
-                new.asked.borrow().iter().all(|(_, line)| !line.contains("since")),
+                new.polls.borrow().iter().all(|(_, line)| !line.contains("since")),
                 "{:?}",
-                new.asked.borrow()
+                new.polls.borrow()
             );
         });
     }
@@ -256,7 +282,7 @@
 fn where_lists_are_pushed_a_watch_is_always_open() {
     testing::run(async {
         let grace = Duration::from_millis(400);
-        let discovery = Discovery::new(vec![
+        let discovery = FakeDiscovery::new(vec![
             Behaviour::Refuses,
             Behaviour::Busy,
             Behaviour::Refuses,
@@ -271,12 +297,12 @@
             seed: 3,
         };
         let balancer = balancer(&discovery, policy, false);
-        let received = balancer.lists(1).await;
+        let received = balancer.wait_for_lists(1).await;
         assert!(received - start <= grace * 4, "{:?}", received - start);
-        assert!(discovery.asked.borrow()[0].0 - start < ROUND, "at the start");
-        let asked: Vec<Instant> = discovery.asked.borrow().iter().map(|(at, _)| *at).collect();
-        assert!(asked.windows(2).all(|calls| calls[1] - calls[0] <= grace / 2), "{asked:?}");
-        assert!(balancer.lists(2).await - received <= WATCH_SILENCE_TIMEOUT + grace);
+        assert!(discovery.polls.borrow()[0].0 - start < MAX_PROMPT_POLL_DURATION, "at the start");
+        let polls: Vec<Instant> = discovery.polls.borrow().iter().map(|(at, _)| *at).collect();
+        assert!(polls.windows(2).all(|pair| pair[1] - pair[0] <= grace / 2), "{polls:?}");
+        assert!(balancer.wait_for_lists(2).await - received <= WATCH_SILENCE_TIMEOUT + grace);
         settle().await;
     });
 }
@@ -285,15 +311,15 @@
 /// second. No balancer abandons an accepted poll, so discovery answers no closed connection, and all balancers have the
 /// list as soon as its rate allows.
 #[test]
-fn a_fleet_does_not_bury_a_discovery_that_takes_its_calls_in_turn() {
+fn a_fleet_abandons_no_poll_of_an_overloaded_discovery() {
     const FLEET: u64 = 44;
-    const CALLS_PER_SECOND: u32 = 6;
-    let pace = Duration::from_secs(FLEET) / CALLS_PER_SECOND;
+    const POLLS_PER_SECOND: u32 = 6;
+    let fleet_poll_time = Duration::from_secs(FLEET) / POLLS_PER_SECOND;
     for new_address in [false, true] {
         testing::run(async {
-            let crowded = CrowdedDiscovery::new(CALLS_PER_SECOND).await;
-            let before = Discovery::new(vec![Behaviour::SendsList(7)]).await;
-            let first = if new_address { before.address } else { crowded.address };
+            let queueing = QueueingDiscovery::new(POLLS_PER_SECOND).await;
+            let before = FakeDiscovery::new(vec![Behaviour::SendsList(7)]).await;
+            let first = if new_address { before.address } else { queueing.address };
             let start = Instant::now();
             let fleet: Vec<Balancer> = (0..FLEET)
                 .map(|seed| {
@@ -307,22 +333,22 @@
             let mut lists = 1;
             if new_address {
                 for balancer in &fleet {
-                    balancer.lists(1).await;
+                    balancer.wait_for_lists(1).await;
                 }
                 lists = 2;
                 for balancer in &fleet {
-                    balancer.address.send_replace(crowded.address);
+                    balancer.address.send_replace(queueing.address);
                 }
             }
             let start = if new_address { Instant::now() } else { start };
             for balancer in &fleet {
-                balancer.lists(lists).await;
+                balancer.wait_for_lists(lists).await;
             }
             let elapsed = start.elapsed();
-            let (refused, wasted) = (crowded.refused.get(), crowded.wasted.get());
+            let (refused, wasted) = (queueing.refused.get(), queueing.wasted.get());
             assert_eq!(wasted, 0, "new_address {new_address}: {elapsed:?}, {refused} refused");
             assert!(
-                elapsed <= pace + Duration::from_secs(5),
+                elapsed <= fleet_poll_time + Duration::from_secs(5),
                 "new_address {new_address}: {elapsed:?}, {refused} refused"
             );
             // Each refused poll also costs discovery work.
@@ -353,17 +379,18 @@
                 }
             }
         });
-        let new = Discovery::new(vec![Behaviour::Refuses, Behaviour::Busy, Behaviour::SendsList(1)]).await;
-        let balancer = balancer_at(old_address, NOW, true);
+        let new =
+            FakeDiscovery::new(vec![Behaviour::Refuses, Behaviour::Busy, Behaviour::SendsList(1)]).await;
+        let balancer = balancer_at(old_address, POLL_AT_START, true);
         changes.send(5).await.unwrap();
-        balancer.lists(1).await;
+        balancer.wait_for_lists(1).await;
         balancer.address.send_replace(new.address);
         settle().await;
-        assert!(new.calls() >= 1);
+        assert!(new.poll_count() >= 1);
         changes.send(6).await.unwrap();
-        balancer.lists(2).await;
-        assert!(new.calls() < 3, "the change came from the old address");
-        balancer.lists(3).await;
+        balancer.wait_for_lists(2).await;
+        assert!(new.poll_count() < 3, "the change came from the old address");
+        balancer.wait_for_lists(3).await;
         for generation in 7.. {
             assert!(generation < 100, "the watch on the old address is closed");
             settle().await;
--- a/node/src/discovery/tests/fake_discovery.rs
+++ b/node/src/discovery/tests/fake_discovery.rs
@@ -32,44 +32,47 @@
 
 /// A discovery that applies one behaviour to each connection in turn, and the last one to all further connections.
 /// Records the time and the request line of each poll.
-pub(super) struct Discovery {
+pub(super) struct FakeDiscovery {
     pub(super) address: SocketAddr,
-    pub(super) asked: Rc<RefCell<Vec<(Instant, String)>>>,
+    pub(super) polls: Rc<RefCell<Vec<(Instant, String)>>>,
 }
 
-impl Discovery {
-    pub(super) async fn new(behaviours: Vec<Behaviour>) -> Discovery {
+impl FakeDiscovery {
+    pub(super) async fn new(behaviours: Vec<Behaviour>) -> FakeDiscovery {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
-        let asked = Rc::new(RefCell::new(Vec::new()));
-        let noted = Rc::clone(&asked);
+        let polls = Rc::new(RefCell::new(Vec::new()));
+        let recorded_polls = Rc::clone(&polls);
         spawn_local(async move {
             for at in 0.. {
                 let (mut stream, _) = listener.accept().await.unwrap();
                 let behaviour = behaviours[at.min(behaviours.len() - 1)];
-                let noted = Rc::clone(&noted);
+                let recorded_polls = Rc::clone(&recorded_polls);
                 spawn_local(async move {
-                    let mut call = BytesMut::new();
+                    let mut request = BytesMut::new();
                     if behaviour == Behaviour::Refuses {
-                        noted.borrow_mut().push((Instant::now(), String::new()));
+                        recorded_polls.borrow_mut().push((Instant::now(), String::new()));
                         return;
                     }
-                    while !call.ends_with(b"\r\n\r\n") && stream.read_buf(&mut call).await.unwrap_or(0) > 0 {}
-                    let line = String::from_utf8_lossy(&call).lines().next().unwrap_or_default().to_owned();
-                    noted.borrow_mut().push((Instant::now(), line));
-                    play(behaviour, stream).await;
+                    while !request.ends_with(b"\r\n\r\n")
+                        && stream.read_buf(&mut request).await.unwrap_or(0) > 0
+                    {}
+                    let line =
+                        String::from_utf8_lossy(&request).lines().next().unwrap_or_default().to_owned();
+                    recorded_polls.borrow_mut().push((Instant::now(), line));
+                    respond(behaviour, stream).await;
                 });
             }
         });
-        Discovery { address, asked }
+        FakeDiscovery { address, polls }
     }
 
-    pub(super) fn calls(&self) -> usize {
-        self.asked.borrow().len()
+    pub(super) fn poll_count(&self) -> usize {
+        self.polls.borrow().len()
     }
 }
 
-async fn play(behaviour: Behaviour, mut stream: TcpStream) {
+async fn respond(behaviour: Behaviour, mut stream: TcpStream) {
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
     let (Behaviour::SendsList(generation)
     | Behaviour::Ends(generation)
@@ -112,7 +115,7 @@
 
 /// A discovery that handles its polls in turn, as the protocol documents; a poll that would be queued for too long is
 /// refused at once.
-pub(super) struct CrowdedDiscovery {
+pub(super) struct QueueingDiscovery {
     pub(super) address: SocketAddr,
     /// The number of polls refused because of the length of the queue.
     pub(super) refused: Rc<Cell<usize>>,
@@ -122,44 +125,47 @@
     pub(super) wasted: Rc<Cell<usize>>,
 }
 
-impl CrowdedDiscovery {
+impl QueueingDiscovery {
     /// How long a poll may be queued.
-    pub(super) const LONGEST_WAIT: Duration = Duration::from_secs(2);
+    pub(super) const MAX_QUEUE_TIME: Duration = Duration::from_secs(2);
 
-    pub(super) async fn new(calls_per_second: u32) -> CrowdedDiscovery {
+    pub(super) async fn new(polls_per_second: u32) -> QueueingDiscovery {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
-        let crowded = CrowdedDiscovery {
+        let queueing = QueueingDiscovery {
             address,
             refused: Rc::default(),
             answered: Rc::default(),
             wasted: Rc::default(),
         };
         let (refused, answered, wasted) =
-            (Rc::clone(&crowded.refused), Rc::clone(&crowded.answered), Rc::clone(&crowded.wasted));
+            (Rc::clone(&queueing.refused), Rc::clone(&queueing.answered), Rc::clone(&queueing.wasted));
         spawn_local(async move {
-            let mut free = Instant::now();
+            let mut idle_at = Instant::now();
             loop {
                 let (mut stream, _) = listener.accept().await.unwrap();
-                let begins = free.max(Instant::now());
-                if begins - Instant::now() > Self::LONGEST_WAIT {
+                let starts_at = idle_at.max(Instant::now());
+                if starts_at - Instant::now() > Self::MAX_QUEUE_TIME {
                     refused.set(refused.get() + 1);
-                    spawn_local(play(Behaviour::Busy, stream));
+                    spawn_local(respond(Behaviour::Busy, stream));
                     continue;
                 }
-                free = begins + Duration::from_secs(1) / calls_per_second;
-                let (turn, answered, wasted) = (free, Rc::clone(&answered), Rc::clone(&wasted));
+                idle_at = starts_at + Duration::from_secs(1) / polls_per_second;
+                let (answer_at, answered, wasted) = (idle_at, Rc::clone(&answered), Rc::clone(&wasted));
                 spawn_local(async move {
-                    let mut call = BytesMut::new();
-                    while !call.ends_with(b"\r\n\r\n") && stream.read_buf(&mut call).await.unwrap_or(0) > 0 {}
-                    let left = timeout_at(turn, stream.read_buf(&mut call)).await.is_ok();
-                    sleep_until(turn).await;
-                    let counter = if left { &wasted } else { &answered };
+                    let mut request = BytesMut::new();
+                    while !request.ends_with(b"\r\n\r\n")
+                        && stream.read_buf(&mut request).await.unwrap_or(0) > 0
+                    {}
+                    let caller_disconnected =
+                        timeout_at(answer_at, stream.read_buf(&mut request)).await.is_ok();
+                    sleep_until(answer_at).await;
+                    let counter = if caller_disconnected { &wasted } else { &answered };
                     counter.set(counter.get() + 1);
-                    play(Behaviour::SendsList(1), stream).await;
+                    respond(Behaviour::SendsList(1), stream).await;
                 });
             }
         });
-        crowded
+        queueing
     }
 }
