--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -1,12 +1,12 @@
-//! The operators' address: a second listener, one call a connection, answered from the dispatcher at once.
+//! The admin interface for operators: a separate listener that takes one call per connection.
 //!
-//! The line protocol is that of `juniperladder_protocols::admin`; what a call decides is the dispatcher's. Guarantee: callers
-//! never delay the requests of clients or each other. Each takes one of a bounded number of slots and is closed after
-//! [`CALL_TIMEOUT`] at the latest, so that one that says nothing costs little; one more than there are slots is closed at once
+//! The line protocol is `juniperladder_protocols::admin`; the dispatcher applies the calls. Guarantee: admin connections
+//! never delay client requests or each other. Each takes one of a bounded number of slots and is closed after
+//! [`CALL_TIMEOUT`] at the latest, so that a silent one costs little. A connection beyond the slots is closed at once
 //! without an answer.
 //!
-//! A change of an override holds from its answer on. Where it could not be written for a successor within
-//! [`OVERRIDE_WRITE_TIMEOUT`] the answer says so, and the store goes on to try.
+//! An override is in effect when its call is answered. If it could not be written for a successor process within
+//! [`OVERRIDE_WRITE_TIMEOUT`], the answer says so, and the store keeps retrying.
 
 use std::cell::Cell;
 use std::path::PathBuf;
@@ -28,18 +28,19 @@
 use crate::peers::Peers;
 use crate::socket::Socket;
 
-/// How long a caller may send nothing before its line is complete.
+/// How long a connection may be silent before its line is complete.
 const READ_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long writing the answer may take.
+/// The timeout for writing the answer.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a whole call may take.
+/// The timeout for an admin connection as a whole.
 const CALL_TIMEOUT: Duration = READ_IDLE_TIMEOUT.saturating_add(WRITE_TIMEOUT);
-/// How long a call waits for its change to be written for a successor; it holds here whether it is or not.
+/// How long a call waits for its override to be written for a successor. The override is in effect in this process
+/// whether it has been written or not.
 const OVERRIDE_WRITE_TIMEOUT: Duration = Duration::from_millis(400);
-/// What the answer adds where the override could not be written yet: until it is, a kill of the process loses it.
+/// Added to the answer if the override has not been written yet; until then it is lost if the process is killed.
 const NOT_WRITTEN_YET: &str = "not kept for a successor yet";
 
-/// Why a line is no call.
+/// Why a line is not a valid call.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 enum LineError {
     #[error(transparent)]
@@ -48,17 +49,17 @@
     TooLong,
 }
 
-/// The slots of callers.
+/// The slots for admin connections.
 #[derive(Clone, Debug)]
 pub struct AdminConnections {
-    /// How many are open now: whoever shares the descriptors with them reads it.
+    /// The number of open connections, shared with the client side, which shares the file descriptors.
     pub open: Rc<Cell<usize>>,
-    /// The most that may be open; one more is closed at once.
+    /// The maximum number of open connections; a further one is closed at once.
     pub limit: usize,
 }
 
 impl AdminConnections {
-    /// Takes a slot until the returned value is dropped; none where all are taken.
+    /// Takes a slot until the returned value is dropped. Returns none if all slots are taken.
     fn acquire(&self) -> Option<AdminSlot> {
         if self.open.get() >= self.limit {
             return None;
@@ -68,7 +69,7 @@
     }
 }
 
-/// A slot that is taken.
+/// A slot in use; dropping it frees the slot.
 struct AdminSlot(Rc<Cell<usize>>);
 
 impl Drop for AdminSlot {
@@ -77,7 +78,7 @@
     }
 }
 
-/// The operators' side of one process.
+/// The admin interface of one process.
 pub struct Admin {
     dispatcher: Rc<Dispatcher>,
     class_names: Vec<String>,
@@ -89,7 +90,8 @@
 }
 
 impl Admin {
-    /// Restores the overrides that an earlier process has left in the file at this path, and keeps that file from now on.
+    /// Restores the overrides that an earlier process left in the file at this path, and starts to keep the file up to
+    /// date.
     pub fn start(
         dispatcher: Rc<Dispatcher>,
         class_names: Vec<String>,
@@ -100,18 +102,18 @@
         log: Logger,
     ) -> Rc<Admin> {
         let overrides = OverrideStore::open(Rc::clone(&dispatcher), overrides_path, log.clone());
-        // The file is there from the start, so that a successor knows that it replaces a process.
+        // Creates the file at the start, so that a successor can detect that it replaces a process.
         let running = Rc::clone(&overrides);
         spawn_local(async move { running.run().await });
         Rc::new(Admin { dispatcher, class_names, shutdown, overrides, peers, connections, log })
     }
 
-    /// Whether an earlier process of this balancer's name left an override file; it may have ended long ago.
+    /// Whether an earlier process of the same balancer name left an override file. That process may have ended long ago.
     pub fn found_override_file(&self) -> bool {
         self.overrides.found_override_file()
     }
 
-    /// Answers callers for as long as it is polled.
+    /// Accepts and serves admin connections; never returns.
     pub async fn accept(self: Rc<Admin>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -121,12 +123,13 @@
         }
     }
 
-    /// Serves a caller if there is a slot. The newest is the one to be closed: those before it may be about to speak.
+    /// Serves a connection in its own task if a slot is free. Otherwise closes this connection rather than an older one,
+    /// which may be about to send its call.
     fn serve_in_task<S: AsyncRead + AsyncWrite + Unpin + 'static>(self: &Rc<Admin>, stream: S) {
         let Some(slot) = self.connections.acquire() else { return };
         let admin = Rc::clone(self);
         spawn_local(async move {
-            // A caller that breaks off or is too slow gets no answer.
+            // A connection that breaks or times out gets no answer.
             let _ = timeout(CALL_TIMEOUT, admin.serve(stream)).await;
             drop(slot);
         });
@@ -142,7 +145,7 @@
         stream.shutdown().await
     }
 
-    /// The answer to a call, all its lines.
+    /// Executes a call and returns the complete answer.
     pub async fn answer(&self, call: Call) -> String {
         match call {
             Call::Health => self.health(),
@@ -162,13 +165,14 @@
         }
     }
 
-    /// The figures, those of the coordination with other balancers with them where there is any.
+    /// The metrics, including those of the coordination with other balancers if it is enabled.
     fn metrics(&self) -> String {
         let coordination = self.peers.as_ref().map(|peers| peers.metrics_text());
         self.dispatcher.metrics_text(&self.class_names, &coordination.unwrap_or_default())
     }
 
-    /// Puts a server offline or online; it holds in this process before the answer waits for it to be written.
+    /// Takes a server offline or brings it online. The override takes effect in this process before the answer waits for
+    /// it to be written.
     async fn set_override(&self, server: &str, state: OverrideState) -> String {
         let applied = match state {
             OverrideState::Offline => self.dispatcher.take_offline(server),
@@ -189,7 +193,7 @@
     }
 }
 
-/// What the answer says of a server.
+/// The answer to an override call.
 fn confirmation(server: &str, state: OverrideState) -> String {
     match state {
         OverrideState::Offline => format!("{server} out by hand"),
@@ -197,7 +201,8 @@
     }
 }
 
-/// Reads one call, or why the line is none; nothing where the caller leaves or is silent for [`READ_IDLE_TIMEOUT`].
+/// Reads one call, or the error of a malformed line. Returns none if the connection is closed or silent for
+/// [`READ_IDLE_TIMEOUT`].
 async fn read_call<S: AsyncRead + Unpin>(stream: &mut S) -> std::io::Result<Option<Result<Call, LineError>>> {
     let mut input = Vec::with_capacity(64);
     let mut chunk = [0; MAX_LINE_BYTES];
--- a/node/src/admin/tests.rs
+++ b/node/src/admin/tests.rs
@@ -1,4 +1,4 @@
-//! Callers of the operators' address: silent ones, malformed lines, figures, and a disk that stands still.
+//! The admin interface: silent connections, malformed lines, metrics, and a stalled disk.
 
 use super::*;
 use crate::dispatcher::{Answer, AttemptEnd, Reply};
@@ -25,7 +25,7 @@
     let (near, mut far) = duplex(4096);
     admin.serve_in_task(near);
     for piece in pieces {
-        // One caller too many is closed at once.
+        // A connection beyond the limit is closed at once.
         let _ = far.write_all(piece).await;
         testing::settle().await;
     }
@@ -38,8 +38,8 @@
     got
 }
 
-/// Callers that say nothing, or half a call, are closed at their deadline without an answer, take a bounded
-/// number of slots, and keep nobody waiting meanwhile.
+/// Guards against silent connections that block the admin interface: those that send nothing or an incomplete line take a
+/// bounded number of slots, are closed at the timeout without an answer, and do not delay other calls.
 #[test]
 fn callers_that_send_half_a_line_hold_nobody_up_and_are_closed() {
     let dir = tempfile::tempdir().unwrap();
@@ -85,7 +85,7 @@
     });
 }
 
-/// The figures against requests whose outcomes are known.
+/// Compares the metrics with requests of known outcome.
 #[test]
 fn each_request_is_counted_once_in_its_class() {
     let dir = tempfile::tempdir().unwrap();
@@ -120,7 +120,8 @@
     });
 }
 
-/// A disk that stands still: calls are answered, what they ask for holds, and it is kept once the disk goes on.
+/// Guards against calls that wait for the disk: while the override file is locked, calls are answered and take effect, and
+/// the override is written once the lock is released.
 #[test]
 fn a_disk_that_stands_still_holds_no_call_up() {
     let dir = tempfile::tempdir().unwrap();
@@ -137,6 +138,6 @@
         let stored = std::fs::read_to_string(dir.path().join("n0.bans")).unwrap();
         assert_eq!(stored, format!("juniperladder bans 1\n{SERVER}\nend\n"));
         let answer = admin.answer(Call::Offline(SERVER.into())).await;
-        assert_eq!(answer, format!("ACK {SERVER} out by hand\n"), "now it is in the file");
+        assert_eq!(answer, format!("ACK {SERVER} out by hand\n"), "the override is in the file now");
     });
 }
--- a/node/src/coordination.rs
+++ b/node/src/coordination.rs
@@ -1,8 +1,8 @@
-//! What the decisions see of the coordination with other balancers: the limits that all share, and what others report of
+//! The decision logic's view of the coordination with other balancers: shared limits and other balancers' reports about
 //! servers.
 //!
-//! Nothing here waits for another balancer. A limit that the operators' file does not set binds nobody ([`Coordination`] gives
-//! no wait for it), and without a failure detector no server is suspected.
+//! No call waits for another balancer. A limit that the operators' file does not set is not enforced ([`Coordination`]
+//! returns no wait time for it), and without a failure detector no server is suspected.
 
 mod metrics;
 
@@ -17,20 +17,20 @@
 use crate::cluster_config::ORIGIN_LIMIT;
 pub use metrics::metrics_text;
 
-/// The decisions' view of this balancer's member of the cluster.
+/// The decision logic's view of this balancer's cluster member.
 #[derive(Debug)]
 pub struct ClusterCoordination {
     cluster: Rc<RefCell<Cluster>>,
 }
 
 impl ClusterCoordination {
-    /// The view of this member.
+    /// A view of this member.
     pub fn new(cluster: Rc<RefCell<Cluster>>) -> ClusterCoordination {
         ClusterCoordination { cluster }
     }
 }
 
-/// This member's part of a rate limit; none where there is no such limit, or the server is warm.
+/// This member's share of a rate limit. None if the limit is not configured or the server is not in slow start.
 fn rate_limit(cluster: &mut Cluster, limit: SharedLimit, now: Micros) -> Option<&mut RateLimit> {
     match limit {
         SharedLimit::OriginRate => cluster.rate_limit(ORIGIN_LIMIT),
@@ -44,7 +44,7 @@
     }
 }
 
-/// How long a request to a server that warms up waits; none where the server is warm.
+/// How long a request to a server in slow start has to wait. None if the server is not in slow start.
 fn slow_start_wait(cluster: &mut Cluster, server: ServerId, started: Micros, now: Micros) -> Option<Micros> {
     match cluster.slow_start(ServerIncarnation { server, started }, now) {
         SlowStartAccess::Unlimited => None,
--- a/node/src/coordination/metrics.rs
+++ b/node/src/coordination/metrics.rs
@@ -1,4 +1,4 @@
-//! The figures of the coordination with other balancers, for operators.
+//! The metrics of the coordination with other balancers.
 
 use juniperladder::Micros;
 use juniperladder_cluster::failure_detector::FailureDetectorMetrics;
@@ -7,13 +7,13 @@
 use juniperladder_cluster::ClusterMetrics;
 use juniperladder_dispatch::metrics_text::{MetricKind, MetricsText};
 
-/// The value of an age that is not known.
+/// The value of an unknown contact age.
 const NO_CONTACT: f64 = -1.0;
-/// What the figures call the limit on servers that warm up.
+/// The metric label of the slow start limit.
 const SLOW_START_LIMIT: &str = "cold";
 
-/// The figures in the Prometheus text format. `stated_bound` is what is stated of the origin's limit: the most in any second,
-/// as a multiple of the rate.
+/// Formats the metrics in the Prometheus text format. `stated_bound` is the documented bound of the origin limit: the most
+/// requests in any second, as a multiple of the rate.
 pub fn metrics_text(metrics: &ClusterMetrics, stated_bound: f64) -> String {
     let mut text = MetricsText::default();
     write_members(&mut text, metrics);
--- a/node/src/coordination/tests.rs
+++ b/node/src/coordination/tests.rs
@@ -1,4 +1,4 @@
-//! The decisions' view of a member that is alone, and its figures to the letter.
+//! The decision logic's view of a single member, and the exact text of its metrics.
 
 use juniperladder::Idempotency;
 
@@ -26,12 +26,12 @@
 [verdicts]
 "#;
 const NOW: Micros = Micros::from_secs(1_000);
-/// When the member may use what it owns: a lease and a second after its start.
+/// When the member may use the tokens that it owns: a lease duration and a second after its start.
 const LATER: Micros = Micros::from_secs(1_004);
 const SERVER: ServerId = ServerId(9);
 const SERVER_STARTED: Micros = Micros::from_secs(999);
 
-/// The figures after the events of the test below, as every released version writes them.
+/// The metrics after the events of the test below, as every released version writes them.
 const METRICS: &str = r#"# TYPE app_members gauge
 app_members{state="alive"} 1
 app_members{state="suspect"} 0
--- a/node/src/override_store.rs
+++ b/node/src/override_store.rs
@@ -1,11 +1,11 @@
-//! The store of operator overrides: when they are written to their file, and when those of another process are read.
+//! The store of operator overrides: writes them to a file, and reads those of another process from it.
 //!
-//! Two processes of one balancer run side by side while one replaces the other, and share the file. Guarantee: for as
-//! long as both run, a call of an operator at either holds at both within two [`FILE_CHECK_INTERVAL`]s, and a process
-//! that starts later takes all of them over. An override holds in its own process whether it could be written or not.
+//! While one process of a balancer replaces another, both run and share the file. Guarantee: while both run, an override
+//! set at either takes effect at both within two [`FILE_CHECK_INTERVAL`]s, and a process started later restores all
+//! overrides. An override takes effect in its own process whether it could be written or not.
 //!
-//! A disk may stand still for a second. The file is read and written by the runtime's threads for blocking work, so that
-//! neither requests nor operators' calls wait for it. A failed write is logged once and tried again at every interval.
+//! A disk may stall for a second. The file is read and written on the runtime's blocking threads, so that neither client
+//! requests nor admin calls wait for it. A failed write is logged once and retried at every interval.
 
 mod file;
 
@@ -24,20 +24,21 @@
 use crate::dispatcher::Dispatcher;
 use file::{FileContent, FileVersion, OverrideFileError};
 
-/// How often the file is checked for what another process has written: a call has to hold at both within a second.
+/// How often the file is checked for changes by another process. An override has to take effect at both processes within
+/// a second.
 const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What an operator has decided about a server.
+/// The state of a server as set by an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OverrideState {
-    /// It gets nothing new, whatever discovery says.
+    /// The server gets no new requests, whatever its state in discovery.
     Offline,
-    /// It serves as discovery has it.
+    /// No override: the server's state in discovery applies.
     Online,
 }
 
 impl OverrideState {
-    /// What the log calls it.
+    /// The name in the log.
     pub fn label(self) -> &'static str {
         match self {
             OverrideState::Offline => "offline",
@@ -46,18 +47,18 @@
     }
 }
 
-/// Names one change of an override; later ones are greater.
+/// Identifies a change of an override; a later change has a greater id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ChangeId(u64);
 
 impl ChangeId {
-    /// The change after this one.
+    /// The id of the following change.
     pub fn next(self) -> ChangeId {
         ChangeId(self.0 + 1)
     }
 }
 
-/// Why the overrides in memory and in the file could not be brought together.
+/// Why the overrides in memory and in the file could not be synchronized.
 #[derive(Debug, Error)]
 enum SynchronizeError {
     #[error(transparent)]
@@ -66,15 +67,15 @@
     Task(#[from] JoinError),
 }
 
-/// The overrides of one balancer's process, and the changes that are not in the file yet.
+/// Synchronizes the overrides of one process with the file, and holds the changes that are not in the file yet.
 pub struct OverrideStore {
     dispatcher: Rc<Dispatcher>,
     path: PathBuf,
-    /// Changes that are not in the file yet, by the server's name.
+    /// Changes that are not in the file yet, by server name.
     pending: RefCell<BTreeMap<String, OverrideState>>,
     last_seen: Cell<Option<FileVersion>>,
     last_change: Cell<ChangeId>,
-    /// The last change that was written, or whose write failed.
+    /// The last change that was written or whose write failed.
     last_attempted: watch::Sender<ChangeId>,
     change_recorded: Notify,
     write_failed: Cell<bool>,
@@ -83,12 +84,12 @@
 }
 
 impl OverrideStore {
-    /// The file of the balancer with this name.
+    /// The path of the override file of the balancer with this name.
     pub fn path_for(balancer: &str) -> PathBuf {
         std::env::temp_dir().join(format!("juniperladder-{}.bans", file::file_name_part(balancer)))
     }
 
-    /// Opens the store and restores what an earlier process has left in the file, if there is one.
+    /// Opens the store and restores the overrides in the file, if an earlier process left one.
     pub fn open(dispatcher: Rc<Dispatcher>, path: PathBuf, log: Logger) -> Rc<OverrideStore> {
         let stored = file::read(&path);
         match &stored {
@@ -114,12 +115,12 @@
         })
     }
 
-    /// Whether an earlier process of this balancer's name left an override file; it may have ended long ago.
+    /// Whether an earlier process of the same balancer name left an override file. That process may have ended long ago.
     pub fn found_override_file(&self) -> bool {
         self.found_override_file
     }
 
-    /// Records an operator's change, to be written soon. The number is for [`OverrideStore::wait_until_attempted`].
+    /// Records an operator's change and schedules its write. Returns the id for [`OverrideStore::wait_until_attempted`].
     pub fn record(&self, server: &str, state: OverrideState) -> ChangeId {
         self.pending.borrow_mut().insert(server.to_owned(), state);
         let change = self.last_change.get().next();
@@ -128,9 +129,9 @@
         change
     }
 
-    /// Waits until a change is in the file, or could not be written; [`OverrideStore::is_pending`] tells which.
+    /// Waits until a change has been written or its write has failed; [`OverrideStore::is_pending`] distinguishes the two.
     pub async fn wait_until_attempted(&self, change: ChangeId) {
-        // The store owns the sender, so that the channel is open for as long as anyone waits.
+        // The channel cannot be closed while `self` is borrowed, because the store owns the sender.
         let _ = self.last_attempted.subscribe().wait_for(|attempted| *attempted >= change).await;
     }
 
@@ -139,7 +140,7 @@
         self.pending.borrow().contains_key(server)
     }
 
-    /// Keeps the file and this process the same, for as long as it is polled.
+    /// Keeps this process and the file synchronized; never returns.
     pub async fn run(&self) {
         loop {
             self.synchronize().await;
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Writes the pending changes and applies what is new in the file.
+    /// Writes the pending changes to the file, and applies changes that another process made to it.
     async fn synchronize(&self) {
         let last_change = self.last_change.get();
         let changes = self.pending.borrow().clone();
@@ -176,22 +177,22 @@
         Ok(updated?)
     }
 
-    /// Forgets the changes that were written. One that was recorded meanwhile is written next, and what the file says now
-    /// does not undo it.
+    /// Removes the changes that were written. A change recorded during the write stays pending, so that the file's content
+    /// does not revert it, and is written next.
     fn remove_pending(&self, written: &BTreeMap<String, OverrideState>) {
         self.pending.borrow_mut().retain(|server, state| written.get(server) != Some(state));
     }
 
-    /// Logs the first of several failures that follow each other.
+    /// Logs the first of several consecutive failures.
     fn on_failure(&self, error: &SynchronizeError) {
         let failed_before = self.write_failed.replace(true);
         if !failed_before {
-            warn!(self.log, "operator overrides not written"; "reason" => %error);
+            warn!(self.log, "failed to synchronize operator overrides with their file"; "reason" => %error);
         }
     }
 
-    /// Applies the overrides that the file has and this process lacks, and ends those that the file lacks; `stored` is
-    /// sorted. Servers with a pending change are left as they are.
+    /// Adds the overrides that only the file has, and removes those that only this process has. Servers with a pending
+    /// change are skipped. `stored` is sorted.
     fn apply_stored(&self, stored: &[String]) {
         let own = self.dispatcher.offline_servers();
         for server in stored {
@@ -203,7 +204,7 @@
         for server in &own {
             if stored.binary_search(server).is_err() && !self.is_pending(server) {
                 self.log_change_of_other_process(server, OverrideState::Online);
-                // The server was offline here, so that it is known.
+                // This cannot fail with an unknown server: the server was offline here, so it is known.
                 let _ = self.dispatcher.bring_online(server);
             }
         }
--- a/node/src/override_store/file.rs
+++ b/node/src/override_store/file.rs
@@ -1,7 +1,7 @@
-//! The file of operator overrides: its format, and how it is read and written.
+//! The file of operator overrides: its format, and reading and writing it.
 //!
-//! The file has a line with the format's name and version, one server name a line, sorted, and a last line that shows
-//! that the file was not cut off:
+//! The file has a first line with the format's name and version, one server name per line in sorted order, and a last
+//! line that shows that the file is complete:
 //!
 //! ```text
 //! juniperladder bans 1
@@ -10,11 +10,11 @@
 //! end
 //! ```
 //!
-//! The name in the first line is older than the terms of the code; it stays, so that a process of either version reads
-//! what the other has written.
+//! The name `bans` in the first line predates the terms in the code. It is kept so that old and new versions can read each
+//! other's files.
 //!
-//! Guarantee: a reader finds the file as it was before a write or after it, never a part, and two processes that write at
-//! the same time lose no change of either. All calls here may block on the disk.
+//! Guarantee: writes are atomic for readers, and concurrent writes of two processes lose no change. All functions here may
+//! block on the disk.
 
 use std::collections::BTreeMap;
 use std::fs::{File, Metadata};
@@ -28,37 +28,37 @@
 
 /// The first line: the format's name and version.
 const FORMAT_HEADER: &str = "juniperladder bans 1";
-/// The last line; a file without it was cut off.
+/// The last line; a file without it is truncated.
 const FORMAT_TRAILER: &str = "end";
-/// A larger file was not written by this program: it would hold more servers than a balancer keeps.
+/// The maximum file size. A larger file would hold more servers than a balancer keeps, so this program did not write it.
 const MAX_FILE_BYTES: u64 = 1 << 20;
-/// A name of this many bytes or more is none of discovery's.
+/// The length from which on a server name is invalid; discovery uses no such names.
 const NAME_BYTES_LIMIT: usize = 256;
 
 /// Why the overrides could not be read or written.
 #[derive(Debug, Error)]
 pub enum OverrideFileError {
-    /// There is no file yet.
+    /// The file does not exist yet.
     #[error("there is no file of operator overrides")]
     Missing,
-    /// The file is larger than any that this program writes.
-    #[error("{}: {bytes} bytes, too large to be ours", path.display())]
+    /// The file exceeds [`MAX_FILE_BYTES`].
+    #[error("{}: {bytes} bytes; a file of operator overrides has at most {MAX_FILE_BYTES}", path.display())]
     TooLarge {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Its size.
+        /// The size of the file in bytes.
         bytes: u64,
     },
-    /// The file was cut off, or is another program's or version's.
+    /// The file is truncated, or was written by another program or version.
     #[error("{}: not a complete file of operator overrides of this version", path.display())]
     Malformed {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
     },
-    /// The file may be sound, but can't be read now.
+    /// The file could not be read, and may be valid.
     #[error("the file of operator overrides could not be read: {0}")]
     Read(#[source] io::Error),
-    /// The lock beside the file could not be had.
+    /// The lock file could not be created or locked.
     #[error("the file of operator overrides could not be locked: {0}")]
     Lock(#[source] io::Error),
     /// The file could not be written.
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether the file holds nothing that a write could destroy.
+    /// Whether the file may be overwritten because it holds no valid overrides.
     fn may_overwrite(&self) -> bool {
         matches!(
             self,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Identifies one write of the file: it differs from that of any earlier or later write.
+/// Identifies one write of the file; no two writes have the same version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FileVersion {
     inode: u64,
@@ -109,27 +109,27 @@
     }
 }
 
-/// What the file holds after an update.
+/// The content of the file after an update.
 #[derive(Debug)]
 pub struct FileContent {
-    /// The names of the servers that operators have put offline, sorted.
+    /// The names of the servers that operators have taken offline, sorted.
     pub offline: Vec<String>,
-    /// Which write this is.
+    /// The version of the file.
     pub version: FileVersion,
 }
 
-/// A balancer's name as it may stand in a file's name: what is neither letter, digit, `-` nor `_` becomes `_`.
+/// A balancer's name for use in a file name: characters other than ASCII letters, digits, `-` and `_` are replaced by `_`.
 pub fn file_name_part(name: &str) -> String {
     let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
     name.chars().map(|c| if is_plain(c) { c } else { '_' }).collect()
 }
 
-/// Writes these changes into the file and returns what it holds; none where there is nothing to change and the file is
-/// the `last_seen` one. A file that is missing, malformed or too large is written anew from `own`, the caller's own
-/// overrides; one that can't be read now may hold others and is left as it is.
+/// Merges these changes into the file and returns its content, or none if there are no changes and the file still has the
+/// version `last_seen`. A missing, malformed or too large file is rewritten from `own`, the caller's overrides. A file
+/// that cannot be read may hold other overrides and is left unchanged.
 ///
 /// # Errors
-/// Where the file can't be locked, read or written. It is unchanged then.
+/// The file cannot be locked, read or written; it is unchanged then.
 pub fn update(
     path: &Path,
     own: &[String],
@@ -139,7 +139,7 @@
     if changes.is_empty() && last_seen.is_some() && FileVersion::read(path).ok() == last_seen {
         return Ok(None);
     }
-    // Each write replaces the file, so that the lock is on a file beside it. It ends with this handle.
+    // Each write replaces the file, so a separate file is locked. Dropping the handle releases the lock.
     let lock = File::create(path.with_extension("lock")).map_err(OverrideFileError::Lock)?;
     lock.lock().map_err(OverrideFileError::Lock)?;
     let stored = match read(path) {
@@ -155,7 +155,7 @@
     Ok(Some(FileContent { offline, version }))
 }
 
-/// These names with the changes made to them, sorted, each once.
+/// Applies the changes to these names; the result is sorted and has no duplicates.
 fn merge(names: &[String], changes: &BTreeMap<String, OverrideState>) -> Vec<String> {
     let unchanged = names.iter().filter(|name| !changes.contains_key(*name));
     let added = changes.iter().filter(|(_, state)| **state == OverrideState::Offline);
@@ -165,21 +165,21 @@
     merged
 }
 
-/// Writes the names into a file beside it, which then replaces it.
+/// Writes the names to a temporary file, which then replaces the file.
 pub(super) fn write(path: &Path, names: &[String]) -> Result<(), OverrideFileError> {
     let temporary = path.with_extension(format!("new-{}", std::process::id()));
     let written = std::fs::write(&temporary, format(names)).and_then(|()| std::fs::rename(&temporary, path));
     written.map_err(|error| {
-        // A partly written file takes space that the next attempt needs.
+        // The next attempt may need the space that a partly written file occupies.
         let _ = std::fs::remove_file(&temporary);
         OverrideFileError::Write(error)
     })
 }
 
-/// Reads the names.
+/// Reads the server names in the file.
 ///
 /// # Errors
-/// Where there is no such file, it isn't one of this format, or it can't be read.
+/// The file does not exist, is not of this format, or cannot be read.
 pub fn read(path: &Path) -> Result<Vec<String>, OverrideFileError> {
     let bytes = std::fs::metadata(path).map_err(OverrideFileError::from_read)?.len();
     if bytes > MAX_FILE_BYTES {
--- a/node/src/override_store/file/tests.rs
+++ b/node/src/override_store/file/tests.rs
@@ -1,13 +1,13 @@
-//! The file's format against fixtures, and what is read after a write.
+//! The file format compared with fixtures, and reading after writing.
 
 use super::*;
 
-/// A file of overrides as every released version writes it, to the letter.
+/// An override file, byte for byte as every released version writes it.
 const STORED: &str = "juniperladder bans 1\ns-00000009\ns-0000000a\nend\n";
-/// The same without any override.
+/// An override file without overrides.
 const STORED_EMPTY: &str = "juniperladder bans 1\nend\n";
 
-/// The format is an interface: the process before or after this one may be of another version.
+/// Guards against a change of the format: the predecessor or successor process may run another version.
 #[test]
 fn reads_and_writes_the_stored_form_to_the_letter() {
     let directory = tempfile::tempdir().unwrap();
@@ -39,7 +39,7 @@
         "juniperladder bans 1\ns-00000001\ns-0000000a\nend\n"
     );
     let unchanged = update(&path, &[], &BTreeMap::new(), Some(content.version)).unwrap();
-    assert!(unchanged.is_none(), "the file is the one last seen");
+    assert!(unchanged.is_none(), "the file has not changed since it was last read");
 }
 
 #[test]
--- a/node/src/override_store/tests.rs
+++ b/node/src/override_store/tests.rs
@@ -1,4 +1,4 @@
-//! Two processes of one balancer on one file, and files that are lost, malformed or can't be read or written.
+//! Two processes that share an override file, and files that are deleted, malformed, unreadable or not writable.
 
 use juniperladder::Idempotency;
 
@@ -36,7 +36,8 @@
     }
 }
 
-/// A call at either process holds at both, also calls at both at once, and a third process takes all of them over.
+/// Guards against lost overrides while two processes run: overrides set at either, even at the same time, take effect at
+/// both, and a third process restores them.
 #[test]
 fn a_call_at_either_process_holds_at_both() {
     let directory = tempfile::tempdir().unwrap();
@@ -46,7 +47,7 @@
         assert!(!first.store.found_override_file());
         first.store.synchronize().await;
         let second = Process::start(&path);
-        assert!(second.store.found_override_file(), "the file is there from the first one's start");
+        assert!(second.store.found_override_file(), "the first process creates the file at its start");
         first.offline(ONE);
         second.offline(TWO);
         tokio::join!(first.store.synchronize(), second.store.synchronize());
@@ -83,14 +84,14 @@
     });
 }
 
-/// A file that can't be read for a while is not a missing one: what it holds is taken over once it can.
+/// Guards against overwriting an unreadable file as if it were missing: its overrides are restored once it can be read.
 #[test]
 fn a_file_that_cannot_be_read_now_is_not_written_over() {
     let directory = tempfile::tempdir().unwrap();
     let (path, aside) = (directory.path().join("n0.bans"), directory.path().join("aside"));
     testing::run_on_sockets(async {
         file::write(&path, &[ONE.into()]).unwrap();
-        // A link to itself can't be read, with an error that is not that there is no file, but could be written over.
+        // A symbolic link to itself cannot be read, fails with an error other than NotFound, and could be overwritten.
         std::fs::rename(&path, &aside).unwrap();
         std::os::unix::fs::symlink(&path, &path).unwrap();
         let process = Process::start(&path);
@@ -100,15 +101,15 @@
         std::fs::remove_file(&path).unwrap();
         std::fs::rename(&aside, &path).unwrap();
         process.store.synchronize().await;
-        assert_eq!(process.offline_servers(), [ONE, TWO], "the process before is still listened to");
+        assert_eq!(process.offline_servers(), [ONE, TWO], "the earlier process's override is restored");
         assert_eq!(file::read(&path).unwrap(), [ONE, TWO]);
         let left: Vec<_> =
             std::fs::read_dir(directory.path()).unwrap().map(|entry| entry.unwrap().file_name()).collect();
-        assert_eq!(left.len(), 2, "the file and its lock: {left:?}");
+        assert_eq!(left.len(), 2, "expected the file and its lock, found {left:?}");
     });
 }
 
-/// Calls are answered all the same, and what they ask for holds here.
+/// Guards against admin calls that hang or have no effect when the override file cannot be written.
 #[test]
 fn a_disk_that_cannot_be_written_holds_nobody_up() {
     testing::run_on_sockets(async {
@@ -117,7 +118,7 @@
         process.store.synchronize().await;
         process.store.wait_until_attempted(change).await;
         assert_eq!(process.offline_servers(), [ONE]);
-        assert!(process.store.is_pending(ONE), "it is tried again");
+        assert!(process.store.is_pending(ONE), "the write is retried");
         assert_eq!(process.store.pending.borrow().len(), 1);
     });
 }
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -1,9 +1,9 @@
-//! The connection to the other balancers, by UDP: carries the packets of this balancer's member of the cluster. Only the
-//! operators' file switches it on.
+//! The UDP transport between balancers: carries the packets of this balancer's cluster member. It is enabled only by an
+//! operators' file.
 //!
-//! Guarantee: no packet holds a request up. At most [`PACKETS_PER_TURN`] packets are read in one turn; the rest waits in the
-//! socket's buffer and is lost beyond that. What goes out is bounded by the cluster; what the socket does not take is lost, as
-//! any packet may be, and the cluster's protocol repeats what matters.
+//! Guarantee: packets do not delay requests. At most [`PACKETS_PER_TURN`] packets are read in one turn of the event loop;
+//! further ones wait in the socket's buffer, and are lost when it is full. The cluster bounds the packets to send. A packet
+//! that the socket does not accept is lost; the cluster's protocol tolerates lost packets and repeats what is needed.
 
 use std::cell::RefCell;
 use std::io;
@@ -22,42 +22,42 @@
 use crate::cluster_config::{ClusterConfigFile, MissingPosition};
 use crate::coordination::{metrics_text, ClusterCoordination};
 
-/// How often the cluster does what is due.
+/// The interval between ticks of the cluster member, which run its timers.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// How many packets are read in one turn.
+/// The maximum number of packets read in one turn of the event loop.
 const PACKETS_PER_TURN: usize = 64;
 
-/// Why the other balancers cannot be joined.
+/// Why this balancer cannot join the cluster.
 #[derive(Debug, Error)]
 pub enum PeersError {
     /// The address for peers cannot be bound.
-    #[error("cannot listen for peers on {address}: {source}; give peers.listen a free address")]
+    #[error("cannot listen for peers on {address}: {source}; set peers.listen to a free address")]
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The cluster cannot be configured.
+    /// This balancer's position is not configured.
     #[error(transparent)]
     Position(#[from] MissingPosition),
 }
 
-/// This balancer's member of the cluster, and its socket.
+/// This balancer's cluster member and its socket.
 pub struct Peers {
     cluster: Rc<RefCell<Cluster>>,
     socket: UdpSocket,
     clock: Clock,
-    /// What is stated of the origin's limit, as a multiple of the rate.
+    /// The documented bound of the origin limit, as a multiple of the rate.
     stated_bound: f64,
     log: Logger,
 }
 
 impl Peers {
-    /// Binds the address for peers and becomes a member.
+    /// Binds the address for peers and creates this balancer's cluster member.
     ///
     /// # Errors
-    /// The address can't be bound, or nothing gives this balancer's position.
+    /// The address cannot be bound, or this balancer's position is not configured.
     pub fn start(
         config: &ClusterConfigFile,
         position: Option<u32>,
@@ -71,7 +71,7 @@
         let socket = bind(address).map_err(listen_error)?;
         let bound = socket.local_addr().map_err(listen_error)?;
         let now = clock.now();
-        // The clock counts Unix time, so that a later incarnation has a greater number.
+        // The clock is Unix time, so a later incarnation has a greater number.
         let member = config.member_config(bound, position, settings, now.0, seed)?;
         info!(log, "peer coordination started"; "address" => member.address.to_string(),
             "position" => member.position);
@@ -79,25 +79,25 @@
         Ok(Rc::new(Peers { cluster, socket, clock, stated_bound: config.stated_bound(), log }))
     }
 
-    /// What the decisions see of the cluster.
+    /// The decision logic's view of the cluster.
     pub fn coordination(&self) -> Box<dyn Coordination> {
         Box::new(ClusterCoordination::new(Rc::clone(&self.cluster)))
     }
 
-    /// Carries packets for as long as it is polled.
+    /// Receives and sends packets and ticks the cluster member; never returns.
     pub async fn run(&self) {
         let mut next_tick = Instant::now();
         let mut alive_members = 0;
         loop {
             tokio::select! {
                 () = sleep_until(next_tick) => {}
-                // An error shows at the read.
+                // The next read returns any error.
                 _ = self.socket.readable() => {}
             }
-            // Before each tick, too: a member whose answer has come must not be taken for silent where this process was late.
+            // Also before a tick: after an event loop delay, a member whose answer has arrived must not be suspected.
             self.receive();
             if Instant::now() >= next_tick {
-                // A tick that was missed is not made up for.
+                // Missed ticks are skipped.
                 next_tick = Instant::now() + TICK_INTERVAL;
                 self.cluster.borrow_mut().tick(self.clock.now());
                 self.log_members(&mut alive_members);
@@ -106,12 +106,12 @@
         }
     }
 
-    /// Reads what has come, up to a turn's worth.
+    /// Reads the packets that have arrived, up to [`PACKETS_PER_TURN`].
     fn receive(&self) {
-        // One byte more than any packet has shows that it is too long.
+        // The buffer is one byte longer than the longest valid packet, so that an oversized one is detected.
         let mut packet = [0; MAX_PACKET_BYTES + 1];
         for _ in 0..PACKETS_PER_TURN {
-            // An error is the system's word that an earlier packet reached nobody, or that no packet waits.
+            // The error is either WouldBlock or an ICMP error for an earlier packet.
             let Ok((length, from)) = self.socket.try_recv_from(&mut packet) else { return };
             self.cluster.borrow_mut().on_packet(self.clock.now(), from, &packet[..length]);
         }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Logs how many members are alive where that differs from `last`.
+    /// Logs the number of alive members if it differs from `last`.
     fn log_members(&self, last: &mut usize) {
         let alive = self.cluster.borrow().member_counts().alive;
         if alive != *last {
@@ -132,13 +132,13 @@
         }
     }
 
-    /// Tells the others that this balancer leaves.
+    /// Notifies the other members that this balancer leaves the cluster.
     pub fn leave(&self) {
         self.cluster.borrow_mut().leave(self.clock.now());
         self.send();
     }
 
-    /// The figures in the Prometheus text format.
+    /// The metrics in the Prometheus text format.
     pub fn metrics_text(&self) -> String {
         let metrics = self.cluster.borrow_mut().metrics(self.clock.now());
         metrics_text(&metrics, self.stated_bound)
--- a/node/src/peers/tests.rs
+++ b/node/src/peers/tests.rs
@@ -1,4 +1,4 @@
-//! A member whose event loop is late, beside another that is not.
+//! A member whose event loop is delayed, and a responsive one.
 
 use juniperladder::{Idempotency, Micros};
 use tokio::task::spawn_local;
@@ -7,9 +7,9 @@
 use super::*;
 use crate::testing::{self, settle};
 
-/// The repeats of an order in which two branches are ready at once, so that none is taken first by chance each time.
+/// Repetitions, because the order of branches that are ready at once is random.
 const ROUNDS: usize = 40;
-/// Longer than a probe of a member may take.
+/// An event loop delay longer than a probe of a member may take.
 const LATE_TURN: Duration = Duration::from_millis(1_200);
 
 fn config(position: u32, seed: SocketAddr) -> ClusterConfigFile {
@@ -17,7 +17,7 @@
     ClusterConfigFile::parse(&text).unwrap()
 }
 
-/// A member that answers as soon as it is called.
+/// A member that answers as soon as the test calls [`PromptMember::answer`].
 struct PromptMember {
     cluster: Cluster,
     socket: std::net::UdpSocket,
@@ -33,7 +33,7 @@
         PromptMember { cluster: Cluster::new(member, clock.now()), socket }
     }
 
-    /// Takes what has come, and sends what that makes due.
+    /// Handles the packets that have arrived, and sends the answers.
     fn answer(&mut self, now: Micros) {
         let mut packet = [0; MAX_PACKET_BYTES];
         while let Ok((length, from)) = self.socket.recv_from(&mut packet) {
@@ -46,7 +46,8 @@
     }
 }
 
-/// A member that answered while this process stood still is not suspected: what has come is read before time is judged.
+/// Guards against a false suspicion after an event loop delay: answers that arrived meanwhile are read before timeouts are
+/// evaluated.
 #[test]
 fn a_member_that_answered_in_a_late_turn_is_not_suspected() {
     for round in 0..ROUNDS {
