--- a/node/src/admin.rs
+++ b/node/src/admin.rs
@@ -103,8 +103,8 @@
     ) -> Rc<Admin> {
         let overrides = OverrideStore::open(Rc::clone(&dispatcher), overrides_path, log.clone());
         // Creates the file at the start, so that a successor can detect that it replaces a process.
-        let running = Rc::clone(&overrides);
-        spawn_local(async move { running.run().await });
+        let task_overrides = Rc::clone(&overrides);
+        spawn_local(async move { task_overrides.run().await });
         Rc::new(Admin { dispatcher, class_names, shutdown, overrides, peers, connections, log })
     }
 
@@ -174,11 +174,11 @@
     /// Takes a server offline or brings it online. The override takes effect in this process before the answer waits for
     /// it to be written.
     async fn set_override(&self, server: &str, state: OverrideState) -> String {
-        let applied = match state {
+        let result = match state {
             OverrideState::Offline => self.dispatcher.take_offline(server),
             OverrideState::Online => self.dispatcher.bring_online(server),
         };
-        if let Err(unknown) = applied {
+        if let Err(unknown) = result {
             return nak(&unknown.to_string());
         }
         info!(self.log, "operator override set"; "server" => server, "state" => state.label());
--- a/node/src/admin/tests.rs
+++ b/node/src/admin/tests.rs
@@ -8,75 +8,75 @@
 use tokio::io::{duplex, DuplexStream};
 use tokio::time::Instant;
 
-const CALLERS: usize = 128;
+const MAX_CONNECTIONS: usize = 128;
 const SERVER: &str = "s-00000009";
 
-fn process(dir: &std::path::Path) -> (Rc<Admin>, Rc<Recorder>) {
+fn start_admin(dir: &std::path::Path) -> (Rc<Admin>, Rc<Recorder>) {
     let recorder = Rc::new(Recorder::default());
     let dispatcher = testing::dispatcher(testing::settings(1, Idempotency::Idempotent), recorder.clone(), 2);
     let class_names = vec!["read".into()];
-    let connections = AdminConnections { open: Rc::default(), limit: CALLERS };
+    let connections = AdminConnections { open: Rc::default(), limit: MAX_CONNECTIONS };
     let path = dir.join("n0.bans");
     let admin = Admin::start(dispatcher, class_names, Rc::default(), path, connections, None, log());
     (admin, recorder)
 }
 
-async fn call(admin: &Rc<Admin>, pieces: &[&[u8]]) -> DuplexStream {
-    let (near, mut far) = duplex(4096);
-    admin.serve_in_task(near);
-    for piece in pieces {
+async fn send_call(admin: &Rc<Admin>, chunks: &[&[u8]]) -> DuplexStream {
+    let (server_end, mut client) = duplex(4096);
+    admin.serve_in_task(server_end);
+    for chunk in chunks {
         // A connection beyond the limit is closed at once.
-        let _ = far.write_all(piece).await;
+        let _ = client.write_all(chunk).await;
         testing::settle().await;
     }
-    far
+    client
 }
 
-async fn reply(mut far: DuplexStream) -> String {
-    let mut got = String::new();
-    far.read_to_string(&mut got).await.unwrap();
-    got
+async fn read_answer(mut client: DuplexStream) -> String {
+    let mut answer = String::new();
+    client.read_to_string(&mut answer).await.unwrap();
+    answer
 }
 
 /// Guards against silent connections that block the admin interface: those that send nothing or an incomplete line take a
 /// bounded number of slots, are closed at the timeout without an answer, and do not delay other calls.
 #[test]
-fn callers_that_send_half_a_line_hold_nobody_up_and_are_closed() {
+fn incomplete_calls_time_out_and_delay_no_other_call() {
     let dir = tempfile::tempdir().unwrap();
     testing::run(async {
-        let (admin, _) = process(dir.path());
+        let (admin, _) = start_admin(dir.path());
         let start = Instant::now();
-        let mut slow = Vec::new();
-        for n in 0..CALLERS + 5 {
-            slow.push(call(&admin, &[&b"HEALTH"[..n % 7]]).await);
-            if n + 1 < CALLERS {
-                assert_eq!(reply(call(&admin, &[b"HEAL", b"TH\r\n"]).await).await, "ACK ready\n");
+        let mut incomplete = Vec::new();
+        for n in 0..MAX_CONNECTIONS + 5 {
+            incomplete.push(send_call(&admin, &[&b"HEALTH"[..n % 7]]).await);
+            if n + 1 < MAX_CONNECTIONS {
+                assert_eq!(read_answer(send_call(&admin, &[b"HEAL", b"TH\r\n"]).await).await, "ACK ready\n");
             }
         }
-        assert_eq!((start.elapsed(), admin.connections.open.get()), (Duration::ZERO, CALLERS));
-        for far in slow {
-            assert_eq!(reply(far).await, "");
+        assert_eq!((start.elapsed(), admin.connections.open.get()), (Duration::ZERO, MAX_CONNECTIONS));
+        for client in incomplete {
+            assert_eq!(read_answer(client).await, "");
         }
         assert_eq!((start.elapsed(), admin.connections.open.get()), (READ_IDLE_TIMEOUT, 0));
-        assert_eq!(reply(call(&admin, &[b"HEALTH\n"]).await).await, "ACK ready\n");
+        assert_eq!(read_answer(send_call(&admin, &[b"HEALTH\n"]).await).await, "ACK ready\n");
     });
 }
 
 #[test]
-fn a_line_that_is_no_call_is_answered_nak() {
+fn a_malformed_line_is_answered_with_nak() {
     let dir = tempfile::tempdir().unwrap();
     testing::run(async {
-        let (admin, _) = process(dir.path());
-        let long = [b'x'; 300];
+        let (admin, _) = start_admin(dir.path());
+        let too_long = [b'x'; 300];
         for line in [
             &b"\n"[..],
             b"OFFLINE s-0000abcd\n",
             b"ONLINE a b\n",
             b"\xff\xfe\n",
             b"GET / HTTP/1.1\r\n",
-            &long,
+            &too_long,
         ] {
-            let answer = reply(call(&admin, &[line]).await).await;
+            let answer = read_answer(send_call(&admin, &[line]).await).await;
             assert!(
                 answer.starts_with("NAK ") && answer.ends_with('\n') && answer.lines().count() == 1,
                 "{answer}"
@@ -90,7 +90,7 @@
 fn each_request_is_counted_once_in_its_class() {
     let dir = tempfile::tempdir().unwrap();
     testing::run(async {
-        let (admin, recorder) = process(dir.path());
+        let (admin, recorder) = start_admin(dir.path());
         let dispatcher = &admin.dispatcher;
         let value = Reply::Served(Answer::Value("v".into()));
         let mut answers = Vec::new();
@@ -123,12 +123,12 @@
 /// Guards against calls that wait for the disk: while the override file is locked, calls are answered and take effect, and
 /// the override is written once the lock is released.
 #[test]
-fn a_disk_that_stands_still_holds_no_call_up() {
+fn a_stalled_disk_delays_no_call() {
     let dir = tempfile::tempdir().unwrap();
     testing::run_on_sockets(async {
         let lock = std::fs::File::create(dir.path().join("n0.lock")).unwrap();
         lock.lock().unwrap();
-        let (admin, _) = process(dir.path());
+        let (admin, _) = start_admin(dir.path());
         let answer = admin.answer(Call::Offline(SERVER.into())).await;
         assert_eq!(answer, format!("ACK {SERVER} out by hand; not kept for a successor yet\n"));
         assert_eq!(admin.answer(Call::Health).await, "ACK ready\n");
--- a/node/src/coordination/metrics.rs
+++ b/node/src/coordination/metrics.rs
@@ -8,9 +8,9 @@
 use juniperladder_dispatch::metrics_text::{MetricKind, MetricsText};
 
 /// The value of an unknown contact age.
-const NO_CONTACT: f64 = -1.0;
+const UNKNOWN_CONTACT_AGE: f64 = -1.0;
 /// The metric label of the slow start limit.
-const SLOW_START_LIMIT: &str = "cold";
+const SLOW_START_LIMIT_LABEL: &str = "cold";
 
 /// Formats the metrics in the Prometheus text format. `stated_bound` is the documented bound of the origin limit: the most
 /// requests in any second, as a multiple of the rate.
@@ -23,7 +23,7 @@
         write_rate_limit(&mut text, &limit.name, &limit.metrics);
     }
     if let Some(slow_start) = &metrics.slow_start {
-        write_rate_limit(&mut text, SLOW_START_LIMIT, &slow_start.rate_limits);
+        write_rate_limit(&mut text, SLOW_START_LIMIT_LABEL, &slow_start.rate_limits);
         text.sample("limit_cold_hosts", slow_start.servers);
     }
     if let Some(budget) = &metrics.retry_budget {
@@ -61,7 +61,7 @@
     text.labelled_sample("limit_lent", label, limit.leased_out_tokens);
     text.labelled_sample("limit_borrowed", label, limit.borrowed_tokens);
     text.labelled_sample("limit_wanted", label, limit.demanded_tokens);
-    let contact_age = limit.since_contact.map_or(NO_CONTACT, seconds);
+    let contact_age = limit.since_contact.map_or(UNKNOWN_CONTACT_AGE, seconds);
     text.labelled_sample("limit_contact_age_seconds", label, contact_age);
     text.labelled_sample("limit_short_seconds", label, seconds(limit.short_time));
     text.labelled_sample("limit_denied", label, limit.rejected);
--- a/node/src/coordination/tests.rs
+++ b/node/src/coordination/tests.rs
@@ -27,7 +27,7 @@
 "#;
 const NOW: Micros = Micros::from_secs(1_000);
 /// When the member may use the tokens that it owns: a lease duration and a second after its start.
-const LATER: Micros = Micros::from_secs(1_004);
+const AFTER_FIRST_LEASE: Micros = Micros::from_secs(1_004);
 const SERVER: ServerId = ServerId(9);
 const SERVER_STARTED: Micros = Micros::from_secs(999);
 
@@ -88,7 +88,7 @@
 "#;
 
 #[test]
-fn a_member_that_is_alone_waits_for_its_own_tokens_and_writes_its_figures_to_the_letter() {
+fn a_single_member_waits_for_its_own_tokens_and_writes_the_exact_metrics_text() {
     let config = ClusterConfigFile::parse(FILE).unwrap();
     let settings = testing::settings(1, Idempotency::Idempotent);
     let member = config.member_config("127.0.0.1:7946".parse().unwrap(), None, &settings, 1, 1).unwrap();
@@ -106,10 +106,10 @@
     assert_eq!(coordination.wait_time(SharedLimit::RetryBudget, NOW), Some(Micros::ZERO));
     assert_eq!(coordination.wait_time(slow_start, NOW), Some(WAIT_WITHOUT_TOKENS));
     coordination.on_server_observed(SERVER, SERVER_STARTED, true, NOW);
-    cluster.borrow_mut().tick(LATER);
-    coordination.acquire(SharedLimit::OriginRate, LATER);
-    coordination.on_server_observed(SERVER, SERVER_STARTED, true, LATER);
-    assert!(!coordination.should_avoid(SERVER, SERVER_STARTED, Micros::ZERO, 1.0, LATER));
-    let metrics = cluster.borrow_mut().metrics(LATER);
+    cluster.borrow_mut().tick(AFTER_FIRST_LEASE);
+    coordination.acquire(SharedLimit::OriginRate, AFTER_FIRST_LEASE);
+    coordination.on_server_observed(SERVER, SERVER_STARTED, true, AFTER_FIRST_LEASE);
+    assert!(!coordination.should_avoid(SERVER, SERVER_STARTED, Micros::ZERO, 1.0, AFTER_FIRST_LEASE));
+    let metrics = cluster.borrow_mut().metrics(AFTER_FIRST_LEASE);
     assert_eq!(metrics_text(&metrics, config.stated_bound()), METRICS);
 }
--- a/node/src/override_store.rs
+++ b/node/src/override_store.rs
@@ -171,9 +171,9 @@
         changes: BTreeMap<String, OverrideState>,
     ) -> Result<Option<FileContent>, SynchronizeError> {
         let path = self.path.clone();
-        let own = self.dispatcher.offline_servers();
+        let own_offline = self.dispatcher.offline_servers();
         let last_seen = self.last_seen.get();
-        let updated = spawn_blocking(move || file::update(&path, &own, &changes, last_seen)).await?;
+        let updated = spawn_blocking(move || file::update(&path, &own_offline, &changes, last_seen)).await?;
         Ok(updated?)
     }
 
@@ -194,14 +194,14 @@
     /// Adds the overrides that only the file has, and removes those that only this process has. Servers with a pending
     /// change are skipped. `stored` is sorted.
     fn apply_stored(&self, stored: &[String]) {
-        let own = self.dispatcher.offline_servers();
+        let own_offline = self.dispatcher.offline_servers();
         for server in stored {
-            if own.binary_search(server).is_err() && !self.is_pending(server) {
+            if own_offline.binary_search(server).is_err() && !self.is_pending(server) {
                 self.log_change_of_other_process(server, OverrideState::Offline);
                 self.dispatcher.restore_override(server);
             }
         }
-        for server in &own {
+        for server in &own_offline {
             if stored.binary_search(server).is_err() && !self.is_pending(server) {
                 self.log_change_of_other_process(server, OverrideState::Online);
                 // This cannot fail with an unknown server: the server was offline here, so it is known.
--- a/node/src/override_store/file.rs
+++ b/node/src/override_store/file.rs
@@ -125,14 +125,14 @@
 }
 
 /// Merges these changes into the file and returns its content, or none if there are no changes and the file still has the
-/// version `last_seen`. A missing, malformed or too large file is rewritten from `own`, the caller's overrides. A file
-/// that cannot be read may hold other overrides and is left unchanged.
+/// version `last_seen`. A missing, malformed or too large file is rewritten from `own_offline`, the caller's overrides. A
+/// file that cannot be read may hold other overrides and is left unchanged.
 ///
 /// # Errors
 /// The file cannot be locked, read or written; it is unchanged then.
 pub fn update(
     path: &Path,
-    own: &[String],
+    own_offline: &[String],
     changes: &BTreeMap<String, OverrideState>,
     last_seen: Option<FileVersion>,
 ) -> Result<Option<FileContent>, OverrideFileError> {
@@ -147,7 +147,7 @@
         Err(error) if error.may_overwrite() => None,
         Err(error) => return Err(error),
     };
-    let offline = merge(stored.as_deref().unwrap_or(own), changes);
+    let offline = merge(stored.as_deref().unwrap_or(own_offline), changes);
     if stored.as_ref() != Some(&offline) {
         write(path, &offline)?;
     }
@@ -168,8 +168,8 @@
 /// Writes the names to a temporary file, which then replaces the file.
 pub(super) fn write(path: &Path, names: &[String]) -> Result<(), OverrideFileError> {
     let temporary = path.with_extension(format!("new-{}", std::process::id()));
-    let written = std::fs::write(&temporary, format(names)).and_then(|()| std::fs::rename(&temporary, path));
-    written.map_err(|error| {
+    let result = std::fs::write(&temporary, format(names)).and_then(|()| std::fs::rename(&temporary, path));
+    result.map_err(|error| {
         // The next attempt may need the space that a partly written file occupies.
         let _ = std::fs::remove_file(&temporary);
         OverrideFileError::Write(error)
--- a/node/src/override_store/file/tests.rs
+++ b/node/src/override_store/file/tests.rs
@@ -9,7 +9,7 @@
 
 /// Guards against a change of the format: the predecessor or successor process may run another version.
 #[test]
-fn reads_and_writes_the_stored_form_to_the_letter() {
+fn the_file_format_is_stable() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("n0.bans");
     for (stored, names) in
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn changes_are_written_in_the_order_of_the_names() {
+fn changes_are_merged_in_sorted_order() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("n0.bans");
     std::fs::write(&path, STORED).unwrap();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn overrides_outlive_the_process_that_wrote_them() {
+fn written_overrides_are_read_back() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("n0.bans");
     assert!(matches!(read(&path), Err(OverrideFileError::Missing)), "none yet");
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_file_that_is_cut_off_or_foreign_is_malformed() {
+fn a_truncated_or_foreign_file_is_malformed() {
     let complete = format!("{FORMAT_HEADER}\ns-1\n{FORMAT_TRAILER}\n");
     assert_eq!(parse(complete.as_bytes()).unwrap(), ["s-1"]);
     for cut in 0..complete.len() {
--- a/node/src/peers/tests.rs
+++ b/node/src/peers/tests.rs
@@ -8,29 +8,29 @@
 use crate::testing::{self, settle};
 
 /// Repetitions, because the order of branches that are ready at once is random.
-const ROUNDS: usize = 40;
+const REPETITIONS: usize = 40;
 /// An event loop delay longer than a probe of a member may take.
-const LATE_TURN: Duration = Duration::from_millis(1_200);
+const EVENT_LOOP_DELAY: Duration = Duration::from_millis(1_200);
 
 fn config(position: u32, seed: SocketAddr) -> ClusterConfigFile {
     let text = format!("[peers]\nlisten = \"127.0.0.1:0\"\nseeds = [\"{seed}\"]\nposition = {position}\n");
     ClusterConfigFile::parse(&text).unwrap()
 }
 
-/// A member that answers as soon as the test calls [`PromptMember::answer`].
-struct PromptMember {
+/// A member that answers as soon as the test calls [`ResponsiveMember::answer`].
+struct ResponsiveMember {
     cluster: Cluster,
     socket: std::net::UdpSocket,
 }
 
-impl PromptMember {
-    fn start(clock: Clock) -> PromptMember {
+impl ResponsiveMember {
+    fn start(clock: Clock) -> ResponsiveMember {
         let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
         socket.set_nonblocking(true).unwrap();
         let address = socket.local_addr().unwrap();
         let settings = testing::settings(1, Idempotency::Idempotent);
         let member = config(1, address).member_config(address, None, &settings, clock.now().0, 2).unwrap();
-        PromptMember { cluster: Cluster::new(member, clock.now()), socket }
+        ResponsiveMember { cluster: Cluster::new(member, clock.now()), socket }
     }
 
     /// Handles the packets that have arrived, and sends the answers.
@@ -49,27 +49,27 @@
 /// Guards against a false suspicion after an event loop delay: answers that arrived meanwhile are read before timeouts are
 /// evaluated.
 #[test]
-fn a_member_that_answered_in_a_late_turn_is_not_suspected() {
-    for round in 0..ROUNDS {
+fn a_member_that_answered_during_a_stall_is_not_suspected() {
+    for repetition in 0..REPETITIONS {
         testing::run(async {
             let clock = Clock::start();
-            let mut prompt = PromptMember::start(clock);
-            let seed_member = prompt.socket.local_addr().unwrap();
+            let mut responsive = ResponsiveMember::start(clock);
+            let seed_member = responsive.socket.local_addr().unwrap();
             let settings = testing::settings(1, Idempotency::Idempotent);
             let peers =
                 Peers::start(&config(0, seed_member), None, &settings, 1, clock, testing::log()).unwrap();
-            let running = Rc::clone(&peers);
-            spawn_local(async move { running.run().await });
-            let ticks = 40 + round;
+            let task_peers = Rc::clone(&peers);
+            spawn_local(async move { task_peers.run().await });
+            let ticks = 40 + repetition;
             for _ in 0..ticks {
                 advance(TICK_INTERVAL).await;
                 settle().await;
-                prompt.answer(clock.now());
+                responsive.answer(clock.now());
             }
             assert_eq!(peers.cluster.borrow().member_counts().alive, 2);
-            advance(LATE_TURN).await;
+            advance(EVENT_LOOP_DELAY).await;
             settle().await;
-            assert_eq!(peers.cluster.borrow().member_counts().suspect, 0, "round {round}");
+            assert_eq!(peers.cluster.borrow().member_counts().suspect, 0, "repetition {repetition}");
         });
     }
 }
