--- a/node/src/cluster_config.rs
+++ b/node/src/cluster_config.rs
@@ -1,12 +1,12 @@
-//! The operators' file (TOML): how this balancer coordinates with others. Without the file no address is bound for peers, and
-//! nothing of what it could switch on is spawned or allocated.
+//! The operators' file (TOML): configures how this balancer coordinates with others. Without the file no address is bound
+//! for peers, and none of the features that it enables is started or allocated.
 //!
-//! Each key is mapped to the code's term once, by serde; an unknown key is an error. `deploy/operator.example.toml` has every
-//! key at its default, with what it means, and `deploy/operator.schema.json` is derived from the types here: the `schemars`
-//! attributes keep its names and descriptions, which operators' editors show.
+//! Serde maps each key to the term used in the code; an unknown key is an error. `deploy/operator.example.toml` documents
+//! every key with its default. `deploy/operator.schema.json`, which editors use for completion and help, is derived from
+//! the types in this module: the `schemars` attributes keep the names in it, and the doc comments are its descriptions.
 //!
-//! Keys end in `_ms` (milliseconds) or `_per_s` where they have a unit; the others are shares or counts. A file that can't be
-//! used is a [`ClusterConfigError`] of one line, with the file's line, the key and what would be right.
+//! Keys with a unit end in `_ms` (milliseconds) or `_per_s`; the others are shares or counts. An invalid file is reported
+//! as a [`ClusterConfigError`] of one line, with the line in the file, the key and the valid values.
 
 mod check;
 mod member_config;
@@ -19,69 +19,37 @@
 
 pub use member_config::{MissingPosition, ORIGIN_LIMIT};
 
-/// The whole file.
+/// The operators' file.
 #[derive(Debug, Deserialize)]
 #[cfg_attr(test, derive(schemars::JsonSchema), schemars(rename = "Operator"))]
 #[serde(deny_unknown_fields)]
 pub struct ClusterConfigFile {
-    /// How the balancers reach each other.
-    #[cfg_attr(test, schemars(description = "Talk between balancers."))]
+    /// The transport between balancers.
     pub peers: PeerConfig,
-    /// Limits that hold for all balancers together.
+    /// Limits shared by all balancers.
     #[serde(default)]
     pub limits: LimitsConfig,
-    /// The failure detector; without it each balancer goes by its own evidence alone.
+    /// The failure detector; without it each balancer relies on its own observations alone.
     #[serde(rename = "verdicts")]
-    #[cfg_attr(
-        test,
-        schemars(description = "Verdicts on hosts; left out, each balancer finds out for itself alone.")
-    )]
     pub failure_detector: Option<FailureDetectorConfig>,
 }
 
-/// The failure detector: what one balancer finds out about a silent server spares the others. The same in every balancer's
-/// file.
+/// The failure detector: balancers share reports of silent servers. Must be the same in every balancer's file.
 #[derive(Debug, Deserialize)]
-#[cfg_attr(
-    test,
-    derive(schemars::JsonSchema),
-    schemars(
-        rename = "Verdicts",
-        description = "Verdicts on hosts: what one balancer sees of a silent host spares the others. The same in every \
-                       balancer's file."
-    )
-)]
+#[cfg_attr(test, derive(schemars::JsonSchema), schemars(rename = "Verdicts"))]
 #[serde(deny_unknown_fields, default)]
 pub struct FailureDetectorConfig {
-    /// How many balancers have to report a server silent before others avoid it.
+    /// The number of balancers that must report a server as silent before the others avoid it.
     #[serde(rename = "witnesses")]
-    #[cfg_attr(
-        test,
-        schemars(description = "How many balancers have to find a host silent before others pass it by.")
-    )]
     pub min_reporters: usize,
-    /// How long a report counts after what it reports was observed.
+    /// How long a report is valid after the observation that it reports, in milliseconds.
     #[serde(rename = "expiry_ms")]
-    #[cfg_attr(
-        test,
-        schemars(
-            description = "How long a word acts after its balancer saw what it tells, in milliseconds."
-        )
-    )]
     pub report_lifetime_ms: u64,
-    /// The largest share of all servers that is avoided because of others' reports.
+    /// The maximum share of all servers that a balancer avoids because of other balancers' reports.
     #[serde(rename = "most")]
-    #[cfg_attr(
-        test,
-        schemars(description = "The part of all hosts that is passed by on others' word at the most.")
-    )]
     pub max_suspected_share: f64,
-    /// How often all balancers together try a server that they avoid.
+    /// The number of trial requests per second that all balancers together send to an avoided server.
     #[serde(rename = "tries_per_s")]
-    #[cfg_attr(
-        test,
-        schemars(description = "How often a second all balancers together try a host that they pass by.")
-    )]
     pub trials_per_s: f64,
 }
 
@@ -96,94 +64,49 @@
     }
 }
 
-/// How the balancers reach each other.
+/// The transport between balancers.
 #[derive(Debug, Deserialize)]
-#[cfg_attr(
-    test,
-    derive(schemars::JsonSchema),
-    schemars(rename = "Peers", description = "Talk between balancers.")
-)]
+#[cfg_attr(test, derive(schemars::JsonSchema), schemars(rename = "Peers"))]
 #[serde(deny_unknown_fields)]
 pub struct PeerConfig {
-    /// Where this balancer listens for the others: an address on a network that only balancers reach, and a UDP port.
+    /// The address and UDP port on which this balancer listens for the others, in a network that only balancers reach.
     #[serde(rename = "listen")]
-    #[cfg_attr(
-        test,
-        schemars(
-            description = "Where this balancer hears the others: an address on a network that only balancers reach, and a \
-                           UDP port."
-        )
-    )]
     pub listen_address: SocketAddr,
-    /// The address at which the others reach it; by default the one that it listens at.
+    /// The address at which the others reach this balancer; by default the listen address.
     #[serde(default, rename = "address")]
-    #[cfg_attr(
-        test,
-        schemars(description = "The address that the others know it by; by default the one it listens at.")
-    )]
     pub advertised_address: Option<SocketAddr>,
-    /// Members to contact first; a few that are likely to be there.
-    #[cfg_attr(
-        test,
-        schemars(description = "Members that are called first; a few that are likely to be there.")
-    )]
+    /// The addresses of members to contact first; a few that are likely to be running.
     pub seeds: Vec<SocketAddr>,
-    /// Its place in the fleet, from 0; by default `position` in the settings. No two processes may have the same.
+    /// This balancer's position in the fleet, from 0 and unique; by default `position` in the settings.
     #[serde(default)]
     pub position: Option<u32>,
 }
 
-/// Limits that hold for all balancers together. The same in every balancer's file: members whose files differ share
-/// nothing.
+/// Limits shared by all balancers. Must be the same in every balancer's file: members whose files differ share nothing.
 #[derive(Debug, Deserialize)]
 #[cfg_attr(test, derive(schemars::JsonSchema), schemars(rename = "Limits"))]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitsConfig {
-    /// Among how many positions each limit is divided; by default `balancers` in the settings.
+    /// The number of positions among which each limit is divided; by default `balancers` in the settings.
     #[serde(rename = "holders")]
     pub owners: Option<u32>,
-    /// How long a lease lasts after it was last requested.
-    #[cfg_attr(
-        test,
-        schemars(description = "How long a loan holds after it was last asked for, in milliseconds.")
-    )]
+    /// How long a lease lasts after its last request, in milliseconds.
     pub lease_ms: u64,
-    /// The share by which clocks may run faster or slower than each other.
+    /// The maximum relative difference in speed between the balancers' clocks.
     #[serde(rename = "drift")]
-    #[cfg_attr(
-        test,
-        schemars(description = "By which part clocks may run faster or slower than each other.")
-    )]
     pub clock_drift: f64,
-    /// By how much requests may differ in the time that they take to the origin: so much over a second is the stated bound.
+    /// The maximum difference in transit time between requests to the origin, in milliseconds. The stated bound is the rate
+    /// over a second plus this time.
     #[serde(rename = "spread_ms")]
-    #[cfg_attr(
-        test,
-        schemars(
-            description = "By how much sends may differ in the time that they take to the origin, in milliseconds: so much \
-                           over a second is\nthe stated bound."
-        )
-    )]
     pub arrival_spread_ms: u64,
-    /// Fetches and writes at the origin.
+    /// The rate limit on fetches and writes at the origin.
     #[serde(rename = "origin")]
     pub origin_rate: Option<RateConfig>,
-    /// Requests to each server that warms up: the rate of a warm one; the share that a new one bears is in the settings.
+    /// The rate limit on each server in slow start: the rate of a warm server. The settings have the initial share of it.
     #[serde(rename = "cold")]
-    #[cfg_attr(
-        test,
-        schemars(
-            description = "Sends to each host that warms up: what a warm one bears; the part that a cold one bears is in the \
-                           settings."
-        )
-    )]
     pub slow_start_rate: Option<RateConfig>,
-    /// The retry budget, hedged requests included.
+    /// The retry budget; it also covers hedged requests.
     #[serde(rename = "second")]
-    #[cfg_attr(
-        test,
-        schemars(description = "Second tries, second copies included, as a budget over first tries.")
-    )]
     pub retry_budget: Option<RetryBudgetConfig>,
 }
 
@@ -203,20 +126,14 @@
 
 /// The retry budget of all balancers together.
 #[derive(Debug, Deserialize)]
-#[cfg_attr(
-    test,
-    derive(schemars::JsonSchema),
-    schemars(rename = "Second", description = "A budget of second tries.")
-)]
+#[cfg_attr(test, derive(schemars::JsonSchema), schemars(rename = "Second"))]
 #[serde(deny_unknown_fields, default)]
 pub struct RetryBudgetConfig {
-    /// Retries for each first attempt.
+    /// The number of retries allowed per first attempt.
     #[serde(rename = "share")]
-    #[cfg_attr(test, schemars(description = "Second tries for each first try."))]
     pub retries_per_first_attempt: f64,
-    /// How many credits for a retry a balancer may have saved up.
+    /// The maximum number of retry credits that a balancer may have saved up.
     #[serde(rename = "saved")]
-    #[cfg_attr(test, schemars(description = "How many a balancer may have saved up."))]
     pub max_saved_credits: f64,
 }
 
@@ -226,57 +143,56 @@
     }
 }
 
-/// A rate for all balancers together.
+/// A rate limit on all balancers together.
 #[derive(Debug, Deserialize)]
 #[cfg_attr(test, derive(schemars::JsonSchema), schemars(rename = "Rate"))]
 #[serde(deny_unknown_fields)]
 pub struct RateConfig {
-    /// Requests a second.
+    /// The number of requests per second.
     #[serde(rename = "per_s")]
-    #[cfg_attr(test, schemars(description = "Commands a second."))]
     pub requests_per_s: u32,
 }
 
-/// Why an operators' file can't be used.
+/// Why the operators' file cannot be loaded.
 #[derive(Debug, Error)]
 pub enum ClusterConfigError {
-    /// It can't be read.
+    /// The file cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     Read {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What went wrong.
+        /// The error of the read.
         source: std::io::Error,
     },
-    /// What it says can't be used.
+    /// The content of the file is invalid.
     #[error("{}: {source}", path.display())]
     Invalid {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// The error in the content.
         source: InvalidClusterConfig,
     },
 }
 
-/// What is wrong with the text of an operators' file.
+/// An error in the text of an operators' file.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum InvalidClusterConfig {
-    /// It is no TOML, or has a key or a kind of value that it may not have.
+    /// The text is not valid TOML, or has an unknown key or a value of the wrong type.
     #[error("{}{message}", line_prefix(*line))]
     Syntax {
-        /// The line, from 1, where it is known.
+        /// The line number, from 1, if known.
         line: Option<usize>,
-        /// What is wrong there, in one line.
+        /// The parser's message, in one line.
         message: String,
     },
-    /// A value is out of its range.
+    /// A value is out of range.
     #[error("{}{key}: {expected}", line_prefix(*line))]
     Value {
-        /// The line, from 1, where the key stands in the text.
+        /// The line number, from 1, if the text sets the key.
         line: Option<usize>,
-        /// The key, with the tables that it stands in.
+        /// The key, including its tables.
         key: &'static str,
-        /// What would be right.
+        /// The valid values.
         expected: String,
     },
 }
@@ -289,7 +205,7 @@
     /// Reads the file.
     ///
     /// # Errors
-    /// The file can't be read, or what it says can't be used.
+    /// The file cannot be read, or its content is invalid.
     pub fn read(path: &Path) -> Result<ClusterConfigFile, ClusterConfigError> {
         let path = path.to_owned();
         match std::fs::read_to_string(&path) {
@@ -300,10 +216,10 @@
         }
     }
 
-    /// Reads a file's text.
+    /// Parses the text of the file.
     ///
     /// # Errors
-    /// The text has no form that is known, or a value is out of its range.
+    /// The text does not match the file's schema, or a value is out of range.
     pub fn parse(text: &str) -> Result<ClusterConfigFile, InvalidClusterConfig> {
         let config: ClusterConfigFile = toml::from_str(text).map_err(|error| syntax_error(text, &error))?;
         check::check(&config).map_err(|invalid| InvalidClusterConfig::Value {
--- a/node/src/cluster_config/check.rs
+++ b/node/src/cluster_config/check.rs
@@ -1,4 +1,4 @@
-//! The ranges of the operators' file. The first key that is out of its range is reported, in the order of the checks.
+//! The value ranges of the operators' file. Only the first value out of range is reported, in the order of the checks.
 
 use std::fmt::Display;
 use std::ops::RangeInclusive;
@@ -15,17 +15,17 @@
 const REQUESTS_PER_S: RangeInclusive<u32> = 1..=1_000_000;
 const RETRIES_PER_FIRST_ATTEMPT: RangeInclusive<f64> = 0.0..=3.0;
 const MAX_SAVED_CREDITS: RangeInclusive<f64> = 1.0..=1_000.0;
-/// From 2, as nobody is believed alone.
+/// At least 2, because the report of a single balancer is not trusted.
 const MIN_REPORTERS: RangeInclusive<usize> = 2..=16;
 const REPORT_LIFETIME_MS: RangeInclusive<u64> = 2_000..=30_000;
 const MAX_SUSPECTED_SHARE: RangeInclusive<f64> = 0.0..=0.5;
 const TRIALS_PER_S: RangeInclusive<f64> = 0.1..=20.0;
 
-/// A value out of its range.
+/// A value out of range.
 pub(super) struct InvalidValue {
-    /// The key, with the tables that it stands in.
+    /// The key, including its tables.
     pub(super) key: &'static str,
-    /// What would be right.
+    /// The valid values.
     pub(super) expected: String,
 }
 
@@ -41,12 +41,12 @@
 }
 
 fn check_peers(peers: &PeerConfig) -> Checked {
-    require(!peers.seeds.is_empty(), "peers.seeds", "name at least one member that others call first")?;
+    require(!peers.seeds.is_empty(), "peers.seeds", "list at least one member to contact first")?;
     let advertised = peers.advertised_address.unwrap_or(peers.listen_address);
     require(
         !advertised.ip().is_unspecified(),
         "peers.address",
-        "others cannot call 0.0.0.0; give the address that they reach",
+        "others cannot reach 0.0.0.0 or ::; set the address at which they reach this balancer",
     )
 }
 
@@ -59,7 +59,7 @@
     require(
         CLOCK_DRIFT.contains(&limits.clock_drift),
         "limits.drift",
-        &format!("a part {}", from_to(&CLOCK_DRIFT)),
+        &format!("a share {}", from_to(&CLOCK_DRIFT)),
     )?;
     let is_in_range = limits.arrival_spread_ms <= MAX_ARRIVAL_SPREAD_MS;
     require(is_in_range, "limits.spread_ms", &format!("at most {MAX_ARRIVAL_SPREAD_MS} ms"))?;
@@ -72,19 +72,19 @@
 
 fn check_rate(key: &'static str, rate: Option<&RateConfig>) -> Checked {
     let is_in_range = rate.is_none_or(|rate| REQUESTS_PER_S.contains(&rate.requests_per_s));
-    require(is_in_range, key, &format!("{} a second", from_to(&REQUESTS_PER_S)))
+    require(is_in_range, key, &format!("{} per second", from_to(&REQUESTS_PER_S)))
 }
 
 fn check_retry_budget(budget: &RetryBudgetConfig) -> Checked {
     require(
         RETRIES_PER_FIRST_ATTEMPT.contains(&budget.retries_per_first_attempt),
         "limits.second.share",
-        &format!("a part of the first tries, {}", from_to(&RETRIES_PER_FIRST_ATTEMPT)),
+        &format!("retries per first attempt, {}", from_to(&RETRIES_PER_FIRST_ATTEMPT)),
     )?;
     require(
         MAX_SAVED_CREDITS.contains(&budget.max_saved_credits),
         "limits.second.saved",
-        &format!("{} of each balancer", from_to(&MAX_SAVED_CREDITS)),
+        &format!("retry credits per balancer, {}", from_to(&MAX_SAVED_CREDITS)),
     )
 }
 
@@ -92,7 +92,7 @@
     require(
         MIN_REPORTERS.contains(&failure_detector.min_reporters),
         "verdicts.witnesses",
-        &format!("from {}, as nobody is believed alone, to {}", MIN_REPORTERS.start(), MIN_REPORTERS.end()),
+        &format!("{}; a single report is not trusted", from_to(&MIN_REPORTERS)),
     )?;
     require(
         REPORT_LIFETIME_MS.contains(&failure_detector.report_lifetime_ms),
@@ -102,16 +102,16 @@
     require(
         MAX_SUSPECTED_SHARE.contains(&failure_detector.max_suspected_share),
         "verdicts.most",
-        &format!("a part of the hosts, {}", from_to(&MAX_SUSPECTED_SHARE)),
+        &format!("a share of the servers, {}", from_to(&MAX_SUSPECTED_SHARE)),
     )?;
     require(
         TRIALS_PER_S.contains(&failure_detector.trials_per_s),
         "verdicts.tries_per_s",
-        &format!("{} a second", from_to(&TRIALS_PER_S)),
+        &format!("{} per second", from_to(&TRIALS_PER_S)),
     )
 }
 
-/// The bounds of a range as an error names them.
+/// Formats the bounds of a range for an error.
 fn from_to<T: Display>(range: &RangeInclusive<T>) -> String {
     format!("from {} to {}", range.start(), range.end())
 }
--- a/node/src/cluster_config/member_config.rs
+++ b/node/src/cluster_config/member_config.rs
@@ -1,4 +1,4 @@
-//! From the operators' file and the settings to the cluster's own configuration of one member.
+//! Derives the configuration of a cluster member from the operators' file and the settings.
 
 use std::net::SocketAddr;
 
@@ -12,22 +12,22 @@
 
 use super::{ClusterConfigFile, FailureDetectorConfig, LimitsConfig, RateConfig, RetryBudgetConfig};
 
-/// The name of the origin's limit, on the wire and in the figures.
+/// The name of the origin's rate limit, on the wire and in the metrics.
 pub const ORIGIN_LIMIT: &str = "origin";
-/// The share of its capacity that a server has at its start where the settings do not say.
+/// The initial share of a server's capacity in slow start, if the settings do not set one.
 const DEFAULT_SLOW_START_INITIAL_SHARE: f64 = 0.05;
 
-/// Neither the file nor the settings give this balancer's position.
+/// Neither the operators' file nor the settings set this balancer's position.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("peers.position: the settings name no position; give one here")]
+#[error("peers.position: missing, and the settings have no position; set it in either")]
 pub struct MissingPosition;
 
 impl ClusterConfigFile {
-    /// The configuration of this member. `bound` is the address at which it listens; the position and the number of owners
-    /// come from the settings where the file leaves them out. A later `incarnation` has a greater number.
+    /// The configuration of this member. `bound` is the address on which it listens; the position and the number of owners
+    /// are taken from the settings if the file does not set them. A later `incarnation` has a greater number.
     ///
     /// # Errors
-    /// Neither the file nor the settings give the position.
+    /// Neither the file nor the settings set the position.
     pub fn member_config(
         &self,
         bound: SocketAddr,
@@ -59,7 +59,7 @@
         })
     }
 
-    /// What is stated for each limit: the most in any second, as a multiple of the rate.
+    /// The documented bound of each limit: the most requests in any second, as a multiple of the rate.
     pub fn stated_bound(&self) -> f64 {
         1.0 + self.limits.arrival_spread_ms as f64 / 1e3
     }
--- a/node/src/cluster_config/tests.rs
+++ b/node/src/cluster_config/tests.rs
@@ -1,4 +1,5 @@
-//! The operators' file against the example, the schema and a fixture with every key; ranges; the member's configuration.
+//! The operators' file compared with its example, its schema and a fixture of every key; value ranges; the configuration
+//! of a member.
 
 use juniperladder::{Micros, Settings};
 
@@ -32,7 +33,7 @@
     }
 }
 
-/// `deploy/operator.schema.json` is what the types say; write it anew with `JUNIPERLADDER_WRITE=1`.
+/// Guards against an outdated `deploy/operator.schema.json`; regenerate it with `JUNIPERLADDER_WRITE=1`.
 #[test]
 fn the_schema_is_that_of_the_types() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/operator.schema.json");
@@ -43,7 +44,7 @@
     assert_eq!(std::fs::read_to_string(path).unwrap(), schema);
 }
 
-/// The example with all that it leaves out switched on.
+/// The example with all commented-out keys enabled.
 fn uncommented() -> String {
     let on = |line: &str| match line.strip_prefix("# ") {
         Some(rest) if rest.starts_with('[') || rest.contains(" = ") && !rest.contains('`') => rest.to_owned(),
@@ -77,10 +78,10 @@
         ("lease_ms = 2000", "leasems = 5", "unknown field `leasems`, expected one of"),
         ("per_s = 400", "per_s = -4", "invalid value"),
         ("per_s = 400", "per_s = 0", "limits.origin.per_s: from 1"),
-        ("drift = 0.001", "drift = 2.0", "limits.drift: a part from 0"),
-        ("share = 0.4", "share = 40", "limits.second.share: a part"),
-        ("witnesses = 3", "witnesses = 1", "verdicts.witnesses: from 2, as nobody"),
-        ("most = 0.34", "most = 0.9", "verdicts.most: a part of the hosts"),
+        ("drift = 0.001", "drift = 2.0", "limits.drift: a share from 0"),
+        ("share = 0.4", "share = 40", "limits.second.share: retries per first attempt, from 0"),
+        ("witnesses = 3", "witnesses = 1", "verdicts.witnesses: from 2 to 16; a single"),
+        ("most = 0.34", "most = 0.9", "verdicts.most: a share of the servers"),
         ("expiry_ms = 6000", "expiry_ms = 100", "verdicts.expiry_ms: from 2000"),
     ];
     for (sound, broken, expected) in cases {
@@ -151,7 +152,7 @@
     assert_eq!(config.stated_bound(), 1.05);
 }
 
-/// An operators' file with every key, each at a value of its own.
+/// An operators' file with every key, each with a distinct value.
 const EVERY_KEY: &str = r#"
 [peers]
 listen = "127.0.0.1:7946"
@@ -182,7 +183,7 @@
 tries_per_s = 2.3
 "#;
 
-/// The keys are an interface: operators write them.
+/// Guards against a renamed or swapped key; operators' files depend on the keys.
 #[test]
 fn every_key_has_its_place() {
     let config = ClusterConfigFile::parse(EVERY_KEY).unwrap();
