--- a/node/src/cluster_config/check.rs
+++ b/node/src/cluster_config/check.rs
@@ -29,9 +29,9 @@
     pub(super) expected: String,
 }
 
-type Checked = Result<(), InvalidValue>;
+type CheckResult = Result<(), InvalidValue>;
 
-pub(super) fn check(config: &ClusterConfigFile) -> Checked {
+pub(super) fn check(config: &ClusterConfigFile) -> CheckResult {
     check_peers(&config.peers)?;
     check_limits(&config.limits)?;
     if let Some(failure_detector) = &config.failure_detector {
@@ -40,7 +40,7 @@
     Ok(())
 }
 
-fn check_peers(peers: &PeerConfig) -> Checked {
+fn check_peers(peers: &PeerConfig) -> CheckResult {
     require(!peers.seeds.is_empty(), "peers.seeds", "list at least one member to contact first")?;
     let advertised = peers.advertised_address.unwrap_or(peers.listen_address);
     require(
@@ -50,16 +50,16 @@
     )
 }
 
-fn check_limits(limits: &LimitsConfig) -> Checked {
+fn check_limits(limits: &LimitsConfig) -> CheckResult {
     require(
         LEASE_MS.contains(&limits.lease_ms),
         "limits.lease_ms",
-        &format!("a lease lasts {} ms", from_to(&LEASE_MS)),
+        &format!("a lease lasts {} ms", format_range(&LEASE_MS)),
     )?;
     require(
         CLOCK_DRIFT.contains(&limits.clock_drift),
         "limits.drift",
-        &format!("a share {}", from_to(&CLOCK_DRIFT)),
+        &format!("a share {}", format_range(&CLOCK_DRIFT)),
     )?;
     let is_in_range = limits.arrival_spread_ms <= MAX_ARRIVAL_SPREAD_MS;
     require(is_in_range, "limits.spread_ms", &format!("at most {MAX_ARRIVAL_SPREAD_MS} ms"))?;
@@ -70,54 +70,54 @@
     limits.retry_budget.as_ref().map_or(Ok(()), check_retry_budget)
 }
 
-fn check_rate(key: &'static str, rate: Option<&RateConfig>) -> Checked {
+fn check_rate(key: &'static str, rate: Option<&RateConfig>) -> CheckResult {
     let is_in_range = rate.is_none_or(|rate| REQUESTS_PER_S.contains(&rate.requests_per_s));
-    require(is_in_range, key, &format!("{} per second", from_to(&REQUESTS_PER_S)))
+    require(is_in_range, key, &format!("{} per second", format_range(&REQUESTS_PER_S)))
 }
 
-fn check_retry_budget(budget: &RetryBudgetConfig) -> Checked {
+fn check_retry_budget(budget: &RetryBudgetConfig) -> CheckResult {
     require(
         RETRIES_PER_FIRST_ATTEMPT.contains(&budget.retries_per_first_attempt),
         "limits.second.share",
-        &format!("retries per first attempt, {}", from_to(&RETRIES_PER_FIRST_ATTEMPT)),
+        &format!("retries per first attempt, {}", format_range(&RETRIES_PER_FIRST_ATTEMPT)),
     )?;
     require(
         MAX_SAVED_CREDITS.contains(&budget.max_saved_credits),
         "limits.second.saved",
-        &format!("retry credits per balancer, {}", from_to(&MAX_SAVED_CREDITS)),
+        &format!("retry credits per balancer, {}", format_range(&MAX_SAVED_CREDITS)),
     )
 }
 
-fn check_failure_detector(failure_detector: &FailureDetectorConfig) -> Checked {
+fn check_failure_detector(failure_detector: &FailureDetectorConfig) -> CheckResult {
     require(
         MIN_REPORTERS.contains(&failure_detector.min_reporters),
         "verdicts.witnesses",
-        &format!("{}; a single report is not trusted", from_to(&MIN_REPORTERS)),
+        &format!("{}; a single report is not trusted", format_range(&MIN_REPORTERS)),
     )?;
     require(
         REPORT_LIFETIME_MS.contains(&failure_detector.report_lifetime_ms),
         "verdicts.expiry_ms",
-        &format!("{} ms", from_to(&REPORT_LIFETIME_MS)),
+        &format!("{} ms", format_range(&REPORT_LIFETIME_MS)),
     )?;
     require(
         MAX_SUSPECTED_SHARE.contains(&failure_detector.max_suspected_share),
         "verdicts.most",
-        &format!("a share of the servers, {}", from_to(&MAX_SUSPECTED_SHARE)),
+        &format!("a share of the servers, {}", format_range(&MAX_SUSPECTED_SHARE)),
     )?;
     require(
         TRIALS_PER_S.contains(&failure_detector.trials_per_s),
         "verdicts.tries_per_s",
-        &format!("{} per second", from_to(&TRIALS_PER_S)),
+        &format!("{} per second", format_range(&TRIALS_PER_S)),
     )
 }
 
 /// Formats the bounds of a range for an error.
-fn from_to<T: Display>(range: &RangeInclusive<T>) -> String {
+fn format_range<T: Display>(range: &RangeInclusive<T>) -> String {
     format!("from {} to {}", range.start(), range.end())
 }
 
-fn require(holds: bool, key: &'static str, expected: &str) -> Checked {
-    if holds {
+fn require(is_valid: bool, key: &'static str, expected: &str) -> CheckResult {
+    if is_valid {
         Ok(())
     } else {
         Err(InvalidValue { key, expected: expected.to_owned() })
--- a/node/src/cluster_config/member_config.rs
+++ b/node/src/cluster_config/member_config.rs
@@ -23,14 +23,14 @@
 pub struct MissingPosition;
 
 impl ClusterConfigFile {
-    /// The configuration of this member. `bound` is the address on which it listens; the position and the number of owners
-    /// are taken from the settings if the file does not set them. A later `incarnation` has a greater number.
+    /// The configuration of this member. `bound_address` is the address on which it listens; the position and the number of
+    /// owners are taken from the settings if the file does not set them. A later `incarnation` has a greater number.
     ///
     /// # Errors
     /// Neither the file nor the settings set the position.
     pub fn member_config(
         &self,
-        bound: SocketAddr,
+        bound_address: SocketAddr,
         position: Option<u32>,
         settings: &Settings,
         incarnation: u64,
@@ -46,7 +46,7 @@
         let retry_budget = limits.retry_budget.as_ref();
         let failure_detector = self.failure_detector.as_ref();
         Ok(ClusterConfig {
-            address: self.peers.advertised_address.unwrap_or(bound),
+            address: self.peers.advertised_address.unwrap_or(bound_address),
             incarnation,
             position: self.peers.position.or(position).ok_or(MissingPosition)?,
             zone: settings.zone,
--- a/node/src/cluster_config/tests.rs
+++ b/node/src/cluster_config/tests.rs
@@ -8,7 +8,7 @@
 const EXAMPLE: &str = include_str!("../../../deploy/operator.example.toml");
 
 #[test]
-fn the_example_has_every_field_and_says_the_defaults() {
+fn the_example_has_every_key_at_its_default() {
     let example = ClusterConfigFile::parse(EXAMPLE).unwrap();
     let defaults = LimitsConfig::default();
     let LimitsConfig { lease_ms, clock_drift, arrival_spread_ms, .. } = example.limits;
@@ -18,14 +18,14 @@
     );
     let schema = serde_json::to_value(schemars::schema_for!(ClusterConfigFile)).unwrap();
     let mut fields = Vec::new();
-    for part in [
+    for schema_part in [
         &schema["properties"],
         &schema["$defs"]["Peers"]["properties"],
         &schema["$defs"]["Limits"]["properties"],
         &schema["$defs"]["Second"]["properties"],
         &schema["$defs"]["Verdicts"]["properties"],
     ] {
-        fields.extend(part.as_object().unwrap().keys().cloned());
+        fields.extend(schema_part.as_object().unwrap().keys().cloned());
     }
     assert!(fields.len() >= 19);
     for field in fields {
@@ -35,7 +35,7 @@
 
 /// Guards against an outdated `deploy/operator.schema.json`; regenerate it with `JUNIPERLADDER_WRITE=1`.
 #[test]
-fn the_schema_is_that_of_the_types() {
+fn the_schema_file_matches_the_types() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../deploy/operator.schema.json");
     let schema = serde_json::to_string_pretty(&schemars::schema_for!(ClusterConfigFile)).unwrap() + "\n";
     if std::env::var_os("JUNIPERLADDER_WRITE").is_some() {
@@ -45,34 +45,34 @@
 }
 
 /// The example with all commented-out keys enabled.
-fn uncommented() -> String {
-    let on = |line: &str| match line.strip_prefix("# ") {
+fn example_with_all_keys() -> String {
+    let uncomment = |line: &str| match line.strip_prefix("# ") {
         Some(rest) if rest.starts_with('[') || rest.contains(" = ") && !rest.contains('`') => rest.to_owned(),
         _ => line.to_owned(),
     };
-    EXAMPLE.lines().map(|line| on(line) + "\n").collect()
+    EXAMPLE.lines().map(|line| uncomment(line) + "\n").collect()
 }
 
 #[test]
-fn what_the_example_comments_out_stands_at_its_default() {
-    let whole = ClusterConfigFile::parse(&uncommented()).unwrap();
-    let budget = whole.limits.retry_budget.unwrap();
+fn commented_out_keys_of_the_example_have_their_defaults() {
+    let config = ClusterConfigFile::parse(&example_with_all_keys()).unwrap();
+    let budget = config.limits.retry_budget.unwrap();
     let budget_default = RetryBudgetConfig::default();
     assert_eq!(budget.retries_per_first_attempt, budget_default.retries_per_first_attempt);
     assert_eq!(budget.max_saved_credits, budget_default.max_saved_credits);
-    let detector = whole.failure_detector.unwrap();
+    let detector = config.failure_detector.unwrap();
     let detector_default = FailureDetectorConfig::default();
     assert_eq!(detector.min_reporters, detector_default.min_reporters);
     assert_eq!(detector.report_lifetime_ms, detector_default.report_lifetime_ms);
     assert_eq!(detector.max_suspected_share, detector_default.max_suspected_share);
     assert_eq!(detector.trials_per_s, detector_default.trials_per_s);
-    assert_eq!(whole.limits.slow_start_rate.unwrap().requests_per_s, 100);
+    assert_eq!(config.limits.slow_start_rate.unwrap().requests_per_s, 100);
 }
 
 #[test]
-fn rejects_a_broken_file_in_one_line_with_line_key_and_remedy() {
-    let whole = uncommented();
-    assert_eq!(ClusterConfigFile::parse(&whole).unwrap().limits.origin_rate.unwrap().requests_per_s, 400);
+fn an_invalid_file_is_rejected_in_one_line_with_line_key_and_valid_values() {
+    let example = example_with_all_keys();
+    assert_eq!(ClusterConfigFile::parse(&example).unwrap().limits.origin_rate.unwrap().requests_per_s, 400);
     let cases = [
         ("lease_ms = 2000", "lease_ms = 5", "limits.lease_ms: a lease lasts from 500"),
         ("lease_ms = 2000", "leasems = 5", "unknown field `leasems`, expected one of"),
@@ -84,10 +84,13 @@
         ("most = 0.34", "most = 0.9", "verdicts.most: a share of the servers"),
         ("expiry_ms = 6000", "expiry_ms = 100", "verdicts.expiry_ms: from 2000"),
     ];
-    for (sound, broken, expected) in cases {
-        let line = whole.lines().position(|line| line.starts_with(sound)).unwrap() + 1;
-        let problem = ClusterConfigFile::parse(&whole.replace(sound, broken)).unwrap_err().to_string();
-        assert!(problem.starts_with(&format!("line {line}: ")) && problem.contains(expected), "{problem}");
+    for (valid, invalid, expected_error) in cases {
+        let line = example.lines().position(|line| line.starts_with(valid)).unwrap() + 1;
+        let problem = ClusterConfigFile::parse(&example.replace(valid, invalid)).unwrap_err().to_string();
+        assert!(
+            problem.starts_with(&format!("line {line}: ")) && problem.contains(expected_error),
+            "{problem}"
+        );
         assert!(!problem.contains('\n'));
     }
     assert!(ClusterConfigFile::parse("").unwrap_err().to_string().contains("peers"));
@@ -118,8 +121,8 @@
 }
 
 #[test]
-fn the_member_config_has_all_that_the_file_names() {
-    let config = ClusterConfigFile::parse(&uncommented()).unwrap();
+fn the_member_config_has_all_values_of_the_file() {
+    let config = ClusterConfigFile::parse(&example_with_all_keys()).unwrap();
     let member = config.member_config("127.0.0.1:7946".parse().unwrap(), None, &settings(), 1, 1).unwrap();
     let (slow_start, budget) = (member.slow_start.unwrap(), member.retry_budget.unwrap());
     assert_eq!(
@@ -134,13 +137,13 @@
 }
 
 #[test]
-fn the_member_config_takes_from_the_settings_what_the_file_leaves_out() {
+fn the_member_config_takes_missing_values_from_the_settings() {
     let text =
         "[peers]\nlisten = \"127.0.0.1:7946\"\nseeds = [\"127.0.0.1:7946\"]\n[limits.origin]\nper_s = 400\n";
     let config = ClusterConfigFile::parse(text).unwrap();
-    let bound = "127.0.0.1:7946".parse().unwrap();
+    let bound_address = "127.0.0.1:7946".parse().unwrap();
     let settings = settings();
-    let member = config.member_config(bound, Some(3), &settings, 1, 1).unwrap();
+    let member = config.member_config(bound_address, Some(3), &settings, 1, 1).unwrap();
     assert!(
         member.slow_start.is_none() && member.retry_budget.is_none() && member.failure_detector.is_none()
     );
@@ -148,7 +151,11 @@
         (member.position, member.rate_limits[0].terms.owners, member.rate_limits[0].terms.owned_tokens(3)),
         (3, 100, 4)
     );
-    assert!(config.member_config(bound, None, &settings, 1, 1).unwrap_err().to_string().contains("position"));
+    assert!(config
+        .member_config(bound_address, None, &settings, 1, 1)
+        .unwrap_err()
+        .to_string()
+        .contains("position"));
     assert_eq!(config.stated_bound(), 1.05);
 }
 
@@ -185,7 +192,7 @@
 
 /// Guards against a renamed or swapped key; operators' files depend on the keys.
 #[test]
-fn every_key_has_its_place() {
+fn every_key_sets_its_field() {
     let config = ClusterConfigFile::parse(EVERY_KEY).unwrap();
     let PeerConfig { listen_address, advertised_address, seeds, position } = config.peers;
     assert_eq!(listen_address, "127.0.0.1:7946".parse().unwrap());
