--- a/cli/tests/process.rs
+++ b/cli/tests/process.rs
@@ -74,7 +74,7 @@
     wait_for_line(&mut log, "listening");
     std::fs::write(&path, &after[..after.len() / 2]).unwrap();
     send_signal(&child, "-HUP");
-    wait_for_line(&mut log, "configuration not taken");
+    wait_for_line(&mut log, "configuration reload failed");
     std::fs::write(&path, &after).unwrap();
     send_signal(&child, "-HUP");
     let (watch, _) = new.accept().unwrap();
@@ -83,7 +83,7 @@
     assert_eq!(call, "GET /catalog/members?follow=1 HTTP/1.1\r\n", "the complete list is polled");
     // Once more, with nothing changed, and it is still there to be ended.
     send_signal(&child, "-HUP");
-    wait_for_line(&mut log, "configuration read");
+    wait_for_line(&mut log, "configuration reloaded");
     send_signal(&child, "-TERM");
     assert!(child.wait().unwrap().success());
 }
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,11 +1,11 @@
-//! The daemon's configuration, read once into the few values that it uses.
+//! The daemon's configuration.
 //!
-//! The file is one JSON object (`config/file.rs` has its form); the environment may name it (`NODE_CONFIG`), the operators' file
-//! (`NODE_OPERATOR`), the operators' address (`NODE_MGMT`) and the log level (`NODE_LOG_LEVEL`). What the environment says wins
-//! over the file.
+//! The configuration file is one JSON object (see `config/file.rs`), whose path is in `NODE_CONFIG`. The environment can
+//! also set the path of the operators' file (`NODE_OPERATOR`), the admin address (`NODE_MGMT`) and the log level
+//! (`NODE_LOG_LEVEL`), which take precedence over the file.
 //!
-//! Guarantee: a configuration that can't be used is an error of one line that names the file, the key and what to do. Nothing
-//! is guessed but the values that the site's settings permit to be absent.
+//! Guarantee: an invalid configuration is reported as an error of one line that names the file, the key and the remedy.
+//! Only values that the site's settings declare optional have defaults.
 
 mod file;
 
@@ -28,118 +28,118 @@
 /// The configuration of a balancer.
 #[derive(Debug)]
 pub struct Config {
-    /// The path of the file that it came from, which a reload reads again; none where it came from elsewhere.
+    /// The path of the configuration file, which a reload reads again; none if the configuration was not read from a file.
     pub path: Option<OsString>,
-    /// This balancer's name.
+    /// The balancer's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub client_address: SocketAddr,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery_address: SocketAddr,
-    /// Where operators call; none, there is no such listener.
+    /// The address of the admin interface; none to disable it.
     pub admin_address: Option<SocketAddr>,
-    /// For random numbers, another one at each start.
+    /// The random seed, which should differ at each start.
     pub seed: u64,
-    /// What the process may take of its machine.
+    /// The memory and descriptors that the process may use.
     pub resource_limits: ConfiguredLimits,
-    /// The endpoint list as this balancer last had it.
+    /// The last known endpoint list, used until discovery has sent one.
     pub last_known_endpoints: EndpointList,
-    /// The settings of the decisions.
+    /// The settings of the decision logic.
     pub settings: Settings,
-    /// This balancer's place among all, from 0, where the settings have it.
+    /// This balancer's position in the fleet, from 0, if the settings have it.
     pub position: Option<u32>,
-    /// The operators' file; none where none is named.
+    /// The operators' file, if one is configured.
     pub cluster: Option<ClusterConfigFile>,
-    /// The names of zones and kinds, whose places are the settings' numbers.
+    /// The names of zones and kinds; their indices are the numbers in the settings.
     pub site_names: SiteNames,
     /// The names of classes and tenants that clients use.
     pub labels: Labels,
-    /// How long a connection to a server may take to be established.
+    /// The timeout for establishing a connection to a server.
     pub connect_timeout: Duration,
-    /// How long a server keeps an idle connection.
+    /// How long a server keeps an idle connection open.
     pub server_idle_timeout: Duration,
-    /// From which level on lines are logged.
+    /// The least severe level that is logged.
     pub log_level: Level,
-    /// Where discovery pushes its lists, how soon after a failure it is polled again; none where it has to be polled.
+    /// The backoff after a failed poll where discovery pushes its lists; none where it must be polled.
     pub pushed_list_backoff: Option<Duration>,
 }
 
-/// Why there is no configuration. The text is one line.
+/// Why the configuration cannot be loaded. The text is one line.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The environment names no file.
+    /// `NODE_CONFIG` is not set.
     #[error("NODE_CONFIG is not set")]
     NoFileNamed,
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     Read {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What went wrong.
+        /// The error of the read.
         source: std::io::Error,
     },
-    /// What the file says can't be used.
+    /// The content of the file is invalid.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// The error in the content.
         source: InvalidConfig,
     },
-    /// What the environment says can't be used.
+    /// A value from the environment is invalid.
     #[error(transparent)]
     Environment(#[from] InvalidConfig),
-    /// The operators' file can't be used.
+    /// The operators' file cannot be loaded.
     #[error(transparent)]
     Cluster(#[from] ClusterConfigError),
 }
 
-/// What is wrong with a configuration. The text is one line.
+/// An error in a configuration. The text is one line.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum InvalidConfig {
-    /// It is no JSON.
-    #[error("not JSON: {message}; write one object, whole")]
+    /// The text is not valid JSON.
+    #[error("not valid JSON: {message}; the file must be one complete object")]
     NotJson {
-        /// What the parser says.
+        /// The parser's message.
         message: String,
     },
-    /// A key is missing, or its value is of another kind.
-    #[error("{key}: {message}; give it a value of that kind")]
+    /// A key is missing, or its value has the wrong type.
+    #[error("{key}: {message}; set it to a value of the expected type")]
     WrongKind {
-        /// The key, with those that it stands in.
+        /// The path of the key.
         key: String,
-        /// What the parser says.
+        /// The parser's message.
         message: String,
     },
-    /// A setting of the site can't be used.
+    /// A site setting is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// A value is no address with a port.
-    #[error("{key}: {text:?} is no address and port")]
+    /// A value is not an IP address and port.
+    #[error("{key}: {text:?} is not an IP address and port")]
     Address {
         /// The key.
         key: &'static str,
         /// The value.
         text: String,
     },
-    /// The operators' address is that of the clients.
-    #[error("mgmt: {0} is the clients' address; give the operators another one")]
+    /// The admin address is the same as the client address.
+    #[error("mgmt: {0} is already the address for clients; set another one for operators")]
     SharedAddress(SocketAddr),
-    /// A word is no log level.
-    #[error("log_level: {0:?} is no level; give warning, info or debug")]
+    /// The log level is unknown.
+    #[error("log_level: {0:?} is not a log level; use warning, info or debug")]
     LogLevel(String),
 }
 
 impl Config {
-    /// Reads the file that the environment names, and the operators' file: the one given here, or the one that the environment
-    /// names.
+    /// Reads the configuration file named by the environment, and the operators' file at `cluster_config_path` or, if that
+    /// is none, the one named by the environment.
     ///
     /// # Errors
-    /// A file can't be read or used, or a value of the environment can't.
+    /// A file cannot be read or is invalid, or a value from the environment is invalid.
     pub fn from_environment(cluster_config_path: Option<OsString>) -> Result<Config, ConfigError> {
         let file = std::env::var_os("NODE_CONFIG").ok_or(ConfigError::NoFileNamed)?;
         let mut config = Config::read(file)?;
-        // An empty address turns the operators' listener off.
+        // An empty address disables the admin interface.
         if let Ok(text) = std::env::var("NODE_MGMT") {
             config.admin_address = parse_admin_address(config.client_address, &text)?;
         }
@@ -147,26 +147,26 @@
             config.log_level = parse_log_level(&text)?;
         }
         let cluster_config_path = cluster_config_path.or_else(|| std::env::var_os("NODE_OPERATOR"));
-        // An empty name is none, as a unit file leaves it that sets the variable to nothing.
+        // An empty path means no operators' file, so that a systemd unit may set the variable to an empty value.
         if let Some(path) = cluster_config_path.filter(|path| !path.is_empty()) {
             config.cluster = Some(ClusterConfigFile::read(Path::new(&path))?);
         }
         Ok(config)
     }
 
-    /// Reads this file; an error that may pass is tried again for a moment.
+    /// Reads this file; transient errors are retried for a short time.
     ///
     /// # Errors
-    /// The file can't be read or used.
+    /// The file cannot be read, or its content is invalid.
     pub fn read(path: OsString) -> Result<Config, ConfigError> {
         let content = retry_transient_blocking(|| std::fs::read(&path));
         Config::from_file_content(path, content)
     }
 
-    /// The configuration that this file held, or was to hold.
+    /// Parses the result of reading this file.
     ///
     /// # Errors
-    /// The file could not be read, or what it says can't be used.
+    /// The file could not be read, or its content is invalid.
     pub fn from_file_content(
         path: OsString,
         content: std::io::Result<Vec<u8>>,
@@ -182,16 +182,16 @@
         }
     }
 
-    /// Reads a configuration's text.
+    /// Parses the text of a configuration.
     ///
     /// # Errors
-    /// The text can't be used; the first problem is named.
+    /// The text is invalid; only the first problem is reported.
     pub fn parse(text: Vec<u8>) -> Result<Config, InvalidConfig> {
         file::parse(text)?.into_config()
     }
 }
 
-/// The level that this word names: `debug` has a line for each step of each request, with its id.
+/// Parses a log level. At level `debug` each step of each request is logged with the request's id.
 fn parse_log_level(text: &str) -> Result<Level, InvalidConfig> {
     match text {
         "warning" => Ok(Level::Warning),
@@ -205,7 +205,8 @@
     text.parse().map_err(|_| InvalidConfig::Address { key, text: text.to_owned() })
 }
 
-/// The operators' address; none where the text is empty. It must not be the clients' own, unless the system picks the port.
+/// Parses the admin address; none if the text is empty. It must differ from the client address, unless the operating
+/// system picks the port.
 fn parse_admin_address(client_address: SocketAddr, text: &str) -> Result<Option<SocketAddr>, InvalidConfig> {
     if text.trim().is_empty() {
         return Ok(None);
--- a/node/src/config/file.rs
+++ b/node/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The form of the configuration's file: one JSON object, whose `settings` are those of the site.
+//! The format of the configuration file: one JSON object, whose key `settings` holds the site's settings.
 
 use juniperladder_dispatch::identifiers::hash;
 use juniperladder_settings::SiteSettings;
@@ -16,7 +16,7 @@
 const DEFAULT_SOCKETS: usize = 1024;
 const BYTES_PER_MB: f64 = 1_048_576.0;
 
-/// The file, each key at its place.
+/// The configuration file.
 #[derive(Deserialize)]
 pub(super) struct ConfigFile {
     name: String,
@@ -26,7 +26,7 @@
     discovery_address: String,
     #[serde(default, rename = "mgmt")]
     admin_address: Option<String>,
-    /// A number in hexadecimal digits, or any text.
+    /// The random seed: a hexadecimal number, or any other text, which is hashed.
     #[serde(default)]
     seed: String,
     #[serde(default)]
@@ -57,7 +57,7 @@
     }
 }
 
-/// Reads the file's text.
+/// Parses the text of the file.
 pub(super) fn parse(mut text: Vec<u8>) -> Result<ConfigFile, InvalidConfig> {
     let mut parser = simd_json::Deserializer::from_slice(&mut text)
         .map_err(|error| InvalidConfig::NotJson { message: one_line(&error.to_string()) })?;
@@ -67,7 +67,7 @@
     })
 }
 
-/// A parser's message may span lines; an error of the configuration must not.
+/// Joins the lines of a parser's message, because a configuration error must be one line.
 fn one_line(message: &str) -> String {
     message.replace(['\n', '\r'], " ")
 }
@@ -77,7 +77,7 @@
 }
 
 impl ConfigFile {
-    /// The configuration that this file describes, without what the environment adds.
+    /// The configuration in this file, without the values from the environment.
     pub(super) fn into_config(self) -> Result<Config, InvalidConfig> {
         let site = self.settings;
         site.check()?;
--- a/node/src/config/tests.rs
+++ b/node/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! Configurations that are sound, and what is said of those that are not.
+//! Valid configurations, and the errors of invalid ones.
 
 use juniperladder::CacheMode;
 
@@ -33,7 +33,7 @@
     assert_eq!(Config::parse(SOUND.into()).unwrap().log_level, Level::Info);
     assert_eq!(Config::parse(with("debug").into()).unwrap().log_level, Level::Debug);
     let problem = Config::parse(with("loud").into()).unwrap_err().to_string();
-    assert_eq!(problem, "log_level: \"loud\" is no level; give warning, info or debug");
+    assert_eq!(problem, "log_level: \"loud\" is not a log level; use warning, info or debug");
 }
 
 #[test]
@@ -50,11 +50,11 @@
         ("\"sockets\":512", "\"sockets\":null", "limits.sockets: "),
     ] {
         let problem = Config::parse(SOUND.replace(from, to).into()).unwrap_err().to_string();
-        assert!(problem.starts_with(key) && problem.contains("; give"), "{problem}");
+        assert!(problem.starts_with(key) && problem.contains("; set it to"), "{problem}");
     }
 }
 
-/// What operators see at a start or a reload that fails, to the letter.
+/// The exact texts that operators see when a start or a reload fails.
 #[test]
 fn errors_name_the_file_the_key_and_what_to_do() {
     let error = |result: Result<Config, ConfigError>| result.unwrap_err().to_string();
@@ -66,11 +66,11 @@
     );
     assert_eq!(
         error(read(SOUND.replace("127.0.0.1:1", "127.0.0.1"))),
-        "n3.json: listen: \"127.0.0.1\" is no address and port"
+        "n3.json: listen: \"127.0.0.1\" is not an IP address and port"
     );
     assert_eq!(
         error(read(SOUND.replace("\"seed\"", "\"mgmt\":\"127.0.0.1:1\",\"seed\""))),
-        "n3.json: mgmt: 127.0.0.1:1 is the clients' address; give the operators another one"
+        "n3.json: mgmt: 127.0.0.1:1 is already the address for clients; set another one for operators"
     );
     assert_eq!(
         error(read(SOUND.replace("\"max-attempts\":3", "\"max-attempts\":0"))),
--- a/node/src/connect.rs
+++ b/node/src/connect.rs
@@ -1,4 +1,4 @@
-//! How connections to servers come up: by TCP, or in memory where servers are simulated.
+//! Establishes connections to servers: over TCP, or in memory in simulations.
 
 use std::future::Future;
 use std::io;
@@ -15,16 +15,16 @@
 
 impl<S: AsyncRead + AsyncWrite + Unpin> ServerStream for S {}
 
-/// A connection that is coming up.
+/// A connection that is being established.
 pub type Connecting = Pin<Box<dyn Future<Output = io::Result<Box<dyn ServerStream>>>>>;
 
-/// Where connections to servers come from.
+/// Establishes connections to servers.
 pub trait Connector {
-    /// Begins to connect to this address. It may take for ever: the caller bounds it.
+    /// Connects to this address. The future may never complete; the caller applies a timeout.
     fn connect(&self, address: SocketAddr) -> Connecting;
 }
 
-/// Connects by TCP.
+/// Connects over TCP.
 #[derive(Clone, Copy, Debug)]
 pub struct TcpConnector;
 
@@ -32,7 +32,7 @@
     fn connect(&self, address: SocketAddr) -> Connecting {
         Box::pin(async move {
             let stream = TcpStream::connect(address).await?;
-            // Without this the kernel would hold a short write back for the answer to the one before.
+            // Disables Nagle's algorithm, which delays a short write until the previous one is acknowledged.
             let _ = stream.set_nodelay(true);
             Ok(Box::new(Socket(stream)) as Box<dyn ServerStream>)
         })
--- a/node/src/endpoint_list.rs
+++ b/node/src/endpoint_list.rs
@@ -1,10 +1,10 @@
-//! The endpoint list in discovery's form, and its translation into the decisions' terms.
+//! The endpoint list in discovery's format, and its conversion for the decision logic.
 //!
-//! Guarantee: a server that can't be understood is never sent to. An unknown lifecycle counts as draining, an entry without
-//! a usable address is left out, and each is logged, once a second at most. A zone or kind that the settings do not name has
-//! the number `u32::MAX`.
+//! Guarantee: no request is sent to a server whose entry is invalid. A server with an unknown lifecycle is treated as
+//! draining and an entry without a valid address is ignored; both are logged, at most once per second. A zone or kind that
+//! is not in the settings gets the number `u32::MAX`.
 //!
-//! Versions of the list are discovery's `generation`; times in it are milliseconds of Unix time.
+//! The list's version is discovery's `generation`; its times are Unix time in milliseconds.
 
 use std::net::SocketAddr;
 
@@ -17,12 +17,12 @@
 use crate::clock::from_ms;
 use crate::dispatcher::ListedServer;
 
-/// The names whose places in the settings are the numbers that the decisions know.
+/// The names that the decision logic replaces by their indices in the settings.
 #[derive(Clone, Debug, Default)]
 pub struct SiteNames {
-    /// Zones.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// Kinds of machine.
+    /// The names of the kinds of machine.
     pub kinds: Vec<String>,
 }
 
@@ -40,20 +40,20 @@
     names.iter().position(|known| known == name).map_or(u32::MAX, |position| position as u32)
 }
 
-/// A list, or the changes to one, as discovery writes it.
+/// A complete endpoint list or changes to one, in discovery's format.
 #[derive(Debug, Default, Deserialize)]
 pub struct EndpointList {
-    /// The list's version; later ones are greater until discovery counts anew.
+    /// The version of the list. It increases until discovery restarts its numbering.
     #[serde(default, rename = "generation")]
     pub(crate) version: u64,
-    /// Whether this is the complete list, not changes.
+    /// Whether this is a complete list rather than changes.
     #[serde(default, rename = "reset")]
     pub(crate) is_complete: bool,
     #[serde(default, rename = "instances")]
     entries: Vec<ListEntry>,
 }
 
-/// One server as discovery writes it.
+/// One server in discovery's format.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct ListEntry {
@@ -83,7 +83,7 @@
     1.0
 }
 
-/// The path of a watch on all changes after this version; without one discovery sends the complete list first.
+/// The path of a watch on all changes after this version. Without a version discovery sends the complete list first.
 pub(crate) fn watch_path(since: Option<u64>) -> String {
     match since {
         Some(version) => format!("/catalog/members?follow=1&since={version}"),
@@ -91,7 +91,7 @@
     }
 }
 
-/// Translates discovery's lists into the decisions' terms.
+/// Converts discovery's lists for the decision logic.
 #[derive(Debug, Default)]
 pub struct EndpointListReader {
     names: SiteNames,
@@ -104,7 +104,7 @@
         EndpointListReader { names, ..EndpointListReader::default() }
     }
 
-    /// The servers of a list or of its changes; entries without a usable address are left out and logged.
+    /// The servers in a list or in changes to one. Entries without a valid address are ignored and logged.
     pub fn read(&self, list: EndpointList, log: &Logger) -> Vec<ListedServer> {
         list.entries.iter().filter_map(|entry| self.read_entry(entry, log)).collect()
     }
@@ -114,7 +114,7 @@
         let address: Option<SocketAddr> = entry.address.parse().ok();
         if address.is_none() && state != EndpointState::Deleted {
             if self.log_throttle.allows() {
-                warn!(log, "server without a usable address left out"; "server" => &entry.name,
+                warn!(log, "endpoint list entry without a valid address ignored"; "server" => &entry.name,
                     "address" => &entry.address);
             }
             return None;
@@ -137,9 +137,9 @@
             "terminated" => EndpointState::Deleted,
             "terminating" => EndpointState::Draining,
             unknown => {
-                // A state that this balancer does not know is no reason to send there.
+                // No new requests are sent to a server in an unknown state.
                 if self.log_throttle.allows() {
-                    warn!(log, "server of unknown lifecycle counts as draining"; "server" => &entry.name,
+                    warn!(log, "server with unknown lifecycle treated as draining"; "server" => &entry.name,
                         "lifecycle" => unknown);
                 }
                 EndpointState::Draining
--- a/node/src/endpoint_list/tests.rs
+++ b/node/src/endpoint_list/tests.rs
@@ -1,4 +1,4 @@
-//! Lists in discovery's form, and the numbers of names and keys.
+//! Lists in discovery's format, and the numeric ids of names and keys.
 
 use juniperladder::{Key, ServerId};
 use juniperladder_dispatch::identifiers::{hash, key, server_id};
@@ -24,7 +24,9 @@
         {"instanceId":"s-00000002","hostPort":"127.0.0.1:6","zone":"north","lifecycle":"terminated"}]}"#;
     let reader = EndpointListReader::new(site_names());
     let servers = reader.read(list(text), &log());
-    let [origin, gone] = &servers[..] else { panic!("one has no address: {servers:?}") };
+    let [origin, gone] = &servers[..] else {
+        panic!("expected two entries, as one has no address: {servers:?}")
+    };
     let endpoint = &origin.endpoint;
     assert_eq!(
         (endpoint.server, endpoint.zone, endpoint.kind, endpoint.cell),
@@ -39,15 +41,15 @@
     assert_eq!(watch_path(None), "/catalog/members?follow=1");
 }
 
-/// Placement hashes these numbers: another value after an update would move every key.
+/// Guards against changed ids: placement hashes them, so a new version with other values would move every key.
 #[test]
 fn numbers_of_names_and_keys_do_not_change() {
     assert_eq!(server_id("s-5be2a07c"), ServerId(0x5be2_a07c));
     let others = ["origin", "t-5be2a07c", "s-5BE2A07C", "s-5be2a07c0", "s-05be2a07c", "5be2a07c", ""];
     let identifiers: HashSet<u64> = others.iter().map(|name| server_id(name).0).collect();
-    assert_eq!(identifiers.len(), others.len(), "two names are two hosts");
+    assert_eq!(identifiers.len(), others.len(), "distinct names have distinct ids");
     assert!(identifiers.iter().all(|number| *number > u64::from(u32::MAX)));
-    assert_eq!(server_id("origin"), ServerId(hash(b"origin") | 1 << 63), "whatever came before");
+    assert_eq!(server_id("origin"), ServerId(hash(b"origin") | 1 << 63), "the id depends on the name alone");
     assert_eq!(key(b"7f3a9c21e0b4d655"), Key(0x7f3a_9c21_e0b4_d655));
-    assert_eq!(key(b"7F3A9C21E0B4D655"), Key(hash(b"7F3A9C21E0B4D655")), "another key than in lower case");
+    assert_eq!(key(b"7F3A9C21E0B4D655"), Key(hash(b"7F3A9C21E0B4D655")), "upper case is a different key");
 }
--- a/node/src/error.rs
+++ b/node/src/error.rs
@@ -1,39 +1,41 @@
-//! Why the daemon cannot start.
+//! The errors of the daemon's start.
 
 use std::io;
 use std::net::SocketAddr;
 
 use thiserror::Error;
 
-/// Why the daemon cannot start. The text is one line that says what to change.
+/// Why the daemon cannot start. The text is one line.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The configuration or the operators' file cannot be used.
+    /// The configuration or the operators' file cannot be loaded.
     #[error("{0}")]
     Configuration(Box<dyn std::error::Error + Send + Sync>),
-    /// The other balancers cannot be joined.
+    /// The cluster of balancers cannot be joined.
     #[error("{0}")]
     Peers(Box<dyn std::error::Error + Send + Sync>),
-    /// The asynchronous runtime does not start.
+    /// The asynchronous runtime cannot be created.
     #[error("cannot create the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// A signal cannot be caught.
+    /// A signal handler cannot be installed.
     #[error("cannot install signal handlers: {0}")]
     Signals(#[source] io::Error),
     /// The address for clients cannot be bound.
-    #[error("cannot listen on {address}: {source}; is another program than a balancer there?")]
+    #[error(
+        "cannot listen for clients on {address}: {source}; check whether another program uses the address"
+    )]
     ClientAddress {
         /// The configured address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The address for operators cannot be bound.
-    #[error("cannot listen for operators on {address}: {source}; give mgmt a free address")]
+    #[error("cannot listen for operators on {address}: {source}; set mgmt to a free address")]
     AdminAddress {
         /// The configured address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
--- a/node/src/listener.rs
+++ b/node/src/listener.rs
@@ -1,4 +1,4 @@
-//! Listening sockets that two processes may share.
+//! Listening sockets whose address two processes can share.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,16 +7,16 @@
 use socket2::{Domain, Protocol, Socket, Type};
 use tokio::net::TcpListener;
 
-/// The pause after a failed accept, as the next would most likely fail as well.
+/// The delay after a failed accept, because an immediate retry would most likely fail as well.
 pub const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Connections that the system holds until they are accepted.
+/// The number of connections that the kernel queues until they are accepted.
 const BACKLOG_CONNECTIONS: i32 = 1024;
 
-/// A listener that shares its address with a balancer that replaces this one, or that this one replaces: the
-/// kernel deals new connections out among all that listen there.
+/// Listens on an address that a successor or predecessor process can share: the kernel distributes new connections among
+/// all listeners on the address.
 ///
 /// # Errors
-/// The system does not let this address be bound.
+/// The address cannot be bound.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
--- a/node/src/logging.rs
+++ b/node/src/logging.rs
@@ -1,15 +1,16 @@
-//! The log: lines on standard error, written by a thread of their own.
+//! The log: lines on standard error, written by a separate thread.
 
 use slog::{o, Drain, Level, LevelFilter, Logger};
 
-/// How many lines may wait to be written; more are dropped, and the log says how many.
+/// The maximum number of queued lines. Further ones are dropped, and their number is logged.
 const QUEUED_LINES: usize = 1024;
-/// The same where each request has lines of its own.
+/// The maximum number of queued lines at level `debug`, where each request logs several lines.
 const QUEUED_DEBUG_LINES: usize = 16 * 1024;
 
-/// A logger of the lines from this level on, which name the process.
+/// A logger for lines of at least this level, which include the process name.
 ///
-/// A full pipe must not hold the one thread up that serves: lines are dropped then.
+/// Lines are dropped if standard error is blocked, such as by a full pipe, so that logging never blocks the single thread
+/// that serves requests.
 pub(crate) fn logger(level: Level, name: &str) -> Logger {
     let queued_lines = if level == Level::Debug { QUEUED_DEBUG_LINES } else { QUEUED_LINES };
     let decorator = slog_term::PlainDecorator::new(std::io::stderr());
--- a/node/src/reload.rs
+++ b/node/src/reload.rs
@@ -1,7 +1,7 @@
-//! The reload of the configuration on a signal: the file is read again, and discovery is called at the address that it
-//! names from then on. What else it says takes effect at the next start.
+//! Reloads the configuration file on a signal and applies discovery's address. Other changed values take effect only at the
+//! next start.
 //!
-//! Guarantee: a file that cannot be read or used changes nothing; the log says why.
+//! Guarantee: a file that cannot be read or is invalid changes nothing; the reason is logged.
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -16,18 +16,18 @@
 use crate::dispatcher::Dispatcher;
 use crate::transient_errors::retry_transient;
 
-/// Why a configuration is not taken.
+/// Why a reload failed.
 #[derive(Debug, Error)]
 enum ReloadError {
-    /// The configuration came from no file.
+    /// The configuration was not read from a file.
     #[error("the configuration was not read from a file")]
     NoFile,
-    /// The file cannot be used.
+    /// The file cannot be read or is invalid.
     #[error("{0}")]
     Configuration(Box<dyn std::error::Error + Send + Sync>),
 }
 
-/// Reads the configuration's file again.
+/// Reloads the configuration file.
 pub(crate) struct Reloader {
     path: Option<OsString>,
     discovery: watch::Sender<SocketAddr>,
@@ -36,7 +36,7 @@
 }
 
 impl Reloader {
-    /// A reloader of the file at this path that sends discovery's address on.
+    /// A reloader of the file at this path, which sends a changed address to `discovery`.
     pub(crate) fn new(
         path: Option<OsString>,
         discovery: watch::Sender<SocketAddr>,
@@ -46,17 +46,17 @@
         Reloader { path, discovery, dispatcher, log }
     }
 
-    /// Reads the file and puts discovery's address in force.
+    /// Reads the file and applies discovery's address.
     pub(crate) async fn run(self: Rc<Self>) {
         match self.read().await {
             Ok(config) => {
                 self.set_discovery(config.discovery_address);
                 increment(&self.dispatcher.counters().reloads);
-                info!(self.log, "configuration read"; "discovery" => self.discovery.borrow().to_string());
+                info!(self.log, "configuration reloaded"; "discovery" => self.discovery.borrow().to_string());
             }
-            // What is in force stays so: a file half-written or mistyped must not stop the service.
+            // The previous configuration stays in use: a partly written or mistyped file must not stop the service.
             Err(problem) => {
-                error!(self.log, "configuration not taken"; "problem" => problem.to_string());
+                error!(self.log, "configuration reload failed"; "problem" => problem.to_string());
             }
         }
     }
--- a/node/src/resource_limits.rs
+++ b/node/src/resource_limits.rs
@@ -1,58 +1,58 @@
-//! How many connections and bytes each part of the process may take, derived from the configured limits.
+//! The limits on connections and buffers of each component, derived from the configured limits of the process.
 //!
-//! Guarantee: the connections of all parts together stay under the configured number of descriptors
-//! (from 40 descriptors on), and what is buffered for clients leaves most of the configured memory.
+//! Guarantee: the connections of all components together stay below the configured number of descriptors (if that is at
+//! least 40), and the buffers for clients leave most of the configured memory free.
 
-/// What the configuration allows the process.
+/// The configured limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfiguredLimits {
-    /// Memory in bytes.
+    /// The maximum memory in bytes.
     pub memory_bytes: usize,
-    /// File descriptors.
+    /// The maximum number of file descriptors.
     pub descriptors: usize,
 }
 
-/// Descriptors that are neither clients' nor servers': the standard three, the listener, discovery's connection
-/// and the one it turns to, the runtime's and the signals' own, a file that is read; and some to spare.
+/// The descriptors used neither for clients nor for servers: the three standard streams, the listener, the current and the
+/// next connection to discovery, the runtime, the signal handlers, a file being read, and a margin.
 const OWN_DESCRIPTORS: usize = 16 + RESERVED_ADMIN_CONNECTIONS;
-/// Descriptors that are divided at least, however few the configuration leaves.
+/// The minimum number of descriptors that are divided between clients and servers, however few are configured.
 const MIN_DIVIDED_DESCRIPTORS: usize = 16;
-/// Admin connections that have descriptors of their own. More of them take those of clients.
+/// The number of admin connections with reserved descriptors. Further ones use the descriptors for clients.
 pub const RESERVED_ADMIN_CONNECTIONS: usize = 8;
-/// The share of the other descriptors that connections to servers may take. Clients hold a third of all for their
-/// requests; those that send nothing are evicted, and need no descriptors of their own.
+/// The share of the remaining descriptors for connections to servers. Clients may use a third of all descriptors for
+/// requests; idle client connections are evicted when needed, and have no descriptors reserved.
 const SERVER_CONNECTION_SHARE: f64 = 0.56;
-/// The share of all descriptors that clients hold for requests at most.
+/// The maximum share of all descriptors for client connections with requests.
 const CLIENT_REQUEST_CONNECTION_SHARE: f64 = 1.0 / 3.0;
-/// The share of those connections that may stay open while idle: the rest is for clients with a request.
+/// The share of those connections that may stay open while idle; the rest is for clients with a request.
 const IDLE_CLIENT_CONNECTION_SHARE: f64 = 0.75;
-/// The most admin connections at once, where there are descriptors for so many.
+/// The maximum number of admin connections, if there are enough descriptors.
 const MAX_ADMIN_CONNECTIONS: usize = 128;
-/// The share of the memory that clients' incomplete and open requests and unread answers may take.
+/// The share of the memory for clients' incomplete and open requests and unread answers.
 const CLIENT_BUFFER_SHARE: f64 = 0.25;
 
-/// The limits of the parts of the process.
+/// The limits of the components of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResourceLimits {
-    /// Connections from clients.
+    /// The maximum number of client connections.
     pub client_connections: usize,
-    /// Connections from clients that may stay open while idle.
+    /// The maximum number of client connections that stay open while idle.
     pub idle_client_connections: usize,
-    /// Connections to servers.
+    /// The maximum number of connections to servers.
     pub server_connections: usize,
-    /// Connections of operators.
+    /// The maximum number of admin connections.
     pub admin_connections: usize,
-    /// Bytes buffered for all clients together.
+    /// The maximum number of bytes buffered for all clients together.
     pub client_buffer_bytes: usize,
-    /// Unread answer bytes on one client's connection above which no more are added.
+    /// The number of unread answer bytes on a client connection above which no more are added.
     pub unread_answer_bytes: usize,
-    /// Bytes of a streamed value that are buffered in one place on its way: read from the server, waiting to go to the
-    /// client's side, between the two sides, and unwritten to the client.
+    /// The maximum number of bytes of a streamed value in each of its buffers: read from the server, waiting for the client
+    /// side, between the two sides, and not yet written to the client.
     pub chunk_bytes: usize,
 }
 
 impl ResourceLimits {
-    /// Divides what the configuration allows.
+    /// Divides the configured limits among the components.
     pub fn from_configured(limits: ConfiguredLimits) -> ResourceLimits {
         let descriptors = limits.descriptors.saturating_sub(OWN_DESCRIPTORS).max(MIN_DIVIDED_DESCRIPTORS);
         let server_connections = (descriptors as f64 * SERVER_CONNECTION_SHARE) as usize;
@@ -61,7 +61,7 @@
         let idle_client_connections = (limits.descriptors as f64
             * CLIENT_REQUEST_CONNECTION_SHARE
             * IDLE_CLIENT_CONNECTION_SHARE) as usize;
-        // In four places at most, for every client at once: half of the memory.
+        // Each client has at most four such buffers: together they take at most half of the memory.
         let chunk_bytes = (limits.memory_bytes / 8 / client_connections).clamp(2 << 10, 16 << 10);
         let admin_connections =
             RESERVED_ADMIN_CONNECTIONS.max(client_connections / 2).min(MAX_ADMIN_CONNECTIONS);
--- a/node/src/resource_limits/tests.rs
+++ b/node/src/resource_limits/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// The descriptors are not overdrawn, clients have more than the third that they hold for requests, and what is
-/// buffered for them leaves most of the memory.
+/// Guards against exhausted descriptors and memory: the connections fit into the descriptors, clients have more than the
+/// third that they may use for requests, and the buffers for clients leave most of the memory free.
 #[test]
 fn parts_stay_within_the_configured_limits_whatever_these_are() {
     for (megabytes, descriptors) in [(32, 256), (48, 384), (192, 1024), (32, 1024)] {
--- a/node/src/signals.rs
+++ b/node/src/signals.rs
@@ -1,17 +1,17 @@
-//! The signals that the daemon obeys.
+//! The signals that the daemon handles.
 
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
 use crate::error::StartError;
 use crate::transient_errors::retry_transient_blocking;
 
-/// The caught signals.
+/// The handled signals.
 pub(crate) struct Signals {
-    /// SIGTERM and SIGINT: end.
+    /// SIGTERM and SIGINT: shut down gracefully.
     pub(crate) end: EndSignals,
-    /// SIGUSR1: write the counters and the limits to the log.
+    /// SIGUSR1: log the counters and the limits.
     pub(crate) report: Signal,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     pub(crate) reload: Signal,
 }
 
@@ -22,7 +22,7 @@
 }
 
 impl EndSignals {
-    /// Waits for one of them.
+    /// Waits for either signal.
     pub(crate) async fn recv(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -32,10 +32,10 @@
 }
 
 impl Signals {
-    /// Catches all signals that the daemon obeys.
+    /// Installs the handlers of all handled signals.
     ///
     /// # Errors
-    /// The system does not let one be caught.
+    /// A handler cannot be installed.
     pub(crate) fn catch() -> Result<Signals, StartError> {
         Ok(Signals {
             end: EndSignals {
--- a/node/src/socket.rs
+++ b/node/src/socket.rs
@@ -1,9 +1,9 @@
-//! TCP connections that are read and written until the system says that there is no more.
+//! TCP connections that are read and written until a call would block.
 //!
-//! The runtime takes a read or write that was shorter than it could have been for the last one, and waits for an event before
-//! it tries again. Linux raises one only for what comes after that, and a call may be short for other reasons than an empty
-//! or full socket. Here a connection counts as exhausted only once a call would have blocked, and an interrupted call is made
-//! again. It costs one more system call for what comes.
+//! Tokio takes a short read or write to mean that the socket is exhausted, and waits for an event before it tries again.
+//! With edge-triggered epoll, Linux raises an event only for a later change, but a call may be short for other reasons than
+//! an empty or full socket, so data could be left unread. Here a connection counts as exhausted only when a call returns
+//! `EWOULDBLOCK`, and an interrupted call is repeated. This costs one more system call per readiness event.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::pin::Pin;
@@ -15,22 +15,22 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 
-/// How many bytes one call takes that does not ask the runtime.
+/// The buffer size of a read that bypasses the runtime.
 const READ_NOW_BYTES: usize = 2048;
 
-/// A connection, or one half of it.
+/// A connection or one half of it.
 #[derive(Debug)]
 pub struct Socket<S = TcpStream>(pub S);
 
-/// The half of a connection that is read.
+/// The read half of a connection.
 pub type SocketReader = Socket<OwnedReadHalf>;
 
-/// The half of a connection that is written.
+/// The write half of a connection.
 pub type SocketWriter = Socket<OwnedWriteHalf>;
 
-/// A connection or a half of one.
+/// Access to the TCP stream of a connection or of one half of it.
 pub trait AsTcpStream {
-    /// The connection.
+    /// The TCP stream.
     fn as_tcp_stream(&self) -> &TcpStream;
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl Socket {
-    /// Its two halves.
+    /// Splits the connection into its two halves.
     pub fn into_split(self) -> (SocketReader, SocketWriter) {
         let (reader, writer) = self.0.into_split();
         (Socket(reader), Socket(writer))
@@ -61,8 +61,8 @@
 }
 
 impl<S: AsTcpStream> Socket<S> {
-    /// Reads what has arrived without asking the runtime, which knows only of what came before its last turn. Pending if there
-    /// is nothing; zero at the end.
+    /// Reads available data directly from the socket, because the runtime only knows of data that arrived before it last
+    /// polled for events. Returns `Pending` if no data is available, and zero at the end of the stream.
     pub fn read_now(&self, input: &mut BytesMut) -> Poll<io::Result<usize>> {
         let socket = SockRef::from(self.0.as_tcp_stream());
         let mut buffer = [0; READ_NOW_BYTES];
@@ -134,7 +134,8 @@
     }
 }
 
-/// A call that would block has cleared the readiness, so that the next turn of the loop waits; one that was interrupted has done nothing.
+/// Whether the caller's loop continues after this error: a call that would block has cleared the readiness, so that the
+/// next iteration waits; an interrupted call had no effect.
 fn is_retryable(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted)
 }
--- a/node/src/transient_errors.rs
+++ b/node/src/transient_errors.rs
@@ -1,25 +1,25 @@
-//! Calls to the operating system that may fail for a moment at a start or a reload, such as a `bind` or the read of a
-//! file: they are made again until they succeed or their time is up.
+//! Retries system calls that may fail transiently at a start or a reload, such as a `bind` or a file read, until they
+//! succeed or a timeout expires.
 
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 
 use tokio::time::{sleep, Instant};
 
-/// For how long a failing call is made again.
+/// How long a failing call is retried.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(3);
-/// The time between two calls.
+/// The delay between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether time does not change this error.
+/// Whether a retry cannot succeed after this error.
 fn is_permanent(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::PermissionDenied | ErrorKind::NotFound | ErrorKind::InvalidInput)
 }
 
-/// Makes this call until it succeeds, for [`RETRY_TIMEOUT`] at most.
+/// Retries this call until it succeeds, for at most [`RETRY_TIMEOUT`].
 ///
 /// # Errors
-/// The error of the last call, or the first one that is permanent.
+/// The first permanent error, or the error of the last attempt.
 pub async fn retry_transient<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let give_up_at = Instant::now() + RETRY_TIMEOUT;
     loop {
@@ -30,10 +30,10 @@
     }
 }
 
-/// The same for callers without a runtime, as the runtime may be what cannot be had yet.
+/// Like [`retry_transient`], for callers without an asynchronous runtime, such as the creation of the runtime itself.
 ///
 /// # Errors
-/// As [`retry_transient`].
+/// The first permanent error, or the error of the last attempt.
 pub fn retry_transient_blocking<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let give_up_at = std::time::Instant::now() + RETRY_TIMEOUT;
     loop {
--- a/node/tests/two_deployments.rs
+++ b/node/tests/two_deployments.rs
@@ -1,4 +1,4 @@
-//! Two deployments served by one process: each has its own classes, tenants, deadlines and attempts, and nothing of the other's.
+//! Two deployments in one process, each with its own classes, tenants, deadlines and attempts.
 
 use std::rc::Rc;
 
@@ -23,7 +23,7 @@
     "orgs":[{"name":"beta","allowance-per-s":5},{"name":"acme","allowance-per-s":5}],
     "limits":{"conn-idle":3000000,"connect-timeout":150000,"max-attempts":1,"may-duplicate":false}"#;
 
-/// One deployment, and a client of it.
+/// A deployment and a client of it.
 struct Deployment {
     dispatcher: Rc<Dispatcher>,
     recorder: Rc<Recorder>,
@@ -80,7 +80,7 @@
 fn each_deployment_has_its_own_classes_tenants_and_attempts() {
     testing::run_on_sockets(async {
         let (mut first, mut second) = (Deployment::new(FIRST).await, Deployment::new(SECOND).await);
-        // The same line means another class and another tenant at each, and has another deadline there.
+        // The same request has a different class, tenant and deadline in each deployment.
         let line = "ms 7f3a9c21e0b4d655 1 O1 Pc=put,t=acme,d=60000,k=5c0f6e1a2b3d4c59\r\nv\r\n";
         first.send(line).await;
         second.send(line).await;
@@ -93,19 +93,19 @@
         let (left_first, left_second) = (time_left(&first, &at_first), time_left(&second, &at_second));
         assert!(left_first > Micros(400_000) && left_first < Micros(3_000_000), "{left_first:?}");
         assert!(left_second < Micros(400_000), "{left_second:?}");
-        // After a broken attempt, a write with an idempotency key is retried at the first; at the second nothing is.
+        // After a broken attempt, the first deployment retries a write with an idempotency key; the second has no retries.
         first.dispatcher.on_attempt_ended(at_first.id, AttemptEnd::Broken);
         second.dispatcher.on_attempt_ended(at_second.id, AttemptEnd::Broken);
         assert_eq!(first.next_attempt().await.request.id, "1");
         assert_eq!(second.read_answer().await, "SERVER_ERROR failed\r\n");
         assert!(second.recorder.begun.borrow().is_empty());
-        // Neither knows the other's classes or tenants; a request that names none of its tenants is served, and counts for none.
+        // Neither knows the other's classes or tenants. A request without a known tenant is served, and counts for no tenant.
         first.send("mg k v O2 Pc=list,t=acme,d=500\r\n").await;
         second.send("mg k v O2 Pc=read,t=acme,d=500\r\n").await;
         assert_eq!(second.read_answer().await, "CLIENT_ERROR unknown class\r\n");
         first.send("mg k v O3 Pc=read,t=beta,d=500\r\n").await;
         second.send("mg k v O3 Pc=list,d=500\r\n").await;
-        assert_eq!(first.next_attempt().await.request.tenant, 1, "beyond the only one");
-        assert_eq!(second.next_attempt().await.request.tenant, 2, "beyond both");
+        assert_eq!(first.next_attempt().await.request.tenant, 1, "the index after the only tenant");
+        assert_eq!(second.next_attempt().await.request.tenant, 2, "the index after both tenants");
     });
 }
