--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -69,7 +69,7 @@
 pub enum ConfigError {
     /// `NODE_CONFIG` is not set.
     #[error("NODE_CONFIG is not set")]
-    NoFileNamed,
+    PathNotSet,
     /// The file cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     Read {
@@ -99,13 +99,13 @@
 pub enum InvalidConfig {
     /// The text is not valid JSON.
     #[error("not valid JSON: {message}; the file must be one complete object")]
-    NotJson {
+    MalformedJson {
         /// The parser's message.
         message: String,
     },
     /// A key is missing, or its value has the wrong type.
     #[error("{key}: {message}; set it to a value of the expected type")]
-    WrongKind {
+    InvalidValue {
         /// The path of the key.
         key: String,
         /// The parser's message.
@@ -124,7 +124,7 @@
     },
     /// The admin address is the same as the client address.
     #[error("mgmt: {0} is already the address for clients; set another one for operators")]
-    SharedAddress(SocketAddr),
+    SameAsClientAddress(SocketAddr),
     /// The log level is unknown.
     #[error("log_level: {0:?} is not a log level; use warning, info or debug")]
     LogLevel(String),
@@ -137,7 +137,7 @@
     /// # Errors
     /// A file cannot be read or is invalid, or a value from the environment is invalid.
     pub fn from_environment(cluster_config_path: Option<OsString>) -> Result<Config, ConfigError> {
-        let file = std::env::var_os("NODE_CONFIG").ok_or(ConfigError::NoFileNamed)?;
+        let file = std::env::var_os("NODE_CONFIG").ok_or(ConfigError::PathNotSet)?;
         let mut config = Config::read(file)?;
         // An empty address disables the admin interface.
         if let Ok(text) = std::env::var("NODE_MGMT") {
@@ -171,14 +171,14 @@
         path: OsString,
         content: std::io::Result<Vec<u8>>,
     ) -> Result<Config, ConfigError> {
-        let shown_path = PathBuf::from(&path);
+        let error_path = PathBuf::from(&path);
         let text = match content {
             Ok(text) => text,
-            Err(source) => return Err(ConfigError::Read { path: shown_path, source }),
+            Err(source) => return Err(ConfigError::Read { path: error_path, source }),
         };
         match Config::parse(text) {
             Ok(config) => Ok(Config { path: Some(path), ..config }),
-            Err(source) => Err(ConfigError::File { path: shown_path, source }),
+            Err(source) => Err(ConfigError::File { path: error_path, source }),
         }
     }
 
@@ -213,7 +213,7 @@
     }
     let address = parse_address("mgmt", text)?;
     if address == client_address && address.port() != 0 {
-        return Err(InvalidConfig::SharedAddress(client_address));
+        return Err(InvalidConfig::SameAsClientAddress(client_address));
     }
     Ok(Some(address))
 }
--- a/node/src/config/file.rs
+++ b/node/src/config/file.rs
@@ -60,8 +60,8 @@
 /// Parses the text of the file.
 pub(super) fn parse(mut text: Vec<u8>) -> Result<ConfigFile, InvalidConfig> {
     let mut parser = simd_json::Deserializer::from_slice(&mut text)
-        .map_err(|error| InvalidConfig::NotJson { message: one_line(&error.to_string()) })?;
-    serde_path_to_error::deserialize(&mut parser).map_err(|error| InvalidConfig::WrongKind {
+        .map_err(|error| InvalidConfig::MalformedJson { message: one_line(&error.to_string()) })?;
+    serde_path_to_error::deserialize(&mut parser).map_err(|error| InvalidConfig::InvalidValue {
         key: one_line(&error.path().to_string()),
         message: one_line(&error.inner().to_string()),
     })
--- a/node/src/config/tests.rs
+++ b/node/src/config/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-const SOUND: &str = r#"{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.2:2","seed":"8c1f30d27a5be964",
+const VALID_CONFIG: &str = r#"{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.2:2","seed":"8c1f30d27a5be964",
     "limits":{"cores":1.0,"memory_mb":192,"sockets":512},
     "known":{"generation":41,"reset":true,"instances":[]},
     "settings":{"az":1,"balancers":3,"categories":[{"aim":750000,"effect":"pure","give-up":1500000,"group":"all",
@@ -15,8 +15,8 @@
     "rules":{"ask-within":10000000,"cold-share":0.32,"warm-up":9000000},"tick":5000,"zones":["x","y"]}}"#;
 
 #[test]
-fn reads_a_sound_configuration() {
-    let config = Config::parse(SOUND.into()).unwrap();
+fn reads_a_valid_configuration() {
+    let config = Config::parse(VALID_CONFIG.into()).unwrap();
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
     assert_eq!(config.resource_limits, ConfiguredLimits { memory_bytes: 192 << 20, descriptors: 512 });
     assert_eq!((config.settings.mode, config.settings.zone), (CacheMode::Aside(2), 1));
@@ -29,18 +29,19 @@
 
 #[test]
 fn the_log_level_is_info_unless_the_file_names_another() {
-    let with = |level: &str| SOUND.replace("\"seed\"", &format!("\"log_level\":\"{level}\",\"seed\""));
-    assert_eq!(Config::parse(SOUND.into()).unwrap().log_level, Level::Info);
-    assert_eq!(Config::parse(with("debug").into()).unwrap().log_level, Level::Debug);
-    let problem = Config::parse(with("loud").into()).unwrap_err().to_string();
+    let config_with_level =
+        |level: &str| VALID_CONFIG.replace("\"seed\"", &format!("\"log_level\":\"{level}\",\"seed\""));
+    assert_eq!(Config::parse(VALID_CONFIG.into()).unwrap().log_level, Level::Info);
+    assert_eq!(Config::parse(config_with_level("debug").into()).unwrap().log_level, Level::Debug);
+    let problem = Config::parse(config_with_level("loud").into()).unwrap_err().to_string();
     assert_eq!(problem, "log_level: \"loud\" is not a log level; use warning, info or debug");
 }
 
 #[test]
-fn rejects_a_broken_configuration_in_one_plain_line() {
-    let no_port = SOUND.replace("127.0.0.1:1", "127.0.0.1");
-    let no_rules = SOUND.replace("\"rules\"", "\"fools\"");
-    for text in ["", "{", "[]", &no_port, &no_rules, &SOUND[..SOUND.len() / 2]] {
+fn rejects_an_invalid_configuration_in_one_line() {
+    let no_port = VALID_CONFIG.replace("127.0.0.1:1", "127.0.0.1");
+    let no_rules = VALID_CONFIG.replace("\"rules\"", "\"fools\"");
+    for text in ["", "{", "[]", &no_port, &no_rules, &VALID_CONFIG[..VALID_CONFIG.len() / 2]] {
         let problem = Config::parse(text.into()).unwrap_err().to_string();
         assert!(!problem.is_empty() && !problem.contains('\n'), "{problem:?}");
     }
@@ -49,14 +50,14 @@
         ("\"give-up\":1500000", "\"give-up\":-1", "settings.categories[0].give-up: "),
         ("\"sockets\":512", "\"sockets\":null", "limits.sockets: "),
     ] {
-        let problem = Config::parse(SOUND.replace(from, to).into()).unwrap_err().to_string();
+        let problem = Config::parse(VALID_CONFIG.replace(from, to).into()).unwrap_err().to_string();
         assert!(problem.starts_with(key) && problem.contains("; set it to"), "{problem}");
     }
 }
 
 /// The exact texts that operators see when a start or a reload fails.
 #[test]
-fn errors_name_the_file_the_key_and_what_to_do() {
+fn errors_name_the_file_the_key_and_the_remedy() {
     let error = |result: Result<Config, ConfigError>| result.unwrap_err().to_string();
     let read = |text: String| Config::from_file_content("n3.json".into(), Ok(text.into_bytes()));
     let missing = std::io::Error::from(std::io::ErrorKind::NotFound);
@@ -65,15 +66,15 @@
         "cannot read n3.json: entity not found"
     );
     assert_eq!(
-        error(read(SOUND.replace("127.0.0.1:1", "127.0.0.1"))),
+        error(read(VALID_CONFIG.replace("127.0.0.1:1", "127.0.0.1"))),
         "n3.json: listen: \"127.0.0.1\" is not an IP address and port"
     );
     assert_eq!(
-        error(read(SOUND.replace("\"seed\"", "\"mgmt\":\"127.0.0.1:1\",\"seed\""))),
+        error(read(VALID_CONFIG.replace("\"seed\"", "\"mgmt\":\"127.0.0.1:1\",\"seed\""))),
         "n3.json: mgmt: 127.0.0.1:1 is already the address for clients; set another one for operators"
     );
     assert_eq!(
-        error(read(SOUND.replace("\"max-attempts\":3", "\"max-attempts\":0"))),
+        error(read(VALID_CONFIG.replace("\"max-attempts\":3", "\"max-attempts\":0"))),
         "n3.json: settings: limits.max-attempts is missing or wrong; allow one attempt at least"
     );
 }
