--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -44,7 +44,7 @@
 /// A component of the daemon cannot be started: its address is in use, or the operators' file is incomplete.
 pub async fn run(config: Config, log: Logger) -> Result<(), StartError> {
     // The default action of each of these signals ends the process, so the handlers are installed first.
-    let mut signals = Signals::catch()?;
+    let mut signals = Signals::install()?;
     let (daemon, reloader) = Daemon::start(config, log).await?;
     daemon.serve_until_stopped(&mut signals, &reloader).await;
     daemon.stop().await;
@@ -169,7 +169,7 @@
         loop {
             tokio::select! {
                 _ = counters_due.tick() => self.log_counters(),
-                () = signals.end.recv() => return,
+                () = signals.termination.recv() => return,
                 _ = signals.report.recv() => {
                     self.log_counters();
                     self.dispatcher.log_limits();
--- a/node/src/endpoint_list.rs
+++ b/node/src/endpoint_list.rs
@@ -28,16 +28,16 @@
 
 impl SiteNames {
     fn zone_number(&self, name: &str) -> u32 {
-        position_or_max(&self.zones, name)
+        index_or_max(&self.zones, name)
     }
 
     fn kind_number(&self, name: &str) -> u32 {
-        position_or_max(&self.kinds, name)
+        index_or_max(&self.kinds, name)
     }
 }
 
-fn position_or_max(names: &[String], name: &str) -> u32 {
-    names.iter().position(|known| known == name).map_or(u32::MAX, |position| position as u32)
+fn index_or_max(names: &[String], name: &str) -> u32 {
+    names.iter().position(|known| known == name).map_or(u32::MAX, |index| index as u32)
 }
 
 /// A complete endpoint list or changes to one, in discovery's format.
--- a/node/src/endpoint_list/tests.rs
+++ b/node/src/endpoint_list/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn entries_have_the_numbers_of_the_settings_and_those_without_an_address_are_left_out() {
+fn entries_get_the_numbers_of_the_settings_and_those_without_an_address_are_ignored() {
     let text = r#"{"generation":41,"reset":true,"more":1,"instances":[
         {"instanceId":"s-5be2a07c","hostPort":"127.0.0.1:5","zone":"west","machineType":"origin","cell":3,
          "lifecycle":"terminating","weight":1.5,"startedAtMs":7},
@@ -24,7 +24,7 @@
         {"instanceId":"s-00000002","hostPort":"127.0.0.1:6","zone":"north","lifecycle":"terminated"}]}"#;
     let reader = EndpointListReader::new(site_names());
     let servers = reader.read(list(text), &log());
-    let [origin, gone] = &servers[..] else {
+    let [origin, deleted] = &servers[..] else {
         panic!("expected two entries, as one has no address: {servers:?}")
     };
     let endpoint = &origin.endpoint;
@@ -36,14 +36,14 @@
         (endpoint.state, endpoint.weight, endpoint.started),
         (EndpointState::Draining, 1.5, from_ms(7))
     );
-    assert_eq!((gone.endpoint.state, gone.endpoint.zone), (EndpointState::Deleted, u32::MAX));
+    assert_eq!((deleted.endpoint.state, deleted.endpoint.zone), (EndpointState::Deleted, u32::MAX));
     assert_eq!(watch_path(Some(41)), "/catalog/members?follow=1&since=41");
     assert_eq!(watch_path(None), "/catalog/members?follow=1");
 }
 
 /// Guards against changed ids: placement hashes them, so a new version with other values would move every key.
 #[test]
-fn numbers_of_names_and_keys_do_not_change() {
+fn ids_of_names_and_keys_are_stable() {
     assert_eq!(server_id("s-5be2a07c"), ServerId(0x5be2_a07c));
     let others = ["origin", "t-5be2a07c", "s-5BE2A07C", "s-5be2a07c0", "s-05be2a07c", "5be2a07c", ""];
     let identifiers: HashSet<u64> = others.iter().map(|name| server_id(name).0).collect();
--- a/node/src/resource_limits.rs
+++ b/node/src/resource_limits.rs
@@ -14,7 +14,7 @@
 
 /// The descriptors used neither for clients nor for servers: the three standard streams, the listener, the current and the
 /// next connection to discovery, the runtime, the signal handlers, a file being read, and a margin.
-const OWN_DESCRIPTORS: usize = 16 + RESERVED_ADMIN_CONNECTIONS;
+const RESERVED_DESCRIPTORS: usize = 16 + RESERVED_ADMIN_CONNECTIONS;
 /// The minimum number of descriptors that are divided between clients and servers, however few are configured.
 const MIN_DIVIDED_DESCRIPTORS: usize = 16;
 /// The number of admin connections with reserved descriptors. Further ones use the descriptors for clients.
@@ -54,7 +54,8 @@
 impl ResourceLimits {
     /// Divides the configured limits among the components.
     pub fn from_configured(limits: ConfiguredLimits) -> ResourceLimits {
-        let descriptors = limits.descriptors.saturating_sub(OWN_DESCRIPTORS).max(MIN_DIVIDED_DESCRIPTORS);
+        let descriptors =
+            limits.descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_DIVIDED_DESCRIPTORS);
         let server_connections = (descriptors as f64 * SERVER_CONNECTION_SHARE) as usize;
         let client_connections = descriptors - server_connections;
         let client_buffer_bytes = (limits.memory_bytes as f64 * CLIENT_BUFFER_SHARE) as usize;
--- a/node/src/resource_limits/tests.rs
+++ b/node/src/resource_limits/tests.rs
@@ -3,11 +3,11 @@
 /// Guards against exhausted descriptors and memory: the connections fit into the descriptors, clients have more than the
 /// third that they may use for requests, and the buffers for clients leave most of the memory free.
 #[test]
-fn parts_stay_within_the_configured_limits_whatever_these_are() {
+fn components_stay_within_the_configured_limits() {
     for (megabytes, descriptors) in [(32, 256), (48, 384), (192, 1024), (32, 1024)] {
         let configured = ConfiguredLimits { memory_bytes: megabytes << 20, descriptors };
         let limits = ResourceLimits::from_configured(configured);
-        assert!(limits.client_connections + limits.server_connections + OWN_DESCRIPTORS <= descriptors);
+        assert!(limits.client_connections + limits.server_connections + RESERVED_DESCRIPTORS <= descriptors);
         assert!(limits.client_connections > descriptors / 3 && limits.server_connections > descriptors / 2);
         assert!(limits.chunk_bytes * 4 * limits.client_connections <= (megabytes << 20) / 2);
         assert!(limits.idle_client_connections > 0 && limits.idle_client_connections < descriptors / 3);
--- a/node/src/signals.rs
+++ b/node/src/signals.rs
@@ -8,7 +8,7 @@
 /// The handled signals.
 pub(crate) struct Signals {
     /// SIGTERM and SIGINT: shut down gracefully.
-    pub(crate) end: EndSignals,
+    pub(crate) termination: TerminationSignals,
     /// SIGUSR1: log the counters and the limits.
     pub(crate) report: Signal,
     /// SIGHUP: reload the configuration.
@@ -16,12 +16,12 @@
 }
 
 /// The signals that end the daemon.
-pub(crate) struct EndSignals {
+pub(crate) struct TerminationSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
-impl EndSignals {
+impl TerminationSignals {
     /// Waits for either signal.
     pub(crate) async fn recv(&mut self) {
         tokio::select! {
@@ -36,18 +36,18 @@
     ///
     /// # Errors
     /// A handler cannot be installed.
-    pub(crate) fn catch() -> Result<Signals, StartError> {
+    pub(crate) fn install() -> Result<Signals, StartError> {
         Ok(Signals {
-            end: EndSignals {
-                terminate: catch(SignalKind::terminate())?,
-                interrupt: catch(SignalKind::interrupt())?,
+            termination: TerminationSignals {
+                terminate: install(SignalKind::terminate())?,
+                interrupt: install(SignalKind::interrupt())?,
             },
-            report: catch(SignalKind::user_defined1())?,
-            reload: catch(SignalKind::hangup())?,
+            report: install(SignalKind::user_defined1())?,
+            reload: install(SignalKind::hangup())?,
         })
     }
 }
 
-fn catch(kind: SignalKind) -> Result<Signal, StartError> {
+fn install(kind: SignalKind) -> Result<Signal, StartError> {
     retry_transient_blocking(|| signal(kind)).map_err(StartError::Signals)
 }
--- a/node/src/socket.rs
+++ b/node/src/socket.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 
 /// The buffer size of a read that bypasses the runtime.
-const READ_NOW_BYTES: usize = 2048;
+const DIRECT_READ_BYTES: usize = 2048;
 
 /// A connection or one half of it.
 #[derive(Debug)]
@@ -65,7 +65,7 @@
     /// polled for events. Returns `Pending` if no data is available, and zero at the end of the stream.
     pub fn read_now(&self, input: &mut BytesMut) -> Poll<io::Result<usize>> {
         let socket = SockRef::from(self.0.as_tcp_stream());
-        let mut buffer = [0; READ_NOW_BYTES];
+        let mut buffer = [0; DIRECT_READ_BYTES];
         loop {
             match (&*socket).read(&mut buffer) {
                 Ok(length) => {
--- a/node/src/transient_errors.rs
+++ b/node/src/transient_errors.rs
@@ -21,10 +21,10 @@
 /// # Errors
 /// The first permanent error, or the error of the last attempt.
 pub async fn retry_transient<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let give_up_at = Instant::now() + RETRY_TIMEOUT;
+    let deadline = Instant::now() + RETRY_TIMEOUT;
     loop {
         match call() {
-            Err(error) if !is_permanent(&error) && Instant::now() < give_up_at => sleep(RETRY_INTERVAL).await,
+            Err(error) if !is_permanent(&error) && Instant::now() < deadline => sleep(RETRY_INTERVAL).await,
             result => return result,
         }
     }
@@ -35,10 +35,10 @@
 /// # Errors
 /// The first permanent error, or the error of the last attempt.
 pub fn retry_transient_blocking<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let give_up_at = std::time::Instant::now() + RETRY_TIMEOUT;
+    let deadline = std::time::Instant::now() + RETRY_TIMEOUT;
     loop {
         match call() {
-            Err(error) if !is_permanent(&error) && std::time::Instant::now() < give_up_at => {
+            Err(error) if !is_permanent(&error) && std::time::Instant::now() < deadline => {
                 std::thread::sleep(RETRY_INTERVAL);
             }
             result => return result,
--- a/node/tests/two_deployments.rs
+++ b/node/tests/two_deployments.rs
@@ -12,12 +12,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
-const FIRST: &str = r#"
+const FIRST_SETTINGS: &str = r#"
     "categories":[{"name":"read","aim":500000,"effect":"pure","give-up":900000,"worth":1},
       {"name":"put","aim":900000,"effect":"token","give-up":3000000,"window":6000000,"worth":1}],
     "orgs":[{"name":"acme","allowance-per-s":5}],
     "limits":{"conn-idle":5000000,"connect-timeout":250000,"max-attempts":3,"may-duplicate":true}"#;
-const SECOND: &str = r#"
+const SECOND_SETTINGS: &str = r#"
     "categories":[{"name":"put","aim":200000,"effect":"side_effect","give-up":400000,"worth":1},
       {"name":"list","aim":500000,"effect":"pure","give-up":700000,"worth":1}],
     "orgs":[{"name":"beta","allowance-per-s":5},{"name":"acme","allowance-per-s":5}],
@@ -79,7 +79,8 @@
 #[test]
 fn each_deployment_has_its_own_classes_tenants_and_attempts() {
     testing::run_on_sockets(async {
-        let (mut first, mut second) = (Deployment::new(FIRST).await, Deployment::new(SECOND).await);
+        let (mut first, mut second) =
+            (Deployment::new(FIRST_SETTINGS).await, Deployment::new(SECOND_SETTINGS).await);
         // The same request has a different class, tenant and deadline in each deployment.
         let line = "ms 7f3a9c21e0b4d655 1 O1 Pc=put,t=acme,d=60000,k=5c0f6e1a2b3d4c59\r\nv\r\n";
         first.send(line).await;
