--- a/cli/benches/data_path/balancer.rs
+++ b/cli/benches/data_path/balancer.rs
@@ -1,4 +1,4 @@
-//! One process of the program, and what the kernel says it uses.
+//! The daemon process, and its resource usage as reported by the kernel.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -12,38 +12,38 @@
 
 use crate::stand_ins::StandIns;
 
-/// How often, and how many times, a process that starts is asked whether it is ready.
+/// The interval and the maximum number of readiness checks after a start.
 const READY_INTERVAL: Duration = Duration::from_millis(20);
 const READY_ATTEMPTS: usize = 500;
 
-/// The process, killed at the end.
+/// A running daemon, killed on drop.
 pub struct Balancer {
     child: Child,
     address: SocketAddr,
-    /// Keeps its configuration for as long as it runs.
+    /// Keeps the folder of its configuration until it ends.
     _folder: TempDir,
 }
 
-/// What a process has used and holds.
+/// The resource usage of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
     /// Processor time of all threads, in seconds.
     pub cpu_s: f64,
-    /// Resident memory.
+    /// Resident memory, in kilobytes.
     pub rss_kb: u64,
-    /// Open descriptors.
+    /// The number of open descriptors.
     pub descriptors: usize,
 }
 
 impl Usage {
-    /// The same, but the processor time since then.
+    /// This usage, with the processor time counted since `before`.
     pub fn since(&self, before: &Usage) -> Usage {
         Usage { cpu_s: self.cpu_s - before.cpu_s, ..*self }
     }
 }
 
 impl Balancer {
-    /// Starts one that knows so many servers and may hold so many descriptors, and waits until it is ready.
+    /// Starts a daemon with this number of listed servers and this limit of descriptors, and waits until it is ready.
     pub async fn start(stand_ins: &StandIns, servers: usize, sockets: usize, seed: u64) -> Balancer {
         let address = free_address().await;
         let folder = tempfile::tempdir().expect("a folder");
@@ -68,12 +68,12 @@
         balancer
     }
 
-    /// Where clients connect.
+    /// The address for clients.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it has used until now, and holds.
+    /// The current resource usage.
     pub fn usage(&self) -> Usage {
         let folder = PathBuf::from(format!("/proc/{}", self.child.id()));
         let status = fs::read_to_string(folder.join("status")).expect("its status");
@@ -89,7 +89,7 @@
         Usage { cpu_s, rss_kb, descriptors }
     }
 
-    /// Processor time in seconds that it uses over so long.
+    /// Measures the processor time used during this time, in seconds.
     pub async fn over(&self, time: Duration) -> f64 {
         let before = self.usage();
         tokio::time::sleep(time).await;
--- a/cli/benches/data_path/load.rs
+++ b/cli/benches/data_path/load.rs
@@ -1,4 +1,4 @@
-//! Clients: an open loop of reads over connections that stay, and connections that are held to be counted.
+//! Clients: an open-loop load over persistent connections, and connections held open for measurement.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -10,41 +10,41 @@
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, LocalSet};
 
-/// Keys that are asked for, all alike.
+/// The number of keys, which are requested with equal probability.
 const KEYS: u64 = 1_000_000;
-/// A client's deadline in milliseconds.
+/// The deadline of a request, in milliseconds.
 const DEADLINE_MS: u64 = 4_000;
-/// How long after the last send answers are read.
+/// How long after the last request answers are awaited.
 const LAST_ANSWERS: Duration = Duration::from_millis(1_500);
 
-/// So many requests a second, sent whatever the answers.
+/// An open-loop load: requests are sent at a fixed rate, independent of the answers.
 #[derive(Clone, Copy)]
 pub struct Load {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Connections that they are dealt out to.
+    /// The number of connections over which the requests are distributed.
     pub clients: usize,
-    /// Bytes of a value that is written; 0, the requests are reads.
+    /// The size in bytes of the values written; 0 for reads.
     pub upload: usize,
-    /// Of the keys.
+    /// The random seed of the keys and request ids.
     pub seed: u64,
 }
 
-/// How requests ended.
+/// The outcome of a load.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Requests {
-    /// Sent.
+    /// The number of requests sent.
     pub sent: u64,
-    /// Answered with a value, or with its receipt.
+    /// The number of requests answered with a value or, for a write, a confirmation.
     pub served: u64,
-    /// Bytes of those values.
+    /// The total size of those values, in bytes.
     pub bytes: u64,
-    /// The most that a send was behind its time, in milliseconds.
+    /// The maximum delay of a request behind its schedule, in milliseconds.
     pub lag_ms: f64,
 }
 
 impl Load {
-    /// Runs for so long, and then until the last answers are in or given up.
+    /// Runs for this time, then until the last answers have arrived or timed out.
     pub async fn run(&self, address: SocketAddr, time: Duration) -> Requests {
         LocalSet::new().run_until(self.play(address, time)).await
     }
@@ -89,7 +89,7 @@
     format!("mg {key:016x} v O{id:016x} Pc=read,d={DEADLINE_MS}\r\n")
 }
 
-/// Counts the values that come, or the receipts of those written, and their bytes.
+/// Counts the received values or write confirmations, and the bytes of the values.
 async fn count_values(read: OwnedReadHalf, upload: usize, served: Rc<Cell<(u64, u64)>>) {
     let (mut reader, mut line, mut value) =
         (BufReader::with_capacity(64 << 10, read), String::new(), Vec::new());
@@ -117,7 +117,7 @@
 pub struct Held(Vec<BufReader<TcpStream>>);
 
 impl Held {
-    /// Opens so many, each of which has been answered once.
+    /// Opens this number of connections, and waits for an answer on each.
     pub async fn open(address: SocketAddr, clients: usize) -> Held {
         let mut held = Vec::new();
         for _ in 0..clients {
@@ -130,7 +130,7 @@
         held
     }
 
-    /// Sends a read on each.
+    /// Sends a read on each connection.
     pub async fn ask(&mut self, seed: u64) {
         let mut rng = fastrand::Rng::with_seed(seed);
         for client in &mut self.0 {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Reads an answer on each.
+    /// Reads an answer on each connection.
     pub async fn answered(&mut self) {
         for client in &mut self.0 {
             let mut line = String::new();
--- a/cli/benches/data_path/main.rs
+++ b/cli/benches/data_path/main.rs
@@ -1,10 +1,10 @@
-//! What the data path costs one process of the program: processor time, memory and descriptors by number of cache
-//! servers, size of values, connections and changes of the list. The figures of docs/CAPACITY.md come from here.
+//! Benchmark of the data path of one process: processor time, memory and descriptors by number of cache servers, value
+//! size, connections and endpoint list changes. Source of the figures in docs/CAPACITY.md.
 //!
-//! `cargo bench -p juniperladder-cli --bench data_path -- SCENARIO SEED [SIZE]`, where SCENARIO is `servers`, `pairs`,
-//! `values`, `uploads`, `connections` or `discovery`, and SIZE one of its sizes, by default all. It prints rows of
-//! comma-separated values. `uploads` does not work yet: none of its writes is served. Real time on loopback: nothing else
-//! may run beside it, and nothing is asserted.
+//! Usage: `cargo bench -p juniperladder-cli --bench data_path -- SCENARIO SEED [SIZE]`, where SCENARIO is `servers`,
+//! `pairs`, `values`, `uploads`, `connections` or `discovery`, and SIZE one of its sizes, by default all. Prints rows of
+//! comma-separated values and asserts nothing. `uploads` does not work yet: none of its writes is served. The benchmark
+//! measures real time on loopback, so nothing else may run at the same time.
 
 mod balancer;
 mod load;
@@ -16,30 +16,30 @@
 use load::{Load, Requests};
 use stand_ins::StandIns;
 
-/// Requests a second at one balancer at the peak: 1.3 million over 2,000.
+/// Requests per second of one balancer at peak load: 1.3 million over 2,000 balancers.
 const PEAK_RATE: f64 = 650.0;
-/// Bytes of a value that make 1.2 Gbit/s of that.
+/// The value size in bytes at which that rate is 1.2 Gbit/s.
 const PEAK_VALUE: usize = 231_000;
-/// Bytes a second through one balancer at the peak: 2.4 Tbit/s over 2,000.
+/// Bytes per second through one balancer at peak load: 2.4 Tbit/s over 2,000 balancers.
 const PEAK_BYTES: f64 = 150e6;
-/// Servers listed.
+/// Numbers of listed servers.
 const SERVERS: [usize; 7] = [10, 125, 230, 500, 1_000, 2_000, 4_096];
-/// Bytes of a value.
+/// Value sizes in bytes.
 const VALUES: [usize; 9] =
     [1_024, 16 << 10, 64 << 10, 128 << 10, PEAK_VALUE, 512 << 10, 1 << 20, 2 << 20, 4_000_000];
-/// Mean time of an answer.
+/// Mean service times in milliseconds.
 const SERVICE_MS: [usize; 4] = [2, 5, 20, 50];
-/// Clients' connections.
+/// Numbers of client connections.
 const CLIENTS: [usize; 6] = [0, 125, 250, 500, 1_000, 2_000];
-/// How long the load runs before it is measured, and while it is.
+/// How long the load runs before the measurement, and during it.
 const WARM: Duration = Duration::from_secs(3);
 const WARM_VALUES: Duration = Duration::from_secs(1);
 const MEASURED: Duration = Duration::from_secs(4);
-/// Longer than an idle connection to a server is kept.
+/// A warm-up longer than the idle timeout of connections to servers.
 const WARM_PAIRS: Duration = Duration::from_secs(6);
 
 fn main() {
-    // Cargo passes `--bench`, and other options of its harness, beside ours.
+    // Cargo also passes options for the benchmark harness, such as `--bench`.
     let arguments: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with("--")).collect();
     let scenario = arguments.first().map_or("", String::as_str);
     let seed = arguments.get(1).and_then(|text| text.parse().ok()).unwrap_or(1);
@@ -60,11 +60,11 @@
     }
 }
 
-/// What the process used while a load ran.
+/// The resource usage of the process during a load.
 struct Cost {
     used: Usage,
     requests: Requests,
-    /// The process right after the load.
+    /// The usage right after the load.
     after: Usage,
 }
 
@@ -76,7 +76,7 @@
     Cost { used: after.since(&before), requests, after }
 }
 
-/// The ordinary peak in small values, by number of servers listed.
+/// Peak load with small values, by number of listed servers.
 async fn servers(seed: u64, sizes: Vec<usize>) {
     println!("servers,seed,service_ms,served,cpu_ms_per_request,cores_at_650,idle_rss_kb,rss_kb,connections,opened_per_request");
     for servers in sizes {
@@ -84,7 +84,7 @@
     }
 }
 
-/// Connections to 230 servers at the ordinary peak, by the mean time of an answer.
+/// Connections to 230 servers at peak load, by mean service time.
 async fn pairs(seed: u64, service_ms: Vec<usize>) {
     println!("servers,seed,service_ms,served,cpu_ms_per_request,cores_at_650,idle_rss_kb,rss_kb,connections,opened_per_request");
     for service_ms in service_ms {
@@ -111,15 +111,15 @@
     );
 }
 
-/// The bytes of the ordinary peak in values of one size, read or written.
+/// Peak load in bytes with values of one size, read or written.
 async fn values(seed: u64, sizes: Vec<usize>, written: bool) {
     println!("value_bytes,seed,rate,served,mib_passed,cpu_ms_per_request,cpu_ms_per_mib,cores,rss_kb,lag_ms");
     for size in sizes {
         let stand_ins = StandIns::start(if written { 64 } else { size }, 5.0, seed);
         let balancer = Balancer::start(&stand_ins, 230, 8_192, seed).await;
-        // The small ones at the rate of the peak, the large ones at its bytes.
+        // Small values are limited by the peak rate, large ones by the peak bytes.
         let rate = PEAK_RATE.min(PEAK_BYTES / size as f64);
-        // A connection that asks for nothing for 2.2 s is closed: each asks once a second at least.
+        // A connection is closed after 2.2 s without a request, so each client sends at least one per second.
         let clients = 128.min(rate as usize);
         let load = Load { rate, clients, upload: if written { size } else { 0 }, seed };
         let cost = measure(&balancer, load, WARM_VALUES).await;
@@ -136,7 +136,7 @@
     }
 }
 
-/// Memory and descriptors by connections: clients that rest, requests in flight, and servers' connections that rest.
+/// Memory and descriptors with idle clients, with requests in flight, and with idle connections to servers.
 async fn connections(seed: u64, sizes: Vec<usize>) {
     println!("clients,seed,state,rss_kb,descriptors");
     for clients in sizes {
@@ -158,7 +158,7 @@
     }
 }
 
-/// Whole lists and single changes by number of servers, with no load.
+/// Complete lists and single changes by number of servers, without load.
 async fn discovery(seed: u64, sizes: Vec<usize>) {
     const LISTS: u32 = 20;
     const CHANGES: u32 = 100;
--- a/cli/benches/data_path/stand_ins.rs
+++ b/cli/benches/data_path/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins on a thread of their own: a cache server that all entries of the list lead to, and discovery.
+//! Fake servers on a separate thread: a cache server to which all list entries point, and discovery.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -12,20 +12,20 @@
 use tokio::sync::broadcast;
 use tokio::task::{spawn_local, LocalSet};
 
-/// While nothing changes, discovery writes an empty line this often.
+/// The interval of discovery's heartbeats, which are empty lines, while nothing changes.
 const EMPTY_LINE: Duration = Duration::from_secs(2);
 
-/// What the stand-ins' thread shares with the bench.
+/// State shared between the servers' thread and the benchmark.
 #[derive(Default)]
 struct Shared {
     open: AtomicUsize,
     opened: AtomicUsize,
     watches: AtomicUsize,
-    /// The mean time of an answer, in microseconds.
+    /// The mean service time, in microseconds.
     service_us: AtomicU64,
 }
 
-/// All stand-ins.
+/// The fake cache server and discovery.
 pub struct StandIns {
     shared: Arc<Shared>,
     cache: SocketAddr,
@@ -34,7 +34,7 @@
 }
 
 impl StandIns {
-    /// Starts them: values of so many bytes, answered after a drawn time of this mean.
+    /// Starts the servers: values have this size, and service times are random with this mean.
     pub fn start(value_bytes: usize, service_ms: f64, seed: u64) -> StandIns {
         let shared = Arc::new(Shared::default());
         let (lists, _) = broadcast::channel(1_024);
@@ -60,22 +60,22 @@
         stand_ins
     }
 
-    /// From now on answers take a drawn time of this mean.
+    /// Sets the mean of the random service times.
     pub fn answer_after(&self, service_ms: f64) {
         self.shared.service_us.store((service_ms * 1e3) as u64, Ordering::Relaxed);
     }
 
-    /// Where discovery is.
+    /// The address of discovery.
     pub fn discovery(&self) -> SocketAddr {
         self.discovery
     }
 
-    /// Connections to cache servers that are open.
+    /// The number of open connections to cache servers.
     pub fn open(&self) -> usize {
         self.shared.open.load(Ordering::Relaxed)
     }
 
-    /// Connections to cache servers that ever were.
+    /// The total number of connections opened to cache servers.
     pub fn opened(&self) -> usize {
         self.shared.opened.load(Ordering::Relaxed)
     }
@@ -88,12 +88,12 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
 
-    /// Has every watch told this.
+    /// Sends this list to every watch.
     pub fn push(&self, list: &str) {
         let _ = self.lists.send(format!("{list}\n"));
     }
 
-    /// A list of so many servers, or the changes of them, in discovery's form.
+    /// A complete list of this number of servers, or changes to them, in discovery's format.
     pub fn list(&self, servers: usize, whole: bool, generation: u64) -> String {
         let entry = |number: usize| {
             format!(
@@ -127,7 +127,7 @@
     }
 }
 
-/// Answers the reads of one connection in turn, each with the value.
+/// Answers the requests of one connection in order.
 async fn serve(stream: TcpStream, shared: &Shared, value: &[u8], seed: &Cell<u64>) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     seed.set(seed.get().wrapping_add(1));
@@ -136,7 +136,7 @@
     while stream.read_line(&mut line).await? > 0 {
         let id = line.split_whitespace().find(|word| word.starts_with('O')).unwrap_or("O0").to_owned();
         let mean = Duration::from_micros(shared.service_us.load(Ordering::Relaxed));
-        // The fixed part keeps what is held for the count apart from chance.
+        // Half of the mean is fixed, to reduce the random variation of the number of open connections.
         let time = mean.mul_f64(0.5 - 0.5 * (1.0 - rng.f64()).ln());
         if !time.is_zero() {
             tokio::time::sleep(time).await;
@@ -159,7 +159,7 @@
     line.strip_prefix("ms ")?.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Reads a value of this length and its end.
+/// Reads a value of this length and its line end.
 async fn read_value(stream: &mut BufReader<TcpStream>, length: usize) -> std::io::Result<()> {
     let (mut left, mut piece) = (length + 2, vec![0; 64 << 10]);
     while left > 0 {
@@ -185,7 +185,7 @@
     }
 }
 
-/// Tells one watch what changes; at first nothing has, since the process was started with what is known.
+/// Serves one watch. The first message has no changes, because the process was started with the current list.
 async fn tell(mut stream: TcpStream, mut lists: broadcast::Receiver<String>) -> std::io::Result<()> {
     let mut call = [0; 4_096];
     let _ = stream.read(&mut call).await?;
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,15 +1,15 @@
-//! The daemon: reads the configuration that `NODE_CONFIG` names and serves until a signal ends it.
+//! The daemon: reads the configuration file named by `NODE_CONFIG` and serves until a signal ends it.
 
 use std::ffi::OsString;
 use std::process::ExitCode;
 
 use clap::Parser;
 
-/// The balancer. Its configuration is the file that NODE_CONFIG names.
+/// The balancer daemon. The environment variable NODE_CONFIG names its configuration file.
 #[derive(Parser)]
 #[command(name = "juniperladder", version)]
 struct Args {
-    /// The operators' file, which switches on talk between balancers; by default the one that NODE_OPERATOR names
+    /// The operators' file, which enables coordination between balancers; by default the file named by NODE_OPERATOR
     #[arg(long, value_name = "FILE")]
     operator: Option<OsString>,
 }
--- a/cli/tests/discovery.rs
+++ b/cli/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The program as a process beside a discovery that is crowded: it handles its calls in turn, so that an answer takes long.
+//! The daemon as a process with an overloaded discovery, which handles polls in turn and answers slowly.
 
 mod support;
 
@@ -8,10 +8,10 @@
 
 use support::{address_in, cache_server, config, program, send_signal, wait_for_line};
 
-/// How long a call waits for its turn: longer than discovery's own limit of 2 s, behind which it rejects calls at once.
+/// How long a poll is queued: longer than discovery's own limit of 2 s, beyond which it rejects polls at once.
 const ANSWER_DELAY: Duration = Duration::from_millis(2_300);
 
-/// Reads the call on this connection up to its empty line.
+/// Reads the request on this connection up to its empty line.
 fn read_call(stream: &TcpStream) -> String {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let mut call = String::new();
@@ -19,7 +19,7 @@
     call
 }
 
-/// A list as the first chunk of an answer that stays open.
+/// A response whose first chunk is an endpoint list, and which does not end.
 fn list(generation: u64, drained: &str, serving: &str) -> String {
     let instance = |id: &str, address: &str, lifecycle: &str| {
         format!(
@@ -44,8 +44,9 @@
     String::from_utf8_lossy(&value[..1]).into_owned()
 }
 
-/// A call that waits for its turn is not abandoned: discovery answers it all the same, what it writes counts as notified, and the next
-/// call would wait behind all others. The list comes on the first call, and nothing goes to the server that drains.
+/// Guards against an abandoned poll while it is queued: discovery would still answer it, its changes would count as
+/// notified, and a new poll would be queued behind all others. The list arrives on the first poll, and the draining server
+/// gets no further requests.
 #[test]
 fn a_call_that_waits_for_its_turn_is_not_abandoned() {
     let [draining_at, serving_at] = ["D", "S"].map(cache_server);
@@ -66,13 +67,13 @@
 
     let (first, _) = discovery.accept().unwrap();
     assert!(read_call(&first).starts_with("GET /catalog/members?follow=1"));
-    // Its side of the connection ends at once where the caller has abandoned the call.
+    // The read ends at once if the balancer has abandoned the poll.
     first.set_read_timeout(Some(ANSWER_DELAY)).unwrap();
     let waited = (&first).read(&mut [0; 1]);
-    assert!(waited.is_err(), "the call was abandoned before its turn came: {waited:?}");
+    assert!(waited.is_err(), "the poll was abandoned while it was queued: {waited:?}");
     (&first).write_all(list(42, &draining_at, &serving_at).as_bytes()).unwrap();
     wait_for_line(&mut log, "endpoint_list_version: 42");
-    // The first connection has been idle for too long by now.
+    // The first connection has reached its idle timeout by now.
     let mut client = TcpStream::connect(&listen).unwrap();
     let after: Vec<String> = (32..64).map(|key| read_value(&mut client, key)).collect();
     assert!(after.iter().all(|value| value == "S"), "{after:?}");
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -1,5 +1,6 @@
-//! The program as a process whose system calls fail as Linux documents: each request still has its one answer, and a moment's
-//! failure prevents no start. The calls are made to fail by a library of these tests' own (`support/faults.c`).
+//! The daemon as a process whose system calls fail in the ways that Linux documents: each request is still answered
+//! exactly once, and a transient failure does not prevent a start. A preloaded library (`support/faults.c`) injects the
+//! failures.
 
 mod support;
 
@@ -13,16 +14,16 @@
 
 use support::{address_in, cache_server, config, file, program, send_signal, wait_for_line};
 
-/// How long one answer may take here: far longer than any, and shorter than the deadline of the requests.
+/// The timeout of the test for an answer: far longer than any answer takes, and shorter than the request deadline.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
-/// Requests in flight at once on one connection.
+/// The number of requests in flight on one connection.
 const PIPELINE_LENGTH: u64 = 4;
-/// Connections, one after the other.
+/// The number of consecutive connections.
 const CONNECTION_COUNT: u64 = 32;
-/// Cache servers: a request goes to each at most once.
+/// The number of cache servers; a request is sent to each at most once.
 const SERVER_COUNT: usize = 6;
 
-/// The library that makes calls fail, built once.
+/// The path of the fault injection library, which is built once.
 fn fault_library() -> &'static PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT.get_or_init(|| {
@@ -39,21 +40,21 @@
     })
 }
 
-/// What the servers answer.
+/// The value that the servers return.
 fn value() -> String {
     "v".repeat(300)
 }
 
-/// The program with faults.
+/// A running daemon with injected faults.
 struct FaultyProgram {
     child: Child,
-    /// Where it listens.
+    /// The address for clients.
     listen: String,
-    /// The rest of its log, once it has ended.
+    /// Returns the rest of the log when the daemon has ended.
     log: JoinHandle<String>,
 }
 
-/// Starts the program with these faults.
+/// Starts the daemon with these faults.
 fn start(faults: &str) -> FaultyProgram {
     let instance = |number: usize| {
         format!(
@@ -64,7 +65,7 @@
     let others: String = (2..=SERVER_COUNT).map(instance).collect();
     let text = config("127.0.0.1:0", "127.0.0.1:9", &cache_server(&value()))
         .replace("\"instances\":[", &format!("\"instances\":[{others}"))
-        // A request that has certainly not run may be sent again.
+        // A request that was certainly not executed may be retried.
         .replace("\"max-attempts\":1", "\"max-attempts\":5");
     let mut child =
         program(Some(&text)).env("LD_PRELOAD", fault_library()).env("FAULTS", faults).spawn().unwrap();
@@ -78,14 +79,14 @@
     FaultyProgram { child, listen, log: rest }
 }
 
-/// How many requests were answered with their value, and how many otherwise.
+/// The number of requests answered with their value, and with an error.
 #[derive(Debug, Default, PartialEq)]
 struct Answers {
     served: u64,
     other: u64,
 }
 
-/// Sends requests, several at once, and counts the answers.
+/// Sends pipelined requests on consecutive connections, and counts the answers.
 fn send_requests(listen: &str) -> Answers {
     let mut counts = Answers::default();
     for connection in 0..CONNECTION_COUNT {
@@ -113,7 +114,7 @@
     counts
 }
 
-/// Every request is served though these calls fail; the rest of the log.
+/// Asserts that every request is served despite these faults. Returns the rest of the log.
 fn assert_all_served(faults: &str) -> String {
     let FaultyProgram { mut child, listen, log } = start(faults);
     let expected = Answers { served: CONNECTION_COUNT * PIPELINE_LENGTH, other: 0 };
@@ -123,13 +124,13 @@
     log.join().unwrap()
 }
 
-/// What the other tests take for granted: without faults all are served.
+/// The baseline of the other tests: without faults all requests are served.
 #[test]
 fn without_faults_all_requests_are_served() {
     assert_all_served("");
 }
 
-/// A read or write may take less than there is, without any further event of the socket.
+/// Guards against requests that stall after a short read or write, which is followed by no further readiness event.
 #[test]
 fn short_reads_and_writes_lose_no_request() {
     for faults in ["recv=short/2", "send=short/2", "recv=short/1,send=short/1", "recv=short/4,send=short/3"] {
@@ -137,7 +138,7 @@
     }
 }
 
-/// A call that a signal interrupts is made again.
+/// Guards against a system call interrupted by a signal that is taken for a failed one.
 #[test]
 fn interrupted_calls_are_retried() {
     for faults in ["recv=EINTR/3", "send=EINTR/3", "epoll_wait=EINTR/2", "accept4=EINTR/2", "connect=EINTR/2"]
@@ -146,7 +147,7 @@
     }
 }
 
-/// Connections that cannot be accepted for a moment wait in the queue, and are served then.
+/// Guards against lost connections after a transient accept error: they stay in the backlog and are accepted later.
 #[test]
 fn connections_are_served_after_failed_accepts() {
     for error in ["ECONNABORTED", "ENFILE", "EMFILE", "ENOBUFS", "EPROTO"] {
@@ -154,7 +155,8 @@
     }
 }
 
-/// A connection to a server that this machine cannot open for a moment says nothing of the server, and is tried again.
+/// Guards against a local error that is counted against the server: a connection that this machine transiently cannot open
+/// is retried, and not counted as a failed connection to the server.
 #[test]
 fn a_local_connect_error_is_retried_and_blames_no_server() {
     for call in [
@@ -171,7 +173,7 @@
     }
 }
 
-/// A call that fails for a moment prevents no start.
+/// Guards against a start that fails because of a transient error.
 #[test]
 fn a_start_survives_a_moment_without_sockets() {
     for faults in [
@@ -192,7 +194,7 @@
     }
 }
 
-/// The wall clock may jump by an hour, forward and back, at any time: nothing that is waited for follows it.
+/// Guards against timers on the wall clock, which may jump by an hour forward or back at any time.
 #[test]
 fn steps_of_the_wall_clock_move_no_deadline() {
     for faults in ["clock=ahead/1", "clock=behind/1", "clock=ahead/2", "clock=behind/3"] {
@@ -200,7 +202,7 @@
     }
 }
 
-/// A configuration that can't be read for a moment is read then, at the start and when a signal asks for it.
+/// Guards against a start or reload that fails because of a transient read error of the configuration file.
 #[test]
 fn a_configuration_is_read_after_failed_opens() {
     for faults in ["open=EIO/1/3", "open=ENFILE/2"] {
@@ -219,7 +221,7 @@
         wait_for_line(&mut log, "listening");
         std::fs::write(&path, &after).unwrap();
         send_signal(&child, "-HUP");
-        // The new address is called: the configuration has been read in spite of all.
+        // A poll of the new address shows that the configuration was reloaded despite the faults.
         let (mut call, _) = discovery.accept().unwrap();
         let mut begin = [0; 4];
         call.read_exact(&mut begin).unwrap();
--- a/cli/tests/limits.rs
+++ b/cli/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The program as a process where something is missing or exhausted: descriptors, discovery, its predecessor.
+//! The daemon as a process with exhausted descriptors, without discovery, or after its predecessor was killed.
 
 mod support;
 
@@ -13,7 +13,7 @@
 
 use support::{address_in, call, config, file, send_signal, wait_for_line};
 
-/// A process that ends with the test that started it, whatever becomes of that.
+/// A running daemon, which is killed when the test ends or fails.
 struct RunningProgram {
     child: Child,
     log: BufReader<ChildStderr>,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Starts the program with so many descriptors in all, as the system counts them and as its configuration says.
+/// Starts the daemon with this number of descriptors, both as its ulimit and in its configuration.
 fn start(listen: &str, discovery: SocketAddr, server: SocketAddr, descriptors: usize) -> RunningProgram {
     let text = config(listen, &discovery.to_string(), &server.to_string())
         .replace("\"sockets\":512", &format!("\"sockets\":{descriptors}"))
@@ -48,7 +48,7 @@
     RunningProgram { child, log, listen, admin }
 }
 
-/// Asks whether a balancer is ready, on a connection of its own. None where that ends or brings nothing in time.
+/// Checks the readiness of a balancer on a new connection. None if the connection ends or is silent until the timeout.
 fn read_readiness(listen: &str) -> Option<String> {
     let mut client = TcpStream::connect(listen).ok()?;
     client.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
@@ -61,16 +61,16 @@
 /// The state of discovery when a process starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum DiscoveryState {
-    /// Nobody listens there.
+    /// Nothing listens on its address.
     Down,
-    /// It accepts the call and never answers.
+    /// It accepts polls and never answers.
     Silent,
-    /// Its backlog is full: connections do not come up.
+    /// Its backlog is full, so connections are not established.
     BacklogFull,
 }
 
-/// A process that starts, the first time or in the place of one that was killed, is ready from the list that it last knew,
-/// whatever discovery does.
+/// Guards against a start that depends on discovery: a process, also one that replaces a killed process, is ready with the
+/// last known endpoint list, whatever the state of discovery.
 #[test]
 fn a_start_is_ready_without_discovery() {
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -97,22 +97,22 @@
         let began = Instant::now();
         let second = start(&first.listen, at, server.local_addr().unwrap(), 256);
         assert_eq!(read_readiness(&second.listen).as_deref(), Some("MN\r\n"), "{discovery:?}, again");
-        // Nine in ten have ten seconds; one that waited for discovery would take all of them and more.
+        // Nine in ten starts must be ready within ten seconds; a start that waits for discovery would exceed them.
         assert!(began.elapsed() < Duration::from_secs(10), "{discovery:?}: {:?}", began.elapsed());
         assert_eq!(call(&second.admin, "HEALTH\n"), "ACK ready\n");
     }
 }
 
-/// Connections that stay open and idle, and are opened again when they are closed, until the crowd is ended.
+/// Idle connections, which are reopened whenever the daemon closes them, until [`IdleCrowd::end`] is called.
 struct IdleCrowd {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
-    /// Brings a message whenever one of the threads has opened its connections.
+    /// Receives a message whenever one of the threads has reopened its connections.
     opened: Receiver<()>,
 }
 
 impl IdleCrowd {
-    /// A crowd with so many connections to each of these addresses.
+    /// Opens the given number of connections to each of these addresses.
     fn new(targets: [(String, usize); 2]) -> IdleCrowd {
         let stop = Arc::new(AtomicBool::new(false));
         let (sender, opened) = mpsc::channel();
@@ -123,7 +123,7 @@
         IdleCrowd { stop, threads: threads.into(), opened }
     }
 
-    /// Ends the crowd; a thread that has failed fails the test.
+    /// Stops the threads; a thread that has panicked fails the test.
     fn end(self) {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads {
@@ -132,7 +132,7 @@
     }
 }
 
-/// Keeps so many idle connections open.
+/// Keeps this number of idle connections open.
 fn keep_connected(address: &str, connections: usize, stop: &AtomicBool, opened: &Sender<()>) {
     let mut open: Vec<TcpStream> = Vec::new();
     while !stop.load(Ordering::Relaxed) {
@@ -156,7 +156,7 @@
     }
 }
 
-/// Answers the first call to discovery with a list of this one server. The stream stays open while it is in scope.
+/// Answers the first poll with a list of this one server. The watch stays open until the returned stream is dropped.
 fn answer_discovery(discovery: &TcpListener, server: SocketAddr) -> TcpStream {
     let listening_since = Instant::now();
     let (mut watch, _) = discovery.accept().unwrap();
@@ -174,7 +174,7 @@
     watch
 }
 
-/// Answers one request on the first connection to this server.
+/// Accepts one connection as a cache server, and answers its first request.
 fn serve_one_request(server: &TcpListener) {
     let (mut stream, _) = server.accept().unwrap();
     let mut request = String::new();
@@ -183,8 +183,8 @@
     stream.write_all(format!("VA 2 {id}\r\nok\r\n").as_bytes()).unwrap();
 }
 
-/// Sends a request until it is answered. In a crowd a connection may be evicted before its request has come: then its client
-/// connects again.
+/// Sends a request until it is answered. Under connection pressure the connection may be evicted before its request has
+/// arrived; the client then reconnects.
 fn request_until_answered(listen: &str) -> String {
     let mut answer = String::new();
     for id in 0..20 {
@@ -198,7 +198,7 @@
     answer
 }
 
-/// Asks for the health until that is acknowledged.
+/// Sends HEALTH calls until one is answered with ACK.
 fn health_until_acknowledged(admin: &str) -> Option<String> {
     (0..50).find_map(|_| {
         let mut operator = TcpStream::connect(admin).unwrap();
@@ -208,9 +208,9 @@
     })
 }
 
-/// Clients that send nothing, and some operators' connections that do not either, take every descriptor that they may, again
-/// and again, while discovery is down. Its return is noticed, servers are reached, operators are answered and clients admitted
-/// all the same.
+/// Guards against exhausted descriptors: idle client and admin connections keep taking all descriptors that they may while
+/// discovery is down. Discovery's recovery is still detected, servers are connected, and admin calls and client requests
+/// are answered.
 #[test]
 fn idle_connections_shut_nobody_out() {
     const DESCRIPTORS: usize = 96;
@@ -223,24 +223,24 @@
     for _ in 0..20 {
         crowd.opened.recv().unwrap();
     }
-    // Discovery is back.
+    // Discovery recovers.
     let discovery = TcpListener::bind(discovery_at).unwrap();
     let second = TcpListener::bind("127.0.0.1:0").unwrap();
     let _watch = answer_discovery(&discovery, second.local_addr().unwrap());
     wait_for_line(&mut balancer.log, "INFO endpoint list received");
-    // A client with a request is admitted, and served by the server that discovery has just listed.
+    // A client with a request is admitted, and served by the newly listed server.
     let serving = thread::spawn(move || serve_one_request(&second));
     let answer = request_until_answered(&balancer.listen);
     assert!(answer.starts_with("VA 2 O"), "{answer:?}");
     serving.join().unwrap();
     assert_eq!(health_until_acknowledged(&balancer.admin).as_deref(), Some("ACK ready\n"));
     crowd.end();
-    assert!(balancer.child.try_wait().unwrap().is_none(), "it still runs");
+    assert!(balancer.child.try_wait().unwrap().is_none(), "the process still runs");
     send_signal(&balancer.child, "-TERM");
     let mut log = String::new();
     balancer.log.read_to_string(&mut log).unwrap();
     assert!(balancer.child.wait().unwrap().success());
-    // Its own descriptors were enough: it never ran out.
+    // The process never ran out of descriptors.
     assert_eq!(log.lines().filter(|line| line.contains("open files")).count(), 0, "{log}");
     assert!(log.contains("accepts_failed=0"), "{log}");
 }
--- a/cli/tests/process.rs
+++ b/cli/tests/process.rs
@@ -1,4 +1,4 @@
-//! The program as a process: a failed start, a graceful shutdown with a request in flight, a reload and a replacement.
+//! The daemon as a process: a failed start, a graceful shutdown with a request in flight, a reload and a replacement.
 
 mod support;
 
@@ -23,7 +23,8 @@
     }
 }
 
-/// A graceful shutdown answers what was taken, closes the clients' connections and logs the counters at its end.
+/// Guards against requests lost in a shutdown: the request in flight is answered, then the client connections are closed
+/// and the counters are logged.
 #[test]
 fn sigterm_ends_the_program_after_the_last_answer() {
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -62,7 +63,7 @@
     assert!(rest_of_log.contains("commands=1") && rest_of_log.contains("served=1"), "{rest_of_log}");
 }
 
-/// After a reload the program calls another discovery while it serves; a malformed configuration changes nothing.
+/// A reload switches to another discovery while the daemon serves; a malformed configuration changes nothing.
 #[test]
 fn sighup_reloads_the_address_of_discovery() {
     let [old, new] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
@@ -80,15 +81,15 @@
     let (watch, _) = new.accept().unwrap();
     let mut call = String::new();
     BufReader::new(watch).read_line(&mut call).unwrap();
-    assert_eq!(call, "GET /catalog/members?follow=1 HTTP/1.1\r\n", "the complete list is polled");
-    // Once more, with nothing changed, and it is still there to be ended.
+    assert_eq!(call, "GET /catalog/members?follow=1 HTTP/1.1\r\n", "the complete list is requested");
+    // A reload without changes leaves the daemon running.
     send_signal(&child, "-HUP");
     wait_for_line(&mut log, "configuration reloaded");
     send_signal(&child, "-TERM");
     assert!(child.wait().unwrap().success());
 }
 
-/// A process that has an address for operators.
+/// A running daemon with an admin interface.
 struct AdministeredProgram {
     child: Child,
     log: BufReader<ChildStderr>,
@@ -96,10 +97,10 @@
     admin: String,
 }
 
-/// Starts a process that has one cache server and knows another, which is not reachable.
+/// Starts a daemon whose endpoint list has one reachable cache server and an unreachable one.
 fn start_administered(listen: &str, discovery: &str, server: &str, temporary: &Path) -> AdministeredProgram {
     let text = config(listen, discovery, server)
-        // By itself no process polls the endpoint list while the test lasts.
+        // The regular poll interval is longer than the test.
         .replace("\"ask-within\":10000000", "\"ask-within\":3600000000")
         .replace("\"seed\"", "\"mgmt\":\"127.0.0.1:0\",\"seed\"")
         .replace(
@@ -113,14 +114,14 @@
     AdministeredProgram { child, log, listen, admin }
 }
 
-/// Reads one line of what comes on this connection.
+/// Reads one line from this connection.
 fn read_line(stream: TcpStream) -> String {
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line).unwrap();
     line
 }
 
-/// Connects and asks whether requests are served, which has to be so.
+/// Asserts that a new client connection is accepted and answered.
 fn assert_admitted(listen: &str) {
     let mut client = TcpStream::connect(listen).unwrap();
     client.write_all(b"mn\r\n").unwrap();
@@ -129,7 +130,8 @@
     assert_eq!(&answer, b"MN\r\n");
 }
 
-/// The successor takes the override over and polls discovery at once, whenever the decisions would.
+/// Asserts that the successor has restored the override, and that it polls discovery at once rather than at the regular
+/// interval.
 fn assert_taken_over(successor: &AdministeredProgram, discovery: &TcpListener) {
     let poll = read_line(discovery.accept().unwrap().0);
     assert!(poll.starts_with("GET /catalog/members?follow=1"), "{poll}");
@@ -138,8 +140,8 @@
     assert_eq!(call(&successor.admin, "ONLINE s-0000ffff\n").split(' ').next(), Some("NAK"));
 }
 
-/// Until the process has ended that is being replaced, and once more after it, every client that connects is admitted. The
-/// request that it has taken is answered after 20 of them.
+/// Asserts that every new client is admitted until the replaced process has ended, and once more afterwards. Its request in
+/// flight is answered after more than 20 new clients.
 fn assert_no_break(
     listen: &str,
     ending: &JoinHandle<ExitStatus>,
@@ -165,8 +167,8 @@
     }
 }
 
-/// One process replaces another on the same address: clients are admitted without a break, and what the old one had taken
-/// is answered before it ends.
+/// Guards against refused clients and lost requests when one process replaces another on the same address: clients are
+/// admitted without interruption, and the old process answers its request in flight before it ends.
 #[test]
 fn a_successor_takes_over_without_a_break() {
     let directory = std::env::temp_dir().join(format!("juniperladder-replaced-{}", std::process::id()));
@@ -188,7 +190,7 @@
     let AdministeredProgram { child: mut old, log: mut old_log, listen, admin: old_admin } = old;
     send_signal(&old, "-TERM");
     wait_for_line(&mut old_log, "stopping");
-    // Signalled again, or to read its configuration meanwhile, it goes on ending as it was.
+    // Further signals, for termination or a reload, do not change the shutdown.
     send_signal(&old, "-TERM");
     send_signal(&old, "-HUP");
     assert!(call(&old_admin, "HEALTH\n").starts_with("NAK stopping"));
@@ -197,7 +199,7 @@
         old.wait().unwrap()
     });
     assert_no_break(&listen, &ending, &mut client, &mut at_server);
-    assert!(ending.join().unwrap().success(), "the old one ends well");
+    assert!(ending.join().unwrap().success(), "the old process exits with success");
     send_signal(&successor.child, "-TERM");
     assert!(successor.child.wait().unwrap().success());
     std::fs::remove_dir_all(&directory).unwrap();
--- a/cli/tests/support/faults.c
+++ b/cli/tests/support/faults.c
@@ -1,8 +1,10 @@
-/* Makes system calls of one process fail as Linux documents, for the tests: loaded with LD_PRELOAD, configured by FAULTS.
+/* Injects failures into the system calls of a process under test, in the ways that Linux documents. Loaded with LD_PRELOAD
+ * and configured by the environment variable FAULTS.
  *
- * FAULTS holds rules "CALL=ACTION/EVERY" or "CALL=ACTION/EVERY/MOST", separated by commas. ACTION is the name of an error,
- * "short", which lets a read or write take less than it could, or "ahead" and "behind", by which the wall clock is an hour off. A rule acts on each EVERYth call, at most MOST times in all.
- * Calls are counted for each rule by itself, so that the same calls fail in every run. */
+ * FAULTS is a comma-separated list of rules "CALL=ACTION/EVERY" or "CALL=ACTION/EVERY/MOST". ACTION is the name of an
+ * error, "short" for a short read or write, or "ahead" or "behind" for a wall clock that is off by an hour. A rule applies
+ * to each EVERYth call, at most MOST times. Each rule counts its calls separately, so that the same calls fail in every
+ * run. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -65,7 +67,7 @@
     }
 }
 
-/* What is to become of this call: 0, nothing; SHORT; or an error. */
+/* Returns the action for this call: 0 for none, an error number, or SHORT, AHEAD or BEHIND. */
 static int fault(const char *call) {
     for (int at = 0; at < rule_count; at++) {
         struct rule *rule = &rules[at];
@@ -110,7 +112,7 @@
     return NEXT(epoll_wait)(epoll, events, most, timeout);
 }
 
-/* Only the configuration's file, which the tests give this ending. */
+/* Fails only for the configuration file, which has this extension in the tests. */
 int open64(const char *path, int flags, ...) {
     va_list rest;
     va_start(rest, flags);
@@ -130,8 +132,8 @@
     return result;
 }
 
-/* Only connections over the network are at fault: the runtime's own socket pair, by which it hears of signals, never blocks
- * and so is never interrupted. */
+/* Faults apply only to network connections: the runtime's own socket pair for signals never blocks, and so is never
+ * interrupted. */
 static int is_network(int fd) {
     int domain = 0;
     socklen_t length = sizeof domain;
--- a/cli/tests/support/mod.rs
+++ b/cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the tests that run the program as a process.
+//! Fixtures of the tests that run the daemon as a process.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::thread;
 
-/// A configuration with one cache server, whose endpoint lists have to be polled.
+/// A configuration with one cache server, and a discovery that must be polled.
 pub fn config(listen: &str, discovery: &str, server: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
@@ -22,7 +22,7 @@
     )
 }
 
-/// Writes a new file with this content.
+/// Writes a new configuration file with this content.
 pub fn file(content: &str) -> PathBuf {
     static LAST: AtomicU32 = AtomicU32::new(0);
     let number = LAST.fetch_add(1, Ordering::Relaxed);
@@ -32,7 +32,7 @@
     path
 }
 
-/// The program with this configuration, not started yet.
+/// The command that starts the daemon with this configuration.
 pub fn program(config: Option<&str>) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_juniperladder"));
     command.env_remove("NODE_CONFIG").stdout(Stdio::piped()).stderr(Stdio::piped());
@@ -42,7 +42,7 @@
     command
 }
 
-/// Sends a signal.
+/// Sends a signal, given as an option of `kill`.
 pub fn send_signal(child: &Child, signal: &str) {
     assert!(Command::new("kill").args([signal, &child.id().to_string()]).status().unwrap().success());
 }
@@ -58,13 +58,13 @@
     }
 }
 
-/// The address that a line of the log names.
+/// The address in a line of the log.
 pub fn address_in(line: &str) -> String {
     let rest = line.split("address: ").nth(1).expect("an address");
     rest.split(',').next().unwrap().trim().to_owned()
 }
 
-/// Makes an operator's call, and returns the complete answer.
+/// Sends an admin call, and returns the complete answer.
 pub fn call(address: &str, line: &str) -> String {
     let mut operator = TcpStream::connect(address).unwrap();
     operator.write_all(line.as_bytes()).unwrap();
@@ -73,7 +73,7 @@
     answer
 }
 
-/// A cache server that answers every request with this value, on whatever connection it comes; where it listens.
+/// Starts a cache server that answers every request with this value. Returns its address.
 pub fn cache_server(value: &str) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
