--- a/cli/benches/data_path/balancer.rs
+++ b/cli/benches/data_path/balancer.rs
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::stand_ins::StandIns;
+use crate::stand_ins::FakeServers;
 
 /// The interval and the maximum number of readiness checks after a start.
 const READY_INTERVAL: Duration = Duration::from_millis(20);
@@ -44,11 +44,11 @@
 
 impl Balancer {
     /// Starts a daemon with this number of listed servers and this limit of descriptors, and waits until it is ready.
-    pub async fn start(stand_ins: &StandIns, servers: usize, sockets: usize, seed: u64) -> Balancer {
+    pub async fn start(fake_servers: &FakeServers, servers: usize, sockets: usize, seed: u64) -> Balancer {
         let address = free_address().await;
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("config.json");
-        fs::write(&path, configuration(address, stand_ins, servers, sockets, seed)).expect("written");
+        fs::write(&path, configuration(address, fake_servers, servers, sockets, seed)).expect("written");
         let child = Command::new(env!("CARGO_BIN_EXE_juniperladder"))
             .env_clear()
             .env("NODE_CONFIG", &path)
@@ -59,7 +59,7 @@
             .expect("the program starts");
         let balancer = Balancer { child, address, _folder: folder };
         let mut attempts = 0;
-        while !ready(address).await {
+        while !is_ready(address).await {
             attempts += 1;
             assert!(attempts < READY_ATTEMPTS, "the program is not ready after {attempts} attempts");
             tokio::time::sleep(READY_INTERVAL).await;
@@ -90,7 +90,7 @@
     }
 
     /// Measures the processor time used during this time, in seconds.
-    pub async fn over(&self, time: Duration) -> f64 {
+    pub async fn cpu_time_over(&self, time: Duration) -> f64 {
         let before = self.usage();
         tokio::time::sleep(time).await;
         self.usage().since(&before).cpu_s
@@ -109,7 +109,7 @@
     listener.local_addr().expect("its address")
 }
 
-async fn ready(address: SocketAddr) -> bool {
+async fn is_ready(address: SocketAddr) -> bool {
     let asked = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         stream.write_all(b"mn\r\n").await.ok()?;
@@ -121,7 +121,7 @@
 
 fn configuration(
     address: SocketAddr,
-    stand_ins: &StandIns,
+    fake_servers: &FakeServers,
     servers: usize,
     sockets: usize,
     seed: u64,
@@ -135,7 +135,7 @@
           {{"aim":4000000,"effect":"side_effect","give-up":5000000,"name":"put","worth":1.0}}],"kinds":["cache"],"zones":["x"],"tick":5000,"membership-mode":"subscribe",
         "limits":{{"conn-idle":5000000,"connect-timeout":1000000,"max-attempts":3,"retry-after":true}},
         "rules":{{"ask-within":1000000,"cold-share":0.32,"warm-up":9000000}}}}}}"#,
-        discovery = stand_ins.discovery(),
-        known = stand_ins.list(servers, true, 1),
+        discovery = fake_servers.discovery(),
+        known = fake_servers.list(servers, true, 1),
     )
 }
--- a/cli/benches/data_path/load.rs
+++ b/cli/benches/data_path/load.rs
@@ -15,7 +15,7 @@
 /// The deadline of a request, in milliseconds.
 const DEADLINE_MS: u64 = 4_000;
 /// How long after the last request answers are awaited.
-const LAST_ANSWERS: Duration = Duration::from_millis(1_500);
+const LAST_ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// An open-loop load: requests are sent at a fixed rate, independent of the answers.
 #[derive(Clone, Copy)]
@@ -71,7 +71,7 @@
             let request = if self.upload > 0 { upload(key, id, self.upload) } else { read(key, id).into() };
             let _ = writers[client].write_all(&request).await;
         }
-        let until = Instant::now() + LAST_ANSWERS;
+        let until = Instant::now() + LAST_ANSWER_TIMEOUT;
         while served.get().0 < total && Instant::now() < until {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -114,24 +114,24 @@
 }
 
 /// Connections that are open at the same time.
-pub struct Held(Vec<BufReader<TcpStream>>);
+pub struct HeldConnections(Vec<BufReader<TcpStream>>);
 
-impl Held {
+impl HeldConnections {
     /// Opens this number of connections, and waits for an answer on each.
-    pub async fn open(address: SocketAddr, clients: usize) -> Held {
-        let mut held = Vec::new();
+    pub async fn open(address: SocketAddr, clients: usize) -> HeldConnections {
+        let mut connections = Vec::new();
         for _ in 0..clients {
             let mut stream = TcpStream::connect(address).await.expect("connected");
             stream.write_all(b"mn\r\n").await.expect("written");
-            held.push(BufReader::new(stream));
+            connections.push(BufReader::new(stream));
         }
-        let mut held = Held(held);
-        held.answered().await;
-        held
+        let mut connections = HeldConnections(connections);
+        connections.read_answers().await;
+        connections
     }
 
     /// Sends a read on each connection.
-    pub async fn ask(&mut self, seed: u64) {
+    pub async fn send_requests(&mut self, seed: u64) {
         let mut rng = fastrand::Rng::with_seed(seed);
         for client in &mut self.0 {
             let line = read(rng.u64(..KEYS), rng.u64(..));
@@ -140,7 +140,7 @@
     }
 
     /// Reads an answer on each connection.
-    pub async fn answered(&mut self) {
+    pub async fn read_answers(&mut self) {
         for client in &mut self.0 {
             let mut line = String::new();
             let _ = client.read_line(&mut line).await;
--- a/cli/benches/data_path/main.rs
+++ b/cli/benches/data_path/main.rs
@@ -14,7 +14,7 @@
 
 use balancer::{Balancer, Usage};
 use load::{Load, Requests};
-use stand_ins::StandIns;
+use stand_ins::FakeServers;
 
 /// Requests per second of one balancer at peak load: 1.3 million over 2,000 balancers.
 const PEAK_RATE: f64 = 650.0;
@@ -32,11 +32,11 @@
 /// Numbers of client connections.
 const CLIENTS: [usize; 6] = [0, 125, 250, 500, 1_000, 2_000];
 /// How long the load runs before the measurement, and during it.
-const WARM: Duration = Duration::from_secs(3);
-const WARM_VALUES: Duration = Duration::from_secs(1);
-const MEASURED: Duration = Duration::from_secs(4);
+const WARM_UP: Duration = Duration::from_secs(3);
+const WARM_UP_VALUES: Duration = Duration::from_secs(1);
+const MEASURE_TIME: Duration = Duration::from_secs(4);
 /// A warm-up longer than the idle timeout of connections to servers.
-const WARM_PAIRS: Duration = Duration::from_secs(6);
+const WARM_UP_PAIRS: Duration = Duration::from_secs(6);
 
 fn main() {
     // Cargo also passes options for the benchmark harness, such as `--bench`.
@@ -68,10 +68,10 @@
     after: Usage,
 }
 
-async fn measure(balancer: &Balancer, load: Load, warm: Duration) -> Cost {
-    load.run(balancer.address(), warm).await;
+async fn measure(balancer: &Balancer, load: Load, warm_up: Duration) -> Cost {
+    load.run(balancer.address(), warm_up).await;
     let before = balancer.usage();
-    let requests = load.run(balancer.address(), MEASURED).await;
+    let requests = load.run(balancer.address(), MEASURE_TIME).await;
     let after = balancer.usage();
     Cost { used: after.since(&before), requests, after }
 }
@@ -80,7 +80,7 @@
 async fn servers(seed: u64, sizes: Vec<usize>) {
     println!("servers,seed,service_ms,served,cpu_ms_per_request,cores_at_650,idle_rss_kb,rss_kb,connections,opened_per_request");
     for servers in sizes {
-        small_values(seed, servers, 5.0, WARM).await;
+        small_values(seed, servers, 5.0, WARM_UP).await;
     }
 }
 
@@ -88,16 +88,16 @@
 async fn pairs(seed: u64, service_ms: Vec<usize>) {
     println!("servers,seed,service_ms,served,cpu_ms_per_request,cores_at_650,idle_rss_kb,rss_kb,connections,opened_per_request");
     for service_ms in service_ms {
-        small_values(seed, 230, service_ms as f64, WARM_PAIRS).await;
+        small_values(seed, 230, service_ms as f64, WARM_UP_PAIRS).await;
     }
 }
 
-async fn small_values(seed: u64, servers: usize, service_ms: f64, warm: Duration) {
-    let stand_ins = StandIns::start(64, service_ms, seed);
-    let balancer = Balancer::start(&stand_ins, servers, 8_192, seed).await;
+async fn small_values(seed: u64, servers: usize, service_ms: f64, warm_up: Duration) {
+    let fake_servers = FakeServers::start(64, service_ms, seed);
+    let balancer = Balancer::start(&fake_servers, servers, 8_192, seed).await;
     let idle = balancer.usage();
-    let cost = measure(&balancer, Load { rate: PEAK_RATE, clients: 64, upload: 0, seed }, warm).await;
-    let requests = PEAK_RATE * (warm + MEASURED).as_secs_f64();
+    let cost = measure(&balancer, Load { rate: PEAK_RATE, clients: 64, upload: 0, seed }, warm_up).await;
+    let requests = PEAK_RATE * (warm_up + MEASURE_TIME).as_secs_f64();
     let each_s = cost.used.cpu_s / cost.requests.sent as f64;
     println!(
         "{servers},{seed},{service_ms},{},{:.4},{:.3},{},{},{},{:.3}",
@@ -106,8 +106,8 @@
         each_s * PEAK_RATE,
         idle.rss_kb,
         cost.after.rss_kb,
-        stand_ins.open(),
-        stand_ins.opened() as f64 / requests
+        fake_servers.open(),
+        fake_servers.opened() as f64 / requests
     );
 }
 
@@ -115,21 +115,21 @@
 async fn values(seed: u64, sizes: Vec<usize>, written: bool) {
     println!("value_bytes,seed,rate,served,mib_passed,cpu_ms_per_request,cpu_ms_per_mib,cores,rss_kb,lag_ms");
     for size in sizes {
-        let stand_ins = StandIns::start(if written { 64 } else { size }, 5.0, seed);
-        let balancer = Balancer::start(&stand_ins, 230, 8_192, seed).await;
+        let fake_servers = FakeServers::start(if written { 64 } else { size }, 5.0, seed);
+        let balancer = Balancer::start(&fake_servers, 230, 8_192, seed).await;
         // Small values are limited by the peak rate, large ones by the peak bytes.
         let rate = PEAK_RATE.min(PEAK_BYTES / size as f64);
         // A connection is closed after 2.2 s without a request, so each client sends at least one per second.
         let clients = 128.min(rate as usize);
         let load = Load { rate, clients, upload: if written { size } else { 0 }, seed };
-        let cost = measure(&balancer, load, WARM_VALUES).await;
+        let cost = measure(&balancer, load, WARM_UP_VALUES).await;
         let mib = cost.requests.bytes as f64 / f64::from(1 << 20);
         println!(
             "{size},{seed},{rate:.1},{:.4},{mib:.1},{:.4},{:.4},{:.3},{},{:.1}",
             cost.requests.served as f64 / cost.requests.sent as f64,
             cost.used.cpu_s * 1e3 / cost.requests.served.max(1) as f64,
             cost.used.cpu_s * 1e3 / mib,
-            cost.used.cpu_s / MEASURED.as_secs_f64(),
+            cost.used.cpu_s / MEASURE_TIME.as_secs_f64(),
             cost.after.rss_kb,
             cost.requests.lag_ms
         );
@@ -140,20 +140,20 @@
 async fn connections(seed: u64, sizes: Vec<usize>) {
     println!("clients,seed,state,rss_kb,descriptors");
     for clients in sizes {
-        let stand_ins = StandIns::start(64, 0.0, seed);
-        let balancer = Balancer::start(&stand_ins, 1_000, 8_192, seed).await;
+        let fake_servers = FakeServers::start(64, 0.0, seed);
+        let balancer = Balancer::start(&fake_servers, 1_000, 8_192, seed).await;
         let row = |state: &str| {
             let usage = balancer.usage();
             println!("{clients},{seed},{state},{},{}", usage.rss_kb, usage.descriptors);
         };
         row("started");
-        let mut held = load::Held::open(balancer.address(), clients).await;
+        let mut held_connections = load::HeldConnections::open(balancer.address(), clients).await;
         row("clients_rest");
-        stand_ins.answer_after(1_000.0);
-        held.ask(seed).await;
+        fake_servers.set_service_time(1_000.0);
+        held_connections.send_requests(seed).await;
         tokio::time::sleep(Duration::from_millis(400)).await;
         row("in_flight");
-        held.answered().await;
+        held_connections.read_answers().await;
         row("servers_rest");
     }
 }
@@ -166,21 +166,21 @@
         "servers,seed,list_bytes,cpu_ms_per_list,change_bytes,cpu_ms_per_change,idle_cpu_ms_per_s,rss_kb"
     );
     for servers in sizes {
-        let stand_ins = StandIns::start(64, 5.0, seed);
-        let balancer = Balancer::start(&stand_ins, servers, 8_192, seed).await;
-        stand_ins.watched().await;
-        let idle = balancer.over(Duration::from_secs(1)).await;
-        let list = stand_ins.list(servers, true, 0);
+        let fake_servers = FakeServers::start(64, 5.0, seed);
+        let balancer = Balancer::start(&fake_servers, servers, 8_192, seed).await;
+        fake_servers.wait_for_watch().await;
+        let idle = balancer.cpu_time_over(Duration::from_secs(1)).await;
+        let list = fake_servers.list(servers, true, 0);
         let before = balancer.usage();
         for number in 0..LISTS {
-            stand_ins.push(&stand_ins.list(servers, true, u64::from(number) + 50));
+            fake_servers.push(&fake_servers.list(servers, true, u64::from(number) + 50));
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         let lists = balancer.usage().since(&before).cpu_s - idle * f64::from(LISTS) * 0.05;
-        let change = stand_ins.list(1, false, 0);
+        let change = fake_servers.list(1, false, 0);
         let before = balancer.usage();
         for number in 0..CHANGES {
-            stand_ins.push(&stand_ins.list(1, false, u64::from(number) + 100));
+            fake_servers.push(&fake_servers.list(1, false, u64::from(number) + 100));
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         let used = balancer.usage().since(&before).cpu_s;
--- a/cli/benches/data_path/stand_ins.rs
+++ b/cli/benches/data_path/stand_ins.rs
@@ -13,7 +13,7 @@
 use tokio::task::{spawn_local, LocalSet};
 
 /// The interval of discovery's heartbeats, which are empty lines, while nothing changes.
-const EMPTY_LINE: Duration = Duration::from_secs(2);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// State shared between the servers' thread and the benchmark.
 #[derive(Default)]
@@ -26,16 +26,16 @@
 }
 
 /// The fake cache server and discovery.
-pub struct StandIns {
+pub struct FakeServers {
     shared: Arc<Shared>,
     cache: SocketAddr,
     discovery: SocketAddr,
     lists: broadcast::Sender<String>,
 }
 
-impl StandIns {
+impl FakeServers {
     /// Starts the servers: values have this size, and service times are random with this mean.
-    pub fn start(value_bytes: usize, service_ms: f64, seed: u64) -> StandIns {
+    pub fn start(value_bytes: usize, service_ms: f64, seed: u64) -> FakeServers {
         let shared = Arc::new(Shared::default());
         let (lists, _) = broadcast::channel(1_024);
         let listen = || {
@@ -45,9 +45,9 @@
             (listener, address)
         };
         let ((cache_listener, cache), (discovery_listener, discovery)) = (listen(), listen());
-        let stand_ins = StandIns { shared, cache, discovery, lists };
-        stand_ins.answer_after(service_ms);
-        let (shared, lists) = (Arc::clone(&stand_ins.shared), stand_ins.lists.clone());
+        let fake_servers = FakeServers { shared, cache, discovery, lists };
+        fake_servers.set_service_time(service_ms);
+        let (shared, lists) = (Arc::clone(&fake_servers.shared), fake_servers.lists.clone());
         std::thread::spawn(move || {
             let runtime =
                 tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -57,11 +57,11 @@
                 accept_requests(cache_listener, shared, value, seed).await;
             });
         });
-        stand_ins
+        fake_servers
     }
 
     /// Sets the mean of the random service times.
-    pub fn answer_after(&self, service_ms: f64) {
+    pub fn set_service_time(&self, service_ms: f64) {
         self.shared.service_us.store((service_ms * 1e3) as u64, Ordering::Relaxed);
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Waits until a watch is open.
-    pub async fn watched(&self) {
+    pub async fn wait_for_watch(&self) {
         while self.shared.watches.load(Ordering::Relaxed) == 0 {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -179,20 +179,20 @@
         let (shared, lists) = (Arc::clone(&shared), lists.subscribe());
         spawn_local(async move {
             shared.watches.fetch_add(1, Ordering::Relaxed);
-            let _ = tell(stream, lists).await;
+            let _ = send_changes(stream, lists).await;
             shared.watches.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
 /// Serves one watch. The first message has no changes, because the process was started with the current list.
-async fn tell(mut stream: TcpStream, mut lists: broadcast::Receiver<String>) -> std::io::Result<()> {
+async fn send_changes(mut stream: TcpStream, mut lists: broadcast::Receiver<String>) -> std::io::Result<()> {
     let mut call = [0; 4_096];
     let _ = stream.read(&mut call).await?;
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
     stream.write_all(chunk("{\"generation\":1,\"reset\":false,\"instances\":[]}\n").as_bytes()).await?;
     loop {
-        let line = match tokio::time::timeout(EMPTY_LINE, lists.recv()).await {
+        let line = match tokio::time::timeout(HEARTBEAT_INTERVAL, lists.recv()).await {
             Ok(Ok(line)) => line,
             Ok(Err(_)) => return Ok(()),
             Err(_) => "\n".to_owned(),
