--- a/cli/tests/discovery.rs
+++ b/cli/tests/discovery.rs
@@ -9,18 +9,18 @@
 use support::{address_in, cache_server, config, program, send_signal, wait_for_line};
 
 /// How long a poll is queued: longer than discovery's own limit of 2 s, beyond which it rejects polls at once.
-const ANSWER_DELAY: Duration = Duration::from_millis(2_300);
+const QUEUE_TIME: Duration = Duration::from_millis(2_300);
 
 /// Reads the request on this connection up to its empty line.
-fn read_call(stream: &TcpStream) -> String {
+fn read_request(stream: &TcpStream) -> String {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
-    let mut call = String::new();
-    while !call.ends_with("\r\n\r\n") && reader.read_line(&mut call).unwrap() > 0 {}
-    call
+    let mut request = String::new();
+    while !request.ends_with("\r\n\r\n") && reader.read_line(&mut request).unwrap() > 0 {}
+    request
 }
 
 /// A response whose first chunk is an endpoint list, and which does not end.
-fn list(generation: u64, drained: &str, serving: &str) -> String {
+fn list_response(generation: u64, drained: &str, serving: &str) -> String {
     let instance = |id: &str, address: &str, lifecycle: &str| {
         format!(
             r#"{{"instanceId":"{id}","hostPort":"{address}","zone":"x","machineType":"a","lifecycle":"{lifecycle}"}}"#
@@ -48,14 +48,14 @@
 /// notified, and a new poll would be queued behind all others. The list arrives on the first poll, and the draining server
 /// gets no further requests.
 #[test]
-fn a_call_that_waits_for_its_turn_is_not_abandoned() {
-    let [draining_at, serving_at] = ["D", "S"].map(cache_server);
+fn a_queued_poll_is_not_abandoned() {
+    let [draining_address, serving_address] = ["D", "S"].map(cache_server);
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let discovery_at = discovery.local_addr().unwrap().to_string();
-    let text = config("127.0.0.1:0", &discovery_at, &draining_at).replace(
+    let discovery_address = discovery.local_addr().unwrap().to_string();
+    let text = config("127.0.0.1:0", &discovery_address, &draining_address).replace(
         "\"instances\":[",
         &format!(
-            "\"instances\":[{{\"instanceId\":\"s-00000002\",\"hostPort\":\"{serving_at}\",\"zone\":\"x\",\"machineType\":\"a\"}},"
+            "\"instances\":[{{\"instanceId\":\"s-00000002\",\"hostPort\":\"{serving_address}\",\"zone\":\"x\",\"machineType\":\"a\"}},"
         ),
     );
     let mut child = program(Some(&text)).spawn().unwrap();
@@ -66,12 +66,12 @@
     assert!(before.contains(&"D".to_owned()), "{before:?}");
 
     let (first, _) = discovery.accept().unwrap();
-    assert!(read_call(&first).starts_with("GET /catalog/members?follow=1"));
+    assert!(read_request(&first).starts_with("GET /catalog/members?follow=1"));
     // The read ends at once if the balancer has abandoned the poll.
-    first.set_read_timeout(Some(ANSWER_DELAY)).unwrap();
-    let waited = (&first).read(&mut [0; 1]);
-    assert!(waited.is_err(), "the poll was abandoned while it was queued: {waited:?}");
-    (&first).write_all(list(42, &draining_at, &serving_at).as_bytes()).unwrap();
+    first.set_read_timeout(Some(QUEUE_TIME)).unwrap();
+    let read_result = (&first).read(&mut [0; 1]);
+    assert!(read_result.is_err(), "the poll was abandoned while it was queued: {read_result:?}");
+    (&first).write_all(list_response(42, &draining_address, &serving_address).as_bytes()).unwrap();
     wait_for_line(&mut log, "endpoint_list_version: 42");
     // The first connection has reached its idle timeout by now.
     let mut client = TcpStream::connect(&listen).unwrap();
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -55,7 +55,7 @@
 }
 
 /// Starts the daemon with these faults.
-fn start(faults: &str) -> FaultyProgram {
+fn start_with_faults(faults: &str) -> FaultyProgram {
     let instance = |number: usize| {
         format!(
             r#"{{"instanceId":"s-0000000{number}","hostPort":"{}","zone":"x","machineType":"a"}},"#,
@@ -93,7 +93,8 @@
         let mut client = TcpStream::connect(listen).unwrap();
         client.set_read_timeout(Some(ANSWER_TIMEOUT)).unwrap();
         let mut answers = BufReader::new(client.try_clone().unwrap());
-        let ids: Vec<u64> = (0..PIPELINE_LENGTH).map(|at| 1 + connection * PIPELINE_LENGTH + at).collect();
+        let ids: Vec<u64> =
+            (0..PIPELINE_LENGTH).map(|index| 1 + connection * PIPELINE_LENGTH + index).collect();
         for id in &ids {
             client.write_all(format!("mg {id:016x} v O{id:016x} Pc=read,d=50000\r\n").as_bytes()).unwrap();
         }
@@ -101,9 +102,9 @@
             let mut head = String::new();
             answers.read_line(&mut head).unwrap_or_else(|error| panic!("{id}: {error}"));
             if head == format!("VA 300 O{id:016x}\r\n") {
-                let mut got = [0; 302];
-                answers.read_exact(&mut got).unwrap();
-                assert_eq!(&got[..], format!("{}\r\n", value()).as_bytes());
+                let mut received = [0; 302];
+                answers.read_exact(&mut received).unwrap();
+                assert_eq!(&received[..], format!("{}\r\n", value()).as_bytes());
                 counts.served += 1;
             } else {
                 assert!(head.starts_with("SERVER_ERROR"), "{id}: {head:?}");
@@ -116,7 +117,7 @@
 
 /// Asserts that every request is served despite these faults. Returns the rest of the log.
 fn assert_all_served(faults: &str) -> String {
-    let FaultyProgram { mut child, listen, log } = start(faults);
+    let FaultyProgram { mut child, listen, log } = start_with_faults(faults);
     let expected = Answers { served: CONNECTION_COUNT * PIPELINE_LENGTH, other: 0 };
     assert_eq!(send_requests(&listen), expected, "{faults}");
     send_signal(&child, "-TERM");
@@ -158,24 +159,24 @@
 /// Guards against a local error that is counted against the server: a connection that this machine transiently cannot open
 /// is retried, and not counted as a failed connection to the server.
 #[test]
-fn a_local_connect_error_is_retried_and_blames_no_server() {
-    for call in [
+fn a_local_connect_error_is_retried_and_not_counted_against_the_server() {
+    for faults in [
         "connect=EADDRNOTAVAIL/2",
         "connect=ENETUNREACH/2",
         "connect=ENOBUFS/2",
         "connect=EAGAIN/2",
         "socket=ENFILE/3",
     ] {
-        let log = assert_all_served(call);
+        let log = assert_all_served(faults);
         let last = log.lines().rfind(|line| line.contains("stopped")).unwrap();
-        assert!(last.contains(" connect_failed=0 "), "{call}: {last}");
-        assert!(!last.contains(" moot=0 "), "{call}: {last}");
+        assert!(last.contains(" connect_failed=0 "), "{faults}: {last}");
+        assert!(!last.contains(" moot=0 "), "{faults}: {last}");
     }
 }
 
 /// Guards against a start that fails because of a transient error.
 #[test]
-fn a_start_survives_a_moment_without_sockets() {
+fn a_start_survives_transient_socket_errors() {
     for faults in [
         "socket=ENFILE/1/3",
         "socket=ENOBUFS/1/3",
@@ -183,7 +184,7 @@
         "bind=EADDRINUSE/1/3",
         "listen=ENOBUFS/1/3",
     ] {
-        let FaultyProgram { mut child, listen, .. } = start(faults);
+        let FaultyProgram { mut child, listen, .. } = start_with_faults(faults);
         let mut client = TcpStream::connect(&listen).unwrap();
         client.write_all(b"mn\r\n").unwrap();
         let mut answer = [0; 4];
@@ -196,7 +197,7 @@
 
 /// Guards against timers on the wall clock, which may jump by an hour forward or back at any time.
 #[test]
-fn steps_of_the_wall_clock_move_no_deadline() {
+fn steps_of_the_wall_clock_do_not_affect_timers() {
     for faults in ["clock=ahead/1", "clock=behind/1", "clock=ahead/2", "clock=behind/3"] {
         assert_all_served(faults);
     }
@@ -207,9 +208,10 @@
 fn a_configuration_is_read_after_failed_opens() {
     for faults in ["open=EIO/1/3", "open=ENFILE/2"] {
         let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-        let nobody = TcpListener::bind("127.0.0.1:0").unwrap();
-        let [before, after] = [&nobody, &discovery]
-            .map(|at| config("127.0.0.1:0", &at.local_addr().unwrap().to_string(), &cache_server(&value())));
+        let old_discovery = TcpListener::bind("127.0.0.1:0").unwrap();
+        let [before, after] = [&old_discovery, &discovery].map(|listener| {
+            config("127.0.0.1:0", &listener.local_addr().unwrap().to_string(), &cache_server(&value()))
+        });
         let path = file(&before);
         let mut child = program(None)
             .env("NODE_CONFIG", &path)
@@ -222,9 +224,9 @@
         std::fs::write(&path, &after).unwrap();
         send_signal(&child, "-HUP");
         // A poll of the new address shows that the configuration was reloaded despite the faults.
-        let (mut call, _) = discovery.accept().unwrap();
+        let (mut poll, _) = discovery.accept().unwrap();
         let mut begin = [0; 4];
-        call.read_exact(&mut begin).unwrap();
+        poll.read_exact(&mut begin).unwrap();
         assert_eq!(&begin, b"GET ", "{faults}");
         send_signal(&child, "-TERM");
         assert!(child.wait().unwrap().success(), "{faults}");
--- a/cli/tests/limits.rs
+++ b/cli/tests/limits.rs
@@ -72,7 +72,7 @@
 /// Guards against a start that depends on discovery: a process, also one that replaces a killed process, is ready with the
 /// last known endpoint list, whatever the state of discovery.
 #[test]
-fn a_start_is_ready_without_discovery() {
+fn a_process_is_ready_without_discovery() {
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
     for discovery in [DiscoveryState::Down, DiscoveryState::Silent, DiscoveryState::BacklogFull] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -103,24 +103,24 @@
     }
 }
 
-/// Idle connections, which are reopened whenever the daemon closes them, until [`IdleCrowd::end`] is called.
-struct IdleCrowd {
+/// Idle connections, which are reopened whenever the daemon closes them, until [`IdleConnections::end`] is called.
+struct IdleConnections {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
     /// Receives a message whenever one of the threads has reopened its connections.
     opened: Receiver<()>,
 }
 
-impl IdleCrowd {
+impl IdleConnections {
     /// Opens the given number of connections to each of these addresses.
-    fn new(targets: [(String, usize); 2]) -> IdleCrowd {
+    fn new(targets: [(String, usize); 2]) -> IdleConnections {
         let stop = Arc::new(AtomicBool::new(false));
         let (sender, opened) = mpsc::channel();
         let threads = targets.map(|(address, connections)| {
             let (stop, sender) = (Arc::clone(&stop), sender.clone());
             thread::spawn(move || keep_connected(&address, connections, &stop, &sender))
         });
-        IdleCrowd { stop, threads: threads.into(), opened }
+        IdleConnections { stop, threads: threads.into(), opened }
     }
 
     /// Stops the threads; a thread that has panicked fails the test.
@@ -212,16 +212,17 @@
 /// discovery is down. Discovery's recovery is still detected, servers are connected, and admin calls and client requests
 /// are answered.
 #[test]
-fn idle_connections_shut_nobody_out() {
+fn idle_connections_do_not_exhaust_the_descriptors() {
     const DESCRIPTORS: usize = 96;
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let discovery_at = discovery.local_addr().unwrap();
     drop(discovery);
     let mut balancer = start("127.0.0.1:0", discovery_at, server.local_addr().unwrap(), DESCRIPTORS);
-    let crowd = IdleCrowd::new([(balancer.listen.clone(), 3 * DESCRIPTORS), (balancer.admin.clone(), 12)]);
+    let idle_connections =
+        IdleConnections::new([(balancer.listen.clone(), 3 * DESCRIPTORS), (balancer.admin.clone(), 12)]);
     for _ in 0..20 {
-        crowd.opened.recv().unwrap();
+        idle_connections.opened.recv().unwrap();
     }
     // Discovery recovers.
     let discovery = TcpListener::bind(discovery_at).unwrap();
@@ -234,7 +235,7 @@
     assert!(answer.starts_with("VA 2 O"), "{answer:?}");
     serving.join().unwrap();
     assert_eq!(health_until_acknowledged(&balancer.admin).as_deref(), Some("ACK ready\n"));
-    crowd.end();
+    idle_connections.end();
     assert!(balancer.child.try_wait().unwrap().is_none(), "the process still runs");
     send_signal(&balancer.child, "-TERM");
     let mut log = String::new();
--- a/cli/tests/process.rs
+++ b/cli/tests/process.rs
@@ -12,7 +12,7 @@
 use support::{address_in, call, config, file, program, send_signal, wait_for_line};
 
 #[test]
-fn a_failed_start_ends_with_one_plain_line() {
+fn a_failed_start_reports_one_line() {
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let taken = config(&taken.local_addr().unwrap().to_string(), "127.0.0.1:1", "127.0.0.1:1");
     for text in [None, Some("{\"name\":"), Some(taken.as_str())] {
@@ -26,7 +26,7 @@
 /// Guards against requests lost in a shutdown: the request in flight is answered, then the client connections are closed
 /// and the counters are logged.
 #[test]
-fn sigterm_ends_the_program_after_the_last_answer() {
+fn sigterm_ends_the_daemon_after_the_last_answer() {
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = server.local_addr().unwrap().to_string();
     let mut child = program(Some(&config("127.0.0.1:0", &address, &address))).spawn().unwrap();
@@ -142,7 +142,7 @@
 
 /// Asserts that every new client is admitted until the replaced process has ended, and once more afterwards. Its request in
 /// flight is answered after more than 20 new clients.
-fn assert_no_break(
+fn assert_no_interruption(
     listen: &str,
     ending: &JoinHandle<ExitStatus>,
     client: &mut TcpStream,
@@ -170,13 +170,13 @@
 /// Guards against refused clients and lost requests when one process replaces another on the same address: clients are
 /// admitted without interruption, and the old process answers its request in flight before it ends.
 #[test]
-fn a_successor_takes_over_without_a_break() {
+fn a_successor_takes_over_without_interruption() {
     let directory = std::env::temp_dir().join(format!("juniperladder-replaced-{}", std::process::id()));
     std::fs::create_dir_all(&directory).unwrap();
-    let [server, discovery, nobody] = [(); 3].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
-    let [server_at, discovery_at, nobody_at] =
-        [&server, &discovery, &nobody].map(|listener| listener.local_addr().unwrap().to_string());
-    let old = start_administered("127.0.0.1:0", &nobody_at, &server_at, &directory);
+    let [server, discovery, silent_discovery] = [(); 3].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
+    let [server_address, discovery_address, silent_discovery_address] =
+        [&server, &discovery, &silent_discovery].map(|listener| listener.local_addr().unwrap().to_string());
+    let old = start_administered("127.0.0.1:0", &silent_discovery_address, &server_address, &directory);
     assert_eq!(call(&old.admin, "OFFLINE s-00000002\n"), "ACK s-00000002 out by hand\n");
     let mut client = TcpStream::connect(&old.listen).unwrap();
     client.write_all(b"mg 7f3a9c21e0b4d655 v O7 Pc=read,d=50000\r\n").unwrap();
@@ -184,7 +184,7 @@
     let request = read_line(at_server.try_clone().unwrap());
     assert!(request.starts_with("mg 7f3a9c21e0b4d655 v O7 "), "{request}");
 
-    let mut successor = start_administered(&old.listen, &discovery_at, &server_at, &directory);
+    let mut successor = start_administered(&old.listen, &discovery_address, &server_address, &directory);
     assert_taken_over(&successor, &discovery);
 
     let AdministeredProgram { child: mut old, log: mut old_log, listen, admin: old_admin } = old;
@@ -198,7 +198,7 @@
         wait_for_line(&mut old_log, "stopped");
         old.wait().unwrap()
     });
-    assert_no_break(&listen, &ending, &mut client, &mut at_server);
+    assert_no_interruption(&listen, &ending, &mut client, &mut at_server);
     assert!(ending.join().unwrap().success(), "the old process exits with success");
     send_signal(&successor.child, "-TERM");
     assert!(successor.child.wait().unwrap().success());
