--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -62,59 +62,45 @@
 }
 
 /// The longest time that a poll takes when discovery answers at once.
-const MAX_PROMPT_POLL_DURATION: Duration = Duration::from_millis(250);
+const PROMPT_POLL: Duration = Duration::from_millis(250);
 
 /// The timeouts, backoffs and polls of every foreseen sequence of failures add up to no more than the time after which a
 /// change counts as notified.
 #[test]
 fn every_failure_sequence_ends_before_a_change_counts_as_notified() {
     let poll_interval = Duration::from_micros(MAX_POLL_INTERVAL.0);
+    // All values are the upper bounds of random pauses.
     let max_duration = |range: BackoffRange| poll_interval.mul_f64(range.max_share);
-    let max_pause_after_watch = max_duration(DISCOVERY_BACKOFF.after_watch);
-    let max_pause_after_failure = max_duration(DISCOVERY_BACKOFF.after_first_failure);
-    let max_pause_after_more_failures = max_duration(DISCOVERY_BACKOFF.after_more_failures);
-    let max_minimum_pause = max_duration(MIN_DISCOVERY_PAUSE);
-    // It includes the time to connect.
+    let after_watch = max_duration(DISCOVERY_BACKOFF.after_watch);
+    let after_failure = max_duration(DISCOVERY_BACKOFF.after_first_failure);
+    let after_more_failures = max_duration(DISCOVERY_BACKOFF.after_more_failures);
+    let min_pause = max_duration(MIN_DISCOVERY_PAUSE);
+    // The timeout includes the time to connect.
     let slow_poll = ANSWER_TIMEOUT;
     assert!(DISCOVERY_CONNECT_TIMEOUT < ANSWER_TIMEOUT);
     // A watch that became silent has lasted longer than the backoff, so the next poll needs only the minimum pause.
-    assert!(WATCH_SILENCE_TIMEOUT > max_pause_after_watch);
+    assert!(WATCH_SILENCE_TIMEOUT > after_watch);
     let chains = [
-        ("silent, polled, answered slowly", WATCH_SILENCE_TIMEOUT + max_minimum_pause + slow_poll),
+        ("silent, polled, answered slowly", WATCH_SILENCE_TIMEOUT + min_pause + slow_poll),
         (
             "silent, refused, polled, answered slowly",
-            WATCH_SILENCE_TIMEOUT
-                + max_minimum_pause
-                + max_pause_after_failure.max(max_minimum_pause)
-                + slow_poll,
+            WATCH_SILENCE_TIMEOUT + min_pause + after_failure.max(min_pause) + slow_poll,
         ),
         (
             "silent, poll timed out, polled",
-            WATCH_SILENCE_TIMEOUT
-                + max_minimum_pause
-                + slow_poll
-                + max_minimum_pause
-                + MAX_PROMPT_POLL_DURATION,
+            WATCH_SILENCE_TIMEOUT + min_pause + slow_poll + min_pause + PROMPT_POLL,
         ),
-        ("ended at once, polled, answered slowly", max_pause_after_watch.max(max_minimum_pause) + slow_poll),
+        ("ended at once, polled, answered slowly", after_watch.max(min_pause) + slow_poll),
         (
             "ended at once, refused, polled, answered slowly",
-            max_pause_after_watch.max(max_minimum_pause)
-                + max_pause_after_failure.max(max_minimum_pause)
-                + slow_poll,
-        ),
-        (
-            "available right after a poll was refused, answered slowly",
-            max_pause_after_more_failures + slow_poll,
+            after_watch.max(min_pause) + after_failure.max(min_pause) + slow_poll,
         ),
+        ("available right after a poll was refused, answered slowly", after_more_failures + slow_poll),
         (
             "available right after a poll started that hangs, answered slowly",
-            max_pause_after_more_failures.max(slow_poll + max_minimum_pause) + slow_poll,
-        ),
-        (
-            "available, refused once, polled",
-            max_pause_after_more_failures + max_pause_after_more_failures + MAX_PROMPT_POLL_DURATION,
+            after_more_failures.max(slow_poll + min_pause) + slow_poll,
         ),
+        ("available, refused once, polled", after_more_failures + after_more_failures + PROMPT_POLL),
         ("started, answered slowly", poll_interval.mul_f64(START_SPREAD_SHARE) + slow_poll),
     ];
     for (chain, time) in chains {
@@ -122,18 +108,18 @@
     }
     // At a new address: a poll that hangs, and one that is answered.
     assert!(
-        slow_poll + NEW_ADDRESS_BACKOFF.longest + MAX_PROMPT_POLL_DURATION <= NEW_ADDRESS_NOTIFIED_AFTER
+        slow_poll + NEW_ADDRESS_BACKOFF.longest + PROMPT_POLL <= NEW_ADDRESS_NOTIFIED_AFTER
             && NEW_ADDRESS_BACKOFF.shortest < NEW_ADDRESS_BACKOFF.longest
     );
     // Heartbeats are sent every two seconds; a slightly delayed one must not cause a poll.
     assert!(WATCH_SILENCE_TIMEOUT >= Duration::from_millis(2_400));
     for grace in [50, 400, 500, 600].map(Duration::from_millis) {
-        assert!(pushed_list_backoff(grace) + MAX_LOCAL_POLL_DURATION <= grace, "{grace:?}");
+        assert!(pushed_list_backoff(grace) + LOCAL_POLL <= grace, "{grace:?}");
     }
 }
 
 /// The longest time that a poll of an agent on the balancer's host takes.
-const MAX_LOCAL_POLL_DURATION: Duration = Duration::from_millis(25);
+const LOCAL_POLL: Duration = Duration::from_millis(25);
 
 struct Balancer {
     dispatcher: Rc<Dispatcher>,
@@ -188,8 +174,7 @@
                 let silent_since = balancer.wait_for_lists(1).await;
                 let delay = balancer.wait_for_lists(2).await - silent_since;
                 assert!(
-                    delay >= WATCH_SILENCE_TIMEOUT - MAX_PROMPT_POLL_DURATION
-                        && delay <= CHANGE_NOTIFIED_AFTER,
+                    delay >= WATCH_SILENCE_TIMEOUT - PROMPT_POLL && delay <= CHANGE_NOTIFIED_AFTER,
                     "{silent:?}, {between:?}: {delay:?}"
                 );
                 assert_eq!(discovery.poll_count(), 2 + usize::from(between.is_some()));
@@ -230,7 +215,7 @@
                     "{away:?}: {apart:?}"
                 );
             }
-            assert!(received - polls.last().unwrap().0 < MAX_PROMPT_POLL_DURATION);
+            assert!(received - polls.last().unwrap().0 < PROMPT_POLL);
         });
     }
 }
@@ -299,7 +284,7 @@
         let balancer = balancer(&discovery, policy, false);
         let received = balancer.wait_for_lists(1).await;
         assert!(received - start <= grace * 4, "{:?}", received - start);
-        assert!(discovery.polls.borrow()[0].0 - start < MAX_PROMPT_POLL_DURATION, "at the start");
+        assert!(discovery.polls.borrow()[0].0 - start < PROMPT_POLL, "at the start");
         let polls: Vec<Instant> = discovery.polls.borrow().iter().map(|(at, _)| *at).collect();
         assert!(polls.windows(2).all(|pair| pair[1] - pair[0] <= grace / 2), "{polls:?}");
         assert!(balancer.wait_for_lists(2).await - received <= WATCH_SILENCE_TIMEOUT + grace);
