--- a/cli/tests/support/faults.c
+++ b/cli/tests/support/faults.c
@@ -19,7 +19,7 @@
 #include <sys/uio.h>
 #include <time.h>
 
-#define MOST_RULES 16
+#define MAX_RULES 16
 #define SHORT (-1)
 #define AHEAD (-2)
 #define BEHIND (-3)
@@ -29,11 +29,11 @@
 struct rule {
     char call[16];
     int action;
-    long every, most;
+    long every, max_times;
     atomic_long calls, acted;
 };
 
-static struct rule rules[MOST_RULES];
+static struct rule rules[MAX_RULES];
 static int rule_count;
 
 static const struct { const char *name; int value; } errors[] = {
@@ -44,23 +44,23 @@
 
 __attribute__((constructor)) static void read_rules(void) {
     const char *text = getenv("FAULTS");
-    char copy[1024], *next = copy, *one;
+    char copy[1024], *next = copy, *rule_text;
     if (!text || !*text) return;
     snprintf(copy, sizeof copy, "%s", text);
-    while ((one = strsep(&next, ",")) && rule_count < MOST_RULES) {
+    while ((rule_text = strsep(&next, ",")) && rule_count < MAX_RULES) {
         struct rule *rule = &rules[rule_count];
         char action[24] = "";
-        rule->most = -1;
-        int read = sscanf(one, "%15[^=]=%23[^/]/%ld/%ld", rule->call, action, &rule->every, &rule->most);
-        int known = 0;
-        for (size_t at = 0; at < sizeof errors / sizeof *errors; at++) {
-            if (!strcmp(action, errors[at].name)) {
-                rule->action = errors[at].value;
-                known = 1;
+        rule->max_times = -1;
+        int read = sscanf(rule_text, "%15[^=]=%23[^/]/%ld/%ld", rule->call, action, &rule->every, &rule->max_times);
+        int is_known = 0;
+        for (size_t index = 0; index < sizeof errors / sizeof *errors; index++) {
+            if (!strcmp(action, errors[index].name)) {
+                rule->action = errors[index].value;
+                is_known = 1;
             }
         }
-        if (read < 3 || !known || rule->every < 1) {
-            fprintf(stderr, "FAULTS: bad rule %s\n", one);
+        if (read < 3 || !is_known || rule->every < 1) {
+            fprintf(stderr, "FAULTS: bad rule %s\n", rule_text);
             abort();
         }
         rule_count++;
@@ -68,48 +68,48 @@
 }
 
 /* Returns the action for this call: 0 for none, an error number, or SHORT, AHEAD or BEHIND. */
-static int fault(const char *call) {
-    for (int at = 0; at < rule_count; at++) {
-        struct rule *rule = &rules[at];
+static int next_action(const char *call) {
+    for (int index = 0; index < rule_count; index++) {
+        struct rule *rule = &rules[index];
         if (strcmp(rule->call, call)) continue;
         if ((atomic_fetch_add(&rule->calls, 1) + 1) % rule->every) continue;
-        if (rule->most >= 0 && atomic_fetch_add(&rule->acted, 1) >= rule->most) continue;
+        if (rule->max_times >= 0 && atomic_fetch_add(&rule->acted, 1) >= rule->max_times) continue;
         return rule->action;
     }
     return 0;
 }
 
 #define NEXT(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
-#define FAIL_AS(call) do { int action = fault(call); if (action > 0) { errno = action; return -1; } } while (0)
+#define RETURN_FAULT(call) do { int action = next_action(call); if (action > 0) { errno = action; return -1; } } while (0)
 
 int socket(int domain, int type, int protocol) {
-    FAIL_AS("socket");
+    RETURN_FAULT("socket");
     return NEXT(socket)(domain, type, protocol);
 }
 
 int bind(int fd, const struct sockaddr *address, socklen_t length) {
-    FAIL_AS("bind");
+    RETURN_FAULT("bind");
     return NEXT(bind)(fd, address, length);
 }
 
 int listen(int fd, int backlog) {
-    FAIL_AS("listen");
+    RETURN_FAULT("listen");
     return NEXT(listen)(fd, backlog);
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
-    FAIL_AS("accept4");
+    RETURN_FAULT("accept4");
     return NEXT(accept4)(fd, address, length, flags);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
-    FAIL_AS("connect");
+    RETURN_FAULT("connect");
     return NEXT(connect)(fd, address, length);
 }
 
-int epoll_wait(int epoll, struct epoll_event *events, int most, int timeout) {
-    FAIL_AS("epoll_wait");
-    return NEXT(epoll_wait)(epoll, events, most, timeout);
+int epoll_wait(int epoll, struct epoll_event *events, int max_events, int timeout) {
+    RETURN_FAULT("epoll_wait");
+    return NEXT(epoll_wait)(epoll, events, max_events, timeout);
 }
 
 /* Fails only for the configuration file, which has this extension in the tests. */
@@ -119,14 +119,14 @@
     mode_t mode = flags & O_CREAT ? va_arg(rest, mode_t) : 0;
     va_end(rest);
     size_t length = strlen(path);
-    if (length > 5 && !strcmp(path + length - 5, ".json")) FAIL_AS("open");
+    if (length > 5 && !strcmp(path + length - 5, ".json")) RETURN_FAULT("open");
     return ((int (*)(const char *, int, ...))dlsym(RTLD_NEXT, "open64"))(path, flags, mode);
 }
 
 int clock_gettime(clockid_t clock, struct timespec *now) {
     int result = NEXT(clock_gettime)(clock, now);
     if (clock == CLOCK_REALTIME && !result) {
-        int action = fault("clock");
+        int action = next_action("clock");
         now->tv_sec += action == AHEAD ? HOUR : action == BEHIND ? -HOUR : 0;
     }
     return result;
@@ -141,7 +141,7 @@
 }
 
 static size_t shortened(int fd, const char *call, size_t length, int *error) {
-    int action = is_network(fd) ? fault(call) : 0;
+    int action = is_network(fd) ? next_action(call) : 0;
     *error = action > 0 ? action : 0;
     return action == SHORT && length > SHORT_BYTES ? SHORT_BYTES : length;
 }
