--- a/node/src/discovery/watches.rs
+++ b/node/src/discovery/watches.rs
@@ -172,8 +172,8 @@
     }
 
     fn evict_one(&mut self) {
-        let first = (0..self.open.len()).min_by_key(|index| self.open[*index].eviction_order());
-        if let Some(index) = first {
+        let evicted = (0..self.open.len()).min_by_key(|index| self.open[*index].eviction_order());
+        if let Some(index) = evicted {
             self.open.remove(index);
         }
     }
@@ -225,9 +225,9 @@
         let is_outdated = has_outdated_version(poll, version, self.version);
         poll.version = Some(version);
         poll.on_line(now);
-        let usual = if is_snapshot { ListUse::Snapshot } else { ListUse::Delta };
+        let list_use = if is_snapshot { ListUse::Snapshot } else { ListUse::Delta };
         if poll.address_number != self.address_number {
-            return usual;
+            return list_use;
         }
         self.awaits_new_address = false;
         self.keep_only(id);
@@ -235,7 +235,7 @@
             return ListUse::Outdated;
         }
         self.version = Some(version);
-        usual
+        list_use
     }
 
     /// Closes a watch that contradicted itself; the next poll requests a complete list.
--- a/node/src/discovery/watches/tests.rs
+++ b/node/src/discovery/watches/tests.rs
@@ -16,7 +16,7 @@
         self.start + Duration::from_millis(milliseconds)
     }
 
-    fn begin(&mut self, milliseconds: u64) -> PollId {
+    fn start_poll(&mut self, milliseconds: u64) -> PollId {
         let id = self.watches.next_id();
         let now = self.at(milliseconds);
         self.watches.on_poll_started(id, (), now);
@@ -41,31 +41,31 @@
 
 /// A poll without a known version requests a complete list, so its first list is a snapshot even if it is not marked so.
 #[test]
-fn the_first_list_of_a_new_address_replaces_the_old_ones() {
+fn the_first_list_without_a_known_version_is_a_snapshot() {
     let mut fixture = Fixture::new(None);
-    let first = fixture.begin(0);
+    let first = fixture.start_poll(0);
     assert_eq!(fixture.list(first, 7, false, 1), ListUse::Snapshot);
     assert_eq!(fixture.list(first, 8, false, 2), ListUse::Delta);
     assert_eq!(fixture.list(first, 9, true, 3), ListUse::Snapshot);
     fixture.watches.on_new_address();
     assert_eq!(fixture.watches.version(), None);
-    let turned = fixture.begin(4);
-    assert_eq!(fixture.list(turned, 1, false, 5), ListUse::Snapshot);
+    let after_change = fixture.start_poll(4);
+    assert_eq!(fixture.list(after_change, 1, false, 5), ListUse::Snapshot);
     assert!(!fixture.watches.awaits_new_address());
 }
 
 /// Guards against a lost answer: an answer after the timeout is applied, and closes the poll made in parallel.
 #[test]
-fn a_late_answer_is_accepted_and_ends_the_poll_beside_it() {
+fn a_late_answer_is_accepted_and_closes_the_parallel_poll() {
     let mut fixture = Fixture::new(Some(3));
-    let first = fixture.begin(0);
+    let first = fixture.start_poll(0);
     assert!(!fixture.watches.needs_poll());
     assert_eq!(fixture.watches.deadline(), Some(fixture.start + ANSWER_TIMEOUT));
     assert_eq!(fixture.overdue(2_599), []);
     assert_eq!(fixture.overdue(2_600), [Overdue::NoAnswer]);
     assert_eq!(fixture.overdue(2_700), [], "an overdue poll is reported once");
     assert!(fixture.watches.needs_poll());
-    let second = fixture.begin(2_800);
+    let second = fixture.start_poll(2_800);
     assert!(!fixture.watches.needs_poll());
     assert_eq!(fixture.list(first, 5, false, 3_000), ListUse::Delta);
     assert!(!fixture.end(second, 3_001) && fixture.list(second, 5, false, 3_002) == ListUse::UnknownPoll);
@@ -76,12 +76,12 @@
 #[test]
 fn a_silent_watch_is_used_until_the_next_poll_is_answered() {
     let mut fixture = Fixture::new(Some(3));
-    let first = fixture.begin(0);
+    let first = fixture.start_poll(0);
     assert_eq!(fixture.list(first, 4, false, 100), ListUse::Delta);
     assert_eq!(fixture.overdue(2_600), [Overdue::Silent]);
-    let second = fixture.begin(2_700);
+    let second = fixture.start_poll(2_700);
     assert_eq!(fixture.list(first, 5, false, 2_800), ListUse::Delta, "the watch was only slow");
-    let third = fixture.begin(2_900);
+    let third = fixture.start_poll(2_900);
     assert_eq!(fixture.list(second, 6, false, 2_950), ListUse::UnknownPoll);
     let answered = fixture.watches.on_heartbeat(third, fixture.start + Duration::from_secs(3));
     assert_eq!(answered, Heartbeat::Answered);
@@ -91,27 +91,27 @@
 
 /// Guards against a list that reverts a newer one: a list is ignored if another watch has delivered a newer version.
 #[test]
-fn an_older_list_changes_nothing() {
+fn an_older_list_is_ignored() {
     let mut fixture = Fixture::new(Some(3));
-    let first = fixture.begin(0);
+    let first = fixture.start_poll(0);
     fixture.list(first, 4, false, 100);
     fixture.overdue(2_600);
-    let second = fixture.begin(2_700);
+    let second = fixture.start_poll(2_700);
     fixture.watches.version = Some(6);
     assert_eq!(fixture.list(second, 5, false, 2_800), ListUse::Outdated);
     assert_eq!(fixture.watches.version(), Some(6));
     assert_eq!(fixture.list(second, 6, false, 2_900), ListUse::Delta);
     // A complete list of an older version than was known when the poll started means restarted version numbers.
-    let third = fixture.begin(3_000);
+    let third = fixture.start_poll(3_000);
     assert_eq!(fixture.list(third, 2, true, 3_100), ListUse::Snapshot);
     assert_eq!(fixture.watches.version(), Some(2));
 }
 
 /// Changes to an older version than the watch has sent cannot be applied consistently, so the watch is closed.
 #[test]
-fn changes_that_contradict_the_watch_end_it() {
+fn changes_to_an_older_version_close_the_watch() {
     let mut fixture = Fixture::new(Some(3));
-    let first = fixture.begin(0);
+    let first = fixture.start_poll(0);
     assert_eq!(fixture.list(first, 2, false, 100), ListUse::Contradictory { known: 3 });
     assert_eq!(fixture.watches.version(), None, "the next poll requests a complete list");
     assert!(fixture.watches.needs_poll());
@@ -120,16 +120,16 @@
 /// Guards against losing the only watch in repeated reloads: it stays open until a new address has sent its list, while
 /// unanswered polls of superseded addresses are closed.
 #[test]
-fn the_watch_in_force_outlives_addresses_that_never_answer() {
+fn the_current_watch_outlives_addresses_that_never_answer() {
     let mut fixture = Fixture::new(Some(3));
-    let first = fixture.begin(0);
+    let first = fixture.start_poll(0);
     fixture.list(first, 4, false, 100);
     for address in 1..5 {
         fixture.watches.on_new_address();
-        let unanswered = fixture.begin(address * 200);
+        let unanswered = fixture.start_poll(address * 200);
         assert!(fixture.watches.awaits_new_address());
-        let nothing = fixture.watches.on_heartbeat(unanswered, fixture.start);
-        assert_eq!(nothing, Heartbeat::Ignored, "only a complete list is an answer");
+        let heartbeat = fixture.watches.on_heartbeat(unanswered, fixture.start);
+        assert_eq!(heartbeat, Heartbeat::Ignored, "only a complete list is an answer");
         assert_eq!(fixture.list(first, 4 + address, false, address * 200 + 50), ListUse::Delta);
         assert_eq!(
             fixture.watches.version(),
@@ -137,20 +137,20 @@
             "versions of the old address are not valid at the new one"
         );
     }
-    let last = fixture.begin(1_100);
-    assert_eq!(fixture.list(last, 1, true, 1_200), ListUse::Snapshot);
+    let new_poll = fixture.start_poll(1_100);
+    assert_eq!(fixture.list(new_poll, 1, true, 1_200), ListUse::Snapshot);
     assert_eq!(fixture.list(first, 9, false, 1_300), ListUse::UnknownPoll);
     assert_eq!(fixture.watches.version(), Some(1));
 }
 
 /// Guards against a leak of connections: while discovery hangs, the number of open polls stays bounded.
 #[test]
-fn polls_that_hang_are_bounded() {
+fn unanswered_polls_are_bounded() {
     let mut fixture = Fixture::new(Some(3));
-    for call in 0..100 {
-        fixture.begin(call * 2_700);
+    for poll in 0..100 {
+        fixture.start_poll(poll * 2_700);
         assert!(fixture.watches.open.len() <= MAX_OPEN_POLLS);
-        assert_eq!(fixture.overdue(call * 2_700 + 2_650), [Overdue::NoAnswer]);
+        assert_eq!(fixture.overdue(poll * 2_700 + 2_650), [Overdue::NoAnswer]);
     }
     fixture.overdue(1_000_000);
     assert!(fixture.watches.open.is_empty() && fixture.watches.deadline().is_none());
