--- a/node/src/error.rs
+++ b/node/src/error.rs
@@ -5,7 +5,7 @@
 
 use thiserror::Error;
 
-/// Why the daemon cannot start. The text is one line.
+/// Why the daemon cannot start. The text is one line, which names the remedy where the cause has one.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The configuration or the operators' file cannot be loaded.
