--- a/cli/benches/data_path/balancer.rs
+++ b/cli/benches/data_path/balancer.rs
@@ -1,4 +1,4 @@
-//! One process of the program, and what the kernel says it uses.
+//! The daemon process, and its resource usage as reported by the kernel.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -10,45 +10,45 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::stand_ins::StandIns;
+use crate::stand_ins::FakeServers;
 
-/// How often, and how many times, a process that starts is asked whether it is ready.
+/// The interval and the maximum number of readiness checks after a start.
 const READY_INTERVAL: Duration = Duration::from_millis(20);
 const READY_ATTEMPTS: usize = 500;
 
-/// The process, killed at the end.
+/// A running daemon, killed on drop.
 pub struct Balancer {
     child: Child,
     address: SocketAddr,
-    /// Keeps its configuration for as long as it runs.
+    /// Keeps the folder of its configuration until it ends.
     _folder: TempDir,
 }
 
-/// What a process has used and holds.
+/// The resource usage of a process.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
     /// Processor time of all threads, in seconds.
     pub cpu_s: f64,
-    /// Resident memory.
+    /// Resident memory, in kilobytes.
     pub rss_kb: u64,
-    /// Open descriptors.
+    /// The number of open descriptors.
     pub descriptors: usize,
 }
 
 impl Usage {
-    /// The same, but the processor time since then.
+    /// This usage, with the processor time counted since `before`.
     pub fn since(&self, before: &Usage) -> Usage {
         Usage { cpu_s: self.cpu_s - before.cpu_s, ..*self }
     }
 }
 
 impl Balancer {
-    /// Starts one that knows so many servers and may hold so many descriptors, and waits until it is ready.
-    pub async fn start(stand_ins: &StandIns, servers: usize, sockets: usize, seed: u64) -> Balancer {
+    /// Starts a daemon with this number of listed servers and this limit of descriptors, and waits until it is ready.
+    pub async fn start(fake_servers: &FakeServers, servers: usize, sockets: usize, seed: u64) -> Balancer {
         let address = free_address().await;
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("config.json");
-        fs::write(&path, configuration(address, stand_ins, servers, sockets, seed)).expect("written");
+        fs::write(&path, configuration(address, fake_servers, servers, sockets, seed)).expect("written");
         let child = Command::new(env!("CARGO_BIN_EXE_juniperladder"))
             .env_clear()
             .env("NODE_CONFIG", &path)
@@ -59,7 +59,7 @@
             .expect("the program starts");
         let balancer = Balancer { child, address, _folder: folder };
         let mut attempts = 0;
-        while !ready(address).await {
+        while !is_ready(address).await {
             attempts += 1;
             assert!(attempts < READY_ATTEMPTS, "the program is not ready after {attempts} attempts");
             tokio::time::sleep(READY_INTERVAL).await;
@@ -68,12 +68,12 @@
         balancer
     }
 
-    /// Where clients connect.
+    /// The address for clients.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it has used until now, and holds.
+    /// The current resource usage.
     pub fn usage(&self) -> Usage {
         let folder = PathBuf::from(format!("/proc/{}", self.child.id()));
         let status = fs::read_to_string(folder.join("status")).expect("its status");
@@ -89,8 +89,8 @@
         Usage { cpu_s, rss_kb, descriptors }
     }
 
-    /// Processor time in seconds that it uses over so long.
-    pub async fn over(&self, time: Duration) -> f64 {
+    /// Measures the processor time used during this time, in seconds.
+    pub async fn cpu_time_over(&self, time: Duration) -> f64 {
         let before = self.usage();
         tokio::time::sleep(time).await;
         self.usage().since(&before).cpu_s
@@ -109,7 +109,7 @@
     listener.local_addr().expect("its address")
 }
 
-async fn ready(address: SocketAddr) -> bool {
+async fn is_ready(address: SocketAddr) -> bool {
     let asked = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         stream.write_all(b"mn\r\n").await.ok()?;
@@ -121,7 +121,7 @@
 
 fn configuration(
     address: SocketAddr,
-    stand_ins: &StandIns,
+    fake_servers: &FakeServers,
     servers: usize,
     sockets: usize,
     seed: u64,
@@ -135,7 +135,7 @@
           {{"aim":4000000,"effect":"side_effect","give-up":5000000,"name":"put","worth":1.0}}],"kinds":["cache"],"zones":["x"],"tick":5000,"membership-mode":"subscribe",
         "limits":{{"conn-idle":5000000,"connect-timeout":1000000,"max-attempts":3,"retry-after":true}},
         "rules":{{"ask-within":1000000,"cold-share":0.32,"warm-up":9000000}}}}}}"#,
-        discovery = stand_ins.discovery(),
-        known = stand_ins.list(servers, true, 1),
+        discovery = fake_servers.discovery(),
+        known = fake_servers.list(servers, true, 1),
     )
 }
--- a/node/src/admin/tests.rs
+++ b/node/src/admin/tests.rs
@@ -1,4 +1,4 @@
-//! Callers of the operators' address: silent ones, malformed lines, figures, and a disk that stands still.
+//! The admin interface: silent connections, malformed lines, metrics, and a stalled disk.
 
 use super::*;
 use crate::dispatcher::{Answer, AttemptEnd, Reply};
@@ -8,75 +8,75 @@
 use tokio::io::{duplex, DuplexStream};
 use tokio::time::Instant;
 
-const CALLERS: usize = 128;
+const MAX_CONNECTIONS: usize = 128;
 const SERVER: &str = "s-00000009";
 
-fn process(dir: &std::path::Path) -> (Rc<Admin>, Rc<Recorder>) {
+fn start_admin(dir: &std::path::Path) -> (Rc<Admin>, Rc<Recorder>) {
     let recorder = Rc::new(Recorder::default());
     let dispatcher = testing::dispatcher(testing::settings(1, Idempotency::Idempotent), recorder.clone(), 2);
     let class_names = vec!["read".into()];
-    let connections = AdminConnections { open: Rc::default(), limit: CALLERS };
+    let connections = AdminConnections { open: Rc::default(), limit: MAX_CONNECTIONS };
     let path = dir.join("n0.bans");
     let admin = Admin::start(dispatcher, class_names, Rc::default(), path, connections, None, log());
     (admin, recorder)
 }
 
-async fn call(admin: &Rc<Admin>, pieces: &[&[u8]]) -> DuplexStream {
-    let (near, mut far) = duplex(4096);
-    admin.serve_in_task(near);
-    for piece in pieces {
-        // One caller too many is closed at once.
-        let _ = far.write_all(piece).await;
+async fn send_call(admin: &Rc<Admin>, chunks: &[&[u8]]) -> DuplexStream {
+    let (server_end, mut client) = duplex(4096);
+    admin.serve_in_task(server_end);
+    for chunk in chunks {
+        // A connection beyond the limit is closed at once.
+        let _ = client.write_all(chunk).await;
         testing::settle().await;
     }
-    far
+    client
 }
 
-async fn reply(mut far: DuplexStream) -> String {
-    let mut got = String::new();
-    far.read_to_string(&mut got).await.unwrap();
-    got
+async fn read_answer(mut client: DuplexStream) -> String {
+    let mut answer = String::new();
+    client.read_to_string(&mut answer).await.unwrap();
+    answer
 }
 
-/// Callers that say nothing, or half a call, are closed at their deadline without an answer, take a bounded
-/// number of slots, and keep nobody waiting meanwhile.
+/// Guards against silent connections that block the admin interface: those that send nothing or an incomplete line take a
+/// bounded number of slots, are closed at the timeout without an answer, and do not delay other calls.
 #[test]
-fn callers_that_send_half_a_line_hold_nobody_up_and_are_closed() {
+fn incomplete_calls_time_out_and_delay_no_other_call() {
     let dir = tempfile::tempdir().unwrap();
     testing::run(async {
-        let (admin, _) = process(dir.path());
+        let (admin, _) = start_admin(dir.path());
         let start = Instant::now();
-        let mut slow = Vec::new();
-        for n in 0..CALLERS + 5 {
-            slow.push(call(&admin, &[&b"HEALTH"[..n % 7]]).await);
-            if n + 1 < CALLERS {
-                assert_eq!(reply(call(&admin, &[b"HEAL", b"TH\r\n"]).await).await, "ACK ready\n");
+        let mut incomplete = Vec::new();
+        for n in 0..MAX_CONNECTIONS + 5 {
+            incomplete.push(send_call(&admin, &[&b"HEALTH"[..n % 7]]).await);
+            if n + 1 < MAX_CONNECTIONS {
+                assert_eq!(read_answer(send_call(&admin, &[b"HEAL", b"TH\r\n"]).await).await, "ACK ready\n");
             }
         }
-        assert_eq!((start.elapsed(), admin.connections.open.get()), (Duration::ZERO, CALLERS));
-        for far in slow {
-            assert_eq!(reply(far).await, "");
+        assert_eq!((start.elapsed(), admin.connections.open.get()), (Duration::ZERO, MAX_CONNECTIONS));
+        for client in incomplete {
+            assert_eq!(read_answer(client).await, "");
         }
         assert_eq!((start.elapsed(), admin.connections.open.get()), (READ_IDLE_TIMEOUT, 0));
-        assert_eq!(reply(call(&admin, &[b"HEALTH\n"]).await).await, "ACK ready\n");
+        assert_eq!(read_answer(send_call(&admin, &[b"HEALTH\n"]).await).await, "ACK ready\n");
     });
 }
 
 #[test]
-fn a_line_that_is_no_call_is_answered_nak() {
+fn a_malformed_line_is_answered_with_nak() {
     let dir = tempfile::tempdir().unwrap();
     testing::run(async {
-        let (admin, _) = process(dir.path());
-        let long = [b'x'; 300];
+        let (admin, _) = start_admin(dir.path());
+        let too_long = [b'x'; 300];
         for line in [
             &b"\n"[..],
             b"OFFLINE s-0000abcd\n",
             b"ONLINE a b\n",
             b"\xff\xfe\n",
             b"GET / HTTP/1.1\r\n",
-            &long,
+            &too_long,
         ] {
-            let answer = reply(call(&admin, &[line]).await).await;
+            let answer = read_answer(send_call(&admin, &[line]).await).await;
             assert!(
                 answer.starts_with("NAK ") && answer.ends_with('\n') && answer.lines().count() == 1,
                 "{answer}"
@@ -85,12 +85,12 @@
     });
 }
 
-/// The figures against requests whose outcomes are known.
+/// Compares the metrics with requests of known outcome.
 #[test]
 fn each_request_is_counted_once_in_its_class() {
     let dir = tempfile::tempdir().unwrap();
     testing::run(async {
-        let (admin, recorder) = process(dir.path());
+        let (admin, recorder) = start_admin(dir.path());
         let dispatcher = &admin.dispatcher;
         let value = Reply::Served(Answer::Value("v".into()));
         let mut answers = Vec::new();
@@ -120,14 +120,15 @@
     });
 }
 
-/// A disk that stands still: calls are answered, what they ask for holds, and it is kept once the disk goes on.
+/// Guards against calls that wait for the disk: while the override file is locked, calls are answered and take effect, and
+/// the override is written once the lock is released.
 #[test]
-fn a_disk_that_stands_still_holds_no_call_up() {
+fn a_stalled_disk_delays_no_call() {
     let dir = tempfile::tempdir().unwrap();
     testing::run_on_sockets(async {
         let lock = std::fs::File::create(dir.path().join("n0.lock")).unwrap();
         lock.lock().unwrap();
-        let (admin, _) = process(dir.path());
+        let (admin, _) = start_admin(dir.path());
         let answer = admin.answer(Call::Offline(SERVER.into())).await;
         assert_eq!(answer, format!("ACK {SERVER} out by hand; not kept for a successor yet\n"));
         assert_eq!(admin.answer(Call::Health).await, "ACK ready\n");
@@ -137,6 +138,6 @@
         let stored = std::fs::read_to_string(dir.path().join("n0.bans")).unwrap();
         assert_eq!(stored, format!("juniperladder bans 1\n{SERVER}\nend\n"));
         let answer = admin.answer(Call::Offline(SERVER.into())).await;
-        assert_eq!(answer, format!("ACK {SERVER} out by hand\n"), "now it is in the file");
+        assert_eq!(answer, format!("ACK {SERVER} out by hand\n"), "the override is in the file now");
     });
 }
--- a/node/src/discovery/tests/fake_discovery.rs
+++ b/node/src/discovery/tests/fake_discovery.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for discovery on loopback.
+//! Fake discoveries on loopback.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -11,65 +11,68 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
-/// What discovery does with one connection.
+/// How discovery handles one connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Behaviour {
-    /// Says nothing and keeps it.
+    /// Keeps the connection open without an answer.
     Hangs,
-    /// Closes it at once.
+    /// Closes the connection at once.
     Refuses,
-    /// Is too busy.
+    /// Responds with status 503.
     Busy,
-    /// Sends this list, and goes on with an empty line every two seconds.
+    /// Sends a list of this generation, then an empty line every two seconds.
     SendsList(u64),
-    /// Sends this list, and ends the watch.
+    /// Sends a list of this generation, and closes the connection.
     Ends(u64),
-    /// Sends this list, and falls silent.
+    /// Sends a list of this generation, then nothing.
     FallsSilent(u64),
-    /// Sends this list, and then brings the next a byte at a time, never to its end.
+    /// Sends a list of this generation, then the next one byte by byte, without ever completing it.
     Trickles(u64),
 }
 
-/// A discovery that does these things with the connections that come, the last with all that come then. What it was asked, and
-/// when, is noted.
-pub(super) struct Discovery {
+/// A discovery that applies one behaviour to each connection in turn, and the last one to all further connections.
+/// Records the time and the request line of each poll.
+pub(super) struct FakeDiscovery {
     pub(super) address: SocketAddr,
-    pub(super) asked: Rc<RefCell<Vec<(Instant, String)>>>,
+    pub(super) polls: Rc<RefCell<Vec<(Instant, String)>>>,
 }
 
-impl Discovery {
-    pub(super) async fn new(behaviours: Vec<Behaviour>) -> Discovery {
+impl FakeDiscovery {
+    pub(super) async fn new(behaviours: Vec<Behaviour>) -> FakeDiscovery {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
-        let asked = Rc::new(RefCell::new(Vec::new()));
-        let noted = Rc::clone(&asked);
+        let polls = Rc::new(RefCell::new(Vec::new()));
+        let recorded_polls = Rc::clone(&polls);
         spawn_local(async move {
             for at in 0.. {
                 let (mut stream, _) = listener.accept().await.unwrap();
                 let behaviour = behaviours[at.min(behaviours.len() - 1)];
-                let noted = Rc::clone(&noted);
+                let recorded_polls = Rc::clone(&recorded_polls);
                 spawn_local(async move {
-                    let mut call = BytesMut::new();
+                    let mut request = BytesMut::new();
                     if behaviour == Behaviour::Refuses {
-                        noted.borrow_mut().push((Instant::now(), String::new()));
+                        recorded_polls.borrow_mut().push((Instant::now(), String::new()));
                         return;
                     }
-                    while !call.ends_with(b"\r\n\r\n") && stream.read_buf(&mut call).await.unwrap_or(0) > 0 {}
-                    let line = String::from_utf8_lossy(&call).lines().next().unwrap_or_default().to_owned();
-                    noted.borrow_mut().push((Instant::now(), line));
-                    play(behaviour, stream).await;
+                    while !request.ends_with(b"\r\n\r\n")
+                        && stream.read_buf(&mut request).await.unwrap_or(0) > 0
+                    {}
+                    let line =
+                        String::from_utf8_lossy(&request).lines().next().unwrap_or_default().to_owned();
+                    recorded_polls.borrow_mut().push((Instant::now(), line));
+                    respond(behaviour, stream).await;
                 });
             }
         });
-        Discovery { address, asked }
+        FakeDiscovery { address, polls }
     }
 
-    pub(super) fn calls(&self) -> usize {
-        self.asked.borrow().len()
+    pub(super) fn poll_count(&self) -> usize {
+        self.polls.borrow().len()
     }
 }
 
-async fn play(behaviour: Behaviour, mut stream: TcpStream) {
+async fn respond(behaviour: Behaviour, mut stream: TcpStream) {
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
     let (Behaviour::SendsList(generation)
     | Behaviour::Ends(generation)
@@ -110,53 +113,59 @@
     }
 }
 
-/// A discovery that handles its calls in turn, as the protocol page has it: one that would wait too long is refused at once.
-pub(super) struct CrowdedDiscovery {
+/// A discovery that handles its polls in turn, as the protocol documents; a poll that would be queued for too long is
+/// refused at once.
+pub(super) struct QueueingDiscovery {
     pub(super) address: SocketAddr,
-    /// PollPolicy refused, answered, and answered though their caller had gone.
+    /// The number of polls refused because of the length of the queue.
     pub(super) refused: Rc<Cell<usize>>,
+    /// The number of polls answered.
     pub(super) answered: Rc<Cell<usize>>,
+    /// The number of polls handled although their balancer had closed the connection.
     pub(super) wasted: Rc<Cell<usize>>,
 }
 
-impl CrowdedDiscovery {
-    /// The longest that a call waits for its turn.
-    pub(super) const LONGEST_WAIT: Duration = Duration::from_secs(2);
+impl QueueingDiscovery {
+    /// How long a poll may be queued.
+    pub(super) const MAX_QUEUE_TIME: Duration = Duration::from_secs(2);
 
-    pub(super) async fn new(calls_per_second: u32) -> CrowdedDiscovery {
+    pub(super) async fn new(polls_per_second: u32) -> QueueingDiscovery {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
-        let crowded = CrowdedDiscovery {
+        let queueing = QueueingDiscovery {
             address,
             refused: Rc::default(),
             answered: Rc::default(),
             wasted: Rc::default(),
         };
         let (refused, answered, wasted) =
-            (Rc::clone(&crowded.refused), Rc::clone(&crowded.answered), Rc::clone(&crowded.wasted));
+            (Rc::clone(&queueing.refused), Rc::clone(&queueing.answered), Rc::clone(&queueing.wasted));
         spawn_local(async move {
-            let mut free = Instant::now();
+            let mut idle_at = Instant::now();
             loop {
                 let (mut stream, _) = listener.accept().await.unwrap();
-                let begins = free.max(Instant::now());
-                if begins - Instant::now() > Self::LONGEST_WAIT {
+                let starts_at = idle_at.max(Instant::now());
+                if starts_at - Instant::now() > Self::MAX_QUEUE_TIME {
                     refused.set(refused.get() + 1);
-                    spawn_local(play(Behaviour::Busy, stream));
+                    spawn_local(respond(Behaviour::Busy, stream));
                     continue;
                 }
-                free = begins + Duration::from_secs(1) / calls_per_second;
-                let (turn, answered, wasted) = (free, Rc::clone(&answered), Rc::clone(&wasted));
+                idle_at = starts_at + Duration::from_secs(1) / polls_per_second;
+                let (answer_at, answered, wasted) = (idle_at, Rc::clone(&answered), Rc::clone(&wasted));
                 spawn_local(async move {
-                    let mut call = BytesMut::new();
-                    while !call.ends_with(b"\r\n\r\n") && stream.read_buf(&mut call).await.unwrap_or(0) > 0 {}
-                    let left = timeout_at(turn, stream.read_buf(&mut call)).await.is_ok();
-                    sleep_until(turn).await;
-                    let counter = if left { &wasted } else { &answered };
+                    let mut request = BytesMut::new();
+                    while !request.ends_with(b"\r\n\r\n")
+                        && stream.read_buf(&mut request).await.unwrap_or(0) > 0
+                    {}
+                    let caller_disconnected =
+                        timeout_at(answer_at, stream.read_buf(&mut request)).await.is_ok();
+                    sleep_until(answer_at).await;
+                    let counter = if caller_disconnected { &wasted } else { &answered };
                     counter.set(counter.get() + 1);
-                    play(Behaviour::SendsList(1), stream).await;
+                    respond(Behaviour::SendsList(1), stream).await;
                 });
             }
         });
-        crowded
+        queueing
     }
 }
--- a/node/src/override_store/file/tests.rs
+++ b/node/src/override_store/file/tests.rs
@@ -1,15 +1,15 @@
-//! The file's format against fixtures, and what is read after a write.
+//! The file format compared with fixtures, and reading after writing.
 
 use super::*;
 
-/// A file of overrides as every released version writes it, to the letter.
+/// An override file, byte for byte as every released version writes it.
 const STORED: &str = "juniperladder bans 1\ns-00000009\ns-0000000a\nend\n";
-/// The same without any override.
+/// An override file without overrides.
 const STORED_EMPTY: &str = "juniperladder bans 1\nend\n";
 
-/// The format is an interface: the process before or after this one may be of another version.
+/// Guards against a change of the format: the predecessor or successor process may run another version.
 #[test]
-fn reads_and_writes_the_stored_form_to_the_letter() {
+fn the_file_format_is_stable() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("n0.bans");
     for (stored, names) in
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn changes_are_written_in_the_order_of_the_names() {
+fn changes_are_merged_in_sorted_order() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("n0.bans");
     std::fs::write(&path, STORED).unwrap();
@@ -39,11 +39,11 @@
         "juniperladder bans 1\ns-00000001\ns-0000000a\nend\n"
     );
     let unchanged = update(&path, &[], &BTreeMap::new(), Some(content.version)).unwrap();
-    assert!(unchanged.is_none(), "the file is the one last seen");
+    assert!(unchanged.is_none(), "the file has not changed since it was last read");
 }
 
 #[test]
-fn overrides_outlive_the_process_that_wrote_them() {
+fn written_overrides_are_read_back() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("n0.bans");
     assert!(matches!(read(&path), Err(OverrideFileError::Missing)), "none yet");
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_file_that_is_cut_off_or_foreign_is_malformed() {
+fn a_truncated_or_foreign_file_is_malformed() {
     let complete = format!("{FORMAT_HEADER}\ns-1\n{FORMAT_TRAILER}\n");
     assert_eq!(parse(complete.as_bytes()).unwrap(), ["s-1"]);
     for cut in 0..complete.len() {
--- a/node/src/signals.rs
+++ b/node/src/signals.rs
@@ -1,28 +1,28 @@
-//! The signals that the daemon obeys.
+//! The signals that the daemon handles.
 
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
 use crate::error::StartError;
 use crate::transient_errors::retry_transient_blocking;
 
-/// The caught signals.
+/// The handled signals.
 pub(crate) struct Signals {
-    /// SIGTERM and SIGINT: end.
-    pub(crate) end: EndSignals,
-    /// SIGUSR1: write the counters and the limits to the log.
+    /// SIGTERM and SIGINT: shut down gracefully.
+    pub(crate) termination: TerminationSignals,
+    /// SIGUSR1: log the counters and the limits.
     pub(crate) report: Signal,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     pub(crate) reload: Signal,
 }
 
 /// The signals that end the daemon.
-pub(crate) struct EndSignals {
+pub(crate) struct TerminationSignals {
     terminate: Signal,
     interrupt: Signal,
 }
 
-impl EndSignals {
-    /// Waits for one of them.
+impl TerminationSignals {
+    /// Waits for either signal.
     pub(crate) async fn recv(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
@@ -32,22 +32,22 @@
 }
 
 impl Signals {
-    /// Catches all signals that the daemon obeys.
+    /// Installs the handlers of all handled signals.
     ///
     /// # Errors
-    /// The system does not let one be caught.
-    pub(crate) fn catch() -> Result<Signals, StartError> {
+    /// A handler cannot be installed.
+    pub(crate) fn install() -> Result<Signals, StartError> {
         Ok(Signals {
-            end: EndSignals {
-                terminate: catch(SignalKind::terminate())?,
-                interrupt: catch(SignalKind::interrupt())?,
+            termination: TerminationSignals {
+                terminate: install(SignalKind::terminate())?,
+                interrupt: install(SignalKind::interrupt())?,
             },
-            report: catch(SignalKind::user_defined1())?,
-            reload: catch(SignalKind::hangup())?,
+            report: install(SignalKind::user_defined1())?,
+            reload: install(SignalKind::hangup())?,
         })
     }
 }
 
-fn catch(kind: SignalKind) -> Result<Signal, StartError> {
+fn install(kind: SignalKind) -> Result<Signal, StartError> {
     retry_transient_blocking(|| signal(kind)).map_err(StartError::Signals)
 }
