--- a/purge/src/cache_fill.rs
+++ b/purge/src/cache_fill.rs
@@ -1,48 +1,49 @@
-//! Keeps a fill that was overtaken by a purge out of the cache.
+//! Keeps stale fills out of the cache when a purge is applied during the fill.
 //!
-//! A cache server that misses asks the origin, and keeps the answer. If a purge of the key is applied in between, the answer
-//! may be what the purge was to remove: it is served to whoever waits for it, but not kept.
+//! On a miss, a cache server asks the origin and stores the response. If a purge of the key is applied in between, the
+//! response may be the value that the purge was meant to remove: the server returns it to the waiting requests, but
+//! doesn't store it.
 //!
 //! # Guarantee
 //!
-//! A value that was read at the origin before a purge of its key was applied here is never kept after it, provided that
-//! [`FillGuard::begin_fill`] is called before the origin is asked, and keeping follows [`FillGuard::finish_fill`] with
-//! nothing between.
+//! A value that was read at the origin before a purge of its key was applied here is never stored after the purge,
+//! provided that [`FillGuard::begin_fill`] is called before the origin is asked, and that no purge is applied between
+//! [`FillGuard::finish_fill`] and storing the value.
 
 use std::collections::{HashMap, HashSet};
 
 use crate::member::PurgeEvent;
 
-/// Names a fill under way.
+/// Identifies a fill in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FillToken(u64);
 
-/// What to do with the answer of the origin.
+/// What to do with the origin's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FillOutcome {
-    /// It may be kept.
+    /// The response may be stored.
     Keep,
-    /// It must not be.
+    /// The response must not be stored.
     Discard,
 }
 
-/// The fills under way at one cache server.
+/// Tracks the fills in flight at one cache server.
 #[derive(Clone, Debug)]
 pub struct FillGuard {
     capacity: usize,
     next_token: u64,
-    /// The key of each fill that may still be kept. One that is not here is discarded.
+    /// Key of each fill in flight whose response may still be stored; other fills are discarded.
     valid: HashMap<FillToken, Vec<u8>>,
     by_key: HashMap<Vec<u8>, HashSet<FillToken>>,
 }
 
 impl FillGuard {
-    /// For at most so many fills at a time; what is beyond isn't kept.
+    /// Creates a guard that tracks at most `capacity` fills at a time; fills beyond that are discarded.
     pub fn new(capacity: usize) -> FillGuard {
         FillGuard { capacity, next_token: 0, valid: HashMap::new(), by_key: HashMap::new() }
     }
 
-    /// A fill of this key begins: to be called before the origin is asked.
+    /// Starts a fill of this key; to be called before the origin is asked.
     pub fn begin_fill(&mut self, key: &[u8]) -> FillToken {
         let token = FillToken(self.next_token);
         self.next_token += 1;
@@ -53,20 +54,20 @@
         token
     }
 
-    /// A purge is applied: fills of its key that are under way won't be kept.
+    /// Applies a purge: the responses of fills of its key in flight will be discarded.
     pub fn purge(&mut self, key: &[u8]) {
         for token in self.by_key.remove(key).into_iter().flatten() {
             self.valid.remove(&token);
         }
     }
 
-    /// All is voided: no fill that is under way will be kept.
+    /// Voids the cache: the responses of all fills in flight will be discarded.
     pub fn void_all(&mut self) {
         self.valid.clear();
         self.by_key.clear();
     }
 
-    /// Applies what a member hands out.
+    /// Applies an event drained from a member.
     pub fn apply(&mut self, event: &PurgeEvent) {
         match event {
             PurgeEvent::Key(key) => self.purge(key),
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The fill has ended, with an answer or without.
+    /// Ends a fill, successful or not.
     pub fn finish_fill(&mut self, token: FillToken) -> FillOutcome {
         let Some(key) = self.valid.remove(&token) else { return FillOutcome::Discard };
         if let Some(tokens) = self.by_key.get_mut(&key) {
@@ -86,12 +87,12 @@
         FillOutcome::Keep
     }
 
-    /// Fills under way that may still be kept.
+    /// The number of fills in flight whose responses may still be stored.
     pub fn len(&self) -> usize {
         self.valid.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no such fills.
     pub fn is_empty(&self) -> bool {
         self.valid.is_empty()
     }
--- a/purge/src/completion.rs
+++ b/purge/src/completion.rs
@@ -1,10 +1,10 @@
-//! Decides which purges of one replica are done: applied at every member that serves, now and for ever.
+//! Decides which purges of one replica are done: applied at every member that serves, now or later.
 //!
-//! Two rounds in a row are needed. The first shows a position held at a majority; the second, begun afterwards, shows the
-//! same position at a majority of those, in the same incarnations, so that all of them held it at the moment between the
-//! rounds. Their registration tables as of the second round name every member that serves without having had the
-//! position in its target. Each of those must have applied it, or have been released. The argument is in
-//! `docs/design/purge.md`.
+//! A decision takes two consecutive rounds. The first shows that a majority of the replicas holds a position. The
+//! second, begun afterwards, shows that a majority still holds the position, with replicas that held it in the first
+//! round in the same incarnations; so all of them held it at the moment between the rounds. Their registration tables
+//! as of the second round contain every member that may serve without the position in its target. Each of these members
+//! must have applied the position or have been released. The correctness argument is in `docs/design/purge.md`.
 
 use std::collections::BTreeMap;
 
@@ -14,14 +14,14 @@
 use crate::registration::{Registration, RegistrationState, RegistrationTable, TableCopy};
 use crate::wire::{MemberReport, StatusReply};
 
-/// Registration tables that a replica has: its own, and copies of the others'.
+/// The registration tables at a replica: its own, and copies of the others'.
 #[derive(Clone, Copy, Debug)]
 pub struct Tables<'a> {
-    /// Whose own it is.
+    /// The replica that owns `own`.
     pub me: ReplicaId,
-    /// The own one.
+    /// The replica's own table.
     pub own: &'a RegistrationTable,
-    /// The copies.
+    /// Copies of the other replicas' tables.
     pub copies: &'a BTreeMap<ReplicaId, TableCopy>,
 }
 
@@ -39,14 +39,14 @@
             || self.copies.get(&replica).is_some_and(|copy| copy.is_complete(incarnation, change))
     }
 
-    /// All tables' registrations of one member.
+    /// The registrations of one member in all tables.
     fn of_member(&self, member: MemberId) -> impl Iterator<Item = &'a Registration> {
         let copies = self.copies.values().filter_map(move |copy| copy.registrations().get(&member));
         copies.chain(self.own.get(member))
     }
 }
 
-/// What one replica answered in the current round.
+/// One replica's reply in the current round.
 #[derive(Clone, Copy, Debug)]
 struct RoundReply {
     incarnation: u64,
@@ -54,37 +54,37 @@
     change: u64,
 }
 
-/// What was held by a majority at the end of a round.
+/// The position that a majority held in a round, and the incarnations of the replicas that held it.
 #[derive(Clone, Debug, Default)]
 struct MajorityPosition {
     through: Position,
     incarnations: BTreeMap<ReplicaId, u64>,
 }
 
-/// The last report of an assigned replica.
+/// The newest report of an assigned replica.
 #[derive(Clone, Debug)]
 struct AssignedReplicaReport {
     incarnation: u64,
     round: u64,
-    /// What the assigned replica knew of then: its laggards are behind this.
+    /// Head that the assigned replica had at that time; the laggards in its report are behind it.
     held: Position,
     change: u64,
     report: MemberReport,
 }
 
-/// How a member's registration stands.
+/// What is known of the purges that a registered member has applied.
 enum Coverage {
     Released,
     AppliedThrough(Position),
     Unknown,
 }
 
-/// Who is outstanding.
+/// The members and replicas that pending purges wait for.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Outstanding {
-    /// Some of the members.
+    /// Some of the outstanding members.
     pub members: Vec<MemberId>,
-    /// How many members, as far as known.
+    /// Number of outstanding members, as far as known.
     pub members_total: u32,
     /// Replicas that have not answered, if a majority is missing.
     pub replicas: Vec<ReplicaId>,
@@ -108,7 +108,7 @@
     }
 }
 
-/// The completion of the purges of one replica.
+/// Tracks the completion of the purges of one replica.
 #[derive(Clone, Debug)]
 pub struct Completion {
     me: ReplicaId,
@@ -123,7 +123,7 @@
 }
 
 impl Completion {
-    /// Nothing is done yet; rounds are numbered on from this one.
+    /// Starts with no purge done; the next round is `round + 1`.
     pub fn new(me: ReplicaId, replicas: usize, round: u64, injected_defects: InjectedDefects) -> Completion {
         Completion {
             me,
@@ -138,12 +138,12 @@
         }
     }
 
-    /// How many replicas are a majority.
+    /// The number of replicas that form a majority.
     fn majority(&self) -> usize {
         self.replicas / 2 + 1
     }
 
-    /// The current round.
+    /// The number of the current round.
     pub fn round(&self) -> u64 {
         self.round
     }
@@ -153,17 +153,17 @@
         self.replies.len() >= self.majority()
     }
 
-    /// Up to where the purges are done.
+    /// The position up to which purges are done.
     pub fn done_through(&self) -> Position {
         self.done_through
     }
 
-    /// Who is outstanding for the rest.
+    /// The members and replicas that the other purges wait for.
     pub fn outstanding(&self) -> &Outstanding {
         &self.outstanding
     }
 
-    /// Begins a round: what the last one showed is what this one has to confirm.
+    /// Begins a round, which has to confirm the position that a majority held in the last one.
     pub fn begin_round(&mut self, incarnation: u64, held: Position, change: u64) -> u64 {
         self.majority_position = self.held_by_majority();
         self.outstanding.replicas = self.missing_replicas();
@@ -173,7 +173,7 @@
         self.round
     }
 
-    /// The greatest position that a majority showed in the current round.
+    /// The greatest position that a majority has shown to hold in the current round.
     fn held_by_majority(&self) -> Option<MajorityPosition> {
         let mut positions: Vec<Position> = self.replies.values().map(|reply| reply.held).collect();
         positions.sort_unstable();
@@ -191,7 +191,7 @@
         all.filter(|replica| !self.replies.contains_key(replica)).collect()
     }
 
-    /// A reply to a request of this incarnation.
+    /// Handles a reply to a status request of this incarnation.
     pub fn on_reply(&mut self, from: ReplicaId, reply: &StatusReply) {
         if reply.round > self.round {
             return;
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Draws the conclusion of what has come so far; `own_report` is that of the members whose assigned replica this replica is.
+    /// Evaluates the replies so far; `own_report` is the report on the members assigned to this replica.
     pub fn evaluate(&mut self, tables: Tables<'_>, own_report: &MemberReport) {
         let majority_position = match self.injected_defects.has(InjectedDefect::SecondRoundSkipped) {
             true => self.held_by_majority(),
@@ -259,14 +259,16 @@
         self.outstanding = outstanding;
     }
 
-    /// Whether the last report of an assigned replica names those of its members that are behind this position. One that has not
-    /// reported since it had the position names nobody: all its members are outstanding.
+    /// Whether the newest report of an assigned replica names its members that are behind this position. A report sent
+    /// before the assigned replica held the position names none of them, so all its members that are behind count as
+    /// outstanding.
     fn names_laggards(&self, assigned_replica: ReplicaId, through: Position) -> bool {
         assigned_replica == self.me
             || self.reports.get(&assigned_replica).is_some_and(|known| known.held >= through)
     }
 
-    /// The holders that have shown in this round that they still hold it, and whose tables as of then are here.
+    /// The replicas that have confirmed the majority position in this round, and whose tables as of their replies are
+    /// available here.
     fn confirmed_quorum(&self, majority_position: &MajorityPosition, tables: Tables<'_>) -> Vec<ReplicaId> {
         let is_confirmed = |replica: &ReplicaId, reply: &RoundReply| {
             let held_in = majority_position.incarnations.get(replica);
@@ -279,7 +281,7 @@
         confirmed.map(|(replica, _)| *replica).collect()
     }
 
-    /// Each member that the tables of a quorum name, in the greatest epoch that any table has of it.
+    /// The registration with the greatest epoch in any table, for each member in the tables of a quorum.
     fn registrations_of(&self, quorum: &[ReplicaId], tables: Tables<'_>) -> BTreeMap<MemberId, Registration> {
         let mut registrations: BTreeMap<MemberId, Registration> = BTreeMap::new();
         let own_only = self.injected_defects.has(InjectedDefect::OwnTableOnly);
@@ -301,7 +303,7 @@
         registrations
     }
 
-    /// What the assigned replica of a registration says of it.
+    /// What the assigned replica of a registration reports of it.
     fn coverage(
         &self,
         registration: &Registration,
--- a/purge/src/config.rs
+++ b/purge/src/config.rs
@@ -1,4 +1,4 @@
-//! What replicas and members are told once, at their start.
+//! Configuration of replicas and members, fixed at their start.
 
 use std::net::SocketAddr;
 
@@ -9,51 +9,52 @@
 use crate::limits::DEFAULT_LOG_ENTRIES;
 use crate::Micros;
 
-/// How long a lease runs. Replicas and members must have the same.
+/// Default lease duration. Replicas and members must be configured with the same duration.
 pub const DEFAULT_LEASE: Micros = Micros::from_secs(2);
 
-/// What one control machine is told.
+/// Configuration of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
-    /// Which it is.
+    /// Identifier of this replica.
     pub replica: ReplicaId,
-    /// Which start of it: later starts are greater, for ever. The time of day in microseconds will do.
+    /// Incarnation of this replica. Must increase with every start, for ever; the time of day in microseconds is
+    /// suitable.
     pub incarnation: u64,
     /// The addresses of all replicas, in the order of their identifiers. At most
     /// [`MAX_REPLICAS`](crate::limits::MAX_REPLICAS).
     pub replicas: Vec<SocketAddr>,
-    /// Only at the first start of the whole control plane: there is nothing to recover.
+    /// Skips recovery. Only for the first start of the whole control plane, when there is nothing to recover.
     pub bootstrap: bool,
-    /// For random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Times and bounds.
+    /// Timing and bounds.
     pub settings: ReplicaSettings,
 }
 
-/// Times and bounds of a replica.
+/// Timing and bounds of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
-    /// How long a member's lease runs.
+    /// Duration of a member's lease.
     pub lease: Micros,
-    /// By how much two clocks may differ in rate, in parts per million.
+    /// Maximum difference between the rates of two clocks, in parts per million.
     pub drift_ppm: u32,
-    /// How often a round of status requests begins.
+    /// Interval between the starts of two rounds of status requests.
     pub round_interval: Micros,
-    /// How long a round waits for a majority before the next begins.
+    /// Time that a round waits for a majority before the next round may begin.
     pub round_timeout: Micros,
-    /// After which a request for entries or for a table is sent again.
+    /// Time after which an unanswered request for entries or for a table is sent again.
     pub request_timeout: Micros,
-    /// Entries in the log, over all streams.
+    /// Maximum number of entries in the log, over all streams.
     pub log_entries: usize,
-    /// Purges that may be published here a second, and at once.
+    /// Purges that may be published at this replica per second.
     pub publish_rate: u32,
-    /// The burst above that rate.
+    /// Purges that may be published at this replica at once.
     pub publish_burst: u32,
-    /// Purges published here that are not done.
+    /// Maximum number of purges published at this replica that are not done.
     pub max_pending: u64,
-    /// Entries that a [`CatchUp::Void`] member may be behind before it is told to void.
+    /// Number of entries that a [`CatchUp::Void`] member may be behind before the replica tells it to void its cache.
     pub void_behind: usize,
-    /// Tests only.
+    /// Defect under test.
     #[doc(hidden)]
     pub injected_defects: InjectedDefects,
 }
@@ -77,67 +78,69 @@
 }
 
 impl ReplicaSettings {
-    /// How long after the last grant a lease may run, on any clock.
+    /// Upper bound, on this replica's clock, of the time that a lease may last after its last grant.
     pub(crate) fn lease_with_drift(&self) -> Micros {
         let drift = self.lease * (2 * u64::from(self.drift_ppm)) / 1_000_000;
         self.lease + drift + Micros(1)
     }
 }
 
-/// How a member catches up when it is far behind.
+/// How a member that is far behind catches up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CatchUp {
-    /// By voiding all that it holds: for members to whom that costs little.
+    /// Voids the cache: for members that can refill it cheaply.
     Void,
-    /// By replaying entries as far as the log reaches back.
+    /// Replays entries as far back as the log reaches.
     Replay,
 }
 
-/// What one member is told.
+/// Configuration of a member.
 #[derive(Clone, Debug)]
 pub struct MemberConfig {
-    /// Which it is. No two processes at one time may be the same member.
+    /// Identifier of this member. No two processes may run as the same member at one time.
     pub member: MemberId,
-    /// Which start of it: later starts are greater.
+    /// Incarnation of this member. Must increase with every start.
     pub incarnation: u64,
     /// The addresses of all replicas, in the order of their identifiers.
     pub replicas: Vec<SocketAddr>,
-    /// Replicas in the order in which they are to be its assigned replica; those not named come after these.
+    /// Preference order for the assigned replica; replicas that are not listed follow those that are.
     pub preferred: Vec<ReplicaId>,
-    /// What it does when it is far behind.
+    /// How the member catches up when it is far behind.
     pub catch_up: CatchUp,
-    /// For random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Times.
+    /// Timing.
     pub timing: MemberTiming,
 }
 
-/// Times of a member.
+/// Timing of a member.
 #[derive(Clone, Debug)]
 pub struct MemberTiming {
-    /// How long its lease runs.
+    /// Duration of the member's lease.
     pub lease: Micros,
-    /// How often it pulls.
+    /// Interval between pulls while the member serves.
     pub pull_interval: Micros,
-    /// After which an unanswered pull is sent again.
+    /// Time after which an unanswered pull is sent again.
     pub resend_after: Micros,
-    /// How long after an answer that there is more a [`CatchUp::Void`] member pulls again.
+    /// Delay before a [`CatchUp::Void`] member pulls again after an answer that says there are more entries, or while
+    /// the member doesn't serve yet.
     pub more_pace_void: Micros,
-    /// The same of a [`CatchUp::Replay`] member.
+    /// The same delay for a [`CatchUp::Replay`] member.
     pub more_pace_replay: Micros,
-    /// Unanswered pulls after which it looks for another assigned replica.
+    /// Number of unanswered pulls after which the member looks for another assigned replica, provided that
+    /// `silence_before_move` has passed too.
     pub losses_before_move: u32,
-    /// How long the assigned replica must have been silent for that.
+    /// Time without an answer from the assigned replica after which the member may look for another.
     pub silence_before_move: Micros,
-    /// How long a registration may take before another assigned replica is tried.
+    /// Time without progress of a registration after which the member tries another assigned replica.
     pub registration_timeout: Micros,
-    /// How often it asks whether its preferred assigned replica is there, while it has another.
+    /// Interval at which a member probes its preferred replica while another one is assigned.
     pub return_probe_interval: Micros,
-    /// How many answers in a row bring it back.
+    /// Number of consecutive probe replies after which the member returns to its preferred replica.
     pub return_probes: u32,
-    /// How long it stays with an assigned replica before it goes back.
+    /// Minimum time that the member stays with an assigned replica before it returns to the preferred one.
     pub return_after: Micros,
-    /// Tests only.
+    /// Defect under test.
     #[doc(hidden)]
     pub injected_defects: InjectedDefects,
 }
--- a/purge/src/ids.rs
+++ b/purge/src/ids.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A control machine, by its index in the list of all replicas.
+/// Identifies a control machine by its index in the list of all replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId(pub u8);
 
@@ -13,23 +13,23 @@
     }
 }
 
-/// A balancer or a cache server.
+/// Identifies a balancer or a cache server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u32);
 
-/// A position in the purges of one replica: ordered by incarnation, then by sequence.
+/// A position in the log of one replica's purges, ordered by incarnation, then by sequence.
 ///
-/// Sequence 1 of each incarnation is its start entry, which purges nothing; purges follow from 2.
+/// Sequence 1 of each incarnation is its start entry, which purges nothing; purges are numbered from 2.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Position {
-    /// The incarnation that published.
+    /// Incarnation of the publishing replica.
     pub incarnation: u64,
-    /// The place in that incarnation's stream.
+    /// Sequence number within that incarnation.
     pub sequence: u64,
 }
 
 impl Position {
-    /// Before every entry.
+    /// The position before every entry.
     pub const ZERO: Position = Position { incarnation: 0, sequence: 0 };
 
     /// The position of the start entry of an incarnation.
@@ -48,37 +48,37 @@
     }
 }
 
-/// The purges of one incarnation of a replica.
+/// Identifies the stream of purges that one incarnation of a replica publishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StreamId {
-    /// Where they are published.
+    /// The publishing replica.
     pub replica: ReplicaId,
-    /// In which start of that replica.
+    /// Incarnation of that replica.
     pub incarnation: u64,
 }
 
-/// A purge that was published.
+/// Identifies a published purge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PurgeId {
-    /// The stream that holds it.
+    /// The stream that contains the purge.
     pub stream: StreamId,
-    /// Its place there.
+    /// Sequence number within the stream.
     pub sequence: u64,
 }
 
 impl PurgeId {
-    /// Its position in the purges of its replica.
+    /// The position in the log of the publishing replica's purges.
     pub fn position(self) -> Position {
         Position { incarnation: self.stream.incarnation, sequence: self.sequence }
     }
 }
 
-/// Numbers the registrations of one member; a later one is greater.
+/// Numbers the registrations of one member; each registration has a greater epoch than the one before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch {
-    /// The start of the member's process.
+    /// Incarnation of the member.
     pub incarnation: u64,
-    /// Counts registrations within that incarnation.
+    /// Number of the registration within that incarnation.
     pub counter: u64,
 }
 
--- a/purge/src/injected_defect.rs
+++ b/purge/src/injected_defect.rs
@@ -1,32 +1,32 @@
-//! Defects put in on purpose, so that the tests show that they would find them.
+//! Defects injected by tests, which show that the tests would detect them.
 
-/// A step of the protocol that is left out.
+/// A protocol step to omit or do wrongly.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InjectedDefect {
-    /// A purge is done by the replies of one round.
+    /// A purge is done after the replies of one round.
     SecondRoundSkipped,
     /// A reply of another incarnation counts in the second round.
     IncarnationIgnored,
-    /// The member counts its lease from the answer, not from its question.
+    /// The member counts its lease from the receipt of the answer, not from the sending of the pull.
     LeaseFromReceipt,
-    /// A restarted assigned replica releases what it learned from others at once.
+    /// A restarted assigned replica releases registrations learned from others at once.
     EarlyRelease,
-    /// The assigned replica does not wait for the end of the lease.
+    /// The assigned replica releases a registration after half of the lease duration.
     LeaseCutShort,
-    /// A member serves before it has reached its target.
+    /// A member serves before it has applied its target.
     TargetIgnored,
     /// A member takes its target from the answers to its registration, without a second phase.
     OnePhaseRegistration,
-    /// A member below the base of a stream is given what is left instead of voiding.
+    /// A member below the base of a stream receives the remaining entries instead of being told to void its cache.
     VoidForgotten,
-    /// A replica recovers from one other.
+    /// A replica recovers from a single other replica.
     RecoveryFromOne,
-    /// The completion does not look at the tables of the others.
+    /// Completion ignores the registration tables of other replicas.
     OwnTableOnly,
 }
 
-/// The injected defect in force, if any; always none without the feature `fault-injection`.
+/// The injected defect that is active, if any; always none without the feature `fault-injection`.
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InjectedDefects {
@@ -35,19 +35,19 @@
 }
 
 impl InjectedDefects {
-    /// With this defect.
+    /// Activates this defect.
     #[cfg(feature = "fault-injection")]
     pub fn with(injected_defect: Option<InjectedDefect>) -> InjectedDefects {
         InjectedDefects { injected_defect }
     }
 
-    /// Whether this defect is in force.
+    /// Whether this defect is active.
     #[cfg(feature = "fault-injection")]
     pub(crate) fn has(self, injected_defect: InjectedDefect) -> bool {
         self.injected_defect == Some(injected_defect)
     }
 
-    /// Whether this defect is in force.
+    /// Whether this defect is active.
     #[cfg(not(feature = "fault-injection"))]
     pub(crate) fn has(self, _: InjectedDefect) -> bool {
         false
--- a/purge/src/lease_table.rs
+++ b/purge/src/lease_table.rs
@@ -1,11 +1,12 @@
-//! Leases that an assigned replica grants to its members, and what those members have applied.
+//! Leases that an assigned replica grants to its members, and the positions that those members have applied.
 //!
 //! # Guarantee
 //!
-//! A registration is reported as expired only when no lease of it can run at its member: the assigned replica counts from the
-//! receipt of the last pull that it answered, the member from the sending of it, and the assigned replica's count is longer by the
-//! drift of two clocks. A registration that the assigned replica learned from another replica is never granted a lease; it expires a
-//! lease after it was learned, which is not before the assigned replica's start.
+//! A registration is reported as expired only when none of its leases can still be valid at its member: the assigned
+//! replica counts the lease from the receipt of the last pull that it answered, the member from the sending of that
+//! pull, and the assigned replica waits longer by the drift of two clocks. A registration that the assigned replica
+//! learned from another replica is never granted a lease; it expires one lease duration after it was learned, which is
+//! not before the assigned replica's start.
 
 use std::collections::BTreeMap;
 
@@ -17,31 +18,31 @@
 use crate::wire::MemberReport;
 use crate::Micros;
 
-/// A registration of this assigned replica.
+/// The lease of one registration.
 #[derive(Clone, Debug)]
 struct Lease {
     epoch: Epoch,
-    /// It came from the member itself, in this incarnation of the assigned replica.
+    /// Whether the member itself registered with this incarnation of the assigned replica.
     grantable: bool,
-    /// When the last lease was granted, or the registration came.
+    /// When the last lease was granted, or the registration was added.
     granted: Micros,
     applied: VersionVector,
 }
 
-/// The registrations of one assigned replica.
+/// The leases of the members of one assigned replica.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseTable {
     leases: BTreeMap<MemberId, Lease>,
 }
 
 impl LeaseTable {
-    /// A member has registered here itself.
+    /// Adds a registration received from the member itself.
     pub fn register(&mut self, member: MemberId, epoch: Epoch, now: Micros) {
         let lease = Lease { epoch, grantable: true, granted: now, applied: VersionVector::default() };
         self.leases.insert(member, lease);
     }
 
-    /// Another replica knows of a registration of this assigned replica; a lease of it, or of an earlier epoch, may have been
+    /// Adds a registration learned from another replica; leases of this epoch or of an earlier one may have been
     /// granted until `since`.
     pub fn learn(&mut self, member: MemberId, epoch: Epoch, since: Micros, settings: &ReplicaSettings) {
         let granted =
@@ -50,17 +51,18 @@
             .insert(member, Lease { epoch, grantable: false, granted, applied: VersionVector::default() });
     }
 
-    /// Whether a member's registration of this epoch is here, from itself.
+    /// Whether the member itself has registered here with this epoch.
     pub fn is_active(&self, member: MemberId, epoch: Epoch) -> bool {
         self.leases.get(&member).is_some_and(|lease| lease.grantable && lease.epoch == epoch)
     }
 
-    /// Ends a member's registration.
+    /// Removes a member's lease.
     pub fn remove(&mut self, member: MemberId) {
         self.leases.remove(&member);
     }
 
-    /// A pull: grants a lease if it may.
+    /// Records a pull and grants a lease; returns false if the member has no registration of this epoch that may be
+    /// granted one.
     pub fn grant(&mut self, member: MemberId, epoch: Epoch, applied: &VersionVector, now: Micros) -> bool {
         match self.leases.get_mut(&member) {
             Some(lease) if lease.grantable && lease.epoch == epoch => {
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Takes out the registrations of which no lease can run any more.
+    /// Removes and returns the registrations whose leases have all expired.
     pub fn take_expired(&mut self, now: Micros, settings: &ReplicaSettings) -> Vec<(MemberId, Epoch)> {
         let mut lease_time = settings.lease_with_drift();
         if settings.injected_defects.has(InjectedDefect::LeaseCutShort) {
@@ -87,7 +89,7 @@
         expired
     }
 
-    /// What the active registrations have applied of a replica's purges; who is below `head` is a laggard.
+    /// Reports what the active registrations have applied of a replica's purges; members below `head` are laggards.
     pub fn report(&self, replica: ReplicaId, head: Position) -> MemberReport {
         let mut report = MemberReport::default();
         for (member, lease) in self.leases.iter().filter(|(_, lease)| lease.grantable) {
@@ -103,12 +105,12 @@
         report
     }
 
-    /// Registrations held.
+    /// The number of registrations in the table.
     pub fn len(&self) -> usize {
         self.leases.len()
     }
 
-    /// Whether there are none.
+    /// Whether the table has no registrations.
     pub fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
--- a/purge/src/lib.rs
+++ b/purge/src/lib.rs
@@ -1,33 +1,34 @@
 //! Fleet-wide purges: replicated logs, leases and acknowledgements. Pure state machines.
 //!
-//! A [`Replica`] runs on each control machine, a [`Member`] in each balancer and cache server. Both do no I/O and read no
-//! clock: they are fed datagrams and times, and drained of datagrams.
+//! A [`Replica`] runs on each control machine, a [`Member`] in each balancer and cache server. Both do no I/O and
+//! read no clock: the caller passes in received datagrams and the current time, and sends the datagrams it drains.
+//! To *void* is to discard everything that is cached.
 //!
 //! # Guarantee
 //!
-//! A purge for which [`Replica::status`] answers [`PurgeStatus::Done`] has been applied at every member that serves, now
-//! and for ever: at each later moment, each member whose [`Member::may_serve`] is true has handed the purge to its driver
-//! ([`Member::drain_purges`]), or has voided all that it held after the purge was published. A purge that is not there
-//! yet is [`PurgeStatus::Pending`], with the names of members and replicas that are outstanding.
+//! Once [`Replica::status`] returns [`PurgeStatus::Done`] for a purge, every member that serves has applied the purge,
+//! permanently: at each later moment, each member whose [`Member::may_serve`] is true has either handed the purge to
+//! its driver ([`Member::drain_purges`]) or voided its cache after the purge was published. Until then the purge is
+//! [`PurgeStatus::Pending`], which names outstanding members and replicas.
 //!
 //! # Assumptions
 //!
 //! - Clocks differ in rate by at most the configured drift; they need not agree on the time.
-//! - A replica's incarnations and a member's incarnations grow with each start; no two processes are the same replica or member
-//!   at one time.
-//! - Never more than a minority of the replicas is without memory at one time (just started and not recovered). If a
-//!   majority is lost, the control plane is bootstrapped anew, and every member voids.
+//! - The incarnation of a replica or member increases with each start; no two processes run as the same replica or
+//!   member at one time.
+//! - Never more than a minority of the replicas is without state at one time (just started and not recovered). If a
+//!   majority is lost, the control plane is bootstrapped anew, and every member voids its cache.
 //! - Control machines are trusted; datagrams come from the addresses that they claim.
-//! - A member's driver applies what it drains before it asks [`Member::may_serve`] again, and a cache server keeps no fill
-//!   that [`cache_fill::FillGuard`] discards.
+//! - A member's driver applies the purges it drains before it calls [`Member::may_serve`] again, and a cache server
+//!   stores no fill that [`cache_fill::FillGuard`] discards.
 //!
 //! # Bounds
 //!
-//! Those of [`limits`]: at most [`limits::MAX_REPLICAS`] replicas, [`limits::MAX_MEMBERS`] members, a log of a configured
-//! number of entries, datagrams of [`limits::MAX_DATAGRAM_BYTES`] bytes. Publishers are limited by a token bucket and by
-//! the number of purges that are not done.
+//! See [`limits`]: at most [`limits::MAX_REPLICAS`] replicas, [`limits::MAX_MEMBERS`] members, a log of a configured
+//! number of entries, datagrams of [`limits::MAX_DATAGRAM_BYTES`] bytes. A token bucket and a maximum number of pending
+//! purges limit publishers.
 //!
-//! The protocol and the argument for it are in `docs/design/purge.md`.
+//! The protocol and its correctness argument are in `docs/design/purge.md`.
 
 pub mod cache_fill;
 pub mod completion;
@@ -52,5 +53,5 @@
 pub use metrics::{MemberMetrics, ReplicaMetrics};
 pub use replica::{PublishRejectReason, PublishRejected, PurgeStatus, Replica};
 
-/// Times are on the caller's monotonic clock.
+/// Time in microseconds on the caller's monotonic clock.
 pub use juniperladder::Micros;
--- a/purge/src/limits.rs
+++ b/purge/src/limits.rs
@@ -1,33 +1,33 @@
-//! Bounds of everything that a peer or a publisher can make grow, and the token bucket of publishers.
+//! Bounds on all state that peers or publishers can make grow, and the token bucket that limits publishers.
 
 use crate::Micros;
 
-/// The longest datagram, out and in.
+/// Maximum size of a datagram, sent or received.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// The longest key: the limit of the protocol that the keys come from.
+/// Maximum length of a key, as in the protocol that the keys come from.
 pub const MAX_KEY_BYTES: usize = 250;
-/// Replicas at the most; a version vector of so many fits into a datagram.
+/// Maximum number of replicas; a version vector with that many positions fits into a datagram.
 pub const MAX_REPLICAS: usize = 16;
-/// Members at the most.
+/// Maximum number of registered members.
 pub const MAX_MEMBERS: usize = 4_096;
-/// Entries that a log holds unless configured otherwise.
+/// Default capacity of the log.
 pub const DEFAULT_LOG_ENTRIES: usize = 65_536;
-/// Outstanding members that are named; the others are counted.
+/// Maximum number of outstanding members that are named; the others are only counted.
 pub const MAX_NAMED_MEMBERS: usize = 16;
-/// Datagrams that wait to be drained.
+/// Maximum number of datagrams queued for sending.
 pub const MAX_OUTBOX: usize = 8_192;
-/// Purge events that a member's driver may leave undrained.
+/// Number of undrained purge events at which a member drops further entries.
 pub const MAX_UNDRAINED_EVENTS: usize = 4_096;
-/// Room for entries in a datagram: the rest is for the head and the fields beside them.
+/// Space for entries in a datagram; the rest is for the header and the other fields.
 pub const ENTRIES_BUDGET_BYTES: usize = MAX_DATAGRAM_BYTES - 100;
 
-/// The millionths of a token: what a rate of one a second refills in a microsecond.
+/// Millionths per token. A rate of one token per second refills one millionth per microsecond.
 const MICRO_TOKENS: u64 = 1_000_000;
 
-/// Admits so many a second, and a burst.
+/// Token bucket that admits a rate per second and a burst.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
-    /// Tokens in millionths.
+    /// Available tokens, in millionths.
     micro_tokens: u64,
     rate_per_second: u64,
     burst: u64,
@@ -35,7 +35,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate_per_second: u32, burst: u32, now: Micros) -> TokenBucket {
         let (rate_per_second, burst) = (u64::from(rate_per_second.max(1)), u64::from(burst.max(1)));
         TokenBucket { micro_tokens: burst * MICRO_TOKENS, rate_per_second, burst, refilled: now }
@@ -44,7 +44,7 @@
     /// Takes a token.
     ///
     /// # Errors
-    /// The time after which there is one.
+    /// If no token is available: the time until one is.
     pub fn try_take(&mut self, now: Micros) -> Result<(), Micros> {
         let elapsed = now.saturating_sub(self.refilled);
         self.refilled = self.refilled.max(now);
--- a/purge/src/log.rs
+++ b/purge/src/log.rs
@@ -1,11 +1,12 @@
 //! The bounded log of purges of all replicas.
 //!
-//! Each replica's purges are a sequence of positions; the log holds those after its *base* up to its *head*. Entries are
-//! appended only where nothing between is missing, so the head vouches for all before it: what lies before the base can
-//! no longer be replayed, and whoever has not applied it must void.
+//! Each replica's purges form a stream of positions; the log holds the entries after the stream's *base* up to its
+//! *head*. Entries are appended only without gaps, so a log with a given head has received every entry before it.
+//! Entries up to the base can no longer be replayed, and a reader that has not applied them must void its cache.
 //!
-//! The first entry of an incarnation names the position that its replica had recovered ([`Entry::previous`]). What an
-//! older incarnation published beyond that was never held by a majority, so it was never done, and may be skipped.
+//! The first entry of an incarnation names the position that its replica had recovered ([`Entry::previous`]). Entries
+//! that an older incarnation published beyond that position were never held by a majority, so they were never done and
+//! may be skipped.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,39 +15,40 @@
 use crate::ids::{Position, ReplicaId};
 use crate::version_vector::VersionVector;
 
-/// Bytes that a run takes beside its keys, at the most.
+/// Maximum encoded size of a run without its keys.
 const RUN_HEAD_BYTES: usize = 36;
-/// Bytes that a key takes beside its own.
+/// Maximum encoded size of a key's length prefix.
 const KEY_HEAD_BYTES: usize = 2;
 
-/// One entry.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its position.
+    /// Position of the entry.
     pub position: Position,
-    /// What must have been applied before it.
+    /// Position that must have been applied before the entry.
     pub previous: Position,
-    /// The key that it purges; empty in the start entry of an incarnation.
+    /// Key to purge; empty in the start entry of an incarnation.
     pub key: Vec<u8>,
 }
 
-/// Consecutive entries of one replica, as they travel.
+/// Consecutive entries of one replica, as they are sent in messages.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// Whose purges.
+    /// The replica that published the entries.
     pub replica: ReplicaId,
-    /// What must have been applied before the first.
+    /// Position that must have been applied before the first entry.
     pub previous: Position,
-    /// The incarnation that the first entry starts; none if it follows `previous` in the same.
+    /// Incarnation that the first entry starts; none if the first entry follows `previous` in the same incarnation.
     pub starts: Option<u64>,
-    /// What is before `previous` can't be had from the sender any more: a replica begins its stream there.
+    /// Whether the sender no longer holds the entries up to `previous`; the receiving replica moves the base of its
+    /// stream there.
     pub rebase: bool,
-    /// The keys, in order.
+    /// Keys of the entries, in order.
     pub keys: Vec<Vec<u8>>,
 }
 
 impl Run {
-    /// The position that whoever applies the run has reached.
+    /// The position that a reader reaches by applying the run.
     pub fn last_position(&self) -> Position {
         let count = self.keys.len() as u64;
         let (incarnation, before_first) = match self.starts {
@@ -90,52 +92,52 @@
     }
 }
 
-/// How far a reader is behind the log.
+/// How far a reader lags behind the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behind {
-    /// By so many entries, all of them here.
+    /// Number of entries that the reader lacks, all of which the log holds.
     Entries(usize),
-    /// It lacks entries that the log no longer holds.
+    /// The reader lacks entries that the log no longer holds.
     BelowBase,
 }
 
-/// The log.
+/// The log of all replicas' purges.
 #[derive(Clone, Debug)]
 pub struct Log {
     streams: BTreeMap<ReplicaId, Stream>,
-    /// Whose entries came, in the order in which they came: the oldest are trimmed first.
+    /// The publishing replica of each entry, in order of arrival: the oldest entries are trimmed first.
     arrivals: VecDeque<ReplicaId>,
     capacity: usize,
     trimmed: u64,
 }
 
 impl Log {
-    /// An empty log of at most so many entries.
+    /// Creates an empty log that holds at most `capacity` entries.
     pub fn new(capacity: usize) -> Log {
         Log { streams: BTreeMap::new(), arrivals: VecDeque::new(), capacity: capacity.max(1), trimmed: 0 }
     }
 
-    /// Entries held.
+    /// The number of entries in the log.
     pub fn len(&self) -> usize {
         self.arrivals.len()
     }
 
-    /// Whether no entry is held.
+    /// Whether the log has no entries.
     pub fn is_empty(&self) -> bool {
         self.arrivals.is_empty()
     }
 
-    /// Entries trimmed since the start.
+    /// The number of entries trimmed since the start.
     pub fn trimmed(&self) -> u64 {
         self.trimmed
     }
 
-    /// The last position of a replica's purges that is known here.
+    /// The last position of a replica's stream.
     pub fn head(&self, replica: ReplicaId) -> Position {
         self.streams.get(&replica).map_or(Position::ZERO, |stream| stream.head)
     }
 
-    /// The position after which entries are held.
+    /// The position after which the log holds a replica's entries.
     pub fn base(&self, replica: ReplicaId) -> Position {
         self.streams.get(&replica).map_or(Position::ZERO, |stream| stream.base)
     }
@@ -149,7 +151,7 @@
         vector
     }
 
-    /// Appends an entry if it follows what is here; tells whether it did.
+    /// Appends an entry if it follows the head without a gap; returns whether it was appended.
     pub fn append(&mut self, replica: ReplicaId, entry: Entry) -> bool {
         let stream = self.streams.entry(replica).or_default();
         if stream.head < entry.previous || stream.head >= entry.position {
@@ -162,7 +164,7 @@
         true
     }
 
-    /// Appends what follows of a run; tells whether anything did.
+    /// Appends the entries of a run that follow the head; returns whether any was appended.
     pub fn append_run(&mut self, run: Run) -> bool {
         let replica = run.replica;
         if run.rebase {
@@ -175,7 +177,7 @@
         appended
     }
 
-    /// Begins a stream after a position whose entries can't be had: whoever is below it must void.
+    /// Restarts a stream at a base whose earlier entries are unavailable: readers below the base must void their cache.
     pub fn rebase(&mut self, replica: ReplicaId, base: Position) {
         let stream = self.streams.entry(replica).or_default();
         if stream.head >= base {
@@ -200,7 +202,7 @@
         }
     }
 
-    /// How far a reader that has applied this is behind.
+    /// How far a reader that has applied this vector lags behind.
     pub fn behind(&self, applied: &VersionVector) -> Behind {
         let mut behind = 0;
         for (replica, stream) in &self.streams {
@@ -213,8 +215,8 @@
         Behind::Entries(behind)
     }
 
-    /// The entries after a vector, as many as fit into so many bytes, and whether there are more. Where entries before
-    /// the base are lacking the run says so ([`Run::rebase`]).
+    /// The entries after a vector, as many as fit into `budget` bytes, and whether there are more. [`Run::rebase`] is
+    /// set where the vector is below the base of a stream.
     pub fn runs_after(&self, applied: &VersionVector, mut budget: usize) -> (Vec<Run>, bool) {
         let mut runs = Vec::new();
         for (replica, stream) in &self.streams {
@@ -225,7 +227,7 @@
             let rebase = position < stream.base;
             let mut entries = stream.entries.iter().skip(stream.index_after(position)).peekable();
             if entries.peek().is_none() {
-                // The stream is trimmed to its end: only the base can be told.
+                // The whole stream has been trimmed: the run carries only its base.
                 if budget < RUN_HEAD_BYTES {
                     return (runs, true);
                 }
--- a/purge/src/member.rs
+++ b/purge/src/member.rs
@@ -1,8 +1,8 @@
-//! A member: a balancer or a cache server that applies purges, and serves only while its lease runs.
+//! A member: a balancer or a cache server that applies purges, and serves only while its lease is valid.
 //!
-//! From its start it catches up with what its assigned replica has, registers in two phases with a majority of the replicas, pulls
-//! until it has applied the target that the majority named, and then serves as long as its pulls are answered. Once its
-//! lease has run out it begins anew with a greater epoch.
+//! After its start a member pulls from its assigned replica until it has caught up, registers with a majority of the
+//! replicas in two phases, and pulls until it has applied the target that the majority named. Then it serves, and the
+//! answers to its pulls renew its lease. When the lease expires, the member starts over with a greater epoch.
 
 mod enrollment;
 mod pulls;
@@ -27,37 +27,37 @@
 use pulls::Pulls;
 use replica_choice::ReplicaChoice;
 
-/// What a member's driver has to apply, in order.
+/// A change that a member's driver has to apply, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PurgeEvent {
     /// Purge this key.
     Key(Vec<u8>),
-    /// Void all that is held.
+    /// Discard everything that is cached.
     VoidAll,
 }
 
-/// How far a member is on its way to serve.
+/// A member's progress towards serving.
 #[derive(Clone, Debug)]
 enum Phase {
-    /// It pulls without a registration.
+    /// Pulls without a registration.
     CatchingUp {
-        /// The assigned replica has said that there is no more.
+        /// Whether the last answer of the assigned replica said that there are no more entries.
         caught_up: bool,
     },
-    /// It registers with a majority.
+    /// Registers with a majority of the replicas.
     Enrolling(Enrollment),
-    /// It is registered, and pulls until it has applied the target.
+    /// Registered; pulls until the target is applied.
     ApplyingTarget {
-        /// What it has to have applied.
+        /// Positions that must be applied before the member may serve.
         target: VersionVector,
     },
-    /// It serves while its lease runs.
+    /// Serves while its lease is valid.
     Serving,
-    /// It has ended.
+    /// Has left; never serves again.
     Stopped,
 }
 
-/// A member.
+/// The state machine of a member.
 #[derive(Debug)]
 pub struct Member {
     config: MemberConfig,
@@ -65,14 +65,14 @@
     replica_choice: ReplicaChoice,
     epoch: Epoch,
     phase: Phase,
-    /// The last time at which the phase got on.
+    /// When the current phase last made progress.
     last_progress: Micros,
     pulls: Pulls,
-    /// Until when the assigned replica has granted a lease of the current epoch.
+    /// End of the lease that the assigned replica has granted for the current epoch.
     granted_until: Micros,
-    /// Until when this member may serve, by leases of epochs that were confirmed.
+    /// End of the time in which this member may serve, from leases of confirmed epochs.
     lease_until: Micros,
-    /// What has come, and is applied once the driver has drained it.
+    /// Positions received; they count as applied once the driver has drained the events.
     received: VersionVector,
     applied: VersionVector,
     events: Vec<PurgeEvent>,
@@ -83,7 +83,7 @@
 }
 
 impl Member {
-    /// A member that starts now, and holds nothing.
+    /// Creates a member that starts now with an empty cache.
     pub fn new(mut config: MemberConfig, now: Micros) -> Member {
         config.replicas.truncate(MAX_REPLICAS);
         let mut rng = ChaCha8Rng::seed_from_u64(config.seed);
@@ -109,13 +109,13 @@
         }
     }
 
-    /// Whether it may serve at this moment.
+    /// Whether the member may serve at this moment.
     pub fn may_serve(&self, now: Micros) -> bool {
         now < self.lease_until && !matches!(self.phase, Phase::Stopped)
     }
 
-    /// What the driver has to apply. It is taken as applied from now on, so the driver applies it before it does
-    /// anything else with this member.
+    /// Drains the events that the driver has to apply. They count as applied from now on, so the driver must apply them
+    /// before it makes any other call on this member.
     pub fn drain_purges(&mut self) -> Vec<PurgeEvent> {
         if self.applied != self.received {
             self.applied = self.received.clone();
@@ -123,12 +123,12 @@
         std::mem::take(&mut self.events)
     }
 
-    /// The datagrams to be sent now.
+    /// Drains the datagrams to be sent now.
     pub fn drain(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         self.outbox.drain()
     }
 
-    /// Ends: from now on it doesn't serve, and replicas need not wait for its lease.
+    /// Stops serving and deregisters, so that replicas need not wait for the lease to expire.
     pub fn leave(&mut self) {
         self.phase = Phase::Stopped;
         self.lease_until = Micros::ZERO;
@@ -136,7 +136,7 @@
         self.outbox.send(self.config.replicas.iter().copied(), &Message::ToReplica(deregister));
     }
 
-    /// What operators see.
+    /// The member's metrics.
     pub fn metrics(&self) -> MemberMetrics {
         MemberMetrics {
             assigned_replica: self.replica_choice.current().0,
@@ -147,7 +147,7 @@
         }
     }
 
-    /// A datagram has come.
+    /// Handles a received datagram.
     pub fn on_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
         self.traffic_in.add(bytes.len());
         let Some(from) = self.config.replicas.iter().position(|replica| *replica == from) else {
@@ -198,7 +198,8 @@
         }
     }
 
-    /// Takes entries that follow what has been received; others are there already, or come again.
+    /// Accepts entries that follow those received without a gap. Skips duplicates, and entries after a gap, which
+    /// will be sent again.
     fn receive_runs(&mut self, runs: Vec<Run>) {
         for run in runs {
             let replica = run.replica;
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Voids all: whatever was published up to the vector is then applied.
+    /// Voids the cache, which amounts to applying every purge up to the vector.
     fn receive_void(&mut self, vector: &VersionVector) {
         self.metrics.voided += 1;
         self.events.clear();
@@ -236,7 +237,8 @@
             next = now + self.more_pace();
         }
         self.pulls.schedule(next);
-        // A assigned replica that answers, but has not what the target needs, is left after a while.
+        // Answers without new entries are no progress towards the target: the member leaves an assigned replica that
+        // keeps answering but lacks entries of the target.
         if more || !matches!(self.phase, Phase::ApplyingTarget { .. }) {
             self.last_progress = now;
         }
@@ -262,7 +264,7 @@
         }
     }
 
-    /// Does what is due; to be called every 20 to 50 ms.
+    /// Does the work that is due; to be called every 20 to 50 ms.
     pub fn on_tick(&mut self, now: Micros) {
         self.end_lapsed_lease(now);
         self.advance(now);
@@ -272,7 +274,7 @@
         self.probe(now);
     }
 
-    /// Once the lease has run out its epoch is never used again.
+    /// Starts over when the lease has expired; the epoch of an expired lease is never used again.
     fn end_lapsed_lease(&mut self, now: Micros) {
         if matches!(self.phase, Phase::Serving) && now >= self.lease_until {
             self.metrics.lapses += 1;
@@ -280,7 +282,7 @@
         }
     }
 
-    /// Goes on to the next phase if all for it has been applied.
+    /// Enters the next phase if its condition is met.
     fn advance(&mut self, now: Micros) {
         match &self.phase {
             Phase::CatchingUp { caught_up: true } if self.applied == self.received => self.enroll(now),
@@ -295,7 +297,7 @@
         }
     }
 
-    /// Pulls without a registration until there is no more.
+    /// Starts to pull without a registration, until there are no more entries.
     fn catch_up(&mut self, now: Micros) {
         self.phase = Phase::CatchingUp { caught_up: false };
         self.last_progress = now;
@@ -327,7 +329,8 @@
         self.outbox.send(address, &Message::ToReplica(message));
     }
 
-    /// Leaves an assigned replica that doesn't answer: at once while nothing hangs on it, else once another has answered a probe.
+    /// Leaves an assigned replica that doesn't answer or makes no progress, before the member serves. While it
+    /// serves, it changes replicas only once another one has answered a probe ([`Member::probe`]).
     fn change_silent_replica(&mut self, now: Micros) {
         let silent = self.pulls.is_silent(now, &self.config.timing);
         let is_late = now.saturating_sub(self.last_progress) >= self.config.timing.registration_timeout;
@@ -342,7 +345,7 @@
         }
     }
 
-    /// Asks other replicas whether they are there, if the assigned replica is silent or is not the preferred one.
+    /// Probes other replicas if the assigned replica is silent or is not the preferred one.
     fn probe(&mut self, now: Micros) {
         let is_settled = matches!(self.phase, Phase::Serving);
         let silent = is_settled && self.pulls.is_silent(now, &self.config.timing);
@@ -359,7 +362,7 @@
         self.reregister(now);
     }
 
-    /// Takes a greater epoch. While a lease still runs there is no need to catch up before.
+    /// Registers with a greater epoch. If the lease has expired, the member catches up first.
     fn reregister(&mut self, now: Micros) {
         if matches!(self.phase, Phase::Stopped) {
             return;
--- a/purge/src/member/enrollment.rs
+++ b/purge/src/member/enrollment.rs
@@ -1,8 +1,9 @@
 //! The two phases of a registration.
 //!
-//! First the member registers with all replicas; once a majority, and its assigned replica among them, has stored the registration,
-//! it asks those to confirm it. Those that still have the same incarnation held it all at the same moment, between the
-//! phases. What they know of by then is the member's target.
+//! First the member registers with all replicas. Once a majority that includes its assigned replica has stored the
+//! registration, the member asks these replicas to confirm it. Replicas whose incarnation has not changed by then all
+//! held the registration at one moment, between the phases. The purges that they know of when they confirm are the
+//! member's target.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,18 +14,18 @@
 use crate::wire::MemberMessage;
 use crate::Micros;
 
-/// How long the first phase waits for others after a majority.
+/// Time from its start that the first phase waits for the remaining replicas when a majority has answered.
 const WAIT_FOR_ALL: Micros = Micros::from_millis(100);
-/// Resends before they become rarer.
+/// Number of the resend from which the interval between resends is longer.
 const FREQUENT_RESENDS: u32 = 4;
-/// By how much rarer.
+/// Factor by which the interval between resends is longer then.
 const RARE_RESEND_FACTOR: u64 = 4;
 
 /// A registration under way.
 #[derive(Clone, Debug)]
 pub(super) struct Enrollment {
     begun: Micros,
-    /// Who answered the first phase, in which incarnation.
+    /// Incarnation of each replica that answered the first phase.
     registered: BTreeMap<ReplicaId, u64>,
     is_confirming: bool,
     confirmed: BTreeSet<ReplicaId>,
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Who has not answered the phase that is under way.
+    /// The replicas that have not answered the current phase.
     fn unanswered(&self, replicas: usize) -> Vec<ReplicaId> {
         let all = (0..replicas).map(|index| ReplicaId(index as u8));
         all.filter(|replica| match self.is_confirming {
@@ -65,7 +66,7 @@
 }
 
 impl Member {
-    /// Begins a registration with the next epoch.
+    /// Starts a registration with the next epoch.
     pub(super) fn enroll(&mut self, now: Micros) {
         self.epoch = self.epoch.next();
         self.granted_until = Micros::ZERO;
@@ -76,7 +77,7 @@
         self.send_enrollment();
     }
 
-    /// Sends the message of the current phase to those that have not answered it.
+    /// Sends the message of the current phase to the replicas that have not answered it.
     fn send_enrollment(&mut self) {
         let Phase::Enrolling(enrollment) = &self.phase else { return };
         let (member, epoch) = (self.config.member, self.epoch);
@@ -112,7 +113,7 @@
             self.send(from, MemberMessage::Confirm { member, epoch });
             return;
         }
-        // Whoever answers later was not there at the moment between the phases.
+        // A replica that answers later did not hold the registration at the moment between the phases.
         if !enrollment.is_confirming {
             enrollment.registered.insert(from, incarnation);
             self.begin_confirmation(now);
--- a/purge/src/member/pulls.rs
+++ b/purge/src/member/pulls.rs
@@ -1,11 +1,11 @@
-//! The pulls of a member: when the next is due, and which are not answered.
+//! The pulls of a member: when the next is due, and which are outstanding.
 
 use std::collections::VecDeque;
 
 use crate::config::MemberTiming;
 use crate::Micros;
 
-/// Pulls of which an answer still counts.
+/// Maximum number of pulls whose answers are still accepted.
 const MAX_OUTSTANDING: usize = 4;
 
 /// The pulls of a member.
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Another assigned replica or another epoch: answers to earlier pulls don't count any more, and the next is due.
+    /// Makes the next pull due and ignores answers to earlier ones, after a change of assigned replica or epoch.
     pub(super) fn restart(&mut self, now: Micros) {
         self.outstanding.clear();
         self.unanswered = 0;
@@ -41,7 +41,7 @@
         now >= self.next_at
     }
 
-    /// Numbers a pull that is sent now; unless it is answered the next is due after a while.
+    /// Numbers a pull that is sent now; the next is due after `resend_after` unless the answer reschedules it.
     pub(super) fn send(&mut self, now: Micros, resend_after: Micros) -> u32 {
         let number = self.next_number;
         self.next_number = self.next_number.wrapping_add(1);
@@ -54,7 +54,7 @@
         number
     }
 
-    /// When the pull that this answers was sent, if it still counts.
+    /// Handles an answer; returns when its pull was sent, or none if the pull is no longer outstanding.
     pub(super) fn on_answer(&mut self, now: Micros, number: u32) -> Option<Micros> {
         let index = self.outstanding.iter().position(|(outstanding, _)| *outstanding == number)?;
         let (_, sent) = self.outstanding[index];
@@ -68,7 +68,7 @@
         self.next_at = next_at;
     }
 
-    /// Whether the assigned replica has been silent for so long that another is to be looked for.
+    /// Whether the assigned replica has been silent for so long that the member should look for another.
     pub(super) fn is_silent(&self, now: Micros, timing: &MemberTiming) -> bool {
         self.unanswered >= timing.losses_before_move
             && now.saturating_sub(self.answered_at) >= timing.silence_before_move
--- a/purge/src/member/replica_choice.rs
+++ b/purge/src/member/replica_choice.rs
@@ -1,10 +1,11 @@
-//! Which replica is a member's assigned replica: the first of its preference list that answers, with hysteresis on the way back.
+//! Choice of a member's assigned replica: the first in preference order that answers, with hysteresis on the return to
+//! the preferred one.
 
 use crate::config::MemberTiming;
 use crate::ids::ReplicaId;
 use crate::Micros;
 
-/// A probe that is not answered.
+/// An unanswered probe.
 #[derive(Clone, Copy, Debug)]
 struct Probe {
     number: u32,
@@ -21,7 +22,7 @@
     probe: Option<Probe>,
     next_number: u32,
     next_probe: Micros,
-    /// Answers in a row of the preferred assigned replica.
+    /// Consecutive probe replies of the preferred replica.
     answers: u32,
     changed: Micros,
 }
@@ -65,7 +66,7 @@
         self.changed = now;
     }
 
-    /// The one after the current assigned replica.
+    /// The replica that follows the assigned one in preference order.
     pub(super) fn following(&self) -> ReplicaId {
         self.after(self.current)
     }
@@ -75,8 +76,8 @@
         self.order.get((index + 1) % self.order.len().max(1)).copied().unwrap_or(replica)
     }
 
-    /// Whom to probe now, if anybody: others in turn while the assigned replica is silent, the preferred one while a member that has
-    /// settled elsewhere may go back.
+    /// The replica to probe now and the probe's number, if a probe is due. While the assigned replica is silent, the
+    /// other replicas are probed in turn; otherwise a settled member that may return probes its preferred replica.
     pub(super) fn next_probe(
         &mut self,
         now: Micros,
@@ -114,7 +115,7 @@
         Some((to, number))
     }
 
-    /// An answer to a probe: the replica to change to, if it is time.
+    /// Handles the reply to a probe; returns the replica to change to, if the member should change now.
     pub(super) fn on_probe_reply(
         &mut self,
         from: ReplicaId,
--- a/purge/src/metrics.rs
+++ b/purge/src/metrics.rs
@@ -1,47 +1,47 @@
-//! What operators see of replicas and members.
+//! Metrics of replicas and members.
 
 use crate::wire::DecodeError;
 
-/// Datagrams and their bytes, without the heads of IP and UDP.
+/// Counts of datagrams and their bytes, without IP and UDP headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Datagrams.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Bytes in them.
+    /// Number of bytes in these datagrams.
     pub bytes: u64,
 }
 
 impl Traffic {
-    /// Counts one more.
+    /// Counts a datagram of this size.
     pub(crate) fn add(&mut self, bytes: usize) {
         self.datagrams += 1;
         self.bytes += bytes as u64;
     }
 }
 
-/// What was dropped, by cause.
+/// Counts of dropped datagrams and messages, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Dropped {
-    /// Datagrams longer than any that is sent.
+    /// Datagrams longer than the maximum size.
     pub too_long: u64,
-    /// Datagrams of another program or version.
+    /// Datagrams of another program or protocol version.
     pub version: u64,
-    /// Datagrams that were truncated or make no sense.
+    /// Datagrams that were truncated or malformed, and registrations that name an invalid replica.
     pub malformed: u64,
-    /// Datagrams from an address that may not send this.
+    /// Datagrams from an address that may not send this kind of message.
     pub unknown_sender: u64,
-    /// Messages that were for an earlier start, epoch or round.
+    /// Messages for an earlier incarnation, epoch or round.
     pub stale: u64,
-    /// Registrations for which the table had no room.
+    /// Registrations rejected because the table was full.
     pub table_full: u64,
-    /// Datagrams that were not sent because too many waited.
+    /// Datagrams not sent because the outbox was full.
     pub outbox_full: u64,
-    /// Datagrams of entries that came while the driver had left too many events undrained.
+    /// Messages with entries that arrived while the driver had left too many events undrained.
     pub undrained: u64,
 }
 
 impl Dropped {
-    /// Counts a datagram that could not be read.
+    /// Counts a datagram that could not be decoded.
     pub(crate) fn add(&mut self, error: DecodeError) {
         match error {
             DecodeError::TooLong => self.too_long += 1,
@@ -51,54 +51,54 @@
     }
 }
 
-/// What operators see of a replica.
+/// Metrics of a replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplicaMetrics {
-    /// It has not yet taken what it needs from a majority of the others.
+    /// Whether the replica is still recovering its state from a majority of the others.
     pub recovering: bool,
-    /// Purges published here since its start.
+    /// Purges published at this replica since its start.
     pub published: u64,
-    /// Of these, those that are done.
+    /// Purges published at this replica since its start that are done.
     pub done: u64,
-    /// Entries in the log, of all replicas.
+    /// Entries in the log, over all streams.
     pub log_entries: usize,
     /// Entries trimmed from the log since its start.
     pub log_trimmed: u64,
-    /// Registrations in its table.
+    /// Registrations in the replica's own table.
     pub registrations: usize,
-    /// Registrations whose assigned replica it is, those that it learned from others included.
+    /// Registrations assigned to this replica, including those learned from other replicas.
     pub assigned_members: usize,
-    /// Rounds begun.
+    /// Rounds started.
     pub rounds: u64,
     /// Replicas that had not answered when a round without a majority ended.
     pub missing_replicas: usize,
-    /// Datagrams out.
+    /// Datagrams sent.
     pub sent: Traffic,
-    /// Datagrams in.
+    /// Datagrams received.
     pub received: Traffic,
-    /// What was dropped.
+    /// Datagrams and messages dropped.
     pub dropped: Dropped,
 }
 
-/// What operators see of a member.
+/// Metrics of a member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberMetrics {
-    /// Its assigned replica, by index.
+    /// Index of the assigned replica.
     pub assigned_replica: u8,
-    /// Registrations begun.
+    /// Registrations started.
     pub registrations: u64,
     /// Changes of assigned replica.
     pub reassignments: u64,
-    /// Leases that ran out while it served.
+    /// Leases that expired while the member served.
     pub lapses: u64,
     /// Keys purged.
     pub purged: u64,
-    /// Times at which it voided all.
+    /// Times that the member voided its cache.
     pub voided: u64,
-    /// Datagrams out.
+    /// Datagrams sent.
     pub sent: Traffic,
-    /// Datagrams in.
+    /// Datagrams received.
     pub received: Traffic,
-    /// What was dropped.
+    /// Datagrams and messages dropped.
     pub dropped: Dropped,
 }
--- a/purge/src/outbox.rs
+++ b/purge/src/outbox.rs
@@ -1,4 +1,4 @@
-//! The datagrams of a replica or member that wait to be sent, bounded, with a count of what left.
+//! The bounded queue of datagrams that a replica or member is about to send, with traffic counters.
 
 use std::net::SocketAddr;
 
@@ -6,18 +6,18 @@
 use crate::metrics::Traffic;
 use crate::wire::{encode, Message};
 
-/// Datagrams that wait to be drained.
+/// Queue of datagrams to be drained by the caller.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outbox {
     datagrams: Vec<(SocketAddr, Vec<u8>)>,
-    /// What left so far.
+    /// Traffic queued for sending so far.
     pub(crate) sent: Traffic,
-    /// Datagrams dropped because [`MAX_OUTBOX`] waited.
+    /// Datagrams dropped because [`MAX_OUTBOX`] datagrams were queued.
     pub(crate) dropped: u64,
 }
 
 impl Outbox {
-    /// Encodes a message once and sends it to all of these.
+    /// Encodes a message once and queues it for each address.
     pub(crate) fn send(&mut self, to: impl IntoIterator<Item = SocketAddr>, message: &Message) {
         let Some(bytes) = encode(message) else { return };
         for address in to {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Takes out all that waits.
+    /// Drains the queue.
     pub(crate) fn drain(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         std::mem::take(&mut self.datagrams)
     }
--- a/purge/src/registration.rs
+++ b/purge/src/registration.rs
@@ -1,7 +1,8 @@
-//! Tables of registrations: which member is registered in which epoch, and which replica is its assigned replica.
+//! Registration tables: the epoch and the assigned replica of each registered member.
 //!
-//! Every replica has a table of its own and copies of those of all others. Changes are numbered, so that a copy follows
-//! by what changed since ([`RegistrationTable::changes_after`]); a copy of another incarnation begins anew.
+//! Every replica has its own table and copies of the tables of all other replicas. Changes are numbered, so that a copy
+//! is updated incrementally ([`RegistrationTable::changes_after`]); a copy starts empty when its replica's incarnation
+//! changes.
 
 use std::collections::BTreeMap;
 
@@ -10,66 +11,66 @@
 use crate::ids::{Epoch, MemberId, ReplicaId};
 use crate::limits::MAX_MEMBERS;
 
-/// Registrations in one chunk: that many always fit into a datagram.
+/// Maximum number of registrations in a chunk; that many always fit into a datagram.
 const CHUNK_REGISTRATIONS: usize = 24;
 
-/// What a replica knows of a registration.
+/// State of a registration as one replica knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum RegistrationState {
-    /// It was registered.
+    /// The member was registered; this replica can't grant it leases.
     Known,
-    /// This replica is its assigned replica, has it from the member itself, and may grant it leases.
+    /// The member itself registered with this replica, its assigned replica, which may grant it leases.
     Active,
-    /// Its assigned replica has ended it: no lease of it runs, now or later. True for ever.
+    /// The registration has ended and none of its leases is valid, now or later. This state is final.
     Released,
 }
 
-/// One registration.
+/// A member's registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
-    /// Who is registered.
+    /// The registered member.
     pub member: MemberId,
-    /// In which epoch.
+    /// Epoch of the registration.
     pub epoch: Epoch,
-    /// Who grants it leases.
+    /// The replica that grants the member its leases.
     pub assigned_replica: ReplicaId,
-    /// What is known of it.
+    /// State of the registration.
     pub state: RegistrationState,
-    /// The number of its last change in its table.
+    /// Number of the last change of this registration in its table.
     pub change: u64,
 }
 
 /// Changes of a registration table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableChunk {
-    /// Of the replica whose table it is.
+    /// Incarnation of the replica that owns the table.
     pub incarnation: u64,
-    /// The changes begin after this one.
+    /// Number of the change before the first one covered.
     pub after: u64,
-    /// They reach to this one.
+    /// Number of the last change covered.
     pub through: u64,
-    /// What changed.
+    /// The changed registrations.
     pub registrations: Vec<Registration>,
-    /// This is the last chunk that answers a request, and there are more changes.
+    /// Whether this is the last chunk that answers a request although there are more changes.
     pub more: bool,
 }
 
-/// What came of storing a registration.
+/// Result of storing a registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreOutcome {
-    /// It is stored.
+    /// The registration was stored.
     Stored,
-    /// It was there already.
+    /// The table already has the registration.
     Present,
-    /// It was released.
+    /// The registration was released.
     Released,
-    /// A greater epoch is known.
+    /// The table has a registration with this greater epoch.
     Superseded(Epoch),
-    /// The table is full.
+    /// The table is full of registrations that are not released.
     Full,
 }
 
-/// A replica's own table.
+/// A replica's own registration table.
 #[derive(Clone, Debug, Default)]
 pub struct RegistrationTable {
     registrations: BTreeMap<MemberId, Registration>,
@@ -83,7 +84,7 @@
         &self.registrations
     }
 
-    /// That of one member.
+    /// The registration of one member.
     pub fn get(&self, member: MemberId) -> Option<&Registration> {
         self.registrations.get(&member)
     }
@@ -93,7 +94,7 @@
         self.change
     }
 
-    /// Stores a registration if its epoch is greater than the one known.
+    /// Stores a registration unless the table has one of the member with the same or a greater epoch.
     pub fn store(
         &mut self,
         member: MemberId,
@@ -120,7 +121,7 @@
         StoreOutcome::Stored
     }
 
-    /// Moves the registration of this epoch to a state; tells whether it was there in another.
+    /// Sets the state of the registration of this epoch; returns whether the state changed.
     pub fn set_state(&mut self, member: MemberId, epoch: Epoch, state: RegistrationState) -> bool {
         match self.registrations.get(&member) {
             Some(known) if known.epoch == epoch && known.state != state => {
@@ -141,8 +142,8 @@
         self.by_change.insert(self.change, registration.member);
     }
 
-    /// Makes room by forgetting the released registration that changed longest ago. If it comes back from another
-    /// table its assigned replica releases it again.
+    /// Evicts the released registration that changed longest ago; returns false if none is released. If the evicted
+    /// registration comes back from another replica's table, its assigned replica releases it again.
     fn evict_released(&mut self) -> bool {
         let is_released = |member: &MemberId| {
             self.registrations
@@ -156,7 +157,7 @@
         true
     }
 
-    /// The changes after this one, as many as fit into a datagram.
+    /// The changes after change number `after`, as many as fit into a datagram.
     pub fn changes_after(&self, incarnation: u64, after: u64) -> TableChunk {
         let changed = self.by_change.range(after.saturating_add(1)..).take(CHUNK_REGISTRATIONS);
         let registrations: Vec<Registration> =
@@ -178,12 +179,12 @@
 }
 
 impl TableCopy {
-    /// Whether it holds all changes up to this one of this incarnation.
+    /// Whether the copy has all changes of this incarnation up to `change`.
     pub fn is_complete(&self, incarnation: u64, change: u64) -> bool {
         self.incarnation == incarnation && self.through >= change
     }
 
-    /// The last change that it holds of this incarnation; 0 if it is of another.
+    /// The number of the last change that the copy has of this incarnation; 0 if the copy is of another incarnation.
     pub fn through(&self, incarnation: u64) -> u64 {
         if self.incarnation == incarnation {
             self.through
@@ -197,7 +198,8 @@
         &self.registrations
     }
 
-    /// Applies a chunk; one that is of an older incarnation, or that leaves changes out, is ignored.
+    /// Applies a chunk. Ignores a chunk of an older incarnation or one that would leave a gap. Returns false if the
+    /// chunk was ignored or the copy was reset.
     pub fn apply(&mut self, chunk: &TableChunk) -> bool {
         if chunk.incarnation > self.incarnation && chunk.after == 0 {
             *self = TableCopy { incarnation: chunk.incarnation, ..TableCopy::default() };
@@ -210,7 +212,7 @@
         }
         self.through = self.through.max(chunk.through);
         if self.registrations.len() > 2 * MAX_MEMBERS {
-            // Too much is here that was evicted there: the copy begins anew.
+            // The copy has too many registrations that were evicted from the original table: it is rebuilt.
             *self = TableCopy { incarnation: self.incarnation, ..TableCopy::default() };
             return false;
         }
--- a/purge/src/replica.rs
+++ b/purge/src/replica.rs
@@ -1,8 +1,8 @@
-//! A control machine: publishes purges, holds the log and the registrations, is the assigned replica of some members, and knows
-//! which of the purges published here are done.
+//! A replica: publishes purges, holds the log and the registrations, grants leases to the members assigned to it, and
+//! tracks which of the purges published here are done.
 //!
-//! A replica keeps nothing on disk. One that starts is *recovering* until it has taken registrations and entries from a
-//! majority of the others ([`recovery`]); until then it only asks, and answers nobody.
+//! A replica keeps nothing on disk. After a start it is *recovering* until it has received registrations and entries
+//! from a majority of the others ([`recovery`]); a recovering replica sends requests but answers none.
 
 mod members;
 mod peers;
@@ -28,52 +28,53 @@
 use peers::{Fetch, Peer};
 use recovery::Recovery;
 
-/// How far a purge has come.
+/// Status of a purge.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PurgeStatus {
-    /// It has been applied at every member that serves, now and for ever.
+    /// Every member that serves, now or later, has applied the purge.
     Done,
-    /// It has not, as far as is known.
+    /// The purge is not known to be done.
     Pending {
-        /// Some of the members that are outstanding, in so far as they are known.
+        /// Some of the outstanding members, as far as they are known.
         members: Vec<MemberId>,
-        /// How many are.
+        /// Number of outstanding members.
         members_total: u32,
-        /// Replicas that did not answer, if those that did are no majority.
+        /// Replicas that did not answer, if no majority answered.
         replicas: Vec<ReplicaId>,
     },
-    /// It was not published at this start of this replica. It may be published again: purges may be repeated.
+    /// The purge was not published by this incarnation of this replica. It may be published again: purges are
+    /// idempotent.
     Unknown,
 }
 
-/// Why a purge was not taken.
+/// Why a purge was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PublishRejectReason {
-    /// The key is longer than any key.
+    /// The key is longer than [`MAX_KEY_BYTES`].
     KeyTooLong,
     /// The replica is recovering.
     Recovering,
-    /// More a second than are admitted.
+    /// The publish rate and burst are exhausted.
     RateLimited,
-    /// Too many are not done.
+    /// Too many purges published at this replica are not done.
     TooManyPending,
 }
 
-/// A purge was not taken.
+/// A rejected purge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PublishRejected {
-    /// Why.
+    /// Why the purge was rejected.
     pub reason: PublishRejectReason,
-    /// The time after which to come again.
+    /// Delay after which the publisher may retry.
     pub retry_after: Micros,
 }
 
-/// A control machine.
+/// The state machine of a replica.
 #[derive(Debug)]
 pub struct Replica {
     config: ReplicaConfig,
     rng: ChaCha8Rng,
-    /// Until it has recovered.
+    /// Present until the replica has recovered.
     recovery: Option<Recovery>,
     log: Log,
     table: RegistrationTable,
@@ -81,13 +82,13 @@
     peers: BTreeMap<ReplicaId, Peer>,
     leases: LeaseTable,
     completion: Completion,
-    /// Something has changed since the completion was last evaluated.
+    /// Whether the inputs of the completion have changed since its last evaluation.
     needs_evaluation: bool,
     next_round: Micros,
     round_started: Micros,
-    /// The request for entries that is under way.
+    /// The outstanding request for entries.
     fetching: Option<Fetch>,
-    /// The last position published here that was pushed.
+    /// The last position published here that was pushed to the other replicas.
     last_pushed: Position,
     bucket: TokenBucket,
     outbox: Outbox,
@@ -96,7 +97,7 @@
 }
 
 impl Replica {
-    /// A replica that starts now.
+    /// Creates a replica that starts now.
     pub fn new(mut config: ReplicaConfig, now: Micros) -> Replica {
         config.replicas.truncate(MAX_REPLICAS);
         let settings = &config.settings;
@@ -123,7 +124,7 @@
             config,
         };
         if replica.config.bootstrap {
-            // Nothing before this start can be replayed: whoever has applied less than its base must void.
+            // Nothing from before this start can be replayed: members below this base must void their cache.
             let base = Position { incarnation: replica.config.incarnation, sequence: 0 };
             replica.log.rebase(me, base);
             replica.start_stream();
@@ -131,7 +132,7 @@
         replica
     }
 
-    /// Appends the start entry of this incarnation: from now on this replica takes purges and answers.
+    /// Appends the start entry of this incarnation: from now on the replica accepts purges and answers requests.
     fn start_stream(&mut self) {
         let me = self.config.replica;
         let position = Position::start_of(self.config.incarnation);
@@ -140,7 +141,7 @@
         self.last_pushed = previous;
     }
 
-    /// A datagram has come.
+    /// Handles a received datagram.
     pub fn on_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
         self.received.add(bytes.len());
         match decode(bytes) {
@@ -154,14 +155,14 @@
         }
     }
 
-    /// The replica at this address, if it is another one.
+    /// The other replica that has this address, if any.
     fn peer_at(&self, address: SocketAddr) -> Option<ReplicaId> {
         let index = self.config.replicas.iter().position(|replica| *replica == address)?;
         let replica = ReplicaId(index as u8);
         (replica != self.config.replica).then_some(replica)
     }
 
-    /// Does what is due; to be called every 20 to 50 ms.
+    /// Does the work that is due; to be called every 20 to 50 ms.
     pub fn on_tick(&mut self, now: Micros) {
         self.finish_recovery(now);
         self.release_expired(now);
@@ -170,14 +171,14 @@
             self.fetching = None;
         }
         self.request_tables(now);
-        // Before the next round clears the replies of the current one.
+        // Must precede `begin_round`, which clears the replies of the current round.
         self.evaluate();
         if self.is_round_due(now) {
             self.begin_round(now);
         }
     }
 
-    /// Marks what can have no lease any more, for ever.
+    /// Marks registrations as released once none of their leases can be valid.
     fn release_expired(&mut self, now: Micros) {
         for (member, epoch) in self.leases.take_expired(now, &self.config.settings) {
             self.table.set_state(member, epoch, RegistrationState::Released);
@@ -191,7 +192,7 @@
         now >= self.next_round && (is_over || self.completion.round() == 0)
     }
 
-    /// Draws the conclusions of what has come since the last time.
+    /// Evaluates the completion if its inputs have changed since the last evaluation.
     fn evaluate(&mut self) {
         let me = self.config.replica;
         if !self.needs_evaluation || self.recovery.is_some() {
@@ -207,7 +208,7 @@
         self.completion.evaluate(tables, &own_report);
     }
 
-    /// The datagrams to be sent now.
+    /// Drains the datagrams to be sent now.
     pub fn drain(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         self.push_published();
         self.outbox.drain()
@@ -216,7 +217,7 @@
     /// Publishes a purge of a key here.
     ///
     /// # Errors
-    /// It was not taken, and when to come again.
+    /// If the purge was rejected: the reason, and when to retry.
     pub fn publish(&mut self, now: Micros, key: &[u8]) -> Result<PurgeId, PublishRejected> {
         let settings = &self.config.settings;
         let reject = |reason, retry_after| Err(PublishRejected { reason, retry_after });
@@ -241,7 +242,7 @@
         Ok(PurgeId { stream, sequence: position.sequence })
     }
 
-    /// Up to which sequence of this incarnation the purges are done; the start entry is from the beginning.
+    /// The sequence of this incarnation up to which purges are done; the start entry always is.
     fn done_sequence(&self) -> u64 {
         let done = self.completion.done_through();
         if done.incarnation == self.config.incarnation {
@@ -251,7 +252,7 @@
         }
     }
 
-    /// How far a purge has come. Only the replica and the incarnation that published it know.
+    /// The status of a purge. Only the replica incarnation that published a purge knows its status.
     pub fn status(&self, id: PurgeId) -> PurgeStatus {
         let me = self.config.replica;
         let is_mine = id.stream == StreamId { replica: me, incarnation: self.config.incarnation };
@@ -269,7 +270,7 @@
         }
     }
 
-    /// What operators see.
+    /// The replica's metrics.
     pub fn metrics(&self) -> ReplicaMetrics {
         let head = self.log.head(self.config.replica);
         let is_started = self.recovery.is_none() && head.incarnation == self.config.incarnation;
@@ -289,10 +290,10 @@
         }
     }
 
-    /// When a round that begins now is to be followed by the next.
+    /// The time of the next round if a round begins now.
     fn round_after(&mut self, now: Micros) -> Micros {
         let interval = self.config.settings.round_interval;
-        // A little earlier or later, so that replicas that started together don't ask together for ever.
+        // Jitter of 5 % keeps replicas that started together from sending their requests in step.
         now + interval - interval / 20 + Micros(self.rng.random_range(0..=interval.0 / 10))
     }
 }
--- a/purge/src/replica/members.rs
+++ b/purge/src/replica/members.rs
@@ -1,4 +1,4 @@
-//! What a replica does for members: registers them, confirms, grants leases and hands out entries.
+//! How a replica serves members: registers and confirms them, grants leases and sends entries.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 use crate::Micros;
 
 impl Replica {
-    /// A member's message; one that recovers answers none.
+    /// Handles a member's message. A recovering replica answers none.
     pub(super) fn on_member_message(&mut self, now: Micros, from: SocketAddr, message: MemberMessage) {
         if self.recovery.is_some() {
             return;
@@ -78,7 +78,7 @@
         let is_assigned_replica = assigned_replica == self.config.replica;
         let state = if is_assigned_replica { RegistrationState::Active } else { RegistrationState::Known };
         match self.table.store(member, epoch, assigned_replica, state) {
-            // A newer epoch elsewhere ends the one here.
+            // A newer epoch at another assigned replica ends the registration here.
             StoreOutcome::Stored if !is_assigned_replica => self.leases.remove(member),
             StoreOutcome::Stored => self.leases.register(member, epoch, now),
             StoreOutcome::Present if is_assigned_replica && !self.leases.is_active(member, epoch) => {
@@ -112,7 +112,7 @@
         Some(ReplicaMessage::Confirmed { epoch, incarnation, vector: self.log.vector() })
     }
 
-    /// The member has stopped serving, for the rest of this incarnation.
+    /// Releases the registration of a member that has stopped serving for the rest of its incarnation.
     fn on_deregister(&mut self, member: MemberId, epoch: Epoch) {
         if self.table.set_state(member, epoch, RegistrationState::Released) {
             self.leases.remove(member);
--- a/purge/src/replica/peers.rs
+++ b/purge/src/replica/peers.rs
@@ -1,4 +1,4 @@
-//! What replicas say to each other: rounds of status requests, entries, and changes of registration tables.
+//! Messages between replicas: rounds of status requests, entries, and changes of registration tables.
 
 use std::net::SocketAddr;
 
@@ -11,30 +11,30 @@
 use crate::wire::{Message, PeerMessage, StatusReply};
 use crate::Micros;
 
-/// Datagrams that answer one request for entries.
+/// Maximum number of datagrams in the answer to one request for entries.
 const FETCH_DATAGRAMS: usize = 32;
-/// Datagrams of entries that are pushed to a replica that lacks them, in a round.
+/// Maximum number of datagrams of entries pushed at once to a replica that lacks them.
 const PUSH_DATAGRAMS: usize = 4;
-/// Chunks that answer one request for a table.
+/// Maximum number of chunks in the answer to one request for a table.
 const TABLE_CHUNKS: usize = 8;
 
-/// What is known of another replica's table, beside the copy of it.
+/// What is known of another replica's table, besides the copy of the table.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Peer {
-    /// The incarnation of its last reply.
+    /// Incarnation of the replica, as of its last reply.
     incarnation: u64,
-    /// The last change of its table that it told.
+    /// Number of the last change of its table, as of its last reply.
     change: u64,
-    /// When a request for changes was sent that is not answered.
+    /// When the outstanding request for changes was sent.
     requested: Option<Micros>,
 }
 
-/// A request for entries.
+/// An outstanding request for entries.
 #[derive(Clone, Debug)]
 pub(super) struct Fetch {
     peer: ReplicaId,
     pub(super) since: Micros,
-    /// What it is to bring.
+    /// Positions that the answer should reach.
     wanted: VersionVector,
 }
 
@@ -55,7 +55,7 @@
         self.outbox.send(others, &Message::BetweenReplicas(message));
     }
 
-    /// Begins a round.
+    /// Begins a round of status requests.
     pub(super) fn begin_round(&mut self, now: Micros) {
         let incarnation = self.config.incarnation;
         let held = self.log.head(self.config.replica);
@@ -123,7 +123,7 @@
         self.push_missing(from, &reply.vector);
     }
 
-    /// Asks a replica for entries if it has some that are not here, and none are on their way.
+    /// Requests entries from a replica if it has some that are missing here and no other request is outstanding.
     fn fetch_missing(&mut self, now: Micros, from: ReplicaId, vector: &VersionVector) {
         let own = self.log.vector();
         if self.fetching.is_none() && !own.covers(vector) {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Sends the entries after a vector in at most so many datagrams.
+    /// Sends the entries after a vector, in at most `datagrams` datagrams.
     fn send_entries(&mut self, to: ReplicaId, mut vector: VersionVector, datagrams: usize) {
         for sent in 1..=datagrams {
             let (runs, is_more) = self.log.runs_after(&vector, ENTRIES_BUDGET_BYTES);
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Sends a replica the purges published here that it lacks: the first push was lost.
+    /// Sends a replica the purges published here that it lacks because their first push was lost.
     fn push_missing(&mut self, to: ReplicaId, vector: &VersionVector) {
         let me = self.config.replica;
         let position = vector.get(me);
@@ -165,7 +165,7 @@
         }
     }
 
-    /// The vector of one who has all entries of others, and of this replica's those up to a position.
+    /// The vector of a reader that has all entries of other replicas, and this replica's entries up to a position.
     fn all_but_own(&self, position: Position) -> VersionVector {
         let me = self.config.replica;
         let mut vector = VersionVector::default();
@@ -176,7 +176,7 @@
         vector
     }
 
-    /// Pushes to all what was published here since the last time.
+    /// Pushes the purges published here since the last push to all other replicas.
     pub(super) fn push_published(&mut self) {
         let me = self.config.replica;
         let head = self.log.head(me);
@@ -206,7 +206,7 @@
         }
     }
 
-    /// Asks for the changes of tables whose copies are behind.
+    /// Requests changes of the tables whose copies are incomplete.
     pub(super) fn request_tables(&mut self, now: Micros) {
         let timeout = self.config.settings.request_timeout;
         let mut requests = Vec::new();
@@ -260,8 +260,8 @@
         self.request_tables(now);
     }
 
-    /// What another table says that matters here: that a registration is released, or that this replica is the assigned replica of
-    /// one that it has not heard of.
+    /// Adopts a registration from another replica's table if it is released, or if it is assigned to this replica and
+    /// newer than the one in its own table.
     fn learn(&mut self, now: Micros, registration: &Registration) {
         let (member, epoch) = (registration.member, registration.epoch);
         if registration.state == RegistrationState::Released {
--- a/purge/src/replica/recovery.rs
+++ b/purge/src/replica/recovery.rs
@@ -1,7 +1,8 @@
-//! Recovery of a replica that has started without memory.
+//! Recovery of a replica that has started without state.
 //!
-//! It has recovered when, for a majority of *other* replicas that are not recovering themselves, it has the entries that
-//! a reply sent after its start vouches for, and the registration table as of that reply.
+//! The replica has recovered when it holds the entries and the registration tables of a majority of *other* replicas
+//! that are not recovering themselves. For each of these replicas, a reply sent after the start of the recovering one
+//! determines the positions and the table that it needs.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +16,7 @@
 use crate::wire::StatusReply;
 use crate::Micros;
 
-/// What one replica said first after the start of the one that recovers.
+/// The state that one replica reported in its first reply after the start of the recovering one.
 #[derive(Clone, Debug)]
 struct Snapshot {
     incarnation: u64,
@@ -23,7 +24,7 @@
     change: u64,
 }
 
-/// What a recovering replica has been told.
+/// The progress of a recovering replica.
 #[derive(Clone, Debug)]
 pub(super) struct Recovery {
     needed: usize,
@@ -31,14 +32,15 @@
 }
 
 impl Recovery {
-    /// Nothing yet.
+    /// Starts a recovery, without any replies.
     pub(super) fn new(replicas: usize, injected_defects: InjectedDefects) -> Recovery {
         let majority = replicas / 2 + 1;
         let needed = if injected_defects.has(InjectedDefect::RecoveryFromOne) { 1 } else { majority };
         Recovery { needed, snapshots: BTreeMap::new() }
     }
 
-    /// A reply to a request of this incarnation. The first of each incarnation stays: it is to be reached.
+    /// Handles a reply to a request of this incarnation. The first reply of each incarnation of a replica sets the
+    /// state to be reached; later ones are ignored.
     pub(super) fn on_reply(&mut self, from: ReplicaId, reply: &StatusReply) {
         let known = self.snapshots.get(&from).map(|snapshot| snapshot.incarnation);
         if known < Some(reply.incarnation) {
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Whether what a majority knew is here.
+    /// Whether the log and the table copies have reached the snapshots of a majority.
     fn is_complete(&self, log: &Log, copies: &BTreeMap<ReplicaId, TableCopy>) -> bool {
         let vector = log.vector();
         let is_taken = |replica: &ReplicaId, snapshot: &Snapshot| {
@@ -62,7 +64,7 @@
 }
 
 impl Replica {
-    /// Ends the recovery if all that it needs is here.
+    /// Ends the recovery if it is complete.
     pub(super) fn finish_recovery(&mut self, now: Micros) {
         match &self.recovery {
             Some(recovery) if recovery.is_complete(&self.log, &self.copies) => {}
@@ -77,9 +79,10 @@
         self.begin_round(now);
     }
 
-    /// Takes the registrations of all copies into the own table. Those whose assigned replica this replica is may have leases of its
-    /// earlier incarnations, granted until its start, or of earlier epochs at other assigned replicas, granted until the member
-    /// registered anew: that may have been later than the start, but not later than now.
+    /// Stores the registrations of all copies in the own table, and adds leases for those assigned to this replica.
+    /// Such a registration may have leases of earlier incarnations of this replica, granted until its start, or of
+    /// earlier epochs at other assigned replicas, granted until the member registered anew: that may have been later
+    /// than the start, but not later than now.
     fn take_over_registrations(&mut self, now: Micros) {
         let me = self.config.replica;
         for registration in self.copies.values().flat_map(|copy| copy.registrations().values()) {
--- a/purge/src/version_vector.rs
+++ b/purge/src/version_vector.rs
@@ -1,4 +1,4 @@
-//! What has been applied of each replica's purges, contiguously.
+//! Version vectors: how far each replica's purges have been applied, without gaps.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::ids::{Position, ReplicaId};
 
-/// The greatest position applied, by replica; a replica that is not named stands at [`Position::ZERO`].
+/// The greatest position applied, by replica; a replica that is not in the vector is at [`Position::ZERO`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionVector(BTreeMap<ReplicaId, Position>);
 
@@ -23,14 +23,14 @@
         }
     }
 
-    /// Raises every position to that of the other.
+    /// Raises every position to that of the other vector, where that is greater.
     pub fn merge(&mut self, other: &VersionVector) {
         for (replica, position) in other.iter() {
             self.raise(replica, position);
         }
     }
 
-    /// Whether all that the other has applied is applied here too.
+    /// Whether no position of the other vector is beyond that of this one.
     pub fn covers(&self, other: &VersionVector) -> bool {
         other.iter().all(|(replica, position)| self.get(replica) >= position)
     }
@@ -40,7 +40,7 @@
         self.0.iter().map(|(replica, position)| (*replica, *position))
     }
 
-    /// How many replicas are named.
+    /// The number of replicas in the vector.
     pub fn len(&self) -> usize {
         self.0.len()
     }
--- a/purge/src/wire.rs
+++ b/purge/src/wire.rs
@@ -1,6 +1,7 @@
-//! Datagrams: a head of four bytes (magic and version), then one message as `postcard` encodes it.
+//! Datagrams: a header of four bytes (magic and version), followed by one message in `postcard` encoding.
 //!
-//! A datagram that is too long, truncated, of another version or malformed is an error of [`decode`], and nothing else.
+//! [`decode`] returns an error for a datagram that is too long, truncated, of another version or malformed, and never
+//! panics.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,204 +12,204 @@
 use crate::registration::TableChunk;
 use crate::version_vector::VersionVector;
 
-/// The first bytes of every datagram: whose, and of which version.
+/// Header of every datagram: the protocol's magic and its version.
 const MAGIC_AND_VERSION: [u8; 4] = [b'J', b'P', b'C', 1];
 
-/// A datagram's content, by who sends it to whom.
+/// The message in a datagram, by sender and recipient.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A member to a replica.
+    /// From a member to a replica.
     ToReplica(MemberMessage),
-    /// A replica to a member.
+    /// From a replica to a member.
     ToMember(ReplicaMessage),
-    /// A replica to another.
+    /// From a replica to another.
     BetweenReplicas(PeerMessage),
 }
 
-/// A member to a replica.
+/// A message from a member to a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberMessage {
-    /// Asks for entries, and for a lease if it names an epoch.
+    /// Requests entries, and a lease if an epoch is given.
     Pull {
-        /// Who asks.
+        /// The sender.
         member: MemberId,
-        /// Its registration; none before it registers.
+        /// Epoch of the sender's registration; none before it registers.
         epoch: Option<Epoch>,
-        /// Names this question in its answer.
+        /// Number of the pull, repeated in the answer.
         number: u32,
-        /// How it catches up.
+        /// How the member catches up when it is far behind.
         catch_up: CatchUp,
-        /// What it has applied.
+        /// Positions that the member has applied.
         applied: VersionVector,
     },
-    /// First phase of a registration, to all replicas.
+    /// First phase of a registration, sent to all replicas.
     Register {
-        /// Who registers.
+        /// The sender.
         member: MemberId,
-        /// The new epoch.
+        /// Epoch of the new registration.
         epoch: Epoch,
-        /// Which replica grants it leases from now on.
+        /// The replica that is to grant the member its leases.
         assigned_replica: ReplicaId,
     },
-    /// Second phase, after a majority has answered the first.
+    /// Second phase of a registration, sent when a majority has answered the first.
     Confirm {
-        /// Who registers.
+        /// The sender.
         member: MemberId,
-        /// The epoch.
+        /// Epoch of the registration.
         epoch: Epoch,
     },
-    /// A planned end: the member doesn't serve any more.
+    /// Ends a registration in a graceful shutdown: the member has stopped serving.
     Deregister {
-        /// Who ends.
+        /// The sender.
         member: MemberId,
-        /// The last epoch of this incarnation.
+        /// The last epoch of the member's incarnation.
         epoch: Epoch,
     },
-    /// Asks whether a replica is there.
+    /// Asks whether a replica is reachable.
     Probe {
-        /// Names this question in its answer.
+        /// Number of the probe, repeated in the reply.
         number: u32,
     },
 }
 
-/// A replica to a member.
+/// A message from a replica to a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReplicaMessage {
-    /// Answers a pull.
+    /// Answers a pull with entries.
     Entries {
-        /// The pull's number.
+        /// Number of the pull.
         number: u32,
-        /// The epoch for which a lease is granted.
+        /// Epoch for which a lease is granted.
         epoch: Option<Epoch>,
-        /// Entries after what the member has applied.
+        /// Entries after the positions that the member has applied.
         runs: Vec<Run>,
-        /// There are more.
+        /// Whether there are more entries.
         more: bool,
     },
-    /// Answers a pull of a member that can't be given what it lacks: it voids all and has then applied the vector.
+    /// Answers a pull of a member that is too far behind: the member must void its cache and has then applied `vector`.
     Void {
-        /// The pull's number.
+        /// Number of the pull.
         number: u32,
-        /// The epoch for which a lease is granted.
+        /// Epoch for which a lease is granted.
         epoch: Option<Epoch>,
-        /// What voiding amounts to.
+        /// Positions that count as applied once the cache is voided.
         vector: VersionVector,
     },
-    /// No lease is granted for this epoch, now or later.
+    /// Rejects an epoch: no lease is granted for it, now or later.
     ReRegister {
-        /// The epoch.
+        /// The rejected epoch.
         epoch: Epoch,
     },
     /// Answers the first phase of a registration.
     Registered {
-        /// The epoch.
+        /// Epoch of the registration.
         epoch: Epoch,
-        /// Of the replica.
+        /// Incarnation of the replica.
         incarnation: u64,
     },
     /// Answers the second phase of a registration.
     Confirmed {
-        /// The epoch.
+        /// Epoch of the registration.
         epoch: Epoch,
-        /// Of the replica.
+        /// Incarnation of the replica.
         incarnation: u64,
-        /// What the replica knows of.
+        /// Heads of the replica's log.
         vector: VersionVector,
     },
-    /// A greater epoch of this member is known.
+    /// Rejects a registration because the replica knows a greater epoch of the member.
     Superseded {
-        /// The epoch asked for.
+        /// The rejected epoch.
         epoch: Epoch,
-        /// The one that is known.
+        /// The greater epoch that the replica knows.
         known: Epoch,
     },
     /// Answers a probe.
     ProbeReply {
-        /// The probe's number.
+        /// Number of the probe.
         number: u32,
     },
 }
 
-/// A replica to another.
+/// A message from a replica to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// Begins a round.
     StatusRequest {
-        /// Of the one that asks.
+        /// Incarnation of the sender.
         incarnation: u64,
-        /// The round.
+        /// Number of the round.
         round: u64,
-        /// What it knows of.
+        /// Heads of the sender's log.
         vector: VersionVector,
     },
-    /// Answers it. Never sent by a replica that is recovering.
+    /// Answers a status request. Never sent by a recovering replica.
     StatusReply(StatusReply),
-    /// Asks for entries after this vector.
+    /// Requests entries after a vector.
     Fetch {
-        /// What the asking replica knows of.
+        /// Heads of the sender's log.
         vector: VersionVector,
     },
-    /// Entries.
+    /// Sends entries, in answer to a fetch or unasked.
     Push {
         /// The entries.
         runs: Vec<Run>,
-        /// This is the last datagram that answers a fetch, and there is more.
+        /// Whether this is the last datagram that answers a fetch although there are more entries.
         more: bool,
     },
-    /// Asks for the changes of a registration table.
+    /// Requests changes of the recipient's registration table.
     TableRequest {
-        /// Of the replica asked.
+        /// Incarnation of the recipient that the sender's copy is of.
         incarnation: u64,
-        /// The last change that the asking one has.
+        /// Number of the last change in the sender's copy.
         after: u64,
     },
     /// Some changes of a registration table, in the order of their numbers.
     TableChunk(TableChunk),
 }
 
-/// What a replica that isn't recovering says of itself in a round.
+/// The reply of a replica to a status request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusReply {
-    /// The incarnation that asked.
+    /// Incarnation of the replica that sent the request.
     pub asked_by: u64,
-    /// The round.
+    /// Number of the round.
     pub round: u64,
-    /// Of the one that replies.
+    /// Incarnation of the replying replica.
     pub incarnation: u64,
-    /// What it knows of.
+    /// Heads of the replying replica's log.
     pub vector: VersionVector,
-    /// The last change of its registration table.
+    /// Number of the last change of the replying replica's registration table.
     pub change: u64,
-    /// What its members have applied of the purges of the one that asks.
+    /// How far the members assigned to the replying replica have applied the requesting replica's purges.
     pub report: MemberReport,
 }
 
-/// What the members of one assigned replica have applied of the purges of one replica.
+/// How far the members of one assigned replica have applied the purges of one publishing replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberReport {
-    /// The least position over all active registrations of this assigned replica; none if there are none.
+    /// The least position applied by any member with an active registration; none if there are no such members.
     pub floor: Option<Position>,
-    /// Some of those that are below what the assigned replica knows of.
+    /// Some of the members that have not applied the assigned replica's head of that stream.
     pub laggards: Vec<MemberId>,
-    /// How many are.
+    /// Number of such members.
     pub laggards_total: u32,
 }
 
-/// Why a datagram was dropped.
+/// Why a datagram could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// Longer than any that is sent.
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`].
     TooLong,
-    /// Another program's, or another version's.
+    /// The datagram is of another program or protocol version.
     Version,
-    /// Truncated, or no message.
+    /// The datagram is truncated, has trailing bytes, or contains no valid message.
     Malformed,
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
-/// Why it is dropped.
+/// If the datagram is too long, of another version, or malformed.
 pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DecodeError::TooLong);
@@ -222,7 +223,7 @@
     }
 }
 
-/// Writes a datagram; none if it would be too long, which no message of this crate is.
+/// Encodes a message as a datagram. Returns none if it would be too long, which no message of this crate is.
 pub fn encode(message: &Message) -> Option<Vec<u8>> {
     let bytes = postcard::to_extend(message, MAGIC_AND_VERSION.to_vec()).ok()?;
     (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
