--- a/purge/src/config.rs
+++ b/purge/src/config.rs
@@ -53,7 +53,7 @@
     /// Maximum number of purges published at this replica that are not done.
     pub max_pending: u64,
     /// Number of entries that a [`CatchUp::Void`] member may be behind before the replica tells it to void its cache.
-    pub void_behind: usize,
+    pub void_threshold_entries: usize,
     /// Defect under test.
     #[doc(hidden)]
     pub injected_defects: InjectedDefects,
@@ -71,7 +71,7 @@
             publish_rate: 50,
             publish_burst: 200,
             max_pending: 4_096,
-            void_behind: 64,
+            void_threshold_entries: 64,
             injected_defects: InjectedDefects::default(),
         }
     }
@@ -124,22 +124,22 @@
     pub resend_after: Micros,
     /// Delay before a [`CatchUp::Void`] member pulls again after an answer that says there are more entries, or while
     /// the member doesn't serve yet.
-    pub more_pace_void: Micros,
+    pub continuation_delay_void: Micros,
     /// The same delay for a [`CatchUp::Replay`] member.
-    pub more_pace_replay: Micros,
+    pub continuation_delay_replay: Micros,
     /// Number of unanswered pulls after which the member looks for another assigned replica, provided that
-    /// `silence_before_move` has passed too.
-    pub losses_before_move: u32,
+    /// `silence_before_reassignment` has passed too.
+    pub unanswered_before_reassignment: u32,
     /// Time without an answer from the assigned replica after which the member may look for another.
-    pub silence_before_move: Micros,
+    pub silence_before_reassignment: Micros,
     /// Time without progress of a registration after which the member tries another assigned replica.
     pub registration_timeout: Micros,
     /// Interval at which a member probes its preferred replica while another one is assigned.
     pub return_probe_interval: Micros,
     /// Number of consecutive probe replies after which the member returns to its preferred replica.
-    pub return_probes: u32,
+    pub return_probe_replies: u32,
     /// Minimum time that the member stays with an assigned replica before it returns to the preferred one.
-    pub return_after: Micros,
+    pub return_delay: Micros,
     /// Defect under test.
     #[doc(hidden)]
     pub injected_defects: InjectedDefects,
@@ -151,14 +151,14 @@
             lease: DEFAULT_LEASE,
             pull_interval: Micros::from_millis(500),
             resend_after: Micros::from_millis(250),
-            more_pace_void: Micros::from_millis(100),
-            more_pace_replay: Micros::from_millis(20),
-            losses_before_move: 3,
-            silence_before_move: Micros::from_millis(900),
+            continuation_delay_void: Micros::from_millis(100),
+            continuation_delay_replay: Micros::from_millis(20),
+            unanswered_before_reassignment: 3,
+            silence_before_reassignment: Micros::from_millis(900),
             registration_timeout: Micros::from_secs(3),
             return_probe_interval: Micros::from_secs(5),
-            return_probes: 3,
-            return_after: Micros::from_secs(30),
+            return_probe_replies: 3,
+            return_delay: Micros::from_secs(30),
             injected_defects: InjectedDefects::default(),
         }
     }
--- a/purge/src/member.rs
+++ b/purge/src/member.rs
@@ -234,7 +234,7 @@
         let jitter = timing.pull_interval / 10;
         let mut next = sent + timing.pull_interval - jitter + Micros(self.rng.random_range(0..=2 * jitter.0));
         if more || !matches!(self.phase, Phase::Serving) {
-            next = now + self.more_pace();
+            next = now + self.continuation_delay();
         }
         self.pulls.schedule(next);
         // Answers without new entries are no progress towards the target: the member leaves an assigned replica that
@@ -257,10 +257,10 @@
         }
     }
 
-    fn more_pace(&self) -> Micros {
+    fn continuation_delay(&self) -> Micros {
         match self.config.catch_up {
-            CatchUp::Void => self.config.timing.more_pace_void,
-            CatchUp::Replay => self.config.timing.more_pace_replay,
+            CatchUp::Void => self.config.timing.continuation_delay_void,
+            CatchUp::Replay => self.config.timing.continuation_delay_replay,
         }
     }
 
--- a/purge/src/member/pulls.rs
+++ b/purge/src/member/pulls.rs
@@ -70,7 +70,7 @@
 
     /// Whether the assigned replica has been silent for so long that the member should look for another.
     pub(super) fn is_silent(&self, now: Micros, timing: &MemberTiming) -> bool {
-        self.unanswered >= timing.losses_before_move
-            && now.saturating_sub(self.answered_at) >= timing.silence_before_move
+        self.unanswered >= timing.unanswered_before_reassignment
+            && now.saturating_sub(self.answered_at) >= timing.silence_before_reassignment
     }
 }
--- a/purge/src/member/replica_choice.rs
+++ b/purge/src/member/replica_choice.rs
@@ -97,7 +97,7 @@
             self.next_probe = now + timing.resend_after / 2;
             return self.send(self.candidate);
         }
-        let may_return = now.saturating_sub(self.changed) >= timing.return_after;
+        let may_return = now.saturating_sub(self.changed) >= timing.return_delay;
         if !is_settled || self.current == preferred || !may_return {
             return None;
         }
@@ -128,6 +128,6 @@
             return Some(probe.to);
         }
         self.answers += 1;
-        (self.answers >= timing.return_probes).then_some(probe.to)
+        (self.answers >= timing.return_probe_replies).then_some(probe.to)
     }
 }
--- a/purge/src/replica/members.rs
+++ b/purge/src/replica/members.rs
@@ -55,7 +55,9 @@
         }
         let must_void = match self.log.behind(applied) {
             Behind::BelowBase => !self.config.settings.injected_defects.has(InjectedDefect::VoidForgotten),
-            Behind::Entries(behind) => catch_up == CatchUp::Void && behind > self.config.settings.void_behind,
+            Behind::Entries(behind) => {
+                catch_up == CatchUp::Void && behind > self.config.settings.void_threshold_entries
+            }
         };
         if must_void {
             return ReplicaMessage::Void { number, epoch, vector: self.log.vector() };
--- a/purge/tests/support/simulation.rs
+++ b/purge/tests/support/simulation.rs
@@ -187,7 +187,7 @@
                 lease: Micros(self.schedule.lease),
                 round_interval: Micros(self.schedule.round_interval),
                 log_entries: self.schedule.log_entries,
-                void_behind: self.schedule.void_behind,
+                void_threshold_entries: self.schedule.void_threshold_entries,
                 injected_defects: InjectedDefects::with(self.injected_defect),
                 ..ReplicaSettings::default()
             },
@@ -211,7 +211,7 @@
             seed,
             timing: MemberTiming {
                 lease: Micros(self.schedule.lease),
-                return_after: Micros::from_secs(5),
+                return_delay: Micros::from_secs(5),
                 return_probe_interval: Micros::SECOND,
                 injected_defects: InjectedDefects::with(self.injected_defect),
                 ..MemberTiming::default()
