--- a/purge/src/limits.rs
+++ b/purge/src/limits.rs
@@ -15,11 +15,11 @@
 /// Maximum number of outstanding members that are named; the others are only counted.
 pub const MAX_NAMED_MEMBERS: usize = 16;
 /// Maximum number of datagrams queued for sending.
-pub const MAX_OUTBOX: usize = 8_192;
+pub const MAX_OUTBOX_DATAGRAMS: usize = 8_192;
 /// Number of undrained purge events at which a member drops further entries.
 pub const MAX_UNDRAINED_EVENTS: usize = 4_096;
 /// Space for entries in a datagram; the rest is for the header and the other fields.
-pub const ENTRIES_BUDGET_BYTES: usize = MAX_DATAGRAM_BYTES - 100;
+pub const MAX_ENTRIES_BYTES: usize = MAX_DATAGRAM_BYTES - 100;
 
 /// Millionths per token. A rate of one token per second refills one millionth per microsecond.
 const MICRO_TOKENS: u64 = 1_000_000;
@@ -31,14 +31,14 @@
     micro_tokens: u64,
     rate_per_second: u64,
     burst: u64,
-    refilled: Micros,
+    last_refill: Micros,
 }
 
 impl TokenBucket {
     /// Creates a full bucket.
     pub fn new(rate_per_second: u32, burst: u32, now: Micros) -> TokenBucket {
         let (rate_per_second, burst) = (u64::from(rate_per_second.max(1)), u64::from(burst.max(1)));
-        TokenBucket { micro_tokens: burst * MICRO_TOKENS, rate_per_second, burst, refilled: now }
+        TokenBucket { micro_tokens: burst * MICRO_TOKENS, rate_per_second, burst, last_refill: now }
     }
 
     /// Takes a token.
@@ -46,8 +46,8 @@
     /// # Errors
     /// If no token is available: the time until one is.
     pub fn try_take(&mut self, now: Micros) -> Result<(), Micros> {
-        let elapsed = now.saturating_sub(self.refilled);
-        self.refilled = self.refilled.max(now);
+        let elapsed = now.saturating_sub(self.last_refill);
+        self.last_refill = self.last_refill.max(now);
         let refill = elapsed.0.saturating_mul(self.rate_per_second);
         self.micro_tokens = self.micro_tokens.saturating_add(refill).min(self.burst * MICRO_TOKENS);
         match self.micro_tokens.checked_sub(MICRO_TOKENS) {
--- a/purge/src/log.rs
+++ b/purge/src/log.rs
@@ -16,9 +16,9 @@
 use crate::version_vector::VersionVector;
 
 /// Maximum encoded size of a run without its keys.
-const RUN_HEAD_BYTES: usize = 36;
+const MAX_RUN_HEADER_BYTES: usize = 36;
 /// Maximum encoded size of a key's length prefix.
-const KEY_HEAD_BYTES: usize = 2;
+const MAX_KEY_HEADER_BYTES: usize = 2;
 
 /// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -94,7 +94,7 @@
 
 /// How far a reader lags behind the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Behind {
+pub enum ReaderLag {
     /// Number of entries that the reader lacks, all of which the log holds.
     Entries(usize),
     /// The reader lacks entries that the log no longer holds.
@@ -106,7 +106,7 @@
 pub struct Log {
     streams: BTreeMap<ReplicaId, Stream>,
     /// The publishing replica of each entry, in order of arrival: the oldest entries are trimmed first.
-    arrivals: VecDeque<ReplicaId>,
+    arrival_order: VecDeque<ReplicaId>,
     capacity: usize,
     trimmed: u64,
 }
@@ -114,17 +114,22 @@
 impl Log {
     /// Creates an empty log that holds at most `capacity` entries.
     pub fn new(capacity: usize) -> Log {
-        Log { streams: BTreeMap::new(), arrivals: VecDeque::new(), capacity: capacity.max(1), trimmed: 0 }
+        Log {
+            streams: BTreeMap::new(),
+            arrival_order: VecDeque::new(),
+            capacity: capacity.max(1),
+            trimmed: 0,
+        }
     }
 
     /// The number of entries in the log.
     pub fn len(&self) -> usize {
-        self.arrivals.len()
+        self.arrival_order.len()
     }
 
     /// Whether the log has no entries.
     pub fn is_empty(&self) -> bool {
-        self.arrivals.is_empty()
+        self.arrival_order.is_empty()
     }
 
     /// The number of entries trimmed since the start.
@@ -159,7 +164,7 @@
         }
         stream.head = entry.position;
         stream.entries.push_back(entry);
-        self.arrivals.push_back(replica);
+        self.arrival_order.push_back(replica);
         self.trim();
         true
     }
@@ -187,13 +192,13 @@
         *stream = Stream { base, head: base, entries: VecDeque::new() };
         if dropped > 0 {
             self.trimmed += dropped as u64;
-            self.arrivals.retain(|arrival| *arrival != replica);
+            self.arrival_order.retain(|arrival| *arrival != replica);
         }
     }
 
     fn trim(&mut self) {
-        while self.arrivals.len() > self.capacity {
-            let Some(oldest) = self.arrivals.pop_front() else { return };
+        while self.arrival_order.len() > self.capacity {
+            let Some(oldest) = self.arrival_order.pop_front() else { return };
             let Some(stream) = self.streams.get_mut(&oldest) else { continue };
             if let Some(entry) = stream.entries.pop_front() {
                 stream.base = entry.position;
@@ -203,16 +208,16 @@
     }
 
     /// How far a reader that has applied this vector lags behind.
-    pub fn behind(&self, applied: &VersionVector) -> Behind {
-        let mut behind = 0;
+    pub fn reader_lag(&self, applied: &VersionVector) -> ReaderLag {
+        let mut lag = 0;
         for (replica, stream) in &self.streams {
             let position = applied.get(*replica);
             if position < stream.base {
-                return Behind::BelowBase;
+                return ReaderLag::BelowBase;
             }
-            behind += stream.entries.len() - stream.index_after(position);
+            lag += stream.entries.len() - stream.index_after(position);
         }
-        Behind::Entries(behind)
+        ReaderLag::Entries(lag)
     }
 
     /// The entries after a vector, as many as fit into `budget` bytes, and whether there are more. [`Run::rebase`] is
@@ -228,10 +233,10 @@
             let mut entries = stream.entries.iter().skip(stream.index_after(position)).peekable();
             if entries.peek().is_none() {
                 // The whole stream has been trimmed: the run carries only its base.
-                if budget < RUN_HEAD_BYTES {
+                if budget < MAX_RUN_HEADER_BYTES {
                     return (runs, true);
                 }
-                budget -= RUN_HEAD_BYTES;
+                budget -= MAX_RUN_HEADER_BYTES;
                 let run =
                     Run { replica: *replica, previous: stream.base, starts: None, rebase, keys: vec![] };
                 runs.push(run);
@@ -240,8 +245,8 @@
             let mut last: Option<Position> = None;
             for entry in entries {
                 let begins_run = last.is_none_or(|last| last.next() != entry.position);
-                let run_bytes = if begins_run { RUN_HEAD_BYTES } else { 0 };
-                let bytes = run_bytes + KEY_HEAD_BYTES + entry.key.len();
+                let run_bytes = if begins_run { MAX_RUN_HEADER_BYTES } else { 0 };
+                let bytes = run_bytes + MAX_KEY_HEADER_BYTES + entry.key.len();
                 if bytes > budget {
                     return (runs, true);
                 }
--- a/purge/src/log/tests.rs
+++ b/purge/src/log/tests.rs
@@ -63,9 +63,9 @@
 fn the_oldest_entries_are_trimmed_and_who_lacks_them_is_below_the_base() {
     let log = log_of(&stream(1, Position::ZERO, 50), 10);
     assert_eq!((log.len(), log.trimmed(), log.base(ORIGIN)), (10, 40, at(1, 40)));
-    assert_eq!(log.behind(&reader_at(at(1, 40))), Behind::Entries(10));
-    assert_eq!(log.behind(&reader_at(at(1, 39))), Behind::BelowBase);
-    assert_eq!(log.behind(&reader_at(at(1, 50))), Behind::Entries(0));
+    assert_eq!(log.reader_lag(&reader_at(at(1, 40))), ReaderLag::Entries(10));
+    assert_eq!(log.reader_lag(&reader_at(at(1, 39))), ReaderLag::BelowBase);
+    assert_eq!(log.reader_lag(&reader_at(at(1, 50))), ReaderLag::Entries(0));
 }
 
 /// Whatever a reader has, it reaches the head by runs of bounded size, and gets every entry after its position.
@@ -109,7 +109,7 @@
         other.append_run(run);
     }
     assert_eq!((other.base(ORIGIN), other.head(ORIGIN), other.len()), (at(1, 40), at(1, 50), 10));
-    assert_eq!(other.behind(&reader_at(at(1, 20))), Behind::BelowBase);
+    assert_eq!(other.reader_lag(&reader_at(at(1, 20))), ReaderLag::BelowBase);
 }
 
 #[test]
--- a/purge/src/member/enrollment.rs
+++ b/purge/src/member/enrollment.rs
@@ -15,16 +15,16 @@
 use crate::Micros;
 
 /// Time from its start that the first phase waits for the remaining replicas when a majority has answered.
-const WAIT_FOR_ALL: Micros = Micros::from_millis(100);
+const MAX_WAIT_FOR_ALL_REPLICAS: Micros = Micros::from_millis(100);
 /// Number of the resend from which the interval between resends is longer.
-const FREQUENT_RESENDS: u32 = 4;
+const RARE_RESENDS_FROM: u32 = 4;
 /// Factor by which the interval between resends is longer then.
 const RARE_RESEND_FACTOR: u64 = 4;
 
 /// A registration under way.
 #[derive(Clone, Debug)]
 pub(super) struct Enrollment {
-    begun: Micros,
+    started_at: Micros,
     /// Incarnation of each replica that answered the first phase.
     registered: BTreeMap<ReplicaId, u64>,
     is_confirming: bool,
@@ -37,7 +37,7 @@
 impl Enrollment {
     fn new(now: Micros, resend_after: Micros) -> Enrollment {
         Enrollment {
-            begun: now,
+            started_at: now,
             registered: BTreeMap::new(),
             is_confirming: false,
             confirmed: BTreeSet::new(),
@@ -60,7 +60,7 @@
     fn may_confirm(&self, now: Micros, assigned_replica: ReplicaId, replicas: usize) -> bool {
         let answered = self.registered.len();
         let is_enough = answered > replicas / 2 && self.registered.contains_key(&assigned_replica);
-        let has_waited = now.saturating_sub(self.begun) >= WAIT_FOR_ALL;
+        let has_waited = now.saturating_sub(self.started_at) >= MAX_WAIT_FOR_ALL_REPLICAS;
         !self.is_confirming && is_enough && (answered == replicas || has_waited)
     }
 }
@@ -99,8 +99,8 @@
             return;
         }
         enrollment.resends += 1;
-        let rarer = if enrollment.resends < FREQUENT_RESENDS { 1 } else { RARE_RESEND_FACTOR };
-        enrollment.resend_at = now + self.config.timing.resend_after * rarer;
+        let interval_factor = if enrollment.resends < RARE_RESENDS_FROM { 1 } else { RARE_RESEND_FACTOR };
+        enrollment.resend_at = now + self.config.timing.resend_after * interval_factor;
         self.send_enrollment();
     }
 
--- a/purge/src/member/pulls.rs
+++ b/purge/src/member/pulls.rs
@@ -6,7 +6,7 @@
 use crate::Micros;
 
 /// Maximum number of pulls whose answers are still accepted.
-const MAX_OUTSTANDING: usize = 4;
+const MAX_OUTSTANDING_PULLS: usize = 4;
 
 /// The pulls of a member.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
     pub(super) fn send(&mut self, now: Micros, resend_after: Micros) -> u32 {
         let number = self.next_number;
         self.next_number = self.next_number.wrapping_add(1);
-        if self.outstanding.len() >= MAX_OUTSTANDING {
+        if self.outstanding.len() >= MAX_OUTSTANDING_PULLS {
             self.outstanding.pop_front();
         }
         self.unanswered = self.unanswered.saturating_add(u32::from(!self.outstanding.is_empty()));
--- a/purge/src/outbox.rs
+++ b/purge/src/outbox.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::limits::MAX_OUTBOX;
+use crate::limits::MAX_OUTBOX_DATAGRAMS;
 use crate::metrics::Traffic;
 use crate::wire::{encode, Message};
 
@@ -12,7 +12,7 @@
     datagrams: Vec<(SocketAddr, Vec<u8>)>,
     /// Traffic queued for sending so far.
     pub(crate) sent: Traffic,
-    /// Datagrams dropped because [`MAX_OUTBOX`] datagrams were queued.
+    /// Datagrams dropped because [`MAX_OUTBOX_DATAGRAMS`] datagrams were queued.
     pub(crate) dropped: u64,
 }
 
@@ -21,7 +21,7 @@
     pub(crate) fn send(&mut self, to: impl IntoIterator<Item = SocketAddr>, message: &Message) {
         let Some(bytes) = encode(message) else { return };
         for address in to {
-            if self.datagrams.len() >= MAX_OUTBOX {
+            if self.datagrams.len() >= MAX_OUTBOX_DATAGRAMS {
                 self.dropped += 1;
                 continue;
             }
--- a/purge/src/registration.rs
+++ b/purge/src/registration.rs
@@ -12,7 +12,7 @@
 use crate::limits::MAX_MEMBERS;
 
 /// Maximum number of registrations in a chunk; that many always fit into a datagram.
-const CHUNK_REGISTRATIONS: usize = 24;
+const MAX_CHUNK_REGISTRATIONS: usize = 24;
 
 /// State of a registration as one replica knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -159,11 +159,11 @@
 
     /// The changes after change number `after`, as many as fit into a datagram.
     pub fn changes_after(&self, incarnation: u64, after: u64) -> TableChunk {
-        let changed = self.by_change.range(after.saturating_add(1)..).take(CHUNK_REGISTRATIONS);
+        let changed = self.by_change.range(after.saturating_add(1)..).take(MAX_CHUNK_REGISTRATIONS);
         let registrations: Vec<Registration> =
             changed.filter_map(|(_, member)| self.registrations.get(member).copied()).collect();
         let through = match registrations.last() {
-            Some(last) if registrations.len() == CHUNK_REGISTRATIONS => last.change,
+            Some(last) if registrations.len() == MAX_CHUNK_REGISTRATIONS => last.change,
             _ => self.change.max(after),
         };
         TableChunk { incarnation, after, through, registrations, more: false }
--- a/purge/src/replica/members.rs
+++ b/purge/src/replica/members.rs
@@ -6,8 +6,8 @@
 use crate::config::CatchUp;
 use crate::ids::{Epoch, MemberId, ReplicaId};
 use crate::injected_defect::InjectedDefect;
-use crate::limits::ENTRIES_BUDGET_BYTES;
-use crate::log::Behind;
+use crate::limits::MAX_ENTRIES_BYTES;
+use crate::log::ReaderLag;
 use crate::registration::{RegistrationState, StoreOutcome};
 use crate::version_vector::VersionVector;
 use crate::wire::{MemberMessage, Message, ReplicaMessage};
@@ -53,16 +53,16 @@
             }
             self.needs_evaluation = true;
         }
-        let must_void = match self.log.behind(applied) {
-            Behind::BelowBase => !self.config.settings.injected_defects.has(InjectedDefect::VoidForgotten),
-            Behind::Entries(behind) => {
-                catch_up == CatchUp::Void && behind > self.config.settings.void_threshold_entries
+        let must_void = match self.log.reader_lag(applied) {
+            ReaderLag::BelowBase => !self.config.settings.injected_defects.has(InjectedDefect::VoidForgotten),
+            ReaderLag::Entries(lag) => {
+                catch_up == CatchUp::Void && lag > self.config.settings.void_threshold_entries
             }
         };
         if must_void {
             return ReplicaMessage::Void { number, epoch, vector: self.log.vector() };
         }
-        let (runs, more) = self.log.runs_after(applied, ENTRIES_BUDGET_BYTES);
+        let (runs, more) = self.log.runs_after(applied, MAX_ENTRIES_BYTES);
         ReplicaMessage::Entries { number, epoch, runs, more }
     }
 
--- a/purge/src/replica/peers.rs
+++ b/purge/src/replica/peers.rs
@@ -4,7 +4,7 @@
 
 use super::Replica;
 use crate::ids::{Position, ReplicaId};
-use crate::limits::ENTRIES_BUDGET_BYTES;
+use crate::limits::MAX_ENTRIES_BYTES;
 use crate::log::Run;
 use crate::registration::{Registration, RegistrationState, TableChunk};
 use crate::version_vector::VersionVector;
@@ -12,11 +12,11 @@
 use crate::Micros;
 
 /// Maximum number of datagrams in the answer to one request for entries.
-const FETCH_DATAGRAMS: usize = 32;
+const MAX_FETCH_DATAGRAMS: usize = 32;
 /// Maximum number of datagrams of entries pushed at once to a replica that lacks them.
-const PUSH_DATAGRAMS: usize = 4;
+const MAX_PUSH_DATAGRAMS: usize = 4;
 /// Maximum number of chunks in the answer to one request for a table.
-const TABLE_CHUNKS: usize = 8;
+const MAX_TABLE_CHUNKS: usize = 8;
 
 /// What is known of another replica's table, besides the copy of the table.
 #[derive(Clone, Copy, Debug, Default)]
@@ -134,14 +134,14 @@
 
     fn on_fetch(&mut self, from: ReplicaId, vector: &VersionVector) {
         if self.recovery.is_none() {
-            self.send_entries(from, vector.clone(), FETCH_DATAGRAMS);
+            self.send_entries(from, vector.clone(), MAX_FETCH_DATAGRAMS);
         }
     }
 
     /// Sends the entries after a vector, in at most `datagrams` datagrams.
     fn send_entries(&mut self, to: ReplicaId, mut vector: VersionVector, datagrams: usize) {
         for sent in 1..=datagrams {
-            let (runs, is_more) = self.log.runs_after(&vector, ENTRIES_BUDGET_BYTES);
+            let (runs, is_more) = self.log.runs_after(&vector, MAX_ENTRIES_BYTES);
             if runs.is_empty() {
                 return;
             }
@@ -161,7 +161,7 @@
         let position = vector.get(me);
         if self.recovery.is_none() && position >= self.log.base(me) && position < self.log.head(me) {
             let after = self.all_but_own(position);
-            self.send_entries(to, after, PUSH_DATAGRAMS);
+            self.send_entries(to, after, MAX_PUSH_DATAGRAMS);
         }
     }
 
@@ -187,7 +187,7 @@
         self.last_pushed = head;
         let all = (0..self.config.replicas.len()).map(|index| ReplicaId(index as u8));
         for peer in all.filter(|peer| *peer != me) {
-            self.send_entries(peer, after.clone(), PUSH_DATAGRAMS);
+            self.send_entries(peer, after.clone(), MAX_PUSH_DATAGRAMS);
         }
     }
 
@@ -229,11 +229,11 @@
         }
         let own = self.config.incarnation;
         let mut after = if incarnation == own { after } else { 0 };
-        for sent in 1..=TABLE_CHUNKS {
+        for sent in 1..=MAX_TABLE_CHUNKS {
             let chunk = self.table.changes_after(own, after);
             after = chunk.through;
             let is_more = after < self.table.change();
-            let more = is_more && sent == TABLE_CHUNKS;
+            let more = is_more && sent == MAX_TABLE_CHUNKS;
             self.send_to_peer(from, PeerMessage::TableChunk(TableChunk { more, ..chunk }));
             if !is_more {
                 return;
