--- a/purge/src/completion.rs
+++ b/purge/src/completion.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Tables<'a> {
     /// The replica that owns `own`.
-    pub me: ReplicaId,
+    pub own_id: ReplicaId,
     /// The replica's own table.
     pub own: &'a RegistrationTable,
     /// Copies of the other replicas' tables.
@@ -27,7 +27,7 @@
 
 impl<'a> Tables<'a> {
     fn registrations(&self, replica: ReplicaId) -> Option<&'a BTreeMap<MemberId, Registration>> {
-        if replica == self.me {
+        if replica == self.own_id {
             Some(self.own.registrations())
         } else {
             self.copies.get(&replica).map(TableCopy::registrations)
@@ -35,12 +35,12 @@
     }
 
     fn is_complete(&self, replica: ReplicaId, incarnation: u64, change: u64) -> bool {
-        replica == self.me
+        replica == self.own_id
             || self.copies.get(&replica).is_some_and(|copy| copy.is_complete(incarnation, change))
     }
 
     /// The registrations of one member in all tables.
-    fn of_member(&self, member: MemberId) -> impl Iterator<Item = &'a Registration> {
+    fn registrations_of_member(&self, member: MemberId) -> impl Iterator<Item = &'a Registration> {
         let copies = self.copies.values().filter_map(move |copy| copy.registrations().get(&member));
         copies.chain(self.own.get(member))
     }
@@ -111,7 +111,7 @@
 /// Tracks the completion of the purges of one replica.
 #[derive(Clone, Debug)]
 pub struct Completion {
-    me: ReplicaId,
+    own_id: ReplicaId,
     replicas: usize,
     injected_defects: InjectedDefects,
     round: u64,
@@ -124,9 +124,14 @@
 
 impl Completion {
     /// Starts with no purge done; the next round is `round + 1`.
-    pub fn new(me: ReplicaId, replicas: usize, round: u64, injected_defects: InjectedDefects) -> Completion {
+    pub fn new(
+        own_id: ReplicaId,
+        replicas: usize,
+        round: u64,
+        injected_defects: InjectedDefects,
+    ) -> Completion {
         Completion {
-            me,
+            own_id,
             replicas,
             injected_defects,
             round,
@@ -169,7 +174,7 @@
         self.outstanding.replicas = self.missing_replicas();
         self.round += 1;
         self.replies.clear();
-        self.replies.insert(self.me, RoundReply { incarnation, held, change });
+        self.replies.insert(self.own_id, RoundReply { incarnation, held, change });
         self.round
     }
 
@@ -197,7 +202,7 @@
             return;
         }
         if reply.round == self.round {
-            let held = reply.vector.get(self.me);
+            let held = reply.vector.get(self.own_id);
             let reply = RoundReply { incarnation: reply.incarnation, held, change: reply.change };
             self.replies.insert(from, reply);
         }
@@ -206,7 +211,7 @@
             let report = AssignedReplicaReport {
                 incarnation: reply.incarnation,
                 round: reply.round,
-                held: reply.vector.get(self.me),
+                held: reply.vector.get(self.own_id),
                 change: reply.change,
                 report: reply.report.clone(),
             };
@@ -227,7 +232,7 @@
         }
         let mut through = majority_position.through;
         let mut outstanding = Outstanding::default();
-        let mut is_uncovered = false;
+        let mut has_unknown_coverage = false;
         for registration in self.registrations_of(&quorum, tables).values() {
             match self.coverage(registration, tables, own_report) {
                 Coverage::Released => {}
@@ -235,23 +240,23 @@
                     through = through.min(position);
                     let assigned_replica = registration.assigned_replica;
                     if position < majority_position.through
-                        && !self.names_laggards(assigned_replica, majority_position.through)
+                        && !self.has_current_laggards(assigned_replica, majority_position.through)
                     {
                         outstanding.add_member(registration.member);
                     }
                 }
                 Coverage::Unknown => {
-                    is_uncovered = true;
+                    has_unknown_coverage = true;
                     outstanding.add_member(registration.member);
                 }
             }
         }
-        if !is_uncovered {
+        if !has_unknown_coverage {
             self.done_through = self.done_through.max(through);
         }
         outstanding.add_report(own_report);
         for (assigned_replica, known) in &self.reports {
-            if self.names_laggards(*assigned_replica, majority_position.through) {
+            if self.has_current_laggards(*assigned_replica, majority_position.through) {
                 outstanding.add_report(&known.report);
             }
         }
@@ -262,8 +267,8 @@
     /// Whether the newest report of an assigned replica names its members that are behind this position. A report sent
     /// before the assigned replica held the position names none of them, so all its members that are behind count as
     /// outstanding.
-    fn names_laggards(&self, assigned_replica: ReplicaId, through: Position) -> bool {
-        assigned_replica == self.me
+    fn has_current_laggards(&self, assigned_replica: ReplicaId, through: Position) -> bool {
+        assigned_replica == self.own_id
             || self.reports.get(&assigned_replica).is_some_and(|known| known.held >= through)
     }
 
@@ -272,9 +277,10 @@
     fn confirmed_quorum(&self, majority_position: &MajorityPosition, tables: Tables<'_>) -> Vec<ReplicaId> {
         let is_confirmed = |replica: &ReplicaId, reply: &RoundReply| {
             let held_in = majority_position.incarnations.get(replica);
-            let same = held_in == Some(&reply.incarnation)
+            let is_same_incarnation = held_in == Some(&reply.incarnation)
                 || held_in.is_some() && self.injected_defects.has(InjectedDefect::IncarnationIgnored);
-            same && reply.held >= majority_position.through
+            is_same_incarnation
+                && reply.held >= majority_position.through
                 && tables.is_complete(*replica, reply.incarnation, reply.change)
         };
         let confirmed = self.replies.iter().filter(|(replica, reply)| is_confirmed(replica, reply));
@@ -285,7 +291,7 @@
     fn registrations_of(&self, quorum: &[ReplicaId], tables: Tables<'_>) -> BTreeMap<MemberId, Registration> {
         let mut registrations: BTreeMap<MemberId, Registration> = BTreeMap::new();
         let own_only = self.injected_defects.has(InjectedDefect::OwnTableOnly);
-        for replica in quorum.iter().filter(|replica| !own_only || **replica == self.me) {
+        for replica in quorum.iter().filter(|replica| !own_only || **replica == self.own_id) {
             for (member, registration) in tables.registrations(*replica).into_iter().flatten() {
                 let known = registrations.entry(*member).or_insert(*registration);
                 if (registration.epoch, registration.state) > (known.epoch, known.state) {
@@ -294,7 +300,7 @@
             }
         }
         for registration in registrations.values_mut() {
-            for other in tables.of_member(registration.member) {
+            for other in tables.registrations_of_member(registration.member) {
                 if (other.epoch, other.state) > (registration.epoch, registration.state) {
                     *registration = *other;
                 }
@@ -324,13 +330,15 @@
         match at_assigned_replica.state {
             RegistrationState::Released => Coverage::Released,
             RegistrationState::Known => Coverage::Unknown,
-            RegistrationState::Active if assigned_replica == self.me => covered(own_report.floor),
+            RegistrationState::Active if assigned_replica == self.own_id => {
+                coverage_from_floor(own_report.floor)
+            }
             RegistrationState::Active => match self.reports.get(&assigned_replica) {
                 Some(known)
                     if tables.is_complete(assigned_replica, known.incarnation, known.change)
                         && at_assigned_replica.change <= known.change =>
                 {
-                    covered(known.report.floor)
+                    coverage_from_floor(known.report.floor)
                 }
                 _ => Coverage::Unknown,
             },
@@ -338,6 +346,6 @@
     }
 }
 
-fn covered(floor: Option<Position>) -> Coverage {
+fn coverage_from_floor(floor: Option<Position>) -> Coverage {
     floor.map_or(Coverage::Unknown, Coverage::AppliedThrough)
 }
--- a/purge/src/lease_table.rs
+++ b/purge/src/lease_table.rs
@@ -25,7 +25,7 @@
     /// Whether the member itself registered with this incarnation of the assigned replica.
     grantable: bool,
     /// When the last lease was granted, or the registration was added.
-    granted: Micros,
+    granted_at: Micros,
     applied: VersionVector,
 }
 
@@ -38,17 +38,17 @@
 impl LeaseTable {
     /// Adds a registration received from the member itself.
     pub fn register(&mut self, member: MemberId, epoch: Epoch, now: Micros) {
-        let lease = Lease { epoch, grantable: true, granted: now, applied: VersionVector::default() };
+        let lease = Lease { epoch, grantable: true, granted_at: now, applied: VersionVector::default() };
         self.leases.insert(member, lease);
     }
 
     /// Adds a registration learned from another replica; leases of this epoch or of an earlier one may have been
     /// granted until `since`.
-    pub fn learn(&mut self, member: MemberId, epoch: Epoch, since: Micros, settings: &ReplicaSettings) {
-        let granted =
+    pub fn add_learned(&mut self, member: MemberId, epoch: Epoch, since: Micros, settings: &ReplicaSettings) {
+        let granted_at =
             if settings.injected_defects.has(InjectedDefect::EarlyRelease) { Micros::ZERO } else { since };
         self.leases
-            .insert(member, Lease { epoch, grantable: false, granted, applied: VersionVector::default() });
+            .insert(member, Lease { epoch, grantable: false, granted_at, applied: VersionVector::default() });
     }
 
     /// Whether the member itself has registered here with this epoch.
@@ -66,7 +66,7 @@
     pub fn grant(&mut self, member: MemberId, epoch: Epoch, applied: &VersionVector, now: Micros) -> bool {
         match self.leases.get_mut(&member) {
             Some(lease) if lease.grantable && lease.epoch == epoch => {
-                lease.granted = lease.granted.max(now);
+                lease.granted_at = lease.granted_at.max(now);
                 lease.applied.merge(applied);
                 true
             }
@@ -80,7 +80,7 @@
         if settings.injected_defects.has(InjectedDefect::LeaseCutShort) {
             lease_time = settings.lease / 2;
         }
-        let is_expired = |lease: &Lease| lease.granted.saturating_add(lease_time) < now;
+        let is_expired = |lease: &Lease| lease.granted_at.saturating_add(lease_time) < now;
         let expired = self.leases.iter().filter(|(_, lease)| is_expired(lease));
         let expired: Vec<_> = expired.map(|(member, lease)| (*member, lease.epoch)).collect();
         for (member, _) in &expired {
--- a/purge/src/member.rs
+++ b/purge/src/member.rs
@@ -149,7 +149,7 @@
 
     /// Handles a received datagram.
     pub fn on_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
-        self.traffic_in.add(bytes.len());
+        self.traffic_in.record(bytes.len());
         let Some(from) = self.config.replicas.iter().position(|replica| *replica == from) else {
             self.dropped.unknown_sender += 1;
             return;
@@ -158,7 +158,7 @@
         match decode(bytes) {
             Ok(Message::ToMember(message)) => self.on_replica_message(now, ReplicaId(from as u8), message),
             Ok(_) => self.dropped.unknown_sender += 1,
-            Err(error) => self.dropped.add(error),
+            Err(error) => self.dropped.record(error),
         }
     }
 
@@ -336,10 +336,10 @@
         let is_late = now.saturating_sub(self.last_progress) >= self.config.timing.registration_timeout;
         match self.phase {
             Phase::CatchingUp { .. } if silent => {
-                self.change_assigned_replica(now, self.replica_choice.following())
+                self.change_assigned_replica(now, self.replica_choice.replica_after_current())
             }
             Phase::Enrolling(_) | Phase::ApplyingTarget { .. } if is_late => {
-                self.change_assigned_replica(now, self.replica_choice.following());
+                self.change_assigned_replica(now, self.replica_choice.replica_after_current());
             }
             _ => {}
         }
--- a/purge/src/member/pulls.rs
+++ b/purge/src/member/pulls.rs
@@ -13,9 +13,9 @@
 pub(super) struct Pulls {
     next_number: u32,
     outstanding: VecDeque<(u32, Micros)>,
-    next_at: Micros,
-    unanswered: u32,
-    answered_at: Micros,
+    next_pull_at: Micros,
+    unanswered_pulls: u32,
+    last_answer_at: Micros,
 }
 
 impl Pulls {
@@ -23,22 +23,22 @@
         Pulls {
             next_number: first_number,
             outstanding: VecDeque::new(),
-            next_at: first_at,
-            unanswered: 0,
-            answered_at: now,
+            next_pull_at: first_at,
+            unanswered_pulls: 0,
+            last_answer_at: now,
         }
     }
 
     /// Makes the next pull due and ignores answers to earlier ones, after a change of assigned replica or epoch.
     pub(super) fn restart(&mut self, now: Micros) {
         self.outstanding.clear();
-        self.unanswered = 0;
-        self.answered_at = now;
-        self.next_at = now;
+        self.unanswered_pulls = 0;
+        self.last_answer_at = now;
+        self.next_pull_at = now;
     }
 
     pub(super) fn is_due(&self, now: Micros) -> bool {
-        now >= self.next_at
+        now >= self.next_pull_at
     }
 
     /// Numbers a pull that is sent now; the next is due after `resend_after` unless the answer reschedules it.
@@ -48,9 +48,9 @@
         if self.outstanding.len() >= MAX_OUTSTANDING_PULLS {
             self.outstanding.pop_front();
         }
-        self.unanswered = self.unanswered.saturating_add(u32::from(!self.outstanding.is_empty()));
+        self.unanswered_pulls = self.unanswered_pulls.saturating_add(u32::from(!self.outstanding.is_empty()));
         self.outstanding.push_back((number, now));
-        self.next_at = now + resend_after;
+        self.next_pull_at = now + resend_after;
         number
     }
 
@@ -59,18 +59,18 @@
         let index = self.outstanding.iter().position(|(outstanding, _)| *outstanding == number)?;
         let (_, sent) = self.outstanding[index];
         self.outstanding.drain(..=index);
-        self.unanswered = 0;
-        self.answered_at = now;
+        self.unanswered_pulls = 0;
+        self.last_answer_at = now;
         Some(sent)
     }
 
-    pub(super) fn schedule(&mut self, next_at: Micros) {
-        self.next_at = next_at;
+    pub(super) fn schedule(&mut self, next_pull_at: Micros) {
+        self.next_pull_at = next_pull_at;
     }
 
     /// Whether the assigned replica has been silent for so long that the member should look for another.
     pub(super) fn is_silent(&self, now: Micros, timing: &MemberTiming) -> bool {
-        self.unanswered >= timing.unanswered_before_reassignment
-            && now.saturating_sub(self.answered_at) >= timing.silence_before_reassignment
+        self.unanswered_pulls >= timing.unanswered_before_reassignment
+            && now.saturating_sub(self.last_answer_at) >= timing.silence_before_reassignment
     }
 }
--- a/purge/src/member/replica_choice.rs
+++ b/purge/src/member/replica_choice.rs
@@ -21,10 +21,10 @@
     candidate: ReplicaId,
     probe: Option<Probe>,
     next_number: u32,
-    next_probe: Micros,
+    next_probe_at: Micros,
     /// Consecutive probe replies of the preferred replica.
-    answers: u32,
-    changed: Micros,
+    consecutive_replies: u32,
+    changed_at: Micros,
 }
 
 impl ReplicaChoice {
@@ -48,9 +48,9 @@
             candidate: first,
             probe: None,
             next_number: first_number,
-            next_probe: now,
-            answers: 0,
-            changed: now,
+            next_probe_at: now,
+            consecutive_replies: 0,
+            changed_at: now,
         }
     }
 
@@ -62,16 +62,16 @@
         self.current = assigned_replica;
         self.candidate = assigned_replica;
         self.probe = None;
-        self.answers = 0;
-        self.changed = now;
+        self.consecutive_replies = 0;
+        self.changed_at = now;
     }
 
     /// The replica that follows the assigned one in preference order.
-    pub(super) fn following(&self) -> ReplicaId {
-        self.after(self.current)
+    pub(super) fn replica_after_current(&self) -> ReplicaId {
+        self.next_in_order(self.current)
     }
 
-    fn after(&self, replica: ReplicaId) -> ReplicaId {
+    fn next_in_order(&self, replica: ReplicaId) -> ReplicaId {
         let index = self.order.iter().position(|other| *other == replica).unwrap_or(0);
         self.order.get((index + 1) % self.order.len().max(1)).copied().unwrap_or(replica)
     }
@@ -85,26 +85,26 @@
         is_silent: bool,
         timing: &MemberTiming,
     ) -> Option<(ReplicaId, u32)> {
-        if now < self.next_probe {
+        if now < self.next_probe_at {
             return None;
         }
         let preferred = self.order.first().copied()?;
         if is_silent {
-            self.candidate = self.after(self.candidate);
+            self.candidate = self.next_in_order(self.candidate);
             if self.candidate == self.current {
-                self.candidate = self.after(self.candidate);
+                self.candidate = self.next_in_order(self.candidate);
             }
-            self.next_probe = now + timing.resend_after / 2;
+            self.next_probe_at = now + timing.resend_after / 2;
             return self.send(self.candidate);
         }
-        let may_return = now.saturating_sub(self.changed) >= timing.return_delay;
+        let may_return = now.saturating_sub(self.changed_at) >= timing.return_delay;
         if !is_settled || self.current == preferred || !may_return {
             return None;
         }
         if self.probe.is_some() {
-            self.answers = 0;
+            self.consecutive_replies = 0;
         }
-        self.next_probe = now + timing.return_probe_interval;
+        self.next_probe_at = now + timing.return_probe_interval;
         self.send(preferred)
     }
 
@@ -127,7 +127,7 @@
         if Some(&probe.to) != self.order.first() || probe.to == self.candidate {
             return Some(probe.to);
         }
-        self.answers += 1;
-        (self.answers >= timing.return_probe_replies).then_some(probe.to)
+        self.consecutive_replies += 1;
+        (self.consecutive_replies >= timing.return_probe_replies).then_some(probe.to)
     }
 }
--- a/purge/src/metrics.rs
+++ b/purge/src/metrics.rs
@@ -13,7 +13,7 @@
 
 impl Traffic {
     /// Counts a datagram of this size.
-    pub(crate) fn add(&mut self, bytes: usize) {
+    pub(crate) fn record(&mut self, bytes: usize) {
         self.datagrams += 1;
         self.bytes += bytes as u64;
     }
@@ -42,7 +42,7 @@
 
 impl Dropped {
     /// Counts a datagram that could not be decoded.
-    pub(crate) fn add(&mut self, error: DecodeError) {
+    pub(crate) fn record(&mut self, error: DecodeError) {
         match error {
             DecodeError::TooLong => self.too_long += 1,
             DecodeError::Version => self.version += 1,
--- a/purge/src/outbox.rs
+++ b/purge/src/outbox.rs
@@ -25,7 +25,7 @@
                 self.dropped += 1;
                 continue;
             }
-            self.sent.add(bytes.len());
+            self.sent.record(bytes.len());
             self.datagrams.push((address, bytes.clone()));
         }
     }
--- a/purge/src/replica.rs
+++ b/purge/src/replica.rs
@@ -25,7 +25,7 @@
 use crate::registration::{RegistrationState, RegistrationTable, TableCopy};
 use crate::wire::{decode, Message};
 use crate::Micros;
-use peers::{Fetch, Peer};
+use peers::{PeerTable, PendingFetch};
 use recovery::Recovery;
 
 /// Status of a purge.
@@ -79,7 +79,7 @@
     log: Log,
     table: RegistrationTable,
     copies: BTreeMap<ReplicaId, TableCopy>,
-    peers: BTreeMap<ReplicaId, Peer>,
+    peers: BTreeMap<ReplicaId, PeerTable>,
     leases: LeaseTable,
     completion: Completion,
     /// Whether the inputs of the completion have changed since its last evaluation.
@@ -87,10 +87,10 @@
     next_round: Micros,
     round_started: Micros,
     /// The outstanding request for entries.
-    fetching: Option<Fetch>,
+    pending_fetch: Option<PendingFetch>,
     /// The last position published here that was pushed to the other replicas.
     last_pushed: Position,
-    bucket: TokenBucket,
+    publish_bucket: TokenBucket,
     outbox: Outbox,
     received: Traffic,
     dropped: Dropped,
@@ -101,7 +101,7 @@
     pub fn new(mut config: ReplicaConfig, now: Micros) -> Replica {
         config.replicas.truncate(MAX_REPLICAS);
         let settings = &config.settings;
-        let (me, count) = (config.replica, config.replicas.len());
+        let (own_id, count) = (config.replica, config.replicas.len());
         let recovery = (!config.bootstrap).then(|| Recovery::new(count, settings.injected_defects));
         let mut replica = Replica {
             rng: ChaCha8Rng::seed_from_u64(config.seed),
@@ -111,13 +111,13 @@
             copies: BTreeMap::new(),
             peers: BTreeMap::new(),
             leases: LeaseTable::default(),
-            completion: Completion::new(me, count, 0, settings.injected_defects),
+            completion: Completion::new(own_id, count, 0, settings.injected_defects),
             needs_evaluation: false,
             next_round: now,
             round_started: now,
-            fetching: None,
+            pending_fetch: None,
             last_pushed: Position::ZERO,
-            bucket: TokenBucket::new(settings.publish_rate, settings.publish_burst, now),
+            publish_bucket: TokenBucket::new(settings.publish_rate, settings.publish_burst, now),
             outbox: Outbox::default(),
             received: Traffic::default(),
             dropped: Dropped::default(),
@@ -126,7 +126,7 @@
         if replica.config.bootstrap {
             // Nothing from before this start can be replayed: members below this base must void their cache.
             let base = Position { incarnation: replica.config.incarnation, sequence: 0 };
-            replica.log.rebase(me, base);
+            replica.log.rebase(own_id, base);
             replica.start_stream();
         }
         replica
@@ -134,16 +134,16 @@
 
     /// Appends the start entry of this incarnation: from now on the replica accepts purges and answers requests.
     fn start_stream(&mut self) {
-        let me = self.config.replica;
+        let own_id = self.config.replica;
         let position = Position::start_of(self.config.incarnation);
-        let previous = self.log.head(me);
-        self.log.append(me, Entry { position, previous, key: Vec::new() });
+        let previous = self.log.head(own_id);
+        self.log.append(own_id, Entry { position, previous, key: Vec::new() });
         self.last_pushed = previous;
     }
 
     /// Handles a received datagram.
     pub fn on_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
-        self.received.add(bytes.len());
+        self.received.record(bytes.len());
         match decode(bytes) {
             Ok(Message::ToReplica(message)) => self.on_member_message(now, from, message),
             Ok(Message::BetweenReplicas(message)) => match self.peer_at(from) {
@@ -151,7 +151,7 @@
                 None => self.dropped.unknown_sender += 1,
             },
             Ok(Message::ToMember(_)) => self.dropped.unknown_sender += 1,
-            Err(error) => self.dropped.add(error),
+            Err(error) => self.dropped.record(error),
         }
     }
 
@@ -166,9 +166,9 @@
     pub fn on_tick(&mut self, now: Micros) {
         self.finish_recovery(now);
         self.release_expired(now);
-        let timed_out = |since: Micros| now.saturating_sub(since) >= self.config.settings.request_timeout;
-        if self.fetching.as_ref().is_some_and(|fetch| timed_out(fetch.since)) {
-            self.fetching = None;
+        let is_timed_out = |since: Micros| now.saturating_sub(since) >= self.config.settings.request_timeout;
+        if self.pending_fetch.as_ref().is_some_and(|fetch| is_timed_out(fetch.sent_at)) {
+            self.pending_fetch = None;
         }
         self.request_tables(now);
         // Must precede `begin_round`, which clears the replies of the current round.
@@ -194,17 +194,17 @@
 
     /// Evaluates the completion if its inputs have changed since the last evaluation.
     fn evaluate(&mut self) {
-        let me = self.config.replica;
+        let own_id = self.config.replica;
         if !self.needs_evaluation || self.recovery.is_some() {
             return;
         }
         self.needs_evaluation = false;
-        let head = self.log.head(me);
+        let head = self.log.head(own_id);
         if self.completion.done_through() >= head {
             return;
         }
-        let own_report = self.leases.report(me, head);
-        let tables = Tables { me, own: &self.table, copies: &self.copies };
+        let own_report = self.leases.report(own_id, head);
+        let tables = Tables { own_id, own: &self.table, copies: &self.copies };
         self.completion.evaluate(tables, &own_report);
     }
 
@@ -227,18 +227,18 @@
         if self.recovery.is_some() {
             return reject(PublishRejectReason::Recovering, settings.round_timeout);
         }
-        let me = self.config.replica;
-        let previous = self.log.head(me);
+        let own_id = self.config.replica;
+        let previous = self.log.head(own_id);
         if previous.sequence.saturating_sub(self.done_sequence()) >= settings.max_pending {
             return reject(PublishRejectReason::TooManyPending, settings.round_timeout);
         }
-        if let Err(retry_after) = self.bucket.try_take(now) {
+        if let Err(retry_after) = self.publish_bucket.try_take(now) {
             return reject(PublishRejectReason::RateLimited, retry_after);
         }
         let position = previous.next();
-        self.log.append(me, Entry { position, previous, key: key.to_vec() });
+        self.log.append(own_id, Entry { position, previous, key: key.to_vec() });
         self.needs_evaluation = true;
-        let stream = StreamId { replica: me, incarnation: self.config.incarnation };
+        let stream = StreamId { replica: own_id, incarnation: self.config.incarnation };
         Ok(PurgeId { stream, sequence: position.sequence })
     }
 
@@ -254,9 +254,9 @@
 
     /// The status of a purge. Only the replica incarnation that published a purge knows its status.
     pub fn status(&self, id: PurgeId) -> PurgeStatus {
-        let me = self.config.replica;
-        let is_mine = id.stream == StreamId { replica: me, incarnation: self.config.incarnation };
-        if !is_mine || id.sequence < 2 || id.position() > self.log.head(me) {
+        let own_id = self.config.replica;
+        let is_own_stream = id.stream == StreamId { replica: own_id, incarnation: self.config.incarnation };
+        if !is_own_stream || id.sequence < 2 || id.position() > self.log.head(own_id) {
             return PurgeStatus::Unknown;
         }
         if id.position() <= self.completion.done_through() {
--- a/purge/src/replica/peers.rs
+++ b/purge/src/replica/peers.rs
@@ -20,22 +20,22 @@
 
 /// What is known of another replica's table, besides the copy of the table.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Peer {
+pub(super) struct PeerTable {
     /// Incarnation of the replica, as of its last reply.
     incarnation: u64,
     /// Number of the last change of its table, as of its last reply.
     change: u64,
     /// When the outstanding request for changes was sent.
-    requested: Option<Micros>,
+    requested_at: Option<Micros>,
 }
 
 /// An outstanding request for entries.
 #[derive(Clone, Debug)]
-pub(super) struct Fetch {
+pub(super) struct PendingFetch {
     peer: ReplicaId,
-    pub(super) since: Micros,
+    pub(super) sent_at: Micros,
     /// Positions that the answer should reach.
-    wanted: VersionVector,
+    target: VersionVector,
 }
 
 impl Replica {
@@ -49,8 +49,8 @@
     }
 
     fn send_to_peers(&mut self, message: PeerMessage) {
-        let me = self.config.replica.index();
-        let others = self.config.replicas.iter().enumerate().filter(|(index, _)| *index != me);
+        let own_index = self.config.replica.index();
+        let others = self.config.replicas.iter().enumerate().filter(|(index, _)| *index != own_index);
         let others = others.map(|(_, address)| *address);
         self.outbox.send(others, &Message::BetweenReplicas(message));
     }
@@ -110,8 +110,8 @@
             return;
         }
         if (reply.incarnation, reply.change) > (peer.incarnation, peer.change) {
-            let requested = peer.requested.filter(|_| reply.incarnation == peer.incarnation);
-            *peer = Peer { incarnation: reply.incarnation, change: reply.change, requested };
+            let requested_at = peer.requested_at.filter(|_| reply.incarnation == peer.incarnation);
+            *peer = PeerTable { incarnation: reply.incarnation, change: reply.change, requested_at };
         }
         match &mut self.recovery {
             Some(recovery) => recovery.on_reply(from, reply),
@@ -126,8 +126,8 @@
     /// Requests entries from a replica if it has some that are missing here and no other request is outstanding.
     fn fetch_missing(&mut self, now: Micros, from: ReplicaId, vector: &VersionVector) {
         let own = self.log.vector();
-        if self.fetching.is_none() && !own.covers(vector) {
-            self.fetching = Some(Fetch { peer: from, since: now, wanted: vector.clone() });
+        if self.pending_fetch.is_none() && !own.covers(vector) {
+            self.pending_fetch = Some(PendingFetch { peer: from, sent_at: now, target: vector.clone() });
             self.send_to_peer(from, PeerMessage::Fetch { vector: own });
         }
     }
@@ -157,37 +157,37 @@
 
     /// Sends a replica the purges published here that it lacks because their first push was lost.
     fn push_missing(&mut self, to: ReplicaId, vector: &VersionVector) {
-        let me = self.config.replica;
-        let position = vector.get(me);
-        if self.recovery.is_none() && position >= self.log.base(me) && position < self.log.head(me) {
-            let after = self.all_but_own(position);
-            self.send_entries(to, after, MAX_PUSH_DATAGRAMS);
+        let own_id = self.config.replica;
+        let position = vector.get(own_id);
+        if self.recovery.is_none() && position >= self.log.base(own_id) && position < self.log.head(own_id) {
+            let start = self.vector_with_own_at(position);
+            self.send_entries(to, start, MAX_PUSH_DATAGRAMS);
         }
     }
 
     /// The vector of a reader that has all entries of other replicas, and this replica's entries up to a position.
-    fn all_but_own(&self, position: Position) -> VersionVector {
-        let me = self.config.replica;
+    fn vector_with_own_at(&self, position: Position) -> VersionVector {
+        let own_id = self.config.replica;
         let mut vector = VersionVector::default();
-        for (replica, head) in self.log.vector().iter().filter(|(replica, _)| *replica != me) {
+        for (replica, head) in self.log.vector().iter().filter(|(replica, _)| *replica != own_id) {
             vector.raise(replica, head);
         }
-        vector.raise(me, position);
+        vector.raise(own_id, position);
         vector
     }
 
     /// Pushes the purges published here since the last push to all other replicas.
     pub(super) fn push_published(&mut self) {
-        let me = self.config.replica;
-        let head = self.log.head(me);
+        let own_id = self.config.replica;
+        let head = self.log.head(own_id);
         if self.recovery.is_some() || self.last_pushed >= head {
             return;
         }
-        let after = self.all_but_own(self.last_pushed);
+        let start = self.vector_with_own_at(self.last_pushed);
         self.last_pushed = head;
         let all = (0..self.config.replicas.len()).map(|index| ReplicaId(index as u8));
-        for peer in all.filter(|peer| *peer != me) {
-            self.send_entries(peer, after.clone(), MAX_PUSH_DATAGRAMS);
+        for peer in all.filter(|peer| *peer != own_id) {
+            self.send_entries(peer, start.clone(), MAX_PUSH_DATAGRAMS);
         }
     }
 
@@ -196,10 +196,10 @@
             self.needs_evaluation |= self.log.append_run(run);
         }
         let vector = self.log.vector();
-        match &mut self.fetching {
-            Some(fetch) if vector.covers(&fetch.wanted) => self.fetching = None,
+        match &mut self.pending_fetch {
+            Some(fetch) if vector.covers(&fetch.target) => self.pending_fetch = None,
             Some(fetch) if more && fetch.peer == from => {
-                fetch.since = now;
+                fetch.sent_at = now;
                 self.send_to_peer(from, PeerMessage::Fetch { vector });
             }
             _ => {}
@@ -212,9 +212,9 @@
         let mut requests = Vec::new();
         for (replica, peer) in &mut self.peers {
             let copy = self.copies.entry(*replica).or_default();
-            let is_waiting = peer.requested.is_some_and(|since| now.saturating_sub(since) < timeout);
+            let is_waiting = peer.requested_at.is_some_and(|since| now.saturating_sub(since) < timeout);
             if peer.incarnation > 0 && !is_waiting && !copy.is_complete(peer.incarnation, peer.change) {
-                peer.requested = Some(now);
+                peer.requested_at = Some(now);
                 requests.push((*replica, peer.incarnation, copy.through(peer.incarnation)));
             }
         }
@@ -248,21 +248,21 @@
         }
         if self.recovery.is_none() {
             for registration in &chunk.registrations {
-                self.learn(now, registration);
+                self.adopt_registration(now, registration);
             }
         }
         self.needs_evaluation = true;
         let Some(peer) = self.peers.get_mut(&from) else { return };
         let is_complete = self.copies[&from].is_complete(peer.incarnation, peer.change);
         if is_complete || chunk.more {
-            peer.requested = None;
+            peer.requested_at = None;
         }
         self.request_tables(now);
     }
 
     /// Adopts a registration from another replica's table if it is released, or if it is assigned to this replica and
     /// newer than the one in its own table.
-    fn learn(&mut self, now: Micros, registration: &Registration) {
+    fn adopt_registration(&mut self, now: Micros, registration: &Registration) {
         let (member, epoch) = (registration.member, registration.epoch);
         if registration.state == RegistrationState::Released {
             if self.table.set_state(member, epoch, RegistrationState::Released) {
@@ -276,7 +276,7 @@
         if self.table.get(member).is_none_or(|known| known.epoch < epoch) {
             self.table.store(member, epoch, registration.assigned_replica, RegistrationState::Known);
             if self.table.get(member).is_some_and(|known| known.epoch == epoch) {
-                self.leases.learn(member, epoch, now, &self.config.settings);
+                self.leases.add_learned(member, epoch, now, &self.config.settings);
             }
         }
     }
--- a/purge/src/replica/recovery.rs
+++ b/purge/src/replica/recovery.rs
@@ -71,11 +71,11 @@
             _ => return,
         }
         self.recovery = None;
-        self.take_over_registrations(now);
+        self.import_registrations(now);
         self.start_stream();
-        let (me, count) = (self.config.replica, self.config.replicas.len());
+        let (own_id, count) = (self.config.replica, self.config.replicas.len());
         let round = self.completion.round();
-        self.completion = Completion::new(me, count, round, self.config.settings.injected_defects);
+        self.completion = Completion::new(own_id, count, round, self.config.settings.injected_defects);
         self.begin_round(now);
     }
 
@@ -83,8 +83,8 @@
     /// Such a registration may have leases of earlier incarnations of this replica, granted until its start, or of
     /// earlier epochs at other assigned replicas, granted until the member registered anew: that may have been later
     /// than the start, but not later than now.
-    fn take_over_registrations(&mut self, now: Micros) {
-        let me = self.config.replica;
+    fn import_registrations(&mut self, now: Micros) {
+        let own_id = self.config.replica;
         for registration in self.copies.values().flat_map(|copy| copy.registrations().values()) {
             let state = match registration.state {
                 RegistrationState::Released => RegistrationState::Released,
@@ -97,9 +97,9 @@
             }
         }
         for registration in self.table.registrations().values() {
-            if registration.assigned_replica == me && registration.state != RegistrationState::Released {
+            if registration.assigned_replica == own_id && registration.state != RegistrationState::Released {
                 let (member, epoch) = (registration.member, registration.epoch);
-                self.leases.learn(member, epoch, now, &self.config.settings);
+                self.leases.add_learned(member, epoch, now, &self.config.settings);
             }
         }
     }
