--- a/purge/src/cache_fill/tests.rs
+++ b/purge/src/cache_fill/tests.rs
@@ -1,30 +1,29 @@
-//! Tests of the guard of fills: all interleavings of small histories, against a cache that must never hold a value older
-//! than a purge.
+//! Tests of the fill guard: a cache must never hold a value older than a purge, in any interleaving of small histories.
 
 use super::*;
 
-/// A step of a history of one key.
+/// A step in the history of one key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
     /// A request misses: fill `n` begins.
     Begin(usize),
     /// Fill `n` reads the origin.
     Read(usize),
-    /// Fill `n` ends, and its value is kept if the guard allows.
+    /// Fill `n` ends, and its value is stored if the guard allows it.
     Finish(usize),
-    /// The origin's value changes, and the purge of it is published.
+    /// The origin's value changes, and a purge is published.
     Write,
-    /// The purge of the write is applied here.
+    /// The purge is applied at the cache.
     Purge,
-    /// All is voided here.
+    /// The cache is voided.
     Void,
 }
 
-/// A cache of one key and its origin. Values are versions.
+/// A cache of one key, and its origin. Values are version numbers.
 struct Cache {
     guard: FillGuard,
     origin: u32,
-    /// The version below which a value may no longer be held: the last purge or void applied.
+    /// The least version that may be held since the last purge or void.
     purged: u32,
     held: Option<u32>,
     fills: Vec<(Option<FillToken>, u32)>,
@@ -48,7 +47,7 @@
             Step::Begin(fill) => self.fills[fill].0 = Some(self.guard.begin_fill(b"key")),
             Step::Read(fill) => self.fills[fill].1 = self.origin,
             Step::Finish(fill) => {
-                let token = self.fills[fill].0.expect("it began");
+                let token = self.fills[fill].0.expect("the fill began");
                 if self.guard.finish_fill(token) == FillOutcome::Keep {
                     self.held = Some(self.fills[fill].1);
                     self.kept += 1;
@@ -64,11 +63,14 @@
                 (self.held, self.purged) = (None, self.origin);
             }
         }
-        assert!(self.held.is_none_or(|held| held >= self.purged), "an old value is held");
+        assert!(
+            self.held.is_none_or(|held| held >= self.purged),
+            "the cache holds a value older than the last purge"
+        );
     }
 }
 
-/// Calls `visit` with each interleaving of these sequences.
+/// Calls `visit` with each interleaving of the sequences.
 fn interleave(sequences: &[Vec<Step>], visit: &mut impl FnMut(&[Step])) {
     fn go(rest: &mut Vec<&[Step]>, so_far: &mut Vec<Step>, visit: &mut impl FnMut(&[Step])) {
         if rest.iter().all(|sequence| sequence.is_empty()) {
@@ -110,7 +112,10 @@
                 histories += 1;
                 kept += cache.kept;
                 discarded += 2 - cache.kept;
-                assert!(cache.guard.is_empty() && cache.guard.by_key.is_empty(), "nothing is left behind");
+                assert!(
+                    cache.guard.is_empty() && cache.guard.by_key.is_empty(),
+                    "ended fills leave no state behind"
+                );
                 assert!(capacity > 0 || cache.kept == 0);
             });
         }
@@ -139,6 +144,6 @@
     guard.purge(b"one");
     assert_eq!(guard.finish_fill(one), FillOutcome::Discard);
     assert_eq!(guard.finish_fill(two), FillOutcome::Keep);
-    assert_eq!(guard.finish_fill(two), FillOutcome::Discard, "a token is good once");
+    assert_eq!(guard.finish_fill(two), FillOutcome::Discard, "a token is valid once");
     assert_eq!(guard.finish_fill(beyond), FillOutcome::Discard);
 }
--- a/purge/src/lease_table/tests.rs
+++ b/purge/src/lease_table/tests.rs
@@ -39,7 +39,11 @@
     let started = Micros::from_secs(5);
     leases.add_learned(MEMBER, epoch(4), started, &settings);
     assert!(!leases.grant(MEMBER, epoch(4), &VersionVector::default(), started + Micros(1)));
-    assert_eq!(leases.report(ReplicaId(0), Position::ZERO).floor, None, "it is not reported on");
+    assert_eq!(
+        leases.report(ReplicaId(0), Position::ZERO).floor,
+        None,
+        "learned registrations are not in the report"
+    );
     assert_eq!(leases.take_expired(started + settings.lease, &settings), []);
     assert_eq!(leases.take_expired(started + settings.lease_with_drift() + Micros(1), &settings).len(), 1);
 }
--- a/purge/src/log/tests.rs
+++ b/purge/src/log/tests.rs
@@ -39,10 +39,10 @@
 fn entries_are_appended_once_and_in_order() {
     let entries = stream(1, Position::ZERO, 4);
     let mut log = Log::new(100);
-    assert!(!log.append(ORIGIN, entries[1].clone()), "nothing is appended over a gap");
+    assert!(!log.append(ORIGIN, entries[1].clone()), "an entry after a gap is rejected");
     for entry in &entries {
         assert!(log.append(ORIGIN, entry.clone()));
-        assert!(!log.append(ORIGIN, entry.clone()), "nothing twice");
+        assert!(!log.append(ORIGIN, entry.clone()), "a duplicate entry is rejected");
     }
     assert_eq!((log.head(ORIGIN), log.len()), (at(1, 4), 4));
 }
@@ -56,7 +56,7 @@
     let mut holds_less = log_of(&old[..4], 100);
     assert!(!holds_less.append(ORIGIN, new[0].clone()));
     assert!(holds_less.append(ORIGIN, old[4].clone()) && holds_less.append(ORIGIN, new[0].clone()));
-    assert!(!holds_less.append(ORIGIN, old[5].clone()), "the old incarnation is over");
+    assert!(!holds_less.append(ORIGIN, old[5].clone()), "entries of the old incarnation are rejected");
 }
 
 #[test]
@@ -68,7 +68,8 @@
     assert_eq!(log.reader_lag(&reader_at(at(1, 50))), ReaderLag::Entries(0));
 }
 
-/// Whatever a reader has, it reaches the head by runs of bounded size, and gets every entry after its position.
+/// Guards against runs that skip or repeat entries: a reader at any position reaches the head through runs of bounded
+/// size and receives every entry after its position.
 #[test]
 fn readers_at_every_position_catch_up_by_runs() {
     let mut log = log_of(&stream(1, Position::ZERO, 9), 100);
@@ -92,7 +93,7 @@
                 if !more {
                     break;
                 }
-                assert!(appended, "each answer brings the reader on");
+                assert!(appended, "each batch of runs advances the reader");
             }
             assert_eq!((reader.head(ORIGIN), reader.len()), (at(2, 9), positions.len() - 1 - index));
         }
--- a/purge/src/registration/tests.rs
+++ b/purge/src/registration/tests.rs
@@ -47,7 +47,7 @@
     store(&mut table, 3, u64::MAX);
     table.set_state(MemberId(4), epoch(u64::MAX - 1), RegistrationState::Released);
     let chunk = table.changes_after(9, copy.through(9));
-    assert_eq!(chunk.registrations.len(), 2, "only what changed is told");
+    assert_eq!(chunk.registrations.len(), 2, "a chunk contains only the changes");
     follow(&mut copy, &table, 9);
     assert_eq!(copy.registrations(), table.registrations());
 }
@@ -65,8 +65,8 @@
     assert!(copy.apply(&first) && copy.apply(&second) && copy.apply(&first));
     assert_eq!(copy.through(5), second.through);
     let newer = RegistrationTable::default().changes_after(6, 0);
-    assert!(copy.apply(&newer) && copy.registrations().is_empty(), "a new incarnation begins anew");
-    assert!(!copy.apply(&first), "an old incarnation is over");
+    assert!(copy.apply(&newer) && copy.registrations().is_empty(), "a new incarnation resets the copy");
+    assert!(!copy.apply(&first), "chunks of an old incarnation are ignored");
 }
 
 #[test]
@@ -77,7 +77,7 @@
         assert_eq!(store(&mut table, member, 1), StoreOutcome::Stored);
     }
     assert_eq!(store(&mut table, full, 1), StoreOutcome::Full);
-    assert_eq!(store(&mut table, 17, 2), StoreOutcome::Stored, "who is there may register again");
+    assert_eq!(store(&mut table, 17, 2), StoreOutcome::Stored, "a registered member may register again");
     table.set_state(MemberId(30), epoch(1), RegistrationState::Released);
     assert_eq!(store(&mut table, full, 1), StoreOutcome::Stored);
     assert!(table.get(MemberId(30)).is_none());
@@ -85,7 +85,8 @@
     assert_eq!(table.by_change.len(), MAX_MEMBERS);
 }
 
-/// A copy that overflows with what was evicted at its origin never claims to be complete without all that is there.
+/// Guards against a copy that claims to be complete without registrations of the original table: it is reset once
+/// registrations evicted from the original table overflow it.
 #[test]
 fn a_copy_that_overflows_begins_anew() {
     let mut table = RegistrationTable::default();
--- a/purge/src/wire/tests.rs
+++ b/purge/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the wire format: what is written is read, and nothing else is.
+//! Tests of the wire format: every message round-trips, and no other bytes are accepted.
 
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/purge/tests/behaviour.rs
+++ b/purge/tests/behaviour.rs
@@ -1,4 +1,5 @@
-//! What operators rely on, played by hand: cuts, moves, ends, floods, and what is dropped.
+//! Scripted scenarios that operators rely on: partitions, changes of assigned replica, shutdowns and crashes, publisher
+//! floods, and drop counters.
 
 mod support;
 
@@ -8,7 +9,7 @@
 
 const KEY: &[u8] = b"the key";
 
-/// Three replicas and a member near each.
+/// Three replicas, each assigned to one serving member: member `3 + n` to replica `n`.
 fn plane_of_three() -> Plane {
     let mut plane = Plane::new(3, 3, None);
     for replica in 0..3 {
@@ -30,10 +31,12 @@
     assert!(plane.may_serve(5) && plane.has_purged(5, b"inside") && !plane.has_purged(5, KEY));
     assert!(plane.has_purged(3, KEY) && plane.has_purged(4, KEY));
     let PurgeStatus::Pending { members, members_total, replicas } = plane.status(0, outside) else {
-        panic!("it is not done")
+        panic!("not Pending although a member lacks the purge")
     };
     assert_eq!((members, members_total, replicas), (vec![MemberId(5)], 1, vec![]));
-    let PurgeStatus::Pending { replicas, .. } = plane.status(2, inside) else { panic!("it is not done") };
+    let PurgeStatus::Pending { replicas, .. } = plane.status(2, inside) else {
+        panic!("not Pending although no majority answers")
+    };
     assert_eq!(replicas, [ReplicaId(0), ReplicaId(1)]);
     plane.join(&[2, 5], &[0, 1, 3, 4]);
     plane.run(5_000);
@@ -48,7 +51,7 @@
     plane.kill(2);
     for _ in 0..40 {
         plane.run(100);
-        assert!(plane.may_serve(5), "its lease outlasts the move");
+        assert!(plane.may_serve(5), "its lease stays valid during the change of replica");
     }
     assert_ne!(plane.member(5).metrics().assigned_replica, 2);
     plane.restart_replica(2);
@@ -66,11 +69,14 @@
     plane.kill(5);
     let purge = plane.publish(0, KEY);
     plane.run(1_500);
-    assert_eq!(plane.status(0, purge), PurgeStatus::Done, "before a lease could run out");
+    assert_eq!(plane.status(0, purge), PurgeStatus::Done, "done before a lease could expire");
     plane.kill(4);
     let purge = plane.publish(0, b"another");
     plane.run(1_500);
-    assert!(matches!(plane.status(0, purge), PurgeStatus::Pending { .. }), "it may still serve");
+    assert!(
+        matches!(plane.status(0, purge), PurgeStatus::Pending { .. }),
+        "the crashed member's lease may still be valid"
+    );
     plane.run(1_500);
     assert_eq!(plane.status(0, purge), PurgeStatus::Done);
 }
@@ -81,12 +87,12 @@
     let now = plane.now;
     let replica = plane.replica(0);
     let taken = (0..10_000).take_while(|_| replica.publish(now, KEY).is_ok()).count();
-    assert_eq!(taken, 200, "the burst");
-    let rejected = replica.publish(now, KEY).expect_err("the burst is used up");
+    assert_eq!(taken, 200, "the burst is admitted");
+    let rejected = replica.publish(now, KEY).expect_err("the burst is exhausted");
     assert_eq!(rejected.reason, PublishRejectReason::RateLimited);
     assert!(replica.publish(now + rejected.retry_after - Micros(1), KEY).is_err());
     assert!(replica.publish(now + rejected.retry_after, KEY).is_ok());
-    let rejected = replica.publish(now, &[b'k'; 251]).expect_err("longer than any key");
+    let rejected = replica.publish(now, &[b'k'; 251]).expect_err("the key is too long");
     assert_eq!(rejected.reason, PublishRejectReason::KeyTooLong);
     plane.cut(&[0], &[1, 2]);
     let mut last = None;
@@ -98,7 +104,7 @@
     assert_eq!(last.map(|rejected| rejected.reason), Some(PublishRejectReason::TooManyPending));
     plane.restart_replica(1);
     let now = plane.now;
-    let rejected = plane.replica(1).publish(now, KEY).expect_err("it recovers");
+    let rejected = plane.replica(1).publish(now, KEY).expect_err("a recovering replica rejects purges");
     assert_eq!(rejected.reason, PublishRejectReason::Recovering);
 }
 
@@ -126,7 +132,8 @@
     assert_eq!(member.metrics().dropped.unknown_sender, 2);
 }
 
-/// A member that was away for longer than the log reaches back voids before it serves again; see also the schedules.
+/// Guards against a member that serves after a partition without the purges that were done meanwhile. The case in which
+/// the log no longer reaches back to the member's position is covered by the schedules (`schedules.rs`).
 #[test]
 fn a_member_that_was_cut_off_does_not_serve_until_it_has_caught_up() {
     let mut plane = plane_of_three();
--- a/purge/tests/ordinary.rs
+++ b/purge/tests/ordinary.rs
@@ -1,15 +1,15 @@
-//! What ordinary times cost a member, and how soon a purge acts: counts and virtual time, no wall clock.
+//! Cost per member and delay of purges without faults, in byte counts and virtual time; no wall clock.
 
 mod support;
 
 use support::schedule::{Schedule, MILLISECOND};
 use support::simulation::{Report, Simulation, Verdict};
 
-/// What a balancer may spend on control, in bytes a second.
+/// Maximum control traffic of a member, in bytes per second.
 const MEMBER_BYTES_PER_SECOND: u64 = 2_000;
-/// Within which a purge must act everywhere.
+/// Maximum time from the publication of a purge to its application at any member, in microseconds.
 const TIME_TO_ACT: u64 = 2_800 * MILLISECOND;
-/// The purges of the whole fleet, a second.
+/// Purges published per second in the whole fleet.
 const PURGES_PER_SECOND: u64 = 11;
 const REPLICAS: usize = 11;
 
@@ -20,8 +20,8 @@
     done.sort_unstable();
     let at = |times: &[u64], share: f64| times[((times.len() - 1) as f64 * share) as usize] / MILLISECOND;
     println!(
-        "a member: at most {} bytes/s, a replica sends at most {} bytes/s; time to act, ms: median {}, 99 % {}, \
-         longest {}; to done: median {}, 99 % {}, longest {}",
+        "per member: at most {} bytes/s; sent per replica: at most {} bytes/s; delay until applied, ms: median {}, \
+         p99 {}, max {}; until done: median {}, p99 {}, max {}",
         report.member_bytes_per_second.iter().max().unwrap_or(&0),
         report.replica_bytes_per_second.iter().max().unwrap_or(&0),
         at(&act, 0.5),
@@ -41,9 +41,13 @@
         print(&report);
         assert_eq!(report.verdict, Verdict::Held);
         assert_eq!(report.done, report.published);
-        assert_eq!(report.times_to_act.len(), 200 * report.published, "by key at every member");
+        assert_eq!(
+            report.times_to_act.len(),
+            200 * report.published,
+            "every member applies every purge by key"
+        );
         assert!(report.times_to_act.iter().all(|time| *time < TIME_TO_ACT));
         let most = report.member_bytes_per_second.iter().max().copied();
-        assert!(most < Some(MEMBER_BYTES_PER_SECOND), "{most:?} bytes a second");
+        assert!(most < Some(MEMBER_BYTES_PER_SECOND), "{most:?} bytes per second");
     }
 }
--- a/purge/tests/quorums.rs
+++ b/purge/tests/quorums.rs
@@ -1,5 +1,6 @@
-//! The races for which the protocol has two phases, incarnations and majorities, played by hand: each holds, and breaks
-//! without the step that is there for it.
+//! Scripted races that the protocol's two phases, incarnations and majorities guard against. Each test runs its race
+//! twice: the guarantee holds with the full protocol, and is breached when the step that guards against the race is
+//! disabled.
 
 mod support;
 
@@ -8,7 +9,7 @@
 use support::scripted::Plane;
 
 const KEY: &[u8] = b"the key";
-/// Replicas of the scenarios with five: the origin, two that get its purge, and two that don't.
+/// Replicas of the scenarios with five: the one that publishes the purge, two that receive it, and two that don't.
 const ORIGIN: usize = 0;
 const FIRST: usize = 1;
 const SECOND: usize = 2;
@@ -16,21 +17,24 @@
 /// The member of those scenarios.
 const MEMBER: usize = 5;
 
-/// The first replica holds the purge and tells so, then loses it by a restart, before the second has got it.
+/// The first replica confirms that it holds the purge, then loses it in a restart before the second one receives it.
 fn first_forgets_before_second_holds(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
     let mut plane = Plane::new(5, 1, injected_defect);
     plane.cut(&[ORIGIN], &OTHERS);
     plane.cut(&[FIRST], &[SECOND, 3, 4]);
     plane.hold(ORIGIN, SECOND);
     let purge = plane.publish(ORIGIN, KEY);
-    // The round that was open gets no majority; the next asks the first replica, which has the purge by then.
+    // The current round gets no majority; in the next one the first replica reports that it holds the purge.
     plane.run(3_500);
     plane.cut(&[ORIGIN], &[FIRST]);
     plane.hold(ORIGIN, FIRST);
     plane.restart_replica(FIRST);
     plane.join(&[FIRST], &[SECOND, 3, 4]);
     plane.run(600);
-    assert!(plane.has_recovered(FIRST), "from the second and the others, none of which has the purge");
+    assert!(
+        plane.has_recovered(FIRST),
+        "recovered from the second and the others, none of which holds the purge"
+    );
     plane.cut(&[SECOND], &[FIRST, 3, 4]);
     plane.join(&[ORIGIN], &[SECOND]);
     plane.run(100);
@@ -42,11 +46,11 @@
     plane.cut(&[ORIGIN, SECOND], &[FIRST, 3, 4, MEMBER]);
     plane.start_member(MEMBER, &[FIRST]);
     plane.run(2_000);
-    assert!(plane.may_serve(MEMBER), "a majority is there for it");
+    assert!(plane.may_serve(MEMBER), "the member reaches a majority");
     assert!(!plane.has_purged(MEMBER, KEY));
 }
 
-/// After the end of all cuts the purge is done, and the member has it.
+/// Asserts that after all partitions heal the purge is done and the member has applied it.
 fn assert_settles(plane: &mut Plane, origin: usize, replicas: usize, purge: PurgeId, member: usize) {
     let all: Vec<usize> = (0..=member.max(replicas - 1)).collect();
     plane.join(&all, &all);
@@ -68,15 +72,18 @@
     assert!(plane.is_breached(ORIGIN, purge, KEY, MEMBER), "one round is not enough");
 }
 
-/// After the first round, and in the second, both forget: the second replica once it has confirmed, the first once it
-/// has got the purge again, by a datagram that came twice, and has confirmed it in its new incarnation.
+/// Both replicas lose the purge after the first round: the second replica restarts after it has confirmed the purge.
+/// The first receives the purge again in a duplicate datagram, confirms it in its new incarnation, and restarts.
 fn both_forget_in_the_second_round(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
     let (mut plane, purge) = first_forgets_before_second_holds(injected_defect);
     plane.cut(&[ORIGIN], &[SECOND]);
     plane.restart_replica(SECOND);
     plane.join(&[SECOND], &[FIRST, 3, 4]);
     plane.run(600);
-    assert!(plane.has_recovered(SECOND), "from the first and the others, none of which has the purge");
+    assert!(
+        plane.has_recovered(SECOND),
+        "recovered from the first and the others, none of which holds the purge"
+    );
     plane.cut(&[FIRST], &[SECOND, 3, 4]);
     plane.hold(FIRST, ORIGIN);
     plane.open(ORIGIN, FIRST);
@@ -87,7 +94,7 @@
     plane.restart_replica(FIRST);
     plane.join(&[FIRST], &[SECOND, 3, 4]);
     plane.run(600);
-    assert!(plane.has_recovered(FIRST), "none of the others has the purge");
+    assert!(plane.has_recovered(FIRST), "recovered from replicas that don't hold the purge");
     plane.open(FIRST, ORIGIN);
     plane.run(50);
     (plane, purge)
@@ -103,10 +110,14 @@
 
     let (mut plane, purge) = both_forget_in_the_second_round(Some(InjectedDefect::IncarnationIgnored));
     register_member_apart(&mut plane);
-    assert!(plane.is_breached(ORIGIN, purge, KEY, MEMBER), "incarnations must be the same");
+    assert!(
+        plane.is_breached(ORIGIN, purge, KEY, MEMBER),
+        "a confirmation in a new incarnation is not enough"
+    );
 }
 
-/// The first replica registers a member, answers it, and forgets it by a restart before the others have registered it.
+/// The first replica stores and acknowledges a registration, then loses it in a restart before the other replicas have
+/// stored it.
 fn registration_is_forgotten(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
     let mut plane = Plane::new(5, 1, injected_defect);
     let assigned_replica = OTHERS[0];
@@ -115,35 +126,35 @@
     while plane.member(MEMBER).metrics().sent.datagrams == 0 {
         plane.step();
     }
-    // Its first pull reaches the assigned replica; what it sends there afterwards waits.
+    // The member's first pull reaches the assigned replica; later datagrams to it are held.
     plane.step();
     plane.hold(MEMBER, assigned_replica);
     plane.run(60);
     plane.cut(&[MEMBER], &[FIRST]);
     plane.restart_replica(FIRST);
     plane.run(400);
-    assert!(plane.has_recovered(FIRST), "from others, none of which has the registration");
+    assert!(plane.has_recovered(FIRST), "recovered from replicas that don't have the registration");
     plane.cut(&[ORIGIN, FIRST, SECOND], &OTHERS);
     let purge = plane.publish(ORIGIN, KEY);
     plane.run(700);
     plane.join(&[MEMBER], &OTHERS);
     plane.run(1_300);
-    assert_eq!(plane.status(ORIGIN, purge), PurgeStatus::Done, "nobody serves without it");
+    assert_eq!(plane.status(ORIGIN, purge), PurgeStatus::Done, "no member serves without the purge");
     (plane, purge)
 }
 
 #[test]
 fn a_registration_that_a_replica_forgets_before_the_second_phase_does_not_count() {
     let (mut plane, purge) = registration_is_forgotten(None);
-    assert!(!plane.may_serve(MEMBER), "two of five have it registered");
+    assert!(!plane.may_serve(MEMBER), "only two of five replicas have the registration");
     assert_settles(&mut plane, ORIGIN, 5, purge, MEMBER);
 
     let (plane, purge) = registration_is_forgotten(Some(InjectedDefect::OnePhaseRegistration));
     assert!(plane.is_breached(ORIGIN, purge, KEY, MEMBER), "one phase is not enough");
 }
 
-/// Of three replicas the member has registered with the second and the third; the second restarts while it reaches
-/// nobody but the first.
+/// A member has registered with the second and the third of three replicas; the second restarts while it reaches only
+/// the first.
 fn recovery_reaches_one(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
     let mut plane = Plane::new(3, 1, injected_defect);
     plane.cut(&[3], &[0]);
@@ -152,7 +163,7 @@
     assert!(plane.may_serve(3));
     plane.cut(&[2, 3], &[0, 1]);
     plane.restart_replica(1);
-    // The round that was open gets no majority, and ends by its timeout.
+    // The current round gets no majority and times out.
     plane.run(3_500);
     let purge = plane.publish(0, KEY);
     plane.run(1_500);
@@ -163,22 +174,25 @@
 fn a_replica_that_reaches_no_majority_of_others_does_not_recover() {
     let (mut plane, purge) = recovery_reaches_one(None);
     assert!(!plane.has_recovered(1));
-    assert!(plane.may_serve(3), "its assigned replica answers it");
-    let PurgeStatus::Pending { replicas, .. } = plane.status(0, purge) else { panic!("it is not done") };
+    assert!(plane.may_serve(3), "its assigned replica still answers its pulls");
+    let PurgeStatus::Pending { replicas, .. } = plane.status(0, purge) else {
+        panic!("not Pending although a member lacks the purge")
+    };
     assert!(replicas.len() <= 2, "{replicas:?}");
     assert_settles(&mut plane, 0, 3, purge, 3);
 
     let (plane, purge) = recovery_reaches_one(Some(InjectedDefect::RecoveryFromOne));
-    assert!(plane.is_breached(0, purge, KEY, 3), "one is not enough");
+    assert!(plane.is_breached(0, purge, KEY, 3), "a recovery from one replica is not enough");
 }
 
-/// A purge is done while the third replica is cut from the others; then a member starts whose assigned replica that one is.
+/// A purge becomes done while the third replica is cut off from the others; then a member that prefers the third
+/// replica starts.
 fn home_lacks_a_done_purge(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
     let mut plane = Plane::new(3, 1, injected_defect);
     plane.cut(&[2], &[0, 1]);
     let purge = plane.publish(0, KEY);
     plane.run(4_500);
-    assert_eq!(plane.status(0, purge), PurgeStatus::Done, "nobody serves");
+    assert_eq!(plane.status(0, purge), PurgeStatus::Done, "no member serves");
     plane.start_member(3, &[2]);
     plane.run(1_500);
     (plane, purge)
@@ -187,10 +201,10 @@
 #[test]
 fn a_member_does_not_serve_before_its_target_even_if_its_home_lacks_it() {
     let (mut plane, _) = home_lacks_a_done_purge(None);
-    assert!(!plane.may_serve(3), "its assigned replica lacks what the majority named");
+    assert!(!plane.may_serve(3), "its assigned replica lacks an entry of the target");
     plane.run(10_000);
-    assert!(plane.may_serve(3) && plane.has_purged(3, KEY), "it has found another replica");
+    assert!(plane.may_serve(3) && plane.has_purged(3, KEY), "it has changed to another replica");
 
     let (plane, purge) = home_lacks_a_done_purge(Some(InjectedDefect::TargetIgnored));
-    assert!(plane.is_breached(0, purge, KEY, 3), "the target must be reached");
+    assert!(plane.is_breached(0, purge, KEY, 3), "serving without the target breaches the guarantee");
 }
--- a/purge/tests/schedules.rs
+++ b/purge/tests/schedules.rs
@@ -1,7 +1,7 @@
-//! Drawn schedules of whole control planes in virtual time; see `support/`.
+//! Random fault schedules of whole control planes in virtual time; see `support/`.
 //!
-//! `CONTROL_SCHEDULES=10000 cargo test --release -p juniperladder-purge --test schedules` runs more of them, and
-//! `CONTROL_FIRST_SEED` begins elsewhere.
+//! `CONTROL_SCHEDULES=10000 cargo test --release -p juniperladder-purge --test schedules` runs more schedules;
+//! `CONTROL_FIRST_SEED` sets the first seed.
 
 mod support;
 
@@ -12,16 +12,16 @@
 use support::schedule::Schedule;
 use support::simulation::{Report, Simulation, Verdict};
 
-/// Schedules in a run of the tests.
+/// Default number of schedules per test.
 const SCHEDULES: u64 = 500;
-/// Threads that run them.
+/// Number of threads that run schedules.
 const THREADS: usize = 3;
 
 fn number(variable: &str, default: u64) -> u64 {
     std::env::var(variable).ok().and_then(|value| value.parse().ok()).unwrap_or(default)
 }
 
-/// Runs schedules of these seeds until one does not hold, or all have run.
+/// Runs the schedules of `count` seeds; stops early when one breaches the guarantee.
 fn run_all(first: u64, count: u64, injected_defect: Option<InjectedDefect>) -> Vec<(u64, Report)> {
     let next = AtomicU64::new(first);
     let reports = Mutex::new(Vec::new());
@@ -34,14 +34,14 @@
         if matches!(report.verdict, Verdict::Breached(_)) {
             next.store(first + count, Ordering::Relaxed);
         }
-        reports.lock().expect("no thread panics with it").push((seed, report));
+        reports.lock().expect("no thread panics while it holds the lock").push((seed, report));
     };
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(work);
         }
     });
-    let mut reports = reports.into_inner().expect("no thread panics with it");
+    let mut reports = reports.into_inner().expect("no thread panics while it holds the lock");
     reports.sort_by_key(|(seed, _)| *seed);
     reports
 }
@@ -71,8 +71,8 @@
     assert!(sum(|report| report.log_trimmed) > 0 && sum(|report| report.rejected as u64) > 0);
 }
 
-/// Each of these steps that is left out must be found by the schedules of an ordinary run. The others, whose races are too
-/// rare for drawn schedules, are played by hand in `quorums.rs`.
+/// Guards against schedules too weak to detect a broken protocol: an ordinary run must detect each of these injected
+/// defects. The races of the other defects are too rare for random schedules and are scripted in `quorums.rs`.
 #[test]
 fn every_defect_put_in_on_purpose_is_found() {
     let injected_defects = [
--- a/purge/tests/support/checker.rs
+++ b/purge/tests/support/checker.rs
@@ -1,11 +1,11 @@
-//! Checks the guarantee from outside: it knows what was published, what was answered as done, and what each member's
-//! driver was handed, and asks no state machine for more than whether it may serve.
+//! Checks the guarantee from outside the state machines. The checker records which purges were published, which were
+//! reported as done, and which each member's driver has drained; of a member's own state it uses only `may_serve`.
 
 use std::collections::HashSet;
 
 use juniperladder_purge::{PurgeEvent, PurgeId};
 
-/// A purge that some replica has taken.
+/// A purge that a replica has accepted.
 #[derive(Clone, Debug)]
 pub struct Published {
     pub id: PurgeId,
@@ -13,13 +13,13 @@
     pub done_at: Option<u64>,
 }
 
-/// What the driver of one incarnation of a member has applied. It begins with nothing, whatever earlier incarnations had.
+/// What the driver of one incarnation of a member has applied. Each incarnation starts with an empty cache.
 #[derive(Clone, Debug, Default)]
 pub struct Applied {
     keys: HashSet<usize>,
-    /// All purges published before this one were covered by voiding all.
+    /// Purges with a smaller index were covered by voiding the cache.
     voided_before: usize,
-    /// So many of the done purges are known to be applied.
+    /// Number of done purges, in order of completion, that are known to be applied.
     checked: usize,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A purge that was answered as done, and a member that served without it.
+/// A breach of the guarantee: a member served without a purge that was reported as done.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
     pub at: u64,
@@ -39,7 +39,7 @@
     pub done: u64,
 }
 
-/// All purges.
+/// Records all purges and checks the guarantee.
 #[derive(Clone, Debug, Default)]
 pub struct Checker {
     pub published: Vec<Published>,
@@ -47,7 +47,7 @@
 }
 
 impl Checker {
-    /// The key of the next purge: it names its number, so that what a member is handed says which purge it is.
+    /// The key of the next purge. The key starts with the purge's index, which identifies the purge in members' events.
     pub fn next_key(&self, length: usize) -> Vec<u8> {
         let mut key = (self.published.len() as u64).to_le_bytes().to_vec();
         key.resize(length.max(8), b'k');
@@ -70,16 +70,20 @@
         self.done.len()
     }
 
-    /// What a member's driver was handed.
+    /// Records the events that a member's driver has drained; returns the indices of the purges among them.
     pub fn on_events(&self, applied: &mut Applied, events: &[PurgeEvent]) -> Vec<usize> {
         let mut purges = Vec::new();
         for event in events {
             match event {
                 PurgeEvent::VoidAll => applied.voided_before = self.published.len(),
                 PurgeEvent::Key(key) => {
-                    let number: [u8; 8] = key[..8].try_into().expect("a key names its purge");
+                    let number: [u8; 8] =
+                        key[..8].try_into().expect("a key starts with the index of its purge");
                     let purge = u64::from_le_bytes(number) as usize;
-                    assert!(purge < self.published.len(), "a purge that nobody published");
+                    assert!(
+                        purge < self.published.len(),
+                        "a member drained a purge that was never published"
+                    );
                     applied.keys.insert(purge);
                     purges.push(purge);
                 }
@@ -88,7 +92,7 @@
         purges
     }
 
-    /// A member may serve at this moment: everything that was ever answered as done must be applied.
+    /// Checks that a member that may serve at this moment has applied every purge reported as done so far.
     pub fn check(&self, now: u64, member: usize, applied: &mut Applied) -> Result<(), Breach> {
         while let Some(purge) = self.done.get(applied.checked) {
             if !applied.has(*purge) {
--- a/purge/tests/support/mod.rs
+++ b/purge/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Whole control planes in virtual time: replicas, members, a network with faults, and a checker that looks from outside.
+//! Simulation of whole control planes in virtual time: replicas, members, a faulty network, and an external checker.
 
 #![allow(dead_code)]
 
--- a/purge/tests/support/network.rs
+++ b/purge/tests/support/network.rs
@@ -1,37 +1,37 @@
-//! A network that loses, repeats, delays, reorders and cuts.
+//! A simulated network that loses, duplicates, delays and reorders datagrams, and has partitions.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-/// How the network treats a datagram.
+/// Loss, duplication and delay of datagrams. Delays are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct LinkQuality {
     pub loss: f64,
     pub repeat: f64,
     pub delay: (u64, u64),
-    /// The share of datagrams that come much later, and by how much at the most.
+    /// Share of datagrams with an additional delay, and the maximum of that delay.
     pub late: f64,
     pub late_by: u64,
 }
 
 impl LinkQuality {
-    /// Between regions, in ordinary times.
+    /// Links between regions, without faults.
     pub const ORDINARY: LinkQuality =
         LinkQuality { loss: 0.0, repeat: 0.0, delay: (1_000, 100_000), late: 0.0, late_by: 0 };
     pub const GOOD: LinkQuality =
         LinkQuality { loss: 0.0, repeat: 0.0, delay: (1_000, 20_000), late: 0.0, late_by: 0 };
 }
 
-/// Between two sides of a cut nothing gets through, in one direction or both.
+/// A partition that stops datagrams between two sides, in one direction or both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Cut {
-    /// The nodes of one side, a bit each.
+    /// Bit set of the nodes on one side.
     pub side: u64,
-    /// Nothing leaves that side.
+    /// Whether datagrams from that side are stopped.
     pub outward: bool,
-    /// Nothing reaches that side.
+    /// Whether datagrams to that side are stopped.
     pub inward: bool,
-    /// Only datagrams between replicas are stopped.
+    /// Whether only datagrams between replicas are stopped.
     pub replicas_only: bool,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// The network.
+/// The simulated network.
 #[derive(Clone, Debug)]
 pub struct Network {
     pub quality: LinkQuality,
@@ -54,7 +54,7 @@
 }
 
 impl Network {
-    /// After which delays a datagram arrives: never, once, or twice.
+    /// The delays of the copies of a datagram that arrive: none, one or two.
     pub fn delays(&self, rng: &mut ChaCha8Rng, from: usize, to: usize) -> Vec<u64> {
         let is_cut = self.cuts.iter().any(|cut| cut.stops(from, to, self.replicas));
         if is_cut || rng.random_bool(self.quality.loss) {
--- a/purge/tests/support/schedule.rs
+++ b/purge/tests/support/schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules drawn from a seed: how large the control plane is, how bad its network, and what happens when.
+//! Random schedules drawn from a seed: size of the control plane, quality of its network, and faults with their times.
 
 use juniperladder_purge::CatchUp;
 use rand::{RngExt, SeedableRng};
@@ -8,10 +8,10 @@
 
 pub const MILLISECOND: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
-/// Seconds after which all members of an ordinary schedule serve.
+/// Seconds until all members of an ordinary schedule serve.
 const SETTLED: u64 = 5;
 
-/// What happens at a time.
+/// A fault, its end, or another scheduled action.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultKind {
     KillReplica(usize),
@@ -23,24 +23,24 @@
     ThawNode(usize),
     BeginCut(Cut),
     EndCut(Cut),
-    /// So many purges at once at one replica.
+    /// Publishes a number of purges at once at one replica.
     Publish(usize, usize),
 }
 
-/// What a schedule is made to provoke.
+/// The kind of faults that a schedule concentrates on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Profile {
-    /// A little of everything.
+    /// All kinds of faults, at low rates.
     Mixed,
-    /// Replicas restart in quick succession, in long rounds.
+    /// Replicas restart in quick succession, during long rounds.
     ReplicaRestarts,
-    /// Members lose their assigned replicas by cuts and kills.
+    /// Members lose their assigned replicas through partitions and crashes.
     AssignedReplicaChanges,
     /// Members are cut off while a short log is trimmed.
     Trimming,
     /// Members restart and freeze.
     MemberRestarts,
-    /// Few replicas, much loss, partitions and restarts: no more than a bare majority has anything.
+    /// Few replicas, high loss, partitions and restarts, so that rarely more than a bare majority holds an entry.
     BareMajorities,
 }
 
@@ -53,31 +53,31 @@
     Profile::BareMajorities,
 ];
 
-/// A control plane and what happens to it.
+/// A control plane and the faults that it undergoes.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     pub seed: u64,
     pub profile: Profile,
     pub replicas: usize,
     pub members: Vec<CatchUp>,
-    /// Members that run from the beginning; the others start later, and have never been registered.
+    /// Bit set of the members that run from the beginning; the others start and register for the first time later.
     pub early_members: u64,
     /// The region of each node, replicas first.
     pub regions: Vec<usize>,
     pub quality: LinkQuality,
-    /// The largest difference of a clock's rate from the true one, in millionths.
+    /// Maximum deviation of a clock's rate, in parts per million.
     pub drift_ppm: i64,
     pub lease: u64,
     pub round_interval: u64,
     pub log_entries: usize,
     pub void_threshold_entries: usize,
     pub tick: u64,
-    /// What the numbers of starts are counted from: as large as they are where they are times of day.
+    /// Incarnation before the first start. As large as a time of day where message sizes must be realistic.
     pub first_start: u64,
-    /// The least and the greatest length of keys; drawn ones are of any length.
+    /// Minimum and maximum length of keys; none for keys of widely varying length.
     pub key_bytes: Option<(usize, usize)>,
     pub faults: Vec<(u64, FaultKind)>,
-    /// When all faults end.
+    /// Time at which all faults end.
     pub healed_at: u64,
 }
 
@@ -119,7 +119,7 @@
         schedule
     }
 
-    /// An ordinary time: no faults but so much loss, so many purges a second in all once members have settled.
+    /// A schedule without faults other than packet loss, with `rate` purges per second in all once members serve.
     pub fn ordinary(
         seed: u64,
         replicas: usize,
@@ -202,7 +202,7 @@
         self.faults.sort();
     }
 
-    /// Cuts off a region, some nodes, or a replica from the other replicas alone.
+    /// Draws a partition that cuts off a region, a random set of nodes, or one replica from the other replicas only.
     fn draw_cut(&self, rng: &mut ChaCha8Rng) -> Cut {
         let nodes = self.replicas + self.members.len();
         let region = self.regions[rng.random_range(0..self.replicas)];
@@ -232,7 +232,7 @@
         }
     }
 
-    /// A fault that begins and ends; it lasts for so many milliseconds at the most.
+    /// Adds a fault at a random time and its end at most `longest` milliseconds later.
     fn add(&mut self, rng: &mut ChaCha8Rng, kinds: (FaultKind, FaultKind), longest: u64) {
         let begin = rng.random_range(0..self.healed_at);
         let end = begin + rng.random_range(5..=longest) * MILLISECOND;
@@ -243,7 +243,7 @@
     }
 }
 
-/// Replicas in turn over the regions, so that none is without; members anywhere.
+/// Assigns replicas to regions in turn, so that each region has one, and members at random.
 fn draw_regions(rng: &mut ChaCha8Rng, replicas: usize, members: usize) -> Vec<usize> {
     let regions = rng.random_range(2..=replicas);
     let of_replicas = (0..replicas).map(|replica| replica % regions);
--- a/purge/tests/support/scripted.rs
+++ b/purge/tests/support/scripted.rs
@@ -1,4 +1,4 @@
-//! A control plane whose links a test opens, cuts and holds by hand.
+//! A control plane whose links a test opens, cuts and holds step by step.
 
 use std::collections::HashMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -12,15 +12,17 @@
 const STEP_MILLIS: u64 = 10;
 const STEP: Micros = Micros::from_millis(STEP_MILLIS);
 const FIRST_PORT: u16 = 1_000;
-/// Datagrams that a link remembers, so that they can come again.
+/// Maximum number of datagrams per link that can be delivered again.
 const REMEMBERED: usize = 64;
 
-/// What becomes of the datagrams of a link.
+/// How a link treats its datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LinkState {
+    /// Delivers datagrams.
     Open,
+    /// Drops datagrams.
     Cut,
-    /// They wait.
+    /// Keeps datagrams until the link is open again.
     Held,
 }
 
@@ -30,7 +32,7 @@
     Member { member: Member, purged: Vec<Vec<u8>> },
 }
 
-/// Replicas first, then members.
+/// A control plane of replicas and members. Nodes are numbered: replicas first, then members.
 pub struct Plane {
     pub now: Micros,
     replicas: usize,
@@ -47,7 +49,7 @@
 }
 
 impl Plane {
-    /// Bootstrapped replicas, and places for members that don't run yet.
+    /// Creates a control plane with bootstrapped replicas, and members that don't run yet.
     pub fn new(replicas: usize, members: usize, injected_defect: Option<InjectedDefect>) -> Plane {
         let count = replicas + members;
         let mut plane = Plane {
@@ -85,12 +87,12 @@
         self.machines[replica] = Some(Machine::Replica(Replica::new(config, self.now)));
     }
 
-    /// A replica's process is replaced by a new one without memory.
+    /// Replaces a replica's process by a new one without state.
     pub fn restart_replica(&mut self, replica: usize) {
         self.start_replica(replica, false);
     }
 
-    /// Starts a member that prefers these assigned replicas.
+    /// Starts a member with these replicas in preference order.
     pub fn start_member(&mut self, node: usize, preferred: &[usize]) {
         self.starts[node] += 1;
         let config = MemberConfig {
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Nothing gets through between these, either way; what is under way is lost.
+    /// Cuts the links between two sets of nodes in both directions; datagrams in flight are lost.
     pub fn cut(&mut self, one: &[usize], other: &[usize]) {
         let crosses = |from, to| one.contains(&from) && other.contains(&to);
         self.waiting.retain(|(from, to, _)| !crosses(*from, *to) && !crosses(*to, *from));
@@ -125,35 +127,35 @@
         self.set((other, one), LinkState::Cut);
     }
 
-    /// All gets through between these, either way, what was held included.
+    /// Opens the links between two sets of nodes in both directions; held datagrams are delivered.
     pub fn join(&mut self, one: &[usize], other: &[usize]) {
         self.set((one, other), LinkState::Open);
         self.set((other, one), LinkState::Open);
     }
 
-    /// What is sent from one to the other waits.
+    /// Holds the datagrams from one node to another.
     pub fn hold(&mut self, from: usize, to: usize) {
         self.set((&[from], &[to]), LinkState::Held);
     }
 
-    /// What is sent from one to the other gets through, what was held included.
+    /// Opens the link from one node to another; held datagrams are delivered.
     pub fn open(&mut self, from: usize, to: usize) {
         self.set((&[from], &[to]), LinkState::Open);
     }
 
-    /// What was sent from one to the other of late comes again.
+    /// Delivers the latest datagrams from one node to another again.
     pub fn repeat(&mut self, from: usize, to: usize) {
         for bytes in self.remembered.get(&(from, to)).cloned().unwrap_or_default() {
             self.waiting.push((from, to, bytes));
         }
     }
 
-    /// Runs for one step: what was sent in the last one arrives.
+    /// Runs one step, in which the datagrams of the previous step arrive.
     pub fn step(&mut self) {
         self.run(STEP_MILLIS);
     }
 
-    /// Runs for so many milliseconds.
+    /// Runs for some milliseconds of virtual time.
     pub fn run(&mut self, milliseconds: u64) {
         let end = self.now + Micros::from_millis(milliseconds);
         while self.now < end {
@@ -218,14 +220,18 @@
     }
 
     pub fn publish(&mut self, replica: usize, key: &[u8]) -> PurgeId {
-        let Some(Machine::Replica(machine)) = &mut self.machines[replica] else { panic!("no replica") };
-        let id = machine.publish(self.now, key).expect("it is admitted");
+        let Some(Machine::Replica(machine)) = &mut self.machines[replica] else {
+            panic!("the node runs no replica")
+        };
+        let id = machine.publish(self.now, key).expect("the replica accepts the purge");
         self.collect(replica);
         id
     }
 
     pub fn status(&self, replica: usize, id: PurgeId) -> PurgeStatus {
-        let Some(Machine::Replica(machine)) = &self.machines[replica] else { panic!("no replica") };
+        let Some(Machine::Replica(machine)) = &self.machines[replica] else {
+            panic!("the node runs no replica")
+        };
         machine.status(id)
     }
 
@@ -236,18 +242,18 @@
     pub fn replica(&mut self, node: usize) -> &mut Replica {
         match &mut self.machines[node] {
             Some(Machine::Replica(replica)) => replica,
-            _ => panic!("no replica"),
+            _ => panic!("the node runs no replica"),
         }
     }
 
     pub fn member(&mut self, node: usize) -> &mut Member {
         match &mut self.machines[node] {
             Some(Machine::Member { member, .. }) => member,
-            _ => panic!("no member"),
+            _ => panic!("the node runs no member"),
         }
     }
 
-    /// The process of a node ends without a word.
+    /// Ends a node's process abruptly.
     pub fn kill(&mut self, node: usize) {
         self.machines[node] = None;
     }
@@ -261,7 +267,7 @@
             if purged.iter().any(|purged| purged == key))
     }
 
-    /// Whether the guarantee is broken: the purge is answered as done, and a member serves without it.
+    /// Whether the guarantee is breached: the purge is reported as done, and a member serves without it.
     pub fn is_breached(&self, replica: usize, id: PurgeId, key: &[u8], member: usize) -> bool {
         let is_done = self.status(replica, id) == PurgeStatus::Done;
         is_done && self.may_serve(member) && !self.has_purged(member, key)
--- a/purge/tests/support/simulation.rs
+++ b/purge/tests/support/simulation.rs
@@ -1,4 +1,4 @@
-//! Runs a schedule, event by event, and checks the guarantee after each.
+//! Runs a schedule event by event and checks the guarantee after each event.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -18,10 +18,10 @@
 use super::network::{LinkQuality, Network};
 use super::schedule::{FaultKind, Schedule, SECOND};
 
-/// How long after the end of all faults everything must be in order again.
+/// Time after the end of all faults within which the control plane must settle.
 const TIME_TO_SETTLE: u64 = 60 * SECOND;
 const FIRST_PORT: u16 = 1_000;
-/// Heads of IP and UDP.
+/// Size of the IP and UDP headers.
 const HEAD_BYTES: u64 = 28;
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -38,32 +38,32 @@
     Member(Member, Applied),
 }
 
-/// A process, if it runs, and its machine's clock.
+/// A node: its process, if it runs, and its clock.
 #[derive(Debug)]
 struct Node {
     machine: Option<Machine>,
-    /// Counts starts; also what is told to the machine, in microseconds.
+    /// Incarnation of the process, incremented at each start.
     start: u64,
     frozen: bool,
-    /// Datagrams that came while it was frozen.
+    /// Datagrams that arrived while the process was frozen.
     backlog: VecDeque<(usize, Vec<u8>)>,
-    /// Its clock's rate in millionths, and what it shows at the beginning.
+    /// Rate of the clock in millionths, and its initial value in microseconds.
     rate: u64,
     offset: u64,
-    /// Purges published at this start of this replica that are not done.
+    /// Purges published by this incarnation of the replica that are not done.
     pending: VecDeque<usize>,
 }
 
-/// How a schedule ended.
+/// Result of a schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Held,
     Breached(Breach),
-    /// Something was not in order again after the end of all faults.
+    /// The control plane did not settle in time after the end of all faults, for this reason.
     NotSettled(String),
 }
 
-/// What a schedule did.
+/// Result and statistics of a schedule. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Report {
     pub verdict: Verdict,
@@ -72,15 +72,15 @@
     pub rejected: usize,
     pub steps: u64,
     pub settled_after: u64,
-    /// Times from the publication of a purge to its application, by all members that were handed it as a key.
+    /// Times from the publication of a purge to its application, one for each member that applied it by key.
     pub times_to_act: Vec<u64>,
     pub times_to_done: Vec<u64>,
     pub log_trimmed: u64,
     pub voided: u64,
     pub lapses: u64,
-    /// Bytes of each member, in both directions, with the heads of IP and UDP, a second.
+    /// Bytes per second of each member in both directions, with IP and UDP headers.
     pub member_bytes_per_second: Vec<u64>,
-    /// Bytes that each replica sent, with those heads, a second.
+    /// Bytes per second that each replica sent, with IP and UDP headers.
     pub replica_bytes_per_second: Vec<u64>,
 }
 
@@ -332,7 +332,7 @@
         self.after(to);
     }
 
-    /// What a driver does after each call: applies what came, notes what is done, and sends.
+    /// Acts as the driver after each call: applies drained purges, records completed ones, and sends datagrams.
     fn after(&mut self, node: usize) {
         let process = &mut self.nodes[node];
         let datagrams = match &mut process.machine {
@@ -394,8 +394,8 @@
         }
     }
 
-    /// Replicas that are down or have not recovered. With more than a minority of them the control plane stands still
-    /// until it is bootstrapped anew, which schedules don't do.
+    /// The number of replicas that are down or have not recovered. If they are more than a minority, the control plane
+    /// makes no progress until it is bootstrapped anew, which schedules don't do.
     fn replicas_without_memory(&self) -> usize {
         let replicas = self.nodes[..self.schedule.replicas].iter();
         let has_memory = |node: &&Node| match &node.machine {
@@ -472,7 +472,7 @@
         }
     }
 
-    /// The guarantee, at this moment.
+    /// Checks the guarantee at this moment.
     fn check(&mut self) -> Result<(), Breach> {
         for node in self.schedule.replicas..self.nodes.len() {
             let now = self.local_now(node);
@@ -485,32 +485,36 @@
         Ok(())
     }
 
-    /// What is not in order yet: a purge that is pending, a member that does not serve, a replica that recovers.
+    /// The first reason why the control plane has not settled: a pending purge, a member that does not serve, a replica
+    /// that is recovering, or a node that does not run.
     fn unsettled(&self) -> Option<String> {
         for (number, node) in self.nodes.iter().enumerate() {
             match &node.machine {
                 Some(Machine::Replica(replica)) => {
                     if replica.metrics().recovering {
-                        return Some(format!("replica {number} recovers"));
+                        return Some(format!("replica {number} is still recovering"));
                     }
                     if let Some(purge) = node.pending.front() {
                         let id = self.checker.published[*purge].id;
-                        return Some(format!("{id:?}: {:?}", replica.status(id)));
+                        return Some(format!("purge {id:?} is not done: {:?}", replica.status(id)));
                     }
                 }
                 Some(Machine::Member(member, _)) => {
                     if !member.may_serve(Micros(self.local_now(number))) {
-                        return Some(format!("member {number} does not serve: {:?}", member.metrics()));
+                        return Some(format!(
+                            "member {number} does not serve; metrics: {:?}",
+                            member.metrics()
+                        ));
                     }
                 }
-                None => return Some(format!("node {number} does not run")),
+                None => return Some(format!("node {number} is not running")),
             }
         }
         None
     }
 }
 
-/// Bytes with the heads of IP and UDP.
+/// Traffic in bytes, with IP and UDP headers.
 fn with_heads(traffic: Traffic) -> u64 {
     traffic.bytes + traffic.datagrams * HEAD_BYTES
 }
