--- a/purge/src/cache_fill/tests.rs
+++ b/purge/src/cache_fill/tests.rs
@@ -72,22 +72,22 @@
 
 /// Calls `visit` with each interleaving of the sequences.
 fn interleave(sequences: &[Vec<Step>], visit: &mut impl FnMut(&[Step])) {
-    fn go(rest: &mut Vec<&[Step]>, so_far: &mut Vec<Step>, visit: &mut impl FnMut(&[Step])) {
+    fn extend(rest: &mut Vec<&[Step]>, prefix: &mut Vec<Step>, visit: &mut impl FnMut(&[Step])) {
         if rest.iter().all(|sequence| sequence.is_empty()) {
-            visit(so_far);
+            visit(prefix);
             return;
         }
         for index in 0..rest.len() {
-            let Some((step, behind)) = rest[index].split_first() else { continue };
-            let before = std::mem::replace(&mut rest[index], behind);
-            so_far.push(*step);
-            go(rest, so_far, visit);
-            so_far.pop();
+            let Some((step, remaining)) = rest[index].split_first() else { continue };
+            let before = std::mem::replace(&mut rest[index], remaining);
+            prefix.push(*step);
+            extend(rest, prefix, visit);
+            prefix.pop();
             rest[index] = before;
         }
     }
     let mut rest: Vec<&[Step]> = sequences.iter().map(Vec::as_slice).collect();
-    go(&mut rest, &mut Vec::new(), visit);
+    extend(&mut rest, &mut Vec::new(), visit);
 }
 
 fn fill(number: usize) -> Vec<Step> {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn no_interleaving_keeps_what_was_read_before_a_purge() {
+fn no_interleaving_stores_a_value_read_before_a_purge() {
     let writers = [
         vec![Step::Write, Step::Purge],
         vec![Step::Write, Step::Void],
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn three_fills_and_two_purges_of_one_key_in_any_order() {
+fn no_interleaving_of_three_fills_and_two_purges_stores_an_old_value() {
     let writer = vec![Step::Write, Step::Purge, Step::Purge];
     let mut histories = 0;
     interleave(&[fill(0), fill(1), fill(2), writer], &mut |steps| {
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_purge_spares_fills_of_other_keys_and_the_bound_holds() {
+fn a_purge_discards_only_fills_of_its_key_and_fills_beyond_the_capacity_are_discarded() {
     let mut guard = FillGuard::new(2);
     let (one, two) = (guard.begin_fill(b"one"), guard.begin_fill(b"two"));
     let beyond = guard.begin_fill(b"three");
--- a/purge/src/lease_table/tests.rs
+++ b/purge/src/lease_table/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_lease_expires_only_after_its_time_and_the_drift() {
+fn a_lease_expires_only_after_its_duration_and_the_clock_drift() {
     let settings = ReplicaSettings::default();
     let mut leases = LeaseTable::default();
     leases.register(MEMBER, epoch(1), Micros::ZERO);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_late_pull_never_shortens_a_lease() {
+fn a_pull_with_an_earlier_time_never_shortens_a_lease() {
     let settings = ReplicaSettings::default();
     let mut leases = LeaseTable::default();
     leases.register(MEMBER, epoch(1), Micros::from_secs(10));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn what_was_learned_from_others_gets_no_lease_and_expires_a_lease_after_the_start() {
+fn a_learned_registration_gets_no_lease_and_expires_one_lease_duration_later() {
     let settings = ReplicaSettings::default();
     let mut leases = LeaseTable::default();
     let started = Micros::from_secs(5);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_report_has_the_least_position_and_names_some_of_the_laggards() {
+fn a_report_has_the_least_applied_position_and_names_a_bounded_number_of_laggards() {
     let origin = ReplicaId(4);
     let mut leases = LeaseTable::default();
     for member in 0..100 {
--- a/purge/src/limits/tests.rs
+++ b/purge/src/limits/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_burst_is_admitted_then_the_rate_and_the_retry_after_suffices() {
+fn after_the_burst_the_bucket_admits_the_rate_and_a_retry_at_the_stated_time() {
     let mut bucket = TokenBucket::new(10, 5, Micros::ZERO);
     for _ in 0..5 {
         assert_eq!(bucket.try_take(Micros::ZERO), Ok(()));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_clock_that_goes_back_admits_nothing_more() {
+fn a_clock_that_goes_back_refills_no_tokens() {
     let mut bucket = TokenBucket::new(1, 1, Micros::SECOND);
     assert_eq!(bucket.try_take(Micros::SECOND), Ok(()));
     assert!(bucket.try_take(Micros::ZERO).is_err());
--- a/purge/src/log/tests.rs
+++ b/purge/src/log/tests.rs
@@ -9,7 +9,7 @@
 }
 
 /// The entries of one incarnation from its start entry, after a position.
-fn stream(incarnation: u64, after: Position, count: u64) -> Vec<Entry> {
+fn stream_entries(incarnation: u64, after: Position, count: u64) -> Vec<Entry> {
     let position = |sequence| at(incarnation, sequence);
     let previous = |sequence| if sequence == 1 { after } else { position(sequence - 1) };
     (1..=count)
@@ -21,7 +21,7 @@
         .collect()
 }
 
-fn log_of(entries: &[Entry], capacity: usize) -> Log {
+fn log_with_entries(entries: &[Entry], capacity: usize) -> Log {
     let mut log = Log::new(capacity);
     for entry in entries {
         assert!(log.append(ORIGIN, entry.clone()));
@@ -36,8 +36,8 @@
 }
 
 #[test]
-fn entries_are_appended_once_and_in_order() {
-    let entries = stream(1, Position::ZERO, 4);
+fn entries_are_appended_once_and_without_gaps() {
+    let entries = stream_entries(1, Position::ZERO, 4);
     let mut log = Log::new(100);
     assert!(!log.append(ORIGIN, entries[1].clone()), "an entry after a gap is rejected");
     for entry in &entries {
@@ -48,20 +48,20 @@
 }
 
 #[test]
-fn a_new_incarnation_skips_what_no_majority_held_of_the_old_and_nothing_else() {
-    let old = stream(1, Position::ZERO, 7);
-    let new = stream(2, at(1, 5), 3);
-    let mut holds_more = log_of(&old, 100);
+fn a_new_incarnation_skips_only_old_entries_beyond_its_recovered_position() {
+    let old = stream_entries(1, Position::ZERO, 7);
+    let new = stream_entries(2, at(1, 5), 3);
+    let mut holds_more = log_with_entries(&old, 100);
     assert!(holds_more.append(ORIGIN, new[0].clone()));
-    let mut holds_less = log_of(&old[..4], 100);
+    let mut holds_less = log_with_entries(&old[..4], 100);
     assert!(!holds_less.append(ORIGIN, new[0].clone()));
     assert!(holds_less.append(ORIGIN, old[4].clone()) && holds_less.append(ORIGIN, new[0].clone()));
     assert!(!holds_less.append(ORIGIN, old[5].clone()), "entries of the old incarnation are rejected");
 }
 
 #[test]
-fn the_oldest_entries_are_trimmed_and_who_lacks_them_is_below_the_base() {
-    let log = log_of(&stream(1, Position::ZERO, 50), 10);
+fn the_oldest_entries_are_trimmed_and_a_reader_without_them_is_below_the_base() {
+    let log = log_with_entries(&stream_entries(1, Position::ZERO, 50), 10);
     assert_eq!((log.len(), log.trimmed(), log.base(ORIGIN)), (10, 40, at(1, 40)));
     assert_eq!(log.reader_lag(&reader_at(at(1, 40))), ReaderLag::Entries(10));
     assert_eq!(log.reader_lag(&reader_at(at(1, 39))), ReaderLag::BelowBase);
@@ -71,9 +71,9 @@
 /// Guards against runs that skip or repeat entries: a reader at any position reaches the head through runs of bounded
 /// size and receives every entry after its position.
 #[test]
-fn readers_at_every_position_catch_up_by_runs() {
-    let mut log = log_of(&stream(1, Position::ZERO, 9), 100);
-    for entry in stream(2, at(1, 6), 9) {
+fn a_reader_at_any_position_catches_up_through_bounded_runs() {
+    let mut log = log_with_entries(&stream_entries(1, Position::ZERO, 9), 100);
+    for entry in stream_entries(2, at(1, 6), 9) {
         assert!(log.append(ORIGIN, entry));
     }
     let positions: Vec<Position> = (0..=9).map(|s| at(1, s)).chain((1..=9).map(|s| at(2, s))).collect();
@@ -101,9 +101,9 @@
 }
 
 #[test]
-fn a_replica_that_lacks_trimmed_entries_begins_at_the_base() {
-    let log = log_of(&stream(1, Position::ZERO, 50), 10);
-    let mut other = log_of(&stream(1, Position::ZERO, 20), 100);
+fn a_replica_without_trimmed_entries_moves_its_stream_to_the_base() {
+    let log = log_with_entries(&stream_entries(1, Position::ZERO, 50), 10);
+    let mut other = log_with_entries(&stream_entries(1, Position::ZERO, 20), 100);
     let (runs, more) = log.runs_after(&other.vector(), 10_000);
     assert!(!more && runs[0].rebase);
     for run in runs {
@@ -114,9 +114,9 @@
 }
 
 #[test]
-fn a_stream_that_is_trimmed_to_its_end_is_told_by_its_base() {
-    let mut log = log_of(&stream(1, Position::ZERO, 5), 5);
-    for entry in stream(1, Position::ZERO, 5) {
+fn a_fully_trimmed_stream_is_sent_as_its_base() {
+    let mut log = log_with_entries(&stream_entries(1, Position::ZERO, 5), 5);
+    for entry in stream_entries(1, Position::ZERO, 5) {
         log.append(ReplicaId(0), entry);
     }
     let mut other = Log::new(100);
--- a/purge/src/registration/tests.rs
+++ b/purge/src/registration/tests.rs
@@ -3,25 +3,25 @@
 use super::*;
 use crate::wire::{encode, Message, PeerMessage};
 
-const HOME: ReplicaId = ReplicaId(2);
+const ASSIGNED_REPLICA: ReplicaId = ReplicaId(2);
 
 fn epoch(counter: u64) -> Epoch {
     Epoch { incarnation: 7, counter }
 }
 
 fn store(table: &mut RegistrationTable, member: u32, counter: u64) -> StoreOutcome {
-    table.store(MemberId(member), epoch(counter), HOME, RegistrationState::Known)
+    table.store(MemberId(member), epoch(counter), ASSIGNED_REPLICA, RegistrationState::Known)
 }
 
 /// Copies all changes of a table.
-fn follow(copy: &mut TableCopy, table: &RegistrationTable, incarnation: u64) {
+fn update_copy(copy: &mut TableCopy, table: &RegistrationTable, incarnation: u64) {
     while !copy.is_complete(incarnation, table.change()) {
         assert!(copy.apply(&table.changes_after(incarnation, copy.through(incarnation))));
     }
 }
 
 #[test]
-fn the_greatest_epoch_stays_and_a_release_is_for_ever() {
+fn the_greatest_epoch_wins_and_a_release_is_final() {
     let mut table = RegistrationTable::default();
     assert_eq!(store(&mut table, 1, 5), StoreOutcome::Stored);
     assert_eq!(store(&mut table, 1, 5), StoreOutcome::Present);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_copy_follows_by_changes_and_by_chunks_that_fit() {
+fn a_copy_is_updated_incrementally_and_every_chunk_fits_into_a_datagram() {
     let mut table = RegistrationTable::default();
     let mut copy = TableCopy::default();
     for member in 0..500 {
@@ -42,18 +42,18 @@
     let chunk = table.changes_after(u64::MAX, 0);
     let message = Message::BetweenReplicas(PeerMessage::TableChunk(chunk));
     assert!(encode(&message).is_some(), "a chunk of the greatest numbers fits");
-    follow(&mut copy, &table, 9);
+    update_copy(&mut copy, &table, 9);
     assert_eq!(copy.registrations(), table.registrations());
     store(&mut table, 3, u64::MAX);
     table.set_state(MemberId(4), epoch(u64::MAX - 1), RegistrationState::Released);
     let chunk = table.changes_after(9, copy.through(9));
     assert_eq!(chunk.registrations.len(), 2, "a chunk contains only the changes");
-    follow(&mut copy, &table, 9);
+    update_copy(&mut copy, &table, 9);
     assert_eq!(copy.registrations(), table.registrations());
 }
 
 #[test]
-fn a_copy_leaves_nothing_out_and_never_goes_back() {
+fn a_copy_ignores_chunks_after_a_gap_and_of_old_incarnations() {
     let mut table = RegistrationTable::default();
     for member in 0..60 {
         store(&mut table, member, 1);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_full_table_takes_a_member_only_in_place_of_a_released_one() {
+fn a_full_table_accepts_a_new_member_only_by_evicting_a_released_one() {
     let mut table = RegistrationTable::default();
     let full = MAX_MEMBERS as u32;
     for member in 0..full {
@@ -88,7 +88,7 @@
 /// Guards against a copy that claims to be complete without registrations of the original table: it is reset once
 /// registrations evicted from the original table overflow it.
 #[test]
-fn a_copy_that_overflows_begins_anew() {
+fn a_copy_that_overflows_is_reset() {
     let mut table = RegistrationTable::default();
     let mut copy = TableCopy::default();
     let mut largest = 0;
--- a/purge/src/version_vector/tests.rs
+++ b/purge/src/version_vector/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn a_position_is_never_lowered_and_an_incarnation_outranks_sequences() {
+fn positions_are_never_lowered_and_order_by_incarnation_before_sequence() {
     let mut vector = VersionVector::default();
     assert!(vector.is_empty());
     vector.raise(ReplicaId(1), at(1, 100));
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn covering_is_by_every_replica() {
-    let mut one = VersionVector::default();
-    let mut two = VersionVector::default();
-    one.raise(ReplicaId(0), at(1, 4));
-    two.raise(ReplicaId(1), at(1, 1));
-    assert!(!one.covers(&two) && !two.covers(&one));
-    two.merge(&one);
-    assert!(two.covers(&one) && !one.covers(&two));
-    assert_eq!(two.len(), 2);
-    assert!(one.covers(&VersionVector::default()));
+fn a_vector_covers_another_only_if_it_does_for_every_replica() {
+    let mut first = VersionVector::default();
+    let mut second = VersionVector::default();
+    first.raise(ReplicaId(0), at(1, 4));
+    second.raise(ReplicaId(1), at(1, 1));
+    assert!(!first.covers(&second) && !second.covers(&first));
+    second.merge(&first);
+    assert!(second.covers(&first) && !first.covers(&second));
+    assert_eq!(second.len(), 2);
+    assert!(first.covers(&VersionVector::default()));
 }
--- a/purge/src/wire/tests.rs
+++ b/purge/src/wire/tests.rs
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn the_longest_message_of_each_kind_fits_and_is_read_as_it_was_written() {
+fn the_longest_message_of_each_kind_fits_and_round_trips() {
     for message in all_messages() {
         let bytes = encode(&message).unwrap_or_else(|| panic!("too long: {message:?}"));
         assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn what_is_truncated_at_any_length_or_has_more_behind_is_an_error() {
+fn truncated_datagrams_and_trailing_bytes_are_errors() {
     for message in all_messages() {
         let bytes = encode(&message).expect("it fits");
         for length in 0..bytes.len() {
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn other_versions_and_what_is_too_long_are_told_apart() {
+fn other_versions_and_too_long_datagrams_have_their_own_errors() {
     assert_eq!(decode(&[b'J'; MAX_DATAGRAM_BYTES + 1]), Err(DecodeError::TooLong));
     assert_eq!(decode(b"JPC\x02\x00"), Err(DecodeError::Version));
     assert_eq!(decode(b""), Err(DecodeError::Version));
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn random_bytes_and_flipped_bits_never_panic() {
+fn decoding_random_bytes_and_flipped_bits_never_panics() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let messages = all_messages();
     for _ in 0..20_000 {
--- a/purge/tests/behaviour.rs
+++ b/purge/tests/behaviour.rs
@@ -10,7 +10,7 @@
 const KEY: &[u8] = b"the key";
 
 /// Three replicas, each assigned to one serving member: member `3 + n` to replica `n`.
-fn plane_of_three() -> Plane {
+fn three_replica_plane() -> Plane {
     let mut plane = Plane::new(3, 3, None);
     for replica in 0..3 {
         plane.start_member(3 + replica, &[replica]);
@@ -21,8 +21,8 @@
 }
 
 #[test]
-fn a_region_that_is_cut_off_with_its_home_goes_on_and_is_named() {
-    let mut plane = plane_of_three();
+fn a_partitioned_region_keeps_serving_and_is_reported_as_outstanding() {
+    let mut plane = three_replica_plane();
     plane.cut(&[2, 5], &[0, 1, 3, 4]);
     plane.run(5_000);
     let outside = plane.publish(0, KEY);
@@ -46,8 +46,8 @@
 }
 
 #[test]
-fn a_member_moves_to_another_home_without_a_gap_and_comes_back() {
-    let mut plane = plane_of_three();
+fn a_member_changes_its_assigned_replica_without_a_lapse_and_returns() {
+    let mut plane = three_replica_plane();
     plane.kill(2);
     for _ in 0..40 {
         plane.run(100);
@@ -61,8 +61,8 @@
 }
 
 #[test]
-fn a_member_that_leaves_holds_up_nothing_and_one_that_dies_only_until_its_lease_ends() {
-    let mut plane = plane_of_three();
+fn a_leaving_member_delays_no_purge_and_a_crashed_one_only_until_its_lease_expires() {
+    let mut plane = three_replica_plane();
     plane.member(5).leave();
     plane.run(50);
     assert!(!plane.may_serve(5));
@@ -82,12 +82,12 @@
 }
 
 #[test]
-fn a_publisher_that_floods_is_told_when_to_come_again() {
-    let mut plane = plane_of_three();
+fn a_flooding_publisher_is_rejected_with_a_retry_time() {
+    let mut plane = three_replica_plane();
     let now = plane.now;
     let replica = plane.replica(0);
-    let taken = (0..10_000).take_while(|_| replica.publish(now, KEY).is_ok()).count();
-    assert_eq!(taken, 200, "the burst is admitted");
+    let admitted = (0..10_000).take_while(|_| replica.publish(now, KEY).is_ok()).count();
+    assert_eq!(admitted, 200, "the burst is admitted");
     let rejected = replica.publish(now, KEY).expect_err("the burst is exhausted");
     assert_eq!(rejected.reason, PublishRejectReason::RateLimited);
     assert!(replica.publish(now + rejected.retry_after - Micros(1), KEY).is_err());
@@ -109,17 +109,17 @@
 }
 
 #[test]
-fn what_cannot_be_read_or_comes_from_elsewhere_is_dropped_by_cause() {
-    let mut plane = plane_of_three();
+fn malformed_and_unauthorized_datagrams_are_counted_by_cause() {
+    let mut plane = three_replica_plane();
     let now = plane.now;
-    let (stranger, peer) = (([127, 0, 0, 1], 9).into(), ([127, 0, 0, 1], 1_001).into());
+    let (unknown_address, replica_address) = (([127, 0, 0, 1], 9).into(), ([127, 0, 0, 1], 1_001).into());
     let status_request = [b'J', b'P', b'C', 1, 2, 0, 1, 1, 0];
     let replica = plane.replica(0);
     let before = replica.metrics().dropped;
-    replica.on_datagram(now, peer, &[0; 1_201]);
-    replica.on_datagram(now, peer, b"JPC\x02");
-    replica.on_datagram(now, peer, b"JPC\x01\xff");
-    replica.on_datagram(now, stranger, &status_request);
+    replica.on_datagram(now, replica_address, &[0; 1_201]);
+    replica.on_datagram(now, replica_address, b"JPC\x02");
+    replica.on_datagram(now, replica_address, b"JPC\x01\xff");
+    replica.on_datagram(now, unknown_address, &status_request);
     let dropped = replica.metrics().dropped;
     assert_eq!((dropped.too_long, dropped.version), (before.too_long + 1, before.version + 1));
     assert_eq!(
@@ -127,16 +127,16 @@
         (before.malformed + 1, before.unknown_sender + 1)
     );
     let member = plane.member(3);
-    member.on_datagram(now, stranger, &status_request);
-    member.on_datagram(now, peer, &status_request);
+    member.on_datagram(now, unknown_address, &status_request);
+    member.on_datagram(now, replica_address, &status_request);
     assert_eq!(member.metrics().dropped.unknown_sender, 2);
 }
 
 /// Guards against a member that serves after a partition without the purges that were done meanwhile. The case in which
 /// the log no longer reaches back to the member's position is covered by the schedules (`schedules.rs`).
 #[test]
-fn a_member_that_was_cut_off_does_not_serve_until_it_has_caught_up() {
-    let mut plane = plane_of_three();
+fn a_partitioned_member_does_not_serve_until_it_has_caught_up() {
+    let mut plane = three_replica_plane();
     plane.cut(&[5], &[0, 1, 2]);
     plane.run(2 * SECOND / MILLISECOND + 100);
     assert!(!plane.may_serve(5));
--- a/purge/tests/quorums.rs
+++ b/purge/tests/quorums.rs
@@ -10,24 +10,24 @@
 
 const KEY: &[u8] = b"the key";
 /// Replicas of the scenarios with five: the one that publishes the purge, two that receive it, and two that don't.
-const ORIGIN: usize = 0;
+const PUBLISHER: usize = 0;
 const FIRST: usize = 1;
 const SECOND: usize = 2;
-const OTHERS: [usize; 2] = [3, 4];
+const CUT_OFF: [usize; 2] = [3, 4];
 /// The member of those scenarios.
 const MEMBER: usize = 5;
 
 /// The first replica confirms that it holds the purge, then loses it in a restart before the second one receives it.
-fn first_forgets_before_second_holds(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
+fn first_loses_purge_before_second_receives_it(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
     let mut plane = Plane::new(5, 1, injected_defect);
-    plane.cut(&[ORIGIN], &OTHERS);
+    plane.cut(&[PUBLISHER], &CUT_OFF);
     plane.cut(&[FIRST], &[SECOND, 3, 4]);
-    plane.hold(ORIGIN, SECOND);
-    let purge = plane.publish(ORIGIN, KEY);
+    plane.hold(PUBLISHER, SECOND);
+    let purge = plane.publish(PUBLISHER, KEY);
     // The current round gets no majority; in the next one the first replica reports that it holds the purge.
     plane.run(3_500);
-    plane.cut(&[ORIGIN], &[FIRST]);
-    plane.hold(ORIGIN, FIRST);
+    plane.cut(&[PUBLISHER], &[FIRST]);
+    plane.hold(PUBLISHER, FIRST);
     plane.restart_replica(FIRST);
     plane.join(&[FIRST], &[SECOND, 3, 4]);
     plane.run(600);
@@ -36,14 +36,14 @@
         "recovered from the second and the others, none of which holds the purge"
     );
     plane.cut(&[SECOND], &[FIRST, 3, 4]);
-    plane.join(&[ORIGIN], &[SECOND]);
+    plane.join(&[PUBLISHER], &[SECOND]);
     plane.run(100);
     (plane, purge)
 }
 
 /// A member registers with all but the origin and the second replica.
-fn register_member_apart(plane: &mut Plane) {
-    plane.cut(&[ORIGIN, SECOND], &[FIRST, 3, 4, MEMBER]);
+fn register_member_without_publisher_and_second(plane: &mut Plane) {
+    plane.cut(&[PUBLISHER, SECOND], &[FIRST, 3, 4, MEMBER]);
     plane.start_member(MEMBER, &[FIRST]);
     plane.run(2_000);
     assert!(plane.may_serve(MEMBER), "the member reaches a majority");
@@ -51,32 +51,33 @@
 }
 
 /// Asserts that after all partitions heal the purge is done and the member has applied it.
-fn assert_settles(plane: &mut Plane, origin: usize, replicas: usize, purge: PurgeId, member: usize) {
+fn assert_settles(plane: &mut Plane, publisher: usize, replicas: usize, purge: PurgeId, member: usize) {
     let all: Vec<usize> = (0..=member.max(replicas - 1)).collect();
     plane.join(&all, &all);
     plane.run(10_000);
-    assert_eq!(plane.status(origin, purge), PurgeStatus::Done);
+    assert_eq!(plane.status(publisher, purge), PurgeStatus::Done);
     assert!(plane.may_serve(member) && plane.has_purged(member, KEY));
 }
 
 #[test]
-fn a_replica_that_forgets_within_a_round_does_not_count() {
-    let (mut plane, purge) = first_forgets_before_second_holds(None);
-    assert!(matches!(plane.status(ORIGIN, purge), PurgeStatus::Pending { .. }));
-    register_member_apart(&mut plane);
-    assert!(!plane.is_breached(ORIGIN, purge, KEY, MEMBER));
-    assert_settles(&mut plane, ORIGIN, 5, purge, MEMBER);
-
-    let (mut plane, purge) = first_forgets_before_second_holds(Some(InjectedDefect::SecondRoundSkipped));
-    register_member_apart(&mut plane);
-    assert!(plane.is_breached(ORIGIN, purge, KEY, MEMBER), "one round is not enough");
+fn a_replica_that_loses_a_purge_within_a_round_is_not_counted_as_a_holder() {
+    let (mut plane, purge) = first_loses_purge_before_second_receives_it(None);
+    assert!(matches!(plane.status(PUBLISHER, purge), PurgeStatus::Pending { .. }));
+    register_member_without_publisher_and_second(&mut plane);
+    assert!(!plane.is_breached(PUBLISHER, purge, KEY, MEMBER));
+    assert_settles(&mut plane, PUBLISHER, 5, purge, MEMBER);
+
+    let (mut plane, purge) =
+        first_loses_purge_before_second_receives_it(Some(InjectedDefect::SecondRoundSkipped));
+    register_member_without_publisher_and_second(&mut plane);
+    assert!(plane.is_breached(PUBLISHER, purge, KEY, MEMBER), "one round is not enough");
 }
 
 /// Both replicas lose the purge after the first round: the second replica restarts after it has confirmed the purge.
 /// The first receives the purge again in a duplicate datagram, confirms it in its new incarnation, and restarts.
-fn both_forget_in_the_second_round(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
-    let (mut plane, purge) = first_forgets_before_second_holds(injected_defect);
-    plane.cut(&[ORIGIN], &[SECOND]);
+fn both_lose_purge_in_the_second_round(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
+    let (mut plane, purge) = first_loses_purge_before_second_receives_it(injected_defect);
+    plane.cut(&[PUBLISHER], &[SECOND]);
     plane.restart_replica(SECOND);
     plane.join(&[SECOND], &[FIRST, 3, 4]);
     plane.run(600);
@@ -85,43 +86,43 @@
         "recovered from the first and the others, none of which holds the purge"
     );
     plane.cut(&[FIRST], &[SECOND, 3, 4]);
-    plane.hold(FIRST, ORIGIN);
-    plane.open(ORIGIN, FIRST);
+    plane.hold(FIRST, PUBLISHER);
+    plane.open(PUBLISHER, FIRST);
     plane.run(50);
-    plane.repeat(ORIGIN, FIRST);
+    plane.repeat(PUBLISHER, FIRST);
     plane.run(50);
-    plane.hold(ORIGIN, FIRST);
+    plane.hold(PUBLISHER, FIRST);
     plane.restart_replica(FIRST);
     plane.join(&[FIRST], &[SECOND, 3, 4]);
     plane.run(600);
     assert!(plane.has_recovered(FIRST), "recovered from replicas that don't hold the purge");
-    plane.open(FIRST, ORIGIN);
+    plane.open(FIRST, PUBLISHER);
     plane.run(50);
     (plane, purge)
 }
 
 #[test]
-fn a_replica_that_holds_a_purge_again_in_a_new_incarnation_does_not_confirm_it() {
-    let (mut plane, purge) = both_forget_in_the_second_round(None);
-    assert!(matches!(plane.status(ORIGIN, purge), PurgeStatus::Pending { .. }));
-    register_member_apart(&mut plane);
-    assert!(!plane.is_breached(ORIGIN, purge, KEY, MEMBER));
-    assert_settles(&mut plane, ORIGIN, 5, purge, MEMBER);
-
-    let (mut plane, purge) = both_forget_in_the_second_round(Some(InjectedDefect::IncarnationIgnored));
-    register_member_apart(&mut plane);
+fn a_replica_that_receives_a_purge_again_in_a_new_incarnation_does_not_confirm_it() {
+    let (mut plane, purge) = both_lose_purge_in_the_second_round(None);
+    assert!(matches!(plane.status(PUBLISHER, purge), PurgeStatus::Pending { .. }));
+    register_member_without_publisher_and_second(&mut plane);
+    assert!(!plane.is_breached(PUBLISHER, purge, KEY, MEMBER));
+    assert_settles(&mut plane, PUBLISHER, 5, purge, MEMBER);
+
+    let (mut plane, purge) = both_lose_purge_in_the_second_round(Some(InjectedDefect::IncarnationIgnored));
+    register_member_without_publisher_and_second(&mut plane);
     assert!(
-        plane.is_breached(ORIGIN, purge, KEY, MEMBER),
+        plane.is_breached(PUBLISHER, purge, KEY, MEMBER),
         "a confirmation in a new incarnation is not enough"
     );
 }
 
 /// The first replica stores and acknowledges a registration, then loses it in a restart before the other replicas have
 /// stored it.
-fn registration_is_forgotten(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
+fn registration_is_lost_before_the_second_phase(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
     let mut plane = Plane::new(5, 1, injected_defect);
-    let assigned_replica = OTHERS[0];
-    plane.cut(&[MEMBER], &[ORIGIN, SECOND, OTHERS[1]]);
+    let assigned_replica = CUT_OFF[0];
+    plane.cut(&[MEMBER], &[PUBLISHER, SECOND, CUT_OFF[1]]);
     plane.start_member(MEMBER, &[assigned_replica]);
     while plane.member(MEMBER).metrics().sent.datagrams == 0 {
         plane.step();
@@ -134,28 +135,29 @@
     plane.restart_replica(FIRST);
     plane.run(400);
     assert!(plane.has_recovered(FIRST), "recovered from replicas that don't have the registration");
-    plane.cut(&[ORIGIN, FIRST, SECOND], &OTHERS);
-    let purge = plane.publish(ORIGIN, KEY);
+    plane.cut(&[PUBLISHER, FIRST, SECOND], &CUT_OFF);
+    let purge = plane.publish(PUBLISHER, KEY);
     plane.run(700);
-    plane.join(&[MEMBER], &OTHERS);
+    plane.join(&[MEMBER], &CUT_OFF);
     plane.run(1_300);
-    assert_eq!(plane.status(ORIGIN, purge), PurgeStatus::Done, "no member serves without the purge");
+    assert_eq!(plane.status(PUBLISHER, purge), PurgeStatus::Done, "no member serves without the purge");
     (plane, purge)
 }
 
 #[test]
-fn a_registration_that_a_replica_forgets_before_the_second_phase_does_not_count() {
-    let (mut plane, purge) = registration_is_forgotten(None);
+fn a_registration_that_a_replica_loses_before_the_second_phase_does_not_count() {
+    let (mut plane, purge) = registration_is_lost_before_the_second_phase(None);
     assert!(!plane.may_serve(MEMBER), "only two of five replicas have the registration");
-    assert_settles(&mut plane, ORIGIN, 5, purge, MEMBER);
+    assert_settles(&mut plane, PUBLISHER, 5, purge, MEMBER);
 
-    let (plane, purge) = registration_is_forgotten(Some(InjectedDefect::OnePhaseRegistration));
-    assert!(plane.is_breached(ORIGIN, purge, KEY, MEMBER), "one phase is not enough");
+    let (plane, purge) =
+        registration_is_lost_before_the_second_phase(Some(InjectedDefect::OnePhaseRegistration));
+    assert!(plane.is_breached(PUBLISHER, purge, KEY, MEMBER), "one phase is not enough");
 }
 
 /// A member has registered with the second and the third of three replicas; the second restarts while it reaches only
 /// the first.
-fn recovery_reaches_one(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
+fn recovery_reaches_only_one_replica(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
     let mut plane = Plane::new(3, 1, injected_defect);
     plane.cut(&[3], &[0]);
     plane.start_member(3, &[2]);
@@ -172,7 +174,7 @@
 
 #[test]
 fn a_replica_that_reaches_no_majority_of_others_does_not_recover() {
-    let (mut plane, purge) = recovery_reaches_one(None);
+    let (mut plane, purge) = recovery_reaches_only_one_replica(None);
     assert!(!plane.has_recovered(1));
     assert!(plane.may_serve(3), "its assigned replica still answers its pulls");
     let PurgeStatus::Pending { replicas, .. } = plane.status(0, purge) else {
@@ -181,13 +183,13 @@
     assert!(replicas.len() <= 2, "{replicas:?}");
     assert_settles(&mut plane, 0, 3, purge, 3);
 
-    let (plane, purge) = recovery_reaches_one(Some(InjectedDefect::RecoveryFromOne));
+    let (plane, purge) = recovery_reaches_only_one_replica(Some(InjectedDefect::RecoveryFromOne));
     assert!(plane.is_breached(0, purge, KEY, 3), "a recovery from one replica is not enough");
 }
 
 /// A purge becomes done while the third replica is cut off from the others; then a member that prefers the third
 /// replica starts.
-fn home_lacks_a_done_purge(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
+fn assigned_replica_lacks_a_done_purge(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
     let mut plane = Plane::new(3, 1, injected_defect);
     plane.cut(&[2], &[0, 1]);
     let purge = plane.publish(0, KEY);
@@ -199,12 +201,12 @@
 }
 
 #[test]
-fn a_member_does_not_serve_before_its_target_even_if_its_home_lacks_it() {
-    let (mut plane, _) = home_lacks_a_done_purge(None);
+fn a_member_does_not_serve_before_its_target_even_if_its_assigned_replica_lacks_it() {
+    let (mut plane, _) = assigned_replica_lacks_a_done_purge(None);
     assert!(!plane.may_serve(3), "its assigned replica lacks an entry of the target");
     plane.run(10_000);
     assert!(plane.may_serve(3) && plane.has_purged(3, KEY), "it has changed to another replica");
 
-    let (plane, purge) = home_lacks_a_done_purge(Some(InjectedDefect::TargetIgnored));
+    let (plane, purge) = assigned_replica_lacks_a_done_purge(Some(InjectedDefect::TargetIgnored));
     assert!(plane.is_breached(0, purge, KEY, 3), "serving without the target breaches the guarantee");
 }
--- a/purge/tests/schedules.rs
+++ b/purge/tests/schedules.rs
@@ -17,22 +17,22 @@
 /// Number of threads that run schedules.
 const THREADS: usize = 3;
 
-fn number(variable: &str, default: u64) -> u64 {
+fn env_number(variable: &str, default: u64) -> u64 {
     std::env::var(variable).ok().and_then(|value| value.parse().ok()).unwrap_or(default)
 }
 
 /// Runs the schedules of `count` seeds; stops early when one breaches the guarantee.
-fn run_all(first: u64, count: u64, injected_defect: Option<InjectedDefect>) -> Vec<(u64, Report)> {
-    let next = AtomicU64::new(first);
+fn run_schedules(first_seed: u64, count: u64, injected_defect: Option<InjectedDefect>) -> Vec<(u64, Report)> {
+    let next_seed = AtomicU64::new(first_seed);
     let reports = Mutex::new(Vec::new());
     let work = || loop {
-        let seed = next.fetch_add(1, Ordering::Relaxed);
-        if seed >= first + count {
+        let seed = next_seed.fetch_add(1, Ordering::Relaxed);
+        if seed >= first_seed + count {
             return;
         }
         let report = Simulation::new(Schedule::draw(seed), injected_defect).run();
         if matches!(report.verdict, Verdict::Breached(_)) {
-            next.store(first + count, Ordering::Relaxed);
+            next_seed.store(first_seed + count, Ordering::Relaxed);
         }
         reports.lock().expect("no thread panics while it holds the lock").push((seed, report));
     };
@@ -47,12 +47,12 @@
 }
 
 #[test]
-fn no_member_serves_without_a_purge_that_is_done_and_all_settles_after_the_faults() {
-    let first = number("CONTROL_FIRST_SEED", 0);
-    let reports = run_all(first, number("CONTROL_SCHEDULES", SCHEDULES), None);
+fn no_member_serves_without_a_done_purge_and_the_control_plane_settles_after_faults() {
+    let first_seed = env_number("CONTROL_FIRST_SEED", 0);
+    let reports = run_schedules(first_seed, env_number("CONTROL_SCHEDULES", SCHEDULES), None);
     let sum = |value: fn(&Report) -> u64| reports.iter().map(|(_, report)| value(report)).sum::<u64>();
     println!(
-        "{} schedules from seed {first}: {} steps, {} purges published, {} done, {} rejected, {} voids, {} lapses, \
+        "{} schedules from seed {first_seed}: {} steps, {} purges published, {} done, {} rejected, {} voids, {} lapses, \
          {} entries trimmed, settled within {} ms",
         reports.len(),
         sum(|report| report.steps),
@@ -74,7 +74,7 @@
 /// Guards against schedules too weak to detect a broken protocol: an ordinary run must detect each of these injected
 /// defects. The races of the other defects are too rare for random schedules and are scripted in `quorums.rs`.
 #[test]
-fn every_defect_put_in_on_purpose_is_found() {
+fn random_schedules_detect_injected_defects() {
     let injected_defects = [
         InjectedDefect::LeaseFromReceipt,
         InjectedDefect::EarlyRelease,
@@ -82,18 +82,18 @@
         InjectedDefect::VoidForgotten,
         InjectedDefect::OwnTableOnly,
     ];
-    let mut missed = Vec::new();
+    let mut undetected = Vec::new();
     for injected_defect in injected_defects {
-        let reports = run_all(0, number("CONTROL_SCHEDULES", SCHEDULES), Some(injected_defect));
+        let reports = run_schedules(0, env_number("CONTROL_SCHEDULES", SCHEDULES), Some(injected_defect));
         let breach = reports.iter().find(|(_, report)| matches!(report.verdict, Verdict::Breached(_)));
         let count =
             reports.iter().filter(|(_, report)| matches!(report.verdict, Verdict::Breached(_))).count();
         match breach {
             Some((seed, report)) => {
-                println!("{injected_defect:?}: {count} seed {seed}, {:?}", report.verdict)
+                println!("{injected_defect:?}: {count} breaches, first at seed {seed}: {:?}", report.verdict)
             }
-            None => missed.push((injected_defect, reports.len())),
+            None => undetected.push((injected_defect, reports.len())),
         }
     }
-    assert_eq!(missed, []);
+    assert_eq!(undetected, []);
 }
--- a/purge/tests/support/simulation.rs
+++ b/purge/tests/support/simulation.rs
@@ -73,8 +73,8 @@
     pub steps: u64,
     pub settled_after: u64,
     /// Times from the publication of a purge to its application, one for each member that applied it by key.
-    pub times_to_act: Vec<u64>,
-    pub times_to_done: Vec<u64>,
+    pub apply_delays: Vec<u64>,
+    pub done_delays: Vec<u64>,
     pub log_trimmed: u64,
     pub voided: u64,
     pub lapses: u64,
@@ -95,7 +95,7 @@
     nodes: Vec<Node>,
     checker: Checker,
     rejected: usize,
-    times_to_act: Vec<u64>,
+    apply_delays: Vec<u64>,
     is_healed: bool,
     voided: u64,
     lapses: u64,
@@ -121,7 +121,7 @@
             nodes,
             checker: Checker::default(),
             rejected: 0,
-            times_to_act: Vec::new(),
+            apply_delays: Vec::new(),
             is_healed: false,
             voided: 0,
             lapses: 0,
@@ -251,7 +251,7 @@
 
     fn report(&self, steps: u64, verdict: Verdict) -> Report {
         let done = self.checker.published.iter();
-        let times_to_done = done.filter_map(|purge| Some(purge.done_at? - purge.at)).collect();
+        let done_delays = done.filter_map(|purge| Some(purge.done_at? - purge.at)).collect();
         let mut report = Report {
             verdict,
             published: self.checker.published.len(),
@@ -259,8 +259,8 @@
             rejected: self.rejected,
             steps,
             settled_after: self.now.saturating_sub(self.schedule.healed_at),
-            times_to_act: self.times_to_act.clone(),
-            times_to_done,
+            apply_delays: self.apply_delays.clone(),
+            done_delays,
             log_trimmed: 0,
             voided: self.voided,
             lapses: self.lapses,
@@ -352,7 +352,7 @@
             Some(Machine::Member(member, applied)) => {
                 let events = member.drain_purges();
                 for purge in self.checker.on_events(applied, &events) {
-                    self.times_to_act.push(self.now - self.checker.published[purge].at);
+                    self.apply_delays.push(self.now - self.checker.published[purge].at);
                 }
                 member.drain()
             }
