--- a/purge/tests/behaviour.rs
+++ b/purge/tests/behaviour.rs
@@ -5,87 +5,95 @@
 
 use juniperladder_purge::{MemberId, Micros, PublishRejectReason, PurgeStatus, ReplicaId};
 use support::schedule::{MILLISECOND, SECOND};
-use support::scripted::Plane;
+use support::scripted::ControlPlane;
 
 const KEY: &[u8] = b"the key";
 
 /// Three replicas, each assigned to one serving member: member `3 + n` to replica `n`.
-fn three_replica_plane() -> Plane {
-    let mut plane = Plane::new(3, 3, None);
+fn three_replica_control_plane() -> ControlPlane {
+    let mut control_plane = ControlPlane::new(3, 3, None);
     for replica in 0..3 {
-        plane.start_member(3 + replica, &[replica]);
+        control_plane.start_member(3 + replica, &[replica]);
     }
-    plane.run(1_500);
-    assert!((3..6).all(|member| plane.may_serve(member)));
-    plane
+    control_plane.run(1_500);
+    assert!((3..6).all(|member| control_plane.may_serve(member)));
+    control_plane
 }
 
 #[test]
 fn a_partitioned_region_keeps_serving_and_is_reported_as_outstanding() {
-    let mut plane = three_replica_plane();
-    plane.cut(&[2, 5], &[0, 1, 3, 4]);
-    plane.run(5_000);
-    let outside = plane.publish(0, KEY);
-    let inside = plane.publish(2, b"inside");
-    plane.run(5_000);
-    assert!(plane.may_serve(5) && plane.has_purged(5, b"inside") && !plane.has_purged(5, KEY));
-    assert!(plane.has_purged(3, KEY) && plane.has_purged(4, KEY));
-    let PurgeStatus::Pending { members, members_total, replicas } = plane.status(0, outside) else {
+    let mut control_plane = three_replica_control_plane();
+    control_plane.cut(&[2, 5], &[0, 1, 3, 4]);
+    control_plane.run(5_000);
+    let outside = control_plane.publish(0, KEY);
+    let inside = control_plane.publish(2, b"inside");
+    control_plane.run(5_000);
+    assert!(
+        control_plane.may_serve(5)
+            && control_plane.has_purged(5, b"inside")
+            && !control_plane.has_purged(5, KEY)
+    );
+    assert!(control_plane.has_purged(3, KEY) && control_plane.has_purged(4, KEY));
+    let PurgeStatus::Pending { members, members_total, replicas } = control_plane.status(0, outside) else {
         panic!("not Pending although a member lacks the purge")
     };
     assert_eq!((members, members_total, replicas), (vec![MemberId(5)], 1, vec![]));
-    let PurgeStatus::Pending { replicas, .. } = plane.status(2, inside) else {
+    let PurgeStatus::Pending { replicas, .. } = control_plane.status(2, inside) else {
         panic!("not Pending although no majority answers")
     };
     assert_eq!(replicas, [ReplicaId(0), ReplicaId(1)]);
-    plane.join(&[2, 5], &[0, 1, 3, 4]);
-    plane.run(5_000);
-    assert_eq!(plane.status(0, outside), PurgeStatus::Done);
-    assert_eq!(plane.status(2, inside), PurgeStatus::Done);
-    assert!((3..6).all(|member| plane.has_purged(member, KEY) && plane.has_purged(member, b"inside")));
+    control_plane.heal(&[2, 5], &[0, 1, 3, 4]);
+    control_plane.run(5_000);
+    assert_eq!(control_plane.status(0, outside), PurgeStatus::Done);
+    assert_eq!(control_plane.status(2, inside), PurgeStatus::Done);
+    assert!((3..6)
+        .all(|member| control_plane.has_purged(member, KEY) && control_plane.has_purged(member, b"inside")));
 }
 
 #[test]
 fn a_member_changes_its_assigned_replica_without_a_lapse_and_returns() {
-    let mut plane = three_replica_plane();
-    plane.kill(2);
+    let mut control_plane = three_replica_control_plane();
+    control_plane.kill(2);
     for _ in 0..40 {
-        plane.run(100);
-        assert!(plane.may_serve(5), "its lease stays valid during the change of replica");
+        control_plane.run(100);
+        assert!(control_plane.may_serve(5), "its lease stays valid during the change of replica");
     }
-    assert_ne!(plane.member(5).metrics().assigned_replica, 2);
-    plane.restart_replica(2);
-    plane.run(60_000);
-    assert!(plane.has_recovered(2) && plane.may_serve(5));
-    assert_eq!((plane.member(5).metrics().assigned_replica, plane.member(5).metrics().lapses), (2, 0));
+    assert_ne!(control_plane.member(5).metrics().assigned_replica, 2);
+    control_plane.restart_replica(2);
+    control_plane.run(60_000);
+    assert!(control_plane.has_recovered(2) && control_plane.may_serve(5));
+    assert_eq!(
+        (control_plane.member(5).metrics().assigned_replica, control_plane.member(5).metrics().lapses),
+        (2, 0)
+    );
 }
 
 #[test]
 fn a_leaving_member_delays_no_purge_and_a_crashed_one_only_until_its_lease_expires() {
-    let mut plane = three_replica_plane();
-    plane.member(5).leave();
-    plane.run(50);
-    assert!(!plane.may_serve(5));
-    plane.kill(5);
-    let purge = plane.publish(0, KEY);
-    plane.run(1_500);
-    assert_eq!(plane.status(0, purge), PurgeStatus::Done, "done before a lease could expire");
-    plane.kill(4);
-    let purge = plane.publish(0, b"another");
-    plane.run(1_500);
+    let mut control_plane = three_replica_control_plane();
+    control_plane.member(5).leave();
+    control_plane.run(50);
+    assert!(!control_plane.may_serve(5));
+    control_plane.kill(5);
+    let purge = control_plane.publish(0, KEY);
+    control_plane.run(1_500);
+    assert_eq!(control_plane.status(0, purge), PurgeStatus::Done, "done before a lease could expire");
+    control_plane.kill(4);
+    let purge = control_plane.publish(0, b"another");
+    control_plane.run(1_500);
     assert!(
-        matches!(plane.status(0, purge), PurgeStatus::Pending { .. }),
+        matches!(control_plane.status(0, purge), PurgeStatus::Pending { .. }),
         "the crashed member's lease may still be valid"
     );
-    plane.run(1_500);
-    assert_eq!(plane.status(0, purge), PurgeStatus::Done);
+    control_plane.run(1_500);
+    assert_eq!(control_plane.status(0, purge), PurgeStatus::Done);
 }
 
 #[test]
 fn a_flooding_publisher_is_rejected_with_a_retry_time() {
-    let mut plane = three_replica_plane();
-    let now = plane.now;
-    let replica = plane.replica(0);
+    let mut control_plane = three_replica_control_plane();
+    let now = control_plane.now;
+    let replica = control_plane.replica(0);
     let admitted = (0..10_000).take_while(|_| replica.publish(now, KEY).is_ok()).count();
     assert_eq!(admitted, 200, "the burst is admitted");
     let rejected = replica.publish(now, KEY).expect_err("the burst is exhausted");
@@ -94,27 +102,28 @@
     assert!(replica.publish(now + rejected.retry_after, KEY).is_ok());
     let rejected = replica.publish(now, &[b'k'; 251]).expect_err("the key is too long");
     assert_eq!(rejected.reason, PublishRejectReason::KeyTooLong);
-    plane.cut(&[0], &[1, 2]);
+    control_plane.cut(&[0], &[1, 2]);
     let mut last = None;
     for _ in 0..100 {
-        plane.run(1_000);
-        let now = plane.now;
-        last = (0..200).find_map(|_| plane.replica(0).publish(now, KEY).err());
+        control_plane.run(1_000);
+        let now = control_plane.now;
+        last = (0..200).find_map(|_| control_plane.replica(0).publish(now, KEY).err());
     }
     assert_eq!(last.map(|rejected| rejected.reason), Some(PublishRejectReason::TooManyPending));
-    plane.restart_replica(1);
-    let now = plane.now;
-    let rejected = plane.replica(1).publish(now, KEY).expect_err("a recovering replica rejects purges");
+    control_plane.restart_replica(1);
+    let now = control_plane.now;
+    let rejected =
+        control_plane.replica(1).publish(now, KEY).expect_err("a recovering replica rejects purges");
     assert_eq!(rejected.reason, PublishRejectReason::Recovering);
 }
 
 #[test]
 fn malformed_and_unauthorized_datagrams_are_counted_by_cause() {
-    let mut plane = three_replica_plane();
-    let now = plane.now;
+    let mut control_plane = three_replica_control_plane();
+    let now = control_plane.now;
     let (unknown_address, replica_address) = (([127, 0, 0, 1], 9).into(), ([127, 0, 0, 1], 1_001).into());
     let status_request = [b'J', b'P', b'C', 1, 2, 0, 1, 1, 0];
-    let replica = plane.replica(0);
+    let replica = control_plane.replica(0);
     let before = replica.metrics().dropped;
     replica.on_datagram(now, replica_address, &[0; 1_201]);
     replica.on_datagram(now, replica_address, b"JPC\x02");
@@ -126,7 +135,7 @@
         (dropped.malformed, dropped.unknown_sender),
         (before.malformed + 1, before.unknown_sender + 1)
     );
-    let member = plane.member(3);
+    let member = control_plane.member(3);
     member.on_datagram(now, unknown_address, &status_request);
     member.on_datagram(now, replica_address, &status_request);
     assert_eq!(member.metrics().dropped.unknown_sender, 2);
@@ -136,17 +145,17 @@
 /// the log no longer reaches back to the member's position is covered by the schedules (`schedules.rs`).
 #[test]
 fn a_partitioned_member_does_not_serve_until_it_has_caught_up() {
-    let mut plane = three_replica_plane();
-    plane.cut(&[5], &[0, 1, 2]);
-    plane.run(2 * SECOND / MILLISECOND + 100);
-    assert!(!plane.may_serve(5));
-    let purge = plane.publish(0, KEY);
-    plane.run(2_000);
-    assert_eq!(plane.status(0, purge), PurgeStatus::Done);
-    plane.join(&[5], &[0, 1, 2]);
+    let mut control_plane = three_replica_control_plane();
+    control_plane.cut(&[5], &[0, 1, 2]);
+    control_plane.run(2 * SECOND / MILLISECOND + 100);
+    assert!(!control_plane.may_serve(5));
+    let purge = control_plane.publish(0, KEY);
+    control_plane.run(2_000);
+    assert_eq!(control_plane.status(0, purge), PurgeStatus::Done);
+    control_plane.heal(&[5], &[0, 1, 2]);
     for _ in 0..500 {
-        plane.step();
-        assert!(!plane.may_serve(5) || plane.has_purged(5, KEY));
+        control_plane.step();
+        assert!(!control_plane.may_serve(5) || control_plane.has_purged(5, KEY));
     }
-    assert!(plane.may_serve(5));
+    assert!(control_plane.may_serve(5));
 }
--- a/purge/tests/support/scripted.rs
+++ b/purge/tests/support/scripted.rs
@@ -13,7 +13,7 @@
 const STEP: Micros = Micros::from_millis(STEP_MILLIS);
 const FIRST_PORT: u16 = 1_000;
 /// Maximum number of datagrams per link that can be delivered again.
-const REMEMBERED: usize = 64;
+const MAX_REMEMBERED_DATAGRAMS: usize = 64;
 
 /// How a link treats its datagrams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,20 +27,20 @@
 }
 
 #[derive(Debug)]
-enum Machine {
+enum StateMachine {
     Replica(Replica),
     Member { member: Member, purged: Vec<Vec<u8>> },
 }
 
 /// A control plane of replicas and members. Nodes are numbered: replicas first, then members.
-pub struct Plane {
+pub struct ControlPlane {
     pub now: Micros,
     replicas: usize,
     injected_defect: Option<InjectedDefect>,
-    machines: Vec<Option<Machine>>,
-    starts: Vec<u64>,
+    state_machines: Vec<Option<StateMachine>>,
+    incarnations: Vec<u64>,
     links: HashMap<(usize, usize), LinkState>,
-    waiting: Vec<(usize, usize, Vec<u8>)>,
+    in_flight: Vec<(usize, usize, Vec<u8>)>,
     remembered: HashMap<(usize, usize), Vec<Vec<u8>>>,
 }
 
@@ -48,29 +48,29 @@
     (Ipv4Addr::LOCALHOST, FIRST_PORT + node as u16).into()
 }
 
-impl Plane {
+impl ControlPlane {
     /// Creates a control plane with bootstrapped replicas, and members that don't run yet.
-    pub fn new(replicas: usize, members: usize, injected_defect: Option<InjectedDefect>) -> Plane {
+    pub fn new(replicas: usize, members: usize, injected_defect: Option<InjectedDefect>) -> ControlPlane {
         let count = replicas + members;
-        let mut plane = Plane {
+        let mut control_plane = ControlPlane {
             now: Micros::ZERO,
             replicas,
             injected_defect,
-            machines: (0..count).map(|_| None).collect(),
-            starts: vec![0; count],
+            state_machines: (0..count).map(|_| None).collect(),
+            incarnations: vec![0; count],
             links: HashMap::new(),
-            waiting: Vec::new(),
+            in_flight: Vec::new(),
             remembered: HashMap::new(),
         };
         for replica in 0..replicas {
-            plane.start_replica(replica, true);
+            control_plane.start_replica(replica, true);
         }
-        plane.run(1_000);
-        plane
+        control_plane.run(1_000);
+        control_plane
     }
 
     fn start_replica(&mut self, replica: usize, bootstrap: bool) {
-        self.starts[replica] += 1;
+        self.incarnations[replica] += 1;
         let settings = ReplicaSettings {
             round_timeout: Micros::from_secs(3),
             injected_defects: InjectedDefects::with(self.injected_defect),
@@ -78,13 +78,13 @@
         };
         let config = ReplicaConfig {
             replica: ReplicaId(replica as u8),
-            incarnation: self.starts[replica],
+            incarnation: self.incarnations[replica],
             replicas: (0..self.replicas).map(address).collect(),
             bootstrap,
-            seed: self.starts[replica],
+            seed: self.incarnations[replica],
             settings,
         };
-        self.machines[replica] = Some(Machine::Replica(Replica::new(config, self.now)));
+        self.state_machines[replica] = Some(StateMachine::Replica(Replica::new(config, self.now)));
     }
 
     /// Replaces a replica's process by a new one without state.
@@ -94,10 +94,10 @@
 
     /// Starts a member with these replicas in preference order.
     pub fn start_member(&mut self, node: usize, preferred: &[usize]) {
-        self.starts[node] += 1;
+        self.incarnations[node] += 1;
         let config = MemberConfig {
             member: MemberId(node as u32),
-            incarnation: self.starts[node],
+            incarnation: self.incarnations[node],
             replicas: (0..self.replicas).map(address).collect(),
             preferred: preferred.iter().map(|replica| ReplicaId(*replica as u8)).collect(),
             catch_up: CatchUp::Replay,
@@ -108,45 +108,45 @@
             },
         };
         let member = Member::new(config, self.now);
-        self.machines[node] = Some(Machine::Member { member, purged: Vec::new() });
+        self.state_machines[node] = Some(StateMachine::Member { member, purged: Vec::new() });
     }
 
-    fn set(&mut self, sides: (&[usize], &[usize]), state: LinkState) {
+    fn set_links(&mut self, sides: (&[usize], &[usize]), link_state: LinkState) {
         for from in sides.0 {
             for to in sides.1 {
-                self.links.insert((*from, *to), state);
+                self.links.insert((*from, *to), link_state);
             }
         }
     }
 
     /// Cuts the links between two sets of nodes in both directions; datagrams in flight are lost.
-    pub fn cut(&mut self, one: &[usize], other: &[usize]) {
-        let crosses = |from, to| one.contains(&from) && other.contains(&to);
-        self.waiting.retain(|(from, to, _)| !crosses(*from, *to) && !crosses(*to, *from));
-        self.set((one, other), LinkState::Cut);
-        self.set((other, one), LinkState::Cut);
+    pub fn cut(&mut self, first: &[usize], second: &[usize]) {
+        let crosses = |from, to| first.contains(&from) && second.contains(&to);
+        self.in_flight.retain(|(from, to, _)| !crosses(*from, *to) && !crosses(*to, *from));
+        self.set_links((first, second), LinkState::Cut);
+        self.set_links((second, first), LinkState::Cut);
     }
 
     /// Opens the links between two sets of nodes in both directions; held datagrams are delivered.
-    pub fn join(&mut self, one: &[usize], other: &[usize]) {
-        self.set((one, other), LinkState::Open);
-        self.set((other, one), LinkState::Open);
+    pub fn heal(&mut self, first: &[usize], second: &[usize]) {
+        self.set_links((first, second), LinkState::Open);
+        self.set_links((second, first), LinkState::Open);
     }
 
     /// Holds the datagrams from one node to another.
-    pub fn hold(&mut self, from: usize, to: usize) {
-        self.set((&[from], &[to]), LinkState::Held);
+    pub fn hold_link(&mut self, from: usize, to: usize) {
+        self.set_links((&[from], &[to]), LinkState::Held);
     }
 
     /// Opens the link from one node to another; held datagrams are delivered.
-    pub fn open(&mut self, from: usize, to: usize) {
-        self.set((&[from], &[to]), LinkState::Open);
+    pub fn open_link(&mut self, from: usize, to: usize) {
+        self.set_links((&[from], &[to]), LinkState::Open);
     }
 
     /// Delivers the latest datagrams from one node to another again.
-    pub fn repeat(&mut self, from: usize, to: usize) {
+    pub fn redeliver(&mut self, from: usize, to: usize) {
         for bytes in self.remembered.get(&(from, to)).cloned().unwrap_or_default() {
-            self.waiting.push((from, to, bytes));
+            self.in_flight.push((from, to, bytes));
         }
     }
 
@@ -161,42 +161,42 @@
         while self.now < end {
             self.now += STEP;
             self.deliver();
-            for node in 0..self.machines.len() {
-                match &mut self.machines[node] {
-                    Some(Machine::Replica(replica)) => replica.on_tick(self.now),
-                    Some(Machine::Member { member, .. }) => member.on_tick(self.now),
+            for node in 0..self.state_machines.len() {
+                match &mut self.state_machines[node] {
+                    Some(StateMachine::Replica(replica)) => replica.on_tick(self.now),
+                    Some(StateMachine::Member { member, .. }) => member.on_tick(self.now),
                     None => {}
                 }
-                self.collect(node);
+                self.collect_output(node);
             }
         }
     }
 
-    fn state(&self, from: usize, to: usize) -> LinkState {
+    fn link_state(&self, from: usize, to: usize) -> LinkState {
         self.links.get(&(from, to)).copied().unwrap_or(LinkState::Open)
     }
 
     fn deliver(&mut self) {
-        for (from, to, bytes) in std::mem::take(&mut self.waiting) {
-            if self.state(from, to) == LinkState::Held {
-                self.waiting.push((from, to, bytes));
+        for (from, to, bytes) in std::mem::take(&mut self.in_flight) {
+            if self.link_state(from, to) == LinkState::Held {
+                self.in_flight.push((from, to, bytes));
                 continue;
             }
-            match &mut self.machines[to] {
-                Some(Machine::Replica(replica)) => replica.on_datagram(self.now, address(from), &bytes),
-                Some(Machine::Member { member, .. }) => {
+            match &mut self.state_machines[to] {
+                Some(StateMachine::Replica(replica)) => replica.on_datagram(self.now, address(from), &bytes),
+                Some(StateMachine::Member { member, .. }) => {
                     member.on_datagram(self.now, address(from), &bytes);
                 }
                 None => {}
             }
-            self.collect(to);
+            self.collect_output(to);
         }
     }
 
-    fn collect(&mut self, node: usize) {
-        let datagrams = match &mut self.machines[node] {
-            Some(Machine::Replica(replica)) => replica.drain(),
-            Some(Machine::Member { member, purged }) => {
+    fn collect_output(&mut self, node: usize) {
+        let datagrams = match &mut self.state_machines[node] {
+            Some(StateMachine::Replica(replica)) => replica.drain(),
+            Some(StateMachine::Member { member, purged }) => {
                 for event in member.drain_purges() {
                     if let PurgeEvent::Key(key) = event {
                         purged.push(key);
@@ -210,60 +210,60 @@
             let to = usize::from(to.port() - FIRST_PORT);
             let remembered = self.remembered.entry((node, to)).or_default();
             remembered.push(bytes.clone());
-            if remembered.len() > REMEMBERED {
+            if remembered.len() > MAX_REMEMBERED_DATAGRAMS {
                 remembered.remove(0);
             }
-            if self.state(node, to) != LinkState::Cut {
-                self.waiting.push((node, to, bytes));
+            if self.link_state(node, to) != LinkState::Cut {
+                self.in_flight.push((node, to, bytes));
             }
         }
     }
 
     pub fn publish(&mut self, replica: usize, key: &[u8]) -> PurgeId {
-        let Some(Machine::Replica(machine)) = &mut self.machines[replica] else {
+        let Some(StateMachine::Replica(state_machine)) = &mut self.state_machines[replica] else {
             panic!("the node runs no replica")
         };
-        let id = machine.publish(self.now, key).expect("the replica accepts the purge");
-        self.collect(replica);
+        let id = state_machine.publish(self.now, key).expect("the replica accepts the purge");
+        self.collect_output(replica);
         id
     }
 
     pub fn status(&self, replica: usize, id: PurgeId) -> PurgeStatus {
-        let Some(Machine::Replica(machine)) = &self.machines[replica] else {
+        let Some(StateMachine::Replica(state_machine)) = &self.state_machines[replica] else {
             panic!("the node runs no replica")
         };
-        machine.status(id)
+        state_machine.status(id)
     }
 
     pub fn has_recovered(&self, replica: usize) -> bool {
-        matches!(&self.machines[replica], Some(Machine::Replica(machine)) if !machine.metrics().recovering)
+        matches!(&self.state_machines[replica], Some(StateMachine::Replica(state_machine)) if !state_machine.metrics().recovering)
     }
 
     pub fn replica(&mut self, node: usize) -> &mut Replica {
-        match &mut self.machines[node] {
-            Some(Machine::Replica(replica)) => replica,
+        match &mut self.state_machines[node] {
+            Some(StateMachine::Replica(replica)) => replica,
             _ => panic!("the node runs no replica"),
         }
     }
 
     pub fn member(&mut self, node: usize) -> &mut Member {
-        match &mut self.machines[node] {
-            Some(Machine::Member { member, .. }) => member,
+        match &mut self.state_machines[node] {
+            Some(StateMachine::Member { member, .. }) => member,
             _ => panic!("the node runs no member"),
         }
     }
 
     /// Ends a node's process abruptly.
     pub fn kill(&mut self, node: usize) {
-        self.machines[node] = None;
+        self.state_machines[node] = None;
     }
 
     pub fn may_serve(&self, node: usize) -> bool {
-        matches!(&self.machines[node], Some(Machine::Member { member, .. }) if member.may_serve(self.now))
+        matches!(&self.state_machines[node], Some(StateMachine::Member { member, .. }) if member.may_serve(self.now))
     }
 
     pub fn has_purged(&self, node: usize, key: &[u8]) -> bool {
-        matches!(&self.machines[node], Some(Machine::Member { purged, .. })
+        matches!(&self.state_machines[node], Some(StateMachine::Member { purged, .. })
             if purged.iter().any(|purged| purged == key))
     }
 
--- a/purge/tests/support/simulation.rs
+++ b/purge/tests/support/simulation.rs
@@ -33,7 +33,7 @@
 }
 
 #[derive(Debug)]
-enum Machine {
+enum StateMachine {
     Replica(Replica),
     Member(Member, Applied),
 }
@@ -41,7 +41,7 @@
 /// A node: its process, if it runs, and its clock.
 #[derive(Debug)]
 struct Node {
-    machine: Option<Machine>,
+    state_machine: Option<StateMachine>,
     /// Incarnation of the process, incremented at each start.
     start: u64,
     frozen: bool,
@@ -151,23 +151,24 @@
     }
 
     fn start(&mut self, node: usize, bootstrap: bool) {
-        if self.nodes[node].machine.is_some() {
+        if self.nodes[node].state_machine.is_some() {
             return;
         }
         let start = self.nodes[node].start + 1;
         let seed = self.rng.random();
         let now = self.local_now(node);
-        let machine = match node < self.schedule.replicas {
-            true => {
-                Machine::Replica(Replica::new(self.replica_config(node, start, bootstrap, seed), Micros(now)))
-            }
-            false => Machine::Member(
+        let state_machine = match node < self.schedule.replicas {
+            true => StateMachine::Replica(Replica::new(
+                self.replica_config(node, start, bootstrap, seed),
+                Micros(now),
+            )),
+            false => StateMachine::Member(
                 Member::new(self.member_config(node, start, seed), Micros(now)),
                 Applied::default(),
             ),
         };
         let process = &mut self.nodes[node];
-        process.machine = Some(machine);
+        process.state_machine = Some(state_machine);
         process.start = start;
         process.frozen = false;
         process.backlog.clear();
@@ -269,13 +270,13 @@
         };
         let per_second = |bytes: u64| bytes * SECOND / self.now.max(1);
         for node in &self.nodes {
-            match &node.machine {
-                Some(Machine::Replica(replica)) => {
+            match &node.state_machine {
+                Some(StateMachine::Replica(replica)) => {
                     report.log_trimmed += replica.metrics().log_trimmed;
                     let sent = with_heads(replica.metrics().sent);
                     report.replica_bytes_per_second.push(per_second(sent));
                 }
-                Some(Machine::Member(member, _)) => {
+                Some(StateMachine::Member(member, _)) => {
                     let metrics = member.metrics();
                     let both = with_heads(metrics.sent) + with_heads(metrics.received);
                     report.member_bytes_per_second.push(per_second(both));
@@ -302,7 +303,7 @@
     }
 
     fn on_tick(&mut self, node: usize, start: u64) {
-        if self.nodes[node].start != start || self.nodes[node].machine.is_none() {
+        if self.nodes[node].start != start || self.nodes[node].state_machine.is_none() {
             return;
         }
         self.at(self.now + self.schedule.tick, Due::Tick { node, start });
@@ -310,9 +311,9 @@
             return;
         }
         let now = self.local_now(node);
-        match &mut self.nodes[node].machine {
-            Some(Machine::Replica(replica)) => replica.on_tick(Micros(now)),
-            Some(Machine::Member(member, _)) => member.on_tick(Micros(now)),
+        match &mut self.nodes[node].state_machine {
+            Some(StateMachine::Replica(replica)) => replica.on_tick(Micros(now)),
+            Some(StateMachine::Member(member, _)) => member.on_tick(Micros(now)),
             None => {}
         }
         self.after(node);
@@ -324,9 +325,9 @@
             return;
         }
         let now = self.local_now(to);
-        match &mut self.nodes[to].machine {
-            Some(Machine::Replica(replica)) => replica.on_datagram(Micros(now), address(from), &bytes),
-            Some(Machine::Member(member, _)) => member.on_datagram(Micros(now), address(from), &bytes),
+        match &mut self.nodes[to].state_machine {
+            Some(StateMachine::Replica(replica)) => replica.on_datagram(Micros(now), address(from), &bytes),
+            Some(StateMachine::Member(member, _)) => member.on_datagram(Micros(now), address(from), &bytes),
             None => {}
         }
         self.after(to);
@@ -335,8 +336,8 @@
     /// Acts as the driver after each call: applies drained purges, records completed ones, and sends datagrams.
     fn after(&mut self, node: usize) {
         let process = &mut self.nodes[node];
-        let datagrams = match &mut process.machine {
-            Some(Machine::Replica(replica)) => {
+        let datagrams = match &mut process.state_machine {
+            Some(StateMachine::Replica(replica)) => {
                 assert!(replica.metrics().log_entries <= self.schedule.log_entries);
                 assert!(replica.metrics().registrations <= MAX_MEMBERS);
                 while let Some(purge) = process.pending.front().copied() {
@@ -349,7 +350,7 @@
                 }
                 replica.drain()
             }
-            Some(Machine::Member(member, applied)) => {
+            Some(StateMachine::Member(member, applied)) => {
                 let events = member.drain_purges();
                 for purge in self.checker.on_events(applied, &events) {
                     self.apply_delays.push(self.now - self.checker.published[purge].at);
@@ -398,20 +399,20 @@
     /// makes no progress until it is bootstrapped anew, which schedules don't do.
     fn replicas_without_memory(&self) -> usize {
         let replicas = self.nodes[..self.schedule.replicas].iter();
-        let has_memory = |node: &&Node| match &node.machine {
-            Some(Machine::Replica(replica)) => !replica.metrics().recovering,
+        let has_memory = |node: &&Node| match &node.state_machine {
+            Some(StateMachine::Replica(replica)) => !replica.metrics().recovering,
             _ => false,
         };
         self.schedule.replicas - replicas.filter(has_memory).count()
     }
 
     fn kill(&mut self, node: usize) {
-        if let Some(Machine::Member(member, _)) = &self.nodes[node].machine {
+        if let Some(StateMachine::Member(member, _)) = &self.nodes[node].state_machine {
             self.voided += member.metrics().voided;
             self.lapses += member.metrics().lapses;
         }
         let process = &mut self.nodes[node];
-        process.machine = None;
+        process.state_machine = None;
         process.frozen = false;
         process.backlog.clear();
         process.pending.clear();
@@ -419,7 +420,9 @@
 
     fn leave(&mut self, node: usize) {
         let is_frozen = self.nodes[node].frozen;
-        if let (Some(Machine::Member(member, _)), false) = (&mut self.nodes[node].machine, is_frozen) {
+        if let (Some(StateMachine::Member(member, _)), false) =
+            (&mut self.nodes[node].state_machine, is_frozen)
+        {
             member.leave();
             self.after(node);
         }
@@ -447,7 +450,7 @@
             if self.nodes[node].frozen {
                 return;
             }
-            let Some(Machine::Replica(replica)) = &mut self.nodes[node].machine else { return };
+            let Some(StateMachine::Replica(replica)) = &mut self.nodes[node].state_machine else { return };
             match replica.publish(Micros(now), &key) {
                 Ok(id) => {
                     let purge = self.checker.on_published(id, self.now);
@@ -476,7 +479,7 @@
     fn check(&mut self) -> Result<(), Breach> {
         for node in self.schedule.replicas..self.nodes.len() {
             let now = self.local_now(node);
-            if let Some(Machine::Member(member, applied)) = &mut self.nodes[node].machine {
+            if let Some(StateMachine::Member(member, applied)) = &mut self.nodes[node].state_machine {
                 if member.may_serve(Micros(now)) {
                     self.checker.check(self.now, node, applied)?;
                 }
@@ -489,8 +492,8 @@
     /// that is recovering, or a node that does not run.
     fn unsettled(&self) -> Option<String> {
         for (number, node) in self.nodes.iter().enumerate() {
-            match &node.machine {
-                Some(Machine::Replica(replica)) => {
+            match &node.state_machine {
+                Some(StateMachine::Replica(replica)) => {
                     if replica.metrics().recovering {
                         return Some(format!("replica {number} is still recovering"));
                     }
@@ -499,7 +502,7 @@
                         return Some(format!("purge {id:?} is not done: {:?}", replica.status(id)));
                     }
                 }
-                Some(Machine::Member(member, _)) => {
+                Some(StateMachine::Member(member, _)) => {
                     if !member.may_serve(Micros(self.local_now(number))) {
                         return Some(format!(
                             "member {number} does not serve; metrics: {:?}",
@@ -522,7 +525,7 @@
 fn draw_node(rng: &mut ChaCha8Rng, schedule: &Schedule) -> Node {
     let drift = rng.random_range(-schedule.drift_ppm..=schedule.drift_ppm);
     Node {
-        machine: None,
+        state_machine: None,
         start: schedule.first_start,
         frozen: false,
         backlog: VecDeque::new(),
