--- a/purge/tests/support/network.rs
+++ b/purge/tests/support/network.rs
@@ -7,19 +7,29 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LinkQuality {
     pub loss: f64,
-    pub repeat: f64,
+    pub duplication: f64,
     pub delay: (u64, u64),
     /// Share of datagrams with an additional delay, and the maximum of that delay.
-    pub late: f64,
-    pub late_by: u64,
+    pub extra_delay_share: f64,
+    pub max_extra_delay: u64,
 }
 
 impl LinkQuality {
     /// Links between regions, without faults.
-    pub const ORDINARY: LinkQuality =
-        LinkQuality { loss: 0.0, repeat: 0.0, delay: (1_000, 100_000), late: 0.0, late_by: 0 };
-    pub const GOOD: LinkQuality =
-        LinkQuality { loss: 0.0, repeat: 0.0, delay: (1_000, 20_000), late: 0.0, late_by: 0 };
+    pub const ORDINARY: LinkQuality = LinkQuality {
+        loss: 0.0,
+        duplication: 0.0,
+        delay: (1_000, 100_000),
+        extra_delay_share: 0.0,
+        max_extra_delay: 0,
+    };
+    pub const GOOD: LinkQuality = LinkQuality {
+        loss: 0.0,
+        duplication: 0.0,
+        delay: (1_000, 20_000),
+        extra_delay_share: 0.0,
+        max_extra_delay: 0,
+    };
 }
 
 /// A partition that stops datagrams between two sides, in one direction or both.
@@ -60,14 +70,14 @@
         if is_cut || rng.random_bool(self.quality.loss) {
             return Vec::new();
         }
-        let copies = if rng.random_bool(self.quality.repeat) { 2 } else { 1 };
+        let copies = if rng.random_bool(self.quality.duplication) { 2 } else { 1 };
         (0..copies).map(|_| self.delay(rng)).collect()
     }
 
     fn delay(&self, rng: &mut ChaCha8Rng) -> u64 {
         let usual = rng.random_range(self.quality.delay.0..=self.quality.delay.1);
-        if self.quality.late > 0.0 && rng.random_bool(self.quality.late) {
-            usual + rng.random_range(0..=self.quality.late_by)
+        if self.quality.extra_delay_share > 0.0 && rng.random_bool(self.quality.extra_delay_share) {
+            usual + rng.random_range(0..=self.quality.max_extra_delay)
         } else {
             usual
         }
--- a/purge/tests/support/schedule.rs
+++ b/purge/tests/support/schedule.rs
@@ -9,7 +9,7 @@
 pub const MILLISECOND: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
 /// Seconds until all members of an ordinary schedule serve.
-const SETTLED: u64 = 5;
+const SETTLE_SECONDS: u64 = 5;
 
 /// A fault, its end, or another scheduled action.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -20,7 +20,7 @@
     LeaveMember(usize),
     StartMember(usize),
     FreezeNode(usize),
-    ThawNode(usize),
+    ResumeNode(usize),
     BeginCut(Cut),
     EndCut(Cut),
     /// Publishes a number of purges at once at one replica.
@@ -78,7 +78,7 @@
     pub key_bytes: Option<(usize, usize)>,
     pub faults: Vec<(u64, FaultKind)>,
     /// Time at which all faults end.
-    pub healed_at: u64,
+    pub faults_end_at: u64,
 }
 
 impl Schedule {
@@ -112,7 +112,7 @@
             first_start: 0,
             key_bytes: None,
             faults: Vec::new(),
-            healed_at: rng.random_range(8..=16) * SECOND,
+            faults_end_at: rng.random_range(8..=16) * SECOND,
             members,
         };
         schedule.draw_faults(&mut rng);
@@ -130,9 +130,9 @@
     ) -> Schedule {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut faults = Vec::new();
-        for _ in 0..rate * (seconds - SETTLED) {
+        for _ in 0..rate * (seconds - SETTLE_SECONDS) {
             let publish = FaultKind::Publish(rng.random_range(0..replicas), 1);
-            faults.push((rng.random_range(SETTLED * SECOND..seconds * SECOND), publish));
+            faults.push((rng.random_range(SETTLE_SECONDS * SECOND..seconds * SECOND), publish));
         }
         Schedule {
             seed,
@@ -151,7 +151,7 @@
             first_start: 1_764_000_000_000_000,
             key_bytes: Some((40, 64)),
             faults,
-            healed_at: seconds * SECOND,
+            faults_end_at: seconds * SECOND,
         }
     }
 
@@ -161,7 +161,7 @@
     }
 
     fn draw_faults(&mut self, rng: &mut ChaCha8Rng) {
-        let seconds = self.healed_at as f64 / 1e6;
+        let seconds = self.faults_end_at as f64 / 1e6;
         let (replica_kills, member_kills, freezes, cuts) = match self.profile {
             Profile::Mixed => (0.2, 0.3, 0.3, 0.3),
             Profile::ReplicaRestarts => (2.0, 0.2, 0.0, 0.1),
@@ -177,7 +177,7 @@
             let replica = rng.random_range(0..self.replicas);
             let longest = if rng.random_bool(0.6) { 300 } else { 4_000 };
             let kinds = (FaultKind::KillReplica(replica), FaultKind::StartReplica(replica));
-            self.add(rng, kinds, longest);
+            self.add_fault(rng, kinds, longest);
         }
         for _ in 0..member_kills {
             let member = rng.random_range(0..self.members.len());
@@ -185,18 +185,18 @@
                 true => FaultKind::LeaveMember(member),
                 false => FaultKind::KillMember(member),
             };
-            self.add(rng, (end, FaultKind::StartMember(member)), 3_000);
+            self.add_fault(rng, (end, FaultKind::StartMember(member)), 3_000);
         }
         for _ in 0..freezes {
             let node = rng.random_range(0..self.replicas + self.members.len());
-            self.add(rng, (FaultKind::FreezeNode(node), FaultKind::ThawNode(node)), 5_000);
+            self.add_fault(rng, (FaultKind::FreezeNode(node), FaultKind::ResumeNode(node)), 5_000);
         }
         for _ in 0..cuts {
             let cut = self.draw_cut(rng);
-            self.add(rng, (FaultKind::BeginCut(cut), FaultKind::EndCut(cut)), 8_000);
+            self.add_fault(rng, (FaultKind::BeginCut(cut), FaultKind::EndCut(cut)), 8_000);
         }
         for member in (0..self.members.len()).filter(|member| !self.is_early(*member)).collect::<Vec<_>>() {
-            self.faults.push((rng.random_range(0..self.healed_at), FaultKind::StartMember(member)));
+            self.faults.push((rng.random_range(0..self.faults_end_at), FaultKind::StartMember(member)));
         }
         self.draw_publications(rng);
         self.faults.sort();
@@ -222,22 +222,22 @@
 
     fn draw_publications(&mut self, rng: &mut ChaCha8Rng) {
         let rate = rng.random_range(2..=15);
-        for _ in 0..rate * self.healed_at / SECOND {
+        for _ in 0..rate * self.faults_end_at / SECOND {
             let publish = FaultKind::Publish(rng.random_range(0..self.replicas), 1);
-            self.faults.push((rng.random_range(0..self.healed_at), publish));
+            self.faults.push((rng.random_range(0..self.faults_end_at), publish));
         }
         for _ in 0..rng.random_range(0..3) {
             let flood = FaultKind::Publish(rng.random_range(0..self.replicas), rng.random_range(20..=300));
-            self.faults.push((rng.random_range(0..self.healed_at), flood));
+            self.faults.push((rng.random_range(0..self.faults_end_at), flood));
         }
     }
 
     /// Adds a fault at a random time and its end at most `longest` milliseconds later.
-    fn add(&mut self, rng: &mut ChaCha8Rng, kinds: (FaultKind, FaultKind), longest: u64) {
-        let begin = rng.random_range(0..self.healed_at);
+    fn add_fault(&mut self, rng: &mut ChaCha8Rng, kinds: (FaultKind, FaultKind), longest: u64) {
+        let begin = rng.random_range(0..self.faults_end_at);
         let end = begin + rng.random_range(5..=longest) * MILLISECOND;
         self.faults.push((begin, kinds.0));
-        if end < self.healed_at {
+        if end < self.faults_end_at {
             self.faults.push((end, kinds.1));
         }
     }
@@ -255,9 +255,9 @@
     let is_bad = rng.random_bool(if profile == Profile::BareMajorities { 0.7 } else { 0.3 });
     LinkQuality {
         loss: if is_bad { rng.random_range(0.1..0.5) } else { rng.random_range(0.0..0.1) },
-        repeat: rng.random_range(0.0..0.2),
+        duplication: rng.random_range(0.0..0.2),
         delay: (500, [5, 30, 150, 400][rng.random_range(0..4)] * MILLISECOND),
-        late: if rng.random_bool(0.5) { rng.random_range(0.0..0.1) } else { 0.0 },
-        late_by: rng.random_range(100..=6_000) * MILLISECOND,
+        extra_delay_share: if rng.random_bool(0.5) { rng.random_range(0.0..0.1) } else { 0.0 },
+        max_extra_delay: rng.random_range(100..=6_000) * MILLISECOND,
     }
 }
--- a/purge/tests/support/simulation.rs
+++ b/purge/tests/support/simulation.rs
@@ -19,17 +19,17 @@
 use super::schedule::{FaultKind, Schedule, SECOND};
 
 /// Time after the end of all faults within which the control plane must settle.
-const TIME_TO_SETTLE: u64 = 60 * SECOND;
+const MAX_SETTLE_TIME: u64 = 60 * SECOND;
 const FIRST_PORT: u16 = 1_000;
 /// Size of the IP and UDP headers.
-const HEAD_BYTES: u64 = 28;
+const HEADER_BYTES: u64 = 28;
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Event {
     Tick { node: usize, start: u64 },
     Datagram { to: usize, from: usize, bytes: Vec<u8> },
     Fault(FaultKind),
-    Heal,
+    EndFaults,
 }
 
 #[derive(Debug)]
@@ -90,13 +90,13 @@
     rng: ChaCha8Rng,
     network: Network,
     now: u64,
-    due: BinaryHeap<Reverse<(u64, u64, Due)>>,
-    count: u64,
+    events: BinaryHeap<Reverse<(u64, u64, Event)>>,
+    event_count: u64,
     nodes: Vec<Node>,
     checker: Checker,
     rejected: usize,
     apply_delays: Vec<u64>,
-    is_healed: bool,
+    has_ended_faults: bool,
     voided: u64,
     lapses: u64,
 }
@@ -116,13 +116,13 @@
             rng,
             network,
             now: 0,
-            due: BinaryHeap::new(),
-            count: 0,
+            events: BinaryHeap::new(),
+            event_count: 0,
             nodes,
             checker: Checker::default(),
             rejected: 0,
             apply_delays: Vec::new(),
-            is_healed: false,
+            has_ended_faults: false,
             voided: 0,
             lapses: 0,
             schedule,
@@ -134,15 +134,15 @@
             }
         }
         for (at, fault) in simulation.schedule.faults.clone() {
-            simulation.at(at, Due::Fault(fault));
+            simulation.schedule_event(at, Event::Fault(fault));
         }
-        simulation.at(simulation.schedule.healed_at, Due::Heal);
+        simulation.schedule_event(simulation.schedule.faults_end_at, Event::EndFaults);
         simulation
     }
 
-    fn at(&mut self, at: u64, due: Due) {
-        self.count += 1;
-        self.due.push(Reverse((at, self.count, due)));
+    fn schedule_event(&mut self, at: u64, event: Event) {
+        self.event_count += 1;
+        self.events.push(Reverse((at, self.event_count, event)));
     }
 
     fn local_now(&self, node: usize) -> u64 {
@@ -174,7 +174,7 @@
         process.backlog.clear();
         process.pending.clear();
         let first = self.now + self.rng.random_range(0..self.schedule.tick);
-        self.at(first, Due::Tick { node, start });
+        self.schedule_event(first, Event::Tick { node, start });
     }
 
     fn replica_config(&self, node: usize, start: u64, bootstrap: bool, seed: u64) -> ReplicaConfig {
@@ -223,21 +223,21 @@
     /// Runs the schedule to its end.
     pub fn run(mut self) -> Report {
         let mut steps = 0;
-        let deadline = self.schedule.healed_at + TIME_TO_SETTLE;
+        let deadline = self.schedule.faults_end_at + MAX_SETTLE_TIME;
         let mut verdict = None;
-        let mut next_look = self.schedule.healed_at;
-        while let Some(Reverse((at, _, due))) = self.due.pop() {
+        let mut next_settled_check = self.schedule.faults_end_at;
+        while let Some(Reverse((at, _, event))) = self.events.pop() {
             self.now = at;
             steps += 1;
-            self.on_due(due);
+            self.on_event(event);
             if let Err(breach) = self.check() {
                 verdict = Some(Verdict::Breached(breach));
                 break;
             }
-            if self.is_healed && self.now >= next_look {
-                next_look = self.now + SECOND / 10;
-                let unsettled = self.unsettled();
-                match unsettled {
+            if self.has_ended_faults && self.now >= next_settled_check {
+                next_settled_check = self.now + SECOND / 10;
+                let reason = self.find_unsettled();
+                match reason {
                     None => break,
                     Some(reason) if self.now > deadline => {
                         verdict = Some(Verdict::NotSettled(reason));
@@ -259,7 +259,7 @@
             done: self.checker.done(),
             rejected: self.rejected,
             steps,
-            settled_after: self.now.saturating_sub(self.schedule.healed_at),
+            settled_after: self.now.saturating_sub(self.schedule.faults_end_at),
             apply_delays: self.apply_delays.clone(),
             done_delays,
             log_trimmed: 0,
@@ -273,12 +273,12 @@
             match &node.state_machine {
                 Some(StateMachine::Replica(replica)) => {
                     report.log_trimmed += replica.metrics().log_trimmed;
-                    let sent = with_heads(replica.metrics().sent);
+                    let sent = bytes_with_headers(replica.metrics().sent);
                     report.replica_bytes_per_second.push(per_second(sent));
                 }
                 Some(StateMachine::Member(member, _)) => {
                     let metrics = member.metrics();
-                    let both = with_heads(metrics.sent) + with_heads(metrics.received);
+                    let both = bytes_with_headers(metrics.sent) + bytes_with_headers(metrics.received);
                     report.member_bytes_per_second.push(per_second(both));
                     report.voided += member.metrics().voided;
                     report.lapses += member.metrics().lapses;
@@ -289,16 +289,16 @@
         report
     }
 
-    fn on_due(&mut self, due: Due) {
-        match due {
-            Due::Tick { node, start } => self.on_tick(node, start),
-            Due::Datagram { to, from, bytes } => self.on_datagram(to, from, bytes),
-            Due::Fault(fault) => {
-                if !self.is_healed {
+    fn on_event(&mut self, event: Event) {
+        match event {
+            Event::Tick { node, start } => self.on_tick(node, start),
+            Event::Datagram { to, from, bytes } => self.on_datagram(to, from, bytes),
+            Event::Fault(fault) => {
+                if !self.has_ended_faults {
                     self.on_fault(fault);
                 }
             }
-            Due::Heal => self.heal(),
+            Event::EndFaults => self.end_faults(),
         }
     }
 
@@ -306,7 +306,7 @@
         if self.nodes[node].start != start || self.nodes[node].state_machine.is_none() {
             return;
         }
-        self.at(self.now + self.schedule.tick, Due::Tick { node, start });
+        self.schedule_event(self.now + self.schedule.tick, Event::Tick { node, start });
         if self.nodes[node].frozen {
             return;
         }
@@ -316,7 +316,7 @@
             Some(StateMachine::Member(member, _)) => member.on_tick(Micros(now)),
             None => {}
         }
-        self.after(node);
+        self.drive(node);
     }
 
     fn on_datagram(&mut self, to: usize, from: usize, bytes: Vec<u8>) {
@@ -330,11 +330,11 @@
             Some(StateMachine::Member(member, _)) => member.on_datagram(Micros(now), address(from), &bytes),
             None => {}
         }
-        self.after(to);
+        self.drive(to);
     }
 
     /// Acts as the driver after each call: applies drained purges, records completed ones, and sends datagrams.
-    fn after(&mut self, node: usize) {
+    fn drive(&mut self, node: usize) {
         let process = &mut self.nodes[node];
         let datagrams = match &mut process.state_machine {
             Some(StateMachine::Replica(replica)) => {
@@ -367,15 +367,15 @@
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         for delay in self.network.delays(&mut self.rng, from, to) {
-            let datagram = Due::Datagram { to, from, bytes: bytes.clone() };
-            self.at(self.now + delay, datagram);
+            let datagram = Event::Datagram { to, from, bytes: bytes.clone() };
+            self.schedule_event(self.now + delay, datagram);
         }
     }
 
     fn on_fault(&mut self, fault: FaultKind) {
         match fault {
             FaultKind::KillReplica(replica) => {
-                if self.replicas_without_memory() < (self.schedule.replicas - 1) / 2 {
+                if self.replicas_without_state() < (self.schedule.replicas - 1) / 2 {
                     self.kill(replica);
                 }
             }
@@ -384,7 +384,7 @@
             FaultKind::LeaveMember(member) => self.leave(self.schedule.replicas + member),
             FaultKind::StartMember(member) => self.start(self.schedule.replicas + member, false),
             FaultKind::FreezeNode(node) => self.nodes[node].frozen = true,
-            FaultKind::ThawNode(node) => self.thaw(node),
+            FaultKind::ResumeNode(node) => self.resume(node),
             FaultKind::BeginCut(cut) => self.network.cuts.push(cut),
             FaultKind::EndCut(cut) => {
                 if let Some(index) = self.network.cuts.iter().position(|other| *other == cut) {
@@ -397,13 +397,13 @@
 
     /// The number of replicas that are down or have not recovered. If they are more than a minority, the control plane
     /// makes no progress until it is bootstrapped anew, which schedules don't do.
-    fn replicas_without_memory(&self) -> usize {
+    fn replicas_without_state(&self) -> usize {
         let replicas = self.nodes[..self.schedule.replicas].iter();
-        let has_memory = |node: &&Node| match &node.state_machine {
+        let has_state = |node: &&Node| match &node.state_machine {
             Some(StateMachine::Replica(replica)) => !replica.metrics().recovering,
             _ => false,
         };
-        self.schedule.replicas - replicas.filter(has_memory).count()
+        self.schedule.replicas - replicas.filter(has_state).count()
     }
 
     fn kill(&mut self, node: usize) {
@@ -424,12 +424,12 @@
             (&mut self.nodes[node].state_machine, is_frozen)
         {
             member.leave();
-            self.after(node);
+            self.drive(node);
         }
         self.kill(node);
     }
 
-    fn thaw(&mut self, node: usize) {
+    fn resume(&mut self, node: usize) {
         if !std::mem::take(&mut self.nodes[node].frozen) {
             return;
         }
@@ -462,15 +462,15 @@
                 }
             }
         }
-        self.after(node);
+        self.drive(node);
     }
 
-    fn heal(&mut self) {
-        self.is_healed = true;
+    fn end_faults(&mut self) {
+        self.has_ended_faults = true;
         self.network.quality = LinkQuality::GOOD;
         self.network.cuts.clear();
         for node in 0..self.nodes.len() {
-            self.thaw(node);
+            self.resume(node);
             self.start(node, false);
         }
     }
@@ -490,7 +490,7 @@
 
     /// The first reason why the control plane has not settled: a pending purge, a member that does not serve, a replica
     /// that is recovering, or a node that does not run.
-    fn unsettled(&self) -> Option<String> {
+    fn find_unsettled(&self) -> Option<String> {
         for (number, node) in self.nodes.iter().enumerate() {
             match &node.state_machine {
                 Some(StateMachine::Replica(replica)) => {
@@ -518,8 +518,8 @@
 }
 
 /// Traffic in bytes, with IP and UDP headers.
-fn with_heads(traffic: Traffic) -> u64 {
-    traffic.bytes + traffic.datagrams * HEAD_BYTES
+fn bytes_with_headers(traffic: Traffic) -> u64 {
+    traffic.bytes + traffic.datagrams * HEADER_BYTES
 }
 
 fn draw_node(rng: &mut ChaCha8Rng, schedule: &Schedule) -> Node {
