--- a/purge/src/lease_table/tests.rs
+++ b/purge/src/lease_table/tests.rs
@@ -50,15 +50,15 @@
 
 #[test]
 fn a_report_has_the_least_applied_position_and_names_a_bounded_number_of_laggards() {
-    let origin = ReplicaId(4);
+    let publisher = ReplicaId(4);
     let mut leases = LeaseTable::default();
     for member in 0..100 {
         leases.register(MemberId(member), epoch(1), Micros::ZERO);
         let mut applied = VersionVector::default();
-        applied.raise(origin, Position { incarnation: 1, sequence: 10 + u64::from(member) });
+        applied.raise(publisher, Position { incarnation: 1, sequence: 10 + u64::from(member) });
         assert!(leases.grant(MemberId(member), epoch(1), &applied, Micros::ZERO));
     }
-    let report = leases.report(origin, Position { incarnation: 1, sequence: 50 });
+    let report = leases.report(publisher, Position { incarnation: 1, sequence: 50 });
     assert_eq!(report.floor, Some(Position { incarnation: 1, sequence: 10 }));
     assert_eq!((report.laggards_total, report.laggards.len()), (40, MAX_NAMED_MEMBERS));
     assert_eq!(leases.len(), 100);
--- a/purge/src/lib.rs
+++ b/purge/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A [`Replica`] runs on each control machine, a [`Member`] in each balancer and cache server. Both do no I/O and
 //! read no clock: the caller passes in received datagrams and the current time, and sends the datagrams it drains.
-//! To *void* is to discard everything that is cached.
+//! To *void* a cache is to discard everything in it.
 //!
 //! # Guarantee
 //!
--- a/purge/src/log/tests.rs
+++ b/purge/src/log/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const ORIGIN: ReplicaId = ReplicaId(3);
+const PUBLISHER: ReplicaId = ReplicaId(3);
 
 fn at(incarnation: u64, sequence: u64) -> Position {
     Position { incarnation, sequence }
@@ -24,14 +24,14 @@
 fn log_with_entries(entries: &[Entry], capacity: usize) -> Log {
     let mut log = Log::new(capacity);
     for entry in entries {
-        assert!(log.append(ORIGIN, entry.clone()));
+        assert!(log.append(PUBLISHER, entry.clone()));
     }
     log
 }
 
 fn reader_at(position: Position) -> VersionVector {
     let mut vector = VersionVector::default();
-    vector.raise(ORIGIN, position);
+    vector.raise(PUBLISHER, position);
     vector
 }
 
@@ -39,12 +39,12 @@
 fn entries_are_appended_once_and_without_gaps() {
     let entries = stream_entries(1, Position::ZERO, 4);
     let mut log = Log::new(100);
-    assert!(!log.append(ORIGIN, entries[1].clone()), "an entry after a gap is rejected");
+    assert!(!log.append(PUBLISHER, entries[1].clone()), "an entry after a gap is rejected");
     for entry in &entries {
-        assert!(log.append(ORIGIN, entry.clone()));
-        assert!(!log.append(ORIGIN, entry.clone()), "a duplicate entry is rejected");
+        assert!(log.append(PUBLISHER, entry.clone()));
+        assert!(!log.append(PUBLISHER, entry.clone()), "a duplicate entry is rejected");
     }
-    assert_eq!((log.head(ORIGIN), log.len()), (at(1, 4), 4));
+    assert_eq!((log.head(PUBLISHER), log.len()), (at(1, 4), 4));
 }
 
 #[test]
@@ -52,17 +52,17 @@
     let old = stream_entries(1, Position::ZERO, 7);
     let new = stream_entries(2, at(1, 5), 3);
     let mut holds_more = log_with_entries(&old, 100);
-    assert!(holds_more.append(ORIGIN, new[0].clone()));
+    assert!(holds_more.append(PUBLISHER, new[0].clone()));
     let mut holds_less = log_with_entries(&old[..4], 100);
-    assert!(!holds_less.append(ORIGIN, new[0].clone()));
-    assert!(holds_less.append(ORIGIN, old[4].clone()) && holds_less.append(ORIGIN, new[0].clone()));
-    assert!(!holds_less.append(ORIGIN, old[5].clone()), "entries of the old incarnation are rejected");
+    assert!(!holds_less.append(PUBLISHER, new[0].clone()));
+    assert!(holds_less.append(PUBLISHER, old[4].clone()) && holds_less.append(PUBLISHER, new[0].clone()));
+    assert!(!holds_less.append(PUBLISHER, old[5].clone()), "entries of the old incarnation are rejected");
 }
 
 #[test]
 fn the_oldest_entries_are_trimmed_and_a_reader_without_them_is_below_the_base() {
     let log = log_with_entries(&stream_entries(1, Position::ZERO, 50), 10);
-    assert_eq!((log.len(), log.trimmed(), log.base(ORIGIN)), (10, 40, at(1, 40)));
+    assert_eq!((log.len(), log.trimmed(), log.base(PUBLISHER)), (10, 40, at(1, 40)));
     assert_eq!(log.reader_lag(&reader_at(at(1, 40))), ReaderLag::Entries(10));
     assert_eq!(log.reader_lag(&reader_at(at(1, 39))), ReaderLag::BelowBase);
     assert_eq!(log.reader_lag(&reader_at(at(1, 50))), ReaderLag::Entries(0));
@@ -74,28 +74,28 @@
 fn a_reader_at_any_position_catches_up_through_bounded_runs() {
     let mut log = log_with_entries(&stream_entries(1, Position::ZERO, 9), 100);
     for entry in stream_entries(2, at(1, 6), 9) {
-        assert!(log.append(ORIGIN, entry));
+        assert!(log.append(PUBLISHER, entry));
     }
     let positions: Vec<Position> = (0..=9).map(|s| at(1, s)).chain((1..=9).map(|s| at(2, s))).collect();
     for (index, position) in positions.iter().enumerate() {
         for budget in [70, 150, 1_000] {
             let start = if position.sequence == 0 { Position::ZERO } else { *position };
             let mut reader = Log::new(100);
-            reader.rebase(ORIGIN, start);
+            reader.rebase(PUBLISHER, start);
             loop {
                 let (runs, more) = log.runs_after(&reader.vector(), budget);
                 let mut appended = false;
                 for run in runs {
                     let last = run.last_position();
                     appended |= reader.append_run(run);
-                    assert_eq!(reader.head(ORIGIN), last);
+                    assert_eq!(reader.head(PUBLISHER), last);
                 }
                 if !more {
                     break;
                 }
                 assert!(appended, "each batch of runs advances the reader");
             }
-            assert_eq!((reader.head(ORIGIN), reader.len()), (at(2, 9), positions.len() - 1 - index));
+            assert_eq!((reader.head(PUBLISHER), reader.len()), (at(2, 9), positions.len() - 1 - index));
         }
     }
 }
@@ -109,7 +109,7 @@
     for run in runs {
         other.append_run(run);
     }
-    assert_eq!((other.base(ORIGIN), other.head(ORIGIN), other.len()), (at(1, 40), at(1, 50), 10));
+    assert_eq!((other.base(PUBLISHER), other.head(PUBLISHER), other.len()), (at(1, 40), at(1, 50), 10));
     assert_eq!(other.reader_lag(&reader_at(at(1, 20))), ReaderLag::BelowBase);
 }
 
@@ -124,5 +124,5 @@
         other.append_run(run);
     }
     assert_eq!(other.vector(), log.vector());
-    assert_eq!(other.base(ORIGIN), at(1, 5));
+    assert_eq!(other.base(PUBLISHER), at(1, 5));
 }
--- a/purge/src/member.rs
+++ b/purge/src/member.rs
@@ -243,12 +243,12 @@
             self.last_progress = now;
         }
         if epoch == Some(self.epoch) {
-            let counted_from = if self.config.timing.injected_defects.has(InjectedDefect::LeaseFromReceipt) {
+            let lease_start = if self.config.timing.injected_defects.has(InjectedDefect::LeaseFromReceipt) {
                 now
             } else {
                 sent
             };
-            self.granted_until = self.granted_until.max(counted_from + self.config.timing.lease);
+            self.granted_until = self.granted_until.max(lease_start + self.config.timing.lease);
         }
         match &mut self.phase {
             Phase::CatchingUp { caught_up } => *caught_up = !more,
@@ -332,13 +332,13 @@
     /// Leaves an assigned replica that doesn't answer or makes no progress, before the member serves. While it
     /// serves, it changes replicas only once another one has answered a probe ([`Member::probe`]).
     fn change_silent_replica(&mut self, now: Micros) {
-        let silent = self.pulls.is_silent(now, &self.config.timing);
-        let is_late = now.saturating_sub(self.last_progress) >= self.config.timing.registration_timeout;
+        let is_silent = self.pulls.is_silent(now, &self.config.timing);
+        let is_timed_out = now.saturating_sub(self.last_progress) >= self.config.timing.registration_timeout;
         match self.phase {
-            Phase::CatchingUp { .. } if silent => {
+            Phase::CatchingUp { .. } if is_silent => {
                 self.change_assigned_replica(now, self.replica_choice.replica_after_current())
             }
-            Phase::Enrolling(_) | Phase::ApplyingTarget { .. } if is_late => {
+            Phase::Enrolling(_) | Phase::ApplyingTarget { .. } if is_timed_out => {
                 self.change_assigned_replica(now, self.replica_choice.replica_after_current());
             }
             _ => {}
@@ -348,9 +348,9 @@
     /// Probes other replicas if the assigned replica is silent or is not the preferred one.
     fn probe(&mut self, now: Micros) {
         let is_settled = matches!(self.phase, Phase::Serving);
-        let silent = is_settled && self.pulls.is_silent(now, &self.config.timing);
+        let is_silent = is_settled && self.pulls.is_silent(now, &self.config.timing);
         if let Some((to, number)) =
-            self.replica_choice.next_probe(now, is_settled, silent, &self.config.timing)
+            self.replica_choice.next_probe(now, is_settled, is_silent, &self.config.timing)
         {
             self.send(to, MemberMessage::Probe { number });
         }
--- a/purge/src/member/enrollment.rs
+++ b/purge/src/member/enrollment.rs
@@ -14,14 +14,14 @@
 use crate::wire::MemberMessage;
 use crate::Micros;
 
-/// Time from its start that the first phase waits for the remaining replicas when a majority has answered.
+/// Maximum time from the start of the first phase to wait for all replicas once a majority has answered.
 const MAX_WAIT_FOR_ALL_REPLICAS: Micros = Micros::from_millis(100);
 /// Number of the resend from which the interval between resends is longer.
 const RARE_RESENDS_FROM: u32 = 4;
 /// Factor by which the interval between resends is longer then.
 const RARE_RESEND_FACTOR: u64 = 4;
 
-/// A registration under way.
+/// A registration in progress.
 #[derive(Clone, Debug)]
 pub(super) struct Enrollment {
     started_at: Micros,
@@ -59,9 +59,9 @@
 
     fn may_confirm(&self, now: Micros, assigned_replica: ReplicaId, replicas: usize) -> bool {
         let answered = self.registered.len();
-        let is_enough = answered > replicas / 2 && self.registered.contains_key(&assigned_replica);
+        let has_quorum = answered > replicas / 2 && self.registered.contains_key(&assigned_replica);
         let has_waited = now.saturating_sub(self.started_at) >= MAX_WAIT_FOR_ALL_REPLICAS;
-        !self.is_confirming && is_enough && (answered == replicas || has_waited)
+        !self.is_confirming && has_quorum && (answered == replicas || has_waited)
     }
 }
 
@@ -105,10 +105,11 @@
     }
 
     pub(super) fn on_registered(&mut self, now: Micros, from: ReplicaId, incarnation: u64) {
-        let one_phase = self.config.timing.injected_defects.has(InjectedDefect::OnePhaseRegistration);
+        let skips_second_phase =
+            self.config.timing.injected_defects.has(InjectedDefect::OnePhaseRegistration);
         let (member, epoch) = (self.config.member, self.epoch);
         let Phase::Enrolling(enrollment) = &mut self.phase else { return };
-        if one_phase {
+        if skips_second_phase {
             enrollment.registered.insert(from, incarnation);
             self.send(from, MemberMessage::Confirm { member, epoch });
             return;
--- a/purge/src/replica/peers.rs
+++ b/purge/src/replica/peers.rs
@@ -141,15 +141,15 @@
     /// Sends the entries after a vector, in at most `datagrams` datagrams.
     fn send_entries(&mut self, to: ReplicaId, mut vector: VersionVector, datagrams: usize) {
         for sent in 1..=datagrams {
-            let (runs, is_more) = self.log.runs_after(&vector, MAX_ENTRIES_BYTES);
+            let (runs, has_more) = self.log.runs_after(&vector, MAX_ENTRIES_BYTES);
             if runs.is_empty() {
                 return;
             }
             for run in &runs {
                 vector.raise(run.replica, run.last_position());
             }
-            self.send_to_peer(to, PeerMessage::Push { runs, more: is_more && sent == datagrams });
-            if !is_more {
+            self.send_to_peer(to, PeerMessage::Push { runs, more: has_more && sent == datagrams });
+            if !has_more {
                 return;
             }
         }
@@ -232,10 +232,10 @@
         for sent in 1..=MAX_TABLE_CHUNKS {
             let chunk = self.table.changes_after(own, after);
             after = chunk.through;
-            let is_more = after < self.table.change();
-            let more = is_more && sent == MAX_TABLE_CHUNKS;
+            let has_more = after < self.table.change();
+            let more = has_more && sent == MAX_TABLE_CHUNKS;
             self.send_to_peer(from, PeerMessage::TableChunk(TableChunk { more, ..chunk }));
-            if !is_more {
+            if !has_more {
                 return;
             }
         }
--- a/purge/src/replica/recovery.rs
+++ b/purge/src/replica/recovery.rs
@@ -27,7 +27,7 @@
 /// The progress of a recovering replica.
 #[derive(Clone, Debug)]
 pub(super) struct Recovery {
-    needed: usize,
+    required_snapshots: usize,
     snapshots: BTreeMap<ReplicaId, Snapshot>,
 }
 
@@ -35,8 +35,9 @@
     /// Starts a recovery, without any replies.
     pub(super) fn new(replicas: usize, injected_defects: InjectedDefects) -> Recovery {
         let majority = replicas / 2 + 1;
-        let needed = if injected_defects.has(InjectedDefect::RecoveryFromOne) { 1 } else { majority };
-        Recovery { needed, snapshots: BTreeMap::new() }
+        let required_snapshots =
+            if injected_defects.has(InjectedDefect::RecoveryFromOne) { 1 } else { majority };
+        Recovery { required_snapshots, snapshots: BTreeMap::new() }
     }
 
     /// Handles a reply to a request of this incarnation. The first reply of each incarnation of a replica sets the
@@ -53,13 +54,13 @@
     /// Whether the log and the table copies have reached the snapshots of a majority.
     fn is_complete(&self, log: &Log, copies: &BTreeMap<ReplicaId, TableCopy>) -> bool {
         let vector = log.vector();
-        let is_taken = |replica: &ReplicaId, snapshot: &Snapshot| {
+        let is_reached = |replica: &ReplicaId, snapshot: &Snapshot| {
             let copy = copies.get(replica);
             copy.is_some_and(|copy| copy.is_complete(snapshot.incarnation, snapshot.change))
                 && vector.covers(&snapshot.vector)
         };
-        let taken = self.snapshots.iter().filter(|(replica, snapshot)| is_taken(replica, snapshot));
-        taken.count() >= self.needed
+        let reached = self.snapshots.iter().filter(|(replica, snapshot)| is_reached(replica, snapshot));
+        reached.count() >= self.required_snapshots
     }
 }
 
--- a/purge/tests/quorums.rs
+++ b/purge/tests/quorums.rs
@@ -43,7 +43,7 @@
     (control_plane, purge)
 }
 
-/// A member registers with all but the origin and the second replica.
+/// Starts a member that reaches all replicas except the publisher and the second one.
 fn register_member_without_publisher_and_second(control_plane: &mut ControlPlane) {
     control_plane.cut(&[PUBLISHER, SECOND], &[FIRST, 3, 4, MEMBER]);
     control_plane.start_member(MEMBER, &[FIRST]);
--- a/purge/tests/schedules.rs
+++ b/purge/tests/schedules.rs
@@ -90,7 +90,10 @@
             reports.iter().filter(|(_, report)| matches!(report.verdict, Verdict::Breached(_))).count();
         match breach {
             Some((seed, report)) => {
-                println!("{injected_defect:?}: {count} breaches, first at seed {seed}: {:?}", report.verdict)
+                println!(
+                    "{injected_defect:?}: detected by {count} schedules, first by seed {seed}: {:?}",
+                    report.verdict
+                )
             }
             None => undetected.push((injected_defect, reports.len())),
         }
--- a/purge/tests/support/schedule.rs
+++ b/purge/tests/support/schedule.rs
@@ -170,14 +170,14 @@
             Profile::MemberRestarts => (0.1, 1.0, 0.8, 0.1),
             Profile::BareMajorities => (0.8, 0.8, 0.1, 1.0),
         };
-        let mut number = |rate: f64| (rate * seconds * 2.0 * rng.random::<f64>()) as usize;
-        let (replica_kills, member_kills) = (number(replica_kills), number(member_kills));
-        let (freezes, cuts) = (number(freezes), number(cuts));
+        let mut draw_count = |rate: f64| (rate * seconds * 2.0 * rng.random::<f64>()) as usize;
+        let (replica_kills, member_kills) = (draw_count(replica_kills), draw_count(member_kills));
+        let (freezes, cuts) = (draw_count(freezes), draw_count(cuts));
         for _ in 0..replica_kills {
             let replica = rng.random_range(0..self.replicas);
-            let longest = if rng.random_bool(0.6) { 300 } else { 4_000 };
+            let max_millis = if rng.random_bool(0.6) { 300 } else { 4_000 };
             let kinds = (FaultKind::KillReplica(replica), FaultKind::StartReplica(replica));
-            self.add_fault(rng, kinds, longest);
+            self.add_fault(rng, kinds, max_millis);
         }
         for _ in 0..member_kills {
             let member = rng.random_range(0..self.members.len());
@@ -232,10 +232,10 @@
         }
     }
 
-    /// Adds a fault at a random time and its end at most `longest` milliseconds later.
-    fn add_fault(&mut self, rng: &mut ChaCha8Rng, kinds: (FaultKind, FaultKind), longest: u64) {
+    /// Adds a fault at a random time and its end at most `max_millis` milliseconds later.
+    fn add_fault(&mut self, rng: &mut ChaCha8Rng, kinds: (FaultKind, FaultKind), max_millis: u64) {
         let begin = rng.random_range(0..self.faults_end_at);
-        let end = begin + rng.random_range(5..=longest) * MILLISECOND;
+        let end = begin + rng.random_range(5..=max_millis) * MILLISECOND;
         self.faults.push((begin, kinds.0));
         if end < self.faults_end_at {
             self.faults.push((end, kinds.1));
--- a/purge/tests/support/scripted.rs
+++ b/purge/tests/support/scripted.rs
@@ -120,17 +120,17 @@
     }
 
     /// Cuts the links between two sets of nodes in both directions; datagrams in flight are lost.
-    pub fn cut(&mut self, first: &[usize], second: &[usize]) {
-        let crosses = |from, to| first.contains(&from) && second.contains(&to);
+    pub fn cut(&mut self, side: &[usize], other_side: &[usize]) {
+        let crosses = |from, to| side.contains(&from) && other_side.contains(&to);
         self.in_flight.retain(|(from, to, _)| !crosses(*from, *to) && !crosses(*to, *from));
-        self.set_links((first, second), LinkState::Cut);
-        self.set_links((second, first), LinkState::Cut);
+        self.set_links((side, other_side), LinkState::Cut);
+        self.set_links((other_side, side), LinkState::Cut);
     }
 
     /// Opens the links between two sets of nodes in both directions; held datagrams are delivered.
-    pub fn heal(&mut self, first: &[usize], second: &[usize]) {
-        self.set_links((first, second), LinkState::Open);
-        self.set_links((second, first), LinkState::Open);
+    pub fn heal(&mut self, side: &[usize], other_side: &[usize]) {
+        self.set_links((side, other_side), LinkState::Open);
+        self.set_links((other_side, side), LinkState::Open);
     }
 
     /// Holds the datagrams from one node to another.
