--- a/purge/src/member/enrollment.rs
+++ b/purge/src/member/enrollment.rs
@@ -1,8 +1,9 @@
 //! The two phases of a registration.
 //!
-//! First the member registers with all replicas; once a majority, and its assigned replica among them, has stored the registration,
-//! it asks those to confirm it. Those that still have the same incarnation held it all at the same moment, between the
-//! phases. What they know of by then is the member's target.
+//! First the member registers with all replicas. Once a majority that includes its assigned replica has stored the
+//! registration, the member asks these replicas to confirm it. Replicas whose incarnation has not changed by then all
+//! held the registration at one moment, between the phases. The purges that they know of when they confirm are the
+//! member's target.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,18 +14,18 @@
 use crate::wire::MemberMessage;
 use crate::Micros;
 
-/// How long the first phase waits for others after a majority.
-const WAIT_FOR_ALL: Micros = Micros::from_millis(100);
-/// Resends before they become rarer.
-const FREQUENT_RESENDS: u32 = 4;
-/// By how much rarer.
+/// Maximum time from the start of the first phase to wait for all replicas once a majority has answered.
+const MAX_WAIT_FOR_ALL_REPLICAS: Micros = Micros::from_millis(100);
+/// Number of the resend from which the interval between resends is longer.
+const RARE_RESENDS_FROM: u32 = 4;
+/// Factor by which the interval between resends is longer then.
 const RARE_RESEND_FACTOR: u64 = 4;
 
-/// A registration under way.
+/// A registration in progress.
 #[derive(Clone, Debug)]
 pub(super) struct Enrollment {
-    begun: Micros,
-    /// Who answered the first phase, in which incarnation.
+    started_at: Micros,
+    /// Incarnation of each replica that answered the first phase.
     registered: BTreeMap<ReplicaId, u64>,
     is_confirming: bool,
     confirmed: BTreeSet<ReplicaId>,
@@ -36,7 +37,7 @@
 impl Enrollment {
     fn new(now: Micros, resend_after: Micros) -> Enrollment {
         Enrollment {
-            begun: now,
+            started_at: now,
             registered: BTreeMap::new(),
             is_confirming: false,
             confirmed: BTreeSet::new(),
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Who has not answered the phase that is under way.
+    /// The replicas that have not answered the current phase.
     fn unanswered(&self, replicas: usize) -> Vec<ReplicaId> {
         let all = (0..replicas).map(|index| ReplicaId(index as u8));
         all.filter(|replica| match self.is_confirming {
@@ -58,14 +59,14 @@
 
     fn may_confirm(&self, now: Micros, assigned_replica: ReplicaId, replicas: usize) -> bool {
         let answered = self.registered.len();
-        let is_enough = answered > replicas / 2 && self.registered.contains_key(&assigned_replica);
-        let has_waited = now.saturating_sub(self.begun) >= WAIT_FOR_ALL;
-        !self.is_confirming && is_enough && (answered == replicas || has_waited)
+        let has_quorum = answered > replicas / 2 && self.registered.contains_key(&assigned_replica);
+        let has_waited = now.saturating_sub(self.started_at) >= MAX_WAIT_FOR_ALL_REPLICAS;
+        !self.is_confirming && has_quorum && (answered == replicas || has_waited)
     }
 }
 
 impl Member {
-    /// Begins a registration with the next epoch.
+    /// Starts a registration with the next epoch.
     pub(super) fn enroll(&mut self, now: Micros) {
         self.epoch = self.epoch.next();
         self.granted_until = Micros::ZERO;
@@ -76,7 +77,7 @@
         self.send_enrollment();
     }
 
-    /// Sends the message of the current phase to those that have not answered it.
+    /// Sends the message of the current phase to the replicas that have not answered it.
     fn send_enrollment(&mut self) {
         let Phase::Enrolling(enrollment) = &self.phase else { return };
         let (member, epoch) = (self.config.member, self.epoch);
@@ -98,21 +99,22 @@
             return;
         }
         enrollment.resends += 1;
-        let rarer = if enrollment.resends < FREQUENT_RESENDS { 1 } else { RARE_RESEND_FACTOR };
-        enrollment.resend_at = now + self.config.timing.resend_after * rarer;
+        let interval_factor = if enrollment.resends < RARE_RESENDS_FROM { 1 } else { RARE_RESEND_FACTOR };
+        enrollment.resend_at = now + self.config.timing.resend_after * interval_factor;
         self.send_enrollment();
     }
 
     pub(super) fn on_registered(&mut self, now: Micros, from: ReplicaId, incarnation: u64) {
-        let one_phase = self.config.timing.injected_defects.has(InjectedDefect::OnePhaseRegistration);
+        let skips_second_phase =
+            self.config.timing.injected_defects.has(InjectedDefect::OnePhaseRegistration);
         let (member, epoch) = (self.config.member, self.epoch);
         let Phase::Enrolling(enrollment) = &mut self.phase else { return };
-        if one_phase {
+        if skips_second_phase {
             enrollment.registered.insert(from, incarnation);
             self.send(from, MemberMessage::Confirm { member, epoch });
             return;
         }
-        // Whoever answers later was not there at the moment between the phases.
+        // A replica that answers later did not hold the registration at the moment between the phases.
         if !enrollment.is_confirming {
             enrollment.registered.insert(from, incarnation);
             self.begin_confirmation(now);
--- a/purge/src/member/replica_choice.rs
+++ b/purge/src/member/replica_choice.rs
@@ -1,10 +1,11 @@
-//! Which replica is a member's assigned replica: the first of its preference list that answers, with hysteresis on the way back.
+//! Choice of a member's assigned replica: the first in preference order that answers, with hysteresis on the return to
+//! the preferred one.
 
 use crate::config::MemberTiming;
 use crate::ids::ReplicaId;
 use crate::Micros;
 
-/// A probe that is not answered.
+/// An unanswered probe.
 #[derive(Clone, Copy, Debug)]
 struct Probe {
     number: u32,
@@ -20,10 +21,10 @@
     candidate: ReplicaId,
     probe: Option<Probe>,
     next_number: u32,
-    next_probe: Micros,
-    /// Answers in a row of the preferred assigned replica.
-    answers: u32,
-    changed: Micros,
+    next_probe_at: Micros,
+    /// Consecutive probe replies of the preferred replica.
+    consecutive_replies: u32,
+    changed_at: Micros,
 }
 
 impl ReplicaChoice {
@@ -47,9 +48,9 @@
             candidate: first,
             probe: None,
             next_number: first_number,
-            next_probe: now,
-            answers: 0,
-            changed: now,
+            next_probe_at: now,
+            consecutive_replies: 0,
+            changed_at: now,
         }
     }
 
@@ -61,22 +62,22 @@
         self.current = assigned_replica;
         self.candidate = assigned_replica;
         self.probe = None;
-        self.answers = 0;
-        self.changed = now;
+        self.consecutive_replies = 0;
+        self.changed_at = now;
     }
 
-    /// The one after the current assigned replica.
-    pub(super) fn following(&self) -> ReplicaId {
-        self.after(self.current)
+    /// The replica that follows the assigned one in preference order.
+    pub(super) fn replica_after_current(&self) -> ReplicaId {
+        self.next_in_order(self.current)
     }
 
-    fn after(&self, replica: ReplicaId) -> ReplicaId {
+    fn next_in_order(&self, replica: ReplicaId) -> ReplicaId {
         let index = self.order.iter().position(|other| *other == replica).unwrap_or(0);
         self.order.get((index + 1) % self.order.len().max(1)).copied().unwrap_or(replica)
     }
 
-    /// Whom to probe now, if anybody: others in turn while the assigned replica is silent, the preferred one while a member that has
-    /// settled elsewhere may go back.
+    /// The replica to probe now and the probe's number, if a probe is due. While the assigned replica is silent, the
+    /// other replicas are probed in turn; otherwise a settled member that may return probes its preferred replica.
     pub(super) fn next_probe(
         &mut self,
         now: Micros,
@@ -84,26 +85,26 @@
         is_silent: bool,
         timing: &MemberTiming,
     ) -> Option<(ReplicaId, u32)> {
-        if now < self.next_probe {
+        if now < self.next_probe_at {
             return None;
         }
         let preferred = self.order.first().copied()?;
         if is_silent {
-            self.candidate = self.after(self.candidate);
+            self.candidate = self.next_in_order(self.candidate);
             if self.candidate == self.current {
-                self.candidate = self.after(self.candidate);
+                self.candidate = self.next_in_order(self.candidate);
             }
-            self.next_probe = now + timing.resend_after / 2;
+            self.next_probe_at = now + timing.resend_after / 2;
             return self.send(self.candidate);
         }
-        let may_return = now.saturating_sub(self.changed) >= timing.return_after;
+        let may_return = now.saturating_sub(self.changed_at) >= timing.return_delay;
         if !is_settled || self.current == preferred || !may_return {
             return None;
         }
         if self.probe.is_some() {
-            self.answers = 0;
+            self.consecutive_replies = 0;
         }
-        self.next_probe = now + timing.return_probe_interval;
+        self.next_probe_at = now + timing.return_probe_interval;
         self.send(preferred)
     }
 
@@ -114,7 +115,7 @@
         Some((to, number))
     }
 
-    /// An answer to a probe: the replica to change to, if it is time.
+    /// Handles the reply to a probe; returns the replica to change to, if the member should change now.
     pub(super) fn on_probe_reply(
         &mut self,
         from: ReplicaId,
@@ -126,7 +127,7 @@
         if Some(&probe.to) != self.order.first() || probe.to == self.candidate {
             return Some(probe.to);
         }
-        self.answers += 1;
-        (self.answers >= timing.return_probes).then_some(probe.to)
+        self.consecutive_replies += 1;
+        (self.consecutive_replies >= timing.return_probe_replies).then_some(probe.to)
     }
 }
--- a/purge/src/replica/members.rs
+++ b/purge/src/replica/members.rs
@@ -1,4 +1,4 @@
-//! What a replica does for members: registers them, confirms, grants leases and hands out entries.
+//! How a replica serves members: registers and confirms them, grants leases and sends entries.
 
 use std::net::SocketAddr;
 
@@ -6,15 +6,15 @@
 use crate::config::CatchUp;
 use crate::ids::{Epoch, MemberId, ReplicaId};
 use crate::injected_defect::InjectedDefect;
-use crate::limits::ENTRIES_BUDGET_BYTES;
-use crate::log::Behind;
+use crate::limits::MAX_ENTRIES_BYTES;
+use crate::log::ReaderLag;
 use crate::registration::{RegistrationState, StoreOutcome};
 use crate::version_vector::VersionVector;
 use crate::wire::{MemberMessage, Message, ReplicaMessage};
 use crate::Micros;
 
 impl Replica {
-    /// A member's message; one that recovers answers none.
+    /// Handles a member's message. A recovering replica answers none.
     pub(super) fn on_member_message(&mut self, now: Micros, from: SocketAddr, message: MemberMessage) {
         if self.recovery.is_some() {
             return;
@@ -53,14 +53,16 @@
             }
             self.needs_evaluation = true;
         }
-        let must_void = match self.log.behind(applied) {
-            Behind::BelowBase => !self.config.settings.injected_defects.has(InjectedDefect::VoidForgotten),
-            Behind::Entries(behind) => catch_up == CatchUp::Void && behind > self.config.settings.void_behind,
+        let must_void = match self.log.reader_lag(applied) {
+            ReaderLag::BelowBase => !self.config.settings.injected_defects.has(InjectedDefect::VoidForgotten),
+            ReaderLag::Entries(lag) => {
+                catch_up == CatchUp::Void && lag > self.config.settings.void_threshold_entries
+            }
         };
         if must_void {
             return ReplicaMessage::Void { number, epoch, vector: self.log.vector() };
         }
-        let (runs, more) = self.log.runs_after(applied, ENTRIES_BUDGET_BYTES);
+        let (runs, more) = self.log.runs_after(applied, MAX_ENTRIES_BYTES);
         ReplicaMessage::Entries { number, epoch, runs, more }
     }
 
@@ -78,7 +80,7 @@
         let is_assigned_replica = assigned_replica == self.config.replica;
         let state = if is_assigned_replica { RegistrationState::Active } else { RegistrationState::Known };
         match self.table.store(member, epoch, assigned_replica, state) {
-            // A newer epoch elsewhere ends the one here.
+            // A newer epoch at another assigned replica ends the registration here.
             StoreOutcome::Stored if !is_assigned_replica => self.leases.remove(member),
             StoreOutcome::Stored => self.leases.register(member, epoch, now),
             StoreOutcome::Present if is_assigned_replica && !self.leases.is_active(member, epoch) => {
@@ -112,7 +114,7 @@
         Some(ReplicaMessage::Confirmed { epoch, incarnation, vector: self.log.vector() })
     }
 
-    /// The member has stopped serving, for the rest of this incarnation.
+    /// Releases the registration of a member that has stopped serving for the rest of its incarnation.
     fn on_deregister(&mut self, member: MemberId, epoch: Epoch) {
         if self.table.set_state(member, epoch, RegistrationState::Released) {
             self.leases.remove(member);
--- a/purge/src/replica/recovery.rs
+++ b/purge/src/replica/recovery.rs
@@ -1,7 +1,8 @@
-//! Recovery of a replica that has started without memory.
+//! Recovery of a replica that has started without state.
 //!
-//! It has recovered when, for a majority of *other* replicas that are not recovering themselves, it has the entries that
-//! a reply sent after its start vouches for, and the registration table as of that reply.
+//! The replica has recovered when it holds the entries and the registration tables of a majority of *other* replicas
+//! that are not recovering themselves. For each of these replicas, a reply sent after the start of the recovering one
+//! determines the positions and the table that it needs.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +16,7 @@
 use crate::wire::StatusReply;
 use crate::Micros;
 
-/// What one replica said first after the start of the one that recovers.
+/// The state that one replica reported in its first reply after the start of the recovering one.
 #[derive(Clone, Debug)]
 struct Snapshot {
     incarnation: u64,
@@ -23,22 +24,24 @@
     change: u64,
 }
 
-/// What a recovering replica has been told.
+/// The progress of a recovering replica.
 #[derive(Clone, Debug)]
 pub(super) struct Recovery {
-    needed: usize,
+    required_snapshots: usize,
     snapshots: BTreeMap<ReplicaId, Snapshot>,
 }
 
 impl Recovery {
-    /// Nothing yet.
+    /// Starts a recovery, without any replies.
     pub(super) fn new(replicas: usize, injected_defects: InjectedDefects) -> Recovery {
         let majority = replicas / 2 + 1;
-        let needed = if injected_defects.has(InjectedDefect::RecoveryFromOne) { 1 } else { majority };
-        Recovery { needed, snapshots: BTreeMap::new() }
+        let required_snapshots =
+            if injected_defects.has(InjectedDefect::RecoveryFromOne) { 1 } else { majority };
+        Recovery { required_snapshots, snapshots: BTreeMap::new() }
     }
 
-    /// A reply to a request of this incarnation. The first of each incarnation stays: it is to be reached.
+    /// Handles a reply to a request of this incarnation. The first reply of each incarnation of a replica sets the
+    /// state to be reached; later ones are ignored.
     pub(super) fn on_reply(&mut self, from: ReplicaId, reply: &StatusReply) {
         let known = self.snapshots.get(&from).map(|snapshot| snapshot.incarnation);
         if known < Some(reply.incarnation) {
@@ -48,40 +51,41 @@
         }
     }
 
-    /// Whether what a majority knew is here.
+    /// Whether the log and the table copies have reached the snapshots of a majority.
     fn is_complete(&self, log: &Log, copies: &BTreeMap<ReplicaId, TableCopy>) -> bool {
         let vector = log.vector();
-        let is_taken = |replica: &ReplicaId, snapshot: &Snapshot| {
+        let is_reached = |replica: &ReplicaId, snapshot: &Snapshot| {
             let copy = copies.get(replica);
             copy.is_some_and(|copy| copy.is_complete(snapshot.incarnation, snapshot.change))
                 && vector.covers(&snapshot.vector)
         };
-        let taken = self.snapshots.iter().filter(|(replica, snapshot)| is_taken(replica, snapshot));
-        taken.count() >= self.needed
+        let reached = self.snapshots.iter().filter(|(replica, snapshot)| is_reached(replica, snapshot));
+        reached.count() >= self.required_snapshots
     }
 }
 
 impl Replica {
-    /// Ends the recovery if all that it needs is here.
+    /// Ends the recovery if it is complete.
     pub(super) fn finish_recovery(&mut self, now: Micros) {
         match &self.recovery {
             Some(recovery) if recovery.is_complete(&self.log, &self.copies) => {}
             _ => return,
         }
         self.recovery = None;
-        self.take_over_registrations(now);
+        self.import_registrations(now);
         self.start_stream();
-        let (me, count) = (self.config.replica, self.config.replicas.len());
+        let (own_id, count) = (self.config.replica, self.config.replicas.len());
         let round = self.completion.round();
-        self.completion = Completion::new(me, count, round, self.config.settings.injected_defects);
+        self.completion = Completion::new(own_id, count, round, self.config.settings.injected_defects);
         self.begin_round(now);
     }
 
-    /// Takes the registrations of all copies into the own table. Those whose assigned replica this replica is may have leases of its
-    /// earlier incarnations, granted until its start, or of earlier epochs at other assigned replicas, granted until the member
-    /// registered anew: that may have been later than the start, but not later than now.
-    fn take_over_registrations(&mut self, now: Micros) {
-        let me = self.config.replica;
+    /// Stores the registrations of all copies in the own table, and adds leases for those assigned to this replica.
+    /// Such a registration may have leases of earlier incarnations of this replica, granted until its start, or of
+    /// earlier epochs at other assigned replicas, granted until the member registered anew: that may have been later
+    /// than the start, but not later than now.
+    fn import_registrations(&mut self, now: Micros) {
+        let own_id = self.config.replica;
         for registration in self.copies.values().flat_map(|copy| copy.registrations().values()) {
             let state = match registration.state {
                 RegistrationState::Released => RegistrationState::Released,
@@ -94,9 +98,9 @@
             }
         }
         for registration in self.table.registrations().values() {
-            if registration.assigned_replica == me && registration.state != RegistrationState::Released {
+            if registration.assigned_replica == own_id && registration.state != RegistrationState::Released {
                 let (member, epoch) = (registration.member, registration.epoch);
-                self.leases.learn(member, epoch, now, &self.config.settings);
+                self.leases.add_learned(member, epoch, now, &self.config.settings);
             }
         }
     }
--- a/purge/tests/quorums.rs
+++ b/purge/tests/quorums.rs
@@ -1,196 +1,230 @@
-//! The races for which the protocol has two phases, incarnations and majorities, played by hand: each holds, and breaks
-//! without the step that is there for it.
+//! Scripted races that the protocol's two phases, incarnations and majorities guard against. Each test runs its race
+//! twice: the guarantee holds with the full protocol, and is breached when the step that guards against the race is
+//! disabled.
 
 mod support;
 
 use juniperladder_purge::injected_defect::InjectedDefect;
 use juniperladder_purge::{PurgeId, PurgeStatus};
-use support::scripted::Plane;
+use support::scripted::ControlPlane;
 
 const KEY: &[u8] = b"the key";
-/// Replicas of the scenarios with five: the origin, two that get its purge, and two that don't.
-const ORIGIN: usize = 0;
+/// Replicas of the scenarios with five: the one that publishes the purge, two that receive it, and two that don't.
+const PUBLISHER: usize = 0;
 const FIRST: usize = 1;
 const SECOND: usize = 2;
-const OTHERS: [usize; 2] = [3, 4];
+const CUT_OFF: [usize; 2] = [3, 4];
 /// The member of those scenarios.
 const MEMBER: usize = 5;
 
-/// The first replica holds the purge and tells so, then loses it by a restart, before the second has got it.
-fn first_forgets_before_second_holds(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
-    let mut plane = Plane::new(5, 1, injected_defect);
-    plane.cut(&[ORIGIN], &OTHERS);
-    plane.cut(&[FIRST], &[SECOND, 3, 4]);
-    plane.hold(ORIGIN, SECOND);
-    let purge = plane.publish(ORIGIN, KEY);
-    // The round that was open gets no majority; the next asks the first replica, which has the purge by then.
-    plane.run(3_500);
-    plane.cut(&[ORIGIN], &[FIRST]);
-    plane.hold(ORIGIN, FIRST);
-    plane.restart_replica(FIRST);
-    plane.join(&[FIRST], &[SECOND, 3, 4]);
-    plane.run(600);
-    assert!(plane.has_recovered(FIRST), "from the second and the others, none of which has the purge");
-    plane.cut(&[SECOND], &[FIRST, 3, 4]);
-    plane.join(&[ORIGIN], &[SECOND]);
-    plane.run(100);
-    (plane, purge)
+/// The first replica confirms that it holds the purge, then loses it in a restart before the second one receives it.
+fn first_loses_purge_before_second_receives_it(
+    injected_defect: Option<InjectedDefect>,
+) -> (ControlPlane, PurgeId) {
+    let mut control_plane = ControlPlane::new(5, 1, injected_defect);
+    control_plane.cut(&[PUBLISHER], &CUT_OFF);
+    control_plane.cut(&[FIRST], &[SECOND, 3, 4]);
+    control_plane.hold_link(PUBLISHER, SECOND);
+    let purge = control_plane.publish(PUBLISHER, KEY);
+    // The current round gets no majority; in the next one the first replica reports that it holds the purge.
+    control_plane.run(3_500);
+    control_plane.cut(&[PUBLISHER], &[FIRST]);
+    control_plane.hold_link(PUBLISHER, FIRST);
+    control_plane.restart_replica(FIRST);
+    control_plane.heal(&[FIRST], &[SECOND, 3, 4]);
+    control_plane.run(600);
+    assert!(
+        control_plane.has_recovered(FIRST),
+        "recovered from the second and the others, none of which holds the purge"
+    );
+    control_plane.cut(&[SECOND], &[FIRST, 3, 4]);
+    control_plane.heal(&[PUBLISHER], &[SECOND]);
+    control_plane.run(100);
+    (control_plane, purge)
 }
 
-/// A member registers with all but the origin and the second replica.
-fn register_member_apart(plane: &mut Plane) {
-    plane.cut(&[ORIGIN, SECOND], &[FIRST, 3, 4, MEMBER]);
-    plane.start_member(MEMBER, &[FIRST]);
-    plane.run(2_000);
-    assert!(plane.may_serve(MEMBER), "a majority is there for it");
-    assert!(!plane.has_purged(MEMBER, KEY));
+/// Starts a member that reaches all replicas except the publisher and the second one.
+fn register_member_without_publisher_and_second(control_plane: &mut ControlPlane) {
+    control_plane.cut(&[PUBLISHER, SECOND], &[FIRST, 3, 4, MEMBER]);
+    control_plane.start_member(MEMBER, &[FIRST]);
+    control_plane.run(2_000);
+    assert!(control_plane.may_serve(MEMBER), "the member reaches a majority");
+    assert!(!control_plane.has_purged(MEMBER, KEY));
 }
 
-/// After the end of all cuts the purge is done, and the member has it.
-fn assert_settles(plane: &mut Plane, origin: usize, replicas: usize, purge: PurgeId, member: usize) {
+/// Asserts that after all partitions heal the purge is done and the member has applied it.
+fn assert_settles(
+    control_plane: &mut ControlPlane,
+    publisher: usize,
+    replicas: usize,
+    purge: PurgeId,
+    member: usize,
+) {
     let all: Vec<usize> = (0..=member.max(replicas - 1)).collect();
-    plane.join(&all, &all);
-    plane.run(10_000);
-    assert_eq!(plane.status(origin, purge), PurgeStatus::Done);
-    assert!(plane.may_serve(member) && plane.has_purged(member, KEY));
+    control_plane.heal(&all, &all);
+    control_plane.run(10_000);
+    assert_eq!(control_plane.status(publisher, purge), PurgeStatus::Done);
+    assert!(control_plane.may_serve(member) && control_plane.has_purged(member, KEY));
 }
 
 #[test]
-fn a_replica_that_forgets_within_a_round_does_not_count() {
-    let (mut plane, purge) = first_forgets_before_second_holds(None);
-    assert!(matches!(plane.status(ORIGIN, purge), PurgeStatus::Pending { .. }));
-    register_member_apart(&mut plane);
-    assert!(!plane.is_breached(ORIGIN, purge, KEY, MEMBER));
-    assert_settles(&mut plane, ORIGIN, 5, purge, MEMBER);
-
-    let (mut plane, purge) = first_forgets_before_second_holds(Some(InjectedDefect::SecondRoundSkipped));
-    register_member_apart(&mut plane);
-    assert!(plane.is_breached(ORIGIN, purge, KEY, MEMBER), "one round is not enough");
+fn a_replica_that_loses_a_purge_within_a_round_is_not_counted_as_a_holder() {
+    let (mut control_plane, purge) = first_loses_purge_before_second_receives_it(None);
+    assert!(matches!(control_plane.status(PUBLISHER, purge), PurgeStatus::Pending { .. }));
+    register_member_without_publisher_and_second(&mut control_plane);
+    assert!(!control_plane.is_breached(PUBLISHER, purge, KEY, MEMBER));
+    assert_settles(&mut control_plane, PUBLISHER, 5, purge, MEMBER);
+
+    let (mut control_plane, purge) =
+        first_loses_purge_before_second_receives_it(Some(InjectedDefect::SecondRoundSkipped));
+    register_member_without_publisher_and_second(&mut control_plane);
+    assert!(control_plane.is_breached(PUBLISHER, purge, KEY, MEMBER), "one round is not enough");
 }
 
-/// After the first round, and in the second, both forget: the second replica once it has confirmed, the first once it
-/// has got the purge again, by a datagram that came twice, and has confirmed it in its new incarnation.
-fn both_forget_in_the_second_round(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
-    let (mut plane, purge) = first_forgets_before_second_holds(injected_defect);
-    plane.cut(&[ORIGIN], &[SECOND]);
-    plane.restart_replica(SECOND);
-    plane.join(&[SECOND], &[FIRST, 3, 4]);
-    plane.run(600);
-    assert!(plane.has_recovered(SECOND), "from the first and the others, none of which has the purge");
-    plane.cut(&[FIRST], &[SECOND, 3, 4]);
-    plane.hold(FIRST, ORIGIN);
-    plane.open(ORIGIN, FIRST);
-    plane.run(50);
-    plane.repeat(ORIGIN, FIRST);
-    plane.run(50);
-    plane.hold(ORIGIN, FIRST);
-    plane.restart_replica(FIRST);
-    plane.join(&[FIRST], &[SECOND, 3, 4]);
-    plane.run(600);
-    assert!(plane.has_recovered(FIRST), "none of the others has the purge");
-    plane.open(FIRST, ORIGIN);
-    plane.run(50);
-    (plane, purge)
+/// Both replicas lose the purge after the first round: the second replica restarts after it has confirmed the purge.
+/// The first receives the purge again in a duplicate datagram, confirms it in its new incarnation, and restarts.
+fn both_lose_purge_in_the_second_round(injected_defect: Option<InjectedDefect>) -> (ControlPlane, PurgeId) {
+    let (mut control_plane, purge) = first_loses_purge_before_second_receives_it(injected_defect);
+    control_plane.cut(&[PUBLISHER], &[SECOND]);
+    control_plane.restart_replica(SECOND);
+    control_plane.heal(&[SECOND], &[FIRST, 3, 4]);
+    control_plane.run(600);
+    assert!(
+        control_plane.has_recovered(SECOND),
+        "recovered from the first and the others, none of which holds the purge"
+    );
+    control_plane.cut(&[FIRST], &[SECOND, 3, 4]);
+    control_plane.hold_link(FIRST, PUBLISHER);
+    control_plane.open_link(PUBLISHER, FIRST);
+    control_plane.run(50);
+    control_plane.redeliver(PUBLISHER, FIRST);
+    control_plane.run(50);
+    control_plane.hold_link(PUBLISHER, FIRST);
+    control_plane.restart_replica(FIRST);
+    control_plane.heal(&[FIRST], &[SECOND, 3, 4]);
+    control_plane.run(600);
+    assert!(control_plane.has_recovered(FIRST), "recovered from replicas that don't hold the purge");
+    control_plane.open_link(FIRST, PUBLISHER);
+    control_plane.run(50);
+    (control_plane, purge)
 }
 
 #[test]
-fn a_replica_that_holds_a_purge_again_in_a_new_incarnation_does_not_confirm_it() {
-    let (mut plane, purge) = both_forget_in_the_second_round(None);
-    assert!(matches!(plane.status(ORIGIN, purge), PurgeStatus::Pending { .. }));
-    register_member_apart(&mut plane);
-    assert!(!plane.is_breached(ORIGIN, purge, KEY, MEMBER));
-    assert_settles(&mut plane, ORIGIN, 5, purge, MEMBER);
-
-    let (mut plane, purge) = both_forget_in_the_second_round(Some(InjectedDefect::IncarnationIgnored));
-    register_member_apart(&mut plane);
-    assert!(plane.is_breached(ORIGIN, purge, KEY, MEMBER), "incarnations must be the same");
+fn a_replica_that_receives_a_purge_again_in_a_new_incarnation_does_not_confirm_it() {
+    let (mut control_plane, purge) = both_lose_purge_in_the_second_round(None);
+    assert!(matches!(control_plane.status(PUBLISHER, purge), PurgeStatus::Pending { .. }));
+    register_member_without_publisher_and_second(&mut control_plane);
+    assert!(!control_plane.is_breached(PUBLISHER, purge, KEY, MEMBER));
+    assert_settles(&mut control_plane, PUBLISHER, 5, purge, MEMBER);
+
+    let (mut control_plane, purge) =
+        both_lose_purge_in_the_second_round(Some(InjectedDefect::IncarnationIgnored));
+    register_member_without_publisher_and_second(&mut control_plane);
+    assert!(
+        control_plane.is_breached(PUBLISHER, purge, KEY, MEMBER),
+        "a confirmation in a new incarnation is not enough"
+    );
 }
 
-/// The first replica registers a member, answers it, and forgets it by a restart before the others have registered it.
-fn registration_is_forgotten(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
-    let mut plane = Plane::new(5, 1, injected_defect);
-    let assigned_replica = OTHERS[0];
-    plane.cut(&[MEMBER], &[ORIGIN, SECOND, OTHERS[1]]);
-    plane.start_member(MEMBER, &[assigned_replica]);
-    while plane.member(MEMBER).metrics().sent.datagrams == 0 {
-        plane.step();
+/// The first replica stores and acknowledges a registration, then loses it in a restart before the other replicas have
+/// stored it.
+fn registration_is_lost_before_the_second_phase(
+    injected_defect: Option<InjectedDefect>,
+) -> (ControlPlane, PurgeId) {
+    let mut control_plane = ControlPlane::new(5, 1, injected_defect);
+    let assigned_replica = CUT_OFF[0];
+    control_plane.cut(&[MEMBER], &[PUBLISHER, SECOND, CUT_OFF[1]]);
+    control_plane.start_member(MEMBER, &[assigned_replica]);
+    while control_plane.member(MEMBER).metrics().sent.datagrams == 0 {
+        control_plane.step();
     }
-    // Its first pull reaches the assigned replica; what it sends there afterwards waits.
-    plane.step();
-    plane.hold(MEMBER, assigned_replica);
-    plane.run(60);
-    plane.cut(&[MEMBER], &[FIRST]);
-    plane.restart_replica(FIRST);
-    plane.run(400);
-    assert!(plane.has_recovered(FIRST), "from others, none of which has the registration");
-    plane.cut(&[ORIGIN, FIRST, SECOND], &OTHERS);
-    let purge = plane.publish(ORIGIN, KEY);
-    plane.run(700);
-    plane.join(&[MEMBER], &OTHERS);
-    plane.run(1_300);
-    assert_eq!(plane.status(ORIGIN, purge), PurgeStatus::Done, "nobody serves without it");
-    (plane, purge)
+    // The member's first pull reaches the assigned replica; later datagrams to it are held.
+    control_plane.step();
+    control_plane.hold_link(MEMBER, assigned_replica);
+    control_plane.run(60);
+    control_plane.cut(&[MEMBER], &[FIRST]);
+    control_plane.restart_replica(FIRST);
+    control_plane.run(400);
+    assert!(control_plane.has_recovered(FIRST), "recovered from replicas that don't have the registration");
+    control_plane.cut(&[PUBLISHER, FIRST, SECOND], &CUT_OFF);
+    let purge = control_plane.publish(PUBLISHER, KEY);
+    control_plane.run(700);
+    control_plane.heal(&[MEMBER], &CUT_OFF);
+    control_plane.run(1_300);
+    assert_eq!(
+        control_plane.status(PUBLISHER, purge),
+        PurgeStatus::Done,
+        "no member serves without the purge"
+    );
+    (control_plane, purge)
 }
 
 #[test]
-fn a_registration_that_a_replica_forgets_before_the_second_phase_does_not_count() {
-    let (mut plane, purge) = registration_is_forgotten(None);
-    assert!(!plane.may_serve(MEMBER), "two of five have it registered");
-    assert_settles(&mut plane, ORIGIN, 5, purge, MEMBER);
-
-    let (plane, purge) = registration_is_forgotten(Some(InjectedDefect::OnePhaseRegistration));
-    assert!(plane.is_breached(ORIGIN, purge, KEY, MEMBER), "one phase is not enough");
+fn a_registration_that_a_replica_loses_before_the_second_phase_does_not_count() {
+    let (mut control_plane, purge) = registration_is_lost_before_the_second_phase(None);
+    assert!(!control_plane.may_serve(MEMBER), "only two of five replicas have the registration");
+    assert_settles(&mut control_plane, PUBLISHER, 5, purge, MEMBER);
+
+    let (control_plane, purge) =
+        registration_is_lost_before_the_second_phase(Some(InjectedDefect::OnePhaseRegistration));
+    assert!(control_plane.is_breached(PUBLISHER, purge, KEY, MEMBER), "one phase is not enough");
 }
 
-/// Of three replicas the member has registered with the second and the third; the second restarts while it reaches
-/// nobody but the first.
-fn recovery_reaches_one(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
-    let mut plane = Plane::new(3, 1, injected_defect);
-    plane.cut(&[3], &[0]);
-    plane.start_member(3, &[2]);
-    plane.run(1_500);
-    assert!(plane.may_serve(3));
-    plane.cut(&[2, 3], &[0, 1]);
-    plane.restart_replica(1);
-    // The round that was open gets no majority, and ends by its timeout.
-    plane.run(3_500);
-    let purge = plane.publish(0, KEY);
-    plane.run(1_500);
-    (plane, purge)
+/// A member has registered with the second and the third of three replicas; the second restarts while it reaches only
+/// the first.
+fn recovery_reaches_only_one_replica(injected_defect: Option<InjectedDefect>) -> (ControlPlane, PurgeId) {
+    let mut control_plane = ControlPlane::new(3, 1, injected_defect);
+    control_plane.cut(&[3], &[0]);
+    control_plane.start_member(3, &[2]);
+    control_plane.run(1_500);
+    assert!(control_plane.may_serve(3));
+    control_plane.cut(&[2, 3], &[0, 1]);
+    control_plane.restart_replica(1);
+    // The current round gets no majority and times out.
+    control_plane.run(3_500);
+    let purge = control_plane.publish(0, KEY);
+    control_plane.run(1_500);
+    (control_plane, purge)
 }
 
 #[test]
 fn a_replica_that_reaches_no_majority_of_others_does_not_recover() {
-    let (mut plane, purge) = recovery_reaches_one(None);
-    assert!(!plane.has_recovered(1));
-    assert!(plane.may_serve(3), "its assigned replica answers it");
-    let PurgeStatus::Pending { replicas, .. } = plane.status(0, purge) else { panic!("it is not done") };
+    let (mut control_plane, purge) = recovery_reaches_only_one_replica(None);
+    assert!(!control_plane.has_recovered(1));
+    assert!(control_plane.may_serve(3), "its assigned replica still answers its pulls");
+    let PurgeStatus::Pending { replicas, .. } = control_plane.status(0, purge) else {
+        panic!("not Pending although a member lacks the purge")
+    };
     assert!(replicas.len() <= 2, "{replicas:?}");
-    assert_settles(&mut plane, 0, 3, purge, 3);
+    assert_settles(&mut control_plane, 0, 3, purge, 3);
 
-    let (plane, purge) = recovery_reaches_one(Some(InjectedDefect::RecoveryFromOne));
-    assert!(plane.is_breached(0, purge, KEY, 3), "one is not enough");
+    let (control_plane, purge) = recovery_reaches_only_one_replica(Some(InjectedDefect::RecoveryFromOne));
+    assert!(control_plane.is_breached(0, purge, KEY, 3), "a recovery from one replica is not enough");
 }
 
-/// A purge is done while the third replica is cut from the others; then a member starts whose assigned replica that one is.
-fn home_lacks_a_done_purge(injected_defect: Option<InjectedDefect>) -> (Plane, PurgeId) {
-    let mut plane = Plane::new(3, 1, injected_defect);
-    plane.cut(&[2], &[0, 1]);
-    let purge = plane.publish(0, KEY);
-    plane.run(4_500);
-    assert_eq!(plane.status(0, purge), PurgeStatus::Done, "nobody serves");
-    plane.start_member(3, &[2]);
-    plane.run(1_500);
-    (plane, purge)
+/// A purge becomes done while the third replica is cut off from the others; then a member that prefers the third
+/// replica starts.
+fn assigned_replica_lacks_a_done_purge(injected_defect: Option<InjectedDefect>) -> (ControlPlane, PurgeId) {
+    let mut control_plane = ControlPlane::new(3, 1, injected_defect);
+    control_plane.cut(&[2], &[0, 1]);
+    let purge = control_plane.publish(0, KEY);
+    control_plane.run(4_500);
+    assert_eq!(control_plane.status(0, purge), PurgeStatus::Done, "no member serves");
+    control_plane.start_member(3, &[2]);
+    control_plane.run(1_500);
+    (control_plane, purge)
 }
 
 #[test]
-fn a_member_does_not_serve_before_its_target_even_if_its_home_lacks_it() {
-    let (mut plane, _) = home_lacks_a_done_purge(None);
-    assert!(!plane.may_serve(3), "its assigned replica lacks what the majority named");
-    plane.run(10_000);
-    assert!(plane.may_serve(3) && plane.has_purged(3, KEY), "it has found another replica");
-
-    let (plane, purge) = home_lacks_a_done_purge(Some(InjectedDefect::TargetIgnored));
-    assert!(plane.is_breached(0, purge, KEY, 3), "the target must be reached");
+fn a_member_does_not_serve_before_its_target_even_if_its_assigned_replica_lacks_it() {
+    let (mut control_plane, _) = assigned_replica_lacks_a_done_purge(None);
+    assert!(!control_plane.may_serve(3), "its assigned replica lacks an entry of the target");
+    control_plane.run(10_000);
+    assert!(
+        control_plane.may_serve(3) && control_plane.has_purged(3, KEY),
+        "it has changed to another replica"
+    );
+
+    let (control_plane, purge) = assigned_replica_lacks_a_done_purge(Some(InjectedDefect::TargetIgnored));
+    assert!(control_plane.is_breached(0, purge, KEY, 3), "serving without the target breaches the guarantee");
 }
--- a/purge/tests/support/schedule.rs
+++ b/purge/tests/support/schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules drawn from a seed: how large the control plane is, how bad its network, and what happens when.
+//! Random schedules drawn from a seed: size of the control plane, quality of its network, and faults with their times.
 
 use juniperladder_purge::CatchUp;
 use rand::{RngExt, SeedableRng};
@@ -8,10 +8,10 @@
 
 pub const MILLISECOND: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
-/// Seconds after which all members of an ordinary schedule serve.
-const SETTLED: u64 = 5;
+/// Seconds until all members of an ordinary schedule serve.
+const SETTLE_SECONDS: u64 = 5;
 
-/// What happens at a time.
+/// A fault, its end, or another scheduled action.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FaultKind {
     KillReplica(usize),
@@ -20,27 +20,27 @@
     LeaveMember(usize),
     StartMember(usize),
     FreezeNode(usize),
-    ThawNode(usize),
+    ResumeNode(usize),
     BeginCut(Cut),
     EndCut(Cut),
-    /// So many purges at once at one replica.
+    /// Publishes a number of purges at once at one replica.
     Publish(usize, usize),
 }
 
-/// What a schedule is made to provoke.
+/// The kind of faults that a schedule concentrates on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Profile {
-    /// A little of everything.
+    /// All kinds of faults, at low rates.
     Mixed,
-    /// Replicas restart in quick succession, in long rounds.
+    /// Replicas restart in quick succession, during long rounds.
     ReplicaRestarts,
-    /// Members lose their assigned replicas by cuts and kills.
+    /// Members lose their assigned replicas through partitions and crashes.
     AssignedReplicaChanges,
     /// Members are cut off while a short log is trimmed.
     Trimming,
     /// Members restart and freeze.
     MemberRestarts,
-    /// Few replicas, much loss, partitions and restarts: no more than a bare majority has anything.
+    /// Few replicas, high loss, partitions and restarts, so that rarely more than a bare majority holds an entry.
     BareMajorities,
 }
 
@@ -53,32 +53,32 @@
     Profile::BareMajorities,
 ];
 
-/// A control plane and what happens to it.
+/// A control plane and the faults that it undergoes.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     pub seed: u64,
     pub profile: Profile,
     pub replicas: usize,
     pub members: Vec<CatchUp>,
-    /// Members that run from the beginning; the others start later, and have never been registered.
+    /// Bit set of the members that run from the beginning; the others start and register for the first time later.
     pub early_members: u64,
     /// The region of each node, replicas first.
     pub regions: Vec<usize>,
     pub quality: LinkQuality,
-    /// The largest difference of a clock's rate from the true one, in millionths.
+    /// Maximum deviation of a clock's rate, in parts per million.
     pub drift_ppm: i64,
     pub lease: u64,
     pub round_interval: u64,
     pub log_entries: usize,
-    pub void_behind: usize,
+    pub void_threshold_entries: usize,
     pub tick: u64,
-    /// What the numbers of starts are counted from: as large as they are where they are times of day.
+    /// Incarnation before the first start. As large as a time of day where message sizes must be realistic.
     pub first_start: u64,
-    /// The least and the greatest length of keys; drawn ones are of any length.
+    /// Minimum and maximum length of keys; none for keys of widely varying length.
     pub key_bytes: Option<(usize, usize)>,
     pub faults: Vec<(u64, FaultKind)>,
-    /// When all faults end.
-    pub healed_at: u64,
+    /// Time at which all faults end.
+    pub faults_end_at: u64,
 }
 
 impl Schedule {
@@ -107,19 +107,19 @@
             lease: rng.random_range(1_500..=2_000) * MILLISECOND,
             round_interval: if has_long_rounds { rng.random_range(400..=1_500) } else { 250 } * MILLISECOND,
             log_entries: if has_short_log { rng.random_range(4..=40) } else { 65_536 },
-            void_behind: rng.random_range(2..=64),
+            void_threshold_entries: rng.random_range(2..=64),
             tick: rng.random_range(20..=50) * MILLISECOND,
             first_start: 0,
             key_bytes: None,
             faults: Vec::new(),
-            healed_at: rng.random_range(8..=16) * SECOND,
+            faults_end_at: rng.random_range(8..=16) * SECOND,
             members,
         };
         schedule.draw_faults(&mut rng);
         schedule
     }
 
-    /// An ordinary time: no faults but so much loss, so many purges a second in all once members have settled.
+    /// A schedule without faults other than packet loss, with `rate` purges per second in all once members serve.
     pub fn ordinary(
         seed: u64,
         replicas: usize,
@@ -130,9 +130,9 @@
     ) -> Schedule {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut faults = Vec::new();
-        for _ in 0..rate * (seconds - SETTLED) {
+        for _ in 0..rate * (seconds - SETTLE_SECONDS) {
             let publish = FaultKind::Publish(rng.random_range(0..replicas), 1);
-            faults.push((rng.random_range(SETTLED * SECOND..seconds * SECOND), publish));
+            faults.push((rng.random_range(SETTLE_SECONDS * SECOND..seconds * SECOND), publish));
         }
         Schedule {
             seed,
@@ -146,12 +146,12 @@
             lease: 2 * SECOND,
             round_interval: 250 * MILLISECOND,
             log_entries: 65_536,
-            void_behind: 64,
+            void_threshold_entries: 64,
             tick: 50 * MILLISECOND,
             first_start: 1_764_000_000_000_000,
             key_bytes: Some((40, 64)),
             faults,
-            healed_at: seconds * SECOND,
+            faults_end_at: seconds * SECOND,
         }
     }
 
@@ -161,7 +161,7 @@
     }
 
     fn draw_faults(&mut self, rng: &mut ChaCha8Rng) {
-        let seconds = self.healed_at as f64 / 1e6;
+        let seconds = self.faults_end_at as f64 / 1e6;
         let (replica_kills, member_kills, freezes, cuts) = match self.profile {
             Profile::Mixed => (0.2, 0.3, 0.3, 0.3),
             Profile::ReplicaRestarts => (2.0, 0.2, 0.0, 0.1),
@@ -170,14 +170,14 @@
             Profile::MemberRestarts => (0.1, 1.0, 0.8, 0.1),
             Profile::BareMajorities => (0.8, 0.8, 0.1, 1.0),
         };
-        let mut number = |rate: f64| (rate * seconds * 2.0 * rng.random::<f64>()) as usize;
-        let (replica_kills, member_kills) = (number(replica_kills), number(member_kills));
-        let (freezes, cuts) = (number(freezes), number(cuts));
+        let mut draw_count = |rate: f64| (rate * seconds * 2.0 * rng.random::<f64>()) as usize;
+        let (replica_kills, member_kills) = (draw_count(replica_kills), draw_count(member_kills));
+        let (freezes, cuts) = (draw_count(freezes), draw_count(cuts));
         for _ in 0..replica_kills {
             let replica = rng.random_range(0..self.replicas);
-            let longest = if rng.random_bool(0.6) { 300 } else { 4_000 };
+            let max_millis = if rng.random_bool(0.6) { 300 } else { 4_000 };
             let kinds = (FaultKind::KillReplica(replica), FaultKind::StartReplica(replica));
-            self.add(rng, kinds, longest);
+            self.add_fault(rng, kinds, max_millis);
         }
         for _ in 0..member_kills {
             let member = rng.random_range(0..self.members.len());
@@ -185,24 +185,24 @@
                 true => FaultKind::LeaveMember(member),
                 false => FaultKind::KillMember(member),
             };
-            self.add(rng, (end, FaultKind::StartMember(member)), 3_000);
+            self.add_fault(rng, (end, FaultKind::StartMember(member)), 3_000);
         }
         for _ in 0..freezes {
             let node = rng.random_range(0..self.replicas + self.members.len());
-            self.add(rng, (FaultKind::FreezeNode(node), FaultKind::ThawNode(node)), 5_000);
+            self.add_fault(rng, (FaultKind::FreezeNode(node), FaultKind::ResumeNode(node)), 5_000);
         }
         for _ in 0..cuts {
             let cut = self.draw_cut(rng);
-            self.add(rng, (FaultKind::BeginCut(cut), FaultKind::EndCut(cut)), 8_000);
+            self.add_fault(rng, (FaultKind::BeginCut(cut), FaultKind::EndCut(cut)), 8_000);
         }
         for member in (0..self.members.len()).filter(|member| !self.is_early(*member)).collect::<Vec<_>>() {
-            self.faults.push((rng.random_range(0..self.healed_at), FaultKind::StartMember(member)));
+            self.faults.push((rng.random_range(0..self.faults_end_at), FaultKind::StartMember(member)));
         }
         self.draw_publications(rng);
         self.faults.sort();
     }
 
-    /// Cuts off a region, some nodes, or a replica from the other replicas alone.
+    /// Draws a partition that cuts off a region, a random set of nodes, or one replica from the other replicas only.
     fn draw_cut(&self, rng: &mut ChaCha8Rng) -> Cut {
         let nodes = self.replicas + self.members.len();
         let region = self.regions[rng.random_range(0..self.replicas)];
@@ -222,28 +222,28 @@
 
     fn draw_publications(&mut self, rng: &mut ChaCha8Rng) {
         let rate = rng.random_range(2..=15);
-        for _ in 0..rate * self.healed_at / SECOND {
+        for _ in 0..rate * self.faults_end_at / SECOND {
             let publish = FaultKind::Publish(rng.random_range(0..self.replicas), 1);
-            self.faults.push((rng.random_range(0..self.healed_at), publish));
+            self.faults.push((rng.random_range(0..self.faults_end_at), publish));
         }
         for _ in 0..rng.random_range(0..3) {
             let flood = FaultKind::Publish(rng.random_range(0..self.replicas), rng.random_range(20..=300));
-            self.faults.push((rng.random_range(0..self.healed_at), flood));
+            self.faults.push((rng.random_range(0..self.faults_end_at), flood));
         }
     }
 
-    /// A fault that begins and ends; it lasts for so many milliseconds at the most.
-    fn add(&mut self, rng: &mut ChaCha8Rng, kinds: (FaultKind, FaultKind), longest: u64) {
-        let begin = rng.random_range(0..self.healed_at);
-        let end = begin + rng.random_range(5..=longest) * MILLISECOND;
+    /// Adds a fault at a random time and its end at most `max_millis` milliseconds later.
+    fn add_fault(&mut self, rng: &mut ChaCha8Rng, kinds: (FaultKind, FaultKind), max_millis: u64) {
+        let begin = rng.random_range(0..self.faults_end_at);
+        let end = begin + rng.random_range(5..=max_millis) * MILLISECOND;
         self.faults.push((begin, kinds.0));
-        if end < self.healed_at {
+        if end < self.faults_end_at {
             self.faults.push((end, kinds.1));
         }
     }
 }
 
-/// Replicas in turn over the regions, so that none is without; members anywhere.
+/// Assigns replicas to regions in turn, so that each region has one, and members at random.
 fn draw_regions(rng: &mut ChaCha8Rng, replicas: usize, members: usize) -> Vec<usize> {
     let regions = rng.random_range(2..=replicas);
     let of_replicas = (0..replicas).map(|replica| replica % regions);
@@ -255,9 +255,9 @@
     let is_bad = rng.random_bool(if profile == Profile::BareMajorities { 0.7 } else { 0.3 });
     LinkQuality {
         loss: if is_bad { rng.random_range(0.1..0.5) } else { rng.random_range(0.0..0.1) },
-        repeat: rng.random_range(0.0..0.2),
+        duplication: rng.random_range(0.0..0.2),
         delay: (500, [5, 30, 150, 400][rng.random_range(0..4)] * MILLISECOND),
-        late: if rng.random_bool(0.5) { rng.random_range(0.0..0.1) } else { 0.0 },
-        late_by: rng.random_range(100..=6_000) * MILLISECOND,
+        extra_delay_share: if rng.random_bool(0.5) { rng.random_range(0.0..0.1) } else { 0.0 },
+        max_extra_delay: rng.random_range(100..=6_000) * MILLISECOND,
     }
 }
--- a/purge/tests/support/simulation.rs
+++ b/purge/tests/support/simulation.rs
@@ -1,4 +1,4 @@
-//! Runs a schedule, event by event, and checks the guarantee after each.
+//! Runs a schedule event by event and checks the guarantee after each event.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -18,52 +18,52 @@
 use super::network::{LinkQuality, Network};
 use super::schedule::{FaultKind, Schedule, SECOND};
 
-/// How long after the end of all faults everything must be in order again.
-const TIME_TO_SETTLE: u64 = 60 * SECOND;
+/// Time after the end of all faults within which the control plane must settle.
+const MAX_SETTLE_TIME: u64 = 60 * SECOND;
 const FIRST_PORT: u16 = 1_000;
-/// Heads of IP and UDP.
-const HEAD_BYTES: u64 = 28;
+/// Size of the IP and UDP headers.
+const HEADER_BYTES: u64 = 28;
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Event {
     Tick { node: usize, start: u64 },
     Datagram { to: usize, from: usize, bytes: Vec<u8> },
     Fault(FaultKind),
-    Heal,
+    EndFaults,
 }
 
 #[derive(Debug)]
-enum Machine {
+enum StateMachine {
     Replica(Replica),
     Member(Member, Applied),
 }
 
-/// A process, if it runs, and its machine's clock.
+/// A node: its process, if it runs, and its clock.
 #[derive(Debug)]
 struct Node {
-    machine: Option<Machine>,
-    /// Counts starts; also what is told to the machine, in microseconds.
+    state_machine: Option<StateMachine>,
+    /// Incarnation of the process, incremented at each start.
     start: u64,
     frozen: bool,
-    /// Datagrams that came while it was frozen.
+    /// Datagrams that arrived while the process was frozen.
     backlog: VecDeque<(usize, Vec<u8>)>,
-    /// Its clock's rate in millionths, and what it shows at the beginning.
+    /// Rate of the clock in millionths, and its initial value in microseconds.
     rate: u64,
     offset: u64,
-    /// Purges published at this start of this replica that are not done.
+    /// Purges published by this incarnation of the replica that are not done.
     pending: VecDeque<usize>,
 }
 
-/// How a schedule ended.
+/// Result of a schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     Held,
     Breached(Breach),
-    /// Something was not in order again after the end of all faults.
+    /// The control plane did not settle in time after the end of all faults, for this reason.
     NotSettled(String),
 }
 
-/// What a schedule did.
+/// Result and statistics of a schedule. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Report {
     pub verdict: Verdict,
@@ -72,15 +72,15 @@
     pub rejected: usize,
     pub steps: u64,
     pub settled_after: u64,
-    /// Times from the publication of a purge to its application, by all members that were handed it as a key.
-    pub times_to_act: Vec<u64>,
-    pub times_to_done: Vec<u64>,
+    /// Times from the publication of a purge to its application, one for each member that applied it by key.
+    pub apply_delays: Vec<u64>,
+    pub done_delays: Vec<u64>,
     pub log_trimmed: u64,
     pub voided: u64,
     pub lapses: u64,
-    /// Bytes of each member, in both directions, with the heads of IP and UDP, a second.
+    /// Bytes per second of each member in both directions, with IP and UDP headers.
     pub member_bytes_per_second: Vec<u64>,
-    /// Bytes that each replica sent, with those heads, a second.
+    /// Bytes per second that each replica sent, with IP and UDP headers.
     pub replica_bytes_per_second: Vec<u64>,
 }
 
@@ -90,13 +90,13 @@
     rng: ChaCha8Rng,
     network: Network,
     now: u64,
-    due: BinaryHeap<Reverse<(u64, u64, Due)>>,
-    count: u64,
+    events: BinaryHeap<Reverse<(u64, u64, Event)>>,
+    event_count: u64,
     nodes: Vec<Node>,
     checker: Checker,
     rejected: usize,
-    times_to_act: Vec<u64>,
-    is_healed: bool,
+    apply_delays: Vec<u64>,
+    has_ended_faults: bool,
     voided: u64,
     lapses: u64,
 }
@@ -116,13 +116,13 @@
             rng,
             network,
             now: 0,
-            due: BinaryHeap::new(),
-            count: 0,
+            events: BinaryHeap::new(),
+            event_count: 0,
             nodes,
             checker: Checker::default(),
             rejected: 0,
-            times_to_act: Vec::new(),
-            is_healed: false,
+            apply_delays: Vec::new(),
+            has_ended_faults: false,
             voided: 0,
             lapses: 0,
             schedule,
@@ -134,15 +134,15 @@
             }
         }
         for (at, fault) in simulation.schedule.faults.clone() {
-            simulation.at(at, Due::Fault(fault));
+            simulation.schedule_event(at, Event::Fault(fault));
         }
-        simulation.at(simulation.schedule.healed_at, Due::Heal);
+        simulation.schedule_event(simulation.schedule.faults_end_at, Event::EndFaults);
         simulation
     }
 
-    fn at(&mut self, at: u64, due: Due) {
-        self.count += 1;
-        self.due.push(Reverse((at, self.count, due)));
+    fn schedule_event(&mut self, at: u64, event: Event) {
+        self.event_count += 1;
+        self.events.push(Reverse((at, self.event_count, event)));
     }
 
     fn local_now(&self, node: usize) -> u64 {
@@ -151,29 +151,30 @@
     }
 
     fn start(&mut self, node: usize, bootstrap: bool) {
-        if self.nodes[node].machine.is_some() {
+        if self.nodes[node].state_machine.is_some() {
             return;
         }
         let start = self.nodes[node].start + 1;
         let seed = self.rng.random();
         let now = self.local_now(node);
-        let machine = match node < self.schedule.replicas {
-            true => {
-                Machine::Replica(Replica::new(self.replica_config(node, start, bootstrap, seed), Micros(now)))
-            }
-            false => Machine::Member(
+        let state_machine = match node < self.schedule.replicas {
+            true => StateMachine::Replica(Replica::new(
+                self.replica_config(node, start, bootstrap, seed),
+                Micros(now),
+            )),
+            false => StateMachine::Member(
                 Member::new(self.member_config(node, start, seed), Micros(now)),
                 Applied::default(),
             ),
         };
         let process = &mut self.nodes[node];
-        process.machine = Some(machine);
+        process.state_machine = Some(state_machine);
         process.start = start;
         process.frozen = false;
         process.backlog.clear();
         process.pending.clear();
         let first = self.now + self.rng.random_range(0..self.schedule.tick);
-        self.at(first, Due::Tick { node, start });
+        self.schedule_event(first, Event::Tick { node, start });
     }
 
     fn replica_config(&self, node: usize, start: u64, bootstrap: bool, seed: u64) -> ReplicaConfig {
@@ -187,7 +188,7 @@
                 lease: Micros(self.schedule.lease),
                 round_interval: Micros(self.schedule.round_interval),
                 log_entries: self.schedule.log_entries,
-                void_behind: self.schedule.void_behind,
+                void_threshold_entries: self.schedule.void_threshold_entries,
                 injected_defects: InjectedDefects::with(self.injected_defect),
                 ..ReplicaSettings::default()
             },
@@ -211,7 +212,7 @@
             seed,
             timing: MemberTiming {
                 lease: Micros(self.schedule.lease),
-                return_after: Micros::from_secs(5),
+                return_delay: Micros::from_secs(5),
                 return_probe_interval: Micros::SECOND,
                 injected_defects: InjectedDefects::with(self.injected_defect),
                 ..MemberTiming::default()
@@ -222,21 +223,21 @@
     /// Runs the schedule to its end.
     pub fn run(mut self) -> Report {
         let mut steps = 0;
-        let deadline = self.schedule.healed_at + TIME_TO_SETTLE;
+        let deadline = self.schedule.faults_end_at + MAX_SETTLE_TIME;
         let mut verdict = None;
-        let mut next_look = self.schedule.healed_at;
-        while let Some(Reverse((at, _, due))) = self.due.pop() {
+        let mut next_settled_check = self.schedule.faults_end_at;
+        while let Some(Reverse((at, _, event))) = self.events.pop() {
             self.now = at;
             steps += 1;
-            self.on_due(due);
+            self.on_event(event);
             if let Err(breach) = self.check() {
                 verdict = Some(Verdict::Breached(breach));
                 break;
             }
-            if self.is_healed && self.now >= next_look {
-                next_look = self.now + SECOND / 10;
-                let unsettled = self.unsettled();
-                match unsettled {
+            if self.has_ended_faults && self.now >= next_settled_check {
+                next_settled_check = self.now + SECOND / 10;
+                let reason = self.find_unsettled();
+                match reason {
                     None => break,
                     Some(reason) if self.now > deadline => {
                         verdict = Some(Verdict::NotSettled(reason));
@@ -251,16 +252,16 @@
 
     fn report(&self, steps: u64, verdict: Verdict) -> Report {
         let done = self.checker.published.iter();
-        let times_to_done = done.filter_map(|purge| Some(purge.done_at? - purge.at)).collect();
+        let done_delays = done.filter_map(|purge| Some(purge.done_at? - purge.at)).collect();
         let mut report = Report {
             verdict,
             published: self.checker.published.len(),
             done: self.checker.done(),
             rejected: self.rejected,
             steps,
-            settled_after: self.now.saturating_sub(self.schedule.healed_at),
-            times_to_act: self.times_to_act.clone(),
-            times_to_done,
+            settled_after: self.now.saturating_sub(self.schedule.faults_end_at),
+            apply_delays: self.apply_delays.clone(),
+            done_delays,
             log_trimmed: 0,
             voided: self.voided,
             lapses: self.lapses,
@@ -269,15 +270,15 @@
         };
         let per_second = |bytes: u64| bytes * SECOND / self.now.max(1);
         for node in &self.nodes {
-            match &node.machine {
-                Some(Machine::Replica(replica)) => {
+            match &node.state_machine {
+                Some(StateMachine::Replica(replica)) => {
                     report.log_trimmed += replica.metrics().log_trimmed;
-                    let sent = with_heads(replica.metrics().sent);
+                    let sent = bytes_with_headers(replica.metrics().sent);
                     report.replica_bytes_per_second.push(per_second(sent));
                 }
-                Some(Machine::Member(member, _)) => {
+                Some(StateMachine::Member(member, _)) => {
                     let metrics = member.metrics();
-                    let both = with_heads(metrics.sent) + with_heads(metrics.received);
+                    let both = bytes_with_headers(metrics.sent) + bytes_with_headers(metrics.received);
                     report.member_bytes_per_second.push(per_second(both));
                     report.voided += member.metrics().voided;
                     report.lapses += member.metrics().lapses;
@@ -288,34 +289,34 @@
         report
     }
 
-    fn on_due(&mut self, due: Due) {
-        match due {
-            Due::Tick { node, start } => self.on_tick(node, start),
-            Due::Datagram { to, from, bytes } => self.on_datagram(to, from, bytes),
-            Due::Fault(fault) => {
-                if !self.is_healed {
+    fn on_event(&mut self, event: Event) {
+        match event {
+            Event::Tick { node, start } => self.on_tick(node, start),
+            Event::Datagram { to, from, bytes } => self.on_datagram(to, from, bytes),
+            Event::Fault(fault) => {
+                if !self.has_ended_faults {
                     self.on_fault(fault);
                 }
             }
-            Due::Heal => self.heal(),
+            Event::EndFaults => self.end_faults(),
         }
     }
 
     fn on_tick(&mut self, node: usize, start: u64) {
-        if self.nodes[node].start != start || self.nodes[node].machine.is_none() {
+        if self.nodes[node].start != start || self.nodes[node].state_machine.is_none() {
             return;
         }
-        self.at(self.now + self.schedule.tick, Due::Tick { node, start });
+        self.schedule_event(self.now + self.schedule.tick, Event::Tick { node, start });
         if self.nodes[node].frozen {
             return;
         }
         let now = self.local_now(node);
-        match &mut self.nodes[node].machine {
-            Some(Machine::Replica(replica)) => replica.on_tick(Micros(now)),
-            Some(Machine::Member(member, _)) => member.on_tick(Micros(now)),
+        match &mut self.nodes[node].state_machine {
+            Some(StateMachine::Replica(replica)) => replica.on_tick(Micros(now)),
+            Some(StateMachine::Member(member, _)) => member.on_tick(Micros(now)),
             None => {}
         }
-        self.after(node);
+        self.drive(node);
     }
 
     fn on_datagram(&mut self, to: usize, from: usize, bytes: Vec<u8>) {
@@ -324,19 +325,19 @@
             return;
         }
         let now = self.local_now(to);
-        match &mut self.nodes[to].machine {
-            Some(Machine::Replica(replica)) => replica.on_datagram(Micros(now), address(from), &bytes),
-            Some(Machine::Member(member, _)) => member.on_datagram(Micros(now), address(from), &bytes),
+        match &mut self.nodes[to].state_machine {
+            Some(StateMachine::Replica(replica)) => replica.on_datagram(Micros(now), address(from), &bytes),
+            Some(StateMachine::Member(member, _)) => member.on_datagram(Micros(now), address(from), &bytes),
             None => {}
         }
-        self.after(to);
+        self.drive(to);
     }
 
-    /// What a driver does after each call: applies what came, notes what is done, and sends.
-    fn after(&mut self, node: usize) {
+    /// Acts as the driver after each call: applies drained purges, records completed ones, and sends datagrams.
+    fn drive(&mut self, node: usize) {
         let process = &mut self.nodes[node];
-        let datagrams = match &mut process.machine {
-            Some(Machine::Replica(replica)) => {
+        let datagrams = match &mut process.state_machine {
+            Some(StateMachine::Replica(replica)) => {
                 assert!(replica.metrics().log_entries <= self.schedule.log_entries);
                 assert!(replica.metrics().registrations <= MAX_MEMBERS);
                 while let Some(purge) = process.pending.front().copied() {
@@ -349,10 +350,10 @@
                 }
                 replica.drain()
             }
-            Some(Machine::Member(member, applied)) => {
+            Some(StateMachine::Member(member, applied)) => {
                 let events = member.drain_purges();
                 for purge in self.checker.on_events(applied, &events) {
-                    self.times_to_act.push(self.now - self.checker.published[purge].at);
+                    self.apply_delays.push(self.now - self.checker.published[purge].at);
                 }
                 member.drain()
             }
@@ -366,15 +367,15 @@
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         for delay in self.network.delays(&mut self.rng, from, to) {
-            let datagram = Due::Datagram { to, from, bytes: bytes.clone() };
-            self.at(self.now + delay, datagram);
+            let datagram = Event::Datagram { to, from, bytes: bytes.clone() };
+            self.schedule_event(self.now + delay, datagram);
         }
     }
 
     fn on_fault(&mut self, fault: FaultKind) {
         match fault {
             FaultKind::KillReplica(replica) => {
-                if self.replicas_without_memory() < (self.schedule.replicas - 1) / 2 {
+                if self.replicas_without_state() < (self.schedule.replicas - 1) / 2 {
                     self.kill(replica);
                 }
             }
@@ -383,7 +384,7 @@
             FaultKind::LeaveMember(member) => self.leave(self.schedule.replicas + member),
             FaultKind::StartMember(member) => self.start(self.schedule.replicas + member, false),
             FaultKind::FreezeNode(node) => self.nodes[node].frozen = true,
-            FaultKind::ThawNode(node) => self.thaw(node),
+            FaultKind::ResumeNode(node) => self.resume(node),
             FaultKind::BeginCut(cut) => self.network.cuts.push(cut),
             FaultKind::EndCut(cut) => {
                 if let Some(index) = self.network.cuts.iter().position(|other| *other == cut) {
@@ -394,24 +395,24 @@
         }
     }
 
-    /// Replicas that are down or have not recovered. With more than a minority of them the control plane stands still
-    /// until it is bootstrapped anew, which schedules don't do.
-    fn replicas_without_memory(&self) -> usize {
+    /// The number of replicas that are down or have not recovered. If they are more than a minority, the control plane
+    /// makes no progress until it is bootstrapped anew, which schedules don't do.
+    fn replicas_without_state(&self) -> usize {
         let replicas = self.nodes[..self.schedule.replicas].iter();
-        let has_memory = |node: &&Node| match &node.machine {
-            Some(Machine::Replica(replica)) => !replica.metrics().recovering,
+        let has_state = |node: &&Node| match &node.state_machine {
+            Some(StateMachine::Replica(replica)) => !replica.metrics().recovering,
             _ => false,
         };
-        self.schedule.replicas - replicas.filter(has_memory).count()
+        self.schedule.replicas - replicas.filter(has_state).count()
     }
 
     fn kill(&mut self, node: usize) {
-        if let Some(Machine::Member(member, _)) = &self.nodes[node].machine {
+        if let Some(StateMachine::Member(member, _)) = &self.nodes[node].state_machine {
             self.voided += member.metrics().voided;
             self.lapses += member.metrics().lapses;
         }
         let process = &mut self.nodes[node];
-        process.machine = None;
+        process.state_machine = None;
         process.frozen = false;
         process.backlog.clear();
         process.pending.clear();
@@ -419,14 +420,16 @@
 
     fn leave(&mut self, node: usize) {
         let is_frozen = self.nodes[node].frozen;
-        if let (Some(Machine::Member(member, _)), false) = (&mut self.nodes[node].machine, is_frozen) {
+        if let (Some(StateMachine::Member(member, _)), false) =
+            (&mut self.nodes[node].state_machine, is_frozen)
+        {
             member.leave();
-            self.after(node);
+            self.drive(node);
         }
         self.kill(node);
     }
 
-    fn thaw(&mut self, node: usize) {
+    fn resume(&mut self, node: usize) {
         if !std::mem::take(&mut self.nodes[node].frozen) {
             return;
         }
@@ -447,7 +450,7 @@
             if self.nodes[node].frozen {
                 return;
             }
-            let Some(Machine::Replica(replica)) = &mut self.nodes[node].machine else { return };
+            let Some(StateMachine::Replica(replica)) = &mut self.nodes[node].state_machine else { return };
             match replica.publish(Micros(now), &key) {
                 Ok(id) => {
                     let purge = self.checker.on_published(id, self.now);
@@ -459,24 +462,24 @@
                 }
             }
         }
-        self.after(node);
+        self.drive(node);
     }
 
-    fn heal(&mut self) {
-        self.is_healed = true;
+    fn end_faults(&mut self) {
+        self.has_ended_faults = true;
         self.network.quality = LinkQuality::GOOD;
         self.network.cuts.clear();
         for node in 0..self.nodes.len() {
-            self.thaw(node);
+            self.resume(node);
             self.start(node, false);
         }
     }
 
-    /// The guarantee, at this moment.
+    /// Checks the guarantee at this moment.
     fn check(&mut self) -> Result<(), Breach> {
         for node in self.schedule.replicas..self.nodes.len() {
             let now = self.local_now(node);
-            if let Some(Machine::Member(member, applied)) = &mut self.nodes[node].machine {
+            if let Some(StateMachine::Member(member, applied)) = &mut self.nodes[node].state_machine {
                 if member.may_serve(Micros(now)) {
                     self.checker.check(self.now, node, applied)?;
                 }
@@ -485,40 +488,44 @@
         Ok(())
     }
 
-    /// What is not in order yet: a purge that is pending, a member that does not serve, a replica that recovers.
-    fn unsettled(&self) -> Option<String> {
+    /// The first reason why the control plane has not settled: a pending purge, a member that does not serve, a replica
+    /// that is recovering, or a node that does not run.
+    fn find_unsettled(&self) -> Option<String> {
         for (number, node) in self.nodes.iter().enumerate() {
-            match &node.machine {
-                Some(Machine::Replica(replica)) => {
+            match &node.state_machine {
+                Some(StateMachine::Replica(replica)) => {
                     if replica.metrics().recovering {
-                        return Some(format!("replica {number} recovers"));
+                        return Some(format!("replica {number} is still recovering"));
                     }
                     if let Some(purge) = node.pending.front() {
                         let id = self.checker.published[*purge].id;
-                        return Some(format!("{id:?}: {:?}", replica.status(id)));
+                        return Some(format!("purge {id:?} is not done: {:?}", replica.status(id)));
                     }
                 }
-                Some(Machine::Member(member, _)) => {
+                Some(StateMachine::Member(member, _)) => {
                     if !member.may_serve(Micros(self.local_now(number))) {
-                        return Some(format!("member {number} does not serve: {:?}", member.metrics()));
+                        return Some(format!(
+                            "member {number} does not serve; metrics: {:?}",
+                            member.metrics()
+                        ));
                     }
                 }
-                None => return Some(format!("node {number} does not run")),
+                None => return Some(format!("node {number} is not running")),
             }
         }
         None
     }
 }
 
-/// Bytes with the heads of IP and UDP.
-fn with_heads(traffic: Traffic) -> u64 {
-    traffic.bytes + traffic.datagrams * HEAD_BYTES
+/// Traffic in bytes, with IP and UDP headers.
+fn bytes_with_headers(traffic: Traffic) -> u64 {
+    traffic.bytes + traffic.datagrams * HEADER_BYTES
 }
 
 fn draw_node(rng: &mut ChaCha8Rng, schedule: &Schedule) -> Node {
     let drift = rng.random_range(-schedule.drift_ppm..=schedule.drift_ppm);
     Node {
-        machine: None,
+        state_machine: None,
         start: schedule.first_start,
         frozen: false,
         backlog: VecDeque::new(),
