--- a/platform-model/src/checker/failure_detection.rs
+++ b/platform-model/src/checker/failure_detection.rs
@@ -13,9 +13,9 @@
 use crate::{Micros, MICROS_PER_SECOND};
 
 /// A server is avoided once it receives less than this ratio of its fair share in every second until its return.
-const AVOIDED_BELOW_SHARE: f64 = 0.1;
+const AVOIDED_BELOW_LOAD_RATIO: f64 = 0.1;
 /// A server that has returned is used again once it receives this ratio of its fair share in a second.
-const USED_AGAIN_SHARE: f64 = 0.5;
+const USED_AGAIN_MIN_LOAD_RATIO: f64 = 0.5;
 
 /// Computes the figures over all servers that were silent for more than a second. `server_loads` holds the attempts
 /// at each server in each second, divided by its fair share.
@@ -107,7 +107,8 @@
         let first = (silence.from - self.measured_from).div_ceil(MICROS_PER_SECOND) as usize;
         let last = ((end - self.measured_from) / MICROS_PER_SECOND) as usize;
         let loads = self.by_server.get(silence.number as usize)?.get(first..last)?;
-        let seconds_used = loads.iter().rposition(|load| *load >= AVOIDED_BELOW_SHARE).map_or(0, |at| at + 1);
+        let seconds_used =
+            loads.iter().rposition(|load| *load >= AVOIDED_BELOW_LOAD_RATIO).map_or(0, |at| at + 1);
         Some(seconds_used as Micros * MICROS_PER_SECOND)
     }
 
@@ -116,7 +117,7 @@
         let back_at = silence.to?;
         let first = back_at.checked_sub(self.measured_from)?.div_ceil(MICROS_PER_SECOND) as usize;
         let loads = self.by_server.get(silence.number as usize)?.get(first..)?;
-        let used_at = loads.iter().position(|load| *load >= USED_AGAIN_SHARE);
+        let used_at = loads.iter().position(|load| *load >= USED_AGAIN_MIN_LOAD_RATIO);
         let until_end = terms.measured_until.saturating_sub(back_at);
         Some(used_at.map_or(until_end, |second| (second as Micros + 1) * MICROS_PER_SECOND))
     }
--- a/platform-model/src/checker/series.rs
+++ b/platform-model/src/checker/series.rs
@@ -8,7 +8,7 @@
 use crate::Micros;
 
 /// Lower bound of the fair share by which a load is divided, so that a second without attempts gives 0.
-const SMALLEST_FAIR_PART: f64 = 1e-9;
+const MIN_FAIR_SHARE: f64 = 1e-9;
 
 /// The figures of one second of a run, as stored in `seconds.csv`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -102,7 +102,7 @@
     let total_weight: f64 = terms.server_weights.iter().sum();
     for (counts, weight) in attempts.iter_mut().zip(&terms.server_weights) {
         for (count, second) in counts.iter_mut().zip(seconds) {
-            *count /= (second.attempts as f64 * weight / total_weight).max(SMALLEST_FAIR_PART);
+            *count /= (second.attempts as f64 * weight / total_weight).max(MIN_FAIR_SHARE);
         }
     }
     attempts
