--- a/platform-model/src/checker.rs
+++ b/platform-model/src/checker.rs
@@ -53,11 +53,11 @@
     summary.service = service(event_log, terms);
     summary.attempts_per_request = attempts_per_request(event_log, terms, summary.requests);
     summary.spread = spread::spread(event_log, terms);
-    let origin = limits::origin(event_log, terms);
-    summary.origin = origin.figures;
-    summary.limits.insert("origin".into(), origin.limit);
-    summary.limits.insert("cold".into(), limits::slow_start(event_log, terms));
-    summary.limits.insert("second".into(), limits::retries(event_log, terms));
+    let origin_usage = limits::origin_usage(event_log, terms);
+    summary.origin = origin_usage.figures;
+    summary.limits.insert("origin".into(), origin_usage.limit);
+    summary.limits.insert("cold".into(), limits::slow_start_usage(event_log, terms));
+    summary.limits.insert("second".into(), limits::retry_usage(event_log, terms));
     summary.failure_detection = failure_detection::failure_detection(event_log, terms, &series.server_loads);
     CheckResult { summary, violations, series }
 }
--- a/platform-model/src/checker/failure_detection.rs
+++ b/platform-model/src/checker/failure_detection.rs
@@ -26,7 +26,7 @@
 ) -> FailureDetection {
     let silences = silences(event_log, terms);
     let loads = ServerLoads { measured_from: terms.measured_from, by_server: server_loads };
-    let mut last_sends = last_sends(event_log, &silences);
+    let mut last_attempt_delays = last_attempt_delays(event_log, &silences);
     let avoided_after = |silence: &&ImpairedSpan| loads.avoided_after(silence, terms);
     let mut avoided: Vec<Micros> = silences.iter().filter_map(avoided_after).collect();
     let used_again_after = |silence: &&ImpairedSpan| loads.used_again_after(silence, terms);
@@ -34,12 +34,12 @@
     let stated = terms.stated.and_then(|stated| stated.failure_detection);
     FailureDetection {
         bound_ms: stated.map(|stated| millis(stated.reaction_time)),
-        spread_p50_ms: percentile_ms(&mut last_sends, 0.5),
-        spread_p99_ms: percentile_ms(&mut last_sends, 0.99),
+        spread_p50_ms: percentile_ms(&mut last_attempt_delays, 0.5),
+        spread_p99_ms: percentile_ms(&mut last_attempt_delays, 0.99),
         stale_bound_ms: stated.map(|stated| millis(stated.report_expiry)),
         stale_max_ms: None,
         wrongly_avoided: 0,
-        lost_sends: lost_sends(event_log, terms),
+        lost_sends: count_lost_attempts(event_log, terms),
         avoided_ms: percentile_ms(&mut avoided, 1.0),
         used_again_ms: percentile_ms(&mut used_again, 1.0),
     }
@@ -47,35 +47,35 @@
 
 /// The silences of servers that began in the measured time and lasted longer than a second.
 fn silences<'a>(event_log: &'a EventLog, terms: &CheckTerms) -> Vec<&'a ImpairedSpan> {
-    let counts = |span: &&ImpairedSpan| {
+    let is_relevant = |span: &&ImpairedSpan| {
         span.impairment == Impairment::Silent
             && terms.is_measured(span.from)
             && span.to.is_none_or(|to| to > span.from + MICROS_PER_SECOND)
     };
-    event_log.server_impairments.iter().filter(counts).collect()
+    event_log.server_impairments.iter().filter(is_relevant).collect()
 }
 
 /// For each silence and each balancer that sent to the server during it, the time from its start to the last attempt.
-fn last_sends(event_log: &EventLog, silences: &[&ImpairedSpan]) -> Vec<Micros> {
-    let mut last: HashMap<(usize, u32), Micros> = HashMap::new();
+fn last_attempt_delays(event_log: &EventLog, silences: &[&ImpairedSpan]) -> Vec<Micros> {
+    let mut last_delays: HashMap<(usize, u32), Micros> = HashMap::new();
     for attempt in &event_log.attempts {
         for (number, silence) in silences.iter().enumerate() {
-            if is_sent_during(attempt, silence) {
-                last.insert((number, attempt.balancer), attempt.received_at - silence.from);
+            if is_received_during(attempt, silence) {
+                last_delays.insert((number, attempt.balancer), attempt.received_at - silence.from);
             }
         }
     }
-    last.into_values().collect()
+    last_delays.into_values().collect()
 }
 
-fn is_sent_during(attempt: &Attempt, silence: &ImpairedSpan) -> bool {
+fn is_received_during(attempt: &Attempt, silence: &ImpairedSpan) -> bool {
     attempt.receiver == Receiver::CacheServer(silence.number)
         && attempt.received_at > silence.from
         && silence.to.is_none_or(|to| attempt.received_at < to)
 }
 
 /// The number of measured attempts that a server did not answer or a cut link did not deliver.
-fn lost_sends(event_log: &EventLog, terms: &CheckTerms) -> u64 {
+fn count_lost_attempts(event_log: &EventLog, terms: &CheckTerms) -> u64 {
     let measured = |attempt: &&Attempt| terms.is_measured(attempt.received_at);
     let unanswered = event_log
         .attempts
@@ -114,11 +114,11 @@
 
     /// Time from the server's return until it is used again; the remaining measured time if it is never used again.
     fn used_again_after(&self, silence: &ImpairedSpan, terms: &CheckTerms) -> Option<Micros> {
-        let back_at = silence.to?;
-        let first = back_at.checked_sub(self.measured_from)?.div_ceil(MICROS_PER_SECOND) as usize;
+        let returned_at = silence.to?;
+        let first = returned_at.checked_sub(self.measured_from)?.div_ceil(MICROS_PER_SECOND) as usize;
         let loads = self.by_server.get(silence.number as usize)?.get(first..)?;
         let used_at = loads.iter().position(|load| *load >= USED_AGAIN_MIN_LOAD_RATIO);
-        let until_end = terms.measured_until.saturating_sub(back_at);
+        let until_end = terms.measured_until.saturating_sub(returned_at);
         Some(used_at.map_or(until_end, |second| (second as Micros + 1) * MICROS_PER_SECOND))
     }
 }
--- a/platform-model/src/checker/limits.rs
+++ b/platform-model/src/checker/limits.rs
@@ -13,12 +13,12 @@
 use crate::{Micros, MICROS_PER_SECOND};
 
 /// Retries for each first attempt, if the operator file does not state it.
-const DEFAULT_RETRY_SHARE: f64 = 0.4;
+const DEFAULT_RETRIES_PER_FIRST_ATTEMPT: f64 = 0.4;
 /// Retries that each balancer may save up, if the operator file does not state it.
-const DEFAULT_SAVED_RETRIES: f64 = 10.0;
+const DEFAULT_SAVED_RETRIES_PER_BALANCER: f64 = 10.0;
 /// Maximum age of a credit for a retry at the start of the second in which it is used: 2 s stated by the program, and
 /// 250 ms that a first request takes to its balancer at most.
-const RETRY_EARNING_TIME: Micros = 2 * MICROS_PER_SECOND + MICROS_PER_SECOND / 4;
+const RETRY_CREDIT_MAX_AGE: Micros = 2 * MICROS_PER_SECOND + MICROS_PER_SECOND / 4;
 
 /// Usage of the origin, as figures of the origin and of the limit `origin`.
 pub struct OriginUsage {
@@ -29,30 +29,34 @@
 }
 
 /// Computes the usage of the limit `origin`: fetches in any second, relative to the origin's capacity.
-pub fn origin(event_log: &EventLog, terms: &CheckTerms) -> OriginUsage {
+pub fn origin_usage(event_log: &EventLog, terms: &CheckTerms) -> OriginUsage {
     let is_fetch =
         |attempt: &&Attempt| attempt.receiver == Receiver::Origin && terms.is_measured(attempt.received_at);
     let fetches: Vec<&Attempt> = event_log.attempts.iter().filter(is_fetch).collect();
     let limit = terms.stated.map_or(terms.origin_capacity, |stated| stated.origin_per_s);
     let mut window = SlidingWindow::new(MICROS_PER_SECOND);
-    let most = fetches.iter().map(|fetch| window.push(fetch.received_at)).max().unwrap_or(0);
-    let peak = most as f64 / limit;
-    let pressed = pressed_usage(event_log, terms, &fetches, limit);
+    let peak_count = fetches.iter().map(|fetch| window.push(fetch.received_at)).max().unwrap_or(0);
+    let peak = peak_count as f64 / limit;
+    let under_excess_demand = usage_under_excess_demand(event_log, terms, &fetches, limit);
     OriginUsage {
-        figures: OriginFigures { peak, useful: pressed.share(pressed.useful), fetches: fetches.len() as u64 },
+        figures: OriginFigures {
+            peak,
+            useful: under_excess_demand.share(under_excess_demand.useful),
+            fetches: fetches.len() as u64,
+        },
         limit: LimitUsage {
             limit,
             bound: terms.stated.map(|stated| stated.bound()),
             peak,
-            usage: pressed.share(pressed.used),
-            seconds_over: pressed.seconds_over,
+            usage: under_excess_demand.share(under_excess_demand.used),
+            seconds_over: under_excess_demand.seconds_over,
         },
     }
 }
 
 /// Usage of the origin in the seconds in which demand exceeded the limit.
 #[derive(Default)]
-struct PressedUsage {
+struct UsageUnderExcessDemand {
     /// The limit, summed over these seconds.
     limit: f64,
     /// Fetches in these seconds.
@@ -63,15 +67,20 @@
     seconds_over: u64,
 }
 
-impl PressedUsage {
+impl UsageUnderExcessDemand {
     /// The ratio of an amount to the limit; `None` if demand never exceeded the limit.
-    fn share(&self, part: f64) -> Option<f64> {
-        (self.limit > 0.0).then(|| part / self.limit)
+    fn share(&self, amount: f64) -> Option<f64> {
+        (self.limit > 0.0).then(|| amount / self.limit)
     }
 }
 
-fn pressed_usage(event_log: &EventLog, terms: &CheckTerms, fetches: &[&Attempt], limit: f64) -> PressedUsage {
-    let demand = demand(event_log, terms);
+fn usage_under_excess_demand(
+    event_log: &EventLog,
+    terms: &CheckTerms,
+    fetches: &[&Attempt],
+    limit: f64,
+) -> UsageUnderExcessDemand {
+    let demand = origin_demand(event_log, terms);
     let served = served_requests(event_log, terms);
     let mut used = vec![0.0; demand.len()];
     let mut useful = vec![0.0; demand.len()];
@@ -81,16 +90,16 @@
         let is_useful = fetch.result == AttemptResult::Served && served.contains(&fetch.id);
         useful[second] += f64::from(is_useful);
     }
-    let mut pressed = PressedUsage::default();
+    let mut under_excess_demand = UsageUnderExcessDemand::default();
     for (second, demand) in demand.iter().enumerate() {
-        pressed.seconds_over += u64::from(used[second] > limit);
+        under_excess_demand.seconds_over += u64::from(used[second] > limit);
         if *demand > limit {
-            pressed.limit += limit;
-            pressed.used += used[second];
-            pressed.useful += useful[second];
+            under_excess_demand.limit += limit;
+            under_excess_demand.used += used[second];
+            under_excess_demand.useful += useful[second];
         }
     }
-    pressed
+    under_excess_demand
 }
 
 /// The ids of the requests that were served before their deadline.
@@ -104,18 +113,23 @@
 /// Computes the usage of the limit `cold`: attempts in any second at a server in slow start, relative to the server's
 /// capacity at the end of that second. If no operator file states the rate of a warm server, its service capacity is
 /// used.
-pub fn slow_start(event_log: &EventLog, terms: &CheckTerms) -> LimitUsage {
+pub fn slow_start_usage(event_log: &EventLog, terms: &CheckTerms) -> LimitUsage {
     let stated = terms.stated.filter(|stated| stated.slow_start_per_s.is_some());
     let mut usage = LimitUsage { bound: stated.map(|stated| stated.bound()), ..LimitUsage::default() };
-    let starts = event_log.server_impairments.iter();
-    for span in starts.filter(|span| span.impairment == Impairment::SlowStart) {
-        add_slow_start(&mut usage, event_log, terms, span);
+    let impairments = event_log.server_impairments.iter();
+    for span in impairments.filter(|span| span.impairment == Impairment::SlowStart) {
+        add_slow_start_usage(&mut usage, event_log, terms, span);
     }
     usage
 }
 
 /// Adds the attempts at one server during one slow start.
-fn add_slow_start(usage: &mut LimitUsage, event_log: &EventLog, terms: &CheckTerms, span: &ImpairedSpan) {
+fn add_slow_start_usage(
+    usage: &mut LimitUsage,
+    event_log: &EventLog,
+    terms: &CheckTerms,
+    span: &ImpairedSpan,
+) {
     let model = &terms.server_model;
     let duration = model.cold_s * 1e6;
     let cores = terms.server_weights.get(span.number as usize).copied().unwrap_or(1.0);
@@ -124,21 +138,21 @@
     usage.limit = usage.limit.max(warm_per_s);
     let receiver = Receiver::CacheServer(span.number);
     let slow_start = span.from..span.from + duration as Micros;
-    let sends = event_log.attempts.iter().filter(|attempt| {
+    let attempts = event_log.attempts.iter().filter(|attempt| {
         attempt.receiver == receiver
             && slow_start.contains(&attempt.received_at)
             && terms.is_measured(attempt.received_at)
     });
     let mut window = SlidingWindow::new(MICROS_PER_SECOND);
     let mut seconds_over = HashSet::new();
-    for send in sends {
-        let count = window.push(send.received_at);
-        let since_start = (send.received_at - span.from) as f64;
+    for attempt in attempts {
+        let count = window.push(attempt.received_at);
+        let since_start = (attempt.received_at - span.from) as f64;
         let capacity_share = model.cold_from + (1.0 - model.cold_from) * since_start / duration.max(1.0);
         let peak = count as f64 / (warm_per_s * capacity_share);
         usage.peak = usage.peak.max(peak);
         if peak > usage.bound.unwrap_or(1.0) {
-            seconds_over.insert(send.received_at / MICROS_PER_SECOND);
+            seconds_over.insert(attempt.received_at / MICROS_PER_SECOND);
         }
     }
     usage.seconds_over += seconds_over.len() as u64;
@@ -148,18 +162,19 @@
 /// miss are not retries. The budget is a share of the first requests of that second and of the time before it in
 /// which credits may have been earned, plus the saved credits. The reported limit is that share of the mean rate of
 /// first requests.
-pub fn retries(event_log: &EventLog, terms: &CheckTerms) -> LimitUsage {
+pub fn retry_usage(event_log: &EventLog, terms: &CheckTerms) -> LimitUsage {
     let stated = terms.stated.and_then(|stated| stated.retry_budget);
     let budget = stated.unwrap_or(StatedRetryBudget {
-        share: DEFAULT_RETRY_SHARE,
-        saved: DEFAULT_SAVED_RETRIES * terms.balancers as f64,
+        share: DEFAULT_RETRIES_PER_FIRST_ATTEMPT,
+        saved: DEFAULT_SAVED_RETRIES_PER_BALANCER * terms.balancers as f64,
     });
-    let first_sends = first_sends(event_log);
-    let measured = first_sends.iter().filter(|at| terms.is_measured(**at)).count() as f64;
+    let first_request_times = first_request_times(event_log);
+    let measured_first_requests =
+        first_request_times.iter().filter(|at| terms.is_measured(**at)).count() as f64;
     let length_s = (terms.measured_until - terms.measured_from) as f64 / MICROS_PER_SECOND as f64;
     let send_time_spread = terms.stated.map_or(0, |stated| stated.send_time_spread);
     let mut usage = LimitUsage {
-        limit: budget.share * measured / length_s,
+        limit: budget.share * measured_first_requests / length_s,
         bound: stated.map(|_| 1.0),
         ..LimitUsage::default()
     };
@@ -167,9 +182,9 @@
     let mut seconds_over = HashSet::new();
     for at in retry_times(event_log, terms) {
         let count = window.push(at);
-        let since = at.saturating_sub(MICROS_PER_SECOND + RETRY_EARNING_TIME + send_time_spread);
-        let earned = first_sends.partition_point(|first| *first <= at)
-            - first_sends.partition_point(|first| *first < since);
+        let earliest_credit = at.saturating_sub(MICROS_PER_SECOND + RETRY_CREDIT_MAX_AGE + send_time_spread);
+        let earned = first_request_times.partition_point(|first| *first <= at)
+            - first_request_times.partition_point(|first| *first < earliest_credit);
         let peak = count as f64 / (budget.share * earned as f64 + budget.saved);
         usage.peak = usage.peak.max(peak);
         if peak > 1.0 {
@@ -181,7 +196,7 @@
 }
 
 /// Times at which the clients' first requests were sent, in order.
-fn first_sends(event_log: &EventLog) -> Vec<Micros> {
+fn first_request_times(event_log: &EventLog) -> Vec<Micros> {
     let first_requests = event_log.requests.iter().filter(|request| request.is_first());
     let mut times: Vec<Micros> = first_requests.map(|request| request.sent_at).collect();
     times.sort_unstable();
@@ -211,37 +226,37 @@
 
 /// Demand for the origin in each second: requested writes, reads that missed at a server or went to the origin, and
 /// the usual share of misses of the reads that were rejected before any attempt.
-pub fn demand(event_log: &EventLog, terms: &CheckTerms) -> Vec<f64> {
+pub fn origin_demand(event_log: &EventLog, terms: &CheckTerms) -> Vec<f64> {
     let seconds = (terms.measured_until - terms.measured_from).div_ceil(MICROS_PER_SECOND);
     let mut by_second = vec![0.0; seconds as usize];
-    let wants_origin = origin_demand_by_request(event_log);
-    let usual_share = usual_origin_share(event_log, &wants_origin);
+    let needs_origin = origin_demand_by_request(event_log);
+    let usual_share = usual_origin_share(event_log, &needs_origin);
     for request in event_log.requests.iter().filter(|request| terms.is_measured(request.planned_at)) {
-        let wanted = match wants_origin.get(&request.id) {
+        let request_demand = match needs_origin.get(&request.id) {
             _ if request.write => 1.0,
-            Some(wants_origin) => f64::from(*wants_origin),
+            Some(needs_origin) => f64::from(*needs_origin),
             None if request.result == RequestResult::Rejected => usual_share,
             None => 0.0,
         };
-        by_second[terms.second_of(request.planned_at)] += wanted;
+        by_second[terms.second_of(request.planned_at)] += request_demand;
     }
     by_second
 }
 
 /// For each request with an attempt, whether one of its attempts missed or went to the origin.
 fn origin_demand_by_request(event_log: &EventLog) -> HashMap<u64, bool> {
-    let mut wants_origin: HashMap<u64, bool> = HashMap::new();
+    let mut needs_origin: HashMap<u64, bool> = HashMap::new();
     for attempt in &event_log.attempts {
-        let wants = attempt.result == AttemptResult::Miss || attempt.receiver == Receiver::Origin;
-        *wants_origin.entry(attempt.id).or_default() |= wants;
+        let needs = attempt.result == AttemptResult::Miss || attempt.receiver == Receiver::Origin;
+        *needs_origin.entry(attempt.id).or_default() |= needs;
     }
-    wants_origin
+    needs_origin
 }
 
 /// The share of reads that needed the origin, among reads with an attempt.
-fn usual_origin_share(event_log: &EventLog, wants_origin: &HashMap<u64, bool>) -> f64 {
+fn usual_origin_share(event_log: &EventLog, needs_origin: &HashMap<u64, bool>) -> f64 {
     let reads = event_log.requests.iter().filter(|request| !request.write);
-    let attempted: Vec<bool> = reads.filter_map(|read| wants_origin.get(&read.id)).copied().collect();
-    let wanting = attempted.iter().filter(|wants| **wants).count();
-    wanting as f64 / attempted.len().max(1) as f64
+    let attempted: Vec<bool> = reads.filter_map(|read| needs_origin.get(&read.id)).copied().collect();
+    let needing_origin = attempted.iter().filter(|needs| **needs).count();
+    needing_origin as f64 / attempted.len().max(1) as f64
 }
--- a/platform-model/src/checker/series.rs
+++ b/platform-model/src/checker/series.rs
@@ -50,7 +50,7 @@
 
 /// Computes the series of a run.
 pub fn series(event_log: &EventLog, terms: &CheckTerms) -> Series {
-    let demand = limits::demand(event_log, terms).into_iter().enumerate();
+    let demand = limits::origin_demand(event_log, terms).into_iter().enumerate();
     let second = |(number, demand)| Second { second: number as u64, demand, ..Second::default() };
     let mut seconds: Vec<Second> = demand.map(second).collect();
     count_requests(&mut seconds, event_log, terms);
