--- a/platform-model/src/cache_server.rs
+++ b/platform-model/src/cache_server.rs
@@ -20,7 +20,7 @@
 /// Time for which a miss counts as a fetch in flight if the key is not stored.
 const FETCH_TIMEOUT: Micros = 3 * MICROS_PER_SECOND;
 /// Upper bound of the exponential draw by which the varying half of the work is multiplied.
-const MAX_WORK_NOISE: f64 = 8.0;
+const MAX_WORK_NOISE_FACTOR: f64 = 8.0;
 /// Maximum number of fetches in flight for each key that can be cached; beyond it all are forgotten.
 const MAX_FETCHES_PER_CACHED_KEY: usize = 4;
 
@@ -130,8 +130,8 @@
     }
 
     /// Sets the factor by which work takes longer from now on.
-    pub fn set_slowdown(&mut self, times: f64) {
-        self.slowdown = times;
+    pub fn set_slowdown(&mut self, factor: f64) {
+        self.slowdown = factor;
     }
 
     /// Sets the share of requests that fail from now on.
@@ -160,28 +160,28 @@
     pub fn on_request(&mut self, now: Micros, key: u64, rng: &mut SeededRng) -> Response {
         let capacity_share = self.capacity_share(now);
         let in_slow_start = capacity_share < 1.0;
-        self.watch_slow_start_load(now, in_slow_start);
-        let at_once = |answer| Response { answer, at: now, in_slow_start };
+        self.track_slow_start_load(now, in_slow_start);
+        let respond_now = |answer| Response { answer, at: now, in_slow_start };
         if self.closed || self.has_collapsed {
-            return at_once(Answer::Rejected);
+            return respond_now(Answer::Rejected);
         }
-        self.forget_done(now);
+        self.remove_completed(now);
         if self.in_flight_until.len() >= self.max_in_flight() {
-            return at_once(Answer::Rejected);
+            return respond_now(Answer::Rejected);
         }
         if rng.random::<f64>() < self.failure_share {
-            return at_once(Answer::Failed);
+            return respond_now(Answer::Failed);
         }
-        let answer = self.look_up(now, key);
+        let answer = self.look_up_key(now, key);
         let work = self.draw_work(answer, capacity_share, rng);
-        match self.run(now, work) {
+        match self.schedule_work(now, work) {
             Some(at) => Response { answer, at, in_slow_start },
-            None => at_once(Answer::Rejected),
+            None => respond_now(Answer::Rejected),
         }
     }
 
     /// Marks the server as collapsed if it was overloaded for a second in slow start.
-    fn watch_slow_start_load(&mut self, now: Micros, in_slow_start: bool) {
+    fn track_slow_start_load(&mut self, now: Micros, in_slow_start: bool) {
         if !in_slow_start {
             self.recent_requests.clear();
             return;
@@ -191,13 +191,13 @@
             self.recent_requests.pop_front();
         }
         let max_requests = self.capacity(now) * self.model.fall_times;
-        let is_up_for_a_second = self.started_at.is_some_and(|at| at + MICROS_PER_SECOND <= now);
-        if is_up_for_a_second && self.recent_requests.len() as f64 > max_requests {
+        let has_run_for_a_second = self.started_at.is_some_and(|at| at + MICROS_PER_SECOND <= now);
+        if has_run_for_a_second && self.recent_requests.len() as f64 > max_requests {
             self.has_collapsed = true;
         }
     }
 
-    fn forget_done(&mut self, now: Micros) {
+    fn remove_completed(&mut self, now: Micros) {
         for times in [&mut self.waiting_until, &mut self.in_flight_until] {
             while times.front().is_some_and(|at| *at <= now) {
                 times.pop_front();
@@ -210,36 +210,36 @@
         (self.cores * self.model.slots as f64) as usize + self.model.queue
     }
 
-    fn look_up(&mut self, now: Micros, key: u64) -> Answer {
+    fn look_up_key(&mut self, now: Micros, key: u64) -> Answer {
         if self.cached_keys.get(&key).is_some() {
             return Answer::Hit;
         }
-        let since = self.fetching_since.insert(key, now);
-        Answer::Miss { fetching: since.is_some_and(|since| now < since + FETCH_TIMEOUT) }
+        let previous_miss_at = self.fetching_since.insert(key, now);
+        Answer::Miss { fetching: previous_miss_at.is_some_and(|at| now < at + FETCH_TIMEOUT) }
     }
 
     /// Draws the work of a request, as time on a whole core.
     fn draw_work(&self, answer: Answer, capacity_share: f64, rng: &mut SeededRng) -> Micros {
-        let part = if answer == Answer::Hit { 1.0 } else { self.model.miss };
+        let work_ratio = if answer == Answer::Hit { 1.0 } else { self.model.miss };
         let noise: f64 = Exp1.sample(rng);
         // Half of the work is fixed, the other half varies.
-        let varied = 0.5 + 0.5 * noise.min(MAX_WORK_NOISE);
-        micros_from_millis(self.model.work_ms * part * varied * self.slowdown / capacity_share)
+        let noise_factor = 0.5 + 0.5 * noise.min(MAX_WORK_NOISE_FACTOR);
+        micros_from_millis(self.model.work_ms * work_ratio * noise_factor * self.slowdown / capacity_share)
     }
 
     /// Runs work on the core that becomes free first and returns the time of completion.
-    fn run(&mut self, now: Micros, work: Micros) -> Option<Micros> {
+    fn schedule_work(&mut self, now: Micros, work: Micros) -> Option<Micros> {
         let core_free_at = self.core_free_at.iter_mut().min()?;
         let begin = (*core_free_at).max(now);
         // A server with a fractional number of cores runs on the next whole number of slower cores.
-        let slower = self.cores.ceil().max(1.0) / self.cores;
-        let done_at = begin + (work as f64 * slower) as Micros;
-        *core_free_at = done_at;
+        let core_slowdown = self.cores.ceil().max(1.0) / self.cores;
+        let completed_at = begin + (work as f64 * core_slowdown) as Micros;
+        *core_free_at = completed_at;
         if begin > now {
             self.waiting_until.push_back(begin);
         }
-        self.in_flight_until.push_back(done_at);
-        Some(done_at)
+        self.in_flight_until.push_back(completed_at);
+        Some(completed_at)
     }
 
     /// Caches a key whose value has been fetched from the origin.
@@ -261,11 +261,14 @@
     /// The load report attached to an answer, which is delayed and noisy.
     pub fn load_report(&mut self, now: Micros, rng: &mut SeededRng) -> LoadReport {
         if now >= self.last_report_at + micros_from_millis(self.model.report_ms) {
-            let served = self.in_flight_until.iter().filter(|at| **at <= now + MICROS_PER_SECOND).count();
-            let waiting = self.waiting_until.iter().filter(|at| **at > now).count();
+            let served_count =
+                self.in_flight_until.iter().filter(|at| **at <= now + MICROS_PER_SECOND).count();
+            let waiting_count = self.waiting_until.iter().filter(|at| **at > now).count();
             let noise = self.model.report_noise;
-            let mut noisy = |value: usize| value as f64 * (1.0 + noise * (2.0 * rng.random::<f64>() - 1.0));
-            self.last_report = LoadReport { served_per_s: noisy(served), waiting: noisy(waiting) };
+            let mut add_noise =
+                |value: usize| value as f64 * (1.0 + noise * (2.0 * rng.random::<f64>() - 1.0));
+            self.last_report =
+                LoadReport { served_per_s: add_noise(served_count), waiting: add_noise(waiting_count) };
             self.last_report_at = now;
         }
         self.last_report
--- a/platform-model/src/checker/rules.rs
+++ b/platform-model/src/checker/rules.rs
@@ -45,7 +45,7 @@
 
 /// A stop of the origin violates the rule if at least this share of the requests before it were misses of servers in
 /// slow start.
-const SLOW_START_SHARE_OF_STOP: f64 = 0.5;
+const MIN_SLOW_START_MISS_SHARE: f64 = 0.5;
 
 /// Balancers may reject the connection of one request in this many; further rejections violate the rule on answers.
 const REQUESTS_PER_REJECTED_CONNECTION: usize = 200;
@@ -91,16 +91,17 @@
     }
 
     fn request_violations(&self) -> Vec<Violation> {
-        let mut allowed_rejections = self.event_log.requests.len() / REQUESTS_PER_REJECTED_CONNECTION;
+        let mut remaining_rejections = self.event_log.requests.len() / REQUESTS_PER_REJECTED_CONNECTION;
         let mut violations = Vec::new();
         for request in &self.event_log.requests {
-            if request.result == RequestResult::ConnectionRejected && allowed_rejections > 0 {
-                allowed_rejections -= 1;
+            if request.result == RequestResult::ConnectionRejected && remaining_rejections > 0 {
+                remaining_rejections -= 1;
                 continue;
             }
             let attempts = self.attempts_of(request.id);
             let answer = self.check_answer(request, attempts).map(|finding| (Rule::Answers, finding));
-            let retry = check_attempts(self.terms, request, attempts).map(|found| (Rule::Attempts, found));
+            let retry =
+                check_attempts(self.terms, request, attempts).map(|finding| (Rule::Attempts, finding));
             for (rule, (at, description)) in [answer, retry].into_iter().flatten() {
                 let request_trace = request_trace(self.terms, request, attempts);
                 violations.push(Violation { rule, at, description, request_trace });
@@ -214,8 +215,8 @@
     /// Start time of the balancer's process that ran at this time; the process knows only the notices since then.
     fn process_started_at(&self, balancer: u32, time: Micros) -> Micros {
         let starts = self.event_log.process_starts.iter();
-        let of_balancer = starts.filter(|start| start.balancer == balancer && start.at <= time);
-        of_balancer.map(|start| start.at).max().unwrap_or(0)
+        let starts_of_balancer = starts.filter(|start| start.balancer == balancer && start.at <= time);
+        starts_of_balancer.map(|start| start.at).max().unwrap_or(0)
     }
 
     /// The request of an attempt: the last one with its id that was sent before the attempt was received.
@@ -245,18 +246,18 @@
         let violation =
             |at, description| Violation { rule: Rule::Cold, at, description, request_trace: Vec::new() };
         let collapses = self.event_log.server_collapses.iter().map(|(server, at)| {
-            let text =
+            let description =
                 format!("host {server} collapsed in slow start under the load of all balancers together");
-            violation(*at, text)
+            violation(*at, description)
         });
         let stops =
-            self.event_log.origin_stops.iter().filter(|(_, share)| *share >= SLOW_START_SHARE_OF_STOP);
+            self.event_log.origin_stops.iter().filter(|(_, share)| *share >= MIN_SLOW_START_MISS_SHARE);
         let stops = stops.map(|(at, share)| {
             let percent = share * 100.0;
-            let text = format!(
+            let description = format!(
                 "the origin stopped; {percent:.0}% of its requests were misses of hosts in slow start"
             );
-            violation(*at, text)
+            violation(*at, description)
         });
         collapses.chain(stops).collect()
     }
@@ -267,13 +268,13 @@
     if let Some(excess) = attempts.get(terms.max_attempts) {
         return Some((excess.received_at, format!("it had {} attempts, more than allowed", attempts.len())));
     }
-    let executed = attempts.iter().position(|attempt| attempt.may_have_executed())?;
-    let next = attempts.get(executed + 1)?;
+    let first_executed = attempts.iter().position(|attempt| attempt.may_have_executed())?;
+    let next = attempts.get(first_executed + 1)?;
     match terms.class(request.write).idempotency {
         Idempotency::Idempotent => None,
         Idempotency::WithIdempotencyKey(window) => {
             let last = attempts.last()?;
-            let until = attempts[executed].received_at + window + terms.tolerance;
+            let until = attempts[first_executed].received_at + window + terms.tolerance;
             (last.received_at > until)
                 .then(|| (last.received_at, "it was retried after its idempotency key had expired".into()))
         }
--- a/platform-model/src/checker/self_reports.rs
+++ b/platform-model/src/checker/self_reports.rs
@@ -53,10 +53,10 @@
 ) -> SelfReportFindings {
     let reports: Vec<&SelfReport> = reports.iter().filter(|report| terms.is_measured(report.at)).collect();
     let is_frozen = |span: &ImpairedSpan| span.impairment == Impairment::Frozen;
-    let has_one_view = !has_link_faults && !event_log.process_impairments.iter().any(is_frozen);
+    let has_single_view = !has_link_faults && !event_log.process_impairments.iter().any(is_frozen);
     let oldest_report_ms = reports.iter().map(|report| report.oldest_report_s * 1e3).fold(0.0, f64::max);
     SelfReportFindings {
-        members_wrong_s: (has_one_view && !reports.is_empty())
+        members_wrong_s: (has_single_view && !reports.is_empty())
             .then(|| longest_wrong_view_s(event_log, terms, &reports)),
         wrongly_avoided: reports.iter().map(|report| wrongly_avoided(event_log, terms, report)).sum(),
         oldest_report_ms: (oldest_report_ms > 0.0).then_some(oldest_report_ms),
@@ -90,9 +90,9 @@
 }
 
 fn alive_processes(event_log: &EventLog, terms: &CheckTerms, at: Micros) -> usize {
-    let is_gone = |span: &&ImpairedSpan| {
+    let is_not_running = |span: &&ImpairedSpan| {
         matches!(span.impairment, Impairment::Dead | Impairment::Ended) && span.overlaps(at, at)
     };
-    let gone = event_log.process_impairments.iter().filter(is_gone).count();
-    terms.balancers - gone.min(terms.balancers)
+    let not_running = event_log.process_impairments.iter().filter(is_not_running).count();
+    terms.balancers - not_running.min(terms.balancers)
 }
--- a/platform-model/src/origin.rs
+++ b/platform-model/src/origin.rs
@@ -15,13 +15,13 @@
 use crate::{micros_from_millis, micros_from_seconds, Micros, MICROS_PER_SECOND};
 
 /// Duration of the overload after which the origin stops, and duration of the stop.
-const OVERLOAD_TIME: Micros = 3 * MICROS_PER_SECOND;
+const OVERLOAD_DURATION: Micros = 3 * MICROS_PER_SECOND;
 /// Time for which a repeated write is recognized by its idempotency key.
 const DEDUPLICATION_WINDOW: Micros = 6 * MICROS_PER_SECOND;
 /// Time to answer a repeated write, in milliseconds.
-const REPEAT_WORK_MS: f64 = 1.0;
+const REPEATED_WRITE_WORK_MS: f64 = 1.0;
 /// Upper bound of the exponential draw by which the varying half of the work is multiplied.
-const MAX_WORK_NOISE: f64 = 8.0;
+const MAX_WORK_NOISE_FACTOR: f64 = 8.0;
 
 /// The outcome of a fetch or a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,7 +59,7 @@
     /// Time at which each worker becomes free.
     worker_free_at: Vec<Micros>,
     /// Recent requests: the time, and whether each followed a miss at a server in slow start.
-    recent: VecDeque<(Micros, bool)>,
+    recent_requests: VecDeque<(Micros, bool)>,
     stopped_until: Micros,
     /// Times at which writes were executed, by idempotency key.
     executed_writes: HashMap<u64, Micros>,
@@ -77,7 +77,7 @@
             model,
             slowdown: 1.0,
             worker_free_at: vec![0; workers],
-            recent: VecDeque::new(),
+            recent_requests: VecDeque::new(),
             stopped_until: 0,
             executed_writes: HashMap::new(),
             stops: Vec::new(),
@@ -86,31 +86,31 @@
     }
 
     /// Sets the factor by which work takes longer from now on.
-    pub fn set_slowdown(&mut self, times: f64) {
-        self.slowdown = times;
+    pub fn set_slowdown(&mut self, factor: f64) {
+        self.slowdown = factor;
     }
 
     /// Takes a request that has been received completely.
     pub fn on_request(&mut self, now: Micros, request: OriginRequest, rng: &mut SeededRng) -> Outcome {
         let noise: f64 = Exp1.sample(rng);
-        let work_ms = self.model.work_ms * (0.5 + 0.5 * noise.min(MAX_WORK_NOISE));
+        let work_ms = self.model.work_ms * (0.5 + 0.5 * noise.min(MAX_WORK_NOISE_FACTOR));
         if self.is_repeat(now, request.idempotency_key) {
-            return Outcome::Runs { at: now + micros_from_millis(REPEAT_WORK_MS), repeat: true };
+            return Outcome::Runs { at: now + micros_from_millis(REPEATED_WRITE_WORK_MS), repeat: true };
         }
         if self.unbounded {
-            self.remember_write(now, request.idempotency_key);
+            self.record_write(now, request.idempotency_key);
             return Outcome::Runs { at: now + micros_from_millis(work_ms), repeat: false };
         }
         if now < self.stopped_until {
             return Outcome::Stopped;
         }
-        self.watch_load(now, request.in_slow_start);
+        self.track_load(now, request.in_slow_start);
         if now < self.stopped_until {
             return Outcome::Stopped;
         }
-        match self.run(now, work_ms, request.deadline) {
+        match self.schedule_work(now, work_ms, request.deadline) {
             Some(at) => {
-                self.remember_write(now, request.idempotency_key);
+                self.record_write(now, request.idempotency_key);
                 Outcome::Runs { at, repeat: false }
             }
             None => Outcome::Rejected,
@@ -123,7 +123,7 @@
         self.executed_writes.contains_key(&key)
     }
 
-    fn remember_write(&mut self, now: Micros, idempotency_key: Option<u64>) {
+    fn record_write(&mut self, now: Micros, idempotency_key: Option<u64>) {
         if let Some(key) = idempotency_key {
             self.executed_writes.insert(key, now);
         }
@@ -131,7 +131,7 @@
 
     /// Runs work on the worker that becomes free first and returns the time of completion; `None` if the wait would
     /// be too long.
-    fn run(&mut self, now: Micros, work_ms: f64, deadline: Micros) -> Option<Micros> {
+    fn schedule_work(&mut self, now: Micros, work_ms: f64, deadline: Micros) -> Option<Micros> {
         let max_wait = micros_from_seconds(self.model.queue_s);
         let worker_free_at = self.worker_free_at.iter_mut().min()?;
         let begin = (*worker_free_at).max(now);
@@ -139,31 +139,31 @@
         if begin >= deadline || begin > now + max_wait {
             return None;
         }
-        let queue_use = (begin - now) as f64 / max_wait.max(1) as f64;
-        let thrash = 1.0 + self.model.thrash * queue_use;
-        *worker_free_at = begin + micros_from_millis(work_ms * self.slowdown * thrash);
+        let queue_fill_ratio = (begin - now) as f64 / max_wait.max(1) as f64;
+        let thrash_factor = 1.0 + self.model.thrash * queue_fill_ratio;
+        *worker_free_at = begin + micros_from_millis(work_ms * self.slowdown * thrash_factor);
         Some(*worker_free_at)
     }
 
     /// Counts the request, and stops the origin after heavy overload for three seconds.
-    fn watch_load(&mut self, now: Micros, in_slow_start: bool) {
-        self.recent.push_back((now, in_slow_start));
-        while self.recent.front().is_some_and(|(at, _)| at + OVERLOAD_TIME <= now) {
-            self.recent.pop_front();
+    fn track_load(&mut self, now: Micros, in_slow_start: bool) {
+        self.recent_requests.push_back((now, in_slow_start));
+        while self.recent_requests.front().is_some_and(|(at, _)| at + OVERLOAD_DURATION <= now) {
+            self.recent_requests.pop_front();
         }
         let capacity = self.model.capacity / self.slowdown;
         let max_requests = capacity * self.model.fall_times * 3.0;
-        if self.recent.len() as f64 > max_requests {
+        if self.recent_requests.len() as f64 > max_requests {
             self.stop(now);
         }
     }
 
     fn stop(&mut self, now: Micros) {
-        let in_slow_start = self.recent.iter().filter(|(_, in_slow_start)| *in_slow_start).count();
-        let share = in_slow_start as f64 / self.recent.len() as f64;
+        let in_slow_start = self.recent_requests.iter().filter(|(_, in_slow_start)| *in_slow_start).count();
+        let share = in_slow_start as f64 / self.recent_requests.len() as f64;
         self.stops.push((now, share));
-        self.stopped_until = now + OVERLOAD_TIME;
-        self.recent.clear();
+        self.stopped_until = now + OVERLOAD_DURATION;
+        self.recent_requests.clear();
         self.worker_free_at.fill(self.stopped_until);
     }
 }
