--- a/platform-model/src/check.rs
+++ b/platform-model/src/check.rs
@@ -17,7 +17,7 @@
 /// Maximum number of zones.
 const MAX_ZONES: usize = 16;
 /// Maximum duration of the warm-up in seconds.
-const MAX_WARM_S: f64 = 600.0;
+const MAX_WARM_UP_S: f64 = 600.0;
 
 const IS_POSITIVE: &str = "must be a number over 0";
 const IS_NOT_NEGATIVE: &str = "must be a number of at least 0";
@@ -42,13 +42,13 @@
 /// A requirement on a field.
 struct Requirement {
     field: &'static str,
-    holds: bool,
+    is_met: bool,
     /// The requirement in words, without the subject.
     description: &'static str,
 }
 
-fn requirement(field: &'static str, holds: bool, description: &'static str) -> Requirement {
-    Requirement { field, holds, description }
+fn requirement(field: &'static str, is_met: bool, description: &'static str) -> Requirement {
+    Requirement { field, is_met, description }
 }
 
 fn is_positive(value: f64) -> bool {
@@ -60,42 +60,47 @@
 }
 
 fn fleet_requirements(fleet: &Fleet) -> [Requirement; 5] {
-    let has_balancers = (1..=MAX_BALANCERS).contains(&fleet.balancers);
-    let has_servers = (1..=MAX_SERVERS).contains(&fleet.servers);
-    let has_zones = (1..=MAX_ZONES).contains(&fleet.zones);
-    let has_weights = !fleet.weights.is_empty() && fleet.weights.iter().all(|weight| is_positive(*weight));
+    let has_valid_balancers = (1..=MAX_BALANCERS).contains(&fleet.balancers);
+    let has_valid_servers = (1..=MAX_SERVERS).contains(&fleet.servers);
+    let has_valid_zones = (1..=MAX_ZONES).contains(&fleet.zones);
+    let has_valid_weights =
+        !fleet.weights.is_empty() && fleet.weights.iter().all(|weight| is_positive(*weight));
     [
-        requirement("balancers", has_balancers, "must be from 1 to 1024"),
-        requirement("hosts", has_servers, "must be from 1 to 1024"),
-        requirement("zones", has_zones, "must be from 1 to 16"),
+        requirement("balancers", has_valid_balancers, "must be from 1 to 1024"),
+        requirement("hosts", has_valid_servers, "must be from 1 to 1024"),
+        requirement("zones", has_valid_zones, "must be from 1 to 16"),
         requirement("told", fleet.stated_balancers != Some(0), IS_AT_LEAST_ONE),
-        requirement("weights", has_weights, "must be numbers over 0"),
+        requirement("weights", has_valid_weights, "must be numbers over 0"),
     ]
 }
 
 fn load_requirements(load: &Load) -> [Requirement; 12] {
-    let is_zipf = load.zipf >= 0.0 && load.zipf.is_finite();
-    let is_warm = (0.0..=MAX_WARM_S).contains(&load.warm);
-    let has_uneven_share = load.uneven.is_none_or(|uneven| is_share(uneven.share));
-    let has_uneven_at = load.uneven.is_none_or(|uneven| uneven.at > 0.0 && uneven.at <= 1.0);
-    let is_hot = |hot: &Hot| is_share(hot.share) && hot.at >= 0.0;
+    let has_valid_zipf = load.zipf >= 0.0 && load.zipf.is_finite();
+    let has_valid_warm_up = (0.0..=MAX_WARM_UP_S).contains(&load.warm);
+    let has_valid_uneven_share = load.uneven.is_none_or(|uneven| is_share(uneven.share));
+    let has_valid_uneven_at = load.uneven.is_none_or(|uneven| uneven.at > 0.0 && uneven.at <= 1.0);
+    let is_valid_hot_key = |hot: &Hot| is_share(hot.share) && hot.at >= 0.0;
     let hot_share: f64 = load.hot.iter().map(|hot| hot.share).sum();
-    let is_burst = |burst: &Burst| burst.at >= 0.0 && burst.lasts > 0.0 && burst.times >= 0.0;
+    let is_valid_burst = |burst: &Burst| burst.at >= 0.0 && burst.lasts > 0.0 && burst.times >= 0.0;
     [
         requirement("rate", is_positive(load.rate), IS_POSITIVE),
         requirement("keys", load.keys > 0, IS_AT_LEAST_ONE),
-        requirement("zipf", is_zipf, IS_NOT_NEGATIVE),
+        requirement("zipf", has_valid_zipf, IS_NOT_NEGATIVE),
         requirement("writes", is_share(load.writes), IS_SHARE),
         requirement("drift", is_share(load.drift), IS_SHARE),
         requirement("ramp", is_positive(load.ramp), IS_POSITIVE),
-        requirement("warm", is_warm, "must be from 0 to 600 s"),
-        requirement("uneven", has_uneven_share, "must have a share from 0 to 1"),
-        requirement("uneven", has_uneven_at, "must have an at over 0 and up to 1"),
-        requirement("hot", load.hot.iter().all(is_hot), "must have shares from 0 to 1, and times from 0 s"),
+        requirement("warm", has_valid_warm_up, "must be from 0 to 600 s"),
+        requirement("uneven", has_valid_uneven_share, "must have a share from 0 to 1"),
+        requirement("uneven", has_valid_uneven_at, "must have an at over 0 and up to 1"),
+        requirement(
+            "hot",
+            load.hot.iter().all(is_valid_hot_key),
+            "must have shares from 0 to 1, and times from 0 s",
+        ),
         requirement("hot", hot_share <= 1.0, "must have shares that add up to at most 1"),
         requirement(
             "burst",
-            load.burst.iter().all(is_burst),
+            load.burst.iter().all(is_valid_burst),
             "must begin at 0 s or later and last longer than 0 s",
         ),
     ]
@@ -110,12 +115,12 @@
 }
 
 fn server_requirements(servers: &CacheServers) -> [Requirement; 5] {
-    let has_initial_share = servers.cold_from > 0.0 && is_share(servers.cold_from);
+    let has_valid_initial_share = servers.cold_from > 0.0 && is_share(servers.cold_from);
     [
         requirement("work_ms", is_positive(servers.work_ms), IS_POSITIVE),
         requirement("slots", servers.slots > 0, IS_AT_LEAST_ONE),
         requirement("keep", is_positive(servers.keep), IS_POSITIVE),
-        requirement("cold_from", has_initial_share, "must be a share over 0 and up to 1"),
+        requirement("cold_from", has_valid_initial_share, "must be a share over 0 and up to 1"),
         requirement("fall_times", is_positive(servers.fall_times), IS_POSITIVE),
     ]
 }
@@ -145,8 +150,10 @@
 impl Problems<'_> {
     /// Adds a problem for each requirement of a table that does not hold.
     fn require(&mut self, table: &str, requirements: impl IntoIterator<Item = Requirement>) {
-        for Requirement { field, description, .. } in requirements.into_iter().filter(|one| !one.holds) {
-            let line = line_of(self.text, &format!("[{table}]"), 0, field);
+        for Requirement { field, description, .. } in
+            requirements.into_iter().filter(|requirement| !requirement.is_met)
+        {
+            let line = find_line(self.text, &format!("[{table}]"), 0, field);
             let field = if table.is_empty() { field.to_owned() } else { format!("{table}.{field}") };
             let description = format!("invalid value: it {description}");
             self.found.push(FileProblem { line, field, description });
@@ -155,7 +162,7 @@
 
     /// Adds a problem of a field of the fault with this number, from 0.
     fn add_to_fault(&mut self, number: usize, field: &str, description: impl Into<String>) {
-        let line = line_of(self.text, "[[fault]]", number, field);
+        let line = find_line(self.text, "[[fault]]", number, field);
         let field = format!("fault {}: {field}", number + 1);
         self.found.push(FileProblem { line, field, description: description.into() });
     }
@@ -163,21 +170,21 @@
 
 /// The line of a field in the table with this header and this number, from 0; the line of the header if the field is
 /// missing.
-fn line_of(text: &str, head: &str, number: usize, field: &str) -> Option<usize> {
+fn find_line(text: &str, header: &str, number: usize, field: &str) -> Option<usize> {
     let mut tables_seen = 0;
-    let mut is_inside = head == "[]";
-    let mut head_line = None;
+    let mut is_inside = header == "[]";
+    let mut header_line = None;
     for (index, line) in text.lines().enumerate() {
         let line = line.trim();
         if line.starts_with('[') {
-            is_inside = line.starts_with(head) && tables_seen == number;
-            tables_seen += usize::from(line.starts_with(head));
+            is_inside = line.starts_with(header) && tables_seen == number;
+            tables_seen += usize::from(line.starts_with(header));
             if is_inside {
-                head_line = Some(index + 1);
+                header_line = Some(index + 1);
             }
         } else if is_inside && line.split('=').next().is_some_and(|name| name.trim() == field) {
             return Some(index + 1);
         }
     }
-    head_line
+    header_line
 }
--- a/platform-model/src/check/faults.rs
+++ b/platform-model/src/check/faults.rs
@@ -66,9 +66,9 @@
         if fault.share.is_some_and(|share| !(share > 0.0 && share <= 1.0)) {
             self.add("share", "must be a share over 0 and up to 1");
         }
-        let not_negative =
+        let non_negative_fields =
             [("ms", fault.ms), ("jitter", fault.jitter), ("back", fault.back), ("seconds", fault.seconds)];
-        for (field, value) in not_negative {
+        for (field, value) in non_negative_fields {
             if value.is_some_and(|value| value.is_nan() || value < 0.0) {
                 self.add(field, "must be a number of at least 0");
             }
@@ -89,7 +89,7 @@
         for (field, text) in between.chain(who) {
             match resolve_group(text, &self.experiment.fleet, rng) {
                 Ok(group) => {
-                    if let Some(problem) = wrong_target(fault.what, &group) {
+                    if let Some(problem) = target_problem(fault.what, &group) {
                         self.add(field, format!("{text:?}: {problem}"));
                     }
                     groups.push(group);
@@ -101,16 +101,17 @@
     }
 
     fn check_link_ends(&mut self, groups: &[GroupMembers]) {
-        let is_on_packets = matches!(self.fault.what, FaultKind::Repeat | FaultKind::Reorder);
-        let speaks_tcp = |group: &GroupMembers| !group.servers.is_empty() || group.origin || group.discovery;
-        if is_on_packets && groups.iter().any(speaks_tcp) {
-            let why = "TCP hides repeated and reordered packets from both ends: name balancers on both sides";
-            self.add("between", why);
-        }
-        if let (false, [first, second]) = (is_on_packets, groups) {
+        let affects_packets = matches!(self.fault.what, FaultKind::Repeat | FaultKind::Reorder);
+        let uses_tcp = |group: &GroupMembers| !group.servers.is_empty() || group.origin || group.discovery;
+        if affects_packets && groups.iter().any(uses_tcp) {
+            let problem =
+                "TCP hides repeated and reordered packets from both ends: name balancers on both sides";
+            self.add("between", problem);
+        }
+        if let (false, [first, second]) = (affects_packets, groups) {
             if first.balancers.is_empty() && second.balancers.is_empty() {
-                let why = "no link connects the two groups: one of them has to name balancers";
-                self.add("between", why);
+                let problem = "no link connects the two groups: one of them has to name balancers";
+                self.add("between", problem);
             }
         }
     }
@@ -159,7 +160,7 @@
 }
 
 /// The reason why a fault of this kind cannot target these members, if there is one.
-fn wrong_target(kind: FaultKind, group: &GroupMembers) -> Option<&'static str> {
+fn target_problem(kind: FaultKind, group: &GroupMembers) -> Option<&'static str> {
     match kind {
         FaultKind::Kill | FaultKind::Term | FaultKind::Freeze | FaultKind::Roll => {
             (group.balancers.is_empty()).then_some("the fault applies to processes: name balancers")
@@ -205,25 +206,25 @@
 /// Finds faults that set the same state of a member at the same time, such as frozen and killed, or listed and not
 /// listed.
 fn check_contradictions(problems: &mut Problems<'_>, experiment: &Experiment, members: &[Vec<GroupMembers>]) {
-    for (later, second) in experiment.fault.iter().enumerate() {
-        for (earlier, first) in experiment.fault[..later].iter().enumerate() {
+    for (later_index, second) in experiment.fault.iter().enumerate() {
+        for (earlier_index, first) in experiment.fault[..later_index].iter().enumerate() {
             let Some(state) = exclusive_state(first.what) else { continue };
             let is_same_state = exclusive_state(second.what) == Some(state);
             if is_same_state
-                && overlap(first, second)
-                && share_members(state, &members[earlier], &members[later])
+                && overlap_in_time(first, second)
+                && share_members(state, &members[earlier_index], &members[later_index])
             {
-                let (number, kind) = (earlier + 1, first.what);
-                let why = format!(
+                let (number, kind) = (earlier_index + 1, first.what);
+                let problem = format!(
                     "contradicts fault {number} ({kind:?}): both apply to the same members at the same time"
                 );
-                problems.add_to_fault(later, "what", why);
+                problems.add_to_fault(later_index, "what", problem);
             }
         }
     }
 }
 
-fn overlap(first: &Fault, second: &Fault) -> bool {
+fn overlap_in_time(first: &Fault, second: &Fault) -> bool {
     first.at <= end_of(second) && second.at <= end_of(first)
 }
 
--- a/platform-model/src/group.rs
+++ b/platform-model/src/group.rs
@@ -74,28 +74,30 @@
 /// # Errors
 /// The text is not a valid group of the fleet.
 pub fn resolve_group(text: &str, fleet: &Fleet, rng: &mut SeededRng) -> Result<GroupMembers, GroupError> {
-    let (kind, which) = text.split_once(':').unwrap_or((text, ""));
+    let (kind, selection) = text.split_once(':').unwrap_or((text, ""));
     let mut members = GroupMembers::default();
-    match (kind, which) {
+    match (kind, selection) {
         ("origin", "") => members.origin = true,
         ("discovery", "") => members.discovery = true,
         ("balancers", "") => members.balancers = (0..fleet.balancers).collect(),
         ("hosts", "") => members.servers = (0..fleet.servers).collect(),
-        ("balancers", which) => members.balancers = resolve_numbers(text, which, fleet.balancers, rng)?,
-        ("hosts", which) => members.servers = resolve_numbers(text, which, fleet.servers, rng)?,
-        ("zone", which) => {
-            let zone = parse_zone(text, which, fleet)?;
-            let of_zone = |number: &usize| zone_of(*number, fleet) == zone;
-            members.balancers = (0..fleet.balancers).filter(of_zone).collect();
-            members.servers = (0..fleet.servers).filter(of_zone).collect();
+        ("balancers", selection) => {
+            members.balancers = resolve_numbers(text, selection, fleet.balancers, rng)?
+        }
+        ("hosts", selection) => members.servers = resolve_numbers(text, selection, fleet.servers, rng)?,
+        ("zone", selection) => {
+            let zone = parse_zone(text, selection, fleet)?;
+            let is_in_zone = |number: &usize| zone_of(*number, fleet) == zone;
+            members.balancers = (0..fleet.balancers).filter(is_in_zone).collect();
+            members.servers = (0..fleet.servers).filter(is_in_zone).collect();
         }
         _ => return Err(GroupError::UnknownKind(text.to_owned())),
     }
     Ok(members)
 }
 
-fn parse_zone(group: &str, which: &str, fleet: &Fleet) -> Result<usize, GroupError> {
-    let zone: usize = which.parse().map_err(|_| GroupError::ZoneIsNoNumber(group.to_owned()))?;
+fn parse_zone(group: &str, selection: &str, fleet: &Fleet) -> Result<usize, GroupError> {
+    let zone: usize = selection.parse().map_err(|_| GroupError::ZoneIsNoNumber(group.to_owned()))?;
     if zone >= fleet.zones {
         return Err(GroupError::NoSuchZone { group: group.to_owned(), last: fleet.zones.max(1) - 1 });
     }
@@ -105,18 +107,18 @@
 /// The numbers below `count` that `3`, `0-49` or `12.5%` names.
 fn resolve_numbers(
     group: &str,
-    which: &str,
+    selection: &str,
     count: usize,
     rng: &mut SeededRng,
 ) -> Result<Vec<usize>, GroupError> {
     if count == 0 {
         return Err(GroupError::NoMembers(group.to_owned()));
     }
-    if let Some(share) = which.strip_suffix('%') {
+    if let Some(share) = selection.strip_suffix('%') {
         return draw_share(group, share, count, rng);
     }
     let malformed = |_| GroupError::MalformedMembers(group.to_owned());
-    let (from, to) = which.split_once('-').unwrap_or((which, which));
+    let (from, to) = selection.split_once('-').unwrap_or((selection, selection));
     let from: usize = from.parse().map_err(malformed)?;
     let to: usize = to.parse().map_err(malformed)?;
     if from > to {
@@ -140,8 +142,8 @@
         return Err(GroupError::ShareOutOfRange(group.to_owned()));
     }
     // At least one, so that a share of a small fleet still has a member.
-    let amount = ((count as f64 * percent / 100.0).round() as usize).clamp(1, count);
-    let mut numbers = sample(rng, count, amount).into_vec();
+    let member_count = ((count as f64 * percent / 100.0).round() as usize).clamp(1, count);
+    let mut numbers = sample(rng, count, member_count).into_vec();
     numbers.sort_unstable();
     Ok(numbers)
 }
--- a/platform-model/src/links.rs
+++ b/platform-model/src/links.rs
@@ -47,21 +47,21 @@
         match fault.kind {
             FaultKind::Cut => self.cut = true,
             FaultKind::Reset => self.reset = true,
-            FaultKind::Lose => combine(&mut self.lost_share, fault.share),
+            FaultKind::Lose => combine_shares(&mut self.lost_share, fault.share),
             FaultKind::Delay => {
                 self.delay += fault.delay;
                 self.jitter += fault.jitter;
             }
-            FaultKind::Repeat => combine(&mut self.repeated_share, fault.share),
-            FaultKind::Reorder => combine(&mut self.reordered_share, fault.share),
-            FaultKind::Spoil => combine(&mut self.corrupted_share, fault.share),
+            FaultKind::Repeat => combine_shares(&mut self.repeated_share, fault.share),
+            FaultKind::Reorder => combine_shares(&mut self.reordered_share, fault.share),
+            FaultKind::Spoil => combine_shares(&mut self.corrupted_share, fault.share),
             _ => {}
         }
     }
 }
 
 /// Combines the shares of two faults on one link, which are independent of each other.
-fn combine(share: &mut f64, other: f64) {
+fn combine_shares(share: &mut f64, other: f64) {
     *share = 1.0 - (1.0 - *share) * (1.0 - other);
 }
 
@@ -80,10 +80,10 @@
 
 impl LinkFault {
     /// Whether the fault affects traffic from one end to the other.
-    fn is_on(&self, from: LinkEnd, to: LinkEnd) -> bool {
-        let there = contains(&self.from, from) && contains(&self.to, to);
-        let back = self.both_ways && contains(&self.from, to) && contains(&self.to, from);
-        there || back
+    fn affects(&self, from: LinkEnd, to: LinkEnd) -> bool {
+        let is_forward = contains(&self.from, from) && contains(&self.to, to);
+        let is_backward = self.both_ways && contains(&self.from, to) && contains(&self.to, from);
+        is_forward || is_backward
     }
 }
 
@@ -119,7 +119,7 @@
     /// The active faults on traffic from one end to the other.
     pub fn state(&self, from: LinkEnd, to: LinkEnd) -> LinkState {
         let mut state = LinkState::default();
-        for fault in self.faults.iter().filter(|fault| fault.is_active && fault.is_on(from, to)) {
+        for fault in self.faults.iter().filter(|fault| fault.is_active && fault.affects(from, to)) {
             state.add(fault);
         }
         state
@@ -144,13 +144,13 @@
     /// The side of each balancer, numbered from 0. Balancers of one side are in the same zone and in the same groups
     /// of link faults, so that they may share the listeners through which they reach the servers.
     pub fn sides(&self, experiment: &Experiment) -> Vec<usize> {
-        let mut known: Vec<(usize, Vec<bool>)> = Vec::new();
+        let mut signatures: Vec<(usize, Vec<bool>)> = Vec::new();
         let balancers = 0..experiment.fleet.balancers;
         let side = |balancer| {
-            let mark = (zone_of(balancer, &experiment.fleet), self.groups_of(balancer));
-            known.iter().position(|other| *other == mark).unwrap_or_else(|| {
-                known.push(mark);
-                known.len() - 1
+            let signature = (zone_of(balancer, &experiment.fleet), self.groups_of(balancer));
+            signatures.iter().position(|other| *other == signature).unwrap_or_else(|| {
+                signatures.push(signature);
+                signatures.len() - 1
             })
         };
         balancers.map(side).collect()
--- a/platform-model/src/reader.rs
+++ b/platform-model/src/reader.rs
@@ -11,10 +11,10 @@
 pub enum OverrideError {
     /// The override has no equals sign.
     #[error("--set {0}: the value is missing; write path=value, for example load.rate=300")]
-    NoValue(String),
+    MissingValue(String),
     /// A parent on the path is not a table.
     #[error("--set {text}: {name} is not a table")]
-    NoTable {
+    NotATable {
         /// The override's text.
         text: String,
         /// The name of the parent on the path.
@@ -27,8 +27,10 @@
 /// # Errors
 /// All problems found, at least one.
 pub fn read(text: &str, overrides: &[String]) -> Result<Experiment, Vec<FileProblem>> {
-    let from_file: Experiment = toml::from_str(text).map_err(|error| vec![parse_problem(text, &error)])?;
-    let experiment = if overrides.is_empty() { from_file } else { read_overridden(text, overrides)? };
+    let without_overrides: Experiment =
+        toml::from_str(text).map_err(|error| vec![parse_problem(text, &error)])?;
+    let experiment =
+        if overrides.is_empty() { without_overrides } else { read_with_overrides(text, overrides)? };
     let problems = find_problems(&experiment, text);
     if problems.is_empty() {
         Ok(experiment)
@@ -37,7 +39,7 @@
     }
 }
 
-fn read_overridden(text: &str, overrides: &[String]) -> Result<Experiment, Vec<FileProblem>> {
+fn read_with_overrides(text: &str, overrides: &[String]) -> Result<Experiment, Vec<FileProblem>> {
     let mut table: toml::Table =
         toml::from_str(text).map_err(|error| vec![FileProblem::of_file(error.message())])?;
     for text in overrides {
@@ -49,21 +51,21 @@
 
 /// Applies one override, given as `path=value`, to a file's table.
 fn override_value(table: &mut toml::Table, text: &str) -> Result<(), OverrideError> {
-    let (path, value) = text.split_once('=').ok_or_else(|| OverrideError::NoValue(text.to_owned()))?;
+    let (path, value) = text.split_once('=').ok_or_else(|| OverrideError::MissingValue(text.to_owned()))?;
     let (parents, name) = match path.trim().rsplit_once('.') {
         Some((parents, name)) => (Some(parents), name),
         None => (None, path.trim()),
     };
     let mut table = table;
     for parent in parents.into_iter().flat_map(|parents| parents.split('.')) {
-        let inner = table.entry(parent).or_insert_with(|| toml::Value::Table(toml::Table::new()));
-        table = inner
+        let child = table.entry(parent).or_insert_with(|| toml::Value::Table(toml::Table::new()));
+        table = child
             .as_table_mut()
-            .ok_or_else(|| OverrideError::NoTable { text: text.to_owned(), name: parent.to_owned() })?;
+            .ok_or_else(|| OverrideError::NotATable { text: text.to_owned(), name: parent.to_owned() })?;
     }
     let value = match (table.get(name), parse_value(value)) {
         // An integer such as 300 becomes a float if the file has a float there.
-        (Some(toml::Value::Float(_)), toml::Value::Integer(whole)) => toml::Value::Float(whole as f64),
+        (Some(toml::Value::Float(_)), toml::Value::Integer(integer)) => toml::Value::Float(integer as f64),
         (_, value) => value,
     };
     table.insert(name.to_owned(), value);
--- a/platform-model/src/schedule.rs
+++ b/platform-model/src/schedule.rs
@@ -77,14 +77,14 @@
     let mut schedule = Schedule::default();
     for (number, fault) in experiment.fault.iter().enumerate() {
         // The groups of a checked file are valid and have members.
-        let mut members =
+        let mut group_members =
             |text: &String| resolve_group(text, &experiment.fleet, &mut rng).unwrap_or_default();
         if let Some([first, second]) = &fault.between {
-            let from = members(first);
-            let to = members(second);
+            let from = group_members(first);
+            let to = group_members(second);
             schedule.links.add_fault(number, fault, from, to);
         }
-        let targets = fault.who.as_ref().map(members).unwrap_or_default();
+        let targets = fault.who.as_ref().map(group_members).unwrap_or_default();
         let compiler = FaultCompiler { experiment, number, fault, targets };
         let steps = compiler.changes().into_iter();
         schedule.steps.extend(steps.map(|(at, change)| Step { at, fault: number, change }));
@@ -113,18 +113,18 @@
             | FaultKind::Delay
             | FaultKind::Repeat
             | FaultKind::Reorder
-            | FaultKind::Spoil => self.for_its_time(Change::Links(true), Change::Links(false)),
+            | FaultKind::Spoil => self.begin_and_end(Change::Links(true), Change::Links(false)),
             FaultKind::Kill | FaultKind::Term | FaultKind::Freeze | FaultKind::Roll => self.process_changes(),
             FaultKind::OriginSlow => {
-                let times = self.fault.times.unwrap_or(1.0);
-                self.for_its_time(Change::OriginSlow(times), Change::OriginSlow(1.0))
+                let factor = self.fault.times.unwrap_or(1.0);
+                self.begin_and_end(Change::OriginSlow(factor), Change::OriginSlow(1.0))
             }
             FaultKind::DiscoveryDown => {
-                self.for_its_time(Change::DiscoveryDown(true), Change::DiscoveryDown(false))
+                self.begin_and_end(Change::DiscoveryDown(true), Change::DiscoveryDown(false))
             }
             FaultKind::ListLate => {
-                let latest = micros_from_seconds(self.fault.seconds.unwrap_or(0.0));
-                self.for_its_time(Change::ListLate(latest), Change::ListLate(0))
+                let max_delay = micros_from_seconds(self.fault.seconds.unwrap_or(0.0));
+                self.begin_and_end(Change::ListLate(max_delay), Change::ListLate(0))
             }
             _ => self.server_changes(),
         }
@@ -133,60 +133,60 @@
     fn process_changes(&self) -> TimedChanges {
         let balancers = || self.targets.balancers.clone();
         match self.fault.what {
-            FaultKind::Kill => self.end_and_start(Change::Kill(balancers())),
-            FaultKind::Term => self.end_and_start(Change::Term(balancers())),
+            FaultKind::Kill => self.stop_and_start(Change::Kill(balancers())),
+            FaultKind::Term => self.stop_and_start(Change::Term(balancers())),
             FaultKind::Roll => self.roll(),
-            _ => self.for_its_time(Change::Freeze(balancers()), Change::Thaw(balancers())),
+            _ => self.begin_and_end(Change::Freeze(balancers()), Change::Thaw(balancers())),
         }
     }
 
     fn server_changes(&self) -> TimedChanges {
         let servers = || self.targets.servers.clone();
-        let times = self.fault.times.unwrap_or(1.0);
+        let factor = self.fault.times.unwrap_or(1.0);
         let share = self.fault.share.unwrap_or(1.0);
         match self.fault.what {
             FaultKind::Silent => {
-                self.for_its_time(Change::Silent(servers(), true), Change::Silent(servers(), false))
+                self.begin_and_end(Change::Silent(servers(), true), Change::Silent(servers(), false))
             }
             FaultKind::Slow => {
-                self.for_its_time(Change::Slow(servers(), times), Change::Slow(servers(), 1.0))
+                self.begin_and_end(Change::Slow(servers(), factor), Change::Slow(servers(), 1.0))
             }
             FaultKind::Failing => {
-                self.for_its_time(Change::Failing(servers(), share), Change::Failing(servers(), 0.0))
+                self.begin_and_end(Change::Failing(servers(), share), Change::Failing(servers(), 0.0))
             }
-            FaultKind::Drain => self.for_its_time(Change::Drain(servers()), Change::Restart(servers())),
-            FaultKind::Gone => self.for_its_time(Change::Gone(servers()), Change::Restart(servers())),
-            FaultKind::Restart => vec![(self.begin(), Change::Restart(servers()))],
-            FaultKind::Replace => vec![(self.begin(), Change::Replace(servers()))],
+            FaultKind::Drain => self.begin_and_end(Change::Drain(servers()), Change::Restart(servers())),
+            FaultKind::Gone => self.begin_and_end(Change::Gone(servers()), Change::Restart(servers())),
+            FaultKind::Restart => vec![(self.start_time(), Change::Restart(servers()))],
+            FaultKind::Replace => vec![(self.start_time(), Change::Replace(servers()))],
             _ => self.flap(),
         }
     }
 
-    fn begin(&self) -> Micros {
+    fn start_time(&self) -> Micros {
         micros_from_seconds(self.fault.at)
     }
 
     /// `None` if the fault lasts to the end of the run.
-    fn end(&self) -> Option<Micros> {
-        self.fault.lasts.map(|lasts| self.begin() + micros_from_seconds(lasts))
+    fn end_time(&self) -> Option<Micros> {
+        self.fault.lasts.map(|lasts| self.start_time() + micros_from_seconds(lasts))
     }
 
-    fn step_time(&self) -> Micros {
+    fn step_interval(&self) -> Micros {
         micros_from_seconds(self.fault.every.unwrap_or(DEFAULT_STEP_S))
     }
 
     /// A change at the start of the fault, and one at its end unless it lasts to the end of the run.
-    fn for_its_time(&self, begin: Change, end: Change) -> TimedChanges {
-        let mut changes = vec![(self.begin(), begin)];
-        changes.extend(self.end().map(|at| (at, end)));
+    fn begin_and_end(&self, begin: Change, end: Change) -> TimedChanges {
+        let mut changes = vec![(self.start_time(), begin)];
+        changes.extend(self.end_time().map(|at| (at, end)));
         changes
     }
 
     /// Stops processes, and starts them again if the file sets a time for it.
-    fn end_and_start(&self, end: Change) -> TimedChanges {
-        let mut changes = vec![(self.begin(), end)];
+    fn stop_and_start(&self, end: Change) -> TimedChanges {
+        let mut changes = vec![(self.start_time(), end)];
         let start = Change::Start(self.targets.balancers.clone());
-        changes.extend(self.fault.back.map(|back| (self.begin() + micros_from_seconds(back), start)));
+        changes.extend(self.fault.back.map(|back| (self.start_time() + micros_from_seconds(back), start)));
         changes
     }
 
@@ -196,12 +196,12 @@
         let seed = mix_bits(self.experiment.seed ^ self.number as u64);
         order.shuffle(&mut seeded_rng(seed, RngStream::Groups));
         let share = self.fault.share.unwrap_or(1.0);
-        let at_a_time = ((order.len() as f64 * share).round() as usize).max(1);
+        let batch_size = ((order.len() as f64 * share).round() as usize).max(1);
         let mut changes = Vec::new();
-        for (place, part) in order.chunks(at_a_time).enumerate() {
-            let at = self.begin() + place as Micros * self.step_time();
-            changes.push((at, Change::Term(part.to_vec())));
-            changes.push((at, Change::Start(part.to_vec())));
+        for (batch_number, batch) in order.chunks(batch_size).enumerate() {
+            let at = self.start_time() + batch_number as Micros * self.step_interval();
+            changes.push((at, Change::Term(batch.to_vec())));
+            changes.push((at, Change::Start(batch.to_vec())));
         }
         changes
     }
@@ -209,11 +209,11 @@
     /// Alternates between servers that do not answer and servers that do; at the end they answer.
     fn flap(&self) -> TimedChanges {
         let servers = || self.targets.servers.clone();
-        let end = self.end().unwrap_or(micros_from_seconds(self.experiment.seconds));
+        let end = self.end_time().unwrap_or(micros_from_seconds(self.experiment.seconds));
         let mut changes: TimedChanges = (0..)
             .map(|step: Micros| {
                 let is_silent = step.is_multiple_of(2);
-                (self.begin() + step * self.step_time(), Change::Silent(servers(), is_silent))
+                (self.start_time() + step * self.step_interval(), Change::Silent(servers(), is_silent))
             })
             .take_while(|(at, _)| *at < end)
             .collect();
--- a/platform-model/src/workload.rs
+++ b/platform-model/src/workload.rs
@@ -11,11 +11,11 @@
 use crate::{micros_from_seconds, Micros, MICROS_PER_SECOND};
 
 /// The share of a request's deadline after which an impatient client disconnects.
-const IMPATIENT_SHARE: f64 = 0.1;
+const IMPATIENT_WAIT_SHARE: f64 = 0.1;
 /// The smallest share of a request's deadline that any other client waits.
-const LEAST_PATIENT_SHARE: f64 = 0.5;
+const MIN_PATIENT_WAIT_SHARE: f64 = 0.5;
 /// The range by which the share for other clients varies above the minimum.
-const PATIENT_SHARE_RANGE: f64 = 0.3;
+const PATIENT_WAIT_SHARE_RANGE: f64 = 0.3;
 
 /// A client's first request.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -42,8 +42,8 @@
     let mut workload = Workload::new(experiment);
     let mut arrivals = Vec::new();
     while let Some(at) = workload.next_candidate() {
-        workload.drift_keys_until(at);
-        if workload.is_accepted() {
+        workload.apply_drift_until(at);
+        if workload.draw_acceptance() {
             arrivals.push(workload.draw_arrival(at));
         }
     }
@@ -70,14 +70,14 @@
 impl<'a> Workload<'a> {
     fn new(experiment: &'a Experiment) -> Workload<'a> {
         let load = &experiment.load;
-        let greatest_burst = load.burst.iter().map(|burst| burst.times).fold(1.0, f64::max);
+        let max_burst_factor = load.burst.iter().map(|burst| burst.times).fold(1.0, f64::max);
         Workload {
             experiment,
             rng: seeded_rng(experiment.seed, RngStream::Load),
             zipf: Zipf::new(load.keys as f64, load.zipf).ok(),
             keys: (0..load.keys).collect(),
             drifted_seconds: 0,
-            candidate_rate: load.rate * load.ramp.max(1.0) * greatest_burst,
+            candidate_rate: load.rate * load.ramp.max(1.0) * max_burst_factor,
             candidate_at_s: 0.0,
             end: micros_from_seconds(load.warm) + micros_from_seconds(experiment.seconds),
         }
@@ -90,10 +90,10 @@
     }
 
     /// Swaps the popularity ranks of a share of the keys, once for each second.
-    fn drift_keys_until(&mut self, now: Micros) {
+    fn apply_drift_until(&mut self, now: Micros) {
         while self.drifted_seconds < now / MICROS_PER_SECOND {
-            let amount = (self.keys.len() as f64 * self.experiment.load.drift) as usize;
-            for _ in 0..amount {
+            let swap_count = (self.keys.len() as f64 * self.experiment.load.drift) as usize;
+            for _ in 0..swap_count {
                 let first = self.rng.random_range(0..self.keys.len());
                 let second = self.rng.random_range(0..self.keys.len());
                 self.keys.swap(first, second);
@@ -107,22 +107,22 @@
         self.candidate_at_s - self.experiment.load.warm
     }
 
-    fn is_accepted(&mut self) -> bool {
-        let rate = rate(&self.experiment.load, self.experiment_time_s(), self.experiment.seconds);
+    fn draw_acceptance(&mut self) -> bool {
+        let rate = rate_at(&self.experiment.load, self.experiment_time_s(), self.experiment.seconds);
         self.rng.random::<f64>() * self.candidate_rate < rate
     }
 
     fn draw_arrival(&mut self, at: Micros) -> Arrival {
         let key = self.draw_key();
         let write = self.rng.random::<f64>() < self.experiment.load.writes;
-        let patience = LEAST_PATIENT_SHARE + PATIENT_SHARE_RANGE * self.rng.random::<f64>();
+        let patience = MIN_PATIENT_WAIT_SHARE + PATIENT_WAIT_SHARE_RANGE * self.rng.random::<f64>();
         let is_impatient = self.rng.random::<f64>() < self.experiment.clients.impatient;
         Arrival {
             at,
             balancer: draw_balancer(self.experiment, &mut self.rng),
             key,
             write,
-            patience: if is_impatient { IMPATIENT_SHARE } else { patience },
+            patience: if is_impatient { IMPATIENT_WAIT_SHARE } else { patience },
         }
     }
 
@@ -140,12 +140,12 @@
     fn hot_key(&self, draw: f64) -> Option<u64> {
         let load = &self.experiment.load;
         let now_s = self.experiment_time_s();
-        let mut left = draw;
-        for (place, hot) in load.hot.iter().enumerate().filter(|(_, hot)| now_s >= hot.at) {
-            left -= hot.share;
-            if left < 0.0 {
+        let mut remaining = draw;
+        for (index, hot) in load.hot.iter().enumerate().filter(|(_, hot)| now_s >= hot.at) {
+            remaining -= hot.share;
+            if remaining < 0.0 {
                 // Hot keys are numbered after the common ones, so that they were never requested before.
-                return Some(load.keys + place as u64);
+                return Some(load.keys + index as u64);
             }
         }
         None
@@ -153,7 +153,7 @@
 }
 
 /// Requests a second at this time of the experiment.
-fn rate(load: &Load, now_s: f64, seconds: f64) -> f64 {
+fn rate_at(load: &Load, now_s: f64, seconds: f64) -> f64 {
     let ramp = 1.0 + (load.ramp - 1.0) * (now_s / seconds).clamp(0.0, 1.0);
     let bursts = load.burst.iter().filter(|burst| (burst.at..burst.at + burst.lasts).contains(&now_s));
     load.rate * ramp * bursts.map(|burst| burst.times).product::<f64>()
@@ -163,10 +163,10 @@
 fn draw_balancer(experiment: &Experiment, rng: &mut SeededRng) -> u32 {
     let count = experiment.fleet.balancers;
     let Some(uneven) = experiment.load.uneven else { return rng.random_range(0..count) as u32 };
-    let busy = ((count as f64 * uneven.at).round() as usize).clamp(1, count);
-    if rng.random::<f64>() < uneven.share || busy == count {
-        rng.random_range(0..busy) as u32
+    let busy_balancers = ((count as f64 * uneven.at).round() as usize).clamp(1, count);
+    if rng.random::<f64>() < uneven.share || busy_balancers == count {
+        rng.random_range(0..busy_balancers) as u32
     } else {
-        rng.random_range(busy..count) as u32
+        rng.random_range(busy_balancers..count) as u32
     }
 }
