--- a/platform-model/src/cache_server/tests.rs
+++ b/platform-model/src/cache_server/tests.rs
@@ -8,24 +8,24 @@
 }
 
 #[test]
-fn keys_are_cached_to_a_size_invalidated_and_lost_with_a_restart() {
+fn cached_keys_are_bounded_in_number_invalidated_and_lost_on_restart() {
     let (mut server, mut rng) = server();
-    let mut ask = |server: &mut CacheServer, now, key| server.on_request(now, key, &mut rng).answer;
-    assert_eq!(ask(&mut server, 0, 1), Answer::Miss { fetching: false });
-    assert_eq!(ask(&mut server, 1, 1), Answer::Miss { fetching: true });
+    let mut read = |server: &mut CacheServer, now, key| server.on_request(now, key, &mut rng).answer;
+    assert_eq!(read(&mut server, 0, 1), Answer::Miss { fetching: false });
+    assert_eq!(read(&mut server, 1, 1), Answer::Miss { fetching: true });
     server.store(1);
-    assert_eq!(ask(&mut server, 2, 1), Answer::Hit);
+    assert_eq!(read(&mut server, 2, 1), Answer::Hit);
     (2..5).for_each(|key| server.store(key));
-    assert_eq!(ask(&mut server, 3, 1), Answer::Miss { fetching: false }, "the cache holds three keys");
-    assert_eq!(ask(&mut server, 4, 4), Answer::Hit);
+    assert_eq!(read(&mut server, 3, 1), Answer::Miss { fetching: false }, "the cache holds three keys");
+    assert_eq!(read(&mut server, 4, 4), Answer::Hit);
     server.invalidate(4);
-    assert_eq!(ask(&mut server, 5, 4), Answer::Miss { fetching: false });
+    assert_eq!(read(&mut server, 5, 4), Answer::Miss { fetching: false });
     server.restart(6);
-    assert_eq!((server.incarnation, ask(&mut server, 7, 3)), (1, Answer::Miss { fetching: false }));
+    assert_eq!((server.incarnation, read(&mut server, 7, 3)), (1, Answer::Miss { fetching: false }));
 }
 
 #[test]
-fn core_runs_one_request_at_a_time_and_capacity_is_bounded() {
+fn core_runs_one_request_at_a_time_and_the_queue_is_bounded() {
     let (mut server, mut rng) = server();
     server.store(1);
     let first = server.on_request(0, 1, &mut rng).at;
@@ -44,8 +44,8 @@
 
 /// The server's capacity is 50 requests a second when warm and 17.5 at the start; it withstands four times its capacity.
 #[test]
-fn server_in_slow_start_collapses_under_overload_and_else_warms_up() {
-    for (rate, falls) in [(60, false), (120, true)] {
+fn server_in_slow_start_collapses_under_overload_and_otherwise_warms_up() {
+    for (rate, collapses) in [(60, false), (120, true)] {
         let (mut server, mut rng) = server();
         server.restart(MICROS_PER_SECOND);
         assert!(
@@ -55,7 +55,7 @@
         for n in 0..rate * 2 {
             server.on_request(MICROS_PER_SECOND + n * MICROS_PER_SECOND / rate, 1, &mut rng);
         }
-        assert_eq!(server.has_collapsed(), falls, "{rate} a second");
+        assert_eq!(server.has_collapsed(), collapses, "{rate} a second");
         assert_eq!(server.capacity_share(7 * MICROS_PER_SECOND), 1.0);
     }
 }
--- a/platform-model/src/check/tests.rs
+++ b/platform-model/src/check/tests.rs
@@ -2,8 +2,8 @@
 
 use crate::reader::{read, tests::VALID_EXPERIMENT};
 
-fn problems(more: &str) -> Vec<String> {
-    read(&format!("{VALID_EXPERIMENT}{more}"), &[])
+fn problems(appended: &str) -> Vec<String> {
+    read(&format!("{VALID_EXPERIMENT}{appended}"), &[])
         .err()
         .unwrap_or_default()
         .iter()
@@ -54,12 +54,15 @@
             "contradicts fault 1",
         ),
     ];
-    for (text, place, remedy) in cases {
+    for (text, location, remedy) in cases {
         let found = problems(text);
-        assert!(found.iter().any(|p| p.contains(place) && p.contains(remedy)), "{text}\n{found:?}");
+        assert!(
+            found.iter().any(|problem| problem.contains(location) && problem.contains(remedy)),
+            "{text}\n{found:?}"
+        );
     }
-    let wrong = VALID_EXPERIMENT.replace("rate = 100", "rate = -3").replace("zones = 3", "zones = 0");
-    let found: Vec<String> = read(&wrong, &[]).unwrap_err().iter().map(ToString::to_string).collect();
+    let invalid = VALID_EXPERIMENT.replace("rate = 100", "rate = -3").replace("zones = 3", "zones = 0");
+    let found: Vec<String> = read(&invalid, &[]).unwrap_err().iter().map(ToString::to_string).collect();
     assert!(
         found[0].starts_with("line 6: fleet.zones") && found[1].starts_with("line 8: load.rate"),
         "{found:?}"
--- a/platform-model/src/checker/failure_detection/tests.rs
+++ b/platform-model/src/checker/failure_detection/tests.rs
@@ -9,7 +9,7 @@
 }
 
 /// Server 0 is silent from 10 to 20 s; the other three servers receive ten attempts a second each.
-fn builder(at_silent: &[(u32, f64)]) -> EventLogBuilder {
+fn silent_server_log(attempts_at_silent_server: &[(u32, f64)]) -> EventLogBuilder {
     let mut builder = EventLogBuilder::default();
     builder.event_log.server_impairments.push(ImpairedSpan {
         number: 0,
@@ -24,11 +24,11 @@
             5.0 + n as f64 / 40.0,
         ));
     }
-    builder.event_log.attempts.retain(|a| {
-        a.receiver != Receiver::CacheServer(0)
-            || !(micros_from_seconds(10.0)..micros_from_seconds(23.0)).contains(&a.received_at)
+    builder.event_log.attempts.retain(|attempt| {
+        attempt.receiver != Receiver::CacheServer(0)
+            || !(micros_from_seconds(10.0)..micros_from_seconds(23.0)).contains(&attempt.received_at)
     });
-    for (balancer, at) in at_silent {
+    for (balancer, at) in attempts_at_silent_server {
         let result = AttemptResult::NoAnswer;
         builder.event_log.attempts.push(Attempt {
             balancer: *balancer,
@@ -40,25 +40,32 @@
 }
 
 #[test]
-fn last_send_of_each_balancer_counts_from_the_change() {
-    let seen = failure_detection(&builder(&[(1, 10.2), (1, 10.5), (2, 12.0)]).event_log, &terms());
-    assert_eq!((seen.spread_p50_ms, seen.spread_p99_ms, seen.lost_sends), (Some(500.0), Some(2000.0), 3));
-    let mut cut = builder(&[]);
-    cut.event_log.undelivered.push(attempt(0, Receiver::CacheServer(1), 12.0));
+fn last_attempt_of_each_balancer_is_timed_from_the_silence() {
+    let figures =
+        failure_detection(&silent_server_log(&[(1, 10.2), (1, 10.5), (2, 12.0)]).event_log, &terms());
     assert_eq!(
-        failure_detection(&cut.event_log, &terms()).lost_sends,
+        (figures.spread_p50_ms, figures.spread_p99_ms, figures.lost_sends),
+        (Some(500.0), Some(2000.0), 3)
+    );
+    let mut with_cut_link = silent_server_log(&[]);
+    with_cut_link.event_log.undelivered.push(attempt(0, Receiver::CacheServer(1), 12.0));
+    assert_eq!(
+        failure_detection(&with_cut_link.event_log, &terms()).lost_sends,
         1,
         "an attempt that a cut link did not deliver is lost, too"
     );
-    let none = failure_detection(&builder(&[]).event_log, &terms());
-    assert_eq!((none.spread_p50_ms, none.lost_sends), (None, 0));
+    let without_attempts = failure_detection(&silent_server_log(&[]).event_log, &terms());
+    assert_eq!((without_attempts.spread_p50_ms, without_attempts.lost_sends), (None, 0));
 }
 
 #[test]
-fn server_is_avoided_and_used_again_by_its_fair_part() {
-    let seen = failure_detection(&builder(&[]).event_log, &terms());
-    assert_eq!((seen.avoided_ms, seen.used_again_ms), (Some(0.0), Some(4000.0)));
-    let sent: Vec<(u32, f64)> = (0..3).map(|n| (1, 12.3 + f64::from(n) / 10.0)).collect();
-    assert_eq!(failure_detection(&builder(&sent).event_log, &terms()).avoided_ms, Some(3000.0));
-    assert_eq!(failure_detection(&builder(&sent[..0]).event_log, &terms()).avoided_ms, Some(0.0));
+fn server_is_avoided_and_used_again_relative_to_its_fair_share() {
+    let figures = failure_detection(&silent_server_log(&[]).event_log, &terms());
+    assert_eq!((figures.avoided_ms, figures.used_again_ms), (Some(0.0), Some(4000.0)));
+    let attempts: Vec<(u32, f64)> = (0..3).map(|n| (1, 12.3 + f64::from(n) / 10.0)).collect();
+    assert_eq!(failure_detection(&silent_server_log(&attempts).event_log, &terms()).avoided_ms, Some(3000.0));
+    assert_eq!(
+        failure_detection(&silent_server_log(&attempts[..0]).event_log, &terms()).avoided_ms,
+        Some(0.0)
+    );
 }
--- a/platform-model/src/checker/limits/tests.rs
+++ b/platform-model/src/checker/limits/tests.rs
@@ -1,6 +1,6 @@
 //! Usage of the fleet-wide limits: what counts in a second, and relative to which limit.
 
-use super::super::test_log::{attempt, served, stated, terms, EventLogBuilder};
+use super::super::test_log::{attempt, served_read, stated, terms, EventLogBuilder};
 use super::super::StatedBounds;
 use super::*;
 use crate::event_log::ClientRequest;
@@ -12,14 +12,14 @@
     for n in 0..fetches {
         let at = 10.0 + n as f64 / fetches as f64;
         let result = if n < served_of_them { RequestResult::Served } else { RequestResult::Failed };
-        let id = builder.request(ClientRequest { result, ..served(at) });
+        let id = builder.add_request(ClientRequest { result, ..served_read(at) });
         builder.event_log.attempts.push(attempt(id, Receiver::Origin, at));
     }
     builder
 }
 
 #[test]
-fn peak_is_the_most_fetches_in_any_second() {
+fn peak_is_the_highest_number_of_fetches_in_any_second() {
     let mut builder = fetches_in_one_second(10, 10);
     let at_limit = origin_usage(&builder.event_log, &terms());
     assert_eq!((at_limit.limit.peak, at_limit.limit.seconds_over, at_limit.limit.usage), (1.0, 0, None));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn sends_in_slow_start_count_against_what_the_server_bears_then() {
+fn attempts_in_slow_start_count_relative_to_the_current_capacity() {
     let mut builder = EventLogBuilder::default();
     let span = |impairment| ImpairedSpan {
         number: 1,
@@ -58,10 +58,10 @@
 }
 
 #[test]
-fn retries_count_against_first_requests_unless_a_miss_led_to_them() {
+fn retries_count_relative_to_the_budget_except_after_a_miss() {
     let mut builder = EventLogBuilder::default();
     for n in 0..20 {
-        let id = builder.request(served(10.0 + f64::from(n) / 20.0));
+        let id = builder.add_request(served_read(10.0 + f64::from(n) / 20.0));
         builder.event_log.attempts.push(attempt(id, Receiver::CacheServer(0), 10.0 + f64::from(n) / 20.0));
         builder.event_log.attempts.push(attempt(id, Receiver::CacheServer(1), 10.1 + f64::from(n) / 20.0));
     }
@@ -76,17 +76,17 @@
         StatedBounds { retry_budget: Some(StatedRetryBudget { share: 0.1, saved: 4.0 }), ..stated };
     let usage = retry_usage(&builder.event_log, &CheckTerms { stated: Some(small_budget), ..terms() });
     assert!(usage.peak > 3.0 && usage.seconds_over > 0, "{usage:?}");
-    builder.event_log.attempts.iter_mut().for_each(|a| a.result = AttemptResult::Miss);
+    builder.event_log.attempts.iter_mut().for_each(|attempt| attempt.result = AttemptResult::Miss);
     assert_eq!(retry_usage(&builder.event_log, &limited).peak, 0.0, "attempts after a miss are no retries");
 }
 
 #[test]
-fn use_counts_only_while_demand_is_over_the_limit() {
+fn usage_counts_only_while_demand_exceeds_the_limit() {
     let usage = origin_usage(&fetches_in_one_second(12, 6).event_log, &terms());
     assert_eq!((usage.limit.usage, usage.figures.useful), (Some(1.2), Some(0.6)));
     let mut rejected = fetches_in_one_second(8, 8);
     for _ in 0..4 {
-        rejected.request(ClientRequest { result: RequestResult::Rejected, ..served(10.5) });
+        rejected.add_request(ClientRequest { result: RequestResult::Rejected, ..served_read(10.5) });
     }
     let usage = origin_usage(&rejected.event_log, &terms());
     assert_eq!(
--- a/platform-model/src/checker/rules/tests.rs
+++ b/platform-model/src/checker/rules/tests.rs
@@ -1,95 +1,104 @@
 //! Each of the four rules, in cases that keep it and cases that violate it.
 
-use super::super::test_log::{attempt, served, terms, EventLogBuilder};
+use super::super::test_log::{attempt, served_read, terms, EventLogBuilder};
 use super::*;
 use crate::event_log::{AttemptResult, ImpairedSpan, Impairment, ProcessStall, ProcessStart, Receiver};
 use crate::micros_from_seconds;
 
-fn rules(builder: &EventLogBuilder) -> Vec<Rule> {
+fn violated_rules(builder: &EventLogBuilder) -> Vec<Rule> {
     find_violations(&builder.event_log, &terms()).iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
-fn answer_has_to_come_in_time_once_and_be_made_for_its_request() {
-    let sound = served(10.0);
-    let due = sound.deadline + 50_000;
+fn request_needs_one_answer_in_time_produced_for_it() {
+    let valid = served_read(10.0);
+    let due = valid.deadline + 50_000;
     let cases = [
-        (ClientRequest { ended_at: Some(due), ..sound.clone() }, false),
-        (ClientRequest { ended_at: Some(due + 1), ..sound.clone() }, true),
-        (ClientRequest { ended_at: Some(due + 1), result: RequestResult::Rejected, ..sound.clone() }, true),
-        (ClientRequest { result: RequestResult::NoAnswer, ended_at: None, ..sound.clone() }, true),
-        (ClientRequest { result: RequestResult::ConnectionClosed, ..sound.clone() }, true),
-        (ClientRequest { result: RequestResult::WrongValue, ..sound.clone() }, true),
-        (ClientRequest { extra_lines: 1, ..sound.clone() }, true),
-        (ClientRequest { result: RequestResult::NotAccepted, ..sound.clone() }, false),
-        (ClientRequest { result: RequestResult::ClientLeft, ..sound.clone() }, false),
+        (ClientRequest { ended_at: Some(due), ..valid.clone() }, false),
+        (ClientRequest { ended_at: Some(due + 1), ..valid.clone() }, true),
+        (ClientRequest { ended_at: Some(due + 1), result: RequestResult::Rejected, ..valid.clone() }, true),
+        (ClientRequest { result: RequestResult::NoAnswer, ended_at: None, ..valid.clone() }, true),
+        (ClientRequest { result: RequestResult::ConnectionClosed, ..valid.clone() }, true),
+        (ClientRequest { result: RequestResult::WrongValue, ..valid.clone() }, true),
+        (ClientRequest { extra_lines: 1, ..valid.clone() }, true),
+        (ClientRequest { result: RequestResult::NotAccepted, ..valid.clone() }, false),
+        (ClientRequest { result: RequestResult::ClientLeft, ..valid.clone() }, false),
     ];
-    for (request, breaks) in cases {
+    for (request, is_violation) in cases {
         let mut builder = EventLogBuilder::default();
-        builder.request(request.clone());
-        assert_eq!(rules(&builder), vec![Rule::Answers; usize::from(breaks)], "{request:?}");
+        builder.add_request(request.clone());
+        assert_eq!(violated_rules(&builder), vec![Rule::Answers; usize::from(is_violation)], "{request:?}");
     }
 }
 
 #[test]
 fn value_that_a_link_corrupted_violates_no_rule() {
     let mut builder = EventLogBuilder::default();
-    let id = builder.request(ClientRequest { result: RequestResult::WrongValue, ..served(10.0) });
+    let id = builder.add_request(ClientRequest { result: RequestResult::WrongValue, ..served_read(10.0) });
     builder
         .event_log
         .attempts
         .push(Attempt { corrupted: true, ..attempt(id, Receiver::CacheServer(0), 10.0) });
-    assert_eq!(rules(&builder), []);
+    assert_eq!(violated_rules(&builder), []);
     builder.event_log.attempts[0].corrupted = false;
-    assert_eq!(rules(&builder), [Rule::Answers]);
+    assert_eq!(violated_rules(&builder), [Rule::Answers]);
 }
 
 #[test]
 fn connection_of_one_request_in_two_hundred_may_be_rejected() {
     let mut builder = EventLogBuilder::default();
     for _ in 0..398 {
-        builder.request(served(10.0));
+        builder.add_request(served_read(10.0));
     }
-    builder.request(ClientRequest { result: RequestResult::ConnectionRejected, ..served(10.0) });
-    builder.request(ClientRequest { result: RequestResult::ConnectionRejected, ..served(10.0) });
-    assert_eq!(rules(&builder), []);
+    builder.add_request(ClientRequest { result: RequestResult::ConnectionRejected, ..served_read(10.0) });
+    builder.add_request(ClientRequest { result: RequestResult::ConnectionRejected, ..served_read(10.0) });
+    assert_eq!(violated_rules(&builder), []);
     builder.event_log.requests.pop();
-    assert_eq!(rules(&builder), [], "one of 399");
-    builder.request(ClientRequest { result: RequestResult::ConnectionRejected, ..served(10.0) });
-    builder.request(ClientRequest { result: RequestResult::ConnectionRejected, ..served(10.0) });
-    assert_eq!(rules(&builder), [Rule::Answers], "three of 401");
+    assert_eq!(violated_rules(&builder), [], "one of 399");
+    builder.add_request(ClientRequest { result: RequestResult::ConnectionRejected, ..served_read(10.0) });
+    builder.add_request(ClientRequest { result: RequestResult::ConnectionRejected, ..served_read(10.0) });
+    assert_eq!(violated_rules(&builder), [Rule::Answers], "three of 401");
 }
 
 #[test]
-fn dead_or_frozen_process_and_late_testbed_excuse_an_answer() {
+fn dead_process_or_late_testbed_excuses_a_missing_or_late_answer() {
     let mut builder = EventLogBuilder::default();
-    builder.request(ClientRequest { result: RequestResult::NoAnswer, ended_at: None, ..served(10.0) });
+    builder.add_request(ClientRequest {
+        result: RequestResult::NoAnswer,
+        ended_at: None,
+        ..served_read(10.0)
+    });
     let dead = |number, from, to| ImpairedSpan {
         number,
         impairment: Impairment::Dead,
         from: micros_from_seconds(from),
         to: Some(micros_from_seconds(to)),
     };
-    for (span, breaks) in
+    for (span, violation_count) in
         [(dead(0, 10.9, 12.0), 0), (dead(0, 11.1, 12.0), 1), (dead(1, 10.0, 12.0), 1), (dead(0, 5.0, 9.9), 1)]
     {
         builder.event_log.process_impairments = vec![span];
-        assert_eq!(rules(&builder).len(), breaks, "{:?}", builder.event_log.process_impairments);
+        assert_eq!(
+            violated_rules(&builder).len(),
+            violation_count,
+            "{:?}",
+            builder.event_log.process_impairments
+        );
     }
     let mut builder = EventLogBuilder::default();
-    builder.request(ClientRequest { ended_at: Some(micros_from_seconds(11.1)), ..served(10.0) });
-    assert_eq!(rules(&builder), [Rule::Answers]);
+    builder.add_request(ClientRequest { ended_at: Some(micros_from_seconds(11.1)), ..served_read(10.0) });
+    assert_eq!(violated_rules(&builder), [Rule::Answers]);
     builder.event_log.testbed_stalls = vec![(micros_from_seconds(11.0), 49_000)];
-    assert_eq!(rules(&builder), [Rule::Answers]);
+    assert_eq!(violated_rules(&builder), [Rule::Answers]);
     builder.event_log.testbed_stalls = vec![(micros_from_seconds(11.0), 50_000)];
-    assert_eq!(rules(&builder), []);
+    assert_eq!(violated_rules(&builder), []);
 }
 
 #[test]
-fn three_attempts_are_allowed_and_repeats_as_the_class_allows() {
-    let count_violations = |effect, write, attempts: &[(f64, AttemptResult)]| {
+fn three_attempts_are_allowed_and_retries_only_as_the_class_allows() {
+    let count_violations = |idempotency, write, attempts: &[(f64, AttemptResult)]| {
         let mut builder = EventLogBuilder::default();
-        let id = builder.request(ClientRequest { write, ..served(10.0) });
+        let id = builder.add_request(ClientRequest { write, ..served_read(10.0) });
         for (at, result) in attempts {
             builder
                 .event_log
@@ -97,14 +106,19 @@
                 .push(Attempt { result: *result, ..attempt(id, Receiver::CacheServer(0), *at) });
         }
         let mut terms = terms();
-        terms.classes[1].idempotency = effect;
+        terms.classes[1].idempotency = idempotency;
         find_violations(&builder.event_log, &terms).len()
     };
     use AttemptResult::{Failed, Miss, Rejected, Served};
-    let (safe, keyed) = (Idempotency::Idempotent, Idempotency::WithIdempotencyKey(6 * MICROS_PER_SECOND));
-    assert_eq!(count_violations(safe, false, &[(10.0, Failed), (10.1, Miss), (10.2, Served)]), 0);
+    let (idempotent, keyed) =
+        (Idempotency::Idempotent, Idempotency::WithIdempotencyKey(6 * MICROS_PER_SECOND));
+    assert_eq!(count_violations(idempotent, false, &[(10.0, Failed), (10.1, Miss), (10.2, Served)]), 0);
     assert_eq!(
-        count_violations(safe, false, &[(10.0, Rejected), (10.1, Miss), (10.2, Rejected), (10.3, Served)]),
+        count_violations(
+            idempotent,
+            false,
+            &[(10.0, Rejected), (10.1, Miss), (10.2, Rejected), (10.3, Served)]
+        ),
         1
     );
     assert_eq!(count_violations(keyed, true, &[(10.0, Failed), (16.05, Served)]), 0);
@@ -126,16 +140,16 @@
 }
 
 #[test]
-fn drain_holds_from_its_grace_until_the_balancer_is_notified_of_the_return() {
+fn drain_applies_from_its_grace_until_the_notice_of_the_return() {
     let mut builder = EventLogBuilder::default();
     let notice =
         |at, in_service| EndpointNotice { balancer: 0, server: 2, in_service, at: micros_from_seconds(at) };
     builder.event_log.notices = vec![notice(10.0, false), notice(10.4, false), notice(20.0, true)];
-    for (at, server, breaks) in
+    for (at, server, violation_count) in
         [(10.55, 2, 0), (10.56, 2, 1), (10.56, 1, 0), (19.99, 2, 1), (20.0, 2, 0), (9.0, 2, 0)]
     {
         builder.event_log.attempts = vec![attempt(1, Receiver::CacheServer(server), at)];
-        assert_eq!(rules(&builder), vec![Rule::Drains; breaks], "{at} {server}");
+        assert_eq!(violated_rules(&builder), vec![Rule::Drains; violation_count], "{at} {server}");
     }
     // The process was restarted at 12 s and has not been notified of the drain.
     builder.event_log.attempts = vec![attempt(1, Receiver::CacheServer(2), 13.0)];
@@ -146,7 +160,7 @@
         to: Some(micros_from_seconds(12.0)),
     }];
     builder.event_log.process_starts = vec![ProcessStart { balancer: 0, at: micros_from_seconds(12.0) }];
-    assert_eq!(rules(&builder), []);
+    assert_eq!(violated_rules(&builder), []);
 }
 
 /// An event log with a drain notified at this second, and a process started at 12 s and found ready at 12.5 s.
@@ -166,89 +180,94 @@
 
 /// Guards against applying notices to a previous process to a restarted one that serves before it is found ready.
 #[test]
-fn process_knows_nothing_of_before_its_start_while_it_is_not_found_ready() {
+fn notices_before_a_restart_do_not_apply_before_the_process_is_found_ready() {
     let mut builder = restarted_after_drain(10.0);
     builder.event_log.attempts = vec![attempt(1, Receiver::CacheServer(2), 12.2)];
-    assert_eq!(rules(&builder), []);
+    assert_eq!(violated_rules(&builder), []);
 }
 
 /// Guards against ignoring notices to a restarted process that arrive before it is found ready.
 #[test]
-fn drain_notified_right_after_a_start_holds() {
+fn drain_notified_before_the_process_is_found_ready_applies() {
     let mut builder = restarted_after_drain(12.01);
-    for (at, breaks) in [(12.2, 0), (12.57, 1), (12.7, 1)] {
+    for (at, violation_count) in [(12.2, 0), (12.57, 1), (12.7, 1)] {
         builder.event_log.attempts = vec![attempt(1, Receiver::CacheServer(2), at)];
-        assert_eq!(rules(&builder), vec![Rule::Drains; breaks], "{at}");
+        assert_eq!(violated_rules(&builder), vec![Rule::Drains; violation_count], "{at}");
     }
 }
 
 /// Guards against a violation with the trace of a later request that reuses the id.
 #[test]
-fn trace_of_a_drain_is_that_of_the_request_that_was_sent_before_the_attempt() {
+fn drain_violation_has_the_trace_of_the_last_request_sent_before_the_attempt() {
     let mut builder = restarted_after_drain(12.01);
-    let id = builder.request(ClientRequest { key: 7, ..served(12.6) });
-    builder.event_log.requests.push(ClientRequest { id, key: 8, ..served(14.0) });
+    let id = builder.add_request(ClientRequest { key: 7, ..served_read(12.6) });
+    builder.event_log.requests.push(ClientRequest { id, key: 8, ..served_read(14.0) });
     builder.event_log.attempts = vec![attempt(id, Receiver::CacheServer(2), 12.7)];
     let violations = find_violations(&builder.event_log, &terms());
     assert!(violations[0].request_trace.iter().any(|line| line.contains("of key 7 ")), "{violations:?}");
 }
 
 #[test]
-fn collapse_in_slow_start_and_origin_stopped_by_its_misses_violate_the_rule() {
+fn slow_start_collapse_and_origin_stop_by_slow_start_misses_violate_the_rule() {
     let mut builder = EventLogBuilder::default();
     builder.event_log.origin_stops = vec![(micros_from_seconds(9.0), 0.49)];
-    assert_eq!(rules(&builder), []);
+    assert_eq!(violated_rules(&builder), []);
     builder.event_log.origin_stops = vec![(micros_from_seconds(9.0), 0.5)];
     builder.event_log.server_collapses = vec![(3, micros_from_seconds(9.0))];
-    assert_eq!(rules(&builder), [Rule::Cold, Rule::Cold]);
+    assert_eq!(violated_rules(&builder), [Rule::Cold, Rule::Cold]);
 }
 
 #[test]
 fn violation_has_the_complete_request_trace_in_order() {
     let mut builder = EventLogBuilder::default();
-    let id =
-        builder.request(ClientRequest { result: RequestResult::NoAnswer, ended_at: None, ..served(10.0) });
+    let id = builder.add_request(ClientRequest {
+        result: RequestResult::NoAnswer,
+        ended_at: None,
+        ..served_read(10.0)
+    });
     builder
         .event_log
         .attempts
         .push(Attempt { result: AttemptResult::Miss, ..attempt(id, Receiver::CacheServer(3), 10.1) });
-    let story = &find_violations(&builder.event_log, &terms())[0].request_trace;
+    let request_trace = &find_violations(&builder.event_log, &terms())[0].request_trace;
     let parts = [
         "5.000 s  0000000000000001: read",
         "5.100 s  received by Host(3)",
         "answers: Miss",
         "6.000 s  its deadline",
     ];
-    assert_eq!(story.len(), 4, "{story:?}");
-    assert!(story.iter().zip(parts).all(|(line, part)| line.contains(part)), "{story:?}");
+    assert_eq!(request_trace.len(), 4, "{request_trace:?}");
+    assert!(request_trace.iter().zip(parts).all(|(line, part)| line.contains(part)), "{request_trace:?}");
 }
 
 /// Guards against excusing requests that a process accepted and did not answer before a graceful shutdown.
 #[test]
-fn planned_end_excuses_no_answer() {
-    let unanswered = ClientRequest { result: RequestResult::ConnectionClosed, ..served(10.0) };
+fn graceful_shutdown_does_not_excuse_a_missing_answer() {
+    let unanswered = ClientRequest { result: RequestResult::ConnectionClosed, ..served_read(10.0) };
     for (impairment, expected) in [(Impairment::Dead, &[][..]), (Impairment::Ended, &[Rule::Answers][..])] {
         let mut builder = EventLogBuilder::default();
-        builder.request(unanswered.clone());
+        builder.add_request(unanswered.clone());
         builder.event_log.process_impairments =
             vec![ImpairedSpan { number: 0, impairment, from: micros_from_seconds(10.1), to: None }];
-        assert_eq!(rules(&builder), expected, "{impairment:?}");
+        assert_eq!(violated_rules(&builder), expected, "{impairment:?}");
     }
 }
 
 /// A stalled process may answer later by the duration of its stall, but no later, and still has to answer.
 #[test]
-fn stalled_process_may_be_later_by_its_stall() {
-    let request = served(10.0);
+fn stalled_process_may_answer_later_by_its_stall() {
+    let request = served_read(10.0);
     let due = request.deadline + 50_000;
     let stall = |balancer| ProcessStall { balancer, from: request.sent_at, to: request.sent_at + 200_000 };
     let late = ClientRequest { ended_at: Some(due + 200_000), ..request.clone() };
     let too_late = ClientRequest { ended_at: Some(due + 200_001), ..request.clone() };
     let silent = ClientRequest { result: RequestResult::NoAnswer, ended_at: None, ..request.clone() };
-    for (request, stalled, breaks) in [(&late, 0, 0), (&late, 1, 1), (&too_late, 0, 1), (&silent, 0, 1)] {
+    for (request, stalled, violation_count) in
+        [(&late, 0, 0), (&late, 1, 1), (&too_late, 0, 1), (&silent, 0, 1)]
+    {
         let mut builder = EventLogBuilder::default();
-        builder.request(request.clone());
+        builder.add_request(request.clone());
         builder.event_log.process_stalls = vec![stall(stalled)];
-        assert_eq!(rules(&builder), vec![Rule::Answers; breaks], "{request:?}");
+        assert_eq!(violated_rules(&builder), vec![Rule::Answers; violation_count], "{request:?}");
     }
 }
--- a/platform-model/src/checker/self_reports/tests.rs
+++ b/platform-model/src/checker/self_reports/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn view_is_wrong_until_it_counts_the_processes_that_are_alive() {
+fn member_count_is_wrong_until_it_equals_the_live_processes() {
     let mut builder = EventLogBuilder::default();
     builder.event_log.process_impairments = vec![ImpairedSpan {
         number: 3,
@@ -26,19 +26,20 @@
         from: micros_from_seconds(10.0),
         to: Some(micros_from_seconds(20.0)),
     }];
-    let mut all: Vec<SelfReport> = (6..30).map(|s| report(f64::from(s), 0, 4.0, 0.0)).collect();
+    let mut reports: Vec<SelfReport> = (6..30).map(|second| report(f64::from(second), 0, 4.0, 0.0)).collect();
     // The reporter counts the dead process for another 4 s, and counts it again as soon as it is back.
-    all.iter_mut()
-        .filter(|one| (micros_from_seconds(14.0)..micros_from_seconds(20.5)).contains(&one.at))
-        .for_each(|one| one.members = 3.0);
-    let seen = check_self_reports(&builder.event_log, &terms(), &all, false);
-    assert_eq!(seen.members_wrong_s, Some(4.0));
-    assert_eq!(check_self_reports(&builder.event_log, &terms(), &all, true).members_wrong_s, None);
+    reports
+        .iter_mut()
+        .filter(|report| (micros_from_seconds(14.0)..micros_from_seconds(20.5)).contains(&report.at))
+        .for_each(|report| report.members = 3.0);
+    let findings = check_self_reports(&builder.event_log, &terms(), &reports, false);
+    assert_eq!(findings.members_wrong_s, Some(4.0));
+    assert_eq!(check_self_reports(&builder.event_log, &terms(), &reports, true).members_wrong_s, None);
     assert_eq!(check_self_reports(&builder.event_log, &terms(), &[], false).members_wrong_s, None);
 }
 
 #[test]
-fn servers_avoided_beyond_those_that_were_impaired_are_wrong() {
+fn avoided_servers_beyond_the_impaired_ones_are_wrongly_avoided() {
     let mut builder = EventLogBuilder::default();
     builder.event_log.server_impairments = vec![ImpairedSpan {
         number: 1,
@@ -52,9 +53,9 @@
     });
     let stated = StatedBounds { failure_detection, ..stated() };
     let terms = CheckTerms { stated: Some(stated), ..terms() };
-    let all = [report(12.0, 0, 4.0, 1.0), report(20.0, 0, 4.0, 1.0)];
-    let seen = check_self_reports(&builder.event_log, &terms, &all, false);
-    assert_eq!((seen.wrongly_avoided, seen.oldest_report_ms), (0, Some(1000.0)));
-    let late = [report(12.0, 0, 4.0, 2.0), report(22.0, 1, 4.0, 1.0)];
-    assert_eq!(check_self_reports(&builder.event_log, &terms, &late, false).wrongly_avoided, 2);
+    let reports = [report(12.0, 0, 4.0, 1.0), report(20.0, 0, 4.0, 1.0)];
+    let findings = check_self_reports(&builder.event_log, &terms, &reports, false);
+    assert_eq!((findings.wrongly_avoided, findings.oldest_report_ms), (0, Some(1000.0)));
+    let late_reports = [report(12.0, 0, 4.0, 2.0), report(22.0, 1, 4.0, 1.0)];
+    assert_eq!(check_self_reports(&builder.event_log, &terms, &late_reports, false).wrongly_avoided, 2);
 }
--- a/platform-model/src/checker/test_log.rs
+++ b/platform-model/src/checker/test_log.rs
@@ -45,7 +45,7 @@
 }
 
 /// A read sent at this second and served 100 ms later.
-pub fn served(at: f64) -> ClientRequest {
+pub fn served_read(at: f64) -> ClientRequest {
     let sent_at = micros_from_seconds(at);
     ClientRequest {
         id: 0,
@@ -86,14 +86,14 @@
 
 impl EventLogBuilder {
     /// Adds a client's first request and returns its id.
-    pub fn request(&mut self, request: ClientRequest) -> u64 {
+    pub fn add_request(&mut self, request: ClientRequest) -> u64 {
         let id = self.next_id();
         self.event_log.requests.push(ClientRequest { id, first_id: id, ..request });
         id
     }
 
     /// Adds a client's retry of the request named by `first_id`, and returns the id of the retry.
-    pub fn retry(&mut self, request: ClientRequest) -> u64 {
+    pub fn add_retry(&mut self, request: ClientRequest) -> u64 {
         let id = self.next_id();
         self.event_log.requests.push(ClientRequest { id, ..request });
         id
--- a/platform-model/src/checker/tests.rs
+++ b/platform-model/src/checker/tests.rs
@@ -1,50 +1,50 @@
 //! Outcomes, service and sending delay of a run.
 
-use super::test_log::{served, terms, EventLogBuilder};
+use super::test_log::{served_read, terms, EventLogBuilder};
 use super::*;
 
 #[test]
-fn requests_count_by_how_their_clients_saw_them_end() {
+fn requests_are_counted_by_the_result_their_clients_saw() {
     let mut builder = EventLogBuilder::default();
     use RequestResult::{
         ConnectionClosed, ConnectionRejected, Failed, NoAnswer, NotAccepted, Rejected, Served,
     };
-    for end in [Served, Rejected, Failed, NotAccepted, NoAnswer, ConnectionClosed, ConnectionRejected] {
-        builder.request(ClientRequest { result: end, ..served(10.0) });
+    for result in [Served, Rejected, Failed, NotAccepted, NoAnswer, ConnectionClosed, ConnectionRejected] {
+        builder.add_request(ClientRequest { result, ..served_read(10.0) });
     }
-    let deadline = served(10.0).deadline;
-    builder.request(ClientRequest { ended_at: Some(deadline + 50_000), ..served(10.0) });
-    builder.request(ClientRequest { ended_at: Some(deadline + 50_001), ..served(10.0) });
-    builder.request(ClientRequest { planned_at: 0, ..served(10.0) });
+    let deadline = served_read(10.0).deadline;
+    builder.add_request(ClientRequest { ended_at: Some(deadline + 50_000), ..served_read(10.0) });
+    builder.add_request(ClientRequest { ended_at: Some(deadline + 50_001), ..served_read(10.0) });
+    builder.add_request(ClientRequest { planned_at: 0, ..served_read(10.0) });
     let summary = check_run(&builder.event_log, &terms()).summary;
     let counts = (summary.requests, summary.served, summary.rejected, summary.failed, summary.lost);
     assert_eq!(counts, (9, 2, 2, 2, 3), "a request planned while the caches fill does not count");
 }
 
 #[test]
-fn retry_serves_its_first_request_within_the_latency_objective() {
+fn retry_served_within_the_latency_objective_of_the_first_request_counts_as_service() {
     let mut builder = EventLogBuilder::default();
-    let first = builder.request(ClientRequest { result: RequestResult::Rejected, ..served(10.0) });
-    let sent = served(10.0).sent_at;
-    let again = ClientRequest {
+    let first = builder.add_request(ClientRequest { result: RequestResult::Rejected, ..served_read(10.0) });
+    let sent_at = served_read(10.0).sent_at;
+    let retry = ClientRequest {
         first_id: first,
-        sent_at: sent + 300_000,
-        ended_at: Some(sent + 800_000),
-        ..served(10.3)
+        sent_at: sent_at + 300_000,
+        ended_at: Some(sent_at + 800_000),
+        ..served_read(10.3)
     };
-    builder.retry(again.clone());
+    builder.add_retry(retry.clone());
     assert_eq!(check_run(&builder.event_log, &terms()).summary.service, 1.0);
-    builder.event_log.requests[1].ended_at = Some(sent + 800_001);
+    builder.event_log.requests[1].ended_at = Some(sent_at + 800_001);
     assert_eq!(check_run(&builder.event_log, &terms()).summary.service, 0.0);
 }
 
 #[test]
-fn lag_is_how_far_sends_are_behind_their_plan() {
+fn lag_is_the_delay_of_requests_after_their_planned_time() {
     let mut builder = EventLogBuilder::default();
     for n in 0..100 {
-        let one = served(10.0);
-        let late = if n < 2 { 30_000 } else { 1_000 };
-        builder.request(ClientRequest { planned_at: one.sent_at - late, ..one });
+        let request = served_read(10.0);
+        let delay = if n < 2 { 30_000 } else { 1_000 };
+        builder.add_request(ClientRequest { planned_at: request.sent_at - delay, ..request });
     }
     assert_eq!(check_run(&builder.event_log, &terms()).summary.lag_p99_ms, 30.0);
     builder.event_log.requests[0].planned_at += 29_000;
--- a/platform-model/src/event_log/tests.rs
+++ b/platform-model/src/event_log/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn results_are_written_with_the_words_of_the_tables() {
+fn results_and_receivers_are_written_by_their_stored_names() {
     let requests = [
         RequestResult::Served,
         RequestResult::WrongValue,
@@ -15,8 +15,8 @@
         RequestResult::ConnectionClosed,
         RequestResult::ConnectionRejected,
     ];
-    let words = ["Served", "Wrong", "Refused", "Failed", "Untaken", "Left", "Silent", "Closed", "Shut"];
-    assert_eq!(requests.map(|result| result.to_string()), words);
+    let names = ["Served", "Wrong", "Refused", "Failed", "Untaken", "Left", "Silent", "Closed", "Shut"];
+    assert_eq!(requests.map(|result| result.to_string()), names);
     let attempts = [
         AttemptResult::Served,
         AttemptResult::Miss,
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn impairment_that_is_open_is_not_opened_again_and_ends_once() {
+fn open_impairment_is_not_opened_again_and_ends_once() {
     let mut spans = Vec::new();
     EventLog::begin_impairment(&mut spans, 1, Impairment::Silent, 10);
     EventLog::begin_impairment(&mut spans, 1, Impairment::Silent, 20);
--- a/platform-model/src/links/tests.rs
+++ b/platform-model/src/links/tests.rs
@@ -5,11 +5,11 @@
 use crate::schedule::schedule;
 
 #[test]
-fn faults_are_on_their_links_and_in_their_direction_alone() {
+fn faults_affect_only_their_links_in_their_direction() {
     let text = "[[fault]]\nat = 1\nfor = 2\nwhat = \"cut\"\nbetween = [\"balancers:0-4\", \"hosts:1\"]\n\
         direction = \"one-way\"\n[[fault]]\nat = 1\nwhat = \"lose\"\nbetween = [\"zone:0\", \"zone:1\"]\nshare = 0.5\n";
-    let e = read(&format!("{VALID_EXPERIMENT}{text}"), &[]).unwrap();
-    let mut links = schedule(&e).links;
+    let experiment = read(&format!("{VALID_EXPERIMENT}{text}"), &[]).unwrap();
+    let mut links = schedule(&experiment).links;
     assert_eq!(
         links.state(LinkEnd::Balancer(0), LinkEnd::CacheServer(1)),
         LinkState::default(),
@@ -33,7 +33,7 @@
     assert!(!links.state(LinkEnd::Balancer(4), LinkEnd::CacheServer(1)).cut);
     // Three zones, each split by the groups of the cut. The second fault's groups are zones and add no sides.
     assert!(links.has_faults_between_balancers(), "the zones of the second fault contain balancers");
-    let sides = links.sides(&e);
+    let sides = links.sides(&experiment);
     assert_eq!(sides.iter().max(), Some(&5));
     assert!(sides[0] == sides[3] && sides[0] != sides[6] && sides[0] != sides[1]);
 }
--- a/platform-model/src/origin/tests.rs
+++ b/platform-model/src/origin/tests.rs
@@ -3,11 +3,11 @@
 use super::*;
 use crate::rng::{seeded_rng, RngStream};
 
-fn run_requests(rate: u64, seconds: u64, slow: f64) -> (Origin, Vec<Outcome>) {
+fn run_requests(rate: u64, seconds: u64, slowdown: f64) -> (Origin, Vec<Outcome>) {
     let mut origin = Origin::new(OriginModel { capacity: 100.0, ..OriginModel::default() });
     let mut rng = seeded_rng(1, RngStream::Machines);
-    origin.set_slowdown(slow);
-    let all = (0..rate * seconds)
+    origin.set_slowdown(slowdown);
+    let outcomes = (0..rate * seconds)
         .map(|n| {
             let now = n * MICROS_PER_SECOND / rate;
             let request = OriginRequest {
@@ -18,31 +18,31 @@
             origin.on_request(now, request, &mut rng)
         })
         .collect();
-    (origin, all)
+    (origin, outcomes)
 }
 
-fn runs(all: &[Outcome]) -> usize {
-    all.iter().filter(|o| matches!(o, Outcome::Runs { .. })).count()
+fn count_executed(outcomes: &[Outcome]) -> usize {
+    outcomes.iter().filter(|outcome| matches!(outcome, Outcome::Runs { .. })).count()
 }
 
 #[test]
-fn origin_runs_its_capacity_and_rejects_the_rest() {
-    assert_eq!(runs(&run_requests(60, 10, 1.0).1), 600);
-    let (origin, all) = run_requests(200, 10, 1.0);
-    assert!((900..1_200).contains(&runs(&all)), "{}", runs(&all));
-    assert!(origin.stops.is_empty() && all.contains(&Outcome::Rejected));
-    assert!(runs(&run_requests(200, 10, 4.0).1) < 350, "a slowed origin runs fewer requests");
+fn requests_beyond_the_capacity_are_rejected() {
+    assert_eq!(count_executed(&run_requests(60, 10, 1.0).1), 600);
+    let (origin, outcomes) = run_requests(200, 10, 1.0);
+    assert!((900..1_200).contains(&count_executed(&outcomes)), "{}", count_executed(&outcomes));
+    assert!(origin.stops.is_empty() && outcomes.contains(&Outcome::Rejected));
+    assert!(count_executed(&run_requests(200, 10, 4.0).1) < 350, "a slowed origin runs fewer requests");
 }
 
 #[test]
-fn overload_stops_the_origin_and_the_slow_start_share_is_noted() {
-    let (origin, all) = run_requests(300, 4, 1.0);
+fn overload_stops_the_origin_and_records_the_slow_start_share() {
+    let (origin, outcomes) = run_requests(300, 4, 1.0);
     assert_eq!(origin.stops.len(), 1);
-    assert!((origin.stops[0].1 - 0.25).abs() < 0.01 && all.contains(&Outcome::Stopped));
+    assert!((origin.stops[0].1 - 0.25).abs() < 0.01 && outcomes.contains(&Outcome::Stopped));
 }
 
 #[test]
-fn repeat_of_a_write_with_an_idempotency_key_runs_once() {
+fn repeated_write_with_an_idempotency_key_is_executed_once() {
     let (mut origin, _) = run_requests(1, 1, 1.0);
     let mut rng = seeded_rng(1, RngStream::Machines);
     let mut write = |now| {
--- a/platform-model/src/reader/tests.rs
+++ b/platform-model/src/reader/tests.rs
@@ -7,10 +7,18 @@
                          [load]\nrate = 100\nkeys = 200\n";
 
 #[test]
-fn file_is_read_and_values_are_set_over_it() {
-    let set = ["load.rate=300", "seed=7", "fleet.program=x/y", "origin.capacity=55"].map(String::from);
-    let e = read(VALID_EXPERIMENT, &set).unwrap();
-    assert_eq!((e.load.rate, e.seed, e.fleet.program.as_str(), e.origin.capacity), (300.0, 7, "x/y", 55.0));
+fn overrides_replace_values_of_the_file() {
+    let overrides = ["load.rate=300", "seed=7", "fleet.program=x/y", "origin.capacity=55"].map(String::from);
+    let experiment = read(VALID_EXPERIMENT, &overrides).unwrap();
+    assert_eq!(
+        (
+            experiment.load.rate,
+            experiment.seed,
+            experiment.fleet.program.as_str(),
+            experiment.origin.capacity
+        ),
+        (300.0, 7, "x/y", 55.0)
+    );
     assert_eq!(read(VALID_EXPERIMENT, &[]).unwrap().fleet.weights, [1.0]);
     assert!(read(VALID_EXPERIMENT, &["rate".into()]).unwrap_err()[0].description.contains("path=value"));
 }
--- a/platform-model/src/schedule/tests.rs
+++ b/platform-model/src/schedule/tests.rs
@@ -5,24 +5,24 @@
 use crate::MICROS_PER_SECOND;
 
 #[test]
-fn faults_become_changes_in_order_and_the_same_for_a_seed() {
+fn changes_are_in_order_and_repeat_for_the_same_seed() {
     let text = "[[fault]]\nat = 9\nfor = 2\nwhat = \"drain\"\nwho = \"hosts:1\"\n\
         [[fault]]\nat = 3\nwhat = \"roll\"\nwho = \"balancers\"\nshare = 0.4\nevery = 2\n\
         [[fault]]\nat = 1\nfor = 2.5\nwhat = \"flap\"\nwho = \"hosts:30%\"\nevery = 1\n";
-    let e = read(&format!("{VALID_EXPERIMENT}{text}"), &[]).unwrap();
-    let steps = schedule(&e).steps;
-    assert_eq!(steps, schedule(&e).steps);
+    let experiment = read(&format!("{VALID_EXPERIMENT}{text}"), &[]).unwrap();
+    let steps = schedule(&experiment).steps;
+    assert_eq!(steps, schedule(&experiment).steps);
     let at: Vec<Micros> = steps.iter().map(|step| step.at / 100_000).collect();
     assert_eq!(at, [10, 20, 30, 30, 30, 35, 50, 50, 70, 70, 90, 110]);
-    let ended: Vec<usize> = steps
+    let terminated: Vec<usize> = steps
         .iter()
         .filter_map(|step| match &step.change {
-            Change::Term(who) => Some(who.clone()),
+            Change::Term(balancers) => Some(balancers.clone()),
             _ => None,
         })
         .flatten()
         .collect();
-    let mut sorted = ended.clone();
+    let mut sorted = terminated.clone();
     sorted.sort_unstable();
     assert_eq!(sorted, (0..10).collect::<Vec<_>>(), "a roll stops each process once");
     assert_eq!(steps.last().unwrap().change, Change::Restart(vec![1]));
