--- a/platform-model/src/cache_server.rs
+++ b/platform-model/src/cache_server.rs
@@ -198,9 +198,9 @@
     }
 
     fn remove_completed(&mut self, now: Micros) {
-        for times in [&mut self.waiting_until, &mut self.in_flight_until] {
-            while times.front().is_some_and(|at| *at <= now) {
-                times.pop_front();
+        for end_times in [&mut self.waiting_until, &mut self.in_flight_until] {
+            while end_times.front().is_some_and(|at| *at <= now) {
+                end_times.pop_front();
             }
         }
     }
--- a/platform-model/src/checker/limits.rs
+++ b/platform-model/src/checker/limits.rs
@@ -1,5 +1,6 @@
 //! Usage of the fleet-wide limits, counted at the receivers: fetches at the origin, attempts at servers in slow
-//! start, and retries. The peak of a limit is taken over any interval of one second, not over calendar seconds.
+//! start, and retries. The peak of a limit is taken over any interval of one second, not over seconds of
+//! the clock.
 
 #[cfg(test)]
 mod tests;
@@ -28,7 +29,8 @@
     pub limit: LimitUsage,
 }
 
-/// Computes the usage of the limit `origin`: fetches in any second, relative to the origin's capacity.
+/// Computes the usage of the limit `origin`: fetches in any second, relative to the limit that the program states, or
+/// to the origin's capacity if the program states none.
 pub fn origin_usage(event_log: &EventLog, terms: &CheckTerms) -> OriginUsage {
     let is_fetch =
         |attempt: &&Attempt| attempt.receiver == Receiver::Origin && terms.is_measured(attempt.received_at);
@@ -63,7 +65,7 @@
     used: f64,
     /// Fetches that were answered and whose request was served in time.
     useful: f64,
-    /// Calendar seconds in which usage exceeded the limit, whatever the demand.
+    /// Seconds of the clock in which usage exceeded the limit, whatever the demand.
     seconds_over: u64,
 }
 
@@ -198,9 +200,9 @@
 /// Times at which the clients' first requests were sent, in order.
 fn first_request_times(event_log: &EventLog) -> Vec<Micros> {
     let first_requests = event_log.requests.iter().filter(|request| request.is_first());
-    let mut times: Vec<Micros> = first_requests.map(|request| request.sent_at).collect();
-    times.sort_unstable();
-    times
+    let mut sent_at: Vec<Micros> = first_requests.map(|request| request.sent_at).collect();
+    sent_at.sort_unstable();
+    sent_at
 }
 
 /// Times at which measured retries arrived, in order: attempts after their request's first that do not follow a miss.
@@ -209,19 +211,19 @@
     attempts.sort_by_key(|attempt| attempt.received_at);
     // By request: whether any of its attempts so far was a miss.
     let mut missed_so_far: HashMap<u64, bool> = HashMap::new();
-    let mut times = Vec::new();
+    let mut received_at = Vec::new();
     for attempt in attempts {
         let is_miss = attempt.result == AttemptResult::Miss;
         if let Some(missed) = missed_so_far.get_mut(&attempt.id) {
             if !*missed && terms.is_measured(attempt.received_at) {
-                times.push(attempt.received_at);
+                received_at.push(attempt.received_at);
             }
             *missed |= is_miss;
         } else {
             missed_so_far.insert(attempt.id, is_miss);
         }
     }
-    times
+    received_at
 }
 
 /// Demand for the origin in each second: requested writes, reads that missed at a server or went to the origin, and
--- a/platform-model/src/checker/rules.rs
+++ b/platform-model/src/checker/rules.rs
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Whether a fault had killed or frozen the balancer's process while the request was open. Such a request counts
-    /// as lost, but violates no rule.
+    /// Whether the balancer's process was killed or frozen by a fault at any time while the request was open. Such a
+    /// request counts as lost, but violates no rule.
     fn is_excused(&self, request: &ClientRequest) -> bool {
         let until = request.deadline + self.terms.tolerance;
         self.event_log
@@ -159,19 +159,19 @@
     /// Upper bound of the time for which the balancer's process was stalled while the request was open.
     fn stalled_time(&self, request: &ClientRequest, until: Micros) -> Micros {
         let stalls = self.event_log.process_stalls.iter();
-        let near = stalls.filter(|stall| {
+        let overlapping = stalls.filter(|stall| {
             stall.balancer == request.balancer && stall.from <= until && stall.to >= request.sent_at
         });
-        near.map(|stall| stall.to - stall.from).sum()
+        overlapping.map(|stall| stall.to - stall.from).sum()
     }
 
     fn check_deadline(&self, request: &ClientRequest, due: Micros) -> Option<Finding> {
         let ended_at = request.ended_at?;
         // The program is not charged for delays of the testbed itself, up to a second before and after the request.
-        let near = |stall: &&(Micros, Micros)| {
+        let is_near = |stall: &&(Micros, Micros)| {
             stall.0 + MICROS_PER_SECOND >= request.sent_at && stall.0 <= due + MICROS_PER_SECOND
         };
-        let stalls = self.event_log.testbed_stalls.iter().filter(near);
+        let stalls = self.event_log.testbed_stalls.iter().filter(is_near);
         let testbed_stall = stalls.map(|(_, lateness)| *lateness).max().unwrap_or(0);
         let stall = testbed_stall + self.stalled_time(request, due);
         let late = ended_at.checked_sub(due + stall).filter(|late| *late > 0)?;
