--- a/platform-model/src/cache_server.rs
+++ b/platform-model/src/cache_server.rs
@@ -207,7 +207,7 @@
 
     /// Maximum number of requests that run or wait at the same time.
     fn max_in_flight(&self) -> usize {
-        (self.cores * self.model.slots as f64) as usize + self.model.queue
+        (self.cores * self.model.slots_per_core as f64) as usize + self.model.max_waiting
     }
 
     fn look_up_key(&mut self, now: Micros, key: u64) -> Answer {
@@ -220,7 +220,7 @@
 
     /// Draws the work of a request, as time on a whole core.
     fn draw_work(&self, answer: Answer, capacity_share: f64, rng: &mut SeededRng) -> Micros {
-        let work_ratio = if answer == Answer::Hit { 1.0 } else { self.model.miss };
+        let work_ratio = if answer == Answer::Hit { 1.0 } else { self.model.miss_work_ratio };
         let noise: f64 = Exp1.sample(rng);
         // Half of the work is fixed, the other half varies.
         let noise_factor = 0.5 + 0.5 * noise.min(MAX_WORK_NOISE_FACTOR);
--- a/platform-model/src/check/faults.rs
+++ b/platform-model/src/check/faults.rs
@@ -66,14 +66,18 @@
         if fault.share.is_some_and(|share| !(share > 0.0 && share <= 1.0)) {
             self.add("share", "must be a share over 0 and up to 1");
         }
-        let non_negative_fields =
-            [("ms", fault.ms), ("jitter", fault.jitter), ("back", fault.back), ("seconds", fault.seconds)];
+        let non_negative_fields = [
+            ("ms", fault.ms),
+            ("jitter", fault.jitter),
+            ("back", fault.back),
+            ("seconds", fault.max_notice_delay_s),
+        ];
         for (field, value) in non_negative_fields {
             if value.is_some_and(|value| value.is_nan() || value < 0.0) {
                 self.add(field, "must be a number of at least 0");
             }
         }
-        for (field, value) in [("times", fault.times), ("every", fault.every)] {
+        for (field, value) in [("times", fault.slowdown_factor), ("every", fault.step_s)] {
             if value.is_some_and(|value| value.is_nan() || value <= 0.0) {
                 self.add(field, "must be a number over 0");
             }
@@ -127,10 +131,10 @@
         ("share", fault.share.is_some()),
         ("ms", fault.ms.is_some()),
         ("jitter", fault.jitter.is_some()),
-        ("times", fault.times.is_some()),
+        ("times", fault.slowdown_factor.is_some()),
         ("back", fault.back.is_some()),
-        ("every", fault.every.is_some()),
-        ("seconds", fault.seconds.is_some()),
+        ("every", fault.step_s.is_some()),
+        ("seconds", fault.max_notice_delay_s.is_some()),
     ]
 }
 
--- a/platform-model/src/experiment.rs
+++ b/platform-model/src/experiment.rs
@@ -158,7 +158,8 @@
     #[serde(rename = "for")]
     pub lasts: f64,
     /// Factor by which the rate is multiplied.
-    pub times: f64,
+    #[serde(rename = "times")]
+    pub rate_factor: f64,
 }
 
 /// How clients react to answers.
@@ -172,12 +173,13 @@
     /// The share of clients that honour Retry-After.
     pub honour: f64,
     /// The share of first requests whose client disconnects after a tenth of its deadline.
-    pub impatient: f64,
+    #[serde(rename = "impatient")]
+    pub impatient_share: f64,
 }
 
 impl Default for Clients {
     fn default() -> Clients {
-        Clients { retries: 2, backoff_ms: 100.0, honour: 0.9, impatient: 0.0 }
+        Clients { retries: 2, backoff_ms: 100.0, honour: 0.9, impatient_share: 0.0 }
     }
 }
 
@@ -189,11 +191,14 @@
     /// Mean work of a hit on one core, in milliseconds.
     pub work_ms: f64,
     /// Ratio of a miss's work to a hit's.
-    pub miss: f64,
+    #[serde(rename = "miss")]
+    pub miss_work_ratio: f64,
     /// Requests that a server admits for each core, in addition to `queue`.
-    pub slots: usize,
+    #[serde(rename = "slots")]
+    pub slots_per_core: usize,
     /// Maximum number of requests that may wait for a core.
-    pub queue: usize,
+    #[serde(rename = "queue")]
+    pub max_waiting: usize,
     /// Ratio of the keys that all servers together can cache to all keys.
     pub keep: f64,
     /// The share of its capacity with which a server begins its slow start.
@@ -214,9 +219,9 @@
     fn default() -> CacheServers {
         CacheServers {
             work_ms: 20.0,
-            miss: 0.45,
-            slots: 8,
-            queue: 200,
+            miss_work_ratio: 0.45,
+            slots_per_core: 8,
+            max_waiting: 200,
             keep: 3.0,
             cold_from: 0.35,
             cold_s: 6.0,
--- a/platform-model/src/experiment/fault.rs
+++ b/platform-model/src/experiment/fault.rs
@@ -95,15 +95,15 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub jitter: Option<f64>,
     /// Factor by which the work of servers or the origin takes longer.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub times: Option<f64>,
+    #[serde(rename = "times", default, skip_serializing_if = "Option::is_none")]
+    pub slowdown_factor: Option<f64>,
     /// For a killed or terminated process: seconds until it is started again; without it the process stays down.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub back: Option<f64>,
     /// For a roll or a flapping server: seconds from one step to the next.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub every: Option<f64>,
+    #[serde(rename = "every", default, skip_serializing_if = "Option::is_none")]
+    pub step_s: Option<f64>,
     /// For late lists: the maximum delay in seconds.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub seconds: Option<f64>,
+    #[serde(rename = "seconds", default, skip_serializing_if = "Option::is_none")]
+    pub max_notice_delay_s: Option<f64>,
 }
--- a/platform-model/src/schedule.rs
+++ b/platform-model/src/schedule.rs
@@ -116,14 +116,14 @@
             | FaultKind::Spoil => self.begin_and_end(Change::Links(true), Change::Links(false)),
             FaultKind::Kill | FaultKind::Term | FaultKind::Freeze | FaultKind::Roll => self.process_changes(),
             FaultKind::OriginSlow => {
-                let factor = self.fault.times.unwrap_or(1.0);
+                let factor = self.fault.slowdown_factor.unwrap_or(1.0);
                 self.begin_and_end(Change::OriginSlow(factor), Change::OriginSlow(1.0))
             }
             FaultKind::DiscoveryDown => {
                 self.begin_and_end(Change::DiscoveryDown(true), Change::DiscoveryDown(false))
             }
             FaultKind::ListLate => {
-                let max_delay = micros_from_seconds(self.fault.seconds.unwrap_or(0.0));
+                let max_delay = micros_from_seconds(self.fault.max_notice_delay_s.unwrap_or(0.0));
                 self.begin_and_end(Change::ListLate(max_delay), Change::ListLate(0))
             }
             _ => self.server_changes(),
@@ -142,7 +142,7 @@
 
     fn server_changes(&self) -> TimedChanges {
         let servers = || self.targets.servers.clone();
-        let factor = self.fault.times.unwrap_or(1.0);
+        let factor = self.fault.slowdown_factor.unwrap_or(1.0);
         let share = self.fault.share.unwrap_or(1.0);
         match self.fault.what {
             FaultKind::Silent => {
@@ -172,7 +172,7 @@
     }
 
     fn step_interval(&self) -> Micros {
-        micros_from_seconds(self.fault.every.unwrap_or(DEFAULT_STEP_S))
+        micros_from_seconds(self.fault.step_s.unwrap_or(DEFAULT_STEP_S))
     }
 
     /// A change at the start of the fault, and one at its end unless it lasts to the end of the run.
--- a/platform-model/src/workload.rs
+++ b/platform-model/src/workload.rs
@@ -70,7 +70,7 @@
 impl<'a> Workload<'a> {
     fn new(experiment: &'a Experiment) -> Workload<'a> {
         let load = &experiment.load;
-        let max_burst_factor = load.burst.iter().map(|burst| burst.times).fold(1.0, f64::max);
+        let max_burst_factor = load.burst.iter().map(|burst| burst.rate_factor).fold(1.0, f64::max);
         Workload {
             experiment,
             rng: seeded_rng(experiment.seed, RngStream::Load),
@@ -116,7 +116,7 @@
         let key = self.draw_key();
         let write = self.rng.random::<f64>() < self.experiment.load.writes;
         let patience = MIN_PATIENT_WAIT_SHARE + PATIENT_WAIT_SHARE_RANGE * self.rng.random::<f64>();
-        let is_impatient = self.rng.random::<f64>() < self.experiment.clients.impatient;
+        let is_impatient = self.rng.random::<f64>() < self.experiment.clients.impatient_share;
         Arrival {
             at,
             balancer: draw_balancer(self.experiment, &mut self.rng),
@@ -156,7 +156,7 @@
 fn rate_at(load: &Load, now_s: f64, seconds: f64) -> f64 {
     let ramp = 1.0 + (load.ramp - 1.0) * (now_s / seconds).clamp(0.0, 1.0);
     let bursts = load.burst.iter().filter(|burst| (burst.at..burst.at + burst.lasts).contains(&now_s));
-    load.rate * ramp * bursts.map(|burst| burst.times).product::<f64>()
+    load.rate * ramp * bursts.map(|burst| burst.rate_factor).product::<f64>()
 }
 
 /// Draws the balancer of a first request; those with the lowest numbers receive the given share of an uneven load.
