--- a/platform-model/src/checker.rs
+++ b/platform-model/src/checker.rs
@@ -138,7 +138,7 @@
 /// client's first request and its retries count as one request, sent with the first.
 fn service(event_log: &EventLog, terms: &CheckTerms) -> f64 {
     let first_requests = first_requests(event_log);
-    let (mut asked, mut served) = (0.0, 0.0);
+    let (mut requested_weight, mut served_weight) = (0.0, 0.0);
     for request in &event_log.requests {
         let first = first_requests.get(&request.first_id);
         let Some(first) = first.filter(|first| terms.is_measured(first.planned_at)) else {
@@ -146,15 +146,15 @@
         };
         let class = terms.class(request.write);
         if request.is_first() {
-            asked += class.priority_weight;
+            requested_weight += class.priority_weight;
         }
         let latest = first.sent_at + class.latency_objective + terms.tolerance;
         if request.result == RequestResult::Served && request.ended_at.is_some_and(|at| at <= latest) {
-            served += class.priority_weight;
+            served_weight += class.priority_weight;
         }
     }
-    if asked > 0.0 {
-        served / asked
+    if requested_weight > 0.0 {
+        served_weight / requested_weight
     } else {
         1.0
     }
--- a/platform-model/src/group.rs
+++ b/platform-model/src/group.rs
@@ -21,7 +21,7 @@
     pub discovery: bool,
 }
 
-/// An error in a group's text; the message names what would be valid.
+/// An error in a group's text. The message names the valid forms or numbers where they are known.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum GroupError {
     /// The fleet has no member of the kind.
