--- a/platform-model/src/checker/failure_detection.rs
+++ b/platform-model/src/checker/failure_detection.rs
@@ -1,5 +1,5 @@
-//! How soon the whole fleet acts on a server that falls silent: from the change to the last send of each balancer that
-//! the change should have stopped, what was lost meanwhile, and when the server is used again.
+//! How soon the whole fleet acts on a server that stops answering: the time from the change to each balancer's last
+//! attempt at the server, the attempts lost in between, and the time until the server is used again.
 
 #[cfg(test)]
 mod tests;
@@ -12,13 +12,13 @@
 use crate::summary::FailureDetection;
 use crate::{Micros, MICROS_PER_SECOND};
 
-/// A server is avoided once it gets less than this share of its fair part, second for second until it is back.
-const AVOIDED_BELOW_SHARE: f64 = 0.1;
-/// A server that is back is used again once it gets this share of its fair part in a second.
-const USED_AGAIN_SHARE: f64 = 0.5;
+/// A server is avoided once it receives less than this ratio of its fair share in every second until its return.
+const AVOIDED_BELOW_LOAD_RATIO: f64 = 0.1;
+/// A server that has returned is used again once it receives this ratio of its fair share in a second.
+const USED_AGAIN_MIN_LOAD_RATIO: f64 = 0.5;
 
-/// The figures of all changes that should have stopped sends: servers that fell silent for more than a second.
-/// `server_loads` has the attempts of each server in each second, over its fair part.
+/// Computes the figures over all servers that were silent for more than a second. `server_loads` holds the attempts
+/// at each server in each second, divided by its fair share.
 pub fn failure_detection(
     event_log: &EventLog,
     terms: &CheckTerms,
@@ -26,7 +26,7 @@
 ) -> FailureDetection {
     let silences = silences(event_log, terms);
     let loads = ServerLoads { measured_from: terms.measured_from, by_server: server_loads };
-    let mut last_sends = last_sends(event_log, &silences);
+    let mut last_attempt_delays = last_attempt_delays(event_log, &silences);
     let avoided_after = |silence: &&ImpairedSpan| loads.avoided_after(silence, terms);
     let mut avoided: Vec<Micros> = silences.iter().filter_map(avoided_after).collect();
     let used_again_after = |silence: &&ImpairedSpan| loads.used_again_after(silence, terms);
@@ -34,48 +34,48 @@
     let stated = terms.stated.and_then(|stated| stated.failure_detection);
     FailureDetection {
         bound_ms: stated.map(|stated| millis(stated.reaction_time)),
-        spread_p50_ms: percentile_ms(&mut last_sends, 0.5),
-        spread_p99_ms: percentile_ms(&mut last_sends, 0.99),
+        spread_p50_ms: percentile_ms(&mut last_attempt_delays, 0.5),
+        spread_p99_ms: percentile_ms(&mut last_attempt_delays, 0.99),
         stale_bound_ms: stated.map(|stated| millis(stated.report_expiry)),
         stale_max_ms: None,
         wrongly_avoided: 0,
-        lost_sends: lost_sends(event_log, terms),
+        lost_sends: count_lost_attempts(event_log, terms),
         avoided_ms: percentile_ms(&mut avoided, 1.0),
         used_again_ms: percentile_ms(&mut used_again, 1.0),
     }
 }
 
-/// The measured silences of servers that last longer than a second.
+/// The silences of servers that began in the measured time and lasted longer than a second.
 fn silences<'a>(event_log: &'a EventLog, terms: &CheckTerms) -> Vec<&'a ImpairedSpan> {
-    let counts = |span: &&ImpairedSpan| {
+    let is_relevant = |span: &&ImpairedSpan| {
         span.impairment == Impairment::Silent
             && terms.is_measured(span.from)
             && span.to.is_none_or(|to| to > span.from + MICROS_PER_SECOND)
     };
-    event_log.server_impairments.iter().filter(counts).collect()
+    event_log.server_impairments.iter().filter(is_relevant).collect()
 }
 
-/// For each silence and each balancer that sent to the server meanwhile, the time from the change to its last send.
-fn last_sends(event_log: &EventLog, silences: &[&ImpairedSpan]) -> Vec<Micros> {
-    let mut last: HashMap<(usize, u32), Micros> = HashMap::new();
+/// For each silence and each balancer that sent to the server during it, the time from its start to the last attempt.
+fn last_attempt_delays(event_log: &EventLog, silences: &[&ImpairedSpan]) -> Vec<Micros> {
+    let mut last_delays: HashMap<(usize, u32), Micros> = HashMap::new();
     for attempt in &event_log.attempts {
         for (number, silence) in silences.iter().enumerate() {
-            if is_sent_during(attempt, silence) {
-                last.insert((number, attempt.balancer), attempt.received_at - silence.from);
+            if is_received_during(attempt, silence) {
+                last_delays.insert((number, attempt.balancer), attempt.received_at - silence.from);
             }
         }
     }
-    last.into_values().collect()
+    last_delays.into_values().collect()
 }
 
-fn is_sent_during(attempt: &Attempt, silence: &ImpairedSpan) -> bool {
+fn is_received_during(attempt: &Attempt, silence: &ImpairedSpan) -> bool {
     attempt.receiver == Receiver::CacheServer(silence.number)
         && attempt.received_at > silence.from
         && silence.to.is_none_or(|to| attempt.received_at < to)
 }
 
-/// Measured attempts that no server answered, or that a cut link swallowed.
-fn lost_sends(event_log: &EventLog, terms: &CheckTerms) -> u64 {
+/// The number of measured attempts that a server did not answer or a cut link did not deliver.
+fn count_lost_attempts(event_log: &EventLog, terms: &CheckTerms) -> u64 {
     let measured = |attempt: &&Attempt| terms.is_measured(attempt.received_at);
     let unanswered = event_log
         .attempts
@@ -93,30 +93,32 @@
     (!values.is_empty()).then(|| millis(percentile(values, share)))
 }
 
-/// The attempts of each server in each measured second, over its fair part.
+/// The attempts at each server in each measured second, divided by its fair share.
 struct ServerLoads<'a> {
     measured_from: Micros,
     by_server: &'a [Vec<f64>],
 }
 
 impl ServerLoads<'_> {
-    /// How long after the change the server is avoided for good, to a second; never counts as the whole silence.
+    /// Time from the start of the silence until the server is avoided to its end, in whole seconds; the whole silence
+    /// if it is never avoided.
     fn avoided_after(&self, silence: &ImpairedSpan, terms: &CheckTerms) -> Option<Micros> {
         let end = silence.to.unwrap_or(terms.measured_until).min(terms.measured_until);
         let first = (silence.from - self.measured_from).div_ceil(MICROS_PER_SECOND) as usize;
         let last = ((end - self.measured_from) / MICROS_PER_SECOND) as usize;
         let loads = self.by_server.get(silence.number as usize)?.get(first..last)?;
-        let seconds_used = loads.iter().rposition(|load| *load >= AVOIDED_BELOW_SHARE).map_or(0, |at| at + 1);
+        let seconds_used =
+            loads.iter().rposition(|load| *load >= AVOIDED_BELOW_LOAD_RATIO).map_or(0, |at| at + 1);
         Some(seconds_used as Micros * MICROS_PER_SECOND)
     }
 
-    /// How long after its return the server is used again; never counts as until the end.
+    /// Time from the server's return until it is used again; the remaining measured time if it is never used again.
     fn used_again_after(&self, silence: &ImpairedSpan, terms: &CheckTerms) -> Option<Micros> {
-        let back_at = silence.to?;
-        let first = back_at.checked_sub(self.measured_from)?.div_ceil(MICROS_PER_SECOND) as usize;
+        let returned_at = silence.to?;
+        let first = returned_at.checked_sub(self.measured_from)?.div_ceil(MICROS_PER_SECOND) as usize;
         let loads = self.by_server.get(silence.number as usize)?.get(first..)?;
-        let used_at = loads.iter().position(|load| *load >= USED_AGAIN_SHARE);
-        let until_end = terms.measured_until.saturating_sub(back_at);
+        let used_at = loads.iter().position(|load| *load >= USED_AGAIN_MIN_LOAD_RATIO);
+        let until_end = terms.measured_until.saturating_sub(returned_at);
         Some(used_at.map_or(until_end, |second| (second as Micros + 1) * MICROS_PER_SECOND))
     }
 }
--- a/platform-model/src/reader.rs
+++ b/platform-model/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads an experiment's file: its form, the values set over it, and the checks beyond the form.
+//! Reads an experiment file: parses it, applies overrides, and checks the result.
 
 #[cfg(test)]
 pub(crate) mod tests;
@@ -6,29 +6,31 @@
 use crate::check::find_problems;
 use crate::experiment::{Experiment, FileProblem};
 
-/// Why a value cannot be set over a file's.
+/// The reason why an override of a file's value is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OverrideError {
-    /// It has no equals sign.
-    #[error("--set {0}: write it as path=value, as in load.rate=300")]
-    NoValue(String),
-    /// Its path leads through something that is no table.
-    #[error("--set {text}: {name} is no table")]
-    NoTable {
-        /// What was to be set.
+    /// The override has no equals sign.
+    #[error("--set {0}: the value is missing; write path=value, for example load.rate=300")]
+    MissingValue(String),
+    /// A parent on the path is not a table.
+    #[error("--set {text}: {name} is not a table")]
+    NotATable {
+        /// The override's text.
         text: String,
-        /// The name on its path.
+        /// The name of the parent on the path.
         name: String,
     },
 }
 
-/// Reads a file's text with these values set over it (`load.rate=300`), and checks it.
+/// Reads a file's text, applies overrides such as `load.rate=300`, and checks the result.
 ///
 /// # Errors
-/// All that is wrong, at least one problem.
+/// All problems found, at least one.
 pub fn read(text: &str, overrides: &[String]) -> Result<Experiment, Vec<FileProblem>> {
-    let from_file: Experiment = toml::from_str(text).map_err(|error| vec![parse_problem(text, &error)])?;
-    let experiment = if overrides.is_empty() { from_file } else { read_overridden(text, overrides)? };
+    let without_overrides: Experiment =
+        toml::from_str(text).map_err(|error| vec![parse_problem(text, &error)])?;
+    let experiment =
+        if overrides.is_empty() { without_overrides } else { read_with_overrides(text, overrides)? };
     let problems = find_problems(&experiment, text);
     if problems.is_empty() {
         Ok(experiment)
@@ -37,7 +39,7 @@
     }
 }
 
-fn read_overridden(text: &str, overrides: &[String]) -> Result<Experiment, Vec<FileProblem>> {
+fn read_with_overrides(text: &str, overrides: &[String]) -> Result<Experiment, Vec<FileProblem>> {
     let mut table: toml::Table =
         toml::from_str(text).map_err(|error| vec![FileProblem::of_file(error.message())])?;
     for text in overrides {
@@ -47,30 +49,30 @@
     table.try_into().map_err(problem)
 }
 
-/// Sets one value, given as `path=value`, in a file's table.
+/// Applies one override, given as `path=value`, to a file's table.
 fn override_value(table: &mut toml::Table, text: &str) -> Result<(), OverrideError> {
-    let (path, value) = text.split_once('=').ok_or_else(|| OverrideError::NoValue(text.to_owned()))?;
+    let (path, value) = text.split_once('=').ok_or_else(|| OverrideError::MissingValue(text.to_owned()))?;
     let (parents, name) = match path.trim().rsplit_once('.') {
         Some((parents, name)) => (Some(parents), name),
         None => (None, path.trim()),
     };
     let mut table = table;
     for parent in parents.into_iter().flat_map(|parents| parents.split('.')) {
-        let inner = table.entry(parent).or_insert_with(|| toml::Value::Table(toml::Table::new()));
-        table = inner
+        let child = table.entry(parent).or_insert_with(|| toml::Value::Table(toml::Table::new()));
+        table = child
             .as_table_mut()
-            .ok_or_else(|| OverrideError::NoTable { text: text.to_owned(), name: parent.to_owned() })?;
+            .ok_or_else(|| OverrideError::NotATable { text: text.to_owned(), name: parent.to_owned() })?;
     }
     let value = match (table.get(name), parse_value(value)) {
-        // A rate given as 300 stays a number with a fraction where the file has one.
-        (Some(toml::Value::Float(_)), toml::Value::Integer(whole)) => toml::Value::Float(whole as f64),
+        // An integer such as 300 becomes a float if the file has a float there.
+        (Some(toml::Value::Float(_)), toml::Value::Integer(integer)) => toml::Value::Float(integer as f64),
         (_, value) => value,
     };
     table.insert(name.to_owned(), value);
     Ok(())
 }
 
-/// A value of TOML; what is none is a plain word.
+/// Parses a TOML value; text that is not one becomes a string.
 fn parse_value(text: &str) -> toml::Value {
     let table = toml::from_str::<toml::Table>(&format!("x = {text}"));
     let value = table.ok().and_then(|mut table| table.remove("x"));
--- a/platform-model/src/schedule.rs
+++ b/platform-model/src/schedule.rs
@@ -1,4 +1,4 @@
-//! An experiment's faults as values on a schedule: what changes when, and for whom.
+//! Compiles an experiment's faults to a schedule of changes with their times and targets.
 
 #[cfg(test)]
 mod tests;
@@ -11,63 +11,63 @@
 use crate::rng::{mix_bits, seeded_rng, RngStream};
 use crate::{micros_from_seconds, Micros};
 
-/// The time from one step of a roll or a flapping server to the next, in seconds, where the file does not say it.
+/// Seconds from one step of a roll or a flapping server to the next, if the file does not set it.
 const DEFAULT_STEP_S: f64 = 1.0;
 
-/// One change of the platform.
+/// A change of the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// The links of this fault become faulty, or are healthy again.
+    /// The links of this fault become faulty, or healthy again.
     Links(bool),
     /// Processes are killed.
     Kill(Vec<usize>),
-    /// Processes are told to end.
+    /// Processes are told to shut down.
     Term(Vec<usize>),
-    /// Processes start again, as soon as they have ended.
+    /// Processes start again, once they have exited.
     Start(Vec<usize>),
-    /// Processes stop where they are.
+    /// Processes are frozen.
     Freeze(Vec<usize>),
-    /// Processes go on.
+    /// Processes resume.
     Thaw(Vec<usize>),
-    /// Servers do not answer, or do again.
+    /// Servers stop answering, or answer again.
     Silent(Vec<usize>, bool),
-    /// Servers take so many times as long.
+    /// Servers take this factor longer for each request.
     Slow(Vec<usize>, f64),
     /// Servers fail this share of their requests.
     Failing(Vec<usize>, f64),
     /// Servers drain.
     Drain(Vec<usize>),
-    /// Servers end.
+    /// Servers terminate.
     Gone(Vec<usize>),
-    /// Servers start anew, in slow start and with nothing cached.
+    /// Servers restart, in slow start and with empty caches.
     Restart(Vec<usize>),
-    /// Other servers start at the addresses of these.
+    /// The servers are replaced by others at the same addresses.
     Replace(Vec<usize>),
-    /// The origin takes so many times as long.
+    /// The origin takes this factor longer for each request.
     OriginSlow(f64),
-    /// Discovery is down, or up again.
+    /// Discovery goes down, or comes up again.
     DiscoveryDown(bool),
-    /// Discovery notifies each balancer later, up to this.
+    /// Discovery delays its notices to each balancer by up to this time.
     ListLate(Micros),
 }
 
-/// A change at its time.
+/// A change with its time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// When, from the experiment's beginning.
+    /// Time of the change, from the experiment's beginning.
     pub at: Micros,
-    /// The number of the fault that it belongs to, from 0.
+    /// Number of the fault that causes the change, from 0.
     pub fault: usize,
-    /// What changes.
+    /// The change.
     pub change: Change,
 }
 
-/// What an experiment's faults come to.
+/// The compiled faults of an experiment.
 #[derive(Clone, Debug, Default)]
 pub struct Schedule {
-    /// All changes, in order.
+    /// All changes, in order of time.
     pub steps: Vec<Step>,
-    /// The links with their faults, none active.
+    /// The links with their faults, all inactive.
     pub links: Links,
 }
 
@@ -76,15 +76,15 @@
     let mut rng = seeded_rng(experiment.seed, RngStream::Groups);
     let mut schedule = Schedule::default();
     for (number, fault) in experiment.fault.iter().enumerate() {
-        // A checked file has groups that name somebody.
-        let mut members =
+        // The groups of a checked file are valid and have members.
+        let mut group_members =
             |text: &String| resolve_group(text, &experiment.fleet, &mut rng).unwrap_or_default();
         if let Some([first, second]) = &fault.between {
-            let from = members(first);
-            let to = members(second);
+            let from = group_members(first);
+            let to = group_members(second);
             schedule.links.add_fault(number, fault, from, to);
         }
-        let targets = fault.who.as_ref().map(members).unwrap_or_default();
+        let targets = fault.who.as_ref().map(group_members).unwrap_or_default();
         let compiler = FaultCompiler { experiment, number, fault, targets };
         let steps = compiler.changes().into_iter();
         schedule.steps.extend(steps.map(|(at, change)| Step { at, fault: number, change }));
@@ -96,7 +96,7 @@
 /// Changes with their times.
 type TimedChanges = Vec<(Micros, Change)>;
 
-/// One fault, with the members of its group.
+/// Compiles one fault; holds the members of its group.
 struct FaultCompiler<'a> {
     experiment: &'a Experiment,
     number: usize,
@@ -113,18 +113,18 @@
             | FaultKind::Delay
             | FaultKind::Repeat
             | FaultKind::Reorder
-            | FaultKind::Spoil => self.for_its_time(Change::Links(true), Change::Links(false)),
+            | FaultKind::Spoil => self.begin_and_end(Change::Links(true), Change::Links(false)),
             FaultKind::Kill | FaultKind::Term | FaultKind::Freeze | FaultKind::Roll => self.process_changes(),
             FaultKind::OriginSlow => {
-                let times = self.fault.times.unwrap_or(1.0);
-                self.for_its_time(Change::OriginSlow(times), Change::OriginSlow(1.0))
+                let factor = self.fault.slowdown_factor.unwrap_or(1.0);
+                self.begin_and_end(Change::OriginSlow(factor), Change::OriginSlow(1.0))
             }
             FaultKind::DiscoveryDown => {
-                self.for_its_time(Change::DiscoveryDown(true), Change::DiscoveryDown(false))
+                self.begin_and_end(Change::DiscoveryDown(true), Change::DiscoveryDown(false))
             }
             FaultKind::ListLate => {
-                let latest = micros_from_seconds(self.fault.seconds.unwrap_or(0.0));
-                self.for_its_time(Change::ListLate(latest), Change::ListLate(0))
+                let max_delay = micros_from_seconds(self.fault.max_notice_delay_s.unwrap_or(0.0));
+                self.begin_and_end(Change::ListLate(max_delay), Change::ListLate(0))
             }
             _ => self.server_changes(),
         }
@@ -133,87 +133,87 @@
     fn process_changes(&self) -> TimedChanges {
         let balancers = || self.targets.balancers.clone();
         match self.fault.what {
-            FaultKind::Kill => self.end_and_start(Change::Kill(balancers())),
-            FaultKind::Term => self.end_and_start(Change::Term(balancers())),
+            FaultKind::Kill => self.stop_and_start(Change::Kill(balancers())),
+            FaultKind::Term => self.stop_and_start(Change::Term(balancers())),
             FaultKind::Roll => self.roll(),
-            _ => self.for_its_time(Change::Freeze(balancers()), Change::Thaw(balancers())),
+            _ => self.begin_and_end(Change::Freeze(balancers()), Change::Thaw(balancers())),
         }
     }
 
     fn server_changes(&self) -> TimedChanges {
         let servers = || self.targets.servers.clone();
-        let times = self.fault.times.unwrap_or(1.0);
+        let factor = self.fault.slowdown_factor.unwrap_or(1.0);
         let share = self.fault.share.unwrap_or(1.0);
         match self.fault.what {
             FaultKind::Silent => {
-                self.for_its_time(Change::Silent(servers(), true), Change::Silent(servers(), false))
+                self.begin_and_end(Change::Silent(servers(), true), Change::Silent(servers(), false))
             }
             FaultKind::Slow => {
-                self.for_its_time(Change::Slow(servers(), times), Change::Slow(servers(), 1.0))
+                self.begin_and_end(Change::Slow(servers(), factor), Change::Slow(servers(), 1.0))
             }
             FaultKind::Failing => {
-                self.for_its_time(Change::Failing(servers(), share), Change::Failing(servers(), 0.0))
+                self.begin_and_end(Change::Failing(servers(), share), Change::Failing(servers(), 0.0))
             }
-            FaultKind::Drain => self.for_its_time(Change::Drain(servers()), Change::Restart(servers())),
-            FaultKind::Gone => self.for_its_time(Change::Gone(servers()), Change::Restart(servers())),
-            FaultKind::Restart => vec![(self.begin(), Change::Restart(servers()))],
-            FaultKind::Replace => vec![(self.begin(), Change::Replace(servers()))],
+            FaultKind::Drain => self.begin_and_end(Change::Drain(servers()), Change::Restart(servers())),
+            FaultKind::Gone => self.begin_and_end(Change::Gone(servers()), Change::Restart(servers())),
+            FaultKind::Restart => vec![(self.start_time(), Change::Restart(servers()))],
+            FaultKind::Replace => vec![(self.start_time(), Change::Replace(servers()))],
             _ => self.flap(),
         }
     }
 
-    fn begin(&self) -> Micros {
+    fn start_time(&self) -> Micros {
         micros_from_seconds(self.fault.at)
     }
 
-    /// None where it lasts to the end of the run.
-    fn end(&self) -> Option<Micros> {
-        self.fault.lasts.map(|lasts| self.begin() + micros_from_seconds(lasts))
+    /// `None` if the fault lasts to the end of the run.
+    fn end_time(&self) -> Option<Micros> {
+        self.fault.lasts.map(|lasts| self.start_time() + micros_from_seconds(lasts))
     }
 
-    fn step_time(&self) -> Micros {
-        micros_from_seconds(self.fault.every.unwrap_or(DEFAULT_STEP_S))
+    fn step_interval(&self) -> Micros {
+        micros_from_seconds(self.fault.step_s.unwrap_or(DEFAULT_STEP_S))
     }
 
-    /// One change at the fault's beginning and one at its end, if it has one.
-    fn for_its_time(&self, begin: Change, end: Change) -> TimedChanges {
-        let mut changes = vec![(self.begin(), begin)];
-        changes.extend(self.end().map(|at| (at, end)));
+    /// A change at the start of the fault, and one at its end unless it lasts to the end of the run.
+    fn begin_and_end(&self, begin: Change, end: Change) -> TimedChanges {
+        let mut changes = vec![(self.start_time(), begin)];
+        changes.extend(self.end_time().map(|at| (at, end)));
         changes
     }
 
-    /// Processes end, and start again if the file says when.
-    fn end_and_start(&self, end: Change) -> TimedChanges {
-        let mut changes = vec![(self.begin(), end)];
+    /// Stops processes, and starts them again if the file sets a time for it.
+    fn stop_and_start(&self, end: Change) -> TimedChanges {
+        let mut changes = vec![(self.start_time(), end)];
         let start = Change::Start(self.targets.balancers.clone());
-        changes.extend(self.fault.back.map(|back| (self.begin() + micros_from_seconds(back), start)));
+        changes.extend(self.fault.back.map(|back| (self.start_time() + micros_from_seconds(back), start)));
         changes
     }
 
-    /// Processes end and start again, a share at a time, in an order drawn by the seed.
+    /// Stops and restarts processes, a share at a time, in an order drawn with the seed.
     fn roll(&self) -> TimedChanges {
         let mut order = self.targets.balancers.clone();
         let seed = mix_bits(self.experiment.seed ^ self.number as u64);
         order.shuffle(&mut seeded_rng(seed, RngStream::Groups));
         let share = self.fault.share.unwrap_or(1.0);
-        let at_a_time = ((order.len() as f64 * share).round() as usize).max(1);
+        let batch_size = ((order.len() as f64 * share).round() as usize).max(1);
         let mut changes = Vec::new();
-        for (place, part) in order.chunks(at_a_time).enumerate() {
-            let at = self.begin() + place as Micros * self.step_time();
-            changes.push((at, Change::Term(part.to_vec())));
-            changes.push((at, Change::Start(part.to_vec())));
+        for (batch_number, batch) in order.chunks(batch_size).enumerate() {
+            let at = self.start_time() + batch_number as Micros * self.step_interval();
+            changes.push((at, Change::Term(batch.to_vec())));
+            changes.push((at, Change::Start(batch.to_vec())));
         }
         changes
     }
 
-    /// Servers stop answering and answer again in turn; at the end they answer.
+    /// Alternates between servers that do not answer and servers that do; at the end they answer.
     fn flap(&self) -> TimedChanges {
         let servers = || self.targets.servers.clone();
-        let end = self.end().unwrap_or(micros_from_seconds(self.experiment.seconds));
+        let end = self.end_time().unwrap_or(micros_from_seconds(self.experiment.seconds));
         let mut changes: TimedChanges = (0..)
             .map(|step: Micros| {
                 let is_silent = step.is_multiple_of(2);
-                (self.begin() + step * self.step_time(), Change::Silent(servers(), is_silent))
+                (self.start_time() + step * self.step_interval(), Change::Silent(servers(), is_silent))
             })
             .take_while(|(at, _)| *at < end)
             .collect();
--- a/platform-model/src/workload.rs
+++ b/platform-model/src/workload.rs
@@ -1,4 +1,4 @@
-//! The workload, drawn ahead: when each request comes, at which balancer, for which key. It does not wait for answers.
+//! The workload, drawn in advance: the arrival time, balancer and key of each request. Arrivals do not depend on answers.
 
 #[cfg(test)]
 mod tests;
@@ -10,25 +10,25 @@
 use crate::rng::{mix_bits, seeded_rng, RngStream, SeededRng};
 use crate::{micros_from_seconds, Micros, MICROS_PER_SECOND};
 
-/// The share of its time after which an impatient client leaves.
-const IMPATIENT_SHARE: f64 = 0.1;
-/// The smallest share of its time that any other client waits.
-const LEAST_PATIENT_SHARE: f64 = 0.5;
-/// By how much that share varies.
-const PATIENT_SHARE_RANGE: f64 = 0.3;
+/// The share of a request's deadline after which an impatient client disconnects.
+const IMPATIENT_WAIT_SHARE: f64 = 0.1;
+/// The smallest share of a request's deadline that any other client waits.
+const MIN_PATIENT_WAIT_SHARE: f64 = 0.5;
+/// The range by which the share for other clients varies above the minimum.
+const PATIENT_WAIT_SHARE_RANGE: f64 = 0.3;
 
 /// A client's first request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Arrival {
-    /// When, from the beginning of the warming up.
+    /// Arrival time, from the beginning of the warm-up.
     pub at: Micros,
-    /// The balancer that it comes to.
+    /// The number of the balancer that receives the request.
     pub balancer: u32,
     /// The key's number.
     pub key: u64,
-    /// Whether it writes.
+    /// Whether the request is a write.
     pub write: bool,
-    /// The share of the time that a request may take which its client waits.
+    /// The share of the request's deadline for which the client waits.
     pub patience: f64,
 }
 
@@ -37,31 +37,32 @@
     format!("{:016x}", mix_bits(key))
 }
 
-/// Draws all first requests of a run, in order. The same seed gives the same ones.
+/// Draws all first requests of a run, in order. The same seed gives the same requests.
 pub fn draw_arrivals(experiment: &Experiment) -> Vec<Arrival> {
     let mut workload = Workload::new(experiment);
     let mut arrivals = Vec::new();
     while let Some(at) = workload.next_candidate() {
-        workload.drift_keys_until(at);
-        if workload.is_accepted() {
+        workload.apply_drift_until(at);
+        if workload.draw_acceptance() {
             arrivals.push(workload.draw_arrival(at));
         }
     }
     arrivals
 }
 
-/// Draws arrivals one after the other: candidates at the greatest rate, of which the share due at each time is accepted.
+/// Draws arrivals one after the other by thinning: candidates arrive at the highest rate, and each is accepted with
+/// the ratio of the current rate to it.
 struct Workload<'a> {
     experiment: &'a Experiment,
     rng: SeededRng,
     zipf: Option<Zipf<f64>>,
     /// Keys by popularity, the most popular first.
     keys: Vec<u64>,
-    /// Seconds in which keys have changed places.
+    /// Number of seconds for which the drift of keys has been applied.
     drifted_seconds: u64,
     /// Candidates a second.
     candidate_rate: f64,
-    /// The time of the last candidate, in seconds from the beginning of the warming up.
+    /// Time of the last candidate, in seconds from the beginning of the warm-up.
     candidate_at_s: f64,
     end: Micros,
 }
@@ -69,30 +70,30 @@
 impl<'a> Workload<'a> {
     fn new(experiment: &'a Experiment) -> Workload<'a> {
         let load = &experiment.load;
-        let greatest_burst = load.burst.iter().map(|burst| burst.times).fold(1.0, f64::max);
+        let max_burst_factor = load.burst.iter().map(|burst| burst.rate_factor).fold(1.0, f64::max);
         Workload {
             experiment,
             rng: seeded_rng(experiment.seed, RngStream::Load),
             zipf: Zipf::new(load.keys as f64, load.zipf).ok(),
             keys: (0..load.keys).collect(),
             drifted_seconds: 0,
-            candidate_rate: load.rate * load.ramp.max(1.0) * greatest_burst,
+            candidate_rate: load.rate * load.ramp.max(1.0) * max_burst_factor,
             candidate_at_s: 0.0,
             end: micros_from_seconds(load.warm) + micros_from_seconds(experiment.seconds),
         }
     }
 
-    /// The next candidate's time; none after the load's end.
+    /// The next candidate's time; `None` after the end of the load.
     fn next_candidate(&mut self) -> Option<Micros> {
         self.candidate_at_s += -(1.0 - self.rng.random::<f64>()).ln() / self.candidate_rate;
         Some(micros_from_seconds(self.candidate_at_s)).filter(|at| *at < self.end)
     }
 
-    /// Once a second a share of the keys change places with others.
-    fn drift_keys_until(&mut self, now: Micros) {
+    /// Swaps the popularity ranks of a share of the keys, once for each second.
+    fn apply_drift_until(&mut self, now: Micros) {
         while self.drifted_seconds < now / MICROS_PER_SECOND {
-            let amount = (self.keys.len() as f64 * self.experiment.load.drift) as usize;
-            for _ in 0..amount {
+            let swap_count = (self.keys.len() as f64 * self.experiment.load.drift) as usize;
+            for _ in 0..swap_count {
                 let first = self.rng.random_range(0..self.keys.len());
                 let second = self.rng.random_range(0..self.keys.len());
                 self.keys.swap(first, second);
@@ -106,22 +107,22 @@
         self.candidate_at_s - self.experiment.load.warm
     }
 
-    fn is_accepted(&mut self) -> bool {
-        let rate = rate(&self.experiment.load, self.experiment_time_s(), self.experiment.seconds);
+    fn draw_acceptance(&mut self) -> bool {
+        let rate = rate_at(&self.experiment.load, self.experiment_time_s(), self.experiment.seconds);
         self.rng.random::<f64>() * self.candidate_rate < rate
     }
 
     fn draw_arrival(&mut self, at: Micros) -> Arrival {
         let key = self.draw_key();
         let write = self.rng.random::<f64>() < self.experiment.load.writes;
-        let patience = LEAST_PATIENT_SHARE + PATIENT_SHARE_RANGE * self.rng.random::<f64>();
-        let is_impatient = self.rng.random::<f64>() < self.experiment.clients.impatient;
+        let patience = MIN_PATIENT_WAIT_SHARE + PATIENT_WAIT_SHARE_RANGE * self.rng.random::<f64>();
+        let is_impatient = self.rng.random::<f64>() < self.experiment.clients.impatient_share;
         Arrival {
             at,
             balancer: draw_balancer(self.experiment, &mut self.rng),
             key,
             write,
-            patience: if is_impatient { IMPATIENT_SHARE } else { patience },
+            patience: if is_impatient { IMPATIENT_WAIT_SHARE } else { patience },
         }
     }
 
@@ -135,16 +136,16 @@
         self.hot_key(hot_draw).unwrap_or(key)
     }
 
-    /// The hot key that this draw from 0 to 1 falls on, of those that are hot now.
+    /// The currently hot key that a draw from 0 to 1 selects, if any.
     fn hot_key(&self, draw: f64) -> Option<u64> {
         let load = &self.experiment.load;
         let now_s = self.experiment_time_s();
-        let mut left = draw;
-        for (place, hot) in load.hot.iter().enumerate().filter(|(_, hot)| now_s >= hot.at) {
-            left -= hot.share;
-            if left < 0.0 {
-                // Keys beyond the common ones: nobody asked for them before.
-                return Some(load.keys + place as u64);
+        let mut remaining = draw;
+        for (index, hot) in load.hot.iter().enumerate().filter(|(_, hot)| now_s >= hot.at) {
+            remaining -= hot.share;
+            if remaining < 0.0 {
+                // Hot keys are numbered after the common ones, so that they were never requested before.
+                return Some(load.keys + index as u64);
             }
         }
         None
@@ -152,20 +153,20 @@
 }
 
 /// Requests a second at this time of the experiment.
-fn rate(load: &Load, now_s: f64, seconds: f64) -> f64 {
+fn rate_at(load: &Load, now_s: f64, seconds: f64) -> f64 {
     let ramp = 1.0 + (load.ramp - 1.0) * (now_s / seconds).clamp(0.0, 1.0);
     let bursts = load.burst.iter().filter(|burst| (burst.at..burst.at + burst.lasts).contains(&now_s));
-    load.rate * ramp * bursts.map(|burst| burst.times).product::<f64>()
+    load.rate * ramp * bursts.map(|burst| burst.rate_factor).product::<f64>()
 }
 
-/// The balancer of a first request; the first ones are those with most of an uneven load.
+/// Draws the balancer of a first request; those with the lowest numbers receive the given share of an uneven load.
 fn draw_balancer(experiment: &Experiment, rng: &mut SeededRng) -> u32 {
     let count = experiment.fleet.balancers;
     let Some(uneven) = experiment.load.uneven else { return rng.random_range(0..count) as u32 };
-    let busy = ((count as f64 * uneven.at).round() as usize).clamp(1, count);
-    if rng.random::<f64>() < uneven.share || busy == count {
-        rng.random_range(0..busy) as u32
+    let busy_balancers = ((count as f64 * uneven.at).round() as usize).clamp(1, count);
+    if rng.random::<f64>() < uneven.share || busy_balancers == count {
+        rng.random_range(0..busy_balancers) as u32
     } else {
-        rng.random_range(busy..count) as u32
+        rng.random_range(busy_balancers..count) as u32
     }
 }
