--- a/testbed/src/scale/calibration.rs
+++ b/testbed/src/scale/calibration.rs
@@ -1,5 +1,5 @@
-//! An endpoint without control code, for the test bed's own share: it sends as many packets of the same length as the
-//! members of the run that is calibrated, to members drawn at random, and ignores what comes.
+//! An endpoint without control code, to measure the overhead of the test bed. It sends packets at the rate and of the mean
+//! length of the run to be calibrated, to random members, and ignores received packets.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -7,15 +7,15 @@
 use super::endpoint::{Datagram, Endpoint};
 use super::Micros;
 
-/// The first byte of a calibration packet, which begins no other packet.
+/// The first byte of a calibration packet. No other kind of packet starts with it.
 pub const CALIBRATION_HEAD: u8 = 0;
 
-/// The traffic to imitate.
+/// The traffic to reproduce.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CalibrationTraffic {
-    /// Packets a second out of a member.
+    /// Packets per second sent by a member.
     pub packets_per_s: f64,
-    /// Bytes of a packet.
+    /// Length of a packet, in bytes.
     pub packet_length: usize,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl CalibrationEndpoint {
-    /// A member that sends this traffic to these peers.
+    /// Creates a member that sends this traffic to these peers.
     pub fn new(traffic: CalibrationTraffic, peers: Rc<[SocketAddr]>, seed: u64, now: Micros) -> Self {
         let rng = fastrand::Rng::with_seed(seed);
         CalibrationEndpoint { traffic, peers, rng, last: now, out: Vec::new() }
--- a/testbed/src/scale/cluster_endpoint.rs
+++ b/testbed/src/scale/cluster_endpoint.rs
@@ -1,4 +1,4 @@
-//! The control code of today's balancers as endpoints: the membership alone, and all of `juniperladder_cluster`.
+//! Endpoints that run a balancer's coordination: membership only, or all of `juniperladder_cluster`.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 use super::workload::{Workload, WorkloadConfig, ORIGIN_LIMIT};
 use super::Micros;
 
-/// The figures of `deploy/operator.example.toml`.
+// The values of `deploy/operator.example.toml`.
 const LEASE_DURATION: Time = Time::from_secs(2);
 const CLOCK_DRIFT_RATIO: f64 = 0.001;
 const ARRIVAL_SPREAD: Time = Time::from_millis(50);
@@ -28,28 +28,28 @@
 const AVOIDED_SHARE: f64 = 0.34;
 const TRIES_PER_S: f64 = 1.0;
 
-/// Who a member is.
+/// The identity of a member.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its address.
+    /// The member's address.
     pub address: SocketAddr,
-    /// Its number, from 0.
+    /// The member's number, from 0.
     pub number: usize,
-    /// Its zone.
+    /// The member's zone.
     pub zone: usize,
-    /// Which life of it this is; a later one is greater.
+    /// The member's incarnation; a later start has a greater one.
     pub life: u64,
-    /// Members that are called first.
+    /// The addresses of the members to contact first.
     pub seeds: Vec<SocketAddr>,
-    /// The seed of its random numbers.
+    /// The seed of the member's random numbers.
     pub seed: u64,
 }
 
-/// The membership alone.
+/// A member that runs only the membership.
 pub struct MembershipEndpoint(Membership);
 
 impl MembershipEndpoint {
-    /// A member that starts now.
+    /// Creates a member that starts now.
     pub fn new(identity: Identity, now: Micros) -> MembershipEndpoint {
         let member = MemberId { address: identity.address, incarnation: identity.life };
         MembershipEndpoint(Membership::new(member, identity.seeds, identity.seed, Time(now)))
@@ -80,14 +80,14 @@
     }
 }
 
-/// All of a balancer's coordination, with drawn traffic in place of client connections.
+/// A member that runs all of a balancer's coordination, with synthetic traffic in place of client connections.
 pub struct ClusterEndpoint {
     cluster: Cluster,
     workload: Workload,
 }
 
 impl ClusterEndpoint {
-    /// A member that starts now, one of `members`.
+    /// Creates a member that starts now, in a fleet of `members`.
     pub fn new(
         identity: Identity,
         members: usize,
@@ -142,7 +142,7 @@
     }
 }
 
-/// What a balancer is told at its start, with the defaults of the operators' example file.
+/// The cluster configuration of a member, with the values of `deploy/operator.example.toml`.
 fn plan(identity: Identity, members: usize, config: &WorkloadConfig) -> ClusterConfig {
     let holders = members as u32;
     let terms = |whole| rate_limit::RateLimitTerms {
@@ -183,7 +183,7 @@
     }
 }
 
-/// Divides a packet's bytes among what they are for; the head goes to the first part.
+/// Calls `add` with the kind and length of each part of a packet. The header counts for the first part.
 pub fn packet_parts(bytes: &[u8], mut add: impl FnMut(PacketKind, usize)) {
     match packet::decode(bytes) {
         Ok(Packet::Membership(_)) => add(PacketKind::Membership, bytes.len()),
--- a/testbed/src/scale/config.rs
+++ b/testbed/src/scale/config.rs
@@ -1,51 +1,51 @@
-//! What a scale test is told: the mechanism, the size, the event and the seed.
+//! The configuration of a scale test: the mechanism, the size, the fault scenario and the seed.
 
 use std::str::FromStr;
 
 use super::calibration::CalibrationTraffic;
 
-/// What the members run.
+/// The control code that the members run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// The membership alone.
+    /// Membership only.
     Membership,
-    /// All of today's coordination: membership, limits, retries, reports on servers.
+    /// All coordination of a balancer: membership, rate limits, retry budget, failure detection.
     Cluster,
-    /// Fleet-wide purges, with control machines beside the members.
+    /// Fleet-wide purges, with control machines (purge replicas) in addition to the members.
     Purge,
-    /// Nothing: the test bed's own share.
+    /// No control code, to measure the overhead of the test bed.
     Calibration,
 }
 
-/// What happens to the fleet once it is measured in its ordinary state.
+/// The fault scenario that follows the measurement of the steady state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Nothing.
+    /// No fault.
     None,
-    /// One member dies and starts again; then a cache server falls silent.
+    /// One member crashes and restarts; later a cache server stops answering.
     MemberLost,
-    /// The same, with 1% of all packets lost.
+    /// As [`Event::MemberLost`], with a packet loss of 1%.
     Loss,
-    /// All members of a zone die at once, and start again.
+    /// All members of a zone crash at the same time and restart.
     ZoneLost,
-    /// A region is cut off from the others, and joined again.
+    /// A network partition separates one region from the others, and heals.
     RegionCut,
     /// 40% of all members restart within a few seconds.
     RestartWave,
-    /// Two control machines are killed at once.
+    /// Two control machines crash at the same time and restart.
     ControlLoss,
 }
 
-/// A mechanism broken on purpose by the test bed, to show that the checks find it.
+/// A defect that the test bed injects, to show that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flaw {
-    /// Each member also sends to all others once a second.
+    /// Each member also sends a packet to every other member once a second.
     TalksToAll,
-    /// One member loses one change in a thousand.
+    /// One member ignores one purge in a thousand.
     DropsChanges,
 }
 
-/// A name that is none of those that may be given.
+/// The given name is not one of the accepted names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownName {
     given: String,
@@ -54,17 +54,17 @@
 
 impl std::fmt::Display for UnknownName {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{} is none of {}", self.given, self.names.join(", "))
+        write!(f, "unknown name {}: expected one of {}", self.given, self.names.join(", "))
     }
 }
 
 impl std::error::Error for UnknownName {}
 
-/// Gives a type its names, for the request line and for tables.
+/// Maps the variants of a type to their names in command-line arguments and in results.
 macro_rules! named {
     ($type:ident, $($variant:ident => $name:literal),+ $(,)?) => {
         impl $type {
-            /// The name on the request line and in tables.
+            /// The name in command-line arguments and in results.
             pub fn name(self) -> &'static str {
                 match self {
                     $($type::$variant => $name),+
@@ -98,40 +98,40 @@
 );
 named!(Flaw, TalksToAll => "talks-to-all", DropsChanges => "drops-changes");
 
-/// What a scale test is told.
+/// The configuration of a scale test.
 #[derive(Clone, Debug)]
 pub struct ScaleConfig {
-    /// What the members run.
+    /// The control code that the members run.
     pub mechanism: Mechanism,
-    /// How many members there are.
+    /// Number of members.
     pub members: usize,
-    /// In how many regions.
+    /// Number of regions that the zones are distributed over.
     pub regions: usize,
-    /// In how many zones.
+    /// Number of zones that the members are distributed over.
     pub zones: usize,
-    /// How long the fleet forms before anything is counted, in seconds.
+    /// Warm-up during which the fleet forms and results do not count, in seconds.
     pub warm_up_s: f64,
-    /// How long it is observed after that, in seconds: a third in its ordinary state, then the event.
+    /// Measured time after the warm-up, in seconds: one third in the steady state, then the fault scenario.
     pub seconds: f64,
-    /// The seed of everything that is drawn.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// What happens.
+    /// The fault scenario.
     pub event: Event,
-    /// Whether time is simulated.
+    /// Whether the run uses simulated time instead of sockets and real time.
     pub virtual_time: bool,
-    /// Threads that the members are dealt to in real time.
+    /// Number of threads that drive the members in real time.
     pub workers: usize,
-    /// Client requests a second at a member.
+    /// Client requests per second at a member, on average.
     pub requests_per_s: f64,
-    /// Control machines, beside the members; only purges have any.
+    /// Number of control machines in addition to the members; only used by [`Mechanism::Purge`].
     pub replicas: usize,
-    /// Purges published a second, by all control machines together.
+    /// Purges published per second, by all control machines together.
     pub publishes_per_s: f64,
-    /// Cache servers that the drawn traffic goes to.
+    /// Number of cache servers that the synthetic traffic is sent to.
     pub cache_hosts: usize,
     /// The traffic of a calibration run.
     pub calibration: CalibrationTraffic,
-    /// A mechanism broken on purpose.
+    /// The injected defect, if any.
     pub flaw: Option<Flaw>,
 }
 
@@ -159,18 +159,18 @@
 }
 
 impl ScaleConfig {
-    /// The same without what the mechanism does not have.
+    /// This configuration without control machines if the mechanism does not use them.
     pub fn normalised(self) -> ScaleConfig {
         let replicas = if self.mechanism == Mechanism::Purge { self.replicas } else { 0 };
         ScaleConfig { replicas, ..self }
     }
 
-    /// Members and control machines.
+    /// Number of members and control machines together.
     pub fn endpoints(&self) -> usize {
         self.members + self.replicas
     }
 
-    /// Members that are cache servers in a run of purges: as many in proportion as 230 beside 1,770 balancers.
+    /// Number of members of a purge run that are cache servers: the proportion of 230 cache servers to 1,770 balancers.
     pub fn purged_cache_hosts(&self) -> usize {
         self.members * 23 / 200
     }
--- a/testbed/src/scale/endpoint.rs
+++ b/testbed/src/scale/endpoint.rs
@@ -1,38 +1,38 @@
-//! What a scale test drives: a member's control code behind one trait, the same over sockets and in virtual time.
+//! The interface to a member's control code, the same over sockets and in simulated time.
 
 use std::net::SocketAddr;
 
 use super::Micros;
 
-/// A packet on its way out.
+/// An outgoing packet: destination address and payload.
 pub type Datagram = (SocketAddr, Vec<u8>);
 
-/// What a packet, or a part of it, is for.
+/// The protocol that a packet, or a part of a packet, belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum PacketKind {
-    /// Who is there.
+    /// Membership gossip.
     Membership,
-    /// Limits that hold for all members together.
+    /// Rate limits shared by all members.
     Limits,
-    /// Limits on sends to a cache server that warms up.
+    /// Rate limits of cache servers in slow start.
     WarmUp,
-    /// The retry budget.
+    /// The retry budget shared by all members.
     Retries,
-    /// Reports on cache servers.
+    /// Failure reports on cache servers.
     Verdicts,
-    /// Purges, their acknowledgements and the registrations.
+    /// Purges, their acknowledgements, and registrations of members.
     Purge,
     /// Calibration traffic of the test bed.
     Calibration,
-    /// None of these.
+    /// Not decodable as any of the above.
     Unknown,
 }
 
 impl PacketKind {
-    /// How many kinds there are.
+    /// Number of kinds.
     pub const COUNT: usize = 8;
-    /// All kinds, in the order of their numbers.
+    /// All kinds, in declaration order.
     pub const ALL: [PacketKind; PacketKind::COUNT] = [
         PacketKind::Membership,
         PacketKind::Limits,
@@ -44,7 +44,7 @@
         PacketKind::Unknown,
     ];
 
-    /// The name in tables.
+    /// The name in results.
     pub fn name(self) -> &'static str {
         match self {
             PacketKind::Membership => "membership",
@@ -59,59 +59,59 @@
     }
 }
 
-/// A question about a member's state, asked from outside while a change spreads.
+/// A condition on a member's state. The test bed checks it periodically to measure how fast a change propagates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateQuery {
-    /// Whether the member at this address is taken for alive.
+    /// The member considers the member at this address alive.
     Alive(SocketAddr),
-    /// Whether it is not.
+    /// The member does not consider the member at this address alive.
     Gone(SocketAddr),
-    /// Whether the member passes by the silent cache server.
+    /// The member avoids the silent cache server.
     HostAvoided,
 }
 
-/// What a member did that the checks of a run need.
+/// An event at a member or control machine that the checks of a run evaluate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointEvent {
-    /// It acted on the purge of this number.
+    /// The member applied the purge with this number.
     Purged(u32),
-    /// It dropped all values that it held.
+    /// The member discarded all its cached values.
     Voided,
-    /// It began to serve.
+    /// The member began to serve.
     ServesNow,
-    /// It does not serve any more; it was last seen to at this time.
+    /// The member stopped serving. It was last observed serving at the given time.
     ServedUntil(Micros),
-    /// It was started, without memory.
+    /// The member was started, without any state.
     Started,
-    /// It was killed.
+    /// The member was killed.
     Stopped,
-    /// As a publisher: the purge was accepted.
+    /// The control machine accepted the purge with this number.
     Accepted(u32),
-    /// As a publisher: the purge was rejected.
+    /// The control machine rejected the purge with this number, or was not running.
     Rejected(u32),
-    /// As a publisher: the purge was reported as done everywhere.
+    /// The control machine reported the purge with this number as applied by all members.
     Done(u32),
 }
 
-/// A member's control code: a state machine without I/O and without a clock.
+/// The control code of a member or control machine: a state machine without I/O and without a clock.
 pub trait Endpoint {
-    /// A packet has come.
+    /// Handles a received packet.
     fn on_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]);
-    /// Does what is due.
+    /// Handles timers that are due; called periodically.
     fn on_tick(&mut self, now: Micros);
-    /// The packets to send.
+    /// Takes the packets to send.
     fn drain(&mut self) -> Vec<Datagram>;
-    /// Publishes the purge of this number, as a control machine does.
+    /// Publishes the purge with this number. Only control machines do.
     fn publish(&mut self, _now: Micros, _number: u32) {}
-    /// What happened since the last call.
+    /// Takes the events since the last call.
     fn drain_events(&mut self, _now: Micros) -> Vec<EndpointEvent> {
         Vec::new()
     }
-    /// Whether the state is as asked.
+    /// Whether the state satisfies the query.
     fn satisfies(&mut self, _query: &StateQuery) -> bool {
         false
     }
-    /// Members that it takes for alive, itself included, where it counts them.
+    /// Number of members considered alive, this member included, or `None` if the mechanism has no membership.
     fn known_members(&self) -> Option<usize> {
         None
     }
--- a/testbed/src/scale/meter.rs
+++ b/testbed/src/scale/meter.rs
@@ -1,4 +1,4 @@
-//! Counts what members send and what their control code costs, outside of the control code itself.
+//! Measures the members' traffic and the processor time of their control code, from outside the control code.
 
 use nix::time::{clock_gettime, ClockId};
 use serde::Serialize;
@@ -10,43 +10,44 @@
 use super::schedule::Phase;
 use super::Micros;
 
-/// Lateness is counted in so many buckets of this width; the last one holds all that is later.
+/// Number of buckets of the lateness histogram. The last bucket also counts all higher values.
 const LAG_BUCKETS: usize = 4_096;
+/// Width of a bucket of the lateness histogram.
 const LAG_BUCKET: Micros = 100;
 
-/// Packets and bytes of a kind.
+/// Number of packets and bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Traffic {
-    /// Packets; one that holds parts of several kinds counts for the first.
+    /// Packets. By kind, a packet with parts of several kinds counts only for the kind of its first part.
     pub packets: u64,
-    /// Bytes, by part.
+    /// Bytes. By kind, the bytes of each part count for the part's kind.
     pub bytes: u64,
 }
 
-/// Calls of control code and their processor time.
+/// Number and processor time of calls into the control code.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Calls {
-    /// How many.
+    /// Number of calls.
     pub count: u64,
-    /// The thread's processor time in them, in nanoseconds.
+    /// Processor time of the thread during the calls, in nanoseconds.
     pub cpu_ns: u64,
 }
 
-/// What one member sent, received and cost in one phase.
+/// Traffic and processor time of one member in one phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberCounts {
-    /// Sent, by kind.
+    /// Sent traffic by kind.
     pub sent: [Traffic; PacketKind::COUNT],
-    /// Received, of all kinds.
+    /// Received traffic of all kinds.
     pub received: Traffic,
-    /// Calls with a packet.
+    /// Calls for received packets.
     pub datagrams: Calls,
-    /// Calls by the clock.
+    /// Periodic calls.
     pub ticks: Calls,
 }
 
 impl MemberCounts {
-    /// Sent, of all kinds.
+    /// Sent traffic of all kinds.
     pub fn sent_total(&self) -> Traffic {
         self.sent.iter().fold(Traffic::default(), |sum, one| Traffic {
             packets: sum.packets + one.packets,
@@ -54,12 +55,12 @@
         })
     }
 
-    /// Processor time of the control code in nanoseconds.
+    /// Processor time of the control code, in nanoseconds.
     pub fn cpu_ns(&self) -> u64 {
         self.datagrams.cpu_ns + self.ticks.cpu_ns
     }
 
-    /// Counts a packet out.
+    /// Counts a sent packet.
     pub fn on_sent(&mut self, bytes: &[u8]) {
         let mut first = true;
         let mut add = |kind: PacketKind, length: usize| {
@@ -77,10 +78,10 @@
     }
 }
 
-/// The counts of one member over all phases.
+/// The counts of one member by phase.
 pub type MemberPhases = [MemberCounts; Phase::COUNT];
 
-/// How late the test bed's own timers were.
+/// Histogram of the lateness of the test bed's timers.
 #[derive(Clone, Debug)]
 pub struct Lateness {
     buckets: Vec<u64>,
@@ -94,20 +95,20 @@
 }
 
 impl Lateness {
-    /// A timer that was due then fired now.
+    /// Records that a timer due at `due` fired at `now`.
     pub fn on_timer(&mut self, due: Micros, now: Micros) {
         let bucket = (now.saturating_sub(due) / LAG_BUCKET) as usize;
         self.buckets[bucket.min(LAG_BUCKETS - 1)] += 1;
         self.count += 1;
     }
 
-    /// Adds another thread's.
+    /// Adds the histogram of another thread.
     pub fn add(&mut self, other: &Lateness) {
         self.buckets.iter_mut().zip(&other.buckets).for_each(|(sum, one)| *sum += one);
         self.count += other.count;
     }
 
-    /// The lateness that this share of all timers did not exceed, in milliseconds.
+    /// The lateness at this quantile, from 0 to 1, in milliseconds; 0 without any timers.
     pub fn quantile_ms(&self, share: f64) -> f64 {
         let rank = (self.count as f64 * share).ceil() as u64;
         let mut sum = 0;
@@ -121,7 +122,7 @@
     }
 }
 
-/// This thread's processor time in nanoseconds; 0 where the system does not tell.
+/// Processor time of the current thread in nanoseconds; 0 if the system does not provide it.
 pub fn thread_cpu_ns() -> u64 {
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID)
         .map_or(0, |time| time.tv_sec() as u64 * 1_000_000_000 + time.tv_nsec() as u64)
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -1,8 +1,9 @@
-//! Scale tests: many members' control code in one process, over real UDP sockets on loopback or in simulated time.
+//! Scale tests: the control code of many members in one process, over real UDP sockets on loopback or in simulated time.
 //!
-//! A *hollow* member runs the real control code with drawn traffic in place of client connections. Packets between members
-//! pass a network with delays by zone and region, losses and cuts that follow from the seed. What members send and cost is
-//! counted by the test bed and not by their own counters. `docs/design/scale.md` says what this can show and what it cannot.
+//! Each member runs the real control code with synthetic traffic in place of client connections. Packets between members
+//! pass a modelled network, whose delays by zone and region, packet loss and partitions follow from the seed. The test bed
+//! measures the members' traffic and processor time itself and does not rely on their own counters.
+//! `docs/design/scale.md` describes what a scale test can show and what it cannot.
 
 mod calibration;
 mod cluster_endpoint;
@@ -36,18 +37,18 @@
 use meter::Lateness;
 use run::Run;
 
-/// Microseconds on the run's clock.
+/// A time on the run's clock, or a duration, in microseconds.
 pub type Micros = u64;
 
-/// The fewest members of a run.
+/// The minimum number of members of a run.
 const MEMBERS_MIN: usize = 2;
-/// The most members of a run: what the rule of the project demands of a list of balancers.
+/// The maximum number of members of a run: the longest list of balancers that the project has to support.
 const MEMBERS_MAX: usize = 4_096;
 
 /// Runs a scale test.
 ///
 /// # Errors
-/// One line that says what does not allow the run, or what broke it.
+/// The configuration is invalid, the machine lacks resources for the run, or a socket failed. The message is one line.
 pub fn run_scale_test(config: ScaleConfig) -> Result<Outcome, TestbedError> {
     let config = config.normalised();
     check(&config)?;
@@ -70,11 +71,16 @@
 
 fn check(config: &ScaleConfig) -> Result<(), SetupError> {
     if !(MEMBERS_MIN..=MEMBERS_MAX).contains(&config.members) {
-        let line = format!("members lie from {MEMBERS_MIN} to {MEMBERS_MAX}, not {}", config.members);
+        let line = format!(
+            "the number of members must be from {MEMBERS_MIN} to {MEMBERS_MAX}, not {}",
+            config.members
+        );
         return Err(SetupError::ScaleTest(line));
     }
     if !(config.seconds > 0.0 && config.warm_up_s >= 0.0) {
-        return Err(SetupError::ScaleTest("a run lasts longer than 0 s".to_owned()));
+        return Err(SetupError::ScaleTest(
+            "the duration of a run must exceed 0 s and its warm-up must not be negative".to_owned(),
+        ));
     }
     resources::check(config)
 }
--- a/testbed/src/scale/network.rs
+++ b/testbed/src/scale/network.rs
@@ -1,42 +1,42 @@
-//! What becomes of a packet between two members: lost, cut off, or delivered after a delay.
+//! The modelled network between members: delays, packet loss and partitions.
 //!
-//! The decision is a pure function of the seed, the time, the two ends and the sender's packet count. It is made at the
-//! sender, so that no relay process stands between two members.
+//! The fate of a packet is a pure function of the seed, the time, the two members and the sender's packet count. The sender
+//! evaluates it, so that no relay process is needed between two members.
 
 use std::ops::Range;
 
 use super::topology::Topology;
 use super::Micros;
 
-/// The part of a delay by which it varies from packet to packet.
+/// Maximum jitter of a packet's delay, as a share of the link's delay.
 const JITTER_SHARE: f64 = 0.1;
 
-/// Which links are cut.
+/// The links that a partition affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CutKind {
     /// All links between this region and the others.
     Region(usize),
 }
 
-/// Links that are cut for a time.
+/// A temporary network partition.
 #[derive(Clone, Debug)]
 pub struct Cut {
-    /// When.
+    /// The period of the partition.
     pub during: Range<Micros>,
-    /// Which.
+    /// The affected links.
     pub kind: CutKind,
 }
 
-/// A share of all packets that is lost for a time.
+/// Temporary random packet loss on all links.
 #[derive(Clone, Debug)]
 pub struct Loss {
-    /// When.
+    /// The period of the packet loss.
     pub during: Range<Micros>,
-    /// The share, from 0 to 1.
+    /// Share of packets lost, from 0 to 1.
     pub share: f64,
 }
 
-/// The network of a run.
+/// The network of a run with its scheduled faults.
 #[derive(Clone, Debug)]
 pub struct Network {
     topology: Topology,
@@ -51,22 +51,20 @@
         Network { topology, seed, cuts: Vec::new(), losses: Vec::new() }
     }
 
-    /// Adds a cut.
     pub fn add_cut(&mut self, cut: Cut) {
         self.cuts.push(cut);
     }
 
-    /// Adds a loss.
     pub fn add_loss(&mut self, loss: Loss) {
         self.losses.push(loss);
     }
 
-    /// Where members stand.
+    /// The zones and regions of the members.
     pub fn topology(&self) -> &Topology {
         &self.topology
     }
 
-    /// Whether the link between two members is cut at this time.
+    /// Whether a partition separates the two members at this time.
     pub fn is_cut(&self, now: Micros, from: usize, to: usize) -> bool {
         self.cuts.iter().filter(|cut| cut.during.contains(&now)).any(|cut| match cut.kind {
             CutKind::Region(region) => {
@@ -75,7 +73,7 @@
         })
     }
 
-    /// The delay of the sender's `count`th packet, or none where it is lost.
+    /// The delay of the sender's `count`th packet, or `None` if the packet is lost.
     pub fn delay(&self, now: Micros, from: usize, to: usize, count: u64) -> Option<Micros> {
         if self.is_cut(now, from, to) {
             return None;
--- a/testbed/src/scale/purge_check.rs
+++ b/testbed/src/scale/purge_check.rs
@@ -1,5 +1,5 @@
-//! What a purge run shows: how long until all connected members act, how long until the publisher hears "done", and whether
-//! anything that was called done was missing at a member that serves. Pure, over the members' events.
+//! Evaluates a purge run from the members' events: the time until all connected members have applied a purge, the time until
+//! the publisher is notified of its completion, and whether a member served without a purge reported as completed.
 
 use std::collections::BTreeMap;
 
@@ -11,23 +11,23 @@
 use super::shard::MemberEvent;
 use super::Micros;
 
-/// Purges that were published later than this before the end are not asked for.
+/// Purges published less than this before the end of the run are not evaluated.
 const SETTLING_TIME: Micros = 5_000_000;
-/// A member counts as connected to a publisher where their link is whole from the purge on for so long.
+/// A member counts as connected to a publisher if no partition separates them for this long after the purge.
 const CONNECTED_FOR: Micros = 3_000_000;
-/// The step in which that is looked at.
+/// Interval between two checks of the connection within [`CONNECTED_FOR`].
 const CONNECTED_STEP: Micros = 500_000;
 
-/// Times in milliseconds.
+/// Distribution of durations, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Times {
-    /// How many there are.
+    /// Number of durations.
     pub count: usize,
-    /// Half of them are no longer.
+    /// The 50th percentile.
     pub p50_ms: f64,
-    /// 99% of them are no longer.
+    /// The 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// The maximum.
     pub max_ms: f64,
 }
 
@@ -42,53 +42,55 @@
     }
 }
 
-/// The purges that were published in a phase.
+/// Results of the purges published in a phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PurgePhase {
-    /// Purges accepted.
+    /// Number of accepted purges.
     pub accepted: usize,
-    /// Purges rejected, or published at a control machine that was not there.
+    /// Number of purges rejected by a control machine, or published at one that was not running.
     pub rejected: usize,
-    /// From the purge until a connected member acted, over all members and purges.
+    /// Time from the purge until a connected member applied it, over all members and purges.
     pub acted: Times,
-    /// From the purge until all connected members had acted, over purges.
+    /// Time from the purge until all connected members had applied it, over all purges.
     pub all_acted: Times,
-    /// Connected members that never acted on a purge, over members and purges.
+    /// Number of pairs of a purge and a connected member that never applied it.
     pub never: usize,
-    /// From the purge until its publisher heard that it is done.
+    /// Time from the purge until its publisher was notified of its completion.
     pub done: Times,
-    /// Purges of which it never heard that, though the control machine ran on.
+    /// Number of purges never reported as completed although the control machine was not killed.
     pub not_done: usize,
-    /// Purges whose control machine was killed before they were done: their publisher gets "unknown" and publishes again.
+    /// Number of purges whose control machine was killed before their completion. The publisher gets the status "unknown"
+    /// and publishes the purge again.
     pub orphaned: usize,
 }
 
-/// What a purge run shows.
+/// Results of a purge run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PurgeSummary {
-    /// Purges published in the ordinary state.
+    /// Purges published in the steady state.
     pub ordinary: PurgePhase,
-    /// Purges published from the event on.
+    /// Purges published from the start of the fault scenario on.
     pub after_event: PurgePhase,
-    /// Cases in which a member served without a purge that had been called done. Any is a fault.
+    /// Number of cases in which a member served without a purge that had been reported as completed. Each one violates the
+    /// guarantee of the mechanism.
     pub done_missing: usize,
-    /// Times at which a member voided all once it had served.
+    /// Number of times that a member discarded all its cached values after it had begun to serve.
     pub voided: usize,
-    /// Leases that ran out.
+    /// Number of expired leases.
     pub lapses: usize,
-    /// Members that serve at the end.
+    /// Number of members serving at the end.
     pub serving: usize,
 }
 
-/// One start of a member.
+/// One incarnation of a member.
 #[derive(Debug, Default)]
 struct MemberIncarnation {
     started: Micros,
     stopped: Option<Micros>,
-    /// When it acted on each purge.
+    /// Time at which the member applied each purge, by the purge's number.
     purged: BTreeMap<u32, Micros>,
     voided: Vec<Micros>,
-    /// When it served; the last span may be open.
+    /// The periods in which the member served; the last one may be open.
     served: Vec<(Micros, Option<Micros>)>,
 }
 
@@ -97,7 +99,7 @@
         self.started <= at && self.stopped.is_none_or(|stopped| at < stopped)
     }
 
-    /// From when on this life cannot hold what a purge published at this time concerns.
+    /// Time from which this incarnation cannot hold a value older than the purge, which was published at `published`.
     fn covered_at(&self, number: u32, published: Micros) -> Option<Micros> {
         if self.started >= published {
             return Some(self.started);
@@ -106,7 +108,7 @@
         self.purged.get(&number).into_iter().chain(voided).min().copied()
     }
 
-    /// Whether it served at some time from `done` on without being covered.
+    /// Whether the member served at any time from `done` on and before `covered`, so that it may have served a purged value.
     fn served_without(&self, done: Micros, covered: Option<Micros>) -> bool {
         let covered = covered.unwrap_or(Micros::MAX);
         self.served.iter().any(|(from, until)| {
@@ -116,7 +118,7 @@
     }
 }
 
-/// A purge as its publisher saw it.
+/// A purge from the view of its publisher.
 #[derive(Clone, Copy, Debug)]
 struct Published {
     at: Micros,
@@ -124,7 +126,7 @@
     done: Option<Micros>,
 }
 
-/// The events of a run, in order.
+/// The events of a run by member and by purge.
 #[derive(Debug, Default)]
 struct Record {
     incarnations: BTreeMap<usize, Vec<MemberIncarnation>>,
@@ -189,7 +191,7 @@
     }
 }
 
-/// Checks the events of a run, which need not be in order.
+/// Evaluates the events of a run, in any order.
 pub fn check(run: &Run, mut events: Vec<MemberEvent>) -> PurgeSummary {
     events.sort_by_key(|event| event.at);
     let record = Record::new(&events);
@@ -246,7 +248,7 @@
                     acted.push(at - published.at);
                     longest = longest.max(Some(at - published.at));
                 }
-                // Who ended before it could act holds nothing any more.
+                // A member killed before it applied the purge holds no values any more.
                 None if life.stopped.is_some() => {}
                 None => result.never += 1,
             }
@@ -262,7 +264,7 @@
     result
 }
 
-/// Whether the control machine that took a purge was killed after it.
+/// Whether the control machine that accepted the purge was killed afterwards.
 fn was_stopped(record: &Record, published: &Published) -> bool {
     let incarnations = record.incarnations.get(&published.by).into_iter().flatten();
     incarnations.into_iter().any(|life| life.stopped.is_some_and(|stopped| stopped >= published.at))
--- a/testbed/src/scale/purge_endpoint.rs
+++ b/testbed/src/scale/purge_endpoint.rs
@@ -1,4 +1,5 @@
-//! Fleet-wide purges as endpoints: the control machines, which also publish, and the members, balancers and cache servers.
+//! Endpoints that run fleet-wide purges: control machines, which also publish, and members, which are balancers or cache
+//! servers.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,24 +14,25 @@
 use super::endpoint::{Datagram, Endpoint, EndpointEvent};
 use super::Micros;
 
-/// The first bytes of the mechanism's packets.
+/// The first bytes of each packet of the purge protocol.
 pub const PURGE_MAGIC: &[u8] = b"JPC";
-/// What the keys of published purges begin with; with the number they are of a usual length.
+/// Prefix of the keys of published purges, followed by the purge's number. It gives the keys a typical length.
 const KEY_PREFIX: &str = "scale:object:";
-/// [`super::Flaw::DropsChanges`] loses each change whose number leaves this remainder by this divisor.
+/// [`super::Flaw::DropsChanges`] drops the purges whose number modulo this divisor is [`DROPPED_REMAINDER`].
 const DROPPED_OF: u32 = 1_000;
+/// See [`DROPPED_OF`].
 const DROPPED_REMAINDER: u32 = 500;
 
-/// A control machine that publishes what it is told to.
+/// A control machine that publishes purges on command.
 pub struct ReplicaEndpoint {
     replica: Replica,
-    /// Purges that are not done, in the order in which they were published.
+    /// The published purges that are not completed yet, in order of publication.
     pending: VecDeque<(u32, PurgeId)>,
     events: Vec<EndpointEvent>,
 }
 
 impl ReplicaEndpoint {
-    /// A control machine that starts now; `bootstrap` at the first start of all.
+    /// Creates a control machine that starts now. `bootstrap` is set for the first start of all control machines.
     pub fn new(
         replica: u8,
         replicas: Vec<SocketAddr>,
@@ -92,20 +94,20 @@
     }
 }
 
-/// What distinguishes one member from another.
+/// The identity of a member.
 #[derive(Clone, Debug)]
 pub struct MemberIdentity {
-    /// Its number among all members.
+    /// The member's number.
     pub member: u32,
     /// The addresses of the control machines.
     pub replicas: Vec<SocketAddr>,
-    /// The control machines, the nearest first.
+    /// The control machines in order of preference, nearest first.
     pub preferred: Vec<u8>,
-    /// Whether it is a cache server, which replays; a balancer voids.
+    /// Whether the member is a cache server, which replays missed purges; a balancer discards all its cached values instead.
     pub is_cache_host: bool,
-    /// Whether it loses one change in a thousand, on purpose.
+    /// Whether the member has the defect [`super::Flaw::DropsChanges`].
     pub drops_changes: bool,
-    /// The seed of its random numbers.
+    /// The seed of the member's random numbers.
     pub seed: u64,
 }
 
@@ -113,12 +115,12 @@
 pub struct MemberEndpoint {
     member: Member,
     drops_changes: bool,
-    /// The last time at which it was seen to serve.
+    /// Time of the last check, if the member was serving then.
     served: Option<Micros>,
 }
 
 impl MemberEndpoint {
-    /// A member that starts now and holds nothing.
+    /// Creates a member that starts now, with an empty cache.
     pub fn new(identity: MemberIdentity, now: Micros) -> MemberEndpoint {
         let config = MemberConfig {
             member: MemberId(identity.member),
@@ -133,7 +135,7 @@
         MemberEndpoint { member, drops_changes: identity.drops_changes, served: None }
     }
 
-    /// The number of a purge by its key, unless the member loses it on purpose.
+    /// The number of a purge by its key, or `None` if the injected defect drops it.
     fn number_of(&self, key: &[u8]) -> Option<u32> {
         let number = std::str::from_utf8(key).ok()?.strip_prefix(KEY_PREFIX)?.parse().ok()?;
         let dropped = self.drops_changes && number % DROPPED_OF == DROPPED_REMAINDER;
--- a/testbed/src/scale/resources.rs
+++ b/testbed/src/scale/resources.rs
@@ -1,39 +1,41 @@
-//! What a scale test needs of the machine, checked before anything is started, and the memory that it takes.
+//! The memory and file descriptors that a scale test needs, checked before it starts, and the memory that it uses.
 
 use nix::sys::resource::{getrlimit, Resource};
 
 use super::config::ScaleConfig;
 use crate::SetupError;
 
-/// The most memory that a run may take: half of the machine that it is made for.
+/// Maximum memory of a run in bytes: half the memory of the machine that the tests are designed for.
 pub const MEMORY_MAX: u64 = 12 * 1024 * 1024 * 1024;
-/// The most processes that a run may start.
+/// Maximum number of processes that a run may start.
 pub const PROCESSES_MAX: usize = 300;
-/// Memory that a run takes by itself, and for each member at the most: the balancer's bound of 64 MB would not leave room for
-/// 2,000, so this is what the mechanisms take with room to spare.
+/// Memory of a run without its members, in bytes.
 const MEMORY_BASE: u64 = 64 * 1024 * 1024;
+/// Maximum memory of a member in bytes: more than any mechanism uses. With the balancer's own bound of 64 MB, 2,000 members
+/// would not fit.
 const MEMORY_PER_MEMBER: u64 = 4 * 1024 * 1024;
-/// Descriptors that a run takes beside the members' sockets, and for each worker.
+/// File descriptors of a run in addition to those of members and workers.
 const DESCRIPTORS_BASE: u64 = 64;
+/// File descriptors per worker thread, in addition to the members' sockets.
 const DESCRIPTORS_PER_WORKER: u64 = 8;
-/// A page of memory, in which the system counts.
+/// Size of a memory page, the unit of `/proc/self/statm`.
 const PAGE_BYTES: u64 = 4_096;
 
-/// Memory that a run may take at the most, in bytes.
+/// The maximum memory that a run needs, in bytes.
 pub fn memory_needed(config: &ScaleConfig) -> u64 {
     MEMORY_BASE + config.endpoints() as u64 * MEMORY_PER_MEMBER
 }
 
-/// Descriptors that a run takes.
+/// The number of file descriptors that a run needs.
 pub fn descriptors_needed(config: &ScaleConfig) -> u64 {
     let sockets = if config.virtual_time { 0 } else { config.endpoints() as u64 };
     DESCRIPTORS_BASE + DESCRIPTORS_PER_WORKER * config.workers as u64 + sockets
 }
 
-/// Whether the machine has room for a run.
+/// Checks that the machine has enough memory and file descriptors for a run.
 ///
 /// # Errors
-/// One line that says which limit is in the way and what to do.
+/// A resource is too scarce, or the limit of open files cannot be read. The message is one line that names a remedy.
 pub fn check(config: &ScaleConfig) -> Result<(), SetupError> {
     let problem = |line: String| Err(SetupError::ScaleTest(line));
     let needed = memory_needed(config);
@@ -42,20 +44,21 @@
         let most = MEMORY_MAX.min(available) / 1_048_576;
         let needed = needed / 1_048_576;
         return problem(format!(
-            "the run may need {needed} MiB of memory and {most} MiB are the most: take fewer members"
+            "the run may need {needed} MiB of memory, but at most {most} MiB may be used: reduce the number of members"
         ));
     }
     let needed = descriptors_needed(config);
     let (limit, _) = getrlimit(Resource::RLIMIT_NOFILE).map_err(SetupError::OpenFileLimit)?;
     if needed > limit {
         return problem(format!(
-            "the run needs {needed} open files and the limit is {limit}: raise it (ulimit -n {needed}) or take fewer members"
+            "the run needs {needed} open files, but the limit is {limit}: raise it (ulimit -n {needed}) or reduce the \
+             number of members"
         ));
     }
     Ok(())
 }
 
-/// Resident memory of this process in bytes; 0 where the system does not tell.
+/// Resident memory of this process in bytes; 0 if the system does not provide it.
 pub fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split_whitespace().nth(1).and_then(|word| word.parse::<u64>().ok());
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -1,4 +1,4 @@
-//! What a scale test found: the summary, and a row for each member.
+//! The results of a scale test: the summary, and a row for each member.
 
 use std::collections::BTreeMap;
 
@@ -14,133 +14,133 @@
 use super::sockets::SocketRun;
 use super::Micros;
 
-/// The lateness of the test bed's timers over which a run does not count, at the 99th percentile.
+/// Maximum lateness of the test bed's timers at the 99th percentile, in milliseconds. A run that exceeds it is invalid.
 pub const LATE_MS: f64 = 20.0;
-/// What IPv4 and UDP add to each packet.
+/// Length of the IPv4 and UDP headers of a packet, in bytes.
 const HEADERS_LENGTH: f64 = 28.0;
-/// Within this time nobody can have found out that a member is gone: who says so had not known it.
+/// Minimum time to detect the loss of a member. A member that reports the loss earlier had never known the lost member.
 const NOT_KNOWN_WITHIN: Micros = 200_000;
 
-/// Packets and bytes a second that a member sends.
+/// Packets and bytes per second that a member sends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Rate {
-    /// Packets a second.
+    /// Packets per second.
     pub packets_per_s: f64,
-    /// Bytes a second, without the headers of IP and UDP.
+    /// Bytes per second, without IP and UDP headers.
     pub bytes_per_s: f64,
 }
 
-/// What members sent and cost in a phase of the run, on average over all members.
+/// Traffic and processor time of a member in a phase of the run, on average over all members unless stated otherwise.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PhaseSummary {
-    /// How long it lasted.
+    /// Duration of the phase.
     pub seconds: f64,
-    /// Sent, by kind.
+    /// Sent traffic by kind.
     pub kinds: BTreeMap<String, Rate>,
-    /// Sent, of all kinds.
+    /// Sent traffic of all kinds.
     pub sent: Rate,
-    /// Sent with the headers of IP and UDP.
+    /// Bytes per second sent, with IP and UDP headers.
     pub wire_bytes_per_s: f64,
-    /// Bytes a second that the busiest member sends.
+    /// Bytes per second sent by the member that sends the most.
     pub bytes_per_s_max: f64,
-    /// Bytes a second that a member receives.
+    /// Bytes per second received.
     pub received_bytes_per_s: f64,
-    /// Processor time of the control code alone, in percent of a core.
+    /// Processor time of the control code, in percent of a core.
     pub cpu_percent: f64,
-    /// The same of the busiest member.
+    /// As `cpu_percent`, of the member with the highest value.
     pub cpu_percent_max: f64,
-    /// Processor time of a packet received, with the answers to it.
+    /// Processor time per received packet, including the responses to it, in microseconds.
     pub us_per_datagram: f64,
-    /// Processor time of a tick.
+    /// Processor time per tick, in microseconds.
     pub us_per_tick: f64,
-    /// Processor time of the test bed for a member, sockets included, in percent of a core; 0 in simulated time.
+    /// Processor time of the test bed per member, including sockets, in percent of a core; 0 in simulated time.
     pub test_bed_cpu_percent: f64,
 }
 
-/// How a change spread.
+/// Propagation of a change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ChangeSummary {
-    /// What changed.
+    /// Name of the change.
     pub name: String,
-    /// Members that should come to know it.
+    /// Number of members expected to learn of the change.
     pub observers: usize,
-    /// Of these, those that had never known the member that is gone: they are not among the times.
+    /// Number of observers that had never known the lost member; the times exclude them.
     pub unaware: usize,
-    /// Of the observers, those that did not come to know it before they were asked no more.
+    /// Number of observers that did not learn of the change before the checks ended.
     pub never: usize,
-    /// How long they were asked, in seconds.
+    /// Duration of the checks, in seconds.
     pub asked_s: f64,
-    /// Milliseconds until half of them did, until 99% did, and until the last one did; none where fewer did.
+    /// Milliseconds until half the observers had learned of the change; `None` if fewer did.
     pub p50_ms: Option<f64>,
-    /// The same of 99%.
+    /// Milliseconds until 99% of the observers had; `None` if fewer did.
     pub p99_ms: Option<f64>,
-    /// The same of all.
+    /// Milliseconds until all observers had; `None` if fewer did.
     pub all_ms: Option<f64>,
 }
 
-/// How many members the members take for alive at the end.
+/// The number of members that each member considers alive at the end, over all members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct KnownMembers {
-    /// At the member that knows the fewest.
+    /// The minimum.
     pub least: usize,
-    /// At half of them no more than this.
+    /// The median.
     pub median: usize,
-    /// At the member that knows the most.
+    /// The maximum.
     pub most: usize,
 }
 
-/// The result of a scale test.
+/// The summary of a scale test.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// What the members ran.
+    /// Name of the mechanism that the members ran.
     pub mechanism: String,
-    /// What happened.
+    /// Name of the fault scenario.
     pub event: String,
-    /// What the test bed broke on purpose.
+    /// Name of the injected defect, if any.
     pub flaw: Option<String>,
-    /// How many members there were.
+    /// Number of members.
     pub members: usize,
-    /// In how many regions.
+    /// Number of regions.
     pub regions: usize,
-    /// In how many zones.
+    /// Number of zones.
     pub zones: usize,
-    /// The seed.
+    /// The seed of all random choices.
     pub seed: u64,
     /// Whether time was simulated.
     pub virtual_time: bool,
-    /// Lateness of the test bed's timers at the 99th percentile; over [`LATE_MS`] the run does not count.
+    /// Lateness of the test bed's timers at the 99th percentile, in milliseconds; over [`LATE_MS`] the run is invalid.
     pub lag_p99_ms: f64,
-    /// Resident memory that a member added to the process, in bytes.
+    /// Resident memory that the run added to the process, per member, in bytes.
     pub memory_per_member: f64,
-    /// The ordinary state.
+    /// Members in the steady state.
     pub ordinary: PhaseSummary,
-    /// From the event on.
+    /// Members from the start of the fault scenario on.
     pub after_event: PhaseSummary,
-    /// What control machines sent and cost in the ordinary state, and how many there were.
+    /// Control machines in the steady state.
     pub control_ordinary: PhaseSummary,
-    /// The same from the event on.
+    /// Control machines from the start of the fault scenario on.
     pub control_after_event: PhaseSummary,
-    /// How many control machines there were.
+    /// Number of control machines.
     pub replicas: usize,
-    /// What became of the purges, where the mechanism has any.
+    /// Results of the purges, if the mechanism has any.
     pub purge: Option<PurgeSummary>,
-    /// How each change spread.
+    /// Propagation of each change.
     pub changes: Vec<ChangeSummary>,
-    /// What members know of each other at the end.
+    /// Number of members known to each member at the end.
     pub known: KnownMembers,
-    /// Packets to addresses of no member.
+    /// Number of packets to addresses of no member.
     pub unroutable: u64,
-    /// Packets that a full socket buffer did not take.
+    /// Number of packets whose send failed, as with a full socket buffer.
     pub not_sent: u64,
 }
 
 impl Summary {
-    /// Whether the test bed kept its times, so that the run counts.
+    /// Whether the test bed's timers were on time, so that the run is valid.
     pub fn counts(&self) -> bool {
         self.lag_p99_ms <= LATE_MS
     }
 
-    /// Whether every stated guarantee held.
+    /// Whether no guarantee of the mechanism was violated.
     pub fn is_sound(&self) -> bool {
         self.purge.is_none_or(|purge| purge.done_missing == 0)
     }
@@ -155,21 +155,21 @@
     pub zone: usize,
     /// Its region.
     pub region: usize,
-    /// Sent in the ordinary state, a second.
+    /// Packets per second sent in the steady state.
     pub packets_per_s: f64,
-    /// The same in bytes.
+    /// Bytes per second sent in the steady state.
     pub bytes_per_s: f64,
-    /// Received, a second.
+    /// Bytes per second received in the steady state.
     pub received_bytes_per_s: f64,
-    /// Processor time of its control code in percent of a core.
+    /// Processor time of the control code in the steady state, in percent of a core.
     pub cpu_percent: f64,
-    /// The first two from the event on.
+    /// Packets per second sent from the start of the fault scenario on.
     pub event_packets_per_s: f64,
-    /// The same in bytes.
+    /// Bytes per second sent from the start of the fault scenario on.
     pub event_bytes_per_s: f64,
 }
 
-/// All that a run left.
+/// The results of a run.
 #[derive(Debug, Default)]
 pub struct Outcome {
     /// The summary.
@@ -179,7 +179,7 @@
 }
 
 impl Outcome {
-    /// The outcome of a run over sockets.
+    /// Merges the results of the worker threads of a run over sockets.
     pub fn of_sockets(run: &Run, played: SocketRun) -> Outcome {
         let mut whole = Observations::default();
         for part in played.observations {
@@ -202,7 +202,7 @@
         outcome
     }
 
-    /// The outcome of what was observed, with the memory that the members took.
+    /// Evaluates the observations of a run whose members used `memory` bytes.
     pub fn new(run: &Run, mut observed: Observations, lateness: &Lateness, memory: u64) -> Outcome {
         observed.counts.sort_by_key(|(member, _)| *member);
         observed.known.sort_unstable();
@@ -285,7 +285,7 @@
     }
 }
 
-/// Expectations of one name and time are one change: their observers are taken together.
+/// Summarises the changes. Expectations with the same name and time are one change, whose observers are counted together.
 fn changes(run: &Run, reached: &[Reached]) -> Vec<ChangeSummary> {
     let expectations = &run.schedule.expectations;
     let mut groups: Vec<(&Expectation, Vec<usize>)> = Vec::new();
--- a/testbed/src/scale/run.rs
+++ b/testbed/src/scale/run.rs
@@ -1,4 +1,4 @@
-//! What all threads of a run share and nobody changes: who is where, what happens when, and how a member is made.
+//! The immutable state shared by all threads of a run: configuration, network, schedule and addresses.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,25 +15,25 @@
 use super::workload::WorkloadConfig;
 use super::Micros;
 
-/// How often a member does what is due.
+/// Interval between two ticks of a member.
 pub const TICK_INTERVAL: Micros = 50_000;
 
-/// A run, fixed before it starts.
+/// A run, fully determined before it starts.
 #[derive(Debug)]
 pub struct Run {
-    /// What it was told.
+    /// The configuration.
     pub config: ScaleConfig,
-    /// The network with its faults.
+    /// The network with its scheduled faults.
     pub network: Network,
-    /// What happens when.
+    /// The schedule of faults, purges and expectations.
     pub schedule: Schedule,
-    /// The address of each member.
+    /// The address of each member, by member number.
     pub addresses: Vec<SocketAddr>,
     members: HashMap<SocketAddr, usize>,
 }
 
 impl Run {
-    /// A run of members at these addresses.
+    /// Creates a run of members at these addresses.
     pub fn new(config: ScaleConfig, addresses: Vec<SocketAddr>) -> Run {
         let topology = Topology::new(addresses.len(), config.zones, config.regions, config.seed);
         let mut network = Network::new(topology, config.seed);
@@ -42,12 +42,13 @@
         Run { config, network, schedule, addresses, members }
     }
 
-    /// The member at an address.
+    /// The number of the member at an address.
     pub fn member_at(&self, address: SocketAddr) -> Option<usize> {
         self.members.get(&address).copied()
     }
 
-    /// Makes a member that starts now; a later start is a later life.
+    /// Creates the control code of a member that starts now. The start time is its incarnation, so that a later start has a
+    /// greater one.
     pub fn start(&self, member: usize, now: Micros) -> Box<dyn Endpoint> {
         let config = &self.config;
         let seed = config.seed ^ (member as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ now;
--- a/testbed/src/scale/schedule.rs
+++ b/testbed/src/scale/schedule.rs
@@ -1,5 +1,5 @@
-//! What happens when in a run, and what members are expected to know of it: fixed by the configuration and the seed before
-//! anything starts.
+//! The schedule of a run: its faults and purges, and the changes that members are expected to learn of. The configuration
+//! and the seed determine it before the run starts.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -10,101 +10,105 @@
 use super::topology::Topology;
 use super::Micros;
 
-/// The time at which every run starts: no real clock reads so little, and no span before it underflows.
+/// The time at which every run starts. It is lower than the time of any real clock, and high enough that subtracting a
+/// duration does not underflow.
 pub const CLOCK_START: Micros = 1_000_000_000;
-/// The share of the observed time in which the fleet is in its ordinary state.
+/// Share of the measured time that is the steady state, before the fault scenario.
 const ORDINARY_SHARE: f64 = 1.0 / 3.0;
-/// Parts of the time after the event begins at which it goes on.
+/// Share of the fault scenario's time after which crashed members restart and partitions heal.
 const RETURN_PART: f64 = 0.45;
+/// Share of the fault scenario's time after which a cache server stops answering.
 const SILENCE_PART: f64 = 0.7;
-/// The share of packets lost in [`Event::Loss`].
+/// Share of packets lost in [`Event::Loss`].
 const LOSS_SHARE: f64 = 0.01;
-/// The share of members that restart in [`Event::RestartWave`], within which time, and for how long each is away.
+/// Share of members that restart in [`Event::RestartWave`].
 const WAVE_SHARE: f64 = 0.4;
+/// Time within which these members stop.
 const WAVE_SPREAD: Micros = 5_000_000;
+/// Time from the stop of each of these members to its start.
 const WAVE_AWAY: Micros = 1_000_000;
-/// Members that all others call first.
+/// Number of seed members, which every member contacts first.
 pub const SEED_COUNT: usize = 3;
-/// Control machines killed in [`Event::ControlLoss`].
+/// Number of control machines killed in [`Event::ControlLoss`].
 const REPLICAS_LOST: usize = 2;
-/// How long after the start the first purge is published.
+/// Time from the start of the run to the first purge.
 const PUBLISHED_AFTER: Micros = 3_000_000;
-/// Members about which all others are asked after an event that concerns many.
+/// Number of members whose state the others are checked for when a fault affects many members.
 const SAMPLED_MEMBERS: usize = 3;
 
-/// What is done to a member.
+/// The kind of an [`Action`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ActionKind {
-    /// It is killed.
+    /// Kills the member.
     Stop,
-    /// It starts anew, without memory.
+    /// Starts the member without any state.
     Start,
-    /// It publishes the purge of this number.
+    /// Publishes the purge with this number at the member.
     Publish(u32),
 }
 
-/// Something that is done to a member at a time.
+/// A scheduled action on a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Action {
-    /// When.
+    /// Time of the action.
     pub at: Micros,
-    /// To whom.
+    /// The member.
     pub member: usize,
-    /// What.
+    /// The kind of action.
     pub kind: ActionKind,
 }
 
-/// A change that all observers should come to know.
+/// A change that all observers are expected to learn of.
 #[derive(Clone, Debug)]
 pub struct Expectation {
-    /// Its name in tables.
+    /// The name in results.
     pub name: &'static str,
-    /// From when on it is true.
+    /// Time of the change.
     pub at: Micros,
-    /// Until when observers are asked.
+    /// End of the checks.
     pub until: Micros,
-    /// What they are asked.
+    /// The query that an observer satisfies once it has learned of the change.
     pub query: StateQuery,
-    /// Who is asked, by member.
+    /// Whether a member is an observer, by member number.
     pub observers: Vec<bool>,
 }
 
-/// The phases of a run, for counting.
+/// The phases of a run; traffic and processor time are measured by phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Phase {
-    /// The fleet forms.
+    /// The fleet forms; not part of the results.
     WarmUp,
-    /// Its ordinary state.
+    /// The steady state.
     Ordinary,
-    /// The event, and what follows.
+    /// The fault scenario, to the end of the run.
     Event,
 }
 
 impl Phase {
-    /// How many phases there are.
+    /// Number of phases.
     pub const COUNT: usize = 3;
 }
 
-/// What happens when.
+/// The schedule of a run.
 #[derive(Clone, Debug)]
 pub struct Schedule {
-    /// The end of the first phase.
+    /// End of the warm-up.
     pub warm: Micros,
-    /// When the event begins.
+    /// Start of the fault scenario.
     pub event: Micros,
-    /// The end of the run.
+    /// End of the run.
     pub end: Micros,
-    /// What is done to members, in order of time.
+    /// The actions on members, sorted by time.
     pub actions: Vec<Action>,
-    /// What members should come to know.
+    /// The changes that members are expected to learn of.
     pub expectations: Vec<Expectation>,
-    /// Cache servers that fall silent, and when.
+    /// Cache servers that stop answering, and for which period.
     pub silent_hosts: Vec<(u64, Range<Micros>)>,
 }
 
 impl Schedule {
-    /// The schedule of a run, with its faults added to the network.
+    /// Creates the schedule of a run and adds its network faults to `network`.
     pub fn new(config: &ScaleConfig, network: &mut Network, addresses: &[SocketAddr]) -> Schedule {
         let micros = |seconds: f64| (seconds * 1e6) as Micros;
         let warm = CLOCK_START + micros(config.warm_up_s);
@@ -127,7 +131,7 @@
         builder.add(config.event);
         builder.add_purges(config);
         if config.mechanism == Mechanism::Purge {
-            // Members of this mechanism do not know each other.
+            // Members have no membership in this mechanism, so that they cannot satisfy any query.
             builder.schedule.expectations.clear();
         }
         builder.schedule.actions.sort_by_key(|action| action.at);
@@ -145,7 +149,7 @@
         }
     }
 
-    /// How long a phase lasts, in seconds.
+    /// Duration of a phase, in seconds.
     pub fn phase_seconds(&self, phase: Phase) -> f64 {
         let span = match phase {
             Phase::WarmUp => self.warm - CLOCK_START,
@@ -156,15 +160,16 @@
     }
 }
 
-/// Draws an event and adds what it consists of.
+/// Adds the actions, network faults and expectations of a fault scenario to a schedule.
 struct Builder<'a> {
     schedule: Schedule,
     network: &'a mut Network,
     addresses: &'a [SocketAddr],
     rng: fastrand::Rng,
-    /// Control machines; they have the first numbers.
+    /// Number of control machines; they have the lowest member numbers.
     replicas: usize,
-    /// The first member that is an ordinary one.
+    /// The lowest number of a member that [`Event::MemberLost`] may stop: control machines and seeds are exempt, except that
+    /// one member always remains.
     first: usize,
 }
 
@@ -173,7 +178,7 @@
         self.network.topology()
     }
 
-    /// The time that far into the event.
+    /// The time after this share of the fault scenario.
     fn part(&self, part: f64) -> Micros {
         let Schedule { event, end, .. } = self.schedule;
         event + ((end - event) as f64 * part) as Micros
@@ -260,7 +265,7 @@
         }
     }
 
-    /// Two control machines die at once and start again; without control machines nothing happens.
+    /// Two control machines crash at the same time and restart. Does nothing without control machines.
     fn add_control_loss(&mut self) {
         let mut replicas: Vec<usize> = (0..self.replicas).collect();
         self.rng.shuffle(&mut replicas);
@@ -270,7 +275,7 @@
         }
     }
 
-    /// Purges at an even rate, by each control machine in turn.
+    /// Adds purges at a constant rate, published by the control machines round-robin.
     fn add_purges(&mut self, config: &ScaleConfig) {
         if self.replicas == 0 || config.publishes_per_s <= 0.0 {
             return;
@@ -295,14 +300,14 @@
         }
     }
 
-    /// All members but these.
+    /// All members except these, as a flag by member number.
     fn others(&self, members: &[usize]) -> Vec<bool> {
         let mut others = vec![true; self.topology().members()];
         members.iter().for_each(|member| others[*member] = false);
         others
     }
 
-    /// The addresses of a few of these members.
+    /// The addresses of [`SAMPLED_MEMBERS`] random members of these, or of all if they are fewer.
     fn sample(&mut self, members: &[usize]) -> Vec<SocketAddr> {
         let mut members = members.to_vec();
         self.rng.shuffle(&mut members);
--- a/testbed/src/scale/shard.rs
+++ b/testbed/src/scale/shard.rs
@@ -1,5 +1,5 @@
-//! The members that one thread drives: calls their control code, applies the network's faults to what they send, counts, and
-//! notes what they come to know. Knows no socket and no clock; both drivers use it.
+//! The members of one thread: calls their control code, applies network faults to the packets they send, measures them and
+//! records when they satisfy expectations. Does no I/O and reads no wall clock, so that sockets and simulated time share it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,53 +11,53 @@
 use super::schedule::{Action, ActionKind};
 use super::Micros;
 
-/// A packet that travels: when it arrives, and where.
+/// A packet in flight between two members.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Travelling {
-    /// When it arrives.
+    /// Time of arrival.
     pub due: Micros,
-    /// Who sent it.
+    /// The sending member.
     pub from: usize,
-    /// Whom it is for.
+    /// The receiving member.
     pub to: usize,
-    /// What it holds.
+    /// The payload.
     pub bytes: Vec<u8>,
 }
 
-/// A member that came to know of a change.
+/// An expectation that a member satisfied for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reached {
-    /// The expectation, by its place in the schedule.
+    /// Index of the expectation in the schedule.
     pub expectation: usize,
     /// The member.
     pub member: usize,
-    /// When.
+    /// Time of the check.
     pub at: Micros,
 }
 
-/// Something that a member did.
+/// An event at a member, with its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberEvent {
-    /// When.
+    /// Time of the event.
     pub at: Micros,
-    /// Who.
+    /// The member.
     pub member: usize,
-    /// What.
+    /// The event.
     pub event: EndpointEvent,
 }
 
-/// What a shard has counted and noted.
+/// The measurements and events of a shard.
 #[derive(Debug, Default)]
 pub struct Observations {
-    /// The counts of each of its members.
+    /// Traffic and processor time by member.
     pub counts: Vec<(usize, MemberPhases)>,
-    /// Who came to know of what.
+    /// The satisfied expectations by member.
     pub reached: Vec<Reached>,
-    /// What members did.
+    /// The members' events.
     pub events: Vec<MemberEvent>,
-    /// How many members each takes for alive at the end, where it runs and counts them.
+    /// For each member that runs at the end and has a membership: the number of members it considers alive.
     pub known: Vec<usize>,
-    /// Packets to addresses of no member.
+    /// Number of packets to addresses of no member.
     pub unroutable: u64,
 }
 
@@ -65,11 +65,11 @@
     member: usize,
     endpoint: Option<Box<dyn Endpoint>>,
     counts: MemberPhases,
-    /// Packets that it has sent, for the network's draws.
+    /// Number of packets sent, an input to the network's random choices.
     sent: u64,
-    /// Expectations that it has reached, as bits.
+    /// Bit mask of the satisfied expectations, by index.
     reached: u64,
-    /// When [`Flaw::TalksToAll`] is due.
+    /// Time of the next broadcast with [`Flaw::TalksToAll`].
     talks: Micros,
 }
 
@@ -83,7 +83,7 @@
 }
 
 impl Shard {
-    /// Shard `number` of `shards`; its members are not started yet.
+    /// Creates shard `number` of `shards`, without starting its members.
     pub fn new(run: Arc<Run>, number: usize, shards: usize) -> Shard {
         let members = (number..run.addresses.len()).step_by(shards);
         let slot = |member| Slot {
@@ -98,17 +98,17 @@
         Shard { run, number, shards, slots, observations: Observations::default() }
     }
 
-    /// Which of the shards it is: its members' numbers leave this remainder.
+    /// Index of the shard: the numbers of its members modulo the number of shards.
     pub fn number(&self) -> usize {
         self.number
     }
 
-    /// The members of this shard.
+    /// The numbers of the members of this shard.
     pub fn members(&self) -> Vec<usize> {
         self.slots.iter().map(|slot| slot.member).collect()
     }
 
-    /// Does what the schedule says.
+    /// Executes an action of the schedule.
     pub fn on_action(&mut self, now: Micros, action: &Action, out: &mut Vec<Travelling>) {
         let place = action.member / self.shards;
         match action.kind {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// A packet has come for one of its members.
+    /// Delivers a packet to one of the shard's members.
     pub fn on_datagram(
         &mut self,
         now: Micros,
@@ -156,7 +156,7 @@
         self.note_events(now, place);
     }
 
-    /// One of its members does what is due.
+    /// Runs the tick of one of the shard's members and checks its expectations.
     pub fn on_tick(&mut self, now: Micros, member: usize, out: &mut Vec<Travelling>) {
         let place = member / self.shards;
         let phase = self.run.schedule.phase(now) as usize;
@@ -175,7 +175,7 @@
         self.note_reached(now, place);
     }
 
-    /// What it has counted and noted, at the end.
+    /// Ends the run and returns the observations.
     pub fn finish(mut self) -> Observations {
         for slot in &self.slots {
             self.observations.counts.push((slot.member, slot.counts));
@@ -185,7 +185,7 @@
         self.observations
     }
 
-    /// Sends what a member has to say since its start.
+    /// Sends the pending packets of a member and records its events.
     fn after(&mut self, now: Micros, place: usize, out: &mut Vec<Travelling>) {
         let sent = self.slots[place].endpoint.as_mut().map(|endpoint| endpoint.drain()).unwrap_or_default();
         self.send(now, place, sent, out);
@@ -245,7 +245,7 @@
     calls.cpu_ns += thread_cpu_ns().saturating_sub(before_ns);
 }
 
-/// A packet to each other member.
+/// Creates a packet to each other member.
 fn talk_to_all(run: &Run, member: usize) -> Vec<Datagram> {
     let others = run.addresses.iter().enumerate().filter(|(other, _)| *other != member);
     others.map(|(_, address)| (*address, vec![b'J', b'L', 0, 0])).collect()
--- a/testbed/src/scale/sockets.rs
+++ b/testbed/src/scale/sockets.rs
@@ -1,7 +1,6 @@
-//! Drives the members of a run over real UDP sockets on loopback in real time: a few threads, each with its members' sockets in
-//! one poll.
+//! Runs the members over real UDP sockets on loopback in real time. Each of a few threads polls the sockets of its members.
 //!
-//! A packet waits at its sender until it is due to arrive, and is sent then. So no relay stands between two members, and the
+//! The sender holds a packet until its time of arrival and sends it then. No relay between two members is needed, and the
 //! receiver sees the sender's own address.
 
 use std::cmp::Reverse;
@@ -21,34 +20,34 @@
 use super::virtual_time::{start_action, start_of};
 use super::{resources, Micros};
 
-/// The longest packet that is read whole.
+/// Maximum length of a received packet, in bytes; longer ones are truncated.
 const DATAGRAM_MAX: usize = 2_048;
-/// Packets read from one socket before the timers have their turn.
+/// Maximum number of packets read from a socket before the timers run again.
 const READS_PER_TURN: usize = 64;
-/// Socket events taken from one poll.
+/// Maximum number of socket events per poll.
 const EVENTS_PER_POLL: usize = 1_024;
-/// How long before the end the memory is read, while all members still run.
+/// Time before the end of the run at which the memory is measured, while all members still run.
 const MEMORY_READ_BEFORE_END: Duration = Duration::from_millis(200);
 
-/// What a run over sockets cost and left.
+/// The result of a run over sockets, or of one worker thread.
 #[derive(Debug, Default)]
 pub struct SocketRun {
-    /// What the shards counted and noted.
+    /// The observations of each shard.
     pub observations: Vec<Observations>,
-    /// How late the test bed's timers were once the fleet had formed.
+    /// Lateness of the test bed's timers after the warm-up.
     pub lateness: Lateness,
     /// Processor time of all worker threads by phase, in nanoseconds, the test bed's own share included.
     pub cpu_ns: [u64; Phase::COUNT],
     /// Resident memory before the members started and shortly before the end, in bytes.
     pub memory: (u64, u64),
-    /// Packets that a full socket buffer did not take.
+    /// Number of packets whose send failed, as with a full socket buffer.
     pub not_sent: u64,
 }
 
-/// Binds a socket for each member on loopback, at free ports.
+/// Binds a socket on a free loopback port for each member.
 ///
 /// # Errors
-/// What the system says.
+/// A socket cannot be bound or set up.
 pub fn bind(members: usize) -> io::Result<(Vec<std::net::UdpSocket>, Vec<SocketAddr>)> {
     let mut sockets = Vec::with_capacity(members);
     let mut addresses = Vec::with_capacity(members);
@@ -64,7 +63,7 @@
 /// Runs a scale test to its end.
 ///
 /// # Errors
-/// What the system says of a socket or a poll.
+/// A poll failed or could not be set up, or a worker thread panicked.
 pub fn run_on_sockets(run: &Arc<Run>, sockets: Vec<std::net::UdpSocket>) -> io::Result<SocketRun> {
     let workers = run.config.workers.max(1);
     let mut shares: Vec<Vec<std::net::UdpSocket>> = (0..workers).map(|_| Vec::new()).collect();
@@ -186,7 +185,7 @@
         Ok(self.result)
     }
 
-    /// Puts in the first start of each member, and the actions that concern them.
+    /// Starts each member, and adds the timers of their ticks and scheduled actions.
     fn start(&mut self) {
         let members = self.run.addresses.len();
         for member in self.shard.members() {
@@ -219,7 +218,7 @@
                 }
                 TimerKind::Tick(member) => {
                     self.shard.on_tick(now, member, &mut self.out);
-                    // A tick that was missed is not made up for.
+                    // Missed ticks are skipped.
                     let next =
                         if now < due + TICK_INTERVAL { due + TICK_INTERVAL } else { now + TICK_INTERVAL };
                     self.timers.push(Reverse((next, TimerKind::Tick(member))));
@@ -251,7 +250,7 @@
         Duration::from_micros(next.min(self.run.schedule.end).saturating_sub(self.now()))
     }
 
-    /// Reads what has come at a socket; whether there may be more.
+    /// Reads packets from a socket. Returns whether there may be more.
     fn read(&mut self, place: usize) -> bool {
         let member = place * self.workers + self.shard.number();
         let mut buffer = [0; DATAGRAM_MAX];
@@ -263,7 +262,7 @@
                     self.collect();
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
-                // Word that an earlier packet found nobody; the next one may.
+                // The error of an earlier send to a closed port; the next read may succeed.
                 Err(_) => {}
             }
         }
--- a/testbed/src/scale/tests.rs
+++ b/testbed/src/scale/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the test bed itself: what it draws follows from the seed, and what it counts is whole.
+//! Tests of the test bed itself: random choices follow from the seed, and measurements are complete.
 
 use std::net::SocketAddr;
 
@@ -27,14 +27,14 @@
     assert_eq!(fates(&network(1)), fates(&network(1)));
     assert_ne!(fates(&network(1)), fates(&network(2)));
     let lost = fates(&network(1)).iter().filter(|fate| fate.is_none()).count();
-    assert!((900..1_100).contains(&lost), "{lost} of 4000 at a share of 0.25");
+    assert!((900..1_100).contains(&lost), "{lost} of 4000 packets lost at a share of 0.25");
 }
 
 #[test]
 fn delays_grow_with_the_distance_and_are_the_same_both_ways() {
     let topology = Topology::new(200, 38, 12, 1);
-    assert_eq!(topology.delay(0, 38), 1_000, "one zone");
-    assert_eq!(topology.delay(0, 12), 5_000, "two zones of one region");
+    assert_eq!(topology.delay(0, 38), 1_000, "same zone");
+    assert_eq!(topology.delay(0, 12), 5_000, "two zones of the same region");
     for (from, to) in [(0, 1), (3, 8), (11, 4)] {
         assert!((20_000..90_000).contains(&topology.delay(from, to)));
         assert_eq!(topology.delay(from, to), topology.delay(to, from));
@@ -49,7 +49,7 @@
     let outside = (0..200).find(|member| region(*member) != 3).unwrap();
     assert!(network.is_cut(150, inside[0], outside) && network.is_cut(150, outside, inside[0]));
     assert!(!network.is_cut(150, inside[0], inside[1]));
-    assert!(!network.is_cut(200, inside[0], outside), "the end of the cut is not in it");
+    assert!(!network.is_cut(200, inside[0], outside), "the end of the period is exclusive");
 }
 
 #[test]
@@ -109,7 +109,9 @@
         ScaleConfig { members: 5_000, ..ScaleConfig::default() },
         ScaleConfig { seconds: 0.0, ..ScaleConfig::default() },
     ] {
-        let Err(TestbedError::NotAllowed(line)) = run_scale_test(config) else { panic!("it ran") };
+        let Err(TestbedError::NotAllowed(line)) = run_scale_test(config) else {
+            panic!("an invalid configuration was accepted")
+        };
         assert!(!line.to_string().contains('\n'));
     }
     let config = ScaleConfig { members: 4_000, ..ScaleConfig::default() };
--- a/testbed/src/scale/topology.rs
+++ b/testbed/src/scale/topology.rs
@@ -1,6 +1,6 @@
-//! Where members stand: each in a zone, each zone in a region, and how long a packet travels between two of them.
+//! The zone and region of each member, and the network delay between two members.
 //!
-//! All of it follows from the seed and the counts, so that two runs with one seed have the same network.
+//! The topology is a function of the seed and the counts, so that two runs with the same seed have the same network.
 
 use super::Micros;
 
@@ -8,7 +8,7 @@
 const SAME_ZONE_DELAY: Micros = 1_000;
 /// One-way delay between two zones of a region.
 const SAME_REGION_DELAY: Micros = 5_000;
-/// One-way delay between two regions, drawn for each pair from this range.
+/// Range of one-way delays between two regions; the delay of each pair is chosen at random.
 const BETWEEN_REGIONS_DELAY: std::ops::Range<Micros> = 20_000..90_000;
 
 /// The zones and regions of a fleet.
@@ -17,12 +17,12 @@
     members: usize,
     zones: usize,
     regions: usize,
-    /// The delay by pair of regions.
+    /// One-way delay by pair of regions, in row-major order.
     delays: Vec<Micros>,
 }
 
 impl Topology {
-    /// A topology of so many members, dealt to zones in turn, and zones to regions in turn.
+    /// Assigns members to zones, and zones to regions, round-robin.
     pub fn new(members: usize, zones: usize, regions: usize, seed: u64) -> Topology {
         let (zones, regions) = (zones.max(1), regions.max(1).min(zones.max(1)));
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x7090_1093);
@@ -37,17 +37,17 @@
         Topology { members, zones, regions, delays }
     }
 
-    /// How many members there are.
+    /// Number of members.
     pub fn members(&self) -> usize {
         self.members
     }
 
-    /// How many regions there are.
+    /// Number of regions.
     pub fn regions(&self) -> usize {
         self.regions
     }
 
-    /// How many zones there are.
+    /// Number of zones.
     pub fn zones(&self) -> usize {
         self.zones
     }
--- a/testbed/src/scale/virtual_time.rs
+++ b/testbed/src/scale/virtual_time.rs
@@ -1,6 +1,6 @@
-//! Drives all members of a run in simulated time: an event queue in place of sockets and clocks.
+//! Runs all members in simulated time, with an event queue in place of sockets and clocks.
 //!
-//! The state machines, the network and the seeds are those of [`super::sockets`]; packets arrive exactly when they are due.
+//! The state machines, the network and the seeds are the same as in [`super::sockets`]. Packets arrive exactly on time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -12,7 +12,7 @@
 use super::shard::{Observations, Shard, Travelling};
 use super::{resources, Micros};
 
-/// The port of every simulated member; their addresses differ.
+/// The port of every simulated member. Members differ in their IP address.
 const MEMBER_PORT: u16 = 7_946;
 
 /// The address of a simulated member.
@@ -28,10 +28,10 @@
     Arrival(Travelling),
 }
 
-/// What is due at a time; those due at once go in the order in which they were put in.
+/// An event with its due time and sequence number. Events due at the same time run in insertion order.
 type Queued = Reverse<(Micros, u64, QueuedKind)>;
 
-/// The event queue with its sequence numbers.
+/// The event queue.
 #[derive(Default)]
 struct Queue {
     heap: BinaryHeap<Queued>,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Runs to its end; gives what was observed, and the resident memory at the end.
+/// Runs a scale test to its end. Returns the observations, and the resident memory at the end in bytes.
 pub fn run_in_virtual_time(run: &Arc<Run>) -> (Observations, u64) {
     let mut shard = Shard::new(Arc::clone(run), 0, 1);
     let mut queue = Queue::default();
@@ -86,12 +86,12 @@
     (shard.finish(), memory)
 }
 
-/// When a member first starts: all of them within one tick, evenly apart.
+/// Time of a member's first start. The members' starts are evenly spaced over one tick.
 pub(super) fn start_of(member: usize, members: usize) -> Micros {
     CLOCK_START + TICK_INTERVAL * member as Micros / members.max(1) as Micros
 }
 
-/// The action of a member's first start.
+/// The action that starts a member for the first time.
 pub(super) fn start_action(member: usize, at: Micros) -> super::schedule::Action {
     super::schedule::Action { at, member, kind: super::schedule::ActionKind::Start }
 }
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -1,4 +1,4 @@
-//! Drawn traffic: what a member's control code would see of client requests and of cache servers, without either.
+//! Synthetic traffic: calls a member's control code as client requests and cache servers would, without either.
 
 use std::collections::VecDeque;
 use std::ops::Range;
@@ -8,35 +8,36 @@
 
 use super::Micros;
 
-/// The limit that misses take from.
+/// Name of the rate limit that cache misses take tokens from.
 pub const ORIGIN_LIMIT: &str = "origin";
-/// The share of requests that go to the origin.
+/// Share of requests that are cache misses and go to the origin.
 const MISS_SHARE: f64 = 0.1;
-/// The share of members that are busy, and how many times the others' rate they have.
+/// Share of members that are busy.
 const BUSY_SHARE: f64 = 0.2;
+/// Request rate of a busy member, as a multiple of the other members' rate.
 const BUSY_FACTOR: f64 = 3.0;
-/// How much of the origin's limit all requests together would use.
+/// Share of the origin's rate limit that the whole fleet's cache misses use.
 const ORIGIN_USE: f64 = 0.8;
-/// After how long an attempt at a silent server counts as timed out.
+/// Timeout of an attempt at a silent server.
 const ATTEMPT_TIMEOUT: Micros = 250_000;
-/// The list gives every server this start: long ago, so that all are warm.
+/// Start time of every server in the endpoint list: long ago, so that no server is in slow start.
 const SERVER_START: Micros = 1;
-/// The most requests that one tick catches up on after a pause.
+/// Maximum number of requests generated in one tick, also after a stall.
 const REQUESTS_PER_TICK_MAX: usize = 64;
 
-/// What the drawn traffic of a fleet is like.
+/// The synthetic traffic of a fleet.
 #[derive(Clone, Debug)]
 pub struct WorkloadConfig {
-    /// Requests a second at a member, on average over all members.
+    /// Requests per second at a member, on average over all members.
     pub requests_per_s: f64,
-    /// How many cache servers there are.
+    /// Number of cache servers.
     pub servers: usize,
-    /// Cache servers that fall silent, and when.
+    /// Cache servers that stop answering, and for which period.
     pub silent: Vec<(u64, Range<Micros>)>,
 }
 
 impl WorkloadConfig {
-    /// The origin's limit for so many members, in fetches a second.
+    /// The origin's rate limit for a fleet of this many members, in fetches per second.
     pub fn origin_limit(&self, members: usize) -> u32 {
         (self.requests_per_s * members as f64 * MISS_SHARE / ORIGIN_USE).ceil().max(1.0) as u32
     }
@@ -46,20 +47,20 @@
     }
 }
 
-/// One member's drawn traffic.
+/// The synthetic traffic of one member.
 pub struct Workload {
     config: WorkloadConfig,
     rng: fastrand::Rng,
     requests_per_s: f64,
     last: Micros,
-    /// Attempts at silent servers: when they time out, and the server.
+    /// Attempts at silent servers, as time of the timeout and server number.
     waiting: VecDeque<(Micros, u64)>,
-    /// When each server last answered.
+    /// Time of the last response of each server.
     answered: Vec<Micros>,
 }
 
 impl Workload {
-    /// The traffic of a member whose draws follow from this seed.
+    /// Creates the traffic of a member. Its random choices follow from the seed.
     pub fn new(config: WorkloadConfig, seed: u64, now: Micros) -> Workload {
         let mut rng = fastrand::Rng::with_seed(seed);
         let quiet = config.requests_per_s / (1.0 + BUSY_SHARE * (BUSY_FACTOR - 1.0));
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The cache servers as discovery would list them, with their zones.
+    /// The cache servers with their zones, as discovery would list them.
     pub fn servers(&self, zones: usize) -> Vec<ServingServer> {
         let serving = |server: u64| ServingServer {
             server: ServerId(server),
@@ -85,7 +86,7 @@
         (0..self.config.servers as u64).map(serving).collect()
     }
 
-    /// Generates the requests since the last call on a member's control code.
+    /// Passes the requests that arrived since the last call to the member's control code.
     pub fn generate(&mut self, cluster: &mut Cluster, now: Micros) {
         self.time_out(cluster, now);
         let due = self.requests_per_s * (now - self.last) as f64 / 1e6;
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Reports the attempts that got no answer in time, and asks for a retry of each.
+    /// Reports the attempts that have timed out, and takes a retry credit for each if there is one.
     fn time_out(&mut self, cluster: &mut Cluster, now: Micros) {
         while self.waiting.front().is_some_and(|(due, _)| *due <= now) {
             let Some((_, server)) = self.waiting.pop_front() else { break };
@@ -113,7 +114,7 @@
         }
     }
 
-    /// One request: an attempt at a cache server, and at times a fetch from the origin.
+    /// Generates a request: an attempt at a cache server unless it is avoided, and for a miss a fetch from the origin.
     fn request(&mut self, cluster: &mut Cluster, now: Micros) {
         if let Some(retries) = cluster.retry_budget() {
             retries.on_first_attempt();
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -1,14 +1,15 @@
-//! Scale tests in small: 200 members in simulated time, with bounds on what they send and on who comes to know of what; and the
-//! same with a mechanism that is broken on purpose, which the bounds have to find.
+//! Small scale tests: 200 members in simulated time, with bounds on their traffic and on the propagation of changes, and
+//! with injected defects that must violate these bounds.
 
 use juniperladder_testbed::scale::{run_scale_test, Event, Flaw, Mechanism, ScaleConfig, Summary};
 
 const MEMBERS: usize = 200;
-/// Bytes a second that a member sends on average: today's 1.3 KB with a quarter of room.
+/// Maximum bytes per second that a member sends on average: the current 1.3 KB plus a margin of a quarter.
 const BYTES_PER_S_MAX: f64 = 1_700.0;
-/// Packets a second that a member sends on average.
+/// Maximum packets per second that a member sends on average.
 const PACKETS_PER_S_MAX: f64 = 16.0;
-/// Members that each one knows at the end; the one that has just started again learns of the last few over tens of seconds.
+/// Minimum number of members that each member knows at the end. A restarted member takes tens of seconds to learn of the
+/// last few.
 const KNOWN_LEAST: usize = 190;
 
 fn config(mechanism: Mechanism) -> ScaleConfig {
@@ -24,22 +25,22 @@
 }
 
 fn summary(config: ScaleConfig) -> Summary {
-    run_scale_test(config).expect("the machine allows 200 members").summary
+    run_scale_test(config).expect("a run of 200 members must succeed").summary
 }
 
-/// What is wrong with a run, a line each.
+/// The violated bounds of a run, one line each.
 fn breaches(summary: &Summary) -> Vec<String> {
     let mut breaches = Vec::new();
     for phase in [&summary.ordinary, &summary.after_event] {
         if phase.sent.bytes_per_s > BYTES_PER_S_MAX {
-            breaches.push(format!("{:.0} bytes a second a member", phase.sent.bytes_per_s));
+            breaches.push(format!("{:.0} bytes per second per member", phase.sent.bytes_per_s));
         }
         if phase.sent.packets_per_s > PACKETS_PER_S_MAX {
-            breaches.push(format!("{:.1} packets a second a member", phase.sent.packets_per_s));
+            breaches.push(format!("{:.1} packets per second per member", phase.sent.packets_per_s));
         }
     }
     if summary.known.median < MEMBERS || summary.known.least < KNOWN_LEAST {
-        breaches.push(format!("members know {:?} of {MEMBERS}", summary.known));
+        breaches.push(format!("members know {:?} of {MEMBERS} members", summary.known));
     }
     let back = summary.changes.iter().filter(|change| change.name != "member-gone");
     breaches.extend(back.filter(|change| change.never > 0).map(|change| format!("{change:?}")));
@@ -59,7 +60,7 @@
     assert_eq!(names, ["member-gone", "member-back", "host-silent"]);
 }
 
-/// Later even the member that has started again knows all others.
+/// The restarted member learns of all others more slowly than the short run can show.
 #[test]
 fn a_minute_after_a_loss_each_member_knows_all() {
     let summary = summary(ScaleConfig { seconds: 60.0, ..config(Mechanism::Cluster) });
@@ -72,7 +73,7 @@
 fn a_mechanism_that_talks_to_all_members_is_found() {
     let flawed = ScaleConfig { flaw: Some(Flaw::TalksToAll), seconds: 4.0, ..config(Mechanism::Membership) };
     let breaches = breaches(&summary(flawed));
-    assert!(breaches.iter().any(|breach| breach.contains("packets a second")), "{breaches:?}");
+    assert!(breaches.iter().any(|breach| breach.contains("packets per second")), "{breaches:?}");
 }
 
 #[test]
@@ -87,23 +88,23 @@
     assert_ne!(run(1), run(2));
 }
 
-/// Two hundred members and eleven control machines, so many purges that a loss of one in a thousand shows.
+/// A purge run of 200 members and 11 control machines, with enough purges to detect the loss of one in a thousand.
 fn purges(event: Event) -> ScaleConfig {
     ScaleConfig { publishes_per_s: 70.0, seconds: 24.0, event, ..config(Mechanism::Purge) }
 }
 
-/// What is wrong with a run of purges, a line each.
+/// The violated bounds of a purge run, one line each.
 fn purge_breaches(summary: &Summary) -> Vec<String> {
-    let purge = summary.purge.expect("it was a run of purges");
+    let purge = summary.purge.expect("a purge run has a purge summary");
     let mut breaches = Vec::new();
     let mut check = |kept: bool, line: String| breaches.extend((!kept).then_some(line));
-    check(purge.done_missing == 0, format!("{} done but missing", purge.done_missing));
+    check(purge.done_missing == 0, format!("{} times served without a completed purge", purge.done_missing));
     for phase in [&purge.ordinary, &purge.after_event] {
-        check(phase.never == 0, format!("{} never acted on", phase.never));
-        check(phase.not_done == 0, format!("{} not done", phase.not_done));
-        check(phase.acted.count == 0 || phase.accepted > 50, format!("{} accepted", phase.accepted));
+        check(phase.never == 0, format!("{} never applied", phase.never));
+        check(phase.not_done == 0, format!("{} not completed", phase.not_done));
+        check(phase.acted.count == 0 || phase.accepted > 50, format!("only {} accepted", phase.accepted));
     }
-    check(purge.serving == MEMBERS, format!("{} of {MEMBERS} serve", purge.serving));
+    check(purge.serving == MEMBERS, format!("{} of {MEMBERS} members serve", purge.serving));
     breaches
 }
 
@@ -120,6 +121,9 @@
 fn a_member_that_loses_one_purge_in_a_thousand_is_found() {
     let flawed = ScaleConfig { flaw: Some(Flaw::DropsChanges), ..purges(Event::None) };
     let breaches = purge_breaches(&summary(flawed));
-    assert!(breaches.iter().any(|breach| breach.contains("done but missing")), "{breaches:?}");
-    assert!(breaches.iter().any(|breach| breach.contains("never acted on")), "{breaches:?}");
+    assert!(
+        breaches.iter().any(|breach| breach.contains("served without a completed purge")),
+        "{breaches:?}"
+    );
+    assert!(breaches.iter().any(|breach| breach.contains("never applied")), "{breaches:?}");
 }
