--- a/testbed/src/scale/network.rs
+++ b/testbed/src/scale/network.rs
@@ -9,31 +9,31 @@
 use super::Micros;
 
 /// Maximum jitter of a packet's delay, as a share of the link's delay.
-const JITTER_SHARE: f64 = 0.1;
+const MAX_JITTER_RATIO: f64 = 0.1;
 
 /// The links that a partition affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CutKind {
+pub enum PartitionScope {
     /// All links between this region and the others.
     Region(usize),
 }
 
 /// A temporary network partition.
 #[derive(Clone, Debug)]
-pub struct Cut {
+pub struct Partition {
     /// The period of the partition.
-    pub during: Range<Micros>,
+    pub period: Range<Micros>,
     /// The affected links.
-    pub kind: CutKind,
+    pub scope: PartitionScope,
 }
 
 /// Temporary random packet loss on all links.
 #[derive(Clone, Debug)]
-pub struct Loss {
+pub struct PacketLoss {
     /// The period of the packet loss.
-    pub during: Range<Micros>,
+    pub period: Range<Micros>,
     /// Share of packets lost, from 0 to 1.
-    pub share: f64,
+    pub lost_share: f64,
 }
 
 /// The network of a run with its scheduled faults.
@@ -41,22 +41,22 @@
 pub struct Network {
     topology: Topology,
     seed: u64,
-    cuts: Vec<Cut>,
-    losses: Vec<Loss>,
+    partitions: Vec<Partition>,
+    packet_losses: Vec<PacketLoss>,
 }
 
 impl Network {
     /// A network without faults.
     pub fn new(topology: Topology, seed: u64) -> Network {
-        Network { topology, seed, cuts: Vec::new(), losses: Vec::new() }
+        Network { topology, seed, partitions: Vec::new(), packet_losses: Vec::new() }
     }
 
-    pub fn add_cut(&mut self, cut: Cut) {
-        self.cuts.push(cut);
+    pub fn add_partition(&mut self, partition: Partition) {
+        self.partitions.push(partition);
     }
 
-    pub fn add_loss(&mut self, loss: Loss) {
-        self.losses.push(loss);
+    pub fn add_packet_loss(&mut self, loss: PacketLoss) {
+        self.packet_losses.push(loss);
     }
 
     /// The zones and regions of the members.
@@ -65,26 +65,29 @@
     }
 
     /// Whether a partition separates the two members at this time.
-    pub fn is_cut(&self, now: Micros, from: usize, to: usize) -> bool {
-        self.cuts.iter().filter(|cut| cut.during.contains(&now)).any(|cut| match cut.kind {
-            CutKind::Region(region) => {
-                (self.topology.region(from) == region) != (self.topology.region(to) == region)
+    pub fn is_partitioned(&self, now: Micros, from: usize, to: usize) -> bool {
+        self.partitions.iter().filter(|partition| partition.period.contains(&now)).any(|partition| {
+            match partition.scope {
+                PartitionScope::Region(region) => {
+                    (self.topology.region(from) == region) != (self.topology.region(to) == region)
+                }
             }
         })
     }
 
-    /// The delay of the sender's `count`th packet, or `None` if the packet is lost.
-    pub fn delay(&self, now: Micros, from: usize, to: usize, count: u64) -> Option<Micros> {
-        if self.is_cut(now, from, to) {
+    /// The delay of the sender's packet with number `packet_number`, or `None` if the packet is lost.
+    pub fn delay(&self, now: Micros, from: usize, to: usize, packet_number: u64) -> Option<Micros> {
+        if self.is_partitioned(now, from, to) {
             return None;
         }
         let link = ((from as u64) << 32) | to as u64;
-        let mut rng = fastrand::Rng::with_seed(self.seed ^ link.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ count);
-        let losses = self.losses.iter().filter(|loss| loss.during.contains(&now));
-        if losses.into_iter().any(|loss| rng.f64() < loss.share) {
+        let mut rng =
+            fastrand::Rng::with_seed(self.seed ^ link.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ packet_number);
+        let active_losses = self.packet_losses.iter().filter(|loss| loss.period.contains(&now));
+        if active_losses.into_iter().any(|loss| rng.f64() < loss.lost_share) {
             return None;
         }
         let delay = self.topology.delay(from, to);
-        Some(delay + (delay as f64 * JITTER_SHARE * rng.f64()) as Micros)
+        Some(delay + (delay as f64 * MAX_JITTER_RATIO * rng.f64()) as Micros)
     }
 }
--- a/testbed/src/scale/purge_check.rs
+++ b/testbed/src/scale/purge_check.rs
@@ -272,5 +272,5 @@
 
 fn is_connected(run: &Run, member: usize, published: &Published) -> bool {
     let times = (published.at..published.at + CONNECTED_FOR).step_by(CONNECTED_STEP as usize);
-    times.into_iter().all(|at| !run.network.is_cut(at, published.by, member))
+    times.into_iter().all(|at| !run.network.is_partitioned(at, published.by, member))
 }
--- a/testbed/src/scale/schedule.rs
+++ b/testbed/src/scale/schedule.rs
@@ -6,7 +6,7 @@
 
 use super::config::{Event, Mechanism, ScaleConfig};
 use super::endpoint::StateQuery;
-use super::network::{Cut, CutKind, Loss, Network};
+use super::network::{Network, PacketLoss, Partition, PartitionScope};
 use super::topology::Topology;
 use super::Micros;
 
@@ -189,8 +189,8 @@
             Event::None => {}
             Event::MemberLost => self.add_member_lost(),
             Event::Loss => {
-                let during = self.schedule.warm..self.schedule.end;
-                self.network.add_loss(Loss { during, share: LOSS_SHARE });
+                let period = self.schedule.warm..self.schedule.end;
+                self.network.add_packet_loss(PacketLoss { period, lost_share: LOSS_SHARE });
                 self.add_member_lost();
             }
             Event::ZoneLost => self.add_zone_lost(),
@@ -233,15 +233,28 @@
 
     fn add_region_cut(&mut self) {
         let region = self.rng.usize(0..self.topology().regions());
-        let (cut, heal) = (self.part(0.0), self.part(RETURN_PART));
-        self.network.add_cut(Cut { during: cut..heal, kind: CutKind::Region(region) });
+        let (partition_start, partition_end) = (self.part(0.0), self.part(RETURN_PART));
+        self.network.add_partition(Partition {
+            period: partition_start..partition_end,
+            scope: PartitionScope::Region(region),
+        });
         let inside: Vec<usize> = (0..self.topology().members())
             .filter(|member| self.topology().region(*member) == region)
             .collect();
         let outside = self.others(&inside);
         for address in self.sample(&inside) {
-            self.expect("region-gone", cut..heal, StateQuery::Gone(address), outside.clone());
-            self.expect("region-back", heal..self.schedule.end, StateQuery::Alive(address), outside.clone());
+            self.expect(
+                "region-gone",
+                partition_start..partition_end,
+                StateQuery::Gone(address),
+                outside.clone(),
+            );
+            self.expect(
+                "region-back",
+                partition_end..self.schedule.end,
+                StateQuery::Alive(address),
+                outside.clone(),
+            );
         }
     }
 
--- a/testbed/src/scale/tests.rs
+++ b/testbed/src/scale/tests.rs
@@ -7,31 +7,31 @@
 
 use super::endpoint::PacketKind;
 use super::meter::{Lateness, MemberCounts};
-use super::network::{Cut, CutKind, Loss, Network};
+use super::network::{Network, PacketLoss, Partition, PartitionScope};
 use super::topology::Topology;
 use super::*;
 
-fn network(seed: u64) -> Network {
+fn faulty_network(seed: u64) -> Network {
     let mut network = Network::new(Topology::new(200, 38, 12, seed), seed);
-    network.add_cut(Cut { during: 100..200, kind: CutKind::Region(3) });
-    network.add_loss(Loss { during: 0..1_000, share: 0.25 });
+    network.add_partition(Partition { period: 100..200, scope: PartitionScope::Region(3) });
+    network.add_packet_loss(PacketLoss { period: 0..1_000, lost_share: 0.25 });
     network
 }
 
-fn fates(network: &Network) -> Vec<Option<Micros>> {
-    (0..4_000).map(|count| network.delay(500, count % 200, (count * 7 + 1) % 200, count as u64)).collect()
+fn packet_delays(network: &Network) -> Vec<Option<Micros>> {
+    (0..4_000).map(|number| network.delay(500, number % 200, (number * 7 + 1) % 200, number as u64)).collect()
 }
 
 #[test]
-fn one_seed_gives_one_network() {
-    assert_eq!(fates(&network(1)), fates(&network(1)));
-    assert_ne!(fates(&network(1)), fates(&network(2)));
-    let lost = fates(&network(1)).iter().filter(|fate| fate.is_none()).count();
+fn same_seed_gives_the_same_packet_delays_and_losses() {
+    assert_eq!(packet_delays(&faulty_network(1)), packet_delays(&faulty_network(1)));
+    assert_ne!(packet_delays(&faulty_network(1)), packet_delays(&faulty_network(2)));
+    let lost = packet_delays(&faulty_network(1)).iter().filter(|delay| delay.is_none()).count();
     assert!((900..1_100).contains(&lost), "{lost} of 4000 packets lost at a share of 0.25");
 }
 
 #[test]
-fn delays_grow_with_the_distance_and_are_the_same_both_ways() {
+fn delays_grow_with_distance_and_are_symmetric() {
     let topology = Topology::new(200, 38, 12, 1);
     assert_eq!(topology.delay(0, 38), 1_000, "same zone");
     assert_eq!(topology.delay(0, 12), 5_000, "two zones of the same region");
@@ -42,14 +42,16 @@
 }
 
 #[test]
-fn a_region_that_is_cut_hears_itself_alone() {
-    let network = network(1);
+fn partitioned_region_is_separated_from_other_regions_only() {
+    let network = faulty_network(1);
     let region = |member| network.topology().region(member);
     let inside: Vec<usize> = (0..200).filter(|member| region(*member) == 3).collect();
     let outside = (0..200).find(|member| region(*member) != 3).unwrap();
-    assert!(network.is_cut(150, inside[0], outside) && network.is_cut(150, outside, inside[0]));
-    assert!(!network.is_cut(150, inside[0], inside[1]));
-    assert!(!network.is_cut(200, inside[0], outside), "the end of the period is exclusive");
+    assert!(
+        network.is_partitioned(150, inside[0], outside) && network.is_partitioned(150, outside, inside[0])
+    );
+    assert!(!network.is_partitioned(150, inside[0], inside[1]));
+    assert!(!network.is_partitioned(200, inside[0], outside), "the end of the period is exclusive");
 }
 
 #[test]
--- a/testbed/src/scale/topology.rs
+++ b/testbed/src/scale/topology.rs
@@ -5,11 +5,11 @@
 use super::Micros;
 
 /// One-way delay within a zone.
-const SAME_ZONE_DELAY: Micros = 1_000;
+const INTRA_ZONE_DELAY: Micros = 1_000;
 /// One-way delay between two zones of a region.
-const SAME_REGION_DELAY: Micros = 5_000;
+const INTER_ZONE_DELAY: Micros = 5_000;
 /// Range of one-way delays between two regions; the delay of each pair is chosen at random.
-const BETWEEN_REGIONS_DELAY: std::ops::Range<Micros> = 20_000..90_000;
+const INTER_REGION_DELAY_RANGE: std::ops::Range<Micros> = 20_000..90_000;
 
 /// The zones and regions of a fleet.
 #[derive(Clone, Debug)]
@@ -18,7 +18,7 @@
     zones: usize,
     regions: usize,
     /// One-way delay by pair of regions, in row-major order.
-    delays: Vec<Micros>,
+    region_delays: Vec<Micros>,
 }
 
 impl Topology {
@@ -26,15 +26,15 @@
     pub fn new(members: usize, zones: usize, regions: usize, seed: u64) -> Topology {
         let (zones, regions) = (zones.max(1), regions.max(1).min(zones.max(1)));
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x7090_1093);
-        let mut delays = vec![SAME_REGION_DELAY; regions * regions];
+        let mut region_delays = vec![INTER_ZONE_DELAY; regions * regions];
         for from in 0..regions {
             for to in 0..from {
-                let delay = rng.u64(BETWEEN_REGIONS_DELAY);
-                delays[from * regions + to] = delay;
-                delays[to * regions + from] = delay;
+                let delay = rng.u64(INTER_REGION_DELAY_RANGE);
+                region_delays[from * regions + to] = delay;
+                region_delays[to * regions + from] = delay;
             }
         }
-        Topology { members, zones, regions, delays }
+        Topology { members, zones, regions, region_delays }
     }
 
     /// Number of members.
@@ -65,8 +65,8 @@
     /// The one-way delay between two members, without jitter.
     pub fn delay(&self, from: usize, to: usize) -> Micros {
         if self.zone(from) == self.zone(to) {
-            return SAME_ZONE_DELAY;
+            return INTRA_ZONE_DELAY;
         }
-        self.delays[self.region(from) * self.regions + self.region(to)]
+        self.region_delays[self.region(from) * self.regions + self.region(to)]
     }
 }
