--- a/testbed/src/scale/calibration.rs
+++ b/testbed/src/scale/calibration.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    fn drain(&mut self) -> Vec<Datagram> {
+    fn drain_datagrams(&mut self) -> Vec<Datagram> {
         std::mem::take(&mut self.out)
     }
 }
--- a/testbed/src/scale/cluster_endpoint.rs
+++ b/testbed/src/scale/cluster_endpoint.rs
@@ -67,7 +67,7 @@
         self.0.tick(Time(now));
     }
 
-    fn drain(&mut self) -> Vec<Datagram> {
+    fn drain_datagrams(&mut self) -> Vec<Datagram> {
         self.0.drain().map(|(to, bytes)| (to, packet::encode_membership(&bytes))).collect()
     }
 
@@ -75,7 +75,7 @@
         is_satisfied_by_members(&self.0, query)
     }
 
-    fn known_members(&self) -> Option<usize> {
+    fn known_member_count(&self) -> Option<usize> {
         Some(self.0.counts().alive)
     }
 }
@@ -115,13 +115,13 @@
         self.cluster.tick(Time(now));
     }
 
-    fn drain(&mut self) -> Vec<Datagram> {
+    fn drain_datagrams(&mut self) -> Vec<Datagram> {
         self.cluster.drain()
     }
 
     fn satisfies(&mut self, query: &StateQuery) -> bool {
         match query {
-            StateQuery::HostAvoided => self
+            StateQuery::SilentServerAvoided => self
                 .cluster
                 .failure_detector()
                 .is_some_and(|detector| detector.metrics().suspected_servers > 0),
@@ -129,7 +129,7 @@
         }
     }
 
-    fn known_members(&self) -> Option<usize> {
+    fn known_member_count(&self) -> Option<usize> {
         Some(self.cluster.member_counts().alive)
     }
 }
@@ -137,8 +137,8 @@
 fn is_satisfied_by_members(membership: &Membership, query: &StateQuery) -> bool {
     match query {
         StateQuery::Alive(address) => membership.is_alive(*address),
-        StateQuery::Gone(address) => !membership.is_alive(*address),
-        StateQuery::HostAvoided => false,
+        StateQuery::NotAlive(address) => !membership.is_alive(*address),
+        StateQuery::SilentServerAvoided => false,
     }
 }
 
@@ -203,9 +203,9 @@
 
 fn kind_of(payload: &Payload) -> PacketKind {
     match payload {
-        Payload::RateLimit(..) => PacketKind::Limits,
-        Payload::SlowStart(..) => PacketKind::WarmUp,
-        Payload::RetryBudget(_) => PacketKind::Retries,
-        Payload::FailureDetector(_) => PacketKind::Verdicts,
+        Payload::RateLimit(..) => PacketKind::RateLimit,
+        Payload::SlowStart(..) => PacketKind::SlowStart,
+        Payload::RetryBudget(_) => PacketKind::RetryBudget,
+        Payload::FailureDetector(_) => PacketKind::FailureDetector,
     }
 }
--- a/testbed/src/scale/endpoint.rs
+++ b/testbed/src/scale/endpoint.rs
@@ -14,13 +14,13 @@
     /// Membership gossip.
     Membership,
     /// Rate limits shared by all members.
-    Limits,
+    RateLimit,
     /// Rate limits of cache servers in slow start.
-    WarmUp,
+    SlowStart,
     /// The retry budget shared by all members.
-    Retries,
+    RetryBudget,
     /// Failure reports on cache servers.
-    Verdicts,
+    FailureDetector,
     /// Purges, their acknowledgements, and registrations of members.
     Purge,
     /// Calibration traffic of the test bed.
@@ -35,10 +35,10 @@
     /// All kinds, in declaration order.
     pub const ALL: [PacketKind; PacketKind::COUNT] = [
         PacketKind::Membership,
-        PacketKind::Limits,
-        PacketKind::WarmUp,
-        PacketKind::Retries,
-        PacketKind::Verdicts,
+        PacketKind::RateLimit,
+        PacketKind::SlowStart,
+        PacketKind::RetryBudget,
+        PacketKind::FailureDetector,
         PacketKind::Purge,
         PacketKind::Calibration,
         PacketKind::Unknown,
@@ -48,10 +48,10 @@
     pub fn name(self) -> &'static str {
         match self {
             PacketKind::Membership => "membership",
-            PacketKind::Limits => "limits",
-            PacketKind::WarmUp => "warm_up",
-            PacketKind::Retries => "retries",
-            PacketKind::Verdicts => "verdicts",
+            PacketKind::RateLimit => "limits",
+            PacketKind::SlowStart => "warm_up",
+            PacketKind::RetryBudget => "retries",
+            PacketKind::FailureDetector => "verdicts",
             PacketKind::Purge => "purge",
             PacketKind::Calibration => "calibration",
             PacketKind::Unknown => "unknown",
@@ -65,44 +65,44 @@
     /// The member considers the member at this address alive.
     Alive(SocketAddr),
     /// The member does not consider the member at this address alive.
-    Gone(SocketAddr),
+    NotAlive(SocketAddr),
     /// The member avoids the silent cache server.
-    HostAvoided,
+    SilentServerAvoided,
 }
 
 /// An event at a member or control machine that the checks of a run evaluate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointEvent {
     /// The member applied the purge with this number.
-    Purged(u32),
+    PurgeApplied(u32),
     /// The member discarded all its cached values.
-    Voided,
+    CacheCleared,
     /// The member began to serve.
-    ServesNow,
+    ServingStarted,
     /// The member stopped serving. It was last observed serving at the given time.
-    ServedUntil(Micros),
+    ServingEnded(Micros),
     /// The member was started, without any state.
     Started,
     /// The member was killed.
     Stopped,
     /// The control machine accepted the purge with this number.
-    Accepted(u32),
+    PurgeAccepted(u32),
     /// The control machine rejected the purge with this number, or was not running.
-    Rejected(u32),
+    PurgeRejected(u32),
     /// The control machine reported the purge with this number as applied by all members.
-    Done(u32),
+    PurgeCompleted(u32),
 }
 
 /// The control code of a member or control machine: a state machine without I/O and without a clock.
 pub trait Endpoint {
     /// Handles a received packet.
-    fn on_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]);
+    fn on_datagram(&mut self, now: Micros, from: SocketAddr, payload: &[u8]);
     /// Handles timers that are due; called periodically.
     fn on_tick(&mut self, now: Micros);
     /// Takes the packets to send.
-    fn drain(&mut self) -> Vec<Datagram>;
+    fn drain_datagrams(&mut self) -> Vec<Datagram>;
     /// Publishes the purge with this number. Only control machines do.
-    fn publish(&mut self, _now: Micros, _number: u32) {}
+    fn publish_purge(&mut self, _now: Micros, _number: u32) {}
     /// Takes the events since the last call.
     fn drain_events(&mut self, _now: Micros) -> Vec<EndpointEvent> {
         Vec::new()
@@ -112,7 +112,7 @@
         false
     }
     /// Number of members considered alive, this member included, or `None` if the mechanism has no membership.
-    fn known_members(&self) -> Option<usize> {
+    fn known_member_count(&self) -> Option<usize> {
         None
     }
 }
--- a/testbed/src/scale/purge_check.rs
+++ b/testbed/src/scale/purge_check.rs
@@ -147,15 +147,15 @@
     fn add(&mut self, event: &MemberEvent) {
         let at = event.at;
         match event.event {
-            EndpointEvent::Accepted(number) => {
+            EndpointEvent::PurgeAccepted(number) => {
                 self.published.insert(number, Published { at, by: event.member, done: None });
                 return;
             }
-            EndpointEvent::Rejected(_) => {
+            EndpointEvent::PurgeRejected(_) => {
                 self.rejected.push(at);
                 return;
             }
-            EndpointEvent::Done(number) => {
+            EndpointEvent::PurgeCompleted(number) => {
                 if let Some(published) = self.published.get_mut(&number) {
                     published.done.get_or_insert(at);
                 }
@@ -175,12 +175,12 @@
         };
         match event.event {
             EndpointEvent::Stopped => life.stopped = Some(at),
-            EndpointEvent::Purged(number) => {
+            EndpointEvent::PurgeApplied(number) => {
                 life.purged.entry(number).or_insert(at);
             }
-            EndpointEvent::Voided => life.voided.push(at),
-            EndpointEvent::ServesNow => life.served.push((at, None)),
-            EndpointEvent::ServedUntil(last) => {
+            EndpointEvent::CacheCleared => life.voided.push(at),
+            EndpointEvent::ServingStarted => life.served.push((at, None)),
+            EndpointEvent::ServingEnded(last) => {
                 self.lapses += 1;
                 if let Some((_, until)) = life.served.last_mut() {
                     *until = Some(last);
--- a/testbed/src/scale/purge_endpoint.rs
+++ b/testbed/src/scale/purge_endpoint.rs
@@ -65,18 +65,18 @@
         self.replica.on_tick(Time(now));
     }
 
-    fn drain(&mut self) -> Vec<Datagram> {
+    fn drain_datagrams(&mut self) -> Vec<Datagram> {
         self.replica.drain()
     }
 
-    fn publish(&mut self, now: Micros, number: u32) {
+    fn publish_purge(&mut self, now: Micros, number: u32) {
         let key = format!("{KEY_PREFIX}{number}");
         let event = match self.replica.publish(Time(now), key.as_bytes()) {
             Ok(id) => {
                 self.pending.push_back((number, id));
-                EndpointEvent::Accepted(number)
+                EndpointEvent::PurgeAccepted(number)
             }
-            Err(_) => EndpointEvent::Rejected(number),
+            Err(_) => EndpointEvent::PurgeRejected(number),
         };
         self.events.push(event);
     }
@@ -87,7 +87,7 @@
             if replica.status(*id) != PurgeStatus::Done {
                 break;
             }
-            self.events.push(EndpointEvent::Done(*number));
+            self.events.push(EndpointEvent::PurgeCompleted(*number));
             self.pending.pop_front();
         }
         std::mem::take(&mut self.events)
@@ -152,7 +152,7 @@
         self.member.on_tick(Time(now));
     }
 
-    fn drain(&mut self) -> Vec<Datagram> {
+    fn drain_datagrams(&mut self) -> Vec<Datagram> {
         self.member.drain()
     }
 
@@ -160,14 +160,14 @@
         let mut events = Vec::new();
         for event in self.member.drain_purges() {
             match event {
-                PurgeEvent::Key(key) => events.extend(self.number_of(&key).map(EndpointEvent::Purged)),
-                PurgeEvent::VoidAll => events.push(EndpointEvent::Voided),
+                PurgeEvent::Key(key) => events.extend(self.number_of(&key).map(EndpointEvent::PurgeApplied)),
+                PurgeEvent::VoidAll => events.push(EndpointEvent::CacheCleared),
             }
         }
         let serves = self.member.may_serve(Time(now));
         match (self.served, serves) {
-            (None, true) => events.push(EndpointEvent::ServesNow),
-            (Some(last), false) => events.push(EndpointEvent::ServedUntil(last)),
+            (None, true) => events.push(EndpointEvent::ServingStarted),
+            (Some(last), false) => events.push(EndpointEvent::ServingEnded(last)),
             _ => {}
         }
         self.served = serves.then_some(now);
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -313,8 +313,8 @@
         .collect();
     times.sort_unstable();
     let never = observers - times.len();
-    let gone = matches!(first.query, StateQuery::Gone(_));
-    let unaware = if gone { times.iter().filter(|time| **time < NOT_KNOWN_WITHIN).count() } else { 0 };
+    let is_loss = matches!(first.query, StateQuery::NotAlive(_));
+    let unaware = if is_loss { times.iter().filter(|time| **time < NOT_KNOWN_WITHIN).count() } else { 0 };
     times.drain(..unaware);
     let aware = observers - unaware;
     let at_share = |share: f64| {
--- a/testbed/src/scale/schedule.rs
+++ b/testbed/src/scale/schedule.rs
@@ -209,10 +209,15 @@
         let mut others = vec![true; count];
         others[member] = false;
         let address = self.addresses[member];
-        self.expect("member-gone", stop..start, StateQuery::Gone(address), others.clone());
+        self.expect("member-gone", stop..start, StateQuery::NotAlive(address), others.clone());
         self.expect("member-back", start..self.schedule.end, StateQuery::Alive(address), others.clone());
         self.schedule.silent_hosts.push((self.rng.u64(0..64), silence..self.schedule.end));
-        self.expect("host-silent", silence..self.schedule.end, StateQuery::HostAvoided, vec![true; count]);
+        self.expect(
+            "host-silent",
+            silence..self.schedule.end,
+            StateQuery::SilentServerAvoided,
+            vec![true; count],
+        );
     }
 
     fn add_zone_lost(&mut self) {
@@ -226,7 +231,7 @@
         }
         let others = self.others(&lost);
         for address in self.sample(&lost) {
-            self.expect("zone-gone", stop..start, StateQuery::Gone(address), others.clone());
+            self.expect("zone-gone", stop..start, StateQuery::NotAlive(address), others.clone());
             self.expect("zone-back", start..self.schedule.end, StateQuery::Alive(address), others.clone());
         }
     }
@@ -246,7 +251,7 @@
             self.expect(
                 "region-gone",
                 partition_start..partition_end,
-                StateQuery::Gone(address),
+                StateQuery::NotAlive(address),
                 outside.clone(),
             );
             self.expect(
--- a/testbed/src/scale/shard.rs
+++ b/testbed/src/scale/shard.rs
@@ -118,10 +118,10 @@
             }
             ActionKind::Publish(number) => match &mut self.slots[place].endpoint {
                 Some(endpoint) => {
-                    endpoint.publish(now, number);
+                    endpoint.publish_purge(now, number);
                     self.after(now, place, out);
                 }
-                None => self.note(now, action.member, EndpointEvent::Rejected(number)),
+                None => self.note(now, action.member, EndpointEvent::PurgeRejected(number)),
             },
             ActionKind::Start => {
                 let endpoint = self.run.start(action.member, now);
@@ -147,7 +147,7 @@
         let Some(endpoint) = &mut slot.endpoint else { return };
         let before = thread_cpu_ns();
         endpoint.on_datagram(now, from, bytes);
-        let sent = endpoint.drain();
+        let sent = endpoint.drain_datagrams();
         let counts = &mut slot.counts[phase];
         count_call(&mut counts.datagrams, before);
         counts.received.packets += 1;
@@ -164,7 +164,7 @@
         let Some(endpoint) = &mut slot.endpoint else { return };
         let before = thread_cpu_ns();
         endpoint.on_tick(now);
-        let mut sent = endpoint.drain();
+        let mut sent = endpoint.drain_datagrams();
         count_call(&mut slot.counts[phase].ticks, before);
         if self.run.config.flaw == Some(Flaw::TalksToAll) && now >= slot.talks {
             slot.talks = now + 1_000_000;
@@ -179,7 +179,7 @@
     pub fn finish(mut self) -> Observations {
         for slot in &self.slots {
             self.observations.counts.push((slot.member, slot.counts));
-            let known = slot.endpoint.as_ref().and_then(|endpoint| endpoint.known_members());
+            let known = slot.endpoint.as_ref().and_then(|endpoint| endpoint.known_member_count());
             self.observations.known.extend(known);
         }
         self.observations
@@ -187,7 +187,11 @@
 
     /// Sends the pending packets of a member and records its events.
     fn after(&mut self, now: Micros, place: usize, out: &mut Vec<Travelling>) {
-        let sent = self.slots[place].endpoint.as_mut().map(|endpoint| endpoint.drain()).unwrap_or_default();
+        let sent = self.slots[place]
+            .endpoint
+            .as_mut()
+            .map(|endpoint| endpoint.drain_datagrams())
+            .unwrap_or_default();
         self.send(now, place, sent, out);
         self.note_events(now, place);
     }
--- a/testbed/src/scale/tests.rs
+++ b/testbed/src/scale/tests.rs
@@ -89,8 +89,8 @@
     assert_eq!(counts.sent_total().bytes, length + 104 + 8);
     assert_eq!((counts.sent_total().packets, packets.len()), (3, 1));
     assert_eq!((sent(PacketKind::Membership).bytes, sent(PacketKind::Unknown).bytes), (104, 8));
-    assert_eq!((sent(PacketKind::Limits).packets, sent(PacketKind::Retries).packets), (1, 0));
-    assert!(sent(PacketKind::WarmUp).bytes > 0 && sent(PacketKind::Retries).bytes > 0);
+    assert_eq!((sent(PacketKind::RateLimit).packets, sent(PacketKind::RetryBudget).packets), (1, 0));
+    assert!(sent(PacketKind::SlowStart).bytes > 0 && sent(PacketKind::RetryBudget).bytes > 0);
 }
 
 #[test]
