--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -55,18 +55,18 @@
     if config.virtual_time {
         return Ok(run_virtual(config));
     }
-    let (sockets, addresses) = sockets::bind(config.endpoints()).map_err(RunError::ScaleTest)?;
+    let (sockets, addresses) = sockets::bind_sockets(config.endpoints()).map_err(RunError::ScaleTest)?;
     let run = Arc::new(Run::new(config, addresses));
-    let played = sockets::run_on_sockets(&run, sockets).map_err(RunError::ScaleTest)?;
-    Ok(Outcome::of_sockets(&run, played))
+    let result = sockets::run_on_sockets(&run, sockets).map_err(RunError::ScaleTest)?;
+    Ok(Outcome::from_socket_run(&run, result))
 }
 
 fn run_virtual(config: ScaleConfig) -> Outcome {
-    let addresses = (0..config.endpoints()).map(virtual_time::address).collect();
+    let addresses = (0..config.endpoints()).map(virtual_time::member_address).collect();
     let run = Arc::new(Run::new(config, addresses));
-    let before = resources::resident_bytes();
+    let memory_before = resources::resident_bytes();
     let (observed, memory) = virtual_time::run_in_virtual_time(&run);
-    Outcome::new(&run, observed, &Lateness::default(), memory.saturating_sub(before))
+    Outcome::from_observations(&run, observed, &Lateness::default(), memory.saturating_sub(memory_before))
 }
 
 fn check(config: &ScaleConfig) -> Result<(), SetupError> {
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -10,7 +10,7 @@
 use super::purge_check::{check, PurgeSummary};
 use super::run::Run;
 use super::schedule::{Expectation, Phase};
-use super::shard::{Observations, Reached};
+use super::shard::{Observations, SatisfiedExpectation};
 use super::sockets::SocketRun;
 use super::Micros;
 
@@ -180,34 +180,40 @@
 
 impl Outcome {
     /// Merges the results of the worker threads of a run over sockets.
-    pub fn of_sockets(run: &Run, played: SocketRun) -> Outcome {
-        let mut whole = Observations::default();
-        for part in played.observations {
-            whole.counts.extend(part.counts);
-            whole.reached.extend(part.reached);
-            whole.events.extend(part.events);
-            whole.known.extend(part.known);
-            whole.unroutable += part.unroutable;
+    pub fn from_socket_run(run: &Run, result: SocketRun) -> Outcome {
+        let mut total = Observations::default();
+        for shard in result.observations {
+            total.counts.extend(shard.counts);
+            total.satisfied.extend(shard.satisfied);
+            total.events.extend(shard.events);
+            total.known_members.extend(shard.known_members);
+            total.unroutable += shard.unroutable;
         }
-        let (before, after) = played.memory;
-        let mut outcome = Outcome::new(run, whole, &played.lateness, after.saturating_sub(before));
-        outcome.summary.not_sent = played.not_sent;
+        let (before, after) = result.memory;
+        let mut outcome =
+            Outcome::from_observations(run, total, &result.lateness, after.saturating_sub(before));
+        outcome.summary.not_sent = result.not_sent;
         for (phase, summary) in [
             (Phase::Ordinary, &mut outcome.summary.ordinary),
             (Phase::Event, &mut outcome.summary.after_event),
         ] {
-            let whole = percent(played.cpu_ns[phase as usize], summary.seconds) / run.addresses.len() as f64;
-            summary.test_bed_cpu_percent = (whole - summary.cpu_percent).max(0.0);
+            let total = percent(result.cpu_ns[phase as usize], summary.seconds) / run.addresses.len() as f64;
+            summary.test_bed_cpu_percent = (total - summary.cpu_percent).max(0.0);
         }
         outcome
     }
 
     /// Evaluates the observations of a run whose members used `memory` bytes.
-    pub fn new(run: &Run, mut observed: Observations, lateness: &Lateness, memory: u64) -> Outcome {
+    pub fn from_observations(
+        run: &Run,
+        mut observed: Observations,
+        lateness: &Lateness,
+        memory: u64,
+    ) -> Outcome {
         observed.counts.sort_by_key(|(member, _)| *member);
-        observed.known.sort_unstable();
+        observed.known_members.sort_unstable();
         let config = &run.config;
-        let known = std::mem::take(&mut observed.known);
+        let known = std::mem::take(&mut observed.known_members);
         let (control, members) = observed.counts.split_at(config.replicas);
         let events = std::mem::take(&mut observed.events);
         let purge = (config.mechanism == Mechanism::Purge).then(|| check(run, events));
@@ -228,7 +234,7 @@
             control_after_event: phase_summary(run, control, Phase::Event),
             replicas: config.replicas,
             purge,
-            changes: changes(run, &observed.reached),
+            changes: changes(run, &observed.satisfied),
             known: KnownMembers {
                 least: known.first().copied().unwrap_or(0),
                 median: known.get(known.len() / 2).copied().unwrap_or(0),
@@ -286,7 +292,7 @@
 }
 
 /// Summarises the changes. Expectations with the same name and time are one change, whose observers are counted together.
-fn changes(run: &Run, reached: &[Reached]) -> Vec<ChangeSummary> {
+fn changes(run: &Run, satisfied: &[SatisfiedExpectation]) -> Vec<ChangeSummary> {
     let expectations = &run.schedule.expectations;
     let mut groups: Vec<(&Expectation, Vec<usize>)> = Vec::new();
     for (number, expectation) in expectations.iter().enumerate() {
@@ -298,17 +304,22 @@
             None => groups.push((expectation, vec![number])),
         }
     }
-    groups.into_iter().map(|(first, numbers)| change(run, first, &numbers, reached)).collect()
+    groups.into_iter().map(|(first, numbers)| change(run, first, &numbers, satisfied)).collect()
 }
 
-fn change(run: &Run, first: &Expectation, numbers: &[usize], reached: &[Reached]) -> ChangeSummary {
+fn change(
+    run: &Run,
+    first: &Expectation,
+    numbers: &[usize],
+    satisfied: &[SatisfiedExpectation],
+) -> ChangeSummary {
     let observers: usize = numbers
         .iter()
         .map(|number| run.schedule.expectations[*number].observers.iter().filter(|asked| **asked).count())
         .sum();
-    let mut times: Vec<Micros> = reached
+    let mut times: Vec<Micros> = satisfied
         .iter()
-        .filter(|one| numbers.contains(&one.expectation))
+        .filter(|one| numbers.contains(&one.expectation_index))
         .map(|one| one.at.saturating_sub(first.at))
         .collect();
     times.sort_unstable();
--- a/testbed/src/scale/shard.rs
+++ b/testbed/src/scale/shard.rs
@@ -13,9 +13,9 @@
 
 /// A packet in flight between two members.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Travelling {
+pub struct InFlightPacket {
     /// Time of arrival.
-    pub due: Micros,
+    pub arrival: Micros,
     /// The sending member.
     pub from: usize,
     /// The receiving member.
@@ -26,9 +26,9 @@
 
 /// An expectation that a member satisfied for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Reached {
+pub struct SatisfiedExpectation {
     /// Index of the expectation in the schedule.
-    pub expectation: usize,
+    pub expectation_index: usize,
     /// The member.
     pub member: usize,
     /// Time of the check.
@@ -52,55 +52,55 @@
     /// Traffic and processor time by member.
     pub counts: Vec<(usize, MemberPhases)>,
     /// The satisfied expectations by member.
-    pub reached: Vec<Reached>,
+    pub satisfied: Vec<SatisfiedExpectation>,
     /// The members' events.
     pub events: Vec<MemberEvent>,
     /// For each member that runs at the end and has a membership: the number of members it considers alive.
-    pub known: Vec<usize>,
+    pub known_members: Vec<usize>,
     /// Number of packets to addresses of no member.
     pub unroutable: u64,
 }
 
-struct Slot {
+struct MemberSlot {
     member: usize,
     endpoint: Option<Box<dyn Endpoint>>,
     counts: MemberPhases,
     /// Number of packets sent, an input to the network's random choices.
-    sent: u64,
+    sent_packets: u64,
     /// Bit mask of the satisfied expectations, by index.
-    reached: u64,
+    satisfied: u64,
     /// Time of the next broadcast with [`Flaw::TalksToAll`].
-    talks: Micros,
+    next_broadcast: Micros,
 }
 
 /// The members of one thread.
 pub struct Shard {
     run: Arc<Run>,
-    number: usize,
-    shards: usize,
-    slots: Vec<Slot>,
+    index: usize,
+    shard_count: usize,
+    slots: Vec<MemberSlot>,
     observations: Observations,
 }
 
 impl Shard {
-    /// Creates shard `number` of `shards`, without starting its members.
-    pub fn new(run: Arc<Run>, number: usize, shards: usize) -> Shard {
-        let members = (number..run.addresses.len()).step_by(shards);
-        let slot = |member| Slot {
+    /// Creates the shard with this index out of `shard_count`, without starting its members.
+    pub fn new(run: Arc<Run>, index: usize, shard_count: usize) -> Shard {
+        let members = (index..run.addresses.len()).step_by(shard_count);
+        let slot = |member| MemberSlot {
             member,
             endpoint: None,
             counts: MemberPhases::default(),
-            sent: 0,
-            reached: 0,
-            talks: 0,
+            sent_packets: 0,
+            satisfied: 0,
+            next_broadcast: 0,
         };
         let slots = members.map(slot).collect();
-        Shard { run, number, shards, slots, observations: Observations::default() }
+        Shard { run, index, shard_count, slots, observations: Observations::default() }
     }
 
     /// Index of the shard: the numbers of its members modulo the number of shards.
-    pub fn number(&self) -> usize {
-        self.number
+    pub fn index(&self) -> usize {
+        self.index
     }
 
     /// The numbers of the members of this shard.
@@ -109,25 +109,25 @@
     }
 
     /// Executes an action of the schedule.
-    pub fn on_action(&mut self, now: Micros, action: &Action, out: &mut Vec<Travelling>) {
-        let place = action.member / self.shards;
+    pub fn on_action(&mut self, now: Micros, action: &Action, outgoing: &mut Vec<InFlightPacket>) {
+        let slot_index = action.member / self.shard_count;
         match action.kind {
             ActionKind::Stop => {
-                self.slots[place].endpoint = None;
-                self.note(now, action.member, EndpointEvent::Stopped);
+                self.slots[slot_index].endpoint = None;
+                self.record_event(now, action.member, EndpointEvent::Stopped);
             }
-            ActionKind::Publish(number) => match &mut self.slots[place].endpoint {
+            ActionKind::Publish(number) => match &mut self.slots[slot_index].endpoint {
                 Some(endpoint) => {
                     endpoint.publish_purge(now, number);
-                    self.after(now, place, out);
+                    self.send_pending(now, slot_index, outgoing);
                 }
-                None => self.note(now, action.member, EndpointEvent::PurgeRejected(number)),
+                None => self.record_event(now, action.member, EndpointEvent::PurgeRejected(number)),
             },
             ActionKind::Start => {
                 let endpoint = self.run.start(action.member, now);
-                self.slots[place].endpoint = Some(endpoint);
-                self.note(now, action.member, EndpointEvent::Started);
-                self.after(now, place, out);
+                self.slots[slot_index].endpoint = Some(endpoint);
+                self.record_event(now, action.member, EndpointEvent::Started);
+                self.send_pending(now, slot_index, outgoing);
             }
         }
     }
@@ -139,68 +139,74 @@
         member: usize,
         from: SocketAddr,
         bytes: &[u8],
-        out: &mut Vec<Travelling>,
+        outgoing: &mut Vec<InFlightPacket>,
     ) {
-        let place = member / self.shards;
+        let slot_index = member / self.shard_count;
         let phase = self.run.schedule.phase(now) as usize;
-        let slot = &mut self.slots[place];
+        let slot = &mut self.slots[slot_index];
         let Some(endpoint) = &mut slot.endpoint else { return };
-        let before = thread_cpu_ns();
+        let cpu_before_ns = thread_cpu_ns();
         endpoint.on_datagram(now, from, bytes);
         let sent = endpoint.drain_datagrams();
         let counts = &mut slot.counts[phase];
-        count_call(&mut counts.datagrams, before);
+        count_call(&mut counts.datagrams, cpu_before_ns);
         counts.received.packets += 1;
         counts.received.bytes += bytes.len() as u64;
-        self.send(now, place, sent, out);
-        self.note_events(now, place);
+        self.send_packets(now, slot_index, sent, outgoing);
+        self.record_endpoint_events(now, slot_index);
     }
 
     /// Runs the tick of one of the shard's members and checks its expectations.
-    pub fn on_tick(&mut self, now: Micros, member: usize, out: &mut Vec<Travelling>) {
-        let place = member / self.shards;
+    pub fn on_tick(&mut self, now: Micros, member: usize, outgoing: &mut Vec<InFlightPacket>) {
+        let slot_index = member / self.shard_count;
         let phase = self.run.schedule.phase(now) as usize;
-        let slot = &mut self.slots[place];
+        let slot = &mut self.slots[slot_index];
         let Some(endpoint) = &mut slot.endpoint else { return };
-        let before = thread_cpu_ns();
+        let cpu_before_ns = thread_cpu_ns();
         endpoint.on_tick(now);
         let mut sent = endpoint.drain_datagrams();
-        count_call(&mut slot.counts[phase].ticks, before);
-        if self.run.config.flaw == Some(Flaw::TalksToAll) && now >= slot.talks {
-            slot.talks = now + 1_000_000;
-            sent.extend(talk_to_all(&self.run, member));
+        count_call(&mut slot.counts[phase].ticks, cpu_before_ns);
+        if self.run.config.flaw == Some(Flaw::TalksToAll) && now >= slot.next_broadcast {
+            slot.next_broadcast = now + 1_000_000;
+            sent.extend(broadcast_packets(&self.run, member));
         }
-        self.send(now, place, sent, out);
-        self.note_events(now, place);
-        self.note_reached(now, place);
+        self.send_packets(now, slot_index, sent, outgoing);
+        self.record_endpoint_events(now, slot_index);
+        self.record_satisfied_expectations(now, slot_index);
     }
 
     /// Ends the run and returns the observations.
-    pub fn finish(mut self) -> Observations {
+    pub fn into_observations(mut self) -> Observations {
         for slot in &self.slots {
             self.observations.counts.push((slot.member, slot.counts));
             let known = slot.endpoint.as_ref().and_then(|endpoint| endpoint.known_member_count());
-            self.observations.known.extend(known);
+            self.observations.known_members.extend(known);
         }
         self.observations
     }
 
     /// Sends the pending packets of a member and records its events.
-    fn after(&mut self, now: Micros, place: usize, out: &mut Vec<Travelling>) {
-        let sent = self.slots[place]
+    fn send_pending(&mut self, now: Micros, slot_index: usize, outgoing: &mut Vec<InFlightPacket>) {
+        let sent = self.slots[slot_index]
             .endpoint
             .as_mut()
             .map(|endpoint| endpoint.drain_datagrams())
             .unwrap_or_default();
-        self.send(now, place, sent, out);
-        self.note_events(now, place);
+        self.send_packets(now, slot_index, sent, outgoing);
+        self.record_endpoint_events(now, slot_index);
     }
 
-    fn send(&mut self, now: Micros, place: usize, sent: Vec<Datagram>, out: &mut Vec<Travelling>) {
+    fn send_packets(
+        &mut self,
+        now: Micros,
+        slot_index: usize,
+        sent: Vec<Datagram>,
+        outgoing: &mut Vec<InFlightPacket>,
+    ) {
         let phase = self.run.schedule.phase(now) as usize;
         for (address, bytes) in sent {
-            let slot = &mut self.slots[place];
-            slot.sent += 1;
+            let slot = &mut self.slots[slot_index];
+            slot.sent_packets += 1;
             let counts: &mut MemberCounts = &mut slot.counts[phase];
             counts.on_sent(&bytes);
             let Some(to) = self.run.member_at(address) else {
@@ -208,18 +214,18 @@
                 continue;
             };
             let from = slot.member;
-            if let Some(delay) = self.run.network.delay(now, from, to, slot.sent) {
-                out.push(Travelling { due: now + delay, from, to, bytes });
+            if let Some(delay) = self.run.network.delay(now, from, to, slot.sent_packets) {
+                outgoing.push(InFlightPacket { arrival: now + delay, from, to, bytes });
             }
         }
     }
 
-    fn note(&mut self, at: Micros, member: usize, event: EndpointEvent) {
+    fn record_event(&mut self, at: Micros, member: usize, event: EndpointEvent) {
         self.observations.events.push(MemberEvent { at, member, event });
     }
 
-    fn note_events(&mut self, now: Micros, place: usize) {
-        let slot = &mut self.slots[place];
+    fn record_endpoint_events(&mut self, now: Micros, slot_index: usize) {
+        let slot = &mut self.slots[slot_index];
         let Some(endpoint) = &mut slot.endpoint else { return };
         let member = slot.member;
         let events = endpoint.drain_events(now);
@@ -230,27 +236,32 @@
         }));
     }
 
-    fn note_reached(&mut self, now: Micros, place: usize) {
-        let slot = &mut self.slots[place];
+    fn record_satisfied_expectations(&mut self, now: Micros, slot_index: usize) {
+        let slot = &mut self.slots[slot_index];
         let Some(endpoint) = &mut slot.endpoint else { return };
-        for (number, expectation) in self.run.schedule.expectations.iter().enumerate() {
-            let due = (expectation.at..expectation.until).contains(&now);
-            let asked = due && expectation.observers[slot.member] && slot.reached & (1 << number) == 0;
-            if asked && endpoint.satisfies(&expectation.query) {
-                slot.reached |= 1 << number;
-                self.observations.reached.push(Reached { expectation: number, member: slot.member, at: now });
+        for (index, expectation) in self.run.schedule.expectations.iter().enumerate() {
+            let is_active = (expectation.at..expectation.until).contains(&now);
+            let is_pending =
+                is_active && expectation.observers[slot.member] && slot.satisfied & (1 << index) == 0;
+            if is_pending && endpoint.satisfies(&expectation.query) {
+                slot.satisfied |= 1 << index;
+                self.observations.satisfied.push(SatisfiedExpectation {
+                    expectation_index: index,
+                    member: slot.member,
+                    at: now,
+                });
             }
         }
     }
 }
 
-fn count_call(calls: &mut Calls, before_ns: u64) {
+fn count_call(calls: &mut Calls, cpu_before_ns: u64) {
     calls.count += 1;
-    calls.cpu_ns += thread_cpu_ns().saturating_sub(before_ns);
+    calls.cpu_ns += thread_cpu_ns().saturating_sub(cpu_before_ns);
 }
 
 /// Creates a packet to each other member.
-fn talk_to_all(run: &Run, member: usize) -> Vec<Datagram> {
+fn broadcast_packets(run: &Run, member: usize) -> Vec<Datagram> {
     let others = run.addresses.iter().enumerate().filter(|(other, _)| *other != member);
     others.map(|(_, address)| (*address, vec![b'J', b'L', 0, 0])).collect()
 }
--- a/testbed/src/scale/sockets.rs
+++ b/testbed/src/scale/sockets.rs
@@ -16,18 +16,18 @@
 use super::meter::{thread_cpu_ns, Lateness};
 use super::run::{Run, TICK_INTERVAL};
 use super::schedule::{Phase, CLOCK_START};
-use super::shard::{Observations, Shard, Travelling};
-use super::virtual_time::{start_action, start_of};
+use super::shard::{InFlightPacket, Observations, Shard};
+use super::virtual_time::{first_start_action, first_start_time};
 use super::{resources, Micros};
 
 /// Maximum length of a received packet, in bytes; longer ones are truncated.
-const DATAGRAM_MAX: usize = 2_048;
+const MAX_DATAGRAM_BYTES: usize = 2_048;
 /// Maximum number of packets read from a socket before the timers run again.
-const READS_PER_TURN: usize = 64;
+const MAX_READS_PER_TURN: usize = 64;
 /// Maximum number of socket events per poll.
-const EVENTS_PER_POLL: usize = 1_024;
+const MAX_EVENTS_PER_POLL: usize = 1_024;
 /// Time before the end of the run at which the memory is measured, while all members still run.
-const MEMORY_READ_BEFORE_END: Duration = Duration::from_millis(200);
+const MEMORY_MEASUREMENT_LEAD_TIME: Duration = Duration::from_millis(200);
 
 /// The result of a run over sockets, or of one worker thread.
 #[derive(Debug, Default)]
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 /// A socket cannot be bound or set up.
-pub fn bind(members: usize) -> io::Result<(Vec<std::net::UdpSocket>, Vec<SocketAddr>)> {
+pub fn bind_sockets(members: usize) -> io::Result<(Vec<std::net::UdpSocket>, Vec<SocketAddr>)> {
     let mut sockets = Vec::with_capacity(members);
     let mut addresses = Vec::with_capacity(members);
     for _ in 0..members {
@@ -65,39 +65,40 @@
 /// # Errors
 /// A poll failed or could not be set up, or a worker thread panicked.
 pub fn run_on_sockets(run: &Arc<Run>, sockets: Vec<std::net::UdpSocket>) -> io::Result<SocketRun> {
-    let workers = run.config.workers.max(1);
-    let mut shares: Vec<Vec<std::net::UdpSocket>> = (0..workers).map(|_| Vec::new()).collect();
+    let worker_count = run.config.workers.max(1);
+    let mut sockets_by_worker: Vec<Vec<std::net::UdpSocket>> =
+        (0..worker_count).map(|_| Vec::new()).collect();
     for (member, socket) in sockets.into_iter().enumerate() {
-        shares[member % workers].push(socket);
+        sockets_by_worker[member % worker_count].push(socket);
     }
     let memory_before = resources::resident_bytes();
-    let barrier = Arc::new(Barrier::new(workers + 1));
+    let barrier = Arc::new(Barrier::new(worker_count + 1));
     let mut threads = Vec::new();
-    for (number, sockets) in shares.into_iter().enumerate() {
+    for (worker_index, sockets) in sockets_by_worker.into_iter().enumerate() {
         let (run, barrier) = (Arc::clone(run), Arc::clone(&barrier));
         threads.push(std::thread::spawn(move || {
-            let worker = Worker::new(&run, number, workers, sockets);
+            let worker = Worker::new(&run, worker_index, worker_count, sockets);
             barrier.wait();
             worker?.run()
         }));
     }
     barrier.wait();
-    let length = Duration::from_micros(run.schedule.end - CLOCK_START);
-    std::thread::sleep(length.saturating_sub(MEMORY_READ_BEFORE_END));
-    let mut whole =
+    let run_duration = Duration::from_micros(run.schedule.end - CLOCK_START);
+    std::thread::sleep(run_duration.saturating_sub(MEMORY_MEASUREMENT_LEAD_TIME));
+    let mut total =
         SocketRun { memory: (memory_before, resources::resident_bytes()), ..SocketRun::default() };
     for thread in threads {
         let part = thread.join().map_err(|_| io::Error::other("a worker thread panicked"))??;
-        whole.add(part);
+        total.merge(part);
     }
-    Ok(whole)
+    Ok(total)
 }
 
 impl SocketRun {
-    fn add(&mut self, part: SocketRun) {
+    fn merge(&mut self, part: SocketRun) {
         self.observations.extend(part.observations);
         self.lateness.add(&part.lateness);
-        self.cpu_ns.iter_mut().zip(part.cpu_ns).for_each(|(sum, one)| *sum += one);
+        self.cpu_ns.iter_mut().zip(part.cpu_ns).for_each(|(sum, spent)| *sum += spent);
         self.not_sent += part.not_sent;
     }
 }
@@ -109,54 +110,57 @@
     Tick(usize),
 }
 
+/// A worker thread with the sockets, timers and packets of its members.
 struct Worker {
     run: Arc<Run>,
     shard: Shard,
-    workers: usize,
+    worker_count: usize,
     sockets: Vec<UdpSocket>,
     poll: Poll,
     timers: BinaryHeap<Reverse<(Micros, TimerKind)>>,
-    waiting: BinaryHeap<Reverse<Travelling>>,
-    out: Vec<Travelling>,
-    clock: Instant,
+    /// Packets sent by the members of this thread, by time of arrival.
+    in_flight: BinaryHeap<Reverse<InFlightPacket>>,
+    /// Packets that the last call into the shard has added, to be moved to `in_flight`.
+    outgoing: Vec<InFlightPacket>,
+    started_at: Instant,
     result: SocketRun,
 }
 
 impl Worker {
     fn new(
         run: &Arc<Run>,
-        number: usize,
-        workers: usize,
+        worker_index: usize,
+        worker_count: usize,
         sockets: Vec<std::net::UdpSocket>,
     ) -> io::Result<Worker> {
         let poll = Poll::new()?;
         let mut sockets: Vec<UdpSocket> = sockets.into_iter().map(UdpSocket::from_std).collect();
-        for (place, socket) in sockets.iter_mut().enumerate() {
-            poll.registry().register(socket, Token(place), Interest::READABLE)?;
+        for (socket_index, socket) in sockets.iter_mut().enumerate() {
+            poll.registry().register(socket, Token(socket_index), Interest::READABLE)?;
         }
         Ok(Worker {
-            shard: Shard::new(Arc::clone(run), number, workers),
+            shard: Shard::new(Arc::clone(run), worker_index, worker_count),
             run: Arc::clone(run),
-            workers,
+            worker_count,
             sockets,
             poll,
             timers: BinaryHeap::new(),
-            waiting: BinaryHeap::new(),
-            out: Vec::new(),
-            clock: Instant::now(),
+            in_flight: BinaryHeap::new(),
+            outgoing: Vec::new(),
+            started_at: Instant::now(),
             result: SocketRun::default(),
         })
     }
 
     fn now(&self) -> Micros {
-        CLOCK_START + self.clock.elapsed().as_micros() as Micros
+        CLOCK_START + self.started_at.elapsed().as_micros() as Micros
     }
 
     fn run(mut self) -> io::Result<SocketRun> {
-        self.clock = Instant::now();
-        self.start();
-        let mut events = Events::with_capacity(EVENTS_PER_POLL);
-        let (mut cpu, mut unread) = (thread_cpu_ns(), Vec::new());
+        self.started_at = Instant::now();
+        self.start_members();
+        let mut events = Events::with_capacity(MAX_EVENTS_PER_POLL);
+        let (mut cpu_ns, mut readable) = (thread_cpu_ns(), Vec::new());
         loop {
             let now = self.now();
             if now >= self.run.schedule.end {
@@ -165,38 +169,38 @@
             let phase = self.run.schedule.phase(now) as usize;
             self.fire_timers();
             self.send_due();
-            let pause = if unread.is_empty() { self.until_next() } else { Duration::ZERO };
-            match self.poll.poll(&mut events, Some(pause)) {
+            let timeout = if readable.is_empty() { self.time_to_next_event() } else { Duration::ZERO };
+            match self.poll.poll(&mut events, Some(timeout)) {
                 Err(error) if error.kind() != io::ErrorKind::Interrupted => return Err(error),
                 _ => {}
             }
-            let mut ready = std::mem::take(&mut unread);
+            let mut ready = std::mem::take(&mut readable);
             ready.extend(events.iter().map(|event| event.token().0));
-            for place in ready {
-                if self.read(place) {
-                    unread.push(place);
+            for socket_index in ready {
+                if self.read_socket(socket_index) {
+                    readable.push(socket_index);
                 }
             }
-            let spent = thread_cpu_ns();
-            self.result.cpu_ns[phase] += spent.saturating_sub(cpu);
-            cpu = spent;
+            let cpu_now_ns = thread_cpu_ns();
+            self.result.cpu_ns[phase] += cpu_now_ns.saturating_sub(cpu_ns);
+            cpu_ns = cpu_now_ns;
         }
-        self.result.observations.push(self.shard.finish());
+        self.result.observations.push(self.shard.into_observations());
         Ok(self.result)
     }
 
     /// Starts each member, and adds the timers of their ticks and scheduled actions.
-    fn start(&mut self) {
+    fn start_members(&mut self) {
         let members = self.run.addresses.len();
         for member in self.shard.members() {
-            let at = start_of(member, members);
-            self.shard.on_action(at, &start_action(member, at), &mut self.out);
+            let at = first_start_time(member, members);
+            self.shard.on_action(at, &first_start_action(member, at), &mut self.outgoing);
             self.timers.push(Reverse((at + TICK_INTERVAL, TimerKind::Tick(member))));
         }
-        self.collect();
-        for (number, action) in self.run.schedule.actions.iter().enumerate() {
-            if action.member % self.workers == self.shard.number() {
-                self.timers.push(Reverse((action.at, TimerKind::Action(number))));
+        self.queue_outgoing();
+        for (index, action) in self.run.schedule.actions.iter().enumerate() {
+            if action.member % self.worker_count == self.shard.index() {
+                self.timers.push(Reverse((action.at, TimerKind::Action(index))));
             }
         }
     }
@@ -213,53 +217,53 @@
                 self.result.lateness.on_timer(due, now);
             }
             match kind {
-                TimerKind::Action(number) => {
-                    self.shard.on_action(now, &self.run.schedule.actions[number], &mut self.out);
+                TimerKind::Action(index) => {
+                    self.shard.on_action(now, &self.run.schedule.actions[index], &mut self.outgoing);
                 }
                 TimerKind::Tick(member) => {
-                    self.shard.on_tick(now, member, &mut self.out);
+                    self.shard.on_tick(now, member, &mut self.outgoing);
                     // Missed ticks are skipped.
                     let next =
                         if now < due + TICK_INTERVAL { due + TICK_INTERVAL } else { now + TICK_INTERVAL };
                     self.timers.push(Reverse((next, TimerKind::Tick(member))));
                 }
             }
-            self.collect();
+            self.queue_outgoing();
         }
     }
 
-    fn collect(&mut self) {
-        self.waiting.extend(self.out.drain(..).map(Reverse));
+    fn queue_outgoing(&mut self) {
+        self.in_flight.extend(self.outgoing.drain(..).map(Reverse));
     }
 
     fn send_due(&mut self) {
         let now = self.now();
-        while self.waiting.peek().is_some_and(|Reverse(packet)| packet.due <= now) {
-            let Some(Reverse(packet)) = self.waiting.pop() else { return };
-            let socket = &self.sockets[packet.from / self.workers];
+        while self.in_flight.peek().is_some_and(|Reverse(packet)| packet.arrival <= now) {
+            let Some(Reverse(packet)) = self.in_flight.pop() else { return };
+            let socket = &self.sockets[packet.from / self.worker_count];
             if socket.send_to(&packet.bytes, self.run.addresses[packet.to]).is_err() {
                 self.result.not_sent += 1;
             }
         }
     }
 
-    fn until_next(&self) -> Duration {
+    fn time_to_next_event(&self) -> Duration {
         let timer = self.timers.peek().map(|Reverse((due, _))| *due);
-        let packet = self.waiting.peek().map(|Reverse(packet)| packet.due);
+        let packet = self.in_flight.peek().map(|Reverse(packet)| packet.arrival);
         let next = timer.into_iter().chain(packet).min().unwrap_or(self.run.schedule.end);
         Duration::from_micros(next.min(self.run.schedule.end).saturating_sub(self.now()))
     }
 
     /// Reads packets from a socket. Returns whether there may be more.
-    fn read(&mut self, place: usize) -> bool {
-        let member = place * self.workers + self.shard.number();
-        let mut buffer = [0; DATAGRAM_MAX];
-        for _ in 0..READS_PER_TURN {
-            match self.sockets[place].recv_from(&mut buffer) {
+    fn read_socket(&mut self, socket_index: usize) -> bool {
+        let member = socket_index * self.worker_count + self.shard.index();
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
+        for _ in 0..MAX_READS_PER_TURN {
+            match self.sockets[socket_index].recv_from(&mut buffer) {
                 Ok((length, from)) => {
                     let now = self.now();
-                    self.shard.on_datagram(now, member, from, &buffer[..length], &mut self.out);
-                    self.collect();
+                    self.shard.on_datagram(now, member, from, &buffer[..length], &mut self.outgoing);
+                    self.queue_outgoing();
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return false,
                 // The error of an earlier send to a closed port; the next read may succeed.
