--- a/testbed/src/scale/purge_check.rs
+++ b/testbed/src/scale/purge_check.rs
@@ -204,7 +204,7 @@
         life.stopped.is_none() && life.served.last().is_some_and(|s| s.1.is_none())
     };
     PurgeSummary {
-        ordinary: of_phase(run, &record, Phase::Ordinary),
+        ordinary: of_phase(run, &record, Phase::SteadyState),
         after_event: of_phase(run, &record, Phase::Event),
         done_missing: done_missing(run, &record),
         voided: members().flat_map(|(_, incarnations)| incarnations).map(voids).sum(),
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -194,7 +194,7 @@
             Outcome::from_observations(run, total, &result.lateness, after.saturating_sub(before));
         outcome.summary.not_sent = result.not_sent;
         for (phase, summary) in [
-            (Phase::Ordinary, &mut outcome.summary.ordinary),
+            (Phase::SteadyState, &mut outcome.summary.ordinary),
             (Phase::Event, &mut outcome.summary.after_event),
         ] {
             let total = percent(result.cpu_ns[phase as usize], summary.seconds) / run.addresses.len() as f64;
@@ -228,9 +228,9 @@
             virtual_time: config.virtual_time,
             lag_p99_ms: lateness.quantile_ms(0.99),
             memory_per_member: memory as f64 / config.members.max(1) as f64,
-            ordinary: phase_summary(run, members, Phase::Ordinary),
+            ordinary: phase_summary(run, members, Phase::SteadyState),
             after_event: phase_summary(run, members, Phase::Event),
-            control_ordinary: phase_summary(run, control, Phase::Ordinary),
+            control_ordinary: phase_summary(run, control, Phase::SteadyState),
             control_after_event: phase_summary(run, control, Phase::Event),
             replicas: config.replicas,
             purge,
@@ -345,16 +345,16 @@
 }
 
 fn member_row(run: &Run, member: usize, phases: &MemberPhases) -> MemberRow {
-    let (ordinary, event) = (&phases[Phase::Ordinary as usize], &phases[Phase::Event as usize]);
+    let (ordinary, event) = (&phases[Phase::SteadyState as usize], &phases[Phase::Event as usize]);
     let per_s = |count: u64, phase: Phase| count as f64 / run.schedule.phase_seconds(phase).max(1e-9);
     MemberRow {
         member,
         zone: run.network.topology().zone(member),
         region: run.network.topology().region(member),
-        packets_per_s: per_s(ordinary.sent_total().packets, Phase::Ordinary),
-        bytes_per_s: per_s(ordinary.sent_total().bytes, Phase::Ordinary),
-        received_bytes_per_s: per_s(ordinary.received.bytes, Phase::Ordinary),
-        cpu_percent: percent(ordinary.cpu_ns(), run.schedule.phase_seconds(Phase::Ordinary)),
+        packets_per_s: per_s(ordinary.sent_total().packets, Phase::SteadyState),
+        bytes_per_s: per_s(ordinary.sent_total().bytes, Phase::SteadyState),
+        received_bytes_per_s: per_s(ordinary.received.bytes, Phase::SteadyState),
+        cpu_percent: percent(ordinary.cpu_ns(), run.schedule.phase_seconds(Phase::SteadyState)),
         event_packets_per_s: per_s(event.sent_total().packets, Phase::Event),
         event_bytes_per_s: per_s(event.sent_total().bytes, Phase::Event),
     }
--- a/testbed/src/scale/run.rs
+++ b/testbed/src/scale/run.rs
@@ -10,7 +10,7 @@
 use super::endpoint::Endpoint;
 use super::network::Network;
 use super::purge_endpoint::{MemberEndpoint, MemberIdentity, ReplicaEndpoint};
-use super::schedule::{Schedule, CLOCK_START, SEED_COUNT};
+use super::schedule::{Schedule, CLOCK_START, SEED_MEMBER_COUNT};
 use super::topology::Topology;
 use super::workload::WorkloadConfig;
 use super::Micros;
@@ -57,7 +57,7 @@
             number: member,
             zone: self.network.topology().zone(member),
             life: now,
-            seeds: self.addresses.iter().take(SEED_COUNT).copied().collect(),
+            seeds: self.addresses.iter().take(SEED_MEMBER_COUNT).copied().collect(),
             seed,
         };
         match config.mechanism {
@@ -98,7 +98,7 @@
         WorkloadConfig {
             requests_per_s: self.config.requests_per_s,
             servers: self.config.cache_hosts,
-            silent: self.schedule.silent_hosts.clone(),
+            silent: self.schedule.silent_servers.clone(),
         }
     }
 }
--- a/testbed/src/scale/schedule.rs
+++ b/testbed/src/scale/schedule.rs
@@ -14,27 +14,27 @@
 /// duration does not underflow.
 pub const CLOCK_START: Micros = 1_000_000_000;
 /// Share of the measured time that is the steady state, before the fault scenario.
-const ORDINARY_SHARE: f64 = 1.0 / 3.0;
+const STEADY_STATE_TIME_SHARE: f64 = 1.0 / 3.0;
 /// Share of the fault scenario's time after which crashed members restart and partitions heal.
-const RETURN_PART: f64 = 0.45;
+const RECOVERY_TIME_SHARE: f64 = 0.45;
 /// Share of the fault scenario's time after which a cache server stops answering.
-const SILENCE_PART: f64 = 0.7;
+const SERVER_SILENCE_TIME_SHARE: f64 = 0.7;
 /// Share of packets lost in [`Event::Loss`].
-const LOSS_SHARE: f64 = 0.01;
+const LOST_PACKET_SHARE: f64 = 0.01;
 /// Share of members that restart in [`Event::RestartWave`].
-const WAVE_SHARE: f64 = 0.4;
+const RESTARTED_MEMBER_SHARE: f64 = 0.4;
 /// Time within which these members stop.
-const WAVE_SPREAD: Micros = 5_000_000;
+const RESTART_WAVE_DURATION: Micros = 5_000_000;
 /// Time from the stop of each of these members to its start.
-const WAVE_AWAY: Micros = 1_000_000;
+const RESTART_DOWNTIME: Micros = 1_000_000;
 /// Number of seed members, which every member contacts first.
-pub const SEED_COUNT: usize = 3;
+pub const SEED_MEMBER_COUNT: usize = 3;
 /// Number of control machines killed in [`Event::ControlLoss`].
-const REPLICAS_LOST: usize = 2;
+const KILLED_REPLICA_COUNT: usize = 2;
 /// Time from the start of the run to the first purge.
-const PUBLISHED_AFTER: Micros = 3_000_000;
+const FIRST_PURGE_DELAY: Micros = 3_000_000;
 /// Number of members whose state the others are checked for when a fault affects many members.
-const SAMPLED_MEMBERS: usize = 3;
+const SAMPLED_MEMBER_COUNT: usize = 3;
 
 /// The kind of an [`Action`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -80,7 +80,7 @@
     /// The fleet forms; not part of the results.
     WarmUp,
     /// The steady state.
-    Ordinary,
+    SteadyState,
     /// The fault scenario, to the end of the run.
     Event,
 }
@@ -94,7 +94,7 @@
 #[derive(Clone, Debug)]
 pub struct Schedule {
     /// End of the warm-up.
-    pub warm: Micros,
+    pub warm_up_end: Micros,
     /// Start of the fault scenario.
     pub event: Micros,
     /// End of the run.
@@ -104,31 +104,39 @@
     /// The changes that members are expected to learn of.
     pub expectations: Vec<Expectation>,
     /// Cache servers that stop answering, and for which period.
-    pub silent_hosts: Vec<(u64, Range<Micros>)>,
+    pub silent_servers: Vec<(u64, Range<Micros>)>,
 }
 
 impl Schedule {
     /// Creates the schedule of a run and adds its network faults to `network`.
     pub fn new(config: &ScaleConfig, network: &mut Network, addresses: &[SocketAddr]) -> Schedule {
-        let micros = |seconds: f64| (seconds * 1e6) as Micros;
-        let warm = CLOCK_START + micros(config.warm_up_s);
-        let end = warm + micros(config.seconds);
+        let to_micros = |seconds: f64| (seconds * 1e6) as Micros;
+        let warm_up_end = CLOCK_START + to_micros(config.warm_up_s);
+        let end = warm_up_end + to_micros(config.seconds);
         let event = match config.event {
             Event::None => end,
-            _ => warm + micros(config.seconds * ORDINARY_SHARE),
+            _ => warm_up_end + to_micros(config.seconds * STEADY_STATE_TIME_SHARE),
         };
         let schedule = Schedule {
-            warm,
+            warm_up_end,
             event,
             end,
             actions: Vec::new(),
             expectations: Vec::new(),
-            silent_hosts: Vec::new(),
+            silent_servers: Vec::new(),
         };
         let rng = fastrand::Rng::with_seed(config.seed ^ 0x5c4e_d01e);
-        let first = if config.replicas > 0 { config.replicas } else { SEED_COUNT.min(addresses.len() - 1) };
-        let mut builder = Builder { schedule, network, addresses, rng, replicas: config.replicas, first };
-        builder.add(config.event);
+        let first_stoppable_member =
+            if config.replicas > 0 { config.replicas } else { SEED_MEMBER_COUNT.min(addresses.len() - 1) };
+        let mut builder = ScheduleBuilder {
+            schedule,
+            network,
+            addresses,
+            rng,
+            replicas: config.replicas,
+            first_stoppable_member,
+        };
+        builder.add_event(config.event);
         builder.add_purges(config);
         if config.mechanism == Mechanism::Purge {
             // Members have no membership in this mechanism, so that they cannot satisfy any query.
@@ -140,10 +148,10 @@
 
     /// The phase at a time.
     pub fn phase(&self, now: Micros) -> Phase {
-        if now < self.warm {
+        if now < self.warm_up_end {
             Phase::WarmUp
         } else if now < self.event {
-            Phase::Ordinary
+            Phase::SteadyState
         } else {
             Phase::Event
         }
@@ -152,8 +160,8 @@
     /// Duration of a phase, in seconds.
     pub fn phase_seconds(&self, phase: Phase) -> f64 {
         let span = match phase {
-            Phase::WarmUp => self.warm - CLOCK_START,
-            Phase::Ordinary => self.event - self.warm,
+            Phase::WarmUp => self.warm_up_end - CLOCK_START,
+            Phase::SteadyState => self.event - self.warm_up_end,
             Phase::Event => self.end - self.event,
         };
         span as f64 / 1e6
@@ -161,7 +169,7 @@
 }
 
 /// Adds the actions, network faults and expectations of a fault scenario to a schedule.
-struct Builder<'a> {
+struct ScheduleBuilder<'a> {
     schedule: Schedule,
     network: &'a mut Network,
     addresses: &'a [SocketAddr],
@@ -170,27 +178,27 @@
     replicas: usize,
     /// The lowest number of a member that [`Event::MemberLost`] may stop: control machines and seeds are exempt, except that
     /// one member always remains.
-    first: usize,
+    first_stoppable_member: usize,
 }
 
-impl Builder<'_> {
+impl ScheduleBuilder<'_> {
     fn topology(&self) -> &Topology {
         self.network.topology()
     }
 
     /// The time after this share of the fault scenario.
-    fn part(&self, part: f64) -> Micros {
+    fn time_at_share(&self, share: f64) -> Micros {
         let Schedule { event, end, .. } = self.schedule;
-        event + ((end - event) as f64 * part) as Micros
+        event + ((end - event) as f64 * share) as Micros
     }
 
-    fn add(&mut self, event: Event) {
+    fn add_event(&mut self, event: Event) {
         match event {
             Event::None => {}
             Event::MemberLost => self.add_member_lost(),
             Event::Loss => {
-                let period = self.schedule.warm..self.schedule.end;
-                self.network.add_packet_loss(PacketLoss { period, lost_share: LOSS_SHARE });
+                let period = self.schedule.warm_up_end..self.schedule.end;
+                self.network.add_packet_loss(PacketLoss { period, lost_share: LOST_PACKET_SHARE });
                 self.add_member_lost();
             }
             Event::ZoneLost => self.add_zone_lost(),
@@ -202,17 +210,26 @@
 
     fn add_member_lost(&mut self) {
         let count = self.topology().members();
-        let member = self.rng.usize(self.first..count);
-        let (stop, start, silence) = (self.part(0.0), self.part(RETURN_PART), self.part(SILENCE_PART));
-        self.act(stop, member, ActionKind::Stop);
-        self.act(start, member, ActionKind::Start);
+        let member = self.rng.usize(self.first_stoppable_member..count);
+        let (stop, start, silence) = (
+            self.time_at_share(0.0),
+            self.time_at_share(RECOVERY_TIME_SHARE),
+            self.time_at_share(SERVER_SILENCE_TIME_SHARE),
+        );
+        self.add_action(stop, member, ActionKind::Stop);
+        self.add_action(start, member, ActionKind::Start);
         let mut others = vec![true; count];
         others[member] = false;
         let address = self.addresses[member];
-        self.expect("member-gone", stop..start, StateQuery::NotAlive(address), others.clone());
-        self.expect("member-back", start..self.schedule.end, StateQuery::Alive(address), others.clone());
-        self.schedule.silent_hosts.push((self.rng.u64(0..64), silence..self.schedule.end));
-        self.expect(
+        self.add_expectation("member-gone", stop..start, StateQuery::NotAlive(address), others.clone());
+        self.add_expectation(
+            "member-back",
+            start..self.schedule.end,
+            StateQuery::Alive(address),
+            others.clone(),
+        );
+        self.schedule.silent_servers.push((self.rng.u64(0..64), silence..self.schedule.end));
+        self.add_expectation(
             "host-silent",
             silence..self.schedule.end,
             StateQuery::SilentServerAvoided,
@@ -222,23 +239,29 @@
 
     fn add_zone_lost(&mut self) {
         let zone = self.rng.usize(0..self.topology().zones());
-        let (stop, start) = (self.part(0.0), self.part(RETURN_PART));
+        let (stop, start) = (self.time_at_share(0.0), self.time_at_share(RECOVERY_TIME_SHARE));
         let lost: Vec<usize> =
             (0..self.topology().members()).filter(|member| self.topology().zone(*member) == zone).collect();
         for member in &lost {
-            self.act(stop, *member, ActionKind::Stop);
-            self.act(start, *member, ActionKind::Start);
+            self.add_action(stop, *member, ActionKind::Stop);
+            self.add_action(start, *member, ActionKind::Start);
         }
-        let others = self.others(&lost);
-        for address in self.sample(&lost) {
-            self.expect("zone-gone", stop..start, StateQuery::NotAlive(address), others.clone());
-            self.expect("zone-back", start..self.schedule.end, StateQuery::Alive(address), others.clone());
+        let others = self.flags_of_others(&lost);
+        for address in self.sample_addresses(&lost) {
+            self.add_expectation("zone-gone", stop..start, StateQuery::NotAlive(address), others.clone());
+            self.add_expectation(
+                "zone-back",
+                start..self.schedule.end,
+                StateQuery::Alive(address),
+                others.clone(),
+            );
         }
     }
 
     fn add_region_cut(&mut self) {
         let region = self.rng.usize(0..self.topology().regions());
-        let (partition_start, partition_end) = (self.part(0.0), self.part(RETURN_PART));
+        let (partition_start, partition_end) =
+            (self.time_at_share(0.0), self.time_at_share(RECOVERY_TIME_SHARE));
         self.network.add_partition(Partition {
             period: partition_start..partition_end,
             scope: PartitionScope::Region(region),
@@ -246,15 +269,15 @@
         let inside: Vec<usize> = (0..self.topology().members())
             .filter(|member| self.topology().region(*member) == region)
             .collect();
-        let outside = self.others(&inside);
-        for address in self.sample(&inside) {
-            self.expect(
+        let outside = self.flags_of_others(&inside);
+        for address in self.sample_addresses(&inside) {
+            self.add_expectation(
                 "region-gone",
                 partition_start..partition_end,
                 StateQuery::NotAlive(address),
                 outside.clone(),
             );
-            self.expect(
+            self.add_expectation(
                 "region-back",
                 partition_end..self.schedule.end,
                 StateQuery::Alive(address),
@@ -266,20 +289,25 @@
     fn add_restart_wave(&mut self) {
         let mut members: Vec<usize> = (self.replicas..self.topology().members()).collect();
         self.rng.shuffle(&mut members);
-        members.truncate((members.len() as f64 * WAVE_SHARE) as usize);
+        members.truncate((members.len() as f64 * RESTARTED_MEMBER_SHARE) as usize);
         for member in &members {
-            let stop = self.part(0.0) + self.rng.u64(0..WAVE_SPREAD);
-            self.act(stop, *member, ActionKind::Stop);
-            self.act(stop + WAVE_AWAY, *member, ActionKind::Start);
+            let stop = self.time_at_share(0.0) + self.rng.u64(0..RESTART_WAVE_DURATION);
+            self.add_action(stop, *member, ActionKind::Stop);
+            self.add_action(stop + RESTART_DOWNTIME, *member, ActionKind::Start);
         }
-        let over = self.part(0.0) + WAVE_SPREAD + WAVE_AWAY;
+        let all_restarted = self.time_at_share(0.0) + RESTART_WAVE_DURATION + RESTART_DOWNTIME;
         let all = vec![true; self.topology().members()];
-        for address in self.sample(&members) {
+        for address in self.sample_addresses(&members) {
             let mut others = all.clone();
             if let Some(member) = self.addresses.iter().position(|other| *other == address) {
                 others[member] = false;
             }
-            self.expect("restarted-known", over..self.schedule.end, StateQuery::Alive(address), others);
+            self.add_expectation(
+                "restarted-known",
+                all_restarted..self.schedule.end,
+                StateQuery::Alive(address),
+                others,
+            );
         }
     }
 
@@ -287,9 +315,9 @@
     fn add_control_loss(&mut self) {
         let mut replicas: Vec<usize> = (0..self.replicas).collect();
         self.rng.shuffle(&mut replicas);
-        for replica in replicas.into_iter().take(REPLICAS_LOST) {
-            self.act(self.part(0.0), replica, ActionKind::Stop);
-            self.act(self.part(RETURN_PART), replica, ActionKind::Start);
+        for replica in replicas.into_iter().take(KILLED_REPLICA_COUNT) {
+            self.add_action(self.time_at_share(0.0), replica, ActionKind::Stop);
+            self.add_action(self.time_at_share(RECOVERY_TIME_SHARE), replica, ActionKind::Start);
         }
     }
 
@@ -298,37 +326,43 @@
         if self.replicas == 0 || config.publishes_per_s <= 0.0 {
             return;
         }
-        let between = (1e6 / config.publishes_per_s) as Micros;
-        let times = (CLOCK_START + PUBLISHED_AFTER..self.schedule.end).step_by(between.max(1) as usize);
+        let interval = (1e6 / config.publishes_per_s) as Micros;
+        let times = (CLOCK_START + FIRST_PURGE_DELAY..self.schedule.end).step_by(interval.max(1) as usize);
         for (number, at) in times.enumerate() {
-            self.act(at, number % self.replicas, ActionKind::Publish(number as u32));
+            self.add_action(at, number % self.replicas, ActionKind::Publish(number as u32));
         }
     }
 
-    fn act(&mut self, at: Micros, member: usize, kind: ActionKind) {
+    fn add_action(&mut self, at: Micros, member: usize, kind: ActionKind) {
         if at < self.schedule.end {
             self.schedule.actions.push(Action { at, member, kind });
         }
     }
 
-    fn expect(&mut self, name: &'static str, during: Range<Micros>, query: StateQuery, observers: Vec<bool>) {
-        let Range { start: at, end: until } = during;
+    fn add_expectation(
+        &mut self,
+        name: &'static str,
+        period: Range<Micros>,
+        query: StateQuery,
+        observers: Vec<bool>,
+    ) {
+        let Range { start: at, end: until } = period;
         if at < until {
             self.schedule.expectations.push(Expectation { name, at, until, query, observers });
         }
     }
 
     /// All members except these, as a flag by member number.
-    fn others(&self, members: &[usize]) -> Vec<bool> {
+    fn flags_of_others(&self, members: &[usize]) -> Vec<bool> {
         let mut others = vec![true; self.topology().members()];
         members.iter().for_each(|member| others[*member] = false);
         others
     }
 
-    /// The addresses of [`SAMPLED_MEMBERS`] random members of these, or of all if they are fewer.
-    fn sample(&mut self, members: &[usize]) -> Vec<SocketAddr> {
+    /// The addresses of [`SAMPLED_MEMBER_COUNT`] random members of these, or of all if they are fewer.
+    fn sample_addresses(&mut self, members: &[usize]) -> Vec<SocketAddr> {
         let mut members = members.to_vec();
         self.rng.shuffle(&mut members);
-        members.into_iter().take(SAMPLED_MEMBERS).map(|member| self.addresses[member]).collect()
+        members.into_iter().take(SAMPLED_MEMBER_COUNT).map(|member| self.addresses[member]).collect()
     }
 }
