--- a/testbed/src/scale/calibration.rs
+++ b/testbed/src/scale/calibration.rs
@@ -8,7 +8,7 @@
 use super::Micros;
 
 /// The first byte of a calibration packet. No other kind of packet starts with it.
-pub const CALIBRATION_HEAD: u8 = 0;
+pub const CALIBRATION_FIRST_BYTE: u8 = 0;
 
 /// The traffic to reproduce.
 #[derive(Clone, Copy, Debug, Default)]
@@ -45,7 +45,7 @@
         let count = due as usize + usize::from(self.rng.f64() < due.fract());
         for _ in 0..count {
             let to = self.peers[self.rng.usize(0..self.peers.len())];
-            self.out.push((to, vec![CALIBRATION_HEAD; self.traffic.packet_length.max(1)]));
+            self.out.push((to, vec![CALIBRATION_FIRST_BYTE; self.traffic.packet_length.max(1)]));
         }
     }
 
--- a/testbed/src/scale/cluster_endpoint.rs
+++ b/testbed/src/scale/cluster_endpoint.rs
@@ -11,7 +11,7 @@
 use juniperladder_cluster::{rate_limit, Cluster, ClusterConfig, NamedRateLimit};
 
 use super::endpoint::{Datagram, Endpoint, PacketKind, StateQuery};
-use super::workload::{Workload, WorkloadConfig, ORIGIN_LIMIT};
+use super::workload::{Workload, WorkloadConfig, ORIGIN_LIMIT_NAME};
 use super::Micros;
 
 // The values of `deploy/operator.example.toml`.
@@ -20,17 +20,17 @@
 const ARRIVAL_SPREAD: Time = Time::from_millis(50);
 const SLOW_START_SENDS_PER_S: u32 = 100;
 const SLOW_START_INITIAL_SHARE: f64 = 0.25;
-const WARM_UP: Time = Time::from_secs(10);
-const RETRY_SHARE: f64 = 0.4;
-const RETRIES_SAVED: f64 = 10.0;
+const SLOW_START_DURATION: Time = Time::from_secs(10);
+const RETRIES_PER_FIRST_ATTEMPT: f64 = 0.4;
+const SAVED_RETRIES_PER_HOLDER: f64 = 10.0;
 const MIN_REPORTERS: usize = 3;
-const REPORT_EXPIRY: Time = Time::from_secs(6);
-const AVOIDED_SHARE: f64 = 0.34;
-const TRIES_PER_S: f64 = 1.0;
+const REPORT_LIFETIME: Time = Time::from_secs(6);
+const MAX_SUSPECTED_SHARE: f64 = 0.34;
+const TRIALS_PER_S: f64 = 1.0;
 
 /// The identity of a member.
 #[derive(Clone, Debug)]
-pub struct Identity {
+pub struct ClusterMemberIdentity {
     /// The member's address.
     pub address: SocketAddr,
     /// The member's number, from 0.
@@ -38,7 +38,7 @@
     /// The member's zone.
     pub zone: usize,
     /// The member's incarnation; a later start has a greater one.
-    pub life: u64,
+    pub incarnation: u64,
     /// The addresses of the members to contact first.
     pub seeds: Vec<SocketAddr>,
     /// The seed of the member's random numbers.
@@ -50,8 +50,8 @@
 
 impl MembershipEndpoint {
     /// Creates a member that starts now.
-    pub fn new(identity: Identity, now: Micros) -> MembershipEndpoint {
-        let member = MemberId { address: identity.address, incarnation: identity.life };
+    pub fn new(identity: ClusterMemberIdentity, now: Micros) -> MembershipEndpoint {
+        let member = MemberId { address: identity.address, incarnation: identity.incarnation };
         MembershipEndpoint(Membership::new(member, identity.seeds, identity.seed, Time(now)))
     }
 }
@@ -72,7 +72,7 @@
     }
 
     fn satisfies(&mut self, query: &StateQuery) -> bool {
-        is_satisfied_by_members(&self.0, query)
+        is_satisfied_by_membership(&self.0, query)
     }
 
     fn known_member_count(&self) -> Option<usize> {
@@ -89,14 +89,14 @@
 impl ClusterEndpoint {
     /// Creates a member that starts now, in a fleet of `members`.
     pub fn new(
-        identity: Identity,
+        identity: ClusterMemberIdentity,
         members: usize,
         zones: usize,
         config: WorkloadConfig,
         now: Micros,
     ) -> ClusterEndpoint {
         let seed = identity.seed;
-        let mut cluster = Cluster::new(plan(identity, members, &config), Time(now));
+        let mut cluster = Cluster::new(cluster_config(identity, members, &config), Time(now));
         let workload = Workload::new(config, seed ^ 0x10ad, now);
         if let Some(detector) = cluster.failure_detector() {
             detector.on_endpoints_changed(&workload.servers(zones));
@@ -125,7 +125,7 @@
                 .cluster
                 .failure_detector()
                 .is_some_and(|detector| detector.metrics().suspected_servers > 0),
-            query => is_satisfied_by_members(self.cluster.membership(), query),
+            query => is_satisfied_by_membership(self.cluster.membership(), query),
         }
     }
 
@@ -134,7 +134,7 @@
     }
 }
 
-fn is_satisfied_by_members(membership: &Membership, query: &StateQuery) -> bool {
+fn is_satisfied_by_membership(membership: &Membership, query: &StateQuery) -> bool {
     match query {
         StateQuery::Alive(address) => membership.is_alive(*address),
         StateQuery::NotAlive(address) => !membership.is_alive(*address),
@@ -143,10 +143,10 @@
 }
 
 /// The cluster configuration of a member, with the values of `deploy/operator.example.toml`.
-fn plan(identity: Identity, members: usize, config: &WorkloadConfig) -> ClusterConfig {
+fn cluster_config(identity: ClusterMemberIdentity, members: usize, config: &WorkloadConfig) -> ClusterConfig {
     let holders = members as u32;
-    let terms = |whole| rate_limit::RateLimitTerms {
-        requests_per_s: whole,
+    let rate_limit_terms = |requests_per_s| rate_limit::RateLimitTerms {
+        requests_per_s,
         arrival_spread: ARRIVAL_SPREAD,
         owners: holders,
         lease_duration: LEASE_DURATION,
@@ -154,29 +154,29 @@
     };
     ClusterConfig {
         address: identity.address,
-        incarnation: identity.life,
+        incarnation: identity.incarnation,
         position: identity.number as u32,
         zone: identity.zone as u32,
         seeds: identity.seeds,
         rate_limits: vec![NamedRateLimit {
-            name: ORIGIN_LIMIT.to_owned(),
-            terms: terms(config.origin_limit(members)),
+            name: ORIGIN_LIMIT_NAME.to_owned(),
+            terms: rate_limit_terms(config.origin_limit(members)),
         }],
         slow_start: Some(SlowStartTerms {
-            rate_limit: terms(SLOW_START_SENDS_PER_S),
+            rate_limit: rate_limit_terms(SLOW_START_SENDS_PER_S),
             initial_share: SLOW_START_INITIAL_SHARE,
-            duration: WARM_UP,
+            duration: SLOW_START_DURATION,
         }),
         retry_budget: Some(RetryBudgetTerms {
-            retries_per_first_attempt: RETRY_SHARE,
-            max_saved_credits: RETRIES_SAVED * f64::from(holders),
+            retries_per_first_attempt: RETRIES_PER_FIRST_ATTEMPT,
+            max_saved_credits: SAVED_RETRIES_PER_HOLDER * f64::from(holders),
             holders,
         }),
         failure_detector: Some(FailureDetectorTerms {
             min_reporters: MIN_REPORTERS,
-            report_lifetime: REPORT_EXPIRY,
-            max_suspected_share: AVOIDED_SHARE,
-            trials_per_s: TRIES_PER_S,
+            report_lifetime: REPORT_LIFETIME,
+            max_suspected_share: MAX_SUSPECTED_SHARE,
+            trials_per_s: TRIALS_PER_S,
             clock_drift: CLOCK_DRIFT_RATIO,
         }),
         random_seed: identity.seed,
@@ -184,14 +184,14 @@
 }
 
 /// Calls `add` with the kind and length of each part of a packet. The header counts for the first part.
-pub fn packet_parts(bytes: &[u8], mut add: impl FnMut(PacketKind, usize)) {
+pub fn for_each_packet_part(bytes: &[u8], mut add: impl FnMut(PacketKind, usize)) {
     match packet::decode(bytes) {
         Ok(Packet::Membership(_)) => add(PacketKind::Membership, bytes.len()),
         Ok(Packet::Coordination(_)) => {
-            let (mut rest, mut head) = (&bytes[HEADER_BYTES..], HEADER_BYTES);
-            while let Ok((message, more)) = postcard::take_from_bytes::<CoordinationMessage>(rest) {
-                add(kind_of(&message.payload), rest.len() - more.len() + head);
-                (rest, head) = (more, 0);
+            let (mut rest, mut header_bytes) = (&bytes[HEADER_BYTES..], HEADER_BYTES);
+            while let Ok((message, remaining)) = postcard::take_from_bytes::<CoordinationMessage>(rest) {
+                add(packet_kind(&message.payload), rest.len() - remaining.len() + header_bytes);
+                (rest, header_bytes) = (remaining, 0);
                 if rest.is_empty() {
                     break;
                 }
@@ -201,7 +201,7 @@
     }
 }
 
-fn kind_of(payload: &Payload) -> PacketKind {
+fn packet_kind(payload: &Payload) -> PacketKind {
     match payload {
         Payload::RateLimit(..) => PacketKind::RateLimit,
         Payload::SlowStart(..) => PacketKind::SlowStart,
--- a/testbed/src/scale/meter.rs
+++ b/testbed/src/scale/meter.rs
@@ -3,17 +3,17 @@
 use nix::time::{clock_gettime, ClockId};
 use serde::Serialize;
 
-use super::calibration::CALIBRATION_HEAD;
-use super::cluster_endpoint::packet_parts;
+use super::calibration::CALIBRATION_FIRST_BYTE;
+use super::cluster_endpoint::for_each_packet_part;
 use super::endpoint::PacketKind;
-use super::purge_endpoint::PURGE_MAGIC;
+use super::purge_endpoint::PURGE_PACKET_PREFIX;
 use super::schedule::Phase;
 use super::Micros;
 
 /// Number of buckets of the lateness histogram. The last bucket also counts all higher values.
-const LAG_BUCKETS: usize = 4_096;
+const LATENESS_BUCKET_COUNT: usize = 4_096;
 /// Width of a bucket of the lateness histogram.
-const LAG_BUCKET: Micros = 100;
+const LATENESS_BUCKET_WIDTH: Micros = 100;
 
 /// Number of packets and bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
@@ -68,12 +68,12 @@
             sent.packets += u64::from(std::mem::take(&mut first));
             sent.bytes += length as u64;
         };
-        if bytes.first() == Some(&CALIBRATION_HEAD) {
+        if bytes.first() == Some(&CALIBRATION_FIRST_BYTE) {
             add(PacketKind::Calibration, bytes.len());
-        } else if bytes.starts_with(PURGE_MAGIC) {
+        } else if bytes.starts_with(PURGE_PACKET_PREFIX) {
             add(PacketKind::Purge, bytes.len());
         } else {
-            packet_parts(bytes, add);
+            for_each_packet_part(bytes, add);
         }
     }
 }
@@ -90,15 +90,15 @@
 
 impl Default for Lateness {
     fn default() -> Lateness {
-        Lateness { buckets: vec![0; LAG_BUCKETS], count: 0 }
+        Lateness { buckets: vec![0; LATENESS_BUCKET_COUNT], count: 0 }
     }
 }
 
 impl Lateness {
     /// Records that a timer due at `due` fired at `now`.
     pub fn on_timer(&mut self, due: Micros, now: Micros) {
-        let bucket = (now.saturating_sub(due) / LAG_BUCKET) as usize;
-        self.buckets[bucket.min(LAG_BUCKETS - 1)] += 1;
+        let bucket = (now.saturating_sub(due) / LATENESS_BUCKET_WIDTH) as usize;
+        self.buckets[bucket.min(LATENESS_BUCKET_COUNT - 1)] += 1;
         self.count += 1;
     }
 
@@ -115,7 +115,7 @@
         for (bucket, count) in self.buckets.iter().enumerate() {
             sum += count;
             if sum >= rank && sum > 0 {
-                return (bucket as Micros * LAG_BUCKET) as f64 / 1e3;
+                return (bucket as Micros * LATENESS_BUCKET_WIDTH) as f64 / 1e3;
             }
         }
         0.0
--- a/testbed/src/scale/purge_endpoint.rs
+++ b/testbed/src/scale/purge_endpoint.rs
@@ -15,23 +15,23 @@
 use super::Micros;
 
 /// The first bytes of each packet of the purge protocol.
-pub const PURGE_MAGIC: &[u8] = b"JPC";
+pub const PURGE_PACKET_PREFIX: &[u8] = b"JPC";
 /// Prefix of the keys of published purges, followed by the purge's number. It gives the keys a typical length.
 const KEY_PREFIX: &str = "scale:object:";
-/// [`super::Flaw::DropsChanges`] drops the purges whose number modulo this divisor is [`DROPPED_REMAINDER`].
-const DROPPED_OF: u32 = 1_000;
-/// See [`DROPPED_OF`].
-const DROPPED_REMAINDER: u32 = 500;
+/// [`super::Flaw::DropsChanges`] drops the purges whose number modulo this divisor is [`DROP_REMAINDER`].
+const DROP_DIVISOR: u32 = 1_000;
+/// See [`DROP_DIVISOR`].
+const DROP_REMAINDER: u32 = 500;
 
 /// A control machine that publishes purges on command.
-pub struct ReplicaEndpoint {
+pub struct PurgeReplicaEndpoint {
     replica: Replica,
     /// The published purges that are not completed yet, in order of publication.
-    pending: VecDeque<(u32, PurgeId)>,
+    uncompleted: VecDeque<(u32, PurgeId)>,
     events: Vec<EndpointEvent>,
 }
 
-impl ReplicaEndpoint {
+impl PurgeReplicaEndpoint {
     /// Creates a control machine that starts now. `bootstrap` is set for the first start of all control machines.
     pub fn new(
         replica: u8,
@@ -39,7 +39,7 @@
         bootstrap: bool,
         seed: u64,
         now: Micros,
-    ) -> ReplicaEndpoint {
+    ) -> PurgeReplicaEndpoint {
         let config = ReplicaConfig {
             replica: ReplicaId(replica),
             incarnation: now,
@@ -48,15 +48,15 @@
             seed,
             settings: ReplicaSettings::default(),
         };
-        ReplicaEndpoint {
+        PurgeReplicaEndpoint {
             replica: Replica::new(config, Time(now)),
-            pending: VecDeque::new(),
+            uncompleted: VecDeque::new(),
             events: Vec::new(),
         }
     }
 }
 
-impl Endpoint for ReplicaEndpoint {
+impl Endpoint for PurgeReplicaEndpoint {
     fn on_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
         self.replica.on_datagram(Time(now), from, bytes);
     }
@@ -73,7 +73,7 @@
         let key = format!("{KEY_PREFIX}{number}");
         let event = match self.replica.publish(Time(now), key.as_bytes()) {
             Ok(id) => {
-                self.pending.push_back((number, id));
+                self.uncompleted.push_back((number, id));
                 EndpointEvent::PurgeAccepted(number)
             }
             Err(_) => EndpointEvent::PurgeRejected(number),
@@ -83,12 +83,12 @@
 
     fn drain_events(&mut self, _now: Micros) -> Vec<EndpointEvent> {
         let replica = &self.replica;
-        while let Some((number, id)) = self.pending.front() {
+        while let Some((number, id)) = self.uncompleted.front() {
             if replica.status(*id) != PurgeStatus::Done {
                 break;
             }
             self.events.push(EndpointEvent::PurgeCompleted(*number));
-            self.pending.pop_front();
+            self.uncompleted.pop_front();
         }
         std::mem::take(&mut self.events)
     }
@@ -96,15 +96,15 @@
 
 /// The identity of a member.
 #[derive(Clone, Debug)]
-pub struct MemberIdentity {
+pub struct PurgeMemberIdentity {
     /// The member's number.
     pub member: u32,
     /// The addresses of the control machines.
     pub replicas: Vec<SocketAddr>,
     /// The control machines in order of preference, nearest first.
-    pub preferred: Vec<u8>,
+    pub preferred_replicas: Vec<u8>,
     /// Whether the member is a cache server, which replays missed purges; a balancer discards all its cached values instead.
-    pub is_cache_host: bool,
+    pub is_cache_server: bool,
     /// Whether the member has the defect [`super::Flaw::DropsChanges`].
     pub drops_changes: bool,
     /// The seed of the member's random numbers.
@@ -112,38 +112,38 @@
 }
 
 /// A balancer or a cache server.
-pub struct MemberEndpoint {
+pub struct PurgeMemberEndpoint {
     member: Member,
     drops_changes: bool,
     /// Time of the last check, if the member was serving then.
-    served: Option<Micros>,
+    last_served: Option<Micros>,
 }
 
-impl MemberEndpoint {
+impl PurgeMemberEndpoint {
     /// Creates a member that starts now, with an empty cache.
-    pub fn new(identity: MemberIdentity, now: Micros) -> MemberEndpoint {
+    pub fn new(identity: PurgeMemberIdentity, now: Micros) -> PurgeMemberEndpoint {
         let config = MemberConfig {
             member: MemberId(identity.member),
             incarnation: now,
             replicas: identity.replicas,
-            preferred: identity.preferred.into_iter().map(ReplicaId).collect(),
-            catch_up: if identity.is_cache_host { CatchUp::Replay } else { CatchUp::Void },
+            preferred: identity.preferred_replicas.into_iter().map(ReplicaId).collect(),
+            catch_up: if identity.is_cache_server { CatchUp::Replay } else { CatchUp::Void },
             seed: identity.seed,
             timing: MemberTiming::default(),
         };
         let member = Member::new(config, Time(now));
-        MemberEndpoint { member, drops_changes: identity.drops_changes, served: None }
+        PurgeMemberEndpoint { member, drops_changes: identity.drops_changes, last_served: None }
     }
 
     /// The number of a purge by its key, or `None` if the injected defect drops it.
-    fn number_of(&self, key: &[u8]) -> Option<u32> {
+    fn purge_number(&self, key: &[u8]) -> Option<u32> {
         let number = std::str::from_utf8(key).ok()?.strip_prefix(KEY_PREFIX)?.parse().ok()?;
-        let dropped = self.drops_changes && number % DROPPED_OF == DROPPED_REMAINDER;
+        let dropped = self.drops_changes && number % DROP_DIVISOR == DROP_REMAINDER;
         (!dropped).then_some(number)
     }
 }
 
-impl Endpoint for MemberEndpoint {
+impl Endpoint for PurgeMemberEndpoint {
     fn on_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
         self.member.on_datagram(Time(now), from, bytes);
     }
@@ -160,17 +160,19 @@
         let mut events = Vec::new();
         for event in self.member.drain_purges() {
             match event {
-                PurgeEvent::Key(key) => events.extend(self.number_of(&key).map(EndpointEvent::PurgeApplied)),
+                PurgeEvent::Key(key) => {
+                    events.extend(self.purge_number(&key).map(EndpointEvent::PurgeApplied))
+                }
                 PurgeEvent::VoidAll => events.push(EndpointEvent::CacheCleared),
             }
         }
-        let serves = self.member.may_serve(Time(now));
-        match (self.served, serves) {
+        let is_serving = self.member.may_serve(Time(now));
+        match (self.last_served, is_serving) {
             (None, true) => events.push(EndpointEvent::ServingStarted),
             (Some(last), false) => events.push(EndpointEvent::ServingEnded(last)),
             _ => {}
         }
-        self.served = serves.then_some(now);
+        self.last_served = is_serving.then_some(now);
         events
     }
 }
--- a/testbed/src/scale/run.rs
+++ b/testbed/src/scale/run.rs
@@ -5,11 +5,11 @@
 use std::rc::Rc;
 
 use super::calibration::CalibrationEndpoint;
-use super::cluster_endpoint::{ClusterEndpoint, Identity, MembershipEndpoint};
+use super::cluster_endpoint::{ClusterEndpoint, ClusterMemberIdentity, MembershipEndpoint};
 use super::config::{Flaw, Mechanism, ScaleConfig};
 use super::endpoint::Endpoint;
 use super::network::Network;
-use super::purge_endpoint::{MemberEndpoint, MemberIdentity, ReplicaEndpoint};
+use super::purge_endpoint::{PurgeMemberEndpoint, PurgeMemberIdentity, PurgeReplicaEndpoint};
 use super::schedule::{Schedule, CLOCK_START, SEED_MEMBER_COUNT};
 use super::topology::Topology;
 use super::workload::WorkloadConfig;
@@ -29,7 +29,7 @@
     pub schedule: Schedule,
     /// The address of each member, by member number.
     pub addresses: Vec<SocketAddr>,
-    members: HashMap<SocketAddr, usize>,
+    members_by_address: HashMap<SocketAddr, usize>,
 }
 
 impl Run {
@@ -38,40 +38,43 @@
         let topology = Topology::new(addresses.len(), config.zones, config.regions, config.seed);
         let mut network = Network::new(topology, config.seed);
         let schedule = Schedule::new(&config, &mut network, &addresses);
-        let members = addresses.iter().enumerate().map(|(member, address)| (*address, member)).collect();
-        Run { config, network, schedule, addresses, members }
+        let members_by_address =
+            addresses.iter().enumerate().map(|(member, address)| (*address, member)).collect();
+        Run { config, network, schedule, addresses, members_by_address }
     }
 
     /// The number of the member at an address.
     pub fn member_at(&self, address: SocketAddr) -> Option<usize> {
-        self.members.get(&address).copied()
+        self.members_by_address.get(&address).copied()
     }
 
     /// Creates the control code of a member that starts now. The start time is its incarnation, so that a later start has a
     /// greater one.
-    pub fn start(&self, member: usize, now: Micros) -> Box<dyn Endpoint> {
+    pub fn create_endpoint(&self, member: usize, now: Micros) -> Box<dyn Endpoint> {
         let config = &self.config;
         let seed = config.seed ^ (member as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ now;
-        let identity = Identity {
+        let identity = ClusterMemberIdentity {
             address: self.addresses[member],
             number: member,
             zone: self.network.topology().zone(member),
-            life: now,
+            incarnation: now,
             seeds: self.addresses.iter().take(SEED_MEMBER_COUNT).copied().collect(),
             seed,
         };
         match config.mechanism {
             Mechanism::Membership => Box::new(MembershipEndpoint::new(identity, now)),
             Mechanism::Cluster => {
-                let workload = self.workload();
-                Box::new(ClusterEndpoint::new(identity, config.members, config.zones, workload, now))
+                let workload_config = self.workload_config();
+                Box::new(ClusterEndpoint::new(identity, config.members, config.zones, workload_config, now))
             }
             Mechanism::Purge if member < config.replicas => {
                 let replicas = self.addresses[..config.replicas].to_vec();
                 let bootstrap = now < CLOCK_START + TICK_INTERVAL;
-                Box::new(ReplicaEndpoint::new(member as u8, replicas, bootstrap, seed, now))
+                Box::new(PurgeReplicaEndpoint::new(member as u8, replicas, bootstrap, seed, now))
+            }
+            Mechanism::Purge => {
+                Box::new(PurgeMemberEndpoint::new(self.purge_member_identity(member, seed), now))
             }
-            Mechanism::Purge => Box::new(MemberEndpoint::new(self.purge_member(member, seed), now)),
             Mechanism::Calibration => {
                 let peers: Rc<[SocketAddr]> = self.addresses.as_slice().into();
                 Box::new(CalibrationEndpoint::new(config.calibration, peers, seed, now))
@@ -79,26 +82,27 @@
         }
     }
 
-    fn purge_member(&self, member: usize, seed: u64) -> MemberIdentity {
+    fn purge_member_identity(&self, member: usize, seed: u64) -> PurgeMemberIdentity {
         let config = &self.config;
-        let mut preferred: Vec<u8> = (0..config.replicas as u8).collect();
-        preferred.sort_by_key(|replica| self.network.topology().delay(member, usize::from(*replica)));
+        let mut preferred_replicas: Vec<u8> = (0..config.replicas as u8).collect();
+        preferred_replicas
+            .sort_by_key(|replica| self.network.topology().delay(member, usize::from(*replica)));
         let drops_changes = config.flaw == Some(Flaw::DropsChanges) && member == config.replicas;
-        MemberIdentity {
+        PurgeMemberIdentity {
             member: member as u32,
             replicas: self.addresses[..config.replicas].to_vec(),
-            preferred,
-            is_cache_host: member >= config.endpoints() - config.purged_cache_hosts(),
+            preferred_replicas,
+            is_cache_server: member >= config.endpoints() - config.purged_cache_hosts(),
             drops_changes,
             seed,
         }
     }
 
-    fn workload(&self) -> WorkloadConfig {
+    fn workload_config(&self) -> WorkloadConfig {
         WorkloadConfig {
             requests_per_s: self.config.requests_per_s,
             servers: self.config.cache_hosts,
-            silent: self.schedule.silent_servers.clone(),
+            silent_servers: self.schedule.silent_servers.clone(),
         }
     }
 }
--- a/testbed/src/scale/shard.rs
+++ b/testbed/src/scale/shard.rs
@@ -124,7 +124,7 @@
                 None => self.record_event(now, action.member, EndpointEvent::PurgeRejected(number)),
             },
             ActionKind::Start => {
-                let endpoint = self.run.start(action.member, now);
+                let endpoint = self.run.create_endpoint(action.member, now);
                 self.slots[slot_index].endpoint = Some(endpoint);
                 self.record_event(now, action.member, EndpointEvent::Started);
                 self.send_pending(now, slot_index, outgoing);
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -9,21 +9,21 @@
 use super::Micros;
 
 /// Name of the rate limit that cache misses take tokens from.
-pub const ORIGIN_LIMIT: &str = "origin";
+pub const ORIGIN_LIMIT_NAME: &str = "origin";
 /// Share of requests that are cache misses and go to the origin.
-const MISS_SHARE: f64 = 0.1;
+const CACHE_MISS_SHARE: f64 = 0.1;
 /// Share of members that are busy.
-const BUSY_SHARE: f64 = 0.2;
+const BUSY_MEMBER_SHARE: f64 = 0.2;
 /// Request rate of a busy member, as a multiple of the other members' rate.
-const BUSY_FACTOR: f64 = 3.0;
+const BUSY_RATE_FACTOR: f64 = 3.0;
 /// Share of the origin's rate limit that the whole fleet's cache misses use.
-const ORIGIN_USE: f64 = 0.8;
+const ORIGIN_UTILISATION: f64 = 0.8;
 /// Timeout of an attempt at a silent server.
 const ATTEMPT_TIMEOUT: Micros = 250_000;
 /// Start time of every server in the endpoint list: long ago, so that no server is in slow start.
-const SERVER_START: Micros = 1;
+const SERVER_START_TIME: Micros = 1;
 /// Maximum number of requests generated in one tick, also after a stall.
-const REQUESTS_PER_TICK_MAX: usize = 64;
+const MAX_REQUESTS_PER_TICK: usize = 64;
 
 /// The synthetic traffic of a fleet.
 #[derive(Clone, Debug)]
@@ -33,17 +33,19 @@
     /// Number of cache servers.
     pub servers: usize,
     /// Cache servers that stop answering, and for which period.
-    pub silent: Vec<(u64, Range<Micros>)>,
+    pub silent_servers: Vec<(u64, Range<Micros>)>,
 }
 
 impl WorkloadConfig {
     /// The origin's rate limit for a fleet of this many members, in fetches per second.
     pub fn origin_limit(&self, members: usize) -> u32 {
-        (self.requests_per_s * members as f64 * MISS_SHARE / ORIGIN_USE).ceil().max(1.0) as u32
+        (self.requests_per_s * members as f64 * CACHE_MISS_SHARE / ORIGIN_UTILISATION).ceil().max(1.0) as u32
     }
 
     fn is_silent(&self, server: u64, now: Micros) -> bool {
-        self.silent.iter().any(|(silent, during)| *silent == server && during.contains(&now))
+        self.silent_servers
+            .iter()
+            .any(|(silent_server, period)| *silent_server == server && period.contains(&now))
     }
 }
 
@@ -52,27 +54,27 @@
     config: WorkloadConfig,
     rng: fastrand::Rng,
     requests_per_s: f64,
-    last: Micros,
+    last_generated: Micros,
     /// Attempts at silent servers, as time of the timeout and server number.
-    waiting: VecDeque<(Micros, u64)>,
+    pending_attempts: VecDeque<(Micros, u64)>,
     /// Time of the last response of each server.
-    answered: Vec<Micros>,
+    last_responses: Vec<Micros>,
 }
 
 impl Workload {
     /// Creates the traffic of a member. Its random choices follow from the seed.
     pub fn new(config: WorkloadConfig, seed: u64, now: Micros) -> Workload {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let quiet = config.requests_per_s / (1.0 + BUSY_SHARE * (BUSY_FACTOR - 1.0));
-        let factor = if rng.f64() < BUSY_SHARE { BUSY_FACTOR } else { 1.0 };
-        let answered = vec![0; config.servers];
+        let base_rate_per_s = config.requests_per_s / (1.0 + BUSY_MEMBER_SHARE * (BUSY_RATE_FACTOR - 1.0));
+        let rate_factor = if rng.f64() < BUSY_MEMBER_SHARE { BUSY_RATE_FACTOR } else { 1.0 };
+        let last_responses = vec![0; config.servers];
         Workload {
             config,
             rng,
-            requests_per_s: quiet * factor,
-            last: now,
-            waiting: VecDeque::new(),
-            answered,
+            requests_per_s: base_rate_per_s * rate_factor,
+            last_generated: now,
+            pending_attempts: VecDeque::new(),
+            last_responses,
         }
     }
 
@@ -80,7 +82,7 @@
     pub fn servers(&self, zones: usize) -> Vec<ServingServer> {
         let serving = |server: u64| ServingServer {
             server: ServerId(server),
-            started: Time(SERVER_START),
+            started: Time(SERVER_START_TIME),
             zone: (server % zones.max(1) as u64) as u32,
         };
         (0..self.config.servers as u64).map(serving).collect()
@@ -88,21 +90,21 @@
 
     /// Passes the requests that arrived since the last call to the member's control code.
     pub fn generate(&mut self, cluster: &mut Cluster, now: Micros) {
-        self.time_out(cluster, now);
-        let due = self.requests_per_s * (now - self.last) as f64 / 1e6;
-        self.last = now;
+        self.report_timed_out_attempts(cluster, now);
+        let due = self.requests_per_s * (now - self.last_generated) as f64 / 1e6;
+        self.last_generated = now;
         let count = due as usize + usize::from(self.rng.f64() < due.fract());
-        for _ in 0..count.min(REQUESTS_PER_TICK_MAX) {
-            self.request(cluster, now);
+        for _ in 0..count.min(MAX_REQUESTS_PER_TICK) {
+            self.generate_request(cluster, now);
         }
     }
 
     /// Reports the attempts that have timed out, and takes a retry credit for each if there is one.
-    fn time_out(&mut self, cluster: &mut Cluster, now: Micros) {
-        while self.waiting.front().is_some_and(|(due, _)| *due <= now) {
-            let Some((_, server)) = self.waiting.pop_front() else { break };
+    fn report_timed_out_attempts(&mut self, cluster: &mut Cluster, now: Micros) {
+        while self.pending_attempts.front().is_some_and(|(due, _)| *due <= now) {
+            let Some((_, server)) = self.pending_attempts.pop_front() else { break };
             if let Some(detector) = cluster.failure_detector() {
-                detector.on_server_observed(start(server), true, Time(now));
+                detector.on_server_observed(server_incarnation(server), true, Time(now));
             }
             if let Some(retries) = cluster.retry_budget() {
                 if retries.has_credit(Time(now)) {
@@ -115,21 +117,21 @@
     }
 
     /// Generates a request: an attempt at a cache server unless it is avoided, and for a miss a fetch from the origin.
-    fn request(&mut self, cluster: &mut Cluster, now: Micros) {
+    fn generate_request(&mut self, cluster: &mut Cluster, now: Micros) {
         if let Some(retries) = cluster.retry_budget() {
             retries.on_first_attempt();
         }
         let server = self.rng.u64(0..self.config.servers.max(1) as u64);
-        let heard = self.answered.get(server as usize).copied().unwrap_or(0);
-        let per_s = self.requests_per_s / self.config.servers.max(1) as f64;
-        let avoided = cluster
-            .failure_detector()
-            .is_some_and(|detector| detector.should_avoid(start(server), Time(heard), per_s, Time(now)));
-        if !avoided {
-            self.attempt(cluster, server, now);
+        let last_response = self.last_responses.get(server as usize).copied().unwrap_or(0);
+        let own_rate_per_s = self.requests_per_s / self.config.servers.max(1) as f64;
+        let is_avoided = cluster.failure_detector().is_some_and(|detector| {
+            detector.should_avoid(server_incarnation(server), Time(last_response), own_rate_per_s, Time(now))
+        });
+        if !is_avoided {
+            self.send_attempt(cluster, server, now);
         }
-        if self.rng.f64() < MISS_SHARE {
-            if let Some(limit) = cluster.rate_limit(ORIGIN_LIMIT) {
+        if self.rng.f64() < CACHE_MISS_SHARE {
+            if let Some(limit) = cluster.rate_limit(ORIGIN_LIMIT_NAME) {
                 if limit.wait_time(Time(now)).is_zero() {
                     limit.acquire(Time(now));
                 } else {
@@ -139,20 +141,20 @@
         }
     }
 
-    fn attempt(&mut self, cluster: &mut Cluster, server: u64, now: Micros) {
+    fn send_attempt(&mut self, cluster: &mut Cluster, server: u64, now: Micros) {
         if self.config.is_silent(server, now) {
-            self.waiting.push_back((now + ATTEMPT_TIMEOUT, server));
+            self.pending_attempts.push_back((now + ATTEMPT_TIMEOUT, server));
             return;
         }
-        if let Some(heard) = self.answered.get_mut(server as usize) {
-            *heard = now;
+        if let Some(last_response) = self.last_responses.get_mut(server as usize) {
+            *last_response = now;
         }
         if let Some(detector) = cluster.failure_detector() {
-            detector.on_server_observed(start(server), false, Time(now));
+            detector.on_server_observed(server_incarnation(server), false, Time(now));
         }
     }
 }
 
-fn start(server: u64) -> ServerIncarnation {
-    ServerIncarnation { server: ServerId(server), started: Time(SERVER_START) }
+fn server_incarnation(server: u64) -> ServerIncarnation {
+    ServerIncarnation { server: ServerId(server), started: Time(SERVER_START_TIME) }
 }
