--- a/testbed/src/scale/purge_check.rs
+++ b/testbed/src/scale/purge_check.rs
@@ -14,9 +14,9 @@
 /// Purges published less than this before the end of the run are not evaluated.
 const SETTLING_TIME: Micros = 5_000_000;
 /// A member counts as connected to a publisher if no partition separates them for this long after the purge.
-const CONNECTED_FOR: Micros = 3_000_000;
-/// Interval between two checks of the connection within [`CONNECTED_FOR`].
-const CONNECTED_STEP: Micros = 500_000;
+const CONNECTION_CHECK_WINDOW: Micros = 3_000_000;
+/// Interval between two checks of the connection within [`CONNECTION_CHECK_WINDOW`].
+const CONNECTION_CHECK_INTERVAL: Micros = 500_000;
 
 /// Distribution of durations, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
 }
 
 impl Times {
-    fn of(mut times: Vec<Micros>) -> Times {
+    fn from_durations(mut times: Vec<Micros>) -> Times {
         times.sort_unstable();
         let at = |share: f64| {
             let rank = ((times.len() as f64 * share).ceil() as usize).max(1);
@@ -88,10 +88,11 @@
     started: Micros,
     stopped: Option<Micros>,
     /// Time at which the member applied each purge, by the purge's number.
-    purged: BTreeMap<u32, Micros>,
-    voided: Vec<Micros>,
+    applied: BTreeMap<u32, Micros>,
+    /// Times at which the member discarded all its cached values.
+    cleared: Vec<Micros>,
     /// The periods in which the member served; the last one may be open.
-    served: Vec<(Micros, Option<Micros>)>,
+    serving_periods: Vec<(Micros, Option<Micros>)>,
 }
 
 impl MemberIncarnation {
@@ -100,55 +101,57 @@
     }
 
     /// Time from which this incarnation cannot hold a value older than the purge, which was published at `published`.
-    fn covered_at(&self, number: u32, published: Micros) -> Option<Micros> {
+    fn effective_at(&self, number: u32, published: Micros) -> Option<Micros> {
         if self.started >= published {
             return Some(self.started);
         }
-        let voided = self.voided.iter().find(|voided| **voided >= published);
-        self.purged.get(&number).into_iter().chain(voided).min().copied()
+        let cleared = self.cleared.iter().find(|cleared| **cleared >= published);
+        self.applied.get(&number).into_iter().chain(cleared).min().copied()
     }
 
-    /// Whether the member served at any time from `done` on and before `covered`, so that it may have served a purged value.
-    fn served_without(&self, done: Micros, covered: Option<Micros>) -> bool {
-        let covered = covered.unwrap_or(Micros::MAX);
-        self.served.iter().any(|(from, until)| {
+    /// Whether the member served at any time from `completed` on and before `effective_at`, so that it may have served a
+    /// purged value.
+    fn may_have_served_purged_value(&self, completed: Micros, effective_at: Option<Micros>) -> bool {
+        let effective_at = effective_at.unwrap_or(Micros::MAX);
+        self.serving_periods.iter().any(|(from, until)| {
             let until = until.or(self.stopped).unwrap_or(Micros::MAX);
-            (*from).max(done) < until.min(covered)
+            (*from).max(completed) < until.min(effective_at)
         })
     }
 }
 
 /// A purge from the view of its publisher.
 #[derive(Clone, Copy, Debug)]
-struct Published {
+struct PublishedPurge {
     at: Micros,
-    by: usize,
-    done: Option<Micros>,
+    publisher: usize,
+    completed: Option<Micros>,
 }
 
 /// The events of a run by member and by purge.
 #[derive(Debug, Default)]
-struct Record {
+struct PurgeHistory {
     incarnations: BTreeMap<usize, Vec<MemberIncarnation>>,
-    published: BTreeMap<u32, Published>,
+    published: BTreeMap<u32, PublishedPurge>,
     rejected: Vec<Micros>,
-    lapses: usize,
+    expired_leases: usize,
 }
 
-impl Record {
-    fn new(events: &[MemberEvent]) -> Record {
-        let mut record = Record::default();
+impl PurgeHistory {
+    fn new(events: &[MemberEvent]) -> PurgeHistory {
+        let mut history = PurgeHistory::default();
         for event in events {
-            record.add(event);
+            history.add(event);
         }
-        record
+        history
     }
 
     fn add(&mut self, event: &MemberEvent) {
         let at = event.at;
         match event.event {
             EndpointEvent::PurgeAccepted(number) => {
-                self.published.insert(number, Published { at, by: event.member, done: None });
+                self.published
+                    .insert(number, PublishedPurge { at, publisher: event.member, completed: None });
                 return;
             }
             EndpointEvent::PurgeRejected(_) => {
@@ -157,7 +160,7 @@
             }
             EndpointEvent::PurgeCompleted(number) => {
                 if let Some(published) = self.published.get_mut(&number) {
-                    published.done.get_or_insert(at);
+                    published.completed.get_or_insert(at);
                 }
                 return;
             }
@@ -168,21 +171,21 @@
             }
             _ => {}
         }
-        let Some(life) =
+        let Some(incarnation) =
             self.incarnations.get_mut(&event.member).and_then(|incarnations| incarnations.last_mut())
         else {
             return;
         };
         match event.event {
-            EndpointEvent::Stopped => life.stopped = Some(at),
+            EndpointEvent::Stopped => incarnation.stopped = Some(at),
             EndpointEvent::PurgeApplied(number) => {
-                life.purged.entry(number).or_insert(at);
+                incarnation.applied.entry(number).or_insert(at);
             }
-            EndpointEvent::CacheCleared => life.voided.push(at),
-            EndpointEvent::ServingStarted => life.served.push((at, None)),
+            EndpointEvent::CacheCleared => incarnation.cleared.push(at),
+            EndpointEvent::ServingStarted => incarnation.serving_periods.push((at, None)),
             EndpointEvent::ServingEnded(last) => {
-                self.lapses += 1;
-                if let Some((_, until)) = life.served.last_mut() {
+                self.expired_leases += 1;
+                if let Some((_, until)) = incarnation.serving_periods.last_mut() {
                     *until = Some(last);
                 }
             }
@@ -192,85 +195,102 @@
 }
 
 /// Evaluates the events of a run, in any order.
-pub fn check(run: &Run, mut events: Vec<MemberEvent>) -> PurgeSummary {
+pub fn evaluate(run: &Run, mut events: Vec<MemberEvent>) -> PurgeSummary {
     events.sort_by_key(|event| event.at);
-    let record = Record::new(&events);
+    let history = PurgeHistory::new(&events);
     drop(events);
-    let members = || record.incarnations.iter().filter(|(member, _)| **member >= run.config.replicas);
-    let served_before =
-        |life: &MemberIncarnation, at: Micros| life.served.first().is_some_and(|(from, _)| *from < at);
-    let voids = |life: &MemberIncarnation| life.voided.iter().filter(|at| served_before(life, **at)).count();
-    let serves = |life: &&MemberIncarnation| {
-        life.stopped.is_none() && life.served.last().is_some_and(|s| s.1.is_none())
+    let members = || history.incarnations.iter().filter(|(member, _)| **member >= run.config.replicas);
+    let served_before = |incarnation: &MemberIncarnation, at: Micros| {
+        incarnation.serving_periods.first().is_some_and(|(from, _)| *from < at)
+    };
+    let count_clears_after_first_service = |incarnation: &MemberIncarnation| {
+        incarnation.cleared.iter().filter(|at| served_before(incarnation, **at)).count()
+    };
+    let is_serving = |incarnation: &&MemberIncarnation| {
+        incarnation.stopped.is_none() && incarnation.serving_periods.last().is_some_and(|s| s.1.is_none())
     };
     PurgeSummary {
-        ordinary: of_phase(run, &record, Phase::SteadyState),
-        after_event: of_phase(run, &record, Phase::Event),
-        done_missing: done_missing(run, &record),
-        voided: members().flat_map(|(_, incarnations)| incarnations).map(voids).sum(),
-        lapses: record.lapses,
-        serving: members().filter_map(|(_, incarnations)| incarnations.last()).filter(serves).count(),
+        ordinary: evaluate_phase(run, &history, Phase::SteadyState),
+        after_event: evaluate_phase(run, &history, Phase::Event),
+        done_missing: count_done_missing(run, &history),
+        voided: members()
+            .flat_map(|(_, incarnations)| incarnations)
+            .map(count_clears_after_first_service)
+            .sum(),
+        lapses: history.expired_leases,
+        serving: members().filter_map(|(_, incarnations)| incarnations.last()).filter(is_serving).count(),
     }
 }
 
-fn done_missing(run: &Run, record: &Record) -> usize {
-    let members = record.incarnations.iter().filter(|(member, _)| **member >= run.config.replicas);
+fn count_done_missing(run: &Run, history: &PurgeHistory) -> usize {
+    let members = history.incarnations.iter().filter(|(member, _)| **member >= run.config.replicas);
     let mut missing = 0;
-    for life in members.flat_map(|(_, incarnations)| incarnations) {
-        for (number, published) in &record.published {
-            let Some(done) = published.done else { continue };
-            let covered = life.covered_at(*number, published.at);
-            missing += usize::from(life.served_without(done, covered));
+    for incarnation in members.flat_map(|(_, incarnations)| incarnations) {
+        for (number, published) in &history.published {
+            let Some(completed) = published.completed else { continue };
+            let effective_at = incarnation.effective_at(*number, published.at);
+            missing += usize::from(incarnation.may_have_served_purged_value(completed, effective_at));
         }
     }
     missing
 }
 
-fn of_phase(run: &Run, record: &Record, phase: Phase) -> PurgePhase {
+fn evaluate_phase(run: &Run, history: &PurgeHistory, phase: Phase) -> PurgePhase {
     let in_phase = |at: Micros| run.schedule.phase(at) == phase && at + SETTLING_TIME < run.schedule.end;
     let mut result = PurgePhase {
-        rejected: record.rejected.iter().filter(|at| in_phase(**at)).count(),
+        rejected: history.rejected.iter().filter(|at| in_phase(**at)).count(),
         ..PurgePhase::default()
     };
-    let (mut acted, mut all_acted, mut done) = (Vec::new(), Vec::new(), Vec::new());
-    for (number, published) in record.published.iter().filter(|(_, published)| in_phase(published.at)) {
+    let (mut apply_times, mut last_apply_times, mut completion_times) = (Vec::new(), Vec::new(), Vec::new());
+    for (number, published) in history.published.iter().filter(|(_, published)| in_phase(published.at)) {
         result.accepted += 1;
-        let mut longest = None;
+        let mut last_applied = None;
         for (member, incarnations) in
-            record.incarnations.iter().filter(|(member, _)| **member >= run.config.replicas)
+            history.incarnations.iter().filter(|(member, _)| **member >= run.config.replicas)
         {
-            let Some(life) = incarnations.iter().find(|life| life.is_alive(published.at)) else { continue };
+            let Some(incarnation) =
+                incarnations.iter().find(|incarnation| incarnation.is_alive(published.at))
+            else {
+                continue;
+            };
             if !is_connected(run, *member, published) {
                 continue;
             }
-            match life.covered_at(*number, published.at) {
+            match incarnation.effective_at(*number, published.at) {
                 Some(at) => {
-                    acted.push(at - published.at);
-                    longest = longest.max(Some(at - published.at));
+                    apply_times.push(at - published.at);
+                    last_applied = last_applied.max(Some(at - published.at));
                 }
                 // A member killed before it applied the purge holds no values any more.
-                None if life.stopped.is_some() => {}
+                None if incarnation.stopped.is_some() => {}
                 None => result.never += 1,
             }
         }
-        all_acted.extend(longest);
-        match published.done {
-            Some(at) => done.push(at - published.at),
-            None if was_stopped(record, published) => result.orphaned += 1,
+        last_apply_times.extend(last_applied);
+        match published.completed {
+            Some(at) => completion_times.push(at - published.at),
+            None if was_publisher_killed(history, published) => result.orphaned += 1,
             None => result.not_done += 1,
         }
     }
-    (result.acted, result.all_acted, result.done) = (Times::of(acted), Times::of(all_acted), Times::of(done));
+    (result.acted, result.all_acted, result.done) = (
+        Times::from_durations(apply_times),
+        Times::from_durations(last_apply_times),
+        Times::from_durations(completion_times),
+    );
     result
 }
 
 /// Whether the control machine that accepted the purge was killed afterwards.
-fn was_stopped(record: &Record, published: &Published) -> bool {
-    let incarnations = record.incarnations.get(&published.by).into_iter().flatten();
-    incarnations.into_iter().any(|life| life.stopped.is_some_and(|stopped| stopped >= published.at))
+fn was_publisher_killed(history: &PurgeHistory, published: &PublishedPurge) -> bool {
+    let incarnations = history.incarnations.get(&published.publisher).into_iter().flatten();
+    incarnations
+        .into_iter()
+        .any(|incarnation| incarnation.stopped.is_some_and(|stopped| stopped >= published.at))
 }
 
-fn is_connected(run: &Run, member: usize, published: &Published) -> bool {
-    let times = (published.at..published.at + CONNECTED_FOR).step_by(CONNECTED_STEP as usize);
-    times.into_iter().all(|at| !run.network.is_partitioned(at, published.by, member))
+fn is_connected(run: &Run, member: usize, published: &PublishedPurge) -> bool {
+    let times =
+        (published.at..published.at + CONNECTION_CHECK_WINDOW).step_by(CONNECTION_CHECK_INTERVAL as usize);
+    times.into_iter().all(|at| !run.network.is_partitioned(at, published.publisher, member))
 }
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -7,7 +7,7 @@
 use super::config::Mechanism;
 use super::endpoint::{PacketKind, StateQuery};
 use super::meter::{Lateness, MemberCounts, MemberPhases};
-use super::purge_check::{check, PurgeSummary};
+use super::purge_check::{evaluate, PurgeSummary};
 use super::run::Run;
 use super::schedule::{Expectation, Phase};
 use super::shard::{Observations, SatisfiedExpectation};
@@ -17,9 +17,9 @@
 /// Maximum lateness of the test bed's timers at the 99th percentile, in milliseconds. A run that exceeds it is invalid.
 pub const LATE_MS: f64 = 20.0;
 /// Length of the IPv4 and UDP headers of a packet, in bytes.
-const HEADERS_LENGTH: f64 = 28.0;
+const IP_UDP_HEADER_BYTES: f64 = 28.0;
 /// Minimum time to detect the loss of a member. A member that reports the loss earlier had never known the lost member.
-const NOT_KNOWN_WITHIN: Micros = 200_000;
+const MIN_LOSS_DETECTION_TIME: Micros = 200_000;
 
 /// Packets and bytes per second that a member sends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -149,11 +149,11 @@
 /// A row of `members.csv`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct MemberRow {
-    /// The member.
+    /// Number of the member.
     pub member: usize,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: usize,
-    /// Its region.
+    /// Region of the member.
     pub region: usize,
     /// Packets per second sent in the steady state.
     pub packets_per_s: f64,
@@ -197,7 +197,8 @@
             (Phase::SteadyState, &mut outcome.summary.ordinary),
             (Phase::Event, &mut outcome.summary.after_event),
         ] {
-            let total = percent(result.cpu_ns[phase as usize], summary.seconds) / run.addresses.len() as f64;
+            let total =
+                cpu_percent(result.cpu_ns[phase as usize], summary.seconds) / run.addresses.len() as f64;
             summary.test_bed_cpu_percent = (total - summary.cpu_percent).max(0.0);
         }
         outcome
@@ -216,7 +217,7 @@
         let known = std::mem::take(&mut observed.known_members);
         let (control, members) = observed.counts.split_at(config.replicas);
         let events = std::mem::take(&mut observed.events);
-        let purge = (config.mechanism == Mechanism::Purge).then(|| check(run, events));
+        let purge = (config.mechanism == Mechanism::Purge).then(|| evaluate(run, events));
         let summary = Summary {
             mechanism: config.mechanism.name().to_owned(),
             event: config.event.name().to_owned(),
@@ -234,7 +235,7 @@
             control_after_event: phase_summary(run, control, Phase::Event),
             replicas: config.replicas,
             purge,
-            changes: changes(run, &observed.satisfied),
+            changes: summarise_changes(run, &observed.satisfied),
             known: KnownMembers {
                 least: known.first().copied().unwrap_or(0),
                 median: known.get(known.len() / 2).copied().unwrap_or(0),
@@ -249,7 +250,7 @@
     }
 }
 
-fn percent(cpu_ns: u64, seconds: f64) -> f64 {
+fn cpu_percent(cpu_ns: u64, seconds: f64) -> f64 {
     100.0 * cpu_ns as f64 / 1e9 / seconds.max(1e-9)
 }
 
@@ -258,74 +259,78 @@
     if seconds <= 0.0 || counts.is_empty() {
         return PhaseSummary::default();
     }
-    let of_phase: Vec<&MemberCounts> = counts.iter().map(|(_, phases)| &phases[phase as usize]).collect();
-    let member_seconds = seconds * of_phase.len().max(1) as f64;
+    let phase_counts: Vec<&MemberCounts> = counts.iter().map(|(_, phases)| &phases[phase as usize]).collect();
+    let member_seconds = seconds * phase_counts.len().max(1) as f64;
     let rate = |packets: u64, bytes: u64| Rate {
         packets_per_s: packets as f64 / member_seconds,
         bytes_per_s: bytes as f64 / member_seconds,
     };
     let mut kinds = BTreeMap::new();
     for kind in PacketKind::ALL {
-        let packets = of_phase.iter().map(|one| one.sent[kind as usize].packets).sum::<u64>();
-        let bytes = of_phase.iter().map(|one| one.sent[kind as usize].bytes).sum::<u64>();
+        let packets = phase_counts.iter().map(|counts| counts.sent[kind as usize].packets).sum::<u64>();
+        let bytes = phase_counts.iter().map(|counts| counts.sent[kind as usize].bytes).sum::<u64>();
         if bytes > 0 {
             kinds.insert(kind.name().to_owned(), rate(packets, bytes));
         }
     }
-    let sum = |pick: fn(&MemberCounts) -> u64| of_phase.iter().map(|one| pick(one)).sum::<u64>();
-    let most = |pick: fn(&MemberCounts) -> u64| of_phase.iter().map(|one| pick(one)).max().unwrap_or(0);
-    let sent = rate(sum(|one| one.sent_total().packets), sum(|one| one.sent_total().bytes));
-    let each = |cpu_ns: u64, count: u64| cpu_ns as f64 / 1e3 / count.max(1) as f64;
+    let sum = |pick: fn(&MemberCounts) -> u64| phase_counts.iter().map(|counts| pick(counts)).sum::<u64>();
+    let max =
+        |pick: fn(&MemberCounts) -> u64| phase_counts.iter().map(|counts| pick(counts)).max().unwrap_or(0);
+    let sent = rate(sum(|counts| counts.sent_total().packets), sum(|counts| counts.sent_total().bytes));
+    let mean_us = |cpu_ns: u64, count: u64| cpu_ns as f64 / 1e3 / count.max(1) as f64;
     PhaseSummary {
         seconds,
         kinds,
         sent,
-        wire_bytes_per_s: sent.bytes_per_s + sent.packets_per_s * HEADERS_LENGTH,
-        bytes_per_s_max: most(|one| one.sent_total().bytes) as f64 / seconds,
-        received_bytes_per_s: sum(|one| one.received.bytes) as f64 / member_seconds,
-        cpu_percent: percent(sum(MemberCounts::cpu_ns), member_seconds),
-        cpu_percent_max: percent(most(MemberCounts::cpu_ns), seconds),
-        us_per_datagram: each(sum(|one| one.datagrams.cpu_ns), sum(|one| one.datagrams.count)),
-        us_per_tick: each(sum(|one| one.ticks.cpu_ns), sum(|one| one.ticks.count)),
+        wire_bytes_per_s: sent.bytes_per_s + sent.packets_per_s * IP_UDP_HEADER_BYTES,
+        bytes_per_s_max: max(|counts| counts.sent_total().bytes) as f64 / seconds,
+        received_bytes_per_s: sum(|counts| counts.received.bytes) as f64 / member_seconds,
+        cpu_percent: cpu_percent(sum(MemberCounts::cpu_ns), member_seconds),
+        cpu_percent_max: cpu_percent(max(MemberCounts::cpu_ns), seconds),
+        us_per_datagram: mean_us(sum(|counts| counts.datagrams.cpu_ns), sum(|counts| counts.datagrams.count)),
+        us_per_tick: mean_us(sum(|counts| counts.ticks.cpu_ns), sum(|counts| counts.ticks.count)),
         test_bed_cpu_percent: 0.0,
     }
 }
 
 /// Summarises the changes. Expectations with the same name and time are one change, whose observers are counted together.
-fn changes(run: &Run, satisfied: &[SatisfiedExpectation]) -> Vec<ChangeSummary> {
+fn summarise_changes(run: &Run, satisfied: &[SatisfiedExpectation]) -> Vec<ChangeSummary> {
     let expectations = &run.schedule.expectations;
     let mut groups: Vec<(&Expectation, Vec<usize>)> = Vec::new();
-    for (number, expectation) in expectations.iter().enumerate() {
+    for (index, expectation) in expectations.iter().enumerate() {
         let same = |(first, _): &&mut (&Expectation, Vec<usize>)| {
             first.name == expectation.name && first.at == expectation.at
         };
         match groups.iter_mut().find(same) {
-            Some((_, numbers)) => numbers.push(number),
-            None => groups.push((expectation, vec![number])),
+            Some((_, indices)) => indices.push(index),
+            None => groups.push((expectation, vec![index])),
         }
     }
-    groups.into_iter().map(|(first, numbers)| change(run, first, &numbers, satisfied)).collect()
+    groups.into_iter().map(|(first, indices)| summarise_change(run, first, &indices, satisfied)).collect()
 }
 
-fn change(
+fn summarise_change(
     run: &Run,
     first: &Expectation,
-    numbers: &[usize],
+    indices: &[usize],
     satisfied: &[SatisfiedExpectation],
 ) -> ChangeSummary {
-    let observers: usize = numbers
+    let observers: usize = indices
         .iter()
-        .map(|number| run.schedule.expectations[*number].observers.iter().filter(|asked| **asked).count())
+        .map(|index| {
+            run.schedule.expectations[*index].observers.iter().filter(|is_observer| **is_observer).count()
+        })
         .sum();
     let mut times: Vec<Micros> = satisfied
         .iter()
-        .filter(|one| numbers.contains(&one.expectation_index))
-        .map(|one| one.at.saturating_sub(first.at))
+        .filter(|expectation| indices.contains(&expectation.expectation_index))
+        .map(|expectation| expectation.at.saturating_sub(first.at))
         .collect();
     times.sort_unstable();
     let never = observers - times.len();
     let is_loss = matches!(first.query, StateQuery::NotAlive(_));
-    let unaware = if is_loss { times.iter().filter(|time| **time < NOT_KNOWN_WITHIN).count() } else { 0 };
+    let unaware =
+        if is_loss { times.iter().filter(|time| **time < MIN_LOSS_DETECTION_TIME).count() } else { 0 };
     times.drain(..unaware);
     let aware = observers - unaware;
     let at_share = |share: f64| {
@@ -354,7 +359,7 @@
         packets_per_s: per_s(ordinary.sent_total().packets, Phase::SteadyState),
         bytes_per_s: per_s(ordinary.sent_total().bytes, Phase::SteadyState),
         received_bytes_per_s: per_s(ordinary.received.bytes, Phase::SteadyState),
-        cpu_percent: percent(ordinary.cpu_ns(), run.schedule.phase_seconds(Phase::SteadyState)),
+        cpu_percent: cpu_percent(ordinary.cpu_ns(), run.schedule.phase_seconds(Phase::SteadyState)),
         event_packets_per_s: per_s(event.sent_total().packets, Phase::Event),
         event_bytes_per_s: per_s(event.sent_total().bytes, Phase::Event),
     }
