--- a/testbed/src/scale/config.rs
+++ b/testbed/src/scale/config.rs
@@ -40,28 +40,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flaw {
     /// Each member also sends a packet to every other member once a second.
-    TalksToAll,
-    /// One member ignores one purge in a thousand.
-    DropsChanges,
+    BroadcastsToAll,
+    /// One member loses one purge in a thousand.
+    DropsPurges,
 }
 
 /// The given name is not one of the accepted names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnknownName {
-    given: String,
-    names: Vec<&'static str>,
+    name: String,
+    expected: Vec<&'static str>,
 }
 
 impl std::fmt::Display for UnknownName {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "unknown name {}: expected one of {}", self.given, self.names.join(", "))
+        write!(f, "unknown name {}: expected one of {}", self.name, self.expected.join(", "))
     }
 }
 
 impl std::error::Error for UnknownName {}
 
 /// Maps the variants of a type to their names in command-line arguments and in results.
-macro_rules! named {
+macro_rules! impl_names {
     ($type:ident, $($variant:ident => $name:literal),+ $(,)?) => {
         impl $type {
             /// The name in command-line arguments and in results.
@@ -75,18 +75,18 @@
         impl FromStr for $type {
             type Err = UnknownName;
 
-            fn from_str(given: &str) -> Result<$type, UnknownName> {
-                match given {
+            fn from_str(name: &str) -> Result<$type, UnknownName> {
+                match name {
                     $($name => Ok($type::$variant),)+
-                    _ => Err(UnknownName { given: given.to_owned(), names: vec![$($name),+] }),
+                    _ => Err(UnknownName { name: name.to_owned(), expected: vec![$($name),+] }),
                 }
             }
         }
     };
 }
 
-named!(Mechanism, Membership => "membership", Cluster => "cluster", Purge => "purge", Calibration => "calibration");
-named!(
+impl_names!(Mechanism, Membership => "membership", Cluster => "cluster", Purge => "purge", Calibration => "calibration");
+impl_names!(
     Event,
     None => "none",
     MemberLost => "member-lost",
@@ -96,7 +96,7 @@
     RestartWave => "restart-wave",
     ControlLoss => "control-loss",
 );
-named!(Flaw, TalksToAll => "talks-to-all", DropsChanges => "drops-changes");
+impl_names!(Flaw, BroadcastsToAll => "talks-to-all", DropsPurges => "drops-changes");
 
 /// The configuration of a scale test.
 #[derive(Clone, Debug)]
@@ -160,18 +160,18 @@
 
 impl ScaleConfig {
     /// This configuration without control machines if the mechanism does not use them.
-    pub fn normalised(self) -> ScaleConfig {
+    pub fn without_unused_replicas(self) -> ScaleConfig {
         let replicas = if self.mechanism == Mechanism::Purge { self.replicas } else { 0 };
         ScaleConfig { replicas, ..self }
     }
 
     /// Number of members and control machines together.
-    pub fn endpoints(&self) -> usize {
+    pub fn endpoint_count(&self) -> usize {
         self.members + self.replicas
     }
 
     /// Number of members of a purge run that are cache servers: the proportion of 230 cache servers to 1,770 balancers.
-    pub fn purged_cache_hosts(&self) -> usize {
+    pub fn purge_cache_server_count(&self) -> usize {
         self.members * 23 / 200
     }
 }
--- a/testbed/src/scale/meter.rs
+++ b/testbed/src/scale/meter.rs
@@ -49,9 +49,9 @@
 impl MemberCounts {
     /// Sent traffic of all kinds.
     pub fn sent_total(&self) -> Traffic {
-        self.sent.iter().fold(Traffic::default(), |sum, one| Traffic {
-            packets: sum.packets + one.packets,
-            bytes: sum.bytes + one.bytes,
+        self.sent.iter().fold(Traffic::default(), |sum, kind| Traffic {
+            packets: sum.packets + kind.packets,
+            bytes: sum.bytes + kind.bytes,
         })
     }
 
@@ -103,8 +103,8 @@
     }
 
     /// Adds the histogram of another thread.
-    pub fn add(&mut self, other: &Lateness) {
-        self.buckets.iter_mut().zip(&other.buckets).for_each(|(sum, one)| *sum += one);
+    pub fn merge(&mut self, other: &Lateness) {
+        self.buckets.iter_mut().zip(&other.buckets).for_each(|(sum, count)| *sum += count);
         self.count += other.count;
     }
 
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -41,38 +41,38 @@
 pub type Micros = u64;
 
 /// The minimum number of members of a run.
-const MEMBERS_MIN: usize = 2;
+const MIN_MEMBERS: usize = 2;
 /// The maximum number of members of a run: the longest list of balancers that the project has to support.
-const MEMBERS_MAX: usize = 4_096;
+const MAX_MEMBERS: usize = 4_096;
 
 /// Runs a scale test.
 ///
 /// # Errors
 /// The configuration is invalid, the machine lacks resources for the run, or a socket failed. The message is one line.
 pub fn run_scale_test(config: ScaleConfig) -> Result<Outcome, TestbedError> {
-    let config = config.normalised();
-    check(&config)?;
+    let config = config.without_unused_replicas();
+    validate(&config)?;
     if config.virtual_time {
         return Ok(run_virtual(config));
     }
-    let (sockets, addresses) = sockets::bind_sockets(config.endpoints()).map_err(RunError::ScaleTest)?;
+    let (sockets, addresses) = sockets::bind_sockets(config.endpoint_count()).map_err(RunError::ScaleTest)?;
     let run = Arc::new(Run::new(config, addresses));
     let result = sockets::run_on_sockets(&run, sockets).map_err(RunError::ScaleTest)?;
     Ok(Outcome::from_socket_run(&run, result))
 }
 
 fn run_virtual(config: ScaleConfig) -> Outcome {
-    let addresses = (0..config.endpoints()).map(virtual_time::member_address).collect();
+    let addresses = (0..config.endpoint_count()).map(virtual_time::member_address).collect();
     let run = Arc::new(Run::new(config, addresses));
     let memory_before = resources::resident_bytes();
     let (observed, memory) = virtual_time::run_in_virtual_time(&run);
     Outcome::from_observations(&run, observed, &Lateness::default(), memory.saturating_sub(memory_before))
 }
 
-fn check(config: &ScaleConfig) -> Result<(), SetupError> {
-    if !(MEMBERS_MIN..=MEMBERS_MAX).contains(&config.members) {
+fn validate(config: &ScaleConfig) -> Result<(), SetupError> {
+    if !(MIN_MEMBERS..=MAX_MEMBERS).contains(&config.members) {
         let line = format!(
-            "the number of members must be from {MEMBERS_MIN} to {MEMBERS_MAX}, not {}",
+            "the number of members must be from {MIN_MEMBERS} to {MAX_MEMBERS}, not {}",
             config.members
         );
         return Err(SetupError::ScaleTest(line));
@@ -82,5 +82,5 @@
             "the duration of a run must exceed 0 s and its warm-up must not be negative".to_owned(),
         ));
     }
-    resources::check(config)
+    resources::check_resources(config)
 }
--- a/testbed/src/scale/purge_endpoint.rs
+++ b/testbed/src/scale/purge_endpoint.rs
@@ -18,7 +18,7 @@
 pub const PURGE_PACKET_PREFIX: &[u8] = b"JPC";
 /// Prefix of the keys of published purges, followed by the purge's number. It gives the keys a typical length.
 const KEY_PREFIX: &str = "scale:object:";
-/// [`super::Flaw::DropsChanges`] drops the purges whose number modulo this divisor is [`DROP_REMAINDER`].
+/// [`super::Flaw::DropsPurges`] drops the purges whose number modulo this divisor is [`DROP_REMAINDER`].
 const DROP_DIVISOR: u32 = 1_000;
 /// See [`DROP_DIVISOR`].
 const DROP_REMAINDER: u32 = 500;
@@ -105,8 +105,8 @@
     pub preferred_replicas: Vec<u8>,
     /// Whether the member is a cache server, which replays missed purges; a balancer discards all its cached values instead.
     pub is_cache_server: bool,
-    /// Whether the member has the defect [`super::Flaw::DropsChanges`].
-    pub drops_changes: bool,
+    /// Whether the member has the defect [`super::Flaw::DropsPurges`].
+    pub drops_purges: bool,
     /// The seed of the member's random numbers.
     pub seed: u64,
 }
@@ -114,7 +114,7 @@
 /// A balancer or a cache server.
 pub struct PurgeMemberEndpoint {
     member: Member,
-    drops_changes: bool,
+    drops_purges: bool,
     /// Time of the last check, if the member was serving then.
     last_served: Option<Micros>,
 }
@@ -132,13 +132,13 @@
             timing: MemberTiming::default(),
         };
         let member = Member::new(config, Time(now));
-        PurgeMemberEndpoint { member, drops_changes: identity.drops_changes, last_served: None }
+        PurgeMemberEndpoint { member, drops_purges: identity.drops_purges, last_served: None }
     }
 
     /// The number of a purge by its key, or `None` if the injected defect drops it.
     fn purge_number(&self, key: &[u8]) -> Option<u32> {
         let number = std::str::from_utf8(key).ok()?.strip_prefix(KEY_PREFIX)?.parse().ok()?;
-        let dropped = self.drops_changes && number % DROP_DIVISOR == DROP_REMAINDER;
+        let dropped = self.drops_purges && number % DROP_DIVISOR == DROP_REMAINDER;
         (!dropped).then_some(number)
     }
 }
--- a/testbed/src/scale/resources.rs
+++ b/testbed/src/scale/resources.rs
@@ -6,14 +6,14 @@
 use crate::SetupError;
 
 /// Maximum memory of a run in bytes: half the memory of the machine that the tests are designed for.
-pub const MEMORY_MAX: u64 = 12 * 1024 * 1024 * 1024;
+pub const MAX_MEMORY_BYTES: u64 = 12 * 1024 * 1024 * 1024;
 /// Maximum number of processes that a run may start.
-pub const PROCESSES_MAX: usize = 300;
+pub const MAX_PROCESSES: usize = 300;
 /// Memory of a run without its members, in bytes.
-const MEMORY_BASE: u64 = 64 * 1024 * 1024;
+const BASE_MEMORY_BYTES: u64 = 64 * 1024 * 1024;
 /// Maximum memory of a member in bytes: more than any mechanism uses. With the balancer's own bound of 64 MB, 2,000 members
 /// would not fit.
-const MEMORY_PER_MEMBER: u64 = 4 * 1024 * 1024;
+const MAX_MEMORY_PER_MEMBER_BYTES: u64 = 4 * 1024 * 1024;
 /// File descriptors of a run in addition to those of members and workers.
 const DESCRIPTORS_BASE: u64 = 64;
 /// File descriptors per worker thread, in addition to the members' sockets.
@@ -22,13 +22,13 @@
 const PAGE_BYTES: u64 = 4_096;
 
 /// The maximum memory that a run needs, in bytes.
-pub fn memory_needed(config: &ScaleConfig) -> u64 {
-    MEMORY_BASE + config.endpoints() as u64 * MEMORY_PER_MEMBER
+pub fn required_memory_bytes(config: &ScaleConfig) -> u64 {
+    BASE_MEMORY_BYTES + config.endpoint_count() as u64 * MAX_MEMORY_PER_MEMBER_BYTES
 }
 
 /// The number of file descriptors that a run needs.
-pub fn descriptors_needed(config: &ScaleConfig) -> u64 {
-    let sockets = if config.virtual_time { 0 } else { config.endpoints() as u64 };
+pub fn required_descriptors(config: &ScaleConfig) -> u64 {
+    let sockets = if config.virtual_time { 0 } else { config.endpoint_count() as u64 };
     DESCRIPTORS_BASE + DESCRIPTORS_PER_WORKER * config.workers as u64 + sockets
 }
 
@@ -36,21 +36,21 @@
 ///
 /// # Errors
 /// A resource is too scarce, or the limit of open files cannot be read. The message is one line that names a remedy.
-pub fn check(config: &ScaleConfig) -> Result<(), SetupError> {
-    let problem = |line: String| Err(SetupError::ScaleTest(line));
-    let needed = memory_needed(config);
-    let available = available_bytes().unwrap_or(MEMORY_MAX);
-    if needed > MEMORY_MAX || needed > available {
-        let most = MEMORY_MAX.min(available) / 1_048_576;
-        let needed = needed / 1_048_576;
-        return problem(format!(
-            "the run may need {needed} MiB of memory, but at most {most} MiB may be used: reduce the number of members"
+pub fn check_resources(config: &ScaleConfig) -> Result<(), SetupError> {
+    let setup_error = |line: String| Err(SetupError::ScaleTest(line));
+    let needed_bytes = required_memory_bytes(config);
+    let available_bytes = available_bytes().unwrap_or(MAX_MEMORY_BYTES);
+    if needed_bytes > MAX_MEMORY_BYTES || needed_bytes > available_bytes {
+        let limit = MAX_MEMORY_BYTES.min(available_bytes) / 1_048_576;
+        let needed = needed_bytes / 1_048_576;
+        return setup_error(format!(
+            "the run may need {needed} MiB of memory, but at most {limit} MiB may be used: reduce the number of members"
         ));
     }
-    let needed = descriptors_needed(config);
+    let needed = required_descriptors(config);
     let (limit, _) = getrlimit(Resource::RLIMIT_NOFILE).map_err(SetupError::OpenFileLimit)?;
     if needed > limit {
-        return problem(format!(
+        return setup_error(format!(
             "the run needs {needed} open files, but the limit is {limit}: raise it (ulimit -n {needed}) or reduce the \
              number of members"
         ));
--- a/testbed/src/scale/run.rs
+++ b/testbed/src/scale/run.rs
@@ -87,13 +87,13 @@
         let mut preferred_replicas: Vec<u8> = (0..config.replicas as u8).collect();
         preferred_replicas
             .sort_by_key(|replica| self.network.topology().delay(member, usize::from(*replica)));
-        let drops_changes = config.flaw == Some(Flaw::DropsChanges) && member == config.replicas;
+        let drops_purges = config.flaw == Some(Flaw::DropsPurges) && member == config.replicas;
         PurgeMemberIdentity {
             member: member as u32,
             replicas: self.addresses[..config.replicas].to_vec(),
             preferred_replicas,
-            is_cache_server: member >= config.endpoints() - config.purged_cache_hosts(),
-            drops_changes,
+            is_cache_server: member >= config.endpoint_count() - config.purge_cache_server_count(),
+            drops_purges,
             seed,
         }
     }
--- a/testbed/src/scale/shard.rs
+++ b/testbed/src/scale/shard.rs
@@ -69,7 +69,7 @@
     sent_packets: u64,
     /// Bit mask of the satisfied expectations, by index.
     satisfied: u64,
-    /// Time of the next broadcast with [`Flaw::TalksToAll`].
+    /// Time of the next broadcast with [`Flaw::BroadcastsToAll`].
     next_broadcast: Micros,
 }
 
@@ -166,7 +166,7 @@
         endpoint.on_tick(now);
         let mut sent = endpoint.drain_datagrams();
         count_call(&mut slot.counts[phase].ticks, cpu_before_ns);
-        if self.run.config.flaw == Some(Flaw::TalksToAll) && now >= slot.next_broadcast {
+        if self.run.config.flaw == Some(Flaw::BroadcastsToAll) && now >= slot.next_broadcast {
             slot.next_broadcast = now + 1_000_000;
             sent.extend(broadcast_packets(&self.run, member));
         }
--- a/testbed/src/scale/sockets.rs
+++ b/testbed/src/scale/sockets.rs
@@ -97,7 +97,7 @@
 impl SocketRun {
     fn merge(&mut self, part: SocketRun) {
         self.observations.extend(part.observations);
-        self.lateness.add(&part.lateness);
+        self.lateness.merge(&part.lateness);
         self.cpu_ns.iter_mut().zip(part.cpu_ns).for_each(|(sum, spent)| *sum += spent);
         self.not_sent += part.not_sent;
     }
--- a/testbed/src/scale/tests.rs
+++ b/testbed/src/scale/tests.rs
@@ -57,26 +57,26 @@
 #[test]
 fn every_byte_of_a_packet_is_counted_for_one_kind() {
     let to = SocketAddr::from(([127, 0, 0, 1], 9));
-    let hold = rate_limit::Message::Request(rate_limit::LeaseRequest {
+    let lease_request = rate_limit::Message::Request(rate_limit::LeaseRequest {
         incarnation: 1,
         sent: juniperladder_cluster::Micros(2),
         tokens: 3,
     });
-    let give = retry_budget::Message::Transfer {
+    let credit_transfer = retry_budget::Message::Transfer {
         incarnation: 3,
         sent: juniperladder_cluster::Micros(4),
         credits: 5,
     };
     let payloads = [
-        Payload::RateLimit(0, hold),
+        Payload::RateLimit(0, lease_request),
         Payload::SlowStart(
             ServerIncarnation {
                 server: juniperladder_cluster::ServerId(1),
                 started: juniperladder_cluster::Micros(2),
             },
-            hold,
+            lease_request,
         ),
-        Payload::RetryBudget(give),
+        Payload::RetryBudget(credit_transfer),
     ];
     let messages = payloads.map(|payload| (to, CoordinationMessage { terms_digest: u32::MAX, payload }));
     let packets = packet::encode_messages(messages);
@@ -94,18 +94,18 @@
 }
 
 #[test]
-fn lateness_is_told_by_quantile_over_threads() {
-    let (mut one, mut other) = (Lateness::default(), Lateness::default());
-    (0..99).for_each(|_| one.on_timer(1_000, 1_050));
-    other.on_timer(1_000, 26_000);
-    one.add(&other);
-    assert_eq!(one.quantile_ms(0.99), 0.0);
-    assert_eq!(one.quantile_ms(1.0), 25.0);
+fn lateness_quantiles_cover_the_timers_of_all_threads() {
+    let (mut first, mut second) = (Lateness::default(), Lateness::default());
+    (0..99).for_each(|_| first.on_timer(1_000, 1_050));
+    second.on_timer(1_000, 26_000);
+    first.merge(&second);
+    assert_eq!(first.quantile_ms(0.99), 0.0);
+    assert_eq!(first.quantile_ms(1.0), 25.0);
     assert_eq!(Lateness::default().quantile_ms(0.99), 0.0);
 }
 
 #[test]
-fn what_the_machine_does_not_allow_is_one_line_and_starts_nothing() {
+fn invalid_configuration_is_rejected_with_a_one_line_error() {
     for config in [
         ScaleConfig { members: 1, ..ScaleConfig::default() },
         ScaleConfig { members: 5_000, ..ScaleConfig::default() },
@@ -117,6 +117,6 @@
         assert!(!line.to_string().contains('\n'));
     }
     let config = ScaleConfig { members: 4_000, ..ScaleConfig::default() };
-    assert!(resources::memory_needed(&config) > resources::MEMORY_MAX);
-    assert!(resources::descriptors_needed(&config) > 4_000);
+    assert!(resources::required_memory_bytes(&config) > resources::MAX_MEMORY_BYTES);
+    assert!(resources::required_descriptors(&config) > 4_000);
 }
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -5,12 +5,12 @@
 
 const MEMBERS: usize = 200;
 /// Maximum bytes per second that a member sends on average: the current 1.3 KB plus a margin of a quarter.
-const BYTES_PER_S_MAX: f64 = 1_700.0;
+const MAX_BYTES_PER_S: f64 = 1_700.0;
 /// Maximum packets per second that a member sends on average.
-const PACKETS_PER_S_MAX: f64 = 16.0;
+const MAX_PACKETS_PER_S: f64 = 16.0;
 /// Minimum number of members that each member knows at the end. A restarted member takes tens of seconds to learn of the
 /// last few.
-const KNOWN_LEAST: usize = 190;
+const MIN_KNOWN_MEMBERS: usize = 190;
 
 fn config(mechanism: Mechanism) -> ScaleConfig {
     ScaleConfig {
@@ -29,28 +29,28 @@
 }
 
 /// The violated bounds of a run, one line each.
-fn breaches(summary: &Summary) -> Vec<String> {
-    let mut breaches = Vec::new();
+fn violations(summary: &Summary) -> Vec<String> {
+    let mut violations = Vec::new();
     for phase in [&summary.ordinary, &summary.after_event] {
-        if phase.sent.bytes_per_s > BYTES_PER_S_MAX {
-            breaches.push(format!("{:.0} bytes per second per member", phase.sent.bytes_per_s));
+        if phase.sent.bytes_per_s > MAX_BYTES_PER_S {
+            violations.push(format!("{:.0} bytes per second per member", phase.sent.bytes_per_s));
         }
-        if phase.sent.packets_per_s > PACKETS_PER_S_MAX {
-            breaches.push(format!("{:.1} packets per second per member", phase.sent.packets_per_s));
+        if phase.sent.packets_per_s > MAX_PACKETS_PER_S {
+            violations.push(format!("{:.1} packets per second per member", phase.sent.packets_per_s));
         }
     }
-    if summary.known.median < MEMBERS || summary.known.least < KNOWN_LEAST {
-        breaches.push(format!("members know {:?} of {MEMBERS} members", summary.known));
+    if summary.known.median < MEMBERS || summary.known.least < MIN_KNOWN_MEMBERS {
+        violations.push(format!("members know {:?} of {MEMBERS} members", summary.known));
     }
-    let back = summary.changes.iter().filter(|change| change.name != "member-gone");
-    breaches.extend(back.filter(|change| change.never > 0).map(|change| format!("{change:?}")));
-    breaches
+    let must_reach_all = summary.changes.iter().filter(|change| change.name != "member-gone");
+    violations.extend(must_reach_all.filter(|change| change.never > 0).map(|change| format!("{change:?}")));
+    violations
 }
 
 #[test]
-fn two_hundred_members_stay_within_their_bytes_and_know_of_changes() {
+fn traffic_stays_within_bounds_and_members_learn_of_changes() {
     let summary = summary(config(Mechanism::Cluster));
-    assert_eq!(breaches(&summary), Vec::<String>::new());
+    assert_eq!(violations(&summary), Vec::<String>::new());
     assert!(
         summary.ordinary.kinds.contains_key("membership") && summary.ordinary.kinds.contains_key("limits")
     );
@@ -62,7 +62,7 @@
 
 /// The restarted member learns of all others more slowly than the short run can show.
 #[test]
-fn a_minute_after_a_loss_each_member_knows_all() {
+fn every_member_knows_all_members_at_the_end_of_a_long_run() {
     let summary = summary(ScaleConfig { seconds: 60.0, ..config(Mechanism::Cluster) });
     assert_eq!(summary.known.least, MEMBERS, "{:?}", summary.known);
     let never: usize = summary.changes.iter().map(|change| change.never).sum();
@@ -70,14 +70,15 @@
 }
 
 #[test]
-fn a_mechanism_that_talks_to_all_members_is_found() {
-    let flawed = ScaleConfig { flaw: Some(Flaw::TalksToAll), seconds: 4.0, ..config(Mechanism::Membership) };
-    let breaches = breaches(&summary(flawed));
-    assert!(breaches.iter().any(|breach| breach.contains("packets per second")), "{breaches:?}");
+fn mechanism_that_broadcasts_to_all_members_violates_the_packet_bound() {
+    let defective =
+        ScaleConfig { flaw: Some(Flaw::BroadcastsToAll), seconds: 4.0, ..config(Mechanism::Membership) };
+    let violations = violations(&summary(defective));
+    assert!(violations.iter().any(|violation| violation.contains("packets per second")), "{violations:?}");
 }
 
 #[test]
-fn simulated_time_gives_the_same_for_the_same_seed() {
+fn same_seed_gives_the_same_results_in_simulated_time() {
     let run = |seed| {
         let config =
             ScaleConfig { members: 40, seed, event: Event::RegionCut, ..config(Mechanism::Membership) };
@@ -89,15 +90,15 @@
 }
 
 /// A purge run of 200 members and 11 control machines, with enough purges to detect the loss of one in a thousand.
-fn purges(event: Event) -> ScaleConfig {
+fn purge_config(event: Event) -> ScaleConfig {
     ScaleConfig { publishes_per_s: 70.0, seconds: 24.0, event, ..config(Mechanism::Purge) }
 }
 
 /// The violated bounds of a purge run, one line each.
-fn purge_breaches(summary: &Summary) -> Vec<String> {
+fn purge_violations(summary: &Summary) -> Vec<String> {
     let purge = summary.purge.expect("a purge run has a purge summary");
-    let mut breaches = Vec::new();
-    let mut check = |kept: bool, line: String| breaches.extend((!kept).then_some(line));
+    let mut violations = Vec::new();
+    let mut check = |holds: bool, description: String| violations.extend((!holds).then_some(description));
     check(purge.done_missing == 0, format!("{} times served without a completed purge", purge.done_missing));
     for phase in [&purge.ordinary, &purge.after_event] {
         check(phase.never == 0, format!("{} never applied", phase.never));
@@ -105,25 +106,25 @@
         check(phase.acted.count == 0 || phase.accepted > 50, format!("only {} accepted", phase.accepted));
     }
     check(purge.serving == MEMBERS, format!("{} of {MEMBERS} members serve", purge.serving));
-    breaches
+    violations
 }
 
 #[test]
-fn purges_reach_all_members_in_the_ordinary_state_and_under_faults() {
+fn purges_reach_all_members_with_and_without_faults() {
     for event in [Event::None, Event::Loss, Event::ControlLoss, Event::RestartWave] {
-        let summary = summary(purges(event));
-        assert_eq!(purge_breaches(&summary), Vec::<String>::new(), "{event:?}");
+        let summary = summary(purge_config(event));
+        assert_eq!(purge_violations(&summary), Vec::<String>::new(), "{event:?}");
         assert!(summary.purge.unwrap().ordinary.acted.count > 50 * MEMBERS);
     }
 }
 
 #[test]
-fn a_member_that_loses_one_purge_in_a_thousand_is_found() {
-    let flawed = ScaleConfig { flaw: Some(Flaw::DropsChanges), ..purges(Event::None) };
-    let breaches = purge_breaches(&summary(flawed));
+fn member_that_drops_one_purge_in_a_thousand_is_detected() {
+    let defective = ScaleConfig { flaw: Some(Flaw::DropsPurges), ..purge_config(Event::None) };
+    let violations = purge_violations(&summary(defective));
     assert!(
-        breaches.iter().any(|breach| breach.contains("served without a completed purge")),
-        "{breaches:?}"
+        violations.iter().any(|violation| violation.contains("served without a completed purge")),
+        "{violations:?}"
     );
-    assert!(breaches.iter().any(|breach| breach.contains("never applied")), "{breaches:?}");
+    assert!(violations.iter().any(|violation| violation.contains("never applied")), "{violations:?}");
 }
