--- a/testbed/src/scale/schedule.rs
+++ b/testbed/src/scale/schedule.rs
@@ -176,8 +176,8 @@
     rng: fastrand::Rng,
     /// Number of control machines; they have the lowest member numbers.
     replicas: usize,
-    /// The lowest number of a member that [`Event::MemberLost`] may stop: control machines and seeds are exempt, except that
-    /// one member always remains.
+    /// The lowest number of a member that [`Event::MemberLost`] may stop. Control machines and seeds are exempt, but at least
+    /// one member can always be stopped.
     first_stoppable_member: usize,
 }
 
