--- a/testbed/src/scale/endpoint.rs
+++ b/testbed/src/scale/endpoint.rs
@@ -1,57 +1,57 @@
-//! What a scale test drives: a member's control code behind one trait, the same over sockets and in virtual time.
+//! The interface to a member's control code, the same over sockets and in simulated time.
 
 use std::net::SocketAddr;
 
 use super::Micros;
 
-/// A packet on its way out.
+/// An outgoing packet: destination address and payload.
 pub type Datagram = (SocketAddr, Vec<u8>);
 
-/// What a packet, or a part of it, is for.
+/// The protocol that a packet, or a part of a packet, belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum PacketKind {
-    /// Who is there.
+    /// Membership gossip.
     Membership,
-    /// Limits that hold for all members together.
-    Limits,
-    /// Limits on sends to a cache server that warms up.
-    WarmUp,
-    /// The retry budget.
-    Retries,
-    /// Reports on cache servers.
-    Verdicts,
-    /// Purges, their acknowledgements and the registrations.
+    /// Rate limits shared by all members.
+    RateLimit,
+    /// Rate limits of cache servers in slow start.
+    SlowStart,
+    /// The retry budget shared by all members.
+    RetryBudget,
+    /// Failure reports on cache servers.
+    FailureDetector,
+    /// Purges, their acknowledgements, and registrations of members.
     Purge,
     /// Calibration traffic of the test bed.
     Calibration,
-    /// None of these.
+    /// Not decodable as any of the above.
     Unknown,
 }
 
 impl PacketKind {
-    /// How many kinds there are.
+    /// Number of kinds.
     pub const COUNT: usize = 8;
-    /// All kinds, in the order of their numbers.
+    /// All kinds, in declaration order.
     pub const ALL: [PacketKind; PacketKind::COUNT] = [
         PacketKind::Membership,
-        PacketKind::Limits,
-        PacketKind::WarmUp,
-        PacketKind::Retries,
-        PacketKind::Verdicts,
+        PacketKind::RateLimit,
+        PacketKind::SlowStart,
+        PacketKind::RetryBudget,
+        PacketKind::FailureDetector,
         PacketKind::Purge,
         PacketKind::Calibration,
         PacketKind::Unknown,
     ];
 
-    /// The name in tables.
+    /// The name in results.
     pub fn name(self) -> &'static str {
         match self {
             PacketKind::Membership => "membership",
-            PacketKind::Limits => "limits",
-            PacketKind::WarmUp => "warm_up",
-            PacketKind::Retries => "retries",
-            PacketKind::Verdicts => "verdicts",
+            PacketKind::RateLimit => "limits",
+            PacketKind::SlowStart => "warm_up",
+            PacketKind::RetryBudget => "retries",
+            PacketKind::FailureDetector => "verdicts",
             PacketKind::Purge => "purge",
             PacketKind::Calibration => "calibration",
             PacketKind::Unknown => "unknown",
@@ -59,60 +59,60 @@
     }
 }
 
-/// A question about a member's state, asked from outside while a change spreads.
+/// A condition on a member's state. The test bed checks it periodically to measure how fast a change propagates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateQuery {
-    /// Whether the member at this address is taken for alive.
+    /// The member considers the member at this address alive.
     Alive(SocketAddr),
-    /// Whether it is not.
-    Gone(SocketAddr),
-    /// Whether the member passes by the silent cache server.
-    HostAvoided,
+    /// The member does not consider the member at this address alive.
+    NotAlive(SocketAddr),
+    /// The member avoids the silent cache server.
+    SilentServerAvoided,
 }
 
-/// What a member did that the checks of a run need.
+/// An event at a member or control machine that the checks of a run evaluate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointEvent {
-    /// It acted on the purge of this number.
-    Purged(u32),
-    /// It dropped all values that it held.
-    Voided,
-    /// It began to serve.
-    ServesNow,
-    /// It does not serve any more; it was last seen to at this time.
-    ServedUntil(Micros),
-    /// It was started, without memory.
+    /// The member applied the purge with this number.
+    PurgeApplied(u32),
+    /// The member discarded all its cached values.
+    CacheCleared,
+    /// The member began to serve.
+    ServingStarted,
+    /// The member stopped serving. It was last observed serving at the given time.
+    ServingEnded(Micros),
+    /// The member was started, without any state.
     Started,
-    /// It was killed.
+    /// The member was killed.
     Stopped,
-    /// As a publisher: the purge was accepted.
-    Accepted(u32),
-    /// As a publisher: the purge was rejected.
-    Rejected(u32),
-    /// As a publisher: the purge was reported as done everywhere.
-    Done(u32),
+    /// The control machine accepted the purge with this number.
+    PurgeAccepted(u32),
+    /// The control machine rejected the purge with this number, or was not running.
+    PurgeRejected(u32),
+    /// The control machine reported the purge with this number as applied by all members.
+    PurgeCompleted(u32),
 }
 
-/// A member's control code: a state machine without I/O and without a clock.
+/// The control code of a member or control machine: a state machine without I/O and without a clock.
 pub trait Endpoint {
-    /// A packet has come.
-    fn on_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]);
-    /// Does what is due.
+    /// Handles a received packet.
+    fn on_datagram(&mut self, now: Micros, from: SocketAddr, payload: &[u8]);
+    /// Handles timers that are due; called periodically.
     fn on_tick(&mut self, now: Micros);
-    /// The packets to send.
-    fn drain(&mut self) -> Vec<Datagram>;
-    /// Publishes the purge of this number, as a control machine does.
-    fn publish(&mut self, _now: Micros, _number: u32) {}
-    /// What happened since the last call.
+    /// Takes the packets to send.
+    fn drain_datagrams(&mut self) -> Vec<Datagram>;
+    /// Publishes the purge with this number. Only control machines do.
+    fn publish_purge(&mut self, _now: Micros, _number: u32) {}
+    /// Takes the events since the last call.
     fn drain_events(&mut self, _now: Micros) -> Vec<EndpointEvent> {
         Vec::new()
     }
-    /// Whether the state is as asked.
+    /// Whether the state satisfies the query.
     fn satisfies(&mut self, _query: &StateQuery) -> bool {
         false
     }
-    /// Members that it takes for alive, itself included, where it counts them.
-    fn known_members(&self) -> Option<usize> {
+    /// Number of members considered alive, this member included, or `None` if the mechanism has no membership.
+    fn known_member_count(&self) -> Option<usize> {
         None
     }
 }
--- a/testbed/src/scale/purge_check.rs
+++ b/testbed/src/scale/purge_check.rs
@@ -1,5 +1,5 @@
-//! What a purge run shows: how long until all connected members act, how long until the publisher hears "done", and whether
-//! anything that was called done was missing at a member that serves. Pure, over the members' events.
+//! Evaluates a purge run from the members' events: the time until all connected members have applied a purge, the time until
+//! the publisher is notified of its completion, and whether a member served without a purge reported as completed.
 
 use std::collections::BTreeMap;
 
@@ -11,28 +11,28 @@
 use super::shard::MemberEvent;
 use super::Micros;
 
-/// Purges that were published later than this before the end are not asked for.
+/// Purges published less than this before the end of the run are not evaluated.
 const SETTLING_TIME: Micros = 5_000_000;
-/// A member counts as connected to a publisher where their link is whole from the purge on for so long.
-const CONNECTED_FOR: Micros = 3_000_000;
-/// The step in which that is looked at.
-const CONNECTED_STEP: Micros = 500_000;
+/// A member counts as connected to a publisher if no partition separates them for this long after the purge.
+const CONNECTION_CHECK_WINDOW: Micros = 3_000_000;
+/// Interval between two checks of the connection within [`CONNECTION_CHECK_WINDOW`].
+const CONNECTION_CHECK_INTERVAL: Micros = 500_000;
 
-/// Times in milliseconds.
+/// Distribution of durations, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Times {
-    /// How many there are.
+    /// Number of durations.
     pub count: usize,
-    /// Half of them are no longer.
+    /// The 50th percentile.
     pub p50_ms: f64,
-    /// 99% of them are no longer.
+    /// The 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// The maximum.
     pub max_ms: f64,
 }
 
 impl Times {
-    fn of(mut times: Vec<Micros>) -> Times {
+    fn from_durations(mut times: Vec<Micros>) -> Times {
         times.sort_unstable();
         let at = |share: f64| {
             let rank = ((times.len() as f64 * share).ceil() as usize).max(1);
@@ -42,54 +42,57 @@
     }
 }
 
-/// The purges that were published in a phase.
+/// Results of the purges published in a phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PurgePhase {
-    /// Purges accepted.
+    /// Number of accepted purges.
     pub accepted: usize,
-    /// Purges rejected, or published at a control machine that was not there.
+    /// Number of purges rejected by a control machine, or published at one that was not running.
     pub rejected: usize,
-    /// From the purge until a connected member acted, over all members and purges.
+    /// Time from the purge until a connected member applied it, over all members and purges.
     pub acted: Times,
-    /// From the purge until all connected members had acted, over purges.
+    /// Time from the purge until all connected members had applied it, over all purges.
     pub all_acted: Times,
-    /// Connected members that never acted on a purge, over members and purges.
+    /// Number of pairs of a purge and a connected member that never applied it.
     pub never: usize,
-    /// From the purge until its publisher heard that it is done.
+    /// Time from the purge until its publisher was notified of its completion.
     pub done: Times,
-    /// Purges of which it never heard that, though the control machine ran on.
+    /// Number of purges never reported as completed although the control machine was not killed.
     pub not_done: usize,
-    /// Purges whose control machine was killed before they were done: their publisher gets "unknown" and publishes again.
+    /// Number of purges whose control machine was killed before their completion. The publisher gets the status "unknown"
+    /// and publishes the purge again.
     pub orphaned: usize,
 }
 
-/// What a purge run shows.
+/// Results of a purge run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PurgeSummary {
-    /// Purges published in the ordinary state.
+    /// Purges published in the steady state.
     pub ordinary: PurgePhase,
-    /// Purges published from the event on.
+    /// Purges published from the start of the fault scenario on.
     pub after_event: PurgePhase,
-    /// Cases in which a member served without a purge that had been called done. Any is a fault.
+    /// Number of cases in which a member served without a purge that had been reported as completed. Each one violates the
+    /// guarantee of the mechanism.
     pub done_missing: usize,
-    /// Times at which a member voided all once it had served.
+    /// Number of times that a member discarded all its cached values after it had begun to serve.
     pub voided: usize,
-    /// Leases that ran out.
+    /// Number of expired leases.
     pub lapses: usize,
-    /// Members that serve at the end.
+    /// Number of members serving at the end.
     pub serving: usize,
 }
 
-/// One start of a member.
+/// One incarnation of a member.
 #[derive(Debug, Default)]
 struct MemberIncarnation {
     started: Micros,
     stopped: Option<Micros>,
-    /// When it acted on each purge.
-    purged: BTreeMap<u32, Micros>,
-    voided: Vec<Micros>,
-    /// When it served; the last span may be open.
-    served: Vec<(Micros, Option<Micros>)>,
+    /// Time at which the member applied each purge, by the purge's number.
+    applied: BTreeMap<u32, Micros>,
+    /// Times at which the member discarded all its cached values.
+    cleared: Vec<Micros>,
+    /// The periods in which the member served; the last one may be open.
+    serving_periods: Vec<(Micros, Option<Micros>)>,
 }
 
 impl MemberIncarnation {
@@ -97,65 +100,67 @@
         self.started <= at && self.stopped.is_none_or(|stopped| at < stopped)
     }
 
-    /// From when on this life cannot hold what a purge published at this time concerns.
-    fn covered_at(&self, number: u32, published: Micros) -> Option<Micros> {
+    /// Time from which this incarnation cannot hold a value older than the purge, which was published at `published`.
+    fn effective_at(&self, number: u32, published: Micros) -> Option<Micros> {
         if self.started >= published {
             return Some(self.started);
         }
-        let voided = self.voided.iter().find(|voided| **voided >= published);
-        self.purged.get(&number).into_iter().chain(voided).min().copied()
+        let cleared = self.cleared.iter().find(|cleared| **cleared >= published);
+        self.applied.get(&number).into_iter().chain(cleared).min().copied()
     }
 
-    /// Whether it served at some time from `done` on without being covered.
-    fn served_without(&self, done: Micros, covered: Option<Micros>) -> bool {
-        let covered = covered.unwrap_or(Micros::MAX);
-        self.served.iter().any(|(from, until)| {
+    /// Whether the member served at any time from `completed` on and before `effective_at`, so that it may have served a
+    /// purged value.
+    fn may_have_served_purged_value(&self, completed: Micros, effective_at: Option<Micros>) -> bool {
+        let effective_at = effective_at.unwrap_or(Micros::MAX);
+        self.serving_periods.iter().any(|(from, until)| {
             let until = until.or(self.stopped).unwrap_or(Micros::MAX);
-            (*from).max(done) < until.min(covered)
+            (*from).max(completed) < until.min(effective_at)
         })
     }
 }
 
-/// A purge as its publisher saw it.
+/// A purge from the view of its publisher.
 #[derive(Clone, Copy, Debug)]
-struct Published {
+struct PublishedPurge {
     at: Micros,
-    by: usize,
-    done: Option<Micros>,
+    publisher: usize,
+    completed: Option<Micros>,
 }
 
-/// The events of a run, in order.
+/// The events of a run by member and by purge.
 #[derive(Debug, Default)]
-struct Record {
+struct PurgeHistory {
     incarnations: BTreeMap<usize, Vec<MemberIncarnation>>,
-    published: BTreeMap<u32, Published>,
+    published: BTreeMap<u32, PublishedPurge>,
     rejected: Vec<Micros>,
-    lapses: usize,
+    expired_leases: usize,
 }
 
-impl Record {
-    fn new(events: &[MemberEvent]) -> Record {
-        let mut record = Record::default();
+impl PurgeHistory {
+    fn new(events: &[MemberEvent]) -> PurgeHistory {
+        let mut history = PurgeHistory::default();
         for event in events {
-            record.add(event);
+            history.add(event);
         }
-        record
+        history
     }
 
     fn add(&mut self, event: &MemberEvent) {
         let at = event.at;
         match event.event {
-            EndpointEvent::Accepted(number) => {
-                self.published.insert(number, Published { at, by: event.member, done: None });
+            EndpointEvent::PurgeAccepted(number) => {
+                self.published
+                    .insert(number, PublishedPurge { at, publisher: event.member, completed: None });
                 return;
             }
-            EndpointEvent::Rejected(_) => {
+            EndpointEvent::PurgeRejected(_) => {
                 self.rejected.push(at);
                 return;
             }
-            EndpointEvent::Done(number) => {
+            EndpointEvent::PurgeCompleted(number) => {
                 if let Some(published) = self.published.get_mut(&number) {
-                    published.done.get_or_insert(at);
+                    published.completed.get_or_insert(at);
                 }
                 return;
             }
@@ -166,21 +171,21 @@
             }
             _ => {}
         }
-        let Some(life) =
+        let Some(incarnation) =
             self.incarnations.get_mut(&event.member).and_then(|incarnations| incarnations.last_mut())
         else {
             return;
         };
         match event.event {
-            EndpointEvent::Stopped => life.stopped = Some(at),
-            EndpointEvent::Purged(number) => {
-                life.purged.entry(number).or_insert(at);
+            EndpointEvent::Stopped => incarnation.stopped = Some(at),
+            EndpointEvent::PurgeApplied(number) => {
+                incarnation.applied.entry(number).or_insert(at);
             }
-            EndpointEvent::Voided => life.voided.push(at),
-            EndpointEvent::ServesNow => life.served.push((at, None)),
-            EndpointEvent::ServedUntil(last) => {
-                self.lapses += 1;
-                if let Some((_, until)) = life.served.last_mut() {
+            EndpointEvent::CacheCleared => incarnation.cleared.push(at),
+            EndpointEvent::ServingStarted => incarnation.serving_periods.push((at, None)),
+            EndpointEvent::ServingEnded(last) => {
+                self.expired_leases += 1;
+                if let Some((_, until)) = incarnation.serving_periods.last_mut() {
                     *until = Some(last);
                 }
             }
@@ -189,86 +194,103 @@
     }
 }
 
-/// Checks the events of a run, which need not be in order.
-pub fn check(run: &Run, mut events: Vec<MemberEvent>) -> PurgeSummary {
+/// Evaluates the events of a run, in any order.
+pub fn evaluate(run: &Run, mut events: Vec<MemberEvent>) -> PurgeSummary {
     events.sort_by_key(|event| event.at);
-    let record = Record::new(&events);
+    let history = PurgeHistory::new(&events);
     drop(events);
-    let members = || record.incarnations.iter().filter(|(member, _)| **member >= run.config.replicas);
-    let served_before =
-        |life: &MemberIncarnation, at: Micros| life.served.first().is_some_and(|(from, _)| *from < at);
-    let voids = |life: &MemberIncarnation| life.voided.iter().filter(|at| served_before(life, **at)).count();
-    let serves = |life: &&MemberIncarnation| {
-        life.stopped.is_none() && life.served.last().is_some_and(|s| s.1.is_none())
+    let members = || history.incarnations.iter().filter(|(member, _)| **member >= run.config.replicas);
+    let served_before = |incarnation: &MemberIncarnation, at: Micros| {
+        incarnation.serving_periods.first().is_some_and(|(from, _)| *from < at)
+    };
+    let count_clears_after_first_service = |incarnation: &MemberIncarnation| {
+        incarnation.cleared.iter().filter(|at| served_before(incarnation, **at)).count()
+    };
+    let is_serving = |incarnation: &&MemberIncarnation| {
+        incarnation.stopped.is_none() && incarnation.serving_periods.last().is_some_and(|s| s.1.is_none())
     };
     PurgeSummary {
-        ordinary: of_phase(run, &record, Phase::Ordinary),
-        after_event: of_phase(run, &record, Phase::Event),
-        done_missing: done_missing(run, &record),
-        voided: members().flat_map(|(_, incarnations)| incarnations).map(voids).sum(),
-        lapses: record.lapses,
-        serving: members().filter_map(|(_, incarnations)| incarnations.last()).filter(serves).count(),
+        ordinary: evaluate_phase(run, &history, Phase::SteadyState),
+        after_event: evaluate_phase(run, &history, Phase::Event),
+        done_missing: count_done_missing(run, &history),
+        voided: members()
+            .flat_map(|(_, incarnations)| incarnations)
+            .map(count_clears_after_first_service)
+            .sum(),
+        lapses: history.expired_leases,
+        serving: members().filter_map(|(_, incarnations)| incarnations.last()).filter(is_serving).count(),
     }
 }
 
-fn done_missing(run: &Run, record: &Record) -> usize {
-    let members = record.incarnations.iter().filter(|(member, _)| **member >= run.config.replicas);
+fn count_done_missing(run: &Run, history: &PurgeHistory) -> usize {
+    let members = history.incarnations.iter().filter(|(member, _)| **member >= run.config.replicas);
     let mut missing = 0;
-    for life in members.flat_map(|(_, incarnations)| incarnations) {
-        for (number, published) in &record.published {
-            let Some(done) = published.done else { continue };
-            let covered = life.covered_at(*number, published.at);
-            missing += usize::from(life.served_without(done, covered));
+    for incarnation in members.flat_map(|(_, incarnations)| incarnations) {
+        for (number, published) in &history.published {
+            let Some(completed) = published.completed else { continue };
+            let effective_at = incarnation.effective_at(*number, published.at);
+            missing += usize::from(incarnation.may_have_served_purged_value(completed, effective_at));
         }
     }
     missing
 }
 
-fn of_phase(run: &Run, record: &Record, phase: Phase) -> PurgePhase {
+fn evaluate_phase(run: &Run, history: &PurgeHistory, phase: Phase) -> PurgePhase {
     let in_phase = |at: Micros| run.schedule.phase(at) == phase && at + SETTLING_TIME < run.schedule.end;
     let mut result = PurgePhase {
-        rejected: record.rejected.iter().filter(|at| in_phase(**at)).count(),
+        rejected: history.rejected.iter().filter(|at| in_phase(**at)).count(),
         ..PurgePhase::default()
     };
-    let (mut acted, mut all_acted, mut done) = (Vec::new(), Vec::new(), Vec::new());
-    for (number, published) in record.published.iter().filter(|(_, published)| in_phase(published.at)) {
+    let (mut apply_times, mut last_apply_times, mut completion_times) = (Vec::new(), Vec::new(), Vec::new());
+    for (number, published) in history.published.iter().filter(|(_, published)| in_phase(published.at)) {
         result.accepted += 1;
-        let mut longest = None;
+        let mut last_applied = None;
         for (member, incarnations) in
-            record.incarnations.iter().filter(|(member, _)| **member >= run.config.replicas)
+            history.incarnations.iter().filter(|(member, _)| **member >= run.config.replicas)
         {
-            let Some(life) = incarnations.iter().find(|life| life.is_alive(published.at)) else { continue };
+            let Some(incarnation) =
+                incarnations.iter().find(|incarnation| incarnation.is_alive(published.at))
+            else {
+                continue;
+            };
             if !is_connected(run, *member, published) {
                 continue;
             }
-            match life.covered_at(*number, published.at) {
+            match incarnation.effective_at(*number, published.at) {
                 Some(at) => {
-                    acted.push(at - published.at);
-                    longest = longest.max(Some(at - published.at));
+                    apply_times.push(at - published.at);
+                    last_applied = last_applied.max(Some(at - published.at));
                 }
-                // Who ended before it could act holds nothing any more.
-                None if life.stopped.is_some() => {}
+                // A member killed before it applied the purge holds no values any more.
+                None if incarnation.stopped.is_some() => {}
                 None => result.never += 1,
             }
         }
-        all_acted.extend(longest);
-        match published.done {
-            Some(at) => done.push(at - published.at),
-            None if was_stopped(record, published) => result.orphaned += 1,
+        last_apply_times.extend(last_applied);
+        match published.completed {
+            Some(at) => completion_times.push(at - published.at),
+            None if was_publisher_killed(history, published) => result.orphaned += 1,
             None => result.not_done += 1,
         }
     }
-    (result.acted, result.all_acted, result.done) = (Times::of(acted), Times::of(all_acted), Times::of(done));
+    (result.acted, result.all_acted, result.done) = (
+        Times::from_durations(apply_times),
+        Times::from_durations(last_apply_times),
+        Times::from_durations(completion_times),
+    );
     result
 }
 
-/// Whether the control machine that took a purge was killed after it.
-fn was_stopped(record: &Record, published: &Published) -> bool {
-    let incarnations = record.incarnations.get(&published.by).into_iter().flatten();
-    incarnations.into_iter().any(|life| life.stopped.is_some_and(|stopped| stopped >= published.at))
+/// Whether the control machine that accepted the purge was killed afterwards.
+fn was_publisher_killed(history: &PurgeHistory, published: &PublishedPurge) -> bool {
+    let incarnations = history.incarnations.get(&published.publisher).into_iter().flatten();
+    incarnations
+        .into_iter()
+        .any(|incarnation| incarnation.stopped.is_some_and(|stopped| stopped >= published.at))
 }
 
-fn is_connected(run: &Run, member: usize, published: &Published) -> bool {
-    let times = (published.at..published.at + CONNECTED_FOR).step_by(CONNECTED_STEP as usize);
-    times.into_iter().all(|at| !run.network.is_cut(at, published.by, member))
+fn is_connected(run: &Run, member: usize, published: &PublishedPurge) -> bool {
+    let times =
+        (published.at..published.at + CONNECTION_CHECK_WINDOW).step_by(CONNECTION_CHECK_INTERVAL as usize);
+    times.into_iter().all(|at| !run.network.is_partitioned(at, published.publisher, member))
 }
--- a/testbed/src/scale/purge_endpoint.rs
+++ b/testbed/src/scale/purge_endpoint.rs
@@ -1,4 +1,5 @@
-//! Fleet-wide purges as endpoints: the control machines, which also publish, and the members, balancers and cache servers.
+//! Endpoints that run fleet-wide purges: control machines, which also publish, and members, which are balancers or cache
+//! servers.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,31 +14,32 @@
 use super::endpoint::{Datagram, Endpoint, EndpointEvent};
 use super::Micros;
 
-/// The first bytes of the mechanism's packets.
-pub const PURGE_MAGIC: &[u8] = b"JPC";
-/// What the keys of published purges begin with; with the number they are of a usual length.
+/// The first bytes of each packet of the purge protocol.
+pub const PURGE_PACKET_PREFIX: &[u8] = b"JPC";
+/// Prefix of the keys of published purges, followed by the purge's number. It gives the keys a typical length.
 const KEY_PREFIX: &str = "scale:object:";
-/// [`super::Flaw::DropsChanges`] loses each change whose number leaves this remainder by this divisor.
-const DROPPED_OF: u32 = 1_000;
-const DROPPED_REMAINDER: u32 = 500;
+/// [`super::Flaw::DropsPurges`] drops the purges whose number modulo this divisor is [`DROP_REMAINDER`].
+const DROP_DIVISOR: u32 = 1_000;
+/// See [`DROP_DIVISOR`].
+const DROP_REMAINDER: u32 = 500;
 
-/// A control machine that publishes what it is told to.
-pub struct ReplicaEndpoint {
+/// A control machine that publishes purges on command.
+pub struct PurgeReplicaEndpoint {
     replica: Replica,
-    /// Purges that are not done, in the order in which they were published.
-    pending: VecDeque<(u32, PurgeId)>,
+    /// The published purges that are not completed yet, in order of publication.
+    uncompleted: VecDeque<(u32, PurgeId)>,
     events: Vec<EndpointEvent>,
 }
 
-impl ReplicaEndpoint {
-    /// A control machine that starts now; `bootstrap` at the first start of all.
+impl PurgeReplicaEndpoint {
+    /// Creates a control machine that starts now. `bootstrap` is set for the first start of all control machines.
     pub fn new(
         replica: u8,
         replicas: Vec<SocketAddr>,
         bootstrap: bool,
         seed: u64,
         now: Micros,
-    ) -> ReplicaEndpoint {
+    ) -> PurgeReplicaEndpoint {
         let config = ReplicaConfig {
             replica: ReplicaId(replica),
             incarnation: now,
@@ -46,15 +48,15 @@
             seed,
             settings: ReplicaSettings::default(),
         };
-        ReplicaEndpoint {
+        PurgeReplicaEndpoint {
             replica: Replica::new(config, Time(now)),
-            pending: VecDeque::new(),
+            uncompleted: VecDeque::new(),
             events: Vec::new(),
         }
     }
 }
 
-impl Endpoint for ReplicaEndpoint {
+impl Endpoint for PurgeReplicaEndpoint {
     fn on_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
         self.replica.on_datagram(Time(now), from, bytes);
     }
@@ -63,85 +65,85 @@
         self.replica.on_tick(Time(now));
     }
 
-    fn drain(&mut self) -> Vec<Datagram> {
+    fn drain_datagrams(&mut self) -> Vec<Datagram> {
         self.replica.drain()
     }
 
-    fn publish(&mut self, now: Micros, number: u32) {
+    fn publish_purge(&mut self, now: Micros, number: u32) {
         let key = format!("{KEY_PREFIX}{number}");
         let event = match self.replica.publish(Time(now), key.as_bytes()) {
             Ok(id) => {
-                self.pending.push_back((number, id));
-                EndpointEvent::Accepted(number)
+                self.uncompleted.push_back((number, id));
+                EndpointEvent::PurgeAccepted(number)
             }
-            Err(_) => EndpointEvent::Rejected(number),
+            Err(_) => EndpointEvent::PurgeRejected(number),
         };
         self.events.push(event);
     }
 
     fn drain_events(&mut self, _now: Micros) -> Vec<EndpointEvent> {
         let replica = &self.replica;
-        while let Some((number, id)) = self.pending.front() {
+        while let Some((number, id)) = self.uncompleted.front() {
             if replica.status(*id) != PurgeStatus::Done {
                 break;
             }
-            self.events.push(EndpointEvent::Done(*number));
-            self.pending.pop_front();
+            self.events.push(EndpointEvent::PurgeCompleted(*number));
+            self.uncompleted.pop_front();
         }
         std::mem::take(&mut self.events)
     }
 }
 
-/// What distinguishes one member from another.
+/// The identity of a member.
 #[derive(Clone, Debug)]
-pub struct MemberIdentity {
-    /// Its number among all members.
+pub struct PurgeMemberIdentity {
+    /// The member's number.
     pub member: u32,
     /// The addresses of the control machines.
     pub replicas: Vec<SocketAddr>,
-    /// The control machines, the nearest first.
-    pub preferred: Vec<u8>,
-    /// Whether it is a cache server, which replays; a balancer voids.
-    pub is_cache_host: bool,
-    /// Whether it loses one change in a thousand, on purpose.
-    pub drops_changes: bool,
-    /// The seed of its random numbers.
+    /// The control machines in order of preference, nearest first.
+    pub preferred_replicas: Vec<u8>,
+    /// Whether the member is a cache server, which replays missed purges; a balancer discards all its cached values instead.
+    pub is_cache_server: bool,
+    /// Whether the member has the defect [`super::Flaw::DropsPurges`].
+    pub drops_purges: bool,
+    /// The seed of the member's random numbers.
     pub seed: u64,
 }
 
 /// A balancer or a cache server.
-pub struct MemberEndpoint {
+pub struct PurgeMemberEndpoint {
     member: Member,
-    drops_changes: bool,
-    /// The last time at which it was seen to serve.
-    served: Option<Micros>,
+    drops_purges: bool,
+    /// Time of the last check, if the member was serving then.
+    last_served: Option<Micros>,
 }
 
-impl MemberEndpoint {
-    /// A member that starts now and holds nothing.
-    pub fn new(identity: MemberIdentity, now: Micros) -> MemberEndpoint {
+impl PurgeMemberEndpoint {
+    /// Creates a member that starts now, with an empty cache.
+    pub fn new(identity: PurgeMemberIdentity, now: Micros) -> PurgeMemberEndpoint {
         let config = MemberConfig {
             member: MemberId(identity.member),
             incarnation: now,
             replicas: identity.replicas,
-            preferred: identity.preferred.into_iter().map(ReplicaId).collect(),
-            catch_up: if identity.is_cache_host { CatchUp::Replay } else { CatchUp::Void },
+            preferred: identity.preferred_replicas.into_iter().map(ReplicaId).collect(),
+            catch_up: if identity.is_cache_server { CatchUp::Replay } else { CatchUp::Void },
             seed: identity.seed,
             timing: MemberTiming::default(),
         };
         let member = Member::new(config, Time(now));
-        MemberEndpoint { member, drops_changes: identity.drops_changes, served: None }
+        PurgeMemberEndpoint { member, drops_purges: identity.drops_purges, last_served: None }
     }
 
-    /// The number of a purge by its key, unless the member loses it on purpose.
-    fn number_of(&self, key: &[u8]) -> Option<u32> {
+    /// The number of a purge by its key, or `None` if the injected defect drops it.
+    fn purge_number(&self, key: &[u8]) -> Option<u32> {
         let number = std::str::from_utf8(key).ok()?.strip_prefix(KEY_PREFIX)?.parse().ok()?;
-        let dropped = self.drops_changes && number % DROPPED_OF == DROPPED_REMAINDER;
+        let dropped = self.drops_purges && number % DROP_DIVISOR == DROP_REMAINDER;
         (!dropped).then_some(number)
     }
 }
 
-impl Endpoint for MemberEndpoint {
+impl Endpoint for PurgeMemberEndpoint {
     fn on_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
         self.member.on_datagram(Time(now), from, bytes);
     }
@@ -150,7 +152,7 @@
         self.member.on_tick(Time(now));
     }
 
-    fn drain(&mut self) -> Vec<Datagram> {
+    fn drain_datagrams(&mut self) -> Vec<Datagram> {
         self.member.drain()
     }
 
@@ -158,17 +160,19 @@
         let mut events = Vec::new();
         for event in self.member.drain_purges() {
             match event {
-                PurgeEvent::Key(key) => events.extend(self.number_of(&key).map(EndpointEvent::Purged)),
-                PurgeEvent::VoidAll => events.push(EndpointEvent::Voided),
+                PurgeEvent::Key(key) => {
+                    events.extend(self.purge_number(&key).map(EndpointEvent::PurgeApplied))
+                }
+                PurgeEvent::VoidAll => events.push(EndpointEvent::CacheCleared),
             }
         }
-        let serves = self.member.may_serve(Time(now));
-        match (self.served, serves) {
-            (None, true) => events.push(EndpointEvent::ServesNow),
-            (Some(last), false) => events.push(EndpointEvent::ServedUntil(last)),
+        let is_serving = self.member.may_serve(Time(now));
+        match (self.last_served, is_serving) {
+            (None, true) => events.push(EndpointEvent::ServingStarted),
+            (Some(last), false) => events.push(EndpointEvent::ServingEnded(last)),
             _ => {}
         }
-        self.served = serves.then_some(now);
+        self.last_served = is_serving.then_some(now);
         events
     }
 }
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -1,4 +1,4 @@
-//! What a scale test found: the summary, and a row for each member.
+//! The results of a scale test: the summary, and a row for each member.
 
 use std::collections::BTreeMap;
 
@@ -7,140 +7,140 @@
 use super::config::Mechanism;
 use super::endpoint::{PacketKind, StateQuery};
 use super::meter::{Lateness, MemberCounts, MemberPhases};
-use super::purge_check::{check, PurgeSummary};
+use super::purge_check::{evaluate, PurgeSummary};
 use super::run::Run;
 use super::schedule::{Expectation, Phase};
-use super::shard::{Observations, Reached};
+use super::shard::{Observations, SatisfiedExpectation};
 use super::sockets::SocketRun;
 use super::Micros;
 
-/// The lateness of the test bed's timers over which a run does not count, at the 99th percentile.
+/// Maximum lateness of the test bed's timers at the 99th percentile, in milliseconds. A run that exceeds it is invalid.
 pub const LATE_MS: f64 = 20.0;
-/// What IPv4 and UDP add to each packet.
-const HEADERS_LENGTH: f64 = 28.0;
-/// Within this time nobody can have found out that a member is gone: who says so had not known it.
-const NOT_KNOWN_WITHIN: Micros = 200_000;
+/// Length of the IPv4 and UDP headers of a packet, in bytes.
+const IP_UDP_HEADER_BYTES: f64 = 28.0;
+/// Minimum time to detect the loss of a member. A member that reports the loss earlier had never known the lost member.
+const MIN_LOSS_DETECTION_TIME: Micros = 200_000;
 
-/// Packets and bytes a second that a member sends.
+/// Packets and bytes per second that a member sends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Rate {
-    /// Packets a second.
+    /// Packets per second.
     pub packets_per_s: f64,
-    /// Bytes a second, without the headers of IP and UDP.
+    /// Bytes per second, without IP and UDP headers.
     pub bytes_per_s: f64,
 }
 
-/// What members sent and cost in a phase of the run, on average over all members.
+/// Traffic and processor time of a member in a phase of the run, on average over all members unless stated otherwise.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PhaseSummary {
-    /// How long it lasted.
+    /// Duration of the phase.
     pub seconds: f64,
-    /// Sent, by kind.
+    /// Sent traffic by kind.
     pub kinds: BTreeMap<String, Rate>,
-    /// Sent, of all kinds.
+    /// Sent traffic of all kinds.
     pub sent: Rate,
-    /// Sent with the headers of IP and UDP.
+    /// Bytes per second sent, with IP and UDP headers.
     pub wire_bytes_per_s: f64,
-    /// Bytes a second that the busiest member sends.
+    /// Bytes per second sent by the member that sends the most.
     pub bytes_per_s_max: f64,
-    /// Bytes a second that a member receives.
+    /// Bytes per second received.
     pub received_bytes_per_s: f64,
-    /// Processor time of the control code alone, in percent of a core.
+    /// Processor time of the control code, in percent of a core.
     pub cpu_percent: f64,
-    /// The same of the busiest member.
+    /// As `cpu_percent`, of the member with the highest value.
     pub cpu_percent_max: f64,
-    /// Processor time of a packet received, with the answers to it.
+    /// Processor time per received packet, including the responses to it, in microseconds.
     pub us_per_datagram: f64,
-    /// Processor time of a tick.
+    /// Processor time per tick, in microseconds.
     pub us_per_tick: f64,
-    /// Processor time of the test bed for a member, sockets included, in percent of a core; 0 in simulated time.
+    /// Processor time of the test bed per member, including sockets, in percent of a core; 0 in simulated time.
     pub test_bed_cpu_percent: f64,
 }
 
-/// How a change spread.
+/// Propagation of a change.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ChangeSummary {
-    /// What changed.
+    /// Name of the change.
     pub name: String,
-    /// Members that should come to know it.
+    /// Number of members expected to learn of the change.
     pub observers: usize,
-    /// Of these, those that had never known the member that is gone: they are not among the times.
+    /// Number of observers that had never known the lost member; the times exclude them.
     pub unaware: usize,
-    /// Of the observers, those that did not come to know it before they were asked no more.
+    /// Number of observers that did not learn of the change before the checks ended.
     pub never: usize,
-    /// How long they were asked, in seconds.
+    /// Duration of the checks, in seconds.
     pub asked_s: f64,
-    /// Milliseconds until half of them did, until 99% did, and until the last one did; none where fewer did.
+    /// Milliseconds until half the observers had learned of the change; `None` if fewer did.
     pub p50_ms: Option<f64>,
-    /// The same of 99%.
+    /// Milliseconds until 99% of the observers had; `None` if fewer did.
     pub p99_ms: Option<f64>,
-    /// The same of all.
+    /// Milliseconds until all observers had; `None` if fewer did.
     pub all_ms: Option<f64>,
 }
 
-/// How many members the members take for alive at the end.
+/// The number of members that each member considers alive at the end, over all members.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct KnownMembers {
-    /// At the member that knows the fewest.
+    /// The minimum.
     pub least: usize,
-    /// At half of them no more than this.
+    /// The median.
     pub median: usize,
-    /// At the member that knows the most.
+    /// The maximum.
     pub most: usize,
 }
 
-/// The result of a scale test.
+/// The summary of a scale test.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
-    /// What the members ran.
+    /// Name of the mechanism that the members ran.
     pub mechanism: String,
-    /// What happened.
+    /// Name of the fault scenario.
     pub event: String,
-    /// What the test bed broke on purpose.
+    /// Name of the injected defect, if any.
     pub flaw: Option<String>,
-    /// How many members there were.
+    /// Number of members.
     pub members: usize,
-    /// In how many regions.
+    /// Number of regions.
     pub regions: usize,
-    /// In how many zones.
+    /// Number of zones.
     pub zones: usize,
-    /// The seed.
+    /// The seed of all random choices.
     pub seed: u64,
     /// Whether time was simulated.
     pub virtual_time: bool,
-    /// Lateness of the test bed's timers at the 99th percentile; over [`LATE_MS`] the run does not count.
+    /// Lateness of the test bed's timers at the 99th percentile, in milliseconds; over [`LATE_MS`] the run is invalid.
     pub lag_p99_ms: f64,
-    /// Resident memory that a member added to the process, in bytes.
+    /// Resident memory that the run added to the process, per member, in bytes.
     pub memory_per_member: f64,
-    /// The ordinary state.
+    /// Members in the steady state.
     pub ordinary: PhaseSummary,
-    /// From the event on.
+    /// Members from the start of the fault scenario on.
     pub after_event: PhaseSummary,
-    /// What control machines sent and cost in the ordinary state, and how many there were.
+    /// Control machines in the steady state.
     pub control_ordinary: PhaseSummary,
-    /// The same from the event on.
+    /// Control machines from the start of the fault scenario on.
     pub control_after_event: PhaseSummary,
-    /// How many control machines there were.
+    /// Number of control machines.
     pub replicas: usize,
-    /// What became of the purges, where the mechanism has any.
+    /// Results of the purges, if the mechanism has any.
     pub purge: Option<PurgeSummary>,
-    /// How each change spread.
+    /// Propagation of each change.
     pub changes: Vec<ChangeSummary>,
-    /// What members know of each other at the end.
+    /// Number of members known to each member at the end.
     pub known: KnownMembers,
-    /// Packets to addresses of no member.
+    /// Number of packets to addresses of no member.
     pub unroutable: u64,
-    /// Packets that a full socket buffer did not take.
+    /// Number of packets whose send failed, as with a full socket buffer.
     pub not_sent: u64,
 }
 
 impl Summary {
-    /// Whether the test bed kept its times, so that the run counts.
+    /// Whether the test bed's timers were on time, so that the run is valid.
     pub fn counts(&self) -> bool {
         self.lag_p99_ms <= LATE_MS
     }
 
-    /// Whether every stated guarantee held.
+    /// Whether no guarantee of the mechanism was violated.
     pub fn is_sound(&self) -> bool {
         self.purge.is_none_or(|purge| purge.done_missing == 0)
     }
@@ -149,27 +149,27 @@
 /// A row of `members.csv`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct MemberRow {
-    /// The member.
+    /// Number of the member.
     pub member: usize,
-    /// Its zone.
+    /// Zone of the member.
     pub zone: usize,
-    /// Its region.
+    /// Region of the member.
     pub region: usize,
-    /// Sent in the ordinary state, a second.
+    /// Packets per second sent in the steady state.
     pub packets_per_s: f64,
-    /// The same in bytes.
+    /// Bytes per second sent in the steady state.
     pub bytes_per_s: f64,
-    /// Received, a second.
+    /// Bytes per second received in the steady state.
     pub received_bytes_per_s: f64,
-    /// Processor time of its control code in percent of a core.
+    /// Processor time of the control code in the steady state, in percent of a core.
     pub cpu_percent: f64,
-    /// The first two from the event on.
+    /// Packets per second sent from the start of the fault scenario on.
     pub event_packets_per_s: f64,
-    /// The same in bytes.
+    /// Bytes per second sent from the start of the fault scenario on.
     pub event_bytes_per_s: f64,
 }
 
-/// All that a run left.
+/// The results of a run.
 #[derive(Debug, Default)]
 pub struct Outcome {
     /// The summary.
@@ -179,38 +179,45 @@
 }
 
 impl Outcome {
-    /// The outcome of a run over sockets.
-    pub fn of_sockets(run: &Run, played: SocketRun) -> Outcome {
-        let mut whole = Observations::default();
-        for part in played.observations {
-            whole.counts.extend(part.counts);
-            whole.reached.extend(part.reached);
-            whole.events.extend(part.events);
-            whole.known.extend(part.known);
-            whole.unroutable += part.unroutable;
+    /// Merges the results of the worker threads of a run over sockets.
+    pub fn from_socket_run(run: &Run, result: SocketRun) -> Outcome {
+        let mut total = Observations::default();
+        for shard in result.observations {
+            total.counts.extend(shard.counts);
+            total.satisfied.extend(shard.satisfied);
+            total.events.extend(shard.events);
+            total.known_members.extend(shard.known_members);
+            total.unroutable += shard.unroutable;
         }
-        let (before, after) = played.memory;
-        let mut outcome = Outcome::new(run, whole, &played.lateness, after.saturating_sub(before));
-        outcome.summary.not_sent = played.not_sent;
+        let (before, after) = result.memory;
+        let mut outcome =
+            Outcome::from_observations(run, total, &result.lateness, after.saturating_sub(before));
+        outcome.summary.not_sent = result.not_sent;
         for (phase, summary) in [
-            (Phase::Ordinary, &mut outcome.summary.ordinary),
+            (Phase::SteadyState, &mut outcome.summary.ordinary),
             (Phase::Event, &mut outcome.summary.after_event),
         ] {
-            let whole = percent(played.cpu_ns[phase as usize], summary.seconds) / run.addresses.len() as f64;
-            summary.test_bed_cpu_percent = (whole - summary.cpu_percent).max(0.0);
+            let total =
+                cpu_percent(result.cpu_ns[phase as usize], summary.seconds) / run.addresses.len() as f64;
+            summary.test_bed_cpu_percent = (total - summary.cpu_percent).max(0.0);
         }
         outcome
     }
 
-    /// The outcome of what was observed, with the memory that the members took.
-    pub fn new(run: &Run, mut observed: Observations, lateness: &Lateness, memory: u64) -> Outcome {
+    /// Evaluates the observations of a run whose members used `memory` bytes.
+    pub fn from_observations(
+        run: &Run,
+        mut observed: Observations,
+        lateness: &Lateness,
+        memory: u64,
+    ) -> Outcome {
         observed.counts.sort_by_key(|(member, _)| *member);
-        observed.known.sort_unstable();
+        observed.known_members.sort_unstable();
         let config = &run.config;
-        let known = std::mem::take(&mut observed.known);
+        let known = std::mem::take(&mut observed.known_members);
         let (control, members) = observed.counts.split_at(config.replicas);
         let events = std::mem::take(&mut observed.events);
-        let purge = (config.mechanism == Mechanism::Purge).then(|| check(run, events));
+        let purge = (config.mechanism == Mechanism::Purge).then(|| evaluate(run, events));
         let summary = Summary {
             mechanism: config.mechanism.name().to_owned(),
             event: config.event.name().to_owned(),
@@ -222,13 +229,13 @@
             virtual_time: config.virtual_time,
             lag_p99_ms: lateness.quantile_ms(0.99),
             memory_per_member: memory as f64 / config.members.max(1) as f64,
-            ordinary: phase_summary(run, members, Phase::Ordinary),
+            ordinary: phase_summary(run, members, Phase::SteadyState),
             after_event: phase_summary(run, members, Phase::Event),
-            control_ordinary: phase_summary(run, control, Phase::Ordinary),
+            control_ordinary: phase_summary(run, control, Phase::SteadyState),
             control_after_event: phase_summary(run, control, Phase::Event),
             replicas: config.replicas,
             purge,
-            changes: changes(run, &observed.reached),
+            changes: summarise_changes(run, &observed.satisfied),
             known: KnownMembers {
                 least: known.first().copied().unwrap_or(0),
                 median: known.get(known.len() / 2).copied().unwrap_or(0),
@@ -243,7 +250,7 @@
     }
 }
 
-fn percent(cpu_ns: u64, seconds: f64) -> f64 {
+fn cpu_percent(cpu_ns: u64, seconds: f64) -> f64 {
     100.0 * cpu_ns as f64 / 1e9 / seconds.max(1e-9)
 }
 
@@ -252,69 +259,78 @@
     if seconds <= 0.0 || counts.is_empty() {
         return PhaseSummary::default();
     }
-    let of_phase: Vec<&MemberCounts> = counts.iter().map(|(_, phases)| &phases[phase as usize]).collect();
-    let member_seconds = seconds * of_phase.len().max(1) as f64;
+    let phase_counts: Vec<&MemberCounts> = counts.iter().map(|(_, phases)| &phases[phase as usize]).collect();
+    let member_seconds = seconds * phase_counts.len().max(1) as f64;
     let rate = |packets: u64, bytes: u64| Rate {
         packets_per_s: packets as f64 / member_seconds,
         bytes_per_s: bytes as f64 / member_seconds,
     };
     let mut kinds = BTreeMap::new();
     for kind in PacketKind::ALL {
-        let packets = of_phase.iter().map(|one| one.sent[kind as usize].packets).sum::<u64>();
-        let bytes = of_phase.iter().map(|one| one.sent[kind as usize].bytes).sum::<u64>();
+        let packets = phase_counts.iter().map(|counts| counts.sent[kind as usize].packets).sum::<u64>();
+        let bytes = phase_counts.iter().map(|counts| counts.sent[kind as usize].bytes).sum::<u64>();
         if bytes > 0 {
             kinds.insert(kind.name().to_owned(), rate(packets, bytes));
         }
     }
-    let sum = |pick: fn(&MemberCounts) -> u64| of_phase.iter().map(|one| pick(one)).sum::<u64>();
-    let most = |pick: fn(&MemberCounts) -> u64| of_phase.iter().map(|one| pick(one)).max().unwrap_or(0);
-    let sent = rate(sum(|one| one.sent_total().packets), sum(|one| one.sent_total().bytes));
-    let each = |cpu_ns: u64, count: u64| cpu_ns as f64 / 1e3 / count.max(1) as f64;
+    let sum = |pick: fn(&MemberCounts) -> u64| phase_counts.iter().map(|counts| pick(counts)).sum::<u64>();
+    let max =
+        |pick: fn(&MemberCounts) -> u64| phase_counts.iter().map(|counts| pick(counts)).max().unwrap_or(0);
+    let sent = rate(sum(|counts| counts.sent_total().packets), sum(|counts| counts.sent_total().bytes));
+    let mean_us = |cpu_ns: u64, count: u64| cpu_ns as f64 / 1e3 / count.max(1) as f64;
     PhaseSummary {
         seconds,
         kinds,
         sent,
-        wire_bytes_per_s: sent.bytes_per_s + sent.packets_per_s * HEADERS_LENGTH,
-        bytes_per_s_max: most(|one| one.sent_total().bytes) as f64 / seconds,
-        received_bytes_per_s: sum(|one| one.received.bytes) as f64 / member_seconds,
-        cpu_percent: percent(sum(MemberCounts::cpu_ns), member_seconds),
-        cpu_percent_max: percent(most(MemberCounts::cpu_ns), seconds),
-        us_per_datagram: each(sum(|one| one.datagrams.cpu_ns), sum(|one| one.datagrams.count)),
-        us_per_tick: each(sum(|one| one.ticks.cpu_ns), sum(|one| one.ticks.count)),
+        wire_bytes_per_s: sent.bytes_per_s + sent.packets_per_s * IP_UDP_HEADER_BYTES,
+        bytes_per_s_max: max(|counts| counts.sent_total().bytes) as f64 / seconds,
+        received_bytes_per_s: sum(|counts| counts.received.bytes) as f64 / member_seconds,
+        cpu_percent: cpu_percent(sum(MemberCounts::cpu_ns), member_seconds),
+        cpu_percent_max: cpu_percent(max(MemberCounts::cpu_ns), seconds),
+        us_per_datagram: mean_us(sum(|counts| counts.datagrams.cpu_ns), sum(|counts| counts.datagrams.count)),
+        us_per_tick: mean_us(sum(|counts| counts.ticks.cpu_ns), sum(|counts| counts.ticks.count)),
         test_bed_cpu_percent: 0.0,
     }
 }
 
-/// Expectations of one name and time are one change: their observers are taken together.
-fn changes(run: &Run, reached: &[Reached]) -> Vec<ChangeSummary> {
+/// Summarises the changes. Expectations with the same name and time are one change, whose observers are counted together.
+fn summarise_changes(run: &Run, satisfied: &[SatisfiedExpectation]) -> Vec<ChangeSummary> {
     let expectations = &run.schedule.expectations;
     let mut groups: Vec<(&Expectation, Vec<usize>)> = Vec::new();
-    for (number, expectation) in expectations.iter().enumerate() {
+    for (index, expectation) in expectations.iter().enumerate() {
         let same = |(first, _): &&mut (&Expectation, Vec<usize>)| {
             first.name == expectation.name && first.at == expectation.at
         };
         match groups.iter_mut().find(same) {
-            Some((_, numbers)) => numbers.push(number),
-            None => groups.push((expectation, vec![number])),
+            Some((_, indices)) => indices.push(index),
+            None => groups.push((expectation, vec![index])),
         }
     }
-    groups.into_iter().map(|(first, numbers)| change(run, first, &numbers, reached)).collect()
+    groups.into_iter().map(|(first, indices)| summarise_change(run, first, &indices, satisfied)).collect()
 }
 
-fn change(run: &Run, first: &Expectation, numbers: &[usize], reached: &[Reached]) -> ChangeSummary {
-    let observers: usize = numbers
+fn summarise_change(
+    run: &Run,
+    first: &Expectation,
+    indices: &[usize],
+    satisfied: &[SatisfiedExpectation],
+) -> ChangeSummary {
+    let observers: usize = indices
         .iter()
-        .map(|number| run.schedule.expectations[*number].observers.iter().filter(|asked| **asked).count())
+        .map(|index| {
+            run.schedule.expectations[*index].observers.iter().filter(|is_observer| **is_observer).count()
+        })
         .sum();
-    let mut times: Vec<Micros> = reached
+    let mut times: Vec<Micros> = satisfied
         .iter()
-        .filter(|one| numbers.contains(&one.expectation))
-        .map(|one| one.at.saturating_sub(first.at))
+        .filter(|expectation| indices.contains(&expectation.expectation_index))
+        .map(|expectation| expectation.at.saturating_sub(first.at))
         .collect();
     times.sort_unstable();
     let never = observers - times.len();
-    let gone = matches!(first.query, StateQuery::Gone(_));
-    let unaware = if gone { times.iter().filter(|time| **time < NOT_KNOWN_WITHIN).count() } else { 0 };
+    let is_loss = matches!(first.query, StateQuery::NotAlive(_));
+    let unaware =
+        if is_loss { times.iter().filter(|time| **time < MIN_LOSS_DETECTION_TIME).count() } else { 0 };
     times.drain(..unaware);
     let aware = observers - unaware;
     let at_share = |share: f64| {
@@ -334,16 +350,16 @@
 }
 
 fn member_row(run: &Run, member: usize, phases: &MemberPhases) -> MemberRow {
-    let (ordinary, event) = (&phases[Phase::Ordinary as usize], &phases[Phase::Event as usize]);
+    let (ordinary, event) = (&phases[Phase::SteadyState as usize], &phases[Phase::Event as usize]);
     let per_s = |count: u64, phase: Phase| count as f64 / run.schedule.phase_seconds(phase).max(1e-9);
     MemberRow {
         member,
         zone: run.network.topology().zone(member),
         region: run.network.topology().region(member),
-        packets_per_s: per_s(ordinary.sent_total().packets, Phase::Ordinary),
-        bytes_per_s: per_s(ordinary.sent_total().bytes, Phase::Ordinary),
-        received_bytes_per_s: per_s(ordinary.received.bytes, Phase::Ordinary),
-        cpu_percent: percent(ordinary.cpu_ns(), run.schedule.phase_seconds(Phase::Ordinary)),
+        packets_per_s: per_s(ordinary.sent_total().packets, Phase::SteadyState),
+        bytes_per_s: per_s(ordinary.sent_total().bytes, Phase::SteadyState),
+        received_bytes_per_s: per_s(ordinary.received.bytes, Phase::SteadyState),
+        cpu_percent: cpu_percent(ordinary.cpu_ns(), run.schedule.phase_seconds(Phase::SteadyState)),
         event_packets_per_s: per_s(event.sent_total().packets, Phase::Event),
         event_bytes_per_s: per_s(event.sent_total().bytes, Phase::Event),
     }
--- a/testbed/src/scale/tests.rs
+++ b/testbed/src/scale/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the test bed itself: what it draws follows from the seed, and what it counts is whole.
+//! Tests of the test bed itself: random choices follow from the seed, and measurements are complete.
 
 use std::net::SocketAddr;
 
@@ -7,34 +7,34 @@
 
 use super::endpoint::PacketKind;
 use super::meter::{Lateness, MemberCounts};
-use super::network::{Cut, CutKind, Loss, Network};
+use super::network::{Network, PacketLoss, Partition, PartitionScope};
 use super::topology::Topology;
 use super::*;
 
-fn network(seed: u64) -> Network {
+fn faulty_network(seed: u64) -> Network {
     let mut network = Network::new(Topology::new(200, 38, 12, seed), seed);
-    network.add_cut(Cut { during: 100..200, kind: CutKind::Region(3) });
-    network.add_loss(Loss { during: 0..1_000, share: 0.25 });
+    network.add_partition(Partition { period: 100..200, scope: PartitionScope::Region(3) });
+    network.add_packet_loss(PacketLoss { period: 0..1_000, lost_share: 0.25 });
     network
 }
 
-fn fates(network: &Network) -> Vec<Option<Micros>> {
-    (0..4_000).map(|count| network.delay(500, count % 200, (count * 7 + 1) % 200, count as u64)).collect()
+fn packet_delays(network: &Network) -> Vec<Option<Micros>> {
+    (0..4_000).map(|number| network.delay(500, number % 200, (number * 7 + 1) % 200, number as u64)).collect()
 }
 
 #[test]
-fn one_seed_gives_one_network() {
-    assert_eq!(fates(&network(1)), fates(&network(1)));
-    assert_ne!(fates(&network(1)), fates(&network(2)));
-    let lost = fates(&network(1)).iter().filter(|fate| fate.is_none()).count();
-    assert!((900..1_100).contains(&lost), "{lost} of 4000 at a share of 0.25");
+fn same_seed_gives_the_same_packet_delays_and_losses() {
+    assert_eq!(packet_delays(&faulty_network(1)), packet_delays(&faulty_network(1)));
+    assert_ne!(packet_delays(&faulty_network(1)), packet_delays(&faulty_network(2)));
+    let lost = packet_delays(&faulty_network(1)).iter().filter(|delay| delay.is_none()).count();
+    assert!((900..1_100).contains(&lost), "{lost} of 4000 packets lost at a share of 0.25");
 }
 
 #[test]
-fn delays_grow_with_the_distance_and_are_the_same_both_ways() {
+fn delays_grow_with_distance_and_are_symmetric() {
     let topology = Topology::new(200, 38, 12, 1);
-    assert_eq!(topology.delay(0, 38), 1_000, "one zone");
-    assert_eq!(topology.delay(0, 12), 5_000, "two zones of one region");
+    assert_eq!(topology.delay(0, 38), 1_000, "same zone");
+    assert_eq!(topology.delay(0, 12), 5_000, "two zones of the same region");
     for (from, to) in [(0, 1), (3, 8), (11, 4)] {
         assert!((20_000..90_000).contains(&topology.delay(from, to)));
         assert_eq!(topology.delay(from, to), topology.delay(to, from));
@@ -42,39 +42,41 @@
 }
 
 #[test]
-fn a_region_that_is_cut_hears_itself_alone() {
-    let network = network(1);
+fn partitioned_region_is_separated_from_other_regions_only() {
+    let network = faulty_network(1);
     let region = |member| network.topology().region(member);
     let inside: Vec<usize> = (0..200).filter(|member| region(*member) == 3).collect();
     let outside = (0..200).find(|member| region(*member) != 3).unwrap();
-    assert!(network.is_cut(150, inside[0], outside) && network.is_cut(150, outside, inside[0]));
-    assert!(!network.is_cut(150, inside[0], inside[1]));
-    assert!(!network.is_cut(200, inside[0], outside), "the end of the cut is not in it");
+    assert!(
+        network.is_partitioned(150, inside[0], outside) && network.is_partitioned(150, outside, inside[0])
+    );
+    assert!(!network.is_partitioned(150, inside[0], inside[1]));
+    assert!(!network.is_partitioned(200, inside[0], outside), "the end of the period is exclusive");
 }
 
 #[test]
 fn every_byte_of_a_packet_is_counted_for_one_kind() {
     let to = SocketAddr::from(([127, 0, 0, 1], 9));
-    let hold = rate_limit::Message::Request(rate_limit::LeaseRequest {
+    let lease_request = rate_limit::Message::Request(rate_limit::LeaseRequest {
         incarnation: 1,
         sent: juniperladder_cluster::Micros(2),
         tokens: 3,
     });
-    let give = retry_budget::Message::Transfer {
+    let credit_transfer = retry_budget::Message::Transfer {
         incarnation: 3,
         sent: juniperladder_cluster::Micros(4),
         credits: 5,
     };
     let payloads = [
-        Payload::RateLimit(0, hold),
+        Payload::RateLimit(0, lease_request),
         Payload::SlowStart(
             ServerIncarnation {
                 server: juniperladder_cluster::ServerId(1),
                 started: juniperladder_cluster::Micros(2),
             },
-            hold,
+            lease_request,
         ),
-        Payload::RetryBudget(give),
+        Payload::RetryBudget(credit_transfer),
     ];
     let messages = payloads.map(|payload| (to, CoordinationMessage { terms_digest: u32::MAX, payload }));
     let packets = packet::encode_messages(messages);
@@ -87,32 +89,34 @@
     assert_eq!(counts.sent_total().bytes, length + 104 + 8);
     assert_eq!((counts.sent_total().packets, packets.len()), (3, 1));
     assert_eq!((sent(PacketKind::Membership).bytes, sent(PacketKind::Unknown).bytes), (104, 8));
-    assert_eq!((sent(PacketKind::Limits).packets, sent(PacketKind::Retries).packets), (1, 0));
-    assert!(sent(PacketKind::WarmUp).bytes > 0 && sent(PacketKind::Retries).bytes > 0);
+    assert_eq!((sent(PacketKind::RateLimit).packets, sent(PacketKind::RetryBudget).packets), (1, 0));
+    assert!(sent(PacketKind::SlowStart).bytes > 0 && sent(PacketKind::RetryBudget).bytes > 0);
 }
 
 #[test]
-fn lateness_is_told_by_quantile_over_threads() {
-    let (mut one, mut other) = (Lateness::default(), Lateness::default());
-    (0..99).for_each(|_| one.on_timer(1_000, 1_050));
-    other.on_timer(1_000, 26_000);
-    one.add(&other);
-    assert_eq!(one.quantile_ms(0.99), 0.0);
-    assert_eq!(one.quantile_ms(1.0), 25.0);
+fn lateness_quantiles_cover_the_timers_of_all_threads() {
+    let (mut first, mut second) = (Lateness::default(), Lateness::default());
+    (0..99).for_each(|_| first.on_timer(1_000, 1_050));
+    second.on_timer(1_000, 26_000);
+    first.merge(&second);
+    assert_eq!(first.quantile_ms(0.99), 0.0);
+    assert_eq!(first.quantile_ms(1.0), 25.0);
     assert_eq!(Lateness::default().quantile_ms(0.99), 0.0);
 }
 
 #[test]
-fn what_the_machine_does_not_allow_is_one_line_and_starts_nothing() {
+fn invalid_configuration_is_rejected_with_a_one_line_error() {
     for config in [
         ScaleConfig { members: 1, ..ScaleConfig::default() },
         ScaleConfig { members: 5_000, ..ScaleConfig::default() },
         ScaleConfig { seconds: 0.0, ..ScaleConfig::default() },
     ] {
-        let Err(TestbedError::NotAllowed(line)) = run_scale_test(config) else { panic!("it ran") };
+        let Err(TestbedError::NotAllowed(line)) = run_scale_test(config) else {
+            panic!("an invalid configuration was accepted")
+        };
         assert!(!line.to_string().contains('\n'));
     }
     let config = ScaleConfig { members: 4_000, ..ScaleConfig::default() };
-    assert!(resources::memory_needed(&config) > resources::MEMORY_MAX);
-    assert!(resources::descriptors_needed(&config) > 4_000);
+    assert!(resources::required_memory_bytes(&config) > resources::MAX_MEMORY_BYTES);
+    assert!(resources::required_descriptors(&config) > 4_000);
 }
