--- a/testbed/src/error.rs
+++ b/testbed/src/error.rs
@@ -1,120 +1,120 @@
-//! Why a run did not start, or could not go on.
+//! Errors that prevent a run from starting or abort it.
 
 use std::io;
 use std::path::PathBuf;
 
-/// Why a run gives no record.
+/// Error of a run that returns no record.
 #[derive(Debug, thiserror::Error)]
 pub enum TestbedError {
-    /// The file or the machine does not allow it: nothing was started.
+    /// The experiment file or the machine does not allow the run; no process was started.
     #[error(transparent)]
     NotAllowed(#[from] SetupError),
-    /// It began and could not go on.
+    /// The run had begun and was aborted.
     #[error(transparent)]
     Broken(#[from] RunError),
 }
 
-/// What the file or the machine lacks for a run.
+/// Error in the preparation of a run.
 #[derive(Debug, thiserror::Error)]
 pub enum SetupError {
-    /// The runtime does not start.
-    #[error("cannot start: {0}")]
+    /// The async runtime cannot be started.
+    #[error("cannot start the async runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// No socket can be bound for the servers, the origin, discovery or the relay.
-    #[error("no door can be opened: {0}")]
+    /// No socket can be bound for the servers, the origin, discovery or the peer relay.
+    #[error("cannot bind a loopback socket for the servers, the origin, discovery or the peer relay: {0}")]
     Listener(#[source] io::Error),
-    /// No port is free for a process.
-    #[error("no free port: {0}")]
+    /// No port can be reserved for a process.
+    #[error("cannot reserve a port for a process: {0}")]
     NoFreePort(#[source] io::Error),
-    /// The path of the program makes no sense here.
-    #[error("fleet.program: {0}")]
+    /// The path of the program cannot be made absolute.
+    #[error("fleet.program: cannot resolve the path: {0}")]
     ProgramPath(#[source] io::Error),
     /// The program is not built.
-    #[error("fleet.program: {0} is not there; build it first (cargo build --release) or name another")]
+    #[error("fleet.program: {0} does not exist; build it first (cargo build --release) or set another path")]
     NoProgram(String),
-    /// A folder cannot be made.
-    #[error("{folder}: {source}")]
+    /// A folder cannot be created.
+    #[error("cannot create {folder}: {source}")]
     Folder {
-        /// Which one.
+        /// Description of the folder.
         folder: &'static str,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A file of a process cannot be written.
-    #[error("{}: {source}", folder.display())]
+    /// A configuration file of a process cannot be written.
+    #[error("cannot write a configuration file in {}: {source}", folder.display())]
     ProcessFile {
-        /// The process's folder.
+        /// Folder of the process.
         folder: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The operators' file cannot be read.
-    #[error("fleet.operator: {path}: {source}")]
+    #[error("fleet.operator: cannot read {path}: {source}")]
     OperatorFile {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The operators' file is no TOML.
-    #[error("fleet.operator: {path}: {}", source.message())]
+    /// The operators' file is not valid TOML.
+    #[error("fleet.operator: {path} is not valid TOML: {}", source.message())]
     OperatorFileForm {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong with it.
+        /// Error of the TOML parser.
         source: Box<toml::de::Error>,
     },
-    /// The limit of open files is not known.
-    #[error("the limit of open files cannot be read: {0}")]
+    /// The limit of open files cannot be read.
+    #[error("cannot read the limit of open files (RLIMIT_NOFILE): {0}")]
     OpenFileLimit(#[source] nix::Error),
     /// The limit of open files is too low.
     #[error(
-        "the run needs about {needed} open files and the limit is {limit}: raise it (ulimit -n {needed}) or take fewer \
-         balancers or hosts"
+        "the run needs about {needed} open files and the limit is {limit}: raise the limit (ulimit -n {needed}) or use \
+         fewer balancers or hosts"
     )]
     TooFewOpenFiles {
-        /// Open files that the run needs.
+        /// Number of open files that the run needs.
         needed: usize,
-        /// The machine's limit.
+        /// Limit of the machine (RLIMIT_NOFILE).
         limit: u64,
     },
     /// The run needs too many ports.
     #[error(
-        "the run needs {needed} ports and {limit} are the most: take fewer hosts, or name fewer groups on links"
+        "the run needs {needed} ports and the maximum is {limit}: use fewer hosts, or name fewer groups in link faults"
     )]
     TooManyPorts {
-        /// Ports that the run needs.
+        /// Number of ports that the run needs.
         needed: usize,
-        /// The most of a run.
+        /// Maximum number of ports of a run.
         limit: usize,
     },
-    /// What a scale test's arguments or the machine lack for it.
+    /// The arguments of a scale test are invalid, or the machine lacks resources for it.
     #[error("{0}")]
     ScaleTest(String),
 }
 
-/// What kept a run from going on.
+/// Error that aborts a run.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// A process did not become ready.
     #[error("balancer {balancer} did not come up; its log ends:\n{log_end}")]
     ProcessNotReady {
-        /// The process's number.
+        /// Number of the balancer.
         balancer: usize,
-        /// The last lines of its log.
+        /// Last lines of its log.
         log_end: String,
     },
     /// A process could not be started.
-    #[error("balancer {balancer}: {}: {source}", path.display())]
+    #[error("cannot start balancer {balancer}: {}: {source}", path.display())]
     ProcessStart {
-        /// The process's number.
+        /// Number of the balancer.
         balancer: usize,
-        /// Its log or the program.
+        /// Path of its log, or of the program.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The sockets of a scale test failed.
-    #[error("the sockets of a scale test: {0}")]
+    /// A socket of a scale test failed.
+    #[error("socket error in a scale test: {0}")]
     ScaleTest(#[source] io::Error),
 }
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,8 +1,8 @@
-//! The platform model on loopback sockets, round real processes of the program.
+//! Runs the platform model on loopback sockets around real processes of the program.
 //!
-//! One thread holds the cache servers, the origin, discovery and the clients; the program under test runs as processes of
-//! its own and is met through its sockets alone. Nothing here decides anything: machines, faults and the checker are the
-//! platform model's. [`run_experiment`] runs one experiment and gives its event log.
+//! One thread runs the cache servers, the origin, discovery and the clients. The program under test runs in separate
+//! processes and is reached only through its sockets. The behaviour of machines, the faults and the checker are those of
+//! the platform model. [`run_experiment`] runs one experiment and returns its event log.
 
 mod cache_servers;
 pub mod child_reaper;
--- a/testbed/src/process_config.rs
+++ b/testbed/src/process_config.rs
@@ -1,4 +1,4 @@
-//! The configuration of one process of the program, as the platform gives it: a JSON object with the settings of the site.
+//! The configuration of one process of the program, as the platform provides it: a JSON object with the site's settings.
 
 use std::net::SocketAddr;
 
@@ -11,22 +11,22 @@
 use crate::discovery::{kind_name, list_json, zone_name, ServerAddresses};
 use crate::testbed::Testbed;
 
-/// The deduplication window that reads state, in microseconds; nothing rests on it.
+/// The deduplication window of reads, in microseconds; reads are idempotent, so its value has no effect.
 const READ_DEDUPLICATION_WINDOW: u64 = 5_000_000;
 
-/// Where a process listens and where it finds others.
+/// Addresses in the configuration of a process.
 pub struct ProcessAddresses<'a> {
-    /// For its clients.
+    /// Listen address for clients.
     pub listen: SocketAddr,
-    /// For operators, where it takes their calls.
+    /// Listen address for operators, if the process has one.
     pub admin: Option<SocketAddr>,
-    /// Discovery, as this process reaches it.
+    /// Address at which this process reaches discovery.
     pub discovery: SocketAddr,
-    /// The servers and the origin, as this process reaches them.
+    /// Addresses at which this process reaches the servers and the origin.
     pub servers: &'a ServerAddresses,
 }
 
-/// The configuration of the process with this number.
+/// Builds the configuration of the process with this number.
 pub fn process_config(testbed: &Testbed, number: usize, addresses: &ProcessAddresses<'_>) -> Value {
     let experiment = &testbed.experiment;
     let initial_generation = (testbed.servers.len() + 1) as u64;
@@ -43,7 +43,7 @@
     })
 }
 
-/// The settings object of a process.
+/// Builds the settings object of a process.
 fn settings(experiment: &Experiment, number: usize) -> Value {
     let fleet = &experiment.fleet;
     let terms = CheckTerms::of(experiment);
@@ -75,7 +75,7 @@
     })
 }
 
-/// A class of requests as the settings have it.
+/// Converts a class of requests to its form in the settings.
 fn category(class: &RequestClass) -> Value {
     let (effect, window) = match class.idempotency {
         Idempotency::Idempotent => ("pure", READ_DEDUPLICATION_WINDOW),
--- a/testbed/src/processes.rs
+++ b/testbed/src/processes.rs
@@ -1,5 +1,5 @@
-//! The processes of the program: their folders and configurations, starts, signals, and what became of them. No process
-//! outlives the testbed: each handle kills its process when it is dropped.
+//! Manages the processes of the program under test: folders, configurations, starts, signals and exit statuses. Each handle
+//! kills its process when it is dropped, so that no process outlives the testbed.
 
 use std::cell::{Cell, RefCell};
 use std::fs::{File, OpenOptions};
@@ -29,42 +29,42 @@
 use crate::testbed::Testbed;
 use crate::{RunError, SetupError};
 
-/// How long a process may take until it is ready; hundreds start at once on a few cores.
+/// Time limit for a process to become ready; hundreds start at once on a few cores.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// The pause between two questions whether a process is ready, at the run's beginning.
+/// Interval at which a process is polled for readiness at the start of the run.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// The same for one that starts again, whose return is noted when it is ready.
+/// Interval at which a restarted process is polled; its impairment ends in the event log when it is ready.
 const RESTART_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long a process may take to answer that it is ready.
+/// Timeout of one readiness poll.
 const READY_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a process that is told to end may take: its longest deadline and a little; then it is killed.
+/// Time limit for a graceful shutdown, a little more than the longest deadline; then the process is killed.
 const END_TIMEOUT: Duration = Duration::from_secs(5);
-/// The log lines that are shown of a process that crashed.
+/// Number of log lines that are shown of a crashed process.
 const SHOWN_LOG_LINES: usize = 5;
-/// How much of a log's end is read for them, in bytes.
+/// Number of bytes read from the end of a log to find those lines.
 const LOG_END_LENGTH: u64 = 8_192;
 
-/// What processes need where balancers talk with each other.
+/// Setup of processes whose balancers communicate as peers.
 pub struct PeerSetup {
-    /// The operators' file that each gets a copy of.
+    /// The operators' file, of which each process gets a copy.
     pub operator_file: OperatorFile,
-    /// What stands between them.
+    /// Relay between the peers.
     pub relay: Rc<PeerRelay>,
 }
 
-/// One process of the program, through its restarts.
+/// One process of the program, across restarts.
 struct Process {
     listen: ReservedAddress,
-    /// Where operators call it; only where balancers talk.
+    /// Address for operators; only where balancers communicate as peers.
     admin: Option<ReservedAddress>,
     folder: PathBuf,
     log: PathBuf,
-    /// Its process id while it runs, 0 while it does not.
+    /// The process id, or 0 while the process is not running.
     pid: Cell<i32>,
-    /// Whether it was told to end.
+    /// Whether the testbed has signalled the process to end.
     end_requested: Cell<bool>,
     starts: Cell<u64>,
-    /// How often it has ended.
+    /// Number of times the process has ended.
     ends: watch::Sender<u64>,
 }
 
@@ -73,7 +73,7 @@
         let listen = ReservedAddress::new().map_err(SetupError::NoFreePort)?;
         let admin = has_admin.then(ReservedAddress::new).transpose().map_err(SetupError::NoFreePort)?;
         let folder = out.join("processes").join(format!("b{number}"));
-        create_folder(&folder, "a process's folder")?;
+        create_folder(&folder, "the folder of a process")?;
         Ok(Process {
             listen,
             admin,
@@ -90,7 +90,7 @@
         self.folder.join("config.json")
     }
 
-    /// Its copy of the operators' file.
+    /// Path of the process's copy of the operators' file.
     fn operator_file(&self) -> PathBuf {
         self.folder.join("operator.toml")
     }
@@ -101,12 +101,12 @@
 
     fn send(&self, signal: Signal) {
         if self.is_running() {
-            // One that has just ended is noted where its end is waited for.
+            // A failure means that the process has just ended, which `wait_for_end` logs.
             let _ = kill(Pid::from_raw(self.pid.get()), signal);
         }
     }
 
-    /// Waits until it is ready; false where it ends before.
+    /// Waits until the process is ready; returns false if it ends before.
     async fn wait_until_ready(&self, poll_interval: Duration) -> bool {
         while !answers_ready(self.listen.address()).await {
             if !self.is_running() {
@@ -129,26 +129,26 @@
     program: PathBuf,
     peers: Option<PeerSetup>,
     child_reaper: RefCell<Option<ChildReaper>>,
-    /// Processes that ended by themselves: which and how, with the last log lines.
+    /// Descriptions of unexpected exits, each with the last log lines.
     pub crashes: RefCell<Vec<String>>,
-    /// How processes ended that had been told to.
+    /// Exits of processes that had been signalled to end.
     pub planned_ends: RefCell<Vec<PlannedEnd>>,
 }
 
-/// How a process ended that had been told to.
+/// The exit of a process that had been signalled to end.
 #[derive(Clone, Debug)]
 pub struct PlannedEnd {
-    /// The balancer's number.
+    /// Number of the balancer.
     pub balancer: usize,
-    /// Its exit code; none where a signal ended it.
+    /// Exit code; `None` if a signal ended the process.
     pub exit_code: Option<i32>,
-    /// The end of its log.
+    /// Last lines of its log.
     pub log_end: String,
 }
 
 impl Processes {
-    /// Prepares the processes: addresses, folders, configurations. `discovery` and `servers` have the addresses at which
-    /// each process reaches discovery and the servers.
+    /// Prepares the addresses, folders and configurations of the processes. `discovery` and `servers` are the addresses
+    /// at which each process reaches discovery and the servers.
     pub fn prepare(
         testbed: &Rc<Testbed>,
         out: &Path,
@@ -162,7 +162,7 @@
         if !program.is_file() {
             return Err(SetupError::NoProgram(fleet.program.clone()));
         }
-        create_folder(&out.join("logs"), "the logs' folder")?;
+        create_folder(&out.join("logs"), "the folder for logs")?;
         let process = |number| Process::new(out, number, peers.is_some()).map(Rc::new);
         let all = (0..fleet.balancers).map(process).collect::<Result<_, _>>()?;
         let processes = Processes {
@@ -203,17 +203,17 @@
         std::fs::write(process.config_file(), config.to_string()).map_err(error)
     }
 
-    /// Where the clients of each process connect.
+    /// The address of each process for clients.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.all.iter().map(|process| process.listen.address()).collect()
     }
 
-    /// Where operators call each process; none where balancers do not talk.
+    /// The address of each process for operators; empty where balancers do not communicate as peers.
     pub fn admin_addresses(&self) -> Vec<SocketAddr> {
         self.all.iter().filter_map(|process| process.admin.as_ref()).map(ReservedAddress::address).collect()
     }
 
-    /// Starts all and waits until each is ready; `on_ready` gets the number of those that are.
+    /// Starts all processes and waits until each is ready; `on_ready` gets the number of ready processes.
     pub async fn start_all(self: &Rc<Processes>, mut on_ready: impl FnMut(usize)) -> Result<(), RunError> {
         for number in 0..self.all.len() {
             self.start(number)?;
@@ -282,11 +282,11 @@
     fn on_crash(&self, number: usize, status: io::Result<ExitStatus>) {
         let how = status.map_or_else(|error| error.to_string(), |status| status.to_string());
         let log_end = log_end(&self.all[number].log);
-        let crash = format!("balancer {number} ended by itself ({how}); its log ends:\n{log_end}");
+        let crash = format!("balancer {number} exited unexpectedly ({how}); its log ends:\n{log_end}");
         self.crashes.borrow_mut().push(crash);
     }
 
-    /// Sends a signal to those that run; one that ends the process is noted as requested.
+    /// Sends a signal to the running processes among these; the exit after a signal that ends a process counts as requested.
     pub fn signal(&self, numbers: &[usize], signal: Signal) {
         for number in numbers.iter().copied() {
             let process = &self.all[number];
@@ -307,7 +307,7 @@
         }
     }
 
-    /// Holds a process up for so long: it stands still, and owes the same answers afterwards.
+    /// Stalls a process for this time; its deadlines stay the same.
     pub async fn stall(&self, number: usize, lasts: Duration) {
         let process = &self.all[number];
         let from = self.testbed.now();
@@ -318,7 +318,7 @@
         self.testbed.event_log.borrow_mut().process_stalls.push(stall);
     }
 
-    /// Puts this text in the place of a process's configuration; gives what stood there.
+    /// Replaces a process's configuration file and returns its previous text.
     pub fn replace_config(&self, number: usize, text: &str) -> io::Result<String> {
         let file = self.all[number].config_file();
         let before = std::fs::read_to_string(&file)?;
@@ -338,7 +338,7 @@
         EventLog::end_impairment(spans, number, impairment, now);
     }
 
-    /// Starts these again, each as soon as it has ended.
+    /// Restarts these processes, each as soon as it has ended.
     pub fn start_again(self: &Rc<Processes>, numbers: &[usize]) {
         for number in numbers {
             spawn_local(Rc::clone(self).start_one_again(*number));
@@ -359,12 +359,12 @@
         self.end_impairment(number, Impairment::Ended);
     }
 
-    /// How many were started, restarts included.
+    /// Number of process starts, restarts included.
     pub fn started(&self) -> u64 {
         self.all.iter().map(|process| process.starts.get()).sum()
     }
 
-    /// Kills all and waits until they are gone.
+    /// Kills all processes and waits until they have ended.
     pub async fn end_all(&self) {
         for process in &self.all {
             process.end_requested.set(true);
@@ -380,7 +380,7 @@
     std::fs::create_dir_all(path).map_err(|source| SetupError::Folder { folder, source })
 }
 
-/// Whether a balancer answers that it is ready.
+/// Asks a balancer whether it is ready.
 async fn answers_ready(address: SocketAddr) -> bool {
     let ask = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
@@ -392,9 +392,9 @@
     timeout(READY_ANSWER_TIMEOUT, ask).await.ok().flatten().unwrap_or(false)
 }
 
-/// The last lines of a log.
+/// The last lines of a log, or the error if it cannot be read.
 fn log_end(log: &Path) -> String {
-    let text = read_end(log).unwrap_or_else(|error| format!("{}: {error}", log.display()));
+    let text = read_end(log).unwrap_or_else(|error| format!("cannot read {}: {error}", log.display()));
     let lines: Vec<&str> = text.lines().collect();
     lines[lines.len().saturating_sub(SHOWN_LOG_LINES)..].join("\n")
 }
--- a/testbed/src/testbed.rs
+++ b/testbed/src/testbed.rs
@@ -1,6 +1,7 @@
-//! What all parts of the testbed share: the clock, the servers, the origin, the links, the endpoint list and the event log.
+//! State shared by all parts of the testbed: the clock, the servers, the origin, the links, the endpoint list and the event
+//! log.
 //!
-//! It lives on one thread; each method borrows what it needs and gives it back before it returns.
+//! All tasks run on one thread. Each method releases its `RefCell` borrows before it returns.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -21,73 +22,74 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The kernel's first resend of what was lost on TCP; each further loss in a row doubles it.
+/// Delay of the kernel's first TCP retransmission; it doubles with each further loss in a row.
 const FIRST_RESEND_DELAY: Micros = 200_000;
-/// The resends of one loss add up to this at the most; a connection gives up after some losses in a row.
+/// Maximum total delay by the retransmissions of one loss; TCP gives up after some losses in a row.
 const MAX_RESEND_DELAY: Micros = 12 * FIRST_RESEND_DELAY;
-/// Misses of one request that are remembered for the origin's answer; a request has three attempts.
+/// Misses that are kept for each request until the origin answers; a request has three attempts.
 const MAX_MISSES_PER_REQUEST: usize = 3;
-/// Bytes that a corruption changes at the most.
+/// Maximum number of bytes that one corruption changes.
 const CORRUPTED_BYTES: usize = 3;
 
-/// A server that lacks a request's key.
+/// A cache miss of a server for a request.
 struct Miss {
     server: usize,
-    /// Which incarnation of its machine that was.
+    /// Incarnation of its machine at the miss.
     incarnation: u32,
     in_slow_start: bool,
 }
 
-/// The endpoint list, and when each of its changes was made.
+/// The endpoint list with the time of each change.
 pub struct TimedEndpointList {
-    /// The list.
+    /// The endpoint list.
     pub list: EndpointList,
     changed_at: Vec<Micros>,
 }
 
-/// The testbed, shared by all its tasks.
+/// State shared by all tasks of the testbed.
 pub struct Testbed {
-    /// What is run.
+    /// The experiment that is run.
     pub experiment: Experiment,
     started_at: Instant,
-    /// The Unix time of the run's beginning.
+    /// Unix time at the start of the run, in milliseconds.
     epoch_ms: u64,
     /// The cache servers.
     pub servers: Vec<RefCell<CacheServer>>,
-    /// How often each server's machine went away; a connection of before is void.
+    /// Incarnation number of each server's machine; connections to an earlier incarnation are reset.
     pub incarnations: Vec<Cell<u32>>,
-    /// How often another server, with another id, took each one's place.
+    /// How often each server was replaced by another one with a new id.
     pub replacements: Vec<Cell<u32>>,
-    /// Whether each server does not answer.
+    /// Whether each server is silent, that is, accepts requests and does not answer.
     pub silent: Vec<Cell<bool>>,
-    /// Connections that each server has open.
+    /// Number of open connections of each server.
     pub open_connections: Vec<Cell<usize>>,
     /// The origin.
     pub origin: RefCell<Origin>,
     /// The endpoint list.
     pub endpoints: RefCell<TimedEndpointList>,
-    /// Calls to discovery, in turn.
+    /// Queue of the calls to discovery.
     pub discovery_queue: RefCell<CallQueue>,
     /// Whether discovery is down.
     pub discovery_down: Cell<bool>,
-    /// How much later each balancer is notified of changes.
+    /// Additional delay after which each balancer is notified of changes.
     pub notice_delays: RefCell<Vec<Micros>>,
     /// The links and their faults.
     pub links: RefCell<Links>,
-    /// A balancer of each side, by the side's number.
+    /// One balancer of each side, by the number of the side. Balancers of one side see the same links and zone, and
+    /// share listeners.
     pub side_members: Vec<usize>,
-    /// What the run leaves.
+    /// The event log of the run.
     pub event_log: RefCell<EventLog>,
-    /// By request, the servers that lack its key.
+    /// Cache misses by request id.
     misses: RefCell<HashMap<u64, Vec<Miss>>>,
     machine_rng: RefCell<SeededRng>,
     link_rng: RefCell<SeededRng>,
-    /// Bumped whenever something changes that a waiting task must look at.
+    /// Incremented at each change that may concern a waiting task.
     pub changes: watch::Sender<u64>,
 }
 
 impl Testbed {
-    /// The platform of an experiment, with its links; its clock begins now.
+    /// Creates the platform of an experiment; its clock starts now.
     pub fn new(experiment: Experiment, links: Links) -> Rc<Testbed> {
         let server_count = experiment.fleet.servers;
         let sides = links.sides(&experiment);
@@ -119,37 +121,37 @@
         })
     }
 
-    /// The time since the testbed's beginning.
+    /// The time since the testbed was created.
     pub fn now(&self) -> Micros {
         self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// The instant of a time.
+    /// Converts a time of the testbed to an `Instant`.
     pub fn instant(&self, at: Micros) -> Instant {
         self.started_at + Duration::from_micros(at)
     }
 
-    /// The Unix time in milliseconds of a time, as discovery states a server's start.
+    /// Converts a time of the testbed to Unix milliseconds, the unit in which discovery states a server's start.
     pub fn unix_ms(&self, at: Micros) -> u64 {
         self.epoch_ms + at / 1_000
     }
 
-    /// Random numbers for the work of servers and the origin.
+    /// Random number generator for the work of servers and the origin.
     pub fn machine_rng(&self) -> std::cell::RefMut<'_, SeededRng> {
         self.machine_rng.borrow_mut()
     }
 
-    /// Wakes all waiting tasks: something has changed.
+    /// Wakes all waiting tasks after a change.
     pub fn wake_tasks(&self) {
         self.changes.send_modify(|count| *count += 1);
     }
 
-    /// The faults on a link, from one end to the other.
+    /// The active faults of a link in the direction `from` to `to`.
     pub fn link_state(&self, from: LinkEnd, to: LinkEnd) -> LinkState {
         self.links.borrow().state(from, to)
     }
 
-    /// How long what is sent now takes over a link: the zones' part, and what its faults add.
+    /// Draws the transit time of data sent over a link now: the latency between the zones plus that of the link's faults.
     pub fn draw_transit_time(&self, from: LinkEnd, to: LinkEnd, state: &LinkState) -> Micros {
         let net = &self.experiment.net;
         let is_same_zone = self.zone_of(from) == self.zone_of(to);
@@ -169,12 +171,12 @@
         }
     }
 
-    /// Whether a link's fault with this share strikes; nothing is drawn where there is none.
+    /// Draws whether a link fault with this probability occurs; draws no random number for a share of 0.
     pub fn draw_fault(&self, share: f64) -> bool {
         share > 0.0 && self.link_rng.borrow_mut().random::<f64>() < share
     }
 
-    /// Corrupts some bytes.
+    /// Corrupts up to [`CORRUPTED_BYTES`] random bytes.
     pub fn corrupt(&self, bytes: &mut [u8]) {
         if bytes.is_empty() {
             return;
@@ -186,14 +188,14 @@
         }
     }
 
-    /// Logs an attempt; gives its place in the log.
+    /// Logs an attempt and returns its index in the log.
     pub fn log_attempt(&self, attempt: Attempt) -> usize {
         let attempts = &mut self.event_log.borrow_mut().attempts;
         attempts.push(attempt);
         attempts.len() - 1
     }
 
-    /// A server has missed for a request.
+    /// Records a cache miss of a server for a request.
     pub fn on_miss(&self, request: u64, server: usize, in_slow_start: bool) {
         let mut misses = self.misses.borrow_mut();
         let of_request = misses.entry(request).or_default();
@@ -209,7 +211,7 @@
         misses.get(&request).is_some_and(|misses| misses.iter().any(|miss| miss.in_slow_start))
     }
 
-    /// The origin has answered a request's read: the servers that missed for it cache the value.
+    /// Stores the value that the origin returned in the caches of the servers that missed for this request.
     pub fn on_fetched(&self, request: u64, key: u64) {
         for Miss { server, incarnation, .. } in self.misses.borrow_mut().remove(&request).unwrap_or_default()
         {
@@ -219,24 +221,24 @@
         }
     }
 
-    /// The origin has executed a write: the cached values are void.
+    /// Invalidates the cached values of a key that the origin has written.
     pub fn on_written(&self, key: u64) {
         for server in &self.servers {
             server.borrow_mut().invalidate(key);
         }
     }
 
-    /// A request is over: its misses are forgotten.
+    /// Discards the misses of a completed request.
     pub fn on_request_over(&self, request: u64) {
         self.misses.borrow_mut().remove(&request);
     }
 
-    /// The machine of a server goes away or comes back: connections of before are void.
+    /// Begins a new incarnation of a server's machine when it stops or starts; existing connections are reset.
     pub fn begin_incarnation(&self, server: usize) {
         self.incarnations[server].set(self.incarnations[server].get() + 1);
     }
 
-    /// Discovery's list changes for a server.
+    /// Changes the lifecycle of a server in the endpoint list.
     pub fn set_lifecycle(&self, server: usize, lifecycle: Lifecycle) {
         let id = server_id(self.experiment.seed, server, self.replacements[server].get());
         let started_at = self.servers[server].borrow().started_at;
@@ -246,13 +248,13 @@
         endpoints.changed_at.push(now);
     }
 
-    /// The newest generation that this balancer may be notified of now, and when the next one may be.
+    /// The newest generation of the endpoint list that is visible to this balancer now, and when the next one will be.
     pub fn visible_generation(&self, balancer: usize) -> (u64, Option<Micros>) {
         let notice = micros_from_seconds(self.experiment.discovery.notice_s);
         let delay = notice + self.notice_delays.borrow()[balancer];
         let endpoints = self.endpoints.borrow();
         let changes = &endpoints.changed_at;
-        // What was listed at the beginning is no change.
+        // The initial entries of the list are visible at once.
         let initial = self.servers.len() + 1;
         let due = |place: usize| if place < initial { 0 } else { changes[place] + delay };
         let now = self.now();
@@ -275,7 +277,7 @@
     (0..fleet.servers).map(server).collect()
 }
 
-/// All servers and the origin, in service.
+/// The initial endpoint list: all servers and the origin, in service.
 fn initial_endpoints(experiment: &Experiment) -> TimedEndpointList {
     let endpoint = |slot| Endpoint {
         id: server_id(experiment.seed, slot, 0),
@@ -287,7 +289,7 @@
     TimedEndpointList { changed_at: vec![0; endpoints.len()], list: EndpointList::new(endpoints) }
 }
 
-/// By how much the kernel's resends delay what is lost with this share.
+/// Draws the delay by TCP retransmissions on a link that loses this share of packets.
 fn draw_resend_delay(lost_share: f64, rng: &mut SeededRng) -> Micros {
     let mut delay = 0;
     let mut resend = FIRST_RESEND_DELAY;
@@ -298,13 +300,13 @@
     delay
 }
 
-/// The id of the server that stands at a slot after so many replacements; the last slot is the origin's.
+/// The id of the server in a slot after this number of replacements; the last slot is that of the origin.
 pub fn server_id(seed: u64, slot: usize, replacement: u32) -> String {
     let number = seed.wrapping_mul(1_000_003) ^ ((slot as u64) << 16) ^ u64::from(replacement);
     format!("s-{:08x}", mix_bits(number) as u32)
 }
 
-/// The id of a request: its balancer can be read from it.
+/// Builds a request id; its upper 16 bits are the number of the balancer.
 pub fn request_id(balancer: usize, number: u64) -> u64 {
     (balancer as u64) << 48 | number
 }
@@ -314,7 +316,7 @@
     (request >> 48) as usize
 }
 
-/// The value that a server or the origin makes for a request.
+/// The value with which a server or the origin answers a request.
 pub fn value_of(request: u64, key: u64) -> String {
     format!("value of {} for {request:016x}", key_name(key))
 }
