--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -1,5 +1,5 @@
-//! The cache servers' side of their sockets: reads requests, asks the model what becomes of each, writes the answers in
-//! order and in time. Link faults are applied here, where the testbed reads and writes.
+//! The connections of the cache servers: reads requests, gets the response to each from the platform model, and writes the
+//! answers in order at their times. Link faults are applied to these reads and writes.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 use crate::listeners;
 use crate::testbed::{balancer_of, value_of, Testbed};
 
-/// The most requests that one connection may have in transit and unanswered before it is read no further.
+/// Maximum number of requests in transit or unanswered on one connection; reading pauses at this limit.
 const MAX_PIPELINED_REQUESTS: usize = 256;
 
 /// Accepts the connections of one side's balancers to a server until the task is aborted.
@@ -53,30 +53,30 @@
 struct OutboundAnswer {
     leaves_at: Micros,
     line: Vec<u8>,
-    /// The attempt's place in the event log; none of an answer to no attempt.
+    /// Index of the attempt in the event log; `None` if the answer belongs to no attempt.
     attempt: Option<usize>,
 }
 
-/// One connection.
+/// A balancer's connection to a cache server.
 struct ServerConnection {
     testbed: Rc<Testbed>,
     server: usize,
     balancer: LinkEnd,
-    /// The incarnation of the server's machine that it leads to.
+    /// Incarnation of the server's machine when the connection was accepted.
     incarnation: u32,
     inbound: VecDeque<InboundRequest>,
     outbound: VecDeque<OutboundAnswer>,
-    /// Whether something that came on it was corrupted: from then on nothing on it is sure.
+    /// Whether any received bytes were corrupted; from then on every attempt on the connection counts as corrupted.
     corrupted: bool,
-    /// When the first byte of what is not yet a complete request came.
+    /// Arrival time of the first byte of a request that is still incomplete.
     first_byte_at: Option<Micros>,
 }
 
-/// Why a connection ends.
+/// The reason for which a connection ends.
 enum ConnectionEnd {
-    /// The balancer has closed it.
+    /// The balancer has closed the connection.
     Closed,
-    /// It is reset.
+    /// The connection is reset by a fault of the link or the machine.
     Reset,
 }
 
@@ -95,7 +95,7 @@
     }
 
     async fn serve(mut self, mut stream: TcpStream) {
-        // Latency counts here; a delayed acknowledgement must not pass for a server's time.
+        // Without this, a delayed acknowledgement would count as latency of the server.
         let _ = stream.set_nodelay(true);
         if let Err(ConnectionEnd::Reset) = self.exchange(&mut stream).await {
             listeners::reset_on_close(&stream);
@@ -103,8 +103,8 @@
         self.log_undelivered();
     }
 
-    /// What went into a link that stayed cut was sent and never arrived. What is in transit over a healthy one when its
-    /// connection closes is cancelled by the balancer, and says nothing of the server.
+    /// Logs requests as undelivered if the link is cut when the connection closes: they were sent and never arrived.
+    /// Requests in transit over an uncut link were cancelled by the balancer and are no sign of a failed server.
     fn log_undelivered(&mut self) {
         if !self.link_to_server().cut {
             return;
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Hands the requests that have arrived by now to the server.
+    /// Passes the requests that have arrived by now to the server.
     fn take_arrived(&mut self, now: Micros) {
         if self.link_to_server().cut {
             return;
@@ -191,7 +191,7 @@
         Ok(())
     }
 
-    /// When the next request arrives or the next answer is due.
+    /// Time at which the next request arrives or the next answer is due.
     fn next_due(&self) -> Option<Micros> {
         let arrival = self.inbound.front().filter(|_| !self.link_to_server().cut);
         let answer = self.outbound.front().filter(|_| !self.link_to_balancer().cut);
@@ -199,7 +199,7 @@
         arrives_at.into_iter().chain(answer.map(|answer| answer.leaves_at)).min()
     }
 
-    /// Bytes have come: complete requests among them are in transit from now on.
+    /// Parses received bytes and puts each complete request in transit.
     fn on_input(&mut self, requests: &mut RequestReader, input: &mut BytesMut) {
         if self.testbed.draw_fault(self.link_to_server().corrupted_share) {
             self.testbed.corrupt(input);
@@ -230,7 +230,8 @@
         }
     }
 
-    /// Puts a request, sent at `arrives_at`, in transit to the server; what was sent first arrives first.
+    /// Puts a request in transit to the server; `arrives_at` is its send time on entry. Requests arrive in the order in which
+    /// they were sent.
     fn receive(&mut self, mut request: InboundRequest) {
         let link = self.link_to_server();
         let server = LinkEnd::CacheServer(self.server);
@@ -260,7 +261,7 @@
         }
     }
 
-    /// A request has arrived at the server.
+    /// Handles a request that has arrived at the server.
     fn on_request(&mut self, request: &InboundRequest, now: Micros) {
         if self.testbed.silent[self.server].get() {
             let attempt = self.attempt(request, now, AttemptResult::NoAnswer, false);
@@ -268,7 +269,7 @@
             return;
         }
         let (response, load) = self.ask_model(request, now);
-        // Writes go to the origin; a cache server has no answer to one but this.
+        // Writes belong to the origin; a cache server always fails them.
         let answer = if request.write { Answer::Failed } else { response.answer };
         if let Answer::Miss { .. } = answer {
             self.testbed.on_miss(request.id, self.server, response.in_slow_start);
@@ -279,7 +280,7 @@
         self.answer(response.at, line, Some(place));
     }
 
-    /// What the model makes of a request, and the load report that its answer carries.
+    /// The model's response to a request, and the load report of its answer.
     fn ask_model(&self, request: &InboundRequest, now: Micros) -> (Response, LoadReport) {
         let testbed = &self.testbed;
         let mut server = testbed.servers[self.server].borrow_mut();
@@ -292,7 +293,7 @@
         (response, load)
     }
 
-    /// Puts an answer in transit at this time; answers keep the order of their requests.
+    /// Puts an answer in transit at this time. Answers keep the order of their requests.
     fn answer(&mut self, at: Micros, line: String, attempt: Option<usize>) {
         let link = self.link_to_balancer();
         let server = LinkEnd::CacheServer(self.server);
@@ -303,7 +304,7 @@
     }
 }
 
-/// The id of a request, and the key's number, which rides along as a property; none where no client sent it.
+/// The id of a request and the key's number, a property that the testbed's clients send; `None` if either is missing.
 fn id_and_key(id: &Bytes, properties: &[(Bytes, Bytes)]) -> Option<(u64, u64)> {
     let id = u64::from_str_radix(std::str::from_utf8(id).ok()?, 16).ok()?;
     let (_, key) = properties.iter().find(|(name, _)| name.as_ref() == b"q")?;
@@ -311,7 +312,7 @@
     Some((id, key))
 }
 
-/// How an attempt ends by this answer, and the answer on the wire.
+/// The result of an attempt with this answer, and the answer in its wire form.
 fn answer_line(answer: Answer, request: &InboundRequest, load: &LoadReport) -> (AttemptResult, String) {
     let id = request.id;
     let load = format!(" Lserved_ps={:.1},pending={:.1}", load.served_per_s, load.waiting);
--- a/testbed/src/child_reaper.rs
+++ b/testbed/src/child_reaper.rs
@@ -1,8 +1,8 @@
-//! The child reaper: a process that outlives a testbed that is killed outright, and ends the processes that it started.
+//! The child reaper: a separate process that kills the processes of a testbed after the testbed itself was killed.
 //!
-//! Handles that end their processes when they are dropped do so at every end of the testbed but SIGKILL. The reaper reads
-//! the numbers of the testbed's processes from a pipe; when the pipe closes it ends those that still run, told apart from
-//! later processes of the same number by the time at which they started.
+//! Handles that kill their process when they are dropped do so at every end of the testbed but SIGKILL. The reaper reads
+//! the process ids of the testbed's processes from a pipe. When the pipe closes it kills those that still run; their start
+//! time tells them from later processes with the same id.
 
 #[cfg(test)]
 mod tests;
@@ -25,17 +25,17 @@
     /// Starts `program reap`, which has to call [`reap`].
     ///
     /// # Errors
-    /// What kept it from starting.
+    /// The error that prevented the reaper from starting.
     pub fn start(program: &Path) -> std::io::Result<ChildReaper> {
         let mut command = Command::new(program);
         let mut process = command.arg("reap").stdin(Stdio::piped()).stdout(Stdio::null()).spawn()?;
         Ok(ChildReaper { pipe: process.stdin.take(), process })
     }
 
-    /// A process has been started.
+    /// Registers a started process with the reaper.
     pub fn on_start(&mut self, pid: i32) {
         if let Some(pipe) = &mut self.pipe {
-            // A reaper that is gone ends nothing; the handles still do.
+            // If the reaper has ended, the handles still kill their processes.
             let _ = writeln!(pipe, "{pid} {}", start_ticks(pid).unwrap_or(0));
         }
     }
@@ -48,7 +48,7 @@
     }
 }
 
-/// The reaper's own side: reads until the pipe closes, then ends what still runs.
+/// Runs in the reaper process: reads process ids until the pipe closes, then kills the processes that still run.
 pub fn reap(pipe: impl BufRead) {
     let mut start_ticks_by_pid: HashMap<i32, u64> = HashMap::new();
     for line in pipe.lines().map_while(Result::ok) {
@@ -64,9 +64,10 @@
     }
 }
 
-/// When a process started, in the kernel's ticks; none where there is none.
+/// The start time of a process in clock ticks since boot; `None` if there is no such process.
 fn start_ticks(pid: i32) -> Option<u64> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The name may hold spaces and brackets; the fields after it do not. The start is the 22nd of all.
+    // The process name, in brackets, may itself contain spaces and brackets; the fields after it do not. The start time is
+    // field 22 of the file.
     stat.rsplit_once(')')?.1.split_whitespace().nth(19)?.parse().ok()
 }
--- a/testbed/src/child_reaper/tests.rs
+++ b/testbed/src/child_reaper/tests.rs
@@ -1,17 +1,19 @@
-//! What the reaper ends.
+//! Tests of which processes the reaper kills.
 
 use super::*;
 use std::io::Cursor;
 
+/// Guards against the kill of an unrelated process that has got the id of an ended one.
 #[test]
-fn process_that_still_runs_is_ended_and_a_later_one_of_its_number_is_not() {
+fn running_process_is_killed_and_one_with_another_start_time_is_not() {
     let sleeper = || Command::new("sleep").arg("60").spawn().unwrap();
-    let (mut ours, mut other) = (sleeper(), sleeper());
-    let (pid, not) = (ours.id() as i32, other.id() as i32);
-    let text = format!("{pid} {}\n{not} 1\nnonsense\n", start_ticks(pid).unwrap());
+    let (mut registered, mut unrelated) = (sleeper(), sleeper());
+    let (registered_pid, unrelated_pid) = (registered.id() as i32, unrelated.id() as i32);
+    let ticks = start_ticks(registered_pid).unwrap();
+    let text = format!("{registered_pid} {ticks}\n{unrelated_pid} 1\nnonsense\n");
     reap(Cursor::new(text));
-    assert!(!ours.wait().unwrap().success());
-    assert!(other.try_wait().unwrap().is_none(), "it started at another time than the one named");
-    other.kill().unwrap();
-    other.wait().unwrap();
+    assert!(!registered.wait().unwrap().success());
+    assert!(unrelated.try_wait().unwrap().is_none(), "its start time differs from the registered one");
+    unrelated.kill().unwrap();
+    unrelated.wait().unwrap();
 }
--- a/testbed/src/client_protocol.rs
+++ b/testbed/src/client_protocol.rs
@@ -1,5 +1,5 @@
-//! The clients' protocol: requests on the wire, and answers as they are read. The reader of answers is the testbed's own, so that
-//! the program's codec is not tested against itself.
+//! The client protocol: encodes requests and parses answers. The parser is separate from the program's codec, so that the
+//! codec is not tested against itself.
 
 use juniperladder_platform_model::event_log::RequestResult;
 use juniperladder_platform_model::workload::key_name;
@@ -8,30 +8,30 @@
 
 use crate::testbed::{receipt_of, value_of};
 
-/// The longest line of an answer that is read, in bytes; one without an end is no answer.
+/// Maximum length of an answer's line, in bytes; a longer line counts as no answer.
 const MAX_ANSWER_LINE: u64 = 8_192;
-/// The longest value that is read, in bytes.
+/// Maximum length of a value, in bytes.
 const MAX_VALUE_LENGTH: usize = 65_536;
 
-/// A request as its client sends it.
+/// A client's request.
 #[derive(Clone, Copy, Debug)]
 pub struct WireRequest {
-    /// Its id.
+    /// Id of the request.
     pub id: u64,
     /// The id of the client's first request, which is the idempotency key of a write.
     pub first_id: u64,
-    /// The key's number.
+    /// Number of the key.
     pub key: u64,
-    /// Whether it writes.
+    /// Whether it is a write.
     pub write: bool,
     /// Whether it is a client's retry.
     pub is_retry: bool,
-    /// How long the client waits, as the request states it.
+    /// Time for which the client waits, as the request states it.
     pub time: Micros,
 }
 
 impl WireRequest {
-    /// The request on the wire. The key's number rides along as a property, for the testbed's servers.
+    /// The wire form of the request. It has the key's number as a property, for the testbed's servers.
     pub fn wire_form(&self) -> String {
         let WireRequest { id, first_id, key, .. } = *self;
         let name = key_name(key);
@@ -49,16 +49,16 @@
     }
 }
 
-/// An answer as it was read.
+/// A parsed answer.
 #[derive(Clone, Copy, Debug)]
 pub struct ParsedAnswer {
-    /// What it is.
+    /// Result of the request.
     pub result: RequestResult,
-    /// After how long a rejected client may retry.
+    /// Time after which a rejected client may retry.
     pub retry_after: Micros,
 }
 
-/// Reads the answer to a request; none where the connection ends before it is complete.
+/// Reads the answer to a request; `None` if the connection ends before the answer is complete.
 pub async fn read_answer(
     connection: &mut (impl AsyncBufRead + Unpin),
     request: &WireRequest,
@@ -87,7 +87,7 @@
     Some(ParsedAnswer { result, retry_after })
 }
 
-/// Reads a value and the end of its line.
+/// Reads a value and its line end.
 async fn read_value(connection: &mut (impl AsyncBufRead + Unpin), length: usize) -> Option<Vec<u8>> {
     if length > MAX_VALUE_LENGTH {
         return None;
--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: send each request when it is due, whatever the answers; read what comes back; retry as clients do.
+//! The clients: an open-loop load generator that sends each request at its planned time, reads the answers and retries.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -19,37 +19,37 @@
 use crate::client_protocol::{read_answer, ParsedAnswer, WireRequest};
 use crate::testbed::{request_id, Testbed};
 
-/// How long after its deadline a request is still listened to: to tell a late answer from none.
+/// Time after its deadline for which an answer is still awaited, to tell a late answer from a missing one.
 const LATE_ANSWER_WAIT: Micros = 1_000_000;
-/// A pooled connection that ends so soon after a request was written had been closed before.
+/// A pooled connection that ends within this time after a request was written counts as closed before the request.
 const CROSSED_CLOSE_TIME: Micros = 20_000;
-/// A client retries only if so much of its time is left.
+/// Minimum time left before the deadline for a client's retry.
 const MIN_RETRY_TIME: Micros = 50_000;
-/// The shortest time that a request states.
+/// Minimum time that a request states.
 const MIN_REQUEST_TIME: Micros = 1_000;
-/// The smallest share of its time that a client that is not impatient waits.
+/// Minimum share of the class's deadline that a client waits; a client with a lower patience is impatient.
 const LEAST_PATIENT_SHARE: f64 = 0.5;
-/// How long a client waits for a connection.
+/// Timeout of a client's connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Idle connections that are pooled for one balancer.
+/// Maximum number of pooled idle connections to one balancer.
 const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// A connection to a balancer.
 type Connection = BufReader<TcpStream>;
 
-/// All clients.
+/// The clients of all balancers.
 pub struct Clients {
     testbed: Rc<Testbed>,
     terms: CheckTerms,
     addresses: Vec<SocketAddr>,
-    /// Connections by balancer that no request uses.
+    /// Pooled idle connections, by balancer.
     idle_connections: Vec<RefCell<Vec<Connection>>>,
     rng: RefCell<SeededRng>,
     next_number: Cell<u64>,
     in_flight: Cell<usize>,
 }
 
-/// One request that is to be sent.
+/// A request that is due to be sent.
 struct OutgoingRequest {
     id: u64,
     /// The id of the client's first request, which is the idempotency key of a write.
@@ -59,9 +59,9 @@
     write: bool,
     is_retry: bool,
     planned_at: Micros,
-    /// How long the client waits, as the request states it.
+    /// Time for which the client waits, as the request states it.
     time: Micros,
-    /// After how long an impatient client leaves.
+    /// Time after which an impatient client disconnects.
     leaves_after: Option<Micros>,
 }
 
@@ -77,7 +77,7 @@
     result: RequestResult,
     at: Option<Micros>,
     extra_lines: u32,
-    /// After how long a rejected client may retry.
+    /// Time after which a rejected client may retry.
     retry_after: Micros,
 }
 
@@ -88,7 +88,7 @@
 }
 
 impl Clients {
-    /// Clients of balancers at these addresses.
+    /// Creates the clients of balancers at these addresses.
     pub fn new(testbed: Rc<Testbed>, terms: CheckTerms, addresses: Vec<SocketAddr>) -> Rc<Clients> {
         let idle_connections = addresses.iter().map(|_| RefCell::default()).collect();
         let rng = RefCell::new(seeded_rng(testbed.experiment.seed, RngStream::Clients));
@@ -103,12 +103,12 @@
         })
     }
 
-    /// Clients that wait for an answer or for their retry.
+    /// Number of clients that wait for an answer or for their retry.
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Sends all these requests when they are due.
+    /// Sends these requests at their planned times.
     pub async fn send(self: Rc<Clients>, arrivals: Vec<Arrival>) {
         for arrival in arrivals {
             sleep_until(self.testbed.instant(arrival.at)).await;
@@ -121,7 +121,7 @@
         }
     }
 
-    /// A client's first request and its retries.
+    /// Runs a client: its first request and its retries.
     async fn run_client(&self, arrival: &Arrival) {
         let deadline = arrival.at + self.terms.class(arrival.write).deadline;
         let mut first_id = None;
@@ -140,7 +140,7 @@
             let (wait, other_balancer) = self.draw_retry(retry, end.retry_after);
             planned_at = self.testbed.now() + wait;
             if end.result == RequestResult::NotAccepted {
-                // The front deals those out anew whose balancer is not there.
+                // The platform's front end assigns a client to another balancer if its own does not accept the request.
                 balancer = other_balancer;
             }
             if planned_at + MIN_RETRY_TIME > deadline {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// The client's next request; `first_id` is none for its first.
+    /// Builds the client's next request; `first_id` is `None` for its first.
     fn next_request(
         &self,
         arrival: &Arrival,
@@ -171,7 +171,7 @@
             write: arrival.write,
             is_retry: first_id.is_some(),
             planned_at,
-            // Impatient clients state the usual time and leave before it.
+            // Impatient clients state the minimum time of other clients and disconnect before it.
             time: part(arrival.patience.max(LEAST_PATIENT_SHARE)).min(time_left).max(MIN_REQUEST_TIME),
             leaves_after: is_impatient.then(|| part(arrival.patience)),
         }
@@ -189,7 +189,7 @@
         end
     }
 
-    /// How long a client waits after a request that was not served, and the balancer that a front would deal it out to.
+    /// Draws the backoff after a request that was not served, and the balancer to which a front end would assign the client.
     fn draw_retry(&self, retry: u32, retry_after: Micros) -> (Micros, usize) {
         let model = self.testbed.experiment.clients;
         let mut rng = self.rng.borrow_mut();
@@ -200,7 +200,7 @@
         (wait, rng.random_range(0..self.addresses.len()))
     }
 
-    /// Logs a request that is about to be sent; gives its place in the log.
+    /// Logs a request that is about to be sent and returns its index in the log.
     fn log_request(&self, request: &OutgoingRequest) -> usize {
         let requests = &mut self.testbed.event_log.borrow_mut().requests;
         requests.push(ClientRequest {
@@ -219,7 +219,7 @@
         requests.len() - 1
     }
 
-    /// Sends a request on a pooled connection or a new one, once more where a pooled one had been closed.
+    /// Sends a request on a pooled connection, or on a new one if there is none or the pooled one had been closed.
     async fn exchange(&self, place: usize, request: &OutgoingRequest) -> RequestEnd {
         let pooled = self.idle_connections[request.balancer].borrow_mut().pop();
         if let Some(connection) = pooled {
@@ -242,8 +242,8 @@
         Some(BufReader::new(stream))
     }
 
-    /// Sends a request and waits for its end; none where the connection ended at once, so that its close crossed the
-    /// request or it was rejected.
+    /// Sends a request and waits for its end. Returns `None` if the connection ended at once: the close of a pooled
+    /// connection crossed the request, or a new connection was rejected.
     async fn exchange_on(
         &self,
         mut connection: Connection,
@@ -279,7 +279,7 @@
         logged.deadline = sent_at + request.time;
     }
 
-    /// A complete answer has come; its connection is pooled where nothing follows the answer.
+    /// Handles a complete answer; pools its connection if no bytes follow the answer.
     fn on_answer(&self, connection: Connection, answer: ParsedAnswer, balancer: usize) -> RequestEnd {
         let at = Some(self.testbed.now());
         let extra_lines = connection.buffer().iter().filter(|byte| **byte == b'\n').count() as u32;
--- a/testbed/src/discovery.rs
+++ b/testbed/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery's side of its sockets: the complete list, and watches that notify each balancer of changes when they are due
-//! for it. What each was notified of, and when, goes into the event log.
+//! The discovery server: returns the complete endpoint list, and serves watches that notify each balancer of changes at the
+//! time at which they become visible to it. Each notification is logged with its time in the event log.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -26,14 +26,14 @@
 use crate::origin::{carry, ConnectionBroken};
 use crate::testbed::Testbed;
 
-/// While nothing changes, an empty line comes this often.
+/// Interval of the empty lines that a watch sends while nothing changes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Lines of a watch that wait to be written.
+/// Maximum number of queued lines of a watch.
 const WATCH_CHANNEL_CAPACITY: usize = 4;
-/// Servers of one cell.
+/// Number of servers in a cell.
 const SERVERS_PER_CELL: usize = 8;
 
-/// The addresses at which a balancer reaches the servers, the origin last.
+/// The addresses at which a balancer reaches the servers, with the origin as the last.
 pub type ServerAddresses = Rc<Vec<SocketAddr>>;
 
 type Body = BoxBody<Bytes, ConnectionBroken>;
@@ -52,7 +52,7 @@
     }
 }
 
-/// Discovery as one balancer sees it.
+/// Discovery as seen by one balancer.
 struct BalancerView {
     testbed: Rc<Testbed>,
     balancer: usize,
@@ -83,7 +83,7 @@
         Ok(Response::new(self.start_watch(line, generation)))
     }
 
-    /// A body that has this line first, then the changes after the generation.
+    /// Returns a body that starts with this line and continues with the changes after this generation.
     fn start_watch(self: Rc<BalancerView>, first_line: String, generation: u64) -> Body {
         let (lines, body) = mpsc::channel::<Bytes>(WATCH_CHANNEL_CAPACITY);
         spawn_local(async move {
@@ -94,7 +94,7 @@
         BodyExt::boxed(StreamBody::new(WatchLines(body)))
     }
 
-    /// Sends the changes as they are due, an empty line while there are none.
+    /// Sends changes when they become visible, and empty lines while there are none.
     async fn watch(&self, mut notified_generation: u64, lines: mpsc::Sender<Bytes>) {
         let testbed = &self.testbed;
         let mut changes = testbed.changes.subscribe();
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The first line of an answer, and its generation: what changed after `since`, or the complete list.
+    /// The first line of an answer and its generation: the changes after `since`, or the complete list.
     fn first_line(&self, since: Option<u64>) -> (String, u64) {
         let (generation, _) = self.testbed.visible_generation(self.balancer);
         if let Some(since) = since.filter(|since| *since <= generation) {
@@ -147,7 +147,7 @@
         self.line(up_to, false, &endpoints)
     }
 
-    /// A list or its changes in discovery's form; the balancer counts as notified of them.
+    /// Encodes a list or its changes as a line, and logs that the balancer was notified of them.
     fn line(&self, generation: u64, reset: bool, endpoints: &[Endpoint]) -> String {
         self.log_notices(endpoints);
         format!("{}\n", list_json(&self.testbed, generation, reset, endpoints, &self.addresses))
@@ -167,11 +167,11 @@
     }
 }
 
-/// What a balancer asks discovery for.
+/// The query of a balancer's request to discovery.
 struct Query {
-    /// Whether it wants the changes that follow as well.
+    /// Whether the balancer asks for a watch of later changes.
     is_watch: bool,
-    /// The generation that it has.
+    /// The generation that the balancer already has.
     since: Option<u64>,
 }
 
@@ -188,7 +188,7 @@
     }
 }
 
-/// The lines of a watch as they come.
+/// The lines of a watch as a stream.
 struct WatchLines(mpsc::Receiver<Bytes>);
 
 impl futures_core::Stream for WatchLines {
@@ -208,7 +208,7 @@
     response
 }
 
-/// A list or its changes in discovery's form, which a configuration's `known` has, too.
+/// Encodes a list or its changes as JSON, the form of discovery's answers and of `known` in a process's configuration.
 pub fn list_json(
     testbed: &Testbed,
     generation: u64,
--- a/testbed/src/listeners.rs
+++ b/testbed/src/listeners.rs
@@ -1,5 +1,5 @@
 //! Reserved addresses at which balancers reach the testbed's servers, origin and discovery. An address keeps its port while
-//! nobody listens there, so that a server that is gone refuses connections and can come back at its old address.
+//! no listener is open, so that a stopped server refuses connections and can restart at its old address.
 
 #[cfg(test)]
 mod tests;
@@ -12,15 +12,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// How many connections may wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 1024;
-/// The pause after a failed accept, as when descriptors run out for a moment.
+/// Pause after a failed accept, as when file descriptors run out for a moment.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// An address on loopback that stays this testbed's.
+/// A loopback address that is reserved for this testbed.
 pub struct ReservedAddress {
     address: SocketAddr,
-    /// Bound and never listening: connections are refused while no listener shares the port.
+    /// Socket that is bound and never listens; connections are refused while no listener shares its port.
     _reservation: Socket,
 }
 
@@ -32,12 +32,12 @@
         Ok(ReservedAddress { address, _reservation: reservation })
     }
 
-    /// The address.
+    /// The reserved address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Listens: connections are accepted until the listener is dropped.
+    /// Opens a listener at the address; connections are accepted until it is dropped.
     pub fn listen(&self) -> io::Result<TcpListener> {
         let socket = bind(self.address)?;
         socket.listen(LISTEN_BACKLOG)?;
@@ -54,7 +54,7 @@
     Ok(socket)
 }
 
-/// The next connection; a failed accept is tried again.
+/// Accepts the next connection; retries a failed accept.
 pub async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
@@ -64,8 +64,8 @@
     }
 }
 
-/// Makes a connection end with a reset, not with an orderly close.
+/// Makes the close of a connection a reset instead of an orderly close.
 pub fn reset_on_close(stream: &TcpStream) {
-    // Where this fails the close is an orderly one; the connection ends all the same.
+    // If this fails, the connection is closed in the orderly way.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/testbed/src/listeners/tests.rs
+++ b/testbed/src/listeners/tests.rs
@@ -1,15 +1,15 @@
-//! Addresses that stay reserved.
+//! Tests of reserved addresses.
 
 use super::*;
 
 #[tokio::test]
-async fn address_refuses_while_nobody_listens_and_listens_again_at_its_port() {
+async fn reserved_address_refuses_connections_without_a_listener_and_reopens_at_its_port() {
     let reserved = ReservedAddress::new().unwrap();
     assert!(TcpStream::connect(reserved.address()).await.is_err());
     let listener = reserved.listen().unwrap();
     assert!(TcpStream::connect(reserved.address()).await.is_ok());
     drop(listener);
-    // A process that another test starts in this moment has the listener, too, until its own program begins.
+    // A child process that another test forks at this moment inherits the listener and keeps it open until its exec.
     let mut refused = false;
     for _ in 0..100 {
         refused = refused || TcpStream::connect(reserved.address()).await.is_err();
--- a/testbed/src/operator_file.rs
+++ b/testbed/src/operator_file.rs
@@ -1,5 +1,5 @@
-//! The operators' file of each process: the experiment's, with the process's own peers' address and the seeds filled in,
-//! and the origin's capacity as its limit where the file leaves that open.
+//! The operators' file of each process: a copy of the experiment's file with the process's own address for peers and the
+//! seeds filled in. If the file sets no limit for the origin, the copy has the origin's capacity as the limit.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -13,18 +13,19 @@
 use crate::peer_relay::PeerRelay;
 use crate::SetupError;
 
-/// By how much sends may differ in the time that they take, in milliseconds, where the file does not say it: the daemon's
-/// own default, as those below.
+/// Default for the maximum difference in the duration of sends, in milliseconds. This default and those below are the
+/// daemon's own.
 const DEFAULT_SPREAD_MS: f64 = 50.0;
-/// Retries for each first request.
+/// Default for the retries that each first attempt allows.
 const DEFAULT_RETRY_SHARE: f64 = 0.4;
-/// Retries that a balancer may save up.
+/// Default for the retries that a balancer may save up.
 const DEFAULT_SAVED_RETRIES: f64 = 10.0;
-/// How long a report of a fault acts, in milliseconds.
+/// Default for the time for which a fault report is effective, in milliseconds.
 const DEFAULT_EXPIRY_MS: f64 = 6_000.0;
-/// Within which time all connected members act on what enough have seen, as docs/design/verdicts.md states it.
+/// Time within which all connected members act on a fault that enough members have reported, in milliseconds, as stated in
+/// docs/design/verdicts.md.
 const REACTION_TIME_MS: f64 = 3_000.0;
-/// Members that each process calls first.
+/// Number of seed members that each process contacts first.
 const SEED_COUNT: usize = 3;
 
 /// The operators' file of an experiment.
@@ -33,7 +34,7 @@
 }
 
 impl OperatorFile {
-    /// Reads the file that the experiment names, if it names one.
+    /// Reads the operators' file of the experiment, if it names one.
     pub fn read(experiment: &Experiment) -> Result<Option<OperatorFile>, SetupError> {
         let Some(path) = &experiment.fleet.operator else { return Ok(None) };
         let text = std::fs::read_to_string(path)
@@ -45,7 +46,7 @@
         Ok(Some(OperatorFile { table }))
     }
 
-    /// What the program states by this file; what it leaves out has the daemon's own default.
+    /// The bounds that the program states for this file; a missing value has the daemon's default.
     pub fn stated_bounds(&self, experiment: &Experiment) -> StatedBounds {
         let spread_ms = self.number(&["limits", "spread_ms"]).unwrap_or(DEFAULT_SPREAD_MS);
         StatedBounds {
@@ -96,13 +97,13 @@
         value.as_float().or(value.as_integer().map(|whole| whole as f64))
     }
 
-    /// The limit `origin`, fetches and writes a second: the file's, or what the origin can do.
+    /// The limit `origin` in fetches and writes per second: that of the file, or the origin's capacity.
     fn origin_limit(&self, experiment: &Experiment) -> f64 {
         let given = self.value_at(&["limits", "origin", "per_s"]).and_then(Value::as_integer);
         given.map_or(experiment.origin.capacity.floor(), |per_s| per_s as f64)
     }
 
-    /// The copy for the process with this number. The relay is notified of the process's real address.
+    /// The copy for the process with this number. Sets the process's real address in the relay.
     pub fn copy_for(
         &self,
         experiment: &Experiment,
@@ -129,21 +130,21 @@
     }
 }
 
-/// An address of its own on loopback for each process, at the port that the relay holds for it: no other run has that port.
+/// A loopback address of its own for each process, at the port of the process's relay socket, which no other run uses.
 fn listen_address(number: usize, port: u16) -> SocketAddr {
     let run = std::process::id() as u8 % 250 + 1;
     let own = Ipv4Addr::new(127, run, (number >> 8) as u8, number as u8);
     SocketAddr::new(IpAddr::V4(own), port)
 }
 
-/// The relay's addresses of members that are spread evenly over all.
+/// The relay's addresses of the seeds, which are evenly spaced over all members.
 fn seed_addresses(relay: &PeerRelay, balancers: usize) -> io::Result<Vec<Value>> {
     let count = SEED_COUNT.min(balancers);
     let address = |seed| Ok(Value::String(relay.address(seed * balancers / count)?.to_string()));
     (0..count).map(address).collect()
 }
 
-/// Changes a table within a table, which is made where it is not there.
+/// Changes a subtable; creates it if it does not exist.
 fn change_subtable(table: &mut Table, name: &str, change: impl FnOnce(&mut Table)) {
     let mut inner = match table.remove(name) {
         Some(Value::Table(inner)) => inner,
--- a/testbed/src/origin.rs
+++ b/testbed/src/origin.rs
@@ -1,4 +1,4 @@
-//! The origin's side of its sockets: HTTP/1.1 by hyper, so that the program's codec meets another one.
+//! The origin's HTTP/1.1 server. It uses hyper, so that the program's codec is tested against another implementation.
 
 use std::rc::Rc;
 
@@ -29,18 +29,20 @@
         spawn_local(async move {
             let handler = service_fn(|request| on_request(Rc::clone(&testbed), side, request));
             let connection = hyper::server::conn::http1::Builder::new();
-            // A connection that breaks is the balancer's affair; the event log has what was received.
+            // The balancer handles a broken connection; the event log has the attempts that were received.
             let _ = connection.serve_connection(TokioIo::new(stream), handler).await;
         });
     }
 }
 
-/// The connection ends without an answer.
+/// The connection is closed without an answer.
 #[derive(Debug, thiserror::Error)]
-#[error("the connection ends here")]
+#[error("the connection was closed without an answer")]
 pub struct ConnectionBroken;
 
-/// Waits until the link has carried what is sent over it now; an error where it is reset.
+/// Waits for the transit time of a message that is sent over the link now; fails if the link is reset.
+///
+/// A message sent over a cut link waits until the cut ends.
 pub async fn carry(testbed: &Testbed, from: LinkEnd, to: LinkEnd) -> Result<(), ConnectionBroken> {
     let mut changes = testbed.changes.subscribe();
     let sent_at = testbed.now();
@@ -70,7 +72,7 @@
     let balancer = LinkEnd::Balancer(testbed.side_members[side]);
     let first_byte_at = testbed.now();
     let Some(parsed) = ParsedRequest::parse(&request) else { return Ok(bad_request()) };
-    // What the value holds does not matter, only that it came complete.
+    // The contents of the value are not used; the read only makes sure that it is complete.
     request.into_body().collect().await.map_err(|_| ConnectionBroken)?;
     carry(&testbed, balancer, LinkEnd::Origin).await?;
     let response = execute(&testbed, &parsed, first_byte_at).await?;
@@ -78,7 +80,7 @@
     Ok(response)
 }
 
-/// Executes a request that has come complete.
+/// Executes a completely received request.
 async fn execute(
     testbed: &Testbed,
     request: &ParsedRequest,
@@ -124,7 +126,7 @@
     }
 }
 
-/// Applies what a request does to the caches; gives the answer's body.
+/// Applies the effect of a request to the caches and returns the body of the answer.
 fn complete(testbed: &Testbed, request: &ParsedRequest, repeat: bool) -> String {
     match request.idempotency_key {
         Some(key) => {
@@ -140,13 +142,13 @@
     }
 }
 
-/// A request as the program writes it.
+/// A request in the form in which the program sends it.
 struct ParsedRequest {
     id: u64,
     key: u64,
-    /// Of a write; none of a fetch.
+    /// Idempotency key of a write; `None` for a fetch.
     idempotency_key: Option<u64>,
-    /// How long the balancer waits.
+    /// Time for which the balancer waits for the answer.
     timeout: Micros,
 }
 
@@ -160,7 +162,7 @@
         };
         let hex = |text: &str| u64::from_str_radix(text, 16).ok();
         let key: u64 = property("q")?.parse().ok()?;
-        // The path names the key that the client wrote.
+        // The path has to match the key named by the client.
         if request.uri().path().trim_start_matches('/') != key_name(key) {
             return None;
         }
--- a/testbed/src/peer_relay.rs
+++ b/testbed/src/peer_relay.rs
@@ -1,8 +1,9 @@
-//! The way of packets between balancers: a UDP relay that each process knows as its peers' address.
+//! A UDP relay for the packets between balancers, which applies the faults of their links.
 //!
-//! Each balancer has a socket here that stands for it. What another sends to it arrives at that socket and goes on to
-//! the balancer from the sender's own socket here, so that it sees the address that it knows the sender by. On the way
-//! the link's faults apply: cuts, losses, delays, repeats, reordering, corruption.
+//! The relay has one socket for each balancer, and its address is the one that the balancer's peers know. A packet to a
+//! balancer arrives at that balancer's socket. The relay forwards the packet from the sender's socket, so that the
+//! receiver sees the address by which it knows the sender. The faults are cuts, losses, delays, repeats, reordering and
+//! corruption.
 
 #[cfg(test)]
 mod tests;
@@ -21,38 +22,38 @@
 
 use crate::testbed::Testbed;
 
-/// The longest packet that is taken, in bytes; a longer one is cut off, as by the socket of whoever reads it.
+/// Maximum packet length in bytes; a longer packet is truncated, as in the receive buffer of a socket.
 const MAX_PACKET_LENGTH: usize = 2_048;
-/// How much later a packet comes that is to come after others, in milliseconds.
+/// Additional delay of a reordered packet, in milliseconds.
 const REORDER_DELAY_MS: f64 = 30.0;
-/// Packets on their way at once; beyond, what comes is lost, as in a full queue.
+/// Maximum number of packets in transit; further packets are dropped, as by a full queue.
 const MAX_PACKETS_IN_TRANSIT: usize = 100_000;
 
-/// What balancers sent to others.
+/// Traffic that balancers sent to their peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SentTraffic {
-    /// Packets.
+    /// Number of packets.
     pub packets: u64,
-    /// Bytes of their payload.
+    /// Payload in bytes.
     pub bytes: u64,
 }
 
-/// The relay.
+/// A UDP relay between balancers.
 pub struct PeerRelay {
     testbed: Rc<Testbed>,
-    /// The socket that stands for each balancer.
+    /// The relay's socket for each balancer.
     sockets: Vec<Rc<UdpSocket>>,
-    /// Where each balancer really is.
+    /// The real address of each balancer.
     real_addresses: RefCell<Vec<Option<SocketAddr>>>,
-    /// Which balancer is at each address.
+    /// The balancer at each real address.
     balancers: RefCell<HashMap<SocketAddr, usize>>,
-    /// What each balancer has sent.
+    /// Traffic sent by each balancer.
     sent: RefCell<Vec<SentTraffic>>,
     in_transit: Cell<usize>,
 }
 
 impl PeerRelay {
-    /// A relay for so many balancers, at free ports; it runs until the local tasks end.
+    /// Creates a relay for this number of balancers, at free ports; it runs until the local tasks end.
     pub async fn new(testbed: Rc<Testbed>, balancers: usize) -> io::Result<Rc<PeerRelay>> {
         let mut sockets = Vec::with_capacity(balancers);
         for _ in 0..balancers {
@@ -72,18 +73,18 @@
         Ok(relay)
     }
 
-    /// The address that others know this balancer by.
+    /// The address by which peers know this balancer.
     pub fn address(&self, balancer: usize) -> io::Result<SocketAddr> {
         self.sockets[balancer].local_addr()
     }
 
-    /// Sets where a balancer really listens for its peers.
+    /// Sets the real address at which a balancer listens for its peers.
     pub fn set_real_address(&self, balancer: usize, address: SocketAddr) {
         self.real_addresses.borrow_mut()[balancer] = Some(address);
         self.balancers.borrow_mut().insert(address, balancer);
     }
 
-    /// What all balancers together have sent so far.
+    /// Total traffic sent by all balancers so far.
     pub fn total_sent(&self) -> SentTraffic {
         self.sent.borrow().iter().fold(SentTraffic::default(), |total, sent| SentTraffic {
             packets: total.packets + sent.packets,
@@ -91,14 +92,14 @@
         })
     }
 
-    /// Receives what others send to a balancer.
+    /// Receives and forwards the packets that are sent to a balancer.
     async fn receive(self: Rc<PeerRelay>, to: usize) {
         let mut packet = [0; MAX_PACKET_LENGTH];
         loop {
-            // An error says that an earlier packet found nobody; the next one may.
+            // An error reports that an earlier packet reached no socket; later packets are not affected.
             let Ok((length, address)) = self.sockets[to].recv_from(&mut packet).await else { continue };
             let from = self.balancers.borrow().get(&address).copied();
-            // What comes from no balancer's own address is not of this fleet.
+            // A packet from an address of no balancer does not belong to this fleet.
             let Some(from) = from else { continue };
             self.count_sent(from, length);
             self.forward(from, to, &packet[..length]);
@@ -111,7 +112,7 @@
         sent.bytes += length as u64;
     }
 
-    /// Sends a packet on its way, with the link's faults.
+    /// Forwards a packet with the faults of the link.
     fn forward(self: &Rc<PeerRelay>, from: usize, to: usize, packet: &[u8]) {
         let ends = (LinkEnd::Balancer(from), LinkEnd::Balancer(to));
         let state = self.testbed.link_state(ends.0, ends.1);
@@ -123,7 +124,7 @@
             self.testbed.corrupt(&mut bytes);
         }
         let copies = 1 + usize::from(self.testbed.draw_fault(state.repeated_share));
-        // A lost packet stays lost: no resend delays it.
+        // UDP does not retransmit lost packets, so losses add no delay.
         let lossless = LinkState { lost_share: 0.0, ..state };
         for _ in 0..copies {
             let mut transit_time = self.testbed.draw_transit_time(ends.0, ends.1, &lossless);
@@ -146,7 +147,7 @@
             relay.in_transit.set(relay.in_transit.get() - 1);
             let address = relay.real_addresses.borrow()[to];
             if let Some(address) = address {
-                // A packet that does not reach its receiver is lost: that is UDP.
+                // A failed send counts as a lost packet, as usual for UDP.
                 let _ = relay.sockets[from].send_to(&bytes, address).await;
             }
         });
--- a/testbed/src/self_reports.rs
+++ b/testbed/src/self_reports.rs
@@ -1,5 +1,6 @@
-//! Polls what each process says of itself, once a second through the operators' address: what it has reserved of a limit,
-//! which members it believes alive, which servers it avoids. For charts, and for what nobody but the process knows.
+//! Polls the state that each process reports at its address for operators, once a second: the part of a limit that it has
+//! reserved, the number of members that it considers alive, the number of servers that it avoids. The reports are used for
+//! charts and for state that cannot be observed from outside the process.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -14,17 +15,17 @@
 
 use crate::testbed::Testbed;
 
-/// How often each process is polled.
+/// Interval at which each process is polled.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a process may take to answer.
+/// Timeout of a poll.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The longest answer that is read, in bytes.
+/// Maximum length of an answer, in bytes; the rest is not read.
 const MAX_ANSWER_LENGTH: u64 = 64 * 1024;
 
-/// The reports so far, in the order in which they came.
+/// The reports received so far, in order of arrival.
 pub type SharedReports = Rc<RefCell<Vec<SelfReport>>>;
 
-/// Polls all processes in turn, each once a second, until it is aborted.
+/// Polls all processes in turn, each about once a second, until the task is aborted.
 pub async fn poll_self_reports(testbed: Rc<Testbed>, addresses: Vec<SocketAddr>, reports: SharedReports) {
     let pause = POLL_INTERVAL / addresses.len().max(1) as u32;
     loop {
@@ -41,7 +42,7 @@
     }
 }
 
-/// Reads the figures of a `DUMP`; one that is not there counts as 0.
+/// Parses the figures of a `DUMP`; a missing figure counts as 0.
 fn parse_report(at: juniperladder_platform_model::Micros, balancer: usize, text: &str) -> SelfReport {
     let figure = |name: &str| {
         let line = text.lines().find_map(|line| line.strip_prefix(name));
