--- a/testbed/src/experiment_run.rs
+++ b/testbed/src/experiment_run.rs
@@ -1,5 +1,5 @@
-//! Runs an experiment: prepares the platform, starts the processes, sends the load, makes the faults, ends everything and
-//! gives the record.
+//! Runs an experiment: prepares the platform, starts the processes, sends the load, injects the faults, ends all processes
+//! and returns the record.
 
 pub(crate) mod measurement;
 pub(crate) mod platform;
@@ -32,73 +32,73 @@
 use measurement::{shift_times, watch_stalls, CpuTimes};
 use platform::Platform;
 
-/// The longest pause between two reports of progress.
+/// Maximum time between two reports of progress.
 const PROGRESS_INTERVAL: Micros = 250_000;
-/// How often it is looked whether requests are still in flight after the load.
+/// Interval at which the number of requests in flight is polled after the load.
 const IN_FLIGHT_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// How often at the most; requests that are in flight then have no end.
+/// Maximum number of these polls; requests that are in flight after the last one stay without an end.
 const IN_FLIGHT_POLLS: usize = 60;
-/// Before a run that was stopped ended, requests planned in this time may still have been in flight, in seconds.
+/// Requests planned within this time before a run was stopped may still have been in flight, in seconds.
 const UNFINISHED_TIME_S: f64 = 4.0;
 
-/// How an experiment is run.
+/// Options of a run.
 pub struct RunOptions<'a> {
-    /// The folder for logs and the processes' files.
+    /// Folder for logs and the files of the processes.
     pub out: &'a Path,
-    /// Called as the run goes on.
+    /// Called with the progress of the run.
     pub progress: &'a mut dyn FnMut(Progress),
-    /// Ends the processes should the testbed be killed outright.
+    /// Kills the processes if the testbed itself is killed.
     pub child_reaper: Option<ChildReaper>,
-    /// The run ends with what it has once this is set.
+    /// Stops the run early when set; the record then has the results up to that time.
     pub stop: watch::Receiver<bool>,
 }
 
-/// How far a run is.
+/// Progress of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Progress {
-    /// So many processes are ready.
+    /// Number of processes that are ready.
     Ready(usize),
-    /// The load has gone on for so many seconds, from the beginning of the warming up.
+    /// Time since the start of the load, warm-up included, in seconds.
     Load(f64),
 }
 
-/// What a balancer sent to others in a second, on average.
+/// Average traffic per second that a balancer sends to its peers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerTrafficRates {
-    /// Packets.
+    /// Number of packets per second.
     pub packets_per_s: f64,
-    /// Bytes of their payload.
+    /// Payload in bytes per second.
     pub bytes_per_s: f64,
 }
 
-/// What a run leaves. Times count from the beginning of the load.
+/// The result of a run. Times count from the start of the load.
 pub struct RunRecord {
-    /// What clients, servers and discovery saw.
+    /// Events of clients, servers and discovery.
     pub event_log: EventLog,
-    /// Processes started, restarts included.
+    /// Number of process starts, restarts included.
     pub started: u64,
-    /// Processes that ended by themselves, each with its last log lines.
+    /// Descriptions of unexpected exits of processes, each with the last log lines.
     pub crashes: Vec<String>,
-    /// Processor time of all balancers, in seconds.
+    /// CPU time of all balancers, in seconds.
     pub balancers_cpu_s: f64,
-    /// Processor time of the testbed, in seconds.
+    /// CPU time of the testbed, in seconds.
     pub testbed_cpu_s: f64,
-    /// Traffic between balancers; none where they do not talk.
+    /// Traffic between balancers; `None` where they do not communicate as peers.
     pub peer_traffic: Option<PeerTrafficRates>,
-    /// What each process said of itself, once a second; empty where balancers do not talk.
+    /// Reports of each process's own state, once a second; empty where balancers do not communicate as peers.
     pub self_reports: Vec<SelfReport>,
-    /// What the program states of what its balancers share; none where they do not talk.
+    /// Bounds that the program states for shared limits; `None` where balancers do not communicate as peers.
     pub stated: Option<StatedBounds>,
-    /// Whether it was stopped before its end.
+    /// Whether the run was stopped before its planned end.
     pub stopped: bool,
-    /// When it ended: the end of the load, or when it was stopped.
+    /// End of the load, or the end of the evaluated time of a run that was stopped.
     pub end: Micros,
 }
 
 /// Runs an experiment to its end.
 ///
 /// # Errors
-/// What the machine does not allow (nothing was started then), or what kept the run from going on.
+/// The setup failed and no process was started, or the run was aborted.
 pub fn run_experiment(experiment: &Experiment, options: RunOptions<'_>) -> Result<RunRecord, TestbedError> {
     let schedule = schedule(experiment);
     let sides = schedule.links.sides(experiment).iter().max().map_or(1, |last| last + 1);
@@ -127,7 +127,7 @@
     };
     let relay = peers.as_ref().map(|peers| Rc::clone(&peers.relay));
     let platform = Platform::prepare(testbed, out, peers, child_reaper)?;
-    // Several runs may go on in one process, one after the other: each counts its own time.
+    // Several runs may take place in one process, one after the other; each counts only its own CPU time.
     let cpu_before = CpuTimes::now();
     platform.processes.start_all(|ready| progress(Progress::Ready(ready))).await?;
     let mut run = ExperimentRun::begin_load(platform, relay, schedule.steps);
@@ -137,31 +137,31 @@
     Ok(record)
 }
 
-/// A run whose load has begun.
+/// A run after the start of its load.
 struct ExperimentRun {
     testbed: Rc<Testbed>,
     platform: Platform,
     relay: Option<Rc<PeerRelay>>,
     clients: Rc<Clients>,
-    /// The faults that are to come.
+    /// Remaining changes by faults, in order of time.
     steps: Peekable<std::vec::IntoIter<Step>>,
-    /// When the load began; all times of the record count from it.
+    /// Start of the load; all times of the record count from it.
     load_began_at: Micros,
-    /// When the experiment begins: the caches have filled.
+    /// Start of the measurement, after the warm-up that fills the caches.
     measured_from: Micros,
     measured_until: Micros,
-    /// Whether the experiment has begun.
+    /// Whether the measurement has started.
     is_measuring: bool,
-    /// What balancers had sent to each other when the experiment began.
+    /// Traffic between balancers up to the start of the measurement.
     sent_before: Option<SentTraffic>,
     sending: JoinHandle<()>,
-    /// What watches the run until its end.
+    /// Tasks that observe the run until its end.
     watchers: Vec<JoinHandle<()>>,
     self_reports: SharedReports,
 }
 
 impl ExperimentRun {
-    /// Begins the load and what watches the run.
+    /// Starts the load and the tasks that observe the run.
     fn begin_load(platform: Platform, relay: Option<Rc<PeerRelay>>, steps: Vec<Step>) -> ExperimentRun {
         let testbed = Rc::clone(&platform.testbed);
         let experiment = &testbed.experiment;
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Waits through the load and makes the faults at their times; true where the run was stopped.
+    /// Waits for the end of the load and injects the faults at their times; returns whether the run was stopped.
     async fn send_load(
         &mut self,
         progress: &mut dyn FnMut(Progress),
@@ -221,14 +221,14 @@
         }
     }
 
-    /// The caches have filled: from now on the origin has its limits, and traffic counts.
+    /// Starts the measurement after the warm-up: applies the origin's limits and starts counting traffic.
     fn begin_measuring(&mut self) {
         self.is_measuring = true;
         self.sent_before = total_sent(self.relay.as_ref());
         self.testbed.origin.borrow_mut().unbounded = false;
     }
 
-    /// When the experiment begins or its next fault is due.
+    /// Time of the start of the measurement or, after it, of the next fault.
     fn next_event(&mut self) -> Micros {
         if !self.is_measuring {
             return self.measured_from;
@@ -236,7 +236,7 @@
         self.steps.peek().map_or(self.measured_until, |step| self.measured_from + step.at)
     }
 
-    /// Ends the load, waits for what is in flight, ends all processes and gives the record.
+    /// Ends the load, waits for requests in flight, ends all processes and returns the record.
     async fn finish(mut self, stopped: bool, cpu_before: CpuTimes) -> RunRecord {
         let load_ended_at = self.testbed.now().min(self.measured_until);
         self.sending.abort();
@@ -247,7 +247,7 @@
         let crashes = self.platform.processes.crashes.borrow().clone();
         self.platform.processes.end_all().await;
         self.watchers.iter().for_each(JoinHandle::abort);
-        // Requests in flight when the run was stopped have no end to be judged by.
+        // Requests in flight when the run was stopped have no result that the checker could evaluate.
         let unfinished = if stopped { micros_from_seconds(UNFINISHED_TIME_S) } else { 0 };
         let end = load_ended_at.saturating_sub(unfinished);
         let cpu = CpuTimes::now();
@@ -265,7 +265,7 @@
         }
     }
 
-    /// What a balancer sent to others in each second since the experiment began.
+    /// Average traffic per second and balancer since the start of the measurement.
     fn peer_traffic(&self, load_ended_at: Micros) -> Option<PeerTrafficRates> {
         let sent = total_sent(self.relay.as_ref())?;
         let before = self.sent_before?;
@@ -286,7 +286,7 @@
         }
     }
 
-    /// The event log, without requests planned at or after `cut_off`, with its times from the beginning of the load.
+    /// Returns the event log without requests planned at or after `cut_off`; its times count from the start of the load.
     fn take_event_log(&mut self, cut_off: Option<Micros>) -> EventLog {
         let mut event_log = std::mem::take(&mut *self.testbed.event_log.borrow_mut());
         event_log.origin_stops = self.testbed.origin.borrow().stops.clone();
@@ -317,7 +317,7 @@
     watchers
 }
 
-/// What all balancers together have sent to each other; none where they do not talk.
+/// Total traffic between balancers; `None` where they do not communicate as peers.
 fn total_sent(relay: Option<&Rc<PeerRelay>>) -> Option<SentTraffic> {
     relay.map(|relay| relay.total_sent())
 }
--- a/testbed/src/experiment_run/measurement.rs
+++ b/testbed/src/experiment_run/measurement.rs
@@ -1,4 +1,4 @@
-//! What a run measures of itself: its lateness, its processor time, and the beginning from which its times count.
+//! Measures the testbed itself (its stalls and CPU time) and shifts the times of an event log to a common origin.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 
 use crate::testbed::Testbed;
 
-/// How often the testbed looks whether it is late itself.
+/// Interval at which the testbed checks for its own stalls.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// From which lateness on it notes that.
+/// Minimum lateness of a timer that is logged as a stall.
 const MIN_STALL: Micros = 8_000;
 
-/// Notes when the testbed itself is late.
+/// Logs the stalls of the testbed itself, which would otherwise look like latency of the program.
 pub async fn watch_stalls(testbed: Rc<Testbed>) {
     loop {
         let due = testbed.now() + STALL_CHECK_INTERVAL.as_micros() as Micros;
@@ -29,17 +29,17 @@
     }
 }
 
-/// Processor time used so far, in seconds.
+/// CPU time used so far, in seconds.
 #[derive(Clone, Copy)]
 pub struct CpuTimes {
-    /// By the processes that have ended and were waited for.
+    /// CPU time of the child processes that have ended and were waited for.
     pub children_s: f64,
-    /// By this process.
+    /// CPU time of this process.
     pub own_s: f64,
 }
 
 impl CpuTimes {
-    /// What was used up to now.
+    /// The CPU time used up to now.
     pub fn now() -> CpuTimes {
         CpuTimes {
             children_s: cpu_seconds(UsageWho::RUSAGE_CHILDREN),
@@ -53,7 +53,7 @@
     getrusage(who).map_or(0.0, |usage| seconds(usage.user_time()) + seconds(usage.system_time()))
 }
 
-/// Makes all times of an event log count from `origin`; earlier ones become 0.
+/// Makes all times of an event log count from `origin`; earlier times become 0.
 pub fn shift_times(event_log: &mut EventLog, origin: Micros) {
     let shift = |at: &mut Micros| *at = at.saturating_sub(origin);
     for request in &mut event_log.requests {
--- a/testbed/src/experiment_run/platform.rs
+++ b/testbed/src/experiment_run/platform.rs
@@ -1,4 +1,4 @@
-//! The platform of a run: the machines with their listeners, the processes, and the changes that faults make to them.
+//! The platform of a run: the machines with their listeners, the processes, and the changes that faults make to both.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,21 +21,21 @@
 use crate::testbed::Testbed;
 use crate::{cache_servers, discovery, origin, SetupError};
 
-/// The machines and the processes.
+/// The machines and processes of a run.
 pub struct Platform {
-    /// What they share.
+    /// State shared by machines and processes.
     pub testbed: Rc<Testbed>,
     /// The processes of the program.
     pub processes: Rc<Processes>,
-    /// The servers, in order, and the origin last.
+    /// The servers in order, with the origin as the last.
     machines: Vec<Machine>,
 }
 
 /// A server or the origin, as balancers reach it.
 struct Machine {
-    /// An address for each side.
+    /// Address of the machine for each side.
     addresses: Vec<ReservedAddress>,
-    /// Who listens at them; empty while the machine is gone.
+    /// Tasks that listen at these addresses; empty while the machine is stopped.
     listeners: Vec<JoinHandle<()>>,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl Platform {
-    /// Reserves all addresses, begins to listen, and prepares the processes; none is started.
+    /// Reserves all addresses, opens the listeners and prepares the processes without starting them.
     pub fn prepare(
         testbed: Rc<Testbed>,
         out: &Path,
@@ -68,7 +68,7 @@
         Ok(platform)
     }
 
-    /// Listens at a machine's addresses.
+    /// Opens the listeners at a machine's addresses.
     fn listen(&mut self, machine: usize) -> io::Result<()> {
         let is_origin = machine == self.testbed.servers.len();
         let Machine { addresses, listeners } = &mut self.machines[machine];
@@ -84,7 +84,7 @@
         Ok(())
     }
 
-    /// A server's machine goes away: it refuses connections, and those that are open are reset.
+    /// Stops a server's machine: new connections are refused and open ones are reset.
     async fn stop_machine(&mut self, server: usize) {
         for listener in self.machines[server].listeners.drain(..) {
             listener.abort();
@@ -93,19 +93,19 @@
         self.testbed.begin_incarnation(server);
     }
 
-    /// A server's machine starts anew, in slow start and with nothing cached, at its old address.
+    /// Restarts a server's machine at its old address, in slow start and with an empty cache.
     async fn restart_machine(&mut self, server: usize, now: Micros) {
         self.stop_machine(server).await;
         self.testbed.servers[server].borrow_mut().restart(now);
         self.testbed.silent[server].set(false);
-        // Its port is reserved, so that it can be listened at again.
+        // The port is still reserved, so that listening again does not fail.
         let _ = self.listen(server);
         let to = Some(now + self.time_until_healthy());
         let span = ImpairedSpan { number: server as u32, impairment: Impairment::SlowStart, from: now, to };
         self.testbed.event_log.borrow_mut().server_impairments.push(span);
     }
 
-    /// A server that has started counts as healthy once it is warm, and listed to the last balancer.
+    /// Time until a restarted server counts as healthy: it has warmed up and all balancers have been notified of it.
     fn time_until_healthy(&self) -> Micros {
         let experiment = &self.testbed.experiment;
         let latest_notice = self.testbed.notice_delays.borrow().iter().copied().max().unwrap_or(0);
@@ -113,7 +113,7 @@
         micros_from_seconds(experiment.servers.cold_s).max(listed_after)
     }
 
-    /// Makes one change and wakes all tasks that wait for one.
+    /// Applies one change and wakes all tasks that wait for changes.
     pub async fn make_change(&mut self, step: &Step) {
         let now = self.testbed.now();
         match &step.change {
@@ -137,7 +137,7 @@
         self.testbed.wake_tasks();
     }
 
-    /// Logs that servers are impaired from now on, or no more.
+    /// Logs the beginning or the end of an impairment of servers.
     fn log_impairment(&self, servers: &[usize], impairment: Impairment, is_impaired: bool, now: Micros) {
         let spans = &mut self.testbed.event_log.borrow_mut().server_impairments;
         for server in servers {
@@ -159,7 +159,7 @@
         for server in servers {
             self.testbed.silent[*server].set(is_silent);
             if !is_silent {
-                // What was open is reset when the machine is back.
+                // Connections that were open are reset when the machine answers again.
                 self.testbed.begin_incarnation(*server);
             }
         }
@@ -204,7 +204,7 @@
         self.log_impairment(servers, Impairment::OutOfService, false, now);
     }
 
-    /// Other servers, with other ids, start at the addresses of these.
+    /// Replaces servers by others with new ids at the same addresses.
     async fn replace(&mut self, servers: &[usize], now: Micros) {
         for server in servers {
             self.testbed.set_lifecycle(*server, Lifecycle::Terminated);
@@ -223,7 +223,7 @@
     }
 }
 
-/// The addresses of the machines as each balancer reaches them: those of its side.
+/// The addresses at which each balancer reaches the machines, which are those of its side.
 fn server_addresses(testbed: &Testbed, machines: &[Machine], sides: usize) -> Vec<ServerAddresses> {
     let of_side = |side: usize| {
         let addresses = machines.iter().map(|machine| machine.addresses[side].address());
@@ -234,7 +234,7 @@
     side_of_balancer.iter().map(|side| Rc::clone(&by_side[*side])).collect()
 }
 
-/// Serves discovery to each balancer at an address of its own; gives these addresses.
+/// Serves discovery to each balancer at a separate address and returns these addresses.
 fn serve_discovery(testbed: &Rc<Testbed>, servers: &[ServerAddresses]) -> io::Result<Vec<SocketAddr>> {
     let mut addresses = Vec::new();
     for (balancer, servers) in servers.iter().enumerate() {
@@ -243,7 +243,7 @@
         let listener = reserved.listen()?;
         let (testbed, servers) = (Rc::clone(testbed), Rc::clone(servers));
         spawn_local(async move {
-            // The address stays this balancer's for as long as it is listened at.
+            // Keeps the address reserved for this balancer while the listener is open.
             let _reserved = reserved;
             discovery::serve(testbed, balancer, servers, listener).await;
         });
