--- a/testbed/src/soak/check.rs
+++ b/testbed/src/soak/check.rs
@@ -1,4 +1,4 @@
-//! What a run of the soak broke: the four rules, and the ends of the processes that were told to end.
+//! Checks a run of the soak: the four rules, and the exits of the processes that were signalled to end.
 
 #[cfg(test)]
 mod tests;
@@ -14,21 +14,21 @@
 use super::plan::{SoakPlan, Termination};
 use super::run::SoakRecord;
 
-/// Something that a run broke.
+/// A violation found in a run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SoakFinding {
     /// A rule was violated.
     Rule(Violation),
-    /// A process that was told to end did not end of itself with code 0.
+    /// A process that was signalled to end did not exit with code 0 before it was killed.
     End {
-        /// The balancer.
+        /// Number of the balancer.
         balancer: usize,
-        /// Its exit code; none where a signal ended it.
+        /// Exit code; `None` if a signal ended the process.
         exit_code: Option<i32>,
-        /// The end of its log.
+        /// Last lines of its log.
         log_end: String,
     },
-    /// A process ended by itself.
+    /// A process exited unexpectedly.
     Crash(String),
 }
 
@@ -41,17 +41,17 @@
                 violation.request_trace.iter().try_for_each(|line| write!(out, "\n    {line}"))
             }
             SoakFinding::End { balancer, exit_code: Some(code), log_end } => {
-                write!(out, "balancer {balancer} ended with code {code}; its log ends:\n{log_end}")
+                write!(out, "balancer {balancer} exited with code {code}; its log ends:\n{log_end}")
             }
             SoakFinding::End { balancer, exit_code: None, log_end } => {
-                write!(out, "balancer {balancer} had not ended when it was killed; its log ends:\n{log_end}")
+                write!(out, "balancer {balancer} had not exited when it was killed; its log ends:\n{log_end}")
             }
             SoakFinding::Crash(crash) => out.write_str(crash),
         }
     }
 }
 
-/// How many requests ended how.
+/// Numbers of requests by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
     /// Served.
@@ -60,9 +60,9 @@
     pub rejected: usize,
     /// Failed.
     pub failed: usize,
-    /// Not accepted: half-sent, or crossed by a close.
+    /// Not accepted: sent incompletely, or crossed by a close.
     pub not_accepted: usize,
-    /// Sent to a balancer after its SIGTERM, among all of these.
+    /// Sent to a balancer after its SIGTERM; included in the other counts.
     pub after_sigterm: usize,
 }
 
@@ -76,21 +76,24 @@
     }
 }
 
-/// What a run came to.
+/// The result of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SoakResult {
-    /// What it broke.
+    /// Violations.
     pub findings: Vec<SoakFinding>,
-    /// How its requests ended.
+    /// Numbers of requests by result.
     pub requests: RequestCounts,
 }
 
-/// All that a run broke, and how its requests ended.
+/// Finds all violations of a run and counts its requests by result.
 pub fn check_soak(plan: &SoakPlan, record: &SoakRecord) -> SoakResult {
     let terms = CheckTerms::of(&plan.experiment);
     let mut event_log = record.event_log.clone();
-    settle_closes(&mut event_log, &terms, plan.crowd.map(|crowd| crowd.balancer as u32));
-    SoakResult { findings: find_all(&event_log, record, &terms), requests: count_requests(&event_log, plan) }
+    classify_closed_connections(&mut event_log, &terms, plan.crowd.map(|crowd| crowd.balancer as u32));
+    SoakResult {
+        findings: collect_findings(&event_log, record, &terms),
+        requests: count_requests(&event_log, plan),
+    }
 }
 
 fn count_requests(event_log: &EventLog, plan: &SoakPlan) -> RequestCounts {
@@ -111,7 +114,7 @@
     counts
 }
 
-fn find_all(event_log: &EventLog, record: &SoakRecord, terms: &CheckTerms) -> Vec<SoakFinding> {
+fn collect_findings(event_log: &EventLog, record: &SoakRecord, terms: &CheckTerms) -> Vec<SoakFinding> {
     let violations = find_violations(event_log, terms).into_iter().map(SoakFinding::Rule);
     let failed_ends = record.planned_ends.iter().filter(|end| end.exit_code != Some(0));
     let ends = failed_ends.map(|end| SoakFinding::End {
@@ -123,32 +126,32 @@
     violations.chain(ends).chain(crashes).collect()
 }
 
-/// Decides for each request that stood unanswered at the end of its connection whether its balancer had taken it. It had not
-/// where the request crossed the close: it was sent within the page's tolerance before that and reached no server. A balancer
-/// whose slots a crowd fills may also close a new connection unread.
-fn settle_closes(event_log: &mut EventLog, terms: &CheckTerms, crowded: Option<u32>) {
+/// Decides for each request that was unanswered at the end of its connection whether its balancer had accepted it. A request
+/// that crossed the close was not accepted: it was sent within the checker's tolerance before the close and reached no
+/// server. A balancer whose slots are filled by a crowd may also close a new connection without reading from it.
+fn classify_closed_connections(event_log: &mut EventLog, terms: &CheckTerms, crowded_balancer: Option<u32>) {
     let forwarded: HashSet<u64> = event_log.attempts.iter().map(|attempt| attempt.id).collect();
     let stalls = std::mem::take(&mut event_log.testbed_stalls);
     for request in &mut event_log.requests {
-        let is_closed = match request.result {
+        let has_to_accept = match request.result {
             RequestResult::ConnectionClosed => true,
             RequestResult::ConnectionRejected => {
                 request.result = RequestResult::ConnectionClosed;
-                crowded != Some(request.balancer)
+                crowded_balancer != Some(request.balancer)
             }
             _ => continue,
         };
         let ended_at = request.ended_at.unwrap_or(request.sent_at);
-        let has_crossed = ended_at - request.sent_at <= terms.tolerance + longest_stall(&stalls, ended_at);
-        if !forwarded.contains(&request.id) && (has_crossed || !is_closed) {
+        let crossed_close = ended_at - request.sent_at <= terms.tolerance + longest_stall(&stalls, ended_at);
+        if !forwarded.contains(&request.id) && (crossed_close || !has_to_accept) {
             request.result = RequestResult::NotAccepted;
         }
     }
     event_log.testbed_stalls = stalls;
 }
 
-/// By how much the testbed itself was late when it noticed something at this time.
-fn longest_stall(stalls: &[(Micros, Micros)], noticed_at: Micros) -> Micros {
-    let near = stalls.iter().filter(|(at, _)| at.abs_diff(noticed_at) <= MICROS_PER_SECOND / 10);
+/// The longest stall of the testbed itself around the time at which it observed an event.
+fn longest_stall(stalls: &[(Micros, Micros)], observed_at: Micros) -> Micros {
+    let near = stalls.iter().filter(|(at, _)| at.abs_diff(observed_at) <= MICROS_PER_SECOND / 10);
     near.map(|(_, lateness)| *lateness).max().unwrap_or(0)
 }
--- a/testbed/src/soak/check/tests.rs
+++ b/testbed/src/soak/check/tests.rs
@@ -1,4 +1,4 @@
-//! What counts as broken in a run of the soak, on each side of each bound.
+//! Tests of the violations of a soak run, on both sides of each bound.
 
 use juniperladder_platform_model::checker::rules::Rule;
 use juniperladder_platform_model::event_log::{Attempt, AttemptResult, ClientRequest, Receiver};
@@ -9,7 +9,7 @@
 
 const SENT_AT: Micros = 2_000_000;
 
-/// A request that stood unanswered when its connection ended so long after it was sent.
+/// A request that was unanswered when its connection ended `ended_after` its sending.
 fn unanswered(result: RequestResult, ended_after: Micros) -> ClientRequest {
     ClientRequest {
         id: 1,
@@ -46,8 +46,8 @@
     plans.find(|plan| plan.crowd.is_some_and(|crowd| crowd.balancer == 0) == is_crowded).unwrap()
 }
 
-/// What a run broke that left this request and these attempts.
-fn broken(plan: &SoakPlan, request: ClientRequest, attempts: Vec<Attempt>) -> Vec<Rule> {
+/// The rules violated by a run with this request and these attempts.
+fn violated_rules(plan: &SoakPlan, request: ClientRequest, attempts: Vec<Attempt>) -> Vec<Rule> {
     let event_log = EventLog { requests: vec![request], attempts, ..EventLog::default() };
     let record = SoakRecord { event_log, planned_ends: vec![], crashes: vec![] };
     let rule = |finding| match finding {
@@ -57,34 +57,36 @@
     check_soak(plan, &record).findings.into_iter().map(rule).collect()
 }
 
-/// Guards against a lost request that passes for one that crossed a close: it was forwarded, or stood for longer than the tolerance.
+/// Guards against a lost request that is taken for one that crossed a close, although it was forwarded or was unanswered for
+/// longer than the tolerance.
 #[test]
 fn unanswered_request_is_lost_unless_it_crossed_the_close_unread() {
     let closed = RequestResult::ConnectionClosed;
     let plan = plan(false);
-    assert_eq!(broken(&plan, unanswered(closed, 50_000), vec![]), []);
-    assert_eq!(broken(&plan, unanswered(closed, 50_001), vec![]), [Rule::Answers]);
-    assert_eq!(broken(&plan, unanswered(closed, 10), vec![attempt()]), [Rule::Answers]);
-    assert_eq!(broken(&plan, unanswered(RequestResult::NoAnswer, 10), vec![]), [Rule::Answers]);
+    assert_eq!(violated_rules(&plan, unanswered(closed, 50_000), vec![]), []);
+    assert_eq!(violated_rules(&plan, unanswered(closed, 50_001), vec![]), [Rule::Answers]);
+    assert_eq!(violated_rules(&plan, unanswered(closed, 10), vec![attempt()]), [Rule::Answers]);
+    assert_eq!(violated_rules(&plan, unanswered(RequestResult::NoAnswer, 10), vec![]), [Rule::Answers]);
 }
 
-/// A new connection may be closed unread only where a crowd fills its balancer's slots, and never after its request was forwarded.
+/// Guards against a lost request that is excused by a crowd: a new connection may be closed unread only where a crowd fills
+/// its balancer's slots, and never after its request was forwarded.
 #[test]
-fn new_connection_is_closed_unread_only_in_a_crowd() {
+fn new_connection_may_be_closed_unread_only_by_a_crowded_balancer() {
     let rejected = RequestResult::ConnectionRejected;
     for (is_crowded, expected) in [(true, &[][..]), (false, &[Rule::Answers][..])] {
         let plan = plan(is_crowded);
-        assert_eq!(broken(&plan, unanswered(rejected, 500_000), vec![]), expected);
-        assert_eq!(broken(&plan, unanswered(rejected, 500_000), vec![attempt()]), [Rule::Answers]);
+        assert_eq!(violated_rules(&plan, unanswered(rejected, 500_000), vec![]), expected);
+        assert_eq!(violated_rules(&plan, unanswered(rejected, 500_000), vec![attempt()]), [Rule::Answers]);
     }
 }
 
-/// A process that was told to end has to end of itself, with code 0.
+/// Guards against a process that fails or has to be killed after SIGTERM and is not reported.
 #[test]
-fn process_that_was_told_to_end_ends_with_code_zero() {
-    for (exit_code, is_broken) in [(Some(0), false), (Some(1), true), (None, true)] {
+fn exit_after_sigterm_with_another_code_than_zero_is_reported() {
+    for (exit_code, is_reported) in [(Some(0), false), (Some(1), true), (None, true)] {
         let end = PlannedEnd { balancer: 0, exit_code, log_end: String::new() };
         let record = SoakRecord { event_log: EventLog::default(), planned_ends: vec![end], crashes: vec![] };
-        assert_eq!(!check_soak(&plan(false), &record).findings.is_empty(), is_broken, "{exit_code:?}");
+        assert_eq!(!check_soak(&plan(false), &record).findings.is_empty(), is_reported, "{exit_code:?}");
     }
 }
--- a/testbed/src/soak/clients.rs
+++ b/testbed/src/soak/clients.rs
@@ -1,5 +1,5 @@
-//! The soak's clients: each keeps a connection open and goes on sending on it, several requests at once and some in two pieces, up to
-//! the kill of its balancer. What it sent and what came back goes into the event log.
+//! The clients of the soak. Each keeps a connection open and sends batches of pipelined requests on it up to the kill of its
+//! balancer; some requests are written in two pieces. Requests and answers are logged in the event log.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -21,91 +21,91 @@
 use crate::client_protocol::{read_answer, WireRequest};
 use crate::testbed::{request_id, Testbed};
 
-/// Requests that are sent at once, at the most.
+/// Maximum number of requests in a batch.
 const MAX_BATCH: usize = 4;
-/// The same on a connection that never rests.
-const MAX_RESTLESS_BATCH: usize = 6;
-/// Requests that one connection has unanswered, at the most.
+/// Maximum number of requests in a batch on a busy connection.
+const MAX_BUSY_BATCH: usize = 6;
+/// Maximum number of unanswered requests on one connection.
 const MAX_PENDING: usize = 12;
-/// The pause between two batches, in milliseconds.
+/// Pause between two batches, in milliseconds.
 const BATCH_PAUSE_MS: std::ops::Range<u64> = 5..60;
-/// The same on a connection that never rests: shorter than an answer takes.
-const RESTLESS_PAUSE_MS: std::ops::Range<u64> = 1..4;
-/// Requests that such a connection has unanswered, at the most.
-const MAX_RESTLESS_PENDING: usize = 32;
-/// The pause in the middle of a request that is sent in two pieces, in milliseconds.
+/// Pause between two batches on a busy connection, in milliseconds; shorter than the latency of an answer.
+const BUSY_PAUSE_MS: std::ops::Range<u64> = 1..4;
+/// Maximum number of unanswered requests on a busy connection.
+const MAX_BUSY_PENDING: usize = 32;
+/// Pause between the two pieces of a split request, in milliseconds.
 const SPLIT_PAUSE_MS: std::ops::Range<u64> = 1..120;
-/// The share of batches whose last request is sent in two pieces.
+/// Share of batches whose last request is split into two writes.
 const SPLIT_SHARE: f64 = 0.3;
-/// How long after its deadline an answer is still awaited: to tell a late one from none.
+/// Time after its deadline for which an answer is still awaited, to tell a late answer from a missing one.
 const LATE_ANSWER_WAIT: Duration = Duration::from_secs(1);
-/// The pause before another connection is opened.
+/// Pause before another connection is opened.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
-/// How long a client waits for a connection.
+/// Timeout of a client's connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A balancer as the clients reach it.
+/// The balancer to which a client connects, and the client's behaviour.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientTarget {
-    /// Its number.
+    /// Number of the balancer.
     pub balancer: usize,
-    /// Where it listens.
+    /// Listen address of the balancer.
     pub address: SocketAddr,
-    /// Until when connections are opened to it.
+    /// End of the time in which connections are opened.
     pub connect_until: Micros,
-    /// Until when requests are begun.
+    /// End of the time in which requests are sent.
     pub load_until: Micros,
-    /// Whether the client begins its next request before the last is answered, so that its connection never rests.
-    pub is_restless: bool,
+    /// Whether the client sends its next request before the last is answered, so that its connection is never idle.
+    pub is_busy: bool,
 }
 
-/// What all clients share.
+/// State shared by all clients.
 pub struct SoakClients {
     testbed: Rc<Testbed>,
     terms: CheckTerms,
     next_number: Cell<u64>,
 }
 
-/// A request whose answer is awaited.
+/// A request without an answer.
 #[derive(Clone, Copy)]
 struct PendingRequest {
     request: WireRequest,
-    /// Its place in the event log.
-    place: usize,
-    /// Whether its last byte is written.
+    /// Index of the request in the event log.
+    log_index: usize,
+    /// Whether its last byte has been written.
     is_complete: bool,
 }
 
-/// One connection.
+/// State of one connection.
 #[derive(Default)]
 struct ConnectionState {
     pending: RefCell<VecDeque<PendingRequest>>,
     pending_changed: Notify,
     has_stopped_sending: Cell<bool>,
-    /// Whether it has brought any answer.
+    /// Whether any answer has been received.
     has_answered: Cell<bool>,
     last_answer_at: Cell<Micros>,
 }
 
-/// How the reading of a connection ended.
+/// The reason for which a client stopped reading from a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ReadingEnd {
-    /// All is answered, and the client sends no more.
+    /// All requests are answered and the client sends no more.
     Done,
-    /// The connection ended or broke.
+    /// The connection was closed or failed.
     Closed,
-    /// An answer did not come.
+    /// An answer timed out.
     NoAnswer,
 }
 
 impl SoakClients {
-    /// Clients of this testbed.
+    /// Creates the clients of this testbed.
     pub fn new(testbed: Rc<Testbed>) -> Rc<SoakClients> {
         let terms = CheckTerms::of(&testbed.experiment);
         Rc::new(SoakClients { testbed, terms, next_number: Cell::new(1) })
     }
 
-    /// One client: a connection, and another when that has ended, for as long as connections are opened.
+    /// Runs one client, which opens a new connection whenever the last has ended, as long as its target's times allow.
     pub async fn run_client(self: Rc<SoakClients>, target: ClientTarget, mut rng: SeededRng) {
         while self.testbed.now() < target.connect_until.min(target.load_until) {
             if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(target.address)).await {
@@ -131,7 +131,7 @@
         self.log_unanswered(&state, end);
     }
 
-    /// Sends batch after batch, whatever the answers, until no more is begun or the connection takes no more.
+    /// Sends batches independently of the answers until the load ends or a write fails.
     async fn write_requests(
         &self,
         state: &ConnectionState,
@@ -139,19 +139,19 @@
         target: &ClientTarget,
         rng: &mut SeededRng,
     ) {
-        let most = if target.is_restless { MAX_RESTLESS_PENDING } else { MAX_PENDING };
+        let most = if target.is_busy { MAX_BUSY_PENDING } else { MAX_PENDING };
         while self.testbed.now() < target.load_until {
             if state.pending.borrow().len() < most
                 && self.write_batch(state, &mut writer, target, rng).await.is_err()
             {
                 break;
             }
-            let pause = if target.is_restless { RESTLESS_PAUSE_MS } else { BATCH_PAUSE_MS };
+            let pause = if target.is_busy { BUSY_PAUSE_MS } else { BATCH_PAUSE_MS };
             sleep(Duration::from_millis(rng.random_range(pause))).await;
         }
         state.has_stopped_sending.set(true);
         state.pending_changed.notify_one();
-        // The half stays open: its end would tell the balancer that the client has left.
+        // Keeps the write half open, because the balancer would take its end for a disconnect of the client.
         std::future::pending::<()>().await;
     }
 
@@ -162,26 +162,26 @@
         target: &ClientTarget,
         rng: &mut SeededRng,
     ) -> std::io::Result<()> {
-        let most = if target.is_restless { MAX_RESTLESS_BATCH } else { MAX_BATCH };
+        let most = if target.is_busy { MAX_BUSY_BATCH } else { MAX_BATCH };
         let requests: Vec<_> =
             (0..rng.random_range(1..=most)).map(|_| self.draw_request(target, rng)).collect();
         let text: String = requests.iter().map(WireRequest::wire_form).collect();
         for request in &requests {
-            let place = self.log_request(target, request);
-            let pending = PendingRequest { request: *request, place, is_complete: false };
+            let log_index = self.log_request(target, request);
+            let pending = PendingRequest { request: *request, log_index, is_complete: false };
             state.pending.borrow_mut().push_back(pending);
         }
         state.pending_changed.notify_one();
         let last_length = requests.last().map_or(0, |request| request.wire_form().len());
-        let is_split = !target.is_restless && rng.random_bool(SPLIT_SHARE);
-        let cut = if is_split { text.len() - rng.random_range(1..last_length) } else { text.len() };
-        writer.write_all(&text.as_bytes()[..cut]).await?;
-        let whole = requests.len() - usize::from(is_split);
-        self.on_written(state, &requests[..whole]);
+        let is_split = !target.is_busy && rng.random_bool(SPLIT_SHARE);
+        let first_length = if is_split { text.len() - rng.random_range(1..last_length) } else { text.len() };
+        writer.write_all(&text.as_bytes()[..first_length]).await?;
+        let complete_count = requests.len() - usize::from(is_split);
+        self.on_written(state, &requests[..complete_count]);
         if is_split {
             sleep(Duration::from_millis(rng.random_range(SPLIT_PAUSE_MS))).await;
-            writer.write_all(&text.as_bytes()[cut..]).await?;
-            self.on_written(state, &requests[whole..]);
+            writer.write_all(&text.as_bytes()[first_length..]).await?;
+            self.on_written(state, &requests[complete_count..]);
         }
         Ok(())
     }
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Logs a request that is about to be sent; gives its place in the log.
+    /// Logs a request that is about to be sent and returns its index in the log.
     fn log_request(&self, target: &ClientTarget, request: &WireRequest) -> usize {
         let now = self.testbed.now();
         let requests = &mut self.testbed.event_log.borrow_mut().requests;
@@ -220,14 +220,14 @@
         requests.len() - 1
     }
 
-    /// The last bytes of these requests are written: their time begins.
+    /// Marks requests as completely written; their deadlines count from now.
     fn on_written(&self, state: &ConnectionState, written: &[WireRequest]) {
         let now = self.testbed.now();
         let mut requests = state.pending.borrow_mut();
         for pending in requests.iter_mut() {
             if written.iter().any(|request| request.id == pending.request.id) {
                 pending.is_complete = true;
-                let logged = &mut self.testbed.event_log.borrow_mut().requests[pending.place];
+                let logged = &mut self.testbed.event_log.borrow_mut().requests[pending.log_index];
                 logged.sent_at = now;
                 logged.deadline = now + pending.request.time;
             }
@@ -249,7 +249,7 @@
                 }
                 tokio::select! {
                     biased;
-                    // A request that was begun meanwhile is what these bytes answer.
+                    // Checked first, so that received bytes are read as the answer to a request sent meanwhile.
                     () = state.pending_changed.notified() => {}
                     more = reader.fill_buf() => {
                         self.log_extra_lines(state, more.unwrap_or_default());
@@ -266,11 +266,12 @@
         }
     }
 
-    /// The oldest request has its answer. The time for which it waited for the answers before it does not count.
+    /// Handles the answer to the oldest request. The deadline is no earlier than the previous answer, because the wait for
+    /// earlier answers does not count.
     fn on_answer(&self, state: &ConnectionState, result: RequestResult) {
         let Some(pending) = state.pending.borrow_mut().pop_front() else { return };
         let now = self.testbed.now();
-        let logged = &mut self.testbed.event_log.borrow_mut().requests[pending.place];
+        let logged = &mut self.testbed.event_log.borrow_mut().requests[pending.log_index];
         logged.result = result;
         logged.ended_at = Some(now);
         logged.deadline = logged.deadline.max(state.last_answer_at.get());
@@ -279,7 +280,7 @@
         self.testbed.on_request_over(pending.request.id);
     }
 
-    /// Bytes came that answer no request: they count as behind the last answer.
+    /// Logs received lines that answer no request as extra lines of the last answered request.
     fn log_extra_lines(&self, state: &ConnectionState, bytes: &[u8]) {
         let lines = bytes.iter().filter(|byte| **byte == b'\n').count() as u32;
         let requests = &mut self.testbed.event_log.borrow_mut().requests;
@@ -289,7 +290,7 @@
         }
     }
 
-    /// The connection is over: what was sent completely and has no answer is logged by how it ended.
+    /// Logs the results of completely sent requests that are unanswered at the end of the connection.
     fn log_unanswered(&self, state: &ConnectionState, end: ReadingEnd) {
         let now = self.testbed.now();
         for pending in state.pending.borrow_mut().drain(..) {
@@ -297,11 +298,11 @@
             if !pending.is_complete {
                 continue;
             }
-            let logged = &mut self.testbed.event_log.borrow_mut().requests[pending.place];
+            let logged = &mut self.testbed.event_log.borrow_mut().requests[pending.log_index];
             logged.ended_at = Some(now);
             logged.result = match end {
                 ReadingEnd::NoAnswer if logged.deadline < now => RequestResult::NoAnswer,
-                // Its client has closed the connection on which another had no answer.
+                // The client closed the connection because another request on it had no answer.
                 ReadingEnd::NoAnswer | ReadingEnd::Done => RequestResult::ClientLeft,
                 ReadingEnd::Closed if state.has_answered.get() => RequestResult::ConnectionClosed,
                 ReadingEnd::Closed => RequestResult::ConnectionRejected,
--- a/testbed/src/soak/crowd.rs
+++ b/testbed/src/soak/crowd.rs
@@ -1,4 +1,5 @@
-//! A crowd of connections that bring no request: some say nothing, some send a request a byte at a time and never to its end.
+//! A crowd of client connections without a complete request: silent ones send nothing, slow ones send an endless request one
+//! byte at a time.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,23 +12,23 @@
 
 use crate::testbed::Testbed;
 
-/// The pause between two bytes of a slow connection.
+/// Pause between two bytes of a slow connection.
 const BYTE_PAUSE: Duration = Duration::from_millis(100);
-/// The pause before a connection that was closed is opened anew.
+/// Pause before a closed connection is opened again.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(500);
-/// What a slow connection sends: no end of a line is in it.
+/// First bytes that a slow connection sends; they contain no line end.
 const SLOW_BYTES: &[u8] = b"mg 00000000000000000000000000000000";
 
-/// What a connection of the crowd does.
+/// Behaviour of a connection of the crowd.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrowdBehaviour {
-    /// It says nothing.
+    /// Sends nothing.
     Silent,
-    /// It sends a byte at a time.
+    /// Sends one byte at a time.
     Slow,
 }
 
-/// Keeps one connection of the crowd open until this time.
+/// Keeps one connection of the crowd open until this time, reconnecting after a close.
 pub async fn run_crowd_connection(
     testbed: Rc<Testbed>,
     address: SocketAddr,
@@ -36,14 +37,14 @@
 ) {
     while testbed.now() < until {
         if let Ok(stream) = TcpStream::connect(address).await {
-            stay_open(&testbed, stream, behaviour, until).await;
+            hold_open(&testbed, stream, behaviour, until).await;
         }
         sleep(RECONNECT_PAUSE).await;
     }
 }
 
-/// Stays until the balancer closes the connection or the time is up.
-async fn stay_open(testbed: &Testbed, mut stream: TcpStream, behaviour: CrowdBehaviour, until: Micros) {
+/// Holds the connection open until the balancer closes it or the time is over.
+async fn hold_open(testbed: &Testbed, mut stream: TcpStream, behaviour: CrowdBehaviour, until: Micros) {
     let mut bytes = SLOW_BYTES.iter();
     let mut received = [0; 256];
     while testbed.now() < until {
--- a/testbed/src/soak/mod.rs
+++ b/testbed/src/soak/mod.rs
@@ -1,7 +1,8 @@
-//! The soak: many short runs of a small fleet, each drawn by its seed, round the planned end of processes. Clients send on every
-//! open connection until the kill, which comes as early as the protocol allows.
+//! The soak test of graceful shutdown: many short runs of a small fleet, each drawn from its seed, in which processes get
+//! SIGTERM and later SIGKILL. Clients send on every open connection until the kill, which comes as early as the protocol
+//! allows.
 //!
-//! [`plan`] draws a run, [`run`] runs it, [`check`] says what was broken.
+//! [`plan`] draws a run, [`run`] executes it, [`check`] finds violations in its record.
 
 pub mod check;
 mod clients;
--- a/testbed/src/soak/plan.rs
+++ b/testbed/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What one run of the soak does, drawn from its seed.
+//! The plan of one run of the soak, drawn from its seed.
 
 #[cfg(test)]
 mod tests;
@@ -16,93 +16,96 @@
 use rand::seq::SliceRandom;
 use rand::Rng;
 
-/// The longest deadline that the protocol counts for the time between SIGTERM and SIGKILL.
+/// Maximum deadline that the protocol takes into account for the time between SIGTERM and SIGKILL.
 const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
-/// The protocol's time between SIGTERM and SIGKILL, beyond that deadline.
+/// Time between SIGTERM and SIGKILL in addition to that deadline, as in the protocol.
 const TIME_AFTER_LONGEST_DEADLINE: Micros = 700_000;
-/// For how long after SIGTERM new connections go on coming: the protocol's longest.
-const FRONT_TIME: Micros = 400_000;
-/// When the first SIGTERM comes, in microseconds of the load.
+/// Time after SIGTERM for which clients still open connections: the protocol's maximum.
+const CONNECT_TIME_AFTER_SIGTERM: Micros = 400_000;
+/// Time of the first SIGTERM after the start of the load, in microseconds.
 const TERMINATE_AT: std::ops::Range<Micros> = 1_200_000..1_700_000;
-/// The time between two SIGTERMs to different balancers, at the most.
+/// Maximum time between the first SIGTERM and those to other balancers.
 const MAX_TERMINATION_SPREAD: Micros = 300_000;
-/// What a run goes on for after the kill.
+/// Time for which a run continues after the last kill.
 const TIME_AFTER_KILL: Micros = 300_000;
-/// How long a late turn lasts, in milliseconds.
+/// Duration of a stall of a process, in milliseconds.
 const STALL_MS: std::ops::RangeInclusive<u64> = 60..=300;
-/// Connections of a crowd: more than the slots that a balancer has for clients.
+/// Number of connections in a crowd: more than the slots that a balancer has for clients.
 const CROWD_CONNECTIONS: usize = 480;
-/// How many of a crowd send a byte at a time; the others say nothing.
+/// Number of connections in a crowd that send one byte at a time; the others are silent.
 const SLOW_CONNECTIONS: usize = 40;
-/// The shares of runs in which each of these happens.
+/// Share of runs with a crowd.
 const CROWD_SHARE: f64 = 0.3;
+/// Probability of a stall at each termination.
 const STALL_SHARE: f64 = 0.5;
+/// Share of runs with a change of an endpoint.
 const ENDPOINT_CHANGE_SHARE: f64 = 0.5;
-const CROWDED_DISCOVERY_SHARE: f64 = 0.3;
+/// Share of runs with a low rate limit at discovery.
+const RATE_LIMITED_DISCOVERY_SHARE: f64 = 0.3;
 
-/// One run.
+/// The plan of a run.
 #[derive(Clone, Debug)]
 pub struct SoakPlan {
-    /// The platform.
+    /// The experiment that defines the platform.
     pub experiment: Experiment,
-    /// Connections of clients to each balancer.
+    /// Number of client connections to each balancer.
     pub connections_per_balancer: usize,
-    /// The balancers that are told to end.
+    /// Planned terminations of balancers.
     pub terminations: Vec<Termination>,
-    /// What happens when, in order.
+    /// Timed actions, in order of time.
     pub steps: Vec<SoakStep>,
-    /// The balancer that a crowd of silent and slow connections comes to.
+    /// Crowd of silent and slow connections, if any.
     pub crowd: Option<Crowd>,
-    /// When the run ends.
+    /// End of the run, from the start of the load.
     pub end: Micros,
 }
 
-/// A balancer that is told to end.
+/// The planned termination of a balancer.
 #[derive(Clone, Copy, Debug)]
 pub struct Termination {
-    /// Its number.
+    /// Number of the balancer.
     pub balancer: usize,
-    /// When the first SIGTERM comes.
+    /// Time of the first SIGTERM.
     pub at: Micros,
-    /// When SIGKILL comes.
+    /// Time of SIGKILL.
     pub kill_at: Micros,
 }
 
-/// A crowd of connections that bring no request.
+/// A crowd of connections without a complete request.
 #[derive(Clone, Copy, Debug)]
 pub struct Crowd {
-    /// The balancer that they come to.
+    /// Number of the balancer to which they connect.
     pub balancer: usize,
-    /// Those that say nothing.
+    /// Number of connections that send nothing.
     pub silent: usize,
-    /// Those that send a byte at a time.
+    /// Number of connections that send one byte at a time.
     pub slow: usize,
 }
 
-/// Something that happens at its time.
+/// An action with its time.
 #[derive(Clone, Debug)]
 pub struct SoakStep {
-    /// When, from the beginning of the load.
+    /// Time from the start of the load.
     pub at: Micros,
-    /// What.
+    /// The action.
     pub action: SoakAction,
 }
 
-/// What happens.
+/// An action of a plan.
 #[derive(Clone, Debug)]
 pub enum SoakAction {
-    /// A process gets a signal.
+    /// Sends a signal to a process.
     Signal(usize, Signal),
-    /// A process stands still for so long.
+    /// Stalls a process for this time.
     Stall(usize, Duration),
-    /// A process's configuration can't be read from now on, or can again.
+    /// Makes a process's configuration file malformed (`true`) or restores it (`false`).
     BreakConfig(usize, bool),
-    /// The platform changes.
+    /// Applies a change to the platform.
     Change(Change),
 }
 
 impl SoakPlan {
-    /// Draws the run of this seed, with this program.
+    /// Draws the plan for this seed and program.
     pub fn draw(seed: u64, deadlines: DeadlineProfile, program: &str) -> SoakPlan {
         let mut rng = seeded_rng(seed, RngStream::Soak);
         let experiment = draw_experiment(seed, deadlines, program, &mut rng);
@@ -125,13 +128,13 @@
         plan
     }
 
-    /// Until when new connections come to a balancer.
-    pub fn front_until(&self, balancer: usize) -> Micros {
+    /// End of the time in which clients open connections to a balancer.
+    pub fn connect_until(&self, balancer: usize) -> Micros {
         let own = self.terminations.iter().find(|termination| termination.balancer == balancer);
-        own.map_or(self.end, |termination| termination.at + FRONT_TIME)
+        own.map_or(self.end, |termination| termination.at + CONNECT_TIME_AFTER_SIGTERM)
     }
 
-    /// Until when clients begin requests at a balancer: at one that is told to end, up to the kill.
+    /// End of the time in which clients send requests to a balancer: its kill, or the end of the run.
     pub fn load_until(&self, balancer: usize) -> Micros {
         let own = self.terminations.iter().find(|termination| termination.balancer == balancer);
         own.map_or(self.end, |termination| termination.kill_at)
@@ -141,7 +144,7 @@
         self.steps.push(SoakStep { at, action });
     }
 
-    /// The signals of a planned end, SIGHUP and SIGUSR1 among them, and a second SIGTERM.
+    /// Adds the signals of a termination: SIGTERM, in some runs a second one, SIGHUP and SIGUSR1, and at last SIGKILL.
     fn add_signals(&mut self, termination: Termination, rng: &mut SeededRng) {
         let Termination { balancer, at, kill_at } = termination;
         self.add(at, SoakAction::Signal(balancer, Signal::SIGTERM));
@@ -164,7 +167,7 @@
         self.add(kill_at, SoakAction::Signal(balancer, Signal::SIGKILL));
     }
 
-    /// A SIGHUP with a good configuration or a broken one.
+    /// Adds a SIGHUP with a valid or a malformed configuration.
     fn add_reload(&mut self, balancer: usize, at: Micros, rng: &mut SeededRng) {
         let is_broken = rng.random_bool(0.5);
         if is_broken {
@@ -176,7 +179,7 @@
         }
     }
 
-    /// A late turn, which is over well before the process has to have ended.
+    /// Adds a stall that is over well before the process has to have ended.
     fn add_stall(&mut self, termination: Termination, rng: &mut SeededRng) {
         if !rng.random_bool(STALL_SHARE) {
             return;
@@ -225,7 +228,7 @@
 fn draw_experiment(seed: u64, deadlines: DeadlineProfile, program: &str, rng: &mut SeededRng) -> Experiment {
     let balancers = rng.random_range(2..=4);
     let servers = rng.random_range(4..=8);
-    let calls_per_s = if rng.random_bool(CROWDED_DISCOVERY_SHARE) { 2.0 } else { 500.0 };
+    let calls_per_s = if rng.random_bool(RATE_LIMITED_DISCOVERY_SHARE) { 2.0 } else { 500.0 };
     let profile = match deadlines {
         DeadlineProfile::Long => "long",
         DeadlineProfile::Short => "short",
--- a/testbed/src/soak/run.rs
+++ b/testbed/src/soak/run.rs
@@ -21,25 +21,25 @@
 use crate::testbed::Testbed;
 use crate::{SetupError, TestbedError};
 
-/// Connections that never rest, to each balancer that is told to end.
-const RESTLESS_CONNECTIONS: usize = 2;
-/// What stands in a configuration that can't be read.
-const BROKEN_CONFIG: &str = "{\"name\": ";
+/// Number of busy connections to each balancer that is terminated.
+const BUSY_CONNECTIONS: usize = 2;
+/// Text of a malformed configuration.
+const MALFORMED_CONFIG: &str = "{\"name\": ";
 
-/// What a run of the soak leaves. Times count from the beginning of the load.
+/// The record of a run of the soak. Times count from the start of the load.
 pub struct SoakRecord {
-    /// What clients, servers and discovery saw.
+    /// Events of clients, servers and discovery.
     pub event_log: EventLog,
-    /// How the processes ended that were told to.
+    /// Exits of the processes that were signalled to end.
     pub planned_ends: Vec<PlannedEnd>,
-    /// Processes that ended by themselves, each with its last log lines.
+    /// Descriptions of unexpected exits of processes, each with the last log lines.
     pub crashes: Vec<String>,
 }
 
 /// Runs a plan to its end.
 ///
 /// # Errors
-/// What the machine does not allow (nothing was started then), or what kept the run from going on.
+/// The setup failed and no process was started, or the run was aborted.
 pub fn run_soak(
     plan: &SoakPlan,
     out: &Path,
@@ -63,19 +63,19 @@
     let mut run = SoakRun::begin_load(plan, platform);
     for step in &plan.steps {
         sleep_until(testbed.instant(run.began_at + step.at)).await;
-        run.act(&step.action).await;
+        run.apply_action(&step.action).await;
     }
     sleep_until(testbed.instant(run.began_at + plan.end)).await;
     Ok(run.finish().await)
 }
 
-/// A run whose load has begun.
+/// A run after the start of its load.
 struct SoakRun {
     testbed: Rc<Testbed>,
     platform: Platform,
     began_at: Micros,
-    /// Configurations that are broken now, as they were.
-    sound_configs: Vec<(usize, String)>,
+    /// Original texts of the configurations that are malformed now, with the balancer's number.
+    original_configs: Vec<(usize, String)>,
     clients: Vec<JoinHandle<()>>,
     watchers: Vec<JoinHandle<()>>,
 }
@@ -93,9 +93,9 @@
                 let target = ClientTarget {
                     balancer,
                     address: *address,
-                    connect_until: began_at + plan.front_until(balancer),
+                    connect_until: began_at + plan.connect_until(balancer),
                     load_until: began_at + plan.load_until(balancer),
-                    is_restless: is_terminated && number < RESTLESS_CONNECTIONS,
+                    is_busy: is_terminated && number < BUSY_CONNECTIONS,
                 };
                 let seed = mix_bits(plan.experiment.seed) ^ mix_bits((balancer * 1_000 + number) as u64);
                 let rng = seeded_rng(seed, RngStream::SoakClients);
@@ -113,10 +113,10 @@
                 watchers.push(spawn_local(connection));
             }
         }
-        SoakRun { testbed, platform, began_at, sound_configs: Vec::new(), clients: tasks, watchers }
+        SoakRun { testbed, platform, began_at, original_configs: Vec::new(), clients: tasks, watchers }
     }
 
-    async fn act(&mut self, action: &SoakAction) {
+    async fn apply_action(&mut self, action: &SoakAction) {
         match action {
             SoakAction::Signal(balancer, signal) => self.platform.processes.signal(&[*balancer], *signal),
             SoakAction::Stall(balancer, lasts) => {
@@ -133,22 +133,22 @@
     }
 
     fn break_config(&mut self, balancer: usize) {
-        if self.sound_configs.iter().any(|(broken, _)| *broken == balancer) {
+        if self.original_configs.iter().any(|(other, _)| *other == balancer) {
             return;
         }
-        if let Ok(sound) = self.platform.processes.replace_config(balancer, BROKEN_CONFIG) {
-            self.sound_configs.push((balancer, sound));
+        if let Ok(original) = self.platform.processes.replace_config(balancer, MALFORMED_CONFIG) {
+            self.original_configs.push((balancer, original));
         }
     }
 
     fn restore_config(&mut self, balancer: usize) {
-        if let Some(place) = self.sound_configs.iter().position(|(broken, _)| *broken == balancer) {
-            let (_, sound) = self.sound_configs.swap_remove(place);
-            let _ = self.platform.processes.replace_config(balancer, &sound);
+        if let Some(place) = self.original_configs.iter().position(|(other, _)| *other == balancer) {
+            let (_, original) = self.original_configs.swap_remove(place);
+            let _ = self.platform.processes.replace_config(balancer, &original);
         }
     }
 
-    /// Waits for the clients' last answers, ends all processes and gives the record.
+    /// Waits for the clients' last answers, ends all processes and returns the record.
     async fn finish(mut self) -> SoakRecord {
         for client in self.clients.drain(..) {
             let _ = client.await;
