--- a/testbed/faulty-balancer/main.rs
+++ b/testbed/faulty-balancer/main.rs
@@ -1,5 +1,5 @@
-//! The control: a small balancer for the testbed's own tests, with the flaw that its file's name says. The checker has to
-//! find each flaw from sockets alone, and nothing in the one named `sound`.
+//! The negative control of the testbed's own tests: a small balancer with the flaw that is the name of its executable file.
+//! The checker has to find each flaw by its effects on sockets alone, and no violation by the one named `sound`.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -15,58 +15,58 @@
 
 type Error = Box<dyn std::error::Error>;
 
-/// The time in which an answer has to get back to its client.
+/// Time that is reserved for the transit of an answer to the client.
 const ANSWER_MARGIN: Duration = Duration::from_millis(40);
-/// How late the answers are of a balancer whose flaw that is, against what their clients may wait for.
+/// Lateness of an answer of [`Flaw::Late`], relative to the time at which a correct balancer answers at the latest.
 const LATE_BY: Duration = Duration::from_millis(840);
-/// How long a balancer that does not answer holds a request.
+/// Time for which [`Flaw::Mute`] holds a request.
 const MUTE_TIME: Duration = Duration::from_secs(60);
-/// After which time a balancer closes a connection whose flaw that is.
+/// Time after which [`Flaw::Drop`] closes the connection of a request.
 const DROP_AFTER: Duration = Duration::from_millis(100);
-/// A flaw that is not on every request is on one in so many.
+/// A flaw that does not affect every request affects one in this number.
 const REQUESTS_PER_FLAW: u64 = 20;
-/// For how long a herd goes to one server, in milliseconds.
+/// Time for which [`Flaw::Herd`] sends everything to one server, in milliseconds.
 const HERD_MS: u64 = 200;
-/// Attempts of a balancer that makes too many.
+/// Number of attempts of [`Flaw::Eager`] for an affected request.
 const TOO_MANY_ATTEMPTS: usize = 4;
-/// What it asks discovery for.
+/// Request for a watch of the endpoint list.
 const WATCH_REQUEST: &[u8] = b"GET /catalog/members?follow=1 HTTP/1.1\r\nHost: d\r\n\r\n";
 
-/// What is wrong with a balancer.
+/// The flaw of a balancer.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Flaw {
-    /// Nothing.
+    /// No flaw.
     None,
-    /// It answers some requests after their deadline.
+    /// Answers some requests after their deadline.
     Late,
-    /// It does not answer some requests.
+    /// Does not answer some requests.
     Mute,
-    /// It answers some requests with a value that nobody made.
+    /// Answers some requests with a value that no server or origin made.
     Forge,
-    /// It answers some requests twice.
+    /// Answers some requests twice.
     Twice,
-    /// It closes the connection on some requests.
+    /// Closes the connection instead of answering some requests.
     Drop,
-    /// It makes too many attempts for some requests.
+    /// Makes too many attempts for some requests.
     Eager,
-    /// It does not act on notices of discovery.
+    /// Ignores the changes of which discovery notifies it.
     Deaf,
-    /// It sends everything to a server that has just started.
+    /// Sends everything to a server that has just started.
     Push,
-    /// It sends everything to one server at a time.
+    /// Sends everything to one server at a time.
     Herd,
-    /// It sends half of everything to one server.
+    /// Sends half of all requests to one server.
     Favour,
-    /// It sends nothing to one server.
+    /// Sends nothing to one server.
     Shun,
-    /// It sends everything to the origin.
+    /// Sends everything to the origin.
     Flood,
-    /// It ends at once when it is told to, with code 0, and leaves what it took without an answer.
+    /// Exits at once on SIGTERM, with code 0, and leaves accepted requests unanswered.
     Abrupt,
 }
 
 impl Flaw {
-    /// The flaw that a file's name says. `stubborn` has none of its own: it goes on sending to a silent server.
+    /// The flaw with this file name. `stubborn` has no variant: like [`Flaw::None`], it keeps sending to a silent server.
     fn named(name: &str) -> Flaw {
         match name {
             "late" => Flaw::Late,
@@ -110,7 +110,8 @@
 
 async fn run(flaw: Flaw, config: Value) -> Result<(), Error> {
     let balancer = Rc::new(FaultyBalancer::from_config(flaw, &config)?);
-    let discovery: SocketAddr = config["discovery"].as_str().ok_or("no discovery")?.parse()?;
+    let discovery: SocketAddr =
+        config["discovery"].as_str().ok_or("the configuration has no address of discovery")?.parse()?;
     if flaw == Flaw::Deaf {
         spawn_local(ignore_discovery(discovery));
     } else {
@@ -118,15 +119,17 @@
     }
     if flaw == Flaw::Abrupt {
         spawn_local(end_at_sigterm(signal(SignalKind::terminate())?));
-        // It lives through the other signals, whose default would end it.
+        // Ignores these signals, whose default action would end the process.
         let _ = (signal(SignalKind::hangup())?, signal(SignalKind::user_defined1())?);
     }
-    let listener = TcpListener::bind(config["listen"].as_str().ok_or("no address")?).await?;
+    let listener =
+        TcpListener::bind(config["listen"].as_str().ok_or("the configuration has no listen address")?)
+            .await?;
     loop {
         let (stream, _) = listener.accept().await?;
         let balancer = Rc::clone(&balancer);
         spawn_local(async move {
-            // A client that is gone ends its connection's task and nothing else.
+            // An error, as of a client that has disconnected, ends only the task of its connection.
             let _ = balancer.serve(stream).await;
         });
     }
@@ -137,7 +140,7 @@
     std::process::exit(0);
 }
 
-/// It is notified, and does not act on it.
+/// Keeps a watch open and ignores its notifications.
 async fn ignore_discovery(discovery: SocketAddr) -> Result<(), Error> {
     let mut watch = TcpStream::connect(discovery).await?;
     watch.write_all(WATCH_REQUEST).await?;
@@ -146,7 +149,7 @@
     Ok(())
 }
 
-fn server(entry: &Value) -> Result<(CacheServer, bool), Error> {
+fn parse_entry(entry: &Value) -> Result<(CacheServer, bool), Error> {
     let text = |name: &str| entry[name].as_str().unwrap_or_default().to_owned();
     let server = CacheServer {
         id: text("instanceId"),
@@ -162,18 +165,18 @@
         let mut servers = Vec::new();
         let mut origin = None;
         for entry in config["known"]["instances"].as_array().into_iter().flatten() {
-            let (server, is_origin) = server(entry)?;
+            let (server, is_origin) = parse_entry(entry)?;
             if is_origin {
                 origin = Some(server.address);
             } else {
                 servers.push(server);
             }
         }
-        let origin = origin.ok_or("the list names no origin")?;
+        let origin = origin.ok_or("the endpoint list of the configuration has no origin")?;
         Ok(FaultyBalancer { flaw, servers: RefCell::new(servers), origin })
     }
 
-    /// Follows discovery: each line of its answer that is an object is a list or its changes.
+    /// Watches discovery; each line of its answer that is a JSON object is a list or its changes.
     async fn follow_discovery(self: Rc<FaultyBalancer>, discovery: SocketAddr) -> Result<(), Error> {
         let mut stream = BufReader::new(TcpStream::connect(discovery).await?);
         stream.write_all(WATCH_REQUEST).await?;
@@ -190,7 +193,7 @@
     fn apply_changes(&self, list: &Value) -> Result<(), Error> {
         let mut servers = self.servers.borrow_mut();
         for entry in list["instances"].as_array().into_iter().flatten() {
-            let (changed, is_origin) = server(entry)?;
+            let (changed, is_origin) = parse_entry(entry)?;
             match servers.iter_mut().find(|server| server.id == changed.id) {
                 Some(server) => *server = changed,
                 None if !is_origin => servers.push(changed),
@@ -222,13 +225,13 @@
         Ok(())
     }
 
-    /// The server that a key goes to: each key has a home, and where that is not in service its keys go to all others.
-    fn pick(&self, key: u64, request: u64) -> Option<SocketAddr> {
+    /// Chooses the server of a key. Each key has a home server; if that is out of service, its keys are spread over all others.
+    fn choose_server(&self, key: u64, request: u64) -> Option<SocketAddr> {
         let servers = self.servers.borrow();
         let count = servers.len() as u64;
         let home = key % count.max(1);
         let place = match self.flaw {
-            // All at one server, the next one after a fifth of a second, by the clock that all read.
+            // All balancers choose the same server and change it every fifth of a second, by the clock that they share.
             Flaw::Herd => {
                 let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).ok()?;
                 now.as_millis() as u64 / HERD_MS % count.max(1)
@@ -248,11 +251,11 @@
     }
 
     async fn read(&self, line: &str, key: &str) -> Result<String, Error> {
-        let id = id_of(line).ok_or("no id")?;
-        let time = time_of(line).ok_or("no time")?;
+        let id = id_flag(line).ok_or("the request has no id")?;
+        let time = time_limit(line).ok_or("the request has no time")?;
         let request = u64::from_str_radix(&id, 16)? & 0xffff_ffff_ffff;
-        // The testbed's clients give the key's number beside its name.
-        let key_number = property(line, "q=").ok_or("no number")?.parse()?;
+        // The testbed's clients send the key's number in addition to its name.
+        let key_number = property(line, "q=").ok_or("the request has no key number")?.parse()?;
         let deadline = Instant::now() + time - ANSWER_MARGIN.min(time);
         let has_flaw = request.is_multiple_of(REQUESTS_PER_FLAW);
         if has_flaw {
@@ -268,7 +271,7 @@
         }
     }
 
-    /// The answer of a balancer whose flaw is in answers; none of any other.
+    /// The answer of a balancer whose flaw is in its answers; `None` for other flaws.
     async fn flawed_answer(&self, id: &str, deadline: Instant) -> Result<Option<String>, Error> {
         Ok(match self.flaw {
             Flaw::Late => {
@@ -283,13 +286,13 @@
             Flaw::Twice => Some("SERVER_ERROR busy\r\nSERVER_ERROR busy\r\n".into()),
             Flaw::Drop => {
                 sleep(DROP_AFTER).await;
-                return Err("it hangs up".into());
+                return Err("the connection is closed on purpose".into());
             }
             _ => None,
         })
     }
 
-    /// Asks a server so many times, and the origin where it misses.
+    /// Makes this number of attempts to a server, and fetches from the origin after a miss.
     async fn answer_read(
         &self,
         line: &str,
@@ -301,30 +304,31 @@
     ) -> Result<String, Error> {
         let mut answer = String::new();
         for _ in 0..attempts {
-            let address = self.pick(key_number, request).ok_or("no host")?;
-            answer = if self.flaw == Flaw::Flood { "EN".into() } else { ask_server(address, line).await? };
+            let address = self.choose_server(key_number, request).ok_or("no server is in service")?;
+            answer =
+                if self.flaw == Flaw::Flood { "EN".into() } else { send_to_server(address, line).await? };
         }
         if answer.starts_with("EN") {
-            let value = self.fetch("GET", line, key).await?;
+            let value = self.send_to_origin("GET", line, key).await?;
             answer = format!("VA {} O{id}\r\n{value}\r\n", value.len());
         }
         Ok(answer)
     }
 
     async fn write(&self, line: &str, key: &str) -> Result<String, Error> {
-        let id = id_of(line).ok_or("no id")?;
-        let time = time_of(line).ok_or("no time")?;
+        let id = id_flag(line).ok_or("the request has no id")?;
+        let time = time_limit(line).ok_or("the request has no time")?;
         let deadline = Instant::now() + time - ANSWER_MARGIN.min(time);
-        match timeout_at(deadline, self.fetch("PUT", line, key)).await {
+        match timeout_at(deadline, self.send_to_origin("PUT", line, key)).await {
             Ok(Ok(receipt)) => Ok(format!("HD O{id} c{receipt}\r\n")),
             _ => Ok("SERVER_ERROR failed\r\n".into()),
         }
     }
 
-    /// Asks the origin; its body.
-    async fn fetch(&self, method: &str, line: &str, key: &str) -> Result<String, Error> {
-        let id = id_of(line).ok_or("no id")?;
-        let properties = flag_of(line, 'P').ok_or("no properties")?;
+    /// Sends a request to the origin and returns the body of the answer.
+    async fn send_to_origin(&self, method: &str, line: &str, key: &str) -> Result<String, Error> {
+        let id = id_flag(line).ok_or("the request has no id")?;
+        let properties = flag(line, 'P').ok_or("the request has no properties")?;
         let mut stream = TcpStream::connect(self.origin).await?;
         let call = format!(
             "{method} /{key} HTTP/1.1\r\nHost: o\r\nConnection: close\r\nContent-Length: 0\r\nX-Trace-Id: {id}\r\n\
@@ -341,8 +345,8 @@
     }
 }
 
-/// Asks a server on a new connection; its answer, with the load report off.
-async fn ask_server(address: SocketAddr, line: &str) -> Result<String, Error> {
+/// Sends a request to a server on a new connection and returns the answer without its load report.
+async fn send_to_server(address: SocketAddr, line: &str) -> Result<String, Error> {
     let mut stream = BufReader::new(TcpStream::connect(address).await?);
     stream.write_all(line.as_bytes()).await?;
     let mut first = String::new();
@@ -354,18 +358,18 @@
     Ok(format!("VA {length} {id}\r\n{}", String::from_utf8(value)?))
 }
 
-fn flag_of(line: &str, name: char) -> Option<String> {
+fn flag(line: &str, name: char) -> Option<String> {
     line.split_whitespace().skip(2).find_map(|word| word.strip_prefix(name)).map(str::to_owned)
 }
 
-fn id_of(line: &str) -> Option<String> {
-    flag_of(line, 'O')
+fn id_flag(line: &str) -> Option<String> {
+    flag(line, 'O')
 }
 
-fn time_of(line: &str) -> Option<Duration> {
+fn time_limit(line: &str) -> Option<Duration> {
     Some(Duration::from_millis(property(line, "d=")?.parse().ok()?))
 }
 
 fn property(line: &str, name: &str) -> Option<String> {
-    flag_of(line, 'P')?.split(',').find_map(|item| item.strip_prefix(name)).map(str::to_owned)
+    flag(line, 'P')?.split(',').find_map(|item| item.strip_prefix(name)).map(str::to_owned)
 }
--- a/testbed/tests/controls.rs
+++ b/testbed/tests/controls.rs
@@ -1,5 +1,5 @@
-//! Negative controls: balancers with a flaw on purpose, run on the testbed as real processes. The checker has to find each
-//! flaw from sockets alone, and nothing in a correct one.
+//! Negative controls: balancers with a deliberate flaw, run on the testbed as real processes. The checker has to find each
+//! flaw by its effects on sockets alone, and no violation by a correct balancer.
 
 use std::path::PathBuf;
 
@@ -14,15 +14,15 @@
 use juniperladder_testbed::soak::run::run_soak;
 use juniperladder_testbed::{run_experiment, RunOptions, TestbedError};
 
-/// Runs the control with this flaw; `more` is put at the end of the experiment's file.
-fn run_control(flaw: &str, more: &str) -> Summary {
+/// Runs the control with this flaw; `faults` is appended to the experiment file.
+fn run_control(flaw: &str, faults: &str) -> Summary {
     let folder = tempfile::tempdir().unwrap();
     let program: PathBuf = folder.path().join(flaw);
     std::os::unix::fs::symlink(env!("CARGO_BIN_EXE_juniperladder-faulty-balancer"), &program).unwrap();
     let text = format!(
         "name = \"{flaw}\"\nseconds = 10\n[fleet]\nbalancers = 4\nhosts = 12\nzones = 1\nprogram = {program:?}\n\
          [load]\nrate = 160\nkeys = 300\nzipf = 0.0\nwrites = 0.03\nwarm = 4\n[origin]\ncapacity = 80\n\
-         [discovery]\nnotice_s = 0.1\n{more}"
+         [discovery]\nnotice_s = 0.1\n{faults}"
     );
     let experiment = read(&text, &[]).unwrap();
     let (_keep, stop) = tokio::sync::watch::channel(false);
@@ -32,7 +32,7 @@
     )
     .unwrap();
     assert_eq!(run.crashes, [""; 0]);
-    // Tests share the machine with others: an answer may be half a second late before it counts as that.
+    // Tests run in parallel on one machine, so an answer counts as late only from half a second on.
     let terms = CheckTerms { tolerance: MICROS_PER_SECOND / 2, ..CheckTerms::of(&experiment) };
     check_run(&run.event_log, &terms).summary
 }
@@ -41,8 +41,9 @@
 const RESTART: &str = "[[fault]]\nat = 2\nwhat = \"restart\"\nwho = \"hosts:3\"\n";
 const SILENT: &str = "[[fault]]\nat = 2\nfor = 6\nwhat = \"silent\"\nwho = \"hosts:3\"\n";
 
+/// Guards against a checker that misses a flaw, reports another rule for it, or reports a violation by a correct balancer.
 #[test]
-fn each_flaw_is_found_and_nothing_in_a_correct_balancer() {
+fn each_flaw_is_reported_and_a_correct_balancer_has_no_violation() {
     let all = [
         ("sound", DRAIN),
         ("late", ""),
@@ -85,7 +86,7 @@
 
 fn assert_spread(flaw: &str, summary: &Summary) {
     let spread = summary.spread;
-    // Some are wrong in more than one way: a server that gets half of everything is a herd's, too.
+    // Some flaws have more than one effect: half of all requests to one server also looks like a herd.
     if !matches!(flaw, "push" | "favour") {
         assert_eq!(spread.herd > 1.8 * spread.fair_herd, flaw == "herd", "{flaw}: {spread:?}");
     }
@@ -98,29 +99,30 @@
 }
 
 fn assert_origin_and_failure_detection(flaw: &str, summary: &Summary) {
-    // Where keys leave their homes they miss, and the origin has it: that is found as well, and not a flaw of ours.
+    // Flaws that send keys to other servers than their homes cause misses and thus load on the origin, so only flaws without
+    // this effect are checked.
     if matches!(flaw, "sound" | "flood") {
         assert_eq!(summary.origin.peak > 1.0, flaw == "flood", "{flaw}: {:?}", summary.origin);
     }
     let detection = summary.failure_detection;
-    // A twelfth of 160 a second goes into six seconds of silence.
+    // A twelfth of 160 requests per second goes to the server that is silent for six seconds.
     assert_eq!(detection.lost_sends > 40, flaw == "stubborn", "{flaw}: {detection:?}");
     let is_slow = detection.spread_p99_ms.is_some_and(|ms| ms > 4_000.0);
     assert_eq!(is_slow, flaw == "stubborn", "{detection:?}");
 }
 
-/// Guards against a checker that is blind for a new process: one that forwards to a drained server right after its start is found.
+/// Guards against a checker that does not check a process right after its start, when it forwards to a drained server.
 #[test]
-fn deaf_balancer_is_found_right_after_its_restart() {
+fn deaf_balancer_is_reported_right_after_its_restart() {
     let restart_and_drain = "[[fault]]\nat = 1\nwhat = \"kill\"\nwho = \"balancers:0-3\"\nback = 0.2\n\
                              [[fault]]\nat = 1.1\nwhat = \"drain\"\nwho = \"hosts:3\"\nfor = 6\n";
     assert!(run_control("deaf", restart_and_drain).rules.drains > 0);
     assert_eq!(run_control("sound", restart_and_drain).rules.drains, 0);
 }
 
-/// Guards against a soak that is blind for what a process took and did not answer before it ended as it was told to.
+/// Guards against a soak that misses requests which a process accepted and left unanswered at its exit after SIGTERM.
 #[test]
-fn abrupt_balancer_is_found_by_the_soak() {
+fn balancer_that_exits_with_unanswered_requests_is_reported_by_the_soak() {
     let folder = tempfile::tempdir().unwrap();
     let program: PathBuf = folder.path().join("abrupt");
     std::os::unix::fs::symlink(env!("CARGO_BIN_EXE_juniperladder-faulty-balancer"), &program).unwrap();
@@ -133,10 +135,10 @@
     assert!(result.findings.iter().any(is_loss), "{:?}", result.findings);
 }
 
-/// A program that ends at once, and one that is not there.
+/// Guards against a run that hangs, or that hides the cause, if its program exits at once or does not exist.
 #[test]
-fn process_that_does_not_become_ready_ends_the_run_with_its_reason() {
-    let reason = |program: &str| {
+fn program_that_exits_or_does_not_exist_aborts_the_run_with_the_cause() {
+    let run_error = |program: &str| {
         let folder = tempfile::tempdir().unwrap();
         let text = format!(
             "name = \"t\"\nseconds = 5\n[fleet]\nbalancers = 2\nhosts = 1\nprogram = {program:?}\n\
@@ -146,18 +148,18 @@
         let options = RunOptions { out: folder.path(), progress: &mut |_| {}, child_reaper: None, stop };
         run_experiment(&read(&text, &[]).unwrap(), options).err().unwrap()
     };
-    let ended = reason(
+    let error = run_error(
         env!("CARGO_BIN_EXE_juniperladder-faulty-balancer")
             .replace("faulty-balancer", "does-not-exist")
             .as_str(),
     );
     assert!(
-        matches!(&ended, TestbedError::NotAllowed(error) if error.to_string().contains("build it first")),
-        "{ended:?}"
+        matches!(&error, TestbedError::NotAllowed(cause) if cause.to_string().contains("build it first")),
+        "{error:?}"
     );
-    let ended = reason("/bin/false");
+    let error = run_error("/bin/false");
     assert!(
-        matches!(&ended, TestbedError::Broken(error) if error.to_string().contains("did not come up")),
-        "{ended:?}"
+        matches!(&error, TestbedError::Broken(cause) if cause.to_string().contains("did not come up")),
+        "{error:?}"
     );
 }
