--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -110,7 +110,7 @@
             return;
         }
         for request in std::mem::take(&mut self.inbound) {
-            let attempt = self.attempt(&request, request.arrives_at, AttemptResult::NoAnswer, false);
+            let attempt = self.new_attempt(&request, request.arrives_at, AttemptResult::NoAnswer, false);
             self.testbed.event_log.borrow_mut().undelivered.push(attempt);
         }
     }
@@ -139,8 +139,8 @@
                 return Err(ConnectionEnd::Reset);
             }
             let now = self.testbed.now();
-            self.take_arrived(now);
-            self.write_due(now, &mut writer).await?;
+            self.deliver_arrived(now);
+            self.write_due_answers(now, &mut writer).await?;
             let due = self.next_due();
             let has_capacity = self.inbound.len() + self.outbound.len() < MAX_PIPELINED_REQUESTS;
             tokio::select! {
@@ -157,7 +157,7 @@
     }
 
     /// Passes the requests that have arrived by now to the server.
-    fn take_arrived(&mut self, now: Micros) {
+    fn deliver_arrived(&mut self, now: Micros) {
         if self.link_to_server().cut {
             return;
         }
@@ -169,7 +169,7 @@
     }
 
     /// Writes the answers that are due by now.
-    async fn write_due(
+    async fn write_due_answers(
         &mut self,
         now: Micros,
         writer: &mut (impl AsyncWrite + Unpin),
@@ -181,8 +181,8 @@
             if corrupted {
                 self.testbed.corrupt(&mut answer.line);
             }
-            if let Some(place) = answer.attempt {
-                let attempt = &mut self.testbed.event_log.borrow_mut().attempts[place];
+            if let Some(log_index) = answer.attempt {
+                let attempt = &mut self.testbed.event_log.borrow_mut().attempts[log_index];
                 attempt.answered_at = Some(now);
                 attempt.corrupted |= corrupted;
             }
@@ -214,13 +214,19 @@
                 Incoming::Request { request, .. } => match id_and_key(&request.id, &request.properties) {
                     Some((id, key)) => {
                         let write = request.value.is_some();
-                        self.receive(InboundRequest { arrives_at: now, first_byte_at, id, key, write });
+                        self.put_in_transit(InboundRequest {
+                            arrives_at: now,
+                            first_byte_at,
+                            id,
+                            key,
+                            write,
+                        });
                     }
-                    None => self.answer(now, "CLIENT_ERROR no client sent this\r\n".into(), None),
+                    None => self.send_answer(now, "CLIENT_ERROR no client sent this\r\n".into(), None),
                 },
-                Incoming::Ready => self.answer(now, "MN\r\n".into(), None),
+                Incoming::Ready => self.send_answer(now, "MN\r\n".into(), None),
                 Incoming::Malformed(line) | Incoming::Unrecoverable(line) => {
-                    self.answer(now, format!("{line}\r\n"), None);
+                    self.send_answer(now, format!("{line}\r\n"), None);
                 }
                 Incoming::Upload { .. } | Incoming::UploadChunk { .. } | Incoming::Quit => {}
             }
@@ -232,7 +238,7 @@
 
     /// Puts a request in transit to the server; `arrives_at` is its send time on entry. Requests arrive in the order in which
     /// they were sent.
-    fn receive(&mut self, mut request: InboundRequest) {
+    fn put_in_transit(&mut self, mut request: InboundRequest) {
         let link = self.link_to_server();
         let server = LinkEnd::CacheServer(self.server);
         request.arrives_at += self.testbed.draw_transit_time(self.balancer, server, &link);
@@ -241,7 +247,7 @@
         self.inbound.push_back(request);
     }
 
-    fn attempt(
+    fn new_attempt(
         &self,
         request: &InboundRequest,
         received_at: Micros,
@@ -264,7 +270,7 @@
     /// Handles a request that has arrived at the server.
     fn on_request(&mut self, request: &InboundRequest, now: Micros) {
         if self.testbed.silent[self.server].get() {
-            let attempt = self.attempt(request, now, AttemptResult::NoAnswer, false);
+            let attempt = self.new_attempt(request, now, AttemptResult::NoAnswer, false);
             self.testbed.log_attempt(attempt);
             return;
         }
@@ -275,9 +281,9 @@
             self.testbed.on_miss(request.id, self.server, response.in_slow_start);
         }
         let (result, line) = answer_line(answer, request, &load);
-        let attempt = self.attempt(request, now, result, response.in_slow_start);
-        let place = self.testbed.log_attempt(attempt);
-        self.answer(response.at, line, Some(place));
+        let attempt = self.new_attempt(request, now, result, response.in_slow_start);
+        let log_index = self.testbed.log_attempt(attempt);
+        self.send_answer(response.at, line, Some(log_index));
     }
 
     /// The model's response to a request, and the load report of its answer.
@@ -294,7 +300,7 @@
     }
 
     /// Puts an answer in transit at this time. Answers keep the order of their requests.
-    fn answer(&mut self, at: Micros, line: String, attempt: Option<usize>) {
+    fn send_answer(&mut self, at: Micros, line: String, attempt: Option<usize>) {
         let link = self.link_to_balancer();
         let server = LinkEnd::CacheServer(self.server);
         let leaves_at = at + self.testbed.draw_transit_time(server, self.balancer, &link);
--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -28,7 +28,7 @@
 /// Minimum time that a request states.
 const MIN_REQUEST_TIME: Micros = 1_000;
 /// Minimum share of the class's deadline that a client waits; a client with a lower patience is impatient.
-const LEAST_PATIENT_SHARE: f64 = 0.5;
+const MIN_PATIENT_SHARE: f64 = 0.5;
 /// Timeout of a client's connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of pooled idle connections to one balancer.
@@ -109,7 +109,7 @@
     }
 
     /// Sends these requests at their planned times.
-    pub async fn send(self: Rc<Clients>, arrivals: Vec<Arrival>) {
+    pub async fn send_arrivals(self: Rc<Clients>, arrivals: Vec<Arrival>) {
         for arrival in arrivals {
             sleep_until(self.testbed.instant(arrival.at)).await;
             self.in_flight.set(self.in_flight.get() + 1);
@@ -160,8 +160,8 @@
     ) -> OutgoingRequest {
         let class_deadline = self.terms.class(arrival.write).deadline;
         let time_left = (arrival.at + class_deadline).saturating_sub(planned_at);
-        let part = |share: f64| (class_deadline as f64 * share) as Micros;
-        let is_impatient = arrival.patience < LEAST_PATIENT_SHARE;
+        let share_of_deadline = |share: f64| (class_deadline as f64 * share) as Micros;
+        let is_impatient = arrival.patience < MIN_PATIENT_SHARE;
         let id = request_id(balancer, self.next_number.replace(self.next_number.get() + 1));
         OutgoingRequest {
             id,
@@ -172,17 +172,19 @@
             is_retry: first_id.is_some(),
             planned_at,
             // Impatient clients state the minimum time of other clients and disconnect before it.
-            time: part(arrival.patience.max(LEAST_PATIENT_SHARE)).min(time_left).max(MIN_REQUEST_TIME),
-            leaves_after: is_impatient.then(|| part(arrival.patience)),
+            time: share_of_deadline(arrival.patience.max(MIN_PATIENT_SHARE))
+                .min(time_left)
+                .max(MIN_REQUEST_TIME),
+            leaves_after: is_impatient.then(|| share_of_deadline(arrival.patience)),
         }
     }
 
     /// Sends one request and logs how it ended.
     async fn run_request(&self, request: &OutgoingRequest) -> RequestEnd {
-        let place = self.log_request(request);
-        let end = self.exchange(place, request).await;
-        self.testbed.on_request_over(request.id);
-        let logged = &mut self.testbed.event_log.borrow_mut().requests[place];
+        let log_index = self.log_request(request);
+        let end = self.exchange(log_index, request).await;
+        self.testbed.on_request_ended(request.id);
+        let logged = &mut self.testbed.event_log.borrow_mut().requests[log_index];
         logged.result = end.result;
         logged.ended_at = end.at;
         logged.extra_lines = end.extra_lines;
@@ -220,10 +222,10 @@
     }
 
     /// Sends a request on a pooled connection, or on a new one if there is none or the pooled one had been closed.
-    async fn exchange(&self, place: usize, request: &OutgoingRequest) -> RequestEnd {
+    async fn exchange(&self, log_index: usize, request: &OutgoingRequest) -> RequestEnd {
         let pooled = self.idle_connections[request.balancer].borrow_mut().pop();
         if let Some(connection) = pooled {
-            if let Some(end) = self.exchange_on(connection, place, request).await {
+            if let Some(end) = self.exchange_on(connection, log_index, request).await {
                 return end;
             }
         }
@@ -232,7 +234,7 @@
         };
         let rejected =
             || RequestEnd::without_answer(RequestResult::ConnectionRejected, Some(self.testbed.now()));
-        self.exchange_on(connection, place, request).await.unwrap_or_else(rejected)
+        self.exchange_on(connection, log_index, request).await.unwrap_or_else(rejected)
     }
 
     async fn connect(&self, balancer: usize) -> Option<Connection> {
@@ -247,13 +249,13 @@
     async fn exchange_on(
         &self,
         mut connection: Connection,
-        place: usize,
+        log_index: usize,
         request: &OutgoingRequest,
     ) -> Option<RequestEnd> {
         let wire_request = request.wire_request();
         let written = connection.write_all(wire_request.wire_form().as_bytes()).await;
         let sent_at = self.testbed.now();
-        self.log_sent(place, sent_at, request);
+        self.log_sent(log_index, sent_at, request);
         let until = sent_at + request.leaves_after.unwrap_or(request.time + LATE_ANSWER_WAIT);
         let read = async {
             written.ok()?;
@@ -273,8 +275,8 @@
         }
     }
 
-    fn log_sent(&self, place: usize, sent_at: Micros, request: &OutgoingRequest) {
-        let logged = &mut self.testbed.event_log.borrow_mut().requests[place];
+    fn log_sent(&self, log_index: usize, sent_at: Micros, request: &OutgoingRequest) {
+        let logged = &mut self.testbed.event_log.borrow_mut().requests[log_index];
         logged.sent_at = sent_at;
         logged.deadline = sent_at + request.time;
     }
--- a/testbed/src/discovery.rs
+++ b/testbed/src/discovery.rs
@@ -23,7 +23,7 @@
 use tokio::time::{sleep_until, timeout};
 
 use crate::listeners;
-use crate::origin::{carry, ConnectionBroken};
+use crate::origin::{wait_for_transit, ConnectionBroken};
 use crate::testbed::Testbed;
 
 /// Interval of the empty lines that a watch sends while nothing changes.
@@ -66,14 +66,14 @@
     ) -> Result<Response<Body>, ConnectionBroken> {
         let testbed = &self.testbed;
         let end = LinkEnd::Balancer(self.balancer);
-        carry(testbed, end, LinkEnd::Discovery).await?;
+        wait_for_transit(testbed, end, LinkEnd::Discovery).await?;
         if testbed.discovery_down.get() {
             return Ok(unavailable());
         }
         let answered_at = testbed.discovery_queue.borrow_mut().on_call(testbed.now());
         let Some(answered_at) = answered_at else { return Ok(unavailable()) };
         sleep_until(testbed.instant(answered_at)).await;
-        carry(testbed, LinkEnd::Discovery, end).await?;
+        wait_for_transit(testbed, LinkEnd::Discovery, end).await?;
         let query = Query::parse(request.uri().query().unwrap_or_default());
         if !query.is_watch {
             let (line, _) = self.first_line(None);
--- a/testbed/src/error.rs
+++ b/testbed/src/error.rs
@@ -58,7 +58,7 @@
     },
     /// The operators' file is not valid TOML.
     #[error("fleet.operator: {path} is not valid TOML: {}", source.message())]
-    OperatorFileForm {
+    OperatorFileSyntax {
         /// Path of the file.
         path: String,
         /// Error of the TOML parser.
--- a/testbed/src/experiment_run.rs
+++ b/testbed/src/experiment_run.rs
@@ -37,7 +37,7 @@
 /// Interval at which the number of requests in flight is polled after the load.
 const IN_FLIGHT_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum number of these polls; requests that are in flight after the last one stay without an end.
-const IN_FLIGHT_POLLS: usize = 60;
+const MAX_IN_FLIGHT_POLLS: usize = 60;
 /// Requests planned within this time before a run was stopped may still have been in flight, in seconds.
 const UNFINISHED_TIME_S: f64 = 4.0;
 
@@ -154,7 +154,7 @@
     is_measuring: bool,
     /// Traffic between balancers up to the start of the measurement.
     sent_before: Option<SentTraffic>,
-    sending: JoinHandle<()>,
+    load_task: JoinHandle<()>,
     /// Tasks that observe the run until its end.
     watchers: Vec<JoinHandle<()>>,
     self_reports: SharedReports,
@@ -174,7 +174,7 @@
         }
         let terms = CheckTerms::of(experiment);
         let clients = Clients::new(Rc::clone(&testbed), terms, platform.processes.addresses());
-        let sending = spawn_local(Rc::clone(&clients).send(arrivals));
+        let load_task = spawn_local(Rc::clone(&clients).send_arrivals(arrivals));
         let measured_from = load_began_at + micros_from_seconds(experiment.load.warm);
         let measured_until = measured_from + micros_from_seconds(experiment.seconds);
         testbed.origin.borrow_mut().unbounded = true;
@@ -188,7 +188,7 @@
             measured_from,
             measured_until,
             is_measuring: false,
-            sending,
+            load_task,
             watchers,
             self_reports,
             testbed,
@@ -207,7 +207,7 @@
                 self.begin_measuring();
             }
             while let Some(step) = self.steps.next_if(|step| self.measured_from + step.at <= now) {
-                self.platform.make_change(&step).await;
+                self.platform.apply_change(&step).await;
             }
             if now >= self.measured_until {
                 return false;
@@ -239,7 +239,7 @@
     /// Ends the load, waits for requests in flight, ends all processes and returns the record.
     async fn finish(mut self, stopped: bool, cpu_before: CpuTimes) -> RunRecord {
         let load_ended_at = self.testbed.now().min(self.measured_until);
-        self.sending.abort();
+        self.load_task.abort();
         let peer_traffic = self.peer_traffic(load_ended_at);
         if !stopped {
             self.wait_for_in_flight().await;
@@ -278,7 +278,7 @@
     }
 
     async fn wait_for_in_flight(&self) {
-        for _ in 0..IN_FLIGHT_POLLS {
+        for _ in 0..MAX_IN_FLIGHT_POLLS {
             if self.clients.in_flight() == 0 {
                 return;
             }
--- a/testbed/src/experiment_run/platform.rs
+++ b/testbed/src/experiment_run/platform.rs
@@ -114,13 +114,13 @@
     }
 
     /// Applies one change and wakes all tasks that wait for changes.
-    pub async fn make_change(&mut self, step: &Step) {
+    pub async fn apply_change(&mut self, step: &Step) {
         let now = self.testbed.now();
         match &step.change {
             Change::Links(active) => self.set_link_fault(step.fault, *active, now),
             Change::Kill(balancers) => self.processes.signal(balancers, Signal::SIGKILL),
             Change::Term(balancers) => self.processes.signal(balancers, Signal::SIGTERM),
-            Change::Start(balancers) => self.processes.start_again(balancers),
+            Change::Start(balancers) => self.processes.restart(balancers),
             Change::Freeze(balancers) => self.processes.signal(balancers, Signal::SIGSTOP),
             Change::Thaw(balancers) => self.processes.signal(balancers, Signal::SIGCONT),
             Change::Silent(servers, silent) => self.set_silent(servers, *silent, now),
--- a/testbed/src/operator_file.rs
+++ b/testbed/src/operator_file.rs
@@ -39,7 +39,7 @@
         let Some(path) = &experiment.fleet.operator else { return Ok(None) };
         let text = std::fs::read_to_string(path)
             .map_err(|source| SetupError::OperatorFile { path: path.clone(), source })?;
-        let table = toml::from_str(&text).map_err(|source| SetupError::OperatorFileForm {
+        let table = toml::from_str(&text).map_err(|source| SetupError::OperatorFileSyntax {
             path: path.clone(),
             source: Box::new(source),
         })?;
@@ -94,7 +94,7 @@
 
     fn number(&self, path: &[&str]) -> Option<f64> {
         let value = self.value_at(path)?;
-        value.as_float().or(value.as_integer().map(|whole| whole as f64))
+        value.as_float().or(value.as_integer().map(|integer| integer as f64))
     }
 
     /// The limit `origin` in fetches and writes per second: that of the file, or the origin's capacity.
@@ -133,8 +133,8 @@
 /// A loopback address of its own for each process, at the port of the process's relay socket, which no other run uses.
 fn listen_address(number: usize, port: u16) -> SocketAddr {
     let run = std::process::id() as u8 % 250 + 1;
-    let own = Ipv4Addr::new(127, run, (number >> 8) as u8, number as u8);
-    SocketAddr::new(IpAddr::V4(own), port)
+    let ip = Ipv4Addr::new(127, run, (number >> 8) as u8, number as u8);
+    SocketAddr::new(IpAddr::V4(ip), port)
 }
 
 /// The relay's addresses of the seeds, which are evenly spaced over all members.
--- a/testbed/src/origin.rs
+++ b/testbed/src/origin.rs
@@ -43,7 +43,7 @@
 /// Waits for the transit time of a message that is sent over the link now; fails if the link is reset.
 ///
 /// A message sent over a cut link waits until the cut ends.
-pub async fn carry(testbed: &Testbed, from: LinkEnd, to: LinkEnd) -> Result<(), ConnectionBroken> {
+pub async fn wait_for_transit(testbed: &Testbed, from: LinkEnd, to: LinkEnd) -> Result<(), ConnectionBroken> {
     let mut changes = testbed.changes.subscribe();
     let sent_at = testbed.now();
     loop {
@@ -74,9 +74,9 @@
     let Some(parsed) = ParsedRequest::parse(&request) else { return Ok(bad_request()) };
     // The contents of the value are not used; the read only makes sure that it is complete.
     request.into_body().collect().await.map_err(|_| ConnectionBroken)?;
-    carry(&testbed, balancer, LinkEnd::Origin).await?;
+    wait_for_transit(&testbed, balancer, LinkEnd::Origin).await?;
     let response = execute(&testbed, &parsed, first_byte_at).await?;
-    carry(&testbed, LinkEnd::Origin, balancer).await?;
+    wait_for_transit(&testbed, LinkEnd::Origin, balancer).await?;
     Ok(response)
 }
 
@@ -115,10 +115,10 @@
             rejected()
         }
         Outcome::Runs { at, repeat } => {
-            let place = testbed.log_attempt(attempt);
+            let log_index = testbed.log_attempt(attempt);
             sleep_until(testbed.instant(at)).await;
             let body = complete(testbed, request, repeat);
-            let logged = &mut testbed.event_log.borrow_mut().attempts[place];
+            let logged = &mut testbed.event_log.borrow_mut().attempts[log_index];
             logged.result = AttemptResult::Served;
             logged.answered_at = Some(testbed.now());
             served(request, body)
--- a/testbed/src/processes.rs
+++ b/testbed/src/processes.rs
@@ -99,7 +99,7 @@
         self.pid.get() != 0
     }
 
-    fn send(&self, signal: Signal) {
+    fn send_signal(&self, signal: Signal) {
         if self.is_running() {
             // A failure means that the process has just ended, which `wait_for_end` logs.
             let _ = kill(Pid::from_raw(self.pid.get()), signal);
@@ -117,7 +117,7 @@
         true
     }
 
-    async fn ended(&self) {
+    async fn wait_until_ended(&self) {
         let _ = self.ends.subscribe().wait_for(|_| !self.is_running()).await;
     }
 }
@@ -268,8 +268,8 @@
         let process = &self.all[number];
         process.pid.set(0);
         let exit_code = status.as_ref().ok().and_then(ExitStatus::code);
-        let has_ended_as_told = process.end_requested.get() && exit_code == Some(0);
-        self.begin_impairment(number, if has_ended_as_told { Impairment::Ended } else { Impairment::Dead });
+        let is_graceful_exit = process.end_requested.get() && exit_code == Some(0);
+        self.begin_impairment(number, if is_graceful_exit { Impairment::Ended } else { Impairment::Dead });
         if process.end_requested.get() {
             let log_end = log_end(&process.log);
             self.planned_ends.borrow_mut().push(PlannedEnd { balancer: number, exit_code, log_end });
@@ -280,9 +280,10 @@
     }
 
     fn on_crash(&self, number: usize, status: io::Result<ExitStatus>) {
-        let how = status.map_or_else(|error| error.to_string(), |status| status.to_string());
+        let status_text = status.map_or_else(|error| error.to_string(), |status| status.to_string());
         let log_end = log_end(&self.all[number].log);
-        let crash = format!("balancer {number} exited unexpectedly ({how}); its log ends:\n{log_end}");
+        let crash =
+            format!("balancer {number} exited unexpectedly ({status_text}); its log ends:\n{log_end}");
         self.crashes.borrow_mut().push(crash);
     }
 
@@ -303,17 +304,17 @@
                 Signal::SIGHUP | Signal::SIGUSR1 => {}
                 _ => process.end_requested.set(true),
             }
-            process.send(signal);
+            process.send_signal(signal);
         }
     }
 
     /// Stalls a process for this time; its deadlines stay the same.
-    pub async fn stall(&self, number: usize, lasts: Duration) {
+    pub async fn stall(&self, number: usize, duration: Duration) {
         let process = &self.all[number];
         let from = self.testbed.now();
-        process.send(Signal::SIGSTOP);
-        sleep(lasts).await;
-        process.send(Signal::SIGCONT);
+        process.send_signal(Signal::SIGSTOP);
+        sleep(duration).await;
+        process.send_signal(Signal::SIGCONT);
         let stall = ProcessStall { balancer: number as u32, from, to: self.testbed.now() };
         self.testbed.event_log.borrow_mut().process_stalls.push(stall);
     }
@@ -339,17 +340,17 @@
     }
 
     /// Restarts these processes, each as soon as it has ended.
-    pub fn start_again(self: &Rc<Processes>, numbers: &[usize]) {
+    pub fn restart(self: &Rc<Processes>, numbers: &[usize]) {
         for number in numbers {
-            spawn_local(Rc::clone(self).start_one_again(*number));
+            spawn_local(Rc::clone(self).restart_one(*number));
         }
     }
 
-    async fn start_one_again(self: Rc<Processes>, number: usize) {
+    async fn restart_one(self: Rc<Processes>, number: usize) {
         let process = Rc::clone(&self.all[number]);
-        if timeout(END_TIMEOUT, process.ended()).await.is_err() {
+        if timeout(END_TIMEOUT, process.wait_until_ended()).await.is_err() {
             self.signal(&[number], Signal::SIGKILL);
-            process.ended().await;
+            process.wait_until_ended().await;
         }
         if self.start(number).is_err() {
             return;
@@ -368,10 +369,10 @@
     pub async fn end_all(&self) {
         for process in &self.all {
             process.end_requested.set(true);
-            process.send(Signal::SIGKILL);
+            process.send_signal(Signal::SIGKILL);
         }
         for process in &self.all {
-            let _ = timeout(END_TIMEOUT, process.ended()).await;
+            let _ = timeout(END_TIMEOUT, process.wait_until_ended()).await;
         }
     }
 }
--- a/testbed/src/resource_check.rs
+++ b/testbed/src/resource_check.rs
@@ -9,13 +9,13 @@
 /// Maximum number of the kernel's ephemeral ports that one run may use.
 const MAX_PORTS: usize = 20_000;
 /// Time for which a balancer keeps a connection to a server, in seconds.
-const CONNECTION_KEPT_S: f64 = 5.0;
+const CONNECTION_IDLE_TIMEOUT_S: f64 = 5.0;
 /// Attempts per request while requests are hedged.
 const ATTEMPTS_PER_REQUEST: f64 = 1.5;
 /// File descriptors that the testbed holds for each process: an address, a watch, a log and a few clients' connections.
-const FILES_PER_PROCESS: usize = 8;
+const DESCRIPTORS_PER_PROCESS: usize = 8;
 /// File descriptors of the testbed itself.
-const FILES_OF_TESTBED: usize = 100;
+const DESCRIPTORS_OF_TESTBED: usize = 100;
 
 /// Estimates the maximum number of file descriptors that the testbed will hold.
 pub fn needed_open_files(experiment: &Experiment, sides: usize) -> usize {
@@ -23,13 +23,18 @@
     let machines = experiment.fleet.servers + 1;
     // A balancer has at most one connection for each attempt within the time for which a connection is kept. It also has
     // at most one connection to each server, or two while many requests are hedged.
-    let busiest = experiment.load.uneven.map_or(1.0, |uneven| (uneven.share / uneven.at).max(1.0));
+    let busiest_factor = experiment.load.uneven.map_or(1.0, |uneven| (uneven.share / uneven.at).max(1.0));
     let rate = experiment.load.rate / balancers as f64;
-    let of_busiest = (rate * busiest * ATTEMPTS_PER_REQUEST * CONNECTION_KEPT_S) as usize + 4;
-    let of_average = (rate * ATTEMPTS_PER_REQUEST * CONNECTION_KEPT_S) as usize + 8;
-    let to_servers = balancers * of_average.min(of_busiest).min(2 * machines);
+    let connections_of_busiest =
+        (rate * busiest_factor * ATTEMPTS_PER_REQUEST * CONNECTION_IDLE_TIMEOUT_S) as usize + 4;
+    let connections_of_average = (rate * ATTEMPTS_PER_REQUEST * CONNECTION_IDLE_TIMEOUT_S) as usize + 8;
+    let server_connections = balancers * connections_of_average.min(connections_of_busiest).min(2 * machines);
     // Each reserved address uses two sockets.
-    2 * machines * sides + 2 * balancers + to_servers + balancers * FILES_PER_PROCESS + FILES_OF_TESTBED
+    2 * machines * sides
+        + 2 * balancers
+        + server_connections
+        + balancers * DESCRIPTORS_PER_PROCESS
+        + DESCRIPTORS_OF_TESTBED
 }
 
 /// Checks that the machine has the resources for the run.
--- a/testbed/src/soak/clients.rs
+++ b/testbed/src/soak/clients.rs
@@ -139,9 +139,9 @@
         target: &ClientTarget,
         rng: &mut SeededRng,
     ) {
-        let most = if target.is_busy { MAX_BUSY_PENDING } else { MAX_PENDING };
+        let max_pending = if target.is_busy { MAX_BUSY_PENDING } else { MAX_PENDING };
         while self.testbed.now() < target.load_until {
-            if state.pending.borrow().len() < most
+            if state.pending.borrow().len() < max_pending
                 && self.write_batch(state, &mut writer, target, rng).await.is_err()
             {
                 break;
@@ -162,9 +162,9 @@
         target: &ClientTarget,
         rng: &mut SeededRng,
     ) -> std::io::Result<()> {
-        let most = if target.is_busy { MAX_BUSY_BATCH } else { MAX_BATCH };
+        let max_batch = if target.is_busy { MAX_BUSY_BATCH } else { MAX_BATCH };
         let requests: Vec<_> =
-            (0..rng.random_range(1..=most)).map(|_| self.draw_request(target, rng)).collect();
+            (0..rng.random_range(1..=max_batch)).map(|_| self.draw_request(target, rng)).collect();
         let text: String = requests.iter().map(WireRequest::wire_form).collect();
         for request in &requests {
             let log_index = self.log_request(target, request);
@@ -277,7 +277,7 @@
         logged.deadline = logged.deadline.max(state.last_answer_at.get());
         state.last_answer_at.set(now);
         state.has_answered.set(true);
-        self.testbed.on_request_over(pending.request.id);
+        self.testbed.on_request_ended(pending.request.id);
     }
 
     /// Logs received lines that answer no request as extra lines of the last answered request.
@@ -294,7 +294,7 @@
     fn log_unanswered(&self, state: &ConnectionState, end: ReadingEnd) {
         let now = self.testbed.now();
         for pending in state.pending.borrow_mut().drain(..) {
-            self.testbed.on_request_over(pending.request.id);
+            self.testbed.on_request_ended(pending.request.id);
             if !pending.is_complete {
                 continue;
             }
--- a/testbed/src/soak/plan.rs
+++ b/testbed/src/soak/plan.rs
@@ -130,14 +130,14 @@
 
     /// End of the time in which clients open connections to a balancer.
     pub fn connect_until(&self, balancer: usize) -> Micros {
-        let own = self.terminations.iter().find(|termination| termination.balancer == balancer);
-        own.map_or(self.end, |termination| termination.at + CONNECT_TIME_AFTER_SIGTERM)
+        let termination = self.terminations.iter().find(|termination| termination.balancer == balancer);
+        termination.map_or(self.end, |termination| termination.at + CONNECT_TIME_AFTER_SIGTERM)
     }
 
     /// End of the time in which clients send requests to a balancer: its kill, or the end of the run.
     pub fn load_until(&self, balancer: usize) -> Micros {
-        let own = self.terminations.iter().find(|termination| termination.balancer == balancer);
-        own.map_or(self.end, |termination| termination.kill_at)
+        let termination = self.terminations.iter().find(|termination| termination.balancer == balancer);
+        termination.map_or(self.end, |termination| termination.kill_at)
     }
 
     fn add(&mut self, at: Micros, action: SoakAction) {
@@ -186,8 +186,8 @@
         }
         let latest = termination.kill_at - 900_000;
         let at = rng.random_range(termination.at - 200_000..latest);
-        let lasts = Duration::from_millis(rng.random_range(STALL_MS));
-        self.add(at, SoakAction::Stall(termination.balancer, lasts));
+        let duration = Duration::from_millis(rng.random_range(STALL_MS));
+        self.add(at, SoakAction::Stall(termination.balancer, duration));
     }
 
     fn add_endpoint_change(&mut self, rng: &mut SeededRng) {
--- a/testbed/src/soak/run.rs
+++ b/testbed/src/soak/run.rs
@@ -62,10 +62,10 @@
     platform.processes.start_all(|_| ()).await?;
     let mut run = SoakRun::begin_load(plan, platform);
     for step in &plan.steps {
-        sleep_until(testbed.instant(run.began_at + step.at)).await;
+        sleep_until(testbed.instant(run.load_began_at + step.at)).await;
         run.apply_action(&step.action).await;
     }
-    sleep_until(testbed.instant(run.began_at + plan.end)).await;
+    sleep_until(testbed.instant(run.load_began_at + plan.end)).await;
     Ok(run.finish().await)
 }
 
@@ -73,7 +73,7 @@
 struct SoakRun {
     testbed: Rc<Testbed>,
     platform: Platform,
-    began_at: Micros,
+    load_began_at: Micros,
     /// Original texts of the configurations that are malformed now, with the balancer's number.
     original_configs: Vec<(usize, String)>,
     clients: Vec<JoinHandle<()>>,
@@ -83,7 +83,7 @@
 impl SoakRun {
     fn begin_load(plan: &SoakPlan, platform: Platform) -> SoakRun {
         let testbed = Rc::clone(&platform.testbed);
-        let began_at = testbed.now();
+        let load_began_at = testbed.now();
         let addresses = platform.processes.addresses();
         let clients = SoakClients::new(Rc::clone(&testbed));
         let mut tasks = Vec::new();
@@ -93,8 +93,8 @@
                 let target = ClientTarget {
                     balancer,
                     address: *address,
-                    connect_until: began_at + plan.connect_until(balancer),
-                    load_until: began_at + plan.load_until(balancer),
+                    connect_until: load_began_at + plan.connect_until(balancer),
+                    load_until: load_began_at + plan.load_until(balancer),
                     is_busy: is_terminated && number < BUSY_CONNECTIONS,
                 };
                 let seed = mix_bits(plan.experiment.seed) ^ mix_bits((balancer * 1_000 + number) as u64);
@@ -105,7 +105,7 @@
         let mut watchers = vec![spawn_local(watch_stalls(Rc::clone(&testbed)))];
         if let Some(crowd) = plan.crowd {
             let address = addresses[crowd.balancer];
-            let until = began_at + plan.load_until(crowd.balancer);
+            let until = load_began_at + plan.load_until(crowd.balancer);
             for number in 0..crowd.silent + crowd.slow {
                 let is_slow = number < crowd.slow;
                 let behaviour = if is_slow { CrowdBehaviour::Slow } else { CrowdBehaviour::Silent };
@@ -113,21 +113,22 @@
                 watchers.push(spawn_local(connection));
             }
         }
-        SoakRun { testbed, platform, began_at, original_configs: Vec::new(), clients: tasks, watchers }
+        SoakRun { testbed, platform, load_began_at, original_configs: Vec::new(), clients: tasks, watchers }
     }
 
     async fn apply_action(&mut self, action: &SoakAction) {
         match action {
             SoakAction::Signal(balancer, signal) => self.platform.processes.signal(&[*balancer], *signal),
-            SoakAction::Stall(balancer, lasts) => {
-                let (processes, balancer, lasts) = (Rc::clone(&self.platform.processes), *balancer, *lasts);
-                self.watchers.push(spawn_local(async move { processes.stall(balancer, lasts).await }));
+            SoakAction::Stall(balancer, duration) => {
+                let (processes, balancer, duration) =
+                    (Rc::clone(&self.platform.processes), *balancer, *duration);
+                self.watchers.push(spawn_local(async move { processes.stall(balancer, duration).await }));
             }
             SoakAction::BreakConfig(balancer, true) => self.break_config(*balancer),
             SoakAction::BreakConfig(balancer, false) => self.restore_config(*balancer),
             SoakAction::Change(change) => {
                 let step = Step { at: 0, fault: 0, change: change.clone() };
-                self.platform.make_change(&step).await;
+                self.platform.apply_change(&step).await;
             }
         }
     }
@@ -160,7 +161,7 @@
         self.watchers.iter().for_each(JoinHandle::abort);
         let mut event_log = std::mem::take(&mut *self.testbed.event_log.borrow_mut());
         event_log.origin_stops = self.testbed.origin.borrow().stops.clone();
-        shift_times(&mut event_log, self.began_at);
+        shift_times(&mut event_log, self.load_began_at);
         SoakRecord { event_log, planned_ends, crashes }
     }
 }
--- a/testbed/src/testbed.rs
+++ b/testbed/src/testbed.rs
@@ -23,9 +23,9 @@
 use tokio::time::Instant;
 
 /// Delay of the kernel's first TCP retransmission; it doubles with each further loss in a row.
-const FIRST_RESEND_DELAY: Micros = 200_000;
-/// Maximum total delay by the retransmissions of one loss; TCP gives up after some losses in a row.
-const MAX_RESEND_DELAY: Micros = 12 * FIRST_RESEND_DELAY;
+const FIRST_RETRANSMISSION_DELAY: Micros = 200_000;
+/// Total delay of retransmissions from which on no further loss in a row is drawn, as TCP gives up after some losses.
+const MAX_RETRANSMISSION_DELAY: Micros = 12 * FIRST_RETRANSMISSION_DELAY;
 /// Misses that are kept for each request until the origin answers; a request has three attempts.
 const MAX_MISSES_PER_REQUEST: usize = 3;
 /// Maximum number of bytes that one corruption changes.
@@ -94,7 +94,7 @@
         let server_count = experiment.fleet.servers;
         let sides = links.sides(&experiment);
         let side_count = sides.iter().copied().max().unwrap_or(0) + 1;
-        let member_of = |side| sides.iter().position(|other| *other == side);
+        let member_of_side = |side| sides.iter().position(|other| *other == side);
         let discovery = &experiment.discovery;
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Rc::new(Testbed {
@@ -111,7 +111,7 @@
             discovery_down: Cell::new(false),
             notice_delays: RefCell::new(vec![0; experiment.fleet.balancers]),
             links: RefCell::new(links),
-            side_members: (0..side_count).filter_map(member_of).collect(),
+            side_members: (0..side_count).filter_map(member_of_side).collect(),
             event_log: RefCell::default(),
             misses: RefCell::default(),
             machine_rng: RefCell::new(seeded_rng(experiment.seed, RngStream::Machines)),
@@ -158,8 +158,8 @@
         let base = micros_from_millis(if is_same_zone { net.same_ms } else { net.cross_ms });
         let mut rng = self.link_rng.borrow_mut();
         let jitter = if state.jitter > 0 { rng.random_range(0..=2 * state.jitter) } else { 0 };
-        let resends = draw_resend_delay(state.lost_share, &mut rng);
-        (base + state.delay + jitter).saturating_sub(state.jitter) + resends
+        let retransmissions = draw_retransmission_delay(state.lost_share, &mut rng);
+        (base + state.delay + jitter).saturating_sub(state.jitter) + retransmissions
     }
 
     fn zone_of(&self, end: LinkEnd) -> usize {
@@ -183,8 +183,8 @@
         }
         let mut rng = self.link_rng.borrow_mut();
         for _ in 0..CORRUPTED_BYTES {
-            let place = rng.random_range(0..bytes.len());
-            bytes[place] ^= rng.random_range(1..=255u8);
+            let position = rng.random_range(0..bytes.len());
+            bytes[position] ^= rng.random_range(1..=255u8);
         }
     }
 
@@ -198,10 +198,10 @@
     /// Records a cache miss of a server for a request.
     pub fn on_miss(&self, request: u64, server: usize, in_slow_start: bool) {
         let mut misses = self.misses.borrow_mut();
-        let of_request = misses.entry(request).or_default();
-        if of_request.len() < MAX_MISSES_PER_REQUEST {
+        let request_misses = misses.entry(request).or_default();
+        if request_misses.len() < MAX_MISSES_PER_REQUEST {
             let incarnation = self.incarnations[server].get();
-            of_request.push(Miss { server, incarnation, in_slow_start });
+            request_misses.push(Miss { server, incarnation, in_slow_start });
         }
     }
 
@@ -229,7 +229,7 @@
     }
 
     /// Discards the misses of a completed request.
-    pub fn on_request_over(&self, request: u64) {
+    pub fn on_request_ended(&self, request: u64) {
         self.misses.borrow_mut().remove(&request);
     }
 
@@ -256,13 +256,13 @@
         let changes = &endpoints.changed_at;
         // The initial entries of the list are visible at once.
         let initial = self.servers.len() + 1;
-        let due = |place: usize| if place < initial { 0 } else { changes[place] + delay };
+        let visible_at = |index: usize| if index < initial { 0 } else { changes[index] + delay };
         let now = self.now();
         let mut generation = initial.min(changes.len());
-        while generation < changes.len() && due(generation) <= now {
+        while generation < changes.len() && visible_at(generation) <= now {
             generation += 1;
         }
-        (generation as u64, (generation < changes.len()).then(|| due(generation)))
+        (generation as u64, (generation < changes.len()).then(|| visible_at(generation)))
     }
 }
 
@@ -290,12 +290,12 @@
 }
 
 /// Draws the delay by TCP retransmissions on a link that loses this share of packets.
-fn draw_resend_delay(lost_share: f64, rng: &mut SeededRng) -> Micros {
+fn draw_retransmission_delay(lost_share: f64, rng: &mut SeededRng) -> Micros {
     let mut delay = 0;
-    let mut resend = FIRST_RESEND_DELAY;
-    while lost_share > 0.0 && delay < MAX_RESEND_DELAY && rng.random::<f64>() < lost_share {
-        delay += resend;
-        resend *= 2;
+    let mut retransmission_delay = FIRST_RETRANSMISSION_DELAY;
+    while lost_share > 0.0 && delay < MAX_RETRANSMISSION_DELAY && rng.random::<f64>() < lost_share {
+        delay += retransmission_delay;
+        retransmission_delay *= 2;
     }
     delay
 }
