--- a/testbed/src/operator_file.rs
+++ b/testbed/src/operator_file.rs
@@ -16,7 +16,7 @@
 /// Default for the maximum difference in the duration of sends, in milliseconds. This default and those below are the
 /// daemon's own.
 const DEFAULT_SPREAD_MS: f64 = 50.0;
-/// Default for the retries that each first attempt allows.
+/// Default for the number of retries per first attempt.
 const DEFAULT_RETRY_SHARE: f64 = 0.4;
 /// Default for the retries that a balancer may save up.
 const DEFAULT_SAVED_RETRIES: f64 = 10.0;
