--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,5 +1,5 @@
-//! What a request costs the decisions, from its arrival to its answer, as the fleet grows: one in
-//! ten a write, one read in twenty missing and fetched. `cargo bench --bench decision`.
+//! Cost of a request in the decision core, from arrival to answer, by the number of cache servers: one request in ten is
+//! a write, and one read in twenty misses and is fetched. `cargo bench --bench decision`.
 
 use std::collections::VecDeque;
 
@@ -68,13 +68,13 @@
     number: u32,
 }
 
-/// Drives requests through the balancer, each to its end, with 30 open at a time.
+/// Drives each request through the balancer to its completion, with 30 attempts in flight at a time.
 struct Drive {
     balancer: Balancer,
     actions: Vec<Action>,
     /// Attempts in flight, oldest first.
     in_flight: VecDeque<Attempt>,
-    /// The number of cache servers, which is the id of the origin.
+    /// Number of cache servers; also the server id of the origin.
     cache_servers: u64,
     now: u64,
     count: u64,
