--- a/testbed-cli/src/charts.rs
+++ b/testbed-cli/src/charts.rs
@@ -1,5 +1,5 @@
-//! Charts of a run as SVG: service over time with the faults shaded, the servers' loads as a heat map, the origin's use,
-//! latencies. Drawn by plotters; nothing in them needs a network or a script.
+//! Charts of a run as SVG, drawn by plotters: results of requests over time with the faults shaded, a heat map of the
+//! servers' loads, use of the origin, and latencies. The charts need neither network access nor scripts.
 
 #[cfg(test)]
 mod tests;
@@ -14,17 +14,17 @@
 const WIDTH_PX: u32 = 960;
 const LABEL_FONT: (&str, u32) = ("sans-serif", 13);
 const CAPTION_FONT: (&str, u32) = ("sans-serif", 16);
-/// The height of a chart over time.
+/// Height of a line chart over time.
 const LINES_HEIGHT_PX: u32 = 260;
-/// The height of one figure by the number of balancers.
+/// Height of one figure by number of balancers.
 const BY_SIZE_HEIGHT_PX: u32 = 380;
-/// How much the values' axis goes beyond the greatest of them.
+/// Ratio of the end of the value axis to the greatest value.
 const HEADROOM: f64 = 1.08;
-/// How much the sizes' axis goes beyond the last of them, for the legend on the right.
+/// Ratio of the end of the size axis to the last size, which leaves room for the legend on the right.
 const LEGEND_ROOM: f64 = 1.35;
-/// The smallest greatest value of an axis.
+/// Lower bound of the greatest value of an axis, so that no axis is empty.
 const MIN_AXIS: f64 = 1e-9;
-/// The shortest time of a fault that is shaded, in seconds.
+/// Shortest time that is shaded for a fault, in seconds.
 const MIN_SHADED_S: f64 = 0.2;
 
 const FAULT_YELLOW: RGBColor = RGBColor(255, 196, 0);
@@ -35,7 +35,7 @@
 pub(crate) const BLUE: RGBColor = RGBColor(21, 101, 192);
 pub(crate) const GREY: RGBColor = RGBColor(97, 97, 97);
 
-/// A drawing of this height, as the text of an SVG element.
+/// Draws on an area of this height and returns the text of the SVG element.
 fn svg(
     height: u32,
     draw: impl FnOnce(&DrawingArea<SVGBackend, Shift>) -> Result<(), Error>,
@@ -50,26 +50,26 @@
     Ok(text)
 }
 
-/// The times of the faults, in seconds.
+/// Start and end of each fault, in seconds.
 fn fault_times(experiment: &Experiment) -> Vec<(f64, f64)> {
     let end = |fault: &Fault| fault.at + fault.lasts.or(fault.back).unwrap_or(MIN_SHADED_S).max(MIN_SHADED_S);
     experiment.fault.iter().map(|fault| (fault.at, end(fault).min(experiment.seconds))).collect()
 }
 
-/// A line over time.
+/// A line of a chart over time.
 pub struct Line<'a> {
-    /// What the legend calls it.
+    /// Name in the legend.
     pub name: &'a str,
-    /// Its colour.
+    /// Colour of the line.
     pub colour: RGBColor,
-    /// Its values, second by second.
+    /// Values, one per second.
     pub values: Vec<f64>,
 }
 
-/// Lines over time, with the faults' times shaded.
+/// Draws lines over time, with the duration of each fault shaded.
 ///
 /// # Errors
-/// What the drawing library says.
+/// If the drawing library fails.
 pub fn lines(experiment: &Experiment, title: &str, lines: &[Line<'_>]) -> Result<String, Error> {
     let most = lines.iter().flat_map(|line| &line.values).copied().fold(MIN_AXIS, f64::max) * HEADROOM;
     let end = lines.iter().map(|line| line.values.len()).max().unwrap_or(1).max(1) as f64;
@@ -103,10 +103,10 @@
     })
 }
 
-/// How the requests ended, second by second.
+/// Draws the number of requests in each second, by result.
 ///
 /// # Errors
-/// What the drawing library says.
+/// If the drawing library fails.
 pub fn service(experiment: &Experiment, seconds: &[Second]) -> Result<String, Error> {
     let of = |pick: fn(&Second) -> u64| seconds.iter().map(|s| pick(s) as f64).collect();
     lines(
@@ -121,10 +121,10 @@
     )
 }
 
-/// What the origin was sent and what was wanted of it, against its capacity.
+/// Draws the origin's fetches and the demand for them, against its capacity.
 ///
 /// # Errors
-/// What the drawing library says.
+/// If the drawing library fails.
 pub fn origin(experiment: &Experiment, seconds: &[Second]) -> Result<String, Error> {
     let of = |pick: &dyn Fn(&Second) -> f64| seconds.iter().map(pick).collect();
     lines(
@@ -138,10 +138,10 @@
     )
 }
 
-/// Latencies of the requests served.
+/// Draws the latencies of the served requests.
 ///
 /// # Errors
-/// What the drawing library says.
+/// If the drawing library fails.
 pub fn latency(experiment: &Experiment, seconds: &[Second]) -> Result<String, Error> {
     lines(
         experiment,
@@ -153,10 +153,11 @@
     )
 }
 
-/// Values over a fair part, a row each, second by second: white is fair, blue less, red more.
+/// Draws a row per server or balancer with the ratio of its value to its fair share in each second: white is the fair
+/// share, blue less, red more.
 ///
 /// # Errors
-/// What the drawing library says.
+/// If the drawing library fails.
 pub fn heat_map(title: &str, rows: &str, servers: &[Vec<f64>]) -> Result<String, Error> {
     let seconds = servers.iter().map(Vec::len).max().unwrap_or(1).max(1);
     let height = (servers.len() as u32 * 7).clamp(120, 900) + 70;
@@ -178,19 +179,19 @@
     })
 }
 
-/// A line by the number of balancers.
+/// A line of a figure by number of balancers.
 pub struct SizeLine {
-    /// What the legend calls it.
+    /// Name in the legend.
     pub name: String,
-    /// Numbers of balancers with the figure's value at each.
+    /// Points of a number of balancers and the value at that number.
     pub points: Vec<(usize, f64)>,
 }
 
-/// A figure by the number of balancers.
+/// A figure by number of balancers.
 pub struct SizeFigure<'a> {
-    /// What stands above it.
+    /// Caption of the figure.
     pub title: &'a str,
-    /// A line for each experiment.
+    /// Lines, one per experiment or mechanism.
     pub lines: Vec<SizeLine>,
 }
 
@@ -200,10 +201,10 @@
     }
 }
 
-/// Figures by the number of balancers, a drawing each, one under the other; the sizes stand evenly apart.
+/// Draws figures by number of balancers one below the other; the sizes are evenly spaced on the axis.
 ///
 /// # Errors
-/// What the drawing library says.
+/// If the drawing library fails.
 pub fn by_size(figures: &[SizeFigure<'_>]) -> Result<String, Error> {
     let points = figures.iter().flat_map(SizeFigure::points);
     let mut sizes: Vec<usize> = points.map(|(size, _)| *size).collect();
@@ -255,7 +256,7 @@
     Ok(())
 }
 
-/// From blue over white to red.
+/// The colour of a load: from blue at 0 over white at 1 to red at 2 and more.
 fn heat_colour(load: f64) -> RGBColor {
     let mix = |from: (u8, u8, u8), to: (u8, u8, u8), part: f64| {
         let one = |a: u8, b: u8| (f64::from(a) + (f64::from(b) - f64::from(a)) * part) as u8;
--- a/testbed-cli/src/charts/tests.rs
+++ b/testbed-cli/src/charts/tests.rs
@@ -1,4 +1,4 @@
-//! Charts as SVG.
+//! Guards against incomplete SVG and values lost on the way to a chart.
 
 use super::*;
 
--- a/testbed-cli/src/compare.rs
+++ b/testbed-cli/src/compare.rs
@@ -1,5 +1,5 @@
-//! Compares the runs of two versions, paired by experiment and seed, with bootstrap intervals, and says plainly when a
-//! difference is noise.
+//! `compare`: compares the runs of two versions, paired by experiment and seed, with bootstrap confidence intervals that
+//! tell differences from noise.
 
 #[cfg(test)]
 mod tests;
@@ -13,14 +13,14 @@
 
 use crate::exit::ExitStatus;
 
-/// Resamples of an interval.
+/// Number of bootstrap resamples of an interval.
 const RESAMPLE_COUNT: usize = 10_000;
-/// With fewer pairs nothing is said of a difference.
+/// Smallest number of pairs for which an interval is computed.
 const MIN_PAIRS: usize = 3;
-/// How many folders deep runs are looked for.
+/// Depth of subfolders in which runs are searched.
 const MAX_FOLDER_DEPTH: usize = 3;
 
-/// A figure that is compared: its name, and how it is read from a summary.
+/// A compared figure: its name, and the function that reads it from a summary.
 type Figure = (&'static str, fn(&Summary) -> Option<f64>);
 
 const COMPARED_FIGURES: [Figure; 17] = [
@@ -47,18 +47,18 @@
     (fair > 0.0).then(|| value / fair)
 }
 
-/// What is to be said of a difference.
+/// The significance and direction of a difference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Judgement {
-    /// There are too few pairs to tell.
+    /// Too few pairs for an interval.
     TooFewPairs,
-    /// There is none.
+    /// No difference in any pair.
     Same,
-    /// It may be chance.
+    /// The interval contains zero.
     Noise,
-    /// There is more after.
+    /// The figure is greater after.
     More,
-    /// There is less after.
+    /// The figure is smaller after.
     Less,
 }
 
@@ -74,19 +74,19 @@
     }
 }
 
-/// Paired values of a figure.
+/// The comparison of a figure over pairs of runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PairedFigure {
-    /// The mean before.
+    /// Mean of the runs before.
     pub before: f64,
-    /// The mean after.
+    /// Mean of the runs after.
     pub after: f64,
-    /// The 95% interval of the mean difference; none with too few pairs.
+    /// 95% confidence interval of the mean difference; none with too few pairs.
     pub interval: Option<(f64, f64)>,
 }
 
 impl PairedFigure {
-    /// Pairs of values, one of each version; none where there is no pair.
+    /// Compares pairs of values, one of each version; none without pairs.
     pub fn of_pairs(pairs: &[(f64, f64)]) -> Option<PairedFigure> {
         if pairs.is_empty() {
             return None;
@@ -99,7 +99,7 @@
         })
     }
 
-    /// What is to be said of the difference.
+    /// Judges the difference by its interval.
     pub fn judgement(&self) -> Judgement {
         match self.interval {
             None => Judgement::TooFewPairs,
@@ -116,7 +116,7 @@
     values.sum::<f64>() / count
 }
 
-/// The 95% interval of the mean, by resampling; the same differences give the same interval.
+/// The 95% confidence interval of the mean, by bootstrap with a fixed seed: equal differences give equal intervals.
 fn bootstrap_interval(differences: &[f64]) -> (f64, f64) {
     let mut rng = seeded_rng(0, RngStream::Fair);
     let count = differences.len();
@@ -127,7 +127,7 @@
     (means[RESAMPLE_COUNT / 40], means[RESAMPLE_COUNT - 1 - RESAMPLE_COUNT / 40])
 }
 
-/// The summaries of one experiment and seed, of both versions.
+/// The summaries of both versions for one experiment and seed.
 struct SummaryPair<'a> {
     before: &'a Summary,
     after: &'a Summary,
@@ -144,7 +144,7 @@
     }
     if pairs_by_name.is_empty() {
         eprintln!(
-            "no runs to pair: {} has {}, {} has {}, and none share an experiment and a seed",
+            "no runs to compare: of the {1} runs in {0} and the {3} in {2} no two have the same experiment and seed",
             before.display(),
             runs_before.len(),
             after.display(),
@@ -182,7 +182,7 @@
     }
 }
 
-/// Prints how many rules were broken; gives how many after.
+/// Prints the number of rule violations of both versions; returns that after.
 fn print_violations(pairs: &[SummaryPair<'_>]) -> u64 {
     let before: u64 = pairs.iter().map(|pair| pair.before.rules.total()).sum();
     let after: u64 = pairs.iter().map(|pair| pair.after.rules.total()).sum();
@@ -190,13 +190,13 @@
     after
 }
 
-/// The summaries below a folder, by experiment and seed.
+/// The summaries of the runs below a folder, by experiment and seed.
 fn runs(folder: &Path) -> BTreeMap<(String, u64), Summary> {
     let summaries = find_summaries(folder).into_iter();
     summaries.map(|(_, summary)| ((summary.name.clone(), summary.seed), summary)).collect()
 }
 
-/// The runs below a folder: where each is, and its summary.
+/// The runs below a folder, each with its folder and its summary.
 pub fn find_summaries(folder: &Path) -> Vec<(PathBuf, Summary)> {
     let mut found = Vec::new();
     let mut folders = vec![(folder.to_path_buf(), 0)];
--- a/testbed-cli/src/compare/tests.rs
+++ b/testbed-cli/src/compare/tests.rs
@@ -1,4 +1,4 @@
-//! Differences of paired figures.
+//! Guards against noise that is reported as a difference, and differences reported as noise.
 
 use super::*;
 
--- a/testbed-cli/src/demo.rs
+++ b/testbed-cli/src/demo.rs
@@ -7,15 +7,15 @@
 use crate::exit::ExitStatus;
 use crate::run::run_once;
 
-/// The demonstration: twelve processes, a server in six falls silent.
+/// The experiment file of the demo: twelve balancers; two of the twelve cache servers fall silent.
 const DEMO_FILE: &str = include_str!("../demo.toml");
 
-/// Runs the demonstration and says where its report is.
+/// Runs the demo and prints the path of its report.
 pub fn demo(out: &Path) -> ExitStatus {
     let mut experiment = match read(DEMO_FILE, &[]) {
         Ok(experiment) => experiment,
         Err(problems) => {
-            problems.iter().for_each(|problem| eprintln!("the demonstration's file: {problem}"));
+            problems.iter().for_each(|problem| eprintln!("demo.toml: {problem}"));
             return ExitStatus::NOT_ALLOWED;
         }
     };
@@ -23,7 +23,10 @@
         experiment.fleet.program = program;
     }
     if !Path::new(&experiment.fleet.program).is_file() && !build_balancer() {
-        eprintln!("the balancer is not built yet: cargo build --release --locked");
+        eprintln!(
+            "the balancer program {} does not exist; build it with cargo build --release --locked",
+            experiment.fleet.program
+        );
         return ExitStatus::NOT_ALLOWED;
     }
     let status = run_once(&experiment, out);
@@ -31,19 +34,20 @@
     status
 }
 
-/// The balancer stands beside this program, whatever folder one is in.
+/// The path of the balancer program in the folder of this program, so that the demo runs from any working directory.
 fn balancer_beside_this_program() -> Option<String> {
     let own = std::env::current_exe().ok()?;
     let program = own.parent()?.join("juniperladder");
     program.is_file().then(|| program.to_string_lossy().into_owned())
 }
 
-/// Builds the balancer where this is its workspace: `cargo run -p juniperladder-testbed-cli` builds the testbed alone.
+/// Builds the balancer if the working directory is its workspace, as `cargo run -p juniperladder-testbed-cli` builds the
+/// testbed only; true if it was built.
 fn build_balancer() -> bool {
     if !Path::new("cli/Cargo.toml").is_file() {
         return false;
     }
-    println!("the balancer is not built yet: building it");
+    println!("the balancer program is not built yet; building it");
     let build = ["build", "--release", "--locked", "-p", "juniperladder-cli"];
     std::process::Command::new("cargo").args(build).status().is_ok_and(|status| status.success())
 }
--- a/testbed-cli/src/exit.rs
+++ b/testbed-cli/src/exit.rs
@@ -1,4 +1,4 @@
-//! The exit codes of the program, as `docs/operate/testbed.md` states them.
+//! The exit codes of the program, as documented in `docs/operate/testbed.md`.
 
 use std::process::ExitCode;
 
@@ -7,21 +7,21 @@
 pub struct ExitStatus(u8);
 
 impl ExitStatus {
-    /// Run to its end, every rule and stated bound kept.
+    /// The run completed, with every rule and stated bound kept.
     pub const ALL_KEPT: ExitStatus = ExitStatus(0);
-    /// Run to its end, a rule or a bound broken.
+    /// The run completed with a rule or a stated bound broken, or a process crashed.
     pub const RULE_BROKEN: ExitStatus = ExitStatus(1);
-    /// The file or the machine does not allow it; nothing was started.
+    /// The file, the arguments or the machine do not allow the run; nothing was started.
     pub const NOT_ALLOWED: ExitStatus = ExitStatus(2);
-    /// The testbed was late: the run does not count.
+    /// The testbed fell behind its schedule, so the run does not count.
     pub const TESTBED_LATE: ExitStatus = ExitStatus(3);
 
-    /// The status of a process of this program that ended with this code.
+    /// The status of a child process of this program that exited with this code.
     pub fn of_process(code: u8) -> ExitStatus {
         ExitStatus(code)
     }
 
-    /// The worse of two; a broken rule weighs more than a run that does not count.
+    /// The worse of two statuses. A broken rule is the worst; otherwise the greater code is the worse one.
     pub fn worse(self, other: ExitStatus) -> ExitStatus {
         if [self, other].contains(&ExitStatus::RULE_BROKEN) {
             return ExitStatus::RULE_BROKEN;
--- a/testbed-cli/src/experiment_file.rs
+++ b/testbed-cli/src/experiment_file.rs
@@ -1,4 +1,4 @@
-//! `check` and `schema`, and the reading of an experiment's file for `run`.
+//! `check` and `schema`, and reading the experiment file for `run`.
 
 use std::path::Path;
 
@@ -7,17 +7,17 @@
 
 use crate::exit::ExitStatus;
 
-/// Reads an experiment with values set over its file's; prints what is wrong with it.
+/// Reads an experiment file and applies the overrides; prints every problem found.
 ///
 /// # Errors
-/// The exit status where the file cannot be read or does not make sense.
+/// The exit status if the file cannot be read or is invalid.
 pub fn read_experiment(
     file: &Path,
     overrides: &[String],
     seed: Option<u64>,
 ) -> Result<Experiment, ExitStatus> {
     let text = std::fs::read_to_string(file).map_err(|error| {
-        eprintln!("{}: {error}", file.display());
+        eprintln!("cannot read the experiment file {}: {error}", file.display());
         ExitStatus::NOT_ALLOWED
     })?;
     let mut overrides = overrides.to_vec();
@@ -30,7 +30,7 @@
     })
 }
 
-/// Checks an experiment's file and prints what it is about.
+/// Checks an experiment file and prints a line that sums up the experiment.
 pub fn check(file: &Path, overrides: &[String]) -> ExitStatus {
     let experiment = match read_experiment(file, overrides, None) {
         Ok(experiment) => experiment,
@@ -48,7 +48,7 @@
     ExitStatus::ALL_KEPT
 }
 
-/// Prints the schema of an experiment's file.
+/// Prints the JSON schema of experiment files.
 pub fn schema() -> ExitStatus {
     let schema = schemars::schema_for!(Experiment);
     println!("{}", serde_json::to_string_pretty(&schema).unwrap_or_default());
--- a/testbed-cli/src/fit.rs
+++ b/testbed-cli/src/fit.rs
@@ -1,5 +1,5 @@
-//! Fits a cost to the size of a fleet by least squares: which simple law describes it, and what that law says of a size that was
-//! left out. Pure.
+//! Fits a cost to fleet sizes by least squares: finds the growth law that describes the cost best, and predicts the cost of a
+//! size that was left out of the fit. Does no I/O.
 
 #[cfg(test)]
 mod tests;
@@ -7,7 +7,7 @@
 /// How a cost grows with the number of members `n`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Law {
-    /// `a`: it does not.
+    /// `a`: no growth.
     Constant,
     /// `a + b log2 n`.
     Logarithmic,
@@ -20,11 +20,11 @@
 }
 
 impl Law {
-    /// All laws, the slowest growth first.
+    /// All laws, slowest growth first.
     pub const ALL: [Law; 5] =
         [Law::Constant, Law::Logarithmic, Law::Linear, Law::Linearithmic, Law::Quadratic];
 
-    /// The law in words.
+    /// The formula of the law, as printed.
     pub fn name(self) -> &'static str {
         match self {
             Law::Constant => "a",
@@ -35,7 +35,7 @@
         }
     }
 
-    /// What `b` is multiplied by at this size.
+    /// The term that `b` is multiplied by, at this size.
     fn term(self, size: f64) -> f64 {
         match self {
             Law::Constant => 0.0,
@@ -47,41 +47,41 @@
     }
 }
 
-/// A law with its coefficients.
+/// A law fitted to points.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
     /// The law.
     pub law: Law,
-    /// The part that does not grow.
+    /// The constant part.
     pub a: f64,
-    /// The factor of the part that grows.
+    /// The factor of the growing term.
     pub b: f64,
-    /// The root of the mean squared difference to the points.
+    /// The root mean square difference from the points.
     pub residual: f64,
 }
 
 impl Fit {
-    /// The cost at a size.
+    /// The fitted cost at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.a + self.b * self.law.term(size)
     }
 }
 
-/// What the smaller sizes say of the largest one.
+/// A prediction of the cost of the largest size from the smaller sizes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prediction {
-    /// The best law of the smaller sizes.
+    /// The best fit of the smaller sizes.
     pub fit: Fit,
     /// The largest size.
     pub size: f64,
-    /// Its cost by the law.
+    /// The cost of the largest size by that fit.
     pub predicted: f64,
-    /// Its cost as measured.
+    /// The measured cost of the largest size.
     pub measured: f64,
 }
 
 impl Prediction {
-    /// The difference as a part of what was measured.
+    /// The error of the prediction, relative to the measured cost.
     pub fn error(&self) -> f64 {
         (self.predicted - self.measured) / self.measured.abs().max(f64::MIN_POSITIVE)
     }
@@ -90,17 +90,17 @@
 /// Why no law can be fitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FitError {
-    /// Fewer than three different sizes: any law of two coefficients passes through two.
-    #[error("a fit needs at least three different sizes")]
+    /// Fewer than three different sizes: a law with two coefficients fits any two points exactly.
+    #[error("cannot fit: at least three different sizes are needed")]
     TooFewSizes,
-    /// A size below 1, or a value that is no finite number.
-    #[error("sizes are at least 1 and costs are finite numbers")]
+    /// A size below 1, or a size or cost that is not finite.
+    #[error("cannot fit: sizes must be at least 1, and sizes and costs finite numbers")]
     NotANumber,
 }
 
-/// How much smaller the residual of a law has to be than that of the constant, so that growth is believed at all.
+/// Greatest ratio of the residual of a growing law to that of the constant with which the cost is taken to grow.
 const GROWTH_RESIDUAL_RATIO: f64 = 0.5;
-/// The part of the largest cost below which a residual is rounding.
+/// Share of the largest cost below which a residual is a rounding error.
 const ROUNDING_SHARE: f64 = 1e-9;
 
 /// Fits one law to (size, cost) points.
@@ -118,10 +118,11 @@
     fit
 }
 
-/// Fits all laws; the best first. The constant is the best one unless a law that grows halves its residual.
+/// Fits all laws and orders them by residual, best first. The constant is the best one unless a growing law halves its
+/// residual.
 ///
 /// # Errors
-/// Where there are too few sizes, or numbers that are none.
+/// If there are fewer than three sizes, or invalid sizes or costs.
 pub fn fit(points: &[(f64, f64)]) -> Result<Vec<Fit>, FitError> {
     if points.iter().any(|(size, cost)| !size.is_finite() || *size < 1.0 || !cost.is_finite()) {
         return Err(FitError::NotANumber);
@@ -132,7 +133,7 @@
     if sizes.len() < 3 {
         return Err(FitError::TooFewSizes);
     }
-    // Residuals that differ by rounding alone are the same; the law that grows more slowly then comes first.
+    // Residuals that differ by rounding errors only rank as equal, and the stable sort keeps the slower growth first.
     let scale = points.iter().map(|(_, cost)| cost.abs()).fold(0.0, f64::max) * ROUNDING_SHARE;
     let rank = |fit: &Fit| match fit.law {
         Law::Constant => (fit.residual * GROWTH_RESIDUAL_RATIO).max(scale),
@@ -143,10 +144,10 @@
     Ok(fits)
 }
 
-/// Fits the smaller sizes and holds what the best law says of the largest one against its cost.
+/// Fits the smaller sizes, and predicts the cost of the largest size to compare it with the measured cost.
 ///
 /// # Errors
-/// Where the smaller sizes alone are too few.
+/// If the smaller sizes are too few for a fit.
 pub fn predict_largest(points: &[(f64, f64)]) -> Result<Prediction, FitError> {
     let size = points.iter().map(|(size, _)| *size).fold(f64::NEG_INFINITY, f64::max);
     let (largest, smaller): (Vec<_>, Vec<_>) = points.iter().copied().partition(|(one, _)| *one == size);
--- a/testbed-cli/src/fit/tests.rs
+++ b/testbed-cli/src/fit/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the fits.
+//! Guards against wrong laws: growth found in noise, laws mistaken for each other, and wrong predictions.
 
 use super::*;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Numbers from -1 to 1 by a linear congruence.
+/// Pseudorandom numbers from -1 to 1 of a linear congruential generator.
 fn fastrand_like(mut state: u64) -> impl FnMut() -> f64 {
     move || {
         state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
@@ -44,7 +44,7 @@
     let kept = predict_largest(&points(|size| 5.0 + 0.1 * size)).unwrap();
     assert_eq!((kept.size, kept.fit.law), (2_000.0, Law::Linear));
     assert!(kept.error().abs() < 1e-6);
-    // A cost that jumps at the largest size is not what the smaller ones say.
+    // A cost that jumps at the largest size differs from its prediction.
     let jump = predict_largest(&points(|size| if size < 2_000.0 { size } else { 3.0 * size })).unwrap();
     assert!((jump.error() + 2.0 / 3.0).abs() < 1e-6, "{}", jump.error());
 }
--- a/testbed-cli/src/fit_table.rs
+++ b/testbed-cli/src/fit_table.rs
@@ -1,32 +1,33 @@
-//! `fit`: the law of one column of a table by another, and its words for `scale --sizes`.
+//! `fit`: fits one column of a table to another. Prints fits and makes the rows of `fits.csv`, also for `scale --sizes`.
 
 use std::path::Path;
 
 use crate::exit::ExitStatus;
 use crate::fit::{fit, predict_largest, Fit, Prediction};
 
-/// A fit as `fits.csv` has it; the cells of a prediction are empty where the smaller sizes are too few for one.
+/// A row of `fits.csv`; the cells of the prediction are empty if the smaller sizes are too few for one.
 pub type FitRecord = [String; 9];
 
 /// The columns of `fits.csv`.
 pub const FIT_COLUMNS: [&str; 9] =
     ["cost", "law", "a", "b", "residual", "size", "predicted", "measured", "error"];
 
-/// Why a table has no points to fit.
+/// A failure to read the points of a table.
 #[derive(Debug, thiserror::Error)]
 enum TableError {
-    /// It cannot be read.
-    #[error(transparent)]
+    /// The table cannot be read, or is malformed.
+    #[error("cannot read the table: {0}")]
     Csv(#[from] csv::Error),
-    /// A cell is no number.
-    #[error(transparent)]
+    /// A cell is not a number.
+    #[error("a cell of the fitted columns is not a number: {0}")]
     Number(#[from] std::num::ParseFloatError),
-    /// It has no such column.
+    /// The table has no column of this name.
     #[error("no column {name}; there are {columns}")]
     NoColumn { name: String, columns: String },
 }
 
-/// Prints the best law of a cost and what the smaller sizes say of the largest; the record for the table.
+/// Prints the best fit of a cost, and the cost of the largest size as predicted from the smaller ones; returns the row for
+/// `fits.csv`, or none if the points cannot be fitted.
 pub fn print_fit(name: &str, points: &[(f64, f64)]) -> Option<FitRecord> {
     let best = match fit(points) {
         Ok(fits) => fits[0],
@@ -75,7 +76,7 @@
     ]
 }
 
-/// Prints the laws of one column of a table by another; lines that begin with # are passed over.
+/// Prints the fits of one column of a table to another; skips lines that begin with #.
 pub fn fit_table(path: &Path, size_column: &str, cost_column: &str) -> ExitStatus {
     let points = match read_points(path, size_column, cost_column) {
         Ok(points) => points,
@@ -103,7 +104,7 @@
     for record in table.records() {
         let record = record?;
         let (size, cost) = (&record[size_place], &record[cost_place]);
-        // A cell that is empty was not measured at that size.
+        // An empty cell is a cost that was not measured at that size.
         if size.is_empty() || cost.is_empty() {
             continue;
         }
--- a/testbed-cli/src/lib.rs
+++ b/testbed-cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The commands of the testbed's program, which is a line round [`main`]; tests call the same.
+//! The commands of the testbed program. The binary only parses its arguments and calls [`main`].
 
 pub mod charts;
 pub mod compare;
@@ -32,7 +32,7 @@
 #[derive(Debug, Parser)]
 #[command(name = "juniperladder-testbed", version, arg_required_else_help = true)]
 pub struct Args {
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Command,
 }
@@ -40,73 +40,77 @@
 /// A command of the program.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Runs an experiment: 0 run and every rule and stated bound kept, 1 something broken, 2 not allowed (nothing
-    /// was started), 3 the testbed was late and the run does not count
+    /// Runs an experiment. Exit codes: 0 completed with every rule and stated bound kept, 1 a rule, a bound or a process
+    /// failed, 2 the file or the machine does not allow the run (nothing was started), 3 the testbed fell behind its
+    /// schedule, so the run does not count
     Run(run::RunArgs),
-    /// Checks an experiment's file without running it
+    /// Checks an experiment file without running the experiment
     Check {
-        /// The file
+        /// The experiment file
         file: PathBuf,
-        /// Overrides one value, as in load.rate=300; may be given more than once
+        /// Overrides one value of the file, such as load.rate=300; may be repeated
         #[arg(long, value_name = "PATH=VALUE")]
         set: Vec<String>,
     },
-    /// Prints the schema of an experiment's file
+    /// Prints the JSON schema of experiment files
     Schema,
-    /// Compares runs, paired by seed, with intervals; says when a difference is noise
+    /// Compares the runs of two versions, paired by experiment and seed, with confidence intervals
     Compare {
-        /// Folders of runs, or folders that hold them
+        /// A run's folder, or a folder with runs below it
         before: PathBuf,
-        /// The same for the other version
+        /// The same for the version to compare with
         after: PathBuf,
     },
-    /// Prints a table over many runs, by experiment and number of balancers, in Markdown
+    /// Prints a Markdown table of many runs, by experiment and number of balancers
     Overview {
-        /// The folder that holds the runs
+        /// The folder with the runs below it
         folder: PathBuf,
-        /// Draws a chart by the number of balancers into this file
+        /// Writes a chart of the figures by number of balancers to this file
         #[arg(long, value_name = "FILE.svg")]
         chart: Option<PathBuf>,
     },
-    /// Deals a run's sends out anew by other placements, and tells where its unevenness comes from
+    /// Reassigns a run's sends to servers under other placements, and shows where the load imbalance comes from
     Replay {
         /// The run's folder
         folder: PathBuf,
     },
-    /// Writes a run's report anew from what it left
+    /// Regenerates report.html from the files of a run
     Report {
         /// The run's folder
         folder: PathBuf,
     },
-    /// Runs the control code of many members in one process, over sockets or in simulated time: 0 it counts, 1 a check
-    /// failed, 2 not allowed (nothing was started), 3 the test bed was late and the run does not count
+    /// Runs the control code of many members in one process, over sockets or in simulated time. Exit codes: 0 the run
+    /// counts, 1 a check failed, 2 the arguments or the machine do not allow the run (nothing was started), 3 the test bed
+    /// fell behind its schedule, so the run does not count
     Scale(scale_args::ScaleArgs),
-    /// Runs many short seeded runs round the planned end of processes: 0 every rule kept, 1 something broken (each failing seed
-    /// is printed with the command that runs it again), 2 not allowed (nothing was started)
+    /// Runs many short seeded experiments that shut processes down gracefully. Exit codes: 0 every rule kept, 1 a rule
+    /// broken (each failing seed is printed with the command that repeats it), 2 the machine does not allow the run
+    /// (nothing was started)
     Soak(soak::SoakArgs),
-    /// Fits a column of a table to another: which law describes the cost, and what the smaller sizes say of the largest
+    /// Fits a cost column of a table to its size column: the growth law that describes the cost, and the cost of the
+    /// largest size as predicted from the smaller sizes
     Fit {
         /// The table, as CSV
         table: PathBuf,
-        /// The column of the sizes
+        /// Name of the column with the sizes
         #[arg(long, default_value = "members")]
         x: String,
-        /// The column of the cost
+        /// Name of the column with the cost
         #[arg(long)]
         y: String,
     },
-    /// Ends the processes named on standard input once it closes; the testbed starts this itself
+    /// Kills the processes listed on standard input once standard input closes; started by the testbed itself
     #[command(hide = true)]
     Reap,
-    /// Runs a small whole fleet with one fault, about 20 s, and says where the report is
+    /// Runs a small complete fleet with one fault for about 20 s, and prints the path of the report
     Demo {
-        /// The folder for what it leaves
+        /// The output folder
         #[arg(long, default_value = "target/lab/demo")]
         out: PathBuf,
     },
 }
 
-/// Does what the arguments say; the exit code is one of [`exit`].
+/// Runs the command of these arguments; the exit code is one of [`exit`].
 pub fn main(args: Args) -> ExitCode {
     let status = match args.command {
         Command::Run(args) => run::run(&args),
@@ -125,7 +129,7 @@
     status.into()
 }
 
-/// Ends the processes of a testbed that is gone.
+/// Kills the processes that a terminated testbed left behind.
 fn reap_processes() -> ExitStatus {
     reap(std::io::stdin().lock());
     ExitStatus::ALL_KEPT
--- a/testbed-cli/src/overview.rs
+++ b/testbed-cli/src/overview.rs
@@ -1,5 +1,5 @@
-//! `overview`: a table over many runs, by experiment and by the number of balancers, with the spread over seeds, and a
-//! chart of how figures change with that number.
+//! `overview`: a table of many runs by experiment and number of balancers, with the range over seeds, and a chart of
+//! figures by number of balancers.
 
 #[cfg(test)]
 mod tests;
@@ -14,9 +14,9 @@
 use crate::compare::find_summaries;
 use crate::exit::ExitStatus;
 
-/// How a figure is read from a summary.
+/// A function that reads a figure from a summary.
 type Pick = fn(&Summary) -> Option<f64>;
-/// A column: its name, how many decimals, and the figure.
+/// A column: its name, its number of decimals, and its figure.
 type Column = (&'static str, usize, Pick);
 
 const FIGURE_COLUMNS: [Column; 12] = [
@@ -36,23 +36,23 @@
     ("packets", 1, |s| (s.peers.packets_per_s > 0.0).then_some(s.peers.packets_per_s)),
 ];
 
-/// The smallest fair peak that a peak is divided by.
+/// Lower bound of the fair peak that a peak is divided by, against division by zero.
 const SMALLEST_FAIR_PEAK: f64 = 1e-9;
 
-/// Runs by experiment and number of balancers.
+/// Summaries of runs by experiment and number of balancers.
 type RunsBySize = BTreeMap<String, BTreeMap<usize, Vec<Summary>>>;
 
-/// Prints the table of all runs below a folder, in Markdown; draws the chart where a file for it is named.
+/// Prints a Markdown table of all runs below a folder; writes the chart if a file for it is given.
 pub fn overview(folder: &Path, chart: Option<&Path>) -> ExitStatus {
     let runs = read_runs(folder);
     if runs.is_empty() {
-        eprintln!("{}: no runs below it", folder.display());
+        eprintln!("no runs found below {}", folder.display());
         return ExitStatus::NOT_ALLOWED;
     }
     let violations = print_table(&runs);
     if let Some(path) = chart {
         if let Err(error) = write_chart(path, &runs) {
-            eprintln!("{}: {error}", path.display());
+            eprintln!("cannot write the chart {}: {error}", path.display());
             return ExitStatus::NOT_ALLOWED;
         }
     }
@@ -74,7 +74,7 @@
     runs
 }
 
-/// Prints a row for each experiment and number of balancers; gives how many rules were broken in all.
+/// Prints a row for each experiment and number of balancers; returns the total of rule violations.
 fn print_table(runs: &RunsBySize) -> u64 {
     let names: Vec<&str> = FIGURE_COLUMNS.iter().map(|(name, ..)| *name).collect();
     println!("| experiment | balancers | runs | rules broken | {} |", names.join(" | "));
@@ -103,7 +103,7 @@
     Ok(())
 }
 
-/// A line for each experiment, with the mean of a figure at each number of balancers.
+/// Makes a line for each experiment, with the mean of a figure at each number of balancers.
 fn mean_lines(runs: &RunsBySize, pick: Pick) -> Vec<SizeLine> {
     let mean = |summaries: &[Summary]| {
         let values: Vec<f64> = summaries.iter().filter_map(pick).collect();
@@ -116,7 +116,7 @@
     runs.iter().map(line).collect()
 }
 
-/// The mean of a figure, with its least and greatest where they differ.
+/// Formats the mean of a figure, with its minimum and maximum if they differ.
 fn cell((_, decimals, pick): &Column, runs: &[Summary]) -> String {
     let values: Vec<f64> = runs.iter().filter_map(pick).collect();
     if values.is_empty() {
--- a/testbed-cli/src/overview/tests.rs
+++ b/testbed-cli/src/overview/tests.rs
@@ -1,4 +1,4 @@
-//! Cells of the table.
+//! Guards against wrong cells of the table: mean, range, and figures without a value.
 
 use super::*;
 
--- a/testbed-cli/src/replay.rs
+++ b/testbed-cli/src/replay.rs
@@ -1,5 +1,5 @@
-//! `replay`: deals a run's sends to servers out anew, by other placements, and tells what of its unevenness comes from
-//! where: chance, keys' popularity, placement. Then the busiest servers and the keys that load them.
+//! `replay`: reassigns a run's sends to servers under other placements, which shows how much of the load imbalance comes
+//! from chance, from the popularity of keys and from the placement. Also prints the busiest servers and their keys.
 
 mod placement;
 
@@ -19,31 +19,32 @@
 
 type Error = Box<dyn std::error::Error>;
 
-/// The windows' length in milliseconds, as of the checker's spread.
+/// Length of a window in milliseconds, the same as in the checker's spread.
 const WINDOW_MS: f64 = 5_000.0;
-/// A key is hot that brings more than this part of a server's fair load.
+/// Share of a server's fair load above which the load of a key makes the key hot.
 const HOT_KEY_LOAD: f64 = 0.25;
-/// The busiest servers that are printed, and the keys of each.
+/// Number of the busiest servers that are printed.
 const PRINTED_SERVERS: usize = 5;
+/// Number of keys that are printed of each server.
 const PRINTED_KEYS: usize = 3;
-/// The smallest mean that a load is divided by.
+/// Lower bound of the mean that a load is divided by, against division by zero.
 const SMALLEST_MEAN: f64 = 1e-9;
 
-/// One send that a server received.
+/// An attempt that a cache server received.
 #[derive(Clone, Copy)]
 struct ServerSend {
-    /// Milliseconds from the experiment's beginning.
+    /// Milliseconds since the start of the measured time.
     at_ms: f64,
     server: usize,
     key: u64,
 }
 
-/// Prints the replay of a run; servers of unlike weight are not told apart here.
+/// Prints the replay of a run; counts all servers as of equal weight.
 pub fn replay(folder: &Path) -> ExitStatus {
     match replay_folder(folder) {
         Ok(()) => ExitStatus::ALL_KEPT,
         Err(error) => {
-            eprintln!("{}: {error}; is it the folder of a run?", folder.display());
+            eprintln!("cannot replay the run in {} (not the folder of a run?): {error}", folder.display());
             ExitStatus::NOT_ALLOWED
         }
     }
@@ -60,7 +61,7 @@
     Ok(())
 }
 
-/// The sends to servers since the experiment's beginning, with their keys.
+/// Reads the sends to cache servers in the measured time, with their keys.
 fn read_sends(folder: &Path) -> Result<Vec<ServerSend>, Error> {
     let mut keys: HashMap<String, u64> = HashMap::new();
     for row in csv::Reader::from_path(folder.join("commands.csv"))?.records() {
@@ -71,7 +72,8 @@
     for row in csv::Reader::from_path(folder.join("attempts.csv"))?.records() {
         let row = row?;
         let (Ok(server), at_ms) = (row[2].parse(), row[3].parse::<f64>()?) else { continue };
-        let key = *keys.get(&row[0]).ok_or("an attempt of no command")?;
+        let key =
+            *keys.get(&row[0]).ok_or("attempts.csv has an attempt of a request that commands.csv lacks")?;
         if at_ms >= 0.0 {
             sends.push(ServerSend { at_ms, server, key });
         }
@@ -79,12 +81,12 @@
     Ok(sends)
 }
 
-/// The sends of a run, ready to be dealt out anew.
+/// The sends of a run, prepared for reassignment.
 struct Replay {
     servers: usize,
-    /// The sends by complete windows.
+    /// The sends of each complete window.
     windows: Vec<Vec<ServerSend>>,
-    /// The load of each key, in parts of a server's fair load.
+    /// The load of each key, as a share of a server's fair load.
     key_loads: HashMap<u64, f64>,
     rendezvous: RendezvousHashing,
 }
@@ -115,7 +117,7 @@
         println!("{sends} sends to {} hosts; {count} hot keys have {percent:.0}% of them", self.servers);
     }
 
-    /// Prints the unevenness of each placement. All draw from one generator, in this order.
+    /// Prints the load imbalance of each placement. All placements draw from one generator, in this order.
     fn print_placements(&self, seed: u64) {
         println!("{:44} {:>6} {:>6}", "", "peak", "least");
         let mut rng = seeded_rng(seed, RngStream::Fair);
@@ -139,7 +141,7 @@
         self.print_unevenness("bounded load 1.25, seeing the true state", |send| bounded_load.place(send));
     }
 
-    /// One of a key's homes, of which it has one for each quarter of a server's load.
+    /// Draws one of the key's home servers; a key has one for each quarter of a server's load that it brings.
     fn draw_home(&self, key: u64, rng: &mut SeededRng) -> Option<usize> {
         let homes = (self.key_loads[&key] / HOT_KEY_LOAD) as usize + 1;
         self.rendezvous.ranked(key).nth(rng.random_range(0..homes.min(self.servers)))
@@ -151,7 +153,7 @@
     }
 }
 
-/// The sends by complete windows.
+/// Groups the sends by complete window.
 fn windows(sends: &[ServerSend], seconds: f64) -> Vec<Vec<ServerSend>> {
     let mut windows = vec![Vec::new(); ((seconds * 1e3 / WINDOW_MS) as usize).max(1)];
     for send in sends {
@@ -162,16 +164,16 @@
     windows
 }
 
-/// How uneven a placement is.
+/// The load imbalance of a placement.
 #[derive(Debug, PartialEq)]
 struct Unevenness {
-    /// The load of each window's busiest server over the mean, mean over the windows.
+    /// Ratio of the busiest server's load to the mean load in a window, averaged over the windows.
     peak: f64,
-    /// The same of its least busy server.
+    /// Ratio of the least busy server's load to the mean load in a window, averaged over the windows.
     least: f64,
 }
 
-/// The unevenness of these sends when placed anew; a send without a place is left out.
+/// The load imbalance of these sends under a placement; leaves out sends that it places on no server.
 fn unevenness(
     windows: &[Vec<ServerSend>],
     servers: usize,
@@ -192,14 +194,14 @@
     unevenness
 }
 
-/// What one server received, in parts of a server's fair load.
+/// The load of one server, in total and by key, as a share of a server's fair load.
 struct ServerLoad {
     server: usize,
     total: f64,
     by_key: BTreeMap<u64, f64>,
 }
 
-/// Prints the busiest servers, and the keys that load them.
+/// Prints the busiest servers, and the keys that bring most of their load.
 fn print_busiest_servers(sends: &[ServerSend], servers: usize) {
     let fair_load = sends.len() as f64 / servers as f64;
     let empty = |server| ServerLoad { server, total: 0.0, by_key: BTreeMap::new() };
--- a/testbed-cli/src/replay/placement.rs
+++ b/testbed-cli/src/replay/placement.rs
@@ -1,4 +1,4 @@
-//! Placements of keys on servers that a run is held against.
+//! Placements of keys on servers that a run is compared with.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,9 +6,9 @@
 
 use super::ServerSend;
 
-/// What bounded load lets a server have of the mean.
+/// Greatest ratio of a server's load to the mean load in bounded-load placement.
 const MAX_LOAD_OVER_MEAN: f64 = 1.25;
-/// For how long a send counts as load, in milliseconds.
+/// Time that a send counts as load, in milliseconds.
 const LOAD_WINDOW_MS: f64 = 1_000.0;
 
 /// Rendezvous hashing of keys on servers.
@@ -17,42 +17,42 @@
 }
 
 impl RendezvousHashing {
-    /// Hashing on so many servers.
+    /// Rendezvous hashing on this number of servers.
     pub fn new(servers: usize) -> RendezvousHashing {
         RendezvousHashing { servers }
     }
 
-    /// A key's servers, best first.
+    /// The servers of a key, best first.
     pub fn ranked(&self, key: u64) -> impl Iterator<Item = usize> {
         let mut order: Vec<usize> = (0..self.servers).collect();
         order.sort_unstable_by_key(|server| mix_bits(mix_bits(key) ^ *server as u64));
         order.into_iter()
     }
 
-    /// A key's best server.
+    /// The best server of a key.
     pub fn first(&self, key: u64) -> Option<usize> {
         self.ranked(key).next()
     }
 }
 
-/// Rendezvous hashing with bounded load, by one that sees all sends of the last second.
+/// Rendezvous hashing with bounded load, with exact knowledge of all sends of the last second.
 pub struct BoundedLoad {
     rendezvous: RendezvousHashing,
     servers: usize,
-    /// Sends of the last second by server.
+    /// Number of sends in the last second, by server.
     counts: HashMap<usize, f64>,
-    /// These sends, oldest first: when, and to which server.
+    /// Time in milliseconds and server of each of these sends, oldest first.
     recent: VecDeque<(f64, usize)>,
 }
 
 impl BoundedLoad {
-    /// Nothing sent yet, to so many servers.
+    /// A placement on this number of servers, without sends.
     pub fn new(servers: usize) -> BoundedLoad {
         let rendezvous = RendezvousHashing::new(servers);
         BoundedLoad { rendezvous, servers, counts: HashMap::new(), recent: VecDeque::new() }
     }
 
-    /// The best server of a send's key that is not over the bound.
+    /// Places a send on the best server of its key that stays within the bound.
     pub fn place(&mut self, send: &ServerSend) -> Option<usize> {
         self.forget_until(send.at_ms);
         let bound = MAX_LOAD_OVER_MEAN * (self.recent.len() + 1) as f64 / self.servers as f64 + 1.0;
--- a/testbed-cli/src/replay/tests.rs
+++ b/testbed-cli/src/replay/tests.rs
@@ -1,4 +1,4 @@
-//! Unevenness of a placement over windows.
+//! Guards against a wrong load imbalance: averaged over windows, and limited by bounded-load placement.
 
 use super::*;
 
@@ -12,5 +12,8 @@
     assert_eq!(unevenness(&windows, 2, |send| Some(send.server)), Unevenness { peak: 1.5, least: 0.5 });
     let mut bounded_load = BoundedLoad::new(4);
     let Unevenness { peak, .. } = unevenness(&windows, 4, |send| bounded_load.place(send));
-    assert!(peak <= 2.0, "one key has to leave its home, which alone would have four times the mean: {peak}");
+    assert!(
+        peak <= 2.0,
+        "bounded load has to spread a single key, whose home alone would have four times the mean: {peak}"
+    );
 }
--- a/testbed-cli/src/report.rs
+++ b/testbed-cli/src/report.rs
@@ -1,4 +1,4 @@
-//! `report.html`: one self-contained page about a run, made from the files that the run left.
+//! `report.html`: a self-contained page about a run, generated from the files of the run.
 
 mod page;
 
@@ -17,25 +17,25 @@
 
 type Error = Box<dyn std::error::Error>;
 
-/// A file of a run that is not as it should be.
+/// A failure to read a file of a run.
 #[derive(Debug, thiserror::Error)]
 enum RunFileError {
-    /// It cannot be opened.
-    #[error("{}: {source}", path.display())]
+    /// The file cannot be opened.
+    #[error("cannot open {}: {source}", path.display())]
     Open { path: PathBuf, source: std::io::Error },
-    /// It does not hold what it should.
-    #[error("{}: {source}", path.display())]
+    /// The content of the file is malformed.
+    #[error("malformed JSON in {}: {source}", path.display())]
     Form { path: PathBuf, source: serde_json::Error },
 }
 
-/// What the page is made from.
+/// The contents of a run's files that the page shows.
 struct RunFiles {
     summary: Summary,
     experiment: Experiment,
     violations: Vec<Violation>,
     crashes: Vec<String>,
     seconds: Vec<Second>,
-    /// For each server, its load in each second.
+    /// Load of each cache server in each second, as a ratio to its fair share.
     server_loads: Vec<Vec<f64>>,
 }
 
@@ -73,10 +73,10 @@
     Ok(loads)
 }
 
-/// Writes a run's report from what it left in its folder.
+/// Writes the report of a run from the files in its folder.
 ///
 /// # Errors
-/// What kept a file from being read or written, or a chart from being drawn.
+/// If a file cannot be read or written, or a chart cannot be drawn.
 pub fn write_report(folder: &Path) -> Result<(), Error> {
     let files = RunFiles::read(folder)?;
     let mut charts = vec![
@@ -90,7 +90,8 @@
     Ok(())
 }
 
-/// The charts of what each process said it has reserved of the origin's limit; none where balancers do not talk.
+/// Charts of the shares of the origin limit that the balancers report as reserved and used; none if the balancers do not
+/// coordinate.
 fn token_charts(folder: &Path, files: &RunFiles) -> Result<Vec<String>, Error> {
     let limit = files.summary.limits.get("origin").filter(|limit| limit.bound.is_some());
     let (Some(limit), Ok(table)) = (limit, csv::Reader::from_path(folder.join("holders.csv"))) else {
@@ -123,7 +124,7 @@
     ])
 }
 
-/// Writes a run's report anew and says where it is.
+/// Regenerates the report of a run and prints its path.
 pub fn rewrite_report(folder: &Path) -> ExitStatus {
     match write_report(folder) {
         Ok(()) => {
@@ -131,7 +132,10 @@
             ExitStatus::ALL_KEPT
         }
         Err(error) => {
-            eprintln!("{}: {error}; is it the folder of a run?", folder.display());
+            eprintln!(
+                "cannot write the report of the run in {} (not the folder of a run?): {error}",
+                folder.display()
+            );
             ExitStatus::NOT_ALLOWED
         }
     }
--- a/testbed-cli/src/report/page.rs
+++ b/testbed-cli/src/report/page.rs
@@ -1,4 +1,4 @@
-//! The text of the report's page.
+//! The HTML of the report.
 
 use std::fmt::{Result, Write};
 
@@ -8,7 +8,7 @@
 
 use super::RunFiles;
 
-/// Violations that are shown with their request traces.
+/// Greatest number of violations shown with their request traces.
 const MAX_SHOWN_VIOLATIONS: usize = 50;
 
 const STYLE: &str =
@@ -18,7 +18,7 @@
     pre{background:#f6f6f6;padding:8px;overflow-x:auto;font-size:13px}.bad{color:#b71c1c}.good{color:#2e7d32}\
     svg{max-width:100%;height:auto}";
 
-/// The page of a run, with these charts as SVG elements.
+/// Renders the page of a run, with these charts as SVG elements.
 pub fn page(files: &RunFiles, charts: &[String]) -> std::result::Result<String, std::fmt::Error> {
     let mut page = String::new();
     write_head(&mut page, &files.summary, &files.experiment)?;
@@ -102,7 +102,7 @@
     Ok(())
 }
 
-/// A row of the table of figures.
+/// A row of the figures table.
 struct Row {
     name: String,
     value: String,
@@ -112,7 +112,7 @@
     Row { name: name.to_owned(), value: value.into() }
 }
 
-/// A value with its unit; a dash where there is none.
+/// Formats a value with its unit, or a dash for no value.
 fn optional(value: Option<f64>, unit: &str) -> String {
     value.map_or("-".into(), |value| format!("{value:.2}{unit}"))
 }
--- a/testbed-cli/src/run.rs
+++ b/testbed-cli/src/run.rs
@@ -1,4 +1,4 @@
-//! `run`: runs an experiment's file, writes all that a run leaves, and says how it went.
+//! `run`: runs an experiment file, writes the files of the run, and prints the result.
 
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
@@ -18,31 +18,31 @@
 use crate::run_outcome::print_outcome;
 use crate::{report, tables};
 
-/// Steps of the progress bar for each second of load.
+/// Steps of the progress bar per second of load.
 const PROGRESS_STEPS_PER_S: f64 = 10.0;
-/// How often the progress bar is drawn.
+/// Interval between two draws of the progress bar.
 const PROGRESS_DRAW_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How an experiment is run.
+/// Arguments of `run`.
 #[derive(Debug, clap::Args)]
 pub struct RunArgs {
-    /// The file
+    /// The experiment file
     pub file: PathBuf,
-    /// The folder for what the run leaves
+    /// The output folder
     #[arg(long)]
     pub out: PathBuf,
-    /// The seed; the file's own by default
+    /// The seed; by default that of the file
     #[arg(long)]
     pub seed: Option<u64>,
-    /// So many seeds in turn, each in a folder of its own below OUT
+    /// Runs this many consecutive seeds, each in a folder of its own below OUT
     #[arg(long)]
     pub seeds: Option<u64>,
-    /// Overrides one value, as in load.rate=300; may be given more than once
+    /// Overrides one value of the file, such as load.rate=300; may be repeated
     #[arg(long, value_name = "PATH=VALUE")]
     pub set: Vec<String>,
 }
 
-/// Runs an experiment's file, with one seed or several in turn; the worst exit status of them.
+/// Runs an experiment file with one seed or several consecutive ones; returns the worst exit status.
 pub fn run(args: &RunArgs) -> ExitStatus {
     let first = match read_experiment(&args.file, &args.set, args.seed) {
         Ok(experiment) => experiment,
@@ -63,10 +63,10 @@
     worst
 }
 
-/// Runs an experiment, writes all that it leaves and says how it went.
+/// Runs an experiment, writes its files and prints the result.
 pub fn run_once(experiment: &Experiment, out: &Path) -> ExitStatus {
     if let Err(error) = std::fs::create_dir_all(out) {
-        eprintln!("{}: {error}", out.display());
+        eprintln!("cannot create the output folder {}: {error}", out.display());
         return ExitStatus::NOT_ALLOWED;
     }
     let run = match run_with_progress(experiment, out) {
@@ -81,13 +81,13 @@
     let terms = CheckTerms { measured_until, stated: run.stated, ..terms };
     let checked = check_with_costs(experiment, &run, &terms);
     if let Err(error) = write_files(out, experiment, &run, &terms, &checked) {
-        eprintln!("{}: {error}", out.display());
+        eprintln!("cannot write the files of the run to {}: {error}", out.display());
         return ExitStatus::RULE_BROKEN;
     }
     print_outcome(&checked, &run)
 }
 
-/// The exit status of a run that gave no record.
+/// The exit status of a run that failed without a record.
 pub fn status_of_error(error: &TestbedError) -> ExitStatus {
     match error {
         TestbedError::NotAllowed(_) => ExitStatus::NOT_ALLOWED,
@@ -106,7 +106,7 @@
     report::write_report(out)
 }
 
-/// Checks what a run left, and fills in what it cost.
+/// Checks the record of a run and adds its costs to the summary.
 fn check_with_costs(experiment: &Experiment, run: &RunRecord, terms: &CheckTerms) -> CheckResult {
     let mut checked = check_run(&run.event_log, terms);
     let summary = &mut checked.summary;
@@ -131,12 +131,12 @@
     checked
 }
 
-/// Runs, with progress on a terminal; Ctrl-C ends the load with what there is.
+/// Runs an experiment with a progress bar if stderr is a terminal. Ctrl-C ends the load early and keeps the record so far.
 fn run_with_progress(experiment: &Experiment, out: &Path) -> Result<RunRecord, TestbedError> {
     let stop = stop_on_ctrl_c();
     let bar = progress_bar(experiment);
     let mut progress = |progress| show_progress(&bar, experiment, progress);
-    // Without a child reaper the processes still end with the testbed, unless that is killed outright.
+    // Without a child reaper the processes still end with the testbed, unless the testbed is killed by SIGKILL.
     let child_reaper = std::env::current_exe().and_then(|own| ChildReaper::start(&own)).ok();
     let options = RunOptions { out, progress: &mut progress, child_reaper, stop };
     let run = run_experiment(experiment, options);
@@ -144,12 +144,12 @@
     run
 }
 
-/// Becomes true on Ctrl-C.
+/// A channel whose value becomes true on Ctrl-C.
 fn stop_on_ctrl_c() -> watch::Receiver<bool> {
     let (stop, stopped) = watch::channel(false);
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        // Without it Ctrl-C ends the program at once; the processes end with it all the same.
+        // Without a runtime Ctrl-C terminates this program at once; the processes still end with it.
         if let Ok(runtime) = runtime {
             if runtime.block_on(tokio::signal::ctrl_c()).is_ok() {
                 let _ = stop.send(true);
--- a/testbed-cli/src/run_outcome.rs
+++ b/testbed-cli/src/run_outcome.rs
@@ -1,4 +1,4 @@
-//! Says how a run went, the worst on the last line, and gives the exit status.
+//! Prints the result of a run, with the verdict on the last line, and determines the exit status.
 
 use juniperladder_platform_model::checker::CheckResult;
 use juniperladder_platform_model::summary::{LimitUsage, Summary};
@@ -6,12 +6,12 @@
 
 use crate::exit::ExitStatus;
 
-/// The testbed's lag in milliseconds, at the 99th percentile, over which a run does not count.
+/// Greatest lag of the testbed in milliseconds, at the 99th percentile, with which a run counts.
 const MAX_LAG_MS: f64 = 20.0;
-/// Crashes and violations that are printed of each.
+/// Greatest number of crashes, and of violations, that are printed.
 const MAX_PRINTED: usize = 3;
 
-/// Prints how a run went; the exit status says the worst of it.
+/// Prints the result of a run; returns its exit status.
 pub fn print_outcome(checked: &CheckResult, run: &RunRecord) -> ExitStatus {
     let summary = &checked.summary;
     print_requests(summary);
@@ -20,10 +20,10 @@
     print_costs(summary);
     print_crashes_and_violations(checked, run);
     if run.stopped {
-        println!("stopped before its end: what there is has been written");
+        println!("stopped early: the files cover the run up to then");
     }
     if !run.crashes.is_empty() {
-        println!("BROKEN: {} processes ended without being told to", run.crashes.len());
+        println!("BROKEN: {} processes ended unexpectedly", run.crashes.len());
         return ExitStatus::RULE_BROKEN;
     }
     if !print_failure_detection(summary) || !print_rules_and_bounds(summary) {
@@ -31,7 +31,7 @@
     }
     if summary.lag_p99_ms > MAX_LAG_MS {
         println!(
-            "LATE: the testbed's sends were {:.1} ms behind their plan, over {MAX_LAG_MS}: the run does not count",
+            "LATE: the testbed sent its requests {:.1} ms late at the 99th percentile, over {MAX_LAG_MS}: the run does not count",
             summary.lag_p99_ms
         );
         return ExitStatus::TESTBED_LATE;
@@ -119,25 +119,26 @@
     }
 }
 
-/// Whether no report acted for longer than is stated; true where the program states nothing.
+/// Prints the figures of failure detection; whether no report was acted on after its stated expiry. True if the balancer
+/// states no expiry.
 fn print_failure_detection(summary: &Summary) -> bool {
     let detection = &summary.failure_detection;
     let Some(expiry_ms) = detection.stale_bound_ms else { return true };
     let whole_ms = |ms: Option<f64>| ms.map_or("-".into(), |ms| format!("{ms:.0}"));
     println!(
-        "verdicts: the oldest word that acted {} ms (stated {expiry_ms:.0}), wrong {}; host avoided by all after {} ms",
+        "verdicts: oldest report acted on {} ms (stated {expiry_ms:.0}), wrong {}; host avoided by all after {} ms",
         whole_ms(detection.stale_max_ms),
         detection.wrongly_avoided,
         whole_ms(detection.avoided_ms),
     );
     let is_kept = detection.stale_max_ms.is_none_or(|oldest_ms| oldest_ms <= expiry_ms);
     if !is_kept {
-        println!("BROKEN: a word acted longer than is stated");
+        println!("BROKEN: a failure report was acted on after its stated expiry");
     }
     is_kept
 }
 
-/// Whether every rule and every stated bound of a limit was kept.
+/// Whether every rule and every stated bound of a limit was kept; prints those that were not.
 fn print_rules_and_bounds(summary: &Summary) -> bool {
     let is_over = |limit: &LimitUsage| limit.bound.is_some_and(|bound| limit.peak > bound);
     let limits = summary.limits.iter();
--- a/testbed-cli/src/scale.rs
+++ b/testbed-cli/src/scale.rs
@@ -1,11 +1,11 @@
-//! `scale`: runs many members' control code in one process, one size or several in turn, and writes what it found.
+//! `scale`: runs the control code of many members in one process, at one size or at several sizes in turn.
 
 use crate::exit::ExitStatus;
 use crate::scale_args::ScaleArgs;
 use crate::scale_run::run_one;
 use crate::sizes::run_sizes;
 
-/// Runs a scale test, of one size or of several.
+/// Runs a scale test at one size or at several.
 pub fn scale(args: &ScaleArgs) -> ExitStatus {
     if args.sizes.is_empty() {
         run_one(args)
--- a/testbed-cli/src/scale_args.rs
+++ b/testbed-cli/src/scale_args.rs
@@ -1,79 +1,79 @@
-//! The arguments of `scale`.
+//! Arguments of `scale`.
 
 use std::path::PathBuf;
 
 use juniperladder_testbed::scale::{CalibrationTraffic, Event, Flaw, Mechanism, ScaleConfig};
 
-/// How a scale test is run.
+/// Arguments of `scale`.
 #[derive(Clone, Debug, clap::Args)]
 pub struct ScaleArgs {
-    /// What the members run: membership, cluster, purge, calibration
+    /// The mechanism that the members run: membership, cluster, purge, calibration
     #[arg(long, default_value = "cluster")]
     pub mechanism: Mechanism,
-    /// How many members
+    /// The number of members
     #[arg(long, default_value_t = 125)]
     pub members: usize,
-    /// Several sizes in turn, each in a process of its own, with a fit of each cost; in place of --members
+    /// Runs several fleet sizes in turn, each in a process of its own, and fits each cost; replaces --members
     #[arg(long, value_delimiter = ',', value_name = "N,N,...")]
     pub sizes: Vec<usize>,
-    /// With --sizes: takes a size that OUT already holds as it is, so that each can be run by itself
+    /// With --sizes: reuses the results of sizes that OUT already contains, so that each can be run on its own
     #[arg(long)]
     pub resume: bool,
-    /// How many regions
+    /// The number of regions
     #[arg(long, default_value_t = 12)]
     pub regions: usize,
-    /// How many zones
+    /// The number of zones
     #[arg(long, default_value_t = 38)]
     pub zones: usize,
-    /// Seconds that the fleet forms before anything is counted
+    /// Seconds for the fleet to form before anything is measured
     #[arg(long, default_value_t = 10.0)]
     pub warm_up: f64,
-    /// Seconds that it is observed: a third in its ordinary state, then the event
+    /// Seconds of measurement: the first third in the ordinary state, then with the event
     #[arg(long, default_value_t = 30.0)]
     pub seconds: f64,
     /// The seed
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// What happens: none, member-lost, loss, zone-lost, region-cut, restart-wave, control-loss
+    /// The event: none, member-lost, loss, zone-lost, region-cut, restart-wave, control-loss
     #[arg(long, default_value = "none")]
     pub event: Event,
     /// Simulates time, for sizes that this machine cannot run in real time
     #[arg(long = "virtual")]
     pub virtual_time: bool,
-    /// Threads that the members are dealt to in real time
+    /// Threads that share the members in real time
     #[arg(long, default_value_t = 4)]
     pub workers: usize,
-    /// Client requests a second at a member
+    /// Client requests per second at each member
     #[arg(long, default_value_t = 20.0)]
     pub requests: f64,
-    /// Control machines of a run of purges, beside the members
+    /// Control machines of a purge run, in addition to the members
     #[arg(long, default_value_t = 11)]
     pub replicas: usize,
-    /// Purges published a second, by all control machines together
+    /// Purges published per second by all control machines together
     #[arg(long, default_value_t = 11.0)]
     pub publishes: f64,
-    /// Cache servers
+    /// The number of cache servers
     #[arg(long, default_value_t = 230)]
     pub cache_hosts: usize,
     /// Breaks the mechanism on purpose: talks-to-all, drops-changes
     #[arg(long)]
     pub flaw: Option<Flaw>,
-    /// Runs endpoints without control code after it, with as many packets, for the test bed's own share
+    /// Also runs endpoints without control code at the same packet rate, to measure the test bed's own cost
     #[arg(long)]
     pub calibrate: bool,
-    /// Packets a second of a calibration run
+    /// Packets per second in a calibration run
     #[arg(long, hide = true, default_value_t = 5.0)]
     pub calibration_packets: f64,
-    /// Bytes of a packet of a calibration run
+    /// Packet size of a calibration run, in bytes
     #[arg(long, hide = true, default_value_t = 100)]
     pub calibration_length: usize,
-    /// The folder for what the run leaves
+    /// The output folder
     #[arg(long)]
     pub out: PathBuf,
 }
 
 impl ScaleArgs {
-    /// The test of one size.
+    /// The configuration of a test at one size.
     pub fn config(&self) -> ScaleConfig {
         ScaleConfig {
             mechanism: self.mechanism,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The arguments that run the same in another process.
+    /// The command-line arguments that run the same test in another process.
     pub fn arguments(&self) -> Vec<String> {
         let mut arguments = vec!["scale".to_owned()];
         let values = [
--- a/testbed-cli/src/scale_run.rs
+++ b/testbed-cli/src/scale_run.rs
@@ -1,4 +1,4 @@
-//! One run of a scale test: in this process or in one of its own, its files, and its exit status.
+//! One run of a scale test, in this process or in a child process: its files and its exit status.
 
 use std::path::Path;
 use std::process::Command;
@@ -11,14 +11,14 @@
 use crate::scale_args::ScaleArgs;
 use crate::scale_table;
 
-/// How long a calibration run lasts at the most, in seconds.
+/// Longest measurement of a calibration run, in seconds.
 const MAX_CALIBRATION_S: f64 = 10.0;
-/// How long its members form before anything is counted, in seconds.
+/// Warm-up of a calibration run before anything is measured, in seconds.
 const CALIBRATION_WARM_UP_S: f64 = 2.0;
-/// The lowest rate of packets that a packet's mean length is taken from.
+/// Lower bound of the packet rate that divides the byte rate, against division by zero.
 const MIN_PACKETS_PER_S: f64 = 1e-9;
 
-/// Runs a scale test of one size, writes what it found and prints it.
+/// Runs a scale test at one size, writes its files and prints its summary.
 pub fn run_one(args: &ScaleArgs) -> ExitStatus {
     let outcome = match scale::run_scale_test(args.config()) {
         Ok(outcome) => outcome,
@@ -28,7 +28,7 @@
         }
     };
     if let Err(error) = write_files(&args.out, &outcome) {
-        eprintln!("{}: {error}", args.out.display());
+        eprintln!("cannot write the files of the scale test to {}: {error}", args.out.display());
         return ExitStatus::NOT_ALLOWED;
     }
     scale_table::print_summary(&outcome.summary);
@@ -38,23 +38,26 @@
     print_status(&outcome.summary)
 }
 
-/// Says why a run does not count, if so; the exit status with it.
+/// Prints why a run failed or does not count, if so; returns its exit status.
 pub fn print_status(summary: &Summary) -> ExitStatus {
     if let Some(purge) = summary.purge.filter(|purge| purge.done_missing > 0) {
-        println!("BROKEN: {} times a member served without a purge that was called done", purge.done_missing);
+        println!(
+            "BROKEN: {} times a member served without a purge that had been reported as done",
+            purge.done_missing
+        );
         return ExitStatus::RULE_BROKEN;
     }
     if summary.counts() {
         return ExitStatus::ALL_KEPT;
     }
     println!(
-        "LATE: the test bed's timers were {:.1} ms behind at the 99th percentile, over {LATE_MS}: the run does not count",
+        "LATE: the test bed's timers fired {:.1} ms late at the 99th percentile, over {LATE_MS}: the run does not count",
         summary.lag_p99_ms
     );
     ExitStatus::TESTBED_LATE
 }
 
-/// Runs endpoints without control code in a process of their own, with the traffic of the run before.
+/// Runs endpoints without control code in a child process, with the packet rate and mean packet size of the finished run.
 fn calibrate(args: &ScaleArgs, summary: &Summary) {
     let sent = summary.ordinary.sent;
     let calibration = ScaleArgs {
@@ -75,7 +78,7 @@
     }
 }
 
-/// The summary that the run's folder holds, if it is of these arguments.
+/// The summary in the output folder, if it belongs to a run with these arguments.
 pub fn held_summary(args: &ScaleArgs) -> Option<Summary> {
     let summary = read_summary(&args.out)?;
     let is_same = summary.members == args.members
@@ -86,8 +89,8 @@
     is_same.then_some(summary)
 }
 
-/// Runs a scale test in a process of its own, so that its memory is its own; its summary, and the exit status. None where
-/// it was not allowed or left no summary.
+/// Runs a scale test in a child process, so that its memory is measured separately; returns the summary and the exit status,
+/// or none if the run was not allowed or wrote no summary.
 pub fn run_in_process(args: &ScaleArgs) -> Option<(Summary, ExitStatus)> {
     let program = std::env::current_exe().ok()?;
     let process = Command::new(program).args(args.arguments()).status().ok()?;
--- a/testbed-cli/src/scale_table.rs
+++ b/testbed-cli/src/scale_table.rs
@@ -1,9 +1,8 @@
-//! The table that a scale test prints.
+//! Prints the summary of a scale test.
 
 use juniperladder_testbed::scale::results::{ChangeSummary, PhaseSummary, Summary};
 use juniperladder_testbed::scale::{PurgeSummary, Times};
 
-/// Prints a run's summary.
 pub fn print_summary(summary: &Summary) {
     println!(
         "{} of {} members, {} zones, {} regions, seed {}, event {}{}{}",
@@ -29,7 +28,10 @@
         summary.lag_p99_ms
     );
     if summary.unroutable + summary.not_sent > 0 {
-        println!("  packets to nobody {}, not taken by a socket {}", summary.unroutable, summary.not_sent);
+        println!(
+            "  packets to unknown addresses {}, not accepted by a socket {}",
+            summary.unroutable, summary.not_sent
+        );
     }
     if summary.control_ordinary.seconds > 0.0 {
         println!("  {} control machines:", summary.replicas);
@@ -78,14 +80,14 @@
         for (what, times) in [
             ("a connected member acts", phase.acted),
             ("all connected members act", phase.all_acted),
-            ("the publisher hears done", phase.done),
+            ("the publisher is notified of completion", phase.done),
         ] {
             let Times { p50_ms, p99_ms, max_ms, .. } = times;
             println!("    until {what}: p50 {p50_ms:.0} ms, p99 {p99_ms:.0} ms, max {max_ms:.0} ms");
         }
     }
     println!(
-        "  members voided {} times, {} leases ran out, {} serve at the end; done but missing at a member that serves: {}",
+        "  members voided {} times, {} leases expired, {} serve at the end; done but missing at a serving member: {}",
         purge.voided, purge.lapses, purge.serving, purge.done_missing
     );
 }
--- a/testbed-cli/src/sizes.rs
+++ b/testbed-cli/src/sizes.rs
@@ -1,4 +1,4 @@
-//! `scale --sizes`: costs by the size of the fleet, the law that describes each, and a chart.
+//! `scale --sizes`: costs by fleet size, the growth law that describes each, and a chart.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -13,7 +13,7 @@
 
 type Error = Box<dyn std::error::Error>;
 
-/// A cost of a member, by its name in tables.
+/// A cost of a member: its column name, and the function that reads it from a summary.
 type Cost = (&'static str, fn(&Summary) -> Option<f64>);
 
 const MEMBER_COSTS: [Cost; 8] = [
@@ -27,7 +27,7 @@
     ("known_median", |s| (s.known.median > 0).then_some(s.known.median as f64)),
 ];
 
-/// Runs a scale test at each size and writes `sizes.csv`, `fits.csv` and `sizes.svg`. The worst exit status of them.
+/// Runs a scale test at each size and writes `sizes.csv`, `fits.csv` and `sizes.svg`; returns the worst exit status.
 pub fn run_sizes(args: &ScaleArgs) -> ExitStatus {
     let mut summaries = Vec::new();
     let mut worst = ExitStatus::ALL_KEPT;
@@ -45,7 +45,7 @@
         summaries.push(summary);
     }
     if let Err(error) = write_files(&args.out, args, &summaries) {
-        eprintln!("{}: {error}", args.out.display());
+        eprintln!("cannot write the files of the sizes to {}: {error}", args.out.display());
         return ExitStatus::NOT_ALLOWED;
     }
     worst
@@ -80,7 +80,7 @@
     Ok(std::fs::write(path, by_size(&figures)?)?)
 }
 
-/// A row for each size: its costs, the bytes by kind, and how changes spread.
+/// Writes a row for each size: its costs, the traffic by kind of packet, and the propagation times of changes.
 fn write_sizes(
     path: &Path,
     args: &ScaleArgs,
--- a/testbed-cli/src/soak.rs
+++ b/testbed-cli/src/soak.rs
@@ -1,4 +1,5 @@
-//! `soak`: runs the soak's seeds one after the other, and says of each that failed what was broken and how to run it again.
+//! `soak`: runs the seeds of a soak test in turn, and prints the findings of each failed seed and the command that repeats
+//! it.
 
 use std::path::PathBuf;
 
@@ -11,25 +12,25 @@
 use crate::exit::ExitStatus;
 use crate::run::status_of_error;
 
-/// Findings of one seed that are printed in full.
+/// Greatest number of findings printed of one seed.
 const SHOWN_FINDINGS: usize = 5;
 
-/// How the soak is run.
+/// Arguments of `soak`.
 #[derive(Debug, clap::Args)]
 pub struct SoakArgs {
-    /// The folder for the processes' logs and files, one below it for each seed
+    /// The output folder for logs and files of the processes, with a subfolder for each seed
     #[arg(long)]
     pub out: PathBuf,
-    /// The first seed: a soak that was stopped goes on from here
+    /// The first seed; lets a stopped soak resume where it ended
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// How many seeds
+    /// The number of seeds
     #[arg(long, default_value_t = 1)]
     pub seeds: u64,
-    /// How long clients wait: long (1.5 and 3 s) or short (0.3 and 1.2 s)
+    /// Deadlines of the clients' requests: long (1.5 and 3 s) or short (0.3 and 1.2 s)
     #[arg(long, default_value = "long", value_parser = parse_deadlines)]
     pub deadlines: DeadlineProfile,
-    /// The program
+    /// The path of the balancer program
     #[arg(long, default_value = "target/release/juniperladder")]
     pub program: String,
 }
@@ -38,7 +39,7 @@
     match text {
         "long" => Ok(DeadlineProfile::Long),
         "short" => Ok(DeadlineProfile::Short),
-        _ => Err("give long or short".into()),
+        _ => Err("the deadlines are either long or short".into()),
     }
 }
 
@@ -47,11 +48,11 @@
 pub struct SeedOutcome {
     /// The plan that was run.
     pub plan: SoakPlan,
-    /// What it came to.
+    /// The findings and the request counts.
     pub result: SoakResult,
 }
 
-/// Runs all seeds; the worst exit status of them.
+/// Runs all seeds, unless one cannot be run; returns the exit status.
 pub fn soak(args: &SoakArgs) -> ExitStatus {
     let mut failed = Vec::new();
     for seed in args.seed..args.seed + args.seeds {
@@ -74,14 +75,14 @@
     ExitStatus::RULE_BROKEN
 }
 
-/// Runs one seed and checks what it left.
+/// Runs one seed and checks its record.
 ///
 /// # Errors
-/// The exit status of a run that could not be made; the reason is printed.
+/// The exit status if the run fails without a record; the reason is printed.
 pub fn run_seed(args: &SoakArgs, seed: u64) -> Result<SeedOutcome, ExitStatus> {
     let plan = SoakPlan::draw(seed, args.deadlines, &args.program);
     let out = args.out.join(format!("seed-{seed}"));
-    // A seed that is run again leaves the logs of that run alone; a folder that is not there is no problem.
+    // Deletes the logs of an earlier run of this seed; usually there is no such folder.
     let _ = std::fs::remove_dir_all(&out);
     let child_reaper = std::env::current_exe().and_then(|own| ChildReaper::start(&own)).ok();
     let record = run_soak(&plan, &out, child_reaper).map_err(|error| {
--- a/testbed-cli/src/tables.rs
+++ b/testbed-cli/src/tables.rs
@@ -1,5 +1,5 @@
-//! What a run leaves beside its report: `summary.json`, tables as CSV with one compact record a request, an attempt, a
-//! second. Names and forms of the files and their columns stay.
+//! The files of a run besides its report: `summary.json`, and CSV tables with one compact record per request, attempt or
+//! second. The names and formats of the files and their columns are stable.
 
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -14,20 +14,20 @@
 use juniperladder_testbed::RunRecord;
 use serde::Serialize;
 
-/// The columns of `commands.csv`, one line a request.
+/// The columns of `commands.csv`, with one row per request.
 const REQUEST_COLUMNS: [&str; 10] =
     ["id", "first", "balancer", "key", "write", "planned", "sent", "deadline", "ended", "end"];
-/// The columns of `attempts.csv`, one line an attempt.
+/// The columns of `attempts.csv`, with one row per attempt.
 const ATTEMPT_COLUMNS: [&str; 7] = ["id", "balancer", "at", "begun", "answered", "became", "cold"];
-/// The columns of `hosts.csv`, one line a server and a second.
+/// The columns of `hosts.csv`, with one row per cache server and second.
 const SERVER_COLUMNS: [&str; 3] = ["host", "second", "load"];
-/// The columns of `holders.csv`, one line a report of a process.
+/// The columns of `holders.csv`, with one row per self-report of a process.
 const SELF_REPORT_COLUMNS: [&str; 6] = ["second", "balancer", "held", "used", "members", "passed_by"];
 
-/// Writes all tables of a run into its folder.
+/// Writes `summary.json` and all tables of a run to its folder.
 ///
 /// # Errors
-/// What kept a file from being written.
+/// If a file cannot be written.
 pub fn write_tables(
     out: &Path,
     experiment: &Experiment,
@@ -119,7 +119,7 @@
     table.flush()
 }
 
-/// Milliseconds from the experiment's beginning; negative while the caches fill.
+/// Milliseconds since the start of the measured time; negative while the caches fill.
 fn millis(at: Micros, terms: &CheckTerms) -> String {
     format!("{:.3}", (at as f64 - terms.measured_from as f64) / 1e3)
 }
--- a/testbed-cli/tests/fleet.rs
+++ b/testbed-cli/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Fleets of the real program with faults between them, checked by rules and bounds, never by times. Two run at once and no
-//! more: a machine that is short of processors must not pass for a program that is late.
+//! Fleets of real balancer processes under faults, checked by rules and bounds, never by durations. At most two fleets run at
+//! once, so that a shortage of processors is not mistaken for a slow balancer.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,7 +11,7 @@
 use juniperladder_platform_model::MICROS_PER_SECOND;
 use juniperladder_testbed::{run_experiment, RunOptions, RunRecord};
 
-/// A run holds one of these.
+/// Limits the fleets that run at the same time: each holds one slot.
 static RUN_SLOTS: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
 static NEXT_SLOT: AtomicUsize = AtomicUsize::new(0);
 
@@ -20,11 +20,11 @@
     RUN_SLOTS[slot].lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// For four seconds the balancers of each half hear nothing of the other half.
+/// Partitions the balancers into halves that cannot reach each other for four seconds.
 const TALK_CUT_IN_HALVES: &str = "[[fault]]\nat = 1\nfor = 4\nwhat = \"cut\"\n\
                                   between = [\"balancers:0-5\", \"balancers:6-11\"]\n";
 
-/// The program, as built beside this test.
+/// Path of the balancer program in the target folder of this test.
 fn program() -> PathBuf {
     let own = std::env::current_exe().unwrap();
     let program = own.parent().and_then(|deps| deps.parent()).unwrap().join("juniperladder");
@@ -32,28 +32,29 @@
     program
 }
 
-/// Runs so many processes with these faults, and checks that every rule was kept and no process crashed.
+/// Runs a fleet with these faults, and checks that every rule was kept and no process crashed.
 fn run_keeping_rules(name: &str, balancers: usize, more: &str) -> (RunRecord, CheckResult) {
     run_and_check(name, balancers, "writes = 0.05\nwarm = 4\n[origin]\ncapacity = 120\n", more)
 }
 
-/// The same with balancers that talk with each other and share a limit of 40 a second at the origin where 80 writes a second come
-/// in, four fifths of them at a fifth of the balancers. The stated bound is never passed.
+/// Like [`run_keeping_rules`], with balancers that share a limit of 40 requests per second to the origin while 80 writes per
+/// second arrive, four fifths of them at a fifth of the balancers. Checks that the stated bound was never exceeded.
 fn run_with_origin_limit(name: &str, balancers: usize, more: &str) -> (RunRecord, CheckResult) {
     let load = "writes = 0.5\nwarm = 5\nuneven = { share = 0.75, at = 0.2 }\n[origin]\ncapacity = 40\n";
     let (run, checked) = run_and_check(name, balancers, load, more);
     let limit = checked.summary.limits["origin"];
     let bound = limit.bound.unwrap();
     assert!(limit.peak <= bound, "{name}: {limit:?}");
-    // The control: without the limit more would have been sent, as more was wanted.
-    assert!(limit.usage.is_some(), "{name}: the demand has to have been over the whole: {limit:?}");
+    // Without demand above the limit the bound would be kept even if the limit had no effect.
+    assert!(limit.usage.is_some(), "{name}: the demand has to have exceeded the limit: {limit:?}");
     let rates = run.peer_traffic.unwrap();
     let (packets, bytes) = (rates.packets_per_s, rates.bytes_per_s);
     assert!(packets > 1.0 && packets < 60.0 && bytes < 8_000.0, "{name}: {packets} packets, {bytes} bytes");
     (run, checked)
 }
 
-/// The same with all that balancers may share: every stated bound is kept, and no report on a server acts after its expiry.
+/// Like [`run_keeping_rules`], with all limits and failure reports that balancers can share. Checks that every stated bound was
+/// kept and no report on a server was acted on after its expiry.
 fn run_with_all_limits(name: &str, balancers: usize, more: &str) -> (RunRecord, CheckResult) {
     let load = "writes = 0.05\nwarm = 5\n[origin]\ncapacity = 120\n";
     let (run, checked) = run_and_check(name, balancers, load, more);
@@ -65,7 +66,7 @@
     let stated = run.stated.unwrap();
     let expiry = stated.failure_detection.unwrap().report_expiry;
     for report in &run.self_reports {
-        // A third of the servers, and half of a zone's four.
+        // A third of the twelve servers; half of the four in a zone.
         assert!(report.avoided_servers <= 4.0, "{name}: {report:?}");
         assert!(report.oldest_report_s * 1e6 <= expiry as f64, "{name}: {report:?}");
     }
@@ -76,7 +77,7 @@
     let _slot = run_slot();
     let folder = tempfile::tempdir().unwrap();
     let operator = folder.path().join("operator.toml");
-    // On a machine that is shared with other work sends may differ by a quarter of a second in the time that they take.
+    // On a machine shared with other work the delays of sends may differ by a quarter of a second.
     let mut file = String::from(
         "[peers]\nlisten = \"127.0.0.1:0\"\nseeds = [\"127.0.0.1:1\"]\n[limits]\nspread_ms = 250\n",
     );
@@ -87,7 +88,7 @@
     let talk = name.starts_with("all-") || load.contains("writes = 0.5");
     let operator = if talk { format!("operator = {operator:?}\n") } else { String::new() };
     let told = if name == "limits-grow" { "told = 4\n" } else { "" };
-    // Enough for well over fifteen sends to each server that warms up, however soon the processes know that it has started.
+    // Enough for well over fifteen sends to each server in slow start, however early the balancers learn of its start.
     let rate = if name == "cold-ramp" { 320 } else { 160 };
     let text = format!(
         "name = \"{name}\"\nseconds = 11\n[fleet]\nbalancers = {balancers}\nhosts = 12\nzones = 3\nprogram = {:?}\n\
@@ -101,14 +102,14 @@
         RunOptions { out: folder.path(), progress: &mut |_| {}, child_reaper: None, stop },
     )
     .unwrap();
-    // Half a second is the least that a machine shared with other tests may be late by.
+    // On a machine shared with other tests delays of up to half a second have to be tolerated.
     let terms =
         CheckTerms { tolerance: MICROS_PER_SECOND / 2, stated: run.stated, ..CheckTerms::of(&experiment) };
     let checked = check_run(&run.event_log, &terms);
     assert_eq!(run.crashes, [""; 0], "{name}");
     assert_eq!(checked.summary.rules.total(), 0, "{name}: {:#?}", checked.violations);
     let s = &checked.summary;
-    assert!(s.requests > 1_300, "{name}: the load has to have been there: {}", s.requests);
+    assert!(s.requests > 1_300, "{name}: the clients have to have sent the load: {}", s.requests);
     assert_eq!(s.requests, s.served + s.rejected + s.failed + s.lost, "{name}");
     (run, checked)
 }
@@ -121,7 +122,8 @@
         "[[fault]]\nat = 3\nfor = 4\nwhat = \"silent\"\nwho = \"hosts:2-3\"\n",
     );
     let s = checked.summary;
-    // Two of twelve servers for four seconds: a sixth of what goes to servers then, and second copies serve it.
+    // Two of twelve servers for four seconds: a sixth of the sends in that time are lost, and hedged
+    // requests at other servers replace them.
     assert!(
         s.failure_detection.lost_sends > 0 && s.failure_detection.lost_sends < 160,
         "{:?}",
@@ -138,12 +140,12 @@
         20,
         "[[fault]]\nat = 4\nwhat = \"kill\"\nwho = \"balancers:70%\"\nback = 1\n",
     );
-    assert_eq!(run.started, 34, "fourteen started again");
+    assert_eq!(run.started, 34, "fourteen processes are restarted");
     let last: u64 = checked.series.seconds[9..].iter().map(|s| s.served).sum();
     let asked: u64 = checked.series.seconds[9..].iter().map(|s| s.requests).sum();
     assert!(
         last * 10 > asked * 9,
-        "four seconds after their return the fleet serves again: {last} of {asked}"
+        "four seconds after the restart the fleet has to serve over 90% again: {last} of {asked}"
     );
 }
 
@@ -155,7 +157,7 @@
         "[[fault]]\nat = 2\nwhat = \"roll\"\nwho = \"balancers\"\nshare = 0.25\nevery = 2\n",
     );
     assert_eq!(run.started, 16);
-    assert_eq!(checked.summary.lost, 0, "a planned end loses nothing");
+    assert_eq!(checked.summary.lost, 0, "a graceful shutdown has to lose no request");
 }
 
 #[test]
@@ -170,7 +172,7 @@
     );
     assert!(
         run.event_log.notices.iter().filter(|notice| !notice.in_service).count() >= 12,
-        "drains were notified"
+        "balancers have to be notified of the drains"
     );
 }
 
@@ -197,7 +199,11 @@
          [[fault]]\nat = 4\nfor = 3\nwhat = \"origin-slow\"\ntimes = 4\n",
     );
     let s = checked.summary;
-    assert!(s.lost > 0 && s.lost < s.requests / 5, "two of ten for three of eleven seconds: {}", s.lost);
+    assert!(
+        s.lost > 0 && s.lost < s.requests / 5,
+        "two of ten processes are frozen for three of eleven seconds: {}",
+        s.lost
+    );
 }
 
 #[test]
@@ -211,7 +217,11 @@
     assert!(
         run.event_log.server_collapses.is_empty() && run.event_log.attempts.iter().any(|a| a.in_slow_start)
     );
-    assert!(checked.summary.origin.peak < 2.5, "the origin is not flooded: {:?}", checked.summary.origin);
+    assert!(
+        checked.summary.origin.peak < 2.5,
+        "the origin has to be protected from the misses: {:?}",
+        checked.summary.origin
+    );
 }
 
 #[test]
@@ -225,7 +235,7 @@
              direction = \"one-way\"\n"
         ),
     );
-    // Each half has what its members own: with all its demand in one of them half of the whole is within reach.
+    // Each half has the shares of its own members: with all demand in one half, half of the limit can be used.
     assert!(checked.summary.limits["origin"].usage > Some(0.4), "{:?}", checked.summary.limits);
 }
 
@@ -257,7 +267,8 @@
     assert!(checked.summary.limits["origin"].usage > Some(0.5), "{:?}", checked.summary.limits);
 }
 
-/// The settings say four where there are sixteen: by the split each would take a quarter.
+/// Guards against a limit exceeded fourfold: the settings name four of sixteen balancers, and a static split would give each
+/// process a quarter of the limit.
 #[test]
 fn limit_holds_where_the_settings_name_too_few_balancers() {
     let text = "[[fault]]\nat = 0\nwhat = \"kill\"\nwho = \"balancers:4-15\"\nback = 3\n";
@@ -277,14 +288,18 @@
     let passing =
         run.self_reports.iter().filter(|report| report.avoided_servers >= 1.0).map(|report| report.balancer);
     let passing: std::collections::HashSet<usize> = passing.collect();
-    assert!(passing.len() >= 6, "half of them at least were heard to pass a host by: {passing:?}");
+    assert!(
+        passing.len() >= 6,
+        "at least half of the balancers have to report that they avoid a host: {passing:?}"
+    );
     assert!(
         checked.summary.failure_detection.lost_sends > 0
             && run.event_log.attempts.iter().any(|a| a.in_slow_start)
     );
 }
 
-/// Talk is cut in halves, a balancer's own links are cut, some are killed and frozen: whatever they say, the bounds hold.
+/// Guards against bounds that depend on working peers: the peer links are partitioned into halves, a balancer is cut off from the
+/// servers, and reporters are killed, frozen and delayed.
 #[test]
 fn failure_detection_and_budgets_keep_their_bounds_while_talk_and_reporters_fail() {
     let (run, _) = run_with_all_limits(
@@ -303,9 +318,9 @@
     assert_eq!(run.started, 14);
 }
 
-/// Servers come back cold while thirty processes that do not talk send to them, most of the load at few of them, and while some of
-/// these are replaced: in no second does one get more than it bears by the settings and what chance adds, 2 roots and 2, counted
-/// where it arrives.
+/// Guards against a server overloaded during slow start: two servers restart while thirty balancers without peer links send to
+/// them, most of the load at few balancers, and some balancers are killed and restarted. In no second may a server receive more
+/// than its slow-start capacity `n` plus a random excess of `2 * sqrt(n) + 2`, counted at the server.
 #[test]
 fn thirty_processes_together_keep_within_the_slow_start_of_a_server() {
     const COLD_FROM: f64 = 0.1;
@@ -329,17 +344,20 @@
             .map(|attempt| attempt.received_at)
             .collect();
         cold.sort_unstable();
-        assert!(cold.len() > 15, "host {server}: {} sends while it warms up", cold.len());
-        // It had started by then.
+        assert!(cold.len() > 15, "host {server}: {} sends during slow start", cold.len());
+        // The server had started by its first send, so its capacity is at most underestimated.
         let started = cold[0];
         for (last, at) in cold.iter().enumerate() {
             let sends = last + 1 - cold.partition_point(|before| before + MICROS_PER_SECOND <= *at);
             let warm =
                 COLD_FROM + (1.0 - COLD_FROM) * (at - started) as f64 / (COLD_S * MICROS_PER_SECOND as f64);
-            // A core does 50 a second.
+            // A core serves 50 requests per second.
             let n = BEARS * 50.0 * warm.min(1.0);
             let most = n + 2.0 * n.sqrt() + 2.0;
-            assert!(sends as f64 <= most, "host {server}: {sends} in a second for {most:.1}");
+            assert!(
+                sends as f64 <= most,
+                "host {server}: {sends} sends in a second, at most {most:.1} allowed"
+            );
         }
     }
 }
--- a/testbed-cli/tests/soak.rs
+++ b/testbed-cli/tests/soak.rs
@@ -1,15 +1,16 @@
-//! The soak with a few seeds, on the real program: planned ends under signals in series, crowds, late turns and changes of the endpoint
-//! list. By hand it runs many: `juniperladder-testbed soak`.
+//! The soak test with a few seeds on real balancer processes: graceful shutdowns under repeated signals, connection floods,
+//! event loop delays and changes of the endpoint list. `juniperladder-testbed soak` runs more seeds by hand.
 
 use juniperladder_platform_model::experiment::DeadlineProfile;
 use juniperladder_testbed::soak::check::{check_soak, SoakFinding, SoakResult};
 use juniperladder_testbed::soak::plan::SoakPlan;
 use juniperladder_testbed::soak::run::run_soak;
 
-/// Seeds of each deadline profile; among them are a crowd, late turns, changes of the endpoint list and a crowded discovery.
+/// Seeds of each deadline profile; they include a connection flood, event loop delays, changes of the endpoint list and an
+/// overloaded discovery.
 const SEEDS: std::ops::Range<u64> = 1..9;
 
-/// The program, as built beside this test.
+/// Path of the balancer program in the target folder of this test.
 fn program() -> String {
     let own = std::env::current_exe().unwrap();
     let program = own.parent().and_then(|deps| deps.parent()).unwrap().join("juniperladder");
@@ -32,13 +33,13 @@
     assert!(result.requests.served > 0 && result.requests.after_sigterm > 0, "{plan}{}", result.requests);
 }
 
-/// Guards against requests lost in a planned end where clients wait up to 3 s, and SIGKILL comes after 3.7 s.
+/// Guards against requests lost in a graceful shutdown with deadlines of up to 3 s and SIGKILL after 3.7 s.
 #[test]
 fn planned_ends_lose_no_request_with_long_deadlines() {
     SEEDS.for_each(|seed| assert_kept(seed, DeadlineProfile::Long));
 }
 
-/// Guards against requests lost in a planned end where clients wait up to 1.2 s, and SIGKILL comes after 1.9 s.
+/// Guards against requests lost in a graceful shutdown with deadlines of up to 1.2 s and SIGKILL after 1.9 s.
 #[test]
 fn planned_ends_lose_no_request_with_short_deadlines() {
     SEEDS.for_each(|seed| assert_kept(seed, DeadlineProfile::Short));
