--- a/testbed-cli/src/compare.rs
+++ b/testbed-cli/src/compare.rs
@@ -159,9 +159,9 @@
         violations_after += print_violations(&pairs);
     }
     if violations_after > 0 {
-        ExitStatus::RULE_BROKEN
+        ExitStatus::FAILED
     } else {
-        ExitStatus::ALL_KEPT
+        ExitStatus::PASSED
     }
 }
 
--- a/testbed-cli/src/exit.rs
+++ b/testbed-cli/src/exit.rs
@@ -8,23 +8,23 @@
 
 impl ExitStatus {
     /// The run completed, with every rule and stated bound kept.
-    pub const ALL_KEPT: ExitStatus = ExitStatus(0);
+    pub const PASSED: ExitStatus = ExitStatus(0);
     /// The run completed with a rule or a stated bound broken, or a process crashed.
-    pub const RULE_BROKEN: ExitStatus = ExitStatus(1);
+    pub const FAILED: ExitStatus = ExitStatus(1);
     /// The file, the arguments or the machine do not allow the run; nothing was started.
     pub const NOT_ALLOWED: ExitStatus = ExitStatus(2);
     /// The testbed fell behind its schedule, so the run does not count.
     pub const TESTBED_LATE: ExitStatus = ExitStatus(3);
 
     /// The status of a child process of this program that exited with this code.
-    pub fn of_process(code: u8) -> ExitStatus {
+    pub fn from_exit_code(code: u8) -> ExitStatus {
         ExitStatus(code)
     }
 
     /// The worse of two statuses. A broken rule is the worst; otherwise the greater code is the worse one.
     pub fn worse(self, other: ExitStatus) -> ExitStatus {
-        if [self, other].contains(&ExitStatus::RULE_BROKEN) {
-            return ExitStatus::RULE_BROKEN;
+        if [self, other].contains(&ExitStatus::FAILED) {
+            return ExitStatus::FAILED;
         }
         self.max(other)
     }
--- a/testbed-cli/src/experiment_file.rs
+++ b/testbed-cli/src/experiment_file.rs
@@ -45,12 +45,12 @@
         experiment.seconds,
         experiment.fault.len()
     );
-    ExitStatus::ALL_KEPT
+    ExitStatus::PASSED
 }
 
 /// Prints the JSON schema of experiment files.
 pub fn schema() -> ExitStatus {
     let schema = schemars::schema_for!(Experiment);
     println!("{}", serde_json::to_string_pretty(&schema).unwrap_or_default());
-    ExitStatus::ALL_KEPT
+    ExitStatus::PASSED
 }
--- a/testbed-cli/src/fit_table.rs
+++ b/testbed-cli/src/fit_table.rs
@@ -92,7 +92,7 @@
         let name = one.law.name();
         println!("    {name:14} a = {:.4}, b = {:.6}, residual {:.4}", one.a, one.b, one.residual);
     }
-    ExitStatus::ALL_KEPT
+    ExitStatus::PASSED
 }
 
 fn read_points(path: &Path, size_column: &str, cost_column: &str) -> Result<Vec<(f64, f64)>, TableError> {
--- a/testbed-cli/src/lib.rs
+++ b/testbed-cli/src/lib.rs
@@ -132,5 +132,5 @@
 /// Kills the processes that a terminated testbed left behind.
 fn reap_processes() -> ExitStatus {
     reap(std::io::stdin().lock());
-    ExitStatus::ALL_KEPT
+    ExitStatus::PASSED
 }
--- a/testbed-cli/src/overview.rs
+++ b/testbed-cli/src/overview.rs
@@ -57,9 +57,9 @@
         }
     }
     if violations > 0 {
-        ExitStatus::RULE_BROKEN
+        ExitStatus::FAILED
     } else {
-        ExitStatus::ALL_KEPT
+        ExitStatus::PASSED
     }
 }
 
--- a/testbed-cli/src/replay.rs
+++ b/testbed-cli/src/replay.rs
@@ -42,7 +42,7 @@
 /// Prints the replay of a run; counts all servers as of equal weight.
 pub fn replay(folder: &Path) -> ExitStatus {
     match replay_folder(folder) {
-        Ok(()) => ExitStatus::ALL_KEPT,
+        Ok(()) => ExitStatus::PASSED,
         Err(error) => {
             eprintln!("cannot replay the run in {} (not the folder of a run?): {error}", folder.display());
             ExitStatus::NOT_ALLOWED
--- a/testbed-cli/src/report.rs
+++ b/testbed-cli/src/report.rs
@@ -129,7 +129,7 @@
     match write_report(folder) {
         Ok(()) => {
             println!("{}", folder.join("report.html").display());
-            ExitStatus::ALL_KEPT
+            ExitStatus::PASSED
         }
         Err(error) => {
             eprintln!(
--- a/testbed-cli/src/run.rs
+++ b/testbed-cli/src/run.rs
@@ -49,7 +49,7 @@
         Err(status) => return status,
     };
     let Some(seeds) = args.seeds else { return run_once(&first, &args.out) };
-    let mut worst = ExitStatus::ALL_KEPT;
+    let mut worst = ExitStatus::PASSED;
     for seed in first.seed..first.seed + seeds {
         let status = match read_experiment(&args.file, &args.set, Some(seed)) {
             Ok(experiment) => run_once(&experiment, &args.out.join(format!("seed-{seed}"))),
@@ -82,7 +82,7 @@
     let checked = check_with_costs(experiment, &run, &terms);
     if let Err(error) = write_files(out, experiment, &run, &terms, &checked) {
         eprintln!("cannot write the files of the run to {}: {error}", out.display());
-        return ExitStatus::RULE_BROKEN;
+        return ExitStatus::FAILED;
     }
     print_outcome(&checked, &run)
 }
@@ -91,7 +91,7 @@
 pub fn status_of_error(error: &TestbedError) -> ExitStatus {
     match error {
         TestbedError::NotAllowed(_) => ExitStatus::NOT_ALLOWED,
-        TestbedError::Broken(_) => ExitStatus::RULE_BROKEN,
+        TestbedError::Broken(_) => ExitStatus::FAILED,
     }
 }
 
--- a/testbed-cli/src/run_outcome.rs
+++ b/testbed-cli/src/run_outcome.rs
@@ -24,10 +24,10 @@
     }
     if !run.crashes.is_empty() {
         println!("BROKEN: {} processes ended unexpectedly", run.crashes.len());
-        return ExitStatus::RULE_BROKEN;
+        return ExitStatus::FAILED;
     }
     if !print_failure_detection(summary) || !print_rules_and_bounds(summary) {
-        return ExitStatus::RULE_BROKEN;
+        return ExitStatus::FAILED;
     }
     if summary.lag_p99_ms > MAX_LAG_MS {
         println!(
@@ -37,7 +37,7 @@
         return ExitStatus::TESTBED_LATE;
     }
     println!("kept: every rule and every stated bound");
-    ExitStatus::ALL_KEPT
+    ExitStatus::PASSED
 }
 
 fn print_requests(summary: &Summary) {
--- a/testbed-cli/src/scale_run.rs
+++ b/testbed-cli/src/scale_run.rs
@@ -45,10 +45,10 @@
             "BROKEN: {} times a member served without a purge that had been reported as done",
             purge.done_missing
         );
-        return ExitStatus::RULE_BROKEN;
+        return ExitStatus::FAILED;
     }
     if summary.counts() {
-        return ExitStatus::ALL_KEPT;
+        return ExitStatus::PASSED;
     }
     println!(
         "LATE: the test bed's timers fired {:.1} ms late at the 99th percentile, over {LATE_MS}: the run does not count",
@@ -94,7 +94,7 @@
 pub fn run_in_process(args: &ScaleArgs) -> Option<(Summary, ExitStatus)> {
     let program = std::env::current_exe().ok()?;
     let process = Command::new(program).args(args.arguments()).status().ok()?;
-    let status = ExitStatus::of_process(u8::try_from(process.code()?).ok()?);
+    let status = ExitStatus::from_exit_code(u8::try_from(process.code()?).ok()?);
     if status == ExitStatus::NOT_ALLOWED {
         return None;
     }
--- a/testbed-cli/src/sizes.rs
+++ b/testbed-cli/src/sizes.rs
@@ -30,7 +30,7 @@
 /// Runs a scale test at each size and writes `sizes.csv`, `fits.csv` and `sizes.svg`; returns the worst exit status.
 pub fn run_sizes(args: &ScaleArgs) -> ExitStatus {
     let mut summaries = Vec::new();
-    let mut worst = ExitStatus::ALL_KEPT;
+    let mut worst = ExitStatus::PASSED;
     for size in &args.sizes {
         let out = args.out.join(format!("members-{size}"));
         let one = ScaleArgs { members: *size, sizes: Vec::new(), out, ..args.clone() };
--- a/testbed-cli/src/soak.rs
+++ b/testbed-cli/src/soak.rs
@@ -69,10 +69,10 @@
     }
     if failed.is_empty() {
         println!("kept: every rule on {} seeds", args.seeds);
-        return ExitStatus::ALL_KEPT;
+        return ExitStatus::PASSED;
     }
     println!("BROKEN: {} of {} seeds: {failed:?}", failed.len(), args.seeds);
-    ExitStatus::RULE_BROKEN
+    ExitStatus::FAILED
 }
 
 /// Runs one seed and checks its record.
