--- a/testbed-cli/src/replay.rs
+++ b/testbed-cli/src/replay.rs
@@ -22,13 +22,13 @@
 /// Length of a window in milliseconds, the same as in the checker's spread.
 const WINDOW_MS: f64 = 5_000.0;
 /// Share of a server's fair load above which the load of a key makes the key hot.
-const HOT_KEY_LOAD: f64 = 0.25;
+const HOT_KEY_LOAD_SHARE: f64 = 0.25;
 /// Number of the busiest servers that are printed.
-const PRINTED_SERVERS: usize = 5;
+const MAX_PRINTED_SERVERS: usize = 5;
 /// Number of keys that are printed of each server.
-const PRINTED_KEYS: usize = 3;
+const MAX_PRINTED_KEYS: usize = 3;
 /// Lower bound of the mean that a load is divided by, against division by zero.
-const SMALLEST_MEAN: f64 = 1e-9;
+const MIN_MEAN_LOAD: f64 = 1e-9;
 
 /// An attempt that a cache server received.
 #[derive(Clone, Copy)]
@@ -100,18 +100,18 @@
         }
         Replay {
             servers,
-            windows: windows(sends, seconds),
+            windows: group_by_window(sends, seconds),
             key_loads,
             rendezvous: RendezvousHashing::new(servers),
         }
     }
 
     fn is_hot(&self, key: u64) -> bool {
-        self.key_loads[&key] > HOT_KEY_LOAD
+        self.key_loads[&key] > HOT_KEY_LOAD_SHARE
     }
 
     fn print_hot_keys(&self, sends: usize) {
-        let hot_loads = self.key_loads.values().filter(|load| **load > HOT_KEY_LOAD);
+        let hot_loads = self.key_loads.values().filter(|load| **load > HOT_KEY_LOAD_SHARE);
         let count = hot_loads.clone().count();
         let percent = hot_loads.sum::<f64>() / self.servers as f64 * 100.0;
         println!("{sends} sends to {} hosts; {count} hot keys have {percent:.0}% of them", self.servers);
@@ -121,40 +121,40 @@
     fn print_placements(&self, seed: u64) {
         println!("{:44} {:>6} {:>6}", "", "peak", "least");
         let mut rng = seeded_rng(seed, RngStream::Fair);
-        self.print_unevenness("as played", |send| Some(send.server));
-        self.print_unevenness("independent fair draws", |_| Some(rng.random_range(0..self.servers)));
-        self.print_unevenness("rendezvous, one home a key", |send| self.rendezvous.first(send.key));
-        self.print_unevenness("the same without the hot keys", |send| {
+        self.print_imbalance("as played", |send| Some(send.server));
+        self.print_imbalance("independent fair draws", |_| Some(rng.random_range(0..self.servers)));
+        self.print_imbalance("rendezvous, one home a key", |send| self.rendezvous.first(send.key));
+        self.print_imbalance("the same without the hot keys", |send| {
             self.rendezvous.first(send.key).filter(|_| !self.is_hot(send.key))
         });
-        self.print_unevenness("the same, hot keys dealt by fair draws", |send| {
+        self.print_imbalance("the same, hot keys dealt by fair draws", |send| {
             if self.is_hot(send.key) {
                 Some(rng.random_range(0..self.servers))
             } else {
                 self.rendezvous.first(send.key)
             }
         });
-        self.print_unevenness("rendezvous, a home for each quarter of a load", |send| {
-            self.draw_home(send.key, &mut rng)
+        self.print_imbalance("rendezvous, a home for each quarter of a load", |send| {
+            self.draw_home_server(send.key, &mut rng)
         });
         let mut bounded_load = BoundedLoad::new(self.servers);
-        self.print_unevenness("bounded load 1.25, seeing the true state", |send| bounded_load.place(send));
+        self.print_imbalance("bounded load 1.25, seeing the true state", |send| bounded_load.place(send));
     }
 
     /// Draws one of the key's home servers; a key has one for each quarter of a server's load that it brings.
-    fn draw_home(&self, key: u64, rng: &mut SeededRng) -> Option<usize> {
-        let homes = (self.key_loads[&key] / HOT_KEY_LOAD) as usize + 1;
+    fn draw_home_server(&self, key: u64, rng: &mut SeededRng) -> Option<usize> {
+        let homes = (self.key_loads[&key] / HOT_KEY_LOAD_SHARE) as usize + 1;
         self.rendezvous.ranked(key).nth(rng.random_range(0..homes.min(self.servers)))
     }
 
-    fn print_unevenness(&self, name: &str, place: impl FnMut(&ServerSend) -> Option<usize>) {
-        let Unevenness { peak, least } = unevenness(&self.windows, self.servers, place);
+    fn print_imbalance(&self, name: &str, placement: impl FnMut(&ServerSend) -> Option<usize>) {
+        let LoadImbalance { peak, least } = load_imbalance(&self.windows, self.servers, placement);
         println!("{name:44} {peak:6.2} {least:6.2}");
     }
 }
 
 /// Groups the sends by complete window.
-fn windows(sends: &[ServerSend], seconds: f64) -> Vec<Vec<ServerSend>> {
+fn group_by_window(sends: &[ServerSend], seconds: f64) -> Vec<Vec<ServerSend>> {
     let mut windows = vec![Vec::new(); ((seconds * 1e3 / WINDOW_MS) as usize).max(1)];
     for send in sends {
         if let Some(window) = windows.get_mut((send.at_ms / WINDOW_MS) as usize) {
@@ -166,7 +166,7 @@
 
 /// The load imbalance of a placement.
 #[derive(Debug, PartialEq)]
-struct Unevenness {
+struct LoadImbalance {
     /// Ratio of the busiest server's load to the mean load in a window, averaged over the windows.
     peak: f64,
     /// Ratio of the least busy server's load to the mean load in a window, averaged over the windows.
@@ -174,24 +174,24 @@
 }
 
 /// The load imbalance of these sends under a placement; leaves out sends that it places on no server.
-fn unevenness(
+fn load_imbalance(
     windows: &[Vec<ServerSend>],
     servers: usize,
-    mut place: impl FnMut(&ServerSend) -> Option<usize>,
-) -> Unevenness {
-    let mut unevenness = Unevenness { peak: 0.0, least: 0.0 };
+    mut placement: impl FnMut(&ServerSend) -> Option<usize>,
+) -> LoadImbalance {
+    let mut imbalance = LoadImbalance { peak: 0.0, least: 0.0 };
     for window in windows {
         let mut counts = vec![0.0; servers];
-        for server in window.iter().filter_map(&mut place) {
+        for server in window.iter().filter_map(&mut placement) {
             counts[server] += 1.0;
         }
-        let mean = (counts.iter().sum::<f64>() / servers as f64).max(SMALLEST_MEAN);
-        let most = counts.iter().copied().fold(0.0, f64::max);
-        let fewest = counts.iter().copied().fold(f64::INFINITY, f64::min);
-        unevenness.peak += most / mean / windows.len() as f64;
-        unevenness.least += fewest / mean / windows.len() as f64;
+        let mean = (counts.iter().sum::<f64>() / servers as f64).max(MIN_MEAN_LOAD);
+        let max_load = counts.iter().copied().fold(0.0, f64::max);
+        let min_load = counts.iter().copied().fold(f64::INFINITY, f64::min);
+        imbalance.peak += max_load / mean / windows.len() as f64;
+        imbalance.least += min_load / mean / windows.len() as f64;
     }
-    unevenness
+    imbalance
 }
 
 /// The load of one server, in total and by key, as a share of a server's fair load.
@@ -212,10 +212,10 @@
         *load.by_key.entry(send.key).or_default() += 1.0 / fair_load;
     }
     loads.sort_by(|first, second| second.total.total_cmp(&first.total));
-    for load in loads.iter().take(PRINTED_SERVERS) {
+    for load in loads.iter().take(MAX_PRINTED_SERVERS) {
         let mut keys: Vec<(&u64, &f64)> = load.by_key.iter().collect();
         keys.sort_by(|first, second| second.1.total_cmp(first.1));
-        let keys = keys.iter().take(PRINTED_KEYS).map(|(key, part)| format!("key {key} {part:.2}"));
+        let keys = keys.iter().take(MAX_PRINTED_KEYS).map(|(key, share)| format!("key {key} {share:.2}"));
         let keys = keys.collect::<Vec<_>>().join(", ");
         println!("host {}: {:.2} of its fair load, of that {keys}", load.server, load.total);
     }
--- a/testbed-cli/src/replay/placement.rs
+++ b/testbed-cli/src/replay/placement.rs
@@ -7,7 +7,7 @@
 use super::ServerSend;
 
 /// Greatest ratio of a server's load to the mean load in bounded-load placement.
-const MAX_LOAD_OVER_MEAN: f64 = 1.25;
+const MAX_LOAD_TO_MEAN_RATIO: f64 = 1.25;
 /// Time that a send counts as load, in milliseconds.
 const LOAD_WINDOW_MS: f64 = 1_000.0;
 
@@ -54,8 +54,8 @@
 
     /// Places a send on the best server of its key that stays within the bound.
     pub fn place(&mut self, send: &ServerSend) -> Option<usize> {
-        self.forget_until(send.at_ms);
-        let bound = MAX_LOAD_OVER_MEAN * (self.recent.len() + 1) as f64 / self.servers as f64 + 1.0;
+        self.remove_expired_sends(send.at_ms);
+        let bound = MAX_LOAD_TO_MEAN_RATIO * (self.recent.len() + 1) as f64 / self.servers as f64 + 1.0;
         let is_below_bound = |server: &usize| self.counts.get(server).copied().unwrap_or(0.0) + 1.0 <= bound;
         let server = self.rendezvous.ranked(send.key).find(is_below_bound)?;
         *self.counts.entry(server).or_default() += 1.0;
@@ -63,7 +63,7 @@
         Some(server)
     }
 
-    fn forget_until(&mut self, now_ms: f64) {
+    fn remove_expired_sends(&mut self, now_ms: f64) {
         while self.recent.front().is_some_and(|(at_ms, _)| at_ms + LOAD_WINDOW_MS <= now_ms) {
             if let Some((_, server)) = self.recent.pop_front() {
                 *self.counts.entry(server).or_default() -= 1.0;
