--- a/testbed-cli/src/fit.rs
+++ b/testbed-cli/src/fit.rs
@@ -62,7 +62,7 @@
 
 impl Fit {
     /// The fitted cost at a size.
-    pub fn at(&self, size: f64) -> f64 {
+    pub fn cost_at(&self, size: f64) -> f64 {
         self.a + self.b * self.law.term(size)
     }
 }
@@ -95,7 +95,7 @@
     TooFewSizes,
     /// A size below 1, or a size or cost that is not finite.
     #[error("cannot fit: sizes must be at least 1, and sizes and costs finite numbers")]
-    NotANumber,
+    InvalidPoint,
 }
 
 /// Greatest ratio of the residual of a growing law to that of the constant with which the cost is taken to grow.
@@ -113,7 +113,7 @@
     let variance: f64 = points.iter().map(|(size, _)| (law.term(*size) - mean_x).powi(2)).sum();
     let b = if variance > 0.0 { covariance / variance } else { 0.0 };
     let mut fit = Fit { law, a: mean_y - b * mean_x, b, residual: 0.0 };
-    let squares: f64 = points.iter().map(|(size, cost)| (fit.at(*size) - cost).powi(2)).sum();
+    let squares: f64 = points.iter().map(|(size, cost)| (fit.cost_at(*size) - cost).powi(2)).sum();
     fit.residual = (squares / count).sqrt();
     fit
 }
@@ -125,7 +125,7 @@
 /// If there are fewer than three sizes, or invalid sizes or costs.
 pub fn fit(points: &[(f64, f64)]) -> Result<Vec<Fit>, FitError> {
     if points.iter().any(|(size, cost)| !size.is_finite() || *size < 1.0 || !cost.is_finite()) {
-        return Err(FitError::NotANumber);
+        return Err(FitError::InvalidPoint);
     }
     let mut sizes: Vec<f64> = points.iter().map(|(size, _)| *size).collect();
     sizes.sort_by(f64::total_cmp);
@@ -134,13 +134,13 @@
         return Err(FitError::TooFewSizes);
     }
     // Residuals that differ by rounding errors only rank as equal, and the stable sort keeps the slower growth first.
-    let scale = points.iter().map(|(_, cost)| cost.abs()).fold(0.0, f64::max) * ROUNDING_SHARE;
+    let rounding_residual = points.iter().map(|(_, cost)| cost.abs()).fold(0.0, f64::max) * ROUNDING_SHARE;
     let rank = |fit: &Fit| match fit.law {
-        Law::Constant => (fit.residual * GROWTH_RESIDUAL_RATIO).max(scale),
-        _ => fit.residual.max(scale),
+        Law::Constant => (fit.residual * GROWTH_RESIDUAL_RATIO).max(rounding_residual),
+        _ => fit.residual.max(rounding_residual),
     };
     let mut fits: Vec<Fit> = Law::ALL.iter().map(|law| fit_law(*law, points)).collect();
-    fits.sort_by(|one, other| rank(one).total_cmp(&rank(other)));
+    fits.sort_by(|first, second| rank(first).total_cmp(&rank(second)));
     Ok(fits)
 }
 
@@ -150,8 +150,9 @@
 /// If the smaller sizes are too few for a fit.
 pub fn predict_largest(points: &[(f64, f64)]) -> Result<Prediction, FitError> {
     let size = points.iter().map(|(size, _)| *size).fold(f64::NEG_INFINITY, f64::max);
-    let (largest, smaller): (Vec<_>, Vec<_>) = points.iter().copied().partition(|(one, _)| *one == size);
+    let (largest, smaller): (Vec<_>, Vec<_>) =
+        points.iter().copied().partition(|(point_size, _)| *point_size == size);
     let best = fit(&smaller)?[0];
     let measured = largest.iter().map(|(_, cost)| cost).sum::<f64>() / largest.len().max(1) as f64;
-    Ok(Prediction { fit: best, size, predicted: best.at(size), measured })
+    Ok(Prediction { fit: best, size, predicted: best.cost_at(size), measured })
 }
--- a/testbed-cli/src/fit/tests.rs
+++ b/testbed-cli/src/fit/tests.rs
@@ -11,8 +11,8 @@
 #[test]
 fn each_law_is_found_from_its_own_points() {
     for law in Law::ALL {
-        let made = Fit { law, a: 3.0, b: 0.02, residual: 0.0 };
-        let fits = fit(&points(|size| made.at(size))).unwrap();
+        let expected = Fit { law, a: 3.0, b: 0.02, residual: 0.0 };
+        let fits = fit(&points(|size| expected.cost_at(size))).unwrap();
         assert_eq!(fits[0].law, law);
         assert!((fits[0].a - 3.0).abs() < 1e-6 && fits[0].residual < 1e-6, "{:?}", fits[0]);
         assert!(law == Law::Constant || (fits[0].b - 0.02).abs() < 1e-9);
@@ -20,19 +20,20 @@
 }
 
 #[test]
-fn noise_alone_is_taken_for_a_constant() {
-    let mut rng = fastrand_like(7);
+fn noise_is_fitted_by_the_constant() {
+    let mut rng = linear_congruential_rng(7);
     for _ in 0..20 {
         let noise: Vec<f64> = SIZES.iter().map(|_| rng()).collect();
-        let points: Vec<_> = SIZES.iter().copied().zip(noise.iter().map(|one| 100.0 + one)).collect();
+        let points: Vec<_> =
+            SIZES.iter().copied().zip(noise.iter().map(|deviation| 100.0 + deviation)).collect();
         let best = fit(&points).unwrap()[0];
-        let spread = best.at(2_000.0) - best.at(125.0);
+        let spread = best.cost_at(2_000.0) - best.cost_at(125.0);
         assert!(spread.abs() < 3.0, "{best:?}");
     }
 }
 
 /// Pseudorandom numbers from -1 to 1 of a linear congruential generator.
-fn fastrand_like(mut state: u64) -> impl FnMut() -> f64 {
+fn linear_congruential_rng(mut state: u64) -> impl FnMut() -> f64 {
     move || {
         state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (state >> 33) as f64 / (1u64 << 30) as f64 - 1.0
@@ -40,19 +41,19 @@
 }
 
 #[test]
-fn the_largest_size_is_predicted_from_the_smaller_ones() {
-    let kept = predict_largest(&points(|size| 5.0 + 0.1 * size)).unwrap();
-    assert_eq!((kept.size, kept.fit.law), (2_000.0, Law::Linear));
-    assert!(kept.error().abs() < 1e-6);
+fn largest_size_is_predicted_from_the_smaller_ones() {
+    let linear = predict_largest(&points(|size| 5.0 + 0.1 * size)).unwrap();
+    assert_eq!((linear.size, linear.fit.law), (2_000.0, Law::Linear));
+    assert!(linear.error().abs() < 1e-6);
     // A cost that jumps at the largest size differs from its prediction.
     let jump = predict_largest(&points(|size| if size < 2_000.0 { size } else { 3.0 * size })).unwrap();
     assert!((jump.error() + 2.0 / 3.0).abs() < 1e-6, "{}", jump.error());
 }
 
 #[test]
-fn too_few_sizes_and_numbers_that_are_none_are_errors() {
+fn too_few_sizes_and_invalid_numbers_are_rejected() {
     assert_eq!(fit(&[(1.0, 1.0), (2.0, 2.0), (2.0, 3.0)]), Err(FitError::TooFewSizes));
-    assert_eq!(fit(&[(1.0, 1.0), (2.0, f64::NAN), (3.0, 3.0)]), Err(FitError::NotANumber));
-    assert_eq!(fit(&[(0.0, 1.0), (2.0, 2.0), (3.0, 3.0)]), Err(FitError::NotANumber));
+    assert_eq!(fit(&[(1.0, 1.0), (2.0, f64::NAN), (3.0, 3.0)]), Err(FitError::InvalidPoint));
+    assert_eq!(fit(&[(0.0, 1.0), (2.0, 2.0), (3.0, 3.0)]), Err(FitError::InvalidPoint));
     assert_eq!(predict_largest(&points(|size| size)[2..]), Err(FitError::TooFewSizes));
 }
--- a/testbed-cli/src/fit_table.rs
+++ b/testbed-cli/src/fit_table.rs
@@ -20,7 +20,7 @@
     Csv(#[from] csv::Error),
     /// A cell is not a number.
     #[error("a cell of the fitted columns is not a number: {0}")]
-    Number(#[from] std::num::ParseFloatError),
+    InvalidNumber(#[from] std::num::ParseFloatError),
     /// The table has no column of this name.
     #[error("no column {name}; there are {columns}")]
     NoColumn { name: String, columns: String },
@@ -88,9 +88,12 @@
     if print_fit(cost_column, &points).is_none() {
         return ExitStatus::NOT_ALLOWED;
     }
-    for one in fit(&points).unwrap_or_default() {
-        let name = one.law.name();
-        println!("    {name:14} a = {:.4}, b = {:.6}, residual {:.4}", one.a, one.b, one.residual);
+    for ranked_fit in fit(&points).unwrap_or_default() {
+        let name = ranked_fit.law.name();
+        println!(
+            "    {name:14} a = {:.4}, b = {:.6}, residual {:.4}",
+            ranked_fit.a, ranked_fit.b, ranked_fit.residual
+        );
     }
     ExitStatus::PASSED
 }
@@ -98,12 +101,12 @@
 fn read_points(path: &Path, size_column: &str, cost_column: &str) -> Result<Vec<(f64, f64)>, TableError> {
     let mut table = csv::ReaderBuilder::new().comment(Some(b'#')).from_path(path)?;
     let headers = table.headers()?.clone();
-    let size_place = column_place(&headers, size_column)?;
-    let cost_place = column_place(&headers, cost_column)?;
+    let size_index = column_index(&headers, size_column)?;
+    let cost_index = column_index(&headers, cost_column)?;
     let mut points = Vec::new();
     for record in table.records() {
         let record = record?;
-        let (size, cost) = (&record[size_place], &record[cost_place]);
+        let (size, cost) = (&record[size_index], &record[cost_index]);
         // An empty cell is a cost that was not measured at that size.
         if size.is_empty() || cost.is_empty() {
             continue;
@@ -113,9 +116,9 @@
     Ok(points)
 }
 
-fn column_place(headers: &csv::StringRecord, name: &str) -> Result<usize, TableError> {
-    let place = headers.iter().position(|header| header == name);
-    place.ok_or_else(|| TableError::NoColumn {
+fn column_index(headers: &csv::StringRecord, name: &str) -> Result<usize, TableError> {
+    let index = headers.iter().position(|header| header == name);
+    index.ok_or_else(|| TableError::NoColumn {
         name: name.to_owned(),
         columns: headers.iter().collect::<Vec<_>>().join(", "),
     })
