--- a/testbed-cli/src/charts.rs
+++ b/testbed-cli/src/charts.rs
@@ -15,15 +15,15 @@
 const LABEL_FONT: (&str, u32) = ("sans-serif", 13);
 const CAPTION_FONT: (&str, u32) = ("sans-serif", 16);
 /// Height of a line chart over time.
-const LINES_HEIGHT_PX: u32 = 260;
+const LINE_CHART_HEIGHT_PX: u32 = 260;
 /// Height of one figure by number of balancers.
-const BY_SIZE_HEIGHT_PX: u32 = 380;
+const SIZE_FIGURE_HEIGHT_PX: u32 = 380;
 /// Ratio of the end of the value axis to the greatest value.
-const HEADROOM: f64 = 1.08;
+const VALUE_AXIS_RATIO: f64 = 1.08;
 /// Ratio of the end of the size axis to the last size, which leaves room for the legend on the right.
-const LEGEND_ROOM: f64 = 1.35;
+const SIZE_AXIS_RATIO: f64 = 1.35;
 /// Lower bound of the greatest value of an axis, so that no axis is empty.
-const MIN_AXIS: f64 = 1e-9;
+const MIN_AXIS_MAX: f64 = 1e-9;
 /// Shortest time that is shaded for a fault, in seconds.
 const MIN_SHADED_S: f64 = 0.2;
 
@@ -36,7 +36,7 @@
 pub(crate) const GREY: RGBColor = RGBColor(97, 97, 97);
 
 /// Draws on an area of this height and returns the text of the SVG element.
-fn svg(
+fn render_svg(
     height: u32,
     draw: impl FnOnce(&DrawingArea<SVGBackend, Shift>) -> Result<(), Error>,
 ) -> Result<String, Error> {
@@ -51,9 +51,10 @@
 }
 
 /// Start and end of each fault, in seconds.
-fn fault_times(experiment: &Experiment) -> Vec<(f64, f64)> {
-    let end = |fault: &Fault| fault.at + fault.lasts.or(fault.back).unwrap_or(MIN_SHADED_S).max(MIN_SHADED_S);
-    experiment.fault.iter().map(|fault| (fault.at, end(fault).min(experiment.seconds))).collect()
+fn fault_intervals_s(experiment: &Experiment) -> Vec<(f64, f64)> {
+    let end_s =
+        |fault: &Fault| fault.at + fault.lasts.or(fault.back).unwrap_or(MIN_SHADED_S).max(MIN_SHADED_S);
+    experiment.fault.iter().map(|fault| (fault.at, end_s(fault).min(experiment.seconds))).collect()
 }
 
 /// A line of a chart over time.
@@ -70,20 +71,23 @@
 ///
 /// # Errors
 /// If the drawing library fails.
-pub fn lines(experiment: &Experiment, title: &str, lines: &[Line<'_>]) -> Result<String, Error> {
-    let most = lines.iter().flat_map(|line| &line.values).copied().fold(MIN_AXIS, f64::max) * HEADROOM;
+pub fn line_chart(experiment: &Experiment, title: &str, lines: &[Line<'_>]) -> Result<String, Error> {
+    let max_value =
+        lines.iter().flat_map(|line| &line.values).copied().fold(MIN_AXIS_MAX, f64::max) * VALUE_AXIS_RATIO;
     let end = lines.iter().map(|line| line.values.len()).max().unwrap_or(1).max(1) as f64;
-    svg(LINES_HEIGHT_PX, |area| {
+    render_svg(LINE_CHART_HEIGHT_PX, |area| {
         let mut chart = ChartBuilder::on(area)
             .caption(title, CAPTION_FONT)
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(56)
-            .build_cartesian_2d(0.0..end, 0.0..most)?;
+            .build_cartesian_2d(0.0..end, 0.0..max_value)?;
         chart.configure_mesh().label_style(LABEL_FONT).light_line_style(TRANSPARENT).x_desc("s").draw()?;
-        for (from, to) in fault_times(experiment) {
-            chart
-                .draw_series([Rectangle::new([(from, 0.0), (to, most)], FAULT_YELLOW.mix(0.18).filled())])?;
+        for (from, to) in fault_intervals_s(experiment) {
+            chart.draw_series([Rectangle::new(
+                [(from, 0.0), (to, max_value)],
+                FAULT_YELLOW.mix(0.18).filled(),
+            )])?;
         }
         for line in lines {
             let points = line.values.iter().enumerate().map(|(second, value)| (second as f64 + 0.5, *value));
@@ -107,16 +111,16 @@
 ///
 /// # Errors
 /// If the drawing library fails.
-pub fn service(experiment: &Experiment, seconds: &[Second]) -> Result<String, Error> {
-    let of = |pick: fn(&Second) -> u64| seconds.iter().map(|s| pick(s) as f64).collect();
-    lines(
+pub fn results_chart(experiment: &Experiment, seconds: &[Second]) -> Result<String, Error> {
+    let per_second = |value_of: fn(&Second) -> u64| seconds.iter().map(|s| value_of(s) as f64).collect();
+    line_chart(
         experiment,
         "Commands a second, by how they ended (faults shaded)",
         &[
-            Line { name: "asked", colour: GREY, values: of(|s| s.requests) },
-            Line { name: "served", colour: GREEN, values: of(|s| s.served) },
-            Line { name: "refused", colour: ORANGE, values: of(|s| s.rejected) },
-            Line { name: "failed or lost", colour: RED, values: of(|s| s.failed + s.lost) },
+            Line { name: "asked", colour: GREY, values: per_second(|s| s.requests) },
+            Line { name: "served", colour: GREEN, values: per_second(|s| s.served) },
+            Line { name: "refused", colour: ORANGE, values: per_second(|s| s.rejected) },
+            Line { name: "failed or lost", colour: RED, values: per_second(|s| s.failed + s.lost) },
         ],
     )
 }
@@ -125,15 +129,15 @@
 ///
 /// # Errors
 /// If the drawing library fails.
-pub fn origin(experiment: &Experiment, seconds: &[Second]) -> Result<String, Error> {
-    let of = |pick: &dyn Fn(&Second) -> f64| seconds.iter().map(pick).collect();
-    lines(
+pub fn origin_chart(experiment: &Experiment, seconds: &[Second]) -> Result<String, Error> {
+    let per_second = |value_of: &dyn Fn(&Second) -> f64| seconds.iter().map(value_of).collect();
+    line_chart(
         experiment,
         "Fetches a second at the origin: used, wanted, whole",
         &[
-            Line { name: "whole", colour: GREY, values: of(&|_| experiment.origin.capacity) },
-            Line { name: "wanted", colour: ORANGE, values: of(&|s| s.demand) },
-            Line { name: "used", colour: BLUE, values: of(&|s| s.fetches as f64) },
+            Line { name: "whole", colour: GREY, values: per_second(&|_| experiment.origin.capacity) },
+            Line { name: "wanted", colour: ORANGE, values: per_second(&|s| s.demand) },
+            Line { name: "used", colour: BLUE, values: per_second(&|s| s.fetches as f64) },
         ],
     )
 }
@@ -142,8 +146,8 @@
 ///
 /// # Errors
 /// If the drawing library fails.
-pub fn latency(experiment: &Experiment, seconds: &[Second]) -> Result<String, Error> {
-    lines(
+pub fn latency_chart(experiment: &Experiment, seconds: &[Second]) -> Result<String, Error> {
+    line_chart(
         experiment,
         "Time of the commands served, ms",
         &[
@@ -161,7 +165,7 @@
 pub fn heat_map(title: &str, rows: &str, servers: &[Vec<f64>]) -> Result<String, Error> {
     let seconds = servers.iter().map(Vec::len).max().unwrap_or(1).max(1);
     let height = (servers.len() as u32 * 7).clamp(120, 900) + 70;
-    svg(height, |area| {
+    render_svg(height, |area| {
         let mut chart = ChartBuilder::on(area)
             .caption(format!("{title} (blue 0, white 1, red 2 and more)"), CAPTION_FONT)
             .margin(8)
@@ -205,14 +209,14 @@
 ///
 /// # Errors
 /// If the drawing library fails.
-pub fn by_size(figures: &[SizeFigure<'_>]) -> Result<String, Error> {
+pub fn size_charts(figures: &[SizeFigure<'_>]) -> Result<String, Error> {
     let points = figures.iter().flat_map(SizeFigure::points);
     let mut sizes: Vec<usize> = points.map(|(size, _)| *size).collect();
     sizes.sort_unstable();
     sizes.dedup();
-    svg(BY_SIZE_HEIGHT_PX * figures.len() as u32, |area| {
-        for (part, figure) in area.split_evenly((figures.len(), 1)).iter().zip(figures) {
-            draw_size_figure(part, figure, &sizes)?;
+    render_svg(SIZE_FIGURE_HEIGHT_PX * figures.len() as u32, |area| {
+        for (figure_area, figure) in area.split_evenly((figures.len(), 1)).iter().zip(figures) {
+            draw_size_figure(figure_area, figure, &sizes)?;
         }
         Ok(())
     })
@@ -223,14 +227,14 @@
     figure: &SizeFigure<'_>,
     sizes: &[usize],
 ) -> Result<(), Error> {
-    let end = sizes.len().saturating_sub(1).max(1) as f64 * LEGEND_ROOM;
-    let most = figure.points().map(|(_, value)| *value).fold(MIN_AXIS, f64::max);
+    let end = sizes.len().saturating_sub(1).max(1) as f64 * SIZE_AXIS_RATIO;
+    let max_value = figure.points().map(|(_, value)| *value).fold(MIN_AXIS_MAX, f64::max);
     let mut chart = ChartBuilder::on(area)
         .caption(figure.title, CAPTION_FONT)
         .margin(8)
         .x_label_area_size(28)
         .y_label_area_size(56)
-        .build_cartesian_2d(0.0..end, 0.0..most * HEADROOM)?;
+        .build_cartesian_2d(0.0..end, 0.0..max_value * VALUE_AXIS_RATIO)?;
     let label = |at: &f64| {
         let size = sizes.get(at.round() as usize).filter(|_| at.fract() == 0.0);
         size.map(usize::to_string).unwrap_or_default()
@@ -243,10 +247,10 @@
         .x_label_formatter(&label)
         .x_desc("balancers")
         .draw()?;
-    for (number, line) in figure.lines.iter().enumerate() {
-        let colour = Palette99::pick(number).to_rgba();
-        let place = |size: &usize| sizes.iter().position(|other| other == size);
-        let points = line.points.iter().filter_map(|(size, value)| Some((place(size)? as f64, *value)));
+    for (index, line) in figure.lines.iter().enumerate() {
+        let colour = Palette99::pick(index).to_rgba();
+        let index_of = |size: &usize| sizes.iter().position(|other| other == size);
+        let points = line.points.iter().filter_map(|(size, value)| Some((index_of(size)? as f64, *value)));
         chart
             .draw_series(LineSeries::new(points, colour.stroke_width(2)).point_size(3))?
             .label(&line.name)
@@ -258,9 +262,9 @@
 
 /// The colour of a load: from blue at 0 over white at 1 to red at 2 and more.
 fn heat_colour(load: f64) -> RGBColor {
-    let mix = |from: (u8, u8, u8), to: (u8, u8, u8), part: f64| {
-        let one = |a: u8, b: u8| (f64::from(a) + (f64::from(b) - f64::from(a)) * part) as u8;
-        RGBColor(one(from.0, to.0), one(from.1, to.1), one(from.2, to.2))
+    let mix = |from: (u8, u8, u8), to: (u8, u8, u8), share: f64| {
+        let channel = |a: u8, b: u8| (f64::from(a) + (f64::from(b) - f64::from(a)) * share) as u8;
+        RGBColor(channel(from.0, to.0), channel(from.1, to.1), channel(from.2, to.2))
     };
     let (blue, white, red) = ((21, 101, 192), (255, 255, 255), (183, 28, 28));
     if load < 1.0 {
--- a/testbed-cli/src/compare.rs
+++ b/testbed-cli/src/compare.rs
@@ -135,7 +135,7 @@
 
 /// Prints the comparison of two folders of runs.
 pub fn compare(before: &Path, after: &Path) -> ExitStatus {
-    let (runs_before, runs_after) = (runs(before), runs(after));
+    let (runs_before, runs_after) = (summaries_by_run(before), summaries_by_run(after));
     let mut pairs_by_name: BTreeMap<&str, Vec<SummaryPair<'_>>> = BTreeMap::new();
     for (key, before) in &runs_before {
         if let Some(after) = runs_after.get(key) {
@@ -167,8 +167,8 @@
 
 fn print_figures(pairs: &[SummaryPair<'_>]) {
     println!("  {:24} {:>10} {:>10} {:>11}  95% interval", "", "before", "after", "difference");
-    for (name, pick) in COMPARED_FIGURES {
-        let values = pairs.iter().filter_map(|pair| Some((pick(pair.before)?, pick(pair.after)?)));
+    for (name, value_of) in COMPARED_FIGURES {
+        let values = pairs.iter().filter_map(|pair| Some((value_of(pair.before)?, value_of(pair.after)?)));
         let Some(figure) = PairedFigure::of_pairs(&values.collect::<Vec<_>>()) else { continue };
         let interval = figure.interval.map(|(low, high)| format!("[{low:+.4}, {high:+.4}] "));
         println!(
@@ -191,7 +191,7 @@
 }
 
 /// The summaries of the runs below a folder, by experiment and seed.
-fn runs(folder: &Path) -> BTreeMap<(String, u64), Summary> {
+fn summaries_by_run(folder: &Path) -> BTreeMap<(String, u64), Summary> {
     let summaries = find_summaries(folder).into_iter();
     summaries.map(|(_, summary)| ((summary.name.clone(), summary.seed), summary)).collect()
 }
--- a/testbed-cli/src/demo.rs
+++ b/testbed-cli/src/demo.rs
@@ -19,7 +19,7 @@
             return ExitStatus::NOT_ALLOWED;
         }
     };
-    if let Some(program) = balancer_beside_this_program() {
+    if let Some(program) = find_sibling_balancer() {
         experiment.fleet.program = program;
     }
     if !Path::new(&experiment.fleet.program).is_file() && !build_balancer() {
@@ -35,9 +35,9 @@
 }
 
 /// The path of the balancer program in the folder of this program, so that the demo runs from any working directory.
-fn balancer_beside_this_program() -> Option<String> {
-    let own = std::env::current_exe().ok()?;
-    let program = own.parent()?.join("juniperladder");
+fn find_sibling_balancer() -> Option<String> {
+    let current_exe = std::env::current_exe().ok()?;
+    let program = current_exe.parent()?.join("juniperladder");
     program.is_file().then(|| program.to_string_lossy().into_owned())
 }
 
--- a/testbed-cli/src/overview.rs
+++ b/testbed-cli/src/overview.rs
@@ -10,14 +10,14 @@
 use juniperladder_platform_model::experiment::Experiment;
 use juniperladder_platform_model::summary::Summary;
 
-use crate::charts::{by_size, SizeFigure, SizeLine};
+use crate::charts::{size_charts, SizeFigure, SizeLine};
 use crate::compare::find_summaries;
 use crate::exit::ExitStatus;
 
 /// A function that reads a figure from a summary.
-type Pick = fn(&Summary) -> Option<f64>;
+type FigureReader = fn(&Summary) -> Option<f64>;
 /// A column: its name, its number of decimals, and its figure.
-type Column = (&'static str, usize, Pick);
+type Column = (&'static str, usize, FigureReader);
 
 const FIGURE_COLUMNS: [Column; 12] = [
     ("service", 3, |s| Some(s.service)),
@@ -37,7 +37,7 @@
 ];
 
 /// Lower bound of the fair peak that a peak is divided by, against division by zero.
-const SMALLEST_FAIR_PEAK: f64 = 1e-9;
+const MIN_FAIR_PEAK: f64 = 1e-9;
 
 /// Summaries of runs by experiment and number of balancers.
 type RunsBySize = BTreeMap<String, BTreeMap<usize, Vec<Summary>>>;
@@ -96,17 +96,17 @@
         SizeFigure { title: "Service", lines: mean_lines(runs, |s| Some(s.service)) },
         SizeFigure {
             title: "Spread: peak over that of fair draws",
-            lines: mean_lines(runs, |s| Some(s.spread.peak / s.spread.fair_peak.max(SMALLEST_FAIR_PEAK))),
+            lines: mean_lines(runs, |s| Some(s.spread.peak / s.spread.fair_peak.max(MIN_FAIR_PEAK))),
         },
     ];
-    std::fs::write(path, by_size(&figures)?)?;
+    std::fs::write(path, size_charts(&figures)?)?;
     Ok(())
 }
 
 /// Makes a line for each experiment, with the mean of a figure at each number of balancers.
-fn mean_lines(runs: &RunsBySize, pick: Pick) -> Vec<SizeLine> {
+fn mean_lines(runs: &RunsBySize, value_of: FigureReader) -> Vec<SizeLine> {
     let mean = |summaries: &[Summary]| {
-        let values: Vec<f64> = summaries.iter().filter_map(pick).collect();
+        let values: Vec<f64> = summaries.iter().filter_map(value_of).collect();
         values.iter().sum::<f64>() / values.len().max(1) as f64
     };
     let line = |(name, sizes): (&String, &BTreeMap<usize, Vec<Summary>>)| SizeLine {
@@ -117,18 +117,18 @@
 }
 
 /// Formats the mean of a figure, with its minimum and maximum if they differ.
-fn cell((_, decimals, pick): &Column, runs: &[Summary]) -> String {
-    let values: Vec<f64> = runs.iter().filter_map(pick).collect();
+fn cell((_, decimals, value_of): &Column, runs: &[Summary]) -> String {
+    let values: Vec<f64> = runs.iter().filter_map(value_of).collect();
     if values.is_empty() {
         return "-".into();
     }
-    let round = |value: f64| format!("{value:.decimals$}");
-    let mean = round(values.iter().sum::<f64>() / values.len() as f64);
-    let least = round(values.iter().copied().fold(f64::INFINITY, f64::min));
-    let most = round(values.iter().copied().fold(f64::NEG_INFINITY, f64::max));
-    if least == most {
+    let format_value = |value: f64| format!("{value:.decimals$}");
+    let mean = format_value(values.iter().sum::<f64>() / values.len() as f64);
+    let min = format_value(values.iter().copied().fold(f64::INFINITY, f64::min));
+    let max = format_value(values.iter().copied().fold(f64::NEG_INFINITY, f64::max));
+    if min == max {
         mean
     } else {
-        format!("{mean} ({least} to {most})")
+        format!("{mean} ({min} to {max})")
     }
 }
--- a/testbed-cli/src/report.rs
+++ b/testbed-cli/src/report.rs
@@ -25,7 +25,7 @@
     Open { path: PathBuf, source: std::io::Error },
     /// The content of the file is malformed.
     #[error("malformed JSON in {}: {source}", path.display())]
-    Form { path: PathBuf, source: serde_json::Error },
+    Malformed { path: PathBuf, source: serde_json::Error },
 }
 
 /// The contents of a run's files that the page shows.
@@ -54,9 +54,9 @@
 
 fn read_json<T: DeserializeOwned>(path: &Path) -> Result<T, RunFileError> {
     let open_error = |source| RunFileError::Open { path: path.to_path_buf(), source };
-    let form_error = |source| RunFileError::Form { path: path.to_path_buf(), source };
+    let malformed_error = |source| RunFileError::Malformed { path: path.to_path_buf(), source };
     let file = File::open(path).map_err(open_error)?;
-    serde_json::from_reader(BufReader::new(file)).map_err(form_error)
+    serde_json::from_reader(BufReader::new(file)).map_err(malformed_error)
 }
 
 fn read_seconds(path: &Path) -> Result<Vec<Second>, Error> {
@@ -80,33 +80,33 @@
 pub fn write_report(folder: &Path) -> Result<(), Error> {
     let files = RunFiles::read(folder)?;
     let mut charts = vec![
-        charts::service(&files.experiment, &files.seconds)?,
-        charts::latency(&files.experiment, &files.seconds)?,
-        charts::origin(&files.experiment, &files.seconds)?,
+        charts::results_chart(&files.experiment, &files.seconds)?,
+        charts::latency_chart(&files.experiment, &files.seconds)?,
+        charts::origin_chart(&files.experiment, &files.seconds)?,
         charts::heat_map("Load of each host over its fair part", "host", &files.server_loads)?,
     ];
-    charts.extend(token_charts(folder, &files)?);
-    std::fs::write(folder.join("report.html"), page::page(&files, &charts)?)?;
+    charts.extend(limit_charts(folder, &files)?);
+    std::fs::write(folder.join("report.html"), page::render_page(&files, &charts)?)?;
     Ok(())
 }
 
 /// Charts of the shares of the origin limit that the balancers report as reserved and used; none if the balancers do not
 /// coordinate.
-fn token_charts(folder: &Path, files: &RunFiles) -> Result<Vec<String>, Error> {
+fn limit_charts(folder: &Path, files: &RunFiles) -> Result<Vec<String>, Error> {
     let limit = files.summary.limits.get("origin").filter(|limit| limit.bound.is_some());
     let (Some(limit), Ok(table)) = (limit, csv::Reader::from_path(folder.join("holders.csv"))) else {
         return Ok(Vec::new());
     };
     let limit = limit.limit;
     let seconds = files.seconds.len();
-    let count = files.experiment.fleet.balancers;
+    let balancers = files.experiment.fleet.balancers;
     let mut reserved_by_all = vec![0.0; seconds];
     let mut used_by_all = vec![0.0; seconds];
-    let mut by_balancer = vec![vec![0.0; seconds]; count];
+    let mut by_balancer = vec![vec![0.0; seconds]; balancers];
     for row in table.into_deserialize() {
         let (second, balancer, reserved, used, ..): (usize, usize, f64, f64, f64, f64) = row?;
-        if second < seconds && balancer < count {
-            by_balancer[balancer][second] = reserved / (limit / count as f64);
+        if second < seconds && balancer < balancers {
+            by_balancer[balancer][second] = reserved / (limit / balancers as f64);
             reserved_by_all[second] += reserved;
             used_by_all[second] += used;
         }
@@ -119,7 +119,7 @@
     let title = "Units of the origin's limit: held and used by all, as they say";
     let heat_title = "Units held by each balancer over its part by count";
     Ok(vec![
-        charts::lines(&files.experiment, title, &lines)?,
+        charts::line_chart(&files.experiment, title, &lines)?,
         charts::heat_map(heat_title, "balancer", &by_balancer)?,
     ])
 }
--- a/testbed-cli/src/report/page.rs
+++ b/testbed-cli/src/report/page.rs
@@ -19,7 +19,7 @@
     svg{max-width:100%;height:auto}";
 
 /// Renders the page of a run, with these charts as SVG elements.
-pub fn page(files: &RunFiles, charts: &[String]) -> std::result::Result<String, std::fmt::Error> {
+pub fn render_page(files: &RunFiles, charts: &[String]) -> std::result::Result<String, std::fmt::Error> {
     let mut page = String::new();
     write_head(&mut page, &files.summary, &files.experiment)?;
     write_result(&mut page, &files.summary, files.crashes.len())?;
@@ -113,20 +113,20 @@
 }
 
 /// Formats a value with its unit, or a dash for no value.
-fn optional(value: Option<f64>, unit: &str) -> String {
+fn format_optional(value: Option<f64>, unit: &str) -> String {
     value.map_or("-".into(), |value| format!("{value:.2}{unit}"))
 }
 
 fn request_rows(summary: &Summary) -> Vec<Row> {
     let requests = summary.requests.max(1) as f64;
-    let share = |part: u64| format!("{part} ({:.2}%)", 100.0 * part as f64 / requests);
+    let with_percent = |count: u64| format!("{count} ({:.2}%)", 100.0 * count as f64 / requests);
     let latency = summary.latency_ms;
     vec![
         row("commands", summary.requests.to_string()),
-        row("served", share(summary.served)),
-        row("refused", share(summary.rejected)),
-        row("failed", share(summary.failed)),
-        row("lost", share(summary.lost)),
+        row("served", with_percent(summary.served)),
+        row("refused", with_percent(summary.rejected)),
+        row("failed", with_percent(summary.failed)),
+        row("lost", with_percent(summary.lost)),
         row("service: worth served in time over worth asked for", format!("{:.3}", summary.service)),
         row(
             "time of those served, median / 99% / 99.9%",
@@ -137,22 +137,25 @@
 }
 
 fn server_rows(summary: &Summary) -> Vec<Row> {
-    let beside_fair = |value: f64, fair: f64| format!("{value:.2} (fair draws {fair:.2})");
+    let with_fair_value = |value: f64, fair: f64| format!("{value:.2} (fair draws {fair:.2})");
     let spread = summary.spread;
     let detection = summary.failure_detection;
-    let last_send_p50 = optional(detection.spread_p50_ms, " ms");
-    let last_send_p99 = optional(detection.spread_p99_ms, " ms");
+    let last_send_p50 = format_optional(detection.spread_p50_ms, " ms");
+    let last_send_p99 = format_optional(detection.spread_p99_ms, " ms");
     vec![
-        row("spread: peak", beside_fair(spread.peak, spread.fair_peak)),
-        row("spread: least", beside_fair(spread.least, spread.fair_least)),
+        row("spread: peak", with_fair_value(spread.peak, spread.fair_peak)),
+        row("spread: least", with_fair_value(spread.least, spread.fair_least)),
         row("spread: idle host-windows", spread.idle.to_string()),
-        row("spread: herd", beside_fair(spread.herd, spread.fair_herd)),
+        row("spread: herd", with_fair_value(spread.herd, spread.fair_herd)),
         row("origin: most fetches in a second over its capacity", format!("{:.2}", summary.origin.peak)),
-        row("origin: useful answers over its capacity while pressed", optional(summary.origin.useful, "")),
+        row(
+            "origin: useful answers over its capacity while pressed",
+            format_optional(summary.origin.useful, ""),
+        ),
         row("sends lost at silent hosts", detection.lost_sends.to_string()),
         row("last send to a silent host, median / 99%", format!("{last_send_p50} / {last_send_p99}")),
-        row("silent host avoided by all after", optional(detection.avoided_ms, " ms")),
-        row("host that is back used again after", optional(detection.used_again_ms, " ms")),
+        row("silent host avoided by all after", format_optional(detection.avoided_ms, " ms")),
+        row("host that is back used again after", format_optional(detection.used_again_ms, " ms")),
     ]
 }
 
@@ -169,8 +172,8 @@
 fn limit_rows(summary: &Summary) -> Vec<Row> {
     let mut rows = Vec::new();
     for (name, limit) in &summary.limits {
-        let bound = optional(limit.bound, "");
-        let usage = optional(limit.usage, "");
+        let bound = format_optional(limit.bound, "");
+        let usage = format_optional(limit.usage, "");
         rows.push(row(
             &format!("limit {name}: whole / bound / peak / use / seconds over"),
             format!("{:.0} / {bound} / {:.3} / {usage} / {}", limit.limit, limit.peak, limit.seconds_over),
--- a/testbed-cli/src/run.rs
+++ b/testbed-cli/src/run.rs
@@ -44,13 +44,13 @@
 
 /// Runs an experiment file with one seed or several consecutive ones; returns the worst exit status.
 pub fn run(args: &RunArgs) -> ExitStatus {
-    let first = match read_experiment(&args.file, &args.set, args.seed) {
+    let first_experiment = match read_experiment(&args.file, &args.set, args.seed) {
         Ok(experiment) => experiment,
         Err(status) => return status,
     };
-    let Some(seeds) = args.seeds else { return run_once(&first, &args.out) };
+    let Some(seeds) = args.seeds else { return run_once(&first_experiment, &args.out) };
     let mut worst = ExitStatus::PASSED;
-    for seed in first.seed..first.seed + seeds {
+    for seed in first_experiment.seed..first_experiment.seed + seeds {
         let status = match read_experiment(&args.file, &args.set, Some(seed)) {
             Ok(experiment) => run_once(&experiment, &args.out.join(format!("seed-{seed}"))),
             Err(status) => status,
--- a/testbed-cli/src/run_outcome.rs
+++ b/testbed-cli/src/run_outcome.rs
@@ -7,9 +7,9 @@
 use crate::exit::ExitStatus;
 
 /// Greatest lag of the testbed in milliseconds, at the 99th percentile, with which a run counts.
-const MAX_LAG_MS: f64 = 20.0;
+const MAX_LAG_P99_MS: f64 = 20.0;
 /// Greatest number of crashes, and of violations, that are printed.
-const MAX_PRINTED: usize = 3;
+const MAX_PRINTED_FINDINGS: usize = 3;
 
 /// Prints the result of a run; returns its exit status.
 pub fn print_outcome(checked: &CheckResult, run: &RunRecord) -> ExitStatus {
@@ -29,9 +29,9 @@
     if !print_failure_detection(summary) || !print_rules_and_bounds(summary) {
         return ExitStatus::FAILED;
     }
-    if summary.lag_p99_ms > MAX_LAG_MS {
+    if summary.lag_p99_ms > MAX_LAG_P99_MS {
         println!(
-            "LATE: the testbed sent its requests {:.1} ms late at the 99th percentile, over {MAX_LAG_MS}: the run does not count",
+            "LATE: the testbed sent its requests {:.1} ms late at the 99th percentile, over {MAX_LAG_P99_MS}: the run does not count",
             summary.lag_p99_ms
         );
         return ExitStatus::TESTBED_LATE;
@@ -41,7 +41,7 @@
 }
 
 fn print_requests(summary: &Summary) {
-    let percent = |part: u64| 100.0 * part as f64 / summary.requests.max(1) as f64;
+    let percent = |count: u64| 100.0 * count as f64 / summary.requests.max(1) as f64;
     println!(
         "{} seed {}: {} commands, served {:.1}%, refused {:.1}%, failed {:.1}%, lost {}; service {:.3}",
         summary.name,
@@ -108,10 +108,10 @@
 }
 
 fn print_crashes_and_violations(checked: &CheckResult, run: &RunRecord) {
-    for crash in run.crashes.iter().take(MAX_PRINTED) {
+    for crash in run.crashes.iter().take(MAX_PRINTED_FINDINGS) {
         println!("{crash}");
     }
-    for violation in checked.violations.iter().take(MAX_PRINTED) {
+    for violation in checked.violations.iter().take(MAX_PRINTED_FINDINGS) {
         println!("{:?}: {}", violation.rule, violation.description);
         for line in &violation.request_trace {
             println!("    {line}");
@@ -124,12 +124,12 @@
 fn print_failure_detection(summary: &Summary) -> bool {
     let detection = &summary.failure_detection;
     let Some(expiry_ms) = detection.stale_bound_ms else { return true };
-    let whole_ms = |ms: Option<f64>| ms.map_or("-".into(), |ms| format!("{ms:.0}"));
+    let format_ms = |ms: Option<f64>| ms.map_or("-".into(), |ms| format!("{ms:.0}"));
     println!(
         "verdicts: oldest report acted on {} ms (stated {expiry_ms:.0}), wrong {}; host avoided by all after {} ms",
-        whole_ms(detection.stale_max_ms),
+        format_ms(detection.stale_max_ms),
         detection.wrongly_avoided,
-        whole_ms(detection.avoided_ms),
+        format_ms(detection.avoided_ms),
     );
     let is_kept = detection.stale_max_ms.is_none_or(|oldest_ms| oldest_ms <= expiry_ms);
     if !is_kept {
--- a/testbed-cli/src/scale.rs
+++ b/testbed-cli/src/scale.rs
@@ -2,13 +2,13 @@
 
 use crate::exit::ExitStatus;
 use crate::scale_args::ScaleArgs;
-use crate::scale_run::run_one;
+use crate::scale_run::run_single_size;
 use crate::sizes::run_sizes;
 
 /// Runs a scale test at one size or at several.
 pub fn scale(args: &ScaleArgs) -> ExitStatus {
     if args.sizes.is_empty() {
-        run_one(args)
+        run_single_size(args)
     } else {
         run_sizes(args)
     }
--- a/testbed-cli/src/scale_run.rs
+++ b/testbed-cli/src/scale_run.rs
@@ -19,7 +19,7 @@
 const MIN_PACKETS_PER_S: f64 = 1e-9;
 
 /// Runs a scale test at one size, writes its files and prints its summary.
-pub fn run_one(args: &ScaleArgs) -> ExitStatus {
+pub fn run_single_size(args: &ScaleArgs) -> ExitStatus {
     let outcome = match scale::run_scale_test(args.config()) {
         Ok(outcome) => outcome,
         Err(error) => {
@@ -79,7 +79,7 @@
 }
 
 /// The summary in the output folder, if it belongs to a run with these arguments.
-pub fn held_summary(args: &ScaleArgs) -> Option<Summary> {
+pub fn saved_summary(args: &ScaleArgs) -> Option<Summary> {
     let summary = read_summary(&args.out)?;
     let is_same = summary.members == args.members
         && summary.seed == args.seed
--- a/testbed-cli/src/scale_table.rs
+++ b/testbed-cli/src/scale_table.rs
@@ -93,7 +93,7 @@
 }
 
 fn print_change(change: &ChangeSummary) {
-    let time = |ms: Option<f64>| ms.map_or("-".to_owned(), |ms| format!("{ms:.0}"));
+    let format_ms = |ms: Option<f64>| ms.map_or("-".to_owned(), |ms| format!("{ms:.0}"));
     println!(
         "  {:16} {} observers, {} unaware, {} never (in {:.1} s): p50 {} ms, p99 {} ms, all {} ms",
         change.name,
@@ -101,8 +101,8 @@
         change.unaware,
         change.never,
         change.asked_s,
-        time(change.p50_ms),
-        time(change.p99_ms),
-        time(change.all_ms)
+        format_ms(change.p50_ms),
+        format_ms(change.p99_ms),
+        format_ms(change.all_ms)
     );
 }
--- a/testbed-cli/src/sizes.rs
+++ b/testbed-cli/src/sizes.rs
@@ -5,11 +5,11 @@
 
 use juniperladder_testbed::scale::Summary;
 
-use crate::charts::{by_size, SizeFigure, SizeLine};
+use crate::charts::{size_charts, SizeFigure, SizeLine};
 use crate::exit::ExitStatus;
 use crate::fit_table::{print_fit, FIT_COLUMNS};
 use crate::scale_args::ScaleArgs;
-use crate::scale_run::{held_summary, print_status, run_in_process};
+use crate::scale_run::{print_status, run_in_process, saved_summary};
 
 type Error = Box<dyn std::error::Error>;
 
@@ -33,14 +33,14 @@
     let mut worst = ExitStatus::PASSED;
     for size in &args.sizes {
         let out = args.out.join(format!("members-{size}"));
-        let one = ScaleArgs { members: *size, sizes: Vec::new(), out, ..args.clone() };
-        let held = if args.resume { held_summary(&one) } else { None };
-        if let Some(summary) = held {
+        let size_args = ScaleArgs { members: *size, sizes: Vec::new(), out, ..args.clone() };
+        let saved = if args.resume { saved_summary(&size_args) } else { None };
+        if let Some(summary) = saved {
             worst = worst.max(print_status(&summary));
             summaries.push(summary);
             continue;
         }
-        let Some((summary, status)) = run_in_process(&one) else { return ExitStatus::NOT_ALLOWED };
+        let Some((summary, status)) = run_in_process(&size_args) else { return ExitStatus::NOT_ALLOWED };
         worst = worst.worse(status);
         summaries.push(summary);
     }
@@ -61,8 +61,9 @@
 fn write_fits(path: &Path, summaries: &[Summary]) -> Result<(), Error> {
     let mut fits = csv::Writer::from_path(path)?;
     fits.write_record(FIT_COLUMNS)?;
-    for (name, pick) in MEMBER_COSTS {
-        let points = summaries.iter().filter_map(|one| Some((one.members as f64, pick(one)?)));
+    for (name, value_of) in MEMBER_COSTS {
+        let points =
+            summaries.iter().filter_map(|summary| Some((summary.members as f64, value_of(summary)?)));
         if let Some(record) = print_fit(name, &points.collect::<Vec<_>>()) {
             fits.write_record(record)?;
         }
@@ -72,12 +73,13 @@
 
 fn write_chart(path: &Path, args: &ScaleArgs, summaries: &[Summary]) -> Result<(), Error> {
     let mut figures = Vec::new();
-    for (title, pick) in MEMBER_COSTS {
-        let points = summaries.iter().filter_map(|one| Some((one.members, pick(one)?))).collect();
+    for (title, value_of) in MEMBER_COSTS {
+        let points =
+            summaries.iter().filter_map(|summary| Some((summary.members, value_of(summary)?))).collect();
         let line = SizeLine { name: args.mechanism.name().to_owned(), points };
         figures.push(SizeFigure { title, lines: vec![line] });
     }
-    Ok(std::fs::write(path, by_size(&figures)?)?)
+    Ok(std::fs::write(path, size_charts(&figures)?)?)
 }
 
 /// Writes a row for each size: its costs, the traffic by kind of packet, and the propagation times of changes.
@@ -108,8 +110,8 @@
 
 fn size_row(summary: &Summary) -> BTreeMap<String, String> {
     let mut row = BTreeMap::new();
-    for (name, pick) in MEMBER_COSTS {
-        row.extend(pick(summary).map(|value| (name.to_owned(), format!("{value:.4}"))));
+    for (name, value_of) in MEMBER_COSTS {
+        row.extend(value_of(summary).map(|value| (name.to_owned(), format!("{value:.4}"))));
     }
     for (kind, rate) in &summary.ordinary.kinds {
         row.insert(format!("{kind}_bytes_per_s"), format!("{:.1}", rate.bytes_per_s));
@@ -118,10 +120,10 @@
     row.insert("lag_p99_ms".to_owned(), format!("{:.1}", summary.lag_p99_ms));
     row.insert("known_least".to_owned(), summary.known.least.to_string());
     for change in &summary.changes {
-        let time = |ms: Option<f64>| ms.map_or(String::new(), |ms| format!("{ms:.0}"));
-        row.insert(format!("{}_p50_ms", change.name), time(change.p50_ms));
-        row.insert(format!("{}_p99_ms", change.name), time(change.p99_ms));
-        row.insert(format!("{}_all_ms", change.name), time(change.all_ms));
+        let format_ms = |ms: Option<f64>| ms.map_or(String::new(), |ms| format!("{ms:.0}"));
+        row.insert(format!("{}_p50_ms", change.name), format_ms(change.p50_ms));
+        row.insert(format!("{}_p99_ms", change.name), format_ms(change.p99_ms));
+        row.insert(format!("{}_all_ms", change.name), format_ms(change.all_ms));
         row.insert(format!("{}_unaware", change.name), change.unaware.to_string());
         row.insert(format!("{}_never", change.name), change.never.to_string());
     }
