--- a/testbed-cli/tests/fleet.rs
+++ b/testbed-cli/tests/fleet.rs
@@ -15,13 +15,13 @@
 static RUN_SLOTS: [Mutex<()>; 2] = [Mutex::new(()), Mutex::new(())];
 static NEXT_SLOT: AtomicUsize = AtomicUsize::new(0);
 
-fn run_slot() -> MutexGuard<'static, ()> {
+fn acquire_run_slot() -> MutexGuard<'static, ()> {
     let slot = NEXT_SLOT.fetch_add(1, Ordering::Relaxed) % RUN_SLOTS.len();
     RUN_SLOTS[slot].lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Partitions the balancers into halves that cannot reach each other for four seconds.
-const TALK_CUT_IN_HALVES: &str = "[[fault]]\nat = 1\nfor = 4\nwhat = \"cut\"\n\
+const PEER_LINKS_CUT_IN_HALVES: &str = "[[fault]]\nat = 1\nfor = 4\nwhat = \"cut\"\n\
                                   between = [\"balancers:0-5\", \"balancers:6-11\"]\n";
 
 /// Path of the balancer program in the target folder of this test.
@@ -33,15 +33,15 @@
 }
 
 /// Runs a fleet with these faults, and checks that every rule was kept and no process crashed.
-fn run_keeping_rules(name: &str, balancers: usize, more: &str) -> (RunRecord, CheckResult) {
-    run_and_check(name, balancers, "writes = 0.05\nwarm = 4\n[origin]\ncapacity = 120\n", more)
+fn run_keeping_rules(name: &str, balancers: usize, faults: &str) -> (RunRecord, CheckResult) {
+    run_and_check(name, balancers, "writes = 0.05\nwarm = 4\n[origin]\ncapacity = 120\n", faults)
 }
 
 /// Like [`run_keeping_rules`], with balancers that share a limit of 40 requests per second to the origin while 80 writes per
 /// second arrive, four fifths of them at a fifth of the balancers. Checks that the stated bound was never exceeded.
-fn run_with_origin_limit(name: &str, balancers: usize, more: &str) -> (RunRecord, CheckResult) {
+fn run_with_origin_limit(name: &str, balancers: usize, faults: &str) -> (RunRecord, CheckResult) {
     let load = "writes = 0.5\nwarm = 5\nuneven = { share = 0.75, at = 0.2 }\n[origin]\ncapacity = 40\n";
-    let (run, checked) = run_and_check(name, balancers, load, more);
+    let (run, checked) = run_and_check(name, balancers, load, faults);
     let limit = checked.summary.limits["origin"];
     let bound = limit.bound.unwrap();
     assert!(limit.peak <= bound, "{name}: {limit:?}");
@@ -53,15 +53,15 @@
     (run, checked)
 }
 
-/// Like [`run_keeping_rules`], with all limits and failure reports that balancers can share. Checks that every stated bound was
-/// kept and no report on a server was acted on after its expiry.
-fn run_with_all_limits(name: &str, balancers: usize, more: &str) -> (RunRecord, CheckResult) {
+/// Like [`run_keeping_rules`], with all limits and failure reports that balancers can share. Checks that every stated bound
+/// was kept and no report on a server was acted on after its expiry.
+fn run_with_all_limits(name: &str, balancers: usize, faults: &str) -> (RunRecord, CheckResult) {
     let load = "writes = 0.05\nwarm = 5\n[origin]\ncapacity = 120\n";
-    let (run, checked) = run_and_check(name, balancers, load, more);
+    let (run, checked) = run_and_check(name, balancers, load, faults);
     let limits = &checked.summary.limits;
     for limit in ["cold", "second"] {
-        let seen = limits[limit];
-        assert!(seen.peak <= seen.bound.unwrap(), "{name}: {limit}: {seen:?}");
+        let usage = limits[limit];
+        assert!(usage.peak <= usage.bound.unwrap(), "{name}: {limit}: {usage:?}");
     }
     let stated = run.stated.unwrap();
     let expiry = stated.failure_detection.unwrap().report_expiry;
@@ -73,30 +73,30 @@
     (run, checked)
 }
 
-fn run_and_check(name: &str, balancers: usize, load: &str, more: &str) -> (RunRecord, CheckResult) {
-    let _slot = run_slot();
+fn run_and_check(name: &str, balancers: usize, load: &str, faults: &str) -> (RunRecord, CheckResult) {
+    let _slot = acquire_run_slot();
     let folder = tempfile::tempdir().unwrap();
     let operator = folder.path().join("operator.toml");
     // On a machine shared with other work the delays of sends may differ by a quarter of a second.
-    let mut file = String::from(
+    let mut operator_settings = String::from(
         "[peers]\nlisten = \"127.0.0.1:0\"\nseeds = [\"127.0.0.1:1\"]\n[limits]\nspread_ms = 250\n",
     );
     if name.starts_with("all-") {
-        file += "[limits.origin]\nper_s = 400\n[limits.cold]\nper_s = 50\n[limits.second]\n[verdicts]\nwitnesses = 2\n";
+        operator_settings += "[limits.origin]\nper_s = 400\n[limits.cold]\nper_s = 50\n[limits.second]\n[verdicts]\nwitnesses = 2\n";
     }
-    std::fs::write(&operator, file).unwrap();
-    let talk = name.starts_with("all-") || load.contains("writes = 0.5");
-    let operator = if talk { format!("operator = {operator:?}\n") } else { String::new() };
-    let told = if name == "limits-grow" { "told = 4\n" } else { "" };
+    std::fs::write(&operator, operator_settings).unwrap();
+    let has_peer_links = name.starts_with("all-") || load.contains("writes = 0.5");
+    let operator = if has_peer_links { format!("operator = {operator:?}\n") } else { String::new() };
+    let balancer_count_setting = if name == "limits-grow" { "told = 4\n" } else { "" };
     // Enough for well over fifteen sends to each server in slow start, however early the balancers learn of its start.
     let rate = if name == "cold-ramp" { 320 } else { 160 };
     let text = format!(
         "name = \"{name}\"\nseconds = 11\n[fleet]\nbalancers = {balancers}\nhosts = 12\nzones = 3\nprogram = {:?}\n\
-         {told}{operator}[load]\nrate = {rate}\nkeys = 400\n{load}{more}",
+         {balancer_count_setting}{operator}[load]\nrate = {rate}\nkeys = 400\n{load}{faults}",
         program()
     );
     let experiment = read(&text, &[]).unwrap();
-    let (_keep, stop) = tokio::sync::watch::channel(false);
+    let (_stop_sender, stop) = tokio::sync::watch::channel(false);
     let run = run_experiment(
         &experiment,
         RunOptions { out: folder.path(), progress: &mut |_| {}, child_reaper: None, stop },
@@ -108,9 +108,9 @@
     let checked = check_run(&run.event_log, &terms);
     assert_eq!(run.crashes, [""; 0], "{name}");
     assert_eq!(checked.summary.rules.total(), 0, "{name}: {:#?}", checked.violations);
-    let s = &checked.summary;
-    assert!(s.requests > 1_300, "{name}: the clients have to have sent the load: {}", s.requests);
-    assert_eq!(s.requests, s.served + s.rejected + s.failed + s.lost, "{name}");
+    let summary = &checked.summary;
+    assert!(summary.requests > 1_300, "{name}: the clients have to have sent the load: {}", summary.requests);
+    assert_eq!(summary.requests, summary.served + summary.rejected + summary.failed + summary.lost, "{name}");
     (run, checked)
 }
 
@@ -121,16 +121,16 @@
         12,
         "[[fault]]\nat = 3\nfor = 4\nwhat = \"silent\"\nwho = \"hosts:2-3\"\n",
     );
-    let s = checked.summary;
+    let summary = checked.summary;
     // Two of twelve servers for four seconds: a sixth of the sends in that time are lost, and hedged
     // requests at other servers replace them.
     assert!(
-        s.failure_detection.lost_sends > 0 && s.failure_detection.lost_sends < 160,
+        summary.failure_detection.lost_sends > 0 && summary.failure_detection.lost_sends < 160,
         "{:?}",
-        s.failure_detection
+        summary.failure_detection
     );
-    assert_eq!(s.lost, 0);
-    assert!(s.service > 0.9, "{}", s.service);
+    assert_eq!(summary.lost, 0);
+    assert!(summary.service > 0.9, "{}", summary.service);
 }
 
 #[test]
@@ -141,16 +141,16 @@
         "[[fault]]\nat = 4\nwhat = \"kill\"\nwho = \"balancers:70%\"\nback = 1\n",
     );
     assert_eq!(run.started, 34, "fourteen processes are restarted");
-    let last: u64 = checked.series.seconds[9..].iter().map(|s| s.served).sum();
-    let asked: u64 = checked.series.seconds[9..].iter().map(|s| s.requests).sum();
+    let served: u64 = checked.series.seconds[9..].iter().map(|second| second.served).sum();
+    let requests: u64 = checked.series.seconds[9..].iter().map(|second| second.requests).sum();
     assert!(
-        last * 10 > asked * 9,
-        "four seconds after the restart the fleet has to serve over 90% again: {last} of {asked}"
+        served * 10 > requests * 9,
+        "four seconds after the restart the fleet has to serve over 90% again: {served} of {requests}"
     );
 }
 
 #[test]
-fn roll_answers_every_request_accepted() {
+fn rolling_restart_answers_every_accepted_request() {
     let (run, checked) = run_keeping_rules(
         "roll",
         8,
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn drains_hold_while_lists_come_late_and_discovery_goes_down() {
+fn drains_hold_with_late_endpoint_lists_and_discovery_down() {
     let (run, _) = run_keeping_rules(
         "drains",
         12,
@@ -191,18 +191,18 @@
 }
 
 #[test]
-fn frozen_processes_lose_their_own_requests_alone() {
+fn frozen_balancers_lose_only_their_own_requests() {
     let (_, checked) = run_keeping_rules(
         "freeze",
         10,
         "[[fault]]\nat = 3\nfor = 3\nwhat = \"freeze\"\nwho = \"balancers:0-1\"\n\
          [[fault]]\nat = 4\nfor = 3\nwhat = \"origin-slow\"\ntimes = 4\n",
     );
-    let s = checked.summary;
+    let summary = checked.summary;
     assert!(
-        s.lost > 0 && s.lost < s.requests / 5,
+        summary.lost > 0 && summary.lost < summary.requests / 5,
         "two of ten processes are frozen for three of eleven seconds: {}",
-        s.lost
+        summary.lost
     );
 }
 
@@ -225,12 +225,12 @@
 }
 
 #[test]
-fn limit_holds_while_talk_is_cut_in_halves_and_one_way() {
+fn limit_holds_while_peer_links_are_cut_in_halves_and_one_way() {
     let (_, checked) = run_with_origin_limit(
         "limits-partition",
         12,
         &format!(
-            "{TALK_CUT_IN_HALVES}\
+            "{PEER_LINKS_CUT_IN_HALVES}\
              [[fault]]\nat = 6\nfor = 4\nwhat = \"cut\"\nbetween = [\"balancers:0-3\", \"balancers:4-11\"]\n\
              direction = \"one-way\"\n"
         ),
@@ -285,12 +285,12 @@
         "[[fault]]\nat = 2\nfor = 5\nwhat = \"silent\"\nwho = \"hosts:2-3\"\n\
          [[fault]]\nat = 7\nwhat = \"restart\"\nwho = \"hosts:2-3\"\n",
     );
-    let passing =
+    let avoiding =
         run.self_reports.iter().filter(|report| report.avoided_servers >= 1.0).map(|report| report.balancer);
-    let passing: std::collections::HashSet<usize> = passing.collect();
+    let avoiding: std::collections::HashSet<usize> = avoiding.collect();
     assert!(
-        passing.len() >= 6,
-        "at least half of the balancers have to report that they avoid a host: {passing:?}"
+        avoiding.len() >= 6,
+        "at least half of the balancers have to report that they avoid a host: {avoiding:?}"
     );
     assert!(
         checked.summary.failure_detection.lost_sends > 0
@@ -298,15 +298,15 @@
     );
 }
 
-/// Guards against bounds that depend on working peers: the peer links are partitioned into halves, a balancer is cut off from the
-/// servers, and reporters are killed, frozen and delayed.
+/// Guards against bounds that depend on working peers: the peer links are partitioned into halves, a balancer is cut off from
+/// the servers, and reporters are killed, frozen and delayed.
 #[test]
-fn failure_detection_and_budgets_keep_their_bounds_while_talk_and_reporters_fail() {
+fn failure_detection_and_budgets_keep_their_bounds_while_peer_links_and_reporters_fail() {
     let (run, _) = run_with_all_limits(
         "all-faults",
         12,
         &format!(
-            "{TALK_CUT_IN_HALVES}\
+            "{PEER_LINKS_CUT_IN_HALVES}\
              [[fault]]\nat = 1\nfor = 4\nwhat = \"cut\"\nbetween = [\"balancers:2\", \"hosts\"]\n\
              [[fault]]\nat = 2\nfor = 3\nwhat = \"silent\"\nwho = \"hosts:2-4\"\n\
              [[fault]]\nat = 3\nwhat = \"kill\"\nwho = \"balancers:8-9\"\nback = 0.3\n\
@@ -319,16 +319,17 @@
 }
 
 /// Guards against a server overloaded during slow start: two servers restart while thirty balancers without peer links send to
-/// them, most of the load at few balancers, and some balancers are killed and restarted. In no second may a server receive more
-/// than its slow-start capacity `n` plus a random excess of `2 * sqrt(n) + 2`, counted at the server.
+/// them, most of the load at few balancers, and some balancers are killed and restarted. In no second may a server receive
+/// more than its slow-start capacity plus a random excess of `2 * sqrt(capacity) + 2`, counted at the server.
 #[test]
-fn thirty_processes_together_keep_within_the_slow_start_of_a_server() {
-    const COLD_FROM: f64 = 0.1;
-    const COLD_S: f64 = 7.0;
-    const BEARS: f64 = 1.5;
+fn thirty_balancers_together_do_not_overload_a_server_in_slow_start() {
+    const SLOW_START_INITIAL_SHARE: f64 = 0.1;
+    const SLOW_START_DURATION_S: f64 = 7.0;
+    const COLLAPSE_LOAD_FACTOR: f64 = 1.5;
     let load = format!(
         "writes = 0.05\nwarm = 5\nuneven = {{ share = 0.6, at = 0.2 }}\n[origin]\ncapacity = 120\n\
-         [hosts]\nwork_ms = 20.0\ncold_from = {COLD_FROM}\ncold_s = {COLD_S}\nfall_times = {BEARS}\n"
+         [hosts]\nwork_ms = 20.0\ncold_from = {SLOW_START_INITIAL_SHARE}\ncold_s = {SLOW_START_DURATION_S}\n\
+         fall_times = {COLLAPSE_LOAD_FACTOR}\n"
     );
     let faults = "[[fault]]\nat = 3\nwhat = \"restart\"\nwho = \"hosts:2-3\"\n\
                   [[fault]]\nat = 4.5\nwhat = \"kill\"\nwho = \"balancers:0-7\"\nback = 0.5\n\
@@ -336,27 +337,28 @@
     let (run, _) = run_and_check("cold-ramp", 30, &load, faults);
     assert_eq!(run.started, 44);
     for server in [2, 3] {
-        let mut cold: Vec<u64> = run
+        let mut received_at: Vec<u64> = run
             .event_log
             .attempts
             .iter()
             .filter(|attempt| attempt.receiver == Receiver::CacheServer(server) && attempt.in_slow_start)
             .map(|attempt| attempt.received_at)
             .collect();
-        cold.sort_unstable();
-        assert!(cold.len() > 15, "host {server}: {} sends during slow start", cold.len());
+        received_at.sort_unstable();
+        assert!(received_at.len() > 15, "host {server}: {} sends during slow start", received_at.len());
         // The server had started by its first send, so its capacity is at most underestimated.
-        let started = cold[0];
-        for (last, at) in cold.iter().enumerate() {
-            let sends = last + 1 - cold.partition_point(|before| before + MICROS_PER_SECOND <= *at);
-            let warm =
-                COLD_FROM + (1.0 - COLD_FROM) * (at - started) as f64 / (COLD_S * MICROS_PER_SECOND as f64);
+        let started = received_at[0];
+        for (index, at) in received_at.iter().enumerate() {
+            let sends = index + 1 - received_at.partition_point(|before| before + MICROS_PER_SECOND <= *at);
+            let warm_share = SLOW_START_INITIAL_SHARE
+                + (1.0 - SLOW_START_INITIAL_SHARE) * (at - started) as f64
+                    / (SLOW_START_DURATION_S * MICROS_PER_SECOND as f64);
             // A core serves 50 requests per second.
-            let n = BEARS * 50.0 * warm.min(1.0);
-            let most = n + 2.0 * n.sqrt() + 2.0;
+            let capacity = COLLAPSE_LOAD_FACTOR * 50.0 * warm_share.min(1.0);
+            let max_sends = capacity + 2.0 * capacity.sqrt() + 2.0;
             assert!(
-                sends as f64 <= most,
-                "host {server}: {sends} sends in a second, at most {most:.1} allowed"
+                sends as f64 <= max_sends,
+                "host {server}: {sends} sends in a second, at most {max_sends:.1} allowed"
             );
         }
     }
--- a/testbed-cli/tests/soak.rs
+++ b/testbed-cli/tests/soak.rs
@@ -26,7 +26,7 @@
     (plan, result)
 }
 
-fn assert_kept(seed: u64, deadlines: DeadlineProfile) {
+fn assert_seed_passes(seed: u64, deadlines: DeadlineProfile) {
     let (plan, result) = run_seed(seed, deadlines, &program());
     let findings: Vec<String> = result.findings.iter().map(SoakFinding::to_string).collect();
     assert!(findings.is_empty(), "{deadlines:?}, {plan}{}", findings.join("\n"));
@@ -35,12 +35,12 @@
 
 /// Guards against requests lost in a graceful shutdown with deadlines of up to 3 s and SIGKILL after 3.7 s.
 #[test]
-fn planned_ends_lose_no_request_with_long_deadlines() {
-    SEEDS.for_each(|seed| assert_kept(seed, DeadlineProfile::Long));
+fn graceful_shutdowns_lose_no_request_with_long_deadlines() {
+    SEEDS.for_each(|seed| assert_seed_passes(seed, DeadlineProfile::Long));
 }
 
 /// Guards against requests lost in a graceful shutdown with deadlines of up to 1.2 s and SIGKILL after 1.9 s.
 #[test]
-fn planned_ends_lose_no_request_with_short_deadlines() {
-    SEEDS.for_each(|seed| assert_kept(seed, DeadlineProfile::Short));
+fn graceful_shutdowns_lose_no_request_with_short_deadlines() {
+    SEEDS.for_each(|seed| assert_seed_passes(seed, DeadlineProfile::Short));
 }
