--- a/testbed-cli/src/charts.rs
+++ b/testbed-cli/src/charts.rs
@@ -115,7 +115,7 @@
     let per_second = |value_of: fn(&Second) -> u64| seconds.iter().map(|s| value_of(s) as f64).collect();
     line_chart(
         experiment,
-        "Commands a second, by how they ended (faults shaded)",
+        "Commands a second by result (faults shaded)",
         &[
             Line { name: "asked", colour: GREY, values: per_second(|s| s.requests) },
             Line { name: "served", colour: GREEN, values: per_second(|s| s.served) },
@@ -149,7 +149,7 @@
 pub fn latency_chart(experiment: &Experiment, seconds: &[Second]) -> Result<String, Error> {
     line_chart(
         experiment,
-        "Time of the commands served, ms",
+        "Latency of the commands served, ms",
         &[
             Line { name: "median", colour: BLUE, values: seconds.iter().map(|s| s.p50_ms).collect() },
             Line { name: "99th percentile", colour: RED, values: seconds.iter().map(|s| s.p99_ms).collect() },
--- a/testbed-cli/src/lib.rs
+++ b/testbed-cli/src/lib.rs
@@ -54,7 +54,8 @@
     },
     /// Prints the JSON schema of experiment files
     Schema,
-    /// Compares the runs of two versions, paired by experiment and seed, with confidence intervals
+    /// Compares the runs of two versions, paired by experiment and seed, with confidence intervals, and says which
+    /// differences are noise
     Compare {
         /// A run's folder, or a folder with runs below it
         before: PathBuf,
--- a/testbed-cli/src/report.rs
+++ b/testbed-cli/src/report.rs
@@ -116,7 +116,7 @@
         charts::Line { name: "held", colour: charts::ORANGE, values: reserved_by_all },
         charts::Line { name: "used", colour: charts::BLUE, values: used_by_all },
     ];
-    let title = "Units of the origin's limit: held and used by all, as they say";
+    let title = "Units of the origin's limit held and used by all balancers, as reported";
     let heat_title = "Units held by each balancer over its part by count";
     Ok(vec![
         charts::line_chart(&files.experiment, title, &lines)?,
--- a/testbed-cli/src/report/page.rs
+++ b/testbed-cli/src/report/page.rs
@@ -56,7 +56,7 @@
     write!(
         page,
         "<p class=\"{class}\"><b>{result}</b>: breaches of answers {}, attempts {}, drains {}, cold hosts {}; \
-         processes that ended by themselves {crashes}.</p>",
+         processes that ended unexpectedly {crashes}.</p>",
         rules.answers, rules.attempts, rules.drains, rules.cold
     )
 }
@@ -127,9 +127,12 @@
         row("refused", with_percent(summary.rejected)),
         row("failed", with_percent(summary.failed)),
         row("lost", with_percent(summary.lost)),
-        row("service: worth served in time over worth asked for", format!("{:.3}", summary.service)),
         row(
-            "time of those served, median / 99% / 99.9%",
+            "service: priority weight served within the latency objective over that requested",
+            format!("{:.3}", summary.service),
+        ),
+        row(
+            "latency of those served, median / 99% / 99.9%",
             format!("{:.0} / {:.0} / {:.0} ms", latency.p50, latency.p99, latency.p999),
         ),
         row("attempts a command", format!("{:.3}", summary.attempts_per_request)),
@@ -149,13 +152,13 @@
         row("spread: herd", with_fair_value(spread.herd, spread.fair_herd)),
         row("origin: most fetches in a second over its capacity", format!("{:.2}", summary.origin.peak)),
         row(
-            "origin: useful answers over its capacity while pressed",
+            "origin: useful answers over its capacity while demand exceeds it",
             format_optional(summary.origin.useful, ""),
         ),
         row("sends lost at silent hosts", detection.lost_sends.to_string()),
         row("last send to a silent host, median / 99%", format!("{last_send_p50} / {last_send_p99}")),
         row("silent host avoided by all after", format_optional(detection.avoided_ms, " ms")),
-        row("host that is back used again after", format_optional(detection.used_again_ms, " ms")),
+        row("recovered host used again after", format_optional(detection.used_again_ms, " ms")),
     ]
 }
 
