--- a/testbed-cli/src/overview.rs
+++ b/testbed-cli/src/overview.rs
@@ -1,5 +1,5 @@
-//! `overview`: a table over many runs, by experiment and by the number of balancers, with the spread over seeds, and a
-//! chart of how figures change with that number.
+//! `overview`: a table of many runs by experiment and number of balancers, with the range over seeds, and a chart of
+//! figures by number of balancers.
 
 #[cfg(test)]
 mod tests;
@@ -10,14 +10,14 @@
 use juniperladder_platform_model::experiment::Experiment;
 use juniperladder_platform_model::summary::Summary;
 
-use crate::charts::{by_size, SizeFigure, SizeLine};
+use crate::charts::{size_charts, SizeFigure, SizeLine};
 use crate::compare::find_summaries;
 use crate::exit::ExitStatus;
 
-/// How a figure is read from a summary.
-type Pick = fn(&Summary) -> Option<f64>;
-/// A column: its name, how many decimals, and the figure.
-type Column = (&'static str, usize, Pick);
+/// A function that reads a figure from a summary.
+type FigureReader = fn(&Summary) -> Option<f64>;
+/// A column: its name, its number of decimals, and its figure.
+type Column = (&'static str, usize, FigureReader);
 
 const FIGURE_COLUMNS: [Column; 12] = [
     ("service", 3, |s| Some(s.service)),
@@ -36,30 +36,30 @@
     ("packets", 1, |s| (s.peers.packets_per_s > 0.0).then_some(s.peers.packets_per_s)),
 ];
 
-/// The smallest fair peak that a peak is divided by.
-const SMALLEST_FAIR_PEAK: f64 = 1e-9;
+/// Lower bound of the fair peak that a peak is divided by, against division by zero.
+const MIN_FAIR_PEAK: f64 = 1e-9;
 
-/// Runs by experiment and number of balancers.
+/// Summaries of runs by experiment and number of balancers.
 type RunsBySize = BTreeMap<String, BTreeMap<usize, Vec<Summary>>>;
 
-/// Prints the table of all runs below a folder, in Markdown; draws the chart where a file for it is named.
+/// Prints a Markdown table of all runs below a folder; writes the chart if a file for it is given.
 pub fn overview(folder: &Path, chart: Option<&Path>) -> ExitStatus {
     let runs = read_runs(folder);
     if runs.is_empty() {
-        eprintln!("{}: no runs below it", folder.display());
+        eprintln!("no runs found below {}", folder.display());
         return ExitStatus::NOT_ALLOWED;
     }
     let violations = print_table(&runs);
     if let Some(path) = chart {
         if let Err(error) = write_chart(path, &runs) {
-            eprintln!("{}: {error}", path.display());
+            eprintln!("cannot write the chart {}: {error}", path.display());
             return ExitStatus::NOT_ALLOWED;
         }
     }
     if violations > 0 {
-        ExitStatus::RULE_BROKEN
+        ExitStatus::FAILED
     } else {
-        ExitStatus::ALL_KEPT
+        ExitStatus::PASSED
     }
 }
 
@@ -74,7 +74,7 @@
     runs
 }
 
-/// Prints a row for each experiment and number of balancers; gives how many rules were broken in all.
+/// Prints a row for each experiment and number of balancers; returns the total of rule violations.
 fn print_table(runs: &RunsBySize) -> u64 {
     let names: Vec<&str> = FIGURE_COLUMNS.iter().map(|(name, ..)| *name).collect();
     println!("| experiment | balancers | runs | rules broken | {} |", names.join(" | "));
@@ -96,17 +96,17 @@
         SizeFigure { title: "Service", lines: mean_lines(runs, |s| Some(s.service)) },
         SizeFigure {
             title: "Spread: peak over that of fair draws",
-            lines: mean_lines(runs, |s| Some(s.spread.peak / s.spread.fair_peak.max(SMALLEST_FAIR_PEAK))),
+            lines: mean_lines(runs, |s| Some(s.spread.peak / s.spread.fair_peak.max(MIN_FAIR_PEAK))),
         },
     ];
-    std::fs::write(path, by_size(&figures)?)?;
+    std::fs::write(path, size_charts(&figures)?)?;
     Ok(())
 }
 
-/// A line for each experiment, with the mean of a figure at each number of balancers.
-fn mean_lines(runs: &RunsBySize, pick: Pick) -> Vec<SizeLine> {
+/// Makes a line for each experiment, with the mean of a figure at each number of balancers.
+fn mean_lines(runs: &RunsBySize, value_of: FigureReader) -> Vec<SizeLine> {
     let mean = |summaries: &[Summary]| {
-        let values: Vec<f64> = summaries.iter().filter_map(pick).collect();
+        let values: Vec<f64> = summaries.iter().filter_map(value_of).collect();
         values.iter().sum::<f64>() / values.len().max(1) as f64
     };
     let line = |(name, sizes): (&String, &BTreeMap<usize, Vec<Summary>>)| SizeLine {
@@ -116,19 +116,19 @@
     runs.iter().map(line).collect()
 }
 
-/// The mean of a figure, with its least and greatest where they differ.
-fn cell((_, decimals, pick): &Column, runs: &[Summary]) -> String {
-    let values: Vec<f64> = runs.iter().filter_map(pick).collect();
+/// Formats the mean of a figure, with its minimum and maximum if they differ.
+fn cell((_, decimals, value_of): &Column, runs: &[Summary]) -> String {
+    let values: Vec<f64> = runs.iter().filter_map(value_of).collect();
     if values.is_empty() {
         return "-".into();
     }
-    let round = |value: f64| format!("{value:.decimals$}");
-    let mean = round(values.iter().sum::<f64>() / values.len() as f64);
-    let least = round(values.iter().copied().fold(f64::INFINITY, f64::min));
-    let most = round(values.iter().copied().fold(f64::NEG_INFINITY, f64::max));
-    if least == most {
+    let format_value = |value: f64| format!("{value:.decimals$}");
+    let mean = format_value(values.iter().sum::<f64>() / values.len() as f64);
+    let min = format_value(values.iter().copied().fold(f64::INFINITY, f64::min));
+    let max = format_value(values.iter().copied().fold(f64::NEG_INFINITY, f64::max));
+    if min == max {
         mean
     } else {
-        format!("{mean} ({least} to {most})")
+        format!("{mean} ({min} to {max})")
     }
 }
--- a/testbed-cli/src/report.rs
+++ b/testbed-cli/src/report.rs
@@ -1,4 +1,4 @@
-//! `report.html`: one self-contained page about a run, made from the files that the run left.
+//! `report.html`: a self-contained page about a run, generated from the files of the run.
 
 mod page;
 
@@ -17,25 +17,25 @@
 
 type Error = Box<dyn std::error::Error>;
 
-/// A file of a run that is not as it should be.
+/// A failure to read a file of a run.
 #[derive(Debug, thiserror::Error)]
 enum RunFileError {
-    /// It cannot be opened.
-    #[error("{}: {source}", path.display())]
+    /// The file cannot be opened.
+    #[error("cannot open {}: {source}", path.display())]
     Open { path: PathBuf, source: std::io::Error },
-    /// It does not hold what it should.
-    #[error("{}: {source}", path.display())]
-    Form { path: PathBuf, source: serde_json::Error },
+    /// The content of the file is malformed.
+    #[error("malformed JSON in {}: {source}", path.display())]
+    Malformed { path: PathBuf, source: serde_json::Error },
 }
 
-/// What the page is made from.
+/// The contents of a run's files that the page shows.
 struct RunFiles {
     summary: Summary,
     experiment: Experiment,
     violations: Vec<Violation>,
     crashes: Vec<String>,
     seconds: Vec<Second>,
-    /// For each server, its load in each second.
+    /// Load of each cache server in each second, as a ratio to its fair share.
     server_loads: Vec<Vec<f64>>,
 }
 
@@ -54,9 +54,9 @@
 
 fn read_json<T: DeserializeOwned>(path: &Path) -> Result<T, RunFileError> {
     let open_error = |source| RunFileError::Open { path: path.to_path_buf(), source };
-    let form_error = |source| RunFileError::Form { path: path.to_path_buf(), source };
+    let malformed_error = |source| RunFileError::Malformed { path: path.to_path_buf(), source };
     let file = File::open(path).map_err(open_error)?;
-    serde_json::from_reader(BufReader::new(file)).map_err(form_error)
+    serde_json::from_reader(BufReader::new(file)).map_err(malformed_error)
 }
 
 fn read_seconds(path: &Path) -> Result<Vec<Second>, Error> {
@@ -73,39 +73,40 @@
     Ok(loads)
 }
 
-/// Writes a run's report from what it left in its folder.
+/// Writes the report of a run from the files in its folder.
 ///
 /// # Errors
-/// What kept a file from being read or written, or a chart from being drawn.
+/// If a file cannot be read or written, or a chart cannot be drawn.
 pub fn write_report(folder: &Path) -> Result<(), Error> {
     let files = RunFiles::read(folder)?;
     let mut charts = vec![
-        charts::service(&files.experiment, &files.seconds)?,
-        charts::latency(&files.experiment, &files.seconds)?,
-        charts::origin(&files.experiment, &files.seconds)?,
+        charts::results_chart(&files.experiment, &files.seconds)?,
+        charts::latency_chart(&files.experiment, &files.seconds)?,
+        charts::origin_chart(&files.experiment, &files.seconds)?,
         charts::heat_map("Load of each host over its fair part", "host", &files.server_loads)?,
     ];
-    charts.extend(token_charts(folder, &files)?);
-    std::fs::write(folder.join("report.html"), page::page(&files, &charts)?)?;
+    charts.extend(limit_charts(folder, &files)?);
+    std::fs::write(folder.join("report.html"), page::render_page(&files, &charts)?)?;
     Ok(())
 }
 
-/// The charts of what each process said it has reserved of the origin's limit; none where balancers do not talk.
-fn token_charts(folder: &Path, files: &RunFiles) -> Result<Vec<String>, Error> {
+/// Charts of the shares of the origin limit that the balancers report as reserved and used; none if the balancers do not
+/// coordinate.
+fn limit_charts(folder: &Path, files: &RunFiles) -> Result<Vec<String>, Error> {
     let limit = files.summary.limits.get("origin").filter(|limit| limit.bound.is_some());
     let (Some(limit), Ok(table)) = (limit, csv::Reader::from_path(folder.join("holders.csv"))) else {
         return Ok(Vec::new());
     };
     let limit = limit.limit;
     let seconds = files.seconds.len();
-    let count = files.experiment.fleet.balancers;
+    let balancers = files.experiment.fleet.balancers;
     let mut reserved_by_all = vec![0.0; seconds];
     let mut used_by_all = vec![0.0; seconds];
-    let mut by_balancer = vec![vec![0.0; seconds]; count];
+    let mut by_balancer = vec![vec![0.0; seconds]; balancers];
     for row in table.into_deserialize() {
         let (second, balancer, reserved, used, ..): (usize, usize, f64, f64, f64, f64) = row?;
-        if second < seconds && balancer < count {
-            by_balancer[balancer][second] = reserved / (limit / count as f64);
+        if second < seconds && balancer < balancers {
+            by_balancer[balancer][second] = reserved / (limit / balancers as f64);
             reserved_by_all[second] += reserved;
             used_by_all[second] += used;
         }
@@ -115,23 +116,26 @@
         charts::Line { name: "held", colour: charts::ORANGE, values: reserved_by_all },
         charts::Line { name: "used", colour: charts::BLUE, values: used_by_all },
     ];
-    let title = "Units of the origin's limit: held and used by all, as they say";
+    let title = "Units of the origin's limit held and used by all balancers, as reported";
     let heat_title = "Units held by each balancer over its part by count";
     Ok(vec![
-        charts::lines(&files.experiment, title, &lines)?,
+        charts::line_chart(&files.experiment, title, &lines)?,
         charts::heat_map(heat_title, "balancer", &by_balancer)?,
     ])
 }
 
-/// Writes a run's report anew and says where it is.
+/// Regenerates the report of a run and prints its path.
 pub fn rewrite_report(folder: &Path) -> ExitStatus {
     match write_report(folder) {
         Ok(()) => {
             println!("{}", folder.join("report.html").display());
-            ExitStatus::ALL_KEPT
+            ExitStatus::PASSED
         }
         Err(error) => {
-            eprintln!("{}: {error}; is it the folder of a run?", folder.display());
+            eprintln!(
+                "cannot write the report of the run in {} (not the folder of a run?): {error}",
+                folder.display()
+            );
             ExitStatus::NOT_ALLOWED
         }
     }
--- a/testbed-cli/src/scale_table.rs
+++ b/testbed-cli/src/scale_table.rs
@@ -1,9 +1,8 @@
-//! The table that a scale test prints.
+//! Prints the summary of a scale test.
 
 use juniperladder_testbed::scale::results::{ChangeSummary, PhaseSummary, Summary};
 use juniperladder_testbed::scale::{PurgeSummary, Times};
 
-/// Prints a run's summary.
 pub fn print_summary(summary: &Summary) {
     println!(
         "{} of {} members, {} zones, {} regions, seed {}, event {}{}{}",
@@ -29,7 +28,10 @@
         summary.lag_p99_ms
     );
     if summary.unroutable + summary.not_sent > 0 {
-        println!("  packets to nobody {}, not taken by a socket {}", summary.unroutable, summary.not_sent);
+        println!(
+            "  packets to unknown addresses {}, not accepted by a socket {}",
+            summary.unroutable, summary.not_sent
+        );
     }
     if summary.control_ordinary.seconds > 0.0 {
         println!("  {} control machines:", summary.replicas);
@@ -78,20 +80,20 @@
         for (what, times) in [
             ("a connected member acts", phase.acted),
             ("all connected members act", phase.all_acted),
-            ("the publisher hears done", phase.done),
+            ("the publisher is notified of completion", phase.done),
         ] {
             let Times { p50_ms, p99_ms, max_ms, .. } = times;
             println!("    until {what}: p50 {p50_ms:.0} ms, p99 {p99_ms:.0} ms, max {max_ms:.0} ms");
         }
     }
     println!(
-        "  members voided {} times, {} leases ran out, {} serve at the end; done but missing at a member that serves: {}",
+        "  members voided {} times, {} leases expired, {} serve at the end; done but missing at a serving member: {}",
         purge.voided, purge.lapses, purge.serving, purge.done_missing
     );
 }
 
 fn print_change(change: &ChangeSummary) {
-    let time = |ms: Option<f64>| ms.map_or("-".to_owned(), |ms| format!("{ms:.0}"));
+    let format_ms = |ms: Option<f64>| ms.map_or("-".to_owned(), |ms| format!("{ms:.0}"));
     println!(
         "  {:16} {} observers, {} unaware, {} never (in {:.1} s): p50 {} ms, p99 {} ms, all {} ms",
         change.name,
@@ -99,8 +101,8 @@
         change.unaware,
         change.never,
         change.asked_s,
-        time(change.p50_ms),
-        time(change.p99_ms),
-        time(change.all_ms)
+        format_ms(change.p50_ms),
+        format_ms(change.p99_ms),
+        format_ms(change.all_ms)
     );
 }
