--- a/dispatch/src/counters.rs
+++ b/dispatch/src/counters.rs
@@ -16,7 +16,7 @@
 
         impl Counters {
             /// All counters with their outer names, in a fixed order.
-            pub fn figures(&self) -> Vec<(&'static str, u64)> {
+            pub fn metrics(&self) -> Vec<(&'static str, u64)> {
                 vec![$(($metric, self.$name.get())),*]
             }
         }
@@ -126,7 +126,7 @@
 
 impl fmt::Display for Counters {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (position, (metric, value)) in self.figures().into_iter().enumerate() {
+        for (position, (metric, value)) in self.metrics().into_iter().enumerate() {
             write!(out, "{}{metric}={value}", if position > 0 { " " } else { "" })?;
         }
         Ok(())
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -94,7 +94,7 @@
                 after
             };
             let (after, ()) = tokio::join!(carry, serve);
-            let counted: Vec<_> = dispatcher.counters().figures().into_iter()
+            let counted: Vec<_> = dispatcher.counters().metrics().into_iter()
                 .filter(|(name, n)| *n > 0 && !name.starts_with("rejected_") && !["commands", "attempts", "served", "rejected", "failed", "bad_answers"].contains(name))
                 .collect();
             assert_eq!(counted, [(expected, 1)]);
