--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -326,7 +326,7 @@
     }
 
     /// The longest time ago at which an event that is noticed now may have happened, due to a stall of this process.
-    pub fn longest_unnoticed(&self) -> Micros {
+    pub fn max_notice_delay(&self) -> Micros {
         let now = self.clock.now();
         now.saturating_sub(self.stalls.earliest_event_time(now))
     }
--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -186,7 +186,7 @@
     async fn stop(self) {
         let signal_handled_at = Instant::now();
         // The signal may have arrived while this process was stalled; the time for answers counts from its arrival.
-        let max_signal_delay = self.dispatcher.longest_unnoticed();
+        let max_signal_delay = self.dispatcher.max_notice_delay();
         info!(self.log, "stopping"; "signalled_ms_ago_at_most" => clock::to_ms(max_signal_delay));
         let time_for_answers = graceful_shutdown::time_for_answers(self.longest_deadline)
             .saturating_sub(clock::duration(max_signal_delay));
