--- a/dispatch/src/dispatcher/overrides/tests.rs
+++ b/dispatch/src/dispatcher/overrides/tests.rs
@@ -28,7 +28,7 @@
     for n in 0..requests {
         let mut read = request("1", None);
         read.key = Bytes::from(format!("{n:016x}"));
-        let (_, answer) = dispatcher.take(read).unwrap();
+        let (_, answer) = dispatcher.accept(read).unwrap();
         for attempt in recorder.begun.take() {
             attempts += usize::from(attempt.server == SERVER);
             dispatcher
--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -32,7 +32,7 @@
         ] {
             let (dispatcher, recorder) = dispatcher_with_timers(attempts, idempotency, 3);
             let start = Instant::now();
-            let (_, answer) = dispatcher.take(request("1", None)).unwrap();
+            let (_, answer) = dispatcher.accept(request("1", None)).unwrap();
             assert!(matches!(answer.await, Ok(Answer::Failed | Answer::Rejected(_))));
             assert!(start.elapsed() < Duration::from_millis(480), "{:?}", start.elapsed());
             assert!(!recorder.begun.borrow().is_empty());
@@ -55,7 +55,7 @@
     testing::run(async {
         let (dispatcher, recorder) = dispatcher_with_timers(1, Idempotency::Idempotent, 1);
         let start = Instant::now();
-        let (_, answer) = dispatcher.take(request("1", None)).unwrap();
+        let (_, answer) = dispatcher.accept(request("1", None)).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         dispatcher.on_attempt_ended(attempt.id, AttemptEnd::ConnectFailed);
         assert!(matches!(answer.await, Ok(Answer::Rejected(_))));
@@ -70,7 +70,7 @@
     testing::run(async {
         for served in [true, false] {
             let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::Idempotent, 3);
-            let (id, answer) = dispatcher.take(request("1", None)).unwrap();
+            let (id, answer) = dispatcher.accept(request("1", None)).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             dispatcher.on_client_half_closed(id);
             let value = Answer::Value(Bytes::from_static(b"v"));
@@ -93,7 +93,7 @@
         let dispatcher = dispatcher(settings, recorder.clone(), 3);
         let timers = Rc::clone(&dispatcher);
         spawn_local(async move { timers.run_timers().await });
-        let (_, answer) = dispatcher.take(request("1", None)).unwrap();
+        let (_, answer) = dispatcher.accept(request("1", None)).unwrap();
         while dispatcher.counters.attempts_timed_out.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -116,7 +116,7 @@
     testing::run(async {
         for is_client_gone in [false, true] {
             let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::Idempotent, 3);
-            let (id, answer) = dispatcher.take(request("1", None)).unwrap();
+            let (id, answer) = dispatcher.accept(request("1", None)).unwrap();
             while recorder.begun.borrow().len() < 2 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
@@ -146,7 +146,7 @@
         settings.classes[0].deduplication_window = window;
         let dispatcher = dispatcher(settings, recorder.clone(), 3);
         let first = dispatcher.clock.now();
-        let _answer = dispatcher.take(request("1", Some(vec![]))).unwrap();
+        let _answer = dispatcher.accept(request("1", Some(vec![]))).unwrap();
         tokio::time::sleep(Duration::from_millis(100)).await;
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Broken);
@@ -173,7 +173,7 @@
         let end = dispatcher.clock.now().saturating_add(window);
         let mut unknown = request("1", Some(vec![]));
         unknown.class = 7;
-        let _answer = dispatcher.take(unknown).unwrap();
+        let _answer = dispatcher.accept(unknown).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Broken);
         let repeat = recorder.begun.borrow_mut().pop().unwrap();
@@ -219,16 +219,16 @@
     testing::run(async {
         let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::NotIdempotent, 3);
         let start = Instant::now();
-        let (_, first) = dispatcher.take(request("1", None)).unwrap();
+        let (_, first) = dispatcher.accept(request("1", None)).unwrap();
         settle().await;
         let shutdown_time = Duration::from_millis(200);
         dispatcher
             .set_final_deadline(dispatcher.clock.now().saturating_add(crate::clock::micros(shutdown_time)));
         tokio::time::sleep(shutdown_time / 2).await;
-        let (_, second) = dispatcher.take(request("2", None)).unwrap();
+        let (_, second) = dispatcher.accept(request("2", None)).unwrap();
         assert!(first.await.is_ok() && second.await.is_ok());
         assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (shutdown_time, 2));
-        let (_, third) = dispatcher.take(request("3", None)).unwrap();
+        let (_, third) = dispatcher.accept(request("3", None)).unwrap();
         assert!(third.await.is_ok());
         assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (shutdown_time, 2));
     });
@@ -240,8 +240,8 @@
     testing::run(async {
         let (dispatcher, recorder) = dispatcher_with_timers(1, Idempotency::Idempotent, 1);
         for _ in 0..2 {
-            let (_, answer) = dispatcher.take(request("1", None)).unwrap();
-            assert!(dispatcher.take(request("1", None)).is_none());
+            let (_, answer) = dispatcher.accept(request("1", None)).unwrap();
+            assert!(dispatcher.accept(request("1", None)).is_none());
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Malformed);
             assert!(matches!(answer.await, Ok(Answer::Rejected(_) | Answer::Failed)));
@@ -272,7 +272,7 @@
             for number in 0..400 {
                 let mut read = request(&format!("c{number}"), None);
                 read.key = Bytes::from(format!("{number:016x}"));
-                let _answer = dispatcher.take(read);
+                let _answer = dispatcher.accept(read);
                 for attempt in recorder.begun.borrow().iter().filter(|a| a.request.id == format!("c{number}"))
                 {
                     dispatcher.on_attempt_ended(
--- a/node/src/admin/tests.rs
+++ b/node/src/admin/tests.rs
@@ -99,11 +99,11 @@
                 .into_iter()
                 .enumerate()
         {
-            answers.push(dispatcher.take(request(&n.to_string(), None)).unwrap());
+            answers.push(dispatcher.accept(request(&n.to_string(), None)).unwrap());
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             dispatcher.on_attempt_ended(attempt.id, end);
         }
-        let _open = dispatcher.take(request("9", None)).unwrap();
+        let _open = dispatcher.accept(request("9", None)).unwrap();
         assert!(admin.answer(Call::Offline(SERVER.into())).await.starts_with("ACK"));
         let dump = admin.answer(Call::Dump).await;
         for line in [
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -54,7 +54,7 @@
             let dispatcher = testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
             let upstream = testing::upstream(1);
             upstream.attach(&dispatcher);
-            let (_, answer) = dispatcher.take(testing::request("7", Some(vec![b'x'; value_bytes]))).unwrap();
+            let (_, answer) = dispatcher.accept(testing::request("7", Some(vec![b'x'; value_bytes]))).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             let (mut stream, mut server) = duplex(pipe_bytes);
             let connection = UpstreamConnection { server: SERVER, is_origin: false, address: ([127, 0, 0, 1], 1).into() };
@@ -116,7 +116,7 @@
         let dispatcher =
             testing::dispatcher(testing::settings(1, Idempotency::Idempotent), upstream.clone(), 1);
         upstream.attach(&dispatcher);
-        let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
+        let (_, answer) = dispatcher.accept(testing::request("7", None)).unwrap();
         settle().await;
         assert_eq!(dispatcher.counters().attempts_not_sent.get(), 0, "it waits for a connection");
         dispatcher
@@ -132,11 +132,11 @@
 fn a_late_connection_gets_nothing_of_a_closed_request() {
     testing::run_on_sockets(async {
         let (dispatcher, upstream, listener) = pool_with_one_server(1).await;
-        let (id, _answer) = dispatcher.take(testing::request("1", None)).unwrap();
+        let (id, _answer) = dispatcher.accept(testing::request("1", None)).unwrap();
         dispatcher.on_client_gone(id);
         let (mut stream, _) = listener.accept().await.unwrap();
         settle().await;
-        let (_, answer) = dispatcher.take(testing::request("2", None)).unwrap();
+        let (_, answer) = dispatcher.accept(testing::request("2", None)).unwrap();
         let received = read_request_line(&mut stream).await;
         assert!(
             received.starts_with("mg ") && received.contains(" O2 ") && !received.contains(" O1 "),
@@ -161,7 +161,7 @@
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
         let upstream = testing::upstream(1);
         upstream.attach(&dispatcher);
-        let (id, _answer) = dispatcher.take(testing::request("7", Some(vec![b'x'; 300]))).unwrap();
+        let (id, _answer) = dispatcher.accept(testing::request("7", Some(vec![b'x'; 300]))).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         let (mut stream, mut server) = duplex(100);
         let connection =
@@ -200,7 +200,7 @@
             up.address = listener.local_addr().ok();
             up.endpoint.server = ServerId(up.address.unwrap().port().into());
             dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[up]);
-            let (_, answer) = dispatcher.take(testing::request("7", Some(vec![]))).unwrap();
+            let (_, answer) = dispatcher.accept(testing::request("7", Some(vec![]))).unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
             stream.read_buf(&mut BytesMut::new()).await.unwrap();
             stream.write_all(b"HD O7 cr1\r\n").await.unwrap();
@@ -247,7 +247,7 @@
                 testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
             let upstream = testing::upstream(1);
             upstream.attach(&dispatcher);
-            let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
+            let (_, answer) = dispatcher.accept(testing::request("7", None)).unwrap();
             let attempt = recorder.begun.borrow_mut().pop().unwrap();
             let (mut stream, mut server) = duplex(1 << 12);
             let connection =
@@ -272,7 +272,7 @@
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
         let upstream = testing::upstream(1);
         upstream.attach(&dispatcher);
-        let _answer = dispatcher.take(testing::request("7", None)).unwrap();
+        let _answer = dispatcher.accept(testing::request("7", None)).unwrap();
         let attempt = recorder.begun.borrow_mut().pop().unwrap();
         let (mut stream, mut server) = duplex(1 << 12);
         let connection =
@@ -378,8 +378,8 @@
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), upstream.clone(), 0);
         upstream.attach(&dispatcher);
         dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &[down]);
-        let (_, first) = dispatcher.take(testing::request("7", None)).unwrap();
-        let (_, second) = dispatcher.take(testing::request("8", None)).unwrap();
+        let (_, first) = dispatcher.accept(testing::request("7", None)).unwrap();
+        let (_, second) = dispatcher.accept(testing::request("8", None)).unwrap();
         assert!(matches!((first.await, second.await), (Ok(Answer::Rejected(_)), Ok(Answer::Rejected(_)))));
         assert_eq!(dispatcher.counters().attempts_not_connected.get(), 2);
         assert_eq!(upstream.connections.get(), 0);
@@ -422,7 +422,7 @@
                     }
                 }
             });
-            let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
+            let (_, answer) = dispatcher.accept(testing::request("7", None)).unwrap();
             assert!(matches!(answer.await, Ok(Answer::Rejected(_) | Answer::Failed)));
             assert!(accepted.get() <= 3, "{} connections for three attempts", accepted.get());
             assert_eq!(upstream.counters.attempts_written.get(), 0, "no byte of the request was written");
@@ -438,7 +438,7 @@
     for during_assignment in [false, true] {
         testing::run_on_sockets(async {
             let (dispatcher, upstream, listener) = pool_with_one_server(3).await;
-            let (_, first) = dispatcher.take(testing::request("1", None)).unwrap();
+            let (_, first) = dispatcher.accept(testing::request("1", None)).unwrap();
             let (mut idle_stream, _) = listener.accept().await.unwrap();
             read_request_line(&mut idle_stream).await;
             idle_stream.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
@@ -446,13 +446,13 @@
             settle().await;
             let second = if during_assignment {
                 // The pool has not polled the connection since, and assigns it with the bytes unread.
-                let (_, second) = dispatcher.take(testing::request("2", None)).unwrap();
+                let (_, second) = dispatcher.accept(testing::request("2", None)).unwrap();
                 idle_stream.try_write(b"VA 1").unwrap();
                 second
             } else {
                 idle_stream.write_all(b"VA 1").await.unwrap();
                 settle().await;
-                dispatcher.take(testing::request("2", None)).unwrap().1
+                dispatcher.accept(testing::request("2", None)).unwrap().1
             };
             let (mut new_stream, _) = listener.accept().await.unwrap();
             read_request_line(&mut new_stream).await;
@@ -477,7 +477,7 @@
             origin.address = listener.local_addr().ok();
             origin.endpoint.kind = testing::ORIGIN;
             dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[origin]);
-            let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
+            let (_, answer) = dispatcher.accept(testing::request("7", None)).unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
             let mut received = BytesMut::new();
             while !received.ends_with(b"\r\n\r\n") {
@@ -517,7 +517,7 @@
         testing::run_on_sockets(async {
             let (dispatcher, upstream, old) = pool_with_one_server(3).await;
             let new = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
-            let (_, first) = dispatcher.take(testing::request("1", None)).unwrap();
+            let (_, first) = dispatcher.accept(testing::request("1", None)).unwrap();
             let (mut idle_stream, _) = old.accept().await.unwrap();
             read_request_line(&mut idle_stream).await;
             idle_stream.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
@@ -526,7 +526,7 @@
             assert_eq!(upstream.connections.get(), 1, "the connection is idle");
             // No turn of the event loop lies between the assignment of the request to the connection and the
             // update.
-            let (_, second) = dispatcher.take(testing::request("2", None)).unwrap();
+            let (_, second) = dispatcher.accept(testing::request("2", None)).unwrap();
             let mut listed = listed_server(SERVER, change);
             listed.address = new.local_addr().ok();
             dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[listed]);
--- a/node/src/upstream/tests/late_turn.rs
+++ b/node/src/upstream/tests/late_turn.rs
@@ -18,13 +18,13 @@
         let (dispatcher, _upstream, listener) = pool_with_one_server(1).await;
         let timers = Rc::clone(&dispatcher);
         spawn_local(async move { timers.run_timers().await });
-        let (_, answer) = dispatcher.take(request_with_timeout("1", 100)).unwrap();
+        let (_, answer) = dispatcher.accept(request_with_timeout("1", 100)).unwrap();
         let (mut stream, _) = listener.accept().await.unwrap();
         read_request_line(&mut stream).await;
         // In one turn: the answer is in the socket buffer, a timer is set that is due before the attempt's,
         // and the process stalls.
         stream.try_write(b"VA 1 O1\r\nv\r\n").unwrap();
-        let (_, _other) = dispatcher.take(request_with_timeout("2", 50)).unwrap();
+        let (_, _other) = dispatcher.accept(request_with_timeout("2", 50)).unwrap();
         std::thread::sleep(Duration::from_millis(150));
         assert_eq!(answer.await, Ok(Answer::Value("v".into())));
         assert_eq!(dispatcher.counters().late_responses.get(), 0);
