--- a/node/src/downstream/connection.rs
+++ b/node/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! One downstream connection: its requests are taken as they arrive and answered in the same order.
+//! One downstream connection: its requests are accepted as they arrive and answered in the same order.
 //!
 //! Guarantee: each request that was read completely gets exactly one answer, in the order of the requests,
 //! unless its client has left. What is buffered for the connection is bounded, and so is the time for which
@@ -62,7 +62,7 @@
     download: Option<Download>,
     /// The streamed value that is being received from the client.
     upload: Option<StreamedUpload>,
-    /// Whether no further request is taken, as the client closed its side or sent `quit`, or the connection
+    /// Whether no further request is accepted, as the client closed its side or sent `quit`, or the connection
     /// ends because of invalid or unfinished input.
     takes_no_more_requests: bool,
     /// Whether the client has left before all its input was read; the rest is not forwarded.
@@ -268,7 +268,7 @@
     }
 
     /// Reads an idle connection once more before it closes, and returns whether it may close. A request may
-    /// have arrived that the runtime has not polled for yet: it is taken, and closing the socket with unread
+    /// have arrived that the runtime has not polled for yet: it is accepted, and closing the socket with unread
     /// bytes would reset the connection.
     async fn read_before_close(
         &mut self,
--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -125,12 +125,12 @@
 async fn fill_pipeline(downstream: &Downstream, stream: &mut tokio::net::TcpStream, requests: usize) {
     let text: String = (0..requests).map(|id| format!("mg k v O{id} Pc=read,d=1400\r\n")).collect();
     stream.write_all(text.as_bytes()).await.unwrap();
-    let taken = || downstream.dispatcher.counters().requests.get();
-    while taken() < MAX_PENDING_ANSWERS as u64 {
+    let accepted = || downstream.dispatcher.counters().requests.get();
+    while accepted() < MAX_PENDING_ANSWERS as u64 {
         settle().await;
     }
     settle().await;
-    assert_eq!(taken(), MAX_PENDING_ANSWERS as u64);
+    assert_eq!(accepted(), MAX_PENDING_ANSWERS as u64);
 }
 
 /// Waits until no byte of any attempt may be written any more.
@@ -272,6 +272,10 @@
         assert!(received.ends_with(b"\r\n"));
         let answers =
             received.split(|byte| *byte == b'\n').filter(|line| line.starts_with(b"SERVER_ERROR")).count();
-        assert_eq!(answers as u64, dispatcher.counters().requests.get(), "one answer for each request taken");
+        assert_eq!(
+            answers as u64,
+            dispatcher.counters().requests.get(),
+            "one answer for each request accepted"
+        );
     });
 }
