--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -119,10 +119,10 @@
     }
 
     /// Makes this balancer obey the limits that it shares with other balancers and use their reports.
-    pub fn join(&self, coordination: Box<dyn Coordination>) {
+    pub fn set_coordination(&self, coordination: Box<dyn Coordination>) {
         let mut state = self.state.borrow_mut();
         state.start_times.trust_wall_clock();
-        state.balancer.join(coordination);
+        state.balancer.set_coordination(coordination);
     }
 
     /// The process's counters.
--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -247,7 +247,7 @@
     let clock = *dispatcher.clock();
     let peers = Peers::start(cluster, config.position, &config.settings, config.seed, clock, log.clone())
         .map_err(|error| StartError::Peers(error.into()))?;
-    dispatcher.join(peers.coordination());
+    dispatcher.set_coordination(peers.coordination());
     let task_peers = Rc::clone(&peers);
     spawn_local(async move { task_peers.run().await });
     Ok(Some(peers))
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -101,7 +101,7 @@
     }
 
     /// Makes this balancer obey the limits that it shares with other balancers, and act on their reports.
-    pub fn join(&mut self, coordination: Box<dyn Coordination>) {
+    pub fn set_coordination(&mut self, coordination: Box<dyn Coordination>) {
         self.coordination = OptionalCoordination(Some(coordination));
     }
 
--- a/src/balancer/tests/coordination.rs
+++ b/src/balancer/tests/coordination.rs
@@ -73,7 +73,7 @@
 fn balancer_with_coordination(list: &[Endpoint]) -> (Balancer, FakeCoordination) {
     let coordination = FakeCoordination::default();
     let mut balancer = Balancer::new(idempotent_settings(), 3);
-    balancer.join(Box::new(coordination.clone()));
+    balancer.set_coordination(Box::new(coordination.clone()));
     handle(&mut balancer, 1, Event::EndpointsChanged(EndpointUpdate::Restored, list));
     (balancer, coordination)
 }
