--- a/dispatch/src/carrier.rs
+++ b/dispatch/src/carrier.rs
@@ -50,7 +50,7 @@
 /// - no attempt begins at a server that is not serving.
 ///
 /// No method may call the dispatcher, which is the caller: the end of an attempt is reported from a task.
-pub trait Carrier {
+pub trait AttemptTransport {
     /// The endpoint list has changed.
     fn on_endpoints_changed(&self, update: EndpointUpdate, servers: &[ListedServer]);
     /// Begins an attempt.
--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -3,7 +3,7 @@
 //! other.
 //!
 //! Guarantee: each accepted request gets exactly one answer, before its deadline, unless its client disconnects.
-//! No method may be called from a [`Carrier`], which is called while the state is borrowed.
+//! No method may be called from a [`AttemptTransport`], which is called while the state is borrowed.
 
 mod attempts;
 mod endpoints;
@@ -24,7 +24,7 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::sleep_until;
 
-pub use crate::carrier::{AttemptEnd, Carrier, Upload};
+pub use crate::carrier::{AttemptEnd, AttemptTransport, Upload};
 use crate::clock::{to_ms, Clock};
 use crate::counters::{increment, Counters};
 pub use crate::identifiers::AttemptId;
@@ -72,11 +72,11 @@
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher that sends attempts through this carrier.
+    /// Creates a dispatcher that sends attempts through this transport.
     pub fn new(
         settings: Settings,
         seed: u64,
-        carrier: Rc<dyn Carrier>,
+        transport: Rc<dyn AttemptTransport>,
         clock: Clock,
         counters: Rc<Counters>,
         log: Logger,
@@ -87,7 +87,7 @@
         let request_metrics = RequestMetrics::new(settings.classes.len());
         let state = DispatcherState {
             balancer: Balancer::new(settings, seed),
-            carrier,
+            transport,
             requests: FxHashMap::default(),
             client_ids: HashSet::new(),
             attempts: FxHashMap::default(),
@@ -233,7 +233,7 @@
         let (handle, last_byte) = upload_handle(server);
         increment(&self.counters.uploads);
         let request = Rc::new(request.clone());
-        state.carrier.begin_upload(Upload { request, server, value, last_byte });
+        state.transport.begin_upload(Upload { request, server, value, last_byte });
         Some((handle, sender))
     }
 
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -77,7 +77,7 @@
     /// Handles the deadline of an attempt.
     pub(super) fn on_attempt_timeout(&self, state: &mut DispatcherState, id: AttemptId) {
         let Some(attempt) = state.attempts.remove(&id) else { return };
-        let is_written = state.carrier.abandon(id, attempt.server);
+        let is_written = state.transport.abandon(id, attempt.server);
         // An attempt that was not fully written cannot have been executed.
         let result = if is_written { AttemptResult::Timeout } else { AttemptResult::ConnectFailed };
         if is_written {
@@ -209,7 +209,7 @@
             "timeout_ms" => to_ms(deadline.saturating_sub(now)));
         state.attempts.insert(id, InFlightAttempt { request: request_id, server, attempt, begun_at: now });
         state.add_timer(deadline, Timer::Attempt(id));
-        state.carrier.begin_attempt(Attempt {
+        state.transport.begin_attempt(Attempt {
             id,
             request,
             server,
--- a/dispatch/src/dispatcher/endpoints.rs
+++ b/dispatch/src/dispatcher/endpoints.rs
@@ -1,5 +1,5 @@
 //! The dispatcher's endpoint list: updates are combined with operator overrides and passed to the decision core and
-//! the carrier.
+//! the transport.
 
 use juniperladder::{Endpoint, EndpointState, EndpointUpdate, Event};
 use slog::{info, warn};
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Applies a prepared update, and passes it to the carrier and the decision core.
+    /// Applies a prepared update, and passes it to the transport and the decision core.
     pub(crate) fn apply_endpoints(
         &self,
         state: &mut DispatcherState,
@@ -130,7 +130,7 @@
                 state.servers.insert(endpoint.server, known);
             }
             state.servers.retain(|_, known| known.state != EndpointState::Deleted);
-            state.carrier.on_endpoints_changed(update, servers);
+            state.transport.on_endpoints_changed(update, servers);
         }
         let endpoints: Vec<Endpoint> = servers.iter().map(|server| server.endpoint.clone()).collect();
         self.handle(state, self.clock.now(), Event::EndpointsChanged(update, &endpoints));
--- a/dispatch/src/dispatcher/state.rs
+++ b/dispatch/src/dispatcher/state.rs
@@ -10,7 +10,7 @@
 use rustc_hash::FxHashMap;
 use tokio::sync::oneshot;
 
-use crate::carrier::Carrier;
+use crate::carrier::AttemptTransport;
 use crate::identifiers::AttemptId;
 use crate::overrides::OperatorOverrides;
 use crate::request::{ClientRequest, ClientRequestId, ClosedFlag};
@@ -66,7 +66,7 @@
 /// The mutable state of the dispatcher.
 pub(crate) struct DispatcherState {
     pub(crate) balancer: Balancer,
-    pub(super) carrier: Rc<dyn Carrier>,
+    pub(super) transport: Rc<dyn AttemptTransport>,
     pub(super) requests: FxHashMap<ClientRequestId, OpenRequest>,
     /// The client-chosen ids of the open requests. The set has a seeded hash, as clients could choose ids that collide.
     pub(super) client_ids: HashSet<Bytes>,
--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -1,4 +1,4 @@
-//! Requests from their acceptance to their answer, with a carrier that only records attempts.
+//! Requests from their acceptance to their answer, with a transport that only records attempts.
 
 use bytes::Bytes;
 use juniperladder::{EndpointState, EndpointUpdate, ServerId};
--- a/dispatch/src/request.rs
+++ b/dispatch/src/request.rs
@@ -71,7 +71,7 @@
 pub(crate) type ClosedFlag = Rc<Cell<bool>>;
 
 impl Attempt {
-    /// Whether no more bytes of the attempt may be written; the carrier checks this before each write. An attempt is
+    /// Whether no more bytes of the attempt may be written; the transport checks this before each write. An attempt is
     /// cancelled once its request is closed, as the server's work would be wasted, and a retry also at the end of
     /// the deduplication window, after which servers may no longer recognize the request as a duplicate.
     pub fn is_cancelled(&self, now: Micros) -> bool {
--- a/dispatch/src/testing.rs
+++ b/dispatch/src/testing.rs
@@ -1,4 +1,4 @@
-//! Test fixtures for requests and the network: a dispatcher whose carrier only records attempts.
+//! Test fixtures for requests and the network: a dispatcher whose transport only records attempts.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -11,12 +11,12 @@
 
 use crate::clock::Clock;
 use crate::counters::Counters;
-use crate::dispatcher::{self, Attempt, AttemptId, Carrier, Dispatcher, ListedServer, Upload};
+use crate::dispatcher::{self, Attempt, AttemptId, AttemptTransport, Dispatcher, ListedServer, Upload};
 
 /// The first of the servers that [`dispatcher`] lists.
 pub const SERVER: ServerId = ServerId(9);
 
-/// A carrier that only records its calls.
+/// A transport that only records its calls.
 #[derive(Default)]
 pub struct Recorder {
     /// Attempts that have begun, oldest first.
@@ -27,7 +27,7 @@
     pub abandoned: RefCell<Vec<AttemptId>>,
 }
 
-impl Carrier for Recorder {
+impl AttemptTransport for Recorder {
     fn on_endpoints_changed(&self, _: EndpointUpdate, _: &[ListedServer]) {}
     fn begin_attempt(&self, attempt: Attempt) {
         self.begun.borrow_mut().push(attempt);
@@ -85,20 +85,20 @@
     ListedServer { endpoint, address: Some(([127, 0, 0, 1], 1).into()) }
 }
 
-/// A dispatcher with this carrier and this many servers, the first of which is `SERVER`.
-pub fn dispatcher(settings: Settings, carrier: Rc<dyn Carrier>, servers: u32) -> Rc<Dispatcher> {
-    seeded_dispatcher(settings, 7, carrier, servers)
+/// A dispatcher with this transport and this many servers, the first of which is `SERVER`.
+pub fn dispatcher(settings: Settings, transport: Rc<dyn AttemptTransport>, servers: u32) -> Rc<Dispatcher> {
+    seeded_dispatcher(settings, 7, transport, servers)
 }
 
 /// As [`dispatcher`], with a given seed: each process of a fleet has another one.
 pub fn seeded_dispatcher(
     settings: Settings,
     seed: u64,
-    carrier: Rc<dyn Carrier>,
+    transport: Rc<dyn AttemptTransport>,
     servers: u32,
 ) -> Rc<Dispatcher> {
     let counters = Rc::new(Counters::default());
-    let dispatcher = Dispatcher::new(settings, seed, carrier, Clock::start(), counters, log());
+    let dispatcher = Dispatcher::new(settings, seed, transport, Clock::start(), counters, log());
     let servers: Vec<ListedServer> = (0..servers)
         .map(|n| listed_server(ServerId(SERVER.0 + u64::from(n)), EndpointState::Serving))
         .collect();
--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -21,7 +21,7 @@
 use crate::connect::TcpConnector;
 use crate::counters::Counters;
 use crate::discovery::{self, PollPolicy};
-use crate::dispatcher::{Carrier, Dispatcher};
+use crate::dispatcher::{AttemptTransport, Dispatcher};
 use crate::downstream::Downstream;
 use crate::endpoint_list::EndpointListReader;
 use crate::error::StartError;
@@ -230,9 +230,9 @@
         origin_kind: config.settings.mode.origin_kind(),
     };
     let upstream = Upstream::new(limits, Rc::new(TcpConnector), clock, Rc::clone(&counters), log.clone());
-    let carrier = Rc::clone(&upstream) as Rc<dyn Carrier>;
+    let transport = Rc::clone(&upstream) as Rc<dyn AttemptTransport>;
     let dispatcher =
-        Dispatcher::new(config.settings.clone(), config.seed, carrier, clock, counters, log.clone());
+        Dispatcher::new(config.settings.clone(), config.seed, transport, clock, counters, log.clone());
     upstream.attach(&dispatcher);
     dispatcher
 }
--- a/node/src/downstream/upload.rs
+++ b/node/src/downstream/upload.rs
@@ -1,6 +1,6 @@
 //! The client side of a streamed upload, whose chunks are forwarded to the origin as they arrive.
 //!
-//! The carrier of attempts has the origin side, and the dispatcher connects the two. A value that cannot be
+//! The transport of attempts has the origin side, and the dispatcher connects the two. A value that cannot be
 //! forwarded is still read to its end, and its request is dispatched then: its attempt fails as not sent.
 
 use bytes::{BufMut, Bytes, BytesMut};
--- a/node/src/simulation.rs
+++ b/node/src/simulation.rs
@@ -26,7 +26,7 @@
 
 use crate::connect::Connector;
 use crate::counters::Counters;
-use crate::dispatcher::{Carrier, Dispatcher, ListedServer};
+use crate::dispatcher::{AttemptTransport, Dispatcher, ListedServer};
 use crate::downstream::{Downstream, Labels};
 use crate::graceful_shutdown::{time_for_answers, GracefulShutdown, EXIT_DELAY};
 use crate::resource_limits::ResourceLimits;
@@ -186,8 +186,8 @@
         let clock = crate::clock::Clock::start();
         let connector = Rc::clone(&servers) as Rc<dyn Connector>;
         let upstream = Upstream::new(limits, connector, clock, Rc::clone(&counters), log());
-        let carrier = Rc::clone(&upstream) as Rc<dyn Carrier>;
-        let dispatcher = Dispatcher::new(settings(), seed, carrier, clock, counters, log());
+        let transport = Rc::clone(&upstream) as Rc<dyn AttemptTransport>;
+        let dispatcher = Dispatcher::new(settings(), seed, transport, clock, counters, log());
         upstream.attach(&dispatcher);
         dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &servers.listed_servers());
         let shutdown = Rc::new(GracefulShutdown::default());
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -1,6 +1,6 @@
 //! Connection pools to the cache servers and the origin, and the attempts carried on them.
 //!
-//! Guarantee: each attempt ends once, as the [`Carrier`] trait requires; no byte is sent to a server that is
+//! Guarantee: each attempt ends once, as the [`AttemptTransport`] trait requires; no byte is sent to a server that is
 //! not serving, and none of an attempt that is cancelled. The number of connections to all servers together
 //! stays within a limit.
 
@@ -29,7 +29,7 @@
 use crate::clock::Clock;
 use crate::connect::Connector;
 use crate::counters::{increment, Counters};
-use crate::dispatcher::{Attempt, AttemptEnd, AttemptId, Carrier, Dispatcher, ListedServer, Upload};
+use crate::dispatcher::{Attempt, AttemptEnd, AttemptId, AttemptTransport, Dispatcher, ListedServer, Upload};
 use connection::{ConnectError, UpstreamConnection};
 use idle_timeout::IdleTimeout;
 use pool::{CarriedAttempt, IdleConnection, IdleId, Pool};
@@ -320,7 +320,7 @@
     }
 }
 
-impl Carrier for Upstream {
+impl AttemptTransport for Upstream {
     fn on_endpoints_changed(&self, kind: EndpointUpdate, servers: &[ListedServer]) {
         let mut pools = self.pools.borrow_mut();
         if kind.is_complete() {
