--- a/dispatch/src/dispatcher/endpoints.rs
+++ b/dispatch/src/dispatcher/endpoints.rs
@@ -108,7 +108,7 @@
     fn on_servers_left_out(&self, left_out: u64) {
         let counter = &self.counters.endpoints_left_out;
         counter.set(counter.get() + left_out);
-        if self.log_throttle.allows() {
+        if self.log_throttle.try_acquire() {
             warn!(self.log, "endpoint list too long: surplus servers are ignored"; "max_servers" => MAX_SERVERS,
                 "left_out" => left_out);
         }
--- a/dispatch/src/log_throttle.rs
+++ b/dispatch/src/log_throttle.rs
@@ -16,7 +16,7 @@
 
 impl LogThrottle {
     /// Whether a line may be written now. If so, it is counted as written.
-    pub fn allows(&self) -> bool {
+    pub fn try_acquire(&self) -> bool {
         let now = Instant::now();
         let is_allowed = self.last_line.get().is_none_or(|last| now.duration_since(last) >= LINE_INTERVAL);
         if is_allowed {
--- a/dispatch/src/log_throttle/tests.rs
+++ b/dispatch/src/log_throttle/tests.rs
@@ -7,7 +7,7 @@
     testing::run(async {
         let (throttle, mut written) = (LogThrottle::default(), 0);
         for _ in 0..3_500 {
-            written += u32::from(throttle.allows());
+            written += u32::from(throttle.try_acquire());
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         assert_eq!(written, 4);
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -256,7 +256,7 @@
     fn on_failure(&mut self, reason: &str, age: Duration) {
         let failures = &self.dispatcher.counters().discovery_failures;
         increment(failures);
-        if self.log_throttle.allows() {
+        if self.log_throttle.try_acquire() {
             warn!(self.log, "discovery poll failed"; "reason" => reason, "age_ms" => age.as_millis(),
                 "discovery_failures" => failures.get());
         }
--- a/node/src/downstream.rs
+++ b/node/src/downstream.rs
@@ -166,7 +166,7 @@
     async fn on_accept_failed(&self, error: &std::io::Error) {
         let failed = &self.dispatcher.counters().accepts_failed;
         increment(failed);
-        if self.log_throttle.allows() {
+        if self.log_throttle.try_acquire() {
             warn!(self.log, "accept failed"; "error" => error.to_string(), "accepts_failed" => failed.get());
         }
         sleep(ACCEPT_RETRY_DELAY).await;
--- a/node/src/endpoint_list.rs
+++ b/node/src/endpoint_list.rs
@@ -113,7 +113,7 @@
         let state = self.read_state(entry, log);
         let address: Option<SocketAddr> = entry.address.parse().ok();
         if address.is_none() && state != EndpointState::Deleted {
-            if self.log_throttle.allows() {
+            if self.log_throttle.try_acquire() {
                 warn!(log, "endpoint list entry without a valid address ignored"; "server" => &entry.name,
                     "address" => &entry.address);
             }
@@ -138,7 +138,7 @@
             "terminating" => EndpointState::Draining,
             unknown => {
                 // No new requests are sent to a server in an unknown state.
-                if self.log_throttle.allows() {
+                if self.log_throttle.try_acquire() {
                     warn!(log, "server with unknown lifecycle treated as draining"; "server" => &entry.name,
                         "lifecycle" => unknown);
                 }
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -263,7 +263,7 @@
     fn on_malformed_response(&self, server: &SocketAddr, error: &MalformedResponse) {
         let malformed = &self.counters.malformed_responses;
         increment(malformed);
-        if self.log_throttle.allows() {
+        if self.log_throttle.try_acquire() {
             warn!(self.log, "malformed response"; "server" => server.to_string(),
                 "reason" => error.to_string(), "malformed_responses" => malformed.get());
         }
