--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -3,7 +3,7 @@
 //! other.
 //!
 //! Guarantee: each accepted request gets exactly one answer, before its deadline, unless its client disconnects.
-//! No method may be called from a [`AttemptTransport`], which is called while the state is borrowed.
+//! No method may be called from an [`AttemptTransport`], which is called while the state is borrowed.
 
 mod attempts;
 mod endpoints;
--- a/dispatch/src/dispatcher/overrides/tests.rs
+++ b/dispatch/src/dispatcher/overrides/tests.rs
@@ -9,13 +9,13 @@
 
 use super::*;
 use crate::dispatcher::{Answer, AttemptEnd, ListedServer, Reply};
-use crate::testing::{self, dispatcher, listed_server, request, settings, Recorder, SERVER};
+use crate::testing::{self, dispatcher, listed_server, request, settings, RecordingTransport, SERVER};
 
 const NAME: &str = "s-00000009";
 
-fn dispatcher_and_recorder() -> (Rc<Dispatcher>, Rc<Recorder>) {
+fn dispatcher_and_recorder() -> (Rc<Dispatcher>, Rc<RecordingTransport>) {
     assert_eq!(server_id(NAME), SERVER);
-    let recorder = Rc::new(Recorder::default());
+    let recorder = Rc::new(RecordingTransport::default());
     let dispatcher = dispatcher(settings(3, Idempotency::Idempotent), recorder.clone(), 4);
     let timers = Rc::clone(&dispatcher);
     spawn_local(async move { timers.run_timers().await });
@@ -23,7 +23,7 @@
 }
 
 /// Sends requests for as many keys, each of which is served; returns how many attempts went to `SERVER`.
-async fn attempts_at_server(dispatcher: &Dispatcher, recorder: &Recorder, requests: u64) -> usize {
+async fn attempts_at_server(dispatcher: &Dispatcher, recorder: &RecordingTransport, requests: u64) -> usize {
     let mut attempts = 0;
     for n in 0..requests {
         let mut read = request("1", None);
--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -5,7 +5,7 @@
 
 use super::endpoints::MAX_SERVERS;
 use super::*;
-use crate::testing::{self, dispatcher, request, settings, settle, Recorder};
+use crate::testing::{self, dispatcher, request, settings, settle, RecordingTransport};
 use tokio::task::spawn_local;
 use tokio::time::{Duration, Instant};
 
@@ -13,8 +13,8 @@
     attempts: u32,
     idempotency: Idempotency,
     servers: u32,
-) -> (Rc<Dispatcher>, Rc<Recorder>) {
-    let recorder = Rc::new(Recorder::default());
+) -> (Rc<Dispatcher>, Rc<RecordingTransport>) {
+    let recorder = Rc::new(RecordingTransport::default());
     let dispatcher = dispatcher(settings(attempts, idempotency), recorder.clone(), servers);
     let timers = Rc::clone(&dispatcher);
     spawn_local(async move { timers.run_timers().await });
@@ -87,7 +87,7 @@
 #[test]
 fn a_late_answer_serves_a_request_that_is_still_open() {
     testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let mut settings = settings(3, Idempotency::Idempotent);
         settings.limits.may_duplicate = false;
         let dispatcher = dispatcher(settings, recorder.clone(), 3);
@@ -140,7 +140,7 @@
 #[test]
 fn a_retry_is_written_only_within_the_deduplication_window() {
     testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let mut settings = settings(3, Idempotency::WithIdempotencyKey);
         let window = Micros(200_000);
         settings.classes[0].deduplication_window = window;
@@ -165,7 +165,7 @@
 #[test]
 fn a_retry_of_an_unknown_class_is_written_only_within_the_last_classes_window() {
     testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let mut settings = settings(3, Idempotency::WithIdempotencyKey);
         let window = Micros(200_000);
         settings.classes[0].deduplication_window = window;
@@ -185,7 +185,7 @@
 /// longer one a bounded part is kept, and the origin even as its last entry. Deleted servers free capacity for others.
 #[test]
 fn an_endless_endpoint_list_is_bounded() {
-    let recorder = Rc::new(Recorder::default());
+    let recorder = Rc::new(RecordingTransport::default());
     let mode = juniperladder::CacheMode::Aside(testing::ORIGIN);
     let dispatcher = dispatcher(Settings { mode, ..settings(3, Idempotency::Idempotent) }, recorder, 0);
     let serving = |n| testing::listed_server(ServerId(n), EndpointState::Serving);
--- a/dispatch/src/testing.rs
+++ b/dispatch/src/testing.rs
@@ -18,7 +18,7 @@
 
 /// A transport that only records its calls.
 #[derive(Default)]
-pub struct Recorder {
+pub struct RecordingTransport {
     /// Attempts that have begun, oldest first.
     pub begun: RefCell<Vec<Attempt>>,
     /// Uploads that have begun.
@@ -27,7 +27,7 @@
     pub abandoned: RefCell<Vec<AttemptId>>,
 }
 
-impl AttemptTransport for Recorder {
+impl AttemptTransport for RecordingTransport {
     fn on_endpoints_changed(&self, _: EndpointUpdate, _: &[ListedServer]) {}
     fn begin_attempt(&self, attempt: Attempt) {
         self.begun.borrow_mut().push(attempt);
--- a/node/src/admin/tests.rs
+++ b/node/src/admin/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::dispatcher::{Answer, AttemptEnd, Reply};
 use crate::override_store::ChangeId;
-use crate::testing::{self, log, request, Recorder};
+use crate::testing::{self, log, request, RecordingTransport};
 use juniperladder::Idempotency;
 use tokio::io::{duplex, DuplexStream};
 use tokio::time::Instant;
@@ -11,8 +11,8 @@
 const MAX_CONNECTIONS: usize = 128;
 const SERVER: &str = "s-00000009";
 
-fn start_admin(dir: &std::path::Path) -> (Rc<Admin>, Rc<Recorder>) {
-    let recorder = Rc::new(Recorder::default());
+fn start_admin(dir: &std::path::Path) -> (Rc<Admin>, Rc<RecordingTransport>) {
+    let recorder = Rc::new(RecordingTransport::default());
     let dispatcher = testing::dispatcher(testing::settings(1, Idempotency::Idempotent), recorder.clone(), 2);
     let class_names = vec!["read".into()];
     let connections = AdminConnections { open: Rc::default(), limit: MAX_CONNECTIONS };
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -8,7 +8,7 @@
 
 use super::timing::*;
 use super::*;
-use crate::testing::{self, log, settle, Recorder};
+use crate::testing::{self, log, settle, RecordingTransport};
 use bytes::BytesMut;
 use juniperladder::{
     BackoffRange, Idempotency, DISCOVERY_BACKOFF, MAX_POLL_INTERVAL, MIN_DISCOVERY_PAUSE, START_SPREAD_SHARE,
@@ -133,7 +133,8 @@
 fn balancer_at(address: SocketAddr, policy: PollPolicy, subscribe: bool) -> Balancer {
     let mut settings = testing::settings(1, Idempotency::Idempotent);
     settings.subscribe = subscribe;
-    let dispatcher = testing::seeded_dispatcher(settings, policy.seed, Rc::new(Recorder::default()), 1);
+    let dispatcher =
+        testing::seeded_dispatcher(settings, policy.seed, Rc::new(RecordingTransport::default()), 1);
     let timers = Rc::clone(&dispatcher);
     spawn_local(async move { timers.run_timers().await });
     let (address, address_changes) = watch::channel(address);
--- a/node/src/downstream/backlog/tests.rs
+++ b/node/src/downstream/backlog/tests.rs
@@ -10,7 +10,7 @@
 
 use super::*;
 use crate::downstream::tests::{downstream, serve_after};
-use crate::testing::{self, settle, Recorder};
+use crate::testing::{self, settle, RecordingTransport};
 
 const CLIENTS: usize = 200;
 /// How long a turn of the event loop takes in these tests.
@@ -47,7 +47,7 @@
 #[test]
 fn several_silent_connections_are_evicted_at_once_in_a_flood() {
     testing::run(async {
-        let downstream = downstream(&Rc::new(Recorder::default()));
+        let downstream = downstream(&Rc::new(RecordingTransport::default()));
         let listener = crate::listener::listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
         spawn_local(Rc::clone(&downstream).accept(listener));
@@ -80,7 +80,7 @@
 fn the_backlog_wait_is_subtracted_from_the_deadline() {
     for (waited, early) in [(0, 0), (100, 100), (2_000, 240)] {
         testing::run(async {
-            let recorder = Rc::new(Recorder::default());
+            let recorder = Rc::new(RecordingTransport::default());
             let downstream = downstream(&recorder);
             let (stream, mut client) = duplex(1 << 10);
             spawn_local(serve_after(Rc::clone(&downstream), stream, Duration::from_millis(waited)));
--- a/node/src/downstream/tests.rs
+++ b/node/src/downstream/tests.rs
@@ -11,7 +11,7 @@
 };
 use super::*;
 use crate::dispatcher::{Answer, AttemptEnd, Reply};
-use crate::testing::{self, settle, Recorder};
+use crate::testing::{self, settle, RecordingTransport};
 use bytes::Bytes;
 use juniperladder::Idempotency;
 use proptest::prelude::*;
@@ -37,7 +37,7 @@
     prop_oneof![3 => lines, 2 => any::<(bool, bool)>().prop_map(|(newest, served)| Step::AttemptEnd { newest, served })]
 }
 
-pub(super) fn downstream(recorder: &Rc<Recorder>) -> Rc<Downstream> {
+pub(super) fn downstream(recorder: &Rc<RecordingTransport>) -> Rc<Downstream> {
     let dispatcher =
         testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
     let resource_limits = testing::resource_limits(1 << 10);
@@ -67,7 +67,7 @@
     #[test]
     fn answers_keep_the_order_of_requests(steps in prop::collection::vec(step(), 1..24), cut in 1..40usize) {
         let (received, expected) = testing::run(async {
-            let recorder = Rc::new(Recorder::default());
+            let recorder = Rc::new(RecordingTransport::default());
             let downstream = downstream(&recorder);
             let (stream, mut client) = duplex(1 << 16);
             let task = spawn_local(serve(Rc::clone(&downstream), stream));
@@ -125,7 +125,7 @@
 #[test]
 fn incomplete_values_hold_a_bounded_part_of_the_memory() {
     testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let mut clients = Vec::new();
         for _ in 0..8 {
@@ -165,7 +165,7 @@
 #[test]
 fn malformed_requests_are_rejected_and_never_taken() {
     testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 16);
         spawn_local(serve(Rc::clone(&downstream), stream));
@@ -205,7 +205,7 @@
 #[test]
 fn a_request_counts_for_the_tenant_that_it_names() {
     testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 10);
         spawn_local(serve(Rc::clone(&downstream), stream));
--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_broken_connection_abandons_its_requests() {
     testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 16);
         client.write_all(b"mg a v O1 Pc=read,d=480\r\nmg b v O2 Pc=read,d=480\r\n").await.unwrap();
@@ -29,7 +29,7 @@
 #[test]
 fn a_long_pipeline_is_answered_after_a_half_close() {
     testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 20);
         let requests = MAX_PENDING_ANSWERS * 2 + 7;
@@ -58,7 +58,7 @@
 #[test]
 fn a_closing_connection_answers_its_open_requests_first() {
     testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 16);
         spawn_local(serve(Rc::clone(&downstream), stream));
@@ -79,7 +79,7 @@
 #[test]
 fn a_request_unread_when_the_closing_begins_is_answered() {
     testing::run_on_sockets(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -134,7 +134,7 @@
 }
 
 /// Waits until no byte of any attempt may be written any more.
-async fn wait_until_cancelled(downstream: &Downstream, recorder: &Recorder, case: &str) {
+async fn wait_until_cancelled(downstream: &Downstream, recorder: &RecordingTransport, case: &str) {
     let is_cancelled = || {
         let now = downstream.dispatcher.clock().now();
         recorder.begun.borrow().iter().all(|attempt| attempt.is_cancelled(now))
@@ -150,7 +150,7 @@
 /// not read its answers.
 async fn leave_unread(exit: ClientExit, has_answers: bool) {
     let case = format!("{exit:?}, {has_answers}");
-    let recorder = Rc::new(Recorder::default());
+    let recorder = Rc::new(RecordingTransport::default());
     let downstream = downstream(&recorder);
     let mut client = connect(&downstream).await;
     let requests = MAX_PENDING_ANSWERS + 40;
@@ -203,7 +203,7 @@
 #[test]
 fn a_request_that_crosses_the_close_does_not_reset_the_connection() {
     testing::run_on_sockets(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let mut client = connect(&downstream).await;
         client.write_all(b"mg a v O1 Pc=read,d=1400\r\n").await.unwrap();
@@ -239,7 +239,7 @@
 #[test]
 fn a_client_that_never_stops_sending_is_answered_and_closed_at_shutdown() {
     testing::run_on_sockets(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let client = connect(&downstream).await;
         let dispatcher = Rc::clone(&downstream.dispatcher);
--- a/node/src/downstream/tests/eviction.rs
+++ b/node/src/downstream/tests/eviction.rs
@@ -46,8 +46,8 @@
 }
 
 /// Starts a downstream side that accepts connections, and returns it with its recorder and its address.
-async fn start_downstream() -> (Rc<Downstream>, Rc<Recorder>, SocketAddr) {
-    let recorder = Rc::new(Recorder::default());
+async fn start_downstream() -> (Rc<Downstream>, Rc<RecordingTransport>, SocketAddr) {
+    let recorder = Rc::new(RecordingTransport::default());
     let downstream = downstream(&recorder);
     let listener = crate::listener::listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
@@ -68,7 +68,7 @@
 }
 
 /// Ends all attempts that have begun as served.
-fn serve_attempts(downstream: &Downstream, recorder: &Recorder) {
+fn serve_attempts(downstream: &Downstream, recorder: &RecordingTransport) {
     for attempt in recorder.begun.take() {
         let value = Answer::Value(Bytes::from_static(b"v"));
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(value)));
--- a/node/src/downstream/tests/slots.rs
+++ b/node/src/downstream/tests/slots.rs
@@ -7,7 +7,7 @@
 #[test]
 fn an_idle_or_stalled_connection_closes_in_time() {
     testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         for (sent, answer) in [
             ("", ""),
             ("mn\r\n", "MN\r\n"),
@@ -34,7 +34,7 @@
 #[test]
 fn surplus_idle_connections_close_longest_idle_first() {
     testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let mut clients = Vec::new();
         for id in 0..6 {
@@ -63,7 +63,7 @@
 #[test]
 fn a_request_begun_during_eviction_is_answered() {
     testing::run(async {
-        let downstream = downstream(&Rc::new(Recorder::default()));
+        let downstream = downstream(&Rc::new(RecordingTransport::default()));
         let (stream, mut client) = duplex(1 << 10);
         spawn_local(serve(Rc::clone(&downstream), stream));
         settle().await;
@@ -81,7 +81,7 @@
 #[test]
 fn an_evicted_connection_closes_at_once() {
     testing::run(async {
-        let downstream = downstream(&Rc::new(Recorder::default()));
+        let downstream = downstream(&Rc::new(RecordingTransport::default()));
         let (stream, mut client) = duplex(1 << 10);
         spawn_local(serve(Rc::clone(&downstream), stream));
         settle().await;
@@ -98,7 +98,7 @@
 #[test]
 fn a_new_connection_is_evicted_last() {
     testing::run(async {
-        let downstream = downstream(&Rc::new(Recorder::default()));
+        let downstream = downstream(&Rc::new(RecordingTransport::default()));
         let mut clients = Vec::new();
         for (has_had_request, wait) in [(false, 900), (true, 100), (true, 100), (false, 0)] {
             let (stream, mut client) = duplex(1 << 10);
@@ -129,7 +129,7 @@
 #[test]
 fn a_silent_connection_is_evicted_for_a_new_one() {
     testing::run_on_sockets(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
         spawn_local(downstream(&recorder).accept(listener));
--- a/node/src/override_store/tests.rs
+++ b/node/src/override_store/tests.rs
@@ -3,7 +3,7 @@
 use juniperladder::Idempotency;
 
 use super::*;
-use crate::testing::{self, log, Recorder};
+use crate::testing::{self, log, RecordingTransport};
 
 const SERVER_A: &str = "s-00000009";
 const SERVER_B: &str = "s-0000000a";
@@ -16,7 +16,7 @@
 impl Process {
     fn start(path: &std::path::Path) -> Process {
         let settings = testing::settings(1, Idempotency::Idempotent);
-        let dispatcher = testing::dispatcher(settings, Rc::new(Recorder::default()), 2);
+        let dispatcher = testing::dispatcher(settings, Rc::new(RecordingTransport::default()), 2);
         let store = OverrideStore::open(Rc::clone(&dispatcher), path.to_owned(), log());
         Process { dispatcher, store }
     }
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use crate::dispatcher::Answer;
 use crate::memcache;
-use crate::testing::{self, listed_server, settle, Recorder, SERVER};
+use crate::testing::{self, listed_server, settle, RecordingTransport, SERVER};
 use bytes::BytesMut;
 use juniperladder::Idempotency;
 use proptest::prelude::*;
@@ -50,7 +50,7 @@
     #[test]
     fn an_attempt_ends_by_what_was_written(action in action(), value_bytes in 0..300usize, piece_bytes in 1..9usize, pipe_bytes in 1..200usize) {
         testing::run(async {
-            let recorder = Rc::new(Recorder::default());
+            let recorder = Rc::new(RecordingTransport::default());
             let dispatcher = testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
             let upstream = testing::upstream(1);
             upstream.attach(&dispatcher);
@@ -156,7 +156,7 @@
 #[test]
 fn a_half_written_attempt_ends_with_its_request() {
     testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let dispatcher =
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
         let upstream = testing::upstream(1);
@@ -242,7 +242,7 @@
     ];
     for (text, malformed) in cases {
         testing::run(async {
-            let recorder = Rc::new(Recorder::default());
+            let recorder = Rc::new(RecordingTransport::default());
             let dispatcher =
                 testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
             let upstream = testing::upstream(1);
@@ -267,7 +267,7 @@
 #[test]
 fn an_endless_body_is_not_read_to_its_end() {
     testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let dispatcher =
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
         let upstream = testing::upstream(1);
--- a/node/tests/two_deployments.rs
+++ b/node/tests/two_deployments.rs
@@ -4,7 +4,7 @@
 
 use juniperladder::Micros;
 use juniperladder_dispatch::dispatcher::{Attempt, AttemptEnd, Dispatcher};
-use juniperladder_dispatch::testing::{self, Recorder};
+use juniperladder_dispatch::testing::{self, RecordingTransport};
 use juniperladder_node::config::Config;
 use juniperladder_node::downstream::Downstream;
 use juniperladder_node::resource_limits::ResourceLimits;
@@ -26,7 +26,7 @@
 /// A deployment and a client of it.
 struct Deployment {
     dispatcher: Rc<Dispatcher>,
-    recorder: Rc<Recorder>,
+    recorder: Rc<RecordingTransport>,
     client: BufStream<TcpStream>,
 }
 
@@ -37,7 +37,7 @@
             "kinds":["a"],"zones":["x"],"tick":5000,"rules":{{"ask-within":10000000,"warm-up":9000000}}}}}}"#
         );
         let config = Config::parse(text.into()).unwrap();
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let dispatcher = testing::dispatcher(config.settings, recorder.clone(), 3);
         let timers = Rc::clone(&dispatcher);
         spawn_local(async move { timers.run_timers().await });
