--- a/dispatch/src/dispatcher/overrides/tests.rs
+++ b/dispatch/src/dispatcher/overrides/tests.rs
@@ -29,7 +29,7 @@
         let mut read = request("1", None);
         read.key = Bytes::from(format!("{n:016x}"));
         let (_, answer) = dispatcher.accept(read).unwrap();
-        for attempt in recorder.begun.take() {
+        for attempt in recorder.started_attempts.take() {
             attempts += usize::from(attempt.server == SERVER);
             dispatcher
                 .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value("v".into()))));
--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -35,7 +35,7 @@
             let (_, answer) = dispatcher.accept(request("1", None)).unwrap();
             assert!(matches!(answer.await, Ok(Answer::Failed | Answer::Rejected(_))));
             assert!(start.elapsed() < Duration::from_millis(480), "{:?}", start.elapsed());
-            assert!(!recorder.begun.borrow().is_empty());
+            assert!(!recorder.started_attempts.borrow().is_empty());
             assert!(
                 dispatcher.state.borrow().attempts.is_empty()
                     || dispatcher.counters.attempts_timed_out.get() > 0
@@ -56,7 +56,7 @@
         let (dispatcher, recorder) = dispatcher_with_timers(1, Idempotency::Idempotent, 1);
         let start = Instant::now();
         let (_, answer) = dispatcher.accept(request("1", None)).unwrap();
-        let attempt = recorder.begun.borrow_mut().pop().unwrap();
+        let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
         dispatcher.on_attempt_ended(attempt.id, AttemptEnd::ConnectFailed);
         assert!(matches!(answer.await, Ok(Answer::Rejected(_))));
         assert_eq!(start.elapsed(), Duration::ZERO);
@@ -71,14 +71,14 @@
         for served in [true, false] {
             let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::Idempotent, 3);
             let (id, answer) = dispatcher.accept(request("1", None)).unwrap();
-            let attempt = recorder.begun.borrow_mut().pop().unwrap();
+            let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
             dispatcher.on_client_half_closed(id);
             let value = Answer::Value(Bytes::from_static(b"v"));
             let reply = if served { Reply::Served(value.clone()) } else { Reply::Error };
             dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(reply));
             assert_eq!(answer.await, Ok(if served { value } else { Answer::Failed }));
             settle().await;
-            assert!(recorder.begun.borrow().is_empty());
+            assert!(recorder.started_attempts.borrow().is_empty());
         }
     });
 }
@@ -97,7 +97,7 @@
         while dispatcher.counters.attempts_timed_out.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let [first, second] = &recorder.begun.take()[..] else {
+        let [first, second] = &recorder.started_attempts.take()[..] else {
             panic!("expected a retry at another server")
         };
         let value = Answer::Value(Bytes::from_static(b"v"));
@@ -117,10 +117,12 @@
         for is_client_gone in [false, true] {
             let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::Idempotent, 3);
             let (id, answer) = dispatcher.accept(request("1", None)).unwrap();
-            while recorder.begun.borrow().len() < 2 {
+            while recorder.started_attempts.borrow().len() < 2 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            let [first, second] = &recorder.begun.take()[..] else { panic!("expected a hedged attempt") };
+            let [first, second] = &recorder.started_attempts.take()[..] else {
+                panic!("expected a hedged attempt")
+            };
             let now = dispatcher.clock.now();
             assert!(!first.is_cancelled(now) && !second.is_cancelled(now));
             if is_client_gone {
@@ -148,9 +150,9 @@
         let first = dispatcher.clock.now();
         let _answer = dispatcher.accept(request("1", Some(vec![]))).unwrap();
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let attempt = recorder.begun.borrow_mut().pop().unwrap();
+        let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
         dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Broken);
-        let repeat = recorder.begun.borrow_mut().pop().unwrap();
+        let repeat = recorder.started_attempts.borrow_mut().pop().unwrap();
         let end = first.saturating_add(window);
         assert!(
             !attempt.is_cancelled(end)
@@ -174,9 +176,9 @@
         let mut unknown = request("1", Some(vec![]));
         unknown.class = 7;
         let _answer = dispatcher.accept(unknown).unwrap();
-        let attempt = recorder.begun.borrow_mut().pop().unwrap();
+        let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
         dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Broken);
-        let repeat = recorder.begun.borrow_mut().pop().unwrap();
+        let repeat = recorder.started_attempts.borrow_mut().pop().unwrap();
         assert!(!repeat.is_cancelled(end.saturating_sub(Micros(1))) && repeat.is_cancelled(end));
     });
 }
@@ -227,10 +229,10 @@
         tokio::time::sleep(shutdown_time / 2).await;
         let (_, second) = dispatcher.accept(request("2", None)).unwrap();
         assert!(first.await.is_ok() && second.await.is_ok());
-        assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (shutdown_time, 2));
+        assert_eq!((start.elapsed(), recorder.started_attempts.borrow().len()), (shutdown_time, 2));
         let (_, third) = dispatcher.accept(request("3", None)).unwrap();
         assert!(third.await.is_ok());
-        assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (shutdown_time, 2));
+        assert_eq!((start.elapsed(), recorder.started_attempts.borrow().len()), (shutdown_time, 2));
     });
 }
 
@@ -242,7 +244,7 @@
         for _ in 0..2 {
             let (_, answer) = dispatcher.accept(request("1", None)).unwrap();
             assert!(dispatcher.accept(request("1", None)).is_none());
-            let attempt = recorder.begun.borrow_mut().pop().unwrap();
+            let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
             dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Malformed);
             assert!(matches!(answer.await, Ok(Answer::Rejected(_) | Answer::Failed)));
         }
@@ -268,12 +270,13 @@
             joined.endpoint.started = juniperladder::Micros(reported(dispatcher.clock().now().0));
             dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[joined]);
             tokio::time::sleep(age).await;
-            recorder.begun.borrow_mut().clear();
+            recorder.started_attempts.borrow_mut().clear();
             for number in 0..400 {
                 let mut read = request(&format!("c{number}"), None);
                 read.key = Bytes::from(format!("{number:016x}"));
                 let _answer = dispatcher.accept(read);
-                for attempt in recorder.begun.borrow().iter().filter(|a| a.request.id == format!("c{number}"))
+                for attempt in
+                    recorder.started_attempts.borrow().iter().filter(|a| a.request.id == format!("c{number}"))
                 {
                     dispatcher.on_attempt_ended(
                         attempt.id,
@@ -282,8 +285,8 @@
                 }
                 tokio::time::sleep(Duration::from_micros(2_500)).await;
             }
-            let begun = recorder.begun.borrow();
-            begun.iter().filter(|attempt| attempt.server == ServerId(50)).count()
+            let started_attempts = recorder.started_attempts.borrow();
+            started_attempts.iter().filter(|attempt| attempt.server == ServerId(50)).count()
         })
     };
     for age in [Duration::ZERO, WARM_UP] {
--- a/dispatch/src/testing.rs
+++ b/dispatch/src/testing.rs
@@ -19,9 +19,9 @@
 /// A transport that only records its calls.
 #[derive(Default)]
 pub struct RecordingTransport {
-    /// Attempts that have begun, oldest first.
-    pub begun: RefCell<Vec<Attempt>>,
-    /// Uploads that have begun.
+    /// Attempts that have started, oldest first.
+    pub started_attempts: RefCell<Vec<Attempt>>,
+    /// Uploads that have started.
     pub uploads: RefCell<Vec<Upload>>,
     /// Attempts that were abandoned.
     pub abandoned: RefCell<Vec<AttemptId>>,
@@ -30,7 +30,7 @@
 impl AttemptTransport for RecordingTransport {
     fn on_endpoints_changed(&self, _: EndpointUpdate, _: &[ListedServer]) {}
     fn begin_attempt(&self, attempt: Attempt) {
-        self.begun.borrow_mut().push(attempt);
+        self.started_attempts.borrow_mut().push(attempt);
     }
     fn begin_upload(&self, upload: Upload) {
         self.uploads.borrow_mut().push(upload);
--- a/node/src/admin/tests.rs
+++ b/node/src/admin/tests.rs
@@ -100,7 +100,7 @@
                 .enumerate()
         {
             answers.push(dispatcher.accept(request(&n.to_string(), None)).unwrap());
-            let attempt = recorder.begun.borrow_mut().pop().unwrap();
+            let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
             dispatcher.on_attempt_ended(attempt.id, end);
         }
         let _open = dispatcher.accept(request("9", None)).unwrap();
--- a/node/src/downstream/backlog/tests.rs
+++ b/node/src/downstream/backlog/tests.rs
@@ -90,8 +90,12 @@
             advance(Duration::from_millis(50)).await;
             client.write_all(b"mg c v O3 Pc=read,d=480\r\n").await.unwrap();
             settle().await;
-            let times_left: Vec<_> =
-                recorder.begun.borrow().iter().map(|attempt| attempt.deadline.saturating_sub(now)).collect();
+            let times_left: Vec<_> = recorder
+                .started_attempts
+                .borrow()
+                .iter()
+                .map(|attempt| attempt.deadline.saturating_sub(now))
+                .collect();
             let early_time_left = Micros((480 - 10 - early) * 1_000);
             assert_eq!(times_left, [early_time_left, early_time_left, Micros((480 - 10 + 50) * 1_000)]);
         });
--- a/node/src/downstream/tests.rs
+++ b/node/src/downstream/tests.rs
@@ -90,7 +90,7 @@
                     }
                     Step::AttemptEnd { newest, served } if !awaiting_attempts.is_empty() => {
                         let at = if newest { awaiting_attempts.len() - 1 } else { 0 };
-                        let attempt = recorder.begun.borrow_mut().remove(at);
+                        let attempt = recorder.started_attempts.borrow_mut().remove(at);
                         let value = Bytes::from_static(b"x\r\ny");
                         let index = awaiting_attempts.remove(at);
                         let (reply, answer) = if served {
@@ -108,7 +108,7 @@
             }
             client.shutdown().await.unwrap();
             settle().await;
-            for attempt in recorder.begun.take() {
+            for attempt in recorder.started_attempts.take() {
                 downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Broken);
             }
             let mut received = String::new();
@@ -185,12 +185,16 @@
             client.read_exact(&mut received).await.unwrap();
             assert_eq!(String::from_utf8(received).unwrap(), answer);
         }
-        assert_eq!(recorder.begun.borrow().len(), 1, "only the request of the well-behaved client has begun");
+        assert_eq!(
+            recorder.started_attempts.borrow().len(),
+            1,
+            "only the request of the well-behaved client has begun"
+        );
         client.write_all(&b"\n".repeat(MAX_INVALID_REQUESTS * 2)).await.unwrap();
         let mut received = String::new();
         client.read_to_string(&mut received).await.unwrap();
         assert_eq!(received, "ERROR\r\n".repeat(MAX_INVALID_REQUESTS - 5));
-        let attempt = recorder.begun.borrow_mut().pop().unwrap();
+        let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
         downstream
             .dispatcher
             .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value("v".into()))));
@@ -212,7 +216,7 @@
         for (named, index) in [(",t=beta", 1), (",t=acme", 0), (",t=acm", 2), (",t=", 2), ("", 2)] {
             client.write_all(format!("mg k v O1 Pc=read{named},d=480\r\n").as_bytes()).await.unwrap();
             settle().await;
-            let attempt = recorder.begun.borrow_mut().pop().unwrap();
+            let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
             assert_eq!(attempt.request.tenant, index, "{named}");
             downstream
                 .dispatcher
--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -17,7 +17,7 @@
             _ = connection.serve(stream) => panic!("the connection ended with answers pending"),
             () = settle() => {}
         }
-        assert_eq!(recorder.begun.borrow().len(), 2);
+        assert_eq!(recorder.started_attempts.borrow().len(), 2);
         drop(connection);
         downstream.dispatcher.wait_until_idle().await;
         assert_eq!(downstream.dispatcher.counters().requests_abandoned.get(), 2);
@@ -39,7 +39,7 @@
         let task = spawn_local(serve(Rc::clone(&downstream), stream));
         while !task.is_finished() {
             settle().await;
-            for attempt in recorder.begun.take() {
+            for attempt in recorder.started_attempts.take() {
                 downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Error));
             }
         }
@@ -66,7 +66,7 @@
         settle().await;
         downstream.shutdown.run(Instant::now(), Duration::from_secs(3)).await;
         settle().await;
-        let attempt = recorder.begun.borrow_mut().pop().unwrap();
+        let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
         let value = Answer::Value(Bytes::from_static(b"v"));
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(value)));
         let mut received = String::new();
@@ -137,7 +137,7 @@
 async fn wait_until_cancelled(downstream: &Downstream, recorder: &RecordingTransport, case: &str) {
     let is_cancelled = || {
         let now = downstream.dispatcher.clock().now();
-        recorder.begun.borrow().iter().all(|attempt| attempt.is_cancelled(now))
+        recorder.started_attempts.borrow().iter().all(|attempt| attempt.is_cancelled(now))
     };
     let start = Instant::now();
     while !is_cancelled() {
@@ -155,10 +155,10 @@
     let mut client = connect(&downstream).await;
     let requests = MAX_PENDING_ANSWERS + 40;
     fill_pipeline(&downstream, &mut client, requests).await;
-    let begun = recorder.begun.borrow().len();
+    let started_attempts = recorder.started_attempts.borrow().len();
     if has_answers {
         // The first answer exceeds the buffers of the client, which does not read.
-        let attempt = recorder.begun.borrow_mut().remove(0);
+        let attempt = recorder.started_attempts.borrow_mut().remove(0);
         let value = Answer::Value(Bytes::from(vec![b'v'; 16 << 20]));
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(value)));
         settle().await;
@@ -166,8 +166,8 @@
     let client = leave(client, exit).await;
     wait_until_cancelled(&downstream, &recorder, &case).await;
     // Attempts in flight still end; no new one begins.
-    let in_flight: Vec<_> = recorder.begun.take();
-    assert_eq!(in_flight.len() + usize::from(has_answers), begun);
+    let in_flight: Vec<_> = recorder.started_attempts.take();
+    assert_eq!(in_flight.len() + usize::from(has_answers), started_attempts);
     for attempt in in_flight {
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::NotSent);
     }
@@ -182,7 +182,10 @@
     while !downstream.slots.borrow().is_empty() {
         sleep(Duration::from_millis(1)).await;
     }
-    assert!(recorder.begun.borrow().is_empty(), "{case}: an attempt began for a client that had left");
+    assert!(
+        recorder.started_attempts.borrow().is_empty(),
+        "{case}: an attempt began for a client that had left"
+    );
     assert_eq!(downstream.dispatcher.requests_in_progress(), 0);
 }
 
@@ -209,7 +212,7 @@
         client.write_all(b"mg a v O1 Pc=read,d=1400\r\n").await.unwrap();
         let attempt = loop {
             settle().await;
-            if let Some(attempt) = recorder.begun.borrow_mut().pop() {
+            if let Some(attempt) = recorder.started_attempts.borrow_mut().pop() {
                 break attempt;
             }
         };
@@ -230,7 +233,10 @@
         let mut received = Vec::new();
         client.read_to_end(&mut received).await.unwrap();
         assert_eq!(received.len(), "VA 204800 O1\r\n".len() + LENGTH + 2);
-        assert!(recorder.begun.borrow().is_empty(), "nothing that came after the close is forwarded");
+        assert!(
+            recorder.started_attempts.borrow().is_empty(),
+            "nothing that came after the close is forwarded"
+        );
     });
 }
 
--- a/node/src/downstream/tests/eviction.rs
+++ b/node/src/downstream/tests/eviction.rs
@@ -69,7 +69,7 @@
 
 /// Ends all attempts that have begun as served.
 fn serve_attempts(downstream: &Downstream, recorder: &RecordingTransport) {
-    for attempt in recorder.begun.take() {
+    for attempt in recorder.started_attempts.take() {
         let value = Answer::Value(Bytes::from_static(b"v"));
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(value)));
     }
@@ -175,7 +175,7 @@
         let (_downstream, recorder, address) = start_downstream().await;
         let busy: Vec<_> = (0..SLOTS - 2).map(|id| Client::connect_and_send(address, &request(id))).collect();
         run_event_loop().await;
-        assert_eq!(recorder.begun.borrow().len(), busy.len());
+        assert_eq!(recorder.started_attempts.borrow().len(), busy.len());
         let mut new_client = Client::connect(address);
         run_event_loop().await;
         advance(Duration::from_millis(30)).await;
--- a/node/src/downstream/tests/slots.rs
+++ b/node/src/downstream/tests/slots.rs
@@ -42,7 +42,7 @@
             spawn_local(serve(Rc::clone(&downstream), stream));
             client.write_all(format!("mg k v O{id} Pc=read,d=480\r\n").as_bytes()).await.unwrap();
             settle().await;
-            let attempt = recorder.begun.borrow_mut().pop().unwrap();
+            let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
             downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Error));
             clients.push(client);
             sleep(Duration::from_millis(5)).await;
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -55,7 +55,7 @@
             let upstream = testing::upstream(1);
             upstream.attach(&dispatcher);
             let (_, answer) = dispatcher.accept(testing::request("7", Some(vec![b'x'; value_bytes]))).unwrap();
-            let attempt = recorder.begun.borrow_mut().pop().unwrap();
+            let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
             let (mut stream, mut server) = duplex(pipe_bytes);
             let connection = UpstreamConnection { server: SERVER, is_origin: false, address: ([127, 0, 0, 1], 1).into() };
             let mut wire = BytesMut::new();
@@ -162,7 +162,7 @@
         let upstream = testing::upstream(1);
         upstream.attach(&dispatcher);
         let (id, _answer) = dispatcher.accept(testing::request("7", Some(vec![b'x'; 300]))).unwrap();
-        let attempt = recorder.begun.borrow_mut().pop().unwrap();
+        let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
         let (mut stream, mut server) = duplex(100);
         let connection =
             UpstreamConnection { server: SERVER, is_origin: false, address: ([127, 0, 0, 1], 1).into() };
@@ -248,7 +248,7 @@
             let upstream = testing::upstream(1);
             upstream.attach(&dispatcher);
             let (_, answer) = dispatcher.accept(testing::request("7", None)).unwrap();
-            let attempt = recorder.begun.borrow_mut().pop().unwrap();
+            let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
             let (mut stream, mut server) = duplex(1 << 12);
             let connection =
                 UpstreamConnection { server: SERVER, is_origin: true, address: ([127, 0, 0, 1], 1).into() };
@@ -273,7 +273,7 @@
         let upstream = testing::upstream(1);
         upstream.attach(&dispatcher);
         let _answer = dispatcher.accept(testing::request("7", None)).unwrap();
-        let attempt = recorder.begun.borrow_mut().pop().unwrap();
+        let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
         let (mut stream, mut server) = duplex(1 << 12);
         let connection =
             UpstreamConnection { server: SERVER, is_origin: true, address: ([127, 0, 0, 1], 1).into() };
--- a/node/tests/two_deployments.rs
+++ b/node/tests/two_deployments.rs
@@ -68,7 +68,7 @@
 
     async fn next_attempt(&self) -> Attempt {
         loop {
-            if let Some(attempt) = self.recorder.begun.borrow_mut().pop() {
+            if let Some(attempt) = self.recorder.started_attempts.borrow_mut().pop() {
                 return attempt;
             }
             tokio::task::yield_now().await;
@@ -99,7 +99,7 @@
         second.dispatcher.on_attempt_ended(at_second.id, AttemptEnd::Broken);
         assert_eq!(first.next_attempt().await.request.id, "1");
         assert_eq!(second.read_answer().await, "SERVER_ERROR failed\r\n");
-        assert!(second.recorder.begun.borrow().is_empty());
+        assert!(second.recorder.started_attempts.borrow().is_empty());
         // Neither knows the other's classes or tenants. A request without a known tenant is served, and counts for no tenant.
         first.send("mg k v O2 Pc=list,t=acme,d=500\r\n").await;
         second.send("mg k v O2 Pc=read,t=acme,d=500\r\n").await;
