--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -5,7 +5,7 @@
 
 use super::endpoints::MAX_SERVERS;
 use super::*;
-use crate::testing::{self, dispatcher, request, settings, settle, RecordingTransport};
+use crate::testing::{self, dispatcher, request, settings, yield_until_idle, RecordingTransport};
 use tokio::task::spawn_local;
 use tokio::time::{Duration, Instant};
 
@@ -77,7 +77,7 @@
             let reply = if served { Reply::Served(value.clone()) } else { Reply::Error };
             dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(reply));
             assert_eq!(answer.await, Ok(if served { value } else { Answer::Failed }));
-            settle().await;
+            yield_until_idle().await;
             assert!(recorder.started_attempts.borrow().is_empty());
         }
     });
@@ -222,7 +222,7 @@
         let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::NotIdempotent, 3);
         let start = Instant::now();
         let (_, first) = dispatcher.accept(request("1", None)).unwrap();
-        settle().await;
+        yield_until_idle().await;
         let shutdown_time = Duration::from_millis(200);
         dispatcher
             .set_final_deadline(dispatcher.clock.now().saturating_add(crate::clock::micros(shutdown_time)));
--- a/dispatch/src/testing.rs
+++ b/dispatch/src/testing.rs
@@ -137,7 +137,7 @@
 }
 
 /// Yields until all other tasks are blocked.
-pub async fn settle() {
+pub async fn yield_until_idle() {
     for _ in 0..64 {
         tokio::task::yield_now().await;
     }
--- a/node/src/admin/tests.rs
+++ b/node/src/admin/tests.rs
@@ -27,7 +27,7 @@
     for chunk in chunks {
         // A connection beyond the limit is closed at once.
         let _ = client.write_all(chunk).await;
-        testing::settle().await;
+        testing::yield_until_idle().await;
     }
     client
 }
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -8,7 +8,7 @@
 
 use super::timing::*;
 use super::*;
-use crate::testing::{self, log, settle, RecordingTransport};
+use crate::testing::{self, log, yield_until_idle, RecordingTransport};
 use bytes::BytesMut;
 use juniperladder::{
     BackoffRange, Idempotency, DISCOVERY_BACKOFF, MAX_POLL_INTERVAL, MIN_DISCOVERY_PAUSE, START_SPREAD_SHARE,
@@ -289,7 +289,7 @@
         let polls: Vec<Instant> = discovery.polls.borrow().iter().map(|(at, _)| *at).collect();
         assert!(polls.windows(2).all(|pair| pair[1] - pair[0] <= grace / 2), "{polls:?}");
         assert!(balancer.wait_for_lists(2).await - received <= WATCH_SILENCE_TIMEOUT + grace);
-        settle().await;
+        yield_until_idle().await;
     });
 }
 
@@ -371,7 +371,7 @@
         changes.send(5).await.unwrap();
         balancer.wait_for_lists(1).await;
         balancer.address.send_replace(new.address);
-        settle().await;
+        yield_until_idle().await;
         assert!(new.poll_count() >= 1);
         changes.send(6).await.unwrap();
         balancer.wait_for_lists(2).await;
@@ -379,7 +379,7 @@
         balancer.wait_for_lists(3).await;
         for generation in 7.. {
             assert!(generation < 100, "the watch on the old address is closed");
-            settle().await;
+            yield_until_idle().await;
             if changes.send(generation).await.is_err() {
                 break;
             }
--- a/node/src/discovery/tests/late_turn.rs
+++ b/node/src/discovery/tests/late_turn.rs
@@ -22,12 +22,12 @@
             watch.read_buf(&mut BytesMut::new()).await.unwrap();
             watch.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.unwrap();
             watch.write_all(&list(1)).await.unwrap();
-            settle().await;
+            yield_until_idle().await;
             let counters = balancer.dispatcher.counters();
             assert_eq!(counters.endpoint_updates.get(), 1);
             watch.try_write(&list(2)).unwrap();
             tokio::time::advance(WATCH_SILENCE_TIMEOUT + Duration::from_millis(300)).await;
-            settle().await;
+            yield_until_idle().await;
             assert_eq!(counters.endpoint_updates.get(), 2);
             assert_eq!(counters.discovery_failures.get(), 0, "repetition {repetition}");
         });
--- a/node/src/downstream/backlog/tests.rs
+++ b/node/src/downstream/backlog/tests.rs
@@ -10,7 +10,7 @@
 
 use super::*;
 use crate::downstream::tests::{downstream, serve_after};
-use crate::testing::{self, settle, RecordingTransport};
+use crate::testing::{self, yield_until_idle, RecordingTransport};
 
 const CLIENTS: usize = 200;
 /// How long a turn of the event loop takes in these tests.
@@ -51,7 +51,7 @@
         let listener = crate::listener::listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
         spawn_local(Rc::clone(&downstream).accept(listener));
-        settle().await;
+        yield_until_idle().await;
         let flood: Vec<_> = (0..CLIENTS).map(|_| connect(address)).collect();
         let turns = Rc::new(Cell::new(0));
         let turn_counter = Rc::clone(&turns);
@@ -86,10 +86,10 @@
             spawn_local(serve_after(Rc::clone(&downstream), stream, Duration::from_millis(waited)));
             let now = downstream.dispatcher.clock().now();
             client.write_all(b"mg a v O1 Pc=read,d=480\r\nmg b v O2 Pc=read,d=480\r\n").await.unwrap();
-            settle().await;
+            yield_until_idle().await;
             advance(Duration::from_millis(50)).await;
             client.write_all(b"mg c v O3 Pc=read,d=480\r\n").await.unwrap();
-            settle().await;
+            yield_until_idle().await;
             let times_left: Vec<_> = recorder
                 .started_attempts
                 .borrow()
--- a/node/src/downstream/tests.rs
+++ b/node/src/downstream/tests.rs
@@ -11,7 +11,7 @@
 };
 use super::*;
 use crate::dispatcher::{Answer, AttemptEnd, Reply};
-use crate::testing::{self, settle, RecordingTransport};
+use crate::testing::{self, yield_until_idle, RecordingTransport};
 use bytes::Bytes;
 use juniperladder::Idempotency;
 use proptest::prelude::*;
@@ -81,7 +81,7 @@
                         let text = text.replace("Oid", &format!("O{:02}", expected_answers.len()));
                         for piece in text.as_bytes().chunks(cut) {
                             client.write_all(piece).await.unwrap();
-                            settle().await;
+                            yield_until_idle().await;
                         }
                         if answer.is_none() {
                             awaiting_attempts.push(expected_answers.len());
@@ -104,10 +104,10 @@
                     }
                     Step::AttemptEnd { .. } => {}
                 }
-                settle().await;
+                yield_until_idle().await;
             }
             client.shutdown().await.unwrap();
-            settle().await;
+            yield_until_idle().await;
             for attempt in recorder.started_attempts.take() {
                 downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Broken);
             }
@@ -135,7 +135,7 @@
             client.write_all(&[b'x'; 60_000]).await.unwrap();
             clients.push(client);
         }
-        settle().await;
+        yield_until_idle().await;
         let buffered_bytes = downstream.buffered_bytes.get();
         assert!(
             buffered_bytes
@@ -155,7 +155,7 @@
             client.read_to_string(&mut received).await.unwrap();
             assert_eq!(received, "CLIENT_ERROR command not finished in time\r\n");
         }
-        settle().await;
+        yield_until_idle().await;
         assert_eq!(downstream.buffered_bytes.get(), 0);
     });
 }
@@ -172,7 +172,7 @@
         let (valid_stream, mut valid_client) = duplex(1 << 16);
         spawn_local(serve(Rc::clone(&downstream), valid_stream));
         valid_client.write_all(b"mg k v O1 Pc=read,d=480\r\n").await.unwrap();
-        settle().await;
+        yield_until_idle().await;
         for (line, answer) in [
             ("mg k v O2 Pc=reads,d=480", "CLIENT_ERROR unknown class\r\n"),
             ("mg k v O2 Pd=480", "CLIENT_ERROR unknown class\r\n"),
@@ -215,7 +215,7 @@
         spawn_local(serve(Rc::clone(&downstream), stream));
         for (named, index) in [(",t=beta", 1), (",t=acme", 0), (",t=acm", 2), (",t=", 2), ("", 2)] {
             client.write_all(format!("mg k v O1 Pc=read{named},d=480\r\n").as_bytes()).await.unwrap();
-            settle().await;
+            yield_until_idle().await;
             let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
             assert_eq!(attempt.request.tenant, index, "{named}");
             downstream
--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -15,7 +15,7 @@
         tokio::select! {
             biased;
             _ = connection.serve(stream) => panic!("the connection ended with answers pending"),
-            () = settle() => {}
+            () = yield_until_idle() => {}
         }
         assert_eq!(recorder.started_attempts.borrow().len(), 2);
         drop(connection);
@@ -38,7 +38,7 @@
         client.shutdown().await.unwrap();
         let task = spawn_local(serve(Rc::clone(&downstream), stream));
         while !task.is_finished() {
-            settle().await;
+            yield_until_idle().await;
             for attempt in recorder.started_attempts.take() {
                 downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Error));
             }
@@ -63,9 +63,9 @@
         let (stream, mut client) = duplex(1 << 16);
         spawn_local(serve(Rc::clone(&downstream), stream));
         client.write_all(b"mg a v O1 Pc=read,d=480\r\n").await.unwrap();
-        settle().await;
+        yield_until_idle().await;
         downstream.shutdown.run(Instant::now(), Duration::from_secs(3)).await;
-        settle().await;
+        yield_until_idle().await;
         let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
         let value = Answer::Value(Bytes::from_static(b"v"));
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(value)));
@@ -85,7 +85,7 @@
         let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let (stream, _) = listener.accept().await.unwrap();
         let task = spawn_local(serve(Rc::clone(&downstream), Socket(stream)));
-        settle().await;
+        yield_until_idle().await;
         io::Write::write_all(&mut client, b"mn\r\n").unwrap();
         downstream.shutdown.begin_closing();
         task.await.unwrap().unwrap();
@@ -127,9 +127,9 @@
     stream.write_all(text.as_bytes()).await.unwrap();
     let accepted = || downstream.dispatcher.counters().requests.get();
     while accepted() < MAX_PENDING_ANSWERS as u64 {
-        settle().await;
+        yield_until_idle().await;
     }
-    settle().await;
+    yield_until_idle().await;
     assert_eq!(accepted(), MAX_PENDING_ANSWERS as u64);
 }
 
@@ -161,7 +161,7 @@
         let attempt = recorder.started_attempts.borrow_mut().remove(0);
         let value = Answer::Value(Bytes::from(vec![b'v'; 16 << 20]));
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(value)));
-        settle().await;
+        yield_until_idle().await;
     }
     let client = leave(client, exit).await;
     wait_until_cancelled(&downstream, &recorder, &case).await;
@@ -211,7 +211,7 @@
         let mut client = connect(&downstream).await;
         client.write_all(b"mg a v O1 Pc=read,d=1400\r\n").await.unwrap();
         let attempt = loop {
-            settle().await;
+            yield_until_idle().await;
             if let Some(attempt) = recorder.started_attempts.borrow_mut().pop() {
                 break attempt;
             }
@@ -261,7 +261,7 @@
             }
         });
         while dispatcher.counters().requests.get() < 50 {
-            settle().await;
+            yield_until_idle().await;
         }
         let end = spawn_local(async move {
             let mut received = Vec::new();
--- a/node/src/downstream/tests/eviction.rs
+++ b/node/src/downstream/tests/eviction.rs
@@ -52,14 +52,14 @@
     let listener = crate::listener::listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
     spawn_local(Rc::clone(&downstream).accept(listener));
-    settle().await;
+    yield_until_idle().await;
     (downstream, recorder, address)
 }
 
 /// Runs the event loop until nothing is left to do at the current time.
 async fn run_event_loop() {
     for _ in 0..10 {
-        settle().await;
+        yield_until_idle().await;
     }
 }
 
--- a/node/src/downstream/tests/slots.rs
+++ b/node/src/downstream/tests/slots.rs
@@ -41,7 +41,7 @@
             let (stream, mut client) = duplex(1 << 10);
             spawn_local(serve(Rc::clone(&downstream), stream));
             client.write_all(format!("mg k v O{id} Pc=read,d=480\r\n").as_bytes()).await.unwrap();
-            settle().await;
+            yield_until_idle().await;
             let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
             downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Error));
             clients.push(client);
@@ -66,10 +66,10 @@
         let downstream = downstream(&Rc::new(RecordingTransport::default()));
         let (stream, mut client) = duplex(1 << 10);
         spawn_local(serve(Rc::clone(&downstream), stream));
-        settle().await;
+        yield_until_idle().await;
         downstream.evict(1);
         client.write_all(b"m").await.unwrap();
-        settle().await;
+        yield_until_idle().await;
         client.write_all(b"n\r\n").await.unwrap();
         let mut received = String::new();
         client.read_to_string(&mut received).await.unwrap();
@@ -84,7 +84,7 @@
         let downstream = downstream(&Rc::new(RecordingTransport::default()));
         let (stream, mut client) = duplex(1 << 10);
         spawn_local(serve(Rc::clone(&downstream), stream));
-        settle().await;
+        yield_until_idle().await;
         let start = Instant::now();
         downstream.evict(1);
         assert_eq!(client.read(&mut [0; 8]).await.unwrap(), 0);
@@ -114,7 +114,7 @@
         let mut new_client = clients.pop().unwrap();
         for (evicted, mut client) in clients.into_iter().enumerate() {
             downstream.evict(1);
-            settle().await;
+            yield_until_idle().await;
             assert_eq!(client.read(&mut [0; 8]).await.unwrap(), 0);
             assert_eq!(downstream.slots.borrow().len(), 3 - evicted);
         }
--- a/node/src/graceful_shutdown/tests.rs
+++ b/node/src/graceful_shutdown/tests.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use super::*;
-use crate::testing::{self, settle};
+use crate::testing::{self, yield_until_idle};
 
 /// The platform routes new connections here for up to 0.4 s after the signal; closing the open ones meanwhile
 /// would only cause more new ones.
@@ -64,10 +64,10 @@
             })
             .await;
         });
-        settle().await;
+        yield_until_idle().await;
         for open in 1..100 {
             shutdown.set_open_connections(open);
-            settle().await;
+            yield_until_idle().await;
         }
         assert_eq!(polls.get(), 1);
         shutdown.begin_closing();
--- a/node/src/peers/tests.rs
+++ b/node/src/peers/tests.rs
@@ -5,7 +5,7 @@
 use tokio::time::advance;
 
 use super::*;
-use crate::testing::{self, settle};
+use crate::testing::{self, yield_until_idle};
 
 /// Repetitions, because the order of branches that are ready at once is random.
 const REPETITIONS: usize = 40;
@@ -63,12 +63,12 @@
             let ticks = 40 + repetition;
             for _ in 0..ticks {
                 advance(TICK_INTERVAL).await;
-                settle().await;
+                yield_until_idle().await;
                 responsive.answer(clock.now());
             }
             assert_eq!(peers.cluster.borrow().member_counts().alive, 2);
             advance(EVENT_LOOP_DELAY).await;
-            settle().await;
+            yield_until_idle().await;
             assert_eq!(peers.cluster.borrow().member_counts().suspect, 0, "repetition {repetition}");
         });
     }
--- a/node/src/upstream/download/tests.rs
+++ b/node/src/upstream/download/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::memcache::{read_response, Response};
-use crate::testing::{self, request, settle};
+use crate::testing::{self, request, yield_until_idle};
 use juniperladder_dispatch::streamed_value::streamed_value;
 use tokio::io::{duplex, AsyncWriteExt};
 use tokio::task::spawn_local;
@@ -51,7 +51,7 @@
             let forwarded = spawn_local(async move {
                 forward_value(&mut stream, &mut BytesMut::new(), &mut body, sender, CHUNK_BYTES).await
             });
-            settle().await;
+            yield_until_idle().await;
             assert!(
                 bytes_sent.get() <= PIPE_BYTES + 3 * CHUNK_BYTES + 1000,
                 "{} bytes sent without a reader",
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use crate::dispatcher::Answer;
 use crate::memcache;
-use crate::testing::{self, listed_server, settle, RecordingTransport, SERVER};
+use crate::testing::{self, listed_server, yield_until_idle, RecordingTransport, SERVER};
 use bytes::BytesMut;
 use juniperladder::Idempotency;
 use proptest::prelude::*;
@@ -80,10 +80,10 @@
                     ServerAction::Answers(text) => for piece in text.as_bytes().chunks(piece_bytes) {
                         // The balancer may close once it has read enough.
                         let _ = server.write_all(piece).await;
-                        settle().await;
+                        yield_until_idle().await;
                     },
                     ServerAction::Silent => sleep(Duration::from_secs(60)).await,
-                    ServerAction::Closes(_) => settle().await,
+                    ServerAction::Closes(_) => yield_until_idle().await,
                 }
                 drop(server);
             };
@@ -117,7 +117,7 @@
             testing::dispatcher(testing::settings(1, Idempotency::Idempotent), upstream.clone(), 1);
         upstream.attach(&dispatcher);
         let (_, answer) = dispatcher.accept(testing::request("7", None)).unwrap();
-        settle().await;
+        yield_until_idle().await;
         assert_eq!(dispatcher.counters().attempts_not_sent.get(), 0, "it waits for a connection");
         dispatcher
             .on_endpoints_changed(EndpointUpdate::Delta, &[listed_server(SERVER, EndpointState::Draining)]);
@@ -135,7 +135,7 @@
         let (id, _answer) = dispatcher.accept(testing::request("1", None)).unwrap();
         dispatcher.on_client_gone(id);
         let (mut stream, _) = listener.accept().await.unwrap();
-        settle().await;
+        yield_until_idle().await;
         let (_, answer) = dispatcher.accept(testing::request("2", None)).unwrap();
         let received = read_request_line(&mut stream).await;
         assert!(
@@ -167,7 +167,7 @@
         let connection =
             UpstreamConnection { server: SERVER, is_origin: false, address: ([127, 0, 0, 1], 1).into() };
         let serve = async {
-            settle().await;
+            yield_until_idle().await;
             dispatcher.on_client_gone(id);
             let mut received = Vec::new();
             server.read_to_end(&mut received).await.unwrap();
@@ -205,7 +205,7 @@
             stream.read_buf(&mut BytesMut::new()).await.unwrap();
             stream.write_all(b"HD O7 cr1\r\n").await.unwrap();
             assert!(matches!(answer.await, Ok(Answer::Receipt(_))));
-            settle().await;
+            yield_until_idle().await;
         }
         assert_eq!(upstream.connections.get(), 1);
     });
@@ -443,7 +443,7 @@
             read_request_line(&mut idle_stream).await;
             idle_stream.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
             assert!(first.await.is_ok());
-            settle().await;
+            yield_until_idle().await;
             let second = if during_assignment {
                 // The pool has not polled the connection since, and assigns it with the bytes unread.
                 let (_, second) = dispatcher.accept(testing::request("2", None)).unwrap();
@@ -451,7 +451,7 @@
                 second
             } else {
                 idle_stream.write_all(b"VA 1").await.unwrap();
-                settle().await;
+                yield_until_idle().await;
                 dispatcher.accept(testing::request("2", None)).unwrap().1
             };
             let (mut new_stream, _) = listener.accept().await.unwrap();
@@ -485,7 +485,7 @@
             }
             let text: &[u8] = if body { b"HTTP/1.1 200 OK\r\n\r\nab" } else { b"HTTP/1.1 200 OK\r\n\r\n" };
             stream.write_all(text).await.unwrap();
-            settle().await;
+            yield_until_idle().await;
             if reset {
                 stream.set_zero_linger().unwrap();
             }
@@ -522,7 +522,7 @@
             read_request_line(&mut idle_stream).await;
             idle_stream.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
             assert!(first.await.is_ok());
-            settle().await;
+            yield_until_idle().await;
             assert_eq!(upstream.connections.get(), 1, "the connection is idle");
             // No turn of the event loop lies between the assignment of the request to the connection and the
             // update.
