--- a/dispatch/src/dispatcher/overrides/tests.rs
+++ b/dispatch/src/dispatcher/overrides/tests.rs
@@ -50,7 +50,7 @@
 /// the start as well as after a watch was lost: the endpoint list in use would become stale.
 #[test]
 fn an_override_postpones_no_watch_request() {
-    testing::run(async {
+    testing::run_paused(async {
         let (dispatcher, _) = dispatcher_and_recorder();
         let poll_interval =
             Duration::from_micros(settings(3, Idempotency::Idempotent).rules.discovery_poll_interval.0);
@@ -98,7 +98,7 @@
 /// brought online no attempt may go to it, and from then on it has to serve again.
 #[test]
 fn an_offline_server_gets_no_attempt_whatever_discovery_reports() {
-    testing::run(async {
+    testing::run_paused(async {
         let mut fleet: Vec<_> = (0..3).map(|_| dispatcher_and_recorder()).collect();
         for (dispatcher, recorder) in &fleet {
             assert!(attempts_at_server(dispatcher, recorder, 40).await > 0, "the server is in use");
--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -24,7 +24,7 @@
 /// Guards against requests that get no answer before the client's time-out when all servers are silent.
 #[test]
 fn every_request_is_answered_before_its_deadline() {
-    testing::run(async {
+    testing::run_paused(async {
         for (attempts, idempotency) in [
             (1, Idempotency::NotIdempotent),
             (3, Idempotency::Idempotent),
@@ -52,7 +52,7 @@
 /// Guards against a rejection that is delayed until the request's deadline.
 #[test]
 fn a_rejected_request_is_answered_without_delay() {
-    testing::run(async {
+    testing::run_paused(async {
         let (dispatcher, recorder) = dispatcher_with_timers(1, Idempotency::Idempotent, 1);
         let start = Instant::now();
         let (_, answer) = dispatcher.accept(request("1", None)).unwrap();
@@ -67,7 +67,7 @@
 /// in flight whose answer is lost.
 #[test]
 fn a_half_closed_client_is_answered_by_attempts_in_flight() {
-    testing::run(async {
+    testing::run_paused(async {
         for served in [true, false] {
             let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::Idempotent, 3);
             let (id, answer) = dispatcher.accept(request("1", None)).unwrap();
@@ -86,7 +86,7 @@
 /// Guards against discarding a valid answer that arrives after its attempt timed out, while a retry is in flight.
 #[test]
 fn a_late_answer_serves_a_request_that_is_still_open() {
-    testing::run(async {
+    testing::run_paused(async {
         let recorder = Rc::new(RecordingTransport::default());
         let mut settings = settings(3, Idempotency::Idempotent);
         settings.limits.may_duplicate = false;
@@ -113,7 +113,7 @@
 /// the request may still be written.
 #[test]
 fn attempts_are_cancelled_once_their_request_is_closed() {
-    testing::run(async {
+    testing::run_paused(async {
         for is_client_gone in [false, true] {
             let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::Idempotent, 3);
             let (id, answer) = dispatcher.accept(request("1", None)).unwrap();
@@ -141,7 +141,7 @@
 /// that waits for a connection until the window has ended.
 #[test]
 fn a_retry_is_written_only_within_the_deduplication_window() {
-    testing::run(async {
+    testing::run_paused(async {
         let recorder = Rc::new(RecordingTransport::default());
         let mut settings = settings(3, Idempotency::WithIdempotencyKey);
         let window = Micros(200_000);
@@ -166,7 +166,7 @@
 /// deduplication window applies.
 #[test]
 fn a_retry_of_an_unknown_class_is_written_only_within_the_last_classes_window() {
-    testing::run(async {
+    testing::run_paused(async {
         let recorder = Rc::new(RecordingTransport::default());
         let mut settings = settings(3, Idempotency::WithIdempotencyKey);
         let window = Micros(200_000);
@@ -218,7 +218,7 @@
 /// requests accepted later are answered by that deadline, and requests accepted after it at once.
 #[test]
 fn every_open_request_is_answered_by_the_final_deadline() {
-    testing::run(async {
+    testing::run_paused(async {
         let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::NotIdempotent, 3);
         let start = Instant::now();
         let (_, first) = dispatcher.accept(request("1", None)).unwrap();
@@ -239,7 +239,7 @@
 /// Two open requests with one id could get each other's answers. Once the first is closed its id may be used again.
 #[test]
 fn a_request_with_an_id_in_use_is_refused() {
-    testing::run(async {
+    testing::run_paused(async {
         let (dispatcher, recorder) = dispatcher_with_timers(1, Idempotency::Idempotent, 1);
         for _ in 0..2 {
             let (_, answer) = dispatcher.accept(request("1", None)).unwrap();
@@ -259,7 +259,7 @@
     const WARM_UP: Duration = Duration::from_secs(9);
     const HOUR: u64 = 3_600_000_000;
     let attempts_in_a_second = |reported: &dyn Fn(u64) -> u64, age: Duration| {
-        testing::run(async {
+        testing::run_paused(async {
             let (dispatcher, recorder) = dispatcher_with_timers(1, Idempotency::Idempotent, 3);
             let old: Vec<ListedServer> =
                 (0..3).map(|n| testing::listed_server(ServerId(9 + n), EndpointState::Serving)).collect();
--- a/dispatch/src/streamed_value/tests.rs
+++ b/dispatch/src/streamed_value/tests.rs
@@ -4,7 +4,7 @@
 /// Guards against a truncated value that looks complete to the client, for any division into chunks.
 #[test]
 fn the_last_byte_is_sent_only_after_a_well_formed_end() {
-    testing::run(async {
+    testing::run_paused(async {
         for chunk_bytes in [1, 3, 10] {
             for is_end_well_formed in [true, false] {
                 let (mut sender, receiver) = streamed_value(10);
@@ -33,7 +33,7 @@
 /// Guards against unbounded buffering for a slow client, and against a sender that waits for a client that is gone.
 #[test]
 fn a_sender_waits_for_a_slow_client_until_the_client_is_gone() {
-    testing::run(async {
+    testing::run_paused(async {
         let (mut sender, receiver) = streamed_value(100);
         sender.send(Bytes::from_static(b"a")).await.unwrap();
         let second = sender.send(Bytes::from_static(b"b"));
--- a/dispatch/src/testing.rs
+++ b/dispatch/src/testing.rs
@@ -122,7 +122,7 @@
 }
 
 /// Runs a test on a paused clock, which advances only when all tasks wait for a timer.
-pub fn run<T>(test: impl Future<Output = T>) -> T {
+pub fn run_paused<T>(test: impl Future<Output = T>) -> T {
     run_on(true, test)
 }
 
--- a/node/src/admin/tests.rs
+++ b/node/src/admin/tests.rs
@@ -43,7 +43,7 @@
 #[test]
 fn incomplete_calls_time_out_and_delay_no_other_call() {
     let dir = tempfile::tempdir().unwrap();
-    testing::run(async {
+    testing::run_paused(async {
         let (admin, _) = start_admin(dir.path());
         let start = Instant::now();
         let mut incomplete = Vec::new();
@@ -65,7 +65,7 @@
 #[test]
 fn a_malformed_line_is_answered_with_nak() {
     let dir = tempfile::tempdir().unwrap();
-    testing::run(async {
+    testing::run_paused(async {
         let (admin, _) = start_admin(dir.path());
         let too_long = [b'x'; 300];
         for line in [
@@ -89,7 +89,7 @@
 #[test]
 fn each_request_is_counted_once_in_its_class() {
     let dir = tempfile::tempdir().unwrap();
-    testing::run(async {
+    testing::run_paused(async {
         let (admin, recorder) = start_admin(dir.path());
         let dispatcher = &admin.dispatcher;
         let value = Reply::Served(Answer::Value("v".into()));
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -42,7 +42,7 @@
 /// stay in use.
 #[test]
 fn a_silent_failed_or_malformed_watch_is_closed() {
-    testing::run(async {
+    testing::run_paused(async {
         const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let list = "2a\r\n{\"generation\":3,\"reset\":true,\"instances\":[\r\n3\r\n]}\n\r\n1\r\n\n\r\n";
         let texts = [
@@ -166,7 +166,7 @@
 fn a_silent_watch_is_replaced_within_six_seconds() {
     for silent in [Behaviour::FallsSilent(1), Behaviour::Trickles(1)] {
         for between in [None, Some(Behaviour::Refuses), Some(Behaviour::Busy), Some(Behaviour::Hangs)] {
-            testing::run(async {
+            testing::run_paused(async {
                 let mut behaviours = vec![silent];
                 behaviours.extend(between);
                 behaviours.push(Behaviour::SendsList(2));
@@ -194,7 +194,7 @@
 #[test]
 fn an_unavailable_discovery_is_reached_soon_after_its_recovery() {
     for away in [Behaviour::Refuses, Behaviour::Busy, Behaviour::Hangs] {
-        testing::run(async {
+        testing::run_paused(async {
             let discovery = FakeDiscovery::new(vec![
                 Behaviour::FallsSilent(1),
                 away,
@@ -224,7 +224,7 @@
 /// Guards against a poll storm: a discovery that ends each watch after its list is polled at bounded intervals.
 #[test]
 fn a_watch_that_ends_at_once_is_reopened_at_bounded_intervals() {
-    testing::run(async {
+    testing::run_paused(async {
         let discovery = FakeDiscovery::new(vec![Behaviour::Ends(1)]).await;
         let _balancer = balancer(&discovery, PollPolicy { polls_at_start: false, ..POLL_AT_START }, true);
         sleep(Duration::from_secs(60)).await;
@@ -240,7 +240,7 @@
 #[test]
 fn a_new_address_is_followed_within_four_seconds() {
     for first in [Behaviour::Refuses, Behaviour::Busy, Behaviour::Hangs, Behaviour::SendsList(1)] {
-        testing::run(async {
+        testing::run_paused(async {
             // The old address has failed for so long that the decision logic uses its longest backoff.
             let old = FakeDiscovery::new(vec![Behaviour::Refuses]).await;
             let new = FakeDiscovery::new(vec![first, Behaviour::SendsList(1)]).await;
@@ -266,7 +266,7 @@
 /// of the decision logic, and reopened as soon as discovery is reachable.
 #[test]
 fn where_lists_are_pushed_a_watch_is_always_open() {
-    testing::run(async {
+    testing::run_paused(async {
         let grace = Duration::from_millis(400);
         let discovery = FakeDiscovery::new(vec![
             Behaviour::Refuses,
@@ -302,7 +302,7 @@
     const POLLS_PER_SECOND: u32 = 6;
     let fleet_poll_time = Duration::from_secs(FLEET) / POLLS_PER_SECOND;
     for new_address in [false, true] {
-        testing::run(async {
+        testing::run_paused(async {
             let queueing = QueueingDiscovery::new(POLLS_PER_SECOND).await;
             let before = FakeDiscovery::new(vec![Behaviour::SendsList(7)]).await;
             let first = if new_address { before.address } else { queueing.address };
@@ -350,7 +350,7 @@
 /// or unreachable.
 #[test]
 fn the_old_address_is_used_until_the_new_one_has_sent_its_list() {
-    testing::run(async {
+    testing::run_paused(async {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let old_address = listener.local_addr().unwrap();
         let (changes, mut versions) = tokio::sync::mpsc::channel::<u64>(1);
--- a/node/src/discovery/tests/late_turn.rs
+++ b/node/src/discovery/tests/late_turn.rs
@@ -15,7 +15,7 @@
 #[test]
 fn a_list_received_during_a_stall_keeps_its_watch() {
     for repetition in 0..REPETITIONS {
-        testing::run(async {
+        testing::run_paused(async {
             let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
             let balancer = balancer_at(listener.local_addr().unwrap(), POLL_AT_START, true);
             let (mut watch, _) = listener.accept().await.unwrap();
--- a/node/src/downstream/backlog/tests.rs
+++ b/node/src/downstream/backlog/tests.rs
@@ -24,7 +24,7 @@
 /// right after the queue was last empty.
 #[test]
 fn backlog_wait_counts_from_when_the_queue_was_last_empty() {
-    testing::run(async {
+    testing::run_paused(async {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
         let mut backlog = Backlog::new(listener);
@@ -46,7 +46,7 @@
 /// turns of the event loop.
 #[test]
 fn several_silent_connections_are_evicted_at_once_in_a_flood() {
-    testing::run(async {
+    testing::run_paused(async {
         let downstream = downstream(&Rc::new(RecordingTransport::default()));
         let listener = crate::listener::listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
@@ -79,7 +79,7 @@
 #[test]
 fn the_backlog_wait_is_subtracted_from_the_deadline() {
     for (waited, early) in [(0, 0), (100, 100), (2_000, 240)] {
-        testing::run(async {
+        testing::run_paused(async {
             let recorder = Rc::new(RecordingTransport::default());
             let downstream = downstream(&recorder);
             let (stream, mut client) = duplex(1 << 10);
--- a/node/src/downstream/tests.rs
+++ b/node/src/downstream/tests.rs
@@ -66,7 +66,7 @@
     /// the requests, and a client that half-closes still gets all of them.
     #[test]
     fn answers_keep_the_order_of_requests(steps in prop::collection::vec(step(), 1..24), cut in 1..40usize) {
-        let (received, expected) = testing::run(async {
+        let (received, expected) = testing::run_paused(async {
             let recorder = Rc::new(RecordingTransport::default());
             let downstream = downstream(&recorder);
             let (stream, mut client) = duplex(1 << 16);
@@ -124,7 +124,7 @@
 /// still served.
 #[test]
 fn incomplete_values_hold_a_bounded_part_of_the_memory() {
-    testing::run(async {
+    testing::run_paused(async {
         let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let mut clients = Vec::new();
@@ -164,7 +164,7 @@
 /// missing deadline, and endless garbage, which also ends its connection.
 #[test]
 fn malformed_requests_are_rejected_and_never_taken() {
-    testing::run(async {
+    testing::run_paused(async {
         let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 16);
@@ -208,7 +208,7 @@
 /// and is served all the same.
 #[test]
 fn a_request_counts_for_the_tenant_that_it_names() {
-    testing::run(async {
+    testing::run_paused(async {
         let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 10);
--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -5,7 +5,7 @@
 /// A broken connection abandons its requests: no attempt may begin any more for a client that has gone.
 #[test]
 fn a_broken_connection_abandons_its_requests() {
-    testing::run(async {
+    testing::run_paused(async {
         let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 16);
@@ -28,7 +28,7 @@
 /// half-closed meanwhile.
 #[test]
 fn a_long_pipeline_is_answered_after_a_half_close() {
-    testing::run(async {
+    testing::run_paused(async {
         let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 20);
@@ -57,7 +57,7 @@
 /// half read.
 #[test]
 fn a_closing_connection_answers_its_open_requests_first() {
-    testing::run(async {
+    testing::run_paused(async {
         let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 16);
--- a/node/src/downstream/tests/eviction.rs
+++ b/node/src/downstream/tests/eviction.rs
@@ -103,7 +103,7 @@
 fn an_event_loop_delay_evicts_no_more_connections_than_wait() {
     for waiting in 0..4 {
         for turns_before in 0..8 {
-            testing::run(connect_during_loop_delay(waiting, turns_before));
+            testing::run_paused(connect_during_loop_delay(waiting, turns_before));
         }
     }
 }
@@ -112,7 +112,7 @@
 /// they are.
 #[test]
 fn clients_that_connect_during_an_event_loop_delay_are_answered() {
-    testing::run(async {
+    testing::run_paused(async {
         let (downstream, recorder, address) = start_downstream().await;
         let mut clients: Vec<_> =
             (0..SLOTS * 5).map(|id| Client::connect_and_send(address, &request(id))).collect();
@@ -137,7 +137,7 @@
 /// socket buffer.
 #[test]
 fn a_request_whose_rest_has_arrived_is_not_evicted() {
-    testing::run(async {
+    testing::run_paused(async {
         let (downstream, _, address) = start_downstream().await;
         let mut client = Client::connect_and_send(address, "m");
         run_event_loop().await;
@@ -152,7 +152,7 @@
 /// later request.
 #[test]
 fn an_eviction_withdrawn_mid_request_does_not_end_a_later_request() {
-    testing::run(async {
+    testing::run_paused(async {
         let (downstream, _, address) = start_downstream().await;
         let mut client = Client::connect_and_send(address, "m");
         run_event_loop().await;
@@ -171,7 +171,7 @@
 /// A new connection must keep its slot while others have open requests and none waits for its slot.
 #[test]
 fn a_new_connection_keeps_its_slot_while_others_are_busy() {
-    testing::run(async {
+    testing::run_paused(async {
         let (_downstream, recorder, address) = start_downstream().await;
         let busy: Vec<_> = (0..SLOTS - 2).map(|id| Client::connect_and_send(address, &request(id))).collect();
         run_event_loop().await;
@@ -189,7 +189,7 @@
 /// would be lost whose connections could have had a slot.
 #[test]
 fn an_event_loop_delay_during_the_last_accepts_loses_no_request() {
-    testing::run(async {
+    testing::run_paused(async {
         let (downstream, _, address) = start_downstream().await;
         let silent: Vec<_> = (0..SLOTS).map(|_| Client::connect(address)).collect();
         run_event_loop().await;
--- a/node/src/downstream/tests/slots.rs
+++ b/node/src/downstream/tests/slots.rs
@@ -6,7 +6,7 @@
 /// good: it closes in time, the last with an error.
 #[test]
 fn an_idle_or_stalled_connection_closes_in_time() {
-    testing::run(async {
+    testing::run_paused(async {
         let recorder = Rc::new(RecordingTransport::default());
         for (sent, answer) in [
             ("", ""),
@@ -33,7 +33,7 @@
 /// before clients run out of connections.
 #[test]
 fn surplus_idle_connections_close_longest_idle_first() {
-    testing::run(async {
+    testing::run_paused(async {
         let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let mut clients = Vec::new();
@@ -62,7 +62,7 @@
 /// A request whose first byte arrives while its idle connection is evicted must not be lost.
 #[test]
 fn a_request_begun_during_eviction_is_answered() {
-    testing::run(async {
+    testing::run_paused(async {
         let downstream = downstream(&Rc::new(RecordingTransport::default()));
         let (stream, mut client) = duplex(1 << 10);
         spawn_local(serve(Rc::clone(&downstream), stream));
@@ -80,7 +80,7 @@
 /// An eviction takes no time: otherwise a request behind a flood of connections would wait for each of them.
 #[test]
 fn an_evicted_connection_closes_at_once() {
-    testing::run(async {
+    testing::run_paused(async {
         let downstream = downstream(&Rc::new(RecordingTransport::default()));
         let (stream, mut client) = duplex(1 << 10);
         spawn_local(serve(Rc::clone(&downstream), stream));
@@ -97,7 +97,7 @@
 /// after an answer, and a new one that has sent nothing yet stays.
 #[test]
 fn a_new_connection_is_evicted_last() {
-    testing::run(async {
+    testing::run_paused(async {
         let downstream = downstream(&Rc::new(RecordingTransport::default()));
         let mut clients = Vec::new();
         for (has_had_request, wait) in [(false, 900), (true, 100), (true, 100), (false, 0)] {
--- a/node/src/graceful_shutdown/tests.rs
+++ b/node/src/graceful_shutdown/tests.rs
@@ -10,7 +10,7 @@
 /// would only cause more new ones.
 #[test]
 fn connections_close_once_no_new_ones_come() {
-    testing::run(async {
+    testing::run_paused(async {
         let shutdown = GracefulShutdown::default();
         let start = Instant::now();
         let clients = async {
@@ -39,7 +39,7 @@
 /// A client that stalls in the middle of a request must not keep the process running for good.
 #[test]
 fn the_shutdown_ends_at_its_limit_despite_a_stalled_connection() {
-    testing::run(async {
+    testing::run_paused(async {
         let shutdown = GracefulShutdown::default();
         shutdown.set_open_connections(1);
         let start = Instant::now();
@@ -52,7 +52,7 @@
 /// others.
 #[test]
 fn connections_that_open_and_close_wake_no_other() {
-    testing::run(async {
+    testing::run_paused(async {
         let shutdown = Rc::new(GracefulShutdown::default());
         let polls = Rc::new(Cell::new(0));
         let (waiting_shutdown, poll_counter) = (Rc::clone(&shutdown), Rc::clone(&polls));
--- a/node/src/peers/tests.rs
+++ b/node/src/peers/tests.rs
@@ -51,7 +51,7 @@
 #[test]
 fn a_member_that_answered_during_a_stall_is_not_suspected() {
     for repetition in 0..REPETITIONS {
-        testing::run(async {
+        testing::run_paused(async {
             let clock = Clock::start();
             let mut responsive = ResponsiveMember::start(clock);
             let seed_member = responsive.socket.local_addr().unwrap();
--- a/node/src/simulation.rs
+++ b/node/src/simulation.rs
@@ -270,7 +270,7 @@
 fn every_request_taken_has_one_complete_answer_in_time() {
     let mut counts: HashMap<Occurrence, u64> = HashMap::new();
     for seed in 0..SEED_COUNT {
-        let event_log = testing::run(async move { Simulation::new(seed).run(seed).await });
+        let event_log = testing::run_paused(async move { Simulation::new(seed).run(seed).await });
         let violations = event_log.violations.take();
         assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
         for (occurrence, count) in event_log.counts.take() {
--- a/node/src/upstream/download/tests.rs
+++ b/node/src/upstream/download/tests.rs
@@ -32,7 +32,7 @@
 /// blocks the server after a few chunks.
 #[test]
 fn a_large_value_passes_in_a_few_bounded_chunks() {
-    testing::run(async {
+    testing::run_paused(async {
         for (mut body, end) in bodies() {
             let (sender, receiver) = streamed_value(VALUE_BYTES);
             let (mut stream, mut server) = duplex(PIPE_BYTES);
@@ -75,7 +75,7 @@
 /// If the server closes, stalls or ends the value wrongly, the client must never receive the last byte.
 #[test]
 fn an_interrupted_value_is_never_complete() {
-    testing::run(async {
+    testing::run_paused(async {
         let without_end = MalformedResponse::from(memcache::ResponseError::ValueWithoutEnd);
         assert_eq!(without_end.to_string(), "no line end after the value");
         for (sent, end, error) in [
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -49,7 +49,7 @@
     /// executed while its last byte was not written, and an answer with another id counts for none.
     #[test]
     fn an_attempt_ends_by_what_was_written(action in action(), value_bytes in 0..300usize, piece_bytes in 1..9usize, pipe_bytes in 1..200usize) {
-        testing::run(async {
+        testing::run_paused(async {
             let recorder = Rc::new(RecordingTransport::default());
             let dispatcher = testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
             let upstream = testing::upstream(1);
@@ -111,7 +111,7 @@
 /// not begin.
 #[test]
 fn a_draining_server_gets_no_waiting_attempt() {
-    testing::run(async {
+    testing::run_paused(async {
         let upstream = testing::upstream(0);
         let dispatcher =
             testing::dispatcher(testing::settings(1, Idempotency::Idempotent), upstream.clone(), 1);
@@ -155,7 +155,7 @@
 /// again.
 #[test]
 fn a_half_written_attempt_ends_with_its_request() {
-    testing::run(async {
+    testing::run_paused(async {
         let recorder = Rc::new(RecordingTransport::default());
         let dispatcher =
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
@@ -241,7 +241,7 @@
         ("nonsense\r\n\r\n".to_owned(), 1),
     ];
     for (text, malformed) in cases {
-        testing::run(async {
+        testing::run_paused(async {
             let recorder = Rc::new(RecordingTransport::default());
             let dispatcher =
                 testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
@@ -266,7 +266,7 @@
 /// An endless body with a huge length must be dropped before it fills the memory.
 #[test]
 fn an_endless_body_is_not_read_to_its_end() {
-    testing::run(async {
+    testing::run_paused(async {
         let recorder = Rc::new(RecordingTransport::default());
         let dispatcher =
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
@@ -295,7 +295,7 @@
 /// stop, so that its connection stays open and the late answer is read and discarded.
 #[test]
 fn a_timeout_closes_only_connections_to_the_origin() {
-    testing::run(async {
+    testing::run_paused(async {
         for kind in [0, testing::ORIGIN] {
             let upstream = testing::upstream(4);
             let mut listed = listed_server(SERVER, EndpointState::Serving);
@@ -321,7 +321,7 @@
 /// The idle timeout is shortened when reused connections break, and grows back.
 #[test]
 fn a_shorter_idle_timeout_is_learnt_and_forgotten() {
-    testing::run(async {
+    testing::run_paused(async {
         let upstream = testing::upstream(4);
         let idle_timeout = &upstream.idle_timeout;
         let maximum = idle_timeout.current();
@@ -349,7 +349,7 @@
 /// A connection to the old address of a server must not be used, as another process may listen there.
 #[test]
 fn a_connection_to_an_old_address_is_not_used() {
-    testing::run(async {
+    testing::run_paused(async {
         let upstream = testing::upstream(4);
         let moved = listed_server(SERVER, EndpointState::Serving);
         upstream.on_endpoints_changed(EndpointUpdate::Snapshot, std::slice::from_ref(&moved));
