--- a/node/src/discovery/poll.rs
+++ b/node/src/discovery/poll.rs
@@ -18,7 +18,7 @@
 use super::timing::DISCOVERY_CONNECT_TIMEOUT;
 use super::watches::PollId;
 use crate::endpoint_list::EndpointList;
-use crate::http::{write_discovery_call, Response};
+use crate::http::{write_discovery_request, Response};
 use crate::socket::Socket;
 
 /// The maximum length of a list.
@@ -128,7 +128,7 @@
     host: &str,
 ) -> Result<(), PollError> {
     let mut request = BytesMut::new();
-    write_discovery_call(&mut request, path, host);
+    write_discovery_request(&mut request, path, host);
     stream.write_all(&request).await?;
     Ok(())
 }
--- a/node/src/upstream/download/tests.rs
+++ b/node/src/upstream/download/tests.rs
@@ -76,12 +76,12 @@
 #[test]
 fn an_interrupted_value_is_never_complete() {
     testing::run_paused(async {
-        let without_end = MalformedResponse::from(memcache::ResponseError::ValueWithoutEnd);
-        assert_eq!(without_end.to_string(), "no line end after the value");
+        let missing_value_end = MalformedResponse::from(memcache::ResponseError::MissingValueEnd);
+        assert_eq!(missing_value_end.to_string(), "no line end after the value");
         for (sent, end, error) in [
             (VALUE_BYTES - 1, &b""[..], ReadError::Disconnected),
             (1000, b"", ReadError::Disconnected),
-            (VALUE_BYTES, b"xx", ReadError::Malformed(without_end)),
+            (VALUE_BYTES, b"xx", ReadError::Malformed(missing_value_end)),
         ] {
             for stalls in [true, false] {
                 let [(mut body, _), _] = bodies();
--- a/protocols/src/http.rs
+++ b/protocols/src/http.rs
@@ -6,7 +6,7 @@
 mod request_writer;
 mod response;
 
-pub use request_writer::{write_discovery_call, write_request, write_request_head};
+pub use request_writer::{write_discovery_request, write_request, write_request_head};
 pub use response::{may_begin_response, Head, Response, ResponseError};
 
 #[cfg(test)]
--- a/protocols/src/http/request_writer.rs
+++ b/protocols/src/http/request_writer.rs
@@ -1,4 +1,4 @@
-//! Writes requests to the origin and calls to discovery.
+//! Writes requests to the origin and to discovery.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use juniperladder::Micros;
@@ -47,8 +47,8 @@
     }
 }
 
-/// Writes a call to discovery.
-pub fn write_discovery_call(output: &mut BytesMut, path: &str, host: &str) {
-    let call = format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n");
-    output.put_slice(call.as_bytes());
+/// Writes a request to discovery.
+pub fn write_discovery_request(output: &mut BytesMut, path: &str, host: &str) {
+    let request = format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n");
+    output.put_slice(request.as_bytes());
 }
--- a/protocols/src/memcache/response_reader.rs
+++ b/protocols/src/memcache/response_reader.rs
@@ -27,7 +27,7 @@
     IdMismatch(String),
     /// The value is not followed by a line end.
     #[error("no line end after the value")]
-    ValueWithoutEnd,
+    MissingValueEnd,
     /// The value is too long to be buffered, and the caller cannot stream it; holds its length in bytes.
     #[error("cannot buffer a value of {0} bytes: the limit is {MAX_BUFFERED_VALUE_BYTES}")]
     ValueNotBufferable(usize),
@@ -69,7 +69,7 @@
             return Ok((chunk, false));
         }
         if !input.starts_with(LINE_END) {
-            return Err(ResponseError::ValueWithoutEnd);
+            return Err(ResponseError::MissingValueEnd);
         }
         input.advance(LINE_END.len());
         Ok((chunk, true))
@@ -195,7 +195,7 @@
         return Ok(None);
     }
     if !input[value_end..].starts_with(LINE_END) {
-        return Err(ResponseError::ValueWithoutEnd);
+        return Err(ResponseError::MissingValueEnd);
     }
     input.advance(line.total);
     let value = input.split_to(length).freeze();
