--- a/node/src/config/file.rs
+++ b/node/src/config/file.rs
@@ -81,7 +81,7 @@
     pub(super) fn into_config(self) -> Result<Config, InvalidConfig> {
         let site = self.settings;
         site.check()?;
-        let settings = site.to_decisions();
+        let settings = site.to_balancer_settings();
         let client_address = parse_address("listen", &self.client_address)?;
         let admin_address = match &self.admin_address {
             Some(text) => parse_admin_address(client_address, text)?,
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -143,18 +143,18 @@
 
 impl SiteSettings {
     /// Converts the settings for the decision core.
-    pub fn to_decisions(&self) -> Settings {
+    pub fn to_balancer_settings(&self) -> Settings {
         Settings {
             balancers: self.balancers,
             zone: self.zone,
-            classes: self.classes.iter().map(ClassSettings::to_decisions).collect(),
-            tenants: self.tenants.iter().map(TenantSettings::to_decisions).collect(),
-            mode: self.cache.to_decisions(),
+            classes: self.classes.iter().map(ClassSettings::to_balancer_settings).collect(),
+            tenants: self.tenants.iter().map(TenantSettings::to_balancer_settings).collect(),
+            mode: self.cache.to_balancer_settings(),
             subscribe: self.membership_mode == "subscribe",
             weighted: matches!(self.weights.as_str(), "nominal" | "rough"),
             tick: self.tick_interval,
-            limits: self.limits.to_decisions(),
-            rules: self.rules.to_decisions(),
+            limits: self.limits.to_balancer_settings(),
+            rules: self.rules.to_balancer_settings(),
         }
     }
 
@@ -173,7 +173,7 @@
 }
 
 impl ClassSettings {
-    fn to_decisions(&self) -> Class {
+    fn to_balancer_settings(&self) -> Class {
         Class {
             latency_objective: self.latency_objective,
             latency_objective_per_work: self.latency_objective_per_work,
@@ -200,7 +200,7 @@
         self.mode == "aside"
     }
 
-    fn to_decisions(&self) -> CacheMode {
+    fn to_balancer_settings(&self) -> CacheMode {
         let origin_kind = self.origin_kind.and_then(|kind| u32::try_from(kind).ok());
         match origin_kind {
             Some(kind) if self.is_cache_aside() => CacheMode::Aside(kind),
@@ -210,7 +210,7 @@
 }
 
 impl SiteLimits {
-    fn to_decisions(&self) -> Limits {
+    fn to_balancer_settings(&self) -> Limits {
         Limits {
             max_attempts: self.max_attempts,
             max_retry_after: self.max_retry_after,
@@ -221,13 +221,13 @@
 }
 
 impl TenantSettings {
-    fn to_decisions(&self) -> Tenant {
+    fn to_balancer_settings(&self) -> Tenant {
         Tenant { allowance_per_s: self.allowance_per_s }
     }
 }
 
 impl SiteRules {
-    fn to_decisions(&self) -> Rules {
+    fn to_balancer_settings(&self) -> Rules {
         Rules {
             discovery_poll_interval: self.discovery_poll_interval,
             slow_start_initial_share: self.slow_start_initial_share,
--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn words_are_mapped_to_the_types_of_the_decision_core() {
-    let settings = parse(VALID_SETTINGS).to_decisions();
+    let settings = parse(VALID_SETTINGS).to_balancer_settings();
     let class = &settings.classes[0];
     assert_eq!(
         (class.idempotency, class.deduplication_scope, class.deadline),
@@ -22,7 +22,7 @@
     assert_eq!((settings.mode, settings.zone), (CacheMode::Aside(2), 1));
     assert!(settings.subscribe && settings.weighted);
     assert_eq!(
-        parse(&VALID_SETTINGS.replace("aside", "through")).to_decisions().mode,
+        parse(&VALID_SETTINGS.replace("aside", "through")).to_balancer_settings().mode,
         CacheMode::ReadThrough
     );
 }
@@ -94,7 +94,7 @@
     assert_eq!((site.classes[0].name.as_str(), site.tenants[0].name.as_str()), ("read", "acme"));
     assert_eq!(site.limits.connection_idle_timeout, Micros(21));
     assert_eq!(site.limits.connect_timeout, Micros(22));
-    let settings = site.to_decisions();
+    let settings = site.to_balancer_settings();
     assert_eq!((settings.zone, settings.balancers, settings.tick), (1, 7, Micros(5000)));
     assert_eq!((settings.weighted, settings.subscribe, settings.mode), (true, true, CacheMode::Aside(1)));
     let Limits { max_attempts, max_retry_after, retry_after, may_duplicate } = settings.limits;
--- a/simulator-adapter/src/instances.rs
+++ b/simulator-adapter/src/instances.rs
@@ -43,7 +43,7 @@
     fn handle(&mut self, now: Micros, event: IncomingEvent) -> Result<(), AdapterError> {
         match event {
             IncomingEvent::Start { instance, seed, settings } => {
-                self.balancers.insert(instance, Balancer::new(settings.to_decisions(), seed));
+                self.balancers.insert(instance, Balancer::new(settings.to_balancer_settings(), seed));
                 Ok(())
             }
             IncomingEvent::Stop { instance } => match self.balancers.remove(&instance) {
