--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -188,7 +188,7 @@
 #[test]
 fn an_endless_endpoint_list_is_bounded() {
     let recorder = Rc::new(RecordingTransport::default());
-    let mode = juniperladder::CacheMode::Aside(testing::ORIGIN);
+    let mode = juniperladder::CacheMode::CacheAside(testing::ORIGIN);
     let dispatcher = dispatcher(Settings { mode, ..settings(3, Idempotency::Idempotent) }, recorder, 0);
     let serving = |n| testing::listed_server(ServerId(n), EndpointState::Serving);
     let mut origin = serving(u64::MAX);
--- a/dispatch/src/testing.rs
+++ b/dispatch/src/testing.rs
@@ -62,13 +62,13 @@
         classes: vec![class],
         tenants: vec![],
         mode: CacheMode::ReadThrough,
-        subscribe: true,
-        weighted: false,
-        tick: Micros(5_000),
+        watches_discovery: true,
+        has_comparable_weights: false,
+        min_batch_interval: Micros(5_000),
         limits: Limits {
             max_attempts,
             max_retry_after: Micros(2_000_000),
-            retry_after: true,
+            sends_retry_after: true,
             may_duplicate: true,
         },
         rules: Rules {
--- a/node/src/config/file.rs
+++ b/node/src/config/file.rs
@@ -90,7 +90,7 @@
         let log_level = self.log_level.as_deref().map_or(Ok(Level::Info), parse_log_level)?;
         let discovery_address = parse_address("discovery", &self.discovery_address)?;
         let drain_grace = duration(site.drain_grace());
-        let pushed_list_backoff = (!settings.subscribe).then(|| pushed_list_backoff(drain_grace));
+        let pushed_list_backoff = (!settings.watches_discovery).then(|| pushed_list_backoff(drain_grace));
         Ok(Config {
             path: None,
             name: self.name,
--- a/node/src/config/tests.rs
+++ b/node/src/config/tests.rs
@@ -19,12 +19,12 @@
     let config = Config::parse(VALID_CONFIG.into()).unwrap();
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
     assert_eq!(config.resource_limits, ConfiguredLimits { memory_bytes: 192 << 20, descriptors: 512 });
-    assert_eq!((config.settings.mode, config.settings.zone), (CacheMode::Aside(2), 1));
+    assert_eq!((config.settings.mode, config.settings.zone), (CacheMode::CacheAside(2), 1));
     assert_eq!(
         (config.server_idle_timeout, config.connect_timeout),
         (Duration::from_secs(5), Duration::from_millis(250))
     );
-    assert!(config.settings.subscribe && config.settings.weighted);
+    assert!(config.settings.watches_discovery && config.settings.has_comparable_weights);
 }
 
 #[test]
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -126,13 +126,13 @@
     address: watch::Sender<SocketAddr>,
 }
 
-fn balancer(discovery: &FakeDiscovery, policy: PollPolicy, subscribe: bool) -> Balancer {
-    balancer_at(discovery.address, policy, subscribe)
+fn balancer(discovery: &FakeDiscovery, policy: PollPolicy, watches_discovery: bool) -> Balancer {
+    balancer_at(discovery.address, policy, watches_discovery)
 }
 
-fn balancer_at(address: SocketAddr, policy: PollPolicy, subscribe: bool) -> Balancer {
+fn balancer_at(address: SocketAddr, policy: PollPolicy, watches_discovery: bool) -> Balancer {
     let mut settings = testing::settings(1, Idempotency::Idempotent);
-    settings.subscribe = subscribe;
+    settings.watches_discovery = watches_discovery;
     let dispatcher =
         testing::seeded_dispatcher(settings, policy.seed, Rc::new(RecordingTransport::default()), 1);
     let timers = Rc::clone(&dispatcher);
--- a/node/src/simulation.rs
+++ b/node/src/simulation.rs
@@ -152,7 +152,7 @@
         deduplication_window: Micros(DEDUPLICATION_WINDOW.as_micros() as u64),
         ..Class::default()
     };
-    let mode = CacheMode::Aside(ORIGIN);
+    let mode = CacheMode::CacheAside(ORIGIN);
     Settings {
         classes: SIMULATED_CLASSES.map(class).into(),
         mode,
--- a/node/src/upstream/upload/tests.rs
+++ b/node/src/upstream/upload/tests.rs
@@ -12,7 +12,7 @@
     let origin = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let upstream = testing::upstream(8);
     let settings = juniperladder::Settings {
-        mode: CacheMode::Aside(ORIGIN),
+        mode: CacheMode::CacheAside(ORIGIN),
         ..testing::settings(3, Idempotency::WithIdempotencyKey)
     };
     let dispatcher = testing::dispatcher(settings, upstream.clone(), 0);
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -150,9 +150,9 @@
             classes: self.classes.iter().map(ClassSettings::to_balancer_settings).collect(),
             tenants: self.tenants.iter().map(TenantSettings::to_balancer_settings).collect(),
             mode: self.cache.to_balancer_settings(),
-            subscribe: self.membership_mode == "subscribe",
-            weighted: matches!(self.weights.as_str(), "nominal" | "rough"),
-            tick: self.tick_interval,
+            watches_discovery: self.membership_mode == "subscribe",
+            has_comparable_weights: matches!(self.weights.as_str(), "nominal" | "rough"),
+            min_batch_interval: self.tick_interval,
             limits: self.limits.to_balancer_settings(),
             rules: self.rules.to_balancer_settings(),
         }
@@ -203,7 +203,7 @@
     fn to_balancer_settings(&self) -> CacheMode {
         let origin_kind = self.origin_kind.and_then(|kind| u32::try_from(kind).ok());
         match origin_kind {
-            Some(kind) if self.is_cache_aside() => CacheMode::Aside(kind),
+            Some(kind) if self.is_cache_aside() => CacheMode::CacheAside(kind),
             _ => CacheMode::ReadThrough,
         }
     }
@@ -214,7 +214,7 @@
         Limits {
             max_attempts: self.max_attempts,
             max_retry_after: self.max_retry_after,
-            retry_after: self.retry_after,
+            sends_retry_after: self.retry_after,
             may_duplicate: self.may_duplicate,
         }
     }
--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -19,8 +19,8 @@
         (class.idempotency, class.deduplication_scope, class.deadline),
         (Idempotency::WithIdempotencyKey, DeduplicationScope::Cell, Micros(3_000_000))
     );
-    assert_eq!((settings.mode, settings.zone), (CacheMode::Aside(2), 1));
-    assert!(settings.subscribe && settings.weighted);
+    assert_eq!((settings.mode, settings.zone), (CacheMode::CacheAside(2), 1));
+    assert!(settings.watches_discovery && settings.has_comparable_weights);
     assert_eq!(
         parse(&VALID_SETTINGS.replace("aside", "through")).to_balancer_settings().mode,
         CacheMode::ReadThrough
@@ -95,10 +95,16 @@
     assert_eq!(site.limits.connection_idle_timeout, Micros(21));
     assert_eq!(site.limits.connect_timeout, Micros(22));
     let settings = site.to_balancer_settings();
-    assert_eq!((settings.zone, settings.balancers, settings.tick), (1, 7, Micros(5000)));
-    assert_eq!((settings.weighted, settings.subscribe, settings.mode), (true, true, CacheMode::Aside(1)));
-    let Limits { max_attempts, max_retry_after, retry_after, may_duplicate } = settings.limits;
-    assert_eq!((max_attempts, max_retry_after, retry_after, may_duplicate), (4, Micros(23), true, true));
+    assert_eq!((settings.zone, settings.balancers, settings.min_batch_interval), (1, 7, Micros(5000)));
+    assert_eq!(
+        (settings.has_comparable_weights, settings.watches_discovery, settings.mode),
+        (true, true, CacheMode::CacheAside(1))
+    );
+    let Limits { max_attempts, max_retry_after, sends_retry_after, may_duplicate } = settings.limits;
+    assert_eq!(
+        (max_attempts, max_retry_after, sends_retry_after, may_duplicate),
+        (4, Micros(23), true, true)
+    );
     let Rules { discovery_poll_interval, slow_start_initial_share, slow_start_duration } = settings.rules;
     assert_eq!((discovery_poll_interval, slow_start_duration), (Micros(31), Micros(32)));
     assert_eq!((slow_start_initial_share, settings.tenants[0].allowance_per_s), (0.75, 1.5));
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -63,7 +63,7 @@
         let time_left = request.deadline - now;
         let elapsed = settings.class(request.class).deadline - time_left;
         let longest_time_left = self.longest_initial_time_left[settings.class_index(request.class)];
-        let tolerance = settings.tick.mul_f64(TIME_LEFT_TOLERANCE_IN_TICKS);
+        let tolerance = settings.min_batch_interval.mul_f64(TIME_LEFT_TOLERANCE_IN_TICKS);
         let is_certain = time_left + tolerance < longest_time_left;
         elapsed.mul_f64(if is_certain { 1.0 } else { UNCERTAIN_ELAPSED_SHARE })
     }
@@ -113,7 +113,7 @@
             return;
         }
         let limits = &self.settings.limits;
-        let max_retry_after = if limits.retry_after { limits.max_retry_after } else { Micros::ZERO };
+        let max_retry_after = if limits.sends_retry_after { limits.max_retry_after } else { Micros::ZERO };
         let spread = RETRY_AFTER_SPREAD.mul_f64(self.rng.f64());
         actions.push(Action::Reject { id, retry_after: (wait + spread).min(max_retry_after), reason });
     }
--- a/src/balancer/discovery_schedule.rs
+++ b/src/balancer/discovery_schedule.rs
@@ -87,7 +87,7 @@
     /// Factor on the delays of a start; below one in a small fleet.
     start_spread_factor: f64,
     /// Minimum delay of the first call.
-    tick: Micros,
+    min_batch_interval: Micros,
     stage: Stage,
     /// Remaining calls with the startup backoff.
     start_calls_left: u32,
@@ -101,10 +101,10 @@
     pub(super) fn new(settings: &Settings) -> DiscoverySchedule {
         let spread_factor = f64::from(settings.balancers) / FULL_SPREAD_BALANCERS;
         DiscoverySchedule {
-            is_polling: settings.subscribe,
+            is_polling: settings.watches_discovery,
             interval: settings.rules.discovery_poll_interval.min(MAX_POLL_INTERVAL),
             start_spread_factor: spread_factor.clamp(MIN_SPREAD_FACTOR, 1.0),
-            tick: settings.tick,
+            min_batch_interval: settings.min_batch_interval,
             stage: Stage::StartingOrFirstCallFailed,
             start_calls_left: START_CALLS - 1,
             call_due_or_last_list: Micros::ZERO,
@@ -139,7 +139,7 @@
         let is_start = update == EndpointUpdate::Restored && self.call_due_or_last_list == Micros::ZERO;
         if is_start && self.is_polling {
             let share = START_SPREAD_SHARE * self.start_spread_factor * rng.f64();
-            let first_call = now + self.interval.mul_f64(share) + self.tick;
+            let first_call = now + self.interval.mul_f64(share) + self.min_batch_interval;
             self.call_due_or_last_list = first_call;
             return Some(first_call);
         }
--- a/src/balancer/gap_ladder.rs
+++ b/src/balancer/gap_ladder.rs
@@ -79,7 +79,7 @@
         let deadlines = settings.classes.iter().map(|class| class.deadline);
         let longest_deadline = deadlines.max().unwrap_or(DEFAULT_DEADLINE);
 
-        let base = settings.tick.0.max(MIN_BASE_MICROS) as f64;
+        let base = settings.min_batch_interval.0.max(MIN_BASE_MICROS) as f64;
         let balancers = f64::from(balancers);
         let balancers_factor = (balancers / f64::from(BALANCERS_WITHOUT_LONGER_GAPS)).max(1.0).sqrt();
         let longest_gap = longest_deadline.mul_f64(balancers_factor);
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -130,7 +130,7 @@
 
 /// The server's relative capacity; 1 if the weights in the endpoint list are not comparable.
 fn capacity_weight(endpoint: &Endpoint, settings: &Settings) -> f64 {
-    let is_usable = settings.weighted && endpoint.weight.is_finite() && endpoint.weight > 0.0;
+    let is_usable = settings.has_comparable_weights && endpoint.weight.is_finite() && endpoint.weight > 0.0;
     if is_usable {
         endpoint.weight
     } else {
--- a/src/balancer/tests/capacity.rs
+++ b/src/balancer/tests/capacity.rs
@@ -209,7 +209,7 @@
 
 fn discovery_wave(balancers: usize, seed: u64, service_ms: u64) {
     let mut settings = idempotent_settings();
-    settings.subscribe = true;
+    settings.watches_discovery = true;
     settings.balancers = balancers as u32;
     let callers = balancers * 2 / 5;
     let mut starting: Vec<Balancer> =
--- a/src/balancer/tests/discovery_schedule.rs
+++ b/src/balancer/tests/discovery_schedule.rs
@@ -5,7 +5,7 @@
 #[test]
 fn calls_are_spread_and_within_the_poll_interval() {
     let mut settings = idempotent_settings();
-    settings.subscribe = true;
+    settings.watches_discovery = true;
     let interval = settings.rules.discovery_poll_interval;
     let mut times = Vec::new();
     for seed in 0..50 {
@@ -30,7 +30,7 @@
 fn simultaneous_starts_do_not_overload_discovery() {
     const CALLS_PER_SECOND: usize = 10;
     let mut settings = idempotent_settings();
-    settings.subscribe = true;
+    settings.watches_discovery = true;
     let mut starting: Vec<Balancer> = (0..90).map(|seed| Balancer::new(settings.clone(), seed)).collect();
     let mut due: Vec<(u64, usize)> = Vec::new();
     let timer_of = |actions: &[Action]| match actions {
--- a/src/balancer/tests/settings.rs
+++ b/src/balancer/tests/settings.rs
@@ -7,14 +7,14 @@
     let mut unusable = idempotent_settings();
     unusable.classes.clear();
     unusable.balancers = 0;
-    unusable.tick = Micros(0);
+    unusable.min_batch_interval = Micros(0);
     unusable.limits.max_attempts = 0;
     unusable.rules = Rules {
         discovery_poll_interval: Micros(0),
         slow_start_initial_share: f64::NAN,
         slow_start_duration: Micros(0),
     };
-    unusable.weighted = true;
+    unusable.has_comparable_weights = true;
     let mut list = endpoints(3);
     for (endpoint, weight) in list.iter_mut().zip([f64::NAN, 0.0, -1.0]) {
         endpoint.weight = weight;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -21,13 +21,13 @@
 //!     }],
 //!     tenants: vec![],
 //!     mode: CacheMode::ReadThrough,
-//!     subscribe: false,
-//!     weighted: false,
-//!     tick: Micros(1_000),
+//!     watches_discovery: false,
+//!     has_comparable_weights: false,
+//!     min_batch_interval: Micros(1_000),
 //!     limits: Limits {
 //!         max_attempts: 3,
 //!         max_retry_after: Micros(1_000_000),
-//!         retry_after: true,
+//!         sends_retry_after: true,
 //!         may_duplicate: false,
 //!     },
 //!     rules: Rules {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -76,14 +76,14 @@
     /// Read-through: cache servers fetch missing objects themselves.
     ReadThrough,
     /// Cache-aside: the balancer forwards misses and writes to the origin, the endpoint of this kind.
-    Aside(u32),
+    CacheAside(u32),
 }
 
 impl CacheMode {
     /// The kind of the origin's endpoint; `None` if cache servers fetch missing objects themselves.
     pub fn origin_kind(self) -> Option<u32> {
         match self {
-            CacheMode::Aside(kind) => Some(kind),
+            CacheMode::CacheAside(kind) => Some(kind),
             CacheMode::ReadThrough => None,
         }
     }
@@ -97,7 +97,7 @@
     /// Longest Retry-After that a client follows.
     pub max_retry_after: Micros,
     /// Whether clients receive a Retry-After.
-    pub retry_after: bool,
+    pub sends_retry_after: bool,
     /// Whether two attempts of one request may be in flight at the same time.
     pub may_duplicate: bool,
 }
@@ -127,11 +127,11 @@
     /// How cache misses are served.
     pub mode: CacheMode,
     /// Whether discovery must be watched for changes of the endpoint list, because they are not pushed.
-    pub subscribe: bool,
+    pub watches_discovery: bool,
     /// Whether the weights in the endpoint list are comparable capacities of the servers.
-    pub weighted: bool,
+    pub has_comparable_weights: bool,
     /// Shortest time between two batches of events.
-    pub tick: Micros,
+    pub min_batch_interval: Micros,
     /// Limits that the site sets.
     pub limits: Limits,
     /// The site's parameters for discovery and slow start.
@@ -152,7 +152,7 @@
 
     /// Whether the endpoint is the origin.
     pub fn is_origin(&self, endpoint: &Endpoint) -> bool {
-        self.mode == CacheMode::Aside(endpoint.kind)
+        self.mode == CacheMode::CacheAside(endpoint.kind)
     }
 
     /// Replaces unusable values by the least harmful ones: at least one class and one balancer, and a finite
