--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -13,9 +13,9 @@
 
 /// Time over which the retries of clients that are rejected together are spread.
 pub(super) const RETRY_AFTER_SPREAD: Micros = Micros::from_millis(250);
-/// Ticks by which the remaining time of a client retry must be below that of first attempts for the estimate
-/// of the elapsed time to be certain.
-const TIME_LEFT_TOLERANCE_IN_TICKS: f64 = 2.0;
+/// Minimum batch intervals by which the remaining time of a client retry must be below that of first attempts
+/// for the estimate of the elapsed time to be certain.
+const TIME_LEFT_TOLERANCE_IN_BATCH_INTERVALS: f64 = 2.0;
 /// Share of the estimated time since the first attempt that counts if the estimate is uncertain.
 const UNCERTAIN_ELAPSED_SHARE: f64 = 0.5;
 
@@ -63,7 +63,7 @@
         let time_left = request.deadline - now;
         let elapsed = settings.class(request.class).deadline - time_left;
         let longest_time_left = self.longest_initial_time_left[settings.class_index(request.class)];
-        let tolerance = settings.min_batch_interval.mul_f64(TIME_LEFT_TOLERANCE_IN_TICKS);
+        let tolerance = settings.min_batch_interval.mul_f64(TIME_LEFT_TOLERANCE_IN_BATCH_INTERVALS);
         let is_certain = time_left + tolerance < longest_time_left;
         elapsed.mul_f64(if is_certain { 1.0 } else { UNCERTAIN_ELAPSED_SHARE })
     }
