--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -111,7 +111,7 @@
                 attempt: number,
                 latency: Micros(self.now_us - sent_at_us),
                 result: if is_miss { AttemptResult::Miss } else { AttemptResult::Served },
-                is_request_over: !is_miss,
+                is_request_closed: !is_miss,
                 fetch_in_progress: false,
             };
             self.handle(Event::AttemptCompleted(completed));
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -99,14 +99,14 @@
         let latency = now.saturating_sub(attempt.begun_at);
         debug!(self.log, "attempt completed"; "request" => attempt.request.0, "attempt" => attempt.attempt,
             "server" => %ServerLabel(attempt.server), "result" => ?result, "latency_ms" => to_ms(latency));
-        let is_request_over = self.answer_if_final(state, attempt.request, answer);
+        let is_request_closed = self.answer_if_final(state, attempt.request, answer);
         let completed = CompletedAttempt {
             id: attempt.request.to_request_id(),
             server: attempt.server,
             attempt: attempt.attempt,
             latency,
             result,
-            is_request_over,
+            is_request_closed,
             fetch_in_progress,
         };
         self.handle(state, now, Event::AttemptCompleted(completed));
--- a/simulator-adapter/src/wire/incoming.rs
+++ b/simulator-adapter/src/wire/incoming.rs
@@ -210,7 +210,7 @@
             attempt: self.attempt,
             latency: Micros(self.latency),
             result: self.result.into(),
-            is_request_over: self.request_closed,
+            is_request_closed: self.request_closed,
             fetch_in_progress: self.remark == REMARK_FETCH_IN_PROGRESS,
         })
     }
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -108,7 +108,7 @@
 
 /// The next step of a request that has recorded the attempt's result.
 fn next_step(open: &OpenRequest, completed: &CompletedAttempt) -> NextStep {
-    if completed.is_request_over {
+    if completed.is_request_closed {
         NextStep::Close
     } else if open.attempt_in_flight().is_some() || open.has_response_started {
         NextStep::Wait
--- a/src/balancer/tests.rs
+++ b/src/balancer/tests.rs
@@ -138,7 +138,7 @@
         attempt,
         latency: Micros(1_000),
         result,
-        is_request_over: false,
+        is_request_closed: false,
         fetch_in_progress: false,
     }
 }
@@ -156,7 +156,7 @@
     result: AttemptResult,
 ) -> Event<'static> {
     let ended = completed_attempt(number, attempt, server, result);
-    Event::AttemptCompleted(CompletedAttempt { is_request_over: true, ..ended })
+    Event::AttemptCompleted(CompletedAttempt { is_request_closed: true, ..ended })
 }
 
 /// Server of the first send among these actions.
--- a/src/balancer/tests/concurrency_limit.rs
+++ b/src/balancer/tests/concurrency_limit.rs
@@ -111,7 +111,7 @@
             let result = if is_served { AttemptResult::Served } else { AttemptResult::Timeout };
             let latency = Micros(if is_served { 100_000 } else { latency });
             let ended = completed_attempt(n, 0, to, result);
-            let ended = CompletedAttempt { is_request_over: is_served, latency, ..ended };
+            let ended = CompletedAttempt { is_request_closed: is_served, latency, ..ended };
             handle(&mut balancer, now + latency.0, Event::AttemptCompleted(ended));
         }
         let server = balancer.endpoints.server_mut(ServerId(0)).expect("listed");
--- a/src/balancer/tests/hedging.rs
+++ b/src/balancer/tests/hedging.rs
@@ -36,7 +36,7 @@
             let [Action::Send { server, .. }, ..] = sends[..] else { panic!("{sends:?}") };
             let ended = CompletedAttempt {
                 latency: Micros(latency_of_others),
-                is_request_over: true,
+                is_request_closed: true,
                 ..completed_attempt(n, 0, server, AttemptResult::Served)
             };
             handle(&mut balancer, now + latency_of_others, Event::AttemptCompleted(ended));
--- a/src/balancer/tests/history.rs
+++ b/src/balancer/tests/history.rs
@@ -149,10 +149,10 @@
             attempt: attempt as u32,
             latency: Micros(*now - recorded.sent),
             result,
-            is_request_over: result == AttemptResult::Served,
+            is_request_closed: result == AttemptResult::Served,
             fetch_in_progress: rng.bool(),
         };
-        if completed.is_request_over {
+        if completed.is_request_closed {
             open.remove(&id);
         }
         Some(Input::Other(Event::AttemptCompleted(completed)))
--- a/src/balancer/tests/simulation/engine.rs
+++ b/src/balancer/tests/simulation/engine.rs
@@ -375,9 +375,9 @@
                 self.result.served[(request.first_sent / SECOND - 1) as usize] += 1.0;
             }
         }
-        let (balancer, is_request_over) = (request.balancer, !request.is_open);
+        let (balancer, is_request_closed) = (request.balancer, !request.is_open);
         let ended = completed_attempt(number, attempt, server, result);
-        let ended = CompletedAttempt { latency, is_request_over, ..ended };
+        let ended = CompletedAttempt { latency, is_request_closed, ..ended };
         self.handle(balancer, Event::AttemptCompleted(ended));
     }
 
--- a/src/request.rs
+++ b/src/request.rs
@@ -70,7 +70,7 @@
     /// Result of the attempt.
     pub result: AttemptResult,
     /// Whether the request is closed and needs no further decisions.
-    pub is_request_over: bool,
+    pub is_request_closed: bool,
     /// On a miss: whether the server has already asked another request to fetch the key.
     pub fetch_in_progress: bool,
 }
