--- a/src/balancer/limit_view.rs
+++ b/src/balancer/limit_view.rs
@@ -33,7 +33,7 @@
     /// Minimum time between two sends of one source; `Micros::ZERO` if there is no gap.
     pub gap: Micros,
     /// Time at which the gap expires unless an outcome renews it.
-    pub gap_until: Micros,
+    pub gap_ends_at: Micros,
     /// This balancer's attempts in flight, including abandoned ones that the server may still work on.
     pub in_flight: f64,
     /// Limit on the attempts in flight.
@@ -81,7 +81,7 @@
         LimitView {
             server: endpoint.server,
             gap: if gap.is_active(now) { self.cache_ladder.length(gap.rung) } else { Micros::ZERO },
-            gap_until: gap.ends_at,
+            gap_ends_at: gap.ends_at,
             in_flight: concurrency.in_flight(),
             limit: concurrency.limit,
             baseline_latency: Micros(concurrency.baseline_latency as u64),
