--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -73,7 +73,7 @@
     let max_duration = |range: BackoffRange| poll_interval.mul_f64(range.max_share);
     let after_watch = max_duration(DISCOVERY_BACKOFF.after_watch);
     let after_failure = max_duration(DISCOVERY_BACKOFF.after_first_failure);
-    let after_more_failures = max_duration(DISCOVERY_BACKOFF.after_more_failures);
+    let after_later_failures = max_duration(DISCOVERY_BACKOFF.after_later_failures);
     let min_pause = max_duration(MIN_DISCOVERY_PAUSE);
     // The timeout includes the time to connect.
     let slow_poll = ANSWER_TIMEOUT;
@@ -95,12 +95,12 @@
             "ended at once, refused, polled, answered slowly",
             after_watch.max(min_pause) + after_failure.max(min_pause) + slow_poll,
         ),
-        ("available right after a poll was refused, answered slowly", after_more_failures + slow_poll),
+        ("available right after a poll was refused, answered slowly", after_later_failures + slow_poll),
         (
             "available right after a poll started that hangs, answered slowly",
-            after_more_failures.max(slow_poll + min_pause) + slow_poll,
+            after_later_failures.max(slow_poll + min_pause) + slow_poll,
         ),
-        ("available, refused once, polled", after_more_failures + after_more_failures + PROMPT_POLL),
+        ("available, refused once, polled", after_later_failures + after_later_failures + PROMPT_POLL),
         ("started, answered slowly", poll_interval.mul_f64(START_SPREAD_SHARE) + slow_poll),
     ];
     for (chain, time) in chains {
--- a/src/balancer/discovery_schedule.rs
+++ b/src/balancer/discovery_schedule.rs
@@ -49,7 +49,7 @@
     /// From the second failed call to the next, and between the calls of a start; shorter in a small fleet.
     pub after_second_failure: BackoffRange,
     /// From any later failed call to the next.
-    pub after_more_failures: BackoffRange,
+    pub after_later_failures: BackoffRange,
 }
 
 /// Delays between calls to discovery.
@@ -57,7 +57,7 @@
     after_watch: BackoffRange { min_share: 0.12, max_share: 0.15 },
     after_first_failure: BackoffRange { min_share: 0.03, max_share: 0.06 },
     after_second_failure: BackoffRange { min_share: 0.3, max_share: 0.34 },
-    after_more_failures: BackoffRange { min_share: 0.24, max_share: 0.28 },
+    after_later_failures: BackoffRange { min_share: 0.24, max_share: 0.28 },
 };
 /// Minimum delay from a failed call or a broken watch to the next call, where the delay of
 /// [`DISCOVERY_BACKOFF`] is already over.
@@ -158,7 +158,7 @@
             Stage::Watching => DISCOVERY_BACKOFF.after_watch,
             Stage::WatchBroken => DISCOVERY_BACKOFF.after_first_failure,
             Stage::StartingOrFirstCallFailed => DISCOVERY_BACKOFF.after_second_failure,
-            Stage::Failing => DISCOVERY_BACKOFF.after_more_failures,
+            Stage::Failing => DISCOVERY_BACKOFF.after_later_failures,
         }
     }
 
