--- a/node/src/connect.rs
+++ b/node/src/connect.rs
@@ -16,12 +16,12 @@
 impl<S: AsyncRead + AsyncWrite + Unpin> ServerStream for S {}
 
 /// A connection that is being established.
-pub type Connecting = Pin<Box<dyn Future<Output = io::Result<Box<dyn ServerStream>>>>>;
+pub type ConnectFuture = Pin<Box<dyn Future<Output = io::Result<Box<dyn ServerStream>>>>>;
 
 /// Establishes connections to servers.
 pub trait Connector {
     /// Connects to this address. The future may never complete; the caller applies a timeout.
-    fn connect(&self, address: SocketAddr) -> Connecting;
+    fn connect(&self, address: SocketAddr) -> ConnectFuture;
 }
 
 /// Connects over TCP.
@@ -29,7 +29,7 @@
 pub struct TcpConnector;
 
 impl Connector for TcpConnector {
-    fn connect(&self, address: SocketAddr) -> Connecting {
+    fn connect(&self, address: SocketAddr) -> ConnectFuture {
         Box::pin(async move {
             let stream = TcpStream::connect(address).await?;
             // Disables Nagle's algorithm, which delays a short write until the previous one is acknowledged.
--- a/node/src/downstream/stream.rs
+++ b/node/src/downstream/stream.rs
@@ -54,7 +54,7 @@
     }
 
     fn read_arrived(&mut self, input: &mut BytesMut) -> Poll<io::Result<usize>> {
-        self.read_now(input)
+        self.read_available(input)
     }
 }
 
--- a/node/src/simulation/servers.rs
+++ b/node/src/simulation/servers.rs
@@ -14,7 +14,7 @@
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
 use super::{EventLog, Occurrence};
-use crate::connect::{Connecting, Connector, ServerStream};
+use crate::connect::{ConnectFuture, Connector, ServerStream};
 use crate::dispatcher::ListedServer;
 use crate::memcache::{Incoming, RequestReader};
 use crate::testing::ORIGIN;
@@ -146,7 +146,7 @@
 }
 
 impl Connector for Servers {
-    fn connect(&self, address: SocketAddr) -> Connecting {
+    fn connect(&self, address: SocketAddr) -> ConnectFuture {
         let slot = usize::from(address.port()) - 1;
         let mut rng = self.rng.borrow_mut().fork();
         let (event_log, notified_at) =
--- a/node/src/socket.rs
+++ b/node/src/socket.rs
@@ -63,7 +63,7 @@
 impl<S: AsTcpStream> Socket<S> {
     /// Reads available data directly from the socket, because the runtime only knows of data that arrived before it last
     /// polled for events. Returns `Pending` if no data is available, and zero at the end of the stream.
-    pub fn read_now(&self, input: &mut BytesMut) -> Poll<io::Result<usize>> {
+    pub fn read_available(&self, input: &mut BytesMut) -> Poll<io::Result<usize>> {
         let socket = SockRef::from(self.0.as_tcp_stream());
         let mut buffer = [0; DIRECT_READ_BYTES];
         loop {
