--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -1,8 +1,8 @@
 //! The discovery client against fake discoveries on loopback: silent watches, refused and unanswered polls, address
 //! changes, pushed lists.
 
+mod event_loop_delay;
 mod fake_discovery;
-mod late_turn;
 
 use fake_discovery::{Behaviour, FakeDiscovery, QueueingDiscovery};
 
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -1,6 +1,6 @@
 //! Pools and connections, with servers simulated in memory and on loopback.
 
-mod late_turn;
+mod event_loop_delay;
 
 use super::connection::{AfterAttempt, UpstreamConnection};
 use super::*;
