--- a/cluster/src/failure_detector.rs
+++ b/cluster/src/failure_detector.rs
@@ -252,7 +252,7 @@
         let decision = rules.decide(now, &mut self.rng);
         self.suspected = decision.suspected;
         self.metrics.suspected_servers = self.suspected.len();
-        self.metrics.servers_beyond_limit = decision.beyond_limit;
+        self.metrics.servers_over_suspicion_limit = decision.beyond_limit;
         self.metrics.discredited_reporters = decision.discredited;
     }
 
@@ -275,7 +275,7 @@
             return false;
         }
         self.metrics.avoided_requests += 1;
-        self.metrics.oldest_used_report = self.metrics.oldest_used_report.max(now - seen);
+        self.metrics.max_used_report_age = self.metrics.max_used_report_age.max(now - seen);
         true
     }
 
--- a/cluster/src/failure_detector/metrics.rs
+++ b/cluster/src/failure_detector/metrics.rs
@@ -12,7 +12,7 @@
     /// The number of suspected servers.
     pub suspected_servers: usize,
     /// The number of servers that are not suspected only because the limit on suspected servers is reached.
-    pub servers_beyond_limit: usize,
+    pub servers_over_suspicion_limit: usize,
     /// The number of discredited reporters.
     pub discredited_reporters: usize,
     /// The number of requests that avoided a suspected server.
@@ -22,5 +22,5 @@
     /// The number of reports that this member made.
     pub own_reports: u64,
     /// The greatest age of a report on which a request avoided a server.
-    pub oldest_used_report: Micros,
+    pub max_used_report_age: Micros,
 }
--- a/cluster/src/rate_limit.rs
+++ b/cluster/src/rate_limit.rs
@@ -90,7 +90,7 @@
     surplus_since: Option<Micros>,
     last_contact: Option<Micros>,
     /// The total time with fewer usable tokens than wanted.
-    short_time: Micros,
+    shortage_time: Micros,
     last_tick: Micros,
     rejected: u64,
     /// Whether a request has found no free token since the last tick.
@@ -130,7 +130,7 @@
             recalls: Interval::default(),
             surplus_since: None,
             last_contact: None,
-            short_time: Micros::ZERO,
+            shortage_time: Micros::ZERO,
             last_tick: now,
             rejected: 0,
             has_waiting_request: false,
@@ -240,7 +240,7 @@
 
     fn record_shortage(&mut self, now: Micros, usable: u32, wanted: u32) {
         if usable < wanted {
-            self.short_time += now - self.last_tick;
+            self.shortage_time += now - self.last_tick;
         }
         self.last_tick = now;
     }
@@ -298,7 +298,7 @@
             borrowed_tokens: self.borrowed_tokens(now),
             demanded_tokens: self.demanded_tokens(),
             since_contact: self.last_contact.map(|at| now - at),
-            short_time: self.short_time,
+            shortage_time: self.shortage_time,
             rejected: self.rejected,
         }
     }
--- a/cluster/src/rate_limit/metrics.rs
+++ b/cluster/src/rate_limit/metrics.rs
@@ -23,7 +23,7 @@
     /// The time since the last message from an owner or borrower; `None` if there was none.
     pub since_contact: Option<Micros>,
     /// The total time with fewer usable tokens than wanted.
-    pub short_time: Micros,
+    pub shortage_time: Micros,
     /// The number of requests rejected because no token was free.
     pub rejected: u64,
 }
@@ -40,7 +40,7 @@
             borrowed_tokens: self.borrowed_tokens + other.borrowed_tokens,
             demanded_tokens: self.demanded_tokens + other.demanded_tokens,
             since_contact: self.since_contact.into_iter().chain(other.since_contact).min(),
-            short_time: self.short_time + other.short_time,
+            shortage_time: self.shortage_time + other.shortage_time,
             rejected: self.rejected + other.rejected,
         }
     }
--- a/node/src/coordination/metrics.rs
+++ b/node/src/coordination/metrics.rs
@@ -63,7 +63,7 @@
     text.labelled_sample("limit_wanted", label, limit.demanded_tokens);
     let contact_age = limit.since_contact.map_or(UNKNOWN_CONTACT_AGE, seconds);
     text.labelled_sample("limit_contact_age_seconds", label, contact_age);
-    text.labelled_sample("limit_short_seconds", label, seconds(limit.short_time));
+    text.labelled_sample("limit_short_seconds", label, seconds(limit.shortage_time));
     text.labelled_sample("limit_denied", label, limit.rejected);
 }
 
@@ -80,12 +80,12 @@
     text.labelled_sample("verdicts_held", ("kind", "silent"), metrics.silent_reports);
     text.labelled_sample("verdicts_held", ("kind", "answers"), metrics.answer_reports);
     text.sample("verdicts_hosts_passed_by", metrics.suspected_servers);
-    text.sample("verdicts_hosts_beyond_the_most", metrics.servers_beyond_limit);
+    text.sample("verdicts_hosts_beyond_the_most", metrics.servers_over_suspicion_limit);
     text.sample("verdicts_witnesses_refused", metrics.discredited_reporters);
     text.sample("verdicts_sends_spared", metrics.avoided_requests);
     text.sample("verdicts_tries", metrics.trials);
     text.sample("verdicts_told", metrics.own_reports);
-    text.sample("verdicts_oldest_acted_seconds", seconds(metrics.oldest_used_report));
+    text.sample("verdicts_oldest_acted_seconds", seconds(metrics.max_used_report_age));
 }
 
 fn seconds(time: Micros) -> f64 {
