--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -55,7 +55,7 @@
 /// First token of the request timers; later tokens count up from here.
 const FIRST_REQUEST_TIMER: u64 = 2;
 
-/// The decisions of one balancer; see the crate's documentation for its use.
+/// The decision core of one balancer; see the crate's documentation for its use.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
--- a/src/balancer/tests.rs
+++ b/src/balancer/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions: shared fixtures, and one module for each subject.
+//! Tests of the decision core: shared fixtures, and one module for each subject.
 
 use super::admission::RETRY_AFTER_SPREAD;
 use super::concurrency_limit::ConcurrencyLimit;
--- a/src/balancer/tests/settings.rs
+++ b/src/balancer/tests/settings.rs
@@ -51,9 +51,9 @@
     }
 }
 
-/// The deploy file lists all files of the decisions, and their lines are short.
+/// The deploy file lists all files of the decision core, and their lines are short.
 #[test]
-fn deploy_file_lists_every_file_of_decisions() {
+fn deploy_file_lists_every_file_of_the_decision_core() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
     let deploy = include_str!("../../../deploy/balancer.toml");
     let policy = deploy.lines().find(|line| line.starts_with("policy")).expect("a list of files");
