--- a/src/action.rs
+++ b/src/action.rs
@@ -39,7 +39,7 @@
     Reject {
         /// The request.
         id: RequestId,
-        /// Retry-After for the client; `Micros::ZERO` is none.
+        /// Retry-After for the client; `Micros::ZERO` if the client gets none.
         retry_after: Micros,
         /// Reason of the rejection, for counters and logs only.
         reason: RejectReason,
@@ -56,7 +56,7 @@
         /// Token of the event.
         token: u64,
     },
-    /// Watch discovery for changes of the endpoint list.
+    /// Poll discovery for the endpoint list, and watch for its changes.
     WatchEndpoints,
     /// Log a line.
     Log(String),
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -68,8 +68,8 @@
     response_rate: RateEstimator,
     placement: Placement,
     cache_ladder: GapLadder,
-    /// Gaps at the origin are shorter than those at cache servers: no other server can take its requests, so
-    /// every attempt that a gap holds back is lost.
+    /// Unlike gaps at cache servers, gaps at the origin do not grow with the number of balancers: no other
+    /// server can take the origin's requests, so every attempt that a gap holds back is lost.
     origin_ladder: GapLadder,
     origin_queue: OriginQueue,
     admission: Admission,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Handles a timer that is due. Tokens of requests that are no longer open are ignored.
+    /// Handles a timer that is due. Tokens for which no request waits any longer are ignored.
     fn on_timer(&mut self, now: Micros, token: u64, actions: &mut Vec<Action>) {
         match token {
             DISCOVERY_TIMER => {
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Handles the timer of a request: hedges an attempt without a response, or routes a request again that
-    /// has waited in the origin queue for its maximum time.
+    /// Handles the timer of a request: hedges an attempt without a response, or, if the request has waited in
+    /// the origin queue for its maximum time, routes it again.
     fn on_request_timer(&mut self, now: Micros, open: OpenRequest, actions: &mut Vec<Action>) {
         self.origin_queue.remove(&open.request.id);
         if open.attempt_in_flight().is_some() {
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -13,8 +13,8 @@
 
 /// Time over which the retries of clients that are rejected together are spread.
 pub(super) const RETRY_AFTER_SPREAD: Micros = Micros::from_millis(250);
-/// Minimum batch intervals by which the remaining time of a client retry must be below that of first attempts
-/// for the estimate of the elapsed time to be certain.
+/// Margin for a certain estimate of the elapsed time, as a multiple of the minimum batch interval: the
+/// remaining time of a client retry must be below the longest one of first attempts by more than the margin.
 const TIME_LEFT_TOLERANCE_IN_BATCH_INTERVALS: f64 = 2.0;
 /// Share of the estimated time since the first attempt that counts if the estimate is uncertain.
 const UNCERTAIN_ELAPSED_SHARE: f64 = 0.5;
@@ -39,8 +39,8 @@
         *longest_time_left = time_left.max(*longest_time_left);
     }
 
-    /// Time until which a response is useful: the latency objective, or the deadline if late responses have a
-    /// priority weight too.
+    /// Time until which a response is useful: the end of the latency objective, counted from the client's
+    /// first attempt, or the deadline if late responses have a priority weight too.
     fn useful_until(&self, now: Micros, request: &Request, settings: &Settings) -> Micros {
         let class = settings.class(request.class);
         if class.late_priority_weight > 0.0 {
@@ -54,8 +54,8 @@
     }
 
     /// Estimates the time since the client's first attempt. A client waits for the deadline of its class over
-    /// all its attempts, so the remaining time of a retry shows how much time has passed, if it is below that
-    /// of first attempts.
+    /// all its attempts, so the remaining time of a retry shows how much time has passed. The estimate is
+    /// certain only if the remaining time is clearly below the longest one of first attempts.
     fn elapsed_before_arrival(&self, now: Micros, request: &Request, settings: &Settings) -> Micros {
         if !request.is_client_retry {
             return Micros::ZERO;
@@ -97,7 +97,7 @@
     }
 
     /// Answers a request that is not served: rejects it if repeating it is harmless, and fails it otherwise.
-    /// Retry-After is `wait` plus a random spread, up to the site's maximum.
+    /// Retry-After is `wait` plus a random spread, up to the site's maximum, or zero if the site sends none.
     pub(super) fn reject_or_fail(
         &mut self,
         now: Micros,
--- a/src/balancer/endpoint_set.rs
+++ b/src/balancer/endpoint_set.rs
@@ -12,11 +12,12 @@
 pub(super) struct Server {
     /// The server's entry in the endpoint list.
     pub(super) endpoint: Endpoint,
-    /// Gap between two sends while the server rejects too many.
+    /// Gap between two sends while the server rejects too many of them.
     pub(super) gap: Gap,
     /// Limit on attempts in flight at the server.
     pub(super) concurrency: ConcurrencyLimit,
-    /// Time of the last response to this balancer; `Micros::ZERO` before the first.
+    /// Time at which the server last served a request of this balancer or answered it with a miss;
+    /// `Micros::ZERO` before the first time.
     pub(super) last_response: Micros,
     /// Credit for attempts in slow start; `None` until it is first needed.
     pub(super) slow_start_credit: Option<SlowStartCredit>,
@@ -34,9 +35,9 @@
         }
     }
 
-    /// Whether slow start allows one more attempt at this server. `responses_per_second` is the mean response
-    /// rate of one cache server. The initial credit is random, so that balancers do not send their first
-    /// attempts all at once.
+    /// Whether slow start allows one more attempt at this server. `responses_per_second` is the mean rate at
+    /// which one server responds to this balancer. The initial credit is random, so that balancers do not
+    /// send their first attempts all at once.
     pub(super) fn has_slow_start_credit(
         &mut self,
         now: Micros,
--- a/src/balancer/gap_ladder.rs
+++ b/src/balancer/gap_ladder.rs
@@ -3,8 +3,10 @@
 //!
 //! Inputs are the outcomes of this balancer's own attempts at the server. The gap is a rung of a ladder of
 //! lengths that grow by [`RUNG_RATIO`]; rung 0 is no gap. A high rejected share raises the gap, a low share
-//! lowers it (the paper, section 3.2), and a gap that no outcome renews expires. The source of a send is its
-//! tenant, or the balancer if no tenant is named.
+//! lowers it (the paper, section 3.2), and a gap that no outcome renews expires. Outcomes are counted in
+//! windows. Without a gap, a window, called a first window, has to collect enough outcomes; while there is a
+//! gap, each outcome completes a window. The source of a send is the tenant of its request; requests without
+//! a known tenant share one source.
 
 use rustc_hash::FxHashMap;
 
@@ -20,8 +22,8 @@
 pub(super) const LOWER_BELOW_REJECTED_SHARE: f64 = 0.05;
 /// Rungs by which one decrease lowers the gap.
 const RUNGS_PER_DECREASE: u32 = 3;
-/// Shortest lifetime of a gap, in gap lengths; the lifetime is drawn from one to two times this. It is long
-/// enough for the outcomes of the sends that the gap lets through to renew it.
+/// Shortest lifetime of a gap, in gap lengths; the lifetime is drawn from one to two times this. The shortest
+/// lifetime is long enough for several sends at the gap's pace, whose outcomes can renew the gap.
 const MIN_DURATION_IN_GAPS: f64 = 4.0;
 /// Longest settling time after a raise, as a share of the gap. Outcomes of sends before its end do not count.
 const SETTLING_SHARE_OF_GAP: f64 = 0.5;
@@ -57,7 +59,7 @@
 /// another one the origin.
 #[derive(Debug)]
 pub(super) struct GapLadder {
-    /// Base length in microseconds; rung 1 is longer by [`RUNG_RATIO`].
+    /// Base length in microseconds; the length of rung 1 is [`RUNG_RATIO`] times the base.
     base: f64,
     /// Length of a window of outcomes.
     pub(super) window: Micros,
@@ -227,8 +229,8 @@
         self.rejected / if are_all_rejected { self.outcomes + UNOBSERVED_OUTCOMES } else { self.outcomes }
     }
 
-    /// The rung after a window with this rejected share. The first gap is the one for the rate that was
-    /// served; a later gap grows by as many rungs as the rejected share requires.
+    /// The rung after a window with this rejected share. The first gap matches the rate at which the server
+    /// served requests; a later gap grows by as many rungs as the rejected share requires.
     fn next_rung(&self, now: Micros, rejected_share: f64, ladder: &GapLadder) -> u32 {
         if rejected_share < LOWER_BELOW_REJECTED_SHARE {
             return self.rung.saturating_sub(RUNGS_PER_DECREASE);
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -2,9 +2,9 @@
 //! charged to.
 //!
 //! Inputs are the remaining time in which a response is useful, and the time since the server's last
-//! response: the longer ago, the less is known about the server, and the sooner the request is hedged. Every
-//! hedged request is charged to this balancer's own budget, which first attempts refill; that budget is a
-//! limit only if the balancers share no retry budget.
+//! response: the longer this time, the less is known about the server, and the sooner the request is hedged.
+//! Every hedged request is charged to this balancer's own budget, which first attempts refill; the own budget
+//! limits hedged requests only if the balancers share no retry budget.
 
 use super::endpoint_set::Server;
 use super::gap_ladder::{GapLadder, SendOutcome, EVIDENCE_LIFETIME_IN_WINDOWS};
@@ -21,8 +21,8 @@
 const HEDGE_AFTER_SHARE: f64 = 0.65;
 /// Largest reduction of [`HEDGE_AFTER_SHARE`], for a server without a response for a whole evidence lifetime.
 const MAX_HEDGE_SHARE_REDUCTION: f64 = 0.22;
-/// Hedged requests that each first attempt adds to the budget if one outcome completes a window; divided by
-/// the number of outcomes if more are needed.
+/// Hedged requests that each first attempt adds to the budget if one outcome completes a first window;
+/// divided by the number of outcomes if more are needed.
 const HEDGES_PER_FIRST_ATTEMPT: f64 = 0.4;
 /// Upper bound on the budget, in hedged requests.
 const MAX_SAVED_HEDGES: f64 = 10.0;
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Sends a hedged request for an attempt without a response, if another server can take the request and
-    /// the budget allows it.
+    /// Counts the missing response of an attempt against its server, and sends a hedged request if another
+    /// server can take the request and the budget allows it.
     pub(super) fn hedge(&mut self, now: Micros, open: OpenRequest, actions: &mut Vec<Action>) {
         self.count_missing_response(now, &open);
         if let Route::Forward { server } = self.choose_route(now, &open) {
@@ -103,14 +103,14 @@
     }
 
     /// Whether a hedged request may be sent: no request waits for the origin, and the budget allows it.
-    /// `choose_route` has already queried the shared budget.
+    /// `choose_route` queries the shared budget too, except after a miss.
     fn may_hedge(&mut self, now: Micros) -> bool {
         self.origin_queue.is_empty() && self.coordination.allows_hedge(now, self.hedge_budget.hedges)
     }
 
     /// Counts the attempt in flight, which has no response yet, as rejected by its server if one outcome
-    /// completes a window: a balancer that sends to the server once in several seconds cannot wait for the
-    /// attempt to complete.
+    /// completes a first window: a balancer that sends to the server once in several seconds cannot wait for
+    /// the attempt to complete.
     fn count_missing_response(&mut self, now: Micros, open: &OpenRequest) {
         if !self.cache_ladder.is_one_outcome_sufficient() {
             return;
--- a/src/balancer/limit_view.rs
+++ b/src/balancer/limit_view.rs
@@ -6,10 +6,10 @@
 use crate::endpoint::ServerId;
 use crate::time::Micros;
 
-/// A limit that blocks attempts at a server.
+/// A limit that restricts attempts at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BindingLimit {
-    /// The gap.
+    /// The minimum time between two sends of one source.
     Gap,
     /// The limit on attempts in flight.
     Concurrency,
@@ -32,7 +32,7 @@
     pub server: ServerId,
     /// Minimum time between two sends of one source; `Micros::ZERO` if there is no gap.
     pub gap: Micros,
-    /// Time at which the gap expires unless an outcome renews it.
+    /// Time at which the gap expires unless an outcome renews it; `Micros::ZERO` before the first gap.
     pub gap_ends_at: Micros,
     /// This balancer's attempts in flight, including abandoned ones that the server may still work on.
     pub in_flight: f64,
@@ -45,7 +45,8 @@
 }
 
 impl LimitView {
-    /// The limit that currently blocks attempts, if there is one.
+    /// The limit that currently restricts attempts: the gap, if there is one, or else the limit on attempts
+    /// in flight, if it is reached.
     pub fn binding_limit(&self) -> Option<BindingLimit> {
         if self.gap > Micros::ZERO {
             return Some(BindingLimit::Gap);
--- a/src/balancer/open_request.rs
+++ b/src/balancer/open_request.rs
@@ -51,7 +51,7 @@
 /// State of a request with respect to the origin queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QueueState {
-    /// Not queued since its last attempt.
+    /// Not queued since the request's last attempt.
     NotQueued,
     /// Queued. A request that is routed again in this state has waited for its maximum time.
     Waiting,
@@ -135,7 +135,7 @@
         limits.max_attempts.max(1).saturating_sub(self.attempts.len() as u32)
     }
 
-    /// Attempts that the server has executed or may execute.
+    /// Attempts in flight, and completed ones that the server may have executed or may still execute.
     fn possibly_executed(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.state != AttemptState::NotExecuted)
     }
@@ -174,7 +174,7 @@
     }
 }
 
-/// Whether this server still drops a repeat of an earlier attempt.
+/// Whether this server recognizes a repeat of an earlier attempt and drops it, if it is sent now.
 fn is_deduplicated(now: Micros, earlier: &Attempt, to: &Endpoint, class: &Class) -> bool {
     let is_in_scope = match class.deduplication_scope {
         DeduplicationScope::All => true,
--- a/src/balancer/origin.rs
+++ b/src/balancer/origin.rs
@@ -1,8 +1,8 @@
 //! Decides whether a request is sent to the origin now, waits in the origin queue, or is rejected.
 //!
-//! Inputs are the origin's gap and concurrency limit, the limit that balancers share, and the origin queue.
-//! No other server can take the origin's requests, so a request that may not be sent yet waits, but only
-//! while a response can still be in time.
+//! Inputs are the origin's gap and concurrency limit, the rate limit that balancers share, and the origin
+//! queue. No other server can take the origin's requests, so a request that may not be sent yet waits, but
+//! only while a response can still be in time.
 
 use super::open_request::{OpenRequest, QueueState};
 use super::origin_queue::OriginCapacity;
@@ -105,9 +105,9 @@
         self.schedule_drain(now, actions);
     }
 
-    /// Removes the next request that may be sent to the origin from the queue.
+    /// Removes from the queue the next request that may be sent to the origin.
     fn take_admissible(&mut self, now: Micros) -> Option<RequestId> {
-        // While no request waits, the shared limit is not queried, because it counts a query as demand.
+        // While no request waits, the shared limit is not queried, because a query counts as demand.
         if self.origin_queue.is_empty() || self.origin_wait(now, QUEUE_TENANT) > Micros::ZERO {
             return None;
         }
@@ -147,7 +147,7 @@
     }
 }
 
-/// Longest wait for the origin of a request with this remaining useful time.
+/// Longest time that a request with this remaining useful time waits in the origin queue.
 fn max_queue_wait(open: &OpenRequest, time_left: Micros) -> Micros {
     let share = if open.request.is_write { WRITE_MAX_WAIT_SHARE } else { READ_MAX_WAIT_SHARE };
     time_left.mul_f64(share)
--- a/src/balancer/origin_queue.rs
+++ b/src/balancer/origin_queue.rs
@@ -1,7 +1,7 @@
 //! The queue of requests that wait for capacity at the origin, by priority.
 //!
-//! Writes come before reads. Among either, popular keys come first, because one refilled copy serves many
-//! requests.
+//! Writes come before reads. Among the writes, and among the reads, popular keys come first, because one
+//! refilled copy serves many requests.
 
 use crate::request::RequestId;
 
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -1,8 +1,8 @@
-//! Maps keys to cache servers by weighted rendezvous hashing, identically at every balancer.
+//! Maps keys to cache servers by weighted rendezvous hashing, with the same scores at every balancer.
 //!
 //! Inputs are the key, the servers of the endpoint list and the popularity of the key at this balancer. A
-//! popular key has several owners. Placement ignores load: routing skips servers that cannot take a request
-//! now.
+//! popular key has several owners, of which one in the balancer's own zone comes first. Placement ignores
+//! load: routing skips servers that cannot take a request now.
 
 use rustc_hash::FxHashMap;
 
@@ -21,8 +21,8 @@
 /// Requests for a key per owner, as a share of an average server's requests: a key that exceeds it gets one
 /// more owner.
 pub(super) const OWNER_REQUEST_SHARE: f64 = 0.25;
-/// Attempts at cache servers before a request goes directly to the origin. The same number of candidates is
-/// ranked after the owners.
+/// Attempts at cache servers after which, with cache-aside, a request goes directly to the origin. The same
+/// number of candidates is ranked after the owners.
 pub(super) const MAX_CACHE_ATTEMPTS: usize = 3;
 
 /// A server that is ranked for a key.
@@ -90,7 +90,7 @@
         owners
     }
 
-    /// Inserts a server by its score if it ranks among the best `max_candidates`.
+    /// Inserts a server with this rendezvous hash (`uniform`) if it ranks among the best `max_candidates`.
     fn insert_candidate(&mut self, server: usize, uniform: f64, weight: f64, max_candidates: usize) {
         // The logarithm dominates the cost, so it is computed only for servers that may rank: -ln u > 1 - u.
         let lowest_possible_score = (1.0 - uniform) / weight;
@@ -116,8 +116,8 @@
     }
 }
 
-/// Whether a server may take requests for a key of this popularity. A popular key alone may exceed the load
-/// that is allowed to a server in slow start.
+/// Whether a server with this slow-start weight may take requests for a key of this popularity. The requests
+/// for a popular key alone may exceed the load that a server in slow start may get.
 fn is_eligible(
     endpoint: &Endpoint,
     slow_start: f64,
--- a/src/balancer/request_table.rs
+++ b/src/balancer/request_table.rs
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub(super) struct RequestTable {
     requests: FxHashMap<RequestId, OpenRequest>,
-    /// Requests that wait for a timer, by its token.
+    /// Requests that wait for a timer, by the timer's token.
     parked: FxHashMap<u64, RequestId>,
     /// Token of the next timer; each token is used once.
     next_token: u64,
@@ -29,8 +29,9 @@
         self.requests.insert(open.request.id, open);
     }
 
-    /// Inserts a request that also waits for a timer; returns the timer's time and token. The timer is due
-    /// after `wait` or at the request's deadline, whichever is earlier, and always later than now.
+    /// Inserts a request that waits for a timer, and for the result of its attempt in flight, if it has one;
+    /// returns the timer's time and token. The timer is due after `wait` or at the request's deadline,
+    /// whichever is earlier, and always later than now.
     pub(super) fn park(&mut self, now: Micros, wait: Micros, mut open: OpenRequest) -> (Micros, u64) {
         let at = (now + wait).min(open.request.deadline).max(now + Micros(1));
         let token = self.next_token;
@@ -46,7 +47,7 @@
         self.requests.get_mut(id)
     }
 
-    /// Removes a request and its timer.
+    /// Removes a request and the token of its timer, so that the timer has no effect.
     pub(super) fn take(&mut self, id: &RequestId) -> Option<OpenRequest> {
         let open = self.requests.remove(id)?;
         self.parked.remove(&open.timer_token);
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -21,7 +21,7 @@
     Close,
     /// Another attempt is in flight, or a response has begun.
     Wait,
-    /// The request is routed again: to another server, into the queue, or it is rejected.
+    /// The request is routed again, by which it is sent, queued or rejected.
     RouteAgain,
 }
 
@@ -153,8 +153,8 @@
             AttemptResult::Served | AttemptResult::Miss | AttemptResult::Error | AttemptResult::Reset => {
                 LoadEvidence::Accepted
             }
-            // A slow origin still refills caches, and its concurrency limit bounds the attempts that wait
-            // there.
+            // A timeout at the origin is no rejection: a slow origin still refills caches, and its
+            // concurrency limit bounds the attempts that wait there.
             AttemptResult::Timeout if self.is_conclusive_timeout && !self.is_origin => LoadEvidence::Rejected,
             AttemptResult::Timeout | AttemptResult::Cancelled | AttemptResult::NotSent => {
                 LoadEvidence::Inconclusive
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -1,8 +1,8 @@
 //! Chooses the server for a request's next attempt.
 //!
 //! Inputs are the candidates that placement ranks for the request's key, and the state of each. The request
-//! goes to the first candidate without a [`SkipReason`]. Writes, and reads that no cache server can take, go
-//! to the origin; see `origin.rs`.
+//! goes to the first candidate without a [`SkipReason`]. With cache-aside, writes, and reads that no cache
+//! server can take, go to the origin; see `origin.rs`.
 
 use super::open_request::OpenRequest;
 use super::placement::MAX_CACHE_ATTEMPTS;
@@ -49,7 +49,7 @@
     SlowStart,
     /// Other balancers report that the candidate does not respond.
     Suspected,
-    /// The candidate is draining, or executing the request there might make it take effect twice.
+    /// `OpenRequest::may_send` forbids the attempt, for example because the request might take effect twice.
     NotPermitted,
 }
 
@@ -72,8 +72,8 @@
         to_cache.unwrap_or_else(|| self.choose_origin(now, open))
     }
 
-    /// Whether the request may go to a cache server. With cache-aside, writes, misses, hedged requests and
-    /// last attempts go to the origin.
+    /// Whether the request may go to a cache server. With cache-aside, writes, misses, hedged requests, last
+    /// attempts and those after [`MAX_CACHE_ATTEMPTS`] go to the origin.
     fn may_go_to_cache(&self, open: &OpenRequest) -> bool {
         if self.settings.mode == CacheMode::ReadThrough {
             return true;
@@ -88,8 +88,8 @@
     /// The first candidate that is not skipped. If all are skipped, a read-through request is rejected if at
     /// least one candidate is gapped; otherwise the result is `None`.
     fn choose_cache_server(&mut self, now: Micros, open: &OpenRequest) -> Option<Route> {
-        // Drawn for requests with a key too, so that the random sequence does not depend on the presence of a
-        // key.
+        // The random key is drawn even if the request has a key, so that the random sequence does not depend
+        // on the presence of a key.
         let random_key = Key(self.rng.u64(..));
         let key = open.request.key.unwrap_or(random_key);
         let owners = self.placement.rank(key, now, &self.endpoints.servers, &self.settings);
@@ -105,8 +105,8 @@
             if let SkipReason::Gapped(wait) = reason {
                 shortest_gap = Some(shortest_gap.unwrap_or(wait).min(wait));
             }
-            // A server without capacity is no reason to try servers that do not own the key if the origin can
-            // serve it.
+            // With cache-aside, the origin can serve the request, so a lack of capacity at the owners is no
+            // reason to try servers that do not own the key.
             let has_owner_left = rank + 1 < owners;
             if reason == SkipReason::NoCapacity && !has_owner_left && !is_read_through {
                 break;
@@ -136,7 +136,8 @@
         if gap > Micros::ZERO {
             return Some(SkipReason::Gapped(gap));
         }
-        // Queried as for a write, because no share of the limit is reserved for reads at a cache server.
+        // Reads are checked like writes, because no share of the limit is reserved for reads at a cache
+        // server.
         if server.concurrency.is_paced(now) || !server.concurrency.has_capacity(now, true) {
             return Some(SkipReason::NoCapacity);
         }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -8,7 +8,7 @@
 use crate::settings::Rules;
 use crate::time::Micros;
 
-/// Attempts allowed at a server in slow start, relative to its weight. The factor is above one because a
+/// Factor on the credit that a server in slow start earns by its weight. The factor is above one because a
 /// small number of attempts is not evenly spread.
 pub(super) const CREDIT_FACTOR: f64 = 1.25;
 /// Upper bound on the credit, in attempts.
@@ -44,7 +44,7 @@
 
 impl SlowStartCredit {
     /// Adds the credit earned since the last refill: the mean response rate of one server, scaled by the
-    /// weight.
+    /// weight and [`CREDIT_FACTOR`].
     pub(super) fn refill(&mut self, now: Micros, weight: f64, responses_per_second: f64) {
         let elapsed_seconds = (now - self.updated).as_f64() / Micros::SECOND.as_f64();
         let earned = elapsed_seconds * responses_per_second * weight * CREDIT_FACTOR;
--- a/src/balancer/tests/admission.rs
+++ b/src/balancer/tests/admission.rs
@@ -14,12 +14,12 @@
     assert!(sent_to(&send(&mut balancer, 1, 800_000, false)).is_some());
     assert!(
         sent_to(&send(&mut balancer, 2, 790_000, true)).is_some(),
-        "210 ms of the 250 ms objective have elapsed"
+        "a retry 210 ms after its first attempt must be sent, as the objective is 250 ms"
     );
     let late = send(&mut balancer, 3, 740_000, true);
     assert!(matches!(late[..], [Action::Reject { .. }]), "{late:?}");
     assert!(
         sent_to(&send(&mut balancer, 4, 740_000, false)).is_some(),
-        "a first attempt of a client with a short deadline"
+        "a first attempt with a short deadline must be sent"
     );
 }
--- a/src/balancer/tests/capacity.rs
+++ b/src/balancer/tests/capacity.rs
@@ -185,7 +185,8 @@
     /// Longest wait before a caller times out, as in `node/src/discovery/timing.rs`.
     const MAX_WAIT_MICROS: u64 = 1_900_000;
 
-    /// Time at which a call that arrives now is answered, or else times out.
+    /// `Ok` with the time at which a call that arrives now is answered, or `Err` with the time at which the
+    /// caller times out.
     fn call(&mut self, now: u64) -> Result<u64, u64> {
         let begin = self.free_at.max(now);
         if begin + self.service_time > now + Self::MAX_WAIT_MICROS {
@@ -215,6 +216,7 @@
     let mut starting: Vec<Balancer> =
         (0..callers as u64).map(|n| Balancer::new(settings.clone(), seed * 10_000 + n)).collect();
     let list = endpoints(6);
+    // By time and balancer: true if the balancer's call is due, false if its call times out.
     let mut due = BTreeMap::new();
     let schedule = |due: &mut BTreeMap<(u64, usize), bool>, n: usize, actions: &[Action]| match actions {
         [Action::Timer { at, .. }] => due.insert((at.0, n), true),
--- a/src/balancer/tests/concurrency_limit.rs
+++ b/src/balancer/tests/concurrency_limit.rs
@@ -65,11 +65,14 @@
     concurrency.reserve(true);
     assert!(
         !concurrency.has_capacity(now, true) && !concurrency.has_capacity(now, false),
-        "one attempt at a time"
+        "a second attempt is admitted while one is in flight"
     );
     concurrency.release(now, true, None);
     assert!(concurrency.has_capacity(now, true) && !concurrency.has_capacity(now, false));
-    assert!(concurrency.has_capacity(now + Micros(30 * SECOND), false), "a read is admitted after the pause");
+    assert!(
+        concurrency.has_capacity(now + Micros(30 * SECOND), false),
+        "a read must be admitted after the pause"
+    );
 }
 
 #[test]
@@ -79,7 +82,10 @@
     (0..2).for_each(|_| concurrency.reserve(false));
     assert!(!concurrency.has_capacity(now, true));
     concurrency.release(now, false, Some(Micros(400_000)));
-    assert!(!concurrency.has_capacity(Micros(SECOND + 399_999), true), "the server still works on it");
+    assert!(
+        !concurrency.has_capacity(Micros(SECOND + 399_999), true),
+        "capacity is freed while the server still works on the attempt"
+    );
     assert!(concurrency.has_capacity(Micros(SECOND + 400_000), true));
 }
 
--- a/src/balancer/tests/coordination.rs
+++ b/src/balancer/tests/coordination.rs
@@ -9,7 +9,8 @@
 /// Return values of the fake, and the calls that it received.
 #[derive(Debug, Default)]
 struct FakeState {
-    /// Wait time of each limit; `None` if the limit is not shared.
+    /// Wait time of the origin's rate limit; in this and the next two fields, `None` means that the limit is
+    /// not shared.
     origin_wait: Option<Micros>,
     slow_start_wait: Option<Micros>,
     retry_wait: Option<Micros>,
--- a/src/balancer/tests/fleet.rs
+++ b/src/balancer/tests/fleet.rs
@@ -19,8 +19,8 @@
     by_second[from..to].iter().sum()
 }
 
-/// The same load over more balancers causes no more requests to the origin and the cache servers, and is
-/// served as well.
+/// The same load over more balancers is served as well, and causes less than 1.35 times the requests to the
+/// origin that it causes over three balancers.
 #[test]
 fn more_balancers_cost_no_more_for_the_same_load() {
     let few = simulate_default(3, Outage::NONE);
@@ -40,8 +40,8 @@
 }
 
 /// One cache server in six does not respond for ten seconds, while each balancer sends to it only once in
-/// several seconds. It loses part of its share of the attempts, most requests are still served, and it is not
-/// overloaded after its restart.
+/// several seconds. Guards against an unresponsive server that keeps its whole share of the attempts, so that
+/// requests are not served, and against its overload after the restart.
 #[test]
 fn unresponsive_server_with_few_sends_per_balancer_is_avoided_and_recovers() {
     for balancers in SIZES {
@@ -78,9 +78,9 @@
     }
 }
 
-/// Servers that restart at peak load tolerate the sends of all balancers together: at most 1.5 times their
-/// capacity at that time (sites tolerate three or four times) plus random variation, with 3 to 300 balancers,
-/// including retries and hedged requests.
+/// Guards against overload of servers that restart at peak load: with 3 to 300 balancers, the sends of all
+/// balancers together, including retries and hedged requests, must not exceed 1.5 times a server's capacity
+/// at that time (sites tolerate three or four times) plus random variation.
 #[test]
 fn restarted_server_is_ramped_by_all_balancers_together() {
     for balancers in [3, 30, 300] {
@@ -91,7 +91,10 @@
                 "{balancers:4} balancers: restarted server at {:.2} of its capacity, excess {:.1}",
                 result.peak_slow_start_load, result.excess_over_chance
             );
-            assert!(result.peak_slow_start_load > 0.2, "{balancers}: the restarted server gets no sends");
+            assert!(
+                result.peak_slow_start_load > 0.2,
+                "{balancers}: the restarted server gets hardly any sends"
+            );
             assert!(
                 result.excess_over_chance <= 0.0,
                 "{balancers}, seed {seed}: {:.1} sends above the tolerated load",
@@ -114,8 +117,8 @@
 }
 
 /// Half of the cache servers do not respond for four seconds and restart empty, while balancers receive the
-/// updated list up to two seconds apart. Balancers with the old and the new list together overload no
-/// restarted server, and requests are still served.
+/// updated list up to two seconds apart. Guards against overload of a restarted server by balancers with the
+/// old and the new list together, and against requests that are not served meanwhile.
 #[test]
 fn restart_of_half_the_servers_with_differing_lists_overloads_no_server() {
     for balancers in SIZES {
--- a/src/balancer/tests/gap_ladder.rs
+++ b/src/balancer/tests/gap_ladder.rs
@@ -134,7 +134,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// A gap ends within 3 longest deadlines after its cause with demand, and within 8 without demand.
+    /// After the end of its cause, a gap ends within 3 longest deadlines while requests arrive, and within 8
+    /// while none do.
     #[test]
     fn gap_ends_from_any_state(seed: u64, steps in 1usize..400) {
         let ladder = ladder();
@@ -177,7 +178,10 @@
         assert_eq!(gap.is_active(Micros(now)), is_gapped, "{balancers} balancers");
     }
     let sends_of_all = |n: u32| f64::from(n) / ladder_of(n).length(ladder_of(n).highest_rung).0 as f64;
-    assert!(sends_of_all(100) < 9.0 * sends_of_all(3), "sends of all balancers to a dead server");
+    assert!(
+        sends_of_all(100) < 9.0 * sends_of_all(3),
+        "100 balancers must send less than 9 times as much to a dead server as 3"
+    );
 }
 
 #[test]
--- a/src/balancer/tests/hedging.rs
+++ b/src/balancer/tests/hedging.rs
@@ -88,7 +88,8 @@
     }
 }
 
-/// A write in flight at two servers, the second of them by a hedged request, and the time of the second send.
+/// A balancer with a write in flight at two servers, the two servers in the order of the sends, and the time
+/// of the second send, which is the hedged request.
 fn hedged_write() -> (Balancer, [ServerId; 2], u64) {
     let mut settings = idempotent_settings();
     settings.mode = CacheMode::ReadThrough;
--- a/src/balancer/tests/history.rs
+++ b/src/balancer/tests/history.rs
@@ -11,6 +11,7 @@
 /// An attempt as recorded by the history.
 struct RecordedAttempt {
     server: ServerId,
+    /// Time of the send in microseconds.
     sent: u64,
     /// `None` while the attempt is in flight.
     result: Option<AttemptResult>,
@@ -44,16 +45,20 @@
     Other(Event<'static>),
 }
 
+/// A balancer, its recorded requests, and the settings that the checks need.
 struct History {
     rng: fastrand::Rng,
     now: u64,
     balancer: Balancer,
     class: Class,
     may_duplicate: bool,
+    /// State of each cache server, by id.
     server_states: Vec<EndpointState>,
+    /// Requests without a final answer.
     open: BTreeMap<RequestId, RecordedRequest>,
     /// Time and token of each pending timer.
     timers: Vec<(u64, u64)>,
+    /// All actions of the balancer so far.
     actions: Vec<Action>,
 }
 
--- a/src/balancer/tests/open_request.rs
+++ b/src/balancer/tests/open_request.rs
@@ -25,13 +25,16 @@
             let (class, limits) = (&settings.classes[0], &settings.limits);
             let first = endpoint(first.0);
             let other = endpoint((first.server.0 + 1) % 4);
-            assert!(!open.may_send(Micros(20), &first, class, limits), "an attempt is in flight");
+            assert!(
+                !open.may_send(Micros(20), &first, class, limits),
+                "sent again while an attempt is in flight"
+            );
             let overlapping = Limits { may_duplicate: true, ..limits.clone() };
             let may_overlap = open.may_send(Micros(20), &first, class, &overlapping);
             assert_eq!(
                 may_overlap,
                 idempotency == Idempotency::Idempotent,
-                "only idempotent requests are hedged"
+                "only idempotent requests may be hedged"
             );
             let is_never_executed = never_executed.contains(result);
             open.attempts[0].state =
--- a/src/balancer/tests/origin.rs
+++ b/src/balancer/tests/origin.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 /// Guards against a gap at the origin of ten times the longest deadline, which one of 300 balancers once had
-/// after connection failures. No other server can take the origin's requests, so a write must be sent within
-/// the longest deadline of the origin's recovery.
+/// after connection failures. No other server can take the origin's requests, so a write must be sent at
+/// intervals of at most the longest deadline, to find that the origin has recovered.
 #[test]
 fn unreachable_origin_is_retried_within_the_longest_deadline() {
     let mut settings = settings(Idempotency::WithIdempotencyKey, DeduplicationScope::All);
@@ -63,7 +63,11 @@
             _ => None,
         })
         .collect();
-    assert_eq!(order[..2], [request_id(7), request_id(4)], "the write, then the read of the popular key");
+    assert_eq!(
+        order[..2],
+        [request_id(7), request_id(4)],
+        "the write must be sent first, then the read of the popular key"
+    );
 }
 
 /// A request that has waited for its maximum time is rejected while its client can still retry elsewhere.
--- a/src/balancer/tests/settings.rs
+++ b/src/balancer/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Tests of unusable settings and of the list of decision files.
+//! Tests of unusable settings, and of the deploy file's list of the files of the decision core.
 
 use super::*;
 
@@ -32,7 +32,8 @@
     handle(&mut empty, 10, Event::Timer(u64::MAX));
 }
 
-/// Unusable settings are replaced by usable ones, and nothing is divided by zero.
+/// Guards against unusable settings that are not replaced by usable ones, so that a division by zero leaves
+/// requests open.
 #[test]
 fn unusable_settings_lose_no_request() {
     for (balancers, initial_share) in [(0, 0.0), (u32::MAX, f64::NAN), (1, f64::INFINITY)] {
@@ -51,7 +52,8 @@
     }
 }
 
-/// The deploy file lists all files of the decision core, and their lines are short.
+/// The deploy file lists all files of the decision core, whose lines have at most 110 characters, and the
+/// first lines of balancer.rs name the files of the events and actions.
 #[test]
 fn deploy_file_lists_every_file_of_the_decision_core() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
--- a/src/balancer/tests/simulation.rs
+++ b/src/balancer/tests/simulation.rs
@@ -11,11 +11,13 @@
 
 /// Number of keys at scale 1.
 const KEYS: u64 = 120;
-/// Mean work in seconds of a hit at a cache server and of a request at the origin.
+/// Mean work of a hit at a cache server, in seconds.
 const HIT_SECONDS: f64 = 0.1;
+/// Mean work of a request at the origin, in seconds.
 const FETCH_SECONDS: f64 = 0.15;
 
-/// A period in seconds during which work takes longer by a factor.
+/// A period during which work takes longer by a factor. Seconds are those of the virtual time, which starts
+/// at second 1.
 #[derive(Clone, Copy)]
 pub struct Slowdown {
     pub from: u64,
@@ -35,8 +37,9 @@
     }
 }
 
-/// A period in seconds during which the cache servers whose number is a multiple of `every` do not respond.
-/// At its end they restart with empty caches, and the balancers receive the update within two seconds.
+/// A period in seconds of the virtual time during which the cache servers whose number is a multiple of
+/// `every` do not respond. At the end of the period, these servers restart with empty caches, and the
+/// balancers receive the update within two seconds.
 #[derive(Clone, Copy)]
 pub struct Outage {
     pub from: u64,
@@ -92,12 +95,12 @@
     }
 }
 
-/// Results of a simulation; lists are indexed by second.
+/// Results of a simulation; lists are indexed by second, from 0.
 #[derive(Default)]
 pub struct SimulationResult {
     /// First attempts of clients.
     pub requested: Vec<f64>,
-    /// First attempts that were served within the latency objective.
+    /// First attempts of clients that were served within the latency objective, also by a client retry.
     pub served: Vec<f64>,
     /// Sends to the origin.
     pub fetches: Vec<f64>,
@@ -107,8 +110,9 @@
     pub sends: f64,
     /// Peak of the sends to one server in slow start in one second, relative to its capacity at that time.
     pub peak_slow_start_load: f64,
-    /// Peak excess of the sends from balancers that know of the restart over the load that the server
-    /// tolerates plus the random variation, which is taken as 2 square roots of that load and 2.
+    /// Largest excess, in one second, of the sends to one server in slow start over its tolerable load plus
+    /// the random variation, which is taken as 2 square roots of that load plus 2. Counts the sends of the
+    /// balancers that know of the restart.
     pub excess_over_chance: f64,
     /// Sends by second and cache server.
     pub cache_sends: Vec<Vec<f64>>,
@@ -146,8 +150,8 @@
     Simulation::new(scenario, scale).run()
 }
 
-/// Guards against a collapse that outlasts a slow origin for the rest of the day: after a rejected miss the
-/// key is still not cached, so later requests for it miss as well, and client retries repeat them.
+/// Guards against a collapse that persists after a slow origin has recovered: after a rejected miss the key
+/// is still not cached, so later requests for it miss as well, and client retries repeat them.
 #[test]
 fn service_recovers_after_a_slow_origin() {
     for seed in 0..6 {
@@ -164,8 +168,8 @@
     }
 }
 
-/// Six cache servers with two workers each can serve 120 hits a second. The excess is rejected early enough
-/// to leave them work that is still useful.
+/// Six cache servers with two workers each can serve 120 hits a second. Guards against requests that are
+/// rejected so late that the servers work on requests whose responses are no longer useful.
 #[test]
 fn overloaded_caches_shed_the_excess_and_serve_the_rest() {
     for seed in 0..4 {
--- a/src/balancer/tests/simulation/engine.rs
+++ b/src/balancer/tests/simulation/engine.rs
@@ -9,15 +9,17 @@
 const MISS_WORK_SHARE: f64 = 0.45;
 /// Latency objective: requests answered within this time in microseconds count as served.
 const OBJECTIVE: u64 = 750_000;
-/// Total time that a client waits over all its attempts, and for one attempt of its own, in microseconds.
+/// Total time that a client waits over all its attempts, in microseconds.
 const CLIENT_DEADLINE: u64 = 1_500_000;
+/// Time that a client waits for one of its attempts, in microseconds.
 const CLIENT_ATTEMPT_DEADLINE: u64 = 1_100_000;
 /// Maximum number of retries by a client.
 const MAX_CLIENT_RETRIES: usize = 2;
-/// Share of its capacity that a cache server has when it starts, the growth of this share, and the seconds
-/// until the server has its full capacity.
+/// Share of its capacity that a cache server has when it starts.
 const INITIAL_SHARE: f64 = 0.32;
+/// Growth of the share of its capacity during slow start.
 const SHARE_GROWTH: f64 = 0.68;
+/// Seconds from a cache server's start until it has its full capacity.
 const SLOW_START_SECONDS: u64 = 9;
 /// Load that a server in slow start tolerates, as a ratio to its capacity.
 const TOLERABLE_LOAD_RATIO: f64 = 1.5;
@@ -34,10 +36,12 @@
         balancer: usize,
         token: u64,
     },
+    /// A server completes its work on an attempt.
     Done {
         request: u64,
         attempt: u32,
     },
+    /// The time limit of an attempt is reached.
     Expired {
         request: u64,
         attempt: u32,
@@ -72,10 +76,12 @@
 pub struct Simulation {
     rng: fastrand::Rng,
     now: u64,
+    /// Scheduled events, each with its time and a number that orders events at the same time.
     events: BinaryHeap<Reverse<(u64, u64, ScheduledEvent)>>,
     /// Counter that numbers scheduled events and requests.
     last_number: u64,
     balancers: Vec<Balancer>,
+    /// Attempts of clients, by the number in their request id.
     requests: HashMap<u64, ClientAttempt>,
     /// Cached keys, by cache server.
     cached: Vec<HashSet<u64>>,
@@ -87,9 +93,9 @@
     restarted: HashSet<u64>,
     /// Balancers that have received the update about the restarts.
     informed: HashSet<usize>,
-    /// Sends by server in slow start and second.
+    /// Sends to servers in slow start, by server and second.
     slow_start_sends: HashMap<(u64, u64), f64>,
-    /// Sends of informed balancers, by server in slow start and second.
+    /// Sends of informed balancers to servers in slow start, by server and second.
     informed_sends: HashMap<(u64, u64), f64>,
     result: SimulationResult,
 }
@@ -289,8 +295,8 @@
         }
     }
 
-    /// Counts the sends to a cache server in slow start; returns whether the server currently does not
-    /// respond.
+    /// Applies the outage to a send: empties the cache of a restarted server, counts a send to a server in
+    /// slow start, and returns whether the server currently does not respond.
     fn count_restarts_and_unresponsiveness(&mut self, number: u64, server: u64, second: u64) -> bool {
         let Outage { from, to, every } = self.scenario.outage;
         if to == 0 || !server.is_multiple_of(every) {
--- a/src/balancer/tests/slow_start.rs
+++ b/src/balancer/tests/slow_start.rs
@@ -13,7 +13,7 @@
     assert!((weight_at(0) - 0.1).abs() < 1e-9, "a start time in the future gives the initial share");
 }
 
-/// Guards against overload of a server that has just started, when gapped servers pass all their keys to it.
+/// Guards against overload of a server that has just started, when all keys of gapped servers move to it.
 #[test]
 fn server_in_slow_start_gets_its_weight_of_the_response_rate() {
     let rules = idempotent_settings().rules;
--- a/src/balancer/tests/zone_health.rs
+++ b/src/balancer/tests/zone_health.rs
@@ -18,7 +18,7 @@
         zones.on_attempt_completed(0, true);
         zones.on_attempt_completed(1, true);
     }
-    assert_eq!(zones.excess_rejection_rate(0), 0.0, "no excess rate while all zones fail alike");
+    assert_eq!(zones.excess_rejection_rate(0), 0.0, "excess rate although all zones fail alike");
     for _ in 0..12 {
         zones.on_attempt_completed(1, false);
     }
--- a/src/balancer/zone_health.rs
+++ b/src/balancer/zone_health.rs
@@ -7,7 +7,7 @@
 
 /// Weight of one attempt in its zone's rejection rate.
 const ATTEMPT_WEIGHT: f64 = 0.25;
-/// Excess rejection rate above which servers of a zone are skipped.
+/// Excess over the rejection rate of the best zone above which a zone is unhealthy.
 pub(super) const UNHEALTHY_EXCESS_RATE: f64 = 0.4;
 /// Largest share of the attempts that avoid an unhealthy zone; the remaining attempts probe whether it has
 /// recovered.
@@ -34,7 +34,7 @@
         rate - best
     }
 
-    /// The share of the attempts that should skip this zone; zero for a healthy zone.
+    /// The share of the attempts that should avoid this zone; zero for a healthy zone.
     pub(super) fn avoided_share(&self, zone: u32) -> f64 {
         let excess = self.excess_rejection_rate(zone);
         if excess > UNHEALTHY_EXCESS_RATE {
--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -33,12 +33,12 @@
 pub trait Coordination: std::fmt::Debug {
     /// Time until one more use of the limit may begin: `Some(Micros::ZERO)` if it may begin now, `None` if
     /// the limit is not shared. A query counts as demand: if the use has to wait, this balancer requests
-    /// tokens (credits) from others.
+    /// tokens, or credits for the retry budget, from others.
     fn wait_time(&mut self, limit: SharedLimit, now: Micros) -> Option<Micros>;
     /// Takes one use of the limit. [`Coordination::wait_time`] returned `Some(Micros::ZERO)` or `None` at the
     /// same time.
     fn acquire(&mut self, limit: SharedLimit, now: Micros);
-    /// Records the rejection of a request that needed the limit.
+    /// Records that a request that needed the limit was rejected, or that the limit denied it an attempt.
     fn on_rejected(&mut self, limit: SharedLimit, now: Micros);
     /// Records a new request that is not a client's retry.
     fn on_new_request(&mut self, now: Micros);
@@ -103,7 +103,7 @@
             .map_or(own_budget >= 1.0, |wait| wait.0 == 0)
     }
 
-    /// Records a rejection, if its reason means that the request needed the limit on the origin.
+    /// Records a rejection, if its reason means that the request needed the shared rate limit of the origin.
     pub(crate) fn on_rejected(&mut self, now: Micros, reason: RejectReason) {
         let needed_origin = matches!(
             reason,
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Takes the shared limits that an attempt uses: that of the origin or of slow start, and the retry
-    /// budget.
+    /// Takes one use of each shared limit that applies to an attempt: the origin's rate limit or the limit of
+    /// slow start, and the retry budget.
     pub(crate) fn on_send(&mut self, now: Micros, to: &Endpoint, is_origin: bool, uses_retry_budget: bool) {
         let Some(shared) = &mut self.0 else { return };
         let limit =
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -22,15 +22,15 @@
 pub struct Endpoint {
     /// Id of the server.
     pub server: ServerId,
-    /// Zone of the server.
+    /// Number of the server's zone.
     pub zone: u32,
-    /// Kind of machine.
+    /// Number of the kind of machine. In cache-aside mode, the settings name the kind that is the origin.
     pub kind: u32,
-    /// Cell of the server.
+    /// Number of the server's cell, a group of servers that may share the detection of repeated requests.
     pub cell: u32,
     /// State of the server.
     pub state: EndpointState,
-    /// Relative capacity.
+    /// Capacity relative to other servers; ignored unless the settings declare weights comparable.
     pub weight: f64,
     /// Time of the last start; zero if that was long ago.
     pub started: Micros,
@@ -48,7 +48,8 @@
     /// Endpoints that an operator changed. They give no information about discovery: neither that it responds
     /// nor that a watch is open.
     OperatorOverride,
-    /// A call to discovery failed or a watch broke; the current list stays in use.
+    /// No endpoints: discovery is unavailable, as a poll failed or a watch broke. The current list stays in
+    /// use.
     Unavailable,
 }
 
--- a/src/request.rs
+++ b/src/request.rs
@@ -18,7 +18,7 @@
     pub id: RequestId,
     /// Time at which the client stops waiting.
     pub deadline: Micros,
-    /// Expected work, if known.
+    /// Expected processing time, if known.
     pub expected_work: Option<Micros>,
     /// Key of the requested object, if any.
     pub key: Option<Key>,
@@ -26,7 +26,7 @@
     pub is_write: bool,
     /// Index of the class in the settings.
     pub class: u32,
-    /// Index of the tenant in the settings.
+    /// Index of the tenant in the settings; an index out of range stands for an unknown tenant.
     pub tenant: u32,
     /// Whether the client marked the request as its own retry.
     pub is_client_retry: bool,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -6,9 +6,10 @@
 /// Whether a request of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeating it is harmless.
+    /// Repeating the request is harmless.
     Idempotent,
-    /// The request carries an idempotency key: servers of a [`DeduplicationScope`] drop repeats for a while.
+    /// The request carries an idempotency key, by which the servers of a [`DeduplicationScope`] drop repeats
+    /// during [`Class::deduplication_window`].
     WithIdempotencyKey,
     /// A repeat may take effect a second time.
     NotIdempotent,
@@ -48,7 +49,8 @@
 }
 
 impl Default for Class {
-    /// Defaults for an unknown class: its requests are never repeated, and their deadline is one second.
+    /// The class of all requests if the settings have none: not idempotent, with a latency objective and a
+    /// deadline of one second.
     fn default() -> Class {
         Class {
             latency_objective: Micros(1_000_000),
@@ -139,8 +141,8 @@
 }
 
 impl Settings {
-    /// The class with this index; an index out of range selects the last class. There is at least one class:
-    /// see [`Settings::sanitized`].
+    /// The class with this index; an index out of range selects the last class. Panics if there is no class,
+    /// which [`Settings::sanitized`] prevents.
     pub fn class(&self, index: u32) -> &Class {
         &self.classes[self.class_index(index)]
     }
