--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -48,7 +48,7 @@
 use request_table::RequestTable;
 use zone_health::ZoneHealth;
 
-/// Token of the timer for the next call to discovery.
+/// Token of the timer for the next poll of discovery.
 const DISCOVERY_TIMER: u64 = 0;
 /// Token of the timer that drains the origin queue.
 const ORIGIN_QUEUE_TIMER: u64 = 1;
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Applies an endpoint update, or the failure of discovery, and schedules the next call to discovery.
+    /// Applies an endpoint update, or the failure of discovery, and schedules the next poll of discovery.
     fn on_endpoints_changed(
         &mut self,
         now: Micros,
@@ -133,14 +133,14 @@
         endpoints: &[Endpoint],
         actions: &mut Vec<Action>,
     ) {
-        let next_call = if update == EndpointUpdate::Unavailable {
+        let next_poll = if update == EndpointUpdate::Unavailable {
             Some(self.discovery.on_unavailable(now, &mut self.rng))
         } else {
             self.endpoints.apply_update(update, endpoints, &self.settings);
             self.coordination.on_endpoints_changed(self.endpoints.cache_servers());
             self.discovery.on_endpoints(now, update, &mut self.rng)
         };
-        if let Some(at) = next_call {
+        if let Some(at) = next_poll {
             actions.push(Action::Timer { at, token: DISCOVERY_TIMER });
         }
     }
@@ -156,7 +156,7 @@
     fn on_timer(&mut self, now: Micros, token: u64, actions: &mut Vec<Action>) {
         match token {
             DISCOVERY_TIMER => {
-                if self.discovery.is_call_due(now) {
+                if self.discovery.is_poll_due(now) {
                     actions.push(Action::WatchEndpoints);
                 }
             }
--- a/src/balancer/tests/capacity.rs
+++ b/src/balancer/tests/capacity.rs
@@ -173,21 +173,21 @@
     });
 }
 
-/// A discovery service that answers calls in order of arrival.
-struct CallQueue {
-    /// Time for one call, in microseconds.
+/// A discovery service that answers polls in order of arrival.
+struct PollQueue {
+    /// Time to answer one poll, in microseconds.
     service_time: u64,
-    /// Time at which the next call can start.
+    /// Time at which the service can start on the next poll.
     free_at: u64,
 }
 
-impl CallQueue {
-    /// Longest wait before a caller times out, as in `node/src/discovery/timing.rs`.
+impl PollQueue {
+    /// Longest wait before a poll times out, as in `node/src/discovery/timing.rs`.
     const MAX_WAIT_MICROS: u64 = 1_900_000;
 
-    /// `Ok` with the time at which a call that arrives now is answered, or `Err` with the time at which the
-    /// caller times out.
-    fn call(&mut self, now: u64) -> Result<u64, u64> {
+    /// `Ok` with the time at which a poll that arrives now is answered, or `Err` with the time at which it
+    /// times out.
+    fn poll(&mut self, now: u64) -> Result<u64, u64> {
         let begin = self.free_at.max(now);
         if begin + self.service_time > now + Self::MAX_WAIT_MICROS {
             return Err(now + Self::MAX_WAIT_MICROS);
@@ -197,8 +197,8 @@
     }
 }
 
-/// 40% of the balancers start at once with a discovery service that answers calls in order of arrival: the
-/// time until half, 99% and all of them have their list, and the number of calls.
+/// 40% of the balancers start at once with a discovery service that answers polls in order of arrival: the
+/// time until half, 99% and all of them have their list, and the number of polls.
 #[test]
 #[ignore = "measures for docs/CAPACITY.md"]
 fn capacity_discovery_wave() {
@@ -216,7 +216,7 @@
     let mut starting: Vec<Balancer> =
         (0..callers as u64).map(|n| Balancer::new(settings.clone(), seed * 10_000 + n)).collect();
     let list = endpoints(6);
-    // By time and balancer: true if the balancer's call is due, false if its call times out.
+    // By time and balancer: true if the balancer's poll is due, false if its poll times out.
     let mut due = BTreeMap::new();
     let schedule = |due: &mut BTreeMap<(u64, usize), bool>, n: usize, actions: &[Action]| match actions {
         [Action::Timer { at, .. }] => due.insert((at.0, n), true),
@@ -226,10 +226,10 @@
         let actions = handle(balancer, SECOND, Event::EndpointsChanged(EndpointUpdate::Restored, &list));
         schedule(&mut due, n, &actions);
     }
-    let mut queue = CallQueue { service_time: service_ms * 1_000, free_at: 0 };
-    let (mut listed, mut calls) = (Vec::new(), BTreeMap::<u64, usize>::new());
-    while let Some(((now, n), is_call)) = due.pop_first() {
-        if !is_call {
+    let mut queue = PollQueue { service_time: service_ms * 1_000, free_at: 0 };
+    let (mut listed, mut polls) = (Vec::new(), BTreeMap::<u64, usize>::new());
+    while let Some(((now, n), is_poll)) = due.pop_first() {
+        if !is_poll {
             let actions =
                 handle(&mut starting[n], now, Event::EndpointsChanged(EndpointUpdate::Unavailable, &[]));
             schedule(&mut due, n, &actions);
@@ -238,8 +238,8 @@
         if handle(&mut starting[n], now, Event::Timer(DISCOVERY_TIMER)) != [Action::WatchEndpoints] {
             continue;
         }
-        *calls.entry(now / SECOND).or_default() += 1;
-        match queue.call(now) {
+        *polls.entry(now / SECOND).or_default() += 1;
+        match queue.poll(now) {
             Ok(at) => {
                 handle(&mut starting[n], at, Event::EndpointsChanged(EndpointUpdate::Snapshot, &list));
                 listed.push((at - SECOND) as f64 / 1e6);
@@ -255,7 +255,7 @@
         listed[callers / 2],
         listed[callers * 99 / 100],
         listed[callers - 1],
-        calls.values().sum::<usize>(),
-        calls.values().max().unwrap_or(&0)
+        polls.values().sum::<usize>(),
+        polls.values().max().unwrap_or(&0)
     );
 }
--- a/src/balancer/tests/discovery_schedule.rs
+++ b/src/balancer/tests/discovery_schedule.rs
@@ -1,9 +1,9 @@
-//! Tests of the schedule of discovery calls: spread over a fleet, and within the poll interval.
+//! Tests of the schedule of discovery polls: spread over a fleet, and within the poll interval.
 
 use super::*;
 
 #[test]
-fn calls_are_spread_and_within_the_poll_interval() {
+fn polls_are_spread_and_within_the_poll_interval() {
     let mut settings = idempotent_settings();
     settings.watches_discovery = true;
     let interval = settings.rules.discovery_poll_interval;
@@ -24,11 +24,11 @@
     assert!(times.len() > 45 && times[49.min(times.len() - 1)] - times[0] > 3 * SECOND);
 }
 
-/// Ninety balancers start at once with a discovery that answers ten calls a second and fails the others: the
-/// calls are spread out, and all balancers soon have their list.
+/// Ninety balancers start at once with a discovery that answers ten polls a second and fails the others.
+/// Guards against polls that are not spread out, and against balancers that wait long for their list.
 #[test]
 fn simultaneous_starts_do_not_overload_discovery() {
-    const CALLS_PER_SECOND: usize = 10;
+    const POLLS_PER_SECOND: usize = 10;
     let mut settings = idempotent_settings();
     settings.watches_discovery = true;
     let mut starting: Vec<Balancer> = (0..90).map(|seed| Balancer::new(settings.clone(), seed)).collect();
@@ -42,13 +42,13 @@
         let start = Event::EndpointsChanged(EndpointUpdate::Restored, &restored);
         due.push((timer_of(&handle(balancer, SECOND, start)), n));
     }
-    let (mut calls, mut listed) = ([0; 64], 0);
+    let (mut polls, mut listed) = ([0; 64], 0);
     while let Some(next) = (0..due.len()).min_by_key(|at| due[*at]) {
         let (now, n) = due.swap_remove(next);
         assert_eq!(handle(&mut starting[n], now, Event::Timer(DISCOVERY_TIMER)), [Action::WatchEndpoints]);
-        let second = &mut calls[(now / SECOND) as usize];
+        let second = &mut polls[(now / SECOND) as usize];
         *second += 1;
-        if *second <= CALLS_PER_SECOND {
+        if *second <= POLLS_PER_SECOND {
             listed += 1;
             handle(&mut starting[n], now, Event::EndpointsChanged(EndpointUpdate::Snapshot, &endpoints(6)));
         } else {
@@ -57,10 +57,10 @@
         }
     }
     assert_eq!(listed, 90);
-    assert!(calls.iter().all(|n| *n <= 3 * CALLS_PER_SECOND), "{calls:?}");
+    assert!(polls.iter().all(|n| *n <= 3 * POLLS_PER_SECOND), "{polls:?}");
     assert_eq!(
-        calls[22..].iter().sum::<usize>(),
+        polls[22..].iter().sum::<usize>(),
         0,
-        "all balancers must have their list within 20 s: {calls:?}"
+        "all balancers must have their list within 20 s: {polls:?}"
     );
 }
