--- a/src/balancer/gap_ladder.rs
+++ b/src/balancer/gap_ladder.rs
@@ -24,7 +24,7 @@
 const RUNGS_PER_DECREASE: u32 = 3;
 /// Shortest lifetime of a gap, in gap lengths; the lifetime is drawn from one to two times this. The shortest
 /// lifetime is long enough for several sends at the gap's pace, whose outcomes can renew the gap.
-const MIN_DURATION_IN_GAPS: f64 = 4.0;
+const MIN_LIFETIME_IN_GAPS: f64 = 4.0;
 /// Longest settling time after a raise, as a share of the gap. Outcomes of sends before its end do not count.
 const SETTLING_SHARE_OF_GAP: f64 = 0.5;
 
@@ -192,7 +192,7 @@
             self.settled_from = now + gap.mul_f64(SETTLING_SHARE_OF_GAP * random);
         }
         if rejected_share > LOWER_BELOW_REJECTED_SHARE || self.rung != previous_rung {
-            self.ends_at = now + gap.mul_f64(MIN_DURATION_IN_GAPS * (1.0 + random));
+            self.ends_at = now + gap.mul_f64(MIN_LIFETIME_IN_GAPS * (1.0 + random));
         }
         self.open_window(now);
     }
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -97,13 +97,13 @@
         let responses_per_second = self.response_rate.per_second(now) / servers;
         let is_read_through = self.settings.mode == CacheMode::ReadThrough;
 
-        let mut shortest_gap: Option<Micros> = None;
+        let mut shortest_wait: Option<Micros> = None;
         for rank in 0..self.placement.candidates.len() {
             let server = self.placement.candidates[rank].server;
             let skip_reason = self.skip_reason(now, open, server, responses_per_second);
             let Some(reason) = skip_reason else { return Some(Route::Forward { server }) };
             if let SkipReason::Gapped(wait) = reason {
-                shortest_gap = Some(shortest_gap.unwrap_or(wait).min(wait));
+                shortest_wait = Some(shortest_wait.unwrap_or(wait).min(wait));
             }
             // With cache-aside, the origin can serve the request, so a lack of capacity at the owners is no
             // reason to try servers that do not own the key.
@@ -112,7 +112,7 @@
                 break;
             }
         }
-        let wait = shortest_gap.filter(|_| is_read_through)?;
+        let wait = shortest_wait.filter(|_| is_read_through)?;
         Some(Route::Reject { wait, reason: RejectReason::AllServersGapped })
     }
 
--- a/src/balancer/tests/concurrency_limit.rs
+++ b/src/balancer/tests/concurrency_limit.rs
@@ -14,7 +14,7 @@
     /// The limit recovers for a server that responds well again: each fast response raises a limit in use.
     /// The latency of a permanently slower server becomes the baseline within half an hour.
     #[test]
-    fn limit_recovers_from_any_state(seed: u64, steps in 1usize..400, slower in 1u64..6) {
+    fn limit_recovers_from_any_state(seed: u64, steps in 1usize..400, latency_factor in 1u64..6) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut concurrency, mut now) = (ConcurrencyLimit::new(3), SECOND);
         for _ in 0..steps {
@@ -33,7 +33,7 @@
             }
             prop_assert!(concurrency.limit >= 1.0);
         }
-        let latency = 100_000 * slower;
+        let latency = 100_000 * latency_factor;
         let end = now + 1_800 * SECOND;
         while concurrency.limit < 8.0 {
             prop_assert!(now < end, "limit {}", concurrency.limit);
--- a/src/balancer/tests/coordination.rs
+++ b/src/balancer/tests/coordination.rs
@@ -144,8 +144,8 @@
             };
             assert!(actions.iter().any(is_exhausted), "the request must be rejected at once: {actions:?}");
         }
-        let is_paid = fake.0.borrow().acquired.contains(&SharedLimit::RetryBudget);
-        assert_eq!(is_paid, is_retried && result != AttemptResult::Miss, "{retry_wait:?} {result:?}");
+        let is_charged = fake.0.borrow().acquired.contains(&SharedLimit::RetryBudget);
+        assert_eq!(is_charged, is_retried && result != AttemptResult::Miss, "{retry_wait:?} {result:?}");
     }
 }
 
--- a/src/balancer/tests/fleet.rs
+++ b/src/balancer/tests/fleet.rs
@@ -26,7 +26,7 @@
     let few = simulate_default(3, Outage::NONE);
     for balancers in SIZES {
         let many = simulate_default(balancers, Outage::NONE);
-        let (fetches, before) = (sum(&many.fetches, 5, 30), sum(&few.fetches, 5, 30));
+        let (fetches, fetches_of_few) = (sum(&many.fetches, 5, 30), sum(&few.fetches, 5, 30));
         println!(
             "{balancers:4} balancers: {:.3} served, {:.1} fetches a second, {:.3} hits and {:.3} attempts a request",
             many.served_share(5, 30),
@@ -35,7 +35,10 @@
             many.sends / sum(&many.requested, 0, 30)
         );
         assert!(many.served_share(5, 30) > 0.95, "{balancers}: {:.3}", many.served_share(5, 30));
-        assert!(fetches < 1.35 * before, "{balancers}: {fetches} fetches, {before} with three balancers");
+        assert!(
+            fetches < 1.35 * fetches_of_few,
+            "{balancers}: {fetches} fetches, {fetches_of_few} with three balancers"
+        );
     }
 }
 
@@ -82,7 +85,7 @@
 /// balancers together, including retries and hedged requests, must not exceed 1.5 times a server's capacity
 /// at that time (sites tolerate three or four times) plus random variation.
 #[test]
-fn restarted_server_is_ramped_by_all_balancers_together() {
+fn all_balancers_together_do_not_overload_a_restarted_server() {
     for balancers in [3, 30, 300] {
         for seed in [5, 6, 7] {
             let outage = Outage { from: 6, to: 9, every: 6 };
--- a/src/balancer/tests/gap_ladder.rs
+++ b/src/balancer/tests/gap_ladder.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn rejected_share_gaps_only_above_the_threshold() {
+fn only_a_rejected_share_above_the_threshold_gaps_a_server() {
     let mut healthy = Gap::default();
     record_outcomes(&mut healthy, 2 * SECOND, 100_000, &[false, false, true, false].repeat(20));
     assert_eq!(healthy.rung, 0);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn rejections_seconds_apart_do_not_gap() {
+fn rejections_seconds_apart_do_not_gap_a_server() {
     let mut gap = Gap::default();
     record_outcomes(&mut gap, 20 * SECOND, 3 * SECOND, &[true, true, true, true]);
     assert_eq!(gap.rung, 0, "rejections seconds apart must not gap a server");
@@ -91,9 +91,9 @@
         renewed.rung > 10 && renewed.ends_at > Micros(2 * SECOND),
         "a high rejected share must raise and renew the gap"
     );
-    let mut ended = active_gap(9);
-    ended.ends_at = Micros(5 * SECOND);
-    assert!(ended.is_active(Micros(5 * SECOND - 1)) && !ended.is_active(Micros(5 * SECOND)));
+    let mut expired = active_gap(9);
+    expired.ends_at = Micros(5 * SECOND);
+    assert!(expired.is_active(Micros(5 * SECOND - 1)) && !expired.is_active(Micros(5 * SECOND)));
 }
 
 #[test]
--- a/src/balancer/tests/placement.rs
+++ b/src/balancer/tests/placement.rs
@@ -45,7 +45,7 @@
 
 /// All balancers agree on the owners of a popular key; each of them prefers an owner in its own zone.
 #[test]
-fn popular_key_is_read_in_the_own_zone_first() {
+fn popular_key_is_read_in_the_zone_of_the_balancer_first() {
     let owners_seen_from = |zone: u32| {
         let mut balancer = new_balancer(Settings { zone, ..idempotent_settings() }, &endpoints(24));
         for _ in 0..400 {
--- a/src/balancer/tests/settings.rs
+++ b/src/balancer/tests/settings.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn unusable_settings_and_unknown_ids_are_handled() {
+fn requests_are_answered_despite_unusable_settings_and_unknown_ids() {
     let mut unusable = idempotent_settings();
     unusable.classes.clear();
     unusable.balancers = 0;
--- a/src/balancer/tests/simulation/engine.rs
+++ b/src/balancer/tests/simulation/engine.rs
@@ -265,7 +265,7 @@
     fn start_attempt(&mut self, number: u64, server: u64, timeout: u64) {
         let is_origin = ServerId(server) == ORIGIN;
         let second = self.now / SECOND;
-        let is_unresponsive = !is_origin && self.count_restarts_and_unresponsiveness(number, server, second);
+        let is_unresponsive = !is_origin && self.apply_outage(number, server, second);
         self.result.sends += 1.0;
 
         let index = if is_origin { self.scenario.caches } else { server } as usize;
@@ -297,7 +297,7 @@
 
     /// Applies the outage to a send: empties the cache of a restarted server, counts a send to a server in
     /// slow start, and returns whether the server currently does not respond.
-    fn count_restarts_and_unresponsiveness(&mut self, number: u64, server: u64, second: u64) -> bool {
+    fn apply_outage(&mut self, number: u64, server: u64, second: u64) -> bool {
         let Outage { from, to, every } = self.scenario.outage;
         if to == 0 || !server.is_multiple_of(every) {
             return false;
