--- a/settings/src/check.rs
+++ b/settings/src/check.rs
@@ -29,7 +29,7 @@
     require("kinds", !settings.kinds.is_empty(), "name at least one server kind")?;
     require("zones", !settings.zones.is_empty(), "name at least one zone")?;
     check_origin(settings)?;
-    require_time("tick", settings.tick_interval)?;
+    require_time("tick", settings.min_batch_interval)?;
     check_limits(&settings.limits)?;
     check_rules(&settings.rules)
 }
@@ -48,7 +48,7 @@
     Ok(())
 }
 
-/// A tenant with an empty name would match requests that name no tenant.
+/// Checks that tenants have unique, non-empty names. An empty name would match requests that name no tenant.
 fn check_tenants(settings: &SiteSettings) -> CheckResult {
     let names = settings.tenants.iter().map(|tenant| tenant.name.as_str());
     require("orgs[].name", are_nonempty_and_unique(names), "give each tenant a unique, non-empty name")
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -41,9 +41,9 @@
     /// This balancer's index among all balancers, from 0.
     pub position: Option<u32>,
     rules: SiteRules,
-    /// Tick interval of the decision core.
+    /// Shortest time between two batches of events of the decision core.
     #[serde(rename = "tick", deserialize_with = "micros")]
-    tick_interval: Micros,
+    min_batch_interval: Micros,
     /// The meaning of the weights in the endpoint list: capacity if `nominal` or `rough`, otherwise they are ignored.
     weights: String,
     /// The names of the zones, in the order of their numbers.
@@ -58,22 +58,25 @@
     pub name: String,
     #[serde(rename = "aim", deserialize_with = "micros")]
     latency_objective: Micros,
-    /// Addition to the latency objective per unit of expected work, in microseconds.
+    /// Addition to the latency objective, as a factor on the expected work.
     #[serde(rename = "aim-stretch")]
     latency_objective_per_work: f64,
     /// `pure` (idempotent), `token` (idempotent with an idempotency key) or anything else (not idempotent).
     #[serde(rename = "effect")]
     idempotency: String,
-    /// The client's time-out, counted from its request.
+    /// Total time that a client waits, from its first request on and including its own retries.
     #[serde(rename = "give-up", deserialize_with = "micros")]
     deadline: Micros,
     /// Scope in which servers drop duplicates: `zone`, `cell` or anything else for all servers.
     #[serde(rename = "group")]
     deduplication_scope: String,
+    /// Value of a response after the latency objective and within the deadline.
     #[serde(rename = "late-worth")]
     late_priority_weight: f64,
+    /// Time during which servers drop duplicates.
     #[serde(rename = "window", deserialize_with = "micros")]
     deduplication_window: Micros,
+    /// Value of a response within the latency objective.
     #[serde(rename = "worth")]
     priority_weight: f64,
 }
@@ -101,6 +104,7 @@
     /// Maximum number of attempts per request, including the first.
     #[serde(rename = "max-attempts")]
     max_attempts: u32,
+    /// Longest Retry-After delay that a client follows.
     #[serde(rename = "max-retry-after", deserialize_with = "micros")]
     max_retry_after: Micros,
     /// Whether a request may be in flight at two servers at once.
@@ -108,7 +112,7 @@
     may_duplicate: bool,
     /// Whether a rejection may carry a Retry-After delay.
     #[serde(rename = "retry-after")]
-    retry_after: bool,
+    sends_retry_after: bool,
 }
 
 /// A tenant.
@@ -125,14 +129,16 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct SiteRules {
+    /// Longest time between two polls of discovery.
     #[serde(rename = "ask-within", deserialize_with = "micros")]
     discovery_poll_interval: Micros,
     /// Share of its capacity that a server has at the beginning of slow start.
     #[serde(rename = "cold-share")]
     slow_start_initial_share: f64,
+    /// Time from its start after which a server has its full capacity.
     #[serde(rename = "warm-up", deserialize_with = "micros")]
     slow_start_duration: Micros,
-    /// How long after the notification of a drain new attempts may still be sent to the server.
+    /// How long after the notification of a server's drain or removal new attempts may still be sent to the server.
     #[serde(rename = "drain-grace", deserialize_with = "micros")]
     drain_grace: Micros,
 }
@@ -152,7 +158,7 @@
             mode: self.cache.to_balancer_settings(),
             watches_discovery: self.membership_mode == "subscribe",
             has_comparable_weights: matches!(self.weights.as_str(), "nominal" | "rough"),
-            min_batch_interval: self.tick_interval,
+            min_batch_interval: self.min_batch_interval,
             limits: self.limits.to_balancer_settings(),
             rules: self.rules.to_balancer_settings(),
         }
@@ -214,7 +220,7 @@
         Limits {
             max_attempts: self.max_attempts,
             max_retry_after: self.max_retry_after,
-            sends_retry_after: self.retry_after,
+            sends_retry_after: self.sends_retry_after,
             may_duplicate: self.may_duplicate,
         }
     }
