--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -53,9 +53,9 @@
         /// Highest valid slot.
         max: usize,
     },
-    /// The event refers to a slot without an endpoint list.
+    /// The event refers to a slot above all slots received so far.
     #[error("endpoints event refers to manifest slot {slot}, but no manifest with this slot was received")]
-    EmptySlot {
+    UnknownSlot {
         /// The slot.
         slot: usize,
     },
--- a/simulator-adapter/src/instances.rs
+++ b/simulator-adapter/src/instances.rs
@@ -7,19 +7,22 @@
 use rustc_hash::FxHashMap;
 
 use crate::error::AdapterError;
-use crate::wire::{request_id, write_action, Batch, EndpointsForm, IncomingEvent};
+use crate::wire::{parse_request_id, write_action, Batch, IncomingEvent, IncomingUpdate};
 
-/// Highest slot number of an endpoint list.
+/// Highest slot number. The simulator stores each endpoint list under a slot, by which later events refer to
+/// the list.
 const MAX_SLOT: usize = 15;
 
-/// All balancers of this process. They share only the endpoint lists, which the simulator sends once for all
-/// of them.
+/// All balancers of this process, by their numbers, which events call `instance`. The balancers share only
+/// the endpoint lists, which the simulator sends once for all of them.
 #[derive(Default)]
 pub struct Instances {
     balancers: FxHashMap<u32, Balancer>,
+    /// The endpoint lists, by slot.
     endpoint_lists: Vec<Vec<Endpoint>>,
-    /// Reused between events to save allocations.
+    /// Actions of the current event; reused between events to save allocations.
     actions: Vec<Action>,
+    /// Reply to the current line; reused between lines to save allocations.
     reply: Vec<u8>,
 }
 
@@ -60,7 +63,7 @@
                 self.dispatch(now, request.instance, Event::Request(request.to_request()?))
             }
             IncomingEvent::ResponseStarted { instance, request_id: id } => {
-                self.dispatch(now, instance, Event::ResponseStarted(request_id(id)?))
+                self.dispatch(now, instance, Event::ResponseStarted(parse_request_id(id)?))
             }
             IncomingEvent::AttemptCompleted(attempt) => {
                 let event = Event::AttemptCompleted(attempt.to_completed_attempt()?);
@@ -68,10 +71,10 @@
             }
             IncomingEvent::Timer { instance, token } => self.dispatch(now, instance, Event::Timer(token)),
             IncomingEvent::ClientDisconnected { instance, request_id: id } => {
-                self.dispatch(now, instance, Event::RequestAbandoned(request_id(id)?))
+                self.dispatch(now, instance, Event::RequestAbandoned(parse_request_id(id)?))
             }
             IncomingEvent::Message { instance, base64_text } => self.check_message(instance, base64_text),
-            IncomingEvent::LoadReport { instance } => self.check_started(instance),
+            IncomingEvent::LoadReport { instance } => self.check_running(instance),
         }
     }
 
@@ -91,29 +94,32 @@
         now: Micros,
         instance: u32,
         slot: usize,
-        form: EndpointsForm,
+        form: IncomingUpdate,
     ) -> Result<(), AdapterError> {
-        if form == EndpointsForm::Unavailable {
+        if form == IncomingUpdate::Unavailable {
             let event = Event::EndpointsChanged(EndpointUpdate::Unavailable, &[]);
             return self.dispatch(now, instance, event);
         }
-        let stored = self.endpoint_lists.get_mut(slot).ok_or(AdapterError::EmptySlot { slot })?;
-        // Moved out of `self`, which `dispatch` borrows mutably, while the balancer reads the list.
+        let stored = self.endpoint_lists.get_mut(slot).ok_or(AdapterError::UnknownSlot { slot })?;
+        // `dispatch` borrows `self` mutably, so the list is moved out of `self` while the balancer reads it.
         let endpoints = std::mem::take(stored);
         let result = self.dispatch(now, instance, Event::EndpointsChanged(form.into(), &endpoints));
         self.endpoint_lists[slot] = endpoints;
         result
     }
 
-    /// Checks a message. The balancers use no messages, but a malformed one is still an error.
+    /// Checks a message from another balancer. The balancers of this crate ignore messages, but a malformed
+    /// message is an error.
     fn check_message(&self, instance: u32, base64_text: &str) -> Result<(), AdapterError> {
         base64::engine::general_purpose::STANDARD
             .decode(base64_text)
             .map_err(|source| AdapterError::Message { instance, source })?;
-        self.check_started(instance)
+        self.check_running(instance)
     }
 
-    fn check_started(&self, instance: u32) -> Result<(), AdapterError> {
+    /// Checks that the balancer runs. Nothing else is done for a load report, which the balancers of this
+    /// crate do not use.
+    fn check_running(&self, instance: u32) -> Result<(), AdapterError> {
         if self.balancers.contains_key(&instance) {
             Ok(())
         } else {
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -4,5 +4,5 @@
 mod incoming;
 mod outgoing;
 
-pub use incoming::{request_id, Batch, EndpointsForm, IncomingEvent};
+pub use incoming::{parse_request_id, Batch, IncomingEvent, IncomingUpdate};
 pub use outgoing::write_action;
--- a/simulator-adapter/src/wire/incoming.rs
+++ b/simulator-adapter/src/wire/incoming.rs
@@ -47,7 +47,7 @@
         #[serde(rename = "entries")]
         endpoints: Vec<EndpointEntry>,
     },
-    /// Discovery returned the list in this slot, or failed.
+    /// Discovery returned the list in this slot, or is unavailable; then the slot is ignored.
     #[serde(rename = "endpoints")]
     EndpointsChanged {
         /// Number of the balancer.
@@ -56,8 +56,8 @@
         /// Slot of the list.
         #[serde(default)]
         slot: usize,
-        /// How the list relates to the current one.
-        form: EndpointsForm,
+        /// How the list relates to the current one, or that discovery is unavailable.
+        form: IncomingUpdate,
     },
     /// A client sent a request.
     #[serde(rename = "req")]
@@ -159,7 +159,7 @@
     /// The id is not 36 characters long.
     pub fn to_request(&self) -> Result<Request, AdapterError> {
         Ok(Request {
-            id: request_id(self.request_id)?,
+            id: parse_request_id(self.request_id)?,
             deadline: Micros(self.deadline),
             expected_work: self.expected_work.map(Micros),
             key: self.key.map(Key),
@@ -183,10 +183,10 @@
     /// Remark of the server as a code; 0 for none.
     #[serde(default)]
     remark: u32,
-    /// Whether the request is closed as well.
+    /// Whether the request is closed and needs no further decisions.
     #[serde(default, rename = "closed")]
-    request_closed: bool,
-    /// Number of the attempt within its request.
+    is_request_closed: bool,
+    /// Number of the attempt within its request, from zero.
     #[serde(default, rename = "round-no")]
     attempt: u32,
     /// Number of the server.
@@ -205,12 +205,12 @@
     /// The id is not 36 characters long.
     pub fn to_completed_attempt(&self) -> Result<CompletedAttempt, AdapterError> {
         Ok(CompletedAttempt {
-            id: request_id(self.request_id)?,
+            id: parse_request_id(self.request_id)?,
             server: ServerId(self.server.into()),
             attempt: self.attempt,
             latency: Micros(self.latency),
             result: self.result.into(),
-            is_request_closed: self.request_closed,
+            is_request_closed: self.is_request_closed,
             fetch_in_progress: self.remark == REMARK_FETCH_IN_PROGRESS,
         })
     }
@@ -255,9 +255,9 @@
     }
 }
 
-/// How an endpoint list relates to the current one.
+/// How an endpoint list relates to the current one, or that discovery is unavailable.
 #[derive(Deserialize, Clone, Copy, PartialEq, Eq)]
-pub enum EndpointsForm {
+pub enum IncomingUpdate {
     #[serde(rename = "update")]
     Delta,
     #[serde(rename = "replace")]
@@ -268,13 +268,13 @@
     Unavailable,
 }
 
-impl From<EndpointsForm> for EndpointUpdate {
-    fn from(form: EndpointsForm) -> EndpointUpdate {
+impl From<IncomingUpdate> for EndpointUpdate {
+    fn from(form: IncomingUpdate) -> EndpointUpdate {
         match form {
-            EndpointsForm::Delta => EndpointUpdate::Delta,
-            EndpointsForm::Snapshot => EndpointUpdate::Snapshot,
-            EndpointsForm::Restored => EndpointUpdate::Restored,
-            EndpointsForm::Unavailable => EndpointUpdate::Unavailable,
+            IncomingUpdate::Delta => EndpointUpdate::Delta,
+            IncomingUpdate::Snapshot => EndpointUpdate::Snapshot,
+            IncomingUpdate::Restored => EndpointUpdate::Restored,
+            IncomingUpdate::Unavailable => EndpointUpdate::Unavailable,
         }
     }
 }
@@ -299,7 +299,7 @@
     /// Capacity of the server relative to others.
     #[serde(default = "default_weight", rename = "capacity-hint")]
     weight: f64,
-    /// Time of the server's start, in microseconds.
+    /// Time of the server's last start, in microseconds; zero if that was long ago.
     #[serde(default, rename = "came-up")]
     started: u64,
 }
@@ -347,7 +347,7 @@
 ///
 /// # Errors
 /// The text is not 36 characters long.
-pub fn request_id(text: &str) -> Result<RequestId, AdapterError> {
+pub fn parse_request_id(text: &str) -> Result<RequestId, AdapterError> {
     let bytes = text.as_bytes().try_into();
     bytes.map(RequestId).map_err(|_| AdapterError::RequestId { text: text.to_owned() })
 }
--- a/simulator-adapter/tests/transcripts.rs
+++ b/simulator-adapter/tests/transcripts.rs
@@ -17,10 +17,10 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
+        .expect("the adapter must start");
     // The adapter exits at an invalid line and may close its input before all of it is written.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
-    child.wait_with_output().expect("the adapter ends")
+    child.wait_with_output().expect("the adapter must end")
 }
 
 fn start_event(router: u32) -> String {
@@ -49,7 +49,7 @@
 
 fn replies(output: &Output) -> Vec<String> {
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-    let text = String::from_utf8(output.stdout.clone()).expect("replies are UTF-8");
+    let text = String::from_utf8(output.stdout.clone()).expect("replies must be UTF-8");
     text.lines().map(str::to_owned).collect()
 }
 
@@ -72,7 +72,7 @@
     let other_id = "6d3a91c4-529c-4add-ac63-3abe20529426";
     let input = batch(1, &events) + &batch(2, &[request_event(1, ID), request_event(2, other_id)]);
     let replies = replies(&run_adapter(&input));
-    let reply: serde_json::Value = serde_json::from_str(&replies[1]).expect("a reply is JSON");
+    let reply: serde_json::Value = serde_json::from_str(&replies[1]).expect("a reply must be JSON");
     let servers: Vec<_> =
         reply["do"].as_array().expect("actions").iter().map(|action| &action["server"]).collect();
     assert_eq!(servers, [11, 22]);
