--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -68,8 +68,8 @@
     response_rate: RateEstimator,
     placement: Placement,
     cache_ladder: GapLadder,
-    /// Unlike gaps at cache servers, gaps at the origin do not grow with the number of balancers: no other
-    /// server can take the origin's requests, so every attempt that a gap holds back is lost.
+    /// Unlike at cache servers, the longest gap at the origin does not grow with the number of balancers: no
+    /// other server can take the origin's requests, so every attempt that a gap holds back is lost.
     origin_ladder: GapLadder,
     origin_queue: OriginQueue,
     admission: Admission,
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -1,8 +1,8 @@
 //! Maps keys to cache servers by weighted rendezvous hashing, with the same scores at every balancer.
 //!
 //! Inputs are the key, the servers of the endpoint list and the popularity of the key at this balancer. A
-//! popular key has several owners, of which one in the balancer's own zone comes first. Placement ignores
-//! load: routing skips servers that cannot take a request now.
+//! popular key has several owners, of which one in the balancer's own zone, if there is one, comes first.
+//! Placement ignores load: routing skips servers that cannot take a request now.
 
 use rustc_hash::FxHashMap;
 
--- a/src/balancer/tests/fleet.rs
+++ b/src/balancer/tests/fleet.rs
@@ -50,9 +50,9 @@
     for balancers in SIZES {
         let result = simulate_default(balancers, Outage { from: 8, to: 18, every: 6 });
         let expected_sends = 4.0 / 24.0 * sum(&result.requested, 11, 17);
-        let lost = sum(&result.lost_sends, 11, 17) / expected_sends;
+        let retained_share = sum(&result.lost_sends, 11, 17) / expected_sends;
         println!(
-            "{balancers:4} balancers: {lost:.2} of the share of unresponsive servers lost, {:.3} served, {:.3} after the restart, restarted server at {:.2} of its capacity",
+            "{balancers:4} balancers: unresponsive servers still get {retained_share:.2} of their share, {:.3} served, {:.3} after the restart, restarted server at {:.2} of its capacity",
             result.served_share(11, 17),
             result.served_share(22, 30),
             result.peak_slow_start_load
@@ -60,8 +60,8 @@
         // Each of 200 balancers sends to a server once in 20 s: hedged requests serve the clients before the
         // balancers can detect the failure.
         assert!(
-            lost < 0.75 || balancers > 100,
-            "{balancers}: unresponsive servers still get {lost:.2} of their share"
+            retained_share < 0.75 || balancers > 100,
+            "{balancers}: unresponsive servers still get {retained_share:.2} of their share"
         );
         assert!(
             result.served_share(11, 17) > 0.97,
--- a/src/balancer/tests/hedging.rs
+++ b/src/balancer/tests/hedging.rs
@@ -100,7 +100,7 @@
     for n in 0..100 {
         now += 200_000;
         let sends = handle(&mut balancer, now, Event::Request(write(n, now)));
-        let server = sent_to(&sends).expect("the write is sent");
+        let server = sent_to(&sends).expect("the write must be sent");
         handle(&mut balancer, now + 20_000, completed_and_closed(n, 0, server, AttemptResult::Served));
     }
     now += 200_000;
@@ -108,7 +108,8 @@
     let [Action::Send { server: first, .. }, Action::Timer { at, token }] = sends[..] else {
         panic!("{sends:?}")
     };
-    let second = sent_to(&handle(&mut balancer, at.0, Event::Timer(token))).expect("the write is hedged");
+    let second =
+        sent_to(&handle(&mut balancer, at.0, Event::Timer(token))).expect("the write must be hedged");
     (balancer, [first, second], at.0)
 }
 
--- a/src/balancer/tests/settings.rs
+++ b/src/balancer/tests/settings.rs
@@ -58,18 +58,21 @@
 fn deploy_file_lists_every_file_of_the_decision_core() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
     let deploy = include_str!("../../../deploy/balancer.toml");
-    let policy = deploy.lines().find(|line| line.starts_with("policy")).expect("a list of files");
+    let policy = deploy
+        .lines()
+        .find(|line| line.starts_with("policy"))
+        .expect("the deploy file must have a policy list");
     let names: Vec<&str> = policy.split('"').skip(1).step_by(2).collect();
     let files: Vec<String> =
         names.iter().map(|name| std::fs::read_to_string(root.join(name)).expect(name)).collect();
-    let folder = std::fs::read_dir(root.join("src/balancer")).expect("a folder");
+    let folder = std::fs::read_dir(root.join("src/balancer")).expect("src/balancer must be readable");
     let count = folder.filter(|entry| entry.as_ref().is_ok_and(|entry| entry.path().is_file())).count();
     assert_eq!(
         files.len(),
         count - 1,
         "the list must contain balancer.rs and all files in src/balancer but tests.rs and limit_view.rs"
     );
-    for entry in std::fs::read_dir(root.join("src/balancer")).expect("a folder") {
+    for entry in std::fs::read_dir(root.join("src/balancer")).expect("src/balancer must be readable") {
         let file = entry.expect("an entry").file_name().into_string().expect("a name");
         let decides = file.ends_with(".rs") && file != "tests.rs" && file != "limit_view.rs";
         let path = format!("src/balancer/{file}");
