--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -28,14 +28,14 @@
             class(1_200_000, 3_000_000, Idempotency::WithIdempotencyKey),
         ],
         tenants: vec![],
-        mode: CacheMode::Aside(1),
-        subscribe: false,
-        weighted: true,
-        tick: Micros(5_000),
+        mode: CacheMode::CacheAside(1),
+        watches_discovery: false,
+        has_comparable_weights: true,
+        min_batch_interval: Micros(5_000),
         limits: Limits {
             max_attempts: 3,
             max_retry_after: Micros(2_000_000),
-            retry_after: true,
+            sends_retry_after: true,
             may_duplicate: true,
         },
         rules: Rules {
@@ -111,7 +111,7 @@
                 attempt: number,
                 latency: Micros(self.now_us - sent_at_us),
                 result: if is_miss { AttemptResult::Miss } else { AttemptResult::Served },
-                is_request_over: !is_miss,
+                is_request_closed: !is_miss,
                 fetch_in_progress: false,
             };
             self.handle(Event::AttemptCompleted(completed));
--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -3,7 +3,7 @@
 //! other.
 //!
 //! Guarantee: each accepted request gets exactly one answer, before its deadline, unless its client disconnects.
-//! No method may be called from a [`Carrier`], which is called while the state is borrowed.
+//! No method may be called from an [`AttemptTransport`], which is called while the state is borrowed.
 
 mod attempts;
 mod endpoints;
@@ -24,7 +24,7 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::sleep_until;
 
-pub use crate::carrier::{AttemptEnd, Carrier, Upload};
+pub use crate::carrier::{AttemptEnd, AttemptTransport, Upload};
 use crate::clock::{to_ms, Clock};
 use crate::counters::{increment, Counters};
 pub use crate::identifiers::AttemptId;
@@ -72,11 +72,11 @@
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher that sends attempts through this carrier.
+    /// Creates a dispatcher that sends attempts through this transport.
     pub fn new(
         settings: Settings,
         seed: u64,
-        carrier: Rc<dyn Carrier>,
+        transport: Rc<dyn AttemptTransport>,
         clock: Clock,
         counters: Rc<Counters>,
         log: Logger,
@@ -87,7 +87,7 @@
         let request_metrics = RequestMetrics::new(settings.classes.len());
         let state = DispatcherState {
             balancer: Balancer::new(settings, seed),
-            carrier,
+            transport,
             requests: FxHashMap::default(),
             client_ids: HashSet::new(),
             attempts: FxHashMap::default(),
@@ -119,10 +119,10 @@
     }
 
     /// Makes this balancer obey the limits that it shares with other balancers and use their reports.
-    pub fn join(&self, coordination: Box<dyn Coordination>) {
+    pub fn set_coordination(&self, coordination: Box<dyn Coordination>) {
         let mut state = self.state.borrow_mut();
         state.start_times.trust_wall_clock();
-        state.balancer.join(coordination);
+        state.balancer.set_coordination(coordination);
     }
 
     /// The process's counters.
@@ -142,14 +142,14 @@
 
     /// Accepts a request; the receiver gets its answer. Returns none if another request with the same id is open:
     /// servers could not distinguish the two, and one might get the other's answer.
-    pub fn take(&self, request: ClientRequest) -> Option<(ClientRequestId, oneshot::Receiver<Answer>)> {
-        self.take_after_wait(request, Micros(0))
+    pub fn accept(&self, request: ClientRequest) -> Option<(ClientRequestId, oneshot::Receiver<Answer>)> {
+        self.accept_after_wait(request, Micros(0))
     }
 
     /// Accepts a request that may have waited for up to `longest_wait` before it was read. The wait is subtracted from
     /// the request's time-out, but at most `MAX_WAIT_SHARE` of the time-out, as `longest_wait` is an upper bound that
     /// may be far too large.
-    pub fn take_after_wait(
+    pub fn accept_after_wait(
         &self,
         request: ClientRequest,
         longest_wait: Micros,
@@ -233,7 +233,7 @@
         let (handle, last_byte) = upload_handle(server);
         increment(&self.counters.uploads);
         let request = Rc::new(request.clone());
-        state.carrier.begin_upload(Upload { request, server, value, last_byte });
+        state.transport.begin_upload(Upload { request, server, value, last_byte });
         Some((handle, sender))
     }
 
@@ -326,7 +326,7 @@
     }
 
     /// The longest time ago at which an event that is noticed now may have happened, due to a stall of this process.
-    pub fn longest_unnoticed(&self) -> Micros {
+    pub fn max_notice_delay(&self) -> Micros {
         let now = self.clock.now();
         now.saturating_sub(self.stalls.earliest_event_time(now))
     }
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -77,7 +77,7 @@
     /// Handles the deadline of an attempt.
     pub(super) fn on_attempt_timeout(&self, state: &mut DispatcherState, id: AttemptId) {
         let Some(attempt) = state.attempts.remove(&id) else { return };
-        let is_written = state.carrier.abandon(id, attempt.server);
+        let is_written = state.transport.abandon(id, attempt.server);
         // An attempt that was not fully written cannot have been executed.
         let result = if is_written { AttemptResult::Timeout } else { AttemptResult::ConnectFailed };
         if is_written {
@@ -99,14 +99,14 @@
         let latency = now.saturating_sub(attempt.begun_at);
         debug!(self.log, "attempt completed"; "request" => attempt.request.0, "attempt" => attempt.attempt,
             "server" => %ServerLabel(attempt.server), "result" => ?result, "latency_ms" => to_ms(latency));
-        let is_request_over = self.answer_if_final(state, attempt.request, answer);
+        let is_request_closed = self.answer_if_final(state, attempt.request, answer);
         let completed = CompletedAttempt {
             id: attempt.request.to_request_id(),
             server: attempt.server,
             attempt: attempt.attempt,
             latency,
             result,
-            is_request_over,
+            is_request_closed,
             fetch_in_progress,
         };
         self.handle(state, now, Event::AttemptCompleted(completed));
@@ -209,7 +209,7 @@
             "timeout_ms" => to_ms(deadline.saturating_sub(now)));
         state.attempts.insert(id, InFlightAttempt { request: request_id, server, attempt, begun_at: now });
         state.add_timer(deadline, Timer::Attempt(id));
-        state.carrier.begin_attempt(Attempt {
+        state.transport.begin_attempt(Attempt {
             id,
             request,
             server,
--- a/dispatch/src/dispatcher/overrides/tests.rs
+++ b/dispatch/src/dispatcher/overrides/tests.rs
@@ -9,13 +9,13 @@
 
 use super::*;
 use crate::dispatcher::{Answer, AttemptEnd, ListedServer, Reply};
-use crate::testing::{self, dispatcher, listed_server, request, settings, Recorder, SERVER};
+use crate::testing::{self, dispatcher, listed_server, request, settings, RecordingTransport, SERVER};
 
 const NAME: &str = "s-00000009";
 
-fn dispatcher_and_recorder() -> (Rc<Dispatcher>, Rc<Recorder>) {
+fn dispatcher_and_recorder() -> (Rc<Dispatcher>, Rc<RecordingTransport>) {
     assert_eq!(server_id(NAME), SERVER);
-    let recorder = Rc::new(Recorder::default());
+    let recorder = Rc::new(RecordingTransport::default());
     let dispatcher = dispatcher(settings(3, Idempotency::Idempotent), recorder.clone(), 4);
     let timers = Rc::clone(&dispatcher);
     spawn_local(async move { timers.run_timers().await });
@@ -23,13 +23,13 @@
 }
 
 /// Sends requests for as many keys, each of which is served; returns how many attempts went to `SERVER`.
-async fn attempts_at_server(dispatcher: &Dispatcher, recorder: &Recorder, requests: u64) -> usize {
+async fn attempts_at_server(dispatcher: &Dispatcher, recorder: &RecordingTransport, requests: u64) -> usize {
     let mut attempts = 0;
     for n in 0..requests {
         let mut read = request("1", None);
         read.key = Bytes::from(format!("{n:016x}"));
-        let (_, answer) = dispatcher.take(read).unwrap();
-        for attempt in recorder.begun.take() {
+        let (_, answer) = dispatcher.accept(read).unwrap();
+        for attempt in recorder.started_attempts.take() {
             attempts += usize::from(attempt.server == SERVER);
             dispatcher
                 .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value("v".into()))));
@@ -50,7 +50,7 @@
 /// the start as well as after a watch was lost: the endpoint list in use would become stale.
 #[test]
 fn an_override_postpones_no_watch_request() {
-    testing::run(async {
+    testing::run_paused(async {
         let (dispatcher, _) = dispatcher_and_recorder();
         let poll_interval =
             Duration::from_micros(settings(3, Idempotency::Idempotent).rules.discovery_poll_interval.0);
@@ -98,7 +98,7 @@
 /// brought online no attempt may go to it, and from then on it has to serve again.
 #[test]
 fn an_offline_server_gets_no_attempt_whatever_discovery_reports() {
-    testing::run(async {
+    testing::run_paused(async {
         let mut fleet: Vec<_> = (0..3).map(|_| dispatcher_and_recorder()).collect();
         for (dispatcher, recorder) in &fleet {
             assert!(attempts_at_server(dispatcher, recorder, 40).await > 0, "the server is in use");
--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -1,11 +1,11 @@
-//! Requests from their acceptance to their answer, with a carrier that only records attempts.
+//! Requests from their acceptance to their answer, with a transport that only records attempts.
 
 use bytes::Bytes;
 use juniperladder::{EndpointState, EndpointUpdate, ServerId};
 
 use super::endpoints::MAX_SERVERS;
 use super::*;
-use crate::testing::{self, dispatcher, request, settings, settle, Recorder};
+use crate::testing::{self, dispatcher, request, settings, yield_until_idle, RecordingTransport};
 use tokio::task::spawn_local;
 use tokio::time::{Duration, Instant};
 
@@ -13,8 +13,8 @@
     attempts: u32,
     idempotency: Idempotency,
     servers: u32,
-) -> (Rc<Dispatcher>, Rc<Recorder>) {
-    let recorder = Rc::new(Recorder::default());
+) -> (Rc<Dispatcher>, Rc<RecordingTransport>) {
+    let recorder = Rc::new(RecordingTransport::default());
     let dispatcher = dispatcher(settings(attempts, idempotency), recorder.clone(), servers);
     let timers = Rc::clone(&dispatcher);
     spawn_local(async move { timers.run_timers().await });
@@ -24,7 +24,7 @@
 /// Guards against requests that get no answer before the client's time-out when all servers are silent.
 #[test]
 fn every_request_is_answered_before_its_deadline() {
-    testing::run(async {
+    testing::run_paused(async {
         for (attempts, idempotency) in [
             (1, Idempotency::NotIdempotent),
             (3, Idempotency::Idempotent),
@@ -32,10 +32,10 @@
         ] {
             let (dispatcher, recorder) = dispatcher_with_timers(attempts, idempotency, 3);
             let start = Instant::now();
-            let (_, answer) = dispatcher.take(request("1", None)).unwrap();
+            let (_, answer) = dispatcher.accept(request("1", None)).unwrap();
             assert!(matches!(answer.await, Ok(Answer::Failed | Answer::Rejected(_))));
             assert!(start.elapsed() < Duration::from_millis(480), "{:?}", start.elapsed());
-            assert!(!recorder.begun.borrow().is_empty());
+            assert!(!recorder.started_attempts.borrow().is_empty());
             assert!(
                 dispatcher.state.borrow().attempts.is_empty()
                     || dispatcher.counters.attempts_timed_out.get() > 0
@@ -52,11 +52,11 @@
 /// Guards against a rejection that is delayed until the request's deadline.
 #[test]
 fn a_rejected_request_is_answered_without_delay() {
-    testing::run(async {
+    testing::run_paused(async {
         let (dispatcher, recorder) = dispatcher_with_timers(1, Idempotency::Idempotent, 1);
         let start = Instant::now();
-        let (_, answer) = dispatcher.take(request("1", None)).unwrap();
-        let attempt = recorder.begun.borrow_mut().pop().unwrap();
+        let (_, answer) = dispatcher.accept(request("1", None)).unwrap();
+        let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
         dispatcher.on_attempt_ended(attempt.id, AttemptEnd::ConnectFailed);
         assert!(matches!(answer.await, Ok(Answer::Rejected(_))));
         assert_eq!(start.elapsed(), Duration::ZERO);
@@ -67,18 +67,18 @@
 /// in flight whose answer is lost.
 #[test]
 fn a_half_closed_client_is_answered_by_attempts_in_flight() {
-    testing::run(async {
+    testing::run_paused(async {
         for served in [true, false] {
             let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::Idempotent, 3);
-            let (id, answer) = dispatcher.take(request("1", None)).unwrap();
-            let attempt = recorder.begun.borrow_mut().pop().unwrap();
+            let (id, answer) = dispatcher.accept(request("1", None)).unwrap();
+            let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
             dispatcher.on_client_half_closed(id);
             let value = Answer::Value(Bytes::from_static(b"v"));
             let reply = if served { Reply::Served(value.clone()) } else { Reply::Error };
             dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(reply));
             assert_eq!(answer.await, Ok(if served { value } else { Answer::Failed }));
-            settle().await;
-            assert!(recorder.begun.borrow().is_empty());
+            yield_until_idle().await;
+            assert!(recorder.started_attempts.borrow().is_empty());
         }
     });
 }
@@ -86,18 +86,18 @@
 /// Guards against discarding a valid answer that arrives after its attempt timed out, while a retry is in flight.
 #[test]
 fn a_late_answer_serves_a_request_that_is_still_open() {
-    testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+    testing::run_paused(async {
+        let recorder = Rc::new(RecordingTransport::default());
         let mut settings = settings(3, Idempotency::Idempotent);
         settings.limits.may_duplicate = false;
         let dispatcher = dispatcher(settings, recorder.clone(), 3);
         let timers = Rc::clone(&dispatcher);
         spawn_local(async move { timers.run_timers().await });
-        let (_, answer) = dispatcher.take(request("1", None)).unwrap();
+        let (_, answer) = dispatcher.accept(request("1", None)).unwrap();
         while dispatcher.counters.attempts_timed_out.get() == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let [first, second] = &recorder.begun.take()[..] else {
+        let [first, second] = &recorder.started_attempts.take()[..] else {
             panic!("expected a retry at another server")
         };
         let value = Answer::Value(Bytes::from_static(b"v"));
@@ -113,14 +113,16 @@
 /// the request may still be written.
 #[test]
 fn attempts_are_cancelled_once_their_request_is_closed() {
-    testing::run(async {
+    testing::run_paused(async {
         for is_client_gone in [false, true] {
             let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::Idempotent, 3);
-            let (id, answer) = dispatcher.take(request("1", None)).unwrap();
-            while recorder.begun.borrow().len() < 2 {
+            let (id, answer) = dispatcher.accept(request("1", None)).unwrap();
+            while recorder.started_attempts.borrow().len() < 2 {
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
-            let [first, second] = &recorder.begun.take()[..] else { panic!("expected a hedged attempt") };
+            let [first, second] = &recorder.started_attempts.take()[..] else {
+                panic!("expected a hedged attempt")
+            };
             let now = dispatcher.clock.now();
             assert!(!first.is_cancelled(now) && !second.is_cancelled(now));
             if is_client_gone {
@@ -139,18 +141,18 @@
 /// that waits for a connection until the window has ended.
 #[test]
 fn a_retry_is_written_only_within_the_deduplication_window() {
-    testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+    testing::run_paused(async {
+        let recorder = Rc::new(RecordingTransport::default());
         let mut settings = settings(3, Idempotency::WithIdempotencyKey);
         let window = Micros(200_000);
         settings.classes[0].deduplication_window = window;
         let dispatcher = dispatcher(settings, recorder.clone(), 3);
         let first = dispatcher.clock.now();
-        let _answer = dispatcher.take(request("1", Some(vec![]))).unwrap();
+        let _answer = dispatcher.accept(request("1", Some(vec![]))).unwrap();
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let attempt = recorder.begun.borrow_mut().pop().unwrap();
+        let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
         dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Broken);
-        let repeat = recorder.begun.borrow_mut().pop().unwrap();
+        let repeat = recorder.started_attempts.borrow_mut().pop().unwrap();
         let end = first.saturating_add(window);
         assert!(
             !attempt.is_cancelled(end)
@@ -164,8 +166,8 @@
 /// deduplication window applies.
 #[test]
 fn a_retry_of_an_unknown_class_is_written_only_within_the_last_classes_window() {
-    testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+    testing::run_paused(async {
+        let recorder = Rc::new(RecordingTransport::default());
         let mut settings = settings(3, Idempotency::WithIdempotencyKey);
         let window = Micros(200_000);
         settings.classes[0].deduplication_window = window;
@@ -173,10 +175,10 @@
         let end = dispatcher.clock.now().saturating_add(window);
         let mut unknown = request("1", Some(vec![]));
         unknown.class = 7;
-        let _answer = dispatcher.take(unknown).unwrap();
-        let attempt = recorder.begun.borrow_mut().pop().unwrap();
+        let _answer = dispatcher.accept(unknown).unwrap();
+        let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
         dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Broken);
-        let repeat = recorder.begun.borrow_mut().pop().unwrap();
+        let repeat = recorder.started_attempts.borrow_mut().pop().unwrap();
         assert!(!repeat.is_cancelled(end.saturating_sub(Micros(1))) && repeat.is_cancelled(end));
     });
 }
@@ -185,8 +187,8 @@
 /// longer one a bounded part is kept, and the origin even as its last entry. Deleted servers free capacity for others.
 #[test]
 fn an_endless_endpoint_list_is_bounded() {
-    let recorder = Rc::new(Recorder::default());
-    let mode = juniperladder::CacheMode::Aside(testing::ORIGIN);
+    let recorder = Rc::new(RecordingTransport::default());
+    let mode = juniperladder::CacheMode::CacheAside(testing::ORIGIN);
     let dispatcher = dispatcher(Settings { mode, ..settings(3, Idempotency::Idempotent) }, recorder, 0);
     let serving = |n| testing::listed_server(ServerId(n), EndpointState::Serving);
     let mut origin = serving(u64::MAX);
@@ -216,33 +218,33 @@
 /// requests accepted later are answered by that deadline, and requests accepted after it at once.
 #[test]
 fn every_open_request_is_answered_by_the_final_deadline() {
-    testing::run(async {
+    testing::run_paused(async {
         let (dispatcher, recorder) = dispatcher_with_timers(3, Idempotency::NotIdempotent, 3);
         let start = Instant::now();
-        let (_, first) = dispatcher.take(request("1", None)).unwrap();
-        settle().await;
+        let (_, first) = dispatcher.accept(request("1", None)).unwrap();
+        yield_until_idle().await;
         let shutdown_time = Duration::from_millis(200);
         dispatcher
             .set_final_deadline(dispatcher.clock.now().saturating_add(crate::clock::micros(shutdown_time)));
         tokio::time::sleep(shutdown_time / 2).await;
-        let (_, second) = dispatcher.take(request("2", None)).unwrap();
+        let (_, second) = dispatcher.accept(request("2", None)).unwrap();
         assert!(first.await.is_ok() && second.await.is_ok());
-        assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (shutdown_time, 2));
-        let (_, third) = dispatcher.take(request("3", None)).unwrap();
+        assert_eq!((start.elapsed(), recorder.started_attempts.borrow().len()), (shutdown_time, 2));
+        let (_, third) = dispatcher.accept(request("3", None)).unwrap();
         assert!(third.await.is_ok());
-        assert_eq!((start.elapsed(), recorder.begun.borrow().len()), (shutdown_time, 2));
+        assert_eq!((start.elapsed(), recorder.started_attempts.borrow().len()), (shutdown_time, 2));
     });
 }
 
 /// Two open requests with one id could get each other's answers. Once the first is closed its id may be used again.
 #[test]
 fn a_request_with_an_id_in_use_is_refused() {
-    testing::run(async {
+    testing::run_paused(async {
         let (dispatcher, recorder) = dispatcher_with_timers(1, Idempotency::Idempotent, 1);
         for _ in 0..2 {
-            let (_, answer) = dispatcher.take(request("1", None)).unwrap();
-            assert!(dispatcher.take(request("1", None)).is_none());
-            let attempt = recorder.begun.borrow_mut().pop().unwrap();
+            let (_, answer) = dispatcher.accept(request("1", None)).unwrap();
+            assert!(dispatcher.accept(request("1", None)).is_none());
+            let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
             dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Malformed);
             assert!(matches!(answer.await, Ok(Answer::Rejected(_) | Answer::Failed)));
         }
@@ -257,7 +259,7 @@
     const WARM_UP: Duration = Duration::from_secs(9);
     const HOUR: u64 = 3_600_000_000;
     let attempts_in_a_second = |reported: &dyn Fn(u64) -> u64, age: Duration| {
-        testing::run(async {
+        testing::run_paused(async {
             let (dispatcher, recorder) = dispatcher_with_timers(1, Idempotency::Idempotent, 3);
             let old: Vec<ListedServer> =
                 (0..3).map(|n| testing::listed_server(ServerId(9 + n), EndpointState::Serving)).collect();
@@ -268,12 +270,13 @@
             joined.endpoint.started = juniperladder::Micros(reported(dispatcher.clock().now().0));
             dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[joined]);
             tokio::time::sleep(age).await;
-            recorder.begun.borrow_mut().clear();
+            recorder.started_attempts.borrow_mut().clear();
             for number in 0..400 {
                 let mut read = request(&format!("c{number}"), None);
                 read.key = Bytes::from(format!("{number:016x}"));
-                let _answer = dispatcher.take(read);
-                for attempt in recorder.begun.borrow().iter().filter(|a| a.request.id == format!("c{number}"))
+                let _answer = dispatcher.accept(read);
+                for attempt in
+                    recorder.started_attempts.borrow().iter().filter(|a| a.request.id == format!("c{number}"))
                 {
                     dispatcher.on_attempt_ended(
                         attempt.id,
@@ -282,8 +285,8 @@
                 }
                 tokio::time::sleep(Duration::from_micros(2_500)).await;
             }
-            let begun = recorder.begun.borrow();
-            begun.iter().filter(|attempt| attempt.server == ServerId(50)).count()
+            let started_attempts = recorder.started_attempts.borrow();
+            started_attempts.iter().filter(|attempt| attempt.server == ServerId(50)).count()
         })
     };
     for age in [Duration::ZERO, WARM_UP] {
--- a/dispatch/src/testing.rs
+++ b/dispatch/src/testing.rs
@@ -1,4 +1,4 @@
-//! Test fixtures for requests and the network: a dispatcher whose carrier only records attempts.
+//! Test fixtures for requests and the network: a dispatcher whose transport only records attempts.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -11,26 +11,26 @@
 
 use crate::clock::Clock;
 use crate::counters::Counters;
-use crate::dispatcher::{self, Attempt, AttemptId, Carrier, Dispatcher, ListedServer, Upload};
+use crate::dispatcher::{self, Attempt, AttemptId, AttemptTransport, Dispatcher, ListedServer, Upload};
 
 /// The first of the servers that [`dispatcher`] lists.
 pub const SERVER: ServerId = ServerId(9);
 
-/// A carrier that only records its calls.
+/// A transport that only records its calls.
 #[derive(Default)]
-pub struct Recorder {
-    /// Attempts that have begun, oldest first.
-    pub begun: RefCell<Vec<Attempt>>,
-    /// Uploads that have begun.
+pub struct RecordingTransport {
+    /// Attempts that have started, oldest first.
+    pub started_attempts: RefCell<Vec<Attempt>>,
+    /// Uploads that have started.
     pub uploads: RefCell<Vec<Upload>>,
     /// Attempts that were abandoned.
     pub abandoned: RefCell<Vec<AttemptId>>,
 }
 
-impl Carrier for Recorder {
+impl AttemptTransport for RecordingTransport {
     fn on_endpoints_changed(&self, _: EndpointUpdate, _: &[ListedServer]) {}
     fn begin_attempt(&self, attempt: Attempt) {
-        self.begun.borrow_mut().push(attempt);
+        self.started_attempts.borrow_mut().push(attempt);
     }
     fn begin_upload(&self, upload: Upload) {
         self.uploads.borrow_mut().push(upload);
@@ -62,13 +62,13 @@
         classes: vec![class],
         tenants: vec![],
         mode: CacheMode::ReadThrough,
-        subscribe: true,
-        weighted: false,
-        tick: Micros(5_000),
+        watches_discovery: true,
+        has_comparable_weights: false,
+        min_batch_interval: Micros(5_000),
         limits: Limits {
             max_attempts,
             max_retry_after: Micros(2_000_000),
-            retry_after: true,
+            sends_retry_after: true,
             may_duplicate: true,
         },
         rules: Rules {
@@ -85,20 +85,20 @@
     ListedServer { endpoint, address: Some(([127, 0, 0, 1], 1).into()) }
 }
 
-/// A dispatcher with this carrier and this many servers, the first of which is `SERVER`.
-pub fn dispatcher(settings: Settings, carrier: Rc<dyn Carrier>, servers: u32) -> Rc<Dispatcher> {
-    seeded_dispatcher(settings, 7, carrier, servers)
+/// A dispatcher with this transport and this many servers, the first of which is `SERVER`.
+pub fn dispatcher(settings: Settings, transport: Rc<dyn AttemptTransport>, servers: u32) -> Rc<Dispatcher> {
+    seeded_dispatcher(settings, 7, transport, servers)
 }
 
 /// As [`dispatcher`], with a given seed: each process of a fleet has another one.
 pub fn seeded_dispatcher(
     settings: Settings,
     seed: u64,
-    carrier: Rc<dyn Carrier>,
+    transport: Rc<dyn AttemptTransport>,
     servers: u32,
 ) -> Rc<Dispatcher> {
     let counters = Rc::new(Counters::default());
-    let dispatcher = Dispatcher::new(settings, seed, carrier, Clock::start(), counters, log());
+    let dispatcher = Dispatcher::new(settings, seed, transport, Clock::start(), counters, log());
     let servers: Vec<ListedServer> = (0..servers)
         .map(|n| listed_server(ServerId(SERVER.0 + u64::from(n)), EndpointState::Serving))
         .collect();
@@ -122,7 +122,7 @@
 }
 
 /// Runs a test on a paused clock, which advances only when all tasks wait for a timer.
-pub fn run<T>(test: impl Future<Output = T>) -> T {
+pub fn run_paused<T>(test: impl Future<Output = T>) -> T {
     run_on(true, test)
 }
 
@@ -137,7 +137,7 @@
 }
 
 /// Yields until all other tasks are blocked.
-pub async fn settle() {
+pub async fn yield_until_idle() {
     for _ in 0..64 {
         tokio::task::yield_now().await;
     }
--- a/node/src/admin/tests.rs
+++ b/node/src/admin/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::dispatcher::{Answer, AttemptEnd, Reply};
 use crate::override_store::ChangeId;
-use crate::testing::{self, log, request, Recorder};
+use crate::testing::{self, log, request, RecordingTransport};
 use juniperladder::Idempotency;
 use tokio::io::{duplex, DuplexStream};
 use tokio::time::Instant;
@@ -11,8 +11,8 @@
 const MAX_CONNECTIONS: usize = 128;
 const SERVER: &str = "s-00000009";
 
-fn start_admin(dir: &std::path::Path) -> (Rc<Admin>, Rc<Recorder>) {
-    let recorder = Rc::new(Recorder::default());
+fn start_admin(dir: &std::path::Path) -> (Rc<Admin>, Rc<RecordingTransport>) {
+    let recorder = Rc::new(RecordingTransport::default());
     let dispatcher = testing::dispatcher(testing::settings(1, Idempotency::Idempotent), recorder.clone(), 2);
     let class_names = vec!["read".into()];
     let connections = AdminConnections { open: Rc::default(), limit: MAX_CONNECTIONS };
@@ -27,7 +27,7 @@
     for chunk in chunks {
         // A connection beyond the limit is closed at once.
         let _ = client.write_all(chunk).await;
-        testing::settle().await;
+        testing::yield_until_idle().await;
     }
     client
 }
@@ -43,7 +43,7 @@
 #[test]
 fn incomplete_calls_time_out_and_delay_no_other_call() {
     let dir = tempfile::tempdir().unwrap();
-    testing::run(async {
+    testing::run_paused(async {
         let (admin, _) = start_admin(dir.path());
         let start = Instant::now();
         let mut incomplete = Vec::new();
@@ -65,7 +65,7 @@
 #[test]
 fn a_malformed_line_is_answered_with_nak() {
     let dir = tempfile::tempdir().unwrap();
-    testing::run(async {
+    testing::run_paused(async {
         let (admin, _) = start_admin(dir.path());
         let too_long = [b'x'; 300];
         for line in [
@@ -89,7 +89,7 @@
 #[test]
 fn each_request_is_counted_once_in_its_class() {
     let dir = tempfile::tempdir().unwrap();
-    testing::run(async {
+    testing::run_paused(async {
         let (admin, recorder) = start_admin(dir.path());
         let dispatcher = &admin.dispatcher;
         let value = Reply::Served(Answer::Value("v".into()));
@@ -99,11 +99,11 @@
                 .into_iter()
                 .enumerate()
         {
-            answers.push(dispatcher.take(request(&n.to_string(), None)).unwrap());
-            let attempt = recorder.begun.borrow_mut().pop().unwrap();
+            answers.push(dispatcher.accept(request(&n.to_string(), None)).unwrap());
+            let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
             dispatcher.on_attempt_ended(attempt.id, end);
         }
-        let _open = dispatcher.take(request("9", None)).unwrap();
+        let _open = dispatcher.accept(request("9", None)).unwrap();
         assert!(admin.answer(Call::Offline(SERVER.into())).await.starts_with("ACK"));
         let dump = admin.answer(Call::Dump).await;
         for line in [
--- a/node/src/config/file.rs
+++ b/node/src/config/file.rs
@@ -81,7 +81,7 @@
     pub(super) fn into_config(self) -> Result<Config, InvalidConfig> {
         let site = self.settings;
         site.check()?;
-        let settings = site.to_decisions();
+        let settings = site.to_balancer_settings();
         let client_address = parse_address("listen", &self.client_address)?;
         let admin_address = match &self.admin_address {
             Some(text) => parse_admin_address(client_address, text)?,
@@ -90,7 +90,7 @@
         let log_level = self.log_level.as_deref().map_or(Ok(Level::Info), parse_log_level)?;
         let discovery_address = parse_address("discovery", &self.discovery_address)?;
         let drain_grace = duration(site.drain_grace());
-        let pushed_list_backoff = (!settings.subscribe).then(|| pushed_list_backoff(drain_grace));
+        let pushed_list_backoff = (!settings.watches_discovery).then(|| pushed_list_backoff(drain_grace));
         Ok(Config {
             path: None,
             name: self.name,
--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -21,7 +21,7 @@
 use crate::connect::TcpConnector;
 use crate::counters::Counters;
 use crate::discovery::{self, PollPolicy};
-use crate::dispatcher::{Carrier, Dispatcher};
+use crate::dispatcher::{AttemptTransport, Dispatcher};
 use crate::downstream::Downstream;
 use crate::endpoint_list::EndpointListReader;
 use crate::error::StartError;
@@ -186,7 +186,7 @@
     async fn stop(self) {
         let signal_handled_at = Instant::now();
         // The signal may have arrived while this process was stalled; the time for answers counts from its arrival.
-        let max_signal_delay = self.dispatcher.longest_unnoticed();
+        let max_signal_delay = self.dispatcher.max_notice_delay();
         info!(self.log, "stopping"; "signalled_ms_ago_at_most" => clock::to_ms(max_signal_delay));
         let time_for_answers = graceful_shutdown::time_for_answers(self.longest_deadline)
             .saturating_sub(clock::duration(max_signal_delay));
@@ -230,9 +230,9 @@
         origin_kind: config.settings.mode.origin_kind(),
     };
     let upstream = Upstream::new(limits, Rc::new(TcpConnector), clock, Rc::clone(&counters), log.clone());
-    let carrier = Rc::clone(&upstream) as Rc<dyn Carrier>;
+    let transport = Rc::clone(&upstream) as Rc<dyn AttemptTransport>;
     let dispatcher =
-        Dispatcher::new(config.settings.clone(), config.seed, carrier, clock, counters, log.clone());
+        Dispatcher::new(config.settings.clone(), config.seed, transport, clock, counters, log.clone());
     upstream.attach(&dispatcher);
     dispatcher
 }
@@ -247,7 +247,7 @@
     let clock = *dispatcher.clock();
     let peers = Peers::start(cluster, config.position, &config.settings, config.seed, clock, log.clone())
         .map_err(|error| StartError::Peers(error.into()))?;
-    dispatcher.join(peers.coordination());
+    dispatcher.set_coordination(peers.coordination());
     let task_peers = Rc::clone(&peers);
     spawn_local(async move { task_peers.run().await });
     Ok(Some(peers))
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -1,14 +1,14 @@
 //! The discovery client against fake discoveries on loopback: silent watches, refused and unanswered polls, address
 //! changes, pushed lists.
 
+mod event_loop_delay;
 mod fake_discovery;
-mod late_turn;
 
 use fake_discovery::{Behaviour, FakeDiscovery, QueueingDiscovery};
 
 use super::timing::*;
 use super::*;
-use crate::testing::{self, log, settle, Recorder};
+use crate::testing::{self, log, yield_until_idle, RecordingTransport};
 use bytes::BytesMut;
 use juniperladder::{
     BackoffRange, Idempotency, DISCOVERY_BACKOFF, MAX_POLL_INTERVAL, MIN_DISCOVERY_PAUSE, START_SPREAD_SHARE,
@@ -42,7 +42,7 @@
 /// stay in use.
 #[test]
 fn a_silent_failed_or_malformed_watch_is_closed() {
-    testing::run(async {
+    testing::run_paused(async {
         const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let list = "2a\r\n{\"generation\":3,\"reset\":true,\"instances\":[\r\n3\r\n]}\n\r\n1\r\n\n\r\n";
         let texts = [
@@ -73,7 +73,7 @@
     let max_duration = |range: BackoffRange| poll_interval.mul_f64(range.max_share);
     let after_watch = max_duration(DISCOVERY_BACKOFF.after_watch);
     let after_failure = max_duration(DISCOVERY_BACKOFF.after_first_failure);
-    let after_more_failures = max_duration(DISCOVERY_BACKOFF.after_more_failures);
+    let after_later_failures = max_duration(DISCOVERY_BACKOFF.after_later_failures);
     let min_pause = max_duration(MIN_DISCOVERY_PAUSE);
     // The timeout includes the time to connect.
     let slow_poll = ANSWER_TIMEOUT;
@@ -95,12 +95,12 @@
             "ended at once, refused, polled, answered slowly",
             after_watch.max(min_pause) + after_failure.max(min_pause) + slow_poll,
         ),
-        ("available right after a poll was refused, answered slowly", after_more_failures + slow_poll),
+        ("available right after a poll was refused, answered slowly", after_later_failures + slow_poll),
         (
             "available right after a poll started that hangs, answered slowly",
-            after_more_failures.max(slow_poll + min_pause) + slow_poll,
+            after_later_failures.max(slow_poll + min_pause) + slow_poll,
         ),
-        ("available, refused once, polled", after_more_failures + after_more_failures + PROMPT_POLL),
+        ("available, refused once, polled", after_later_failures + after_later_failures + PROMPT_POLL),
         ("started, answered slowly", poll_interval.mul_f64(START_SPREAD_SHARE) + slow_poll),
     ];
     for (chain, time) in chains {
@@ -126,14 +126,15 @@
     address: watch::Sender<SocketAddr>,
 }
 
-fn balancer(discovery: &FakeDiscovery, policy: PollPolicy, subscribe: bool) -> Balancer {
-    balancer_at(discovery.address, policy, subscribe)
+fn balancer(discovery: &FakeDiscovery, policy: PollPolicy, watches_discovery: bool) -> Balancer {
+    balancer_at(discovery.address, policy, watches_discovery)
 }
 
-fn balancer_at(address: SocketAddr, policy: PollPolicy, subscribe: bool) -> Balancer {
+fn balancer_at(address: SocketAddr, policy: PollPolicy, watches_discovery: bool) -> Balancer {
     let mut settings = testing::settings(1, Idempotency::Idempotent);
-    settings.subscribe = subscribe;
-    let dispatcher = testing::seeded_dispatcher(settings, policy.seed, Rc::new(Recorder::default()), 1);
+    settings.watches_discovery = watches_discovery;
+    let dispatcher =
+        testing::seeded_dispatcher(settings, policy.seed, Rc::new(RecordingTransport::default()), 1);
     let timers = Rc::clone(&dispatcher);
     spawn_local(async move { timers.run_timers().await });
     let (address, address_changes) = watch::channel(address);
@@ -165,7 +166,7 @@
 fn a_silent_watch_is_replaced_within_six_seconds() {
     for silent in [Behaviour::FallsSilent(1), Behaviour::Trickles(1)] {
         for between in [None, Some(Behaviour::Refuses), Some(Behaviour::Busy), Some(Behaviour::Hangs)] {
-            testing::run(async {
+            testing::run_paused(async {
                 let mut behaviours = vec![silent];
                 behaviours.extend(between);
                 behaviours.push(Behaviour::SendsList(2));
@@ -193,7 +194,7 @@
 #[test]
 fn an_unavailable_discovery_is_reached_soon_after_its_recovery() {
     for away in [Behaviour::Refuses, Behaviour::Busy, Behaviour::Hangs] {
-        testing::run(async {
+        testing::run_paused(async {
             let discovery = FakeDiscovery::new(vec![
                 Behaviour::FallsSilent(1),
                 away,
@@ -223,7 +224,7 @@
 /// Guards against a poll storm: a discovery that ends each watch after its list is polled at bounded intervals.
 #[test]
 fn a_watch_that_ends_at_once_is_reopened_at_bounded_intervals() {
-    testing::run(async {
+    testing::run_paused(async {
         let discovery = FakeDiscovery::new(vec![Behaviour::Ends(1)]).await;
         let _balancer = balancer(&discovery, PollPolicy { polls_at_start: false, ..POLL_AT_START }, true);
         sleep(Duration::from_secs(60)).await;
@@ -239,7 +240,7 @@
 #[test]
 fn a_new_address_is_followed_within_four_seconds() {
     for first in [Behaviour::Refuses, Behaviour::Busy, Behaviour::Hangs, Behaviour::SendsList(1)] {
-        testing::run(async {
+        testing::run_paused(async {
             // The old address has failed for so long that the decision logic uses its longest backoff.
             let old = FakeDiscovery::new(vec![Behaviour::Refuses]).await;
             let new = FakeDiscovery::new(vec![first, Behaviour::SendsList(1)]).await;
@@ -265,7 +266,7 @@
 /// of the decision logic, and reopened as soon as discovery is reachable.
 #[test]
 fn where_lists_are_pushed_a_watch_is_always_open() {
-    testing::run(async {
+    testing::run_paused(async {
         let grace = Duration::from_millis(400);
         let discovery = FakeDiscovery::new(vec![
             Behaviour::Refuses,
@@ -288,7 +289,7 @@
         let polls: Vec<Instant> = discovery.polls.borrow().iter().map(|(at, _)| *at).collect();
         assert!(polls.windows(2).all(|pair| pair[1] - pair[0] <= grace / 2), "{polls:?}");
         assert!(balancer.wait_for_lists(2).await - received <= WATCH_SILENCE_TIMEOUT + grace);
-        settle().await;
+        yield_until_idle().await;
     });
 }
 
@@ -301,7 +302,7 @@
     const POLLS_PER_SECOND: u32 = 6;
     let fleet_poll_time = Duration::from_secs(FLEET) / POLLS_PER_SECOND;
     for new_address in [false, true] {
-        testing::run(async {
+        testing::run_paused(async {
             let queueing = QueueingDiscovery::new(POLLS_PER_SECOND).await;
             let before = FakeDiscovery::new(vec![Behaviour::SendsList(7)]).await;
             let first = if new_address { before.address } else { queueing.address };
@@ -349,7 +350,7 @@
 /// or unreachable.
 #[test]
 fn the_old_address_is_used_until_the_new_one_has_sent_its_list() {
-    testing::run(async {
+    testing::run_paused(async {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let old_address = listener.local_addr().unwrap();
         let (changes, mut versions) = tokio::sync::mpsc::channel::<u64>(1);
@@ -370,7 +371,7 @@
         changes.send(5).await.unwrap();
         balancer.wait_for_lists(1).await;
         balancer.address.send_replace(new.address);
-        settle().await;
+        yield_until_idle().await;
         assert!(new.poll_count() >= 1);
         changes.send(6).await.unwrap();
         balancer.wait_for_lists(2).await;
@@ -378,7 +379,7 @@
         balancer.wait_for_lists(3).await;
         for generation in 7.. {
             assert!(generation < 100, "the watch on the old address is closed");
-            settle().await;
+            yield_until_idle().await;
             if changes.send(generation).await.is_err() {
                 break;
             }
--- a/node/src/downstream/backlog/tests.rs
+++ b/node/src/downstream/backlog/tests.rs
@@ -10,7 +10,7 @@
 
 use super::*;
 use crate::downstream::tests::{downstream, serve_after};
-use crate::testing::{self, settle, Recorder};
+use crate::testing::{self, yield_until_idle, RecordingTransport};
 
 const CLIENTS: usize = 200;
 /// How long a turn of the event loop takes in these tests.
@@ -24,7 +24,7 @@
 /// right after the queue was last empty.
 #[test]
 fn backlog_wait_counts_from_when_the_queue_was_last_empty() {
-    testing::run(async {
+    testing::run_paused(async {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
         let mut backlog = Backlog::new(listener);
@@ -46,12 +46,12 @@
 /// turns of the event loop.
 #[test]
 fn several_silent_connections_are_evicted_at_once_in_a_flood() {
-    testing::run(async {
-        let downstream = downstream(&Rc::new(Recorder::default()));
+    testing::run_paused(async {
+        let downstream = downstream(&Rc::new(RecordingTransport::default()));
         let listener = crate::listener::listen("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
         spawn_local(Rc::clone(&downstream).accept(listener));
-        settle().await;
+        yield_until_idle().await;
         let flood: Vec<_> = (0..CLIENTS).map(|_| connect(address)).collect();
         let turns = Rc::new(Cell::new(0));
         let turn_counter = Rc::clone(&turns);
@@ -79,19 +79,23 @@
 #[test]
 fn the_backlog_wait_is_subtracted_from_the_deadline() {
     for (waited, early) in [(0, 0), (100, 100), (2_000, 240)] {
-        testing::run(async {
-            let recorder = Rc::new(Recorder::default());
+        testing::run_paused(async {
+            let recorder = Rc::new(RecordingTransport::default());
             let downstream = downstream(&recorder);
             let (stream, mut client) = duplex(1 << 10);
             spawn_local(serve_after(Rc::clone(&downstream), stream, Duration::from_millis(waited)));
             let now = downstream.dispatcher.clock().now();
             client.write_all(b"mg a v O1 Pc=read,d=480\r\nmg b v O2 Pc=read,d=480\r\n").await.unwrap();
-            settle().await;
+            yield_until_idle().await;
             advance(Duration::from_millis(50)).await;
             client.write_all(b"mg c v O3 Pc=read,d=480\r\n").await.unwrap();
-            settle().await;
-            let times_left: Vec<_> =
-                recorder.begun.borrow().iter().map(|attempt| attempt.deadline.saturating_sub(now)).collect();
+            yield_until_idle().await;
+            let times_left: Vec<_> = recorder
+                .started_attempts
+                .borrow()
+                .iter()
+                .map(|attempt| attempt.deadline.saturating_sub(now))
+                .collect();
             let early_time_left = Micros((480 - 10 - early) * 1_000);
             assert_eq!(times_left, [early_time_left, early_time_left, Micros((480 - 10 + 50) * 1_000)]);
         });
--- a/node/src/downstream/tests.rs
+++ b/node/src/downstream/tests.rs
@@ -11,7 +11,7 @@
 };
 use super::*;
 use crate::dispatcher::{Answer, AttemptEnd, Reply};
-use crate::testing::{self, settle, Recorder};
+use crate::testing::{self, yield_until_idle, RecordingTransport};
 use bytes::Bytes;
 use juniperladder::Idempotency;
 use proptest::prelude::*;
@@ -37,7 +37,7 @@
     prop_oneof![3 => lines, 2 => any::<(bool, bool)>().prop_map(|(newest, served)| Step::AttemptEnd { newest, served })]
 }
 
-pub(super) fn downstream(recorder: &Rc<Recorder>) -> Rc<Downstream> {
+pub(super) fn downstream(recorder: &Rc<RecordingTransport>) -> Rc<Downstream> {
     let dispatcher =
         testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
     let resource_limits = testing::resource_limits(1 << 10);
@@ -66,8 +66,8 @@
     /// the requests, and a client that half-closes still gets all of them.
     #[test]
     fn answers_keep_the_order_of_requests(steps in prop::collection::vec(step(), 1..24), cut in 1..40usize) {
-        let (received, expected) = testing::run(async {
-            let recorder = Rc::new(Recorder::default());
+        let (received, expected) = testing::run_paused(async {
+            let recorder = Rc::new(RecordingTransport::default());
             let downstream = downstream(&recorder);
             let (stream, mut client) = duplex(1 << 16);
             let task = spawn_local(serve(Rc::clone(&downstream), stream));
@@ -81,7 +81,7 @@
                         let text = text.replace("Oid", &format!("O{:02}", expected_answers.len()));
                         for piece in text.as_bytes().chunks(cut) {
                             client.write_all(piece).await.unwrap();
-                            settle().await;
+                            yield_until_idle().await;
                         }
                         if answer.is_none() {
                             awaiting_attempts.push(expected_answers.len());
@@ -90,7 +90,7 @@
                     }
                     Step::AttemptEnd { newest, served } if !awaiting_attempts.is_empty() => {
                         let at = if newest { awaiting_attempts.len() - 1 } else { 0 };
-                        let attempt = recorder.begun.borrow_mut().remove(at);
+                        let attempt = recorder.started_attempts.borrow_mut().remove(at);
                         let value = Bytes::from_static(b"x\r\ny");
                         let index = awaiting_attempts.remove(at);
                         let (reply, answer) = if served {
@@ -104,11 +104,11 @@
                     }
                     Step::AttemptEnd { .. } => {}
                 }
-                settle().await;
+                yield_until_idle().await;
             }
             client.shutdown().await.unwrap();
-            settle().await;
-            for attempt in recorder.begun.take() {
+            yield_until_idle().await;
+            for attempt in recorder.started_attempts.take() {
                 downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Broken);
             }
             let mut received = String::new();
@@ -124,8 +124,8 @@
 /// still served.
 #[test]
 fn incomplete_values_hold_a_bounded_part_of_the_memory() {
-    testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+    testing::run_paused(async {
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let mut clients = Vec::new();
         for _ in 0..8 {
@@ -135,7 +135,7 @@
             client.write_all(&[b'x'; 60_000]).await.unwrap();
             clients.push(client);
         }
-        settle().await;
+        yield_until_idle().await;
         let buffered_bytes = downstream.buffered_bytes.get();
         assert!(
             buffered_bytes
@@ -155,7 +155,7 @@
             client.read_to_string(&mut received).await.unwrap();
             assert_eq!(received, "CLIENT_ERROR command not finished in time\r\n");
         }
-        settle().await;
+        yield_until_idle().await;
         assert_eq!(downstream.buffered_bytes.get(), 0);
     });
 }
@@ -164,15 +164,15 @@
 /// missing deadline, and endless garbage, which also ends its connection.
 #[test]
 fn malformed_requests_are_rejected_and_never_taken() {
-    testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+    testing::run_paused(async {
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 16);
         spawn_local(serve(Rc::clone(&downstream), stream));
         let (valid_stream, mut valid_client) = duplex(1 << 16);
         spawn_local(serve(Rc::clone(&downstream), valid_stream));
         valid_client.write_all(b"mg k v O1 Pc=read,d=480\r\n").await.unwrap();
-        settle().await;
+        yield_until_idle().await;
         for (line, answer) in [
             ("mg k v O2 Pc=reads,d=480", "CLIENT_ERROR unknown class\r\n"),
             ("mg k v O2 Pd=480", "CLIENT_ERROR unknown class\r\n"),
@@ -185,12 +185,16 @@
             client.read_exact(&mut received).await.unwrap();
             assert_eq!(String::from_utf8(received).unwrap(), answer);
         }
-        assert_eq!(recorder.begun.borrow().len(), 1, "only the request of the well-behaved client has begun");
+        assert_eq!(
+            recorder.started_attempts.borrow().len(),
+            1,
+            "only the request of the well-behaved client has begun"
+        );
         client.write_all(&b"\n".repeat(MAX_INVALID_REQUESTS * 2)).await.unwrap();
         let mut received = String::new();
         client.read_to_string(&mut received).await.unwrap();
         assert_eq!(received, "ERROR\r\n".repeat(MAX_INVALID_REQUESTS - 5));
-        let attempt = recorder.begun.borrow_mut().pop().unwrap();
+        let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
         downstream
             .dispatcher
             .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value("v".into()))));
@@ -204,15 +208,15 @@
 /// and is served all the same.
 #[test]
 fn a_request_counts_for_the_tenant_that_it_names() {
-    testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+    testing::run_paused(async {
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 10);
         spawn_local(serve(Rc::clone(&downstream), stream));
         for (named, index) in [(",t=beta", 1), (",t=acme", 0), (",t=acm", 2), (",t=", 2), ("", 2)] {
             client.write_all(format!("mg k v O1 Pc=read{named},d=480\r\n").as_bytes()).await.unwrap();
-            settle().await;
-            let attempt = recorder.begun.borrow_mut().pop().unwrap();
+            yield_until_idle().await;
+            let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
             assert_eq!(attempt.request.tenant, index, "{named}");
             downstream
                 .dispatcher
--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -5,8 +5,8 @@
 /// A broken connection abandons its requests: no attempt may begin any more for a client that has gone.
 #[test]
 fn a_broken_connection_abandons_its_requests() {
-    testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+    testing::run_paused(async {
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 16);
         client.write_all(b"mg a v O1 Pc=read,d=480\r\nmg b v O2 Pc=read,d=480\r\n").await.unwrap();
@@ -15,9 +15,9 @@
         tokio::select! {
             biased;
             _ = connection.serve(stream) => panic!("the connection ended with answers pending"),
-            () = settle() => {}
+            () = yield_until_idle() => {}
         }
-        assert_eq!(recorder.begun.borrow().len(), 2);
+        assert_eq!(recorder.started_attempts.borrow().len(), 2);
         drop(connection);
         downstream.dispatcher.wait_until_idle().await;
         assert_eq!(downstream.dispatcher.counters().requests_abandoned.get(), 2);
@@ -28,8 +28,8 @@
 /// half-closed meanwhile.
 #[test]
 fn a_long_pipeline_is_answered_after_a_half_close() {
-    testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+    testing::run_paused(async {
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 20);
         let requests = MAX_PENDING_ANSWERS * 2 + 7;
@@ -38,8 +38,8 @@
         client.shutdown().await.unwrap();
         let task = spawn_local(serve(Rc::clone(&downstream), stream));
         while !task.is_finished() {
-            settle().await;
-            for attempt in recorder.begun.take() {
+            yield_until_idle().await;
+            for attempt in recorder.started_attempts.take() {
                 downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Error));
             }
         }
@@ -57,16 +57,16 @@
 /// half read.
 #[test]
 fn a_closing_connection_answers_its_open_requests_first() {
-    testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+    testing::run_paused(async {
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 16);
         spawn_local(serve(Rc::clone(&downstream), stream));
         client.write_all(b"mg a v O1 Pc=read,d=480\r\n").await.unwrap();
-        settle().await;
+        yield_until_idle().await;
         downstream.shutdown.run(Instant::now(), Duration::from_secs(3)).await;
-        settle().await;
-        let attempt = recorder.begun.borrow_mut().pop().unwrap();
+        yield_until_idle().await;
+        let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
         let value = Answer::Value(Bytes::from_static(b"v"));
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(value)));
         let mut received = String::new();
@@ -79,13 +79,13 @@
 #[test]
 fn a_request_unread_when_the_closing_begins_is_answered() {
     testing::run_on_sockets(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let (stream, _) = listener.accept().await.unwrap();
         let task = spawn_local(serve(Rc::clone(&downstream), Socket(stream)));
-        settle().await;
+        yield_until_idle().await;
         io::Write::write_all(&mut client, b"mn\r\n").unwrap();
         downstream.shutdown.begin_closing();
         task.await.unwrap().unwrap();
@@ -125,19 +125,19 @@
 async fn fill_pipeline(downstream: &Downstream, stream: &mut tokio::net::TcpStream, requests: usize) {
     let text: String = (0..requests).map(|id| format!("mg k v O{id} Pc=read,d=1400\r\n")).collect();
     stream.write_all(text.as_bytes()).await.unwrap();
-    let taken = || downstream.dispatcher.counters().requests.get();
-    while taken() < MAX_PENDING_ANSWERS as u64 {
-        settle().await;
+    let accepted = || downstream.dispatcher.counters().requests.get();
+    while accepted() < MAX_PENDING_ANSWERS as u64 {
+        yield_until_idle().await;
     }
-    settle().await;
-    assert_eq!(taken(), MAX_PENDING_ANSWERS as u64);
+    yield_until_idle().await;
+    assert_eq!(accepted(), MAX_PENDING_ANSWERS as u64);
 }
 
 /// Waits until no byte of any attempt may be written any more.
-async fn wait_until_cancelled(downstream: &Downstream, recorder: &Recorder, case: &str) {
+async fn wait_until_cancelled(downstream: &Downstream, recorder: &RecordingTransport, case: &str) {
     let is_cancelled = || {
         let now = downstream.dispatcher.clock().now();
-        recorder.begun.borrow().iter().all(|attempt| attempt.is_cancelled(now))
+        recorder.started_attempts.borrow().iter().all(|attempt| attempt.is_cancelled(now))
     };
     let start = Instant::now();
     while !is_cancelled() {
@@ -150,24 +150,24 @@
 /// not read its answers.
 async fn leave_unread(exit: ClientExit, has_answers: bool) {
     let case = format!("{exit:?}, {has_answers}");
-    let recorder = Rc::new(Recorder::default());
+    let recorder = Rc::new(RecordingTransport::default());
     let downstream = downstream(&recorder);
     let mut client = connect(&downstream).await;
     let requests = MAX_PENDING_ANSWERS + 40;
     fill_pipeline(&downstream, &mut client, requests).await;
-    let begun = recorder.begun.borrow().len();
+    let started_attempts = recorder.started_attempts.borrow().len();
     if has_answers {
         // The first answer exceeds the buffers of the client, which does not read.
-        let attempt = recorder.begun.borrow_mut().remove(0);
+        let attempt = recorder.started_attempts.borrow_mut().remove(0);
         let value = Answer::Value(Bytes::from(vec![b'v'; 16 << 20]));
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(value)));
-        settle().await;
+        yield_until_idle().await;
     }
     let client = leave(client, exit).await;
     wait_until_cancelled(&downstream, &recorder, &case).await;
     // Attempts in flight still end; no new one begins.
-    let in_flight: Vec<_> = recorder.begun.take();
-    assert_eq!(in_flight.len() + usize::from(has_answers), begun);
+    let in_flight: Vec<_> = recorder.started_attempts.take();
+    assert_eq!(in_flight.len() + usize::from(has_answers), started_attempts);
     for attempt in in_flight {
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::NotSent);
     }
@@ -182,7 +182,10 @@
     while !downstream.slots.borrow().is_empty() {
         sleep(Duration::from_millis(1)).await;
     }
-    assert!(recorder.begun.borrow().is_empty(), "{case}: an attempt began for a client that had left");
+    assert!(
+        recorder.started_attempts.borrow().is_empty(),
+        "{case}: an attempt began for a client that had left"
+    );
     assert_eq!(downstream.dispatcher.requests_in_progress(), 0);
 }
 
@@ -203,13 +206,13 @@
 #[test]
 fn a_request_that_crosses_the_close_does_not_reset_the_connection() {
     testing::run_on_sockets(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let mut client = connect(&downstream).await;
         client.write_all(b"mg a v O1 Pc=read,d=1400\r\n").await.unwrap();
         let attempt = loop {
-            settle().await;
-            if let Some(attempt) = recorder.begun.borrow_mut().pop() {
+            yield_until_idle().await;
+            if let Some(attempt) = recorder.started_attempts.borrow_mut().pop() {
                 break attempt;
             }
         };
@@ -230,7 +233,10 @@
         let mut received = Vec::new();
         client.read_to_end(&mut received).await.unwrap();
         assert_eq!(received.len(), "VA 204800 O1\r\n".len() + LENGTH + 2);
-        assert!(recorder.begun.borrow().is_empty(), "nothing that came after the close is forwarded");
+        assert!(
+            recorder.started_attempts.borrow().is_empty(),
+            "nothing that came after the close is forwarded"
+        );
     });
 }
 
@@ -239,7 +245,7 @@
 #[test]
 fn a_client_that_never_stops_sending_is_answered_and_closed_at_shutdown() {
     testing::run_on_sockets(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let client = connect(&downstream).await;
         let dispatcher = Rc::clone(&downstream.dispatcher);
@@ -255,7 +261,7 @@
             }
         });
         while dispatcher.counters().requests.get() < 50 {
-            settle().await;
+            yield_until_idle().await;
         }
         let end = spawn_local(async move {
             let mut received = Vec::new();
@@ -272,6 +278,10 @@
         assert!(received.ends_with(b"\r\n"));
         let answers =
             received.split(|byte| *byte == b'\n').filter(|line| line.starts_with(b"SERVER_ERROR")).count();
-        assert_eq!(answers as u64, dispatcher.counters().requests.get(), "one answer for each request taken");
+        assert_eq!(
+            answers as u64,
+            dispatcher.counters().requests.get(),
+            "one answer for each request accepted"
+        );
     });
 }
--- a/node/src/downstream/tests/eviction.rs
+++ b/node/src/downstream/tests/eviction.rs
@@ -46,20 +46,20 @@
 }
 
 /// Starts a downstream side that accepts connections, and returns it with its recorder and its address.
-async fn start_downstream() -> (Rc<Downstream>, Rc<Recorder>, SocketAddr) {
-    let recorder = Rc::new(Recorder::default());
+async fn start_downstream() -> (Rc<Downstream>, Rc<RecordingTransport>, SocketAddr) {
+    let recorder = Rc::new(RecordingTransport::default());
     let downstream = downstream(&recorder);
     let listener = crate::listener::listen("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap();
     spawn_local(Rc::clone(&downstream).accept(listener));
-    settle().await;
+    yield_until_idle().await;
     (downstream, recorder, address)
 }
 
 /// Runs the event loop until nothing is left to do at the current time.
 async fn run_event_loop() {
     for _ in 0..10 {
-        settle().await;
+        yield_until_idle().await;
     }
 }
 
@@ -68,8 +68,8 @@
 }
 
 /// Ends all attempts that have begun as served.
-fn serve_attempts(downstream: &Downstream, recorder: &Recorder) {
-    for attempt in recorder.begun.take() {
+fn serve_attempts(downstream: &Downstream, recorder: &RecordingTransport) {
+    for attempt in recorder.started_attempts.take() {
         let value = Answer::Value(Bytes::from_static(b"v"));
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(value)));
     }
@@ -103,7 +103,7 @@
 fn an_event_loop_delay_evicts_no_more_connections_than_wait() {
     for waiting in 0..4 {
         for turns_before in 0..8 {
-            testing::run(connect_during_loop_delay(waiting, turns_before));
+            testing::run_paused(connect_during_loop_delay(waiting, turns_before));
         }
     }
 }
@@ -112,7 +112,7 @@
 /// they are.
 #[test]
 fn clients_that_connect_during_an_event_loop_delay_are_answered() {
-    testing::run(async {
+    testing::run_paused(async {
         let (downstream, recorder, address) = start_downstream().await;
         let mut clients: Vec<_> =
             (0..SLOTS * 5).map(|id| Client::connect_and_send(address, &request(id))).collect();
@@ -137,7 +137,7 @@
 /// socket buffer.
 #[test]
 fn a_request_whose_rest_has_arrived_is_not_evicted() {
-    testing::run(async {
+    testing::run_paused(async {
         let (downstream, _, address) = start_downstream().await;
         let mut client = Client::connect_and_send(address, "m");
         run_event_loop().await;
@@ -152,7 +152,7 @@
 /// later request.
 #[test]
 fn an_eviction_withdrawn_mid_request_does_not_end_a_later_request() {
-    testing::run(async {
+    testing::run_paused(async {
         let (downstream, _, address) = start_downstream().await;
         let mut client = Client::connect_and_send(address, "m");
         run_event_loop().await;
@@ -171,11 +171,11 @@
 /// A new connection must keep its slot while others have open requests and none waits for its slot.
 #[test]
 fn a_new_connection_keeps_its_slot_while_others_are_busy() {
-    testing::run(async {
+    testing::run_paused(async {
         let (_downstream, recorder, address) = start_downstream().await;
         let busy: Vec<_> = (0..SLOTS - 2).map(|id| Client::connect_and_send(address, &request(id))).collect();
         run_event_loop().await;
-        assert_eq!(recorder.begun.borrow().len(), busy.len());
+        assert_eq!(recorder.started_attempts.borrow().len(), busy.len());
         let mut new_client = Client::connect(address);
         run_event_loop().await;
         advance(Duration::from_millis(30)).await;
@@ -189,7 +189,7 @@
 /// would be lost whose connections could have had a slot.
 #[test]
 fn an_event_loop_delay_during_the_last_accepts_loses_no_request() {
-    testing::run(async {
+    testing::run_paused(async {
         let (downstream, _, address) = start_downstream().await;
         let silent: Vec<_> = (0..SLOTS).map(|_| Client::connect(address)).collect();
         run_event_loop().await;
--- a/node/src/downstream/tests/slots.rs
+++ b/node/src/downstream/tests/slots.rs
@@ -6,8 +6,8 @@
 /// good: it closes in time, the last with an error.
 #[test]
 fn an_idle_or_stalled_connection_closes_in_time() {
-    testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+    testing::run_paused(async {
+        let recorder = Rc::new(RecordingTransport::default());
         for (sent, answer) in [
             ("", ""),
             ("mn\r\n", "MN\r\n"),
@@ -33,16 +33,16 @@
 /// before clients run out of connections.
 #[test]
 fn surplus_idle_connections_close_longest_idle_first() {
-    testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+    testing::run_paused(async {
+        let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
         let mut clients = Vec::new();
         for id in 0..6 {
             let (stream, mut client) = duplex(1 << 10);
             spawn_local(serve(Rc::clone(&downstream), stream));
             client.write_all(format!("mg k v O{id} Pc=read,d=480\r\n").as_bytes()).await.unwrap();
-            settle().await;
-            let attempt = recorder.begun.borrow_mut().pop().unwrap();
+            yield_until_idle().await;
+            let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
             downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Error));
             clients.push(client);
             sleep(Duration::from_millis(5)).await;
@@ -62,14 +62,14 @@
 /// A request whose first byte arrives while its idle connection is evicted must not be lost.
 #[test]
 fn a_request_begun_during_eviction_is_answered() {
-    testing::run(async {
-        let downstream = downstream(&Rc::new(Recorder::default()));
+    testing::run_paused(async {
+        let downstream = downstream(&Rc::new(RecordingTransport::default()));
         let (stream, mut client) = duplex(1 << 10);
         spawn_local(serve(Rc::clone(&downstream), stream));
-        settle().await;
+        yield_until_idle().await;
         downstream.evict(1);
         client.write_all(b"m").await.unwrap();
-        settle().await;
+        yield_until_idle().await;
         client.write_all(b"n\r\n").await.unwrap();
         let mut received = String::new();
         client.read_to_string(&mut received).await.unwrap();
@@ -80,11 +80,11 @@
 /// An eviction takes no time: otherwise a request behind a flood of connections would wait for each of them.
 #[test]
 fn an_evicted_connection_closes_at_once() {
-    testing::run(async {
-        let downstream = downstream(&Rc::new(Recorder::default()));
+    testing::run_paused(async {
+        let downstream = downstream(&Rc::new(RecordingTransport::default()));
         let (stream, mut client) = duplex(1 << 10);
         spawn_local(serve(Rc::clone(&downstream), stream));
-        settle().await;
+        yield_until_idle().await;
         let start = Instant::now();
         downstream.evict(1);
         assert_eq!(client.read(&mut [0; 8]).await.unwrap(), 0);
@@ -97,8 +97,8 @@
 /// after an answer, and a new one that has sent nothing yet stays.
 #[test]
 fn a_new_connection_is_evicted_last() {
-    testing::run(async {
-        let downstream = downstream(&Rc::new(Recorder::default()));
+    testing::run_paused(async {
+        let downstream = downstream(&Rc::new(RecordingTransport::default()));
         let mut clients = Vec::new();
         for (has_had_request, wait) in [(false, 900), (true, 100), (true, 100), (false, 0)] {
             let (stream, mut client) = duplex(1 << 10);
@@ -114,7 +114,7 @@
         let mut new_client = clients.pop().unwrap();
         for (evicted, mut client) in clients.into_iter().enumerate() {
             downstream.evict(1);
-            settle().await;
+            yield_until_idle().await;
             assert_eq!(client.read(&mut [0; 8]).await.unwrap(), 0);
             assert_eq!(downstream.slots.borrow().len(), 3 - evicted);
         }
@@ -129,7 +129,7 @@
 #[test]
 fn a_silent_connection_is_evicted_for_a_new_one() {
     testing::run_on_sockets(async {
-        let recorder = Rc::new(Recorder::default());
+        let recorder = Rc::new(RecordingTransport::default());
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
         spawn_local(downstream(&recorder).accept(listener));
--- a/node/src/graceful_shutdown/tests.rs
+++ b/node/src/graceful_shutdown/tests.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 
 use super::*;
-use crate::testing::{self, settle};
+use crate::testing::{self, yield_until_idle};
 
 /// The platform routes new connections here for up to 0.4 s after the signal; closing the open ones meanwhile
 /// would only cause more new ones.
 #[test]
 fn connections_close_once_no_new_ones_come() {
-    testing::run(async {
+    testing::run_paused(async {
         let shutdown = GracefulShutdown::default();
         let start = Instant::now();
         let clients = async {
@@ -39,7 +39,7 @@
 /// A client that stalls in the middle of a request must not keep the process running for good.
 #[test]
 fn the_shutdown_ends_at_its_limit_despite_a_stalled_connection() {
-    testing::run(async {
+    testing::run_paused(async {
         let shutdown = GracefulShutdown::default();
         shutdown.set_open_connections(1);
         let start = Instant::now();
@@ -52,7 +52,7 @@
 /// others.
 #[test]
 fn connections_that_open_and_close_wake_no_other() {
-    testing::run(async {
+    testing::run_paused(async {
         let shutdown = Rc::new(GracefulShutdown::default());
         let polls = Rc::new(Cell::new(0));
         let (waiting_shutdown, poll_counter) = (Rc::clone(&shutdown), Rc::clone(&polls));
@@ -64,10 +64,10 @@
             })
             .await;
         });
-        settle().await;
+        yield_until_idle().await;
         for open in 1..100 {
             shutdown.set_open_connections(open);
-            settle().await;
+            yield_until_idle().await;
         }
         assert_eq!(polls.get(), 1);
         shutdown.begin_closing();
--- a/node/src/simulation.rs
+++ b/node/src/simulation.rs
@@ -26,7 +26,7 @@
 
 use crate::connect::Connector;
 use crate::counters::Counters;
-use crate::dispatcher::{Carrier, Dispatcher, ListedServer};
+use crate::dispatcher::{AttemptTransport, Dispatcher, ListedServer};
 use crate::downstream::{Downstream, Labels};
 use crate::graceful_shutdown::{time_for_answers, GracefulShutdown, EXIT_DELAY};
 use crate::resource_limits::ResourceLimits;
@@ -152,7 +152,7 @@
         deduplication_window: Micros(DEDUPLICATION_WINDOW.as_micros() as u64),
         ..Class::default()
     };
-    let mode = CacheMode::Aside(ORIGIN);
+    let mode = CacheMode::CacheAside(ORIGIN);
     Settings {
         classes: SIMULATED_CLASSES.map(class).into(),
         mode,
@@ -186,8 +186,8 @@
         let clock = crate::clock::Clock::start();
         let connector = Rc::clone(&servers) as Rc<dyn Connector>;
         let upstream = Upstream::new(limits, connector, clock, Rc::clone(&counters), log());
-        let carrier = Rc::clone(&upstream) as Rc<dyn Carrier>;
-        let dispatcher = Dispatcher::new(settings(), seed, carrier, clock, counters, log());
+        let transport = Rc::clone(&upstream) as Rc<dyn AttemptTransport>;
+        let dispatcher = Dispatcher::new(settings(), seed, transport, clock, counters, log());
         upstream.attach(&dispatcher);
         dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &servers.listed_servers());
         let shutdown = Rc::new(GracefulShutdown::default());
@@ -270,7 +270,7 @@
 fn every_request_taken_has_one_complete_answer_in_time() {
     let mut counts: HashMap<Occurrence, u64> = HashMap::new();
     for seed in 0..SEED_COUNT {
-        let event_log = testing::run(async move { Simulation::new(seed).run(seed).await });
+        let event_log = testing::run_paused(async move { Simulation::new(seed).run(seed).await });
         let violations = event_log.violations.take();
         assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
         for (occurrence, count) in event_log.counts.take() {
--- a/node/src/upstream/download/tests.rs
+++ b/node/src/upstream/download/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::memcache::{read_response, Response};
-use crate::testing::{self, request, settle};
+use crate::testing::{self, request, yield_until_idle};
 use juniperladder_dispatch::streamed_value::streamed_value;
 use tokio::io::{duplex, AsyncWriteExt};
 use tokio::task::spawn_local;
@@ -32,7 +32,7 @@
 /// blocks the server after a few chunks.
 #[test]
 fn a_large_value_passes_in_a_few_bounded_chunks() {
-    testing::run(async {
+    testing::run_paused(async {
         for (mut body, end) in bodies() {
             let (sender, receiver) = streamed_value(VALUE_BYTES);
             let (mut stream, mut server) = duplex(PIPE_BYTES);
@@ -51,7 +51,7 @@
             let forwarded = spawn_local(async move {
                 forward_value(&mut stream, &mut BytesMut::new(), &mut body, sender, CHUNK_BYTES).await
             });
-            settle().await;
+            yield_until_idle().await;
             assert!(
                 bytes_sent.get() <= PIPE_BYTES + 3 * CHUNK_BYTES + 1000,
                 "{} bytes sent without a reader",
@@ -75,13 +75,13 @@
 /// If the server closes, stalls or ends the value wrongly, the client must never receive the last byte.
 #[test]
 fn an_interrupted_value_is_never_complete() {
-    testing::run(async {
-        let without_end = MalformedResponse::from(memcache::ResponseError::ValueWithoutEnd);
-        assert_eq!(without_end.to_string(), "no line end after the value");
+    testing::run_paused(async {
+        let missing_value_end = MalformedResponse::from(memcache::ResponseError::MissingValueEnd);
+        assert_eq!(missing_value_end.to_string(), "no line end after the value");
         for (sent, end, error) in [
             (VALUE_BYTES - 1, &b""[..], ReadError::Disconnected),
             (1000, b"", ReadError::Disconnected),
-            (VALUE_BYTES, b"xx", ReadError::Malformed(without_end)),
+            (VALUE_BYTES, b"xx", ReadError::Malformed(missing_value_end)),
         ] {
             for stalls in [true, false] {
                 let [(mut body, _), _] = bodies();
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -1,12 +1,12 @@
 //! Pools and connections, with servers simulated in memory and on loopback.
 
-mod late_turn;
+mod event_loop_delay;
 
 use super::connection::{AfterAttempt, UpstreamConnection};
 use super::*;
 use crate::dispatcher::Answer;
 use crate::memcache;
-use crate::testing::{self, listed_server, settle, Recorder, SERVER};
+use crate::testing::{self, listed_server, yield_until_idle, RecordingTransport, SERVER};
 use bytes::BytesMut;
 use juniperladder::Idempotency;
 use proptest::prelude::*;
@@ -49,13 +49,13 @@
     /// executed while its last byte was not written, and an answer with another id counts for none.
     #[test]
     fn an_attempt_ends_by_what_was_written(action in action(), value_bytes in 0..300usize, piece_bytes in 1..9usize, pipe_bytes in 1..200usize) {
-        testing::run(async {
-            let recorder = Rc::new(Recorder::default());
+        testing::run_paused(async {
+            let recorder = Rc::new(RecordingTransport::default());
             let dispatcher = testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
             let upstream = testing::upstream(1);
             upstream.attach(&dispatcher);
-            let (_, answer) = dispatcher.take(testing::request("7", Some(vec![b'x'; value_bytes]))).unwrap();
-            let attempt = recorder.begun.borrow_mut().pop().unwrap();
+            let (_, answer) = dispatcher.accept(testing::request("7", Some(vec![b'x'; value_bytes]))).unwrap();
+            let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
             let (mut stream, mut server) = duplex(pipe_bytes);
             let connection = UpstreamConnection { server: SERVER, is_origin: false, address: ([127, 0, 0, 1], 1).into() };
             let mut wire = BytesMut::new();
@@ -80,10 +80,10 @@
                     ServerAction::Answers(text) => for piece in text.as_bytes().chunks(piece_bytes) {
                         // The balancer may close once it has read enough.
                         let _ = server.write_all(piece).await;
-                        settle().await;
+                        yield_until_idle().await;
                     },
                     ServerAction::Silent => sleep(Duration::from_secs(60)).await,
-                    ServerAction::Closes(_) => settle().await,
+                    ServerAction::Closes(_) => yield_until_idle().await,
                 }
                 drop(server);
             };
@@ -94,7 +94,7 @@
                 after
             };
             let (after, ()) = tokio::join!(carry, serve);
-            let counted: Vec<_> = dispatcher.counters().figures().into_iter()
+            let counted: Vec<_> = dispatcher.counters().metrics().into_iter()
                 .filter(|(name, n)| *n > 0 && !name.starts_with("rejected_") && !["commands", "attempts", "served", "rejected", "failed", "bad_answers"].contains(name))
                 .collect();
             assert_eq!(counted, [(expected, 1)]);
@@ -111,13 +111,13 @@
 /// not begin.
 #[test]
 fn a_draining_server_gets_no_waiting_attempt() {
-    testing::run(async {
+    testing::run_paused(async {
         let upstream = testing::upstream(0);
         let dispatcher =
             testing::dispatcher(testing::settings(1, Idempotency::Idempotent), upstream.clone(), 1);
         upstream.attach(&dispatcher);
-        let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
-        settle().await;
+        let (_, answer) = dispatcher.accept(testing::request("7", None)).unwrap();
+        yield_until_idle().await;
         assert_eq!(dispatcher.counters().attempts_not_sent.get(), 0, "it waits for a connection");
         dispatcher
             .on_endpoints_changed(EndpointUpdate::Delta, &[listed_server(SERVER, EndpointState::Draining)]);
@@ -132,11 +132,11 @@
 fn a_late_connection_gets_nothing_of_a_closed_request() {
     testing::run_on_sockets(async {
         let (dispatcher, upstream, listener) = pool_with_one_server(1).await;
-        let (id, _answer) = dispatcher.take(testing::request("1", None)).unwrap();
+        let (id, _answer) = dispatcher.accept(testing::request("1", None)).unwrap();
         dispatcher.on_client_gone(id);
         let (mut stream, _) = listener.accept().await.unwrap();
-        settle().await;
-        let (_, answer) = dispatcher.take(testing::request("2", None)).unwrap();
+        yield_until_idle().await;
+        let (_, answer) = dispatcher.accept(testing::request("2", None)).unwrap();
         let received = read_request_line(&mut stream).await;
         assert!(
             received.starts_with("mg ") && received.contains(" O2 ") && !received.contains(" O1 "),
@@ -155,19 +155,19 @@
 /// again.
 #[test]
 fn a_half_written_attempt_ends_with_its_request() {
-    testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+    testing::run_paused(async {
+        let recorder = Rc::new(RecordingTransport::default());
         let dispatcher =
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
         let upstream = testing::upstream(1);
         upstream.attach(&dispatcher);
-        let (id, _answer) = dispatcher.take(testing::request("7", Some(vec![b'x'; 300]))).unwrap();
-        let attempt = recorder.begun.borrow_mut().pop().unwrap();
+        let (id, _answer) = dispatcher.accept(testing::request("7", Some(vec![b'x'; 300]))).unwrap();
+        let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
         let (mut stream, mut server) = duplex(100);
         let connection =
             UpstreamConnection { server: SERVER, is_origin: false, address: ([127, 0, 0, 1], 1).into() };
         let serve = async {
-            settle().await;
+            yield_until_idle().await;
             dispatcher.on_client_gone(id);
             let mut received = Vec::new();
             server.read_to_end(&mut received).await.unwrap();
@@ -200,12 +200,12 @@
             up.address = listener.local_addr().ok();
             up.endpoint.server = ServerId(up.address.unwrap().port().into());
             dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[up]);
-            let (_, answer) = dispatcher.take(testing::request("7", Some(vec![]))).unwrap();
+            let (_, answer) = dispatcher.accept(testing::request("7", Some(vec![]))).unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
             stream.read_buf(&mut BytesMut::new()).await.unwrap();
             stream.write_all(b"HD O7 cr1\r\n").await.unwrap();
             assert!(matches!(answer.await, Ok(Answer::Receipt(_))));
-            settle().await;
+            yield_until_idle().await;
         }
         assert_eq!(upstream.connections.get(), 1);
     });
@@ -241,14 +241,14 @@
         ("nonsense\r\n\r\n".to_owned(), 1),
     ];
     for (text, malformed) in cases {
-        testing::run(async {
-            let recorder = Rc::new(Recorder::default());
+        testing::run_paused(async {
+            let recorder = Rc::new(RecordingTransport::default());
             let dispatcher =
                 testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
             let upstream = testing::upstream(1);
             upstream.attach(&dispatcher);
-            let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
-            let attempt = recorder.begun.borrow_mut().pop().unwrap();
+            let (_, answer) = dispatcher.accept(testing::request("7", None)).unwrap();
+            let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
             let (mut stream, mut server) = duplex(1 << 12);
             let connection =
                 UpstreamConnection { server: SERVER, is_origin: true, address: ([127, 0, 0, 1], 1).into() };
@@ -266,14 +266,14 @@
 /// An endless body with a huge length must be dropped before it fills the memory.
 #[test]
 fn an_endless_body_is_not_read_to_its_end() {
-    testing::run(async {
-        let recorder = Rc::new(Recorder::default());
+    testing::run_paused(async {
+        let recorder = Rc::new(RecordingTransport::default());
         let dispatcher =
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), recorder.clone(), 1);
         let upstream = testing::upstream(1);
         upstream.attach(&dispatcher);
-        let _answer = dispatcher.take(testing::request("7", None)).unwrap();
-        let attempt = recorder.begun.borrow_mut().pop().unwrap();
+        let _answer = dispatcher.accept(testing::request("7", None)).unwrap();
+        let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
         let (mut stream, mut server) = duplex(1 << 12);
         let connection =
             UpstreamConnection { server: SERVER, is_origin: true, address: ([127, 0, 0, 1], 1).into() };
@@ -295,7 +295,7 @@
 /// stop, so that its connection stays open and the late answer is read and discarded.
 #[test]
 fn a_timeout_closes_only_connections_to_the_origin() {
-    testing::run(async {
+    testing::run_paused(async {
         for kind in [0, testing::ORIGIN] {
             let upstream = testing::upstream(4);
             let mut listed = listed_server(SERVER, EndpointState::Serving);
@@ -321,7 +321,7 @@
 /// The idle timeout is shortened when reused connections break, and grows back.
 #[test]
 fn a_shorter_idle_timeout_is_learnt_and_forgotten() {
-    testing::run(async {
+    testing::run_paused(async {
         let upstream = testing::upstream(4);
         let idle_timeout = &upstream.idle_timeout;
         let maximum = idle_timeout.current();
@@ -349,7 +349,7 @@
 /// A connection to the old address of a server must not be used, as another process may listen there.
 #[test]
 fn a_connection_to_an_old_address_is_not_used() {
-    testing::run(async {
+    testing::run_paused(async {
         let upstream = testing::upstream(4);
         let moved = listed_server(SERVER, EndpointState::Serving);
         upstream.on_endpoints_changed(EndpointUpdate::Snapshot, std::slice::from_ref(&moved));
@@ -378,8 +378,8 @@
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), upstream.clone(), 0);
         upstream.attach(&dispatcher);
         dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &[down]);
-        let (_, first) = dispatcher.take(testing::request("7", None)).unwrap();
-        let (_, second) = dispatcher.take(testing::request("8", None)).unwrap();
+        let (_, first) = dispatcher.accept(testing::request("7", None)).unwrap();
+        let (_, second) = dispatcher.accept(testing::request("8", None)).unwrap();
         assert!(matches!((first.await, second.await), (Ok(Answer::Rejected(_)), Ok(Answer::Rejected(_)))));
         assert_eq!(dispatcher.counters().attempts_not_connected.get(), 2);
         assert_eq!(upstream.connections.get(), 0);
@@ -422,7 +422,7 @@
                     }
                 }
             });
-            let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
+            let (_, answer) = dispatcher.accept(testing::request("7", None)).unwrap();
             assert!(matches!(answer.await, Ok(Answer::Rejected(_) | Answer::Failed)));
             assert!(accepted.get() <= 3, "{} connections for three attempts", accepted.get());
             assert_eq!(upstream.counters.attempts_written.get(), 0, "no byte of the request was written");
@@ -438,21 +438,21 @@
     for during_assignment in [false, true] {
         testing::run_on_sockets(async {
             let (dispatcher, upstream, listener) = pool_with_one_server(3).await;
-            let (_, first) = dispatcher.take(testing::request("1", None)).unwrap();
+            let (_, first) = dispatcher.accept(testing::request("1", None)).unwrap();
             let (mut idle_stream, _) = listener.accept().await.unwrap();
             read_request_line(&mut idle_stream).await;
             idle_stream.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
             assert!(first.await.is_ok());
-            settle().await;
+            yield_until_idle().await;
             let second = if during_assignment {
                 // The pool has not polled the connection since, and assigns it with the bytes unread.
-                let (_, second) = dispatcher.take(testing::request("2", None)).unwrap();
+                let (_, second) = dispatcher.accept(testing::request("2", None)).unwrap();
                 idle_stream.try_write(b"VA 1").unwrap();
                 second
             } else {
                 idle_stream.write_all(b"VA 1").await.unwrap();
-                settle().await;
-                dispatcher.take(testing::request("2", None)).unwrap().1
+                yield_until_idle().await;
+                dispatcher.accept(testing::request("2", None)).unwrap().1
             };
             let (mut new_stream, _) = listener.accept().await.unwrap();
             read_request_line(&mut new_stream).await;
@@ -477,7 +477,7 @@
             origin.address = listener.local_addr().ok();
             origin.endpoint.kind = testing::ORIGIN;
             dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[origin]);
-            let (_, answer) = dispatcher.take(testing::request("7", None)).unwrap();
+            let (_, answer) = dispatcher.accept(testing::request("7", None)).unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
             let mut received = BytesMut::new();
             while !received.ends_with(b"\r\n\r\n") {
@@ -485,7 +485,7 @@
             }
             let text: &[u8] = if body { b"HTTP/1.1 200 OK\r\n\r\nab" } else { b"HTTP/1.1 200 OK\r\n\r\n" };
             stream.write_all(text).await.unwrap();
-            settle().await;
+            yield_until_idle().await;
             if reset {
                 stream.set_zero_linger().unwrap();
             }
@@ -517,16 +517,16 @@
         testing::run_on_sockets(async {
             let (dispatcher, upstream, old) = pool_with_one_server(3).await;
             let new = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
-            let (_, first) = dispatcher.take(testing::request("1", None)).unwrap();
+            let (_, first) = dispatcher.accept(testing::request("1", None)).unwrap();
             let (mut idle_stream, _) = old.accept().await.unwrap();
             read_request_line(&mut idle_stream).await;
             idle_stream.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
             assert!(first.await.is_ok());
-            settle().await;
+            yield_until_idle().await;
             assert_eq!(upstream.connections.get(), 1, "the connection is idle");
             // No turn of the event loop lies between the assignment of the request to the connection and the
             // update.
-            let (_, second) = dispatcher.take(testing::request("2", None)).unwrap();
+            let (_, second) = dispatcher.accept(testing::request("2", None)).unwrap();
             let mut listed = listed_server(SERVER, change);
             listed.address = new.local_addr().ok();
             dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[listed]);
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -48,14 +48,14 @@
 use request_table::RequestTable;
 use zone_health::ZoneHealth;
 
-/// Token of the timer for the next call to discovery.
+/// Token of the timer for the next poll of discovery.
 const DISCOVERY_TIMER: u64 = 0;
 /// Token of the timer that drains the origin queue.
 const ORIGIN_QUEUE_TIMER: u64 = 1;
 /// First token of the request timers; later tokens count up from here.
 const FIRST_REQUEST_TIMER: u64 = 2;
 
-/// The decisions of one balancer; see the crate's documentation for its use.
+/// The decision core of one balancer; see the crate's documentation for its use.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
@@ -68,8 +68,8 @@
     response_rate: RateEstimator,
     placement: Placement,
     cache_ladder: GapLadder,
-    /// Gaps at the origin are shorter than those at cache servers: no other server can take its requests, so
-    /// every attempt that a gap holds back is lost.
+    /// Unlike at cache servers, the longest gap at the origin does not grow with the number of balancers: no
+    /// other server can take the origin's requests, so every attempt that a gap holds back is lost.
     origin_ladder: GapLadder,
     origin_queue: OriginQueue,
     admission: Admission,
@@ -101,7 +101,7 @@
     }
 
     /// Makes this balancer obey the limits that it shares with other balancers, and act on their reports.
-    pub fn join(&mut self, coordination: Box<dyn Coordination>) {
+    pub fn set_coordination(&mut self, coordination: Box<dyn Coordination>) {
         self.coordination = OptionalCoordination(Some(coordination));
     }
 
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Applies an endpoint update, or the failure of discovery, and schedules the next call to discovery.
+    /// Applies an endpoint update, or the failure of discovery, and schedules the next poll of discovery.
     fn on_endpoints_changed(
         &mut self,
         now: Micros,
@@ -133,14 +133,14 @@
         endpoints: &[Endpoint],
         actions: &mut Vec<Action>,
     ) {
-        let next_call = if update == EndpointUpdate::Unavailable {
+        let next_poll = if update == EndpointUpdate::Unavailable {
             Some(self.discovery.on_unavailable(now, &mut self.rng))
         } else {
             self.endpoints.apply_update(update, endpoints, &self.settings);
             self.coordination.on_endpoints_changed(self.endpoints.cache_servers());
             self.discovery.on_endpoints(now, update, &mut self.rng)
         };
-        if let Some(at) = next_call {
+        if let Some(at) = next_poll {
             actions.push(Action::Timer { at, token: DISCOVERY_TIMER });
         }
     }
@@ -152,11 +152,11 @@
         }
     }
 
-    /// Handles a timer that is due. Tokens of requests that are no longer open are ignored.
+    /// Handles a timer that is due. Tokens for which no request waits any longer are ignored.
     fn on_timer(&mut self, now: Micros, token: u64, actions: &mut Vec<Action>) {
         match token {
             DISCOVERY_TIMER => {
-                if self.discovery.is_call_due(now) {
+                if self.discovery.is_poll_due(now) {
                     actions.push(Action::WatchEndpoints);
                 }
             }
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Handles the timer of a request: hedges an attempt without a response, or routes a request again that
-    /// has waited in the origin queue for its maximum time.
+    /// Handles the timer of a request: hedges an attempt without a response, or, if the request has waited in
+    /// the origin queue for its maximum time, routes it again.
     fn on_request_timer(&mut self, now: Micros, open: OpenRequest, actions: &mut Vec<Action>) {
         self.origin_queue.remove(&open.request.id);
         if open.attempt_in_flight().is_some() {
--- a/src/balancer/tests.rs
+++ b/src/balancer/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions: shared fixtures, and one module for each subject.
+//! Tests of the decision core: shared fixtures, and one module for each subject.
 
 use super::admission::RETRY_AFTER_SPREAD;
 use super::concurrency_limit::ConcurrencyLimit;
@@ -55,14 +55,14 @@
         zone: 0,
         classes: vec![class],
         tenants: vec![],
-        mode: CacheMode::Aside(ORIGIN_KIND),
-        subscribe: false,
-        weighted: false,
-        tick: Micros(5_000),
+        mode: CacheMode::CacheAside(ORIGIN_KIND),
+        watches_discovery: false,
+        has_comparable_weights: false,
+        min_batch_interval: Micros(5_000),
         limits: Limits {
             max_attempts: 4,
             max_retry_after: Micros(2 * SECOND),
-            retry_after: true,
+            sends_retry_after: true,
             may_duplicate: false,
         },
         rules: Rules {
@@ -138,7 +138,7 @@
         attempt,
         latency: Micros(1_000),
         result,
-        is_request_over: false,
+        is_request_closed: false,
         fetch_in_progress: false,
     }
 }
@@ -156,7 +156,7 @@
     result: AttemptResult,
 ) -> Event<'static> {
     let ended = completed_attempt(number, attempt, server, result);
-    Event::AttemptCompleted(CompletedAttempt { is_request_over: true, ..ended })
+    Event::AttemptCompleted(CompletedAttempt { is_request_closed: true, ..ended })
 }
 
 /// Server of the first send among these actions.
--- a/src/balancer/tests/concurrency_limit.rs
+++ b/src/balancer/tests/concurrency_limit.rs
@@ -14,7 +14,7 @@
     /// The limit recovers for a server that responds well again: each fast response raises a limit in use.
     /// The latency of a permanently slower server becomes the baseline within half an hour.
     #[test]
-    fn limit_recovers_from_any_state(seed: u64, steps in 1usize..400, slower in 1u64..6) {
+    fn limit_recovers_from_any_state(seed: u64, steps in 1usize..400, latency_factor in 1u64..6) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let (mut concurrency, mut now) = (ConcurrencyLimit::new(3), SECOND);
         for _ in 0..steps {
@@ -33,7 +33,7 @@
             }
             prop_assert!(concurrency.limit >= 1.0);
         }
-        let latency = 100_000 * slower;
+        let latency = 100_000 * latency_factor;
         let end = now + 1_800 * SECOND;
         while concurrency.limit < 8.0 {
             prop_assert!(now < end, "limit {}", concurrency.limit);
@@ -65,11 +65,14 @@
     concurrency.reserve(true);
     assert!(
         !concurrency.has_capacity(now, true) && !concurrency.has_capacity(now, false),
-        "one attempt at a time"
+        "a second attempt is admitted while one is in flight"
     );
     concurrency.release(now, true, None);
     assert!(concurrency.has_capacity(now, true) && !concurrency.has_capacity(now, false));
-    assert!(concurrency.has_capacity(now + Micros(30 * SECOND), false), "a read is admitted after the pause");
+    assert!(
+        concurrency.has_capacity(now + Micros(30 * SECOND), false),
+        "a read must be admitted after the pause"
+    );
 }
 
 #[test]
@@ -79,7 +82,10 @@
     (0..2).for_each(|_| concurrency.reserve(false));
     assert!(!concurrency.has_capacity(now, true));
     concurrency.release(now, false, Some(Micros(400_000)));
-    assert!(!concurrency.has_capacity(Micros(SECOND + 399_999), true), "the server still works on it");
+    assert!(
+        !concurrency.has_capacity(Micros(SECOND + 399_999), true),
+        "capacity is freed while the server still works on the attempt"
+    );
     assert!(concurrency.has_capacity(Micros(SECOND + 400_000), true));
 }
 
@@ -111,7 +117,7 @@
             let result = if is_served { AttemptResult::Served } else { AttemptResult::Timeout };
             let latency = Micros(if is_served { 100_000 } else { latency });
             let ended = completed_attempt(n, 0, to, result);
-            let ended = CompletedAttempt { is_request_over: is_served, latency, ..ended };
+            let ended = CompletedAttempt { is_request_closed: is_served, latency, ..ended };
             handle(&mut balancer, now + latency.0, Event::AttemptCompleted(ended));
         }
         let server = balancer.endpoints.server_mut(ServerId(0)).expect("listed");
--- a/src/balancer/tests/coordination.rs
+++ b/src/balancer/tests/coordination.rs
@@ -9,7 +9,8 @@
 /// Return values of the fake, and the calls that it received.
 #[derive(Debug, Default)]
 struct FakeState {
-    /// Wait time of each limit; `None` if the limit is not shared.
+    /// Wait time of the origin's rate limit; in this and the next two fields, `None` means that the limit is
+    /// not shared.
     origin_wait: Option<Micros>,
     slow_start_wait: Option<Micros>,
     retry_wait: Option<Micros>,
@@ -73,7 +74,7 @@
 fn balancer_with_coordination(list: &[Endpoint]) -> (Balancer, FakeCoordination) {
     let coordination = FakeCoordination::default();
     let mut balancer = Balancer::new(idempotent_settings(), 3);
-    balancer.join(Box::new(coordination.clone()));
+    balancer.set_coordination(Box::new(coordination.clone()));
     handle(&mut balancer, 1, Event::EndpointsChanged(EndpointUpdate::Restored, list));
     (balancer, coordination)
 }
@@ -143,8 +144,8 @@
             };
             assert!(actions.iter().any(is_exhausted), "the request must be rejected at once: {actions:?}");
         }
-        let is_paid = fake.0.borrow().acquired.contains(&SharedLimit::RetryBudget);
-        assert_eq!(is_paid, is_retried && result != AttemptResult::Miss, "{retry_wait:?} {result:?}");
+        let is_charged = fake.0.borrow().acquired.contains(&SharedLimit::RetryBudget);
+        assert_eq!(is_charged, is_retried && result != AttemptResult::Miss, "{retry_wait:?} {result:?}");
     }
 }
 
--- a/src/balancer/tests/fleet.rs
+++ b/src/balancer/tests/fleet.rs
@@ -19,14 +19,14 @@
     by_second[from..to].iter().sum()
 }
 
-/// The same load over more balancers causes no more requests to the origin and the cache servers, and is
-/// served as well.
+/// The same load over more balancers is served as well, and causes less than 1.35 times the requests to the
+/// origin that it causes over three balancers.
 #[test]
 fn more_balancers_cost_no_more_for_the_same_load() {
     let few = simulate_default(3, Outage::NONE);
     for balancers in SIZES {
         let many = simulate_default(balancers, Outage::NONE);
-        let (fetches, before) = (sum(&many.fetches, 5, 30), sum(&few.fetches, 5, 30));
+        let (fetches, fetches_of_few) = (sum(&many.fetches, 5, 30), sum(&few.fetches, 5, 30));
         println!(
             "{balancers:4} balancers: {:.3} served, {:.1} fetches a second, {:.3} hits and {:.3} attempts a request",
             many.served_share(5, 30),
@@ -35,21 +35,24 @@
             many.sends / sum(&many.requested, 0, 30)
         );
         assert!(many.served_share(5, 30) > 0.95, "{balancers}: {:.3}", many.served_share(5, 30));
-        assert!(fetches < 1.35 * before, "{balancers}: {fetches} fetches, {before} with three balancers");
+        assert!(
+            fetches < 1.35 * fetches_of_few,
+            "{balancers}: {fetches} fetches, {fetches_of_few} with three balancers"
+        );
     }
 }
 
 /// One cache server in six does not respond for ten seconds, while each balancer sends to it only once in
-/// several seconds. It loses part of its share of the attempts, most requests are still served, and it is not
-/// overloaded after its restart.
+/// several seconds. Guards against an unresponsive server that keeps its whole share of the attempts, so that
+/// requests are not served, and against its overload after the restart.
 #[test]
 fn unresponsive_server_with_few_sends_per_balancer_is_avoided_and_recovers() {
     for balancers in SIZES {
         let result = simulate_default(balancers, Outage { from: 8, to: 18, every: 6 });
         let expected_sends = 4.0 / 24.0 * sum(&result.requested, 11, 17);
-        let lost = sum(&result.lost_sends, 11, 17) / expected_sends;
+        let retained_share = sum(&result.lost_sends, 11, 17) / expected_sends;
         println!(
-            "{balancers:4} balancers: {lost:.2} of the share of unresponsive servers lost, {:.3} served, {:.3} after the restart, restarted server at {:.2} of its capacity",
+            "{balancers:4} balancers: unresponsive servers still get {retained_share:.2} of their share, {:.3} served, {:.3} after the restart, restarted server at {:.2} of its capacity",
             result.served_share(11, 17),
             result.served_share(22, 30),
             result.peak_slow_start_load
@@ -57,8 +60,8 @@
         // Each of 200 balancers sends to a server once in 20 s: hedged requests serve the clients before the
         // balancers can detect the failure.
         assert!(
-            lost < 0.75 || balancers > 100,
-            "{balancers}: unresponsive servers still get {lost:.2} of their share"
+            retained_share < 0.75 || balancers > 100,
+            "{balancers}: unresponsive servers still get {retained_share:.2} of their share"
         );
         assert!(
             result.served_share(11, 17) > 0.97,
@@ -78,11 +81,11 @@
     }
 }
 
-/// Servers that restart at peak load tolerate the sends of all balancers together: at most 1.5 times their
-/// capacity at that time (sites tolerate three or four times) plus random variation, with 3 to 300 balancers,
-/// including retries and hedged requests.
+/// Guards against overload of servers that restart at peak load: with 3 to 300 balancers, the sends of all
+/// balancers together, including retries and hedged requests, must not exceed 1.5 times a server's capacity
+/// at that time (sites tolerate three or four times) plus random variation.
 #[test]
-fn restarted_server_is_ramped_by_all_balancers_together() {
+fn all_balancers_together_do_not_overload_a_restarted_server() {
     for balancers in [3, 30, 300] {
         for seed in [5, 6, 7] {
             let outage = Outage { from: 6, to: 9, every: 6 };
@@ -91,7 +94,10 @@
                 "{balancers:4} balancers: restarted server at {:.2} of its capacity, excess {:.1}",
                 result.peak_slow_start_load, result.excess_over_chance
             );
-            assert!(result.peak_slow_start_load > 0.2, "{balancers}: the restarted server gets no sends");
+            assert!(
+                result.peak_slow_start_load > 0.2,
+                "{balancers}: the restarted server gets hardly any sends"
+            );
             assert!(
                 result.excess_over_chance <= 0.0,
                 "{balancers}, seed {seed}: {:.1} sends above the tolerated load",
@@ -114,8 +120,8 @@
 }
 
 /// Half of the cache servers do not respond for four seconds and restart empty, while balancers receive the
-/// updated list up to two seconds apart. Balancers with the old and the new list together overload no
-/// restarted server, and requests are still served.
+/// updated list up to two seconds apart. Guards against overload of a restarted server by balancers with the
+/// old and the new list together, and against requests that are not served meanwhile.
 #[test]
 fn restart_of_half_the_servers_with_differing_lists_overloads_no_server() {
     for balancers in SIZES {
--- a/src/balancer/tests/gap_ladder.rs
+++ b/src/balancer/tests/gap_ladder.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn rejected_share_gaps_only_above_the_threshold() {
+fn only_a_rejected_share_above_the_threshold_gaps_a_server() {
     let mut healthy = Gap::default();
     record_outcomes(&mut healthy, 2 * SECOND, 100_000, &[false, false, true, false].repeat(20));
     assert_eq!(healthy.rung, 0);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn rejections_seconds_apart_do_not_gap() {
+fn rejections_seconds_apart_do_not_gap_a_server() {
     let mut gap = Gap::default();
     record_outcomes(&mut gap, 20 * SECOND, 3 * SECOND, &[true, true, true, true]);
     assert_eq!(gap.rung, 0, "rejections seconds apart must not gap a server");
@@ -91,9 +91,9 @@
         renewed.rung > 10 && renewed.ends_at > Micros(2 * SECOND),
         "a high rejected share must raise and renew the gap"
     );
-    let mut ended = active_gap(9);
-    ended.ends_at = Micros(5 * SECOND);
-    assert!(ended.is_active(Micros(5 * SECOND - 1)) && !ended.is_active(Micros(5 * SECOND)));
+    let mut expired = active_gap(9);
+    expired.ends_at = Micros(5 * SECOND);
+    assert!(expired.is_active(Micros(5 * SECOND - 1)) && !expired.is_active(Micros(5 * SECOND)));
 }
 
 #[test]
@@ -134,7 +134,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// A gap ends within 3 longest deadlines after its cause with demand, and within 8 without demand.
+    /// After the end of its cause, a gap ends within 3 longest deadlines while requests arrive, and within 8
+    /// while none do.
     #[test]
     fn gap_ends_from_any_state(seed: u64, steps in 1usize..400) {
         let ladder = ladder();
@@ -177,7 +178,10 @@
         assert_eq!(gap.is_active(Micros(now)), is_gapped, "{balancers} balancers");
     }
     let sends_of_all = |n: u32| f64::from(n) / ladder_of(n).length(ladder_of(n).highest_rung).0 as f64;
-    assert!(sends_of_all(100) < 9.0 * sends_of_all(3), "sends of all balancers to a dead server");
+    assert!(
+        sends_of_all(100) < 9.0 * sends_of_all(3),
+        "100 balancers must send less than 9 times as much to a dead server as 3"
+    );
 }
 
 #[test]
--- a/src/balancer/tests/hedging.rs
+++ b/src/balancer/tests/hedging.rs
@@ -36,7 +36,7 @@
             let [Action::Send { server, .. }, ..] = sends[..] else { panic!("{sends:?}") };
             let ended = CompletedAttempt {
                 latency: Micros(latency_of_others),
-                is_request_over: true,
+                is_request_closed: true,
                 ..completed_attempt(n, 0, server, AttemptResult::Served)
             };
             handle(&mut balancer, now + latency_of_others, Event::AttemptCompleted(ended));
@@ -88,7 +88,8 @@
     }
 }
 
-/// A write in flight at two servers, the second of them by a hedged request, and the time of the second send.
+/// A balancer with a write in flight at two servers, the two servers in the order of the sends, and the time
+/// of the second send, which is the hedged request.
 fn hedged_write() -> (Balancer, [ServerId; 2], u64) {
     let mut settings = idempotent_settings();
     settings.mode = CacheMode::ReadThrough;
@@ -99,7 +100,7 @@
     for n in 0..100 {
         now += 200_000;
         let sends = handle(&mut balancer, now, Event::Request(write(n, now)));
-        let server = sent_to(&sends).expect("the write is sent");
+        let server = sent_to(&sends).expect("the write must be sent");
         handle(&mut balancer, now + 20_000, completed_and_closed(n, 0, server, AttemptResult::Served));
     }
     now += 200_000;
@@ -107,7 +108,8 @@
     let [Action::Send { server: first, .. }, Action::Timer { at, token }] = sends[..] else {
         panic!("{sends:?}")
     };
-    let second = sent_to(&handle(&mut balancer, at.0, Event::Timer(token))).expect("the write is hedged");
+    let second =
+        sent_to(&handle(&mut balancer, at.0, Event::Timer(token))).expect("the write must be hedged");
     (balancer, [first, second], at.0)
 }
 
--- a/src/balancer/tests/settings.rs
+++ b/src/balancer/tests/settings.rs
@@ -1,20 +1,20 @@
-//! Tests of unusable settings and of the list of decision files.
+//! Tests of unusable settings, and of the deploy file's list of the files of the decision core.
 
 use super::*;
 
 #[test]
-fn unusable_settings_and_unknown_ids_are_handled() {
+fn requests_are_answered_despite_unusable_settings_and_unknown_ids() {
     let mut unusable = idempotent_settings();
     unusable.classes.clear();
     unusable.balancers = 0;
-    unusable.tick = Micros(0);
+    unusable.min_batch_interval = Micros(0);
     unusable.limits.max_attempts = 0;
     unusable.rules = Rules {
         discovery_poll_interval: Micros(0),
         slow_start_initial_share: f64::NAN,
         slow_start_duration: Micros(0),
     };
-    unusable.weighted = true;
+    unusable.has_comparable_weights = true;
     let mut list = endpoints(3);
     for (endpoint, weight) in list.iter_mut().zip([f64::NAN, 0.0, -1.0]) {
         endpoint.weight = weight;
@@ -32,7 +32,8 @@
     handle(&mut empty, 10, Event::Timer(u64::MAX));
 }
 
-/// Unusable settings are replaced by usable ones, and nothing is divided by zero.
+/// Guards against unusable settings that are not replaced by usable ones, so that a division by zero leaves
+/// requests open.
 #[test]
 fn unusable_settings_lose_no_request() {
     for (balancers, initial_share) in [(0, 0.0), (u32::MAX, f64::NAN), (1, f64::INFINITY)] {
@@ -51,23 +52,27 @@
     }
 }
 
-/// The deploy file lists all files of the decisions, and their lines are short.
+/// The deploy file lists all files of the decision core, whose lines have at most 110 characters, and the
+/// first lines of balancer.rs name the files of the events and actions.
 #[test]
-fn deploy_file_lists_every_file_of_decisions() {
+fn deploy_file_lists_every_file_of_the_decision_core() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR"));
     let deploy = include_str!("../../../deploy/balancer.toml");
-    let policy = deploy.lines().find(|line| line.starts_with("policy")).expect("a list of files");
+    let policy = deploy
+        .lines()
+        .find(|line| line.starts_with("policy"))
+        .expect("the deploy file must have a policy list");
     let names: Vec<&str> = policy.split('"').skip(1).step_by(2).collect();
     let files: Vec<String> =
         names.iter().map(|name| std::fs::read_to_string(root.join(name)).expect(name)).collect();
-    let folder = std::fs::read_dir(root.join("src/balancer")).expect("a folder");
+    let folder = std::fs::read_dir(root.join("src/balancer")).expect("src/balancer must be readable");
     let count = folder.filter(|entry| entry.as_ref().is_ok_and(|entry| entry.path().is_file())).count();
     assert_eq!(
         files.len(),
         count - 1,
         "the list must contain balancer.rs and all files in src/balancer but tests.rs and limit_view.rs"
     );
-    for entry in std::fs::read_dir(root.join("src/balancer")).expect("a folder") {
+    for entry in std::fs::read_dir(root.join("src/balancer")).expect("src/balancer must be readable") {
         let file = entry.expect("an entry").file_name().into_string().expect("a name");
         let decides = file.ends_with(".rs") && file != "tests.rs" && file != "limit_view.rs";
         let path = format!("src/balancer/{file}");
