--- a/dispatch/src/carrier.rs
+++ b/dispatch/src/attempt_transport.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's interface to the network: attempts to send to servers, and how an attempt ends there.
+//! The attempt transport, through which the dispatcher sends attempts to servers, and how an attempt ends.
 
 use std::rc::Rc;
 
--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -24,7 +24,7 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::sleep_until;
 
-pub use crate::carrier::{AttemptEnd, AttemptTransport, Upload};
+pub use crate::attempt_transport::{AttemptEnd, AttemptTransport, Upload};
 use crate::clock::{to_ms, Clock};
 use crate::counters::{increment, Counters};
 pub use crate::identifiers::AttemptId;
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -7,7 +7,7 @@
 
 use super::state::{DispatcherState, InFlightAttempt, Timer, NO_DEADLINE};
 use super::Dispatcher;
-use crate::carrier::AttemptEnd;
+use crate::attempt_transport::AttemptEnd;
 use crate::clock::to_ms;
 use crate::counters::increment;
 use crate::identifiers::{AttemptId, ServerLabel};
--- a/dispatch/src/dispatcher/state.rs
+++ b/dispatch/src/dispatcher/state.rs
@@ -10,7 +10,7 @@
 use rustc_hash::FxHashMap;
 use tokio::sync::oneshot;
 
-use crate::carrier::AttemptTransport;
+use crate::attempt_transport::AttemptTransport;
 use crate::identifiers::AttemptId;
 use crate::overrides::OperatorOverrides;
 use crate::request::{ClientRequest, ClientRequestId, ClosedFlag};
--- a/dispatch/src/lib.rs
+++ b/dispatch/src/lib.rs
@@ -5,7 +5,7 @@
 //! [`dispatcher::Dispatcher`] owns the decision core ([`juniperladder::Balancer`]), the open requests, the
 //! attempts and the timers; [`values`] are the types that all protocols share.
 
-pub mod carrier;
+pub mod attempt_transport;
 pub mod clock;
 pub mod counters;
 pub mod dispatcher;
