--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -30,7 +30,7 @@
 pub use crate::identifiers::AttemptId;
 use crate::log_throttle::LogThrottle;
 use crate::overrides::OperatorOverrides;
-use crate::request::{upload_handle, ClosedFlag, UploadHandle};
+use crate::request::{upload_handle, CancellationFlag, UploadHandle};
 pub use crate::request::{Attempt, ClientRequest, ClientRequestId};
 use crate::request_metrics::{RequestMetrics, RequestOutcome};
 use crate::stall_tracker::StallTracker;
@@ -183,7 +183,7 @@
             attempts_in_flight: 0,
             is_half_closed: false,
             retry_write_deadline: NO_DEADLINE,
-            closed: ClosedFlag::default(),
+            attempts_cancelled: CancellationFlag::default(),
         };
         state.requests.insert(id, open);
         state.add_timer(deadline, Timer::Request(id));
@@ -261,7 +261,7 @@
         debug!(self.log, "request half-closed: client closed its sending side"; "request" => id.0,
             "client_id" => %ClientText(&open.request.id));
         // Attempts of which no byte was written are cancelled.
-        open.closed.set(true);
+        open.attempts_cancelled.set(true);
         let attempts_in_flight = open.attempts_in_flight;
         self.handle(&mut state, self.clock.now(), Event::RequestAbandoned(id.to_request_id()));
         if attempts_in_flight == 0 {
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -97,13 +97,13 @@
         self.count_attempt(result);
         let now = self.clock.now();
         let latency = now.saturating_sub(attempt.begun_at);
-        debug!(self.log, "attempt completed"; "request" => attempt.request.0, "attempt" => attempt.attempt,
+        debug!(self.log, "attempt completed"; "request" => attempt.request.0, "attempt" => attempt.number,
             "server" => %ServerLabel(attempt.server), "result" => ?result, "latency_ms" => to_ms(latency));
         let is_request_closed = self.answer_if_final(state, attempt.request, answer);
         let completed = CompletedAttempt {
             id: attempt.request.to_request_id(),
             server: attempt.server,
-            attempt: attempt.attempt,
+            attempt: attempt.number,
             latency,
             result,
             is_request_closed,
@@ -195,27 +195,20 @@
             let window = windows.get(class).or(windows.last()).copied().flatten();
             open.retry_write_deadline = window.map_or(NO_DEADLINE, |window| now.saturating_add(window));
         }
-        let attempt = open.attempts;
+        let number = open.attempts;
         open.attempts += 1;
         open.attempts_in_flight += 1;
-        let (request, request_closed) = (Rc::clone(&open.request), Rc::clone(&open.closed));
+        let (request, cancelled) = (Rc::clone(&open.request), Rc::clone(&open.attempts_cancelled));
         let id = AttemptId(state.next_id());
         increment(&self.counters.attempts);
         let confirmed = state.start_times.last_confirmed();
-        debug!(self.log, "attempt begins"; "request" => request_id.0, "attempt" => attempt,
+        debug!(self.log, "attempt begins"; "request" => request_id.0, "attempt" => number,
             "attempt_id" => id.0, "server" => %ServerLabel(server),
             "state" => ?state.servers.get(&server).map(|known| known.state),
             "endpoint_list_age_ms" => confirmed.map(|at| to_ms(now.saturating_sub(at))),
             "timeout_ms" => to_ms(deadline.saturating_sub(now)));
-        state.attempts.insert(id, InFlightAttempt { request: request_id, server, attempt, begun_at: now });
+        state.attempts.insert(id, InFlightAttempt { request: request_id, server, number, begun_at: now });
         state.add_timer(deadline, Timer::Attempt(id));
-        state.transport.begin_attempt(Attempt {
-            id,
-            request,
-            server,
-            deadline,
-            write_deadline,
-            request_closed,
-        });
+        state.transport.begin_attempt(Attempt { id, request, server, deadline, write_deadline, cancelled });
     }
 }
--- a/dispatch/src/dispatcher/state.rs
+++ b/dispatch/src/dispatcher/state.rs
@@ -13,7 +13,7 @@
 use crate::attempt_transport::AttemptTransport;
 use crate::identifiers::AttemptId;
 use crate::overrides::OperatorOverrides;
-use crate::request::{ClientRequest, ClientRequestId, ClosedFlag};
+use crate::request::{CancellationFlag, ClientRequest, ClientRequestId};
 use crate::start_times::StartTimes;
 use crate::values::Answer;
 
@@ -33,7 +33,7 @@
     /// The end of the deduplication window, counted from the first attempt. Until then servers drop a duplicate, so
     /// that a retry may be written.
     pub(super) retry_write_deadline: Micros,
-    pub(super) closed: ClosedFlag,
+    pub(super) attempts_cancelled: CancellationFlag,
 }
 
 /// An attempt in flight.
@@ -41,7 +41,7 @@
     pub(super) request: ClientRequestId,
     pub(super) server: ServerId,
     /// The attempt's number within its request, from zero.
-    pub(super) attempt: u32,
+    pub(super) number: u32,
     pub(super) begun_at: Micros,
 }
 
@@ -94,7 +94,7 @@
     pub(super) fn remove_request(&mut self, id: ClientRequestId) -> Option<OpenRequest> {
         let open = self.requests.remove(&id)?;
         self.client_ids.remove(&open.request.id);
-        open.closed.set(true);
+        open.attempts_cancelled.set(true);
         Some(open)
     }
 
--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -147,17 +147,17 @@
         let window = Micros(200_000);
         settings.classes[0].deduplication_window = window;
         let dispatcher = dispatcher(settings, recorder.clone(), 3);
-        let first = dispatcher.clock.now();
+        let first_attempt_at = dispatcher.clock.now();
         let _answer = dispatcher.accept(request("1", Some(vec![]))).unwrap();
         tokio::time::sleep(Duration::from_millis(100)).await;
         let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
         dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Broken);
-        let repeat = recorder.started_attempts.borrow_mut().pop().unwrap();
-        let end = first.saturating_add(window);
+        let retry = recorder.started_attempts.borrow_mut().pop().unwrap();
+        let end = first_attempt_at.saturating_add(window);
         assert!(
             !attempt.is_cancelled(end)
-                && !repeat.is_cancelled(end.saturating_sub(Micros(1)))
-                && repeat.is_cancelled(end)
+                && !retry.is_cancelled(end.saturating_sub(Micros(1)))
+                && retry.is_cancelled(end)
         );
     });
 }
@@ -178,8 +178,8 @@
         let _answer = dispatcher.accept(unknown).unwrap();
         let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
         dispatcher.on_attempt_ended(attempt.id, AttemptEnd::Broken);
-        let repeat = recorder.started_attempts.borrow_mut().pop().unwrap();
-        assert!(!repeat.is_cancelled(end.saturating_sub(Micros(1))) && repeat.is_cancelled(end));
+        let retry = recorder.started_attempts.borrow_mut().pop().unwrap();
+        assert!(!retry.is_cancelled(end.saturating_sub(Micros(1))) && retry.is_cancelled(end));
     });
 }
 
@@ -258,7 +258,7 @@
 fn a_wrong_wall_clock_does_not_affect_slow_start() {
     const WARM_UP: Duration = Duration::from_secs(9);
     const HOUR: u64 = 3_600_000_000;
-    let attempts_in_a_second = |reported: &dyn Fn(u64) -> u64, age: Duration| {
+    let attempts_at_joined_server = |start_at: &dyn Fn(u64) -> u64, age: Duration| {
         testing::run_paused(async {
             let (dispatcher, recorder) = dispatcher_with_timers(1, Idempotency::Idempotent, 3);
             let old: Vec<ListedServer> =
@@ -267,7 +267,7 @@
             tokio::time::sleep(Duration::from_secs(2)).await;
             dispatcher.on_endpoints_confirmed();
             let mut joined = testing::listed_server(ServerId(50), EndpointState::Serving);
-            joined.endpoint.started = juniperladder::Micros(reported(dispatcher.clock().now().0));
+            joined.endpoint.started = juniperladder::Micros(start_at(dispatcher.clock().now().0));
             dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[joined]);
             tokio::time::sleep(age).await;
             recorder.started_attempts.borrow_mut().clear();
@@ -290,13 +290,13 @@
         })
     };
     for age in [Duration::ZERO, WARM_UP] {
-        let right = attempts_in_a_second(&|now| now, age);
-        let ahead = attempts_in_a_second(&|now| now - HOUR, age);
-        let behind = attempts_in_a_second(&|now| now + HOUR, age);
-        println!("{age:?}: {right} {ahead} {behind}");
+        let correct = attempts_at_joined_server(&|now| now, age);
+        let ahead = attempts_at_joined_server(&|now| now - HOUR, age);
+        let behind = attempts_at_joined_server(&|now| now + HOUR, age);
+        println!("{age:?}: {correct} {ahead} {behind}");
         // The server may count as older by the time that discovery takes to list it, and so get a larger share.
-        let ratio = |attempts: usize| attempts as f64 / right.max(1) as f64;
-        assert!(ratio(ahead) < 1.8 && ratio(ahead) > 0.7, "{age:?}: {ahead} for {right}");
-        assert!(ratio(behind) < 1.4 && ratio(behind) > 0.7, "{age:?}: {behind} for {right}");
+        let ratio = |attempts: usize| attempts as f64 / correct.max(1) as f64;
+        assert!(ratio(ahead) < 1.8 && ratio(ahead) > 0.7, "{age:?}: {ahead} for {correct}");
+        assert!(ratio(behind) < 1.4 && ratio(behind) > 0.7, "{age:?}: {behind} for {correct}");
     }
 }
--- a/dispatch/src/request.rs
+++ b/dispatch/src/request.rs
@@ -64,18 +64,18 @@
     pub deadline: Micros,
     /// When to stop writing the request.
     pub(crate) write_deadline: Micros,
-    pub(crate) request_closed: ClosedFlag,
+    pub(crate) cancelled: CancellationFlag,
 }
 
 /// Set once a request is answered or its client has disconnected or half-closed; shared by all its attempts.
-pub(crate) type ClosedFlag = Rc<Cell<bool>>;
+pub(crate) type CancellationFlag = Rc<Cell<bool>>;
 
 impl Attempt {
     /// Whether no more bytes of the attempt may be written; the transport checks this before each write. An attempt is
     /// cancelled once its request is closed, as the server's work would be wasted, and a retry also at the end of
     /// the deduplication window, after which servers may no longer recognize the request as a duplicate.
     pub fn is_cancelled(&self, now: Micros) -> bool {
-        self.request_closed.get() || now >= self.write_deadline
+        self.cancelled.get() || now >= self.write_deadline
     }
 }
 
--- a/dispatch/src/request_metrics/tests.rs
+++ b/dispatch/src/request_metrics/tests.rs
@@ -2,7 +2,7 @@
 use crate::streamed_value::streamed_value;
 
 #[test]
-fn a_streamed_value_is_counted_only_once_it_is_complete_or_broke_off() {
+fn a_streamed_value_is_counted_only_when_it_is_complete_or_has_broken_off() {
     let metrics = RequestMetrics::new(2);
     let [complete, broken] = [0, 9].map(|class| streamed_value(5).1.track_download(&metrics, class));
     let in_progress = || metrics.downloads_in_progress();
--- a/dispatch/src/start_times/tests.rs
+++ b/dispatch/src/start_times/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_right_wall_clock_changes_no_start() {
+fn a_correct_wall_clock_changes_no_start_time() {
     let mut times = StartTimes::default();
     for age in [0, 1, SECOND, HOUR] {
         assert_eq!(local_start(&mut times, age, NOW.0 - age, NOW), NOW.0 - age, "in the first list");
