--- a/dispatch/src/attempt_transport.rs
+++ b/dispatch/src/attempt_transport.rs
@@ -21,8 +21,8 @@
     Broken,
     /// The response is malformed or has another request's id: the attempt may have been executed.
     Malformed,
-    /// No byte was written, for a reason that is no fault of the server: it is draining or gone, the request is
-    /// closed, or this machine had no free port or file descriptor.
+    /// The last byte was not written, for a reason that is no fault of the server: the server is draining or gone, the
+    /// attempt was cancelled, or this machine had no free port or file descriptor.
     NotSent,
 }
 
@@ -49,9 +49,10 @@
 /// - no byte of a cancelled attempt is written;
 /// - no attempt begins at a server that is not serving.
 ///
-/// No method may call the dispatcher, which is the caller: the end of an attempt is reported from a task.
+/// No method may call the dispatcher, whose state is borrowed during the call. The end of an attempt is reported from a
+/// separate task.
 pub trait AttemptTransport {
-    /// The endpoint list has changed.
+    /// Handles a change of the endpoint list: all of its servers if the update is complete, or else the changed ones.
     fn on_endpoints_changed(&self, update: EndpointUpdate, servers: &[ListedServer]);
     /// Begins an attempt.
     fn begin_attempt(&self, attempt: Attempt);
--- a/dispatch/src/counters.rs
+++ b/dispatch/src/counters.rs
@@ -42,7 +42,7 @@
     served => "served",
     /// Requests answered with a rejection.
     rejected => "rejected",
-    /// Rejections: the answer would have been too late to be of any worth.
+    /// Rejections: a response would have come too late to be useful.
     rejected_objective_missed => "rejected_late",
     /// Rejections: all attempts were used up, or the retry budget that balancers share had no credit.
     rejected_attempts_exhausted => "rejected_spent",
@@ -58,9 +58,9 @@
     rejected_all_servers_gapped => "rejected_gapped",
     /// Requests answered as failed.
     failed => "failed",
-    /// Requests that the decision core had not ended by their deadline.
+    /// Requests that the decision core had not closed by their deadline.
     overdue => "overdue",
-    /// Servers in endpoint lists that were ignored because too many are known.
+    /// Servers in endpoint lists that were ignored because too many were known.
     endpoints_left_out => "hosts_left_out",
     /// Attempts begun.
     attempts => "attempts",
@@ -70,7 +70,7 @@
     attempts_served => "ok",
     /// Attempts that a cache server answered with a miss.
     attempts_missed => "misses",
-    /// Attempts that ended in an error.
+    /// Attempts that ended with an error or a malformed response.
     attempts_failed => "errors",
     /// Attempts that an overloaded server rejected.
     attempts_rejected => "full",
@@ -78,21 +78,21 @@
     attempts_timed_out => "timeouts",
     /// Attempts that were not fully written: the connection failed or broke, or the deadline passed first.
     attempts_not_connected => "connect_failed",
-    /// Attempts whose connection broke.
+    /// Attempts whose connection broke after the last byte was written.
     attempts_reset => "resets",
-    /// Attempts cancelled before their first byte because the server is draining or gone.
+    /// Attempts that were not fully written for a reason that is no fault of the server, such as a cancellation.
     attempts_not_sent => "moot",
     /// Responses received after their attempt had timed out.
     late_responses => "late_answers",
-    /// Requests served by such a response.
+    /// Requests served by a response to an attempt that had timed out.
     served_late => "served_late",
     /// Streamed values forwarded in full to clients.
     downloads => "long",
     /// Streamed values to clients that broke off before their end.
     downloads_broken => "long_broken",
-    /// Streamed values of clients whose forwarding to the origin began before they were complete.
+    /// Streamed values from clients whose forwarding to the origin has begun.
     uploads => "uploads",
-    /// Responses that were malformed or had another request id.
+    /// Responses that were malformed or had another request's id.
     malformed_responses => "bad_answers",
     /// Connections opened to servers.
     connections_opened => "opened",
@@ -100,7 +100,7 @@
     endpoint_updates => "lists",
     /// Configurations reloaded on a signal.
     reloads => "reloads",
-    /// Discovery calls that failed, and watches that ended.
+    /// Polls of discovery that failed, and watches that ended.
     discovery_failures => "discovery_failures",
 }
 
--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -59,6 +59,7 @@
     deduplication_windows: Vec<Option<Micros>>,
     counters: Rc<Counters>,
     pub(crate) request_metrics: Rc<RequestMetrics>,
+    /// Wakes up the timer loop for a timer that is earlier than `next_timer`, or for a new final deadline.
     timer_set: Notify,
     watch_requested: Notify,
     last_request_closed: Notify,
@@ -118,7 +119,7 @@
         })
     }
 
-    /// Makes this balancer obey the limits that it shares with other balancers and use their reports.
+    /// Makes this balancer obey the limits that it shares with other balancers and use the others' reports.
     pub fn set_coordination(&self, coordination: Box<dyn Coordination>) {
         let mut state = self.state.borrow_mut();
         state.start_times.trust_wall_clock();
@@ -191,8 +192,8 @@
         Some((id, receiver))
     }
 
-    /// When a request has to be answered. Its time-out is limited to that of its class, which also applies if the
-    /// request has none.
+    /// When a request has to be answered: after its time-out, less the wait before it was read and [`DEADLINE_MARGIN`],
+    /// and by the final deadline. The time-out is at most the class's, which also applies if the request states none.
     fn deadline_of(&self, request: &ClientRequest, now: Micros, longest_wait: Micros) -> Micros {
         let class_timeout = self.class_timeouts.get(request.class as usize);
         let class_timeout = class_timeout.or(self.class_timeouts.last()).copied();
@@ -221,7 +222,7 @@
     }
 
     /// Begins to send a streamed value that this request writes, before the request is complete and accepted: the
-    /// server does not execute a request before it has its last byte. None if no origin server is available.
+    /// server executes the request only when it has received the last byte. None if no origin server is available.
     pub fn begin_upload(
         &self,
         request: &ClientRequest,
@@ -260,7 +261,7 @@
         open.is_half_closed = true;
         debug!(self.log, "request half-closed: client closed its sending side"; "request" => id.0,
             "client_id" => %ClientText(&open.request.id));
-        // Attempts of which no byte was written are cancelled.
+        // Attempts that are not fully written are cancelled.
         open.attempts_cancelled.set(true);
         let attempts_in_flight = open.attempts_in_flight;
         self.handle(&mut state, self.clock.now(), Event::RequestAbandoned(id.to_request_id()));
@@ -294,8 +295,8 @@
         self.notify_if_idle(state);
     }
 
-    /// Counts an answer. The outcome of a streamed value is counted only when its client has it or it broke off, by
-    /// the counter attached to the returned answer.
+    /// Counts an answer. A streamed value counts as served at once in the counters, but in the request metrics only when
+    /// its client has received it or it broke off; the returned answer then counts it.
     fn count_answer(&self, class: u32, answer: Answer) -> Answer {
         let (counter, outcome) = match answer {
             Answer::Streamed(value) => {
@@ -325,7 +326,7 @@
         }
     }
 
-    /// The longest time ago at which an event that is noticed now may have happened, due to a stall of this process.
+    /// How long ago at most an event that is noticed now may have happened, due to a stall of this process.
     pub fn max_notice_delay(&self) -> Micros {
         let now = self.clock.now();
         now.saturating_sub(self.stalls.earliest_event_time(now))
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -37,7 +37,7 @@
             AttemptEnd::Reply(Reply::Miss { fetch_in_progress }) => {
                 return Completion { result: AttemptResult::Miss, fetch_in_progress, answer: None };
             }
-            // The server is running: the result is no evidence against its connections or its load.
+            // A server that responds is running: an error is no evidence of a connection fault or of overload.
             AttemptEnd::Reply(Reply::Error) | AttemptEnd::Malformed => AttemptResult::Error,
             AttemptEnd::Reply(Reply::Rejected) => AttemptResult::Rejected,
             AttemptEnd::ConnectFailed => AttemptResult::ConnectFailed,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Handles the end of an attempt that had already timed out. If the request is still open, as a retry is in flight,
+    /// Handles the end of an attempt that had already timed out. If the request is still open, while a retry is in flight,
     /// the late answer is valid and is sent to the client.
     fn on_late_end(&self, state: &mut DispatcherState, id: AttemptId, end: AttemptEnd) {
         let Some(request) = state.timed_out.remove(&id) else { return };
@@ -191,7 +191,7 @@
         if open.attempts == 0 {
             let class = open.request.class as usize;
             let windows = &self.deduplication_windows;
-            // A class that is not in the settings counts as the last one everywhere.
+            // A class that is not in the settings counts as the last class everywhere.
             let window = windows.get(class).or(windows.last()).copied().flatten();
             open.retry_write_deadline = window.map_or(NO_DEADLINE, |window| now.saturating_add(window));
         }
--- a/dispatch/src/dispatcher/endpoints.rs
+++ b/dispatch/src/dispatcher/endpoints.rs
@@ -19,7 +19,7 @@
         self.state.borrow().servers.values().any(|known| known.state == EndpointState::Serving)
     }
 
-    /// Logs the limits that currently hold requests back, with the reason.
+    /// Logs the limits of servers that currently hold requests back, each with its reason, and a summary.
     pub fn log_limits(&self) {
         let state = self.state.borrow();
         let limits = state.balancer.limits(self.clock.now());
@@ -73,7 +73,8 @@
         overrides.apply_update(update.is_complete(), &servers)
     }
 
-    /// Removes the servers that exceed `MAX_SERVERS` from an update; they are counted, and logged in one line.
+    /// Removes the servers that exceed `MAX_SERVERS` from an update. The removed servers are counted; their number is
+    /// logged at most once a second.
     fn drop_surplus_servers(
         &self,
         state: &DispatcherState,
--- a/dispatch/src/dispatcher/overrides.rs
+++ b/dispatch/src/dispatcher/overrides.rs
@@ -15,7 +15,7 @@
     /// [`Dispatcher::bring_online`].
     ///
     /// # Errors
-    /// The server was never listed.
+    /// The server is not offline, and no listing of it is remembered.
     pub fn take_offline(&self, name: &str) -> Result<(), UnknownServer> {
         let now = self.clock().now();
         let overridden = self.state.borrow_mut().overrides.take_offline(server_id(name), name, now)?;
@@ -30,11 +30,11 @@
         self.apply_override(overridden);
     }
 
-    /// Brings a server online again: its state is the one in discovery, and it warms up like a server that has just
-    /// started.
+    /// Brings a server online again: its state is again the one that discovery reports, and it warms up like a server
+    /// that has just started.
     ///
     /// # Errors
-    /// The server is not offline and was never listed.
+    /// The server is not offline, and no listing of it is remembered.
     pub fn bring_online(&self, name: &str) -> Result<(), UnknownServer> {
         let now = self.clock().now();
         let overridden = self.state.borrow_mut().overrides.bring_online(server_id(name), now)?;
--- a/dispatch/src/dispatcher/overrides/tests.rs
+++ b/dispatch/src/dispatcher/overrides/tests.rs
@@ -22,7 +22,7 @@
     (dispatcher, recorder)
 }
 
-/// Sends requests for as many keys, each of which is served; returns how many attempts went to `SERVER`.
+/// Sends this many reads of different keys, and serves their attempts. Returns the number of attempts at `SERVER`.
 async fn attempts_at_server(dispatcher: &Dispatcher, recorder: &RecordingTransport, requests: u64) -> usize {
     let mut attempts = 0;
     for n in 0..requests {
@@ -61,7 +61,7 @@
             dispatcher.bring_online(NAME).unwrap();
             timeout(poll_interval, dispatcher.wait_for_watch_request())
                 .await
-                .expect("a watch of the endpoint list is requested within the poll interval");
+                .expect("no watch of the endpoint list was requested within the poll interval");
             dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[]);
             dispatcher.on_endpoints_changed(EndpointUpdate::Unavailable, &[]);
         }
@@ -101,14 +101,17 @@
     testing::run_paused(async {
         let mut fleet: Vec<_> = (0..3).map(|_| dispatcher_and_recorder()).collect();
         for (dispatcher, recorder) in &fleet {
-            assert!(attempts_at_server(dispatcher, recorder, 40).await > 0, "the server is in use");
+            assert!(
+                attempts_at_server(dispatcher, recorder, 40).await > 0,
+                "the server got no attempt before it was taken offline"
+            );
             dispatcher.take_offline(NAME).unwrap();
         }
         for (update, servers) in discovery_updates() {
             for (dispatcher, recorder) in &fleet {
                 dispatcher.on_endpoints_changed(update, &servers);
                 assert_eq!(attempts_at_server(dispatcher, recorder, 40).await, 0, "{update:?} {servers:?}");
-                dispatcher.take_offline(NAME).expect("taking a server offline is idempotent");
+                dispatcher.take_offline(NAME).expect("taking the server offline again failed");
                 if is_listed(dispatcher) {
                     assert!(dispatcher.metrics_text(&[], "").contains("skipped_cache_hosts 1\n"));
                 }
@@ -126,7 +129,7 @@
             dispatcher.bring_online(NAME).unwrap();
             assert!(
                 attempts_at_server(dispatcher, recorder, 400).await > 0,
-                "the server serves again within 4 s"
+                "the server got no attempt within 4 s after it was brought online"
             );
         }
         assert_eq!(fleet[0].0.take_offline("s-0000abcd"), Err(UnknownServer));
--- a/dispatch/src/dispatcher/state.rs
+++ b/dispatch/src/dispatcher/state.rs
@@ -23,16 +23,20 @@
 /// A request that has no final answer yet.
 pub(super) struct OpenRequest {
     pub(super) request: Rc<ClientRequest>,
+    /// Sends the final answer to the client's connection.
     pub(super) answer: oneshot::Sender<Answer>,
     pub(super) deadline: Micros,
     /// The number of attempts begun.
     pub(super) attempts: u32,
     pub(super) attempts_in_flight: u32,
-    /// Whether the client has closed its sending side and may be gone; the request is closed in the decision core.
+    /// Whether the client has closed its sending side. It may be gone or still wait for the answer. The decision core
+    /// then counts the request as abandoned, so that no new attempt begins.
     pub(super) is_half_closed: bool,
-    /// The end of the deduplication window, counted from the first attempt. Until then servers drop a duplicate, so
-    /// that a retry may be written.
+    /// When to stop writing a retry: the end of the deduplication window, which begins with the first attempt. Until
+    /// then servers recognize a retry as a duplicate. `NO_DEADLINE` before the first attempt, and for a class without
+    /// a window.
     pub(super) retry_write_deadline: Micros,
+    /// Shared with the request's attempts; once it is set, no more bytes of them are written.
     pub(super) attempts_cancelled: CancellationFlag,
 }
 
@@ -65,14 +69,16 @@
 
 /// The mutable state of the dispatcher.
 pub(crate) struct DispatcherState {
+    /// The decision core, which decides to which servers requests are sent.
     pub(crate) balancer: Balancer,
     pub(super) transport: Rc<dyn AttemptTransport>,
     pub(super) requests: FxHashMap<ClientRequestId, OpenRequest>,
     /// The client-chosen ids of the open requests. The set has a seeded hash, as clients could choose ids that collide.
     pub(super) client_ids: HashSet<Bytes>,
     pub(super) attempts: FxHashMap<AttemptId, InFlightAttempt>,
-    /// Attempts that have timed out and whose reply may still arrive.
+    /// The requests of attempts that have timed out and whose reply may still arrive.
     pub(super) timed_out: FxHashMap<AttemptId, ClientRequestId>,
+    /// Timers by the time at which they fire, earliest first.
     pub(super) timers: BinaryHeap<Reverse<(Micros, Timer)>>,
     /// Reused buffer for the actions of the decision core, empty between events.
     pub(super) actions: Vec<Action>,
--- a/dispatch/src/dispatcher/tests.rs
+++ b/dispatch/src/dispatcher/tests.rs
@@ -1,4 +1,4 @@
-//! Requests from their acceptance to their answer, with a transport that only records attempts.
+//! Requests from their acceptance to their answer, with an attempt transport that only records its calls.
 
 use bytes::Bytes;
 use juniperladder::{EndpointState, EndpointUpdate, ServerId};
@@ -43,7 +43,7 @@
             assert_eq!(
                 dispatcher.counters.overdue.get(),
                 0,
-                "closed by the decision core, not by the deadline behind it"
+                "the request was closed by its own deadline instead of by the decision core"
             );
         }
     });
@@ -252,8 +252,8 @@
     });
 }
 
-/// Guards against a wrong wall clock that lets a server that has just joined skip slow start, or keeps one that joined
-/// long ago in slow start.
+/// Guards against a wrong wall clock that lets a server that has just joined skip slow start, or keeps a server
+/// that has completed it in slow start.
 #[test]
 fn a_wrong_wall_clock_does_not_affect_slow_start() {
     const WARM_UP: Duration = Duration::from_secs(9);
@@ -293,10 +293,16 @@
         let correct = attempts_at_joined_server(&|now| now, age);
         let ahead = attempts_at_joined_server(&|now| now - HOUR, age);
         let behind = attempts_at_joined_server(&|now| now + HOUR, age);
-        println!("{age:?}: {correct} {ahead} {behind}");
+        println!("{age:?}: attempts {correct} (correct), {ahead} (ahead), {behind} (behind)");
         // The server may count as older by the time that discovery takes to list it, and so get a larger share.
         let ratio = |attempts: usize| attempts as f64 / correct.max(1) as f64;
-        assert!(ratio(ahead) < 1.8 && ratio(ahead) > 0.7, "{age:?}: {ahead} for {correct}");
-        assert!(ratio(behind) < 1.4 && ratio(behind) > 0.7, "{age:?}: {behind} for {correct}");
+        assert!(
+            ratio(ahead) < 1.8 && ratio(ahead) > 0.7,
+            "{age:?}: {ahead} attempts with the clock ahead, {correct} with a correct one"
+        );
+        assert!(
+            ratio(behind) < 1.4 && ratio(behind) > 0.7,
+            "{age:?}: {behind} attempts with the clock behind, {correct} with a correct one"
+        );
     }
 }
--- a/dispatch/src/dispatcher/timers.rs
+++ b/dispatch/src/dispatcher/timers.rs
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Handles the deadline of a request. Most requests are closed by then; for an open one the decision core is first
-    /// given the time-outs of its attempts. A request that the decision core still does not close is answered as failed.
+    /// Handles the deadline of a request. Most requests are closed by then. The attempts in flight of an open request
+    /// time out first; if the decision core does not close the request even then, it is answered as failed.
     fn on_request_deadline(&self, state: &mut DispatcherState, now: Micros, id: ClientRequestId) {
         if !state.requests.contains_key(&id) {
             return;
--- a/dispatch/src/overrides/tests.rs
+++ b/dispatch/src/overrides/tests.rs
@@ -26,11 +26,17 @@
 #[test]
 fn an_override_holds_until_it_ends_whatever_discovery_reports() {
     let mut overrides = OperatorOverrides::default();
-    assert!(overrides.take_offline(ServerId(7), "s-7", NOW).is_err(), "never listed");
+    assert!(
+        overrides.take_offline(ServerId(7), "s-7", NOW).is_err(),
+        "a server that was never listed was taken offline"
+    );
     overrides.apply_update(true, &[serving(7), serving(8)]);
     let overridden = overrides.take_offline(ServerId(7), "s-7", NOW).unwrap().unwrap();
     assert_eq!(overridden.endpoint.state, EndpointState::Draining);
-    assert!(overrides.take_offline(ServerId(7), "s-7", NOW).is_ok(), "taking a server offline is idempotent");
+    assert!(
+        overrides.take_offline(ServerId(7), "s-7", NOW).is_ok(),
+        "taking the server offline again failed"
+    );
     // Discovery reports the server as serving, in complete lists and in changes, as deleted and as restarted, and
     // sends a list without it: the server is draining in every update that contains it.
     for is_complete in [true, false] {
@@ -59,7 +65,7 @@
     let mut overrides = OperatorOverrides::default();
     overrides.apply_update(true, &[serving(7)]);
     overrides.apply_update(false, &[listed_server(7, EndpointState::Deleted, 0)]);
-    assert!(overrides.bring_online(ServerId(7), NOW).unwrap().is_none(), "no override to end, and no error");
+    assert!(overrides.bring_online(ServerId(7), NOW).unwrap().is_none(), "a deleted server was returned");
     assert!(overrides.take_offline(ServerId(7), "s-7", NOW).unwrap().is_none());
     assert_eq!(overrides.apply_update(false, &[serving(7)])[0].endpoint.state, EndpointState::Draining);
     // The number of remembered ids is bounded.
@@ -69,7 +75,7 @@
         (overrides.remembered.len(), overrides.remembered_by_age.len()),
         (MAX_REMEMBERED_SERVERS, MAX_REMEMBERED_SERVERS)
     );
-    assert!(overrides.is_offline(ServerId(7)), "an override is not forgotten with the id");
+    assert!(overrides.is_offline(ServerId(7)), "the override was forgotten with the id");
 }
 
 /// A server that was offline may have been restarted. Guards against sending it full load without slow start, whether
--- a/dispatch/src/request.rs
+++ b/dispatch/src/request.rs
@@ -41,7 +41,7 @@
     pub upload: Option<UploadHandle>,
     /// Class, as its index in the settings.
     pub class: u32,
-    /// Tenant, as its index in the settings; out of their range for an unknown tenant and for a request without one.
+    /// Tenant, as its index in the settings; beyond the last index for an unknown tenant and for a request without one.
     pub tenant: u32,
     /// Whether the client marked the request as a retry.
     pub is_client_retry: bool,
@@ -67,7 +67,8 @@
     pub(crate) cancelled: CancellationFlag,
 }
 
-/// Set once a request is answered or its client has disconnected or half-closed; shared by all its attempts.
+/// Cancels the attempts of a request, which share it: set once the request is answered, or its client has disconnected
+/// or half-closed.
 pub(crate) type CancellationFlag = Rc<Cell<bool>>;
 
 impl Attempt {
@@ -96,7 +97,9 @@
 #[derive(Clone, Debug)]
 pub struct UploadHandle {
     server: ServerId,
+    /// Empty until the complete value has been received.
     last_byte: Bytes,
+    /// Sends the last byte to the connection; none once it is sent.
     connection: Rc<RefCell<Option<oneshot::Sender<LastByte>>>>,
 }
 
@@ -113,8 +116,8 @@
         UploadHandle { last_byte, ..self }
     }
 
-    /// Sends the last byte for this attempt. Returns false if the handle was used before or belongs to another
-    /// server, or its connection has closed.
+    /// Sends the last byte for this attempt. Returns false if the handle was used before, has no last byte yet or
+    /// belongs to another server, or if its connection has closed.
     pub fn send_last_byte(&self, attempt: Attempt) -> bool {
         if attempt.server != self.server || self.last_byte.is_empty() {
             return false;
--- a/dispatch/src/request_metrics.rs
+++ b/dispatch/src/request_metrics.rs
@@ -69,7 +69,7 @@
         DownloadInProgress { metrics: Rc::clone(metrics), class, is_complete: Cell::new(false) }
     }
 
-    /// The client has received the complete value.
+    /// Records that the client has received the complete value.
     pub(crate) fn on_complete(&self) {
         self.is_complete.set(true);
     }
--- a/dispatch/src/request_metrics/tests.rs
+++ b/dispatch/src/request_metrics/tests.rs
@@ -9,7 +9,7 @@
     assert_eq!((in_progress(), metrics.counts_by_class(RequestOutcome::Served)), (2, vec![0, 0]));
     complete.on_complete();
     drop(complete.clone());
-    assert_eq!(in_progress(), 2, "another clone still exists");
+    assert_eq!(in_progress(), 2, "the download ended although a clone of its receiver still exists");
     drop((complete, broken));
     assert_eq!((in_progress(), metrics.counts_by_class(RequestOutcome::Served)), (0, vec![1, 0]));
     assert_eq!(metrics.counts_by_class(RequestOutcome::Failed), [0, 1]);
--- a/dispatch/src/stall_tracker.rs
+++ b/dispatch/src/stall_tracker.rs
@@ -2,7 +2,7 @@
 //!
 //! An event that is noticed after a stall may have happened at any time during the stall. A late tick distinguishes a
 //! stall from an idle time. Guarantee: for stalls of up to [`MAX_STALL_DURATION`] the earliest time that the tracker
-//! gives for an event is later than the true one by at most [`TICK_INTERVAL`] and [`MIN_TICK_DELAY`].
+//! gives for an event is later than the true time by at most the sum of [`TICK_INTERVAL`] and [`MIN_TICK_DELAY`].
 
 use std::cell::Cell;
 
@@ -27,6 +27,7 @@
 /// Tracks when the process last ran, and its last stall.
 #[derive(Debug)]
 pub struct StallTracker {
+    /// When the process last handled an event.
     last_running: Cell<Micros>,
     /// When the next tick is due; none before the first.
     next_tick: Cell<Option<Micros>>,
@@ -39,7 +40,7 @@
         StallTracker { last_running: Cell::new(now), next_tick: Cell::new(None), last_stall: Cell::default() }
     }
 
-    /// Handles a tick, the first one included. Returns when the next one is due.
+    /// Handles a tick, the first one included. Returns when the next tick is due.
     pub fn on_tick(&self, now: Micros) -> Micros {
         self.on_event(now);
         let next = now.saturating_add(TICK_INTERVAL);
@@ -56,8 +57,8 @@
         }
     }
 
-    /// Records a stall that began at `last_running`. Stalls that follow each other within [`NOTICE_WINDOW`], which may be
-    /// one turn of the event loop, are merged.
+    /// Records a stall that began at `last_running`. Stalls that follow each other within [`NOTICE_WINDOW`] are
+    /// merged, as they may belong to one turn of the event loop.
     fn on_stall(&self, last_running: Micros, now: Micros) {
         let previous = self.last_stall.get();
         let is_continuation = last_running.saturating_sub(previous.end) <= NOTICE_WINDOW;
--- a/dispatch/src/stall_tracker/tests.rs
+++ b/dispatch/src/stall_tracker/tests.rs
@@ -24,8 +24,8 @@
     tracker
 }
 
-/// Guards against a signal that is dated by its notice although it arrived during a stall, and against idle times that
-/// are taken for stalls.
+/// Guards against dating a signal that arrived during a stall to the time at which it is noticed, and against taking idle
+/// times for stalls.
 #[test]
 fn an_event_noticed_after_a_stall_is_dated_to_the_start_of_the_stall() {
     for (calls, noticed, earliest) in [
--- a/dispatch/src/start_times.rs
+++ b/dispatch/src/start_times.rs
@@ -3,8 +3,8 @@
 //! Discovery reports start times by the wall clock, and this process's wall clock may be wrong by an hour. With a clock
 //! that is ahead, a server that has just started would count as warm; with one that is behind, a server would be in slow
 //! start for an hour. The process's own observations bound the error: a new start lies between the last time at which
-//! the list was known not to contain it and now, both by the monotonic clock. Starts in the first list of a process are
-//! known by the wall clock alone, but are never in the future.
+//! the list was known not to contain it and now, both by the monotonic clock. For starts in the first list of a
+//! process there is only the wall clock; a start time in the future is replaced by the current time.
 
 use juniperladder::{Micros, ServerId};
 use rustc_hash::FxHashMap;
--- a/dispatch/src/start_times/tests.rs
+++ b/dispatch/src/start_times/tests.rs
@@ -1,4 +1,4 @@
-//! Start times with a wall clock that is right, ahead or behind.
+//! Start times with a wall clock that is correct, ahead or behind.
 
 use juniperladder::EndpointState;
 
@@ -34,7 +34,7 @@
         NOW.0 - SECOND,
         "listed two seconds after its start"
     );
-    assert_eq!(local_start(&mut times, 8, 0, later), 0, "long ago");
+    assert_eq!(local_start(&mut times, 8, 0, later), 0, "a start time of zero");
 }
 
 /// With the wall clock ahead a new start seems long past, and the server would skip slow start. Guards against that: the
@@ -47,7 +47,7 @@
         times.on_list_confirmed(NOW);
         let later = NOW.saturating_add(Micros(SECOND));
         let local = local_start(&mut times, 7, later.0 - ahead, later);
-        assert_eq!(local, NOW.saturating_sub(DISCOVERY_DELAY).0, "{ahead}");
+        assert_eq!(local, NOW.saturating_sub(DISCOVERY_DELAY).0, "ahead by {ahead} µs");
         // The same reported start, also in a later list and after a confirmation, is the same start.
         times.on_list_confirmed(later);
         let much_later = NOW.saturating_add(Micros(20 * SECOND));
@@ -69,7 +69,8 @@
     assert_eq!(local_start(&mut times, 7, later.0 + HOUR, later.saturating_add(Micros(9 * SECOND))), later.0);
 }
 
-/// Two starts reported at the same time are two incarnations of a server. Guards against losing their order.
+/// Two starts of a server that are reported at the same time are two incarnations. Guards against equal local start times
+/// for both: the later start also has to be later on the local clock.
 #[test]
 fn a_later_start_is_later_whatever_the_wall_clock() {
     for (first, second) in [(NOW.0 - HOUR, NOW.0 - HOUR + 1), (NOW.0 + HOUR, NOW.0 + HOUR + 1)] {
--- a/dispatch/src/streamed_value.rs
+++ b/dispatch/src/streamed_value.rs
@@ -22,6 +22,7 @@
 pub struct ChunkReceiver {
     length: usize,
     chunks: Rc<RefCell<mpsc::Receiver<Bytes>>>,
+    /// Counts the value as in transit to its client; none if the value is not an answer to a client.
     download: Option<Rc<DownloadInProgress>>,
 }
 
@@ -29,7 +30,9 @@
 #[derive(Debug)]
 pub struct ChunkSender {
     chunks: mpsc::Sender<Bytes>,
+    /// Bytes of the value that have not been passed to this sender yet.
     remaining_bytes: usize,
+    /// The withheld last byte; empty until all of the value has been passed to this sender.
     last_byte: Bytes,
 }
 
@@ -62,7 +65,7 @@
         ChunkReceiver { download: Some(Rc::new(DownloadInProgress::begin(metrics, class))), ..self }
     }
 
-    /// The client has received the complete value.
+    /// Records that the client has received the complete value.
     pub fn on_complete(&self) {
         if let Some(download) = &self.download {
             download.on_complete();
--- a/dispatch/src/testing.rs
+++ b/dispatch/src/testing.rs
@@ -1,4 +1,4 @@
-//! Test fixtures for requests and the network: a dispatcher whose transport only records attempts.
+//! Test fixtures: requests, and a dispatcher whose attempt transport only records its calls.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -16,7 +16,7 @@
 /// The first of the servers that [`dispatcher`] lists.
 pub const SERVER: ServerId = ServerId(9);
 
-/// A transport that only records its calls.
+/// An attempt transport that only records its calls.
 #[derive(Default)]
 pub struct RecordingTransport {
     /// Attempts that have started, oldest first.
@@ -90,7 +90,7 @@
     seeded_dispatcher(settings, 7, transport, servers)
 }
 
-/// As [`dispatcher`], with a given seed: each process of a fleet has another one.
+/// As [`dispatcher`], with a given seed, as each process of a fleet has a different one.
 pub fn seeded_dispatcher(
     settings: Settings,
     seed: u64,
@@ -106,7 +106,7 @@
     dispatcher
 }
 
-/// A request with this id.
+/// A request with this id: a write of this value, or a read if there is none.
 pub fn request(id: &str, value: Option<Vec<u8>>) -> dispatcher::ClientRequest {
     dispatcher::ClientRequest {
         id: Bytes::copy_from_slice(id.as_bytes()),
@@ -133,10 +133,10 @@
 
 fn run_on<T>(paused: bool, test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(paused).build();
-    LocalSet::new().block_on(&runtime.expect("a runtime"), test)
+    LocalSet::new().block_on(&runtime.expect("cannot build the runtime"), test)
 }
 
-/// Yields until all other tasks are blocked.
+/// Yields 64 times, which is enough for all other tasks of a test to block.
 pub async fn yield_until_idle() {
     for _ in 0..64 {
         tokio::task::yield_now().await;
