--- a/protocols/src/admin.rs
+++ b/protocols/src/admin.rs
@@ -65,13 +65,13 @@
 }
 
 fn call(input: &mut &[u8]) -> winnow::Result<Call> {
-    let named = |word: &'static str| preceded((word, space1), id);
+    let call_with_id = |name: &'static str| preceded((name, space1), id);
     terminated(
         alt((
             "HEALTH".value(Call::Health),
             "DUMP".value(Call::Dump),
-            named("OFFLINE").map(|id: &[u8]| Call::Offline(String::from_utf8_lossy(id).into_owned())),
-            named("ONLINE").map(|id: &[u8]| Call::Online(String::from_utf8_lossy(id).into_owned())),
+            call_with_id("OFFLINE").map(|id: &[u8]| Call::Offline(String::from_utf8_lossy(id).into_owned())),
+            call_with_id("ONLINE").map(|id: &[u8]| Call::Online(String::from_utf8_lossy(id).into_owned())),
         )),
         (opt(b'\r'), eof),
     )
--- a/protocols/src/admin/tests.rs
+++ b/protocols/src/admin/tests.rs
@@ -31,12 +31,12 @@
 proptest! {
     /// Guards against a call that arrives in pieces being acted on before it is complete.
     #[test]
-    fn a_partial_call_is_never_parsed(id in "[a-z0-9-]{1,40}", cut in 0usize..60, junk in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn a_partial_call_is_never_parsed(id in "[a-z0-9-]{1,40}", cut in 0usize..60, arbitrary in proptest::collection::vec(any::<u8>(), 0..300)) {
         let line = format!("OFFLINE {id}\n");
         let cut = cut.min(line.len() - 1);
         prop_assert_eq!(read_call(&line.as_bytes()[..cut]), Input::Incomplete);
         prop_assert_eq!(read_call(line.as_bytes()), Input::Line(Ok(Call::Offline(id))));
         // No input makes the reader panic.
-        let _ = read_call(&junk);
+        let _ = read_call(&arbitrary);
     }
 }
--- a/protocols/src/http/tests.rs
+++ b/protocols/src/http/tests.rs
@@ -52,13 +52,13 @@
 
 #[test]
 fn the_origins_status_maps_to_the_reply() {
-    let reply_to_write = |text: &[u8]| read(text, 99).unwrap().reply(true).unwrap();
+    let reply_for_write_request = |text: &[u8]| read(text, 99).unwrap().reply(true).unwrap();
     let receipt = Reply::Served(Answer::Receipt(Bytes::from_static(b"r1")));
-    assert_eq!(reply_to_write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1"), receipt);
-    assert_eq!(reply_to_write(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Reply::Error);
-    assert_eq!(reply_to_write(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), Reply::Error);
+    assert_eq!(reply_for_write_request(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1"), receipt);
+    assert_eq!(reply_for_write_request(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), Reply::Error);
+    assert_eq!(reply_for_write_request(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), Reply::Error);
     assert_eq!(
-        reply_to_write(b"HTTP/1.1 504 No\r\nx-never-ran: 1\r\nContent-Length: 0\r\n\r\n"),
+        reply_for_write_request(b"HTTP/1.1 504 No\r\nx-never-ran: 1\r\nContent-Length: 0\r\n\r\n"),
         Reply::Rejected
     );
 }
@@ -66,7 +66,7 @@
 /// A receipt is written into the answer line to the client. Guards against a receipt that would inject further tokens or
 /// answers there.
 #[test]
-fn a_receipt_that_is_not_one_token_is_rejected() {
+fn a_receipt_that_is_not_one_token_of_valid_length_is_rejected() {
     for body in ["", "r1 r2", "r1\r\n", "r1\nHD O8 cr2", "r1\u{7f}", "r1\u{e9}", &"r".repeat(5000)] {
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         let response = read(text.as_bytes(), 99).unwrap();
--- a/protocols/src/memcache/tests.rs
+++ b/protocols/src/memcache/tests.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn malformed_input_is_answered_without_affecting_later_requests() {
+fn malformed_input_is_answered_and_later_requests_are_read_unless_its_end_is_unknown() {
     let long = [b"mg ".to_vec(), vec![b'k'; 300], b" v O1 Pd=1\r\nmn\r\n".to_vec()].concat();
     assert_eq!(read_all(&long, 64), [Incoming::Malformed("CLIENT_ERROR key too long"), Incoming::Ready]);
     let line = format!("ms k {} O1 Pd=1\r\n", MAX_VALUE_BYTES + 1);
--- a/protocols/src/objects/tests.rs
+++ b/protocols/src/objects/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn objects_of_any_form_are_found_in_pieces_of_any_size() {
+fn objects_are_found_in_pieces_of_any_size_and_other_input_is_rejected() {
     let text = "\n{\"a\":[{\"b\":\"}\\\"]\\\\\"}]}\r\n\n  {\n  \"c\": [\n    1\n  ]\n}\n{}\n";
     for piece_bytes in 1..text.len() {
         let (mut objects, mut input, mut found) = (JsonObjectScanner::default(), BytesMut::new(), Vec::new());
