--- a/protocols/src/http/response.rs
+++ b/protocols/src/http/response.rs
@@ -60,7 +60,7 @@
     pub not_executed: bool,
     /// Whether the connection ends with this response.
     pub closes_connection: bool,
-    /// The id of the request, if the response has it.
+    /// The id of the request, if the response states it.
     pub request_id: Option<Bytes>,
     framing: Framing,
 }
@@ -224,8 +224,8 @@
         }
     }
 
-    /// Whether the received or the stated length of the body exceeds what may be buffered; such a body must not be
-    /// read to its end.
+    /// Whether the received or the stated length of the body exceeds [`MAX_BUFFERED_VALUE_BYTES`]. A body that is too
+    /// large must not be read to its end.
     pub fn is_too_large(&self) -> bool {
         let framing = self.head.as_ref().map(|head| head.framing);
         self.body.len() > MAX_BUFFERED_VALUE_BYTES
@@ -237,7 +237,7 @@
         self.head.as_ref().is_none_or(|head| head.closes_connection)
     }
 
-    /// The reply that the origin's complete response to a read or a write stands for.
+    /// Converts the origin's complete response to a read or a write into a reply.
     ///
     /// # Errors
     /// The receipt of a write is malformed.
--- a/protocols/src/http/tests.rs
+++ b/protocols/src/http/tests.rs
@@ -63,8 +63,8 @@
     );
 }
 
-/// A receipt is written into the answer line to the client. Guards against a receipt that would inject further tokens or
-/// answers there.
+/// A receipt is written into the answer line to the client. Guards against a receipt that is empty, too long for that
+/// line, or would add tokens or answers to it. The same body is a valid value of a read.
 #[test]
 fn a_receipt_that_is_not_one_token_of_valid_length_is_rejected() {
     for body in ["", "r1 r2", "r1\r\n", "r1\nHD O8 cr2", "r1\u{7f}", "r1\u{e9}", &"r".repeat(5000)] {
--- a/protocols/src/memcache/answer_writer.rs
+++ b/protocols/src/memcache/answer_writer.rs
@@ -7,8 +7,8 @@
 
 use super::{BUSY, LINE_END};
 
-/// Writes a final answer to a client. For a streamed value only its line is written; the caller sends the chunks and a
-/// line end after it.
+/// Writes a final answer to a client. For a streamed value only the line before the value is written; the caller
+/// sends the chunks and a line end after it.
 pub fn write_answer(output: &mut BytesMut, id: &[u8], answer: &Answer) {
     match answer {
         Answer::Value(value) => {
--- a/protocols/src/memcache/line.rs
+++ b/protocols/src/memcache/line.rs
@@ -27,13 +27,13 @@
     winnow::ascii::dec_uint::<_, u64, winnow::error::ContextError>.parse(text).ok()
 }
 
-/// Splits a client's line into tokens; none if it contains bytes that are not allowed in tokens.
+/// Splits a client's line into tokens; none if it is empty, begins with a space or contains control characters.
 pub(super) fn request_tokens(text: &[u8]) -> Option<Tokens<'_>> {
     (token, tokens(token)).parse(text).ok()
 }
 
-/// Splits a server's line into tokens. All but the first may contain any bytes: an unreadable load report does not make
-/// the reply malformed.
+/// Splits a server's line into tokens. All but the first may contain any bytes except spaces: an unreadable load report
+/// does not make the reply malformed.
 pub(super) fn response_tokens(text: &[u8]) -> Option<Tokens<'_>> {
     (token, tokens(any_token)).parse(text).ok()
 }
--- a/protocols/src/memcache/request_reader.rs
+++ b/protocols/src/memcache/request_reader.rs
@@ -58,8 +58,11 @@
 /// A write whose line has been read.
 #[derive(Debug)]
 struct Write {
+    /// The request, without its value.
     request: Box<ClientRequest>,
+    /// Its class, by name.
     class: Bytes,
+    /// The length of the value in bytes.
     length: usize,
 }
 
@@ -75,7 +78,7 @@
 }
 
 impl RequestReader {
-    /// Whether a request has been received in part.
+    /// Whether the line of a write has been received, but not yet all of its value.
     pub fn has_incomplete_request(&self) -> bool {
         self.pending_write.is_some() || self.upload.is_some() || self.skipped_bytes > 0
     }
@@ -115,8 +118,8 @@
         (is_last || !chunk.is_empty()).then_some(Incoming::UploadChunk { chunk, is_last })
     }
 
-    /// Reads a line if it is complete. `Some(None)` means the line of a write, which is now pending until its value is
-    /// complete.
+    /// Reads a line; none while it is incomplete. `Some(None)` stands for the line of a write, which is now pending
+    /// until its value is complete.
     fn next_line(&mut self, input: &mut BytesMut) -> Option<Option<Incoming>> {
         let Some(line) = first_line(input) else {
             // An endless line must not exhaust the memory.
@@ -170,7 +173,7 @@
 
 /// A parsed line.
 enum Line {
-    /// A line without a value.
+    /// An item that consists of this line alone, or malformed input.
     Incoming(Incoming),
     /// The line of a write, whose value follows.
     Write(Write),
--- a/protocols/src/memcache/request_writer.rs
+++ b/protocols/src/memcache/request_writer.rs
@@ -28,7 +28,8 @@
     }
 }
 
-/// Writes the request's properties as received, except `d`, which becomes the time left in milliseconds.
+/// Writes the request's properties as received, except `d`, which becomes the time left in milliseconds,
+/// at least 1.
 pub fn write_properties(output: &mut BytesMut, request: &ClientRequest, time_left: Micros) {
     for (position, (name, value)) in request.properties.iter().enumerate() {
         if position > 0 {
--- a/protocols/src/memcache/response_reader.rs
+++ b/protocols/src/memcache/response_reader.rs
@@ -22,7 +22,7 @@
     /// The line is not a valid response to this request; holds its first bytes.
     #[error("unexpected memcache response line: {0:?}")]
     UnexpectedLine(String),
-    /// The response has the id of another request; holds the first bytes of its line.
+    /// The response has another request's id, or none; holds the first bytes of its line.
     #[error("the memcache response has another request's id: {0:?}")]
     IdMismatch(String),
     /// The value is not followed by a line end.
@@ -180,7 +180,8 @@
     }))
 }
 
-/// Removes this line and the value after it from the input, or the line alone if the value is streamed.
+/// Removes this line and the value after it from the input, or the line alone if the value is streamed. None while the
+/// value is incomplete.
 fn read_value(
     input: &mut BytesMut,
     line: &LineBounds,
--- a/protocols/src/objects.rs
+++ b/protocols/src/objects.rs
@@ -8,7 +8,7 @@
 /// How many bytes of the unexpected input an error shows.
 const MAX_EXCERPT_BYTES: usize = 40;
 
-/// Input other than an object where an object should begin; holds its first bytes.
+/// Input other than an object where an object should begin; holds the first bytes of the input.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("expected a JSON object, found {0:?}")]
 pub struct UnexpectedInput(String);
@@ -18,8 +18,9 @@
 pub struct JsonObjectScanner {
     /// Number of bytes of the current object that have been scanned.
     scanned_bytes: usize,
-    /// Number of brackets open at the scan position.
+    /// Number of brackets and braces open at the scan position.
     open_brackets: usize,
+    /// Whether the scan position is inside a string.
     in_string: bool,
     /// Whether the next byte of the string follows an escaping backslash.
     is_escaped: bool,
