--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,5 +1,5 @@
-//! Cost of a request in the decision core, from arrival to answer, by the number of cache servers: one request in ten is
-//! a write, and one read in twenty misses and is fetched. `cargo bench --bench decision`.
+//! What a request costs the decision core, from its arrival to its answer, as the fleet grows: one in
+//! ten a write, one read in twenty missing and fetched. `cargo bench --bench decision`.
 
 use std::collections::VecDeque;
 
@@ -19,7 +19,7 @@
     }
 }
 
-fn new_balancer(cache_servers: u64) -> Balancer {
+fn balancer(cache_servers: u64) -> Balancer {
     let settings = Settings {
         balancers: 3,
         zone: 0,
@@ -62,35 +62,35 @@
 
 /// An attempt in flight.
 struct Attempt {
-    sent_at_us: u64,
+    sent_at: u64,
     request: RequestId,
     server: ServerId,
     number: u32,
 }
 
-/// Drives each request through the balancer to its completion, with 30 attempts in flight at a time.
-struct RequestDriver {
+/// Drives requests through the balancer, each to its end, with 30 open at a time.
+struct LoadDriver {
     balancer: Balancer,
     actions: Vec<Action>,
     /// Attempts in flight, oldest first.
     in_flight: VecDeque<Attempt>,
-    /// Number of cache servers; also the server id of the origin.
+    /// The number of cache servers, which is the id of the origin.
     cache_servers: u64,
-    now_us: u64,
+    now: u64,
     request_count: u64,
 }
 
-impl RequestDriver {
+impl LoadDriver {
     fn send_request(&mut self) {
         self.request_count += 1;
-        self.now_us += 2_000;
+        self.now += 2_000;
         let mut id = [b'0'; 36];
         id[..8].copy_from_slice(&self.request_count.to_be_bytes());
         let mixed = self.request_count.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33;
         let is_write = self.request_count.is_multiple_of(10);
         let request = Request {
             id: RequestId(id),
-            deadline: Micros(self.now_us + 1_100_000),
+            deadline: Micros(self.now + 1_100_000),
             expected_work: None,
             key: Some(Key((mixed % 400) * (mixed % 7) % 400)),
             is_write,
@@ -100,16 +100,16 @@
         };
         self.handle(Event::Request(request));
         while self.in_flight.len() > 30 {
-            let Some(Attempt { sent_at_us, request, server, number }) = self.in_flight.pop_front() else {
+            let Some(Attempt { sent_at, request, server, number }) = self.in_flight.pop_front() else {
                 return;
             };
             let is_cache = server.0 != self.cache_servers;
-            let is_miss = is_cache && (sent_at_us / 2_000).is_multiple_of(20);
+            let is_miss = is_cache && (sent_at / 2_000).is_multiple_of(20);
             let completed = CompletedAttempt {
                 id: request,
                 server,
                 attempt: number,
-                latency: Micros(self.now_us - sent_at_us),
+                latency: Micros(self.now - sent_at),
                 result: if is_miss { AttemptResult::Miss } else { AttemptResult::Served },
                 is_request_closed: !is_miss,
                 fetch_in_progress: false,
@@ -123,25 +123,25 @@
             Event::AttemptCompleted(completed) => completed.attempt + 1,
             _ => 0,
         };
-        self.balancer.handle(Micros(self.now_us), event, &mut self.actions);
+        self.balancer.handle(Micros(self.now), event, &mut self.actions);
         for action in self.actions.drain(..) {
             if let Action::Send { id, server, .. } = action {
-                self.in_flight.push_back(Attempt { sent_at_us: self.now_us, request: id, server, number });
+                self.in_flight.push_back(Attempt { sent_at: self.now, request: id, server, number });
             }
         }
     }
 }
 
-fn bench_requests(criterion: &mut Criterion) {
+fn decision(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("request");
     group.throughput(Throughput::Elements(1));
     for cache_servers in [10, 20, 50, 100, 200, 500, 1_024] {
-        let mut driver = RequestDriver {
-            balancer: new_balancer(cache_servers),
+        let mut driver = LoadDriver {
+            balancer: balancer(cache_servers),
             actions: vec![],
             in_flight: VecDeque::new(),
             cache_servers,
-            now_us: 10,
+            now: 10,
             request_count: 0,
         };
         for _ in 0..4_000 {
@@ -153,5 +153,5 @@
     group.finish();
 }
 
-criterion_group!(benches, bench_requests);
+criterion_group!(benches, decision);
 criterion_main!(benches);
