--- a/cli/benches/data_path/balancer.rs
+++ b/cli/benches/data_path/balancer.rs
@@ -44,11 +44,16 @@
 
 impl Balancer {
     /// Starts a daemon with this number of listed servers and this limit of descriptors, and waits until it is ready.
-    pub async fn start(fake_servers: &FakeServers, servers: usize, sockets: usize, seed: u64) -> Balancer {
+    pub async fn start(
+        fake_servers: &FakeServers,
+        servers: usize,
+        descriptors: usize,
+        seed: u64,
+    ) -> Balancer {
         let address = free_address().await;
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("config.json");
-        fs::write(&path, configuration(address, fake_servers, servers, sockets, seed)).expect("written");
+        fs::write(&path, configuration(address, fake_servers, servers, descriptors, seed)).expect("written");
         let child = Command::new(env!("CARGO_BIN_EXE_juniperladder"))
             .env_clear()
             .env("NODE_CONFIG", &path)
@@ -110,25 +115,25 @@
 }
 
 async fn is_ready(address: SocketAddr) -> bool {
-    let asked = async {
+    let check = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
         stream.write_all(b"mn\r\n").await.ok()?;
         let mut answer = [0; 4];
         stream.read_exact(&mut answer).await.ok()
     };
-    asked.await.is_some()
+    check.await.is_some()
 }
 
 fn configuration(
     address: SocketAddr,
     fake_servers: &FakeServers,
     servers: usize,
-    sockets: usize,
+    descriptors: usize,
     seed: u64,
 ) -> String {
     format!(
         r#"{{"name":"b0","listen":"{address}","discovery":"{discovery}","seed":"{seed:016x}",
-        "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},
+        "limits":{{"cores":1.0,"memory_mb":192,"sockets":{descriptors}}},
         "known":{known},
         "settings":{{"az":0,"balancers":2000,"categories":[{{"aim":4000000,"effect":"pure","give-up":5000000,
           "name":"read","worth":1.0}},
--- a/cli/benches/data_path/load.rs
+++ b/cli/benches/data_path/load.rs
@@ -25,14 +25,14 @@
     /// The number of connections over which the requests are distributed.
     pub clients: usize,
     /// The size in bytes of the values written; 0 for reads.
-    pub upload: usize,
+    pub upload_bytes: usize,
     /// The random seed of the keys and request ids.
     pub seed: u64,
 }
 
 /// The outcome of a load.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Requests {
+pub struct LoadResult {
     /// The number of requests sent.
     pub sent: u64,
     /// The number of requests answered with a value or, for a write, a confirmation.
@@ -45,30 +45,31 @@
 
 impl Load {
     /// Runs for this time, then until the last answers have arrived or timed out.
-    pub async fn run(&self, address: SocketAddr, time: Duration) -> Requests {
-        LocalSet::new().run_until(self.play(address, time)).await
+    pub async fn run(&self, address: SocketAddr, time: Duration) -> LoadResult {
+        LocalSet::new().run_until(self.send_and_count(address, time)).await
     }
 
-    async fn play(&self, address: SocketAddr, time: Duration) -> Requests {
+    async fn send_and_count(&self, address: SocketAddr, time: Duration) -> LoadResult {
         let served = Rc::new(Cell::new((0, 0)));
         let mut writers = Vec::new();
         for _ in 0..self.clients {
             let (read, write) = TcpStream::connect(address).await.expect("connected").into_split();
-            spawn_local(count_values(read, self.upload, Rc::clone(&served)));
+            spawn_local(count_answers(read, self.upload_bytes, Rc::clone(&served)));
             writers.push(write);
         }
         let mut rng = fastrand::Rng::with_seed(self.seed);
-        let (begun, total) = (Instant::now(), (self.rate * time.as_secs_f64()) as u64);
+        let (start, total) = (Instant::now(), (self.rate * time.as_secs_f64()) as u64);
         let mut lag_ms: f64 = 0.0;
         for number in 0..total {
             let due = Duration::from_secs_f64(number as f64 / self.rate);
-            if let Some(wait) = due.checked_sub(begun.elapsed()) {
+            if let Some(wait) = due.checked_sub(start.elapsed()) {
                 tokio::time::sleep(wait).await;
             }
-            lag_ms = lag_ms.max(begun.elapsed().saturating_sub(due).as_secs_f64() * 1e3);
+            lag_ms = lag_ms.max(start.elapsed().saturating_sub(due).as_secs_f64() * 1e3);
             let (key, id) = (rng.u64(..KEYS), rng.u64(..));
             let client = number as usize % writers.len();
-            let request = if self.upload > 0 { upload(key, id, self.upload) } else { read(key, id).into() };
+            let request =
+                if self.upload_bytes > 0 { upload(key, id, self.upload_bytes) } else { read(key, id).into() };
             let _ = writers[client].write_all(&request).await;
         }
         let until = Instant::now() + LAST_ANSWER_TIMEOUT;
@@ -76,7 +77,7 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         let (served, bytes) = served.get();
-        Requests { sent: total, served, bytes, lag_ms }
+        LoadResult { sent: total, served, bytes, lag_ms }
     }
 }
 
@@ -90,7 +91,7 @@
 }
 
 /// Counts the received values or write confirmations, and the bytes of the values.
-async fn count_values(read: OwnedReadHalf, upload: usize, served: Rc<Cell<(u64, u64)>>) {
+async fn count_answers(read: OwnedReadHalf, upload_bytes: usize, served: Rc<Cell<(u64, u64)>>) {
     let (mut reader, mut line, mut value) =
         (BufReader::with_capacity(64 << 10, read), String::new(), Vec::new());
     while reader.read_line(&mut line).await.is_ok_and(|length| length > 0) {
@@ -103,7 +104,7 @@
             served.set((count + 1, bytes + length as u64));
         } else if line.starts_with("HD") {
             let (count, bytes) = served.get();
-            served.set((count + 1, bytes + upload as u64));
+            served.set((count + 1, bytes + upload_bytes as u64));
         }
         line.clear();
     }
--- a/cli/benches/data_path/main.rs
+++ b/cli/benches/data_path/main.rs
@@ -13,20 +13,20 @@
 use std::time::Duration;
 
 use balancer::{Balancer, Usage};
-use load::{Load, Requests};
+use load::{Load, LoadResult};
 use stand_ins::FakeServers;
 
 /// Requests per second of one balancer at peak load: 1.3 million over 2,000 balancers.
 const PEAK_RATE: f64 = 650.0;
 /// The value size in bytes at which that rate is 1.2 Gbit/s.
-const PEAK_VALUE: usize = 231_000;
+const PEAK_VALUE_BYTES: usize = 231_000;
 /// Bytes per second through one balancer at peak load: 2.4 Tbit/s over 2,000 balancers.
-const PEAK_BYTES: f64 = 150e6;
+const PEAK_BYTES_PER_S: f64 = 150e6;
 /// Numbers of listed servers.
 const SERVERS: [usize; 7] = [10, 125, 230, 500, 1_000, 2_000, 4_096];
 /// Value sizes in bytes.
 const VALUES: [usize; 9] =
-    [1_024, 16 << 10, 64 << 10, 128 << 10, PEAK_VALUE, 512 << 10, 1 << 20, 2 << 20, 4_000_000];
+    [1_024, 16 << 10, 64 << 10, 128 << 10, PEAK_VALUE_BYTES, 512 << 10, 1 << 20, 2 << 20, 4_000_000];
 /// Mean service times in milliseconds.
 const SERVICE_MS: [usize; 4] = [2, 5, 20, 50];
 /// Numbers of client connections.
@@ -44,9 +44,10 @@
     let scenario = arguments.first().map_or("", String::as_str);
     let seed = arguments.get(1).and_then(|text| text.parse().ok()).unwrap_or(1);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let only: Option<usize> = arguments.get(2).and_then(|text| text.parse().ok());
-    let sizes =
-        |all: &[usize]| all.iter().copied().filter(|size| only.is_none_or(|only| only == *size)).collect();
+    let requested_size: Option<usize> = arguments.get(2).and_then(|text| text.parse().ok());
+    let sizes = |all: &[usize]| {
+        all.iter().copied().filter(|size| requested_size.is_none_or(|requested| requested == *size)).collect()
+    };
     match scenario {
         "servers" => runtime.block_on(servers(seed, sizes(&SERVERS))),
         "pairs" => runtime.block_on(pairs(seed, sizes(&SERVICE_MS))),
@@ -63,7 +64,7 @@
 /// The resource usage of the process during a load.
 struct Cost {
     used: Usage,
-    requests: Requests,
+    load_result: LoadResult,
     /// The usage right after the load.
     after: Usage,
 }
@@ -71,9 +72,9 @@
 async fn measure(balancer: &Balancer, load: Load, warm_up: Duration) -> Cost {
     load.run(balancer.address(), warm_up).await;
     let before = balancer.usage();
-    let requests = load.run(balancer.address(), MEASURE_TIME).await;
+    let load_result = load.run(balancer.address(), MEASURE_TIME).await;
     let after = balancer.usage();
-    Cost { used: after.since(&before), requests, after }
+    Cost { used: after.since(&before), load_result, after }
 }
 
 /// Peak load with small values, by number of listed servers.
@@ -96,42 +97,43 @@
     let fake_servers = FakeServers::start(64, service_ms, seed);
     let balancer = Balancer::start(&fake_servers, servers, 8_192, seed).await;
     let idle = balancer.usage();
-    let cost = measure(&balancer, Load { rate: PEAK_RATE, clients: 64, upload: 0, seed }, warm_up).await;
-    let requests = PEAK_RATE * (warm_up + MEASURE_TIME).as_secs_f64();
-    let each_s = cost.used.cpu_s / cost.requests.sent as f64;
+    let cost =
+        measure(&balancer, Load { rate: PEAK_RATE, clients: 64, upload_bytes: 0, seed }, warm_up).await;
+    let requests_with_warm_up = PEAK_RATE * (warm_up + MEASURE_TIME).as_secs_f64();
+    let cpu_s_per_request = cost.used.cpu_s / cost.load_result.sent as f64;
     println!(
         "{servers},{seed},{service_ms},{},{:.4},{:.3},{},{},{},{:.3}",
-        cost.requests.served as f64 / cost.requests.sent as f64,
-        each_s * 1e3,
-        each_s * PEAK_RATE,
+        cost.load_result.served as f64 / cost.load_result.sent as f64,
+        cpu_s_per_request * 1e3,
+        cpu_s_per_request * PEAK_RATE,
         idle.rss_kb,
         cost.after.rss_kb,
-        fake_servers.open(),
-        fake_servers.opened() as f64 / requests
+        fake_servers.open_connections(),
+        fake_servers.total_connections() as f64 / requests_with_warm_up
     );
 }
 
 /// Peak load in bytes with values of one size, read or written.
-async fn values(seed: u64, sizes: Vec<usize>, written: bool) {
+async fn values(seed: u64, sizes: Vec<usize>, is_upload: bool) {
     println!("value_bytes,seed,rate,served,mib_passed,cpu_ms_per_request,cpu_ms_per_mib,cores,rss_kb,lag_ms");
     for size in sizes {
-        let fake_servers = FakeServers::start(if written { 64 } else { size }, 5.0, seed);
+        let fake_servers = FakeServers::start(if is_upload { 64 } else { size }, 5.0, seed);
         let balancer = Balancer::start(&fake_servers, 230, 8_192, seed).await;
         // Small values are limited by the peak rate, large ones by the peak bytes.
-        let rate = PEAK_RATE.min(PEAK_BYTES / size as f64);
+        let rate = PEAK_RATE.min(PEAK_BYTES_PER_S / size as f64);
         // A connection is closed after 2.2 s without a request, so each client sends at least one per second.
         let clients = 128.min(rate as usize);
-        let load = Load { rate, clients, upload: if written { size } else { 0 }, seed };
+        let load = Load { rate, clients, upload_bytes: if is_upload { size } else { 0 }, seed };
         let cost = measure(&balancer, load, WARM_UP_VALUES).await;
-        let mib = cost.requests.bytes as f64 / f64::from(1 << 20);
+        let mib = cost.load_result.bytes as f64 / f64::from(1 << 20);
         println!(
             "{size},{seed},{rate:.1},{:.4},{mib:.1},{:.4},{:.4},{:.3},{},{:.1}",
-            cost.requests.served as f64 / cost.requests.sent as f64,
-            cost.used.cpu_s * 1e3 / cost.requests.served.max(1) as f64,
+            cost.load_result.served as f64 / cost.load_result.sent as f64,
+            cost.used.cpu_s * 1e3 / cost.load_result.served.max(1) as f64,
             cost.used.cpu_s * 1e3 / mib,
             cost.used.cpu_s / MEASURE_TIME.as_secs_f64(),
             cost.after.rss_kb,
-            cost.requests.lag_ms
+            cost.load_result.lag_ms
         );
     }
 }
@@ -169,29 +171,29 @@
         let fake_servers = FakeServers::start(64, 5.0, seed);
         let balancer = Balancer::start(&fake_servers, servers, 8_192, seed).await;
         fake_servers.wait_for_watch().await;
-        let idle = balancer.cpu_time_over(Duration::from_secs(1)).await;
+        let idle_cpu_s_per_s = balancer.cpu_time_over(Duration::from_secs(1)).await;
         let list = fake_servers.list(servers, true, 0);
         let before = balancer.usage();
         for number in 0..LISTS {
             fake_servers.push(&fake_servers.list(servers, true, u64::from(number) + 50));
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        let lists = balancer.usage().since(&before).cpu_s - idle * f64::from(LISTS) * 0.05;
+        let lists_cpu_s = balancer.usage().since(&before).cpu_s - idle_cpu_s_per_s * f64::from(LISTS) * 0.05;
         let change = fake_servers.list(1, false, 0);
         let before = balancer.usage();
         for number in 0..CHANGES {
             fake_servers.push(&fake_servers.list(1, false, u64::from(number) + 100));
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        let used = balancer.usage().since(&before).cpu_s;
-        let changes = used - idle * f64::from(CHANGES) * 0.011;
+        let used_cpu_s = balancer.usage().since(&before).cpu_s;
+        let changes_cpu_s = used_cpu_s - idle_cpu_s_per_s * f64::from(CHANGES) * 0.011;
         println!(
             "{servers},{seed},{},{:.3},{},{:.4},{:.2},{}",
             list.len(),
-            lists * 1e3 / f64::from(LISTS),
+            lists_cpu_s * 1e3 / f64::from(LISTS),
             change.len(),
-            changes * 1e3 / f64::from(CHANGES),
-            idle * 1e3,
+            changes_cpu_s * 1e3 / f64::from(CHANGES),
+            idle_cpu_s_per_s * 1e3,
             balancer.usage().rss_kb
         );
     }
--- a/cli/benches/data_path/stand_ins.rs
+++ b/cli/benches/data_path/stand_ins.rs
@@ -18,8 +18,8 @@
 /// State shared between the servers' thread and the benchmark.
 #[derive(Default)]
 struct Shared {
-    open: AtomicUsize,
-    opened: AtomicUsize,
+    open_connections: AtomicUsize,
+    total_connections: AtomicUsize,
     watches: AtomicUsize,
     /// The mean service time, in microseconds.
     service_us: AtomicU64,
@@ -71,13 +71,13 @@
     }
 
     /// The number of open connections to cache servers.
-    pub fn open(&self) -> usize {
-        self.shared.open.load(Ordering::Relaxed)
+    pub fn open_connections(&self) -> usize {
+        self.shared.open_connections.load(Ordering::Relaxed)
     }
 
     /// The total number of connections opened to cache servers.
-    pub fn opened(&self) -> usize {
-        self.shared.opened.load(Ordering::Relaxed)
+    pub fn total_connections(&self) -> usize {
+        self.shared.total_connections.load(Ordering::Relaxed)
     }
 
     /// Waits until a watch is open.
@@ -94,7 +94,7 @@
     }
 
     /// A complete list of this number of servers, or changes to them, in discovery's format.
-    pub fn list(&self, servers: usize, whole: bool, generation: u64) -> String {
+    pub fn list(&self, servers: usize, is_complete: bool, generation: u64) -> String {
         let entry = |number: usize| {
             format!(
                 r#"{{"instanceId":"s-{number:08x}","hostPort":"{}","zone":"x","machineType":"cache","cell":{},"lifecycle":"in_service","weight":1.0,"startedAtMs":{}}}"#,
@@ -104,7 +104,7 @@
             )
         };
         let entries: Vec<String> = (0..servers).map(entry).collect();
-        format!(r#"{{"generation":{generation},"reset":{whole},"instances":[{}]}}"#, entries.join(","))
+        format!(r#"{{"generation":{generation},"reset":{is_complete},"instances":[{}]}}"#, entries.join(","))
     }
 }
 
@@ -119,10 +119,10 @@
     while let Ok((stream, _)) = listener.accept().await {
         let (shared, value, rng) = (Arc::clone(&shared), Rc::clone(&value), Rc::clone(&rng));
         spawn_local(async move {
-            shared.open.fetch_add(1, Ordering::Relaxed);
-            shared.opened.fetch_add(1, Ordering::Relaxed);
+            shared.open_connections.fetch_add(1, Ordering::Relaxed);
+            shared.total_connections.fetch_add(1, Ordering::Relaxed);
             let _ = serve(stream, &shared, &value, &rng).await;
-            shared.open.fetch_sub(1, Ordering::Relaxed);
+            shared.open_connections.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
@@ -161,10 +161,10 @@
 
 /// Reads a value of this length and its line end.
 async fn read_value(stream: &mut BufReader<TcpStream>, length: usize) -> std::io::Result<()> {
-    let (mut left, mut piece) = (length + 2, vec![0; 64 << 10]);
-    while left > 0 {
-        let most = left.min(piece.len());
-        left -= stream.read_exact(&mut piece[..most]).await?;
+    let (mut remaining_bytes, mut buffer) = (length + 2, vec![0; 64 << 10]);
+    while remaining_bytes > 0 {
+        let length = remaining_bytes.min(buffer.len());
+        remaining_bytes -= stream.read_exact(&mut buffer[..length]).await?;
     }
     Ok(())
 }
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -83,7 +83,7 @@
 #[derive(Debug, Default, PartialEq)]
 struct Answers {
     served: u64,
-    other: u64,
+    errors: u64,
 }
 
 /// Sends pipelined requests on consecutive connections, and counts the answers.
@@ -108,7 +108,7 @@
                 counts.served += 1;
             } else {
                 assert!(head.starts_with("SERVER_ERROR"), "{id}: {head:?}");
-                counts.other += 1;
+                counts.errors += 1;
             }
         }
     }
@@ -118,7 +118,7 @@
 /// Asserts that every request is served despite these faults. Returns the rest of the log.
 fn assert_all_served(faults: &str) -> String {
     let FaultyProgram { mut child, listen, log } = start_with_faults(faults);
-    let expected = Answers { served: CONNECTION_COUNT * PIPELINE_LENGTH, other: 0 };
+    let expected = Answers { served: CONNECTION_COUNT * PIPELINE_LENGTH, errors: 0 };
     assert_eq!(send_requests(&listen), expected, "{faults}");
     send_signal(&child, "-TERM");
     assert!(child.wait().unwrap().success(), "{faults}");
@@ -225,9 +225,9 @@
         send_signal(&child, "-HUP");
         // A poll of the new address shows that the configuration was reloaded despite the faults.
         let (mut poll, _) = discovery.accept().unwrap();
-        let mut begin = [0; 4];
-        poll.read_exact(&mut begin).unwrap();
-        assert_eq!(&begin, b"GET ", "{faults}");
+        let mut method = [0; 4];
+        poll.read_exact(&mut method).unwrap();
+        assert_eq!(&method, b"GET ", "{faults}");
         send_signal(&child, "-TERM");
         assert!(child.wait().unwrap().success(), "{faults}");
     }
--- a/cli/tests/limits.rs
+++ b/cli/tests/limits.rs
@@ -76,29 +76,35 @@
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
     for discovery in [DiscoveryState::Down, DiscoveryState::Silent, DiscoveryState::BacklogFull] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = listener.local_addr().unwrap();
-        let mut calls = Vec::new();
+        let discovery_address = listener.local_addr().unwrap();
+        let mut connections = Vec::new();
         match discovery {
             DiscoveryState::Down => drop(listener),
             DiscoveryState::Silent => {
                 thread::spawn(move || listener.incoming().map(Result::unwrap).collect::<Vec<_>>());
             }
             DiscoveryState::BacklogFull => {
-                while let Ok(call) = TcpStream::connect_timeout(&at, Duration::from_millis(50)) {
-                    calls.push((call, listener.try_clone().unwrap()));
+                while let Ok(connection) =
+                    TcpStream::connect_timeout(&discovery_address, Duration::from_millis(50))
+                {
+                    connections.push((connection, listener.try_clone().unwrap()));
                 }
             }
         }
-        let mut first = start("127.0.0.1:0", at, server.local_addr().unwrap(), 256);
+        let mut first = start("127.0.0.1:0", discovery_address, server.local_addr().unwrap(), 256);
         let _idle = TcpStream::connect(&first.listen).unwrap();
         assert_eq!(read_readiness(&first.listen).as_deref(), Some("MN\r\n"), "{discovery:?}");
         first.child.kill().unwrap();
         first.child.wait().unwrap();
-        let began = Instant::now();
-        let second = start(&first.listen, at, server.local_addr().unwrap(), 256);
+        let restarted_at = Instant::now();
+        let second = start(&first.listen, discovery_address, server.local_addr().unwrap(), 256);
         assert_eq!(read_readiness(&second.listen).as_deref(), Some("MN\r\n"), "{discovery:?}, again");
         // Nine in ten starts must be ready within ten seconds; a start that waits for discovery would exceed them.
-        assert!(began.elapsed() < Duration::from_secs(10), "{discovery:?}: {:?}", began.elapsed());
+        assert!(
+            restarted_at.elapsed() < Duration::from_secs(10),
+            "{discovery:?}: {:?}",
+            restarted_at.elapsed()
+        );
         assert_eq!(call(&second.admin, "HEALTH\n"), "ACK ready\n");
     }
 }
@@ -216,21 +222,21 @@
     const DESCRIPTORS: usize = 96;
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let discovery_at = discovery.local_addr().unwrap();
+    let discovery_address = discovery.local_addr().unwrap();
     drop(discovery);
-    let mut balancer = start("127.0.0.1:0", discovery_at, server.local_addr().unwrap(), DESCRIPTORS);
+    let mut balancer = start("127.0.0.1:0", discovery_address, server.local_addr().unwrap(), DESCRIPTORS);
     let idle_connections =
         IdleConnections::new([(balancer.listen.clone(), 3 * DESCRIPTORS), (balancer.admin.clone(), 12)]);
     for _ in 0..20 {
         idle_connections.opened.recv().unwrap();
     }
     // Discovery recovers.
-    let discovery = TcpListener::bind(discovery_at).unwrap();
-    let second = TcpListener::bind("127.0.0.1:0").unwrap();
-    let _watch = answer_discovery(&discovery, second.local_addr().unwrap());
+    let discovery = TcpListener::bind(discovery_address).unwrap();
+    let listed_server = TcpListener::bind("127.0.0.1:0").unwrap();
+    let _watch = answer_discovery(&discovery, listed_server.local_addr().unwrap());
     wait_for_line(&mut balancer.log, "INFO endpoint list received");
     // A client with a request is admitted, and served by the newly listed server.
-    let serving = thread::spawn(move || serve_one_request(&second));
+    let serving = thread::spawn(move || serve_one_request(&listed_server));
     let answer = request_until_answered(&balancer.listen);
     assert!(answer.starts_with("VA 2 O"), "{answer:?}");
     serving.join().unwrap();
--- a/cli/tests/process.rs
+++ b/cli/tests/process.rs
@@ -12,10 +12,11 @@
 use support::{address_in, call, config, file, program, send_signal, wait_for_line};
 
 #[test]
-fn a_failed_start_reports_one_line() {
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let taken = config(&taken.local_addr().unwrap().to_string(), "127.0.0.1:1", "127.0.0.1:1");
-    for text in [None, Some("{\"name\":"), Some(taken.as_str())] {
+fn a_failed_start_exits_with_an_error_of_one_line() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let with_address_in_use =
+        config(&listener.local_addr().unwrap().to_string(), "127.0.0.1:1", "127.0.0.1:1");
+    for text in [None, Some("{\"name\":"), Some(with_address_in_use.as_str())] {
         let output = program(text).output().unwrap();
         let error = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success());
@@ -68,7 +69,7 @@
 fn sighup_reloads_the_address_of_discovery() {
     let [old, new] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
     let [before, after] =
-        [&old, &new].map(|l| config("127.0.0.1:0", &l.local_addr().unwrap().to_string(), ""));
+        [&old, &new].map(|discovery| config("127.0.0.1:0", &discovery.local_addr().unwrap().to_string(), ""));
     let path = file(&before);
     let mut child = program(None).env("NODE_CONFIG", &path).spawn().unwrap();
     let mut log = BufReader::new(child.stderr.take().unwrap());
