--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -1,5 +1,7 @@
-//! What a request costs the decision core, from its arrival to its answer, as the fleet grows: one in
-//! ten a write, one read in twenty missing and fetched. `cargo bench --bench decision`.
+//! Benchmark of the decision core: the time for a request, from its arrival to its answer, by number of cache servers.
+//! Every tenth request is a write. An attempt at a cache server is a miss if it is sent together with every twentieth
+//! request; as that is a write, which goes to the origin, no first attempt of a read is a miss. Run with
+//! `cargo bench --bench decision`.
 
 use std::collections::VecDeque;
 
@@ -62,13 +64,15 @@
 
 /// An attempt in flight.
 struct Attempt {
+    /// In microseconds.
     sent_at: u64,
     request: RequestId,
     server: ServerId,
+    /// The attempt's number within its request, from zero.
     number: u32,
 }
 
-/// Drives requests through the balancer, each to its end, with 30 open at a time.
+/// Sends requests to the balancer, and completes the oldest attempts once more than 30 are in flight.
 struct LoadDriver {
     balancer: Balancer,
     actions: Vec<Action>,
@@ -76,7 +80,9 @@
     in_flight: VecDeque<Attempt>,
     /// The number of cache servers, which is the id of the origin.
     cache_servers: u64,
+    /// The current time in microseconds; each request advances it by 2 ms.
     now: u64,
+    /// The number of requests sent.
     request_count: u64,
 }
 
