--- a/cli/benches/data_path/balancer.rs
+++ b/cli/benches/data_path/balancer.rs
@@ -12,15 +12,16 @@
 
 use crate::stand_ins::FakeServers;
 
-/// The interval and the maximum number of readiness checks after a start.
+/// Time between two readiness checks after a start.
 const READY_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum number of readiness checks after a start.
 const READY_ATTEMPTS: usize = 500;
 
 /// A running daemon, killed on drop.
 pub struct Balancer {
     child: Child,
     address: SocketAddr,
-    /// Keeps the folder of its configuration until it ends.
+    /// The folder of the configuration file, deleted on drop.
     _folder: TempDir,
 }
 
@@ -51,9 +52,10 @@
         seed: u64,
     ) -> Balancer {
         let address = free_address().await;
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("cannot create a temporary folder");
         let path = folder.path().join("config.json");
-        fs::write(&path, configuration(address, fake_servers, servers, descriptors, seed)).expect("written");
+        fs::write(&path, configuration(address, fake_servers, servers, descriptors, seed))
+            .expect("cannot write the configuration");
         let child = Command::new(env!("CARGO_BIN_EXE_juniperladder"))
             .env_clear()
             .env("NODE_CONFIG", &path)
@@ -61,12 +63,12 @@
             .stdout(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
-            .expect("the program starts");
+            .expect("cannot start the program");
         let balancer = Balancer { child, address, _folder: folder };
         let mut attempts = 0;
         while !is_ready(address).await {
             attempts += 1;
-            assert!(attempts < READY_ATTEMPTS, "the program is not ready after {attempts} attempts");
+            assert!(attempts < READY_ATTEMPTS, "the program is not ready after {attempts} checks");
             tokio::time::sleep(READY_INTERVAL).await;
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
@@ -78,23 +80,25 @@
         self.address
     }
 
-    /// The current resource usage.
+    /// The current resource usage, with the processor time since the start of the process.
     pub fn usage(&self) -> Usage {
         let folder = PathBuf::from(format!("/proc/{}", self.child.id()));
-        let status = fs::read_to_string(folder.join("status")).expect("its status");
+        let status = fs::read_to_string(folder.join("status")).expect("cannot read the process status");
         let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-        let rss_kb = resident.and_then(|text| text.split_whitespace().next()?.parse().ok()).expect("VmRSS");
-        let threads = fs::read_dir(folder.join("task")).expect("its threads").flatten();
+        let rss_kb = resident
+            .and_then(|text| text.split_whitespace().next()?.parse().ok())
+            .expect("the process status has no valid VmRSS");
+        let threads = fs::read_dir(folder.join("task")).expect("cannot list the threads").flatten();
         let nanoseconds = |thread: fs::DirEntry| -> Option<u64> {
             let text = fs::read_to_string(thread.path().join("schedstat")).ok()?;
             text.split_whitespace().next()?.parse().ok()
         };
         let cpu_s = threads.filter_map(nanoseconds).sum::<u64>() as f64 / 1e9;
-        let descriptors = fs::read_dir(folder.join("fd")).expect("its descriptors").count();
+        let descriptors = fs::read_dir(folder.join("fd")).expect("cannot list the descriptors").count();
         Usage { cpu_s, rss_kb, descriptors }
     }
 
-    /// Measures the processor time used during this time, in seconds.
+    /// Measures the processor time used during the next `time`, in seconds.
     pub async fn cpu_time_over(&self, time: Duration) -> f64 {
         let before = self.usage();
         tokio::time::sleep(time).await;
@@ -110,8 +114,8 @@
 }
 
 async fn free_address() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    listener.local_addr().expect("its address")
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot listen on loopback");
+    listener.local_addr().expect("the listener has no address")
 }
 
 async fn is_ready(address: SocketAddr) -> bool {
--- a/cli/benches/data_path/load.rs
+++ b/cli/benches/data_path/load.rs
@@ -14,7 +14,7 @@
 const KEYS: u64 = 1_000_000;
 /// The deadline of a request, in milliseconds.
 const DEADLINE_MS: u64 = 4_000;
-/// How long after the last request answers are awaited.
+/// How long to wait for the last answers after the last request.
 const LAST_ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// An open-loop load: requests are sent at a fixed rate, independent of the answers.
@@ -35,9 +35,9 @@
 pub struct LoadResult {
     /// The number of requests sent.
     pub sent: u64,
-    /// The number of requests answered with a value or, for a write, a confirmation.
+    /// The number of requests answered with a value or, for a write, a receipt.
     pub served: u64,
-    /// The total size of those values, in bytes.
+    /// The total size of the values read or written by the served requests, in bytes.
     pub bytes: u64,
     /// The maximum delay of a request behind its schedule, in milliseconds.
     pub lag_ms: f64,
@@ -53,7 +53,8 @@
         let served = Rc::new(Cell::new((0, 0)));
         let mut writers = Vec::new();
         for _ in 0..self.clients {
-            let (read, write) = TcpStream::connect(address).await.expect("connected").into_split();
+            let (read, write) =
+                TcpStream::connect(address).await.expect("cannot connect to the balancer").into_split();
             spawn_local(count_answers(read, self.upload_bytes, Rc::clone(&served)));
             writers.push(write);
         }
@@ -90,7 +91,8 @@
     format!("mg {key:016x} v O{id:016x} Pc=read,d={DEADLINE_MS}\r\n")
 }
 
-/// Counts the received values or write confirmations, and the bytes of the values.
+/// Counts the answers with a value or a receipt. `served` holds their number and the total size of the values read or
+/// written, in bytes.
 async fn count_answers(read: OwnedReadHalf, upload_bytes: usize, served: Rc<Cell<(u64, u64)>>) {
     let (mut reader, mut line, mut value) =
         (BufReader::with_capacity(64 << 10, read), String::new(), Vec::new());
@@ -122,8 +124,8 @@
     pub async fn open(address: SocketAddr, clients: usize) -> HeldConnections {
         let mut connections = Vec::new();
         for _ in 0..clients {
-            let mut stream = TcpStream::connect(address).await.expect("connected");
-            stream.write_all(b"mn\r\n").await.expect("written");
+            let mut stream = TcpStream::connect(address).await.expect("cannot connect to the balancer");
+            stream.write_all(b"mn\r\n").await.expect("cannot write to the balancer");
             connections.push(BufReader::new(stream));
         }
         let mut connections = HeldConnections(connections);
@@ -136,7 +138,7 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         for client in &mut self.0 {
             let line = read(rng.u64(..KEYS), rng.u64(..));
-            client.get_mut().write_all(line.as_bytes()).await.expect("written");
+            client.get_mut().write_all(line.as_bytes()).await.expect("cannot write to the balancer");
         }
     }
 
--- a/cli/benches/data_path/main.rs
+++ b/cli/benches/data_path/main.rs
@@ -1,10 +1,10 @@
 //! Benchmark of the data path of one process: processor time, memory and descriptors by number of cache servers, value
 //! size, connections and endpoint list changes. Source of the figures in docs/CAPACITY.md.
 //!
-//! Usage: `cargo bench -p juniperladder-cli --bench data_path -- SCENARIO SEED [SIZE]`, where SCENARIO is `servers`,
-//! `pairs`, `values`, `uploads`, `connections` or `discovery`, and SIZE one of its sizes, by default all. Prints rows of
-//! comma-separated values and asserts nothing. `uploads` does not work yet: none of its writes is served. The benchmark
-//! measures real time on loopback, so nothing else may run at the same time.
+//! Usage: `cargo bench -p juniperladder-cli --bench data_path -- SCENARIO [SEED [SIZE]]`, where SCENARIO is `servers`,
+//! `pairs`, `values`, `uploads`, `connections` or `discovery`, SEED is 1 by default, and SIZE is one of the scenario's
+//! sizes, by default all. Prints rows of comma-separated values and asserts nothing. `uploads` does not work yet: none of
+//! its writes is served. The benchmark measures real time on loopback, so nothing else may run at the same time.
 
 mod balancer;
 mod load;
@@ -18,7 +18,7 @@
 
 /// Requests per second of one balancer at peak load: 1.3 million over 2,000 balancers.
 const PEAK_RATE: f64 = 650.0;
-/// The value size in bytes at which that rate is 1.2 Gbit/s.
+/// The value size in bytes at which [`PEAK_RATE`] is 1.2 Gbit/s.
 const PEAK_VALUE_BYTES: usize = 231_000;
 /// Bytes per second through one balancer at peak load: 2.4 Tbit/s over 2,000 balancers.
 const PEAK_BYTES_PER_S: f64 = 150e6;
@@ -31,11 +31,14 @@
 const SERVICE_MS: [usize; 4] = [2, 5, 20, 50];
 /// Numbers of client connections.
 const CLIENTS: [usize; 6] = [0, 125, 250, 500, 1_000, 2_000];
-/// How long the load runs before the measurement, and during it.
+/// How long the load runs before the measurement.
 const WARM_UP: Duration = Duration::from_secs(3);
+/// How long the load of the scenarios `values` and `uploads` runs before the measurement.
 const WARM_UP_VALUES: Duration = Duration::from_secs(1);
+/// How long the load runs during the measurement.
 const MEASURE_TIME: Duration = Duration::from_secs(4);
-/// A warm-up longer than the idle timeout of connections to servers.
+/// How long the load of the scenario `pairs` runs before the measurement: longer than the idle timeout of connections to
+/// servers.
 const WARM_UP_PAIRS: Duration = Duration::from_secs(6);
 
 fn main() {
@@ -43,7 +46,8 @@
     let arguments: Vec<String> = std::env::args().skip(1).filter(|a| !a.starts_with("--")).collect();
     let scenario = arguments.first().map_or("", String::as_str);
     let seed = arguments.get(1).and_then(|text| text.parse().ok()).unwrap_or(1);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("cannot build the runtime");
     let requested_size: Option<usize> = arguments.get(2).and_then(|text| text.parse().ok());
     let sizes = |all: &[usize]| {
         all.iter().copied().filter(|size| requested_size.is_none_or(|requested| requested == *size)).collect()
@@ -56,16 +60,17 @@
         "connections" => runtime.block_on(connections(seed, sizes(&CLIENTS))),
         "discovery" => runtime.block_on(discovery(seed, sizes(&SERVERS))),
         _ => eprintln!(
-            "data_path: name a scenario: servers, pairs, values, uploads, connections or discovery, and a seed"
+            "usage: data_path SCENARIO [SEED [SIZE]], where SCENARIO is servers, pairs, values, uploads, connections or discovery"
         ),
     }
 }
 
-/// The resource usage of the process during a load.
+/// The resource usage of the process for a load.
 struct Cost {
+    /// The usage right after the load, with the processor time of the load alone.
     used: Usage,
     load_result: LoadResult,
-    /// The usage right after the load.
+    /// The usage right after the load, with the processor time since the start of the process.
     after: Usage,
 }
 
@@ -113,13 +118,13 @@
     );
 }
 
-/// Peak load in bytes with values of one size, read or written.
+/// Reads or writes values at the peak request rate or the peak byte rate, whichever is lower, by value size.
 async fn values(seed: u64, sizes: Vec<usize>, is_upload: bool) {
     println!("value_bytes,seed,rate,served,mib_passed,cpu_ms_per_request,cpu_ms_per_mib,cores,rss_kb,lag_ms");
     for size in sizes {
         let fake_servers = FakeServers::start(if is_upload { 64 } else { size }, 5.0, seed);
         let balancer = Balancer::start(&fake_servers, 230, 8_192, seed).await;
-        // Small values are limited by the peak rate, large ones by the peak bytes.
+        // Small values are limited by the peak request rate, large ones by the peak byte rate.
         let rate = PEAK_RATE.min(PEAK_BYTES_PER_S / size as f64);
         // A connection is closed after 2.2 s without a request, so each client sends at least one per second.
         let clients = 128.min(rate as usize);
@@ -160,7 +165,7 @@
     }
 }
 
-/// Complete lists and single changes by number of servers, without load.
+/// Processor time for complete endpoint lists and for single changes, by number of listed servers and without load.
 async fn discovery(seed: u64, sizes: Vec<usize>) {
     const LISTS: u32 = 20;
     const CHANGES: u32 = 100;
@@ -178,6 +183,7 @@
             fake_servers.push(&fake_servers.list(servers, true, u64::from(number) + 50));
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
+        // Without the idle processor time of the sleeps of 50 ms.
         let lists_cpu_s = balancer.usage().since(&before).cpu_s - idle_cpu_s_per_s * f64::from(LISTS) * 0.05;
         let change = fake_servers.list(1, false, 0);
         let before = balancer.usage();
@@ -186,6 +192,7 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         let used_cpu_s = balancer.usage().since(&before).cpu_s;
+        // Without the idle processor time of the sleeps of 10 ms, each of which counts as 11 ms.
         let changes_cpu_s = used_cpu_s - idle_cpu_s_per_s * f64::from(CHANGES) * 0.011;
         println!(
             "{servers},{seed},{},{:.3},{},{:.4},{:.2},{}",
--- a/cli/benches/data_path/stand_ins.rs
+++ b/cli/benches/data_path/stand_ins.rs
@@ -15,11 +15,12 @@
 /// The interval of discovery's heartbeats, which are empty lines, while nothing changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// State shared between the servers' thread and the benchmark.
+/// State shared between the servers' thread and the benchmark: connections to the cache server, and watches.
 #[derive(Default)]
 struct Shared {
     open_connections: AtomicUsize,
     total_connections: AtomicUsize,
+    /// The number of open watches.
     watches: AtomicUsize,
     /// The mean service time, in microseconds.
     service_us: AtomicU64,
@@ -30,18 +31,19 @@
     shared: Arc<Shared>,
     cache: SocketAddr,
     discovery: SocketAddr,
+    /// Sends endpoint lists to every watch.
     lists: broadcast::Sender<String>,
 }
 
 impl FakeServers {
-    /// Starts the servers: values have this size, and service times are random with this mean.
+    /// Starts the servers: values have this size, and service times are random with this mean in milliseconds.
     pub fn start(value_bytes: usize, service_ms: f64, seed: u64) -> FakeServers {
         let shared = Arc::new(Shared::default());
         let (lists, _) = broadcast::channel(1_024);
         let listen = || {
-            let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-            listener.set_nonblocking(true).expect("a socket");
-            let address = listener.local_addr().expect("its address");
+            let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("cannot listen on loopback");
+            listener.set_nonblocking(true).expect("cannot make the listener non-blocking");
+            let address = listener.local_addr().expect("the listener has no address");
             (listener, address)
         };
         let ((cache_listener, cache), (discovery_listener, discovery)) = (listen(), listen());
@@ -49,8 +51,10 @@
         fake_servers.set_service_time(service_ms);
         let (shared, lists) = (Arc::clone(&fake_servers.shared), fake_servers.lists.clone());
         std::thread::spawn(move || {
-            let runtime =
-                tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+                .expect("cannot build the runtime");
             let value = Rc::new([vec![b'x'; value_bytes], b"\r\n".to_vec()].concat());
             LocalSet::new().block_on(&runtime, async move {
                 spawn_local(accept_watches(discovery_listener, Arc::clone(&shared), lists));
@@ -60,7 +64,7 @@
         fake_servers
     }
 
-    /// Sets the mean of the random service times.
+    /// Sets the mean of the random service times, in milliseconds.
     pub fn set_service_time(&self, service_ms: f64) {
         self.shared.service_us.store((service_ms * 1e3) as u64, Ordering::Relaxed);
     }
@@ -70,12 +74,12 @@
         self.discovery
     }
 
-    /// The number of open connections to cache servers.
+    /// The number of open connections to the cache server.
     pub fn open_connections(&self) -> usize {
         self.shared.open_connections.load(Ordering::Relaxed)
     }
 
-    /// The total number of connections opened to cache servers.
+    /// The number of connections to the cache server since its start.
     pub fn total_connections(&self) -> usize {
         self.shared.total_connections.load(Ordering::Relaxed)
     }
@@ -114,7 +118,7 @@
     value: Rc<Vec<u8>>,
     seed: u64,
 ) {
-    let listener = TcpListener::from_std(listener).expect("a listener");
+    let listener = TcpListener::from_std(listener).expect("cannot register the listener");
     let rng = Rc::new(Cell::new(seed));
     while let Ok((stream, _)) = listener.accept().await {
         let (shared, value, rng) = (Arc::clone(&shared), Rc::clone(&value), Rc::clone(&rng));
@@ -174,7 +178,7 @@
     shared: Arc<Shared>,
     lists: broadcast::Sender<String>,
 ) {
-    let listener = TcpListener::from_std(listener).expect("a listener");
+    let listener = TcpListener::from_std(listener).expect("cannot register the listener");
     while let Ok((stream, _)) = listener.accept().await {
         let (shared, lists) = (Arc::clone(&shared), lists.subscribe());
         spawn_local(async move {
--- a/cli/tests/discovery.rs
+++ b/cli/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process with an overloaded discovery, which handles polls in turn and answers slowly.
+//! The daemon as a process with an overloaded discovery, which handles polls one after the other and answers slowly.
 
 mod support;
 
@@ -44,9 +44,9 @@
     String::from_utf8_lossy(&value[..1]).into_owned()
 }
 
-/// Guards against an abandoned poll while it is queued: discovery would still answer it, its changes would count as
-/// notified, and a new poll would be queued behind all others. The list arrives on the first poll, and the draining server
-/// gets no further requests.
+/// Guards against abandoning a poll while it is queued: discovery would still answer it and count its changes as notified,
+/// and a new poll would be queued behind all others. The list has to arrive on the first poll, after which the draining
+/// server gets no further requests.
 #[test]
 fn a_queued_poll_is_not_abandoned() {
     let [draining_address, serving_address] = ["D", "S"].map(cache_server);
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -131,7 +131,7 @@
     assert_all_served("");
 }
 
-/// Guards against requests that stall after a short read or write, which is followed by no further readiness event.
+/// Guards against requests that stall after a short read or write, after which no further readiness event follows.
 #[test]
 fn short_reads_and_writes_lose_no_request() {
     for faults in ["recv=short/2", "send=short/2", "recv=short/1,send=short/1", "recv=short/4,send=short/3"] {
@@ -139,7 +139,7 @@
     }
 }
 
-/// Guards against a system call interrupted by a signal that is taken for a failed one.
+/// Guards against treating a system call that a signal interrupted as a failed call.
 #[test]
 fn interrupted_calls_are_retried() {
     for faults in ["recv=EINTR/3", "send=EINTR/3", "epoll_wait=EINTR/2", "accept4=EINTR/2", "connect=EINTR/2"]
@@ -148,7 +148,8 @@
     }
 }
 
-/// Guards against lost connections after a transient accept error: they stay in the backlog and are accepted later.
+/// Guards against lost connections after a transient accept error: the connections stay in the backlog and are accepted
+/// later.
 #[test]
 fn connections_are_served_after_failed_accepts() {
     for error in ["ECONNABORTED", "ENFILE", "EMFILE", "ENOBUFS", "EPROTO"] {
@@ -156,8 +157,8 @@
     }
 }
 
-/// Guards against a local error that is counted against the server: a connection that this machine transiently cannot open
-/// is retried, and not counted as a failed connection to the server.
+/// Guards against counting a local error against the server: a connection that this machine transiently cannot open is
+/// retried, and not counted as a failed connection to the server.
 #[test]
 fn a_local_connect_error_is_retried_and_not_counted_against_the_server() {
     for faults in [
--- a/cli/tests/limits.rs
+++ b/cli/tests/limits.rs
@@ -61,11 +61,11 @@
 /// The state of discovery when a process starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum DiscoveryState {
-    /// Nothing listens on its address.
+    /// Nothing listens on discovery's address.
     Down,
-    /// It accepts polls and never answers.
+    /// Discovery accepts connections and never answers.
     Silent,
-    /// Its backlog is full, so connections are not established.
+    /// Discovery's backlog is full, so connections are not established.
     BacklogFull,
 }
 
@@ -98,8 +98,12 @@
         first.child.wait().unwrap();
         let restarted_at = Instant::now();
         let second = start(&first.listen, discovery_address, server.local_addr().unwrap(), 256);
-        assert_eq!(read_readiness(&second.listen).as_deref(), Some("MN\r\n"), "{discovery:?}, again");
-        // Nine in ten starts must be ready within ten seconds; a start that waits for discovery would exceed them.
+        assert_eq!(
+            read_readiness(&second.listen).as_deref(),
+            Some("MN\r\n"),
+            "{discovery:?}, after the replacement"
+        );
+        // Nine in ten starts must be ready within ten seconds; a start that waits for discovery would take longer.
         assert!(
             restarted_at.elapsed() < Duration::from_secs(10),
             "{discovery:?}: {:?}",
@@ -242,7 +246,7 @@
     serving.join().unwrap();
     assert_eq!(health_until_acknowledged(&balancer.admin).as_deref(), Some("ACK ready\n"));
     idle_connections.end();
-    assert!(balancer.child.try_wait().unwrap().is_none(), "the process still runs");
+    assert!(balancer.child.try_wait().unwrap().is_none(), "the process has ended");
     send_signal(&balancer.child, "-TERM");
     let mut log = String::new();
     balancer.log.read_to_string(&mut log).unwrap();
--- a/cli/tests/process.rs
+++ b/cli/tests/process.rs
@@ -64,7 +64,8 @@
     assert!(rest_of_log.contains("commands=1") && rest_of_log.contains("served=1"), "{rest_of_log}");
 }
 
-/// A reload switches to another discovery while the daemon serves; a malformed configuration changes nothing.
+/// Guards against a reload that keeps the old address of discovery, or that ends the daemon when the configuration is
+/// malformed or unchanged.
 #[test]
 fn sighup_reloads_the_address_of_discovery() {
     let [old, new] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
@@ -82,7 +83,10 @@
     let (watch, _) = new.accept().unwrap();
     let mut call = String::new();
     BufReader::new(watch).read_line(&mut call).unwrap();
-    assert_eq!(call, "GET /catalog/members?follow=1 HTTP/1.1\r\n", "the complete list is requested");
+    assert_eq!(
+        call, "GET /catalog/members?follow=1 HTTP/1.1\r\n",
+        "the first poll of the new discovery has to request the complete list"
+    );
     // A reload without changes leaves the daemon running.
     send_signal(&child, "-HUP");
     wait_for_line(&mut log, "configuration reloaded");
@@ -141,8 +145,8 @@
     assert_eq!(call(&successor.admin, "ONLINE s-0000ffff\n").split(' ').next(), Some("NAK"));
 }
 
-/// Asserts that every new client is admitted until the replaced process has ended, and once more afterwards. Its request in
-/// flight is answered after more than 20 new clients.
+/// Asserts that every new client is admitted until the replaced process has ended, and once more afterwards. The replaced
+/// process's request in flight is answered after more than 20 new clients.
 fn assert_no_interruption(
     listen: &str,
     ending: &JoinHandle<ExitStatus>,
@@ -200,7 +204,7 @@
         old.wait().unwrap()
     });
     assert_no_interruption(&listen, &ending, &mut client, &mut at_server);
-    assert!(ending.join().unwrap().success(), "the old process exits with success");
+    assert!(ending.join().unwrap().success(), "the old process exited with an error");
     send_signal(&successor.child, "-TERM");
     assert!(successor.child.wait().unwrap().success());
     std::fs::remove_dir_all(&directory).unwrap();
