--- a/cli/tests/discovery.rs
+++ b/cli/tests/discovery.rs
@@ -6,7 +6,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-use support::{address_in, cache_server, config, program, send_signal, wait_for_line};
+use support::{address_in, config, daemon_command, send_signal, start_cache_server, wait_for_line};
 
 /// How long a poll is queued: longer than discovery's own limit of 2 s, beyond which it rejects polls at once.
 const QUEUE_TIME: Duration = Duration::from_millis(2_300);
@@ -49,7 +49,7 @@
 /// server gets no further requests.
 #[test]
 fn a_queued_poll_is_not_abandoned() {
-    let [draining_address, serving_address] = ["D", "S"].map(cache_server);
+    let [draining_address, serving_address] = ["D", "S"].map(start_cache_server);
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let discovery_address = discovery.local_addr().unwrap().to_string();
     let text = config("127.0.0.1:0", &discovery_address, &draining_address).replace(
@@ -58,7 +58,7 @@
             "\"instances\":[{{\"instanceId\":\"s-00000002\",\"hostPort\":\"{serving_address}\",\"zone\":\"x\",\"machineType\":\"a\"}},"
         ),
     );
-    let mut child = program(Some(&text)).spawn().unwrap();
+    let mut child = daemon_command(Some(&text)).spawn().unwrap();
     let mut log = BufReader::new(child.stderr.take().unwrap());
     let listen = address_in(&wait_for_line(&mut log, "listening"));
     let mut client = TcpStream::connect(&listen).unwrap();
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -12,7 +12,9 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-use support::{address_in, cache_server, config, file, program, send_signal, wait_for_line};
+use support::{
+    address_in, config, daemon_command, send_signal, start_cache_server, wait_for_line, write_config_file,
+};
 
 /// The timeout of the test for an answer: far longer than any answer takes, and shorter than the request deadline.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
@@ -46,7 +48,7 @@
 }
 
 /// A running daemon with injected faults.
-struct FaultyProgram {
+struct FaultyDaemon {
     child: Child,
     /// The address for clients.
     listen: String,
@@ -55,20 +57,20 @@
 }
 
 /// Starts the daemon with these faults.
-fn start_with_faults(faults: &str) -> FaultyProgram {
+fn start_with_faults(faults: &str) -> FaultyDaemon {
     let instance = |number: usize| {
         format!(
             r#"{{"instanceId":"s-0000000{number}","hostPort":"{}","zone":"x","machineType":"a"}},"#,
-            cache_server(&value())
+            start_cache_server(&value())
         )
     };
     let others: String = (2..=SERVER_COUNT).map(instance).collect();
-    let text = config("127.0.0.1:0", "127.0.0.1:9", &cache_server(&value()))
+    let text = config("127.0.0.1:0", "127.0.0.1:9", &start_cache_server(&value()))
         .replace("\"instances\":[", &format!("\"instances\":[{others}"))
         // A request that was certainly not executed may be retried.
         .replace("\"max-attempts\":1", "\"max-attempts\":5");
     let mut child =
-        program(Some(&text)).env("LD_PRELOAD", fault_library()).env("FAULTS", faults).spawn().unwrap();
+        daemon_command(Some(&text)).env("LD_PRELOAD", fault_library()).env("FAULTS", faults).spawn().unwrap();
     let mut log = BufReader::new(child.stderr.take().unwrap());
     let listen = address_in(&wait_for_line(&mut log, "listening"));
     let rest = thread::spawn(move || {
@@ -76,7 +78,7 @@
         log.read_to_string(&mut rest).unwrap();
         rest
     });
-    FaultyProgram { child, listen, log: rest }
+    FaultyDaemon { child, listen, log: rest }
 }
 
 /// The number of requests answered with their value, and with an error.
@@ -117,7 +119,7 @@
 
 /// Asserts that every request is served despite these faults. Returns the rest of the log.
 fn assert_all_served(faults: &str) -> String {
-    let FaultyProgram { mut child, listen, log } = start_with_faults(faults);
+    let FaultyDaemon { mut child, listen, log } = start_with_faults(faults);
     let expected = Answers { served: CONNECTION_COUNT * PIPELINE_LENGTH, errors: 0 };
     assert_eq!(send_requests(&listen), expected, "{faults}");
     send_signal(&child, "-TERM");
@@ -185,7 +187,7 @@
         "bind=EADDRINUSE/1/3",
         "listen=ENOBUFS/1/3",
     ] {
-        let FaultyProgram { mut child, listen, .. } = start_with_faults(faults);
+        let FaultyDaemon { mut child, listen, .. } = start_with_faults(faults);
         let mut client = TcpStream::connect(&listen).unwrap();
         client.write_all(b"mn\r\n").unwrap();
         let mut answer = [0; 4];
@@ -211,10 +213,10 @@
         let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
         let old_discovery = TcpListener::bind("127.0.0.1:0").unwrap();
         let [before, after] = [&old_discovery, &discovery].map(|listener| {
-            config("127.0.0.1:0", &listener.local_addr().unwrap().to_string(), &cache_server(&value()))
+            config("127.0.0.1:0", &listener.local_addr().unwrap().to_string(), &start_cache_server(&value()))
         });
-        let path = file(&before);
-        let mut child = program(None)
+        let path = write_config_file(&before);
+        let mut child = daemon_command(None)
             .env("NODE_CONFIG", &path)
             .env("LD_PRELOAD", fault_library())
             .env("FAULTS", faults)
--- a/cli/tests/limits.rs
+++ b/cli/tests/limits.rs
@@ -11,17 +11,17 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use support::{address_in, call, config, file, send_signal, wait_for_line};
+use support::{address_in, config, send_admin_call, send_signal, wait_for_line, write_config_file};
 
 /// A running daemon, which is killed when the test ends or fails.
-struct RunningProgram {
+struct RunningDaemon {
     child: Child,
     log: BufReader<ChildStderr>,
     listen: String,
     admin: String,
 }
 
-impl Drop for RunningProgram {
+impl Drop for RunningDaemon {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -29,14 +29,14 @@
 }
 
 /// Starts the daemon with this number of descriptors, both as its ulimit and in its configuration.
-fn start(listen: &str, discovery: SocketAddr, server: SocketAddr, descriptors: usize) -> RunningProgram {
+fn start(listen: &str, discovery: SocketAddr, server: SocketAddr, descriptors: usize) -> RunningDaemon {
     let text = config(listen, &discovery.to_string(), &server.to_string())
         .replace("\"sockets\":512", &format!("\"sockets\":{descriptors}"))
         .replace("\"seed\"", "\"mgmt\":\"127.0.0.1:0\",\"seed\"");
     let dir = tempfile::tempdir().unwrap().keep();
     let mut child = Command::new("/bin/sh")
         .args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\""), env!("CARGO_BIN_EXE_juniperladder")])
-        .env("NODE_CONFIG", file(&text))
+        .env("NODE_CONFIG", write_config_file(&text))
         .env("TMPDIR", dir)
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
@@ -45,7 +45,7 @@
     let mut log = BufReader::new(child.stderr.take().unwrap());
     let listen = address_in(&wait_for_line(&mut log, "listening"));
     let admin = address_in(&wait_for_line(&mut log, "operators' address"));
-    RunningProgram { child, log, listen, admin }
+    RunningDaemon { child, log, listen, admin }
 }
 
 /// Checks the readiness of a balancer on a new connection. None if the connection ends or is silent until the timeout.
@@ -109,7 +109,7 @@
             "{discovery:?}: {:?}",
             restarted_at.elapsed()
         );
-        assert_eq!(call(&second.admin, "HEALTH\n"), "ACK ready\n");
+        assert_eq!(send_admin_call(&second.admin, "HEALTH\n"), "ACK ready\n");
     }
 }
 
--- a/cli/tests/process.rs
+++ b/cli/tests/process.rs
@@ -9,7 +9,9 @@
 use std::sync::mpsc;
 use std::thread::{self, JoinHandle};
 
-use support::{address_in, call, config, file, program, send_signal, wait_for_line};
+use support::{
+    address_in, config, daemon_command, send_admin_call, send_signal, wait_for_line, write_config_file,
+};
 
 #[test]
 fn a_failed_start_exits_with_an_error_of_one_line() {
@@ -17,7 +19,7 @@
     let with_address_in_use =
         config(&listener.local_addr().unwrap().to_string(), "127.0.0.1:1", "127.0.0.1:1");
     for text in [None, Some("{\"name\":"), Some(with_address_in_use.as_str())] {
-        let output = program(text).output().unwrap();
+        let output = daemon_command(text).output().unwrap();
         let error = String::from_utf8(output.stderr).unwrap();
         assert!(!output.status.success());
         assert!(error.starts_with("juniperladder: ") && error.lines().count() == 1, "{error:?}");
@@ -30,7 +32,7 @@
 fn sigterm_ends_the_daemon_after_the_last_answer() {
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = server.local_addr().unwrap().to_string();
-    let mut child = program(Some(&config("127.0.0.1:0", &address, &address))).spawn().unwrap();
+    let mut child = daemon_command(Some(&config("127.0.0.1:0", &address, &address))).spawn().unwrap();
     let mut log = BufReader::new(child.stderr.take().unwrap());
     let mut client = TcpStream::connect(address_in(&wait_for_line(&mut log, "listening"))).unwrap();
     let mut answers = BufReader::new(client.try_clone().unwrap());
@@ -71,8 +73,8 @@
     let [old, new] = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").unwrap());
     let [before, after] =
         [&old, &new].map(|discovery| config("127.0.0.1:0", &discovery.local_addr().unwrap().to_string(), ""));
-    let path = file(&before);
-    let mut child = program(None).env("NODE_CONFIG", &path).spawn().unwrap();
+    let path = write_config_file(&before);
+    let mut child = daemon_command(None).env("NODE_CONFIG", &path).spawn().unwrap();
     let mut log = BufReader::new(child.stderr.take().unwrap());
     wait_for_line(&mut log, "listening");
     std::fs::write(&path, &after[..after.len() / 2]).unwrap();
@@ -95,7 +97,7 @@
 }
 
 /// A running daemon with an admin interface.
-struct AdministeredProgram {
+struct AdministeredDaemon {
     child: Child,
     log: BufReader<ChildStderr>,
     listen: String,
@@ -103,7 +105,7 @@
 }
 
 /// Starts a daemon whose endpoint list has one reachable cache server and an unreachable one.
-fn start_administered(listen: &str, discovery: &str, server: &str, temporary: &Path) -> AdministeredProgram {
+fn start_administered(listen: &str, discovery: &str, server: &str, temporary: &Path) -> AdministeredDaemon {
     let text = config(listen, discovery, server)
         // The regular poll interval is longer than the test.
         .replace("\"ask-within\":10000000", "\"ask-within\":3600000000")
@@ -112,11 +114,11 @@
             "\"instances\":[",
             "\"instances\":[{\"instanceId\":\"s-00000002\",\"hostPort\":\"127.0.0.1:1\"},",
         );
-    let mut child = program(Some(&text)).env("TMPDIR", temporary).spawn().unwrap();
+    let mut child = daemon_command(Some(&text)).env("TMPDIR", temporary).spawn().unwrap();
     let mut log = BufReader::new(child.stderr.take().unwrap());
     let listen = address_in(&wait_for_line(&mut log, "listening"));
     let admin = address_in(&wait_for_line(&mut log, "operators' address"));
-    AdministeredProgram { child, log, listen, admin }
+    AdministeredDaemon { child, log, listen, admin }
 }
 
 /// Reads one line from this connection.
@@ -137,12 +139,12 @@
 
 /// Asserts that the successor has restored the override, and that it polls discovery at once rather than at the regular
 /// interval.
-fn assert_taken_over(successor: &AdministeredProgram, discovery: &TcpListener) {
+fn assert_taken_over(successor: &AdministeredDaemon, discovery: &TcpListener) {
     let poll = read_line(discovery.accept().unwrap().0);
     assert!(poll.starts_with("GET /catalog/members?follow=1"), "{poll}");
-    assert_eq!(call(&successor.admin, "HEALTH\n"), "ACK ready\n");
-    assert!(call(&successor.admin, "DUMP\n").contains("app_skipped_cache_hosts 1\n"));
-    assert_eq!(call(&successor.admin, "ONLINE s-0000ffff\n").split(' ').next(), Some("NAK"));
+    assert_eq!(send_admin_call(&successor.admin, "HEALTH\n"), "ACK ready\n");
+    assert!(send_admin_call(&successor.admin, "DUMP\n").contains("app_skipped_cache_hosts 1\n"));
+    assert_eq!(send_admin_call(&successor.admin, "ONLINE s-0000ffff\n").split(' ').next(), Some("NAK"));
 }
 
 /// Asserts that every new client is admitted until the replaced process has ended, and once more afterwards. The replaced
@@ -182,7 +184,7 @@
     let [server_address, discovery_address, silent_discovery_address] =
         [&server, &discovery, &silent_discovery].map(|listener| listener.local_addr().unwrap().to_string());
     let old = start_administered("127.0.0.1:0", &silent_discovery_address, &server_address, &directory);
-    assert_eq!(call(&old.admin, "OFFLINE s-00000002\n"), "ACK s-00000002 out by hand\n");
+    assert_eq!(send_admin_call(&old.admin, "OFFLINE s-00000002\n"), "ACK s-00000002 out by hand\n");
     let mut client = TcpStream::connect(&old.listen).unwrap();
     client.write_all(b"mg 7f3a9c21e0b4d655 v O7 Pc=read,d=50000\r\n").unwrap();
     let (mut at_server, _) = server.accept().unwrap();
@@ -192,13 +194,13 @@
     let mut successor = start_administered(&old.listen, &discovery_address, &server_address, &directory);
     assert_taken_over(&successor, &discovery);
 
-    let AdministeredProgram { child: mut old, log: mut old_log, listen, admin: old_admin } = old;
+    let AdministeredDaemon { child: mut old, log: mut old_log, listen, admin: old_admin } = old;
     send_signal(&old, "-TERM");
     wait_for_line(&mut old_log, "stopping");
     // Further signals, for termination or a reload, do not change the shutdown.
     send_signal(&old, "-TERM");
     send_signal(&old, "-HUP");
-    assert!(call(&old_admin, "HEALTH\n").starts_with("NAK stopping"));
+    assert!(send_admin_call(&old_admin, "HEALTH\n").starts_with("NAK stopping"));
     let ending = thread::spawn(move || {
         wait_for_line(&mut old_log, "stopped");
         old.wait().unwrap()
--- a/cli/tests/support/faults.c
+++ b/cli/tests/support/faults.c
@@ -30,13 +30,13 @@
     char call[16];
     int action;
     long every, max_times;
-    atomic_long calls, acted;
+    atomic_long calls, applied;
 };
 
 static struct rule rules[MAX_RULES];
 static int rule_count;
 
-static const struct { const char *name; int value; } errors[] = {
+static const struct { const char *name; int value; } actions[] = {
     {"short", SHORT}, {"ahead", AHEAD}, {"behind", BEHIND}, {"EIO", EIO}, {"EINTR", EINTR}, {"ENFILE", ENFILE}, {"EMFILE", EMFILE}, {"ENOBUFS", ENOBUFS},
     {"ECONNABORTED", ECONNABORTED}, {"EPROTO", EPROTO}, {"EADDRNOTAVAIL", EADDRNOTAVAIL}, {"ENETUNREACH", ENETUNREACH},
     {"EAGAIN", EAGAIN}, {"ETIMEDOUT", ETIMEDOUT}, {"EHOSTUNREACH", EHOSTUNREACH}, {"EADDRINUSE", EADDRINUSE},
@@ -53,9 +53,9 @@
         rule->max_times = -1;
         int read = sscanf(rule_text, "%15[^=]=%23[^/]/%ld/%ld", rule->call, action, &rule->every, &rule->max_times);
         int is_known = 0;
-        for (size_t index = 0; index < sizeof errors / sizeof *errors; index++) {
-            if (!strcmp(action, errors[index].name)) {
-                rule->action = errors[index].value;
+        for (size_t index = 0; index < sizeof actions / sizeof *actions; index++) {
+            if (!strcmp(action, actions[index].name)) {
+                rule->action = actions[index].value;
                 is_known = 1;
             }
         }
@@ -73,7 +73,7 @@
         struct rule *rule = &rules[index];
         if (strcmp(rule->call, call)) continue;
         if ((atomic_fetch_add(&rule->calls, 1) + 1) % rule->every) continue;
-        if (rule->max_times >= 0 && atomic_fetch_add(&rule->acted, 1) >= rule->max_times) continue;
+        if (rule->max_times >= 0 && atomic_fetch_add(&rule->applied, 1) >= rule->max_times) continue;
         return rule->action;
     }
     return 0;
--- a/cli/tests/support/mod.rs
+++ b/cli/tests/support/mod.rs
@@ -23,7 +23,7 @@
 }
 
 /// Writes a new configuration file with this content.
-pub fn file(content: &str) -> PathBuf {
+pub fn write_config_file(content: &str) -> PathBuf {
     static LAST: AtomicU32 = AtomicU32::new(0);
     let number = LAST.fetch_add(1, Ordering::Relaxed);
     let name = format!("juniperladder-test-{}-{number}.json", std::process::id());
@@ -33,11 +33,11 @@
 }
 
 /// The command that starts the daemon with this configuration.
-pub fn program(config: Option<&str>) -> Command {
+pub fn daemon_command(config: Option<&str>) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_juniperladder"));
     command.env_remove("NODE_CONFIG").stdout(Stdio::piped()).stderr(Stdio::piped());
     if let Some(text) = config {
-        command.env("NODE_CONFIG", file(text));
+        command.env("NODE_CONFIG", write_config_file(text));
     }
     command
 }
@@ -65,7 +65,7 @@
 }
 
 /// Sends an admin call, and returns the complete answer.
-pub fn call(address: &str, line: &str) -> String {
+pub fn send_admin_call(address: &str, line: &str) -> String {
     let mut operator = TcpStream::connect(address).unwrap();
     operator.write_all(line.as_bytes()).unwrap();
     let mut answer = String::new();
@@ -74,7 +74,7 @@
 }
 
 /// Starts a cache server that answers every request with this value. Returns its address.
-pub fn cache_server(value: &str) -> String {
+pub fn start_cache_server(value: &str) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let value = value.to_owned();
