--- a/dispatch/src/stall_tracker/tests.rs
+++ b/dispatch/src/stall_tracker/tests.rs
@@ -48,7 +48,7 @@
         assert_eq!(
             tracker_after(calls).earliest_event_time(at_ms(noticed)),
             at_ms(earliest),
-            "{calls:?} {noticed}"
+            "after {calls:?}, noticed at {noticed} ms"
         );
     }
 }
--- a/dispatch/src/streamed_value.rs
+++ b/dispatch/src/streamed_value.rs
@@ -22,7 +22,7 @@
 pub struct ChunkReceiver {
     length: usize,
     chunks: Rc<RefCell<mpsc::Receiver<Bytes>>>,
-    /// Counts the value as in transit to its client; none if the value is not an answer to a client.
+    /// Counts the value as in transit to its client; none until the value is the answer to a client.
     download: Option<Rc<DownloadInProgress>>,
 }
 
