--- a/cli/benches/data_path/balancer.rs
+++ b/cli/benches/data_path/balancer.rs
@@ -63,12 +63,12 @@
             .stdout(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
-            .expect("cannot start the program");
+            .expect("cannot start the daemon");
         let balancer = Balancer { child, address, _folder: folder };
         let mut attempts = 0;
         while !is_ready(address).await {
             attempts += 1;
-            assert!(attempts < READY_ATTEMPTS, "the program is not ready after {attempts} checks");
+            assert!(attempts < READY_ATTEMPTS, "the daemon is not ready after {attempts} checks");
             tokio::time::sleep(READY_INTERVAL).await;
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
--- a/cli/tests/process.rs
+++ b/cli/tests/process.rs
@@ -1,4 +1,5 @@
-//! The daemon as a process: a failed start, a graceful shutdown with a request in flight, a reload and a replacement.
+//! The daemon as a process: a failed start, a graceful shutdown with a request in flight, a reload, and a replacement by
+//! another process.
 
 mod support;
 
--- a/cli/tests/support/faults.c
+++ b/cli/tests/support/faults.c
@@ -60,7 +60,7 @@
             }
         }
         if (read < 3 || !is_known || rule->every < 1) {
-            fprintf(stderr, "FAULTS: bad rule %s\n", rule_text);
+            fprintf(stderr, "FAULTS: invalid rule %s: expected CALL=ACTION/EVERY or CALL=ACTION/EVERY/MOST with a known action\n", rule_text);
             abort();
         }
         rule_count++;
@@ -112,7 +112,7 @@
     return NEXT(epoll_wait)(epoll, events, max_events, timeout);
 }
 
-/* Fails only for the configuration file, which has this extension in the tests. */
+/* Fails only for the configuration file, whose name ends with .json in the tests. */
 int open64(const char *path, int flags, ...) {
     va_list rest;
     va_start(rest, flags);
