--- a/cluster/src/cluster.rs
+++ b/cluster/src/cluster.rs
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Announces to the other members that this balancer leaves. The tokens that it owns stay unused until it is back; leased
-    /// tokens are returned at once as far as its recent uses allow.
+    /// Announces to the other members that this balancer leaves. The tokens that it owns stay unused until it is back;
+    /// tokens leased from others are returned at once as far as its recent uses allow.
     pub fn leave(&mut self, now: Micros) {
         self.membership.leave(now);
         for limit in &mut self.rate_limits {
@@ -190,7 +190,7 @@
         self.encode_outgoing();
     }
 
-    /// Collects the modules' messages and encodes them into packets.
+    /// Collects the modules' messages and encodes them into packets; packets beyond [`MAX_OUTGOING_PACKETS`] are dropped.
     fn encode_outgoing(&mut self) {
         for (to, bytes) in self.membership.drain() {
             self.outgoing.push((to, packet::encode_membership(&bytes)));
--- a/cluster/src/cluster/config.rs
+++ b/cluster/src/cluster/config.rs
@@ -23,11 +23,11 @@
     pub address: SocketAddr,
     /// Identifies the process at that address; a later process has a greater number.
     pub incarnation: u64,
-    /// The balancer's position in the fleet, from 0; no two processes may have the same.
+    /// The balancer's position in the fleet, from 0; no two running processes may have the same one.
     pub position: u32,
     /// The balancer's zone.
     pub zone: u32,
-    /// Members to which the balancer announces itself at its start.
+    /// Addresses of members to which the balancer announces itself at its start and periodically.
     pub seeds: Vec<SocketAddr>,
     /// The rate limits; their order has to be the same at every member.
     pub rate_limits: Vec<NamedRateLimit>,
--- a/cluster/src/cluster/metrics.rs
+++ b/cluster/src/cluster/metrics.rs
@@ -48,7 +48,8 @@
     pub sent: PacketCounts,
     /// Packets received.
     pub received: PacketCounts,
-    /// Received packets that were malformed, of another version, or from an address that is not a member's.
+    /// Received packets that were malformed, of another version, or from an address that is not a member's, and membership
+    /// packets that the protocol rejected or could not send.
     pub dropped_packets: u64,
     /// Received messages whose sender has different terms, that is, another configuration.
     pub terms_mismatches: u64,
--- a/cluster/src/cluster/terms_digest.rs
+++ b/cluster/src/cluster/terms_digest.rs
@@ -33,6 +33,7 @@
     ])
 }
 
+/// Omits the trial rate and the clock drift: members that differ only in these still exchange reports.
 pub(super) fn of_failure_detector(terms: &FailureDetectorTerms) -> u32 {
     digest(&[terms.min_reporters as u64, terms.report_lifetime.0, terms.max_suspected_share.to_bits()])
 }
--- a/cluster/src/cluster/tests.rs
+++ b/cluster/src/cluster/tests.rs
@@ -71,7 +71,7 @@
     may_begin
 }
 
-/// Runs two balancers for a number of seconds; the first has a demand of six requests a second.
+/// Runs two balancers for a number of seconds; the first has a demand of about six requests a second.
 fn run(balancers: &mut [Cluster; 2], seconds: u64) {
     for now in times(Micros::ZERO, Micros::from_secs(seconds), TICK) {
         for from in 0..2 {
@@ -113,7 +113,7 @@
             budget.on_rejected(now);
         }
         let SlowStartAccess::Limited(limit) = balancers[0].slow_start(server, now) else {
-            panic!("the server is in slow start, and its limit is missing")
+            panic!("the server in slow start has no limit")
         };
         begun += usize::from(try_acquire_token(limit, now));
         if now.0 % 60_000 == 0 {
@@ -125,10 +125,11 @@
     let budget = balancers[0].metrics(Micros::from_secs(12)).retry_budget.unwrap();
     assert!(
         budget.retries > 10 && budget.first_attempts == 0,
-        "the first balancer has earned no credits itself: {budget:?}"
+        "the first balancer must retry on the credits of the second: {budget:?}"
     );
-    // The limit grows from 4 to 7 tokens in these four seconds; the balancer owns half of them.
-    assert!((15..=24).contains(&begun), "{begun}");
+    // The limit grows from 4 to 6 tokens a second in these four seconds, about 20 in all. The balancer owns half of them, so
+    // that it has to lease some of the others.
+    assert!((15..=24).contains(&begun), "{begun} tokens");
 }
 
 #[test]
--- a/cluster/src/failure_detector.rs
+++ b/cluster/src/failure_detector.rs
@@ -14,9 +14,10 @@
 //!   assumed to have lost its own link and is discredited. At most `max_suspected_share` of all servers, and half of a zone's
 //!   servers, are suspected: first those already suspected, then those with the most reporters. For the others each balancer
 //!   relies on its own observations.
-//! - **Recovery.** An answer that is newer than the reports of silence clears a server; each member then waits for a random
-//!   delay before it uses the server again. While a server is suspected, all members together send it about `trials_per_s`
-//!   trial requests a second, whatever the number of members.
+//! - **Recovery.** An answer clears older reports of silence from its own zone, and those from all zones if the answer's zone
+//!   had reported the server silent. Once a server is cleared, each member waits for a random delay before it uses the server
+//!   again. While a server is suspected, all members together send it about `trials_per_s` trial requests a second, whatever
+//!   the number of members.
 //!
 //! # Why the bound of an age holds
 //!
--- a/cluster/src/failure_detector/dissemination.rs
+++ b/cluster/src/failure_detector/dissemination.rs
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Takes one answer from the limit for the current tick; false if none is left.
+    /// Counts an answer towards the limit for the current tick; false if the limit is reached.
     pub(super) fn take_answer(&mut self) -> bool {
         if self.answered >= MAX_ANSWERS_PER_TICK {
             return false;
@@ -136,7 +136,7 @@
         self.queries.close(now, from, sent)
     }
 
-    /// Resets the limit of answers and removes queries that have timed out.
+    /// Resets the number of answers and removes queries that have timed out.
     pub(super) fn on_tick(&mut self, now: Micros) {
         self.answered = 0;
         self.queries.expire(now);
@@ -164,8 +164,9 @@
         queries
     }
 
-    /// The scope of an urgent query. While reports are missing for a decision, it is all reports: a member that has only one of
-    /// the missing reports does not treat it as urgent.
+    /// The scope of an urgent query: the urgent reports, or all reports while this member has a recent own report, no urgent
+    /// report, or too few reports for a decision. In the last case the urgent ones are not enough, because a member that has
+    /// only one of the missing reports does not treat that report as urgent.
     fn urgent_scope(&self, now: Micros, table: &ReportTable, min_reporters: usize) -> QueryScope {
         let is_undecided = |reports: &Vec<StoredReport>| {
             evidence::is_urgent(reports) && !evidence::is_decided(reports, min_reporters)
@@ -190,8 +191,8 @@
     report_index: usize,
 }
 
-/// The reports of an answer, with their ages. If not all reports fit, the newest `min_reporters` reports on each server come
-/// first, beginning with the server at index `first_server`, and then older reports.
+/// The reports in the scope of a query for its answer, with their ages. If not all of them fit, the newest `min_reporters`
+/// reports on each server come first, beginning with the server at index `first_server`, and then older reports.
 pub(super) fn answer(
     table: &ReportTable,
     now: Micros,
--- a/cluster/src/failure_detector/evidence.rs
+++ b/cluster/src/failure_detector/evidence.rs
@@ -12,9 +12,9 @@
 /// A reporter of at most this number of silent servers is never discredited, even if there are very few servers.
 const ALWAYS_CREDIBLE_SILENT_SERVERS: usize = 2;
 
-/// Reports of silence that no answer has cleared. An answer clears older reports of its own zone. It clears older reports of
-/// other zones only if it is a recovery, which shows a change of the server; otherwise it is evidence only for its own network
-/// path.
+/// Reports of silence, by reporters that are not discredited, that no answer has cleared. An answer clears older reports of its
+/// own zone. It clears older reports of other zones only if it is a recovery, which shows a change of the server; otherwise it
+/// is evidence only for its own network path.
 fn uncleared<'a>(
     reports: &'a [StoredReport],
     discredited: &'a BTreeSet<u32>,
--- a/cluster/src/failure_detector/exchange.rs
+++ b/cluster/src/failure_detector/exchange.rs
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Answers a query of a member that has different reports, and queries the member back if its scope asks for that.
+    /// Answers a query of a member that has different reports, and queries that member back if the query's scope asks for it.
     fn on_query(&mut self, now: Micros, from: SocketAddr, sent: Micros, digest: u64, scope: QueryScope) {
         if digest == self.dissemination.digest(scope) || !self.dissemination.take_answer() {
             return;
--- a/cluster/src/failure_detector/reports.rs
+++ b/cluster/src/failure_detector/reports.rs
@@ -78,7 +78,9 @@
 /// Selects the reports on one server that are kept; applied to each report from the newest to the oldest.
 #[derive(Default)]
 struct Retention {
+    /// The zones whose reports are kept.
     zones: BTreeSet<u32>,
+    /// The number of reports of each kind so far, including those that are not kept.
     counts: BTreeMap<ReportKind, usize>,
 }
 
@@ -91,7 +93,7 @@
 }
 
 impl Retention {
-    /// Whether a report is among the newest of its kind and not cleared by a newer answer from its zone.
+    /// Whether a report is from a kept zone, among the newest of its kind, and not cleared by a newer answer from its zone.
     fn keeps(&mut self, report: &StoredReport) -> bool {
         let StoredReport { zone, is_silent, is_recovery, .. } = *report;
         let is_zone_kept = self.zones.contains(&zone) || self.zones.len() < MAX_ZONES;
--- a/cluster/src/failure_detector/suspicion.rs
+++ b/cluster/src/failure_detector/suspicion.rs
@@ -62,6 +62,7 @@
 }
 
 impl ZoneCounts {
+    /// Whether one more of the zone's servers may be suspected.
     fn has_capacity(&self) -> bool {
         (self.suspected + 1) as f64 <= MAX_SUSPECTED_SHARE_OF_ZONE * self.serving as f64
     }
--- a/cluster/src/failure_detector/terms.rs
+++ b/cluster/src/failure_detector/terms.rs
@@ -2,8 +2,8 @@
 
 use juniperladder::Micros;
 
-/// The terms of the failure detector. They have to be the same at every member; members whose terms differ ignore each other's
-/// reports.
+/// The terms of the failure detector. They have to be the same at every member; members that differ in `min_reporters`,
+/// `report_lifetime` or `max_suspected_share` ignore each other's reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FailureDetectorTerms {
     /// The number of members that have to report a server silent before others suspect it.
@@ -19,8 +19,8 @@
 }
 
 impl FailureDetectorTerms {
-    /// The lifetime of a report by the own clock, shortened by the drift so that it does not exceed the stated one by any
-    /// clock.
+    /// The lifetime of a report by the own clock, shortened by the drift so that it does not exceed `report_lifetime` by
+    /// any clock.
     pub(super) fn local_lifetime(&self) -> Micros {
         self.report_lifetime.mul_f64(1.0 - 2.0 * self.clock_drift)
     }
--- a/cluster/src/failure_detector/tests.rs
+++ b/cluster/src/failure_detector/tests.rs
@@ -28,7 +28,7 @@
     }
     assert!(
         avoided > 100_000 && lost_requests > 10_000,
-        "{avoided} requests avoided a server, {lost_requests} were lost"
+        "too few requests to test the guarantee: {avoided} avoided a server, {lost_requests} were lost"
     );
 }
 
@@ -39,7 +39,7 @@
             let scenario = Scenario { defect: Some(defect), ..random_scenario(*seed) };
             run_fleet(*seed, scenario).violation.is_some()
         });
-        assert!(detected_by.is_some(), "{defect:?}");
+        assert!(detected_by.is_some(), "{defect:?}: not detected");
     }
 }
 
@@ -74,9 +74,9 @@
         detector.on_server_observed(server(number), false, Micros(20_000 + number));
     }
     detector.on_server_observed(server(5), true, Micros(30_000));
-    assert_eq!(detector.metrics().own_reports, 1, "most servers answer, so that the report is made");
+    assert_eq!(detector.metrics().own_reports, 1, "no report was made although most servers answer");
     detector.on_server_observed(server(6), true, Micros(30_000) + Micros::from_secs(3));
-    assert_eq!(detector.metrics().own_reports, 1, "the answers have expired, so that no report is made");
+    assert_eq!(detector.metrics().own_reports, 1, "a report was made although the answers have expired");
 }
 
 /// Guards against a partition of one zone's network path that makes members of other zones suspect a healthy server.
--- a/cluster/src/failure_detector/tests/fleet.rs
+++ b/cluster/src/failure_detector/tests/fleet.rs
@@ -108,7 +108,7 @@
 
 struct Member {
     detector: FailureDetector,
-    /// The time of each server's last answer to this member.
+    /// The time of each server's last answer to this member, by the member's clock.
     last_responses: Vec<Micros>,
 }
 
@@ -141,7 +141,9 @@
     scenario: Scenario,
     network: VirtualNetwork<Message, Scheduled>,
     members: Vec<Member>,
+    /// Whether each server is silent now.
     is_silent: Vec<bool>,
+    /// The start time of each server's current incarnation.
     started: Vec<Micros>,
     /// Servers that become silent at some time.
     faulty: BTreeSet<usize>,
@@ -378,7 +380,8 @@
         self.members[member].detector.on_server_observed(incarnation, is_silent, now);
     }
 
-    /// Checks that a server that a request avoided was recently observed silent by enough members.
+    /// Checks that a server that a request avoided was recently observed silent by enough members, and that the member does not
+    /// suspect too many servers.
     fn on_avoided(&mut self, member: usize, server: usize, incarnation: ServerIncarnation) {
         self.result.avoided += 1;
         self.result.wrongly_avoided += usize::from(!self.faulty.contains(&server));
@@ -394,7 +397,8 @@
         let TrueSilence { last_seen, seen_by } =
             self.true_silence.get(&incarnation).cloned().unwrap_or_default();
         if seen_by.len() + faulty_reporters < terms().min_reporters {
-            let violation = format!("member {member} avoided {incarnation:?} on the reports of {seen_by:?}");
+            let violation =
+                format!("member {member} avoided {incarnation:?}, observed silent only by {seen_by:?}");
             self.result.violation = Some(violation);
         }
         // Clocks may differ by the drift, and rounding may lose a microsecond.
--- a/cluster/src/interval.rs
+++ b/cluster/src/interval.rs
@@ -1,4 +1,4 @@
-//! Timing of periodic rounds: a minimum interval between two rounds, and a backoff for rounds without result.
+//! Timing of periodic rounds: a minimum interval between two rounds, and a backoff for rounds without a result.
 
 #[cfg(test)]
 mod tests;
--- a/cluster/src/lib.rs
+++ b/cluster/src/lib.rs
@@ -1,6 +1,6 @@
-//! Coordination among balancers that may talk to each other: the list of live members ([`membership`]), rate limits on all
-//! balancers together ([`rate_limit`]; [`slow_start_limit`] for each server that warms up; [`retry_budget`] for retries), and
-//! the detection of silent servers ([`failure_detector`]). [`cluster`] combines one balancer's part of all of them.
+//! Coordination among balancers that exchange packets: the list of live members ([`membership`]), rate limits on all balancers
+//! together ([`rate_limit`]; [`slow_start_limit`] for each server in slow start; [`retry_budget`] for retries), and the
+//! detection of silent servers ([`failure_detector`]). [`cluster`] combines one balancer's part of all of them.
 //!
 //! All modules are state machines without I/O and without a clock: the caller passes in packets and times and drains the
 //! outgoing packets; `node/` exchanges them over UDP. The documentation of each module states its guarantee; the reasoning is
@@ -31,5 +31,5 @@
 /// The maximum number of members of a fleet. Memory is allocated only for members that exist.
 pub const MAX_MEMBERS: usize = 4_096;
 
-/// The maximum number of server incarnations with stored state: all servers of a fleet, and as many that they replace.
+/// The maximum number of server incarnations with stored state: enough for all servers of a fleet and as many replaced ones.
 pub const MAX_SERVER_INCARNATIONS: usize = 8_192;
--- a/cluster/src/membership.rs
+++ b/cluster/src/membership.rs
@@ -227,8 +227,8 @@
     /// Handles the timers that are due and announces this member; to be called about every 50 ms.
     pub fn tick(&mut self, now: Micros) {
         while let Some(timer) = self.pop_due_timer(now) {
-            // After a stall of the process, the stages of a health check may be out of order, which is an error here; the
-            // protocol continues with the next health check.
+            // After a stall of the process, the stages of a health check may be out of order, so that `handle_timer` fails;
+            // the protocol continues with the next health check.
             let _ = self.swim.handle_timer(timer, &mut self.runtime);
             self.collect(now);
         }
@@ -273,7 +273,7 @@
         self.outgoing.drain(..)
     }
 
-    /// A random live member; `None` if there is no other member.
+    /// The address of a random live member other than this one; `None` if there is none.
     pub fn random_peer(&mut self) -> Option<SocketAddr> {
         let count = self.swim.num_members();
         let index = self.rng.random_range(0..count.max(1));
@@ -281,7 +281,7 @@
         member.map(|member| member.id().address)
     }
 
-    /// Whether this address is that of a known member, in any state.
+    /// Whether a known member, in any state, has this address.
     pub fn is_known(&self, address: SocketAddr) -> bool {
         self.swim.iter_membership_state().any(|member| member.id().address == address)
     }
--- a/cluster/src/membership/tests.rs
+++ b/cluster/src/membership/tests.rs
@@ -7,7 +7,7 @@
 
 const FIRST_PORT: u16 = 1_000;
 const PACKET_DELAY: Micros = Micros::from_millis(5);
-/// Members of a test have numbers below this bound; nonexistent members have greater numbers.
+/// Members of a test have numbers below this bound; nonexistent members have numbers from the bound on.
 const MAX_TEST_MEMBERS: usize = 64;
 
 fn address(number: usize) -> SocketAddr {
@@ -89,7 +89,7 @@
 fn members_join_through_seeds_are_removed_when_down_and_rejoin_as_a_new_incarnation() {
     let mut fleet = Fleet::new(20);
     fleet.run(0, 3, |_, _| false);
-    assert_eq!(fleet.alive(), [20; 20], "every member knows all others within three seconds");
+    assert_eq!(fleet.alive(), [20; 20], "some member does not know all others after three seconds");
     fleet.members[5] = None;
     fleet.members[0] = None;
     fleet.run(3, 20, |_, _| false);
@@ -132,5 +132,5 @@
     }
     let restarts = flooded.restarts();
     let dropped = flooded.dropped_packets();
-    assert!(restarts > 0 && dropped > 10_000, "{restarts} {dropped}");
+    assert!(restarts > 0 && dropped > 10_000, "{restarts} restarts, {dropped} dropped packets");
 }
--- a/cluster/src/open_requests.rs
+++ b/cluster/src/open_requests.rs
@@ -1,4 +1,5 @@
-//! Tracks requests that await a response. A response is accepted once; late ones and those from another peer are not accepted.
+//! Tracks requests that await a response. A response is accepted once; responses that are late or from another peer are
+//! rejected.
 
 #[cfg(test)]
 mod tests;
@@ -53,7 +54,7 @@
         true
     }
 
-    /// Removes the requests that have timed out.
+    /// Removes the requests that have timed out, and the oldest ones beyond [`MAX_OPEN_REQUESTS`].
     pub(crate) fn expire(&mut self, now: Micros) {
         while self.open.len() > MAX_OPEN_REQUESTS || self.has_oldest_timed_out(now) {
             self.open.pop_front();
--- a/cluster/src/open_requests/tests.rs
+++ b/cluster/src/open_requests/tests.rs
@@ -11,14 +11,14 @@
     let mut requests = OpenRequests::new(Micros::SECOND);
     let first = requests.open(Micros(5), peer(1));
     let second = requests.open(Micros(5), peer(2));
-    assert_ne!(first, second, "requests opened at the same time have different send times");
+    assert_ne!(first, second, "two requests opened at the same time have the same send time");
     assert!(
         !requests.close(Micros(6), peer(2), first),
-        "the response comes from a peer to which this request was not sent"
+        "a response was accepted from a peer to which the request was not sent"
     );
     assert!(requests.close(Micros(6), peer(1), first));
-    assert!(!requests.close(Micros(6), peer(1), first), "a duplicate response");
-    assert!(!requests.close(second + Micros::SECOND, peer(2), second), "too late");
+    assert!(!requests.close(Micros(6), peer(1), first), "a duplicate response was accepted");
+    assert!(!requests.close(second + Micros::SECOND, peer(2), second), "a late response was accepted");
 }
 
 #[test]
--- a/cluster/src/packet/tests.rs
+++ b/cluster/src/packet/tests.rs
@@ -56,7 +56,7 @@
     let packets = encode_messages(all_messages().into_iter().map(|message| (receiver(), message)));
     let decoded = packets.iter().flat_map(|(_, bytes)| match decode(bytes) {
         Ok(Packet::Coordination(messages)) => messages,
-        other => panic!("{other:?}"),
+        other => panic!("not a packet of messages: {other:?}"),
     });
     let mut decoded: Vec<CoordinationMessage> = decoded.collect();
     // A message may be batched into an earlier packet, so that the order across packets is not preserved.
--- a/cluster/src/rate_limit.rs
+++ b/cluster/src/rate_limit.rs
@@ -16,8 +16,8 @@
 //! drift and one window more, so that the borrower's last use is at least a window old when the token is unlocked. A holder
 //! returns a token early, or leases it out, only while its uses in the last window fit into the tokens that it keeps. A process
 //! that starts neither uses nor leases out its own tokens until all that an earlier incarnation may have leased out or used has
-//! expired. Hence a holder's uses in the last window never exceed its usable tokens plus those that expired there within the
-//! window (which their owner still locks), and the sum over all holders never exceeds the number of tokens. Requests that
+//! expired. Hence a holder's uses in the last window never exceed its usable tokens plus the leased tokens that expired within
+//! the window (which their owner still locks), and the sum over all holders never exceeds the number of tokens. Requests that
 //! arrive within one second began within one window.
 //!
 //! # What is not required
@@ -57,7 +57,7 @@
 const MAX_LEASE_REQUEST_INTERVAL: Micros = Micros::from_millis(800);
 /// How long surplus tokens are kept before they are returned, in case they are needed again.
 const SURPLUS_RETENTION: Micros = Micros::SECOND;
-/// How long a request waits if this member has no usable token; by then it may have leased some.
+/// How long a request waits if its member has no usable token; by then the member may have leased some.
 pub const WAIT_WITHOUT_TOKENS: Micros = Micros::from_millis(50);
 /// The number of tokens that a member wants in addition to its usable ones while a request waits.
 const EXTRA_TOKENS_FOR_WAITING_REQUEST: u32 = 2;
@@ -88,10 +88,12 @@
     recalls: Interval,
     /// The time since which this member has had more tokens than it wanted; `None` if it has no surplus.
     surplus_since: Option<Micros>,
+    /// When this member last received a message from another member.
     last_contact: Option<Micros>,
     /// The total time with fewer usable tokens than wanted.
     shortage_time: Micros,
     last_tick: Micros,
+    /// The number of requests rejected because no token was free.
     rejected: u64,
     /// Whether a request has found no free token since the last tick.
     has_waiting_request: bool,
@@ -144,8 +146,8 @@
         self.owned_tokens = self.owned_tokens.max(owned_tokens);
     }
 
-    /// How long a request has to wait for a token; `Micros::ZERO` if it may begin now. If it has to wait, the call counts as
-    /// demand, and this member requests tokens from others.
+    /// How long a request has to wait for a token; `Micros::ZERO` if it may begin now. If it has to wait, this member
+    /// requests tokens from others at its next tick.
     pub fn wait_time(&mut self, now: Micros) -> Micros {
         let used = self.uses.count(now);
         let usable = self.usable_tokens(now) as usize;
@@ -208,8 +210,8 @@
         }
     }
 
-    /// Makes this member leave: it owns no tokens any more and returns leased tokens as far as its uses in the last window
-    /// allow.
+    /// Makes this member leave: it owns no tokens any more and returns tokens leased from others as far as its uses in the last
+    /// window allow.
     pub fn leave(&mut self, now: Micros) {
         self.owned_tokens = 0;
         self.release_all(now);
@@ -309,7 +311,7 @@
 pub(crate) enum Defect {
     /// The borrower counts a lease from the receipt of its grant.
     LeaseFromReceipt,
-    /// The owner applies a request that is older than one already applied.
+    /// The owner applies a request although it or a newer one has already been applied.
     OutdatedRequestsApplied,
     /// The owner applies a request of a new incarnation to the lease of the old one.
     RequestIncarnationIgnored,
--- a/cluster/src/rate_limit/lease.rs
+++ b/cluster/src/rate_limit/lease.rs
@@ -22,9 +22,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct GrantedLease {
     pub(super) borrower: SocketAddr,
+    /// The borrower's incarnation.
     pub(super) incarnation: u64,
     /// The send time of the borrower's newest request.
     pub(super) newest_request: Micros,
+    /// The number of tokens that the lease covers, including those being recalled.
     pub(super) tokens: u32,
     /// The time until which the owner neither uses the tokens nor leases them to others.
     pub(super) locked_until: Micros,
@@ -114,8 +116,8 @@
         self.requests.back().map_or(Micros::ZERO, |request| request.sent)
     }
 
-    /// The maximum number of tokens that the owner may consider held here: the most that was requested from it or granted by
-    /// it.
+    /// The maximum number of tokens that the owner may consider held by this borrower: the most that was requested from the
+    /// owner or granted by it.
     pub(super) fn max_known_to_owner(&self) -> u32 {
         let max_requested = self.requests.iter().map(|request| request.tokens).max().unwrap_or(0);
         max_requested.max(self.tokens)
@@ -158,7 +160,7 @@
         self.target_tokens = self.target_tokens.min(grant.tokens);
     }
 
-    /// Abandons the target if there is no active lease and no request can still be answered.
+    /// Resets the tokens and the target to zero if there is no active lease and no request can still be answered.
     pub(super) fn abandon_if_unanswered(&mut self, now: Micros) {
         let may_be_answered =
             self.oldest_unanswered().is_some_and(|sent| now < sent + ABANDON_UNANSWERED_AFTER);
--- a/cluster/src/rate_limit/message.rs
+++ b/cluster/src/rate_limit/message.rs
@@ -26,7 +26,7 @@
     /// The send time of the request, from which the lease counts.
     #[serde(with = "crate::wire::micros")]
     pub sent: Micros,
-    /// The number of tokens that the lease covers.
+    /// The number of tokens that the borrower may use.
     pub tokens: u32,
     /// The number of further tokens that the owner could lease out.
     pub available: u32,
--- a/cluster/src/rate_limit/metrics.rs
+++ b/cluster/src/rate_limit/metrics.rs
@@ -2,8 +2,8 @@
 
 use juniperladder::Micros;
 
-/// Metrics of one member's part of a rate limit. Tokens are current numbers; times and requests accumulate since the process
-/// started.
+/// Metrics of one member's part of a rate limit. Numbers of tokens are current; the shortage time and the rejections
+/// accumulate since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RateLimitMetrics {
     /// The total number of tokens of all members.
--- a/cluster/src/rate_limit/owner.rs
+++ b/cluster/src/rate_limit/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's side of leases: how many tokens it grants, how long they are locked, and recalls.
+//! The owner's side of leases: how many tokens it grants, how long it locks them, and when it recalls some of them.
 
 use std::net::SocketAddr;
 
@@ -45,8 +45,8 @@
         (usable_own - reserved).min(unused)
     }
 
-    /// Removes the borrower's lease from the records and returns it, or an empty lease if there is none; `None` if the request
-    /// is older than one already applied and must be ignored.
+    /// Removes the borrower's lease from the records and returns it, or an empty lease if there is none; `None` if this
+    /// request or a newer one has already been applied, so that it must be ignored.
     fn take_lease_for(
         &mut self,
         now: Micros,
@@ -68,16 +68,16 @@
         Some(self.granted.swap_remove(index))
     }
 
-    /// Whether a newer request of the same incarnation has already been applied.
+    /// Whether this request or a newer one of the same incarnation has already been applied.
     fn is_outdated(&self, request: &LeaseRequest, lease: &GrantedLease) -> bool {
         request.sent <= lease.newest_request
             && request.incarnation == lease.incarnation
             && !self.defect.is_active(Defect::OutdatedRequestsApplied)
     }
 
-    /// The number of tokens that this owner recalls now because it has too few itself. The grant is reduced by this number, but
-    /// the tokens stay locked until the borrower confirms that it holds fewer. Each round recalls tokens from one borrower
-    /// only.
+    /// Begins a recall if this owner has too few usable tokens and the last recall was at least [`RECALL_INTERVAL`] ago.
+    /// Returns the number of tokens to recall, or 0. The caller grants the borrower that many fewer tokens, but they stay
+    /// locked until the borrower requests fewer. Each recall affects one borrower only.
     fn begin_recall(&mut self, now: Micros) -> u32 {
         let shortfall = self.demanded_tokens().saturating_sub(self.usable_tokens(now));
         if shortfall == 0 || !self.recalls.is_due(now, RECALL_INTERVAL) {
--- a/cluster/src/rate_limit/tests.rs
+++ b/cluster/src/rate_limit/tests.rs
@@ -8,7 +8,7 @@
     random_scenario, run_fleet, terms, RunResult, Scenario, FAULT_FREE_SCENARIO, LOSSLESS_CONDITIONS,
 };
 
-/// The number of random schedules in each test run.
+/// The number of random scenarios in which the limit is checked; injected defects get ten times as many.
 const SCHEDULES: u64 = 2_000;
 
 #[test]
@@ -19,7 +19,7 @@
         let result = run_fleet(seed, scenario);
         assert!(
             result.max_arrived <= terms(&scenario).total_tokens() as usize,
-            "seed {seed}: {} of {}: {scenario:?}",
+            "seed {seed}: {} requests arrived within a second at a limit of {}: {scenario:?}",
             result.max_arrived,
             scenario.requests_per_s
         );
@@ -28,7 +28,7 @@
     assert!(begun > 100_000, "too few requests began to test the limits: {begun}");
 }
 
-/// Guards against checks that would miss an error: each injected defect has to violate the bound in some random schedule.
+/// Guards against checks that would miss an error: each injected defect has to violate the bound in some random scenario.
 #[test]
 fn injected_defects_are_detected() {
     let defects =
@@ -40,12 +40,15 @@
             let scenario = Scenario { defect, skips_start_wait, ..random_scenario(*seed) };
             run_fleet(*seed, scenario).max_arrived > terms(&scenario).total_tokens() as usize
         });
-        println!("{defect:?}, without start wait {skips_start_wait}: detected by {detected_by:?}");
-        assert!(detected_by.is_some(), "{defect:?}, without start wait {skips_start_wait}: not detected");
+        println!("{defect:?}, skips the wait at start: {skips_start_wait}; detected by seed {detected_by:?}");
+        assert!(
+            detected_by.is_some(),
+            "{defect:?}, skips the wait at start: {skips_start_wait}; not detected"
+        );
     }
 }
 
-/// The share of the limit that was used in a period of a run, given in seconds.
+/// The share of the limit that was used from one second of a run to another.
 fn used_share(result: &RunResult, scenario: &Scenario, from_s: u64, to_s: u64) -> f64 {
     let during = Micros::from_secs(from_s)..Micros::from_secs(to_s);
     let begun = result.begun.iter().filter(|(at, _)| during.contains(at)).count();
@@ -83,8 +86,8 @@
     };
     let result = run_fleet(1, scenario);
     let used = used_share(&result, &scenario, 4, 20);
-    println!("{used} {}", result.packets as f64 / 20.0 / 50.0);
-    assert!(used > 0.85, "{used}");
+    println!("used share {used}, {} packets a second a member", result.packets as f64 / 20.0 / 50.0);
+    assert!(used > 0.85, "used share {used}");
     let conditions = Conditions {
         loss_ratio: 0.3,
         duplicate_ratio: 0.05,
@@ -93,7 +96,7 @@
     };
     let lossy = Scenario { conditions, ..scenario };
     let used = used_share(&run_fleet(1, lossy), &lossy, 4, 20);
-    assert!(used > 0.8, "with loss: {used}");
+    assert!(used > 0.8, "used share with loss {used}");
 }
 
 #[test]
@@ -126,8 +129,9 @@
     }
 }
 
-/// Prints the use of a limit and the packets sent if the demand is twice the limit and four fifths of it come to a fifth of the
-/// members; run manually with `cargo test --release -p juniperladder-cluster rate_limit_tables -- --ignored --nocapture`.
+/// Prints the use of a limit and the packets sent under a demand of twice the limit, four fifths of which come to a fifth of
+/// the members, and then the share of rejected requests under a demand below the limit. Run manually with `cargo test --release
+/// -p juniperladder-cluster rate_limit_tables -- --ignored --nocapture`.
 #[test]
 #[ignore = "prints tables; run manually"]
 fn rate_limit_tables() {
@@ -189,7 +193,7 @@
             results.iter().map(|result| format!("{:.4}", rejected_share(result))).collect();
         let packets = results.iter().map(|result| result.packets).sum::<u64>() as f64 / 3.0 / 20.0 / 100.0;
         println!(
-            "wanted {demand_share} of the limit, uneven {uneven_share}: rejected {}  packets {packets:.1}",
+            "demand {demand_share} of the limit, uneven {uneven_share}: rejected {}  packets {packets:.1}",
             rejected.join(" ")
         );
     }
--- a/cluster/src/rate_limit/tests/fleet.rs
+++ b/cluster/src/rate_limit/tests/fleet.rs
@@ -67,6 +67,7 @@
     network: VirtualNetwork<Message, Scheduled>,
     /// Each member's part of the limit; `None` while its process is not running.
     members: Vec<Option<RateLimit>>,
+    /// The times at which the recent requests arrive, earliest first.
     recent_arrivals: VecDeque<Micros>,
     result: RunResult,
 }
--- a/cluster/src/retry_budget.rs
+++ b/cluster/src/retry_budget.rs
@@ -36,7 +36,7 @@
 const REQUEST_TIMEOUT: Micros = Micros::SECOND;
 /// How long received credits are kept.
 const RECEIVED_CREDIT_LIFETIME: Micros = Micros::SECOND;
-/// How long after a retry found no credit a member requests credits from others and transfers none.
+/// How long a member requests credits from others, and transfers none, after a retry has found no credit.
 const SHORTAGE_DURATION: Micros = Micros::SECOND;
 /// The time between two rounds of requests for credits.
 const REQUEST_INTERVAL: Micros = Micros::from_millis(200);
@@ -76,7 +76,8 @@
     pub first_attempts: u64,
     /// The number of credits transferred to others.
     pub transferred_credits: u64,
-    /// The number of calls of `on_rejected`. The balancer makes none today; an exhausted budget shows only in its rejections.
+    /// The number of calls of `on_rejected`. The balancer makes none today; an exhausted budget shows only in the balancer's
+    /// own rejections.
     pub rejected: u64,
 }
 
@@ -145,7 +146,7 @@
         self.own_credits >= CREDITS_PER_RETRY || self.received_credits(now) >= CREDITS_PER_RETRY
     }
 
-    /// Whether one more retry may begin. If not, the call counts as demand, and this member requests credits from others.
+    /// Whether one more retry may begin. If not, this member requests credits from others for a second.
     pub fn has_credit(&mut self, now: Micros) -> bool {
         let has_credit = self.has_enough_credits(now);
         if !has_credit {
@@ -209,8 +210,8 @@
             }
             Message::Transfer { incarnation, sent, credits } => {
                 let is_awaited = incarnation == self.incarnation && self.requests.close(now, from, sent);
-                // A retry is charged to the oldest received credits, so that an empty transfer must not be stored: a retry
-                // charged to it would be free.
+                // A retry is charged to the oldest received credits. A transfer of no credits must not be stored, because a
+                // retry charged to it would be free.
                 if is_awaited && credits > 0 {
                     let credits = f64::from(credits.min(MAX_TRANSFERRED_CREDITS));
                     self.received.push_back(ReceivedCredits { at: now, credits });
--- a/cluster/src/retry_budget/message.rs
+++ b/cluster/src/retry_budget/message.rs
@@ -8,7 +8,7 @@
 /// A message about the retry budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A request for credits from a member that has none.
+    /// A request for credits, sent by a member that has none.
     Request {
         /// The sender's incarnation.
         incarnation: u64,
--- a/cluster/src/retry_budget/tests.rs
+++ b/cluster/src/retry_budget/tests.rs
@@ -27,7 +27,9 @@
     terms: RetryBudgetTerms,
     network: VirtualNetwork<Message, Step>,
     members: Vec<RetryBudget>,
+    /// The times of the first attempts of all members, in order.
     first_attempts: Vec<Micros>,
+    /// The times of the retries, in order.
     retries: Vec<Micros>,
     rejected: usize,
     is_bound_kept: bool,
@@ -153,13 +155,13 @@
     let mut rejected = 0;
     for seed in 0..1_000 {
         let result = run_fleet(seed, 0.1, seed % 2 == 0);
-        assert!(result.is_bound_kept, "seed {seed}");
+        assert!(result.is_bound_kept, "seed {seed}: more retries than the budget allows");
         retries += result.retries;
         rejected += result.rejected;
     }
     assert!(rejected > 50_000, "the demand did not exceed the budget: only {rejected} rejections");
     // Of about 200 credits in a run the first member earns about 40 itself and receives most of the others.
-    assert!(retries > 100_000, "{retries}");
+    assert!(retries > 100_000, "only {retries} retries");
 }
 
 #[test]
@@ -176,7 +178,7 @@
     assert_eq!(
         budget.metrics(now).received_credits,
         0.0,
-        "the transfer comes from a member that was not asked"
+        "a transfer was accepted from a member that was not asked"
     );
     budget.on_message(now, address(1), transfer);
     budget.on_message(now, address(1), transfer);
@@ -186,12 +188,16 @@
     assert_eq!(
         budget.metrics(Micros::from_secs(2)).received_credits,
         0.0,
-        "received credits expire after a second"
+        "received credits have not expired after a second"
     );
     let Message::Request { incarnation, sent, .. } = requests[1].1 else { panic!("{requests:?}") };
     let late = Micros::from_secs(3);
     budget.on_message(late, address(1), Message::Transfer { incarnation, sent, credits: 3 });
-    assert_eq!(budget.metrics(late).received_credits, 0.0, "the request has timed out");
+    assert_eq!(
+        budget.metrics(late).received_credits,
+        0.0,
+        "a transfer was accepted after its request had timed out"
+    );
 }
 
 /// Guards against a free retry: a transfer of no credits was stored before a transfer of one credit, and the retry was charged
@@ -209,5 +215,5 @@
     receive(&mut budget, 1);
     assert!(budget.has_credit(now));
     budget.acquire(now);
-    assert!(!budget.has_credit(now), "one credit pays one retry");
+    assert!(!budget.has_credit(now), "one credit paid for more than one retry");
 }
--- a/cluster/src/slow_start_limit.rs
+++ b/cluster/src/slow_start_limit.rs
@@ -5,7 +5,7 @@
 //! A warm server has a capacity of `requests_per_s`; the capacity share of a server in slow start grows from `initial_share` to
 //! 1 over `duration`. In no second do more requests arrive at a server than `requests_per_s` times its share at the end of that
 //! second, times 1 + s (the arrival spread of the rate limit). This holds under the assumptions of [`crate::rate_limit`] and if
-//! the balancers' wall clocks agree; if they differ by d, the share is that of d later.
+//! the balancers' wall clocks agree; if the clocks differ by d, the share is the one reached d later.
 //!
 //! # Why the bound holds
 //!
@@ -39,7 +39,7 @@
 }
 
 impl SlowStartTerms {
-    /// The capacity share of a server; 1 for a server without a start time.
+    /// The capacity share of a server now; 1 after slow start, and for a server without a start time.
     fn capacity_share(&self, started: Micros, now: Micros) -> f64 {
         let progress = (now - started).as_f64() / self.duration.max(Micros(1)).as_f64();
         if started.is_zero() || progress >= 1.0 {
@@ -92,6 +92,7 @@
 pub struct SlowStartLimits {
     terms: SlowStartTerms,
     position: u32,
+    /// The incarnation of this member's process.
     incarnation: u64,
     /// The time from which own tokens may be used; by then the leases and uses of an earlier incarnation of this member have
     /// expired.
@@ -176,7 +177,8 @@
         }
     }
 
-    /// Makes this member leave: it owns no tokens any more and returns leased tokens as far as its recent uses allow.
+    /// Makes this member leave: it owns no tokens any more and returns tokens leased from others as far as its
+    /// recent uses allow.
     pub fn leave(&mut self, now: Micros) {
         self.has_left = true;
         for limit in self.limits.values_mut() {
--- a/cluster/src/slow_start_limit/tests.rs
+++ b/cluster/src/slow_start_limit/tests.rs
@@ -58,12 +58,16 @@
     let far_later = ServerIncarnation { server: ServerId(1), started: STARTED + Micros::from_secs(60) };
     assert!(
         matches!(limits.access(far_later, STARTED), SlowStartAccess::Unavailable),
-        "the start time is too far in the future"
+        "a start time too far in the future was accepted"
     );
     limits.tick(STARTED + Micros::from_secs(12), || || None);
-    assert_eq!(limits.limits.len(), MAX_SERVER_INCARNATIONS, "leased tokens are still locked");
+    assert_eq!(
+        limits.limits.len(),
+        MAX_SERVER_INCARNATIONS,
+        "limits were removed while leased tokens may be locked"
+    );
     let warm = limits.access(server(1), STARTED + Micros::from_secs(10));
-    assert!(matches!(warm, SlowStartAccess::Unlimited), "the server is warm");
+    assert!(matches!(warm, SlowStartAccess::Unlimited), "a warm server is limited");
     limits.tick(STARTED + Micros::from_secs(14), || || None);
     assert_eq!(limits.limits.len(), 0);
 }
@@ -82,8 +86,7 @@
     assert_eq!(usable_tokens(STARTED + Micros::from_secs(8), now), 0);
 }
 
-/// Guards against the next tick restoring the own tokens of a member that has left, while others already use
-/// them.
+/// Guards against the next tick restoring the own tokens of a member that has left, while others already use them.
 #[test]
 fn member_that_left_owns_no_tokens() {
     let mut limits = SlowStartLimits::new(terms(), 3, 1, Micros::ZERO);
--- a/cluster/src/virtual_network.rs
+++ b/cluster/src/virtual_network.rs
@@ -41,7 +41,7 @@
 /// An event that the test has to handle.
 #[derive(Debug)]
 pub(crate) enum Arrival<M, E> {
-    /// A member has a tick.
+    /// A member's process has to tick.
     Tick(usize),
     /// A message arrives at a member.
     Packet {
@@ -61,7 +61,7 @@
 /// An event in the queue.
 #[derive(Debug)]
 enum Event<M, E> {
-    /// A process has a tick, unless it has been killed since.
+    /// A process has to tick, unless it has been killed since.
     Tick { member: usize, incarnation: u32 },
     /// A packet arrives.
     Packet { from: usize, to: usize, message: M },
@@ -275,7 +275,7 @@
         min_delay + self.random_time(max_random_delay)
     }
 
-    /// Returns true with a probability.
+    /// Returns true with this probability.
     fn random_bool(&mut self, probability: f64) -> bool {
         self.rng.random::<f64>() < probability
     }
--- a/cluster/src/virtual_network/conditions.rs
+++ b/cluster/src/virtual_network/conditions.rs
@@ -38,7 +38,7 @@
 /// A partition of the members into two sides.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Partition {
-    /// The members on the second side, as a bit mask.
+    /// The members on the second side, as a bit mask; members whose numbers differ by 64 share a bit.
     pub(crate) second_side: u64,
     /// Whether packets from the second side to the first still arrive.
     pub(crate) one_way: bool,
--- a/cluster/src/wire.rs
+++ b/cluster/src/wire.rs
@@ -1,4 +1,4 @@
-//! Serialization in packets of types of the root crate, each as its inner number.
+//! Serialization of the root crate's types in packets, each as its inner number.
 
 pub(crate) mod micros {
     //! Serializes a time as its number of microseconds.
