--- a/cluster/src/failure_detector/dissemination.rs
+++ b/cluster/src/failure_detector/dissemination.rs
@@ -152,13 +152,13 @@
     ) -> Vec<DueQuery> {
         let mut queries = Vec::new();
         let is_urgent = now < self.urgent_until.max(self.own_report_urgent_until);
-        if is_urgent && self.urgent_rounds.is_due(now, URGENT_INTERVAL) {
+        if is_urgent && self.urgent_rounds.begin_if_due(now, URGENT_INTERVAL) {
             let scope = self.urgent_scope(now, table, min_reporters);
             let members = (0..MEMBERS_PER_URGENT_ROUND).filter_map(|_| random_peer());
             queries.extend(members.map(|to| DueQuery { to, scope }));
         }
         let interval = if table.is_empty() { IDLE_INTERVAL } else { ROUND_INTERVAL };
-        if self.rounds.is_due(now, interval) {
+        if self.rounds.begin_if_due(now, interval) {
             queries.extend(random_peer().map(|to| DueQuery { to, scope: QueryScope::All }));
         }
         queries
--- a/cluster/src/interval.rs
+++ b/cluster/src/interval.rs
@@ -13,8 +13,8 @@
 }
 
 impl Interval {
-    /// Whether a round is due, that is, at least `interval` after the previous one. A round that is due counts as begun.
-    pub(crate) fn is_due(&mut self, now: Micros, interval: Micros) -> bool {
+    /// Begins a round if it is due, that is, at least `interval` after the previous one; returns whether it began.
+    pub(crate) fn begin_if_due(&mut self, now: Micros, interval: Micros) -> bool {
         let is_due = now >= self.last_round + interval;
         if is_due {
             self.last_round = now;
@@ -38,9 +38,9 @@
         Backoff { shortest, longest, current: shortest, rounds: Interval::default() }
     }
 
-    /// Whether a round is due. A round that is due counts as begun.
-    pub(crate) fn is_due(&mut self, now: Micros) -> bool {
-        self.rounds.is_due(now, self.current)
+    /// Begins a round if it is due; returns whether it began.
+    pub(crate) fn begin_if_due(&mut self, now: Micros) -> bool {
+        self.rounds.begin_if_due(now, self.current)
     }
 
     /// Doubles the interval before the next round, up to the longest.
--- a/cluster/src/rate_limit.rs
+++ b/cluster/src/rate_limit.rs
@@ -271,7 +271,7 @@
             self.request_backoff.reset();
             return;
         }
-        if !self.request_backoff.is_due(now) {
+        if !self.request_backoff.begin_if_due(now) {
             return;
         }
         if usable > self.tokens_at_last_round {
--- a/cluster/src/rate_limit/owner.rs
+++ b/cluster/src/rate_limit/owner.rs
@@ -80,7 +80,7 @@
     /// locked until the borrower requests fewer. Each recall affects one borrower only.
     fn begin_recall(&mut self, now: Micros) -> u32 {
         let shortfall = self.demanded_tokens().saturating_sub(self.usable_tokens(now));
-        if shortfall == 0 || !self.recalls.is_due(now, RECALL_INTERVAL) {
+        if shortfall == 0 || !self.recalls.begin_if_due(now, RECALL_INTERVAL) {
             return 0;
         }
         shortfall
--- a/cluster/src/retry_budget.rs
+++ b/cluster/src/retry_budget.rs
@@ -186,7 +186,7 @@
         self.requests.expire(now);
         if !self.has_shortage(now)
             || self.has_enough_credits(now)
-            || !self.request_interval.is_due(now, REQUEST_INTERVAL)
+            || !self.request_interval.begin_if_due(now, REQUEST_INTERVAL)
         {
             return;
         }
