--- a/cluster/src/cluster.rs
+++ b/cluster/src/cluster.rs
@@ -128,8 +128,8 @@
     fn deliver(&mut self, now: Micros, from: SocketAddr, message: CoordinationMessage) -> bool {
         let CoordinationMessage { terms_digest, payload } = message;
         match payload {
-            Payload::RateLimit(number, message) => {
-                let limit = self.rate_limits.get_mut(usize::from(number));
+            Payload::RateLimit(index, message) => {
+                let limit = self.rate_limits.get_mut(usize::from(index));
                 let Some(limit) = module_with_terms(limit, terms_digest) else { return false };
                 limit.on_message(now, from, message);
             }
@@ -205,9 +205,9 @@
         let mut add = |to, terms_digest, payload| {
             messages.push((to, CoordinationMessage { terms_digest, payload }));
         };
-        for (number, limit) in self.rate_limits.iter_mut().enumerate() {
+        for (index, limit) in self.rate_limits.iter_mut().enumerate() {
             for (to, message) in limit.state.drain() {
-                add(to, limit.terms_digest, Payload::RateLimit(number as u8, message));
+                add(to, limit.terms_digest, Payload::RateLimit(index as u8, message));
             }
         }
         if let Some(limits) = &mut self.slow_start {
--- a/cluster/src/failure_detector.rs
+++ b/cluster/src/failure_detector.rs
@@ -296,8 +296,8 @@
         if !is_interval_over {
             return false;
         }
-        let requests_of_all = (self.members as f64 * responses_per_second).max(MIN_REQUESTS_PER_S);
-        let is_trial = self.rng.random::<f64>() < self.terms.trials_per_s / requests_of_all;
+        let requests_per_s_of_all = (self.members as f64 * responses_per_second).max(MIN_REQUESTS_PER_S);
+        let is_trial = self.rng.random::<f64>() < self.terms.trials_per_s / requests_per_s_of_all;
         if is_trial {
             self.last_trials.insert(server, now);
             self.metrics.trials += 1;
--- a/cluster/src/failure_detector/dissemination.rs
+++ b/cluster/src/failure_detector/dissemination.rs
@@ -200,10 +200,10 @@
     first_server: usize,
     min_reporters: usize,
 ) -> Vec<Report> {
-    let is_complete = matches!(scope, QueryScope::All | QueryScope::AllMutual);
+    let covers_all = matches!(scope, QueryScope::All | QueryScope::AllMutual);
     let mut ranked_reports: Vec<(AnswerRank, Report)> = Vec::new();
     for (server_index, (server, reports)) in table.iter().enumerate() {
-        if !is_complete && !evidence::is_urgent(reports) {
+        if !covers_all && !evidence::is_urgent(reports) {
             continue;
         }
         let server_distance = (server_index + table.len() - first_server) % table.len();
--- a/cluster/src/failure_detector/evidence.rs
+++ b/cluster/src/failure_detector/evidence.rs
@@ -76,12 +76,12 @@
 
 /// Reporters that report more than half of the servers silent; they are assumed to have lost their own link.
 pub(super) fn discredited_reporters(table: &ReportTable, servers: usize) -> BTreeSet<u32> {
-    let mut silent_servers: BTreeMap<u32, usize> = BTreeMap::new();
+    let mut silent_servers_by_reporter: BTreeMap<u32, usize> = BTreeMap::new();
     for report in table.values().flatten().filter(|report| report.is_silent) {
-        *silent_servers.entry(report.reporter).or_default() += 1;
+        *silent_servers_by_reporter.entry(report.reporter).or_default() += 1;
     }
     let max_silent_servers = (servers / 2).max(ALWAYS_CREDIBLE_SILENT_SERVERS);
-    silent_servers
+    silent_servers_by_reporter
         .into_iter()
         .filter(|(_, count)| *count > max_silent_servers)
         .map(|(reporter, _)| reporter)
--- a/cluster/src/packet.rs
+++ b/cluster/src/packet.rs
@@ -123,22 +123,22 @@
 struct OpenPacket {
     to: SocketAddr,
     bytes: Vec<u8>,
-    messages: usize,
+    message_count: usize,
 }
 
 impl OpenPacket {
     fn with_message(to: SocketAddr, message: &[u8]) -> OpenPacket {
         let bytes = [&MAGIC_BYTES[..], &[KIND_COORDINATION], message].concat();
-        OpenPacket { to, bytes, messages: 1 }
+        OpenPacket { to, bytes, message_count: 1 }
     }
 
     fn fits(&self, message: &[u8]) -> bool {
-        self.bytes.len() + message.len() <= MAX_PACKET_BYTES && self.messages < MAX_MESSAGES
+        self.bytes.len() + message.len() <= MAX_PACKET_BYTES && self.message_count < MAX_MESSAGES
     }
 
     fn add(&mut self, message: &[u8]) {
         self.bytes.extend_from_slice(message);
-        self.messages += 1;
+        self.message_count += 1;
     }
 }
 
--- a/cluster/src/rate_limit/owner.rs
+++ b/cluster/src/rate_limit/owner.rs
@@ -18,7 +18,7 @@
     pub(super) fn on_lease_request(&mut self, now: Micros, borrower: SocketAddr, request: LeaseRequest) {
         let leasable = self.leasable_tokens(now);
         let Some(mut lease) = self.take_lease_for(now, borrower, &request) else { return };
-        lease.tokens = granted_tokens(lease.tokens, request.tokens, leasable);
+        lease.tokens = lease_tokens_after_request(lease.tokens, request.tokens, leasable);
         lease.incarnation = request.incarnation;
         lease.newest_request = request.sent;
         lease.locked_until = now + self.terms.lock_time();
@@ -89,7 +89,7 @@
 
 /// The number of tokens that a lease covers after a request: a decrease is applied in full, an increase as far as tokens are
 /// leasable.
-fn granted_tokens(before: u32, requested: u32, leasable: u32) -> u32 {
+fn lease_tokens_after_request(before: u32, requested: u32, leasable: u32) -> u32 {
     if requested <= before {
         requested
     } else {
