--- a/cluster/src/cluster/tests.rs
+++ b/cluster/src/cluster/tests.rs
@@ -16,7 +16,7 @@
     SocketAddr::from(([127, 0, 0, 1], 1_000 + number))
 }
 
-fn cluster(number: u16, requests_per_s: u32) -> Cluster {
+fn new_balancer(number: u16, requests_per_s: u32) -> Cluster {
     let terms = RateLimitTerms {
         requests_per_s,
         arrival_spread: Micros::ZERO,
@@ -62,13 +62,13 @@
 }
 
 fn try_acquire_token(limit: &mut RateLimit, now: Micros) -> bool {
-    let may_begin = limit.wait_time(now).is_zero();
-    if may_begin {
+    let has_token = limit.wait_time(now).is_zero();
+    if has_token {
         limit.acquire(now);
     } else {
         limit.on_rejected(now);
     }
-    may_begin
+    has_token
 }
 
 /// Runs two balancers for a number of seconds; the first has a demand of about six requests a second.
@@ -85,7 +85,7 @@
 
 #[test]
 fn tokens_are_leased_to_the_balancer_with_demand() {
-    let mut balancers = [cluster(0, 8), cluster(1, 8)];
+    let mut balancers = [new_balancer(0, 8), new_balancer(1, 8)];
     run(&mut balancers, 8);
     let now = Micros::from_secs(8);
     let metrics = balancers[0].metrics(now);
@@ -100,10 +100,10 @@
 
 #[test]
 fn retry_credits_and_slow_start_tokens_reach_the_balancer_with_demand() {
-    let mut balancers = [cluster(0, 8), cluster(1, 8)];
+    let mut balancers = [new_balancer(0, 8), new_balancer(1, 8)];
     run(&mut balancers, 8);
     let server = ServerIncarnation { server: ServerId(7), started: Micros::from_secs(4) };
-    let mut begun = 0;
+    let mut acquired = 0;
     for now in times(Micros::from_secs(8), Micros::from_secs(12), TICK) {
         balancers[1].retry_budget().unwrap().on_first_attempt();
         let budget = balancers[0].retry_budget().unwrap();
@@ -115,7 +115,7 @@
         let SlowStartAccess::Limited(limit) = balancers[0].slow_start(server, now) else {
             panic!("the server in slow start has no limit")
         };
-        begun += usize::from(try_acquire_token(limit, now));
+        acquired += usize::from(try_acquire_token(limit, now));
         if now.0 % 60_000 == 0 {
             for from in 0..2 {
                 tick_and_deliver(&mut balancers, from, now);
@@ -129,12 +129,12 @@
     );
     // The limit grows from 4 to 6 tokens a second in these four seconds, about 20 in all. The balancer owns half of them, so
     // that it has to lease some of the others.
-    assert!((15..=24).contains(&begun), "{begun} tokens");
+    assert!((15..=24).contains(&acquired), "{acquired} tokens");
 }
 
 #[test]
 fn members_with_different_terms_do_not_lease_tokens() {
-    let mut balancers = [cluster(0, 8), cluster(1, 9)];
+    let mut balancers = [new_balancer(0, 8), new_balancer(1, 9)];
     run(&mut balancers, 8);
     let metrics = balancers[1].metrics(Micros::from_secs(8));
     let leased_out = metrics.rate_limits[0].metrics.leased_out_tokens;
@@ -144,7 +144,7 @@
 
 #[test]
 fn packets_from_unknown_senders_and_malformed_packets_are_dropped_and_counted() {
-    let mut balancer = cluster(0, 8);
+    let mut balancer = new_balancer(0, 8);
     let now = Micros::from_secs(10);
     let unknown_sender = SocketAddr::from(([127, 0, 0, 1], 9));
     let request = Message::Request(LeaseRequest { incarnation: 1, sent: Micros(1), tokens: 4 });
--- a/cluster/src/failure_detector/tests.rs
+++ b/cluster/src/failure_detector/tests.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn too_few_faulty_reporters_cause_no_avoidance_of_healthy_servers() {
+fn fewer_faulty_reporters_than_the_quorum_cause_no_avoidance_of_healthy_servers() {
     for seed in 0..20 {
         let scenario = Scenario {
             members: 20,
--- a/cluster/src/packet/tests.rs
+++ b/cluster/src/packet/tests.rs
@@ -68,14 +68,14 @@
 }
 
 #[test]
-fn packets_that_are_truncated_longer_or_malformed_are_errors() {
+fn packets_that_are_truncated_extended_or_malformed_are_errors() {
     for message in all_messages() {
         let bytes = encode_messages([(receiver(), message)]).remove(0).1;
         for length in 0..bytes.len() {
             assert!(decode(&bytes[..length]).is_err(), "truncated at {length}");
         }
-        let longer = [&bytes[..], &[0xff; 3]].concat();
-        assert!(matches!(decode(&longer), Err(PacketError::Malformed(_))));
+        let extended = [&bytes[..], &[0xff; 3]].concat();
+        assert!(matches!(decode(&extended), Err(PacketError::Malformed(_))));
     }
     assert_eq!(decode(&encode_membership(b"abc")), Ok(Packet::Membership(b"abc")));
     assert_eq!(decode(&[b'J'; MAX_PACKET_BYTES + 1]), Err(PacketError::TooLong));
--- a/cluster/src/rate_limit/tests.rs
+++ b/cluster/src/rate_limit/tests.rs
@@ -9,12 +9,12 @@
 };
 
 /// The number of random scenarios in which the limit is checked; injected defects get ten times as many.
-const SCHEDULES: u64 = 2_000;
+const SCENARIOS: u64 = 2_000;
 
 #[test]
 fn limit_is_not_exceeded_in_random_fleets_with_faults() {
     let mut begun = 0;
-    for seed in 0..SCHEDULES {
+    for seed in 0..SCENARIOS {
         let scenario = random_scenario(seed);
         let result = run_fleet(seed, scenario);
         assert!(
@@ -36,7 +36,7 @@
             .map(Some);
     let defects_with_wait = defects.into_iter().map(|defect| (defect, false));
     for (defect, skips_start_wait) in defects_with_wait.chain([(None, true)]) {
-        let detected_by = (0..10 * SCHEDULES).find(|seed| {
+        let detected_by = (0..10 * SCENARIOS).find(|seed| {
             let scenario = Scenario { defect, skips_start_wait, ..random_scenario(*seed) };
             run_fleet(*seed, scenario).max_arrived > terms(&scenario).total_tokens() as usize
         });
--- a/cluster/src/rate_limit/tests/fleet.rs
+++ b/cluster/src/rate_limit/tests/fleet.rs
@@ -21,7 +21,7 @@
 /// How long a request waits for a token; the same as for a read at the origin.
 const REQUEST_TIMEOUT: Micros = Micros::from_millis(200);
 /// The maximum time until a waiting request checks for a token again.
-const MAX_RECHECK: Micros = Micros::from_millis(20);
+const MAX_RECHECK_INTERVAL: Micros = Micros::from_millis(20);
 /// The maximum duration of a freeze of a process.
 const MAX_FREEZE_DURATION: Micros = Micros::from_secs(6);
 /// The maximum duration of a network partition.
@@ -176,7 +176,7 @@
         let now = self.network.clock(member);
         let true_now = self.network.now();
         let Some(limit) = &mut self.members[member] else { return };
-        let wait = limit.wait_time(now).min(MAX_RECHECK);
+        let wait = limit.wait_time(now).min(MAX_RECHECK_INTERVAL);
         if !wait.is_zero() && true_now + wait < until {
             self.network.schedule_for(true_now + wait, member, Scheduled::Request(member, until));
             return;
--- a/cluster/src/retry_budget/tests.rs
+++ b/cluster/src/retry_budget/tests.rs
@@ -124,13 +124,13 @@
 
     /// Begins or rejects a retry at the first member.
     fn retry(&mut self) {
-        let clock = self.network.clock(0);
-        if !self.members[0].has_credit(clock) {
-            self.members[0].on_rejected(clock);
+        let now = self.network.clock(0);
+        if !self.members[0].has_credit(now) {
+            self.members[0].on_rejected(now);
             self.rejected += 1;
             return;
         }
-        self.members[0].acquire(clock);
+        self.members[0].acquire(now);
         self.retries.push(self.network.now());
         self.check_bound();
     }
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn duplicated_or_late_transfer_is_not_accepted() {
+fn duplicated_or_late_transfer_or_one_from_another_member_is_not_accepted() {
     let now = Micros::SECOND;
     let terms = RetryBudgetTerms { retries_per_first_attempt: 0.5, max_saved_credits: 40.0, holders: 2 };
     let mut budget = RetryBudget::new(terms, 0, 1);
--- a/cluster/src/slow_start_limit/tests.rs
+++ b/cluster/src/slow_start_limit/tests.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn limits_are_removed_once_servers_are_warm_and_their_number_is_bounded() {
+fn limits_are_removed_once_slow_start_and_locks_are_over_and_their_number_is_bounded() {
     let mut limits = SlowStartLimits::new(terms(), 3, 1, Micros::ZERO);
     for number in 0..MAX_SERVER_INCARNATIONS as u64 + 5 {
         let access = limits.access(server(number), STARTED);
--- a/cluster/src/virtual_network.rs
+++ b/cluster/src/virtual_network.rs
@@ -96,7 +96,7 @@
     is_running: bool,
     is_frozen: bool,
     /// Events that are deferred until the process resumes.
-    waiting: Vec<Event<M, E>>,
+    deferred: Vec<Event<M, E>>,
     /// The rate of the process's clock, as a ratio to the network's time.
     clock_rate: f64,
     /// The time that the process's clock showed at the beginning of the run.
@@ -128,7 +128,7 @@
             incarnation: 0,
             is_running: false,
             is_frozen: false,
-            waiting: Vec::new(),
+            deferred: Vec::new(),
             clock_rate: 1.0 + conditions.max_clock_drift * (2.0 * rng.random::<f64>() - 1.0),
             clock_offset: Micros(rng.random_range(0..MAX_CLOCK_OFFSET.0)),
         });
@@ -226,12 +226,12 @@
         }
     }
 
-    /// Schedules freezes of random members at random times before `end`, each for up to `longest`.
-    fn schedule_freezes(&mut self, count: usize, end: Micros, longest: Micros) {
+    /// Schedules freezes of random members at random times before `end`, each for up to `max_freeze`.
+    fn schedule_freezes(&mut self, count: usize, end: Micros, max_freeze: Micros) {
         for _ in 0..count {
             let at = self.random_time(end);
             let member = self.random_member();
-            let duration = self.random_time(longest);
+            let duration = self.random_time(max_freeze);
             self.push(at, Event::Freeze { member, duration });
         }
     }
@@ -289,7 +289,7 @@
             }
             self.now = at;
             if let Some(member) = event.member().filter(|member| self.processes[*member].is_frozen) {
-                self.processes[member].waiting.push(event);
+                self.processes[member].deferred.push(event);
             } else if let Some(arrival) = self.handle(event) {
                 return Some(arrival);
             }
@@ -327,7 +327,7 @@
         let was_running = std::mem::take(&mut process.is_running);
         if was_running {
             process.is_frozen = false;
-            process.waiting.clear();
+            process.deferred.clear();
         }
         was_running
     }
@@ -341,7 +341,7 @@
     /// Resumes a process and delivers its deferred events in order.
     fn resume(&mut self, member: usize) {
         self.processes[member].is_frozen = false;
-        for event in std::mem::take(&mut self.processes[member].waiting) {
+        for event in std::mem::take(&mut self.processes[member].deferred) {
             self.push(self.now, event);
         }
     }
