--- a/cluster/src/failure_detector/suspicion.rs
+++ b/cluster/src/failure_detector/suspicion.rs
@@ -32,7 +32,7 @@
     ClearedButAvoidedUntil(Micros),
 }
 
-/// The input of a decision on the suspected servers.
+/// The rules that decide which servers are suspected, with the reports and servers to which they apply.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SuspicionRules<'a> {
     pub(super) terms: &'a FailureDetectorTerms,
--- a/cluster/src/failure_detector/tests.rs
+++ b/cluster/src/failure_detector/tests.rs
@@ -191,7 +191,7 @@
 #[test]
 #[ignore = "prints a table; run manually"]
 fn failure_detector_tables() {
-    println!("| members | loss | detection p50, p99, max (ms) | recovery, max (ms) | lost a server | packets a second a member |");
+    println!("| members | loss | detection p50, p99, max (ms) | recovery, max (ms) | lost requests a server | packets a second a member |");
     for (members, loss_ratio) in [(12, 0.0), (100, 0.0), (100, 0.3), (300, 0.0), (300, 0.3), (500, 0.0)] {
         let scenario = Scenario {
             members,
--- a/cluster/src/rate_limit/borrower.rs
+++ b/cluster/src/rate_limit/borrower.rs
@@ -11,7 +11,7 @@
 
 /// The maximum number of owners to which one round sends requests.
 const MAX_OWNERS_PER_ROUND: usize = 2;
-/// The maximum number of members sampled in one round; some of them may be skipped because of a recent request.
+/// The maximum number of members sampled in one round; members to which a request was sent recently are skipped.
 const SAMPLES_PER_ROUND: usize = 2 * MAX_OWNERS_PER_ROUND;
 /// The minimum time between two requests for more tokens to the same sampled owner.
 const SAME_OWNER_INTERVAL: Micros = Micros::from_millis(600);
--- a/cluster/src/retry_budget/tests.rs
+++ b/cluster/src/retry_budget/tests.rs
@@ -16,7 +16,7 @@
 const MAX_FREEZE_DURATION: Micros = Micros::from_secs(3);
 /// The windows for which the bound is checked: a second, and the complete run.
 const WINDOWS: [Micros; 2] = [Micros::SECOND, Micros::from_secs(30)];
-/// The maximum age of credits: first attempts up to this time before a window may pay for retries in it.
+/// The maximum age of credits: a first attempt pays for retries in a window that begins at most this much later.
 const MAX_CREDIT_AGE: Micros = Micros::from_secs(2);
 /// The maximum delay of a late packet.
 const MAX_LATE_DELAYS: &[Micros] = &[Micros::from_secs(4)];
