--- a/node/src/admin/tests.rs
+++ b/node/src/admin/tests.rs
@@ -138,6 +138,10 @@
         let stored = std::fs::read_to_string(dir.path().join("n0.bans")).unwrap();
         assert_eq!(stored, format!("juniperladder bans 1\n{SERVER}\nend\n"));
         let answer = admin.answer(Call::Offline(SERVER.into())).await;
-        assert_eq!(answer, format!("ACK {SERVER} out by hand\n"), "the override is in the file now");
+        assert_eq!(
+            answer,
+            format!("ACK {SERVER} out by hand\n"),
+            "the override is in the file, but the answer does not say so"
+        );
     });
 }
--- a/node/src/cluster_config.rs
+++ b/node/src/cluster_config.rs
@@ -95,8 +95,8 @@
     /// The maximum relative difference in speed between the balancers' clocks.
     #[serde(rename = "drift")]
     pub clock_drift: f64,
-    /// The maximum difference in transit time between requests to the origin, in milliseconds. The stated bound is the rate
-    /// over a second plus this time.
+    /// The maximum difference in transit time between requests to the origin, in milliseconds. In any second, no more
+    /// requests arrive than the rate allows in one second plus this time.
     #[serde(rename = "spread_ms")]
     pub arrival_spread_ms: u64,
     /// The rate limit on fetches and writes at the origin.
--- a/node/src/cluster_config/member_config.rs
+++ b/node/src/cluster_config/member_config.rs
@@ -24,7 +24,7 @@
 
 impl ClusterConfigFile {
     /// The configuration of this member. `bound_address` is the address on which it listens; the position and the number of
-    /// owners are taken from the settings if the file does not set them. A later `incarnation` has a greater number.
+    /// owners are taken from the settings if the file does not set them. `incarnation` is greater at each later start.
     ///
     /// # Errors
     /// Neither the file nor the settings set the position.
@@ -59,7 +59,8 @@
         })
     }
 
-    /// The documented bound of each limit: the most requests in any second, as a multiple of the rate.
+    /// The bound that every rate limit guarantees: the maximum number of requests in any second, as a multiple of the
+    /// limit's rate.
     pub fn stated_bound(&self) -> f64 {
         1.0 + self.limits.arrival_spread_ms as f64 / 1e3
     }
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -44,7 +44,7 @@
     pub resource_limits: ConfiguredLimits,
     /// The last known endpoint list, used until discovery has sent one.
     pub last_known_endpoints: EndpointList,
-    /// The settings of the decision logic.
+    /// The settings of the decision core.
     pub settings: Settings,
     /// This balancer's position in the fleet, from 0, if the settings have it.
     pub position: Option<u32>,
--- a/node/src/coordination.rs
+++ b/node/src/coordination.rs
@@ -1,4 +1,4 @@
-//! The decision logic's view of the coordination with other balancers: shared limits and other balancers' reports about
+//! The decision core's view of the coordination with other balancers: shared limits and other balancers' reports about
 //! servers.
 //!
 //! No call waits for another balancer. A limit that the operators' file does not set is not enforced ([`Coordination`]
@@ -17,7 +17,7 @@
 use crate::cluster_config::ORIGIN_LIMIT;
 pub use metrics::metrics_text;
 
-/// The decision logic's view of this balancer's cluster member.
+/// The decision core's view of this balancer's cluster member.
 #[derive(Debug)]
 pub struct ClusterCoordination {
     cluster: Rc<RefCell<Cluster>>,
--- a/node/src/coordination/metrics.rs
+++ b/node/src/coordination/metrics.rs
@@ -12,8 +12,8 @@
 /// The metric label of the slow start limit.
 const SLOW_START_LIMIT_LABEL: &str = "cold";
 
-/// Formats the metrics in the Prometheus text format. `stated_bound` is the documented bound of the origin limit: the most
-/// requests in any second, as a multiple of the rate.
+/// Formats the metrics in the Prometheus text format. `stated_bound` is the bound that every rate limit guarantees: the
+/// maximum number of requests in any second, as a multiple of the limit's rate.
 pub fn metrics_text(metrics: &ClusterMetrics, stated_bound: f64) -> String {
     let mut text = MetricsText::default();
     write_members(&mut text, metrics);
--- a/node/src/coordination/tests.rs
+++ b/node/src/coordination/tests.rs
@@ -1,4 +1,4 @@
-//! The decision logic's view of a single member, and the exact text of its metrics.
+//! The decision core's view of a single member, and the exact text of its metrics.
 
 use juniperladder::Idempotency;
 
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -5,7 +5,7 @@
 //!
 //! Guarantee: a change is received before it counts as notified, [`timing::CHANGE_NOTIFIED_AFTER`] after discovery had
 //! it. The guarantee does not hold while discovery is unreachable: the list in use then stays in use, and polls are
-//! repeated after a backoff. The decision logic sets the time between polls, except after an address change and where
+//! repeated after a backoff. The decision core sets the time between polls, except after an address change and where
 //! discovery pushes its lists.
 
 mod poll;
@@ -36,14 +36,14 @@
 /// The number of poll events that may be queued.
 const MAX_QUEUED_EVENTS: usize = 4;
 
-/// The polls that are made without a request of the decision logic.
+/// The polls that are made without a request of the decision core.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PollPolicy {
-    /// Whether discovery is polled at the start, before the decision logic asks for a poll. A process that replaces
-    /// another starts from a list that may be outdated, and is bound by discovery's changes soon after its start.
+    /// Whether discovery is polled at the start, before the decision core asks for a poll. A process that replaces
+    /// another starts from a list that may be outdated, and must follow discovery's changes soon after its start.
     pub polls_at_start: bool,
     /// The backoff after a failed poll or watch where discovery pushes its lists; there it is also polled at the start.
-    /// Changes then count as notified at once, whether a watch is open or not, and the decision logic requests no watch.
+    /// Changes then count as notified at once, whether a watch is open or not, and the decision core requests no watch.
     pub pushed_list_backoff: Option<Duration>,
     /// The random seed of the backoffs at a new address.
     pub seed: u64,
@@ -54,15 +54,15 @@
 enum PollReason {
     /// The process has started, and its list may be outdated.
     Start,
-    /// The decision logic requested it.
+    /// The decision core requested it.
     Requested,
     /// A reloaded configuration changed discovery's address.
     NewAddress,
-    /// The last poll failed, and the decision logic does not schedule the next one.
+    /// The last poll failed, and the decision core does not schedule the next one.
     Backoff,
 }
 
-/// Watches discovery when the decision logic requests it, and passes on the lists received. After an address change the
+/// Watches discovery when the decision core requests it, and passes on the lists received. After an address change the
 /// new address is polled at once, and the watch on the old one is used until the new one has sent its list.
 /// `known_version` is the version of the list in use. Runs until the sender of the address is dropped.
 pub async fn follow(
@@ -112,7 +112,7 @@
     reader: EndpointListReader,
     watches: Watches<Poll>,
     address: SocketAddr,
-    /// The time of the next poll that the decision logic does not schedule.
+    /// The time of the next poll that the decision core does not schedule.
     next_poll: Option<Instant>,
     /// The number of failed polls of a new address before its first list.
     new_address_failures: u32,
@@ -166,7 +166,7 @@
         self.start_poll(PollReason::NewAddress);
     }
 
-    /// Handles a watch request of the decision logic. While a new address has not sent its list, [`Self::next_poll`]
+    /// Handles a watch request of the decision core. While a new address has not sent its list, [`Self::next_poll`]
     /// schedules the polls instead.
     fn on_watch_requested(&mut self) {
         if !self.watches.awaits_new_address() && self.watches.needs_poll() {
@@ -204,7 +204,7 @@
 
     fn on_heartbeat(&mut self, poll_id: PollId) {
         match self.watches.on_heartbeat(poll_id, Instant::now()) {
-            // An answer without changes still ends the decision logic's wait for this poll.
+            // An answer without changes still ends the decision core's wait for this poll.
             Heartbeat::Answered => self.dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[]),
             Heartbeat::Confirmed => self.dispatcher.on_endpoints_confirmed(),
             Heartbeat::Ignored => {}
@@ -227,7 +227,7 @@
                 return;
             }
             ListUse::Contradictory { known } => {
-                // The list in use stays in use, and the next poll that the decision logic requests fetches a complete one.
+                // The list in use stays in use, and the next poll that the decision core requests fetches a complete one.
                 let reason =
                     format!("endpoint list version went back from {known} to {version} without a reset");
                 return self.on_failure(&reason, Duration::ZERO);
@@ -267,7 +267,7 @@
             return;
         }
         self.next_poll = self.pushed_list_backoff.map(|backoff| now + backoff);
-        // The decision logic requests the next poll, after its own backoff.
+        // The decision core requests the next poll, after its own backoff.
         self.dispatcher.on_endpoints_changed(EndpointUpdate::Unavailable, &[]);
     }
 }
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! The discovery client against fake discoveries on loopback: silent watches, refused and unanswered polls, address
+//! The discovery client against fake discoveries on loopback: silent watches, failed and unanswered polls, address
 //! changes, pushed lists.
 
 mod event_loop_delay;
@@ -161,7 +161,7 @@
 const POLL_AT_START: PollPolicy = PollPolicy { polls_at_start: true, pushed_list_backoff: None, seed: 3 };
 
 /// Guards against an outdated list after a silent failure: a watch that sends nothing, or never completes a line, is
-/// replaced in time, even if the next poll is refused, rejected as too many or never answered.
+/// replaced in time, even if the next poll is closed at once, rejected with status 503 or never answered.
 #[test]
 fn a_silent_watch_is_replaced_within_six_seconds() {
     for silent in [Behaviour::FallsSilent(1), Behaviour::Trickles(1)] {
@@ -241,7 +241,7 @@
 fn a_new_address_is_followed_within_four_seconds() {
     for first in [Behaviour::Refuses, Behaviour::Busy, Behaviour::Hangs, Behaviour::SendsList(1)] {
         testing::run_paused(async {
-            // The old address has failed for so long that the decision logic uses its longest backoff.
+            // The old address has failed for so long that the decision core uses its longest backoff.
             let old = FakeDiscovery::new(vec![Behaviour::Refuses]).await;
             let new = FakeDiscovery::new(vec![first, Behaviour::SendsList(1)]).await;
             let balancer = balancer(&old, POLL_AT_START, true);
@@ -263,7 +263,7 @@
 }
 
 /// Where discovery pushes its lists, changes count as notified at once: a watch is opened at the start without a request
-/// of the decision logic, and reopened as soon as discovery is reachable.
+/// of the decision core, and reopened as soon as discovery is reachable.
 #[test]
 fn where_lists_are_pushed_a_watch_is_always_open() {
     testing::run_paused(async {
@@ -285,7 +285,10 @@
         let balancer = balancer(&discovery, policy, false);
         let received = balancer.wait_for_lists(1).await;
         assert!(received - start <= grace * 4, "{:?}", received - start);
-        assert!(discovery.polls.borrow()[0].0 - start < PROMPT_POLL, "at the start");
+        assert!(
+            discovery.polls.borrow()[0].0 - start < PROMPT_POLL,
+            "the first poll was not made at the start"
+        );
         let polls: Vec<Instant> = discovery.polls.borrow().iter().map(|(at, _)| *at).collect();
         assert!(polls.windows(2).all(|pair| pair[1] - pair[0] <= grace / 2), "{polls:?}");
         assert!(balancer.wait_for_lists(2).await - received <= WATCH_SILENCE_TIMEOUT + grace);
@@ -375,10 +378,13 @@
         assert!(new.poll_count() >= 1);
         changes.send(6).await.unwrap();
         balancer.wait_for_lists(2).await;
-        assert!(new.poll_count() < 3, "the change came from the old address");
+        assert!(
+            new.poll_count() < 3,
+            "the new address sent its list before the change of the old one was applied"
+        );
         balancer.wait_for_lists(3).await;
         for generation in 7.. {
-            assert!(generation < 100, "the watch on the old address is closed");
+            assert!(generation < 100, "the watch on the old address was not closed");
             yield_until_idle().await;
             if changes.send(generation).await.is_err() {
                 break;
--- a/node/src/discovery/timing.rs
+++ b/node/src/discovery/timing.rs
@@ -1,14 +1,14 @@
 //! All timeouts and backoffs of polls and watches, which bound how soon a change of the endpoint list is received.
 //!
 //! A change counts as notified [`CHANGE_NOTIFIED_AFTER`] after discovery had it and was reachable, whether it was received
-//! or not; a drain grace later, no new request may go to the server. Guarantee: within that time a silent watch is
-//! detected and a new poll is made and answered, even if one poll in between is refused or hangs. The guarantee does not
-//! hold if discovery refuses several polls in a row.
+//! or not; a drain grace later, no new request may be sent to a server that the change drains or deletes. Guarantee:
+//! within [`CHANGE_NOTIFIED_AFTER`] a silent watch is detected and a new poll is made and answered, even if one poll in
+//! between is refused or hangs. The guarantee does not hold if discovery refuses several polls in a row.
 //!
 //! Discovery handles polls in turn and answers every poll that it has accepted, however late, so a poll is never abandoned
 //! for taking long. After [`ANSWER_TIMEOUT`] another poll is made in parallel, and the first one answered ends the other.
 //!
-//! The decision logic sets the time between polls ([`juniperladder::DISCOVERY_BACKOFF`]), because the same backoff keeps
+//! The decision core sets the time between polls ([`juniperladder::DISCOVERY_BACKOFF`]), because the same backoff keeps
 //! a fleet of balancers from polling all at once. The tests of [`crate::discovery`] check the sum of these times.
 
 use std::time::Duration;
@@ -21,7 +21,7 @@
 /// connection to a machine that is cut off stays open in silence.
 pub const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// How long a connection to discovery may take to be established. It is below the one second after which the kernel
-/// retransmits a lost SYN, so that the new poll comes first.
+/// retransmits a lost SYN, so that a new poll is made before that.
 pub const DISCOVERY_CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// How long a poll may wait for its answer before another is made in parallel. It is longer than a poll is queued:
 /// discovery refuses polls that would wait for over two seconds.
--- a/node/src/discovery/watches.rs
+++ b/node/src/discovery/watches.rs
@@ -1,9 +1,10 @@
 //! The open polls of discovery: which one is the current watch, and which are overdue. Does no I/O; time is passed in.
 //!
-//! A poll that has been answered is a watch. Guarantees: the current watch ends only after a later poll has been
-//! answered, so that no change written in between is missed; a poll is not abandoned while discovery may still answer it;
-//! at most [`MAX_OPEN_POLLS`] are open, whatever discovery does. The caller must poll when [`Watches::needs_poll`] is
-//! true, or it misses changes.
+//! A poll that has been answered is a watch. Guarantees: a watch that is neither overdue nor contradictory is closed only
+//! after a later poll has been answered, so that no change in between is missed; an overdue poll or watch stays open for
+//! [`OVERDUE_GRACE`], because discovery may still answer it, unless a later poll is answered, the address changes or more
+//! than [`MAX_OPEN_POLLS`] would be open; at most [`MAX_OPEN_POLLS`] are open, whatever discovery does. The caller must
+//! poll when [`Watches::needs_poll`] is true, or it misses changes.
 
 use std::time::Duration;
 
@@ -37,7 +38,7 @@
     }
 }
 
-/// An overdue poll or watch; each is reported once.
+/// An overdue poll or watch. Each is reported once, and again only if it has sent a line since.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OverdueReport {
     /// Why it is overdue.
@@ -55,7 +56,7 @@
     started: Instant,
     /// The time of the last complete line; none while the poll has not been answered.
     last_line: Option<Instant>,
-    /// The version of the list in use when the poll started.
+    /// The version from which the poll requests changes; none if it requests a complete list.
     requested_since: Option<u64>,
     /// The version last received on this connection, or `requested_since` before the first list.
     version: Option<u64>,
@@ -94,9 +95,10 @@
     Delta,
     /// Ignored: older than a list from another watch.
     Outdated,
-    /// Ignored: changes to an older version than the same watch has sent. The known version is no longer valid either.
+    /// Ignored: changes with an older version than the poll has requested or received. The version of the list in use is no
+    /// longer valid either, so the next poll requests a complete list.
     Contradictory {
-        /// The version that the watch had sent before.
+        /// The version that the poll had requested or last received.
         known: u64,
     },
     /// Ignored: the poll has been closed.
@@ -123,7 +125,7 @@
     address_number: u32,
     /// The version of the list in use at the current address; none if a complete list is needed.
     version: Option<u64>,
-    /// Whether the address has changed and the current one has not sent a list yet.
+    /// Whether the address has changed and the new one has not sent a list yet.
     awaits_new_address: bool,
 }
 
@@ -238,7 +240,7 @@
         list_use
     }
 
-    /// Closes a watch that contradicted itself; the next poll requests a complete list.
+    /// Closes a poll or watch that sent a contradictory version; the next poll requests a complete list.
     fn on_contradiction(&mut self, index: usize, known: u64) -> ListUse {
         let poll = self.open.remove(index);
         if poll.address_number != self.address_number {
@@ -282,9 +284,9 @@
     }
 }
 
-/// Whether this version is older than the one in use because another watch delivered a newer list while this poll was
-/// open; this watch will catch up by itself. A version older than the one known when the poll started means instead
-/// that discovery has restarted its version numbers.
+/// Whether a list of this version is outdated: another watch has delivered a newer one while this poll was open. The list
+/// is ignored, as this watch sends the newer changes as well. A version older than the requested one is not outdated:
+/// discovery has restarted its version numbers. Neither is the list that answers a request for a complete one.
 fn has_outdated_version<T>(poll: &OpenPoll<T>, version: u64, in_use: Option<u64>) -> bool {
     let started_before = poll.requested_since.is_some_and(|since| since <= version);
     started_before && in_use.is_some_and(|known| version < known)
--- a/node/src/discovery/watches/tests.rs
+++ b/node/src/discovery/watches/tests.rs
@@ -1,4 +1,4 @@
-//! Polls and watches whose events come in a fixed order, at explicit instants.
+//! Polls and watches whose events occur in a fixed order, at explicit instants.
 
 use super::*;
 
@@ -63,13 +63,13 @@
     assert_eq!(fixture.watches.deadline(), Some(fixture.start + ANSWER_TIMEOUT));
     assert_eq!(fixture.overdue(2_599), []);
     assert_eq!(fixture.overdue(2_600), [Overdue::NoAnswer]);
-    assert_eq!(fixture.overdue(2_700), [], "an overdue poll is reported once");
+    assert_eq!(fixture.overdue(2_700), [], "an overdue poll was reported twice");
     assert!(fixture.watches.needs_poll());
     let second = fixture.start_poll(2_800);
     assert!(!fixture.watches.needs_poll());
     assert_eq!(fixture.list(first, 5, false, 3_000), ListUse::Delta);
     assert!(!fixture.end(second, 3_001) && fixture.list(second, 5, false, 3_002) == ListUse::UnknownPoll);
-    assert!(fixture.end(first, 6_000), "the current watch has ended");
+    assert!(fixture.end(first, 6_000), "the end of the current watch was not reported");
 }
 
 /// A silent watch is used until a later poll has been answered, and its end is not reported as a second failure.
@@ -80,13 +80,17 @@
     assert_eq!(fixture.list(first, 4, false, 100), ListUse::Delta);
     assert_eq!(fixture.overdue(2_600), [Overdue::Silent]);
     let second = fixture.start_poll(2_700);
-    assert_eq!(fixture.list(first, 5, false, 2_800), ListUse::Delta, "the watch was only slow");
+    assert_eq!(
+        fixture.list(first, 5, false, 2_800),
+        ListUse::Delta,
+        "a list of an overdue watch was not applied"
+    );
     let third = fixture.start_poll(2_900);
     assert_eq!(fixture.list(second, 6, false, 2_950), ListUse::UnknownPoll);
     let answered = fixture.watches.on_heartbeat(third, fixture.start + Duration::from_secs(3));
     assert_eq!(answered, Heartbeat::Answered);
-    assert!(!fixture.end(first, 3_100), "a later poll has been answered");
-    assert!(fixture.end(third, 3_200), "the current watch has ended");
+    assert!(!fixture.end(first, 3_100), "the end of a replaced watch was reported");
+    assert!(fixture.end(third, 3_200), "the end of the current watch was not reported");
 }
 
 /// Guards against a list that reverts a newer one: a list is ignored if another watch has delivered a newer version.
@@ -107,13 +111,13 @@
     assert_eq!(fixture.watches.version(), Some(2));
 }
 
-/// Changes to an older version than the watch has sent cannot be applied consistently, so the watch is closed.
+/// Changes with an older version than the requested one cannot be applied consistently, so their poll is closed.
 #[test]
 fn changes_to_an_older_version_close_the_watch() {
     let mut fixture = Fixture::new(Some(3));
     let first = fixture.start_poll(0);
     assert_eq!(fixture.list(first, 2, false, 100), ListUse::Contradictory { known: 3 });
-    assert_eq!(fixture.watches.version(), None, "the next poll requests a complete list");
+    assert_eq!(fixture.watches.version(), None, "the next poll would not request a complete list");
     assert!(fixture.watches.needs_poll());
 }
 
@@ -129,13 +133,9 @@
         let unanswered = fixture.start_poll(address * 200);
         assert!(fixture.watches.awaits_new_address());
         let heartbeat = fixture.watches.on_heartbeat(unanswered, fixture.start);
-        assert_eq!(heartbeat, Heartbeat::Ignored, "only a complete list is an answer");
+        assert_eq!(heartbeat, Heartbeat::Ignored, "a heartbeat was taken for the complete list");
         assert_eq!(fixture.list(first, 4 + address, false, address * 200 + 50), ListUse::Delta);
-        assert_eq!(
-            fixture.watches.version(),
-            None,
-            "versions of the old address are not valid at the new one"
-        );
+        assert_eq!(fixture.watches.version(), None, "a version of the old address was kept for the new one");
     }
     let new_poll = fixture.start_poll(1_100);
     assert_eq!(fixture.list(new_poll, 1, true, 1_200), ListUse::Snapshot);
--- a/node/src/downstream.rs
+++ b/node/src/downstream.rs
@@ -1,7 +1,7 @@
 //! Client connections: accepting them, reading their requests and writing the answers in request order.
 //!
-//! Guarantee: the number of connections stays within the configured limit, and idle connections are evicted
-//! for clients that have a request. A failed accept is counted, logged and retried; it never ends the
+//! Guarantee: the number of connections stays within the configured limit; when slots run out, idle
+//! connections are evicted for new ones. A failed accept is counted, logged and retried; it never ends the
 //! process.
 
 mod backlog;
@@ -129,7 +129,7 @@
     }
 
     /// Serves a connection as soon as it has a slot. An idle connection is evicted for it if necessary, since
-    /// connections that send nothing must not block new ones. If all are busy, it waits until one closes, and
+    /// connections that send nothing must not block new ones. If all are busy, the new one waits until one closes, and
     /// later connections stay in the backlog.
     async fn serve_when_slot_is_free(self: &Rc<Downstream>, accepted: Accepted) {
         let accepted_at = Instant::now();
@@ -213,8 +213,8 @@
         self.serve(Socket(accepted.stream), accepted.backlog_wait + slot_wait);
     }
 
-    /// Occupies a slot for a new connection and serves it. `backlog_wait` is the longest that it may have
-    /// waited for that.
+    /// Occupies a slot for a new connection and serves it. `backlog_wait` is the longest that the connection may
+    /// have waited for its slot.
     pub(crate) fn serve(self: &Rc<Downstream>, stream: impl ClientStream, backlog_wait: Duration) {
         increment(&self.dispatcher.counters().connections_accepted);
         let slot = self.occupy_slot(backlog_wait);
--- a/node/src/downstream/backlog/tests.rs
+++ b/node/src/downstream/backlog/tests.rs
@@ -74,8 +74,8 @@
 }
 
 /// A request read right after the accept may have waited as long as its connection, so that its deadline is
-/// earlier by that wait; a later request has its full time. A bound that may be far above the true wait
-/// leaves half of the time.
+/// earlier by that wait; a later request has its full time. At most half of the time is subtracted, since the
+/// bound may be far above the true wait.
 #[test]
 fn the_backlog_wait_is_subtracted_from_the_deadline() {
     for (waited, early) in [(0, 0), (100, 100), (2_000, 240)] {
--- a/node/src/downstream/connection.rs
+++ b/node/src/downstream/connection.rs
@@ -54,7 +54,7 @@
     incomplete_since: Option<Instant>,
     /// When bytes were last received, or reading was last blocked by the upload.
     last_received: Instant,
-    /// When the client last read part of its pending output, or there was none.
+    /// When part of the output was last written to the client, or the output was last empty.
     last_drained: Instant,
     /// When part of an answer was last written to the client.
     last_written: Option<Instant>,
@@ -73,7 +73,8 @@
 
 /// The events that the connection waits for in its current state.
 struct Interests {
-    /// Whether answers may be added to the output. Those to a client that does not read wait unformatted.
+    /// Whether answers may be added to the output. While the client leaves too much output unread, its answers
+    /// stay unformatted.
     can_answer: bool,
     /// Whether more input may be read.
     can_read: bool,
@@ -136,8 +137,8 @@
         }
     }
 
-    /// Serves the connection until its end. Returns the reader if input that crosses the close may still
-    /// arrive.
+    /// Serves the connection until its end. Returns the reader if the client may still send input before it sees
+    /// the close.
     pub(super) async fn serve<S: ClientStream>(&mut self, stream: S) -> io::Result<Option<S::Reader>> {
         let (mut reader, mut writer) = stream.halves();
         loop {
@@ -292,8 +293,8 @@
         Ok(true)
     }
 
-    /// Reads what has already arrived, even if the runtime has not polled for it, and returns whether there
-    /// was anything. Even a long event loop delay must not make unread input look like silence.
+    /// Reads what has already arrived, even if the runtime has not polled for it yet, and returns whether
+    /// there was anything. Even a long event loop delay must not make unread input look like silence.
     fn read_arrived(&mut self, reader: &mut impl ClientReader) -> io::Result<bool> {
         match reader.read_arrived(&mut self.input) {
             Poll::Ready(read) => {
@@ -304,7 +305,8 @@
         }
     }
 
-    /// Whether an answer may still be in transit and would be lost by a reset, if input crosses the close.
+    /// Whether an answer may still be in transit: input that arrives after the close would reset the connection,
+    /// and the answer would be lost.
     fn has_written_recently(&self) -> bool {
         self.last_written.is_some_and(|written| written.elapsed() < LINGER_TIMEOUT)
     }
--- a/node/src/downstream/connection/answers.rs
+++ b/node/src/downstream/connection/answers.rs
@@ -98,9 +98,10 @@
 pub(super) async fn next_answer(pending: &mut VecDeque<PendingAnswer>) -> (PendingAnswer, Answer) {
     let answer = match pending.front_mut() {
         None => std::future::pending().await,
-        // Unused, as the line is the answer.
+        // This answer is not used: the line is written instead.
         Some(PendingAnswer::Line(_)) => Answer::Failed,
-        // The dispatcher answers every request that it took; one that it dropped has failed.
+        // The dispatcher answers every request that it accepted; if it dropped the channel instead, the
+        // request has failed.
         Some(PendingAnswer::Request(request)) => (&mut request.answer).await.unwrap_or(Answer::Failed),
     };
     match pending.pop_front() {
--- a/node/src/downstream/connection/requests.rs
+++ b/node/src/downstream/connection/requests.rs
@@ -76,10 +76,10 @@
         }
     }
 
-    /// Sets the class and the tenant of a request. If the settings lack the class, that is answered and
-    /// `None` is returned, as there is no deadline and no idempotency for the request, and servers would
-    /// reject it too. A request with a tenant that the settings lack, or with none, is served like all others
-    /// and counts for no tenant's quota.
+    /// Sets the class and the tenant of a request. A request of a class that the settings lack is rejected with
+    /// an error line, and `None` is returned: without a class, it has no deadline and no idempotency, and servers
+    /// would reject it too. A request with a tenant that the settings lack, or with none, is served like all
+    /// others and counts for no tenant's quota.
     fn classify(&mut self, mut request: Box<ClientRequest>, class: &[u8]) -> Option<Box<ClientRequest>> {
         let labels = &self.downstream.labels;
         let Some(class) = position_of(&labels.classes, class) else {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Answers invalid input with this line. The connection ends after [`MAX_INVALID_REQUESTS`].
+    /// Answers invalid input with `answer_line`. The connection ends after [`MAX_INVALID_REQUESTS`].
     fn reject_invalid(&mut self, line: &'static str) {
         increment(&self.downstream.dispatcher.counters().malformed_requests);
         self.pending.push_back(PendingAnswer::Line(line));
@@ -130,7 +130,7 @@
         self.takes_no_more_requests |= self.invalid_requests >= MAX_INVALID_REQUESTS;
     }
 
-    /// Answers a request of a client that has already left with busy instead of forwarding it.
+    /// Answers a request with busy instead of forwarding it, because its client has already left.
     fn answer_abandoned(&mut self) {
         increment(&self.downstream.dispatcher.counters().requests_abandoned);
         self.pending.push_back(PendingAnswer::Line(BUSY));
--- a/node/src/downstream/connection/timing.rs
+++ b/node/src/downstream/connection/timing.rs
@@ -8,7 +8,8 @@
 /// How long a connection may be without an open request: one that is silent, kept open for good or in the
 /// middle of a request holds a descriptor that others need. A partial request does not restart the timeout.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// How long a request may take from its first byte to its last, if that ends after the idle timeout.
+/// How long a request line may take from its first byte to its last. The idle timeout applies instead if it
+/// ends later.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long an incomplete value may make no progress.
 const VALUE_STALL_TIMEOUT: Duration = Duration::from_millis(2200);
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Updates the shared total by the bytes that this connection buffers.
+    /// Updates the total of all client connections by the bytes that this one buffers.
     pub(super) fn update_buffered_bytes(&mut self) {
         let upload_bytes = self.upload.as_ref().map_or(0, StreamedUpload::buffered_bytes);
         let bytes = self.input.len() + self.output.len() + self.request_bytes + upload_bytes;
@@ -77,8 +78,8 @@
         self.counted_bytes = bytes;
     }
 
-    /// Whether more may be read. When all client connections together buffer too much, those that buffer much
-    /// wait until others finish or time out.
+    /// Whether more may be read. When all client connections together buffer too much, those that buffer more than
+    /// [`GUARANTEED_BUFFER_BYTES`] wait until others finish or time out.
     pub(super) fn can_buffer_more(&self) -> bool {
         self.counted_bytes <= GUARANTEED_BUFFER_BYTES
             || self.downstream.buffered_bytes.get() < self.downstream.resource_limits.client_buffer_bytes
--- a/node/src/downstream/slots.rs
+++ b/node/src/downstream/slots.rs
@@ -1,8 +1,8 @@
 //! The slots of downstream connections: how many are occupied, and which connections are evicted for others.
 //!
 //! Guarantee: a connection with an open request is never evicted, and one in the middle of a request only
-//! when there is no other. A connection that may be about to send its first request is evicted only for one
-//! that waits for a slot, so that no more of them close than wait. An evicted connection is read once more
+//! when there is no other. New connections, which may be about to send their first request, are evicted only
+//! for connections that wait for a slot, and no more of them than wait. An evicted connection is read once more
 //! before it closes, so that no request that has arrived is lost, however long the event loop is delayed.
 
 use std::cell::Cell;
@@ -13,7 +13,8 @@
 
 use super::Downstream;
 
-/// How long a new connection that has sent nothing is expected to be about to send its first request.
+/// How long after its accept a connection without a request counts as new: its client may be about to send the
+/// first request.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(500);
 /// The share of the slots (one in this many) that is kept free for new connections by evicting idle ones
 /// early.
@@ -166,10 +167,10 @@
         self.slots.borrow().iter().any(|slot| slot.is_eviction_pending.get())
     }
 
-    /// Evicts up to `count` connections without an open request, for as many that wait: the longest idle of
-    /// those that never had a request, or else of the others, then new connections, and those in the middle
-    /// of a request only when there is no other. After the first, only connections that have received nothing
-    /// are evicted.
+    /// Evicts up to `count` connections without an open request, for as many that wait. The order is: those that
+    /// never had a request, except new ones; those that had one; new ones; and those in the middle of a request.
+    /// Within each group the longest idle is first. After the first eviction, only connections that have received
+    /// nothing are evicted.
     pub(super) fn evict(&self, count: usize) {
         for position in 0..count {
             let is_allowed = |slot: &Slot| position == 0 || slot.has_received_nothing();
--- a/node/src/downstream/stream.rs
+++ b/node/src/downstream/stream.rs
@@ -31,7 +31,7 @@
     /// Whether the connection has been closed or has broken, even if unread bytes precede that.
     fn has_disconnected(&self) -> bool;
 
-    /// Reads what has already arrived, even if the runtime has not polled for it since. Pending if there is
+    /// Reads what has already arrived, even if the runtime has not polled for it yet. Pending if there is
     /// nothing.
     fn read_arrived(&mut self, input: &mut BytesMut) -> Poll<io::Result<usize>>;
 }
--- a/node/src/downstream/tests.rs
+++ b/node/src/downstream/tests.rs
@@ -20,7 +20,7 @@
 /// A step of a test case.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The client sends this text; its answer, if that is known at once.
+    /// The client sends this text, whose answer is given if it needs no attempt.
     Line(&'static str, Option<&'static str>),
     /// The oldest or the newest attempt in flight ends.
     AttemptEnd { newest: bool, served: bool },
@@ -188,7 +188,7 @@
         assert_eq!(
             recorder.started_attempts.borrow().len(),
             1,
-            "only the request of the well-behaved client has begun"
+            "a request other than that of the valid client was dispatched"
         );
         client.write_all(&b"\n".repeat(MAX_INVALID_REQUESTS * 2)).await.unwrap();
         let mut received = String::new();
--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -201,8 +201,8 @@
     }
 }
 
-/// A request that crosses the close of its idle connection is not forwarded, and must not cause a reset: the
-/// client receives the complete answer before it and an orderly end of the connection.
+/// A request sent before the client sees the close of its idle connection is not forwarded, and must not cause a
+/// reset: the client receives the complete earlier answer and an orderly end of the connection.
 #[test]
 fn a_request_that_crosses_the_close_does_not_reset_the_connection() {
     testing::run_on_sockets(async {
@@ -216,8 +216,8 @@
                 break attempt;
             }
         };
-        // More than the client's receive buffer takes while the client does not read, and less than the own
-        // send buffer does.
+        // More than the client's receive buffer takes while the client does not read, and less than the
+        // balancer's send buffer takes.
         const LENGTH: usize = 200 << 10;
         let value = Bytes::from(vec![b'v'; LENGTH]);
         downstream
@@ -235,7 +235,7 @@
         assert_eq!(received.len(), "VA 204800 O1\r\n".len() + LENGTH + 2);
         assert!(
             recorder.started_attempts.borrow().is_empty(),
-            "nothing that came after the close is forwarded"
+            "a request that arrived after the close was forwarded"
         );
     });
 }
@@ -274,14 +274,14 @@
             .set_final_deadline(dispatcher.clock().now().saturating_add(juniperladder::Micros(100_000)));
         downstream.shutdown.run(signalled_at, time_for_answers + crate::graceful_shutdown::EXIT_DELAY).await;
         let received =
-            timeout(Duration::from_secs(5), end).await.expect("the connection ends").unwrap().unwrap();
+            timeout(Duration::from_secs(5), end).await.expect("the connection did not end").unwrap().unwrap();
         assert!(received.ends_with(b"\r\n"));
         let answers =
             received.split(|byte| *byte == b'\n').filter(|line| line.starts_with(b"SERVER_ERROR")).count();
         assert_eq!(
             answers as u64,
             dispatcher.counters().requests.get(),
-            "one answer for each request accepted"
+            "the number of answers is not that of the accepted requests"
         );
     });
 }
--- a/node/src/downstream/tests/eviction.rs
+++ b/node/src/downstream/tests/eviction.rs
@@ -1,4 +1,4 @@
-//! Evictions after an event loop delay, in a forced order: time advances only where a test says so, and
+//! Evictions after an event loop delay, in a controlled order: time advances only where a test says so, and
 //! clients act between two turns of the event loop by direct socket calls.
 
 use std::io::{ErrorKind, Read, Write};
@@ -75,8 +75,8 @@
     }
 }
 
-/// Delays the event loop while `waiting` connections more than there are slots wait, after `turns_before`
-/// turns in which some of them were accepted. Connections that should keep their slots must be answered.
+/// Opens `waiting` connections more than there are slots, runs the event loop for `turns_before` turns, in which
+/// some are accepted, and then delays it. Connections that should keep their slots must be answered.
 async fn connect_during_loop_delay(waiting: usize, turns_before: usize) {
     let (_downstream, _, address) = start_downstream().await;
     let mut clients: Vec<_> = (0..SLOTS + waiting).map(|_| Client::connect(address)).collect();
--- a/node/src/downstream/tests/slots.rs
+++ b/node/src/downstream/tests/slots.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// A connection that is silent, kept open or stalled in the middle of a request must not hold its slot for
-/// good: it closes in time, the last with an error.
+/// good: it closes in time, and a stalled request is answered with an error.
 #[test]
 fn an_idle_or_stalled_connection_closes_in_time() {
     testing::run_paused(async {
@@ -142,6 +142,6 @@
         let mut received = [0; 4];
         client.read_exact(&mut received).await.unwrap();
         assert_eq!(&received, b"MN\r\n");
-        assert_eq!(silent[0].read(&mut received).await.unwrap(), 0, "the first was evicted");
+        assert_eq!(silent[0].read(&mut received).await.unwrap(), 0, "the first connection was not evicted");
     });
 }
--- a/node/src/downstream/upload.rs
+++ b/node/src/downstream/upload.rs
@@ -1,6 +1,6 @@
 //! The client side of a streamed upload, whose chunks are forwarded to the origin as they arrive.
 //!
-//! The transport of attempts has the origin side, and the dispatcher connects the two. A value that cannot be
+//! The transport of attempts implements the origin side, and the dispatcher connects the two. A value that cannot be
 //! forwarded is still read to its end, and its request is dispatched then: its attempt fails as not sent.
 
 use bytes::{BufMut, Bytes, BytesMut};
@@ -19,7 +19,7 @@
     Buffering(BytesMut),
     /// The chunks are sent on a connection to the origin.
     Sending(UploadHandle, ChunkSender),
-    /// The chunks are discarded: the origin side has ended, or the client has left.
+    /// The chunks are discarded: the origin side accepts no more of them, or the client has left.
     Discarding,
 }
 
@@ -57,8 +57,8 @@
         matches!(&self.state, UploadState::Sending(_, sender) if !sender.is_ready())
     }
 
-    /// Buffers or sends a chunk of the value. If the origin side has ended, the value is discarded and the
-    /// request is answered at its end.
+    /// Buffers or sends a chunk of the value. If the origin side accepts no more chunks, the value is discarded and
+    /// the request is answered at its end.
     pub fn on_chunk(&mut self, dispatcher: &Dispatcher, chunk: Bytes, is_last: bool) {
         let chunk = match &mut self.state {
             UploadState::Buffering(buffered) => {
--- a/node/src/endpoint_list.rs
+++ b/node/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in discovery's format, and its conversion for the decision logic.
+//! The endpoint list in discovery's format, and its conversion for the decision core.
 //!
 //! Guarantee: no request is sent to a server whose entry is invalid. A server with an unknown lifecycle is treated as
 //! draining and an entry without a valid address is ignored; both are logged, at most once per second. A zone or kind that
@@ -17,7 +17,7 @@
 use crate::clock::from_ms;
 use crate::dispatcher::ListedServer;
 
-/// The names that the decision logic replaces by their indices in the settings.
+/// The names that the decision core replaces by their indices in the settings.
 #[derive(Clone, Debug, Default)]
 pub struct SiteNames {
     /// The names of the zones.
@@ -91,7 +91,7 @@
     }
 }
 
-/// Converts discovery's lists for the decision logic.
+/// Converts discovery's lists for the decision core.
 #[derive(Debug, Default)]
 pub struct EndpointListReader {
     names: SiteNames,
--- a/node/src/endpoint_list/tests.rs
+++ b/node/src/endpoint_list/tests.rs
@@ -25,7 +25,7 @@
     let reader = EndpointListReader::new(site_names());
     let servers = reader.read(list(text), &log());
     let [origin, deleted] = &servers[..] else {
-        panic!("expected two entries, as one has no address: {servers:?}")
+        panic!("expected two entries, as the address of one is invalid: {servers:?}")
     };
     let endpoint = &origin.endpoint;
     assert_eq!(
@@ -47,9 +47,17 @@
     assert_eq!(server_id("s-5be2a07c"), ServerId(0x5be2_a07c));
     let others = ["origin", "t-5be2a07c", "s-5BE2A07C", "s-5be2a07c0", "s-05be2a07c", "5be2a07c", ""];
     let identifiers: HashSet<u64> = others.iter().map(|name| server_id(name).0).collect();
-    assert_eq!(identifiers.len(), others.len(), "distinct names have distinct ids");
+    assert_eq!(identifiers.len(), others.len(), "two names have the same id");
     assert!(identifiers.iter().all(|number| *number > u64::from(u32::MAX)));
-    assert_eq!(server_id("origin"), ServerId(hash(b"origin") | 1 << 63), "the id depends on the name alone");
+    assert_eq!(
+        server_id("origin"),
+        ServerId(hash(b"origin") | 1 << 63),
+        "a name of another form is not hashed, or the highest bit is not set"
+    );
     assert_eq!(key(b"7f3a9c21e0b4d655"), Key(0x7f3a_9c21_e0b4_d655));
-    assert_eq!(key(b"7F3A9C21E0B4D655"), Key(hash(b"7F3A9C21E0B4D655")), "upper case is a different key");
+    assert_eq!(
+        key(b"7F3A9C21E0B4D655"),
+        Key(hash(b"7F3A9C21E0B4D655")),
+        "the upper-case form is the same key"
+    );
 }
--- a/node/src/graceful_shutdown.rs
+++ b/node/src/graceful_shutdown.rs
@@ -1,9 +1,9 @@
 //! Graceful shutdown: the process keeps serving while clients still connect, answers every request that it
-//! took, and then exits.
+//! accepted, and then exits.
 //!
 //! It has three phases, counted from the signal:
 //!
-//! 1. **Draining.** New connections are still accepted and served, until none has come for [`QUIET_PERIOD`] or
+//! 1. **Draining.** New connections are still accepted and served, until none has arrived for [`QUIET_PERIOD`] or
 //!    [`MAX_DRAIN_TIME`] has passed.
 //! 2. **Closing.** Each connection closes as soon as its client waits for no answer.
 //! 3. **Last answers.** [`EXIT_DELAY`] before the time limit nothing more is read: a connection that is never
@@ -14,17 +14,18 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, timeout_at, Duration, Instant};
 
-/// The platform still routes new connections here for a moment after the signal. Client connections are
-/// closed only when none has come for this long, since clients whose connections are closed open new ones.
+/// The platform still routes new connections to this process for a moment after the signal. Client connections
+/// are closed only when no new one has arrived for this long, since clients whose connections are closed open
+/// new ones.
 const QUIET_PERIOD: Duration = Duration::from_millis(450);
 /// The closing phase begins no later than this after the signal, even if clients still connect.
 const MAX_DRAIN_TIME: Duration = Duration::from_millis(600);
 
-/// The protocol lets a process run after the signal for its longest deadline, taken as no longer than this,
-/// and for [`TIME_AFTER_LONGEST_DEADLINE`].
+/// The maximum longest deadline that the protocol counts: it lets a process run after the signal for its longest
+/// deadline, at most for this time, and for [`TIME_AFTER_LONGEST_DEADLINE`] after that.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 const TIME_AFTER_LONGEST_DEADLINE: Duration = Duration::from_millis(700);
-/// The part of that time that is left after the last answer.
+/// How much of the time that the protocol allows is left after the last answer.
 const TIME_AFTER_LAST_ANSWER: Duration = Duration::from_millis(100);
 /// How long the process keeps running after the last answer, so that the answer is transmitted.
 pub const EXIT_DELAY: Duration = Duration::from_millis(50);
@@ -34,7 +35,7 @@
     longest_deadline.min(MAX_COUNTED_DEADLINE) + TIME_AFTER_LONGEST_DEADLINE - TIME_AFTER_LAST_ANSWER
 }
 
-/// The phase of the shutdown. Connections wait for its phases, and their number is reported to it.
+/// The state of the shutdown: its phase, for which connections wait, and the number of open connections.
 #[derive(Debug, Default)]
 pub struct GracefulShutdown {
     is_stopping: Cell<bool>,
@@ -95,12 +96,12 @@
         let reading_ends = signalled_at + time_limit.saturating_sub(EXIT_DELAY);
         if timeout_at(reading_ends, self.wait_until_all_closed()).await.is_err() {
             self.begin_final_phase();
-            // The client of a connection that is cut off then waits for no answer.
+            // Connections that are still open after this are cut off; their clients wait for no answer.
             let _ = timeout_at(signalled_at + time_limit, self.wait_until_all_closed()).await;
         }
     }
 
-    /// Waits until no connection has come for [`QUIET_PERIOD`], at most until [`MAX_DRAIN_TIME`] after the
+    /// Waits until no connection has arrived for [`QUIET_PERIOD`], at most until [`MAX_DRAIN_TIME`] after the
     /// signal.
     async fn drain(&self, signalled_at: Instant) {
         loop {
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Begins the final phase: all requests that were read have their answers, and a client that keeps
-    /// sending sees the end of its connection.
+    /// Begins the final phase: nothing more is read, and connections whose clients keep sending are closed. All
+    /// requests that were read have their answers by now.
     fn begin_final_phase(&self) {
         self.has_final_phase_begun.set(true);
         self.phase_changed.notify_waiters();
--- a/node/src/graceful_shutdown/tests.rs
+++ b/node/src/graceful_shutdown/tests.rs
@@ -6,8 +6,8 @@
 use super::*;
 use crate::testing::{self, yield_until_idle};
 
-/// The platform routes new connections here for up to 0.4 s after the signal; closing the open ones meanwhile
-/// would only cause more new ones.
+/// The platform routes new connections to the process for up to 0.4 s after the signal. Closing the open ones
+/// meanwhile would only cause more new ones, so that they stay open for the maximum drain time.
 #[test]
 fn connections_close_once_no_new_ones_come() {
     testing::run_paused(async {
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemon as a library: runs the balancer's decision logic on real sockets.
+//! The daemon as a library: runs the balancer's decision core on real sockets.
 //!
 //! The client side ([`downstream`]) and the server side ([`upstream`]) communicate only through the [`dispatcher`];
 //! [`daemon`] builds and starts all components.
--- a/node/src/override_store.rs
+++ b/node/src/override_store.rs
@@ -5,7 +5,8 @@
 //! overrides. An override takes effect in its own process whether it could be written or not.
 //!
 //! A disk may stall for a second. The file is read and written on the runtime's blocking threads, so that neither client
-//! requests nor admin calls wait for it. A failed write is logged once and retried at every interval.
+//! requests nor admin calls wait for it. Of consecutive failures only the first is logged; the next attempt follows at the
+//! next interval.
 
 mod file;
 
@@ -73,11 +74,13 @@
     path: PathBuf,
     /// Changes that are not in the file yet, by server name.
     pending: RefCell<BTreeMap<String, OverrideState>>,
+    /// The version of the file whose overrides were last applied.
     last_seen: Cell<Option<FileVersion>>,
     last_change: Cell<ChangeId>,
     /// The last change that was written or whose write failed.
     last_attempted: watch::Sender<ChangeId>,
     change_recorded: Notify,
+    /// Whether the last synchronization with the file failed.
     write_failed: Cell<bool>,
     found_override_file: bool,
     log: Logger,
--- a/node/src/override_store/file.rs
+++ b/node/src/override_store/file.rs
@@ -32,7 +32,7 @@
 const FORMAT_TRAILER: &str = "end";
 /// The maximum file size. A larger file would hold more servers than a balancer keeps, so this program did not write it.
 const MAX_FILE_BYTES: u64 = 1 << 20;
-/// The length from which on a server name is invalid; discovery uses no such names.
+/// Server names must be shorter than this; those of discovery are.
 const NAME_BYTES_LIMIT: usize = 256;
 
 /// Why the overrides could not be read or written.
--- a/node/src/override_store/file/tests.rs
+++ b/node/src/override_store/file/tests.rs
@@ -39,14 +39,17 @@
         "juniperladder bans 1\ns-00000001\ns-0000000a\nend\n"
     );
     let unchanged = update(&path, &[], &BTreeMap::new(), Some(content.version)).unwrap();
-    assert!(unchanged.is_none(), "the file has not changed since it was last read");
+    assert!(unchanged.is_none(), "a file that has not changed since it was last read was read again");
 }
 
 #[test]
 fn written_overrides_are_read_back() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("n0.bans");
-    assert!(matches!(read(&path), Err(OverrideFileError::Missing)), "none yet");
+    assert!(
+        matches!(read(&path), Err(OverrideFileError::Missing)),
+        "a missing file was not reported as missing"
+    );
     write(&path, &["s-1".into(), "s-2".into()]).unwrap();
     assert_eq!(read(&path).unwrap(), ["s-1", "s-2"]);
     write(&path, &[]).unwrap();
--- a/node/src/override_store/tests.rs
+++ b/node/src/override_store/tests.rs
@@ -47,7 +47,7 @@
         assert!(!first.store.found_override_file());
         first.store.synchronize().await;
         let second = Process::start(&path);
-        assert!(second.store.found_override_file(), "the first process creates the file at its start");
+        assert!(second.store.found_override_file(), "the first process did not create the file at its start");
         first.offline(SERVER_A);
         second.offline(SERVER_B);
         tokio::join!(first.store.synchronize(), second.store.synchronize());
@@ -104,7 +104,7 @@
         assert_eq!(
             process.offline_servers(),
             [SERVER_A, SERVER_B],
-            "the earlier process's override is restored"
+            "the earlier process's override was not restored"
         );
         assert_eq!(file::read(&path).unwrap(), [SERVER_A, SERVER_B]);
         let remaining_files: Vec<_> =
@@ -122,7 +122,7 @@
         process.store.synchronize().await;
         process.store.wait_until_attempted(change).await;
         assert_eq!(process.offline_servers(), [SERVER_A]);
-        assert!(process.store.is_pending(SERVER_A), "the write is retried");
+        assert!(process.store.is_pending(SERVER_A), "the failed write will not be retried");
         assert_eq!(process.store.pending.borrow().len(), 1);
     });
 }
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -48,7 +48,7 @@
     cluster: Rc<RefCell<Cluster>>,
     socket: UdpSocket,
     clock: Clock,
-    /// The documented bound of the origin limit, as a multiple of the rate.
+    /// The bound that every rate limit guarantees, in requests in any second as a multiple of the limit's rate.
     stated_bound: f64,
     log: Logger,
 }
@@ -79,7 +79,7 @@
         Ok(Rc::new(Peers { cluster, socket, clock, stated_bound: config.stated_bound(), log }))
     }
 
-    /// The decision logic's view of the cluster.
+    /// The decision core's view of the cluster.
     pub fn coordination(&self) -> Box<dyn Coordination> {
         Box::new(ClusterCoordination::new(Rc::clone(&self.cluster)))
     }
@@ -94,7 +94,8 @@
                 // The next read returns any error.
                 _ = self.socket.readable() => {}
             }
-            // Also before a tick: after an event loop delay, a member whose answer has arrived must not be suspected.
+            // Packets are also read before a tick: after an event loop delay, a member whose answer has arrived must not be
+            // suspected.
             self.receive();
             if Instant::now() >= next_tick {
                 // Missed ticks are skipped.
--- a/node/src/simulation/clients.rs
+++ b/node/src/simulation/clients.rs
@@ -14,8 +14,8 @@
 use crate::memcache::{read_answer, write_request};
 use crate::testing;
 
-/// The time before the close of its connection in which a request may have been sent to count as crossing the
-/// close: its client sends it once more, so that it is not lost.
+/// A request sent within this time before its connection closed may not have been read by the daemon. A missing
+/// answer to it is no violation, since a real client sends the request once more.
 const MAX_CROSSING_TIME: Duration = Duration::from_millis(2);
 
 /// A request that waits for its answer.
@@ -133,7 +133,7 @@
         };
         write_request(&mut text, &request, request.timeout.unwrap_or_default());
         simulation.event_log.on_request_sent(&id, class);
-        // Time spent waiting for the answers before it does not count.
+        // Answers are read in order, so that no deadline is before that of an earlier request.
         deadline = deadline.max(Instant::now() + Duration::from_millis(wait));
         requests.push_back(OpenRequest { request, sent: Instant::now(), deadline });
     }
--- a/node/src/testing.rs
+++ b/node/src/testing.rs
@@ -48,7 +48,7 @@
 }
 
 impl ClientReader for ReadHalf<DuplexStream> {
-    /// An in-memory stream shows its end only to a read.
+    /// Always false, as an in-memory stream shows its end only to a read.
     fn has_disconnected(&self) -> bool {
         false
     }
--- a/node/src/upstream.rs
+++ b/node/src/upstream.rs
@@ -203,7 +203,7 @@
         Some(attempt)
     }
 
-    /// Returns an attempt of which nothing was written to the head of its queue.
+    /// Puts an attempt of which no byte was written back at the head of its queue.
     fn requeue(&self, server: ServerId, attempt: Attempt) {
         let mut pools = self.pools.borrow_mut();
         let Some(pool) = pools.get_mut(&server) else {
@@ -297,8 +297,9 @@
         }
     }
 
-    /// Sends the last byte of an upload as its attempt. All other bytes have been written; if that failed,
-    /// the request was not executed, and the value is not kept anywhere to send it again.
+    /// Sends the last byte of an upload, which is its attempt; all other bytes were sent before. If their connection
+    /// has failed, the attempt ends as not sent: the request was not executed, and the value is not kept to be sent
+    /// again.
     fn finish_upload(&self, pool: &mut Pool, attempt: Attempt) {
         let id = attempt.id;
         let is_sent =
@@ -312,7 +313,8 @@
 
     /// Whether the connection of a timed-out attempt has to close. It stays open for the late answer while
     /// connections are plentiful, which saves the server a new one. A connection to the origin closes, since
-    /// the close tells the origin to stop working.
+    /// the close tells the origin to stop working. If [`UpstreamLimits::may_duplicate`] is false, every connection
+    /// closes, since only then may the request be attempted elsewhere.
     fn must_close_on_timeout(&self, pool: &Pool) -> bool {
         let is_crowded =
             self.connections.get() * CROWDED_DENOMINATOR > self.limits.max_connections * CROWDED_NUMERATOR;
@@ -338,7 +340,7 @@
             }
         }
         for pool in pools.values_mut().filter(|pool| !pool.accepts_attempts) {
-            // No attempt may begin at a server that drains or is gone: the drain rule counts from the first
+            // No attempt may begin at a server that drains or is gone, and an attempt begins with its first
             // byte.
             pool.idle.clear();
             self.cancel_waiting(&mut pool.waiting, |_| true);
--- a/node/src/upstream/connection.rs
+++ b/node/src/upstream/connection.rs
@@ -213,8 +213,7 @@
     ) -> AfterAttempt {
         let time_left = attempt.deadline.saturating_sub(upstream.clock.now());
         if time_left.0 == 0 || upstream.is_cancelled(&attempt) {
-            // The attempt timed out before it was written, or its request was answered: nothing would use the
-            // result.
+            // The attempt timed out or was cancelled before it was written: nothing would use the result.
             let has_timed_out = time_left.0 == 0;
             let end = if has_timed_out { AttemptEnd::ConnectFailed } else { AttemptEnd::NotSent };
             upstream.end_attempt(self.server, attempt.id, end);
--- a/node/src/upstream/idle_timeout.rs
+++ b/node/src/upstream/idle_timeout.rs
@@ -1,17 +1,18 @@
 //! How long a connection to a server may be idle before the balancer closes it.
 //!
-//! A write must never cross the server's close of an idle connection. Servers, and middleboxes on the path,
-//! may close earlier than the settings say, and show it only at the next write. The timeout is therefore
+//! The balancer should not write to a connection that its server is closing as idle, as the request may then
+//! fail. Servers, and middleboxes on the path, may close earlier than the settings say, and show it only at the
+//! next write. The timeout is therefore
 //! shortened when a reused connection breaks, and slowly grows back.
 
 use std::cell::Cell;
 use std::time::Duration;
 
-/// The share of the configured idle timeout of the servers for which a connection is reused: the server's
-/// close follows its own clock and takes time to arrive. Close to 1, since in a large fleet a balancer may
-/// return to a server only after seconds.
+/// The maximum idle timeout, as a share of the servers' configured one. Below 1, since a server measures its
+/// timeout by its own clock and its close takes time to arrive; only slightly below, since in a large fleet a
+/// balancer may return to a server only after seconds.
 const CONFIGURED_SHARE: f64 = 0.95;
-/// The same share of an idle time after which a connection broke.
+/// The idle timeout after a reused connection broke, as a share of the time for which that connection was idle.
 const LEARNT_SHARE: f64 = 0.7;
 /// The shortest idle timeout. A connection that breaks after a shorter idle time does not count.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(25);
--- a/node/src/upstream/pool.rs
+++ b/node/src/upstream/pool.rs
@@ -31,6 +31,7 @@
 /// The connection pool of one server.
 #[derive(Default)]
 pub(super) struct Pool {
+    /// The server's address in the endpoint list; `None` until the list has one.
     pub(super) address: Option<SocketAddr>,
     pub(super) is_origin: bool,
     /// Whether the server is serving, so that attempts may begin there.
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -107,8 +107,8 @@
     }
 }
 
-/// The drain rule counts from the first byte of an attempt: an attempt that still waits for a connection must
-/// not begin.
+/// An attempt begins with its first byte: one that still waits for a connection when its server starts to drain
+/// must not begin.
 #[test]
 fn a_draining_server_gets_no_waiting_attempt() {
     testing::run_paused(async {
@@ -118,7 +118,11 @@
         upstream.attach(&dispatcher);
         let (_, answer) = dispatcher.accept(testing::request("7", None)).unwrap();
         yield_until_idle().await;
-        assert_eq!(dispatcher.counters().attempts_not_sent.get(), 0, "it waits for a connection");
+        assert_eq!(
+            dispatcher.counters().attempts_not_sent.get(),
+            0,
+            "the attempt ended while it waited for a connection"
+        );
         dispatcher
             .on_endpoints_changed(EndpointUpdate::Delta, &[listed_server(SERVER, EndpointState::Draining)]);
         assert!(matches!(answer.await, Ok(Answer::Rejected(_))));
@@ -330,11 +334,14 @@
         let margin = configured - maximum;
         assert!(
             maximum > configured.mul_f64(0.9),
-            "one of many balancers reuses a connection only after seconds"
+            "the timeout {maximum:?} is too short: one of many balancers reuses a connection only after seconds"
+        );
+        assert!(
+            margin >= configured / 25,
+            "the margin of {margin:?} is too small for the network round trip"
         );
-        assert!(margin >= configured / 25, "margin for the network round trip: {margin:?}");
         idle_timeout.on_broken(Duration::from_millis(1));
-        assert_eq!(idle_timeout.current(), maximum, "a connection that was hardly idle shows nothing");
+        assert_eq!(idle_timeout.current(), maximum, "a break after 1 ms of idle time changed the timeout");
         idle_timeout.on_broken(Duration::from_millis(100));
         assert_eq!(idle_timeout.current(), Duration::from_millis(70));
         idle_timeout.on_reused(Duration::from_millis(60));
@@ -425,7 +432,7 @@
             let (_, answer) = dispatcher.accept(testing::request("7", None)).unwrap();
             assert!(matches!(answer.await, Ok(Answer::Rejected(_) | Answer::Failed)));
             assert!(accepted.get() <= 3, "{} connections for three attempts", accepted.get());
-            assert_eq!(upstream.counters.attempts_written.get(), 0, "no byte of the request was written");
+            assert_eq!(upstream.counters.attempts_written.get(), 0, "a byte of the request was written");
         });
     }
 }
@@ -523,7 +530,7 @@
             idle_stream.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
             assert!(first.await.is_ok());
             yield_until_idle().await;
-            assert_eq!(upstream.connections.get(), 1, "the connection is idle");
+            assert_eq!(upstream.connections.get(), 1, "the connection was not kept open");
             // No turn of the event loop lies between the assignment of the request to the connection and the
             // update.
             let (_, second) = dispatcher.accept(testing::request("2", None)).unwrap();
@@ -532,7 +539,7 @@
             dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[listed]);
             if change == EndpointState::Serving {
                 let accepted = timeout(Duration::from_secs(5), new.accept()).await;
-                let (mut stream, _) = accepted.expect("the request is sent to the new address").unwrap();
+                let (mut stream, _) = accepted.expect("no connection was opened to the new address").unwrap();
                 assert!(read_request_line(&mut stream).await.contains(" O2 "));
                 stream.write_all(b"VA 1 O2\r\nw\r\n").await.unwrap();
                 assert_eq!(second.await, Ok(Answer::Value("w".into())));
--- a/node/src/upstream/upload/tests.rs
+++ b/node/src/upstream/upload/tests.rs
@@ -78,7 +78,7 @@
         assert_eq!(
             (upstream.counters.attempts_written.get(), upstream.uploads.get()),
             (0, 1),
-            "nothing is executed yet"
+            "the attempt was written before its last byte was sent"
         );
         allow_last_byte.send(()).unwrap();
         assert_eq!(at_origin.read_u8().await.unwrap(), value[LENGTH - 1]);
@@ -105,8 +105,8 @@
     });
 }
 
-/// If the origin closes early, the write is not executed, and the client gets that answer at once at the end
-/// of its value.
+/// If the origin closes early, the write is not executed, and the client gets a busy answer as soon as its value
+/// has ended.
 #[test]
 fn a_streamed_write_is_rejected_if_the_origin_closes() {
     testing::run_on_sockets(async {
--- a/node/tests/two_deployments.rs
+++ b/node/tests/two_deployments.rs
@@ -106,7 +106,15 @@
         assert_eq!(second.read_answer().await, "CLIENT_ERROR unknown class\r\n");
         first.send("mg k v O3 Pc=read,t=beta,d=500\r\n").await;
         second.send("mg k v O3 Pc=list,d=500\r\n").await;
-        assert_eq!(first.next_attempt().await.request.tenant, 1, "the index after the only tenant");
-        assert_eq!(second.next_attempt().await.request.tenant, 2, "the index after both tenants");
+        assert_eq!(
+            first.next_attempt().await.request.tenant,
+            1,
+            "a request of an unknown tenant has another index than the one after the only tenant"
+        );
+        assert_eq!(
+            second.next_attempt().await.request.tenant,
+            2,
+            "a request without a tenant has another index than the one after both tenants"
+        );
     });
 }
