--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -169,7 +169,7 @@
     /// Handles a watch request of the decision core. While a new address has not sent its list, [`Self::next_poll`]
     /// schedules the polls instead.
     fn on_watch_requested(&mut self) {
-        if !self.watches.awaits_new_address() && self.watches.needs_poll() {
+        if !self.watches.awaits_list_of_new_address() && self.watches.needs_poll() {
             self.start_poll(PollReason::Requested);
         }
     }
@@ -221,7 +221,7 @@
                     "endpoint_list_version" => version);
                 return;
             }
-            ListUse::UnknownPoll => {
+            ListUse::PollClosed => {
                 info!(self.log, "endpoint list from a closed poll ignored"; "poll" => ?poll_id,
                     "endpoint_list_version" => version);
                 return;
@@ -233,7 +233,7 @@
                 return self.on_failure(&reason, Duration::ZERO);
             }
         };
-        if !self.watches.awaits_new_address() {
+        if !self.watches.awaits_list_of_new_address() {
             self.next_poll = None;
         }
         let servers = self.reader.read(list, &self.log);
@@ -261,7 +261,7 @@
                 "discovery_failures" => failures.get());
         }
         let now = Instant::now();
-        if self.watches.awaits_new_address() {
+        if self.watches.awaits_list_of_new_address() {
             self.next_poll = Some(now + new_address_backoff(self.new_address_failures, &mut self.rng));
             self.new_address_failures += 1;
             return;
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -165,7 +165,7 @@
 #[test]
 fn a_silent_watch_is_replaced_within_six_seconds() {
     for silent in [Behaviour::FallsSilent(1), Behaviour::Trickles(1)] {
-        for between in [None, Some(Behaviour::Refuses), Some(Behaviour::Busy), Some(Behaviour::Hangs)] {
+        for between in [None, Some(Behaviour::ClosesAtOnce), Some(Behaviour::Busy), Some(Behaviour::Hangs)] {
             testing::run_paused(async {
                 let mut behaviours = vec![silent];
                 behaviours.extend(between);
@@ -193,16 +193,16 @@
 /// Polls of an unavailable discovery are spaced out, and it is reached soon after its recovery.
 #[test]
 fn an_unavailable_discovery_is_reached_soon_after_its_recovery() {
-    for away in [Behaviour::Refuses, Behaviour::Busy, Behaviour::Hangs] {
+    for unavailable in [Behaviour::ClosesAtOnce, Behaviour::Busy, Behaviour::Hangs] {
         testing::run_paused(async {
             let discovery = FakeDiscovery::new(vec![
                 Behaviour::FallsSilent(1),
-                away,
-                away,
-                away,
-                away,
-                away,
-                away,
+                unavailable,
+                unavailable,
+                unavailable,
+                unavailable,
+                unavailable,
+                unavailable,
                 Behaviour::SendsList(2),
             ])
             .await;
@@ -213,7 +213,7 @@
                 let apart = pair[1].0 - pair[0].0;
                 assert!(
                     apart >= Duration::from_secs(2) && apart < CHANGE_NOTIFIED_AFTER - ANSWER_TIMEOUT,
-                    "{away:?}: {apart:?}"
+                    "{unavailable:?}: {apart:?}"
                 );
             }
             assert!(received - polls.last().unwrap().0 < PROMPT_POLL);
@@ -239,10 +239,10 @@
 /// the old address is not polled any more.
 #[test]
 fn a_new_address_is_followed_within_four_seconds() {
-    for first in [Behaviour::Refuses, Behaviour::Busy, Behaviour::Hangs, Behaviour::SendsList(1)] {
+    for first in [Behaviour::ClosesAtOnce, Behaviour::Busy, Behaviour::Hangs, Behaviour::SendsList(1)] {
         testing::run_paused(async {
             // The old address has failed for so long that the decision core uses its longest backoff.
-            let old = FakeDiscovery::new(vec![Behaviour::Refuses]).await;
+            let old = FakeDiscovery::new(vec![Behaviour::ClosesAtOnce]).await;
             let new = FakeDiscovery::new(vec![first, Behaviour::SendsList(1)]).await;
             let balancer = balancer(&old, POLL_AT_START, true);
             sleep(Duration::from_secs(30)).await;
@@ -269,9 +269,9 @@
     testing::run_paused(async {
         let grace = Duration::from_millis(400);
         let discovery = FakeDiscovery::new(vec![
-            Behaviour::Refuses,
+            Behaviour::ClosesAtOnce,
             Behaviour::Busy,
-            Behaviour::Refuses,
+            Behaviour::ClosesAtOnce,
             Behaviour::FallsSilent(1),
             Behaviour::SendsList(2),
         ])
@@ -369,7 +369,7 @@
             }
         });
         let new =
-            FakeDiscovery::new(vec![Behaviour::Refuses, Behaviour::Busy, Behaviour::SendsList(1)]).await;
+            FakeDiscovery::new(vec![Behaviour::ClosesAtOnce, Behaviour::Busy, Behaviour::SendsList(1)]).await;
         let balancer = balancer_at(old_address, POLL_AT_START, true);
         changes.send(5).await.unwrap();
         balancer.wait_for_lists(1).await;
--- a/node/src/discovery/tests/fake_discovery.rs
+++ b/node/src/discovery/tests/fake_discovery.rs
@@ -17,7 +17,7 @@
     /// Keeps the connection open without an answer.
     Hangs,
     /// Closes the connection at once.
-    Refuses,
+    ClosesAtOnce,
     /// Responds with status 503.
     Busy,
     /// Sends a list of this generation, then an empty line every two seconds.
@@ -44,13 +44,13 @@
         let polls = Rc::new(RefCell::new(Vec::new()));
         let recorded_polls = Rc::clone(&polls);
         spawn_local(async move {
-            for at in 0.. {
+            for index in 0.. {
                 let (mut stream, _) = listener.accept().await.unwrap();
-                let behaviour = behaviours[at.min(behaviours.len() - 1)];
+                let behaviour = behaviours[index.min(behaviours.len() - 1)];
                 let recorded_polls = Rc::clone(&recorded_polls);
                 spawn_local(async move {
                     let mut request = BytesMut::new();
-                    if behaviour == Behaviour::Refuses {
+                    if behaviour == Behaviour::ClosesAtOnce {
                         recorded_polls.borrow_mut().push((Instant::now(), String::new()));
                         return;
                     }
@@ -93,7 +93,7 @@
     if matches!(behaviour, Behaviour::Ends(_)) {
         return;
     }
-    let mut more =
+    let mut unfinished_list =
         "{\"generation\":99,\"reset\":true,\"instances\":[ ".bytes().chain(std::iter::repeat(b' '));
     loop {
         let written = match behaviour {
@@ -103,7 +103,7 @@
             }
             Behaviour::Trickles(_) => {
                 sleep(Duration::from_millis(200)).await;
-                stream.write_all(&[b"1\r\n", &[more.next().unwrap()][..], b"\r\n"].concat()).await
+                stream.write_all(&[b"1\r\n", &[unfinished_list.next().unwrap()][..], b"\r\n"].concat()).await
             }
             _ => std::future::pending().await,
         };
--- a/node/src/discovery/watches.rs
+++ b/node/src/discovery/watches.rs
@@ -57,8 +57,8 @@
     /// The time of the last complete line; none while the poll has not been answered.
     last_line: Option<Instant>,
     /// The version from which the poll requests changes; none if it requests a complete list.
-    requested_since: Option<u64>,
-    /// The version last received on this connection, or `requested_since` before the first list.
+    requested_version: Option<u64>,
+    /// The version last received on this connection, or `requested_version` before the first list.
     version: Option<u64>,
     /// The time at which the poll was reported as overdue.
     reported: Option<Instant>,
@@ -102,7 +102,7 @@
         known: u64,
     },
     /// Ignored: the poll has been closed.
-    UnknownPoll,
+    PollClosed,
 }
 
 /// What a heartbeat means.
@@ -126,13 +126,19 @@
     /// The version of the list in use at the current address; none if a complete list is needed.
     version: Option<u64>,
     /// Whether the address has changed and the new one has not sent a list yet.
-    awaits_new_address: bool,
+    awaits_list_of_new_address: bool,
 }
 
 impl<T> Watches<T> {
     /// No open polls; a list of this version is in use.
     pub fn new(version: Option<u64>) -> Watches<T> {
-        Watches { open: Vec::new(), last_id: 0, address_number: 0, version, awaits_new_address: false }
+        Watches {
+            open: Vec::new(),
+            last_id: 0,
+            address_number: 0,
+            version,
+            awaits_list_of_new_address: false,
+        }
     }
 
     /// The version of the list in use.
@@ -141,8 +147,8 @@
     }
 
     /// Whether the address has changed and the new one has not sent a list yet.
-    pub fn awaits_new_address(&self) -> bool {
-        self.awaits_new_address
+    pub fn awaits_list_of_new_address(&self) -> bool {
+        self.awaits_list_of_new_address
     }
 
     /// Whether a poll is needed: every watch or poll of the current address, if any, is overdue.
@@ -166,7 +172,7 @@
             address_number: self.address_number,
             started: now,
             last_line: None,
-            requested_since: self.version,
+            requested_version: self.version,
             version: self.version,
             reported: None,
             _connection: connection,
@@ -185,7 +191,7 @@
     pub fn on_new_address(&mut self) {
         self.address_number += 1;
         self.version = None;
-        self.awaits_new_address = true;
+        self.awaits_list_of_new_address = true;
         self.open.retain(|poll| poll.last_line.is_some());
     }
 
@@ -217,7 +223,7 @@
     /// Records a received list of this version, and returns how it is applied.
     pub fn on_list(&mut self, id: PollId, version: u64, is_complete: bool, now: Instant) -> ListUse {
         let Some(index) = self.open.iter().position(|poll| poll.id == id) else {
-            return ListUse::UnknownPoll;
+            return ListUse::PollClosed;
         };
         let poll = &mut self.open[index];
         let is_snapshot = is_complete || poll.version.is_none();
@@ -231,7 +237,7 @@
         if poll.address_number != self.address_number {
             return list_use;
         }
-        self.awaits_new_address = false;
+        self.awaits_list_of_new_address = false;
         self.keep_only(id);
         if is_outdated {
             return ListUse::Outdated;
@@ -244,7 +250,7 @@
     fn on_contradiction(&mut self, index: usize, known: u64) -> ListUse {
         let poll = self.open.remove(index);
         if poll.address_number != self.address_number {
-            return ListUse::UnknownPoll;
+            return ListUse::PollClosed;
         }
         self.version = None;
         ListUse::Contradictory { known }
@@ -288,8 +294,8 @@
 /// is ignored, as this watch sends the newer changes as well. A version older than the requested one is not outdated:
 /// discovery has restarted its version numbers. Neither is the list that answers a request for a complete one.
 fn has_outdated_version<T>(poll: &OpenPoll<T>, version: u64, in_use: Option<u64>) -> bool {
-    let started_before = poll.requested_since.is_some_and(|since| since <= version);
-    started_before && in_use.is_some_and(|known| version < known)
+    let is_same_numbering = poll.requested_version.is_some_and(|since| since <= version);
+    is_same_numbering && in_use.is_some_and(|known| version < known)
 }
 
 #[cfg(test)]
--- a/node/src/discovery/watches/tests.rs
+++ b/node/src/discovery/watches/tests.rs
@@ -51,7 +51,7 @@
     assert_eq!(fixture.watches.version(), None);
     let after_change = fixture.start_poll(4);
     assert_eq!(fixture.list(after_change, 1, false, 5), ListUse::Snapshot);
-    assert!(!fixture.watches.awaits_new_address());
+    assert!(!fixture.watches.awaits_list_of_new_address());
 }
 
 /// Guards against a lost answer: an answer after the timeout is applied, and closes the poll made in parallel.
@@ -68,7 +68,7 @@
     let second = fixture.start_poll(2_800);
     assert!(!fixture.watches.needs_poll());
     assert_eq!(fixture.list(first, 5, false, 3_000), ListUse::Delta);
-    assert!(!fixture.end(second, 3_001) && fixture.list(second, 5, false, 3_002) == ListUse::UnknownPoll);
+    assert!(!fixture.end(second, 3_001) && fixture.list(second, 5, false, 3_002) == ListUse::PollClosed);
     assert!(fixture.end(first, 6_000), "the end of the current watch was not reported");
 }
 
@@ -86,7 +86,7 @@
         "a list of an overdue watch was not applied"
     );
     let third = fixture.start_poll(2_900);
-    assert_eq!(fixture.list(second, 6, false, 2_950), ListUse::UnknownPoll);
+    assert_eq!(fixture.list(second, 6, false, 2_950), ListUse::PollClosed);
     let answered = fixture.watches.on_heartbeat(third, fixture.start + Duration::from_secs(3));
     assert_eq!(answered, Heartbeat::Answered);
     assert!(!fixture.end(first, 3_100), "the end of a replaced watch was reported");
@@ -113,7 +113,7 @@
 
 /// Changes with an older version than the requested one cannot be applied consistently, so their poll is closed.
 #[test]
-fn changes_to_an_older_version_close_the_watch() {
+fn changes_with_an_older_version_close_the_poll() {
     let mut fixture = Fixture::new(Some(3));
     let first = fixture.start_poll(0);
     assert_eq!(fixture.list(first, 2, false, 100), ListUse::Contradictory { known: 3 });
@@ -131,7 +131,7 @@
     for address in 1..5 {
         fixture.watches.on_new_address();
         let unanswered = fixture.start_poll(address * 200);
-        assert!(fixture.watches.awaits_new_address());
+        assert!(fixture.watches.awaits_list_of_new_address());
         let heartbeat = fixture.watches.on_heartbeat(unanswered, fixture.start);
         assert_eq!(heartbeat, Heartbeat::Ignored, "a heartbeat was taken for the complete list");
         assert_eq!(fixture.list(first, 4 + address, false, address * 200 + 50), ListUse::Delta);
@@ -139,7 +139,7 @@
     }
     let new_poll = fixture.start_poll(1_100);
     assert_eq!(fixture.list(new_poll, 1, true, 1_200), ListUse::Snapshot);
-    assert_eq!(fixture.list(first, 9, false, 1_300), ListUse::UnknownPoll);
+    assert_eq!(fixture.list(first, 9, false, 1_300), ListUse::PollClosed);
     assert_eq!(fixture.watches.version(), Some(1));
 }
 
