--- a/node/src/downstream/backlog/tests.rs
+++ b/node/src/downstream/backlog/tests.rs
@@ -30,14 +30,14 @@
         let mut backlog = Backlog::new(listener);
         let wait = Duration::from_millis(300);
         for _ in 0..2 {
-            let (first, awaited) = tokio::join!(backlog.accept(), async { connect(address) });
+            let (first, first_client) = tokio::join!(backlog.accept(), async { connect(address) });
             assert_eq!(first.unwrap().backlog_wait, Duration::ZERO);
             let queued = [connect(address), connect(address)];
             advance(wait).await;
             assert_eq!(backlog.accept().await.unwrap().backlog_wait, wait);
             assert_eq!(backlog.accept_queued().unwrap().backlog_wait, wait);
             assert!(backlog.accept_queued().is_none());
-            drop((awaited, queued));
+            drop((first_client, queued));
         }
     });
 }
@@ -78,12 +78,12 @@
 /// bound may be far above the true wait.
 #[test]
 fn the_backlog_wait_is_subtracted_from_the_deadline() {
-    for (waited, early) in [(0, 0), (100, 100), (2_000, 240)] {
+    for (waited_ms, subtracted_ms) in [(0, 0), (100, 100), (2_000, 240)] {
         testing::run_paused(async {
             let recorder = Rc::new(RecordingTransport::default());
             let downstream = downstream(&recorder);
             let (stream, mut client) = duplex(1 << 10);
-            spawn_local(serve_after(Rc::clone(&downstream), stream, Duration::from_millis(waited)));
+            spawn_local(serve_after(Rc::clone(&downstream), stream, Duration::from_millis(waited_ms)));
             let now = downstream.dispatcher.clock().now();
             client.write_all(b"mg a v O1 Pc=read,d=480\r\nmg b v O2 Pc=read,d=480\r\n").await.unwrap();
             yield_until_idle().await;
@@ -96,7 +96,7 @@
                 .iter()
                 .map(|attempt| attempt.deadline.saturating_sub(now))
                 .collect();
-            let early_time_left = Micros((480 - 10 - early) * 1_000);
+            let early_time_left = Micros((480 - 10 - subtracted_ms) * 1_000);
             assert_eq!(times_left, [early_time_left, early_time_left, Micros((480 - 10 + 50) * 1_000)]);
         });
     }
--- a/node/src/downstream/connection.rs
+++ b/node/src/downstream/connection.rs
@@ -62,9 +62,9 @@
     download: Option<Download>,
     /// The streamed value that is being received from the client.
     upload: Option<StreamedUpload>,
-    /// Whether no further request is accepted, as the client closed its side or sent `quit`, or the connection
+    /// Whether no further request is read, as the client closed its side or sent `quit`, or the connection
     /// ends because of invalid or unfinished input.
-    takes_no_more_requests: bool,
+    has_stopped_requests: bool,
     /// Whether the client has left before all its input was read; the rest is not forwarded.
     has_client_left: bool,
     /// Whether the shutdown is in its final phase: what has been read is answered, and no more is read.
@@ -131,7 +131,7 @@
             last_written: None,
             download: None,
             upload: None,
-            takes_no_more_requests: false,
+            has_stopped_requests: false,
             has_client_left: false,
             is_final_phase: false,
         }
@@ -145,7 +145,7 @@
             self.take_requests();
             self.update_times();
             self.update_buffered_bytes();
-            if (self.takes_no_more_requests || self.is_final_phase) && self.has_sent_all_answers() {
+            if (self.has_stopped_requests || self.is_final_phase) && self.has_sent_all_answers() {
                 writer.shutdown().await?;
                 return Ok(Some(reader));
             }
@@ -191,7 +191,7 @@
         let is_upload_blocked = self.is_upload_blocked();
         // Reading is allowed only once all complete requests have been taken, so that an end of input is never seen
         // before a request sent ahead of it.
-        let has_room_for_requests = !self.takes_no_more_requests
+        let has_room_for_requests = !self.has_stopped_requests
             && !self.is_final_phase
             && !is_upload_blocked
             && self.pending.len() < MAX_PENDING_ANSWERS
@@ -201,7 +201,7 @@
         Interests {
             can_answer,
             can_read,
-            must_watch_disconnect: !(can_read || self.takes_no_more_requests || self.has_client_left),
+            must_watch_disconnect: !(can_read || self.has_stopped_requests || self.has_client_left),
             is_upload_blocked,
             is_idle: self.is_idle(),
             deadline: self.deadline(),
@@ -225,7 +225,7 @@
     ) -> io::Result<ConnectionEvent> {
         let downstream = self.downstream;
         let chunk_bytes = downstream.resource_limits.chunk_bytes;
-        let is_reading_over = self.takes_no_more_requests || self.is_final_phase;
+        let is_reading_over = self.has_stopped_requests || self.is_final_phase;
         let watch = interests.must_watch_disconnect;
         Ok(tokio::select! {
             biased;
@@ -322,7 +322,7 @@
 
     /// Handles the end of the input: the client has left, or waits for its remaining answers.
     fn on_input_ended(&mut self) {
-        self.takes_no_more_requests = true;
+        self.has_stopped_requests = true;
         self.report_half_close();
     }
 
--- a/node/src/downstream/connection/requests.rs
+++ b/node/src/downstream/connection/requests.rs
@@ -25,7 +25,7 @@
     }
 
     fn can_take_request(&self) -> bool {
-        !self.takes_no_more_requests
+        !self.has_stopped_requests
             && !self.is_upload_blocked()
             && self.pending.len() < MAX_PENDING_ANSWERS
             && self.output.len() < self.downstream.resource_limits.unread_answer_bytes
@@ -36,17 +36,17 @@
             Incoming::Ready => self.answer_readiness(),
             Incoming::Request { request, class } => {
                 if let Some(request) = self.classify(request, &class) {
-                    self.take_complete(*request);
+                    self.dispatch_request(*request);
                 }
             }
             Incoming::Upload { request, class, length } => self.begin_upload(request, &class, length),
             Incoming::UploadChunk { chunk, is_last } => self.on_upload_chunk(chunk, is_last),
-            Incoming::Malformed(line) => self.reject_invalid(line),
-            Incoming::Unrecoverable(line) => {
-                self.reject_invalid(line);
-                self.takes_no_more_requests = true;
+            Incoming::Malformed(answer_line) => self.reject_invalid(answer_line),
+            Incoming::Unrecoverable(answer_line) => {
+                self.reject_invalid(answer_line);
+                self.has_stopped_requests = true;
             }
-            Incoming::Quit => self.takes_no_more_requests = true,
+            Incoming::Quit => self.has_stopped_requests = true,
         }
     }
 
@@ -72,7 +72,7 @@
             upload.on_chunk(&self.downstream.dispatcher, chunk, is_last);
         }
         if let Some(upload) = self.upload.take_if(|_| is_last) {
-            self.take_complete(upload.into_request());
+            self.dispatch_request(upload.into_request());
         }
     }
 
@@ -87,14 +87,14 @@
             return None;
         };
         request.class = class;
-        let named = request.properties.iter().find(|(name, _)| name.as_ref() == b"t");
-        let tenant = named.and_then(|(_, tenant)| position_of(&labels.tenants, tenant));
+        let tenant_property = request.properties.iter().find(|(name, _)| name.as_ref() == b"t");
+        let tenant = tenant_property.and_then(|(_, tenant)| position_of(&labels.tenants, tenant));
         request.tenant = tenant.unwrap_or(labels.tenants.len() as u32);
         Some(request)
     }
 
     /// Dispatches a request whose last byte has been received.
-    fn take_complete(&mut self, request: ClientRequest) {
+    fn dispatch_request(&mut self, request: ClientRequest) {
         self.incomplete_since = None;
         if self.has_client_left {
             return self.answer_abandoned();
@@ -123,11 +123,11 @@
     }
 
     /// Answers invalid input with `answer_line`. The connection ends after [`MAX_INVALID_REQUESTS`].
-    fn reject_invalid(&mut self, line: &'static str) {
+    fn reject_invalid(&mut self, answer_line: &'static str) {
         increment(&self.downstream.dispatcher.counters().malformed_requests);
-        self.pending.push_back(PendingAnswer::Line(line));
+        self.pending.push_back(PendingAnswer::Line(answer_line));
         self.invalid_requests += 1;
-        self.takes_no_more_requests |= self.invalid_requests >= MAX_INVALID_REQUESTS;
+        self.has_stopped_requests |= self.invalid_requests >= MAX_INVALID_REQUESTS;
     }
 
     /// Answers a request with busy instead of forwarding it, because its client has already left.
@@ -140,7 +140,7 @@
     pub(super) fn end_mid_request(&mut self) {
         increment(&self.downstream.dispatcher.counters().connections_cut);
         self.pending.push_back(PendingAnswer::Line("CLIENT_ERROR command not finished in time"));
-        self.takes_no_more_requests = true;
+        self.has_stopped_requests = true;
     }
 }
 
--- a/node/src/downstream/tests.rs
+++ b/node/src/downstream/tests.rs
@@ -65,7 +65,7 @@
     /// The boundaries of reads must not change the answers: each request gets exactly one, in the order of
     /// the requests, and a client that half-closes still gets all of them.
     #[test]
-    fn answers_keep_the_order_of_requests(steps in prop::collection::vec(step(), 1..24), cut in 1..40usize) {
+    fn answers_keep_the_order_of_requests(steps in prop::collection::vec(step(), 1..24), piece_bytes in 1..40usize) {
         let (received, expected) = testing::run_paused(async {
             let recorder = Rc::new(RecordingTransport::default());
             let downstream = downstream(&recorder);
@@ -79,7 +79,7 @@
                     Step::Line(text, answer) => {
                         // An id in use is rejected: each request has its own id, all of the same length.
                         let text = text.replace("Oid", &format!("O{:02}", expected_answers.len()));
-                        for piece in text.as_bytes().chunks(cut) {
+                        for piece in text.as_bytes().chunks(piece_bytes) {
                             client.write_all(piece).await.unwrap();
                             yield_until_idle().await;
                         }
@@ -89,10 +89,10 @@
                         expected_answers.push(answer.map(str::to_owned));
                     }
                     Step::AttemptEnd { newest, served } if !awaiting_attempts.is_empty() => {
-                        let at = if newest { awaiting_attempts.len() - 1 } else { 0 };
-                        let attempt = recorder.started_attempts.borrow_mut().remove(at);
+                        let position = if newest { awaiting_attempts.len() - 1 } else { 0 };
+                        let attempt = recorder.started_attempts.borrow_mut().remove(position);
                         let value = Bytes::from_static(b"x\r\ny");
-                        let index = awaiting_attempts.remove(at);
+                        let index = awaiting_attempts.remove(position);
                         let (reply, answer) = if served {
                             let answer = format!("VA 4 O{index:02}\r\nx\r\ny\r\n");
                             (Reply::Served(Answer::Value(value)), answer)
@@ -163,7 +163,7 @@
 /// Invalid requests are answered with an error and never dispatched: an unknown class, an id in use, a
 /// missing deadline, and endless garbage, which also ends its connection.
 #[test]
-fn malformed_requests_are_rejected_and_never_taken() {
+fn malformed_requests_are_rejected_and_never_dispatched() {
     testing::run_paused(async {
         let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
@@ -213,11 +213,14 @@
         let downstream = downstream(&recorder);
         let (stream, mut client) = duplex(1 << 10);
         spawn_local(serve(Rc::clone(&downstream), stream));
-        for (named, index) in [(",t=beta", 1), (",t=acme", 0), (",t=acm", 2), (",t=", 2), ("", 2)] {
-            client.write_all(format!("mg k v O1 Pc=read{named},d=480\r\n").as_bytes()).await.unwrap();
+        for (tenant_property, index) in [(",t=beta", 1), (",t=acme", 0), (",t=acm", 2), (",t=", 2), ("", 2)] {
+            client
+                .write_all(format!("mg k v O1 Pc=read{tenant_property},d=480\r\n").as_bytes())
+                .await
+                .unwrap();
             yield_until_idle().await;
             let attempt = recorder.started_attempts.borrow_mut().pop().unwrap();
-            assert_eq!(attempt.request.tenant, index, "{named}");
+            assert_eq!(attempt.request.tenant, index, "{tenant_property}");
             downstream
                 .dispatcher
                 .on_attempt_ended(attempt.id, AttemptEnd::Reply(Reply::Served(Answer::Value("v".into()))));
--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -109,8 +109,8 @@
     HalfClose,
 }
 
-async fn leave(mut client: tokio::net::TcpStream, how: ClientExit) -> Option<tokio::net::TcpStream> {
-    match how {
+async fn leave(mut client: tokio::net::TcpStream, exit: ClientExit) -> Option<tokio::net::TcpStream> {
+    match exit {
         ClientExit::Close => drop(client),
         ClientExit::Reset => client.set_zero_linger().unwrap(),
         ClientExit::HalfClose => {
@@ -146,17 +146,17 @@
     }
 }
 
-/// A client leaves while its connection is not read, as its pipeline is full or, with `has_answers`, it does
+/// A client leaves while its connection is not read, as its pipeline is full or, with `has_unread_answer`, it does
 /// not read its answers.
-async fn leave_unread(exit: ClientExit, has_answers: bool) {
-    let case = format!("{exit:?}, {has_answers}");
+async fn leave_unread(exit: ClientExit, has_unread_answer: bool) {
+    let case = format!("{exit:?}, unread answer: {has_unread_answer}");
     let recorder = Rc::new(RecordingTransport::default());
     let downstream = downstream(&recorder);
     let mut client = connect(&downstream).await;
     let requests = MAX_PENDING_ANSWERS + 40;
     fill_pipeline(&downstream, &mut client, requests).await;
     let started_attempts = recorder.started_attempts.borrow().len();
-    if has_answers {
+    if has_unread_answer {
         // The first answer exceeds the buffers of the client, which does not read.
         let attempt = recorder.started_attempts.borrow_mut().remove(0);
         let value = Answer::Value(Bytes::from(vec![b'v'; 16 << 20]));
@@ -167,7 +167,7 @@
     wait_until_cancelled(&downstream, &recorder, &case).await;
     // Attempts in flight still end; no new one begins.
     let in_flight: Vec<_> = recorder.started_attempts.take();
-    assert_eq!(in_flight.len() + usize::from(has_answers), started_attempts);
+    assert_eq!(in_flight.len() + usize::from(has_unread_answer), started_attempts);
     for attempt in in_flight {
         downstream.dispatcher.on_attempt_ended(attempt.id, AttemptEnd::NotSent);
     }
@@ -177,7 +177,7 @@
         client.read_to_end(&mut received).await.unwrap();
         let lines = received.split(|byte| *byte == b'\n');
         let failed = lines.filter(|line| line.starts_with(b"SERVER_ERROR")).count();
-        assert_eq!(failed + usize::from(has_answers), requests);
+        assert_eq!(failed + usize::from(has_unread_answer), requests);
     }
     while !downstream.slots.borrow().is_empty() {
         sleep(Duration::from_millis(1)).await;
@@ -195,8 +195,8 @@
 fn a_disconnect_is_noticed_while_nothing_is_read() {
     assert!(stream::DISCONNECT_CHECK_INTERVAL * 2 < Duration::from_millis(100));
     for exit in [ClientExit::Close, ClientExit::Reset, ClientExit::HalfClose] {
-        for has_answers in [false, true] {
-            testing::run_on_sockets(leave_unread(exit, has_answers));
+        for has_unread_answer in [false, true] {
+            testing::run_on_sockets(leave_unread(exit, has_unread_answer));
         }
     }
 }
@@ -204,7 +204,7 @@
 /// A request sent before the client sees the close of its idle connection is not forwarded, and must not cause a
 /// reset: the client receives the complete earlier answer and an orderly end of the connection.
 #[test]
-fn a_request_that_crosses_the_close_does_not_reset_the_connection() {
+fn a_request_sent_after_the_close_does_not_reset_the_connection() {
     testing::run_on_sockets(async {
         let recorder = Rc::new(RecordingTransport::default());
         let downstream = downstream(&recorder);
