--- a/node/src/upstream/download/tests.rs
+++ b/node/src/upstream/download/tests.rs
@@ -37,13 +37,14 @@
             let (sender, receiver) = streamed_value(VALUE_BYTES);
             let (mut stream, mut server) = duplex(PIPE_BYTES);
             let bytes_sent = std::rc::Rc::new(std::cell::Cell::new(0));
-            let so_far = std::rc::Rc::clone(&bytes_sent);
+            let sent_counter = std::rc::Rc::clone(&bytes_sent);
             spawn_local(async move {
-                while so_far.get() < VALUE_BYTES {
-                    let piece: Vec<u8> =
-                        (so_far.get()..VALUE_BYTES.min(so_far.get() + 1000)).map(value_byte).collect();
+                while sent_counter.get() < VALUE_BYTES {
+                    let piece: Vec<u8> = (sent_counter.get()..VALUE_BYTES.min(sent_counter.get() + 1000))
+                        .map(value_byte)
+                        .collect();
                     server.write_all(&piece).await.unwrap();
-                    so_far.set(so_far.get() + piece.len());
+                    sent_counter.set(sent_counter.get() + piece.len());
                 }
                 server.write_all(end).await.unwrap();
                 std::future::pending::<()>().await;
--- a/node/src/upstream/idle_timeout.rs
+++ b/node/src/upstream/idle_timeout.rs
@@ -11,9 +11,9 @@
 /// The maximum idle timeout, as a share of the servers' configured one. Below 1, since a server measures its
 /// timeout by its own clock and its close takes time to arrive; only slightly below, since in a large fleet a
 /// balancer may return to a server only after seconds.
-const CONFIGURED_SHARE: f64 = 0.95;
+const SHARE_OF_CONFIGURED_TIMEOUT: f64 = 0.95;
 /// The idle timeout after a reused connection broke, as a share of the time for which that connection was idle.
-const LEARNT_SHARE: f64 = 0.7;
+const SHARE_OF_IDLE_TIME_AT_BREAK: f64 = 0.7;
 /// The shortest idle timeout. A connection that breaks after a shorter idle time does not count.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(25);
 /// The factor by which the timeout grows with each connection that is reused after more than half of it.
@@ -29,7 +29,7 @@
 impl IdleTimeout {
     /// Creates the timeout for servers that close connections after this configured idle time.
     pub(super) fn new(configured: Duration) -> IdleTimeout {
-        let maximum = configured.mul_f64(CONFIGURED_SHARE);
+        let maximum = configured.mul_f64(SHARE_OF_CONFIGURED_TIMEOUT);
         IdleTimeout { maximum, current: Cell::new(maximum) }
     }
 
@@ -48,7 +48,8 @@
     /// Lowers the timeout, as a connection broke when it was reused after this idle time.
     pub(super) fn on_broken(&self, idle: Duration) {
         if idle >= MIN_IDLE_TIMEOUT {
-            self.current.set(self.current().min(idle.mul_f64(LEARNT_SHARE)).max(MIN_IDLE_TIMEOUT));
+            self.current
+                .set(self.current().min(idle.mul_f64(SHARE_OF_IDLE_TIME_AT_BREAK)).max(MIN_IDLE_TIMEOUT));
         }
     }
 }
--- a/node/src/upstream/pool.rs
+++ b/node/src/upstream/pool.rs
@@ -72,7 +72,7 @@
                     self.carried.insert(id, CarriedAttempt::default());
                     return None;
                 }
-                Err(back) => attempt = back,
+                Err(returned) => attempt = returned,
             }
         }
         Some(attempt)
--- a/node/src/upstream/response.rs
+++ b/node/src/upstream/response.rs
@@ -68,8 +68,8 @@
         if has_ended {
             response.on_connection_ended();
         }
-        let named = response.head.as_ref().and_then(|head| head.request_id.as_ref());
-        if named.is_some_and(|id| *id != request.id) {
+        let request_id = response.head.as_ref().and_then(|head| head.request_id.as_ref());
+        if request_id.is_some_and(|id| *id != request.id) {
             return Err(MalformedResponse::OtherRequest.into());
         }
         if let Some(length) = response.streamed_length().filter(|_| !is_write) {
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -200,10 +200,10 @@
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), upstream.clone(), 0);
         upstream.attach(&dispatcher);
         for listener in &servers {
-            let mut up = listed_server(SERVER, EndpointState::Serving);
-            up.address = listener.local_addr().ok();
-            up.endpoint.server = ServerId(up.address.unwrap().port().into());
-            dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[up]);
+            let mut listed = listed_server(SERVER, EndpointState::Serving);
+            listed.address = listener.local_addr().ok();
+            listed.endpoint.server = ServerId(listed.address.unwrap().port().into());
+            dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[listed]);
             let (_, answer) = dispatcher.accept(testing::request("7", Some(vec![]))).unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
             stream.read_buf(&mut BytesMut::new()).await.unwrap();
@@ -324,7 +324,7 @@
 
 /// The idle timeout is shortened when reused connections break, and grows back.
 #[test]
-fn a_shorter_idle_timeout_is_learnt_and_forgotten() {
+fn idle_timeout_shrinks_after_a_break_and_grows_back() {
     testing::run_paused(async {
         let upstream = testing::upstream(4);
         let idle_timeout = &upstream.idle_timeout;
@@ -377,14 +377,14 @@
 fn a_refused_connection_ends_the_attempt_as_not_sent() {
     testing::run_on_sockets(async {
         let closed = std::net::TcpListener::bind(("127.0.0.1", 0)).unwrap();
-        let mut down = listed_server(SERVER, EndpointState::Serving);
-        down.address = closed.local_addr().ok();
+        let mut listed = listed_server(SERVER, EndpointState::Serving);
+        listed.address = closed.local_addr().ok();
         drop(closed);
         let upstream = testing::upstream(4);
         let dispatcher =
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), upstream.clone(), 0);
         upstream.attach(&dispatcher);
-        dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &[down]);
+        dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &[listed]);
         let (_, first) = dispatcher.accept(testing::request("7", None)).unwrap();
         let (_, second) = dispatcher.accept(testing::request("8", None)).unwrap();
         assert!(matches!((first.await, second.await), (Ok(Answer::Rejected(_)), Ok(Answer::Rejected(_)))));
@@ -401,9 +401,9 @@
     let dispatcher =
         testing::dispatcher(testing::settings(attempts, Idempotency::NotIdempotent), upstream.clone(), 0);
     upstream.attach(&dispatcher);
-    let mut up = listed_server(SERVER, EndpointState::Serving);
-    up.address = listener.local_addr().ok();
-    dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[up]);
+    let mut listed = listed_server(SERVER, EndpointState::Serving);
+    listed.address = listener.local_addr().ok();
+    dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[listed]);
     (dispatcher, upstream, listener)
 }
 
@@ -415,14 +415,14 @@
         testing::run_on_sockets(async {
             let (dispatcher, upstream, listener) = pool_with_one_server(3).await;
             let accepted = Rc::new(Cell::new(0));
-            let so_far = Rc::clone(&accepted);
+            let accept_counter = Rc::clone(&accepted);
             let timers = Rc::clone(&dispatcher);
             spawn_local(async move { timers.run_timers().await });
             spawn_local(async move {
                 let mut kept = Vec::new();
                 loop {
                     let (mut stream, _) = listener.accept().await.unwrap();
-                    so_far.set(so_far.get() + 1);
+                    accept_counter.set(accept_counter.get() + 1);
                     if sends_unasked {
                         stream.write_all(b"SERVER_ERROR no\r\n").await.unwrap();
                         kept.push(stream);
--- a/node/src/upstream/upload/tests.rs
+++ b/node/src/upstream/upload/tests.rs
@@ -17,9 +17,9 @@
     };
     let dispatcher = testing::dispatcher(settings, upstream.clone(), 0);
     upstream.attach(&dispatcher);
-    let mut up = listed_server(ServerId(SERVER.0 + 1), EndpointState::Serving);
-    (up.endpoint.kind, up.address) = (ORIGIN, origin.local_addr().ok());
-    dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[up]);
+    let mut listed = listed_server(ServerId(SERVER.0 + 1), EndpointState::Serving);
+    (listed.endpoint.kind, listed.address) = (ORIGIN, origin.local_addr().ok());
+    dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[listed]);
     let resource_limits = testing::resource_limits(1 << 12);
     let labels = Labels { classes: vec!["read".into()], tenants: vec![] };
     let downstream = Downstream::new(dispatcher, labels, Rc::default(), resource_limits, log());
@@ -68,12 +68,12 @@
             writes.write_all(b"\r\nmn\r\n").await.unwrap();
             std::future::pending::<()>().await;
         });
-        let (mut at_origin, _) = origin.accept().await.unwrap();
-        let head = read_head(&mut at_origin).await;
+        let (mut origin_stream, _) = origin.accept().await.unwrap();
+        let head = read_head(&mut origin_stream).await;
         assert!(head.starts_with("PUT /k HTTP/1.1\r\n") && head.contains("X-Trace-Id: 7\r\n"), "{head}");
         assert!(head.contains(&format!("Content-Length: {LENGTH}\r\n")), "{head}");
         let mut forwarded = vec![0; LENGTH - 1];
-        at_origin.read_exact(&mut forwarded).await.unwrap();
+        origin_stream.read_exact(&mut forwarded).await.unwrap();
         assert!(forwarded == value[..LENGTH - 1]);
         assert_eq!(
             (upstream.counters.attempts_written.get(), upstream.uploads.get()),
@@ -81,8 +81,8 @@
             "the attempt was written before its last byte was sent"
         );
         allow_last_byte.send(()).unwrap();
-        assert_eq!(at_origin.read_u8().await.unwrap(), value[LENGTH - 1]);
-        at_origin.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1").await.unwrap();
+        assert_eq!(origin_stream.read_u8().await.unwrap(), value[LENGTH - 1]);
+        origin_stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nr1").await.unwrap();
         let mut received = [0; 14];
         reads.read_exact(&mut received).await.unwrap();
         assert_eq!(&received, b"HD O7 cr1\r\nMN\r");
@@ -112,8 +112,8 @@
     testing::run_on_sockets(async {
         let (upstream, mut client, origin) = balancer_and_origin().await;
         let origin_closes = tokio::task::spawn_local(async move {
-            let (mut at_origin, _) = origin.accept().await.unwrap();
-            read_head(&mut at_origin).await;
+            let (mut origin_stream, _) = origin.accept().await.unwrap();
+            read_head(&mut origin_stream).await;
         });
         client.write_all(format!("ms k {LENGTH} O7 Pc=read,d=480,k=5c\r\n").as_bytes()).await.unwrap();
         client.write_all(&vec![b'v'; LENGTH]).await.unwrap();
@@ -143,10 +143,10 @@
                 let _ = client.read_to_string(&mut received).await;
                 received
             });
-            let (mut at_origin, _) = origin.accept().await.unwrap();
-            read_head(&mut at_origin).await;
+            let (mut origin_stream, _) = origin.accept().await.unwrap();
+            read_head(&mut origin_stream).await;
             let mut forwarded = Vec::new();
-            let _ = at_origin.read_to_end(&mut forwarded).await;
+            let _ = origin_stream.read_to_end(&mut forwarded).await;
             assert!(forwarded.len() < LENGTH, "{}", forwarded.len());
             let received = writes.await.unwrap();
             assert!(
