--- a/node/src/daemon.rs
+++ b/node/src/daemon.rs
@@ -164,11 +164,11 @@
 
     /// Serves until a termination signal arrives; handles the other signals meanwhile.
     async fn serve_until_stopped(&self, signals: &mut Signals, reloader: &Rc<Reloader>) {
-        let mut counters_due = tokio::time::interval(COUNTERS_LOG_INTERVAL);
-        counters_due.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut counters_interval = tokio::time::interval(COUNTERS_LOG_INTERVAL);
+        counters_interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                _ = counters_due.tick() => self.log_counters(),
+                _ = counters_interval.tick() => self.log_counters(),
                 () = signals.termination.recv() => return,
                 _ = signals.report.recv() => {
                     self.log_counters();
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -135,8 +135,8 @@
     settings.watches_discovery = watches_discovery;
     let dispatcher =
         testing::seeded_dispatcher(settings, policy.seed, Rc::new(RecordingTransport::default()), 1);
-    let timers = Rc::clone(&dispatcher);
-    spawn_local(async move { timers.run_timers().await });
+    let timer_dispatcher = Rc::clone(&dispatcher);
+    spawn_local(async move { timer_dispatcher.run_timers().await });
     let (address, address_changes) = watch::channel(address);
     spawn_local(follow(
         EndpointListReader::default(),
--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -249,8 +249,8 @@
         let downstream = downstream(&recorder);
         let client = connect(&downstream).await;
         let dispatcher = Rc::clone(&downstream.dispatcher);
-        let timers = Rc::clone(&dispatcher);
-        spawn_local(async move { timers.run_timers().await });
+        let timer_dispatcher = Rc::clone(&dispatcher);
+        spawn_local(async move { timer_dispatcher.run_timers().await });
         let (mut reader, mut writer) = client.into_split();
         spawn_local(async move {
             for id in 0.. {
--- a/node/src/endpoint_list/tests.rs
+++ b/node/src/endpoint_list/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn entries_get_the_numbers_of_the_settings_and_those_without_an_address_are_ignored() {
+fn zones_and_kinds_become_their_indices_in_the_settings_and_entries_with_an_invalid_address_are_ignored() {
     let text = r#"{"generation":41,"reset":true,"more":1,"instances":[
         {"instanceId":"s-5be2a07c","hostPort":"127.0.0.1:5","zone":"west","machineType":"origin","cell":3,
          "lifecycle":"terminating","weight":1.5,"startedAtMs":7},
--- a/node/src/graceful_shutdown/tests.rs
+++ b/node/src/graceful_shutdown/tests.rs
@@ -9,7 +9,7 @@
 /// The platform routes new connections to the process for up to 0.4 s after the signal. Closing the open ones
 /// meanwhile would only cause more new ones, so that they stay open for the maximum drain time.
 #[test]
-fn connections_close_once_no_new_ones_come() {
+fn connections_stay_open_up_to_the_maximum_drain_time_while_new_ones_arrive() {
     testing::run_paused(async {
         let shutdown = GracefulShutdown::default();
         let start = Instant::now();
--- a/node/src/override_store.rs
+++ b/node/src/override_store.rs
@@ -81,7 +81,7 @@
     last_attempted: watch::Sender<ChangeId>,
     change_recorded: Notify,
     /// Whether the last synchronization with the file failed.
-    write_failed: Cell<bool>,
+    last_synchronization_failed: Cell<bool>,
     found_override_file: bool,
     log: Logger,
 }
@@ -112,7 +112,7 @@
             last_change: Cell::default(),
             last_attempted: watch::Sender::new(ChangeId::default()),
             change_recorded: Notify::new(),
-            write_failed: Cell::new(false),
+            last_synchronization_failed: Cell::new(false),
             found_override_file: stored.is_ok(),
             log,
         })
@@ -157,7 +157,7 @@
         let changes = self.pending.borrow().clone();
         match self.update_file(changes.clone()).await {
             Ok(content) => {
-                self.write_failed.set(false);
+                self.last_synchronization_failed.set(false);
                 self.remove_pending(&changes);
                 if let Some(content) = content {
                     self.last_seen.set(Some(content.version));
@@ -188,7 +188,7 @@
 
     /// Logs the first of several consecutive failures.
     fn on_failure(&self, error: &SynchronizeError) {
-        let failed_before = self.write_failed.replace(true);
+        let failed_before = self.last_synchronization_failed.replace(true);
         if !failed_before {
             warn!(self.log, "failed to synchronize operator overrides with their file"; "reason" => %error);
         }
--- a/node/src/simulation.rs
+++ b/node/src/simulation.rs
@@ -267,7 +267,7 @@
 
 /// Checks the invariant in simulations drawn from seeds.
 #[test]
-fn every_request_taken_has_one_complete_answer_in_time() {
+fn every_accepted_request_has_one_complete_answer_in_time() {
     let mut counts: HashMap<Occurrence, u64> = HashMap::new();
     for seed in 0..SEED_COUNT {
         let event_log = testing::run_paused(async move { Simulation::new(seed).run(seed).await });
--- a/node/src/simulation/clients.rs
+++ b/node/src/simulation/clients.rs
@@ -16,7 +16,7 @@
 
 /// A request sent within this time before its connection closed may not have been read by the daemon. A missing
 /// answer to it is no violation, since a real client sends the request once more.
-const MAX_CROSSING_TIME: Duration = Duration::from_millis(2);
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(2);
 
 /// A request that waits for its answer.
 struct OpenRequest {
@@ -186,7 +186,7 @@
             Ok(Ok(1..)) => {}
             Ok(_) => {
                 let waited = open_request.sent.elapsed();
-                if !input.is_empty() || waited > MAX_CROSSING_TIME {
+                if !input.is_empty() || waited > CLOSE_RACE_WINDOW {
                     event_log.violation(
                         &id,
                         format!("connection ended after {waited:?} with only {input:?} received"),
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -416,8 +416,8 @@
             let (dispatcher, upstream, listener) = pool_with_one_server(3).await;
             let accepted = Rc::new(Cell::new(0));
             let accept_counter = Rc::clone(&accepted);
-            let timers = Rc::clone(&dispatcher);
-            spawn_local(async move { timers.run_timers().await });
+            let timer_dispatcher = Rc::clone(&dispatcher);
+            spawn_local(async move { timer_dispatcher.run_timers().await });
             spawn_local(async move {
                 let mut kept = Vec::new();
                 loop {
--- a/node/src/upstream/tests/event_loop_delay.rs
+++ b/node/src/upstream/tests/event_loop_delay.rs
@@ -16,8 +16,8 @@
 fn an_answer_that_arrived_during_an_event_loop_delay_is_served() {
     testing::run_on_sockets(async {
         let (dispatcher, _upstream, listener) = pool_with_one_server(1).await;
-        let timers = Rc::clone(&dispatcher);
-        spawn_local(async move { timers.run_timers().await });
+        let timer_dispatcher = Rc::clone(&dispatcher);
+        spawn_local(async move { timer_dispatcher.run_timers().await });
         let (_, answer) = dispatcher.accept(request_with_timeout("1", 100)).unwrap();
         let (mut stream, _) = listener.accept().await.unwrap();
         read_request_line(&mut stream).await;
--- a/node/tests/two_deployments.rs
+++ b/node/tests/two_deployments.rs
@@ -39,8 +39,8 @@
         let config = Config::parse(text.into()).unwrap();
         let recorder = Rc::new(RecordingTransport::default());
         let dispatcher = testing::dispatcher(config.settings, recorder.clone(), 3);
-        let timers = Rc::clone(&dispatcher);
-        spawn_local(async move { timers.run_timers().await });
+        let timer_dispatcher = Rc::clone(&dispatcher);
+        spawn_local(async move { timer_dispatcher.run_timers().await });
         let resource_limits = ResourceLimits::from_configured(config.resource_limits);
         let downstream = Downstream::new(
             Rc::clone(&dispatcher),
@@ -85,18 +85,22 @@
         let line = "ms 7f3a9c21e0b4d655 1 O1 Pc=put,t=acme,d=60000,k=5c0f6e1a2b3d4c59\r\nv\r\n";
         first.send(line).await;
         second.send(line).await;
-        let (at_first, at_second) = (first.next_attempt().await, second.next_attempt().await);
-        assert_eq!((at_first.request.class, at_first.request.tenant), (1, 0));
-        assert_eq!((at_second.request.class, at_second.request.tenant), (0, 1));
+        let (attempt_of_first, attempt_of_second) = (first.next_attempt().await, second.next_attempt().await);
+        assert_eq!((attempt_of_first.request.class, attempt_of_first.request.tenant), (1, 0));
+        assert_eq!((attempt_of_second.request.class, attempt_of_second.request.tenant), (0, 1));
         let time_left = |deployment: &Deployment, attempt: &Attempt| {
             attempt.deadline.saturating_sub(deployment.dispatcher.clock().now())
         };
-        let (left_first, left_second) = (time_left(&first, &at_first), time_left(&second, &at_second));
-        assert!(left_first > Micros(400_000) && left_first < Micros(3_000_000), "{left_first:?}");
-        assert!(left_second < Micros(400_000), "{left_second:?}");
+        let (time_left_of_first, time_left_of_second) =
+            (time_left(&first, &attempt_of_first), time_left(&second, &attempt_of_second));
+        assert!(
+            time_left_of_first > Micros(400_000) && time_left_of_first < Micros(3_000_000),
+            "{time_left_of_first:?}"
+        );
+        assert!(time_left_of_second < Micros(400_000), "{time_left_of_second:?}");
         // After a broken attempt, the first deployment retries a write with an idempotency key; the second has no retries.
-        first.dispatcher.on_attempt_ended(at_first.id, AttemptEnd::Broken);
-        second.dispatcher.on_attempt_ended(at_second.id, AttemptEnd::Broken);
+        first.dispatcher.on_attempt_ended(attempt_of_first.id, AttemptEnd::Broken);
+        second.dispatcher.on_attempt_ended(attempt_of_second.id, AttemptEnd::Broken);
         assert_eq!(first.next_attempt().await.request.id, "1");
         assert_eq!(second.read_answer().await, "SERVER_ERROR failed\r\n");
         assert!(second.recorder.started_attempts.borrow().is_empty());
