--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -165,10 +165,12 @@
 #[test]
 fn a_silent_watch_is_replaced_within_six_seconds() {
     for silent in [Behaviour::FallsSilent(1), Behaviour::Trickles(1)] {
-        for between in [None, Some(Behaviour::ClosesAtOnce), Some(Behaviour::Busy), Some(Behaviour::Hangs)] {
+        for next_behaviour in
+            [None, Some(Behaviour::ClosesAtOnce), Some(Behaviour::Busy), Some(Behaviour::Hangs)]
+        {
             testing::run_paused(async {
                 let mut behaviours = vec![silent];
-                behaviours.extend(between);
+                behaviours.extend(next_behaviour);
                 behaviours.push(Behaviour::SendsList(2));
                 let discovery = FakeDiscovery::new(behaviours).await;
                 let balancer = balancer(&discovery, POLL_AT_START, true);
@@ -176,14 +178,14 @@
                 let delay = balancer.wait_for_lists(2).await - silent_since;
                 assert!(
                     delay >= WATCH_SILENCE_TIMEOUT - PROMPT_POLL && delay <= CHANGE_NOTIFIED_AFTER,
-                    "{silent:?}, {between:?}: {delay:?}"
+                    "{silent:?}, {next_behaviour:?}: {delay:?}"
                 );
-                assert_eq!(discovery.poll_count(), 2 + usize::from(between.is_some()));
+                assert_eq!(discovery.poll_count(), 2 + usize::from(next_behaviour.is_some()));
                 // A healthy watch is kept open.
                 sleep(Duration::from_secs(60)).await;
                 assert_eq!(
                     (balancer.dispatcher.counters().endpoint_updates.get(), discovery.poll_count()),
-                    (2, 2 + usize::from(between.is_some()))
+                    (2, 2 + usize::from(next_behaviour.is_some()))
                 );
             });
         }
@@ -210,10 +212,10 @@
             let received = balancer.wait_for_lists(2).await;
             let polls = discovery.polls.borrow();
             for pair in polls[3..].windows(2) {
-                let apart = pair[1].0 - pair[0].0;
+                let interval = pair[1].0 - pair[0].0;
                 assert!(
-                    apart >= Duration::from_secs(2) && apart < CHANGE_NOTIFIED_AFTER - ANSWER_TIMEOUT,
-                    "{unavailable:?}: {apart:?}"
+                    interval >= Duration::from_secs(2) && interval < CHANGE_NOTIFIED_AFTER - ANSWER_TIMEOUT,
+                    "{unavailable:?}: {interval:?}"
                 );
             }
             assert!(received - polls.last().unwrap().0 < PROMPT_POLL);
@@ -229,9 +231,9 @@
         let _balancer = balancer(&discovery, PollPolicy { polls_at_start: false, ..POLL_AT_START }, true);
         sleep(Duration::from_secs(60)).await;
         let polls = discovery.polls.borrow();
-        let apart = |pair: &[(Instant, String)]| pair[1].0 - pair[0].0;
-        assert!(polls.windows(2).all(|pair| apart(pair) >= Duration::from_millis(1_100)), "{polls:?}");
-        assert!(polls.windows(2).all(|pair| apart(pair) <= CHANGE_NOTIFIED_AFTER - ANSWER_TIMEOUT));
+        let interval = |pair: &[(Instant, String)]| pair[1].0 - pair[0].0;
+        assert!(polls.windows(2).all(|pair| interval(pair) >= Duration::from_millis(1_100)), "{polls:?}");
+        assert!(polls.windows(2).all(|pair| interval(pair) <= CHANGE_NOTIFIED_AFTER - ANSWER_TIMEOUT));
     });
 }
 
--- a/node/src/simulation.rs
+++ b/node/src/simulation.rs
@@ -96,8 +96,8 @@
 }
 
 impl EventLog {
-    fn violation(&self, id: &str, what: impl Into<String>) {
-        self.violations.borrow_mut().push(format!("{id}: {}", what.into()));
+    fn record_violation(&self, id: &str, text: impl Into<String>) {
+        self.violations.borrow_mut().push(format!("{id}: {}", text.into()));
     }
 
     fn count(&self, occurrence: Occurrence) {
@@ -115,30 +115,32 @@
 
     /// Records that a server has received the complete request. The returned cell tells whether the server
     /// may have executed it; the server clears it if it did not.
-    fn on_request_arrived(&self, id: &str, now: Instant) -> Rc<Cell<bool>> {
+    fn on_request_arrived(&self, id: &str, arrived_at: Instant) -> Rc<Cell<bool>> {
         let mut requests = self.requests.borrow_mut();
         let Some(request) = requests.get_mut(id) else {
-            self.violation(id, "arrived at a server, but no client sent the request");
+            self.record_violation(id, "arrived at a server, but no client sent the request");
             return Rc::default();
         };
-        if request.closed_at.is_some_and(|closed_at| closed_at < now) {
-            self.violation(id, "reached a server after its answer or after its client had left");
+        if request.closed_at.is_some_and(|closed_at| closed_at < arrived_at) {
+            self.record_violation(id, "reached a server after its answer or after its client had left");
         }
         if request.arrivals.len() >= MAX_ATTEMPTS as usize {
-            self.violation(id, "more attempts than the settings allow");
+            self.record_violation(id, "more attempts than the settings allow");
         }
         let executed = request.arrivals.iter().filter(|arrival| arrival.may_have_been_executed.get());
-        let earlier = executed.map(|arrival| arrival.at).min();
+        let first_executed_at = executed.map(|arrival| arrival.at).min();
         let is_allowed = match SIMULATED_CLASSES[request.class].idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::WithIdempotencyKey => earlier.is_none_or(|first| now - first < DEDUPLICATION_WINDOW),
-            Idempotency::NotIdempotent => earlier.is_none(),
+            Idempotency::WithIdempotencyKey => {
+                first_executed_at.is_none_or(|first| arrived_at - first < DEDUPLICATION_WINDOW)
+            }
+            Idempotency::NotIdempotent => first_executed_at.is_none(),
         };
         if !is_allowed {
-            self.violation(id, "sent again although an earlier attempt may have been executed");
+            self.record_violation(id, "sent again although an earlier attempt may have been executed");
         }
         let may_have_been_executed = Rc::new(Cell::new(true));
-        let arrival = Arrival { at: now, may_have_been_executed: Rc::clone(&may_have_been_executed) };
+        let arrival = Arrival { at: arrived_at, may_have_been_executed: Rc::clone(&may_have_been_executed) };
         request.arrivals.push(arrival);
         may_have_been_executed
     }
@@ -260,7 +262,7 @@
         // request.
         sleep_until(signalled_at + longest_deadline + TIME_AFTER_LONGEST_DEADLINE).await;
         if self.event_log.waiting_clients.get() > 0 {
-            self.event_log.violation("-", "a client still waits at the end of the process");
+            self.event_log.record_violation("-", "a client still waits at the end of the process");
         }
     }
 }
--- a/node/src/simulation/clients.rs
+++ b/node/src/simulation/clients.rs
@@ -21,7 +21,7 @@
 /// A request that waits for its answer.
 struct OpenRequest {
     request: ClientRequest,
-    sent: Instant,
+    sent_at: Instant,
     deadline: Instant,
 }
 
@@ -119,14 +119,14 @@
         let class = rng.usize(..SIMULATED_CLASSES.len() * 2).saturating_sub(SIMULATED_CLASSES.len());
         let SimulatedClass { name, deadline_ms, .. } = SIMULATED_CLASSES[class];
         let id = format!("{client:02x}{sent_requests:06x}");
-        let wait = rng.u64(deadline_ms * 7 / 10..=deadline_ms);
+        let timeout_ms = rng.u64(deadline_ms * 7 / 10..=deadline_ms);
         let request = ClientRequest {
             key: Bytes::from(format!("{:016x}", rng.u64(..20))),
             value: (class > 0).then(|| vec![b'w'; rng.usize(..3000)].into()),
-            timeout: Some(juniperladder::Micros(wait * 1000)),
+            timeout: Some(juniperladder::Micros(timeout_ms * 1000)),
             properties: vec![
                 ("c".into(), name.into()),
-                ("d".into(), wait.to_string().into()),
+                ("d".into(), timeout_ms.to_string().into()),
                 ("k".into(), id.clone().into()),
             ],
             ..testing::request(&id, None)
@@ -134,8 +134,8 @@
         write_request(&mut text, &request, request.timeout.unwrap_or_default());
         simulation.event_log.on_request_sent(&id, class);
         // Answers are read in order, so that no deadline is before that of an earlier request.
-        deadline = deadline.max(Instant::now() + Duration::from_millis(wait));
-        requests.push_back(OpenRequest { request, sent: Instant::now(), deadline });
+        deadline = deadline.max(Instant::now() + Duration::from_millis(timeout_ms));
+        requests.push_back(OpenRequest { request, sent_at: Instant::now(), deadline });
     }
     let sent = stream.write_all(&text).await;
     if sent.is_err() {
@@ -175,19 +175,20 @@
                 continue;
             }
             Ok(None) => {}
-            Err(error) => event_log.violation(&id, error.to_string()),
+            Err(error) => event_log.record_violation(&id, error.to_string()),
         }
         match timeout_at(open_request.deadline, stream.read_buf(&mut input)).await {
             Err(_) => {
-                let waited = open_request.sent.elapsed();
-                event_log.violation(&id, format!("no answer before the deadline, sent {waited:?} ago"));
+                let waited = open_request.sent_at.elapsed();
+                event_log
+                    .record_violation(&id, format!("no answer before the deadline, sent {waited:?} ago"));
                 return false;
             }
             Ok(Ok(1..)) => {}
             Ok(_) => {
-                let waited = open_request.sent.elapsed();
+                let waited = open_request.sent_at.elapsed();
                 if !input.is_empty() || waited > CLOSE_RACE_WINDOW {
-                    event_log.violation(
+                    event_log.record_violation(
                         &id,
                         format!("connection ended after {waited:?} with only {input:?} received"),
                     );
@@ -198,7 +199,7 @@
         }
     }
     if !input.is_empty() {
-        event_log.violation("-", format!("bytes after the last expected answer: {input:?}"));
+        event_log.record_violation("-", format!("bytes after the last expected answer: {input:?}"));
     }
     true
 }
@@ -211,7 +212,8 @@
         Answer::Rejected(_) => Occurrence::Rejected,
         Answer::Failed => Occurrence::Failed,
         other => {
-            event_log.violation(id, format!("an answer that no server made for the request: {other:?}"));
+            event_log
+                .record_violation(id, format!("an answer that no server made for the request: {other:?}"));
             Occurrence::UnexpectedAnswer
         }
     }
--- a/node/src/simulation/servers.rs
+++ b/node/src/simulation/servers.rs
@@ -273,11 +273,11 @@
     }
 
     /// An answer without a value, in the protocol of this server.
-    fn error_response(&self, meta: &str, status: &str) -> Vec<u8> {
+    fn error_response(&self, meta_answer: &str, http_status: &str) -> Vec<u8> {
         if self.is_origin {
-            return format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").into_bytes();
+            return format!("HTTP/1.1 {http_status}\r\nContent-Length: 0\r\n\r\n").into_bytes();
         }
-        meta.as_bytes().to_vec()
+        meta_answer.as_bytes().to_vec()
     }
 
     /// The correct answer: a value that contains the request's id, or a receipt.
@@ -310,7 +310,7 @@
     async fn next(&mut self) -> Option<ReceivedRequest> {
         let mut requests = RequestReader::default();
         loop {
-            if let Some(request) = self.take(&mut requests) {
+            if let Some(request) = self.take_request(&mut requests) {
                 return Some(request);
             }
             self.read(requests.has_incomplete_request()).await?;
@@ -324,7 +324,7 @@
         }
         self.last_received = Instant::now();
         if is_first_byte && self.notified_at.get().is_some_and(|notified_at| notified_at < Instant::now()) {
-            self.event_log.violation(
+            self.event_log.record_violation(
                 "-",
                 "the first byte of a request to a server after the balancer was notified of its end",
             );
@@ -332,7 +332,7 @@
         Some(())
     }
 
-    fn take(&mut self, requests: &mut RequestReader) -> Option<ReceivedRequest> {
+    fn take_request(&mut self, requests: &mut RequestReader) -> Option<ReceivedRequest> {
         if !self.is_origin {
             return match requests.next(&mut self.input)? {
                 Incoming::Request { request, .. } => {
@@ -340,7 +340,8 @@
                     Some(ReceivedRequest { id, is_write: request.value.is_some() })
                 }
                 other => {
-                    self.event_log.violation("-", format!("a server received an invalid request: {other:?}"));
+                    self.event_log
+                        .record_violation("-", format!("a server received an invalid request: {other:?}"));
                     None
                 }
             };
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -477,7 +477,7 @@
 /// not complete it.
 #[test]
 fn a_reset_does_not_complete_an_answer_without_a_length() {
-    for (reset, body) in [(false, true), (true, true), (true, false)] {
+    for (is_reset, has_body) in [(false, true), (true, true), (true, false)] {
         testing::run_on_sockets(async {
             let (dispatcher, _upstream, listener) = pool_with_one_server(3).await;
             let mut origin = listed_server(SERVER, EndpointState::Serving);
@@ -490,16 +490,17 @@
             while !received.ends_with(b"\r\n\r\n") {
                 stream.read_buf(&mut received).await.unwrap();
             }
-            let text: &[u8] = if body { b"HTTP/1.1 200 OK\r\n\r\nab" } else { b"HTTP/1.1 200 OK\r\n\r\n" };
+            let text: &[u8] =
+                if has_body { b"HTTP/1.1 200 OK\r\n\r\nab" } else { b"HTTP/1.1 200 OK\r\n\r\n" };
             stream.write_all(text).await.unwrap();
             yield_until_idle().await;
-            if reset {
+            if is_reset {
                 stream.set_zero_linger().unwrap();
             }
             drop(stream);
             let answer = answer.await.unwrap();
-            assert_eq!(answer == Answer::Value("ab".into()), !reset, "{answer:?}");
-            assert_eq!(dispatcher.counters().attempts_reset.get(), u64::from(reset));
+            assert_eq!(answer == Answer::Value("ab".into()), !is_reset, "{answer:?}");
+            assert_eq!(dispatcher.counters().attempts_reset.get(), u64::from(is_reset));
         });
     }
 }
