--- a/node/src/discovery/poll.rs
+++ b/node/src/discovery/poll.rs
@@ -165,7 +165,7 @@
     }
 }
 
-/// Sends the complete lists in the input, and returns their number.
+/// Sends the complete lists in the response's body as events, and returns their number.
 async fn send_lists(
     response: &mut Response,
     objects: &mut JsonObjectScanner,
--- a/node/src/discovery/watches.rs
+++ b/node/src/discovery/watches.rs
@@ -201,7 +201,7 @@
             return Heartbeat::Ignored;
         };
         if poll.version.is_none() {
-            // Only a complete list answers a request for one.
+            // A heartbeat does not answer a request for a complete list.
             return Heartbeat::Ignored;
         }
         let is_answer = poll.last_line.is_none();
--- a/node/src/downstream/tests/closing.rs
+++ b/node/src/downstream/tests/closing.rs
@@ -109,6 +109,7 @@
     HalfClose,
 }
 
+/// Makes a client leave, and returns it if it has only half-closed.
 async fn leave(mut client: tokio::net::TcpStream, exit: ClientExit) -> Option<tokio::net::TcpStream> {
     match exit {
         ClientExit::Close => drop(client),
--- a/node/src/endpoint_list.rs
+++ b/node/src/endpoint_list.rs
@@ -17,7 +17,7 @@
 use crate::clock::from_ms;
 use crate::dispatcher::ListedServer;
 
-/// The names that the decision core replaces by their indices in the settings.
+/// The names of zones and kinds in the settings; the decision core uses their indices.
 #[derive(Clone, Debug, Default)]
 pub struct SiteNames {
     /// The names of the zones.
--- a/node/src/simulation.rs
+++ b/node/src/simulation.rs
@@ -56,9 +56,11 @@
 /// What clients and servers have observed of one request.
 #[derive(Debug, Default)]
 struct RequestRecord {
+    /// The index in [`SIMULATED_CLASSES`].
     class: usize,
     /// When the client received the answer, or left.
     closed_at: Option<Instant>,
+    /// The arrivals at all servers, in order.
     arrivals: Vec<Arrival>,
 }
 
@@ -70,7 +72,7 @@
     may_have_been_executed: Rc<Cell<bool>>,
 }
 
-/// What may occur, counted to detect a simulation in which it never does.
+/// What may occur in a simulation, counted to detect that something hardly ever does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Occurrence {
     Served,
@@ -88,6 +90,7 @@
 /// What clients and servers observe.
 #[derive(Debug, Default)]
 struct EventLog {
+    /// The requests that clients have sent, by id.
     requests: RefCell<HashMap<String, RequestRecord>>,
     violations: RefCell<Vec<String>>,
     /// The number of clients that wait for answers.
@@ -293,6 +296,6 @@
     let behaviours = request_behaviours.into_iter().chain(servers::CONNECT_BEHAVIOURS);
     for occurrence in expected.into_iter().chain(behaviours.map(Occurrence::Server)) {
         let has_occurred = counts.get(&occurrence).is_some_and(|count| *count >= SEED_COUNT / 10);
-        assert!(has_occurred, "{occurrence:?}: {counts:?}");
+        assert!(has_occurred, "{occurrence:?} occurred too rarely: {counts:?}");
     }
 }
--- a/node/src/simulation/clients.rs
+++ b/node/src/simulation/clients.rs
@@ -25,7 +25,7 @@
     deadline: Instant,
 }
 
-/// A client that sends requests, waits and sends others, until the daemon shuts down.
+/// A client that sends requests, waits for their answers and sends others, until the daemon shuts down.
 pub async fn run_valid_client(simulation: Rc<Simulation>, client: usize, mut rng: Rng) {
     let mut sent_requests = 0;
     while !simulation.shutdown.is_stopping() {
@@ -145,7 +145,7 @@
     sent.map(|()| requests)
 }
 
-/// Reads the answers, and returns whether the connection can go on.
+/// Reads the answers, and returns whether the connection can carry further requests.
 async fn read_answers(
     simulation: &Simulation,
     requests: VecDeque<OpenRequest>,
--- a/node/src/simulation/servers.rs
+++ b/node/src/simulation/servers.rs
@@ -317,6 +317,8 @@
         }
     }
 
+    /// Reads more input; `None` once the balancer has closed the connection. The first byte of a request is a
+    /// violation if the balancer was notified of the server's end before.
     async fn read(&mut self, has_incomplete_request: bool) -> Option<()> {
         let is_first_byte = self.input.is_empty() && !has_incomplete_request;
         if self.stream.read_buf(&mut self.input).await.ok()? == 0 {
