--- a/node/src/downstream.rs
+++ b/node/src/downstream.rs
@@ -41,7 +41,7 @@
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(10);
 /// How long connections in the backlog wait for slots, in total, once the listener is about to close.
 const FINAL_ACCEPT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Client descriptors that are not for slots: an accepted connection that still waits for its slot holds one.
+/// Client descriptors that slots leave free: an accepted connection that still waits for its slot holds one.
 const DESCRIPTORS_WITHOUT_SLOT: usize = 1;
 
 /// The names that clients use for the classes and tenants, in the order of the settings.
--- a/node/src/downstream/connection.rs
+++ b/node/src/downstream/connection.rs
@@ -27,7 +27,7 @@
 
 /// Requests that one connection may have open: enough for any pipeline, and a bound for a runaway client.
 pub(super) const MAX_PENDING_ANSWERS: usize = 128;
-/// Invalid requests after which a connection ends: more are garbage, or come from a client that reads no
+/// Invalid requests after which a connection ends: its client does not speak the protocol, or reads no
 /// answers.
 pub(super) const MAX_INVALID_REQUESTS: usize = 64;
 /// Bytes reserved for each read.
--- a/node/src/downstream/tests.rs
+++ b/node/src/downstream/tests.rs
@@ -20,7 +20,7 @@
 /// A step of a test case.
 #[derive(Clone, Debug)]
 enum Step {
-    /// The client sends this text, whose answer is given if it needs no attempt.
+    /// The client sends this text; the expected answer, if it needs no attempt.
     Line(&'static str, Option<&'static str>),
     /// The oldest or the newest attempt in flight ends.
     AttemptEnd { newest: bool, served: bool },
--- a/node/src/simulation.rs
+++ b/node/src/simulation.rs
@@ -116,8 +116,8 @@
         self.requests.borrow_mut().entry(id.to_owned()).or_default().closed_at.get_or_insert(Instant::now());
     }
 
-    /// Records that a server has received the complete request. The returned cell tells whether the server
-    /// may have executed it; the server clears it if it did not.
+    /// Records that a server has received the complete request. The returned cell holds whether the
+    /// server may have executed it; the server sets it to false if it did not.
     fn on_request_arrived(&self, id: &str, arrived_at: Instant) -> Rc<Cell<bool>> {
         let mut requests = self.requests.borrow_mut();
         let Some(request) = requests.get_mut(id) else {
--- a/node/src/upstream/tests/event_loop_delay.rs
+++ b/node/src/upstream/tests/event_loop_delay.rs
@@ -10,7 +10,7 @@
     request
 }
 
-/// An answer that arrived during an event loop delay must be served and its server not blamed, although the
+/// An answer that arrived during an event loop delay must be served and not counted as late, although the
 /// timeout of the attempt has passed when the process reads the answer.
 #[test]
 fn an_answer_that_arrived_during_an_event_loop_delay_is_served() {
