--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -227,7 +227,8 @@
                 return;
             }
             ListUse::Contradictory { known } => {
-                // The list in use stays in use, and the next poll that the decision core requests fetches a complete one.
+                // The list in use stays in use, and the next poll that the decision core requests fetches a complete
+                // one.
                 let reason =
                     format!("endpoint list version went back from {known} to {version} without a reset");
                 return self.on_failure(&reason, Duration::ZERO);
--- a/node/src/discovery/tests/fake_discovery.rs
+++ b/node/src/discovery/tests/fake_discovery.rs
@@ -113,8 +113,8 @@
     }
 }
 
-/// A discovery that handles its polls one after the other, as specified by its protocol, and responds with status 503 at
-/// once to a poll that would be queued for too long.
+/// A discovery that handles its polls one after the other, as specified by its protocol, and responds with status 503
+/// at once to a poll that would be queued for too long.
 pub(super) struct QueueingDiscovery {
     pub(super) address: SocketAddr,
     /// The number of polls refused because of the length of the queue.
--- a/node/src/discovery/watches.rs
+++ b/node/src/discovery/watches.rs
@@ -1,10 +1,10 @@
 //! The open polls of discovery: which one is the current watch, and which are overdue. Does no I/O; time is passed in.
 //!
-//! A poll that has been answered is a watch. Guarantees: a watch that is neither overdue nor contradictory is closed only
-//! after a later poll has been answered, so that no change in between is missed; an overdue poll or watch stays open for
-//! [`OVERDUE_GRACE`], because discovery may still answer it, unless a later poll is answered, the address changes or more
-//! than [`MAX_OPEN_POLLS`] would be open; at most [`MAX_OPEN_POLLS`] are open, whatever discovery does. The caller must
-//! poll when [`Watches::needs_poll`] is true, or it misses changes.
+//! A poll that has been answered is a watch. Guarantees: a watch that is neither overdue nor contradictory is closed
+//! only after a later poll has been answered, so that no change in between is missed; an overdue poll or watch stays
+//! open for [`OVERDUE_GRACE`], because discovery may still answer it, unless a later poll is answered, the address
+//! changes or more than [`MAX_OPEN_POLLS`] would be open; at most [`MAX_OPEN_POLLS`] are open, whatever discovery does.
+//! The caller must poll when [`Watches::needs_poll`] is true, or it misses changes.
 
 use std::time::Duration;
 
@@ -95,8 +95,8 @@
     Delta,
     /// Ignored: older than a list from another watch.
     Outdated,
-    /// Ignored: changes with an older version than the poll has requested or received. The version of the list in use is no
-    /// longer valid either, so the next poll requests a complete list.
+    /// Ignored: changes with an older version than the poll has requested or received. The version of the list in use
+    /// is no longer valid either, so the next poll requests a complete list.
     Contradictory {
         /// The version that the poll had requested or last received.
         known: u64,
@@ -290,9 +290,10 @@
     }
 }
 
-/// Whether a list of this version is outdated: another watch has delivered a newer one while this poll was open. The list
-/// is ignored, as this watch sends the newer changes as well. A version older than the requested one is not outdated:
-/// discovery has restarted its version numbers. Neither is the list that answers a request for a complete one.
+/// Whether a list of this version is outdated: another watch has delivered a newer one while this poll was open. The
+/// list is ignored, as this watch sends the newer changes as well. A version older than the requested one is not
+/// outdated: discovery has restarted its version numbers. Neither is the list that answers a request for a complete
+/// one.
 fn has_outdated_version<T>(poll: &OpenPoll<T>, version: u64, in_use: Option<u64>) -> bool {
     let is_same_numbering = poll.requested_version.is_some_and(|since| since <= version);
     is_same_numbering && in_use.is_some_and(|known| version < known)
--- a/node/src/override_store.rs
+++ b/node/src/override_store.rs
@@ -5,8 +5,8 @@
 //! overrides. An override takes effect in its own process whether it could be written or not.
 //!
 //! A disk may stall for a second. The file is read and written on the runtime's blocking threads, so that neither client
-//! requests nor admin calls wait for it. Of consecutive failures only the first is logged; the next attempt follows at the
-//! next interval.
+//! requests nor admin calls wait for it. A failed synchronization is retried at every interval; of consecutive failures
+//! only the first is logged.
 
 mod file;
 
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -94,8 +94,8 @@
                 // The next read returns any error.
                 _ = self.socket.readable() => {}
             }
-            // Packets are also read before a tick: after an event loop delay, a member whose answer has arrived must not be
-            // suspected.
+            // Packets are also read before a tick: after an event loop delay, a member whose answer has arrived must
+            // not be suspected.
             self.receive();
             if Instant::now() >= next_tick {
                 // Missed ticks are skipped.
--- a/node/src/resource_limits.rs
+++ b/node/src/resource_limits.rs
@@ -19,13 +19,13 @@
 const MIN_DIVIDED_DESCRIPTORS: usize = 16;
 /// The number of admin connections with reserved descriptors. Further ones use the descriptors for clients.
 pub const RESERVED_ADMIN_CONNECTIONS: usize = 8;
-/// The share of the descriptors beyond [`RESERVED_DESCRIPTORS`] for connections to servers. Clients may use a third of all descriptors for
-/// requests; idle client connections are evicted when needed, and have no descriptors reserved.
+/// The share of the descriptors beyond [`RESERVED_DESCRIPTORS`] for connections to servers. Clients may use a third of
+/// all descriptors for requests; idle client connections are evicted when needed, and have no descriptors reserved.
 const SERVER_CONNECTION_SHARE: f64 = 0.56;
 /// The maximum share of all descriptors for client connections with requests.
 const CLIENT_REQUEST_CONNECTION_SHARE: f64 = 1.0 / 3.0;
-/// The share of [`CLIENT_REQUEST_CONNECTION_SHARE`] for connections that stay open while idle; the rest is for clients with
-/// a request.
+/// The share of [`CLIENT_REQUEST_CONNECTION_SHARE`] for connections that stay open while idle; the rest is for clients
+/// with a request.
 const IDLE_CLIENT_CONNECTION_SHARE: f64 = 0.75;
 /// The maximum number of admin connections, if there are enough descriptors.
 const MAX_ADMIN_CONNECTIONS: usize = 128;
