--- a/platform-model/src/checker/rules.rs
+++ b/platform-model/src/checker/rules.rs
@@ -72,7 +72,8 @@
     by_id
 }
 
-/// Time and description of a violation.
+/// Time and description of a violation. The descriptions in this file are stored in `breaches.json`; their wording
+/// therefore stays the same.
 type Finding = (Micros, String);
 
 /// A run under check.
@@ -115,12 +116,11 @@
         if request.result == RequestResult::WrongValue {
             // A balancer cannot detect a byte that a link corrupted within a value.
             let is_corrupted = attempts.iter().any(|attempt| attempt.corrupted);
-            let finding =
-                (request.ended_at?, "it was served with a value that was not produced for it".into());
+            let finding = (request.ended_at?, "it was served with what nobody made for it".into());
             return (!is_corrupted).then_some(finding);
         }
         if request.extra_lines > 0 {
-            let description = format!("{} extra lines followed its answer", request.extra_lines);
+            let description = format!("{} more lines came behind its answer", request.extra_lines);
             return Some((request.ended_at?, description));
         }
         if self.is_excused(request) {
@@ -128,14 +128,14 @@
         }
         let due = request.deadline + self.terms.tolerance;
         match request.result {
-            RequestResult::NoAnswer => Some((due, "it was accepted but got no final answer".into())),
+            RequestResult::NoAnswer => Some((due, "it was taken and had no final answer".into())),
             RequestResult::ConnectionClosed => {
                 Some((request.ended_at?, "its connection ended without a whole answer".into()))
             }
             RequestResult::ConnectionRejected => Some((
                 request.ended_at?,
                 format!(
-                    "its connection was rejected, beyond the allowed one request in {REQUESTS_PER_REJECTED_CONNECTION}"
+                    "it was shut out at the door, beyond one command in {REQUESTS_PER_REJECTED_CONNECTION}"
                 ),
             )),
             RequestResult::Served | RequestResult::Rejected | RequestResult::Failed => {
@@ -234,7 +234,7 @@
             rule: Rule::Drains,
             at: attempt.first_byte_at,
             description: format!(
-                "balancer {} sent to host {server} {late_ms:.0} ms after the notice of its drain",
+                "balancer {} sent to host {server} {late_ms:.0} ms after its drain was told",
                 attempt.balancer
             ),
             request_trace: self.request_of(attempt).map(trace).unwrap_or_default(),
@@ -246,17 +246,15 @@
         let violation =
             |at, description| Violation { rule: Rule::Cold, at, description, request_trace: Vec::new() };
         let collapses = self.event_log.server_collapses.iter().map(|(server, at)| {
-            let description =
-                format!("host {server} collapsed in slow start under the load of all balancers together");
+            let description = format!("host {server} was cold and was pushed over by all balancers together");
             violation(*at, description)
         });
         let stops =
             self.event_log.origin_stops.iter().filter(|(_, share)| *share >= MIN_SLOW_START_MISS_SHARE);
         let stops = stops.map(|(at, share)| {
             let percent = share * 100.0;
-            let description = format!(
-                "the origin stopped; {percent:.0}% of its requests were misses of hosts in slow start"
-            );
+            let description =
+                format!("the origin stopped, {percent:.0}% of what it was sent were cold hosts' misses");
             violation(*at, description)
         });
         collapses.chain(stops).collect()
@@ -266,7 +264,7 @@
 /// Checks the number of attempts, and that the request was retried only as its class allows.
 fn check_attempts(terms: &CheckTerms, request: &ClientRequest, attempts: &[&Attempt]) -> Option<Finding> {
     if let Some(excess) = attempts.get(terms.max_attempts) {
-        return Some((excess.received_at, format!("it had {} attempts, more than allowed", attempts.len())));
+        return Some((excess.received_at, format!("{} attempts", attempts.len())));
     }
     let first_executed = attempts.iter().position(|attempt| attempt.may_have_executed())?;
     let next = attempts.get(first_executed + 1)?;
@@ -276,10 +274,10 @@
             let last = attempts.last()?;
             let until = attempts[first_executed].received_at + window + terms.tolerance;
             (last.received_at > until)
-                .then(|| (last.received_at, "it was retried after its idempotency key had expired".into()))
+                .then(|| (last.received_at, "it was sent again after its key's window".into()))
         }
         Idempotency::NotIdempotent => {
-            Some((next.received_at, "it was retried although it may have been executed".into()))
+            Some((next.received_at, "it was sent again though it may have run".into()))
         }
     }
 }
--- a/testbed/src/processes.rs
+++ b/testbed/src/processes.rs
@@ -282,8 +282,8 @@
     fn on_crash(&self, number: usize, status: io::Result<ExitStatus>) {
         let status_text = status.map_or_else(|error| error.to_string(), |status| status.to_string());
         let log_end = log_end(&self.all[number].log);
-        let crash =
-            format!("balancer {number} exited unexpectedly ({status_text}); its log ends:\n{log_end}");
+        // This text is stored in `crashes.json`; its wording therefore stays the same.
+        let crash = format!("balancer {number} ended by itself ({status_text}); its log ends:\n{log_end}");
         self.crashes.borrow_mut().push(crash);
     }
 
