--- a/purge/src/cache_fill.rs
+++ b/purge/src/cache_fill.rs
@@ -71,7 +71,7 @@
     pub fn apply(&mut self, event: &PurgeEvent) {
         match event {
             PurgeEvent::Key(key) => self.purge(key),
-            PurgeEvent::VoidAll => self.void_all(),
+            PurgeEvent::DiscardAll => self.void_all(),
         }
     }
 
--- a/purge/src/cache_fill/tests.rs
+++ b/purge/src/cache_fill/tests.rs
@@ -59,7 +59,7 @@
                 (self.held, self.purged) = (None, self.origin);
             }
             Step::Void => {
-                self.guard.apply(&PurgeEvent::VoidAll);
+                self.guard.apply(&PurgeEvent::DiscardAll);
                 (self.held, self.purged) = (None, self.origin);
             }
         }
--- a/purge/src/lib.rs
+++ b/purge/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! Once [`Replica::status`] returns [`PurgeStatus::Done`] for a purge, every member that serves has applied the purge,
 //! permanently: at each later moment, each member whose [`Member::may_serve`] is true has either handed the purge to
-//! its driver ([`Member::drain_purges`]) or voided its cache after the purge was published. Until then the purge is
+//! its driver ([`Member::drain_events`]) or voided its cache after the purge was published. Until then the purge is
 //! [`PurgeStatus::Pending`], which names outstanding members and replicas.
 //!
 //! # Assumptions
--- a/purge/src/member.rs
+++ b/purge/src/member.rs
@@ -33,7 +33,7 @@
     /// Purge this key.
     Key(Vec<u8>),
     /// Discard everything that is cached.
-    VoidAll,
+    DiscardAll,
 }
 
 /// A member's progress towards serving.
@@ -116,7 +116,7 @@
 
     /// Drains the events that the driver has to apply. They count as applied from now on, so the driver must apply them
     /// before it makes any other call on this member.
-    pub fn drain_purges(&mut self) -> Vec<PurgeEvent> {
+    pub fn drain_events(&mut self) -> Vec<PurgeEvent> {
         if self.applied != self.received {
             self.applied = self.received.clone();
         }
@@ -224,7 +224,7 @@
     fn receive_void(&mut self, vector: &VersionVector) {
         self.metrics.voided += 1;
         self.events.clear();
-        self.events.push(PurgeEvent::VoidAll);
+        self.events.push(PurgeEvent::DiscardAll);
         self.received.merge(vector);
     }
 
--- a/purge/tests/support/checker.rs
+++ b/purge/tests/support/checker.rs
@@ -75,7 +75,7 @@
         let mut purges = Vec::new();
         for event in events {
             match event {
-                PurgeEvent::VoidAll => applied.voided_before = self.published.len(),
+                PurgeEvent::DiscardAll => applied.voided_before = self.published.len(),
                 PurgeEvent::Key(key) => {
                     let number: [u8; 8] =
                         key[..8].try_into().expect("a key starts with the index of its purge");
--- a/purge/tests/support/scripted.rs
+++ b/purge/tests/support/scripted.rs
@@ -197,7 +197,7 @@
         let datagrams = match &mut self.state_machines[node] {
             Some(StateMachine::Replica(replica)) => replica.drain(),
             Some(StateMachine::Member { member, purged }) => {
-                for event in member.drain_purges() {
+                for event in member.drain_events() {
                     if let PurgeEvent::Key(key) = event {
                         purged.push(key);
                     }
--- a/purge/tests/support/simulation.rs
+++ b/purge/tests/support/simulation.rs
@@ -351,7 +351,7 @@
                 replica.drain()
             }
             Some(StateMachine::Member(member, applied)) => {
-                let events = member.drain_purges();
+                let events = member.drain_events();
                 for purge in self.checker.on_events(applied, &events) {
                     self.apply_delays.push(self.now - self.checker.published[purge].at);
                 }
--- a/testbed/src/scale/purge_endpoint.rs
+++ b/testbed/src/scale/purge_endpoint.rs
@@ -158,12 +158,12 @@
 
     fn drain_events(&mut self, now: Micros) -> Vec<EndpointEvent> {
         let mut events = Vec::new();
-        for event in self.member.drain_purges() {
+        for event in self.member.drain_events() {
             match event {
                 PurgeEvent::Key(key) => {
                     events.extend(self.purge_number(&key).map(EndpointEvent::PurgeApplied))
                 }
-                PurgeEvent::VoidAll => events.push(EndpointEvent::CacheCleared),
+                PurgeEvent::DiscardAll => events.push(EndpointEvent::CacheCleared),
             }
         }
         let is_serving = self.member.may_serve(Time(now));
