--- a/platform-model/src/cache_server.rs
+++ b/platform-model/src/cache_server.rs
@@ -142,8 +142,9 @@
     /// The share of the full capacity that is available: below 1 in slow start.
     pub fn capacity_share(&self, now: Micros) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
-        let progress = (now.saturating_sub(started_at)) as f64 / (self.model.cold_s * 1e6).max(1.0);
-        (self.model.cold_from + (1.0 - self.model.cold_from) * progress).min(1.0)
+        let progress = (now.saturating_sub(started_at)) as f64 / (self.model.slow_start_s * 1e6).max(1.0);
+        (self.model.slow_start_initial_share + (1.0 - self.model.slow_start_initial_share) * progress)
+            .min(1.0)
     }
 
     /// Current capacity in hits a second.
@@ -190,7 +191,7 @@
         while self.recent_requests.front().is_some_and(|at| at + MICROS_PER_SECOND <= now) {
             self.recent_requests.pop_front();
         }
-        let max_requests = self.capacity(now) * self.model.fall_times;
+        let max_requests = self.capacity(now) * self.model.collapse_load_factor;
         let has_run_for_a_second = self.started_at.is_some_and(|at| at + MICROS_PER_SECOND <= now);
         if has_run_for_a_second && self.recent_requests.len() as f64 > max_requests {
             self.has_collapsed = true;
--- a/platform-model/src/check.rs
+++ b/platform-model/src/check.rs
@@ -76,12 +76,13 @@
 
 fn load_requirements(load: &Load) -> [Requirement; 12] {
     let has_valid_zipf = load.zipf >= 0.0 && load.zipf.is_finite();
-    let has_valid_warm_up = (0.0..=MAX_WARM_UP_S).contains(&load.warm);
+    let has_valid_warm_up = (0.0..=MAX_WARM_UP_S).contains(&load.warm_up_s);
     let has_valid_uneven_share = load.uneven.is_none_or(|uneven| is_share(uneven.share));
     let has_valid_uneven_at = load.uneven.is_none_or(|uneven| uneven.at > 0.0 && uneven.at <= 1.0);
     let is_valid_hot_key = |hot: &Hot| is_share(hot.share) && hot.at >= 0.0;
     let hot_share: f64 = load.hot.iter().map(|hot| hot.share).sum();
-    let is_valid_burst = |burst: &Burst| burst.at >= 0.0 && burst.lasts > 0.0 && burst.rate_factor >= 0.0;
+    let is_valid_burst =
+        |burst: &Burst| burst.at >= 0.0 && burst.duration_s > 0.0 && burst.rate_factor >= 0.0;
     [
         requirement("rate", is_positive(load.rate), IS_POSITIVE),
         requirement("keys", load.keys > 0, IS_AT_LEAST_ONE),
@@ -108,20 +109,21 @@
 
 fn clients_requirements(clients: &Clients) -> [Requirement; 3] {
     [
-        requirement("honour", is_share(clients.honour), IS_SHARE),
+        requirement("honour", is_share(clients.retry_after_share), IS_SHARE),
         requirement("impatient", is_share(clients.impatient_share), IS_SHARE),
         requirement("backoff_ms", is_positive(clients.backoff_ms), IS_POSITIVE),
     ]
 }
 
 fn server_requirements(servers: &CacheServers) -> [Requirement; 5] {
-    let has_valid_initial_share = servers.cold_from > 0.0 && is_share(servers.cold_from);
+    let has_valid_initial_share =
+        servers.slow_start_initial_share > 0.0 && is_share(servers.slow_start_initial_share);
     [
         requirement("work_ms", is_positive(servers.work_ms), IS_POSITIVE),
         requirement("slots", servers.slots_per_core > 0, IS_AT_LEAST_ONE),
-        requirement("keep", is_positive(servers.keep), IS_POSITIVE),
+        requirement("keep", is_positive(servers.cached_keys_ratio), IS_POSITIVE),
         requirement("cold_from", has_valid_initial_share, "must be a share over 0 and up to 1"),
-        requirement("fall_times", is_positive(servers.fall_times), IS_POSITIVE),
+        requirement("fall_times", is_positive(servers.collapse_load_factor), IS_POSITIVE),
     ]
 }
 
@@ -129,7 +131,7 @@
     [
         requirement("capacity", is_positive(origin.capacity), IS_POSITIVE),
         requirement("work_ms", is_positive(origin.work_ms), IS_POSITIVE),
-        requirement("fall_times", is_positive(origin.fall_times), IS_POSITIVE),
+        requirement("fall_times", is_positive(origin.stop_load_factor), IS_POSITIVE),
     ]
 }
 
--- a/platform-model/src/check/faults.rs
+++ b/platform-model/src/check/faults.rs
@@ -42,14 +42,14 @@
         } else if at > seconds {
             self.add("at", format!("must not begin after the load has ended, at {seconds} s"));
         }
-        if self.fault.lasts.is_some_and(|lasts| lasts.is_nan() || lasts <= 0.0) {
+        if self.fault.duration_s.is_some_and(|duration_s| duration_s.is_nan() || duration_s <= 0.0) {
             self.add("for", "must last longer than 0 s");
         }
     }
 
     /// Checks for missing required fields, and for fields that the kind does not have.
     fn check_fields(&mut self) {
-        let kind = self.fault.what;
+        let kind = self.fault.kind;
         let (required, optional) = fields_of(kind);
         for (field, is_given) in given_fields(self.fault) {
             if required.contains(&field) && !is_given {
@@ -69,7 +69,7 @@
         let non_negative_fields = [
             ("ms", fault.ms),
             ("jitter", fault.jitter),
-            ("back", fault.back),
+            ("back", fault.restart_after_s),
             ("seconds", fault.max_notice_delay_s),
         ];
         for (field, value) in non_negative_fields {
@@ -87,13 +87,13 @@
     /// The members of the groups that the fault names, without invalid groups.
     fn resolve_groups(&mut self, rng: &mut SeededRng) -> Vec<GroupMembers> {
         let fault = self.fault;
-        let between = fault.between.iter().flatten().map(|text| ("between", text));
-        let who = fault.who.iter().map(|text| ("who", text));
+        let link_ends = fault.link_ends.iter().flatten().map(|text| ("between", text));
+        let targets = fault.targets.iter().map(|text| ("who", text));
         let mut groups = Vec::new();
-        for (field, text) in between.chain(who) {
+        for (field, text) in link_ends.chain(targets) {
             match resolve_group(text, &self.experiment.fleet, rng) {
                 Ok(group) => {
-                    if let Some(problem) = target_problem(fault.what, &group) {
+                    if let Some(problem) = target_problem(fault.kind, &group) {
                         self.add(field, format!("{text:?}: {problem}"));
                     }
                     groups.push(group);
@@ -105,7 +105,7 @@
     }
 
     fn check_link_ends(&mut self, groups: &[GroupMembers]) {
-        let affects_packets = matches!(self.fault.what, FaultKind::Repeat | FaultKind::Reorder);
+        let affects_packets = matches!(self.fault.kind, FaultKind::Repeat | FaultKind::Reorder);
         let uses_tcp = |group: &GroupMembers| !group.servers.is_empty() || group.origin || group.discovery;
         if affects_packets && groups.iter().any(uses_tcp) {
             let problem =
@@ -124,15 +124,15 @@
 /// The fields of a fault other than `at` and `what`, and whether each is given.
 fn given_fields(fault: &Fault) -> [(&'static str, bool); 11] {
     [
-        ("for", fault.lasts.is_some()),
-        ("between", fault.between.is_some()),
+        ("for", fault.duration_s.is_some()),
+        ("between", fault.link_ends.is_some()),
         ("direction", fault.direction.is_some()),
-        ("who", fault.who.is_some()),
+        ("who", fault.targets.is_some()),
         ("share", fault.share.is_some()),
         ("ms", fault.ms.is_some()),
         ("jitter", fault.jitter.is_some()),
         ("times", fault.slowdown_factor.is_some()),
-        ("back", fault.back.is_some()),
+        ("back", fault.restart_after_s.is_some()),
         ("every", fault.step_s.is_some()),
         ("seconds", fault.max_notice_delay_s.is_some()),
     ]
@@ -212,13 +212,13 @@
 fn check_contradictions(problems: &mut Problems<'_>, experiment: &Experiment, members: &[Vec<GroupMembers>]) {
     for (later_index, second) in experiment.fault.iter().enumerate() {
         for (earlier_index, first) in experiment.fault[..later_index].iter().enumerate() {
-            let Some(state) = exclusive_state(first.what) else { continue };
-            let is_same_state = exclusive_state(second.what) == Some(state);
+            let Some(state) = exclusive_state(first.kind) else { continue };
+            let is_same_state = exclusive_state(second.kind) == Some(state);
             if is_same_state
                 && overlap_in_time(first, second)
                 && share_members(state, &members[earlier_index], &members[later_index])
             {
-                let (number, kind) = (earlier_index + 1, first.what);
+                let (number, kind) = (earlier_index + 1, first.kind);
                 let problem = format!(
                     "contradicts fault {number} ({kind:?}): both apply to the same members at the same time"
                 );
@@ -234,11 +234,11 @@
 
 /// The end of a fault in seconds; infinity if it lasts to the end of the run.
 fn end_of(fault: &Fault) -> f64 {
-    match fault.what {
+    match fault.kind {
         FaultKind::Restart | FaultKind::Replace | FaultKind::Kill | FaultKind::Term | FaultKind::Roll => {
-            fault.at + fault.back.unwrap_or(0.0)
+            fault.at + fault.restart_after_s.unwrap_or(0.0)
         }
-        _ => fault.at + fault.lasts.unwrap_or(f64::INFINITY),
+        _ => fault.at + fault.duration_s.unwrap_or(f64::INFINITY),
     }
 }
 
--- a/platform-model/src/checker/limits.rs
+++ b/platform-model/src/checker/limits.rs
@@ -133,7 +133,7 @@
     span: &ImpairedSpan,
 ) {
     let model = &terms.server_model;
-    let duration = model.cold_s * 1e6;
+    let duration = model.slow_start_s * 1e6;
     let cores = terms.server_weights.get(span.number as usize).copied().unwrap_or(1.0);
     let stated_per_s = terms.stated.and_then(|stated| stated.slow_start_per_s);
     let warm_per_s = stated_per_s.unwrap_or(cores * 1e3 / model.work_ms);
@@ -150,7 +150,8 @@
     for attempt in attempts {
         let count = window.push(attempt.received_at);
         let since_start = (attempt.received_at - span.from) as f64;
-        let capacity_share = model.cold_from + (1.0 - model.cold_from) * since_start / duration.max(1.0);
+        let capacity_share = model.slow_start_initial_share
+            + (1.0 - model.slow_start_initial_share) * since_start / duration.max(1.0);
         let peak = count as f64 / (warm_per_s * capacity_share);
         usage.peak = usage.peak.max(peak);
         if peak > usage.bound.unwrap_or(1.0) {
--- a/platform-model/src/checker/terms.rs
+++ b/platform-model/src/checker/terms.rs
@@ -61,7 +61,7 @@
 impl CheckTerms {
     /// The terms of an experiment, without bounds stated by the program.
     pub fn of(experiment: &Experiment) -> CheckTerms {
-        let measured_from = micros_from_seconds(experiment.load.warm);
+        let measured_from = micros_from_seconds(experiment.load.warm_up_s);
         let fleet = &experiment.fleet;
         let weight = |server: usize| fleet.weights[server % fleet.weights.len()];
         CheckTerms {
--- a/platform-model/src/experiment.rs
+++ b/platform-model/src/experiment.rs
@@ -124,8 +124,8 @@
     /// Seconds of load before the experiment's beginning, in which the caches fill. The origin has no capacity limit
     /// in this time, so that the cached keys result from the program's own placement. Only breaches of the rules
     /// count in this time.
-    #[serde(default = "default_warm_s")]
-    pub warm: f64,
+    #[serde(rename = "warm", default = "default_warm_up_s")]
+    pub warm_up_s: f64,
 }
 
 /// An uneven load: a share of the load goes to a share of the balancers.
@@ -156,7 +156,7 @@
     pub at: f64,
     /// Duration in seconds.
     #[serde(rename = "for")]
-    pub lasts: f64,
+    pub duration_s: f64,
     /// Factor by which the rate is multiplied.
     #[serde(rename = "times")]
     pub rate_factor: f64,
@@ -171,7 +171,8 @@
     /// Backoff before the first retry in milliseconds; doubled with each retry.
     pub backoff_ms: f64,
     /// The share of clients that honour Retry-After.
-    pub honour: f64,
+    #[serde(rename = "honour")]
+    pub retry_after_share: f64,
     /// The share of first requests whose client disconnects after a tenth of its deadline.
     #[serde(rename = "impatient")]
     pub impatient_share: f64,
@@ -179,7 +180,7 @@
 
 impl Default for Clients {
     fn default() -> Clients {
-        Clients { retries: 2, backoff_ms: 100.0, honour: 0.9, impatient_share: 0.0 }
+        Clients { retries: 2, backoff_ms: 100.0, retry_after_share: 0.9, impatient_share: 0.0 }
     }
 }
 
@@ -200,13 +201,17 @@
     #[serde(rename = "queue")]
     pub max_waiting: usize,
     /// Ratio of the keys that all servers together can cache to all keys.
-    pub keep: f64,
+    #[serde(rename = "keep")]
+    pub cached_keys_ratio: f64,
     /// The share of its capacity with which a server begins its slow start.
-    pub cold_from: f64,
+    #[serde(rename = "cold_from")]
+    pub slow_start_initial_share: f64,
     /// Duration of the slow start in seconds.
-    pub cold_s: f64,
+    #[serde(rename = "cold_s")]
+    pub slow_start_s: f64,
     /// A server in slow start collapses when it is sent this multiple of its capacity for a second.
-    pub fall_times: f64,
+    #[serde(rename = "fall_times")]
+    pub collapse_load_factor: f64,
     /// Maximum number of connections of a server.
     pub connections: usize,
     /// Interval between two load reports, in milliseconds.
@@ -222,10 +227,10 @@
             miss_work_ratio: 0.45,
             slots_per_core: 8,
             max_waiting: 200,
-            keep: 3.0,
-            cold_from: 0.35,
-            cold_s: 6.0,
-            fall_times: 4.0,
+            cached_keys_ratio: 3.0,
+            slow_start_initial_share: 0.35,
+            slow_start_s: 6.0,
+            collapse_load_factor: 4.0,
             connections: 2_000,
             report_ms: 300.0,
             report_noise: 0.1,
@@ -246,12 +251,13 @@
     /// Slowdown of each fetch with a full queue, as a share added to its time.
     pub thrash: f64,
     /// The origin stops for three seconds when it is sent this multiple of its capacity for three seconds.
-    pub fall_times: f64,
+    #[serde(rename = "fall_times")]
+    pub stop_load_factor: f64,
 }
 
 impl Default for Origin {
     fn default() -> Origin {
-        Origin { capacity: 400.0, work_ms: 100.0, queue_s: 1.0, thrash: 0.0, fall_times: 2.5 }
+        Origin { capacity: 400.0, work_ms: 100.0, queue_s: 1.0, thrash: 0.0, stop_load_factor: 2.5 }
     }
 }
 
@@ -335,7 +341,7 @@
     "target/release/juniperladder".into()
 }
 
-fn default_warm_s() -> f64 {
+fn default_warm_up_s() -> f64 {
     8.0
 }
 
--- a/platform-model/src/experiment/fault.rs
+++ b/platform-model/src/experiment/fault.rs
@@ -73,18 +73,19 @@
     pub at: f64,
     /// Duration in seconds; without it the fault lasts to the end of the run.
     #[serde(rename = "for", default, skip_serializing_if = "Option::is_none")]
-    pub lasts: Option<f64>,
+    pub duration_s: Option<f64>,
     /// The kind of the fault.
-    pub what: FaultKind,
+    #[serde(rename = "what")]
+    pub kind: FaultKind,
     /// For link faults: the two groups.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub between: Option<[String; 2]>,
+    #[serde(rename = "between", default, skip_serializing_if = "Option::is_none")]
+    pub link_ends: Option<[String; 2]>,
     /// For link faults: the direction.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub direction: Option<Direction>,
     /// For faults of processes and servers: the group.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub who: Option<String>,
+    #[serde(rename = "who", default, skip_serializing_if = "Option::is_none")]
+    pub targets: Option<String>,
     /// The share that is lost, repeated, reordered, corrupted or failed; for a roll, the share restarted at a time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub share: Option<f64>,
@@ -98,8 +99,8 @@
     #[serde(rename = "times", default, skip_serializing_if = "Option::is_none")]
     pub slowdown_factor: Option<f64>,
     /// For a killed or terminated process: seconds until it is started again; without it the process stays down.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub back: Option<f64>,
+    #[serde(rename = "back", default, skip_serializing_if = "Option::is_none")]
+    pub restart_after_s: Option<f64>,
     /// For a roll or a flapping server: seconds from one step to the next.
     #[serde(rename = "every", default, skip_serializing_if = "Option::is_none")]
     pub step_s: Option<f64>,
--- a/platform-model/src/links.rs
+++ b/platform-model/src/links.rs
@@ -101,7 +101,7 @@
             from,
             to,
             both_ways: fault.direction.unwrap_or_default() == Direction::Both,
-            kind: fault.what,
+            kind: fault.kind,
             share: fault.share.unwrap_or(1.0),
             delay: micros_from_millis(fault.ms.unwrap_or(0.0)),
             jitter: micros_from_millis(fault.jitter.unwrap_or(0.0)),
--- a/platform-model/src/origin.rs
+++ b/platform-model/src/origin.rs
@@ -152,7 +152,7 @@
             self.recent_requests.pop_front();
         }
         let capacity = self.model.capacity / self.slowdown;
-        let max_requests = capacity * self.model.fall_times * 3.0;
+        let max_requests = capacity * self.model.stop_load_factor * 3.0;
         if self.recent_requests.len() as f64 > max_requests {
             self.stop(now);
         }
--- a/platform-model/src/schedule.rs
+++ b/platform-model/src/schedule.rs
@@ -79,12 +79,12 @@
         // The groups of a checked file are valid and have members.
         let mut group_members =
             |text: &String| resolve_group(text, &experiment.fleet, &mut rng).unwrap_or_default();
-        if let Some([first, second]) = &fault.between {
+        if let Some([first, second]) = &fault.link_ends {
             let from = group_members(first);
             let to = group_members(second);
             schedule.links.add_fault(number, fault, from, to);
         }
-        let targets = fault.who.as_ref().map(group_members).unwrap_or_default();
+        let targets = fault.targets.as_ref().map(group_members).unwrap_or_default();
         let compiler = FaultCompiler { experiment, number, fault, targets };
         let steps = compiler.changes().into_iter();
         schedule.steps.extend(steps.map(|(at, change)| Step { at, fault: number, change }));
@@ -106,7 +106,7 @@
 
 impl FaultCompiler<'_> {
     fn changes(&self) -> TimedChanges {
-        match self.fault.what {
+        match self.fault.kind {
             FaultKind::Cut
             | FaultKind::Reset
             | FaultKind::Lose
@@ -132,7 +132,7 @@
 
     fn process_changes(&self) -> TimedChanges {
         let balancers = || self.targets.balancers.clone();
-        match self.fault.what {
+        match self.fault.kind {
             FaultKind::Kill => self.stop_and_start(Change::Kill(balancers())),
             FaultKind::Term => self.stop_and_start(Change::Term(balancers())),
             FaultKind::Roll => self.roll(),
@@ -144,7 +144,7 @@
         let servers = || self.targets.servers.clone();
         let factor = self.fault.slowdown_factor.unwrap_or(1.0);
         let share = self.fault.share.unwrap_or(1.0);
-        match self.fault.what {
+        match self.fault.kind {
             FaultKind::Silent => {
                 self.begin_and_end(Change::Silent(servers(), true), Change::Silent(servers(), false))
             }
@@ -168,7 +168,7 @@
 
     /// `None` if the fault lasts to the end of the run.
     fn end_time(&self) -> Option<Micros> {
-        self.fault.lasts.map(|lasts| self.start_time() + micros_from_seconds(lasts))
+        self.fault.duration_s.map(|duration_s| self.start_time() + micros_from_seconds(duration_s))
     }
 
     fn step_interval(&self) -> Micros {
@@ -186,7 +186,11 @@
     fn stop_and_start(&self, end: Change) -> TimedChanges {
         let mut changes = vec![(self.start_time(), end)];
         let start = Change::Start(self.targets.balancers.clone());
-        changes.extend(self.fault.back.map(|back| (self.start_time() + micros_from_seconds(back), start)));
+        changes.extend(
+            self.fault
+                .restart_after_s
+                .map(|delay_s| (self.start_time() + micros_from_seconds(delay_s), start)),
+        );
         changes
     }
 
--- a/platform-model/src/workload.rs
+++ b/platform-model/src/workload.rs
@@ -79,7 +79,7 @@
             drifted_seconds: 0,
             candidate_rate: load.rate * load.ramp.max(1.0) * max_burst_factor,
             candidate_at_s: 0.0,
-            end: micros_from_seconds(load.warm) + micros_from_seconds(experiment.seconds),
+            end: micros_from_seconds(load.warm_up_s) + micros_from_seconds(experiment.seconds),
         }
     }
 
@@ -104,7 +104,7 @@
 
     /// Seconds since the experiment's beginning; negative while the caches fill.
     fn experiment_time_s(&self) -> f64 {
-        self.candidate_at_s - self.experiment.load.warm
+        self.candidate_at_s - self.experiment.load.warm_up_s
     }
 
     fn draw_acceptance(&mut self) -> bool {
@@ -155,7 +155,7 @@
 /// Requests a second at this time of the experiment.
 fn rate_at(load: &Load, now_s: f64, seconds: f64) -> f64 {
     let ramp = 1.0 + (load.ramp - 1.0) * (now_s / seconds).clamp(0.0, 1.0);
-    let bursts = load.burst.iter().filter(|burst| (burst.at..burst.at + burst.lasts).contains(&now_s));
+    let bursts = load.burst.iter().filter(|burst| (burst.at..burst.at + burst.duration_s).contains(&now_s));
     load.rate * ramp * bursts.map(|burst| burst.rate_factor).product::<f64>()
 }
 
--- a/platform-model/tests/file_formats.rs
+++ b/platform-model/tests/file_formats.rs
@@ -57,9 +57,9 @@
     assert_eq!(fleet.operator.as_deref(), Some("deploy/operator.example.toml"));
     let load = &experiment.load;
     assert_eq!((load.rate, load.keys, load.zipf, load.writes), (150.0, 500, 0.8, 0.05));
-    assert_eq!((load.ramp, load.drift, load.warm), (1.5, 0.01, 4.0));
+    assert_eq!((load.ramp, load.drift, load.warm_up_s), (1.5, 0.01, 4.0));
     assert_eq!((load.hot[0].at, load.hot[0].share), (10.0, 0.1));
-    assert_eq!((load.burst[0].at, load.burst[0].lasts, load.burst[0].rate_factor), (12.0, 3.0, 2.0));
+    assert_eq!((load.burst[0].at, load.burst[0].duration_s, load.burst[0].rate_factor), (12.0, 3.0, 2.0));
     assert_eq!((experiment.servers.work_ms, experiment.servers.connections), (10.0, 1000));
     assert_eq!((experiment.origin.capacity, experiment.origin.queue_s), (120.0, 0.5));
     assert_eq!((experiment.discovery.calls_per_s, experiment.discovery.notice_s), (250.0, 0.25));
--- a/testbed-cli/src/charts.rs
+++ b/testbed-cli/src/charts.rs
@@ -52,8 +52,9 @@
 
 /// Start and end of each fault, in seconds.
 fn fault_intervals_s(experiment: &Experiment) -> Vec<(f64, f64)> {
-    let end_s =
-        |fault: &Fault| fault.at + fault.lasts.or(fault.back).unwrap_or(MIN_SHADED_S).max(MIN_SHADED_S);
+    let end_s = |fault: &Fault| {
+        fault.at + fault.duration_s.or(fault.restart_after_s).unwrap_or(MIN_SHADED_S).max(MIN_SHADED_S)
+    };
     experiment.fault.iter().map(|fault| (fault.at, end_s(fault).min(experiment.seconds))).collect()
 }
 
--- a/testbed-cli/src/report/page.rs
+++ b/testbed-cli/src/report/page.rs
@@ -79,11 +79,11 @@
     }
     page.push_str("<table><tr><th>from</th><th>for</th><th>what</th><th>who</th></tr>");
     for fault in &experiment.fault {
-        let lasts = fault.lasts.map_or("-".into(), |lasts| format!("{lasts} s"));
-        let between = fault.between.as_ref().map(|[first, second]| format!("{first} to {second}"));
-        let who = escape(&fault.who.clone().or(between).unwrap_or_default());
-        let (at, kind) = (fault.at, fault.what);
-        write!(page, "<tr><td>{at} s</td><td>{lasts}</td><td>{kind:?}</td><td>{who}</td></tr>")?;
+        let duration = fault.duration_s.map_or("-".into(), |duration_s| format!("{duration_s} s"));
+        let link_ends = fault.link_ends.as_ref().map(|[first, second]| format!("{first} to {second}"));
+        let targets = escape(&fault.targets.clone().or(link_ends).unwrap_or_default());
+        let (at, kind) = (fault.at, fault.kind);
+        write!(page, "<tr><td>{at} s</td><td>{duration}</td><td>{kind:?}</td><td>{targets}</td></tr>")?;
     }
     page.push_str("</table>");
     Ok(())
--- a/testbed-cli/src/run.rs
+++ b/testbed-cli/src/run.rs
@@ -160,7 +160,7 @@
 }
 
 fn progress_bar(experiment: &Experiment) -> ProgressBar {
-    let seconds = experiment.seconds + experiment.load.warm;
+    let seconds = experiment.seconds + experiment.load.warm_up_s;
     let bar = ProgressBar::new((seconds * PROGRESS_STEPS_PER_S) as u64);
     if !std::io::stderr().is_terminal() {
         bar.set_draw_target(ProgressDrawTarget::hidden());
@@ -177,7 +177,7 @@
             bar.set_message(format!("{ready} of {} processes ready", experiment.fleet.balancers));
         }
         Progress::Load(seconds) => {
-            let is_warming = seconds < experiment.load.warm;
+            let is_warming = seconds < experiment.load.warm_up_s;
             bar.set_message(if is_warming { "the caches fill".into() } else { experiment.name.clone() });
             bar.set_position((seconds * PROGRESS_STEPS_PER_S) as u64);
         }
--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -197,7 +197,7 @@
         let mut rng = self.rng.borrow_mut();
         let backoff_ms = model.backoff_ms * f64::from(1 << retry) * rng.random_range(0.5..1.5);
         let backoff = micros_from_millis(backoff_ms);
-        let honours_retry_after = rng.random::<f64>() < model.honour;
+        let honours_retry_after = rng.random::<f64>() < model.retry_after_share;
         let wait = if honours_retry_after { backoff.max(retry_after) } else { backoff };
         (wait, rng.random_range(0..self.addresses.len()))
     }
--- a/testbed/src/experiment_run.rs
+++ b/testbed/src/experiment_run.rs
@@ -175,7 +175,7 @@
         let terms = CheckTerms::of(experiment);
         let clients = Clients::new(Rc::clone(&testbed), terms, platform.processes.addresses());
         let load_task = spawn_local(Rc::clone(&clients).send_arrivals(arrivals));
-        let measured_from = load_began_at + micros_from_seconds(experiment.load.warm);
+        let measured_from = load_began_at + micros_from_seconds(experiment.load.warm_up_s);
         let measured_until = measured_from + micros_from_seconds(experiment.seconds);
         testbed.origin.borrow_mut().unbounded = true;
         ExperimentRun {
--- a/testbed/src/experiment_run/platform.rs
+++ b/testbed/src/experiment_run/platform.rs
@@ -110,7 +110,7 @@
         let experiment = &self.testbed.experiment;
         let latest_notice = self.testbed.notice_delays.borrow().iter().copied().max().unwrap_or(0);
         let listed_after = micros_from_seconds(experiment.discovery.notice_s) + latest_notice;
-        micros_from_seconds(experiment.servers.cold_s).max(listed_after)
+        micros_from_seconds(experiment.servers.slow_start_s).max(listed_after)
     }
 
     /// Applies one change and wakes all tasks that wait for changes.
--- a/testbed/src/testbed.rs
+++ b/testbed/src/testbed.rs
@@ -268,7 +268,7 @@
 
 fn cache_servers(experiment: &Experiment) -> Vec<RefCell<CacheServer>> {
     let fleet = &experiment.fleet;
-    let cached_keys = experiment.servers.keep * experiment.load.keys as f64;
+    let cached_keys = experiment.servers.cached_keys_ratio * experiment.load.keys as f64;
     let max_keys = (cached_keys / fleet.servers as f64).ceil().max(1.0) as usize;
     let server = |number: usize| {
         let weight = fleet.weights[number % fleet.weights.len()];
