--- a/platform-model/src/checker.rs
+++ b/platform-model/src/checker.rs
@@ -2,7 +2,7 @@
 //!
 //! The checker does not rely on the balancers' own metrics: the usage of a limit is counted at the origin and at the
 //! servers, lost requests at the clients. Times are [`Micros`] from the start of the run; only events within the
-//! measured time of the [`CheckTerms`] count in figures. Checking cannot fail, and the same log gives the same
+//! measured time of the [`CheckConfig`] count in figures. Checking cannot fail, and the same log gives the same
 //! result.
 
 pub mod failure_detection;
@@ -24,7 +24,7 @@
 use std::collections::HashMap;
 
 pub use terms::{
-    CheckTerms, Idempotency, RequestClass, StatedBounds, StatedFailureDetection, StatedRetryBudget,
+    CheckConfig, Idempotency, RequestClass, StatedBounds, StatedFailureDetection, StatedRetryBudget,
 };
 
 use crate::event_log::{ClientRequest, EventLog, RequestResult};
@@ -45,20 +45,20 @@
 }
 
 /// Checks a run. The caller fills in the costs of the processes and the machine.
-pub fn check_run(event_log: &EventLog, terms: &CheckTerms) -> CheckResult {
-    let violations = rules::find_violations(event_log, terms);
-    let series = series::series(event_log, terms);
+pub fn check_run(event_log: &EventLog, config: &CheckConfig) -> CheckResult {
+    let violations = rules::find_violations(event_log, config);
+    let series = series::series(event_log, config);
     let mut summary = Summary { rules: count_by_rule(&violations), ..Summary::default() };
-    count_requests(&mut summary, event_log, terms);
-    summary.service = service(event_log, terms);
-    summary.attempts_per_request = attempts_per_request(event_log, terms, summary.requests);
-    summary.spread = spread::spread(event_log, terms);
-    let origin_usage = limits::origin_usage(event_log, terms);
+    count_requests(&mut summary, event_log, config);
+    summary.service = service(event_log, config);
+    summary.attempts_per_request = attempts_per_request(event_log, config, summary.requests);
+    summary.spread = spread::spread(event_log, config);
+    let origin_usage = limits::origin_usage(event_log, config);
     summary.origin = origin_usage.figures;
     summary.limits.insert("origin".into(), origin_usage.limit);
-    summary.limits.insert("cold".into(), limits::slow_start_usage(event_log, terms));
-    summary.limits.insert("second".into(), limits::retry_usage(event_log, terms));
-    summary.failure_detection = failure_detection::failure_detection(event_log, terms, &series.server_loads);
+    summary.limits.insert("cold".into(), limits::slow_start_usage(event_log, config));
+    summary.limits.insert("second".into(), limits::retry_usage(event_log, config));
+    summary.failure_detection = failure_detection::failure_detection(event_log, config, &series.server_loads);
     CheckResult { summary, violations, series }
 }
 
@@ -73,13 +73,13 @@
 }
 
 /// Counts the measured requests by outcome, and computes their latencies and their delays in sending.
-fn count_requests(summary: &mut Summary, event_log: &EventLog, terms: &CheckTerms) {
+fn count_requests(summary: &mut Summary, event_log: &EventLog, config: &CheckConfig) {
     let mut lags: Vec<Micros> = Vec::new();
     let mut latencies: Vec<Micros> = Vec::new();
-    for request in event_log.requests.iter().filter(|request| terms.is_measured(request.planned_at)) {
+    for request in event_log.requests.iter().filter(|request| config.is_measured(request.planned_at)) {
         summary.requests += 1;
         lags.push(request.sent_at.saturating_sub(request.planned_at));
-        match outcome_of(request, terms) {
+        match outcome_of(request, config) {
             RequestOutcome::Served => {
                 summary.served += 1;
                 latencies.extend(request.ended_at.map(|at| at - request.sent_at));
@@ -98,8 +98,8 @@
     };
 }
 
-fn attempts_per_request(event_log: &EventLog, terms: &CheckTerms, requests: u64) -> f64 {
-    let attempts = event_log.attempts.iter().filter(|attempt| terms.is_measured(attempt.received_at));
+fn attempts_per_request(event_log: &EventLog, config: &CheckConfig, requests: u64) -> f64 {
+    let attempts = event_log.attempts.iter().filter(|attempt| config.is_measured(attempt.received_at));
     attempts.count() as f64 / requests.max(1) as f64
 }
 
@@ -117,8 +117,8 @@
 }
 
 /// The outcome of this request.
-pub fn outcome_of(request: &ClientRequest, terms: &CheckTerms) -> RequestOutcome {
-    let is_late = request.ended_at.is_some_and(|at| at > request.deadline + terms.tolerance);
+pub fn outcome_of(request: &ClientRequest, config: &CheckConfig) -> RequestOutcome {
+    let is_late = request.ended_at.is_some_and(|at| at > request.deadline + config.tolerance);
     match request.result {
         RequestResult::NoAnswer | RequestResult::ConnectionClosed | RequestResult::WrongValue => {
             RequestOutcome::Lost
@@ -136,19 +136,19 @@
 
 /// The share of the requested priority weight that was served within the latency objective; 1 without any request. A
 /// client's first request and its retries count as one request, sent with the first.
-fn service(event_log: &EventLog, terms: &CheckTerms) -> f64 {
+fn service(event_log: &EventLog, config: &CheckConfig) -> f64 {
     let first_requests = first_requests(event_log);
     let (mut requested_weight, mut served_weight) = (0.0, 0.0);
     for request in &event_log.requests {
         let first = first_requests.get(&request.first_id);
-        let Some(first) = first.filter(|first| terms.is_measured(first.planned_at)) else {
+        let Some(first) = first.filter(|first| config.is_measured(first.planned_at)) else {
             continue;
         };
-        let class = terms.class(request.write);
+        let class = config.class(request.write);
         if request.is_first() {
             requested_weight += class.priority_weight;
         }
-        let latest = first.sent_at + class.latency_objective + terms.tolerance;
+        let latest = first.sent_at + class.latency_objective + config.tolerance;
         if request.result == RequestResult::Served && request.ended_at.is_some_and(|at| at <= latest) {
             served_weight += class.priority_weight;
         }
--- a/platform-model/src/checker/failure_detection.rs
+++ b/platform-model/src/checker/failure_detection.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 
 use super::statistics::percentile;
-use super::CheckTerms;
+use super::CheckConfig;
 use crate::event_log::{Attempt, AttemptResult, EventLog, ImpairedSpan, Impairment, Receiver};
 use crate::summary::FailureDetection;
 use crate::{Micros, MICROS_PER_SECOND};
@@ -21,17 +21,17 @@
 /// at each server in each second, divided by its fair share.
 pub fn failure_detection(
     event_log: &EventLog,
-    terms: &CheckTerms,
+    config: &CheckConfig,
     server_loads: &[Vec<f64>],
 ) -> FailureDetection {
-    let silences = silences(event_log, terms);
-    let loads = ServerLoads { measured_from: terms.measured_from, by_server: server_loads };
+    let silences = silences(event_log, config);
+    let loads = ServerLoads { measured_from: config.measured_from, by_server: server_loads };
     let mut last_attempt_delays = last_attempt_delays(event_log, &silences);
-    let avoided_after = |silence: &&ImpairedSpan| loads.avoided_after(silence, terms);
+    let avoided_after = |silence: &&ImpairedSpan| loads.avoided_after(silence, config);
     let mut avoided: Vec<Micros> = silences.iter().filter_map(avoided_after).collect();
-    let used_again_after = |silence: &&ImpairedSpan| loads.used_again_after(silence, terms);
+    let used_again_after = |silence: &&ImpairedSpan| loads.used_again_after(silence, config);
     let mut used_again: Vec<Micros> = silences.iter().filter_map(used_again_after).collect();
-    let stated = terms.stated.and_then(|stated| stated.failure_detection);
+    let stated = config.stated.and_then(|stated| stated.failure_detection);
     FailureDetection {
         bound_ms: stated.map(|stated| millis(stated.reaction_time)),
         spread_p50_ms: percentile_ms(&mut last_attempt_delays, 0.5),
@@ -39,17 +39,17 @@
         stale_bound_ms: stated.map(|stated| millis(stated.report_expiry)),
         stale_max_ms: None,
         wrongly_avoided: 0,
-        lost_sends: count_lost_attempts(event_log, terms),
+        lost_sends: count_lost_attempts(event_log, config),
         avoided_ms: percentile_ms(&mut avoided, 1.0),
         used_again_ms: percentile_ms(&mut used_again, 1.0),
     }
 }
 
 /// The silences of servers that began in the measured time and lasted longer than a second.
-fn silences<'a>(event_log: &'a EventLog, terms: &CheckTerms) -> Vec<&'a ImpairedSpan> {
+fn silences<'a>(event_log: &'a EventLog, config: &CheckConfig) -> Vec<&'a ImpairedSpan> {
     let is_relevant = |span: &&ImpairedSpan| {
         span.impairment == Impairment::Silent
-            && terms.is_measured(span.from)
+            && config.is_measured(span.from)
             && span.to.is_none_or(|to| to > span.from + MICROS_PER_SECOND)
     };
     event_log.server_impairments.iter().filter(is_relevant).collect()
@@ -75,8 +75,8 @@
 }
 
 /// The number of measured attempts that a server did not answer or a cut link did not deliver.
-fn count_lost_attempts(event_log: &EventLog, terms: &CheckTerms) -> u64 {
-    let measured = |attempt: &&Attempt| terms.is_measured(attempt.received_at);
+fn count_lost_attempts(event_log: &EventLog, config: &CheckConfig) -> u64 {
+    let measured = |attempt: &&Attempt| config.is_measured(attempt.received_at);
     let unanswered = event_log
         .attempts
         .iter()
@@ -102,8 +102,8 @@
 impl ServerLoads<'_> {
     /// Time from the start of the silence until the server is avoided to its end, in whole seconds; the whole silence
     /// if it is never avoided.
-    fn avoided_after(&self, silence: &ImpairedSpan, terms: &CheckTerms) -> Option<Micros> {
-        let end = silence.to.unwrap_or(terms.measured_until).min(terms.measured_until);
+    fn avoided_after(&self, silence: &ImpairedSpan, config: &CheckConfig) -> Option<Micros> {
+        let end = silence.to.unwrap_or(config.measured_until).min(config.measured_until);
         let first = (silence.from - self.measured_from).div_ceil(MICROS_PER_SECOND) as usize;
         let last = ((end - self.measured_from) / MICROS_PER_SECOND) as usize;
         let loads = self.by_server.get(silence.number as usize)?.get(first..last)?;
@@ -113,12 +113,12 @@
     }
 
     /// Time from the server's return until it is used again; the remaining measured time if it is never used again.
-    fn used_again_after(&self, silence: &ImpairedSpan, terms: &CheckTerms) -> Option<Micros> {
+    fn used_again_after(&self, silence: &ImpairedSpan, config: &CheckConfig) -> Option<Micros> {
         let returned_at = silence.to?;
         let first = returned_at.checked_sub(self.measured_from)?.div_ceil(MICROS_PER_SECOND) as usize;
         let loads = self.by_server.get(silence.number as usize)?.get(first..)?;
         let used_at = loads.iter().position(|load| *load >= USED_AGAIN_MIN_LOAD_RATIO);
-        let until_end = terms.measured_until.saturating_sub(returned_at);
+        let until_end = config.measured_until.saturating_sub(returned_at);
         Some(used_at.map_or(until_end, |second| (second as Micros + 1) * MICROS_PER_SECOND))
     }
 }
--- a/platform-model/src/checker/failure_detection/tests.rs
+++ b/platform-model/src/checker/failure_detection/tests.rs
@@ -1,11 +1,11 @@
 //! Time until a silent server is avoided, and until it is used again.
 
-use super::super::test_log::{attempt, terms, EventLogBuilder};
+use super::super::test_log::{attempt, check_config, EventLogBuilder};
 use super::*;
 use crate::micros_from_seconds;
 
-fn failure_detection(event_log: &EventLog, terms: &CheckTerms) -> FailureDetection {
-    super::failure_detection(event_log, terms, &super::super::series::series(event_log, terms).server_loads)
+fn failure_detection(event_log: &EventLog, config: &CheckConfig) -> FailureDetection {
+    super::failure_detection(event_log, config, &super::super::series::series(event_log, config).server_loads)
 }
 
 /// Server 0 is silent from 10 to 20 s; the other three servers receive ten attempts a second each.
@@ -42,7 +42,7 @@
 #[test]
 fn last_attempt_of_each_balancer_is_timed_from_the_silence() {
     let figures =
-        failure_detection(&silent_server_log(&[(1, 10.2), (1, 10.5), (2, 12.0)]).event_log, &terms());
+        failure_detection(&silent_server_log(&[(1, 10.2), (1, 10.5), (2, 12.0)]).event_log, &check_config());
     assert_eq!(
         (figures.spread_p50_ms, figures.spread_p99_ms, figures.lost_sends),
         (Some(500.0), Some(2000.0), 3)
@@ -50,22 +50,25 @@
     let mut with_cut_link = silent_server_log(&[]);
     with_cut_link.event_log.undelivered.push(attempt(0, Receiver::CacheServer(1), 12.0));
     assert_eq!(
-        failure_detection(&with_cut_link.event_log, &terms()).lost_sends,
+        failure_detection(&with_cut_link.event_log, &check_config()).lost_sends,
         1,
         "an attempt that a cut link did not deliver is lost, too"
     );
-    let without_attempts = failure_detection(&silent_server_log(&[]).event_log, &terms());
+    let without_attempts = failure_detection(&silent_server_log(&[]).event_log, &check_config());
     assert_eq!((without_attempts.spread_p50_ms, without_attempts.lost_sends), (None, 0));
 }
 
 #[test]
 fn server_is_avoided_and_used_again_relative_to_its_fair_share() {
-    let figures = failure_detection(&silent_server_log(&[]).event_log, &terms());
+    let figures = failure_detection(&silent_server_log(&[]).event_log, &check_config());
     assert_eq!((figures.avoided_ms, figures.used_again_ms), (Some(0.0), Some(4000.0)));
     let attempts: Vec<(u32, f64)> = (0..3).map(|n| (1, 12.3 + f64::from(n) / 10.0)).collect();
-    assert_eq!(failure_detection(&silent_server_log(&attempts).event_log, &terms()).avoided_ms, Some(3000.0));
     assert_eq!(
-        failure_detection(&silent_server_log(&attempts[..0]).event_log, &terms()).avoided_ms,
+        failure_detection(&silent_server_log(&attempts).event_log, &check_config()).avoided_ms,
+        Some(3000.0)
+    );
+    assert_eq!(
+        failure_detection(&silent_server_log(&attempts[..0]).event_log, &check_config()).avoided_ms,
         Some(0.0)
     );
 }
--- a/platform-model/src/checker/limits.rs
+++ b/platform-model/src/checker/limits.rs
@@ -8,7 +8,7 @@
 use std::collections::{HashMap, HashSet};
 
 use super::sliding_window::SlidingWindow;
-use super::{outcome_of, CheckTerms, RequestOutcome, StatedRetryBudget};
+use super::{outcome_of, CheckConfig, RequestOutcome, StatedRetryBudget};
 use crate::event_log::{Attempt, AttemptResult, EventLog, ImpairedSpan, Impairment, Receiver, RequestResult};
 use crate::summary::{LimitUsage, OriginFigures};
 use crate::{Micros, MICROS_PER_SECOND};
@@ -31,15 +31,15 @@
 
 /// Computes the usage of the limit `origin`: fetches in any second, relative to the limit that the program states, or
 /// to the origin's capacity if the program states none.
-pub fn origin_usage(event_log: &EventLog, terms: &CheckTerms) -> OriginUsage {
+pub fn origin_usage(event_log: &EventLog, config: &CheckConfig) -> OriginUsage {
     let is_fetch =
-        |attempt: &&Attempt| attempt.receiver == Receiver::Origin && terms.is_measured(attempt.received_at);
+        |attempt: &&Attempt| attempt.receiver == Receiver::Origin && config.is_measured(attempt.received_at);
     let fetches: Vec<&Attempt> = event_log.attempts.iter().filter(is_fetch).collect();
-    let limit = terms.stated.map_or(terms.origin_capacity, |stated| stated.origin_per_s);
+    let limit = config.stated.map_or(config.origin_capacity, |stated| stated.origin_per_s);
     let mut window = SlidingWindow::new(MICROS_PER_SECOND);
     let peak_count = fetches.iter().map(|fetch| window.push(fetch.received_at)).max().unwrap_or(0);
     let peak = peak_count as f64 / limit;
-    let under_excess_demand = usage_under_excess_demand(event_log, terms, &fetches, limit);
+    let under_excess_demand = usage_under_excess_demand(event_log, config, &fetches, limit);
     OriginUsage {
         figures: OriginFigures {
             peak,
@@ -48,7 +48,7 @@
         },
         limit: LimitUsage {
             limit,
-            bound: terms.stated.map(|stated| stated.bound()),
+            bound: config.stated.map(|stated| stated.bound()),
             peak,
             usage: under_excess_demand.share(under_excess_demand.used),
             seconds_over: under_excess_demand.seconds_over,
@@ -78,16 +78,16 @@
 
 fn usage_under_excess_demand(
     event_log: &EventLog,
-    terms: &CheckTerms,
+    config: &CheckConfig,
     fetches: &[&Attempt],
     limit: f64,
 ) -> UsageUnderExcessDemand {
-    let demand = origin_demand(event_log, terms);
-    let served = served_requests(event_log, terms);
+    let demand = origin_demand(event_log, config);
+    let served = served_requests(event_log, config);
     let mut used = vec![0.0; demand.len()];
     let mut useful = vec![0.0; demand.len()];
     for fetch in fetches {
-        let second = terms.second_of(fetch.received_at);
+        let second = config.second_of(fetch.received_at);
         used[second] += 1.0;
         let is_useful = fetch.result == AttemptResult::Served && served.contains(&fetch.id);
         useful[second] += f64::from(is_useful);
@@ -105,9 +105,9 @@
 }
 
 /// The ids of the requests that were served before their deadline.
-fn served_requests(event_log: &EventLog, terms: &CheckTerms) -> HashSet<u64> {
+fn served_requests(event_log: &EventLog, config: &CheckConfig) -> HashSet<u64> {
     let served = event_log.requests.iter().filter(|request| {
-        request.result == RequestResult::Served && outcome_of(request, terms) == RequestOutcome::Served
+        request.result == RequestResult::Served && outcome_of(request, config) == RequestOutcome::Served
     });
     served.map(|request| request.id).collect()
 }
@@ -115,12 +115,12 @@
 /// Computes the usage of the limit `cold`: attempts in any second at a server in slow start, relative to the server's
 /// capacity at the end of that second. If no operator file states the rate of a warm server, its service capacity is
 /// used.
-pub fn slow_start_usage(event_log: &EventLog, terms: &CheckTerms) -> LimitUsage {
-    let stated = terms.stated.filter(|stated| stated.slow_start_per_s.is_some());
+pub fn slow_start_usage(event_log: &EventLog, config: &CheckConfig) -> LimitUsage {
+    let stated = config.stated.filter(|stated| stated.slow_start_per_s.is_some());
     let mut usage = LimitUsage { bound: stated.map(|stated| stated.bound()), ..LimitUsage::default() };
     let impairments = event_log.server_impairments.iter();
     for span in impairments.filter(|span| span.impairment == Impairment::SlowStart) {
-        add_slow_start_usage(&mut usage, event_log, terms, span);
+        add_slow_start_usage(&mut usage, event_log, config, span);
     }
     usage
 }
@@ -129,13 +129,13 @@
 fn add_slow_start_usage(
     usage: &mut LimitUsage,
     event_log: &EventLog,
-    terms: &CheckTerms,
+    config: &CheckConfig,
     span: &ImpairedSpan,
 ) {
-    let model = &terms.server_model;
+    let model = &config.server_model;
     let duration = model.slow_start_s * 1e6;
-    let cores = terms.server_weights.get(span.number as usize).copied().unwrap_or(1.0);
-    let stated_per_s = terms.stated.and_then(|stated| stated.slow_start_per_s);
+    let cores = config.server_weights.get(span.number as usize).copied().unwrap_or(1.0);
+    let stated_per_s = config.stated.and_then(|stated| stated.slow_start_per_s);
     let warm_per_s = stated_per_s.unwrap_or(cores * 1e3 / model.work_ms);
     usage.limit = usage.limit.max(warm_per_s);
     let receiver = Receiver::CacheServer(span.number);
@@ -143,7 +143,7 @@
     let attempts = event_log.attempts.iter().filter(|attempt| {
         attempt.receiver == receiver
             && slow_start.contains(&attempt.received_at)
-            && terms.is_measured(attempt.received_at)
+            && config.is_measured(attempt.received_at)
     });
     let mut window = SlidingWindow::new(MICROS_PER_SECOND);
     let mut seconds_over = HashSet::new();
@@ -165,17 +165,17 @@
 /// miss are not retries. The budget is a share of the first requests of that second and of the time before it in
 /// which credits may have been earned, plus the saved credits. The reported limit is that share of the mean rate of
 /// first requests.
-pub fn retry_usage(event_log: &EventLog, terms: &CheckTerms) -> LimitUsage {
-    let stated = terms.stated.and_then(|stated| stated.retry_budget);
+pub fn retry_usage(event_log: &EventLog, config: &CheckConfig) -> LimitUsage {
+    let stated = config.stated.and_then(|stated| stated.retry_budget);
     let budget = stated.unwrap_or(StatedRetryBudget {
         share: DEFAULT_RETRIES_PER_FIRST_ATTEMPT,
-        saved: DEFAULT_SAVED_RETRIES_PER_BALANCER * terms.balancers as f64,
+        saved: DEFAULT_SAVED_RETRIES_PER_BALANCER * config.balancers as f64,
     });
     let first_request_times = first_request_times(event_log);
     let measured_first_requests =
-        first_request_times.iter().filter(|at| terms.is_measured(**at)).count() as f64;
-    let length_s = (terms.measured_until - terms.measured_from) as f64 / MICROS_PER_SECOND as f64;
-    let send_time_spread = terms.stated.map_or(0, |stated| stated.send_time_spread);
+        first_request_times.iter().filter(|at| config.is_measured(**at)).count() as f64;
+    let length_s = (config.measured_until - config.measured_from) as f64 / MICROS_PER_SECOND as f64;
+    let send_time_spread = config.stated.map_or(0, |stated| stated.send_time_spread);
     let mut usage = LimitUsage {
         limit: budget.share * measured_first_requests / length_s,
         bound: stated.map(|_| 1.0),
@@ -183,7 +183,7 @@
     };
     let mut window = SlidingWindow::new(MICROS_PER_SECOND);
     let mut seconds_over = HashSet::new();
-    for at in retry_times(event_log, terms) {
+    for at in retry_times(event_log, config) {
         let count = window.push(at);
         let earliest_credit = at.saturating_sub(MICROS_PER_SECOND + RETRY_CREDIT_MAX_AGE + send_time_spread);
         let earned = first_request_times.partition_point(|first| *first <= at)
@@ -207,7 +207,7 @@
 }
 
 /// Times at which measured retries arrived, in order: attempts after their request's first that do not follow a miss.
-fn retry_times(event_log: &EventLog, terms: &CheckTerms) -> Vec<Micros> {
+fn retry_times(event_log: &EventLog, config: &CheckConfig) -> Vec<Micros> {
     let mut attempts: Vec<&Attempt> = event_log.attempts.iter().chain(&event_log.undelivered).collect();
     attempts.sort_by_key(|attempt| attempt.received_at);
     // By request: whether any of its attempts so far was a miss.
@@ -216,7 +216,7 @@
     for attempt in attempts {
         let is_miss = attempt.result == AttemptResult::Miss;
         if let Some(missed) = missed_so_far.get_mut(&attempt.id) {
-            if !*missed && terms.is_measured(attempt.received_at) {
+            if !*missed && config.is_measured(attempt.received_at) {
                 received_at.push(attempt.received_at);
             }
             *missed |= is_miss;
@@ -229,19 +229,19 @@
 
 /// Demand for the origin in each second: requested writes, reads that missed at a server or went to the origin, and
 /// the usual share of misses of the reads that were rejected before any attempt.
-pub fn origin_demand(event_log: &EventLog, terms: &CheckTerms) -> Vec<f64> {
-    let seconds = (terms.measured_until - terms.measured_from).div_ceil(MICROS_PER_SECOND);
+pub fn origin_demand(event_log: &EventLog, config: &CheckConfig) -> Vec<f64> {
+    let seconds = (config.measured_until - config.measured_from).div_ceil(MICROS_PER_SECOND);
     let mut by_second = vec![0.0; seconds as usize];
     let needs_origin = origin_demand_by_request(event_log);
     let usual_share = usual_origin_share(event_log, &needs_origin);
-    for request in event_log.requests.iter().filter(|request| terms.is_measured(request.planned_at)) {
+    for request in event_log.requests.iter().filter(|request| config.is_measured(request.planned_at)) {
         let request_demand = match needs_origin.get(&request.id) {
             _ if request.write => 1.0,
             Some(needs_origin) => f64::from(*needs_origin),
             None if request.result == RequestResult::Rejected => usual_share,
             None => 0.0,
         };
-        by_second[terms.second_of(request.planned_at)] += request_demand;
+        by_second[config.second_of(request.planned_at)] += request_demand;
     }
     by_second
 }
--- a/platform-model/src/checker/rules.rs
+++ b/platform-model/src/checker/rules.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{CheckTerms, Idempotency};
+use super::{CheckConfig, Idempotency};
 use crate::event_log::{
     Attempt, ClientRequest, EndpointNotice, EventLog, Impairment, Receiver, RequestResult,
 };
@@ -51,10 +51,10 @@
 const REQUESTS_PER_REJECTED_CONNECTION: usize = 200;
 
 /// Finds all violations: those of requests in the order of the log, then those of drains, then those of slow start.
-pub fn find_violations(event_log: &EventLog, terms: &CheckTerms) -> Vec<Violation> {
+pub fn find_violations(event_log: &EventLog, config: &CheckConfig) -> Vec<Violation> {
     let run = Run {
         event_log,
-        terms,
+        config,
         attempts: by_id(&event_log.attempts, |attempt| attempt.id),
         requests: by_id(&event_log.requests, |request| request.id),
     };
@@ -79,7 +79,7 @@
 /// A run under check.
 struct Run<'a> {
     event_log: &'a EventLog,
-    terms: &'a CheckTerms,
+    config: &'a CheckConfig,
     /// The attempts of each request, by its id.
     attempts: HashMap<u64, Vec<&'a Attempt>>,
     /// Requests by their ids.
@@ -102,9 +102,9 @@
             let attempts = self.attempts_of(request.id);
             let answer = self.check_answer(request, attempts).map(|finding| (Rule::Answers, finding));
             let retry =
-                check_attempts(self.terms, request, attempts).map(|finding| (Rule::Attempts, finding));
+                check_attempts(self.config, request, attempts).map(|finding| (Rule::Attempts, finding));
             for (rule, (at, description)) in [answer, retry].into_iter().flatten() {
-                let request_trace = request_trace(self.terms, request, attempts);
+                let request_trace = request_trace(self.config, request, attempts);
                 violations.push(Violation { rule, at, description, request_trace });
             }
         }
@@ -126,7 +126,7 @@
         if self.is_excused(request) {
             return None;
         }
-        let due = request.deadline + self.terms.tolerance;
+        let due = request.deadline + self.config.tolerance;
         match request.result {
             RequestResult::NoAnswer => Some((due, "it was taken and had no final answer".into())),
             RequestResult::ConnectionClosed => {
@@ -148,7 +148,7 @@
     /// Whether the balancer's process was killed or frozen by a fault at any time while the request was open. Such a
     /// request counts as lost, but violates no rule.
     fn is_excused(&self, request: &ClientRequest) -> bool {
-        let until = request.deadline + self.terms.tolerance;
+        let until = request.deadline + self.config.tolerance;
         self.event_log
             .process_impairments
             .iter()
@@ -191,7 +191,7 @@
             let Receiver::CacheServer(server) = attempt.receiver else { continue };
             let Some(notices) = notices.get(&(attempt.balancer, server)) else { continue };
             let Some(since) = self.drain_notified_at(attempt, notices) else { continue };
-            if attempt.first_byte_at > since + self.terms.drain_grace + self.terms.tolerance {
+            if attempt.first_byte_at > since + self.config.drain_grace + self.config.tolerance {
                 violations.push(self.drain_violation(attempt, server, since));
             }
         }
@@ -229,7 +229,7 @@
 
     fn drain_violation(&self, attempt: &Attempt, server: u32, since: Micros) -> Violation {
         let late_ms = (attempt.first_byte_at - since) as f64 / 1e3;
-        let trace = |request| request_trace(self.terms, request, self.attempts_of(attempt.id));
+        let trace = |request| request_trace(self.config, request, self.attempts_of(attempt.id));
         Violation {
             rule: Rule::Drains,
             at: attempt.first_byte_at,
@@ -262,17 +262,17 @@
 }
 
 /// Checks the number of attempts, and that the request was retried only as its class allows.
-fn check_attempts(terms: &CheckTerms, request: &ClientRequest, attempts: &[&Attempt]) -> Option<Finding> {
-    if let Some(excess) = attempts.get(terms.max_attempts) {
+fn check_attempts(config: &CheckConfig, request: &ClientRequest, attempts: &[&Attempt]) -> Option<Finding> {
+    if let Some(excess) = attempts.get(config.max_attempts) {
         return Some((excess.received_at, format!("{} attempts", attempts.len())));
     }
     let first_executed = attempts.iter().position(|attempt| attempt.may_have_executed())?;
     let next = attempts.get(first_executed + 1)?;
-    match terms.class(request.write).idempotency {
+    match config.class(request.write).idempotency {
         Idempotency::Idempotent => None,
         Idempotency::WithIdempotencyKey(window) => {
             let last = attempts.last()?;
-            let until = attempts[first_executed].received_at + window + terms.tolerance;
+            let until = attempts[first_executed].received_at + window + config.tolerance;
             (last.received_at > until)
                 .then(|| (last.received_at, "it was sent again after its key's window".into()))
         }
@@ -283,8 +283,8 @@
 }
 
 /// The trace of a request, line by line, with times in seconds from the experiment's beginning.
-pub fn request_trace(terms: &CheckTerms, request: &ClientRequest, attempts: &[&Attempt]) -> Vec<String> {
-    let mut lines = vec![(request.sent_at, sent_line(terms, request))];
+pub fn request_trace(config: &CheckConfig, request: &ClientRequest, attempts: &[&Attempt]) -> Vec<String> {
+    let mut lines = vec![(request.sent_at, sent_line(config, request))];
     for attempt in attempts {
         let slow_start = if attempt.in_slow_start { ", cold" } else { "" };
         lines.push((attempt.received_at, format!("received by {}{slow_start}", attempt.receiver)));
@@ -294,15 +294,15 @@
     lines.extend(request.ended_at.map(|at| (at, format!("its client sees: {}", request.result))));
     lines.push((request.deadline, "its deadline".into()));
     lines.sort_by_key(|(at, _)| *at);
-    let seconds = |at: Micros| (at as f64 - terms.measured_from as f64) / 1e6;
+    let seconds = |at: Micros| (at as f64 - config.measured_from as f64) / 1e6;
     lines.into_iter().map(|(at, line)| format!("{:9.3} s  {line}", seconds(at))).collect()
 }
 
-fn sent_line(terms: &CheckTerms, request: &ClientRequest) -> String {
+fn sent_line(config: &CheckConfig, request: &ClientRequest) -> String {
     format!(
         "{:016x}: {} of key {} sent to balancer {}, wanted within {:.0} ms{}",
         request.id,
-        terms.class(request.write).name,
+        config.class(request.write).name,
         request.key,
         request.balancer,
         (request.deadline - request.sent_at) as f64 / 1e3,
--- a/platform-model/src/checker/rules/tests.rs
+++ b/platform-model/src/checker/rules/tests.rs
@@ -1,12 +1,12 @@
 //! Each of the four rules, in cases that keep it and cases that violate it.
 
-use super::super::test_log::{attempt, served_read, terms, EventLogBuilder};
+use super::super::test_log::{attempt, check_config, served_read, EventLogBuilder};
 use super::*;
 use crate::event_log::{AttemptResult, ImpairedSpan, Impairment, ProcessStall, ProcessStart, Receiver};
 use crate::micros_from_seconds;
 
 fn violated_rules(builder: &EventLogBuilder) -> Vec<Rule> {
-    find_violations(&builder.event_log, &terms()).iter().map(|violation| violation.rule).collect()
+    find_violations(&builder.event_log, &check_config()).iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
@@ -105,9 +105,9 @@
                 .attempts
                 .push(Attempt { result: *result, ..attempt(id, Receiver::CacheServer(0), *at) });
         }
-        let mut terms = terms();
-        terms.classes[1].idempotency = idempotency;
-        find_violations(&builder.event_log, &terms).len()
+        let mut config = check_config();
+        config.classes[1].idempotency = idempotency;
+        find_violations(&builder.event_log, &config).len()
     };
     use AttemptResult::{Failed, Miss, Rejected, Served};
     let (idempotent, keyed) =
@@ -203,7 +203,7 @@
     let id = builder.add_request(ClientRequest { key: 7, ..served_read(12.6) });
     builder.event_log.requests.push(ClientRequest { id, key: 8, ..served_read(14.0) });
     builder.event_log.attempts = vec![attempt(id, Receiver::CacheServer(2), 12.7)];
-    let violations = find_violations(&builder.event_log, &terms());
+    let violations = find_violations(&builder.event_log, &check_config());
     assert!(violations[0].request_trace.iter().any(|line| line.contains("of key 7 ")), "{violations:?}");
 }
 
@@ -229,7 +229,7 @@
         .event_log
         .attempts
         .push(Attempt { result: AttemptResult::Miss, ..attempt(id, Receiver::CacheServer(3), 10.1) });
-    let request_trace = &find_violations(&builder.event_log, &terms())[0].request_trace;
+    let request_trace = &find_violations(&builder.event_log, &check_config())[0].request_trace;
     let parts = [
         "5.000 s  0000000000000001: read",
         "5.100 s  received by Host(3)",
--- a/platform-model/src/checker/self_reports.rs
+++ b/platform-model/src/checker/self_reports.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, HashSet};
 
-use super::CheckTerms;
+use super::CheckConfig;
 use crate::event_log::{EventLog, ImpairedSpan, Impairment};
 use crate::{Micros, MICROS_PER_SECOND};
 
@@ -47,25 +47,25 @@
 /// Compares the reports with the event log. `has_link_faults` states whether links between balancers had a fault.
 pub fn check_self_reports(
     event_log: &EventLog,
-    terms: &CheckTerms,
+    config: &CheckConfig,
     reports: &[SelfReport],
     has_link_faults: bool,
 ) -> SelfReportFindings {
-    let reports: Vec<&SelfReport> = reports.iter().filter(|report| terms.is_measured(report.at)).collect();
+    let reports: Vec<&SelfReport> = reports.iter().filter(|report| config.is_measured(report.at)).collect();
     let is_frozen = |span: &ImpairedSpan| span.impairment == Impairment::Frozen;
     let has_single_view = !has_link_faults && !event_log.process_impairments.iter().any(is_frozen);
     let oldest_report_ms = reports.iter().map(|report| report.oldest_report_s * 1e3).fold(0.0, f64::max);
     SelfReportFindings {
         members_wrong_s: (has_single_view && !reports.is_empty())
-            .then(|| longest_wrong_view_s(event_log, terms, &reports)),
-        wrongly_avoided: reports.iter().map(|report| wrongly_avoided(event_log, terms, report)).sum(),
+            .then(|| longest_wrong_view_s(event_log, config, &reports)),
+        wrongly_avoided: reports.iter().map(|report| wrongly_avoided(event_log, config, report)).sum(),
         oldest_report_ms: (oldest_report_ms > 0.0).then_some(oldest_report_ms),
     }
 }
 
 /// The number of servers avoided in one report beyond those that were impaired.
-fn wrongly_avoided(event_log: &EventLog, terms: &CheckTerms, report: &SelfReport) -> u64 {
-    let expiry = terms.stated.map_or(0, |stated| stated.report_expiry());
+fn wrongly_avoided(event_log: &EventLog, config: &CheckConfig, report: &SelfReport) -> u64 {
+    let expiry = config.stated.map_or(0, |stated| stated.report_expiry());
     let since = report.at.saturating_sub(expiry);
     let impaired = event_log.server_impairments.iter().filter(|span| span.overlaps(since, report.at));
     let impaired: HashSet<u32> = impaired.map(|span| span.number).collect();
@@ -73,11 +73,11 @@
 }
 
 /// Longest period of wrong member counts of one process, from the first wrong count to the next right one.
-fn longest_wrong_view_s(event_log: &EventLog, terms: &CheckTerms, reports: &[&SelfReport]) -> f64 {
+fn longest_wrong_view_s(event_log: &EventLog, config: &CheckConfig, reports: &[&SelfReport]) -> f64 {
     let mut wrong_since: BTreeMap<usize, Micros> = BTreeMap::new();
     let mut longest = 0;
     for report in reports {
-        if report.members == alive_processes(event_log, terms, report.at) as f64 {
+        if report.members == alive_processes(event_log, config, report.at) as f64 {
             if let Some(since) = wrong_since.remove(&report.balancer) {
                 longest = longest.max(report.at - since);
             }
@@ -89,10 +89,10 @@
     longest as f64 / MICROS_PER_SECOND as f64
 }
 
-fn alive_processes(event_log: &EventLog, terms: &CheckTerms, at: Micros) -> usize {
+fn alive_processes(event_log: &EventLog, config: &CheckConfig, at: Micros) -> usize {
     let is_not_running = |span: &&ImpairedSpan| {
         matches!(span.impairment, Impairment::Dead | Impairment::Ended) && span.overlaps(at, at)
     };
     let not_running = event_log.process_impairments.iter().filter(is_not_running).count();
-    terms.balancers - not_running.min(terms.balancers)
+    config.balancers - not_running.min(config.balancers)
 }
--- a/platform-model/src/checker/self_reports/tests.rs
+++ b/platform-model/src/checker/self_reports/tests.rs
@@ -1,6 +1,6 @@
 //! Reported members and avoided servers, compared with the event log.
 
-use super::super::test_log::{stated, terms, EventLogBuilder};
+use super::super::test_log::{check_config, stated, EventLogBuilder};
 use super::super::{StatedBounds, StatedFailureDetection};
 use super::*;
 use crate::event_log::ImpairedSpan;
@@ -32,10 +32,10 @@
         .iter_mut()
         .filter(|report| (micros_from_seconds(14.0)..micros_from_seconds(20.5)).contains(&report.at))
         .for_each(|report| report.members = 3.0);
-    let findings = check_self_reports(&builder.event_log, &terms(), &reports, false);
+    let findings = check_self_reports(&builder.event_log, &check_config(), &reports, false);
     assert_eq!(findings.members_wrong_s, Some(4.0));
-    assert_eq!(check_self_reports(&builder.event_log, &terms(), &reports, true).members_wrong_s, None);
-    assert_eq!(check_self_reports(&builder.event_log, &terms(), &[], false).members_wrong_s, None);
+    assert_eq!(check_self_reports(&builder.event_log, &check_config(), &reports, true).members_wrong_s, None);
+    assert_eq!(check_self_reports(&builder.event_log, &check_config(), &[], false).members_wrong_s, None);
 }
 
 #[test]
@@ -52,10 +52,10 @@
         report_expiry: 6 * MICROS_PER_SECOND,
     });
     let stated = StatedBounds { failure_detection, ..stated() };
-    let terms = CheckTerms { stated: Some(stated), ..terms() };
+    let config = CheckConfig { stated: Some(stated), ..check_config() };
     let reports = [report(12.0, 0, 4.0, 1.0), report(20.0, 0, 4.0, 1.0)];
-    let findings = check_self_reports(&builder.event_log, &terms, &reports, false);
+    let findings = check_self_reports(&builder.event_log, &config, &reports, false);
     assert_eq!((findings.wrongly_avoided, findings.oldest_report_ms), (0, Some(1000.0)));
     let late_reports = [report(12.0, 0, 4.0, 2.0), report(22.0, 1, 4.0, 1.0)];
-    assert_eq!(check_self_reports(&builder.event_log, &terms, &late_reports, false).wrongly_avoided, 2);
+    assert_eq!(check_self_reports(&builder.event_log, &config, &late_reports, false).wrongly_avoided, 2);
 }
--- a/platform-model/src/checker/series.rs
+++ b/platform-model/src/checker/series.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::statistics::percentile;
-use super::{limits, outcome_of, CheckTerms, RequestOutcome};
+use super::{limits, outcome_of, CheckConfig, RequestOutcome};
 use crate::event_log::{EventLog, Receiver};
 use crate::Micros;
 
@@ -49,23 +49,23 @@
 }
 
 /// Computes the series of a run.
-pub fn series(event_log: &EventLog, terms: &CheckTerms) -> Series {
-    let demand = limits::origin_demand(event_log, terms).into_iter().enumerate();
+pub fn series(event_log: &EventLog, config: &CheckConfig) -> Series {
+    let demand = limits::origin_demand(event_log, config).into_iter().enumerate();
     let second = |(number, demand)| Second { second: number as u64, demand, ..Second::default() };
     let mut seconds: Vec<Second> = demand.map(second).collect();
-    count_requests(&mut seconds, event_log, terms);
-    let attempts = count_attempts(&mut seconds, event_log, terms);
-    let server_loads = server_loads(attempts, &seconds, terms);
+    count_requests(&mut seconds, event_log, config);
+    let attempts = count_attempts(&mut seconds, event_log, config);
+    let server_loads = server_loads(attempts, &seconds, config);
     Series { seconds, server_loads }
 }
 
-fn count_requests(seconds: &mut [Second], event_log: &EventLog, terms: &CheckTerms) {
+fn count_requests(seconds: &mut [Second], event_log: &EventLog, config: &CheckConfig) {
     let mut latencies: Vec<Vec<Micros>> = vec![Vec::new(); seconds.len()];
-    for request in event_log.requests.iter().filter(|request| terms.is_measured(request.planned_at)) {
-        let number = terms.second_of(request.planned_at);
+    for request in event_log.requests.iter().filter(|request| config.is_measured(request.planned_at)) {
+        let number = config.second_of(request.planned_at);
         let second = &mut seconds[number];
         second.requests += 1;
-        match outcome_of(request, terms) {
+        match outcome_of(request, config) {
             RequestOutcome::Served => {
                 second.served += 1;
                 latencies[number].extend(request.ended_at.map(|at| at - request.sent_at));
@@ -82,10 +82,10 @@
 }
 
 /// Counts attempts and fetches by second; returns the attempts at each server by second.
-fn count_attempts(seconds: &mut [Second], event_log: &EventLog, terms: &CheckTerms) -> Vec<Vec<f64>> {
-    let mut by_server = vec![vec![0.0; seconds.len()]; terms.server_weights.len()];
-    for attempt in event_log.attempts.iter().filter(|attempt| terms.is_measured(attempt.received_at)) {
-        let second = terms.second_of(attempt.received_at);
+fn count_attempts(seconds: &mut [Second], event_log: &EventLog, config: &CheckConfig) -> Vec<Vec<f64>> {
+    let mut by_server = vec![vec![0.0; seconds.len()]; config.server_weights.len()];
+    for attempt in event_log.attempts.iter().filter(|attempt| config.is_measured(attempt.received_at)) {
+        let second = config.second_of(attempt.received_at);
         match attempt.receiver {
             Receiver::CacheServer(server) => {
                 seconds[second].attempts += 1;
@@ -98,9 +98,9 @@
 }
 
 /// Divides the attempts at each server by its fair share of all attempts of that second.
-fn server_loads(mut attempts: Vec<Vec<f64>>, seconds: &[Second], terms: &CheckTerms) -> Vec<Vec<f64>> {
-    let total_weight: f64 = terms.server_weights.iter().sum();
-    for (counts, weight) in attempts.iter_mut().zip(&terms.server_weights) {
+fn server_loads(mut attempts: Vec<Vec<f64>>, seconds: &[Second], config: &CheckConfig) -> Vec<Vec<f64>> {
+    let total_weight: f64 = config.server_weights.iter().sum();
+    for (counts, weight) in attempts.iter_mut().zip(&config.server_weights) {
         for (count, second) in counts.iter_mut().zip(seconds) {
             *count /= (second.attempts as f64 * weight / total_weight).max(MIN_FAIR_SHARE);
         }
--- a/platform-model/src/checker/spread.rs
+++ b/platform-model/src/checker/spread.rs
@@ -13,7 +13,7 @@
 
 use super::sliding_window::SlidingWindow;
 use super::statistics::quantile;
-use super::CheckTerms;
+use super::CheckConfig;
 use crate::event_log::{EventLog, Receiver};
 use crate::rng::{seeded_rng, RngStream, SeededRng};
 use crate::summary::Spread;
@@ -54,9 +54,9 @@
 }
 
 /// Computes the spread of a run.
-pub fn spread(event_log: &EventLog, terms: &CheckTerms) -> Spread {
-    let windows = windows(event_log, terms);
-    let mut rng = seeded_rng(terms.seed, RngStream::Fair);
+pub fn spread(event_log: &EventLog, config: &CheckConfig) -> Spread {
+    let windows = windows(event_log, config);
+    let mut rng = seeded_rng(config.seed, RngStream::Fair);
     let mut spread = Spread { windows: windows.len() as u64, ..Spread::default() };
     for _ in 0..FAIR_DRAWS {
         let mut fair_assignment =
@@ -74,17 +74,17 @@
 }
 
 /// The complete windows with more than one healthy server and with attempts.
-fn windows(event_log: &EventLog, terms: &CheckTerms) -> Vec<Window> {
-    let count = terms.measured_until.saturating_sub(terms.measured_from) / WINDOW_LENGTH;
+fn windows(event_log: &EventLog, config: &CheckConfig) -> Vec<Window> {
+    let count = config.measured_until.saturating_sub(config.measured_from) / WINDOW_LENGTH;
     let healthy: Vec<Vec<usize>> =
-        (0..count).map(|number| healthy_servers(event_log, terms, number)).collect();
+        (0..count).map(|number| healthy_servers(event_log, config, number)).collect();
     let mut windows: Vec<Window> = healthy
         .iter()
-        .map(|servers| Window { fair_shares: fair_shares(servers, terms), attempts: Vec::new() })
+        .map(|servers| Window { fair_shares: fair_shares(servers, config), attempts: Vec::new() })
         .collect();
     for attempt in &event_log.attempts {
         let Receiver::CacheServer(server) = attempt.receiver else { continue };
-        let Some(since) = attempt.received_at.checked_sub(terms.measured_from) else { continue };
+        let Some(since) = attempt.received_at.checked_sub(config.measured_from) else { continue };
         let number = (since / WINDOW_LENGTH) as usize;
         let index = healthy.get(number).and_then(|servers| servers.binary_search(&(server as usize)).ok());
         if let Some(index) = index {
@@ -97,19 +97,19 @@
 }
 
 /// The servers, in order, that were not impaired at any time in a window.
-fn healthy_servers(event_log: &EventLog, terms: &CheckTerms, window: Micros) -> Vec<usize> {
-    let from = terms.measured_from + window * WINDOW_LENGTH;
+fn healthy_servers(event_log: &EventLog, config: &CheckConfig, window: Micros) -> Vec<usize> {
+    let from = config.measured_from + window * WINDOW_LENGTH;
     let is_impaired = |server: usize| {
         let mut spans = event_log.server_impairments.iter();
         spans.any(|span| span.number == server as u32 && span.overlaps(from, from + WINDOW_LENGTH))
     };
-    (0..terms.server_weights.len()).filter(|server| !is_impaired(*server)).collect()
+    (0..config.server_weights.len()).filter(|server| !is_impaired(*server)).collect()
 }
 
 /// The shares of these servers by weight.
-fn fair_shares(servers: &[usize], terms: &CheckTerms) -> Vec<f64> {
-    let total: f64 = servers.iter().map(|server| terms.server_weights[*server]).sum();
-    servers.iter().map(|server| terms.server_weights[*server] / total).collect()
+fn fair_shares(servers: &[usize], config: &CheckConfig) -> Vec<f64> {
+    let total: f64 = servers.iter().map(|server| config.server_weights[*server]).sum();
+    servers.iter().map(|server| config.server_weights[*server] / total).collect()
 }
 
 /// Assigns each attempt to the server that `choose` returns, and computes the figures. `choose` gets the index of the
--- a/platform-model/src/checker/terms.rs
+++ b/platform-model/src/checker/terms.rs
@@ -1,4 +1,5 @@
-//! The terms of a check: the measured time, the request classes, the fleet, and the bounds that the program states.
+//! The configuration of a check: the measured time, the request classes, the fleet, and the bounds stated by the
+//! program.
 
 use crate::experiment::{CacheServers, DeadlineProfile, Experiment};
 use crate::{micros_from_seconds, Micros, MICROS_PER_SECOND};
@@ -29,9 +30,9 @@
     pub idempotency: Idempotency,
 }
 
-/// The terms by which a run is checked.
+/// The configuration by which a run is checked.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CheckTerms {
+pub struct CheckConfig {
     /// The experiment's beginning; the load before it only fills the caches.
     pub measured_from: Micros,
     /// End of the load.
@@ -58,13 +59,13 @@
     pub seed: u64,
 }
 
-impl CheckTerms {
-    /// The terms of an experiment, without bounds stated by the program.
-    pub fn of(experiment: &Experiment) -> CheckTerms {
+impl CheckConfig {
+    /// The configuration for an experiment, without bounds stated by the program.
+    pub fn of(experiment: &Experiment) -> CheckConfig {
         let measured_from = micros_from_seconds(experiment.load.warm_up_s);
         let fleet = &experiment.fleet;
         let weight = |server: usize| fleet.weights[server % fleet.weights.len()];
-        CheckTerms {
+        CheckConfig {
             measured_from,
             measured_until: measured_from + micros_from_seconds(experiment.seconds),
             classes: classes(experiment.deadlines),
--- a/platform-model/src/checker/test_log.rs
+++ b/platform-model/src/checker/test_log.rs
@@ -1,12 +1,12 @@
 //! Builds event logs entry by entry for the checker's tests.
 
-use super::{CheckTerms, Idempotency, RequestClass, StatedBounds};
+use super::{CheckConfig, Idempotency, RequestClass, StatedBounds};
 use crate::event_log::{Attempt, AttemptResult, ClientRequest, EventLog, Receiver, RequestResult};
 use crate::{micros_from_seconds, MICROS_PER_SECOND};
 
 /// Terms of a run with four servers, the last with twice the weight, and an origin with a capacity of ten fetches a
 /// second.
-pub fn terms() -> CheckTerms {
+pub fn check_config() -> CheckConfig {
     let class = |name, idempotency| RequestClass {
         name,
         latency_objective: 750_000,
@@ -14,7 +14,7 @@
         priority_weight: 1.0,
         idempotency,
     };
-    CheckTerms {
+    CheckConfig {
         measured_from: 5 * MICROS_PER_SECOND,
         measured_until: 35 * MICROS_PER_SECOND,
         classes: [
--- a/platform-model/src/checker/tests.rs
+++ b/platform-model/src/checker/tests.rs
@@ -1,6 +1,6 @@
 //! Outcomes, service and sending delay of a run.
 
-use super::test_log::{served_read, terms, EventLogBuilder};
+use super::test_log::{check_config, served_read, EventLogBuilder};
 use super::*;
 
 #[test]
@@ -16,7 +16,7 @@
     builder.add_request(ClientRequest { ended_at: Some(deadline + 50_000), ..served_read(10.0) });
     builder.add_request(ClientRequest { ended_at: Some(deadline + 50_001), ..served_read(10.0) });
     builder.add_request(ClientRequest { planned_at: 0, ..served_read(10.0) });
-    let summary = check_run(&builder.event_log, &terms()).summary;
+    let summary = check_run(&builder.event_log, &check_config()).summary;
     let counts = (summary.requests, summary.served, summary.rejected, summary.failed, summary.lost);
     assert_eq!(counts, (9, 2, 2, 2, 3), "a request planned while the caches fill does not count");
 }
@@ -33,9 +33,9 @@
         ..served_read(10.3)
     };
     builder.add_retry(retry.clone());
-    assert_eq!(check_run(&builder.event_log, &terms()).summary.service, 1.0);
+    assert_eq!(check_run(&builder.event_log, &check_config()).summary.service, 1.0);
     builder.event_log.requests[1].ended_at = Some(sent_at + 800_001);
-    assert_eq!(check_run(&builder.event_log, &terms()).summary.service, 0.0);
+    assert_eq!(check_run(&builder.event_log, &check_config()).summary.service, 0.0);
 }
 
 #[test]
@@ -46,7 +46,7 @@
         let delay = if n < 2 { 30_000 } else { 1_000 };
         builder.add_request(ClientRequest { planned_at: request.sent_at - delay, ..request });
     }
-    assert_eq!(check_run(&builder.event_log, &terms()).summary.lag_p99_ms, 30.0);
+    assert_eq!(check_run(&builder.event_log, &check_config()).summary.lag_p99_ms, 30.0);
     builder.event_log.requests[0].planned_at += 29_000;
-    assert_eq!(check_run(&builder.event_log, &terms()).summary.lag_p99_ms, 1.0);
+    assert_eq!(check_run(&builder.event_log, &check_config()).summary.lag_p99_ms, 1.0);
 }
--- a/testbed-cli/src/run.rs
+++ b/testbed-cli/src/run.rs
@@ -6,7 +6,7 @@
 
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use juniperladder_platform_model::checker::self_reports::check_self_reports;
-use juniperladder_platform_model::checker::{check_run, CheckResult, CheckTerms};
+use juniperladder_platform_model::checker::{check_run, CheckConfig, CheckResult};
 use juniperladder_platform_model::experiment::Experiment;
 use juniperladder_platform_model::schedule::schedule;
 use juniperladder_testbed::child_reaper::ChildReaper;
@@ -76,11 +76,11 @@
             return status_of_error(&error);
         }
     };
-    let terms = CheckTerms::of(experiment);
-    let measured_until = run.end.max(terms.measured_from + 1);
-    let terms = CheckTerms { measured_until, stated: run.stated, ..terms };
-    let checked = check_with_costs(experiment, &run, &terms);
-    if let Err(error) = write_files(out, experiment, &run, &terms, &checked) {
+    let check_config = CheckConfig::of(experiment);
+    let measured_until = run.end.max(check_config.measured_from + 1);
+    let check_config = CheckConfig { measured_until, stated: run.stated, ..check_config };
+    let checked = check_with_costs(experiment, &run, &check_config);
+    if let Err(error) = write_files(out, experiment, &run, &check_config, &checked) {
         eprintln!("cannot write the files of the run to {}: {error}", out.display());
         return ExitStatus::FAILED;
     }
@@ -99,16 +99,16 @@
     out: &Path,
     experiment: &Experiment,
     run: &RunRecord,
-    terms: &CheckTerms,
+    check_config: &CheckConfig,
     checked: &CheckResult,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    tables::write_tables(out, experiment, run, terms, checked)?;
+    tables::write_tables(out, experiment, run, check_config, checked)?;
     report::write_report(out)
 }
 
 /// Checks the record of a run and adds its costs to the summary.
-fn check_with_costs(experiment: &Experiment, run: &RunRecord, terms: &CheckTerms) -> CheckResult {
-    let mut checked = check_run(&run.event_log, terms);
+fn check_with_costs(experiment: &Experiment, run: &RunRecord, check_config: &CheckConfig) -> CheckResult {
+    let mut checked = check_run(&run.event_log, check_config);
     let summary = &mut checked.summary;
     summary.name = experiment.name.clone();
     summary.seed = experiment.seed;
@@ -123,7 +123,7 @@
     }
     if run.stated.is_some() {
         let has_link_faults = schedule(experiment).links.has_faults_between_balancers();
-        let findings = check_self_reports(&run.event_log, terms, &run.self_reports, has_link_faults);
+        let findings = check_self_reports(&run.event_log, check_config, &run.self_reports, has_link_faults);
         summary.peers.members_max_wrong_s = findings.members_wrong_s;
         summary.failure_detection.wrongly_avoided = findings.wrongly_avoided;
         summary.failure_detection.stale_max_ms = findings.oldest_report_ms;
--- a/testbed-cli/src/tables.rs
+++ b/testbed-cli/src/tables.rs
@@ -7,7 +7,7 @@
 
 use juniperladder_platform_model::checker::self_reports::SelfReport;
 use juniperladder_platform_model::checker::series::Series;
-use juniperladder_platform_model::checker::{CheckResult, CheckTerms};
+use juniperladder_platform_model::checker::{CheckConfig, CheckResult};
 use juniperladder_platform_model::event_log::{Attempt, ClientRequest, Receiver};
 use juniperladder_platform_model::experiment::Experiment;
 use juniperladder_platform_model::{Micros, MICROS_PER_SECOND};
@@ -32,7 +32,7 @@
     out: &Path,
     experiment: &Experiment,
     run: &RunRecord,
-    terms: &CheckTerms,
+    check_config: &CheckConfig,
     checked: &CheckResult,
 ) -> io::Result<()> {
     write_json(&out.join("summary.json"), &checked.summary)?;
@@ -40,9 +40,9 @@
     write_json(&out.join("breaches.json"), &checked.violations)?;
     write_json(&out.join("crashes.json"), &run.crashes)?;
     write_series(out, &checked.series)?;
-    write_requests(&out.join("commands.csv"), &run.event_log.requests, terms)?;
-    write_attempts(&out.join("attempts.csv"), &run.event_log.attempts, terms)?;
-    write_self_reports(&out.join("holders.csv"), &run.self_reports, terms)
+    write_requests(&out.join("commands.csv"), &run.event_log.requests, check_config)?;
+    write_attempts(&out.join("attempts.csv"), &run.event_log.attempts, check_config)?;
+    write_self_reports(&out.join("holders.csv"), &run.self_reports, check_config)
 }
 
 fn write_json<T: Serialize>(path: &Path, value: &T) -> io::Result<()> {
@@ -68,18 +68,18 @@
     servers.flush()
 }
 
-fn write_self_reports(path: &Path, reports: &[SelfReport], terms: &CheckTerms) -> io::Result<()> {
+fn write_self_reports(path: &Path, reports: &[SelfReport], check_config: &CheckConfig) -> io::Result<()> {
     let mut table = csv::Writer::from_path(path)?;
     table.write_record(SELF_REPORT_COLUMNS)?;
-    for report in reports.iter().filter(|report| terms.is_measured(report.at)) {
-        let second = (report.at - terms.measured_from) / MICROS_PER_SECOND;
+    for report in reports.iter().filter(|report| check_config.is_measured(report.at)) {
+        let second = (report.at - check_config.measured_from) / MICROS_PER_SECOND;
         let SelfReport { balancer, reserved, used, members, avoided_servers, .. } = *report;
         table.serialize((second, balancer, reserved, used, members, avoided_servers))?;
     }
     table.flush()
 }
 
-fn write_requests(path: &Path, requests: &[ClientRequest], terms: &CheckTerms) -> io::Result<()> {
+fn write_requests(path: &Path, requests: &[ClientRequest], check_config: &CheckConfig) -> io::Result<()> {
     let mut table = csv::Writer::from_path(path)?;
     table.write_record(REQUEST_COLUMNS)?;
     for request in requests {
@@ -89,17 +89,17 @@
             request.balancer.to_string(),
             request.key.to_string(),
             u8::from(request.write).to_string(),
-            millis(request.planned_at, terms),
-            millis(request.sent_at, terms),
-            millis(request.deadline, terms),
-            request.ended_at.map_or(String::new(), |at| millis(at, terms)),
+            millis(request.planned_at, check_config),
+            millis(request.sent_at, check_config),
+            millis(request.deadline, check_config),
+            request.ended_at.map_or(String::new(), |at| millis(at, check_config)),
             request.result.to_string(),
         ])?;
     }
     table.flush()
 }
 
-fn write_attempts(path: &Path, attempts: &[Attempt], terms: &CheckTerms) -> io::Result<()> {
+fn write_attempts(path: &Path, attempts: &[Attempt], check_config: &CheckConfig) -> io::Result<()> {
     let mut table = csv::Writer::from_path(path)?;
     table.write_record(ATTEMPT_COLUMNS)?;
     for attempt in attempts {
@@ -110,8 +110,8 @@
                 Receiver::CacheServer(server) => server.to_string(),
                 Receiver::Origin => "origin".into(),
             },
-            millis(attempt.received_at, terms),
-            attempt.answered_at.map_or(String::new(), |at| millis(at, terms)),
+            millis(attempt.received_at, check_config),
+            attempt.answered_at.map_or(String::new(), |at| millis(at, check_config)),
             attempt.result.to_string(),
             u8::from(attempt.in_slow_start).to_string(),
         ])?;
@@ -120,6 +120,6 @@
 }
 
 /// Milliseconds since the start of the measured time; negative while the caches fill.
-fn millis(at: Micros, terms: &CheckTerms) -> String {
-    format!("{:.3}", (at as f64 - terms.measured_from as f64) / 1e3)
+fn millis(at: Micros, check_config: &CheckConfig) -> String {
+    format!("{:.3}", (at as f64 - check_config.measured_from as f64) / 1e3)
 }
--- a/testbed-cli/tests/fleet.rs
+++ b/testbed-cli/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use juniperladder_platform_model::checker::{check_run, CheckResult, CheckTerms};
+use juniperladder_platform_model::checker::{check_run, CheckConfig, CheckResult};
 use juniperladder_platform_model::event_log::Receiver;
 use juniperladder_platform_model::reader::read;
 use juniperladder_platform_model::MICROS_PER_SECOND;
@@ -103,9 +103,9 @@
     )
     .unwrap();
     // On a machine shared with other tests delays of up to half a second have to be tolerated.
-    let terms =
-        CheckTerms { tolerance: MICROS_PER_SECOND / 2, stated: run.stated, ..CheckTerms::of(&experiment) };
-    let checked = check_run(&run.event_log, &terms);
+    let check_config =
+        CheckConfig { tolerance: MICROS_PER_SECOND / 2, stated: run.stated, ..CheckConfig::of(&experiment) };
+    let checked = check_run(&run.event_log, &check_config);
     assert_eq!(run.crashes, [""; 0], "{name}");
     assert_eq!(checked.summary.rules.total(), 0, "{name}: {:#?}", checked.violations);
     let summary = &checked.summary;
--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use juniperladder_platform_model::checker::CheckTerms;
+use juniperladder_platform_model::checker::CheckConfig;
 use juniperladder_platform_model::event_log::{ClientRequest, RequestResult};
 use juniperladder_platform_model::rng::{seeded_rng, RngStream, SeededRng};
 use juniperladder_platform_model::workload::Arrival;
@@ -40,7 +40,7 @@
 /// The clients of all balancers.
 pub struct Clients {
     testbed: Rc<Testbed>,
-    terms: CheckTerms,
+    check_config: CheckConfig,
     addresses: Vec<SocketAddr>,
     /// Pooled idle connections, by balancer.
     idle_connections: Vec<RefCell<Vec<Connection>>>,
@@ -89,12 +89,12 @@
 
 impl Clients {
     /// Creates the clients of balancers at these addresses.
-    pub fn new(testbed: Rc<Testbed>, terms: CheckTerms, addresses: Vec<SocketAddr>) -> Rc<Clients> {
+    pub fn new(testbed: Rc<Testbed>, check_config: CheckConfig, addresses: Vec<SocketAddr>) -> Rc<Clients> {
         let idle_connections = addresses.iter().map(|_| RefCell::default()).collect();
         let rng = RefCell::new(seeded_rng(testbed.experiment.seed, RngStream::Clients));
         Rc::new(Clients {
             testbed,
-            terms,
+            check_config,
             addresses,
             idle_connections,
             rng,
@@ -123,7 +123,7 @@
 
     /// Runs a client: its first request and its retries.
     async fn run_client(&self, arrival: &Arrival) {
-        let deadline = arrival.at + self.terms.class(arrival.write).deadline;
+        let deadline = arrival.at + self.check_config.class(arrival.write).deadline;
         let mut first_id = None;
         let mut planned_at = arrival.at;
         let mut balancer = arrival.balancer as usize;
@@ -158,7 +158,7 @@
         planned_at: Micros,
         first_id: Option<u64>,
     ) -> OutgoingRequest {
-        let class_deadline = self.terms.class(arrival.write).deadline;
+        let class_deadline = self.check_config.class(arrival.write).deadline;
         let time_left = (arrival.at + class_deadline).saturating_sub(planned_at);
         let share_of_deadline = |share: f64| (class_deadline as f64 * share) as Micros;
         let is_impatient = arrival.patience < MIN_PATIENT_SHARE;
--- a/testbed/src/experiment_run.rs
+++ b/testbed/src/experiment_run.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use juniperladder_platform_model::checker::self_reports::SelfReport;
-use juniperladder_platform_model::checker::{CheckTerms, StatedBounds};
+use juniperladder_platform_model::checker::{CheckConfig, StatedBounds};
 use juniperladder_platform_model::event_log::EventLog;
 use juniperladder_platform_model::experiment::Experiment;
 use juniperladder_platform_model::schedule::{schedule, Schedule, Step};
@@ -172,8 +172,8 @@
         for arrival in &mut arrivals {
             arrival.at += load_began_at;
         }
-        let terms = CheckTerms::of(experiment);
-        let clients = Clients::new(Rc::clone(&testbed), terms, platform.processes.addresses());
+        let check_config = CheckConfig::of(experiment);
+        let clients = Clients::new(Rc::clone(&testbed), check_config, platform.processes.addresses());
         let load_task = spawn_local(Rc::clone(&clients).send_arrivals(arrivals));
         let measured_from = load_began_at + micros_from_seconds(experiment.load.warm_up_s);
         let measured_until = measured_from + micros_from_seconds(experiment.seconds);
--- a/testbed/src/process_config.rs
+++ b/testbed/src/process_config.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use juniperladder_platform_model::checker::{CheckTerms, Idempotency, RequestClass};
+use juniperladder_platform_model::checker::{CheckConfig, Idempotency, RequestClass};
 use juniperladder_platform_model::experiment::Experiment;
 use juniperladder_platform_model::group::zone_of;
 use juniperladder_platform_model::rng::mix_bits;
@@ -46,14 +46,14 @@
 /// Builds the settings object of a process.
 fn settings(experiment: &Experiment, number: usize) -> Value {
     let fleet = &experiment.fleet;
-    let terms = CheckTerms::of(experiment);
+    let check_config = CheckConfig::of(experiment);
     let kind_count = fleet.weights.len();
     let mut kinds: Vec<String> = (0..kind_count).map(kind_name).collect();
     kinds.push("origin".into());
     json!({
         "az": zone_of(number, fleet),
         "balancers": fleet.stated_balancers.unwrap_or(fleet.balancers),
-        "categories": terms.classes.iter().map(category).collect::<Vec<_>>(),
+        "categories": check_config.classes.iter().map(category).collect::<Vec<_>>(),
         "clients": {"marks-retry": true},
         "domain-type": "cache",
         "extra": {"mode": "aside", "origin-kind": kind_count, "origin-fall": 3_000_000,
@@ -61,13 +61,13 @@
         "feedback": {"how": "answers", "names": ["served_ps", "pending"]},
         "kinds": kinds,
         "limits": {"cancel": true, "conn-idle": 5_000_000, "connect-timeout": 250_000,
-            "max-attempts": terms.max_attempts, "max-retry-after": 2_000_000, "may-duplicate": true,
+            "max-attempts": check_config.max_attempts, "max-retry-after": 2_000_000, "may-duplicate": true,
             "may-tell": false, "probes": false, "retry-after": true},
         "membership-mode": "subscribe",
         "orgs": [],
         "position": number,
         "rules": {"answer-slack": 20_000, "ask-within": 10_000_000, "cold-share": experiment.servers.slow_start_initial_share,
-            "drain-grace": terms.drain_grace, "fall": 1_000_000, "fall-multiple": experiment.servers.collapse_load_factor,
+            "drain-grace": check_config.drain_grace, "fall": 1_000_000, "fall-multiple": experiment.servers.collapse_load_factor,
             "warm-up": (experiment.servers.slow_start_s * 1e6) as u64},
         "tick": 5_000,
         "weights": "rough",
--- a/testbed/src/soak/check.rs
+++ b/testbed/src/soak/check.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 
 use juniperladder_platform_model::checker::rules::{find_violations, Violation};
-use juniperladder_platform_model::checker::CheckTerms;
+use juniperladder_platform_model::checker::CheckConfig;
 use juniperladder_platform_model::event_log::{EventLog, RequestResult};
 use juniperladder_platform_model::{Micros, MICROS_PER_SECOND};
 
@@ -87,11 +87,11 @@
 
 /// Finds all violations of a run and counts its requests by result.
 pub fn check_soak(plan: &SoakPlan, record: &SoakRecord) -> SoakResult {
-    let terms = CheckTerms::of(&plan.experiment);
+    let check_config = CheckConfig::of(&plan.experiment);
     let mut event_log = record.event_log.clone();
-    classify_closed_connections(&mut event_log, &terms, plan.crowd.map(|crowd| crowd.balancer as u32));
+    classify_closed_connections(&mut event_log, &check_config, plan.crowd.map(|crowd| crowd.balancer as u32));
     SoakResult {
-        findings: collect_findings(&event_log, record, &terms),
+        findings: collect_findings(&event_log, record, &check_config),
         requests: count_requests(&event_log, plan),
     }
 }
@@ -114,8 +114,12 @@
     counts
 }
 
-fn collect_findings(event_log: &EventLog, record: &SoakRecord, terms: &CheckTerms) -> Vec<SoakFinding> {
-    let violations = find_violations(event_log, terms).into_iter().map(SoakFinding::Rule);
+fn collect_findings(
+    event_log: &EventLog,
+    record: &SoakRecord,
+    check_config: &CheckConfig,
+) -> Vec<SoakFinding> {
+    let violations = find_violations(event_log, check_config).into_iter().map(SoakFinding::Rule);
     let failed_ends = record.planned_ends.iter().filter(|end| end.exit_code != Some(0));
     let ends = failed_ends.map(|end| SoakFinding::End {
         balancer: end.balancer,
@@ -129,7 +133,11 @@
 /// Decides for each request that was unanswered at the end of its connection whether its balancer had accepted it. A request
 /// that crossed the close was not accepted: it was sent within the checker's tolerance before the close and reached no
 /// server. A balancer whose slots are filled by a crowd may also close a new connection without reading from it.
-fn classify_closed_connections(event_log: &mut EventLog, terms: &CheckTerms, crowded_balancer: Option<u32>) {
+fn classify_closed_connections(
+    event_log: &mut EventLog,
+    check_config: &CheckConfig,
+    crowded_balancer: Option<u32>,
+) {
     let forwarded: HashSet<u64> = event_log.attempts.iter().map(|attempt| attempt.id).collect();
     let stalls = std::mem::take(&mut event_log.testbed_stalls);
     for request in &mut event_log.requests {
@@ -142,7 +150,8 @@
             _ => continue,
         };
         let ended_at = request.ended_at.unwrap_or(request.sent_at);
-        let crossed_close = ended_at - request.sent_at <= terms.tolerance + longest_stall(&stalls, ended_at);
+        let crossed_close =
+            ended_at - request.sent_at <= check_config.tolerance + longest_stall(&stalls, ended_at);
         if !forwarded.contains(&request.id) && (crossed_close || !has_to_accept) {
             request.result = RequestResult::NotAccepted;
         }
--- a/testbed/src/soak/clients.rs
+++ b/testbed/src/soak/clients.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use juniperladder_platform_model::checker::CheckTerms;
+use juniperladder_platform_model::checker::CheckConfig;
 use juniperladder_platform_model::event_log::{ClientRequest, RequestResult};
 use juniperladder_platform_model::rng::SeededRng;
 use juniperladder_platform_model::Micros;
@@ -62,7 +62,7 @@
 /// State shared by all clients.
 pub struct SoakClients {
     testbed: Rc<Testbed>,
-    terms: CheckTerms,
+    check_config: CheckConfig,
     next_number: Cell<u64>,
 }
 
@@ -101,8 +101,8 @@
 impl SoakClients {
     /// Creates the clients of this testbed.
     pub fn new(testbed: Rc<Testbed>) -> Rc<SoakClients> {
-        let terms = CheckTerms::of(&testbed.experiment);
-        Rc::new(SoakClients { testbed, terms, next_number: Cell::new(1) })
+        let check_config = CheckConfig::of(&testbed.experiment);
+        Rc::new(SoakClients { testbed, check_config, next_number: Cell::new(1) })
     }
 
     /// Runs one client, which opens a new connection whenever the last has ended, as long as its target's times allow.
@@ -196,7 +196,7 @@
             key: rng.random_range(0..load.keys),
             write,
             is_retry: false,
-            time: self.terms.class(write).deadline,
+            time: self.check_config.class(write).deadline,
         }
     }
 
@@ -240,7 +240,7 @@
         state: &ConnectionState,
         mut reader: BufReader<OwnedReadHalf>,
     ) -> ReadingEnd {
-        let longest_wait = Duration::from_micros(self.terms.longest_deadline()) + LATE_ANSWER_WAIT;
+        let longest_wait = Duration::from_micros(self.check_config.longest_deadline()) + LATE_ANSWER_WAIT;
         loop {
             let first = state.pending.borrow().front().copied();
             let Some(pending) = first else {
--- a/testbed/src/soak/plan.rs
+++ b/testbed/src/soak/plan.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use juniperladder_platform_model::checker::CheckTerms;
+use juniperladder_platform_model::checker::CheckConfig;
 use juniperladder_platform_model::experiment::{DeadlineProfile, Experiment};
 use juniperladder_platform_model::reader::read;
 use juniperladder_platform_model::rng::{seeded_rng, RngStream, SeededRng};
@@ -243,7 +243,7 @@
 }
 
 fn draw_terminations(experiment: &Experiment, rng: &mut SeededRng) -> Vec<Termination> {
-    let longest = CheckTerms::of(experiment).longest_deadline().min(MAX_COUNTED_DEADLINE);
+    let longest = CheckConfig::of(experiment).longest_deadline().min(MAX_COUNTED_DEADLINE);
     let mut balancers: Vec<usize> = (0..experiment.fleet.balancers).collect();
     balancers.shuffle(rng);
     balancers.truncate(rng.random_range(1..experiment.fleet.balancers));
--- a/testbed/tests/controls.rs
+++ b/testbed/tests/controls.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use juniperladder_platform_model::checker::rules::Rule;
-use juniperladder_platform_model::checker::{check_run, CheckTerms};
+use juniperladder_platform_model::checker::{check_run, CheckConfig};
 use juniperladder_platform_model::experiment::DeadlineProfile;
 use juniperladder_platform_model::reader::read;
 use juniperladder_platform_model::summary::Summary;
@@ -33,8 +33,8 @@
     .unwrap();
     assert_eq!(run.crashes, [""; 0]);
     // Tests run in parallel on one machine, so an answer counts as late only from half a second on.
-    let terms = CheckTerms { tolerance: MICROS_PER_SECOND / 2, ..CheckTerms::of(&experiment) };
-    check_run(&run.event_log, &terms).summary
+    let check_config = CheckConfig { tolerance: MICROS_PER_SECOND / 2, ..CheckConfig::of(&experiment) };
+    check_run(&run.event_log, &check_config).summary
 }
 
 const DRAIN: &str = "[[fault]]\nat = 2\nfor = 6\nwhat = \"drain\"\nwho = \"hosts:3\"\n";
