--- a/platform-model/src/links/tests.rs
+++ b/platform-model/src/links/tests.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 use crate::reader::{read, tests::VALID_EXPERIMENT};
-use crate::schedule::schedule;
+use crate::schedule::compile_schedule;
 
 #[test]
 fn faults_affect_only_their_links_in_their_direction() {
     let text = "[[fault]]\nat = 1\nfor = 2\nwhat = \"cut\"\nbetween = [\"balancers:0-4\", \"hosts:1\"]\n\
         direction = \"one-way\"\n[[fault]]\nat = 1\nwhat = \"lose\"\nbetween = [\"zone:0\", \"zone:1\"]\nshare = 0.5\n";
     let experiment = read(&format!("{VALID_EXPERIMENT}{text}"), &[]).unwrap();
-    let mut links = schedule(&experiment).links;
+    let mut links = compile_schedule(&experiment).links;
     assert_eq!(
         links.state(LinkEnd::Balancer(0), LinkEnd::CacheServer(1)),
         LinkState::default(),
--- a/platform-model/src/schedule.rs
+++ b/platform-model/src/schedule.rs
@@ -72,7 +72,7 @@
 }
 
 /// Compiles a checked experiment's faults. The same seed gives the same targets.
-pub fn schedule(experiment: &Experiment) -> Schedule {
+pub fn compile_schedule(experiment: &Experiment) -> Schedule {
     let mut rng = seeded_rng(experiment.seed, RngStream::Groups);
     let mut schedule = Schedule::default();
     for (number, fault) in experiment.fault.iter().enumerate() {
--- a/platform-model/src/schedule/tests.rs
+++ b/platform-model/src/schedule/tests.rs
@@ -10,8 +10,8 @@
         [[fault]]\nat = 3\nwhat = \"roll\"\nwho = \"balancers\"\nshare = 0.4\nevery = 2\n\
         [[fault]]\nat = 1\nfor = 2.5\nwhat = \"flap\"\nwho = \"hosts:30%\"\nevery = 1\n";
     let experiment = read(&format!("{VALID_EXPERIMENT}{text}"), &[]).unwrap();
-    let steps = schedule(&experiment).steps;
-    assert_eq!(steps, schedule(&experiment).steps);
+    let steps = compile_schedule(&experiment).steps;
+    assert_eq!(steps, compile_schedule(&experiment).steps);
     let at: Vec<Micros> = steps.iter().map(|step| step.at / 100_000).collect();
     assert_eq!(at, [10, 20, 30, 30, 30, 35, 50, 50, 70, 70, 90, 110]);
     let terminated: Vec<usize> = steps
--- a/testbed-cli/src/run.rs
+++ b/testbed-cli/src/run.rs
@@ -8,7 +8,7 @@
 use juniperladder_platform_model::checker::self_reports::check_self_reports;
 use juniperladder_platform_model::checker::{check_run, CheckConfig, CheckResult};
 use juniperladder_platform_model::experiment::Experiment;
-use juniperladder_platform_model::schedule::schedule;
+use juniperladder_platform_model::schedule::compile_schedule;
 use juniperladder_testbed::child_reaper::ChildReaper;
 use juniperladder_testbed::{run_experiment, Progress, RunOptions, RunRecord, TestbedError};
 use tokio::sync::watch;
@@ -122,7 +122,7 @@
         summary.peers.bytes_per_s = rates.bytes_per_s;
     }
     if run.stated.is_some() {
-        let has_link_faults = schedule(experiment).links.has_faults_between_balancers();
+        let has_link_faults = compile_schedule(experiment).links.has_faults_between_balancers();
         let findings = check_self_reports(&run.event_log, check_config, &run.self_reports, has_link_faults);
         summary.peers.members_max_wrong_s = findings.members_wrong_s;
         summary.failure_detection.wrongly_avoided = findings.wrongly_avoided;
--- a/testbed/src/experiment_run.rs
+++ b/testbed/src/experiment_run.rs
@@ -13,7 +13,7 @@
 use juniperladder_platform_model::checker::{CheckConfig, StatedBounds};
 use juniperladder_platform_model::event_log::EventLog;
 use juniperladder_platform_model::experiment::Experiment;
-use juniperladder_platform_model::schedule::{schedule, Schedule, Step};
+use juniperladder_platform_model::schedule::{compile_schedule, Schedule, Step};
 use juniperladder_platform_model::workload::draw_arrivals;
 use juniperladder_platform_model::{micros_from_seconds, Micros};
 use tokio::sync::watch;
@@ -100,7 +100,7 @@
 /// # Errors
 /// The setup failed and no process was started, or the run was aborted.
 pub fn run_experiment(experiment: &Experiment, options: RunOptions<'_>) -> Result<RunRecord, TestbedError> {
-    let schedule = schedule(experiment);
+    let schedule = compile_schedule(experiment);
     let sides = schedule.links.sides(experiment).iter().max().map_or(1, |last| last + 1);
     check_resources(experiment, sides)?;
     let operator_file = OperatorFile::read(experiment)?;
--- a/testbed/src/peer_relay/tests.rs
+++ b/testbed/src/peer_relay/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use juniperladder_platform_model::reader::read;
-use juniperladder_platform_model::schedule::schedule;
+use juniperladder_platform_model::schedule::compile_schedule;
 use std::time::Duration;
 use tokio::task::LocalSet;
 use tokio::time::timeout;
@@ -15,7 +15,7 @@
          [[fault]]\nat = 0\nbetween = [\"balancers:0\", \"balancers:1\"]\n{fault}"
     );
     let experiment = read(&text, &[]).unwrap();
-    let mut links = schedule(&experiment).links;
+    let mut links = compile_schedule(&experiment).links;
     links.set_active(0, true);
     let relay = PeerRelay::new(Testbed::new(experiment, links), 2).await.unwrap();
     let [sender, receiver] = [0, 1].map(|_| std::net::UdpSocket::bind("127.0.0.1:0").unwrap());
--- a/testbed/src/soak/run.rs
+++ b/testbed/src/soak/run.rs
@@ -5,7 +5,7 @@
 
 use juniperladder_platform_model::event_log::EventLog;
 use juniperladder_platform_model::rng::{mix_bits, seeded_rng, RngStream};
-use juniperladder_platform_model::schedule::{schedule, Step};
+use juniperladder_platform_model::schedule::{compile_schedule, Step};
 use juniperladder_platform_model::Micros;
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tokio::time::sleep_until;
@@ -56,7 +56,7 @@
     out: &Path,
     child_reaper: Option<ChildReaper>,
 ) -> Result<SoakRecord, TestbedError> {
-    let links = schedule(&plan.experiment).links;
+    let links = compile_schedule(&plan.experiment).links;
     let testbed = Testbed::new(plan.experiment.clone(), links);
     let platform = Platform::prepare(Rc::clone(&testbed), out, None, child_reaper)?;
     platform.processes.start_all(|_| ()).await?;
