--- a/platform-model/src/cache_server.rs
+++ b/platform-model/src/cache_server.rs
@@ -71,7 +71,7 @@
     /// Time of the last start; `None` if it is long ago.
     pub started_at: Option<Micros>,
     /// Whether the server is draining or gone, and rejects new requests.
-    pub closed: bool,
+    pub rejects_requests: bool,
     /// Factor by which work takes longer.
     slowdown: f64,
     /// The share of requests that fail.
@@ -100,7 +100,7 @@
             cores,
             incarnation: 0,
             started_at: None,
-            closed: false,
+            rejects_requests: false,
             slowdown: 1.0,
             failure_share: 0.0,
             core_free_at: vec![0; (cores.ceil() as usize).max(1)],
@@ -163,7 +163,7 @@
         let in_slow_start = capacity_share < 1.0;
         self.track_slow_start_load(now, in_slow_start);
         let respond_now = |answer| Response { answer, at: now, in_slow_start };
-        if self.closed || self.has_collapsed {
+        if self.rejects_requests || self.has_collapsed {
             return respond_now(Answer::Rejected);
         }
         self.remove_completed(now);
@@ -246,7 +246,7 @@
     /// Caches a key whose value has been fetched from the origin.
     pub fn store(&mut self, key: u64) {
         self.fetching_since.remove(&key);
-        if !self.closed {
+        if !self.rejects_requests {
             self.cached_keys.put(key, ());
         }
         if self.fetching_since.len() > MAX_FETCHES_PER_CACHED_KEY * self.cached_keys.cap().get() {
--- a/platform-model/src/cache_server/tests.rs
+++ b/platform-model/src/cache_server/tests.rs
@@ -38,7 +38,7 @@
         "8 slots and 200 queue places, 2 of them in use"
     );
     assert!(server.load_report(MICROS_PER_SECOND, &mut rng).waiting > 100.0);
-    server.closed = true;
+    server.rejects_requests = true;
     assert_eq!(server.on_request(100 * MICROS_PER_SECOND, 1, &mut rng).answer, Answer::Rejected);
 }
 
--- a/platform-model/src/checker/rules.rs
+++ b/platform-model/src/checker/rules.rs
@@ -183,7 +183,7 @@
     /// balancer.
     fn drain_violations(&self) -> Vec<Violation> {
         let mut notices: HashMap<(u32, u32), Vec<&EndpointNotice>> = HashMap::new();
-        for notice in &self.event_log.notices {
+        for notice in &self.event_log.endpoint_notices {
             notices.entry((notice.balancer, notice.server)).or_default().push(notice);
         }
         let mut violations = Vec::new();
--- a/platform-model/src/checker/rules/tests.rs
+++ b/platform-model/src/checker/rules/tests.rs
@@ -144,7 +144,7 @@
     let mut builder = EventLogBuilder::default();
     let notice =
         |at, in_service| EndpointNotice { balancer: 0, server: 2, in_service, at: micros_from_seconds(at) };
-    builder.event_log.notices = vec![notice(10.0, false), notice(10.4, false), notice(20.0, true)];
+    builder.event_log.endpoint_notices = vec![notice(10.0, false), notice(10.4, false), notice(20.0, true)];
     for (at, server, violation_count) in
         [(10.55, 2, 0), (10.56, 2, 1), (10.56, 1, 0), (19.99, 2, 1), (20.0, 2, 0), (9.0, 2, 0)]
     {
@@ -167,7 +167,8 @@
 fn restarted_after_drain(notified: f64) -> EventLogBuilder {
     let mut builder = EventLogBuilder::default();
     let at = micros_from_seconds(notified);
-    builder.event_log.notices = vec![EndpointNotice { balancer: 0, server: 2, in_service: false, at }];
+    builder.event_log.endpoint_notices =
+        vec![EndpointNotice { balancer: 0, server: 2, in_service: false, at }];
     builder.event_log.process_starts = vec![ProcessStart { balancer: 0, at: micros_from_seconds(12.0) }];
     builder.event_log.process_impairments = vec![ImpairedSpan {
         number: 0,
--- a/platform-model/src/discovery.rs
+++ b/platform-model/src/discovery.rs
@@ -33,7 +33,7 @@
     /// The server's id.
     pub id: String,
     /// Number of the server; for the origin, the number of cache servers.
-    pub slot: usize,
+    pub server_number: usize,
     /// The server's state.
     pub lifecycle: Lifecycle,
     /// Time of the last start; `None` if it is long ago.
--- a/platform-model/src/discovery/tests.rs
+++ b/platform-model/src/discovery/tests.rs
@@ -4,7 +4,8 @@
 
 #[test]
 fn snapshot_applies_all_changes_up_to_its_generation() {
-    let entry = |id: &str, lifecycle| Endpoint { id: id.into(), slot: 0, lifecycle, started_at: None };
+    let entry =
+        |id: &str, lifecycle| Endpoint { id: id.into(), server_number: 0, lifecycle, started_at: None };
     let mut list =
         EndpointList::new(vec![entry("a", Lifecycle::InService), entry("b", Lifecycle::InService)]);
     list.apply_change(entry("a", Lifecycle::Terminating));
--- a/platform-model/src/event_log.rs
+++ b/platform-model/src/event_log.rs
@@ -251,7 +251,7 @@
     /// Attempts sent into a cut link, which never arrived.
     pub undelivered: Vec<Attempt>,
     /// Discovery's notices to balancers.
-    pub notices: Vec<EndpointNotice>,
+    pub endpoint_notices: Vec<EndpointNotice>,
     /// Periods in which servers were impaired.
     pub server_impairments: Vec<ImpairedSpan>,
     /// Periods in which processes were impaired.
--- a/platform-model/src/origin.rs
+++ b/platform-model/src/origin.rs
@@ -66,7 +66,7 @@
     /// Stops: the time, and the share of the requests before it that followed misses at servers in slow start.
     pub stops: Vec<(Micros, f64)>,
     /// Whether the capacity is unlimited, as while the caches fill before the experiment begins.
-    pub unbounded: bool,
+    pub has_unlimited_capacity: bool,
 }
 
 impl Origin {
@@ -81,7 +81,7 @@
             stopped_until: 0,
             executed_writes: HashMap::new(),
             stops: Vec::new(),
-            unbounded: false,
+            has_unlimited_capacity: false,
         }
     }
 
@@ -97,7 +97,7 @@
         if self.is_repeat(now, request.idempotency_key) {
             return Outcome::Runs { at: now + micros_from_millis(REPEATED_WRITE_WORK_MS), repeat: true };
         }
-        if self.unbounded {
+        if self.has_unlimited_capacity {
             self.record_write(now, request.idempotency_key);
             return Outcome::Runs { at: now + micros_from_millis(work_ms), repeat: false };
         }
--- a/platform-model/src/workload.rs
+++ b/platform-model/src/workload.rs
@@ -29,7 +29,7 @@
     /// Whether the request is a write.
     pub write: bool,
     /// The share of the request's deadline for which the client waits.
-    pub patience: f64,
+    pub wait_share: f64,
 }
 
 /// The name of a key on the wire.
@@ -115,14 +115,14 @@
     fn draw_arrival(&mut self, at: Micros) -> Arrival {
         let key = self.draw_key();
         let write = self.rng.random::<f64>() < self.experiment.load.writes;
-        let patience = MIN_PATIENT_WAIT_SHARE + PATIENT_WAIT_SHARE_RANGE * self.rng.random::<f64>();
+        let wait_share = MIN_PATIENT_WAIT_SHARE + PATIENT_WAIT_SHARE_RANGE * self.rng.random::<f64>();
         let is_impatient = self.rng.random::<f64>() < self.experiment.clients.impatient_share;
         Arrival {
             at,
             balancer: draw_balancer(self.experiment, &mut self.rng),
             key,
             write,
-            patience: if is_impatient { IMPATIENT_WAIT_SHARE } else { patience },
+            wait_share: if is_impatient { IMPATIENT_WAIT_SHARE } else { wait_share },
         }
     }
 
--- a/testbed-cli/tests/fleet.rs
+++ b/testbed-cli/tests/fleet.rs
@@ -171,7 +171,7 @@
          [[fault]]\nat = 5\nwhat = \"replace\"\nwho = \"hosts:0\"\n",
     );
     assert!(
-        run.event_log.notices.iter().filter(|notice| !notice.in_service).count() >= 12,
+        run.event_log.endpoint_notices.iter().filter(|notice| !notice.in_service).count() >= 12,
         "balancers have to be notified of the drains"
     );
 }
--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -27,7 +27,7 @@
 const MIN_RETRY_TIME: Micros = 50_000;
 /// Minimum time that a request states.
 const MIN_REQUEST_TIME: Micros = 1_000;
-/// Minimum share of the class's deadline that a client waits; a client with a lower patience is impatient.
+/// Minimum share of the class's deadline that a client waits; a client with a lower share is impatient.
 const MIN_PATIENT_SHARE: f64 = 0.5;
 /// Timeout of a client's connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -161,7 +161,7 @@
         let class_deadline = self.check_config.class(arrival.write).deadline;
         let time_left = (arrival.at + class_deadline).saturating_sub(planned_at);
         let share_of_deadline = |share: f64| (class_deadline as f64 * share) as Micros;
-        let is_impatient = arrival.patience < MIN_PATIENT_SHARE;
+        let is_impatient = arrival.wait_share < MIN_PATIENT_SHARE;
         let id = request_id(balancer, self.next_number.replace(self.next_number.get() + 1));
         OutgoingRequest {
             id,
@@ -172,10 +172,10 @@
             is_retry: first_id.is_some(),
             planned_at,
             // Impatient clients state the minimum time of other clients and disconnect before it.
-            time: share_of_deadline(arrival.patience.max(MIN_PATIENT_SHARE))
+            time: share_of_deadline(arrival.wait_share.max(MIN_PATIENT_SHARE))
                 .min(time_left)
                 .max(MIN_REQUEST_TIME),
-            leaves_after: is_impatient.then(|| share_of_deadline(arrival.patience)),
+            leaves_after: is_impatient.then(|| share_of_deadline(arrival.wait_share)),
         }
     }
 
--- a/testbed/src/discovery.rs
+++ b/testbed/src/discovery.rs
@@ -156,14 +156,14 @@
     fn log_notices(&self, endpoints: &[Endpoint]) {
         let at = self.testbed.now();
         let server_count = self.testbed.servers.len();
-        let servers = endpoints.iter().filter(|endpoint| endpoint.slot < server_count);
+        let servers = endpoints.iter().filter(|endpoint| endpoint.server_number < server_count);
         let notices = servers.map(|endpoint| EndpointNotice {
             balancer: self.balancer as u32,
-            server: endpoint.slot as u32,
+            server: endpoint.server_number as u32,
             in_service: endpoint.lifecycle == Lifecycle::InService,
             at,
         });
-        self.testbed.event_log.borrow_mut().notices.extend(notices);
+        self.testbed.event_log.borrow_mut().endpoint_notices.extend(notices);
     }
 }
 
@@ -223,14 +223,14 @@
 
 fn instance_json(testbed: &Testbed, endpoint: &Endpoint, addresses: &ServerAddresses) -> Value {
     let fleet = &testbed.experiment.fleet;
-    let is_origin = endpoint.slot >= testbed.servers.len();
-    let kind = endpoint.slot % fleet.weights.len();
+    let is_origin = endpoint.server_number >= testbed.servers.len();
+    let kind = endpoint.server_number % fleet.weights.len();
     json!({
         "instanceId": endpoint.id,
-        "hostPort": addresses[endpoint.slot].to_string(),
-        "zone": zone_name(if is_origin { 0 } else { zone_of(endpoint.slot, fleet) }),
+        "hostPort": addresses[endpoint.server_number].to_string(),
+        "zone": zone_name(if is_origin { 0 } else { zone_of(endpoint.server_number, fleet) }),
         "machineType": if is_origin { "origin".into() } else { kind_name(kind) },
-        "cell": endpoint.slot / SERVERS_PER_CELL,
+        "cell": endpoint.server_number / SERVERS_PER_CELL,
         "lifecycle": endpoint.lifecycle.wire_name(),
         "weight": if is_origin { 1.0 } else { fleet.weights[kind] },
         "startedAtMs": endpoint.started_at.map_or(0, |at| testbed.unix_ms(at)),
--- a/testbed/src/experiment_run.rs
+++ b/testbed/src/experiment_run.rs
@@ -177,7 +177,7 @@
         let load_task = spawn_local(Rc::clone(&clients).send_arrivals(arrivals));
         let measured_from = load_began_at + micros_from_seconds(experiment.load.warm_up_s);
         let measured_until = measured_from + micros_from_seconds(experiment.seconds);
-        testbed.origin.borrow_mut().unbounded = true;
+        testbed.origin.borrow_mut().has_unlimited_capacity = true;
         ExperimentRun {
             sent_before: total_sent(relay.as_ref()),
             platform,
@@ -225,7 +225,7 @@
     fn begin_measuring(&mut self) {
         self.is_measuring = true;
         self.sent_before = total_sent(self.relay.as_ref());
-        self.testbed.origin.borrow_mut().unbounded = false;
+        self.testbed.origin.borrow_mut().has_unlimited_capacity = false;
     }
 
     /// Time of the start of the measurement or, after it, of the next fault.
--- a/testbed/src/experiment_run/measurement.rs
+++ b/testbed/src/experiment_run/measurement.rs
@@ -78,7 +78,7 @@
         shift(&mut span.from);
         span.to.iter_mut().for_each(shift);
     }
-    event_log.notices.iter_mut().for_each(|notice| shift(&mut notice.at));
+    event_log.endpoint_notices.iter_mut().for_each(|notice| shift(&mut notice.at));
     event_log.server_collapses.iter_mut().for_each(|(_, at)| shift(at));
     event_log.origin_stops.iter_mut().for_each(|(at, _)| shift(at));
     event_log.testbed_stalls.iter_mut().for_each(|(at, _)| shift(at));
--- a/testbed/src/experiment_run/platform.rs
+++ b/testbed/src/experiment_run/platform.rs
@@ -182,7 +182,7 @@
 
     fn drain(&self, servers: &[usize], now: Micros) {
         for server in servers {
-            self.testbed.servers[*server].borrow_mut().closed = true;
+            self.testbed.servers[*server].borrow_mut().rejects_requests = true;
             self.testbed.set_lifecycle(*server, Lifecycle::Terminating);
         }
         self.log_impairment(servers, Impairment::OutOfService, true, now);
--- a/testbed/src/testbed.rs
+++ b/testbed/src/testbed.rs
@@ -244,7 +244,7 @@
         let started_at = self.servers[server].borrow().started_at;
         let now = self.now();
         let mut endpoints = self.endpoints.borrow_mut();
-        endpoints.list.apply_change(Endpoint { id, slot: server, lifecycle, started_at });
+        endpoints.list.apply_change(Endpoint { id, server_number: server, lifecycle, started_at });
         endpoints.changed_at.push(now);
     }
 
@@ -279,9 +279,9 @@
 
 /// The initial endpoint list: all servers and the origin, in service.
 fn initial_endpoints(experiment: &Experiment) -> TimedEndpointList {
-    let endpoint = |slot| Endpoint {
-        id: server_id(experiment.seed, slot, 0),
-        slot,
+    let endpoint = |server_number| Endpoint {
+        id: server_id(experiment.seed, server_number, 0),
+        server_number,
         lifecycle: Lifecycle::InService,
         started_at: None,
     };
@@ -300,9 +300,9 @@
     delay
 }
 
-/// The id of the server in a slot after this number of replacements; the last slot is that of the origin.
-pub fn server_id(seed: u64, slot: usize, replacement: u32) -> String {
-    let number = seed.wrapping_mul(1_000_003) ^ ((slot as u64) << 16) ^ u64::from(replacement);
+/// The id of a server after this number of replacements; the highest server number is that of the origin.
+pub fn server_id(seed: u64, server_number: usize, replacement: u32) -> String {
+    let number = seed.wrapping_mul(1_000_003) ^ ((server_number as u64) << 16) ^ u64::from(replacement);
     format!("s-{:08x}", mix_bits(number) as u32)
 }
 
