--- a/platform-model/src/cache_server/tests.rs
+++ b/platform-model/src/cache_server/tests.rs
@@ -4,7 +4,7 @@
 use crate::rng::{seeded_rng, RngStream};
 
 fn server() -> (CacheServer, SeededRng) {
-    (CacheServer::new(CacheServers::default(), 1.0, 3), seeded_rng(1, RngStream::Machines))
+    (CacheServer::new(CacheServers::default(), 1.0, 3), seeded_rng(1, RngStream::ServiceTimes))
 }
 
 #[test]
--- a/platform-model/src/checker/rules.rs
+++ b/platform-model/src/checker/rules.rs
@@ -152,7 +152,7 @@
         self.event_log
             .process_impairments
             .iter()
-            .filter(|span| span.impairment != Impairment::Ended)
+            .filter(|span| span.impairment != Impairment::ShutDown)
             .any(|span| span.number == request.balancer && span.overlaps(request.sent_at, until))
     }
 
--- a/platform-model/src/checker/rules/tests.rs
+++ b/platform-model/src/checker/rules/tests.rs
@@ -70,7 +70,7 @@
     });
     let dead = |number, from, to| ImpairedSpan {
         number,
-        impairment: Impairment::Dead,
+        impairment: Impairment::NotRunning,
         from: micros_from_seconds(from),
         to: Some(micros_from_seconds(to)),
     };
@@ -155,7 +155,7 @@
     builder.event_log.attempts = vec![attempt(1, Receiver::CacheServer(2), 13.0)];
     builder.event_log.process_impairments = vec![ImpairedSpan {
         number: 0,
-        impairment: Impairment::Dead,
+        impairment: Impairment::NotRunning,
         from: micros_from_seconds(11.0),
         to: Some(micros_from_seconds(12.0)),
     }];
@@ -172,7 +172,7 @@
     builder.event_log.process_starts = vec![ProcessStart { balancer: 0, at: micros_from_seconds(12.0) }];
     builder.event_log.process_impairments = vec![ImpairedSpan {
         number: 0,
-        impairment: Impairment::Dead,
+        impairment: Impairment::NotRunning,
         from: micros_from_seconds(11.0),
         to: Some(micros_from_seconds(12.5)),
     }];
@@ -245,7 +245,9 @@
 #[test]
 fn graceful_shutdown_does_not_excuse_a_missing_answer() {
     let unanswered = ClientRequest { result: RequestResult::ConnectionClosed, ..served_read(10.0) };
-    for (impairment, expected) in [(Impairment::Dead, &[][..]), (Impairment::Ended, &[Rule::Answers][..])] {
+    for (impairment, expected) in
+        [(Impairment::NotRunning, &[][..]), (Impairment::ShutDown, &[Rule::Answers][..])]
+    {
         let mut builder = EventLogBuilder::default();
         builder.add_request(unanswered.clone());
         builder.event_log.process_impairments =
--- a/platform-model/src/checker/self_reports.rs
+++ b/platform-model/src/checker/self_reports.rs
@@ -91,7 +91,7 @@
 
 fn alive_processes(event_log: &EventLog, config: &CheckConfig, at: Micros) -> usize {
     let is_not_running = |span: &&ImpairedSpan| {
-        matches!(span.impairment, Impairment::Dead | Impairment::Ended) && span.overlaps(at, at)
+        matches!(span.impairment, Impairment::NotRunning | Impairment::ShutDown) && span.overlaps(at, at)
     };
     let not_running = event_log.process_impairments.iter().filter(is_not_running).count();
     config.balancers - not_running.min(config.balancers)
--- a/platform-model/src/checker/self_reports/tests.rs
+++ b/platform-model/src/checker/self_reports/tests.rs
@@ -22,7 +22,7 @@
     let mut builder = EventLogBuilder::default();
     builder.event_log.process_impairments = vec![ImpairedSpan {
         number: 3,
-        impairment: Impairment::Dead,
+        impairment: Impairment::NotRunning,
         from: micros_from_seconds(10.0),
         to: Some(micros_from_seconds(20.0)),
     }];
--- a/platform-model/src/checker/spread.rs
+++ b/platform-model/src/checker/spread.rs
@@ -56,7 +56,7 @@
 /// Computes the spread of a run.
 pub fn spread(event_log: &EventLog, config: &CheckConfig) -> Spread {
     let windows = windows(event_log, config);
-    let mut rng = seeded_rng(config.seed, RngStream::Fair);
+    let mut rng = seeded_rng(config.seed, RngStream::FairDraws);
     let mut spread = Spread { windows: windows.len() as u64, ..Spread::default() };
     for _ in 0..FAIR_DRAWS {
         let mut fair_assignment =
--- a/platform-model/src/event_log.rs
+++ b/platform-model/src/event_log.rs
@@ -190,9 +190,9 @@
     /// A server's links have a fault.
     LinkFault,
     /// A process is not running.
-    Dead,
+    NotRunning,
     /// A process exited after a graceful shutdown: it has to answer every request accepted before.
-    Ended,
+    ShutDown,
     /// A process is frozen.
     Frozen,
 }
--- a/platform-model/src/origin/tests.rs
+++ b/platform-model/src/origin/tests.rs
@@ -5,7 +5,7 @@
 
 fn run_requests(rate: u64, seconds: u64, slowdown: f64) -> (Origin, Vec<Outcome>) {
     let mut origin = Origin::new(OriginModel { capacity: 100.0, ..OriginModel::default() });
-    let mut rng = seeded_rng(1, RngStream::Machines);
+    let mut rng = seeded_rng(1, RngStream::ServiceTimes);
     origin.set_slowdown(slowdown);
     let outcomes = (0..rate * seconds)
         .map(|n| {
@@ -44,7 +44,7 @@
 #[test]
 fn repeated_write_with_an_idempotency_key_is_executed_once() {
     let (mut origin, _) = run_requests(1, 1, 1.0);
-    let mut rng = seeded_rng(1, RngStream::Machines);
+    let mut rng = seeded_rng(1, RngStream::ServiceTimes);
     let mut write = |now| {
         let request = OriginRequest {
             idempotency_key: Some(7),
--- a/platform-model/src/rng.rs
+++ b/platform-model/src/rng.rs
@@ -18,17 +18,17 @@
     /// The processes and servers chosen for a group that names a share.
     Groups = 2,
     /// Service times and failures of the cache servers and the origin.
-    Machines = 3,
+    ServiceTimes = 3,
     /// Decisions of clients after an answer.
     Clients = 4,
     /// Delays and losses on links.
     Links = 5,
     /// Delays of discovery's notices to each balancer.
-    Lists = 6,
+    DiscoveryNotices = 6,
     /// Seeds passed to the processes.
     Processes = 7,
     /// Fair draws of the checker, of comparisons and of replays.
-    Fair = 8,
+    FairDraws = 8,
     /// Events of a soak run.
     Soak = 9,
     /// Requests of the soak's clients, and how they are split into pieces.
--- a/testbed-cli/src/compare.rs
+++ b/testbed-cli/src/compare.rs
@@ -118,7 +118,7 @@
 
 /// The 95% confidence interval of the mean, by bootstrap with a fixed seed: equal differences give equal intervals.
 fn bootstrap_interval(differences: &[f64]) -> (f64, f64) {
-    let mut rng = seeded_rng(0, RngStream::Fair);
+    let mut rng = seeded_rng(0, RngStream::FairDraws);
     let count = differences.len();
     let mut means: Vec<f64> = (0..RESAMPLE_COUNT)
         .map(|_| mean((0..count).map(|_| differences[rng.random_range(0..count)])))
--- a/testbed-cli/src/replay.rs
+++ b/testbed-cli/src/replay.rs
@@ -120,7 +120,7 @@
     /// Prints the load imbalance of each placement. All placements draw from one generator, in this order.
     fn print_placements(&self, seed: u64) {
         println!("{:44} {:>6} {:>6}", "", "peak", "least");
-        let mut rng = seeded_rng(seed, RngStream::Fair);
+        let mut rng = seeded_rng(seed, RngStream::FairDraws);
         self.print_imbalance("as played", |send| Some(send.server));
         self.print_imbalance("independent fair draws", |_| Some(rng.random_range(0..self.servers)));
         self.print_imbalance("rendezvous, one home a key", |send| self.rendezvous.first(send.key));
--- a/testbed/src/experiment_run/platform.rs
+++ b/testbed/src/experiment_run/platform.rs
@@ -216,7 +216,7 @@
     }
 
     fn draw_notice_delays(&self, latest: Micros) {
-        let mut rng = seeded_rng(self.testbed.experiment.seed, RngStream::Lists);
+        let mut rng = seeded_rng(self.testbed.experiment.seed, RngStream::DiscoveryNotices);
         for delay in self.testbed.notice_delays.borrow_mut().iter_mut() {
             *delay = rng.random_range(0..=latest);
         }
--- a/testbed/src/processes.rs
+++ b/testbed/src/processes.rs
@@ -269,7 +269,10 @@
         process.pid.set(0);
         let exit_code = status.as_ref().ok().and_then(ExitStatus::code);
         let is_graceful_exit = process.end_requested.get() && exit_code == Some(0);
-        self.begin_impairment(number, if is_graceful_exit { Impairment::Ended } else { Impairment::Dead });
+        self.begin_impairment(
+            number,
+            if is_graceful_exit { Impairment::ShutDown } else { Impairment::NotRunning },
+        );
         if process.end_requested.get() {
             let log_end = log_end(&process.log);
             self.planned_ends.borrow_mut().push(PlannedEnd { balancer: number, exit_code, log_end });
@@ -299,7 +302,7 @@
                 Signal::SIGCONT => self.end_impairment(number, Impairment::Frozen),
                 Signal::SIGKILL => {
                     process.end_requested.set(true);
-                    self.begin_impairment(number, Impairment::Dead);
+                    self.begin_impairment(number, Impairment::NotRunning);
                 }
                 Signal::SIGHUP | Signal::SIGUSR1 => {}
                 _ => process.end_requested.set(true),
@@ -356,8 +359,8 @@
             return;
         }
         process.wait_until_ready(RESTART_POLL_INTERVAL).await;
-        self.end_impairment(number, Impairment::Dead);
-        self.end_impairment(number, Impairment::Ended);
+        self.end_impairment(number, Impairment::NotRunning);
+        self.end_impairment(number, Impairment::ShutDown);
     }
 
     /// Number of process starts, restarts included.
--- a/testbed/src/testbed.rs
+++ b/testbed/src/testbed.rs
@@ -114,7 +114,7 @@
             side_members: (0..side_count).filter_map(member_of_side).collect(),
             event_log: RefCell::default(),
             misses: RefCell::default(),
-            machine_rng: RefCell::new(seeded_rng(experiment.seed, RngStream::Machines)),
+            machine_rng: RefCell::new(seeded_rng(experiment.seed, RngStream::ServiceTimes)),
             link_rng: RefCell::new(seeded_rng(experiment.seed, RngStream::Links)),
             changes: watch::channel(0).0,
             experiment,
