--- a/platform-model/src/links.rs
+++ b/platform-model/src/links.rs
@@ -141,19 +141,19 @@
         faults.any(|fault| !fault.from.balancers.is_empty() && !fault.to.balancers.is_empty())
     }
 
-    /// The side of each balancer, numbered from 0. Balancers of one side are in the same zone and in the same groups
-    /// of link faults, so that they may share the listeners through which they reach the servers.
-    pub fn sides(&self, experiment: &Experiment) -> Vec<usize> {
+    /// The listener group of each balancer, numbered from 0. Balancers of one group are in the same zone and in the
+    /// same groups of link faults, so that they may share the listeners through which they reach the servers.
+    pub fn listener_groups(&self, experiment: &Experiment) -> Vec<usize> {
         let mut signatures: Vec<(usize, Vec<bool>)> = Vec::new();
         let balancers = 0..experiment.fleet.balancers;
-        let side = |balancer| {
+        let listener_group = |balancer| {
             let signature = (zone_of(balancer, &experiment.fleet), self.groups_of(balancer));
             signatures.iter().position(|other| *other == signature).unwrap_or_else(|| {
                 signatures.push(signature);
                 signatures.len() - 1
             })
         };
-        balancers.map(side).collect()
+        balancers.map(listener_group).collect()
     }
 
     /// For each group that a fault names, whether it contains this balancer.
--- a/platform-model/src/links/tests.rs
+++ b/platform-model/src/links/tests.rs
@@ -31,9 +31,9 @@
     assert_eq!(links.state(LinkEnd::CacheServer(0), LinkEnd::Balancer(3)).lost_share, 0.0);
     links.set_active(0, false);
     assert!(!links.state(LinkEnd::Balancer(4), LinkEnd::CacheServer(1)).cut);
-    // Three zones, each split by the groups of the cut. The second fault's groups are zones and add no sides.
+    // Three zones, each split by the groups of the cut. The second fault's groups are zones and add no listener groups.
     assert!(links.has_faults_between_balancers(), "the zones of the second fault contain balancers");
-    let sides = links.sides(&experiment);
-    assert_eq!(sides.iter().max(), Some(&5));
-    assert!(sides[0] == sides[3] && sides[0] != sides[6] && sides[0] != sides[1]);
+    let groups = links.listener_groups(&experiment);
+    assert_eq!(groups.iter().max(), Some(&5));
+    assert!(groups[0] == groups[3] && groups[0] != groups[6] && groups[0] != groups[1]);
 }
--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -21,8 +21,8 @@
 /// Maximum number of requests in transit or unanswered on one connection; reading pauses at this limit.
 const MAX_PIPELINED_REQUESTS: usize = 256;
 
-/// Accepts the connections of one side's balancers to a server until the task is aborted.
-pub async fn serve(testbed: Rc<Testbed>, server: usize, side: usize, listener: TcpListener) {
+/// Accepts the connections of one listener group's balancers to a server until the task is aborted.
+pub async fn serve(testbed: Rc<Testbed>, server: usize, listener_group: usize, listener: TcpListener) {
     loop {
         let stream = listeners::accept(&listener).await;
         let open_connections = &testbed.open_connections[server];
@@ -33,7 +33,7 @@
         open_connections.set(open_connections.get() + 1);
         let testbed = Rc::clone(&testbed);
         spawn_local(async move {
-            ServerConnection::new(Rc::clone(&testbed), server, side).serve(stream).await;
+            ServerConnection::new(Rc::clone(&testbed), server, listener_group).serve(stream).await;
             let open_connections = &testbed.open_connections[server];
             open_connections.set(open_connections.get() - 1);
         });
@@ -81,9 +81,9 @@
 }
 
 impl ServerConnection {
-    fn new(testbed: Rc<Testbed>, server: usize, side: usize) -> ServerConnection {
+    fn new(testbed: Rc<Testbed>, server: usize, listener_group: usize) -> ServerConnection {
         ServerConnection {
-            balancer: LinkEnd::Balancer(testbed.side_members[side]),
+            balancer: LinkEnd::Balancer(testbed.listener_group_members[listener_group]),
             incarnation: testbed.incarnations[server].get(),
             testbed,
             server,
--- a/testbed/src/experiment_run.rs
+++ b/testbed/src/experiment_run.rs
@@ -101,8 +101,9 @@
 /// The setup failed and no process was started, or the run was aborted.
 pub fn run_experiment(experiment: &Experiment, options: RunOptions<'_>) -> Result<RunRecord, TestbedError> {
     let schedule = compile_schedule(experiment);
-    let sides = schedule.links.sides(experiment).iter().max().map_or(1, |last| last + 1);
-    check_resources(experiment, sides)?;
+    let listener_group_count =
+        schedule.links.listener_groups(experiment).iter().max().map_or(1, |last| last + 1);
+    check_resources(experiment, listener_group_count)?;
     let operator_file = OperatorFile::read(experiment)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(SetupError::Runtime)?;
--- a/testbed/src/experiment_run/platform.rs
+++ b/testbed/src/experiment_run/platform.rs
@@ -33,15 +33,16 @@
 
 /// A server or the origin, as balancers reach it.
 struct Machine {
-    /// Address of the machine for each side.
+    /// Address of the machine for each listener group.
     addresses: Vec<ReservedAddress>,
     /// Tasks that listen at these addresses; empty while the machine is stopped.
     listeners: Vec<JoinHandle<()>>,
 }
 
 impl Machine {
-    fn new(sides: usize) -> io::Result<Machine> {
-        let addresses = (0..sides).map(|_| ReservedAddress::new()).collect::<io::Result<_>>()?;
+    fn new(listener_group_count: usize) -> io::Result<Machine> {
+        let addresses =
+            (0..listener_group_count).map(|_| ReservedAddress::new()).collect::<io::Result<_>>()?;
         Ok(Machine { addresses, listeners: Vec::new() })
     }
 }
@@ -55,10 +56,11 @@
         child_reaper: Option<ChildReaper>,
     ) -> Result<Platform, SetupError> {
         let machine_count = testbed.servers.len() + 1;
-        let sides = testbed.side_members.len();
-        let machines = (0..machine_count).map(|_| Machine::new(sides)).collect::<io::Result<Vec<_>>>();
+        let listener_group_count = testbed.listener_group_members.len();
+        let machines =
+            (0..machine_count).map(|_| Machine::new(listener_group_count)).collect::<io::Result<Vec<_>>>();
         let machines = machines.map_err(SetupError::Listener)?;
-        let servers = server_addresses(&testbed, &machines, sides);
+        let servers = server_addresses(&testbed, &machines, listener_group_count);
         let discovery = serve_discovery(&testbed, &servers).map_err(SetupError::Listener)?;
         let processes = Processes::prepare(&testbed, out, &discovery, &servers, peers, child_reaper)?;
         let mut platform = Platform { testbed, processes, machines };
@@ -72,13 +74,13 @@
     fn listen(&mut self, machine: usize) -> io::Result<()> {
         let is_origin = machine == self.testbed.servers.len();
         let Machine { addresses, listeners } = &mut self.machines[machine];
-        for (side, address) in addresses.iter().enumerate() {
+        for (listener_group, address) in addresses.iter().enumerate() {
             let listener = address.listen()?;
             let testbed = Rc::clone(&self.testbed);
             listeners.push(if is_origin {
-                spawn_local(origin::serve(testbed, side, listener))
+                spawn_local(origin::serve(testbed, listener_group, listener))
             } else {
-                spawn_local(cache_servers::serve(testbed, machine, side, listener))
+                spawn_local(cache_servers::serve(testbed, machine, listener_group, listener))
             });
         }
         Ok(())
@@ -223,15 +225,19 @@
     }
 }
 
-/// The addresses at which each balancer reaches the machines, which are those of its side.
-fn server_addresses(testbed: &Testbed, machines: &[Machine], sides: usize) -> Vec<ServerAddresses> {
-    let of_side = |side: usize| {
-        let addresses = machines.iter().map(|machine| machine.addresses[side].address());
+/// The addresses at which each balancer reaches the machines, which are those of its listener group.
+fn server_addresses(
+    testbed: &Testbed,
+    machines: &[Machine],
+    listener_group_count: usize,
+) -> Vec<ServerAddresses> {
+    let of_group = |listener_group: usize| {
+        let addresses = machines.iter().map(|machine| machine.addresses[listener_group].address());
         ServerAddresses::new(addresses.collect())
     };
-    let by_side: Vec<ServerAddresses> = (0..sides).map(of_side).collect();
-    let side_of_balancer = testbed.links.borrow().sides(&testbed.experiment);
-    side_of_balancer.iter().map(|side| Rc::clone(&by_side[*side])).collect()
+    let by_group: Vec<ServerAddresses> = (0..listener_group_count).map(of_group).collect();
+    let group_of_balancer = testbed.links.borrow().listener_groups(&testbed.experiment);
+    group_of_balancer.iter().map(|listener_group| Rc::clone(&by_group[*listener_group])).collect()
 }
 
 /// Serves discovery to each balancer at a separate address and returns these addresses.
--- a/testbed/src/origin.rs
+++ b/testbed/src/origin.rs
@@ -20,14 +20,14 @@
 use crate::listeners;
 use crate::testbed::{balancer_of, receipt_of, value_of, Testbed};
 
-/// Accepts the connections of one side's balancers until the task is aborted.
-pub async fn serve(testbed: Rc<Testbed>, side: usize, listener: TcpListener) {
+/// Accepts the connections of one listener group's balancers until the task is aborted.
+pub async fn serve(testbed: Rc<Testbed>, listener_group: usize, listener: TcpListener) {
     loop {
         let stream = listeners::accept(&listener).await;
         let _ = stream.set_nodelay(true);
         let testbed = Rc::clone(&testbed);
         spawn_local(async move {
-            let handler = service_fn(|request| on_request(Rc::clone(&testbed), side, request));
+            let handler = service_fn(|request| on_request(Rc::clone(&testbed), listener_group, request));
             let connection = hyper::server::conn::http1::Builder::new();
             // The balancer handles a broken connection; the event log has the attempts that were received.
             let _ = connection.serve_connection(TokioIo::new(stream), handler).await;
@@ -66,10 +66,10 @@
 
 async fn on_request(
     testbed: Rc<Testbed>,
-    side: usize,
+    listener_group: usize,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, ConnectionBroken> {
-    let balancer = LinkEnd::Balancer(testbed.side_members[side]);
+    let balancer = LinkEnd::Balancer(testbed.listener_group_members[listener_group]);
     let first_byte_at = testbed.now();
     let Some(parsed) = ParsedRequest::parse(&request) else { return Ok(bad_request()) };
     // The contents of the value are not used; the read only makes sure that it is complete.
--- a/testbed/src/resource_check.rs
+++ b/testbed/src/resource_check.rs
@@ -18,7 +18,7 @@
 const DESCRIPTORS_OF_TESTBED: usize = 100;
 
 /// Estimates the maximum number of file descriptors that the testbed will hold.
-pub fn needed_open_files(experiment: &Experiment, sides: usize) -> usize {
+pub fn needed_open_files(experiment: &Experiment, listener_group_count: usize) -> usize {
     let balancers = experiment.fleet.balancers;
     let machines = experiment.fleet.servers + 1;
     // A balancer has at most one connection for each attempt within the time for which a connection is kept. It also has
@@ -30,7 +30,7 @@
     let connections_of_average = (rate * ATTEMPTS_PER_REQUEST * CONNECTION_IDLE_TIMEOUT_S) as usize + 8;
     let server_connections = balancers * connections_of_average.min(connections_of_busiest).min(2 * machines);
     // Each reserved address uses two sockets.
-    2 * machines * sides
+    2 * machines * listener_group_count
         + 2 * balancers
         + server_connections
         + balancers * DESCRIPTORS_PER_PROCESS
@@ -41,13 +41,13 @@
 ///
 /// # Errors
 /// The limit that is too low, with advice.
-pub fn check_resources(experiment: &Experiment, sides: usize) -> Result<(), SetupError> {
-    let needed = needed_open_files(experiment, sides);
+pub fn check_resources(experiment: &Experiment, listener_group_count: usize) -> Result<(), SetupError> {
+    let needed = needed_open_files(experiment, listener_group_count);
     let (limit, _) = getrlimit(Resource::RLIMIT_NOFILE).map_err(SetupError::OpenFileLimit)?;
     if needed as u64 > limit {
         return Err(SetupError::TooFewOpenFiles { needed, limit });
     }
-    let ports = (experiment.fleet.servers + 1) * sides + 2 * experiment.fleet.balancers;
+    let ports = (experiment.fleet.servers + 1) * listener_group_count + 2 * experiment.fleet.balancers;
     if ports > MAX_PORTS {
         return Err(SetupError::TooManyPorts { needed: ports, limit: MAX_PORTS });
     }
--- a/testbed/src/testbed.rs
+++ b/testbed/src/testbed.rs
@@ -75,9 +75,9 @@
     pub notice_delays: RefCell<Vec<Micros>>,
     /// The links and their faults.
     pub links: RefCell<Links>,
-    /// One balancer of each side, by the number of the side. Balancers of one side see the same links and zone, and
-    /// share listeners.
-    pub side_members: Vec<usize>,
+    /// One balancer of each listener group, by the number of the group. Balancers of one group see the same links
+    /// and zone, and share listeners.
+    pub listener_group_members: Vec<usize>,
     /// The event log of the run.
     pub event_log: RefCell<EventLog>,
     /// Cache misses by request id.
@@ -92,9 +92,9 @@
     /// Creates the platform of an experiment; its clock starts now.
     pub fn new(experiment: Experiment, links: Links) -> Rc<Testbed> {
         let server_count = experiment.fleet.servers;
-        let sides = links.sides(&experiment);
-        let side_count = sides.iter().copied().max().unwrap_or(0) + 1;
-        let member_of_side = |side| sides.iter().position(|other| *other == side);
+        let listener_groups = links.listener_groups(&experiment);
+        let group_count = listener_groups.iter().copied().max().unwrap_or(0) + 1;
+        let member_of_group = |group| listener_groups.iter().position(|other| *other == group);
         let discovery = &experiment.discovery;
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Rc::new(Testbed {
@@ -111,7 +111,7 @@
             discovery_down: Cell::new(false),
             notice_delays: RefCell::new(vec![0; experiment.fleet.balancers]),
             links: RefCell::new(links),
-            side_members: (0..side_count).filter_map(member_of_side).collect(),
+            listener_group_members: (0..group_count).filter_map(member_of_group).collect(),
             event_log: RefCell::default(),
             misses: RefCell::default(),
             machine_rng: RefCell::new(seeded_rng(experiment.seed, RngStream::ServiceTimes)),
