--- a/testbed-cli/src/run.rs
+++ b/testbed-cli/src/run.rs
@@ -90,8 +90,8 @@
 /// The exit status of a run that failed without a record.
 pub fn status_of_error(error: &TestbedError) -> ExitStatus {
     match error {
-        TestbedError::NotAllowed(_) => ExitStatus::NOT_ALLOWED,
-        TestbedError::Broken(_) => ExitStatus::FAILED,
+        TestbedError::Setup(_) => ExitStatus::NOT_ALLOWED,
+        TestbedError::Aborted(_) => ExitStatus::FAILED,
     }
 }
 
--- a/testbed/src/error.rs
+++ b/testbed/src/error.rs
@@ -8,10 +8,10 @@
 pub enum TestbedError {
     /// The experiment file or the machine does not allow the run; no process was started.
     #[error(transparent)]
-    NotAllowed(#[from] SetupError),
+    Setup(#[from] SetupError),
     /// The run had begun and was aborted.
     #[error(transparent)]
-    Broken(#[from] RunError),
+    Aborted(#[from] RunError),
 }
 
 /// Error in the preparation of a run.
--- a/testbed/src/scale/tests.rs
+++ b/testbed/src/scale/tests.rs
@@ -111,7 +111,7 @@
         ScaleConfig { members: 5_000, ..ScaleConfig::default() },
         ScaleConfig { seconds: 0.0, ..ScaleConfig::default() },
     ] {
-        let Err(TestbedError::NotAllowed(line)) = run_scale_test(config) else {
+        let Err(TestbedError::Setup(line)) = run_scale_test(config) else {
             panic!("an invalid configuration was accepted")
         };
         assert!(!line.to_string().contains('\n'));
--- a/testbed/tests/controls.rs
+++ b/testbed/tests/controls.rs
@@ -154,12 +154,12 @@
             .as_str(),
     );
     assert!(
-        matches!(&error, TestbedError::NotAllowed(cause) if cause.to_string().contains("build it first")),
+        matches!(&error, TestbedError::Setup(cause) if cause.to_string().contains("build it first")),
         "{error:?}"
     );
     let error = run_error("/bin/false");
     assert!(
-        matches!(&error, TestbedError::Broken(cause) if cause.to_string().contains("did not come up")),
+        matches!(&error, TestbedError::Aborted(cause) if cause.to_string().contains("did not come up")),
         "{error:?}"
     );
 }
