--- a/testbed-cli/src/run.rs
+++ b/testbed-cli/src/run.rs
@@ -77,8 +77,8 @@
         }
     };
     let check_config = CheckConfig::of(experiment);
-    let measured_until = run.end.max(check_config.measured_from + 1);
-    let check_config = CheckConfig { measured_until, stated: run.stated, ..check_config };
+    let measured_until = run.ended_at.max(check_config.measured_from + 1);
+    let check_config = CheckConfig { measured_until, stated: run.stated_bounds, ..check_config };
     let checked = check_with_costs(experiment, &run, &check_config);
     if let Err(error) = write_files(out, experiment, &run, &check_config, &checked) {
         eprintln!("cannot write the files of the run to {}: {error}", out.display());
@@ -112,7 +112,7 @@
     let summary = &mut checked.summary;
     summary.name = experiment.name.clone();
     summary.seed = experiment.seed;
-    summary.processes.started = run.started;
+    summary.processes.started = run.process_starts;
     summary.processes.crashed = run.crashes.len() as u64;
     let requests = run.event_log.requests.len().max(1) as f64;
     summary.cpu.balancer_ms_per_request = run.balancers_cpu_s * 1e3 / requests;
@@ -121,7 +121,7 @@
         summary.peers.packets_per_s = rates.packets_per_s;
         summary.peers.bytes_per_s = rates.bytes_per_s;
     }
-    if run.stated.is_some() {
+    if run.stated_bounds.is_some() {
         let has_link_faults = compile_schedule(experiment).links.has_faults_between_balancers();
         let findings = check_self_reports(&run.event_log, check_config, &run.self_reports, has_link_faults);
         summary.peers.members_max_wrong_s = findings.members_wrong_s;
--- a/testbed-cli/tests/fleet.rs
+++ b/testbed-cli/tests/fleet.rs
@@ -63,7 +63,7 @@
         let usage = limits[limit];
         assert!(usage.peak <= usage.bound.unwrap(), "{name}: {limit}: {usage:?}");
     }
-    let stated = run.stated.unwrap();
+    let stated = run.stated_bounds.unwrap();
     let expiry = stated.failure_detection.unwrap().report_expiry;
     for report in &run.self_reports {
         // A third of the twelve servers; half of the four in a zone.
@@ -103,8 +103,11 @@
     )
     .unwrap();
     // On a machine shared with other tests delays of up to half a second have to be tolerated.
-    let check_config =
-        CheckConfig { tolerance: MICROS_PER_SECOND / 2, stated: run.stated, ..CheckConfig::of(&experiment) };
+    let check_config = CheckConfig {
+        tolerance: MICROS_PER_SECOND / 2,
+        stated: run.stated_bounds,
+        ..CheckConfig::of(&experiment)
+    };
     let checked = check_run(&run.event_log, &check_config);
     assert_eq!(run.crashes, [""; 0], "{name}");
     assert_eq!(checked.summary.rules.total(), 0, "{name}: {:#?}", checked.violations);
@@ -140,7 +143,7 @@
         20,
         "[[fault]]\nat = 4\nwhat = \"kill\"\nwho = \"balancers:70%\"\nback = 1\n",
     );
-    assert_eq!(run.started, 34, "fourteen processes are restarted");
+    assert_eq!(run.process_starts, 34, "fourteen processes are restarted");
     let served: u64 = checked.series.seconds[9..].iter().map(|second| second.served).sum();
     let requests: u64 = checked.series.seconds[9..].iter().map(|second| second.requests).sum();
     assert!(
@@ -156,7 +159,7 @@
         8,
         "[[fault]]\nat = 2\nwhat = \"roll\"\nwho = \"balancers\"\nshare = 0.25\nevery = 2\n",
     );
-    assert_eq!(run.started, 16);
+    assert_eq!(run.process_starts, 16);
     assert_eq!(checked.summary.lost, 0, "a graceful shutdown has to lose no request");
 }
 
@@ -248,7 +251,7 @@
          [[fault]]\nat = 3\nfor = 4\nwhat = \"freeze\"\nwho = \"balancers:5-6\"\n\
          [[fault]]\nat = 5\nwhat = \"kill\"\nwho = \"balancers:8\"\nback = 0\n",
     );
-    assert_eq!(run.started, 17);
+    assert_eq!(run.process_starts, 17);
 }
 
 #[test]
@@ -273,7 +276,7 @@
 fn limit_holds_where_the_settings_name_too_few_balancers() {
     let text = "[[fault]]\nat = 0\nwhat = \"kill\"\nwho = \"balancers:4-15\"\nback = 3\n";
     let (run, checked) = run_with_origin_limit("limits-grow", 16, text);
-    assert_eq!(run.started, 28);
+    assert_eq!(run.process_starts, 28);
     assert!(checked.summary.limits["origin"].usage > Some(0.3), "{:?}", checked.summary.limits);
 }
 
@@ -315,7 +318,7 @@
              [[fault]]\nat = 6\nwhat = \"replace\"\nwho = \"hosts:2\"\n"
         ),
     );
-    assert_eq!(run.started, 14);
+    assert_eq!(run.process_starts, 14);
 }
 
 /// Guards against a server overloaded during slow start: two servers restart while thirty balancers without peer links send to
@@ -335,7 +338,7 @@
                   [[fault]]\nat = 4.5\nwhat = \"kill\"\nwho = \"balancers:0-7\"\nback = 0.5\n\
                   [[fault]]\nat = 6\nwhat = \"kill\"\nwho = \"balancers:20-25\"\nback = 0.5\n";
     let (run, _) = run_and_check("cold-ramp", 30, &load, faults);
-    assert_eq!(run.started, 44);
+    assert_eq!(run.process_starts, 44);
     for server in [2, 3] {
         let mut received_at: Vec<u64> = run
             .event_log
--- a/testbed/src/experiment_run.rs
+++ b/testbed/src/experiment_run.rs
@@ -76,7 +76,7 @@
     /// Events of clients, servers and discovery.
     pub event_log: EventLog,
     /// Number of process starts, restarts included.
-    pub started: u64,
+    pub process_starts: u64,
     /// Descriptions of unexpected exits of processes, each with the last log lines.
     pub crashes: Vec<String>,
     /// CPU time of all balancers, in seconds.
@@ -88,11 +88,11 @@
     /// Reports of each process's own state, once a second; empty where balancers do not communicate as peers.
     pub self_reports: Vec<SelfReport>,
     /// Bounds that the program states for shared limits; `None` where balancers do not communicate as peers.
-    pub stated: Option<StatedBounds>,
+    pub stated_bounds: Option<StatedBounds>,
     /// Whether the run was stopped before its planned end.
     pub stopped: bool,
     /// End of the load, or the end of the evaluated time of a run that was stopped.
-    pub end: Micros,
+    pub ended_at: Micros,
 }
 
 /// Runs an experiment to its end.
@@ -134,7 +134,7 @@
     let mut run = ExperimentRun::begin_load(platform, relay, schedule.steps);
     let stopped = run.send_load(progress, &mut stop).await;
     let mut record = run.finish(stopped, cpu_before).await;
-    record.stated = stated;
+    record.stated_bounds = stated;
     Ok(record)
 }
 
@@ -254,15 +254,15 @@
         let cpu = CpuTimes::now();
         RunRecord {
             event_log: self.take_event_log(stopped.then_some(end)),
-            started: self.platform.processes.started(),
+            process_starts: self.platform.processes.started(),
             crashes,
             balancers_cpu_s: cpu.children_s - cpu_before.children_s,
             testbed_cpu_s: cpu.own_s - cpu_before.own_s,
             peer_traffic,
             self_reports: self.take_self_reports(),
-            stated: None,
+            stated_bounds: None,
             stopped,
-            end: end.saturating_sub(self.load_began_at),
+            ended_at: end.saturating_sub(self.load_began_at),
         }
     }
 
