--- a/testbed-cli/src/scale_run.rs
+++ b/testbed-cli/src/scale_run.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::process::Command;
 
-use juniperladder_testbed::scale::results::LATE_MS;
+use juniperladder_testbed::scale::results::MAX_TIMER_LATENESS_MS;
 use juniperladder_testbed::scale::{self, Event, Mechanism, Outcome, Summary};
 
 use crate::exit::ExitStatus;
@@ -47,11 +47,11 @@
         );
         return ExitStatus::FAILED;
     }
-    if summary.counts() {
+    if summary.is_valid() {
         return ExitStatus::PASSED;
     }
     println!(
-        "LATE: the test bed's timers fired {:.1} ms late at the 99th percentile, over {LATE_MS}: the run does not count",
+        "LATE: the test bed's timers fired {:.1} ms late at the 99th percentile, over {MAX_TIMER_LATENESS_MS}: the run does not count",
         summary.lag_p99_ms
     );
     ExitStatus::TESTBED_LATE
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -15,7 +15,7 @@
 use super::Micros;
 
 /// Maximum lateness of the test bed's timers at the 99th percentile, in milliseconds. A run that exceeds it is invalid.
-pub const LATE_MS: f64 = 20.0;
+pub const MAX_TIMER_LATENESS_MS: f64 = 20.0;
 /// Length of the IPv4 and UDP headers of a packet, in bytes.
 const IP_UDP_HEADER_BYTES: f64 = 28.0;
 /// Minimum time to detect the loss of a member. A member that reports the loss earlier had never known the lost member.
@@ -108,7 +108,7 @@
     pub seed: u64,
     /// Whether time was simulated.
     pub virtual_time: bool,
-    /// Lateness of the test bed's timers at the 99th percentile, in milliseconds; over [`LATE_MS`] the run is invalid.
+    /// Lateness of the test bed's timers at the 99th percentile, in milliseconds; over [`MAX_TIMER_LATENESS_MS`] the run is invalid.
     pub lag_p99_ms: f64,
     /// Resident memory that the run added to the process, per member, in bytes.
     pub memory_per_member: f64,
@@ -136,8 +136,8 @@
 
 impl Summary {
     /// Whether the test bed's timers were on time, so that the run is valid.
-    pub fn counts(&self) -> bool {
-        self.lag_p99_ms <= LATE_MS
+    pub fn is_valid(&self) -> bool {
+        self.lag_p99_ms <= MAX_TIMER_LATENESS_MS
     }
 
     /// Whether no guarantee of the mechanism was violated.
