--- a/testbed-cli/src/scale_args.rs
+++ b/testbed-cli/src/scale_args.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use juniperladder_testbed::scale::{CalibrationTraffic, Event, Flaw, Mechanism, ScaleConfig};
+use juniperladder_testbed::scale::{CalibrationTraffic, Event, InjectedDefect, Mechanism, ScaleConfig};
 
 /// Arguments of `scale`.
 #[derive(Clone, Debug, clap::Args)]
@@ -57,7 +57,7 @@
     pub cache_hosts: usize,
     /// Breaks the mechanism on purpose: talks-to-all, drops-changes
     #[arg(long)]
-    pub flaw: Option<Flaw>,
+    pub flaw: Option<InjectedDefect>,
     /// Also runs endpoints without control code at the same packet rate, to measure the test bed's own cost
     #[arg(long)]
     pub calibrate: bool,
@@ -94,7 +94,7 @@
                 packets_per_s: self.calibration_packets,
                 packet_length: self.calibration_length,
             },
-            flaw: self.flaw,
+            defect: self.flaw,
         }
     }
 
--- a/testbed/src/scale/config.rs
+++ b/testbed/src/scale/config.rs
@@ -38,7 +38,7 @@
 
 /// A defect that the test bed injects, to show that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
+pub enum InjectedDefect {
     /// Each member also sends a packet to every other member once a second.
     BroadcastsToAll,
     /// One member loses one purge in a thousand.
@@ -96,7 +96,7 @@
     RestartWave => "restart-wave",
     ControlLoss => "control-loss",
 );
-impl_names!(Flaw, BroadcastsToAll => "talks-to-all", DropsPurges => "drops-changes");
+impl_names!(InjectedDefect, BroadcastsToAll => "talks-to-all", DropsPurges => "drops-changes");
 
 /// The configuration of a scale test.
 #[derive(Clone, Debug)]
@@ -132,7 +132,7 @@
     /// The traffic of a calibration run.
     pub calibration: CalibrationTraffic,
     /// The injected defect, if any.
-    pub flaw: Option<Flaw>,
+    pub defect: Option<InjectedDefect>,
 }
 
 impl Default for ScaleConfig {
@@ -153,7 +153,7 @@
             publishes_per_s: 11.0,
             cache_hosts: 230,
             calibration: CalibrationTraffic::default(),
-            flaw: None,
+            defect: None,
         }
     }
 }
--- a/testbed/src/scale/purge_endpoint.rs
+++ b/testbed/src/scale/purge_endpoint.rs
@@ -18,7 +18,7 @@
 pub const PURGE_PACKET_PREFIX: &[u8] = b"JPC";
 /// Prefix of the keys of published purges, followed by the purge's number. It gives the keys a typical length.
 const KEY_PREFIX: &str = "scale:object:";
-/// [`super::Flaw::DropsPurges`] drops the purges whose number modulo this divisor is [`DROP_REMAINDER`].
+/// [`super::InjectedDefect::DropsPurges`] drops the purges whose number modulo this divisor is [`DROP_REMAINDER`].
 const DROP_DIVISOR: u32 = 1_000;
 /// See [`DROP_DIVISOR`].
 const DROP_REMAINDER: u32 = 500;
@@ -105,7 +105,7 @@
     pub preferred_replicas: Vec<u8>,
     /// Whether the member is a cache server, which replays missed purges; a balancer discards all its cached values instead.
     pub is_cache_server: bool,
-    /// Whether the member has the defect [`super::Flaw::DropsPurges`].
+    /// Whether the member has the defect [`super::InjectedDefect::DropsPurges`].
     pub drops_purges: bool,
     /// The seed of the member's random numbers.
     pub seed: u64,
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -221,7 +221,7 @@
         let summary = Summary {
             mechanism: config.mechanism.name().to_owned(),
             event: config.event.name().to_owned(),
-            flaw: config.flaw.map(|flaw| flaw.name().to_owned()),
+            flaw: config.defect.map(|defect| defect.name().to_owned()),
             members: config.members,
             regions: run.network.topology().regions(),
             zones: run.network.topology().zones(),
--- a/testbed/src/scale/run.rs
+++ b/testbed/src/scale/run.rs
@@ -6,7 +6,7 @@
 
 use super::calibration::CalibrationEndpoint;
 use super::cluster_endpoint::{ClusterEndpoint, ClusterMemberIdentity, MembershipEndpoint};
-use super::config::{Flaw, Mechanism, ScaleConfig};
+use super::config::{InjectedDefect, Mechanism, ScaleConfig};
 use super::endpoint::Endpoint;
 use super::network::Network;
 use super::purge_endpoint::{PurgeMemberEndpoint, PurgeMemberIdentity, PurgeReplicaEndpoint};
@@ -87,7 +87,7 @@
         let mut preferred_replicas: Vec<u8> = (0..config.replicas as u8).collect();
         preferred_replicas
             .sort_by_key(|replica| self.network.topology().delay(member, usize::from(*replica)));
-        let drops_purges = config.flaw == Some(Flaw::DropsPurges) && member == config.replicas;
+        let drops_purges = config.defect == Some(InjectedDefect::DropsPurges) && member == config.replicas;
         PurgeMemberIdentity {
             member: member as u32,
             replicas: self.addresses[..config.replicas].to_vec(),
--- a/testbed/src/scale/shard.rs
+++ b/testbed/src/scale/shard.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::config::Flaw;
+use super::config::InjectedDefect;
 use super::endpoint::{Datagram, Endpoint, EndpointEvent};
 use super::meter::{thread_cpu_ns, Calls, MemberCounts, MemberPhases};
 use super::run::Run;
@@ -69,7 +69,7 @@
     sent_packets: u64,
     /// Bit mask of the satisfied expectations, by index.
     satisfied: u64,
-    /// Time of the next broadcast with [`Flaw::BroadcastsToAll`].
+    /// Time of the next broadcast with [`InjectedDefect::BroadcastsToAll`].
     next_broadcast: Micros,
 }
 
@@ -166,7 +166,7 @@
         endpoint.on_tick(now);
         let mut sent = endpoint.drain_datagrams();
         count_call(&mut slot.counts[phase].ticks, cpu_before_ns);
-        if self.run.config.flaw == Some(Flaw::BroadcastsToAll) && now >= slot.next_broadcast {
+        if self.run.config.defect == Some(InjectedDefect::BroadcastsToAll) && now >= slot.next_broadcast {
             slot.next_broadcast = now + 1_000_000;
             sent.extend(broadcast_packets(&self.run, member));
         }
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -1,7 +1,7 @@
 //! Small scale tests: 200 members in simulated time, with bounds on their traffic and on the propagation of changes, and
 //! with injected defects that must violate these bounds.
 
-use juniperladder_testbed::scale::{run_scale_test, Event, Flaw, Mechanism, ScaleConfig, Summary};
+use juniperladder_testbed::scale::{run_scale_test, Event, InjectedDefect, Mechanism, ScaleConfig, Summary};
 
 const MEMBERS: usize = 200;
 /// Maximum bytes per second that a member sends on average: the current 1.3 KB plus a margin of a quarter.
@@ -71,8 +71,11 @@
 
 #[test]
 fn mechanism_that_broadcasts_to_all_members_violates_the_packet_bound() {
-    let defective =
-        ScaleConfig { flaw: Some(Flaw::BroadcastsToAll), seconds: 4.0, ..config(Mechanism::Membership) };
+    let defective = ScaleConfig {
+        defect: Some(InjectedDefect::BroadcastsToAll),
+        seconds: 4.0,
+        ..config(Mechanism::Membership)
+    };
     let violations = violations(&summary(defective));
     assert!(violations.iter().any(|violation| violation.contains("packets per second")), "{violations:?}");
 }
@@ -120,7 +123,7 @@
 
 #[test]
 fn member_that_drops_one_purge_in_a_thousand_is_detected() {
-    let defective = ScaleConfig { flaw: Some(Flaw::DropsPurges), ..purge_config(Event::None) };
+    let defective = ScaleConfig { defect: Some(InjectedDefect::DropsPurges), ..purge_config(Event::None) };
     let violations = purge_violations(&summary(defective));
     assert!(
         violations.iter().any(|violation| violation.contains("served without a completed purge")),
