--- a/testbed-cli/src/scale_args.rs
+++ b/testbed-cli/src/scale_args.rs
@@ -2,7 +2,9 @@
 
 use std::path::PathBuf;
 
-use juniperladder_testbed::scale::{CalibrationTraffic, Event, InjectedDefect, Mechanism, ScaleConfig};
+use juniperladder_testbed::scale::{
+    CalibrationTraffic, FaultScenario, InjectedDefect, Mechanism, ScaleConfig,
+};
 
 /// Arguments of `scale`.
 #[derive(Clone, Debug, clap::Args)]
@@ -36,7 +38,7 @@
     pub seed: u64,
     /// The event: none, member-lost, loss, zone-lost, region-cut, restart-wave, control-loss
     #[arg(long, default_value = "none")]
-    pub event: Event,
+    pub event: FaultScenario,
     /// Simulates time, for sizes that this machine cannot run in real time
     #[arg(long = "virtual")]
     pub virtual_time: bool,
--- a/testbed-cli/src/scale_run.rs
+++ b/testbed-cli/src/scale_run.rs
@@ -4,7 +4,7 @@
 use std::process::Command;
 
 use juniperladder_testbed::scale::results::MAX_TIMER_LATENESS_MS;
-use juniperladder_testbed::scale::{self, Event, Mechanism, Outcome, Summary};
+use juniperladder_testbed::scale::{self, FaultScenario, Mechanism, Outcome, Summary};
 
 use crate::exit::ExitStatus;
 use crate::run::status_of_error;
@@ -62,7 +62,7 @@
     let sent = summary.ordinary.sent;
     let calibration = ScaleArgs {
         mechanism: Mechanism::Calibration,
-        event: Event::None,
+        event: FaultScenario::None,
         flaw: None,
         calibrate: false,
         warm_up: CALIBRATION_WARM_UP_S,
--- a/testbed/src/scale/config.rs
+++ b/testbed/src/scale/config.rs
@@ -19,12 +19,12 @@
 
 /// The fault scenario that follows the measurement of the steady state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Event {
+pub enum FaultScenario {
     /// No fault.
     None,
     /// One member crashes and restarts; later a cache server stops answering.
     MemberLost,
-    /// As [`Event::MemberLost`], with a packet loss of 1%.
+    /// As [`FaultScenario::MemberLost`], with a packet loss of 1%.
     Loss,
     /// All members of a zone crash at the same time and restart.
     ZoneLost,
@@ -87,7 +87,7 @@
 
 impl_names!(Mechanism, Membership => "membership", Cluster => "cluster", Purge => "purge", Calibration => "calibration");
 impl_names!(
-    Event,
+    FaultScenario,
     None => "none",
     MemberLost => "member-lost",
     Loss => "loss",
@@ -116,7 +116,7 @@
     /// The seed of all random choices.
     pub seed: u64,
     /// The fault scenario.
-    pub event: Event,
+    pub event: FaultScenario,
     /// Whether the run uses simulated time instead of sockets and real time.
     pub virtual_time: bool,
     /// Number of threads that drive the members in real time.
@@ -145,7 +145,7 @@
             warm_up_s: 10.0,
             seconds: 30.0,
             seed: 1,
-            event: Event::None,
+            event: FaultScenario::None,
             virtual_time: false,
             workers: 4,
             requests_per_s: 20.0,
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -29,7 +29,7 @@
 use std::sync::Arc;
 
 pub use calibration::CalibrationTraffic;
-pub use config::{Event, InjectedDefect, Mechanism, ScaleConfig};
+pub use config::{FaultScenario, InjectedDefect, Mechanism, ScaleConfig};
 pub use purge_check::{PurgePhase, PurgeSummary, Times};
 pub use results::{Outcome, Summary};
 
--- a/testbed/src/scale/schedule.rs
+++ b/testbed/src/scale/schedule.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::ops::Range;
 
-use super::config::{Event, Mechanism, ScaleConfig};
+use super::config::{FaultScenario, Mechanism, ScaleConfig};
 use super::endpoint::StateQuery;
 use super::network::{Network, PacketLoss, Partition, PartitionScope};
 use super::topology::Topology;
@@ -19,9 +19,9 @@
 const RECOVERY_TIME_SHARE: f64 = 0.45;
 /// Share of the fault scenario's time after which a cache server stops answering.
 const SERVER_SILENCE_TIME_SHARE: f64 = 0.7;
-/// Share of packets lost in [`Event::Loss`].
+/// Share of packets lost in [`FaultScenario::Loss`].
 const LOST_PACKET_SHARE: f64 = 0.01;
-/// Share of members that restart in [`Event::RestartWave`].
+/// Share of members that restart in [`FaultScenario::RestartWave`].
 const RESTARTED_MEMBER_SHARE: f64 = 0.4;
 /// Time within which these members stop.
 const RESTART_WAVE_DURATION: Micros = 5_000_000;
@@ -29,7 +29,7 @@
 const RESTART_DOWNTIME: Micros = 1_000_000;
 /// Number of seed members, which every member contacts first.
 pub const SEED_MEMBER_COUNT: usize = 3;
-/// Number of control machines killed in [`Event::ControlLoss`].
+/// Number of control machines killed in [`FaultScenario::ControlLoss`].
 const KILLED_REPLICA_COUNT: usize = 2;
 /// Time from the start of the run to the first purge.
 const FIRST_PURGE_DELAY: Micros = 3_000_000;
@@ -114,7 +114,7 @@
         let warm_up_end = CLOCK_START + to_micros(config.warm_up_s);
         let end = warm_up_end + to_micros(config.seconds);
         let event = match config.event {
-            Event::None => end,
+            FaultScenario::None => end,
             _ => warm_up_end + to_micros(config.seconds * STEADY_STATE_TIME_SHARE),
         };
         let schedule = Schedule {
@@ -176,8 +176,8 @@
     rng: fastrand::Rng,
     /// Number of control machines; they have the lowest member numbers.
     replicas: usize,
-    /// The lowest number of a member that [`Event::MemberLost`] may stop. Control machines and seeds are exempt, but at least
-    /// one member can always be stopped.
+    /// The lowest number of a member that [`FaultScenario::MemberLost`] may stop. Control machines and seeds are exempt,
+    /// but at least one member can always be stopped.
     first_stoppable_member: usize,
 }
 
@@ -192,19 +192,19 @@
         event + ((end - event) as f64 * share) as Micros
     }
 
-    fn add_event(&mut self, event: Event) {
+    fn add_event(&mut self, event: FaultScenario) {
         match event {
-            Event::None => {}
-            Event::MemberLost => self.add_member_lost(),
-            Event::Loss => {
+            FaultScenario::None => {}
+            FaultScenario::MemberLost => self.add_member_lost(),
+            FaultScenario::Loss => {
                 let period = self.schedule.warm_up_end..self.schedule.end;
                 self.network.add_packet_loss(PacketLoss { period, lost_share: LOST_PACKET_SHARE });
                 self.add_member_lost();
             }
-            Event::ZoneLost => self.add_zone_lost(),
-            Event::RegionCut => self.add_region_cut(),
-            Event::RestartWave => self.add_restart_wave(),
-            Event::ControlLoss => self.add_control_loss(),
+            FaultScenario::ZoneLost => self.add_zone_lost(),
+            FaultScenario::RegionCut => self.add_region_cut(),
+            FaultScenario::RestartWave => self.add_restart_wave(),
+            FaultScenario::ControlLoss => self.add_control_loss(),
         }
     }
 
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -1,7 +1,9 @@
 //! Small scale tests: 200 members in simulated time, with bounds on their traffic and on the propagation of changes, and
 //! with injected defects that must violate these bounds.
 
-use juniperladder_testbed::scale::{run_scale_test, Event, InjectedDefect, Mechanism, ScaleConfig, Summary};
+use juniperladder_testbed::scale::{
+    run_scale_test, FaultScenario, InjectedDefect, Mechanism, ScaleConfig, Summary,
+};
 
 const MEMBERS: usize = 200;
 /// Maximum bytes per second that a member sends on average: the current 1.3 KB plus a margin of a quarter.
@@ -18,7 +20,7 @@
         members: MEMBERS,
         warm_up_s: 8.0,
         seconds: 18.0,
-        event: Event::MemberLost,
+        event: FaultScenario::MemberLost,
         virtual_time: true,
         ..ScaleConfig::default()
     }
@@ -83,8 +85,12 @@
 #[test]
 fn same_seed_gives_the_same_results_in_simulated_time() {
     let run = |seed| {
-        let config =
-            ScaleConfig { members: 40, seed, event: Event::RegionCut, ..config(Mechanism::Membership) };
+        let config = ScaleConfig {
+            members: 40,
+            seed,
+            event: FaultScenario::RegionCut,
+            ..config(Mechanism::Membership)
+        };
         let summary = summary(config);
         (summary.ordinary.kinds, summary.after_event.kinds, summary.changes, summary.known)
     };
@@ -93,7 +99,7 @@
 }
 
 /// A purge run of 200 members and 11 control machines, with enough purges to detect the loss of one in a thousand.
-fn purge_config(event: Event) -> ScaleConfig {
+fn purge_config(event: FaultScenario) -> ScaleConfig {
     ScaleConfig { publishes_per_s: 70.0, seconds: 24.0, event, ..config(Mechanism::Purge) }
 }
 
@@ -114,7 +120,9 @@
 
 #[test]
 fn purges_reach_all_members_with_and_without_faults() {
-    for event in [Event::None, Event::Loss, Event::ControlLoss, Event::RestartWave] {
+    for event in
+        [FaultScenario::None, FaultScenario::Loss, FaultScenario::ControlLoss, FaultScenario::RestartWave]
+    {
         let summary = summary(purge_config(event));
         assert_eq!(purge_violations(&summary), Vec::<String>::new(), "{event:?}");
         assert!(summary.purge.unwrap().ordinary.acted.count > 50 * MEMBERS);
@@ -123,7 +131,8 @@
 
 #[test]
 fn member_that_drops_one_purge_in_a_thousand_is_detected() {
-    let defective = ScaleConfig { defect: Some(InjectedDefect::DropsPurges), ..purge_config(Event::None) };
+    let defective =
+        ScaleConfig { defect: Some(InjectedDefect::DropsPurges), ..purge_config(FaultScenario::None) };
     let violations = purge_violations(&summary(defective));
     assert!(
         violations.iter().any(|violation| violation.contains("served without a completed purge")),
