--- a/testbed-cli/src/scale_run.rs
+++ b/testbed-cli/src/scale_run.rs
@@ -59,7 +59,7 @@
 
 /// Runs endpoints without control code in a child process, with the packet rate and mean packet size of the finished run.
 fn calibrate(args: &ScaleArgs, summary: &Summary) {
-    let sent = summary.ordinary.sent;
+    let sent = summary.steady_state.sent;
     let calibration = ScaleArgs {
         mechanism: Mechanism::Calibration,
         event: FaultScenario::None,
--- a/testbed-cli/src/scale_table.rs
+++ b/testbed-cli/src/scale_table.rs
@@ -15,16 +15,16 @@
         if summary.virtual_time { ", simulated time" } else { "" },
         summary.flaw.as_ref().map_or(String::new(), |flaw| format!(", broken on purpose: {flaw}")),
     );
-    print_phase("ordinary state", &summary.ordinary);
+    print_phase("ordinary state", &summary.steady_state);
     if summary.after_event.seconds > 0.0 {
         print_phase("from the event on", &summary.after_event);
     }
     println!(
         "  memory a member {:.0} KB; members known: least {}, median {}, most {}; timers late by {:.1} ms (p99)",
         summary.memory_per_member / 1e3,
-        summary.known.least,
+        summary.known.min,
         summary.known.median,
-        summary.known.most,
+        summary.known.max,
         summary.lag_p99_ms
     );
     if summary.unroutable + summary.not_sent > 0 {
@@ -33,9 +33,9 @@
             summary.unroutable, summary.not_sent
         );
     }
-    if summary.control_ordinary.seconds > 0.0 {
+    if summary.control_steady_state.seconds > 0.0 {
         println!("  {} control machines:", summary.replicas);
-        print_phase("ordinary state", &summary.control_ordinary);
+        print_phase("ordinary state", &summary.control_steady_state);
         if summary.control_after_event.seconds > 0.0 {
             print_phase("from the event on", &summary.control_after_event);
         }
@@ -98,9 +98,9 @@
         "  {:16} {} observers, {} unaware, {} never (in {:.1} s): p50 {} ms, p99 {} ms, all {} ms",
         change.name,
         change.observers,
-        change.unaware,
-        change.never,
-        change.asked_s,
+        change.never_knew_member,
+        change.not_reached,
+        change.checked_s,
         format_ms(change.p50_ms),
         format_ms(change.p99_ms),
         format_ms(change.all_ms)
--- a/testbed-cli/src/sizes.rs
+++ b/testbed-cli/src/sizes.rs
@@ -17,12 +17,12 @@
 type Cost = (&'static str, fn(&Summary) -> Option<f64>);
 
 const MEMBER_COSTS: [Cost; 8] = [
-    ("packets_per_s", |s| Some(s.ordinary.sent.packets_per_s)),
-    ("bytes_per_s", |s| Some(s.ordinary.sent.bytes_per_s)),
-    ("wire_bytes_per_s", |s| Some(s.ordinary.wire_bytes_per_s)),
-    ("cpu_percent", |s| Some(s.ordinary.cpu_percent)),
-    ("us_per_datagram", |s| Some(s.ordinary.us_per_datagram)),
-    ("us_per_tick", |s| Some(s.ordinary.us_per_tick)),
+    ("packets_per_s", |s| Some(s.steady_state.sent.packets_per_s)),
+    ("bytes_per_s", |s| Some(s.steady_state.sent.bytes_per_s)),
+    ("wire_bytes_per_s", |s| Some(s.steady_state.wire_bytes_per_s)),
+    ("cpu_percent", |s| Some(s.steady_state.cpu_percent)),
+    ("us_per_datagram", |s| Some(s.steady_state.us_per_datagram)),
+    ("us_per_tick", |s| Some(s.steady_state.us_per_tick)),
     ("memory_per_member", |s| Some(s.memory_per_member)),
     ("known_median", |s| (s.known.median > 0).then_some(s.known.median as f64)),
 ];
@@ -113,19 +113,19 @@
     for (name, value_of) in MEMBER_COSTS {
         row.extend(value_of(summary).map(|value| (name.to_owned(), format!("{value:.4}"))));
     }
-    for (kind, rate) in &summary.ordinary.kinds {
+    for (kind, rate) in &summary.steady_state.kinds {
         row.insert(format!("{kind}_bytes_per_s"), format!("{:.1}", rate.bytes_per_s));
         row.insert(format!("{kind}_packets_per_s"), format!("{:.3}", rate.packets_per_s));
     }
     row.insert("lag_p99_ms".to_owned(), format!("{:.1}", summary.lag_p99_ms));
-    row.insert("known_least".to_owned(), summary.known.least.to_string());
+    row.insert("known_least".to_owned(), summary.known.min.to_string());
     for change in &summary.changes {
         let format_ms = |ms: Option<f64>| ms.map_or(String::new(), |ms| format!("{ms:.0}"));
         row.insert(format!("{}_p50_ms", change.name), format_ms(change.p50_ms));
         row.insert(format!("{}_p99_ms", change.name), format_ms(change.p99_ms));
         row.insert(format!("{}_all_ms", change.name), format_ms(change.all_ms));
-        row.insert(format!("{}_unaware", change.name), change.unaware.to_string());
-        row.insert(format!("{}_never", change.name), change.never.to_string());
+        row.insert(format!("{}_unaware", change.name), change.never_knew_member.to_string());
+        row.insert(format!("{}_never", change.name), change.not_reached.to_string());
     }
     row
 }
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -65,11 +65,14 @@
     /// Number of members expected to learn of the change.
     pub observers: usize,
     /// Number of observers that had never known the lost member; the times exclude them.
-    pub unaware: usize,
+    #[serde(rename = "unaware")]
+    pub never_knew_member: usize,
     /// Number of observers that did not learn of the change before the checks ended.
-    pub never: usize,
+    #[serde(rename = "never")]
+    pub not_reached: usize,
     /// Duration of the checks, in seconds.
-    pub asked_s: f64,
+    #[serde(rename = "asked_s")]
+    pub checked_s: f64,
     /// Milliseconds until half the observers had learned of the change; `None` if fewer did.
     pub p50_ms: Option<f64>,
     /// Milliseconds until 99% of the observers had; `None` if fewer did.
@@ -82,11 +85,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct KnownMembers {
     /// The minimum.
-    pub least: usize,
+    #[serde(rename = "least")]
+    pub min: usize,
     /// The median.
     pub median: usize,
     /// The maximum.
-    pub most: usize,
+    #[serde(rename = "most")]
+    pub max: usize,
 }
 
 /// The summary of a scale test.
@@ -113,11 +118,13 @@
     /// Resident memory that the run added to the process, per member, in bytes.
     pub memory_per_member: f64,
     /// Members in the steady state.
-    pub ordinary: PhaseSummary,
+    #[serde(rename = "ordinary")]
+    pub steady_state: PhaseSummary,
     /// Members from the start of the fault scenario on.
     pub after_event: PhaseSummary,
     /// Control machines in the steady state.
-    pub control_ordinary: PhaseSummary,
+    #[serde(rename = "control_ordinary")]
+    pub control_steady_state: PhaseSummary,
     /// Control machines from the start of the fault scenario on.
     pub control_after_event: PhaseSummary,
     /// Number of control machines.
@@ -194,7 +201,7 @@
             Outcome::from_observations(run, total, &result.lateness, after.saturating_sub(before));
         outcome.summary.not_sent = result.not_sent;
         for (phase, summary) in [
-            (Phase::SteadyState, &mut outcome.summary.ordinary),
+            (Phase::SteadyState, &mut outcome.summary.steady_state),
             (Phase::Event, &mut outcome.summary.after_event),
         ] {
             let total =
@@ -229,17 +236,17 @@
             virtual_time: config.virtual_time,
             lag_p99_ms: lateness.quantile_ms(0.99),
             memory_per_member: memory as f64 / config.members.max(1) as f64,
-            ordinary: phase_summary(run, members, Phase::SteadyState),
+            steady_state: phase_summary(run, members, Phase::SteadyState),
             after_event: phase_summary(run, members, Phase::Event),
-            control_ordinary: phase_summary(run, control, Phase::SteadyState),
+            control_steady_state: phase_summary(run, control, Phase::SteadyState),
             control_after_event: phase_summary(run, control, Phase::Event),
             replicas: config.replicas,
             purge,
             changes: summarise_changes(run, &observed.satisfied),
             known: KnownMembers {
-                least: known.first().copied().unwrap_or(0),
+                min: known.first().copied().unwrap_or(0),
                 median: known.get(known.len() / 2).copied().unwrap_or(0),
-                most: known.last().copied().unwrap_or(0),
+                max: known.last().copied().unwrap_or(0),
             },
             unroutable: observed.unroutable,
             not_sent: 0,
@@ -327,12 +334,12 @@
         .map(|expectation| expectation.at.saturating_sub(first.at))
         .collect();
     times.sort_unstable();
-    let never = observers - times.len();
+    let not_reached = observers - times.len();
     let is_loss = matches!(first.query, StateQuery::NotAlive(_));
-    let unaware =
+    let never_knew_member =
         if is_loss { times.iter().filter(|time| **time < MIN_LOSS_DETECTION_TIME).count() } else { 0 };
-    times.drain(..unaware);
-    let aware = observers - unaware;
+    times.drain(..never_knew_member);
+    let aware = observers - never_knew_member;
     let at_share = |share: f64| {
         let rank = ((aware as f64 * share).ceil() as usize).max(1);
         times.get(rank - 1).map(|time| *time as f64 / 1e3)
@@ -340,9 +347,9 @@
     ChangeSummary {
         name: first.name.to_owned(),
         observers,
-        unaware,
-        never,
-        asked_s: (first.until - first.at) as f64 / 1e6,
+        never_knew_member,
+        not_reached,
+        checked_s: (first.until - first.at) as f64 / 1e6,
         p50_ms: at_share(0.5),
         p99_ms: at_share(0.99),
         all_ms: at_share(1.0),
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -33,7 +33,7 @@
 /// The violated bounds of a run, one line each.
 fn violations(summary: &Summary) -> Vec<String> {
     let mut violations = Vec::new();
-    for phase in [&summary.ordinary, &summary.after_event] {
+    for phase in [&summary.steady_state, &summary.after_event] {
         if phase.sent.bytes_per_s > MAX_BYTES_PER_S {
             violations.push(format!("{:.0} bytes per second per member", phase.sent.bytes_per_s));
         }
@@ -41,11 +41,12 @@
             violations.push(format!("{:.1} packets per second per member", phase.sent.packets_per_s));
         }
     }
-    if summary.known.median < MEMBERS || summary.known.least < MIN_KNOWN_MEMBERS {
+    if summary.known.median < MEMBERS || summary.known.min < MIN_KNOWN_MEMBERS {
         violations.push(format!("members know {:?} of {MEMBERS} members", summary.known));
     }
     let must_reach_all = summary.changes.iter().filter(|change| change.name != "member-gone");
-    violations.extend(must_reach_all.filter(|change| change.never > 0).map(|change| format!("{change:?}")));
+    violations
+        .extend(must_reach_all.filter(|change| change.not_reached > 0).map(|change| format!("{change:?}")));
     violations
 }
 
@@ -54,9 +55,10 @@
     let summary = summary(config(Mechanism::Cluster));
     assert_eq!(violations(&summary), Vec::<String>::new());
     assert!(
-        summary.ordinary.kinds.contains_key("membership") && summary.ordinary.kinds.contains_key("limits")
+        summary.steady_state.kinds.contains_key("membership")
+            && summary.steady_state.kinds.contains_key("limits")
     );
-    assert!(!summary.ordinary.kinds.contains_key("unknown"));
+    assert!(!summary.steady_state.kinds.contains_key("unknown"));
     assert_eq!(summary.unroutable, 0);
     let names: Vec<&str> = summary.changes.iter().map(|change| change.name.as_str()).collect();
     assert_eq!(names, ["member-gone", "member-back", "host-silent"]);
@@ -66,9 +68,9 @@
 #[test]
 fn every_member_knows_all_members_at_the_end_of_a_long_run() {
     let summary = summary(ScaleConfig { seconds: 60.0, ..config(Mechanism::Cluster) });
-    assert_eq!(summary.known.least, MEMBERS, "{:?}", summary.known);
-    let never: usize = summary.changes.iter().map(|change| change.never).sum();
-    assert_eq!(never, 0, "{:?}", summary.changes);
+    assert_eq!(summary.known.min, MEMBERS, "{:?}", summary.known);
+    let not_reached: usize = summary.changes.iter().map(|change| change.not_reached).sum();
+    assert_eq!(not_reached, 0, "{:?}", summary.changes);
 }
 
 #[test]
@@ -92,7 +94,7 @@
             ..config(Mechanism::Membership)
         };
         let summary = summary(config);
-        (summary.ordinary.kinds, summary.after_event.kinds, summary.changes, summary.known)
+        (summary.steady_state.kinds, summary.after_event.kinds, summary.changes, summary.known)
     };
     assert_eq!(run(1), run(1));
     assert_ne!(run(1), run(2));
