--- a/testbed-cli/src/scale_run.rs
+++ b/testbed-cli/src/scale_run.rs
@@ -40,10 +40,10 @@
 
 /// Prints why a run failed or does not count, if so; returns its exit status.
 pub fn print_status(summary: &Summary) -> ExitStatus {
-    if let Some(purge) = summary.purge.filter(|purge| purge.done_missing > 0) {
+    if let Some(purge) = summary.purge.filter(|purge| purge.missed_completed_purges > 0) {
         println!(
             "BROKEN: {} times a member served without a purge that had been reported as done",
-            purge.done_missing
+            purge.missed_completed_purges
         );
         return ExitStatus::FAILED;
     }
--- a/testbed-cli/src/scale_table.rs
+++ b/testbed-cli/src/scale_table.rs
@@ -75,12 +75,12 @@
         }
         println!(
             "  purges, {name}: {} accepted, {} rejected; {} never acted on, {} not done, {} orphaned",
-            phase.accepted, phase.rejected, phase.never, phase.not_done, phase.orphaned
+            phase.accepted, phase.rejected, phase.never_applied, phase.not_completed, phase.orphaned
         );
         for (what, times) in [
-            ("a connected member acts", phase.acted),
-            ("all connected members act", phase.all_acted),
-            ("the publisher is notified of completion", phase.done),
+            ("a connected member acts", phase.time_to_apply),
+            ("all connected members act", phase.time_to_apply_everywhere),
+            ("the publisher is notified of completion", phase.time_to_completion),
         ] {
             let Times { p50_ms, p99_ms, max_ms, .. } = times;
             println!("    until {what}: p50 {p50_ms:.0} ms, p99 {p99_ms:.0} ms, max {max_ms:.0} ms");
@@ -88,7 +88,7 @@
     }
     println!(
         "  members voided {} times, {} leases expired, {} serve at the end; done but missing at a serving member: {}",
-        purge.voided, purge.lapses, purge.serving, purge.done_missing
+        purge.cache_clears, purge.expired_leases, purge.serving, purge.missed_completed_purges
     );
 }
 
--- a/testbed/src/scale/purge_check.rs
+++ b/testbed/src/scale/purge_check.rs
@@ -50,15 +50,20 @@
     /// Number of purges rejected by a control machine, or published at one that was not running.
     pub rejected: usize,
     /// Time from the purge until a connected member applied it, over all members and purges.
-    pub acted: Times,
+    #[serde(rename = "acted")]
+    pub time_to_apply: Times,
     /// Time from the purge until all connected members had applied it, over all purges.
-    pub all_acted: Times,
+    #[serde(rename = "all_acted")]
+    pub time_to_apply_everywhere: Times,
     /// Number of pairs of a purge and a connected member that never applied it.
-    pub never: usize,
+    #[serde(rename = "never")]
+    pub never_applied: usize,
     /// Time from the purge until its publisher was notified of its completion.
-    pub done: Times,
+    #[serde(rename = "done")]
+    pub time_to_completion: Times,
     /// Number of purges never reported as completed although the control machine was not killed.
-    pub not_done: usize,
+    #[serde(rename = "not_done")]
+    pub not_completed: usize,
     /// Number of purges whose control machine was killed before their completion. The publisher gets the status "unknown"
     /// and publishes the purge again.
     pub orphaned: usize,
@@ -73,11 +78,14 @@
     pub after_event: PurgePhase,
     /// Number of cases in which a member served without a purge that had been reported as completed. Each one violates the
     /// guarantee of the mechanism.
-    pub done_missing: usize,
+    #[serde(rename = "done_missing")]
+    pub missed_completed_purges: usize,
     /// Number of times that a member discarded all its cached values after it had begun to serve.
-    pub voided: usize,
+    #[serde(rename = "voided")]
+    pub cache_clears: usize,
     /// Number of expired leases.
-    pub lapses: usize,
+    #[serde(rename = "lapses")]
+    pub expired_leases: usize,
     /// Number of members serving at the end.
     pub serving: usize,
 }
@@ -212,17 +220,17 @@
     PurgeSummary {
         ordinary: evaluate_phase(run, &history, Phase::SteadyState),
         after_event: evaluate_phase(run, &history, Phase::Event),
-        done_missing: count_done_missing(run, &history),
-        voided: members()
+        missed_completed_purges: count_missed_completed_purges(run, &history),
+        cache_clears: members()
             .flat_map(|(_, incarnations)| incarnations)
             .map(count_clears_after_first_service)
             .sum(),
-        lapses: history.expired_leases,
+        expired_leases: history.expired_leases,
         serving: members().filter_map(|(_, incarnations)| incarnations.last()).filter(is_serving).count(),
     }
 }
 
-fn count_done_missing(run: &Run, history: &PurgeHistory) -> usize {
+fn count_missed_completed_purges(run: &Run, history: &PurgeHistory) -> usize {
     let members = history.incarnations.iter().filter(|(member, _)| **member >= run.config.replicas);
     let mut missing = 0;
     for incarnation in members.flat_map(|(_, incarnations)| incarnations) {
@@ -263,17 +271,17 @@
                 }
                 // A member killed before it applied the purge holds no values any more.
                 None if incarnation.stopped.is_some() => {}
-                None => result.never += 1,
+                None => result.never_applied += 1,
             }
         }
         last_apply_times.extend(last_applied);
         match published.completed {
             Some(at) => completion_times.push(at - published.at),
             None if was_publisher_killed(history, published) => result.orphaned += 1,
-            None => result.not_done += 1,
+            None => result.not_completed += 1,
         }
     }
-    (result.acted, result.all_acted, result.done) = (
+    (result.time_to_apply, result.time_to_apply_everywhere, result.time_to_completion) = (
         Times::from_durations(apply_times),
         Times::from_durations(last_apply_times),
         Times::from_durations(completion_times),
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -149,7 +149,7 @@
 
     /// Whether no guarantee of the mechanism was violated.
     pub fn is_sound(&self) -> bool {
-        self.purge.is_none_or(|purge| purge.done_missing == 0)
+        self.purge.is_none_or(|purge| purge.missed_completed_purges == 0)
     }
 }
 
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -110,11 +110,17 @@
     let purge = summary.purge.expect("a purge run has a purge summary");
     let mut violations = Vec::new();
     let mut check = |holds: bool, description: String| violations.extend((!holds).then_some(description));
-    check(purge.done_missing == 0, format!("{} times served without a completed purge", purge.done_missing));
+    check(
+        purge.missed_completed_purges == 0,
+        format!("{} times served without a completed purge", purge.missed_completed_purges),
+    );
     for phase in [&purge.ordinary, &purge.after_event] {
-        check(phase.never == 0, format!("{} never applied", phase.never));
-        check(phase.not_done == 0, format!("{} not completed", phase.not_done));
-        check(phase.acted.count == 0 || phase.accepted > 50, format!("only {} accepted", phase.accepted));
+        check(phase.never_applied == 0, format!("{} never applied", phase.never_applied));
+        check(phase.not_completed == 0, format!("{} not completed", phase.not_completed));
+        check(
+            phase.time_to_apply.count == 0 || phase.accepted > 50,
+            format!("only {} accepted", phase.accepted),
+        );
     }
     check(purge.serving == MEMBERS, format!("{} of {MEMBERS} members serve", purge.serving));
     violations
@@ -127,7 +133,7 @@
     {
         let summary = summary(purge_config(event));
         assert_eq!(purge_violations(&summary), Vec::<String>::new(), "{event:?}");
-        assert!(summary.purge.unwrap().ordinary.acted.count > 50 * MEMBERS);
+        assert!(summary.purge.unwrap().ordinary.time_to_apply.count > 50 * MEMBERS);
     }
 }
 
