--- a/purge/src/ids.rs
+++ b/purge/src/ids.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Identifies a control machine by its index in the list of all replicas.
+/// Identifies a replica by its index in the list of all replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId(pub u8);
 
--- a/purge/src/lib.rs
+++ b/purge/src/lib.rs
@@ -1,8 +1,8 @@
 //! Fleet-wide purges: replicated logs, leases and acknowledgements. Pure state machines.
 //!
-//! A [`Replica`] runs on each control machine, a [`Member`] in each balancer and cache server. Both do no I/O and
-//! read no clock: the caller passes in received datagrams and the current time, and sends the datagrams it drains.
-//! To *void* a cache is to discard everything in it.
+//! A [`Replica`] runs on each machine of the control plane, a [`Member`] in each balancer and cache server. Both do
+//! no I/O and read no clock: the caller passes in received datagrams and the current time, and sends the datagrams it
+//! drains. To *void* a cache is to discard everything in it.
 //!
 //! # Guarantee
 //!
@@ -18,7 +18,7 @@
 //!   member at one time.
 //! - Never more than a minority of the replicas is without state at one time (just started and not recovered). If a
 //!   majority is lost, the control plane is bootstrapped anew, and every member voids its cache.
-//! - Control machines are trusted; datagrams come from the addresses that they claim.
+//! - Replicas are trusted; datagrams come from the addresses that they claim.
 //! - A member's driver applies the purges it drains before it calls [`Member::may_serve`] again, and a cache server
 //!   stores no fill that [`cache_fill::FillGuard`] discards.
 //!
--- a/testbed-cli/src/scale_args.rs
+++ b/testbed-cli/src/scale_args.rs
@@ -48,10 +48,10 @@
     /// Client requests per second at each member
     #[arg(long, default_value_t = 20.0)]
     pub requests: f64,
-    /// Control machines of a purge run, in addition to the members
+    /// Replicas of a purge run, in addition to the members
     #[arg(long, default_value_t = 11)]
     pub replicas: usize,
-    /// Purges published per second by all control machines together
+    /// Purges published per second by all purge replicas together
     #[arg(long, default_value_t = 11.0)]
     pub publishes: f64,
     /// The number of cache servers
--- a/testbed/src/scale/config.rs
+++ b/testbed/src/scale/config.rs
@@ -11,7 +11,7 @@
     Membership,
     /// All coordination of a balancer: membership, rate limits, retry budget, failure detection.
     Cluster,
-    /// Fleet-wide purges, with control machines (purge replicas) in addition to the members.
+    /// Fleet-wide purges, with purge replicas in addition to the members.
     Purge,
     /// No control code, to measure the overhead of the test bed.
     Calibration,
@@ -32,7 +32,7 @@
     RegionCut,
     /// 40% of all members restart within a few seconds.
     RestartWave,
-    /// Two control machines crash at the same time and restart.
+    /// Two purge replicas crash at the same time and restart.
     ControlLoss,
 }
 
@@ -123,9 +123,9 @@
     pub workers: usize,
     /// Client requests per second at a member, on average.
     pub requests_per_s: f64,
-    /// Number of control machines in addition to the members; only used by [`Mechanism::Purge`].
+    /// Number of purge replicas in addition to the members; only used by [`Mechanism::Purge`].
     pub replicas: usize,
-    /// Purges published per second, by all control machines together.
+    /// Purges published per second, by all purge replicas together.
     pub publishes_per_s: f64,
     /// Number of cache servers that the synthetic traffic is sent to.
     pub cache_hosts: usize,
@@ -159,13 +159,13 @@
 }
 
 impl ScaleConfig {
-    /// This configuration without control machines if the mechanism does not use them.
+    /// This configuration without purge replicas if the mechanism does not use them.
     pub fn without_unused_replicas(self) -> ScaleConfig {
         let replicas = if self.mechanism == Mechanism::Purge { self.replicas } else { 0 };
         ScaleConfig { replicas, ..self }
     }
 
-    /// Number of members and control machines together.
+    /// Number of members and purge replicas together.
     pub fn endpoint_count(&self) -> usize {
         self.members + self.replicas
     }
--- a/testbed/src/scale/endpoint.rs
+++ b/testbed/src/scale/endpoint.rs
@@ -70,7 +70,7 @@
     SilentServerAvoided,
 }
 
-/// An event at a member or control machine that the checks of a run evaluate.
+/// An event at a member or purge replica that the checks of a run evaluate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointEvent {
     /// The member applied the purge with this number.
@@ -85,15 +85,15 @@
     Started,
     /// The member was killed.
     Stopped,
-    /// The control machine accepted the purge with this number.
+    /// The purge replica accepted the purge with this number.
     PurgeAccepted(u32),
-    /// The control machine rejected the purge with this number, or was not running.
+    /// The purge replica rejected the purge with this number, or was not running.
     PurgeRejected(u32),
-    /// The control machine reported the purge with this number as applied by all members.
+    /// The purge replica reported the purge with this number as applied by all members.
     PurgeCompleted(u32),
 }
 
-/// The control code of a member or control machine: a state machine without I/O and without a clock.
+/// The control code of a member or purge replica: a state machine without I/O and without a clock.
 pub trait Endpoint {
     /// Handles a received packet.
     fn on_datagram(&mut self, now: Micros, from: SocketAddr, payload: &[u8]);
@@ -101,7 +101,7 @@
     fn on_tick(&mut self, now: Micros);
     /// Takes the packets to send.
     fn drain_datagrams(&mut self) -> Vec<Datagram>;
-    /// Publishes the purge with this number. Only control machines do.
+    /// Publishes the purge with this number. Only purge replicas do.
     fn publish_purge(&mut self, _now: Micros, _number: u32) {}
     /// Takes the events since the last call.
     fn drain_events(&mut self, _now: Micros) -> Vec<EndpointEvent> {
--- a/testbed/src/scale/purge_check.rs
+++ b/testbed/src/scale/purge_check.rs
@@ -47,7 +47,7 @@
 pub struct PurgePhase {
     /// Number of accepted purges.
     pub accepted: usize,
-    /// Number of purges rejected by a control machine, or published at one that was not running.
+    /// Number of purges rejected by a replica, or published at one that was not running.
     pub rejected: usize,
     /// Time from the purge until a connected member applied it, over all members and purges.
     #[serde(rename = "acted")]
@@ -61,10 +61,10 @@
     /// Time from the purge until its publisher was notified of its completion.
     #[serde(rename = "done")]
     pub time_to_completion: Times,
-    /// Number of purges never reported as completed although the control machine was not killed.
+    /// Number of purges never reported as completed although the replica was not killed.
     #[serde(rename = "not_done")]
     pub not_completed: usize,
-    /// Number of purges whose control machine was killed before their completion. The publisher gets the status "unknown"
+    /// Number of purges whose replica was killed before their completion. The publisher gets the status "unknown"
     /// and publishes the purge again.
     pub orphaned: usize,
 }
@@ -289,7 +289,7 @@
     result
 }
 
-/// Whether the control machine that accepted the purge was killed afterwards.
+/// Whether the replica that accepted the purge was killed afterwards.
 fn was_publisher_killed(history: &PurgeHistory, published: &PublishedPurge) -> bool {
     let incarnations = history.incarnations.get(&published.publisher).into_iter().flatten();
     incarnations
--- a/testbed/src/scale/purge_endpoint.rs
+++ b/testbed/src/scale/purge_endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints that run fleet-wide purges: control machines, which also publish, and members, which are balancers or cache
+//! Endpoints that run fleet-wide purges: purge replicas, which also publish, and members, which are balancers or cache
 //! servers.
 
 use std::collections::VecDeque;
@@ -23,7 +23,7 @@
 /// See [`DROP_DIVISOR`].
 const DROP_REMAINDER: u32 = 500;
 
-/// A control machine that publishes purges on command.
+/// A purge replica that publishes purges on command.
 pub struct PurgeReplicaEndpoint {
     replica: Replica,
     /// The published purges that are not completed yet, in order of publication.
@@ -32,7 +32,7 @@
 }
 
 impl PurgeReplicaEndpoint {
-    /// Creates a control machine that starts now. `bootstrap` is set for the first start of all control machines.
+    /// Creates a replica that starts now. `bootstrap` is set for the first start of all replicas.
     pub fn new(
         replica: u8,
         replicas: Vec<SocketAddr>,
@@ -99,9 +99,9 @@
 pub struct PurgeMemberIdentity {
     /// The member's number.
     pub member: u32,
-    /// The addresses of the control machines.
+    /// The addresses of the replicas.
     pub replicas: Vec<SocketAddr>,
-    /// The control machines in order of preference, nearest first.
+    /// The replicas in order of preference, nearest first.
     pub preferred_replicas: Vec<u8>,
     /// Whether the member is a cache server, which replays missed purges; a balancer discards all its cached values instead.
     pub is_cache_server: bool,
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -122,12 +122,12 @@
     pub steady_state: PhaseSummary,
     /// Members from the start of the fault scenario on.
     pub after_event: PhaseSummary,
-    /// Control machines in the steady state.
+    /// Purge replicas in the steady state.
     #[serde(rename = "control_ordinary")]
     pub control_steady_state: PhaseSummary,
-    /// Control machines from the start of the fault scenario on.
+    /// Purge replicas from the start of the fault scenario on.
     pub control_after_event: PhaseSummary,
-    /// Number of control machines.
+    /// Number of purge replicas.
     pub replicas: usize,
     /// Results of the purges, if the mechanism has any.
     pub purge: Option<PurgeSummary>,
--- a/testbed/src/scale/schedule.rs
+++ b/testbed/src/scale/schedule.rs
@@ -29,7 +29,7 @@
 const RESTART_DOWNTIME: Micros = 1_000_000;
 /// Number of seed members, which every member contacts first.
 pub const SEED_MEMBER_COUNT: usize = 3;
-/// Number of control machines killed in [`FaultScenario::ControlLoss`].
+/// Number of purge replicas killed in [`FaultScenario::ControlLoss`].
 const KILLED_REPLICA_COUNT: usize = 2;
 /// Time from the start of the run to the first purge.
 const FIRST_PURGE_DELAY: Micros = 3_000_000;
@@ -174,9 +174,9 @@
     network: &'a mut Network,
     addresses: &'a [SocketAddr],
     rng: fastrand::Rng,
-    /// Number of control machines; they have the lowest member numbers.
+    /// Number of purge replicas; they have the lowest member numbers.
     replicas: usize,
-    /// The lowest number of a member that [`FaultScenario::MemberLost`] may stop. Control machines and seeds are exempt,
+    /// The lowest number of a member that [`FaultScenario::MemberLost`] may stop. Purge replicas and seeds are exempt,
     /// but at least one member can always be stopped.
     first_stoppable_member: usize,
 }
@@ -311,7 +311,7 @@
         }
     }
 
-    /// Two control machines crash at the same time and restart. Does nothing without control machines.
+    /// Two purge replicas crash at the same time and restart. Does nothing without purge replicas.
     fn add_control_loss(&mut self) {
         let mut replicas: Vec<usize> = (0..self.replicas).collect();
         self.rng.shuffle(&mut replicas);
@@ -321,7 +321,7 @@
         }
     }
 
-    /// Adds purges at a constant rate, published by the control machines round-robin.
+    /// Adds purges at a constant rate, published by the purge replicas round-robin.
     fn add_purges(&mut self, config: &ScaleConfig) {
         if self.replicas == 0 || config.publishes_per_s <= 0.0 {
             return;
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -100,7 +100,7 @@
     assert_ne!(run(1), run(2));
 }
 
-/// A purge run of 200 members and 11 control machines, with enough purges to detect the loss of one in a thousand.
+/// A purge run of 200 members and 11 purge replicas, with enough purges to detect the loss of one in a thousand.
 fn purge_config(event: FaultScenario) -> ScaleConfig {
     ScaleConfig { publishes_per_s: 70.0, seconds: 24.0, event, ..config(Mechanism::Purge) }
 }
