--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -357,16 +357,16 @@
 }
 
 fn member_row(run: &Run, member: usize, phases: &MemberPhases) -> MemberRow {
-    let (ordinary, event) = (&phases[Phase::SteadyState as usize], &phases[Phase::Event as usize]);
+    let (steady_state, event) = (&phases[Phase::SteadyState as usize], &phases[Phase::Event as usize]);
     let per_s = |count: u64, phase: Phase| count as f64 / run.schedule.phase_seconds(phase).max(1e-9);
     MemberRow {
         member,
         zone: run.network.topology().zone(member),
         region: run.network.topology().region(member),
-        packets_per_s: per_s(ordinary.sent_total().packets, Phase::SteadyState),
-        bytes_per_s: per_s(ordinary.sent_total().bytes, Phase::SteadyState),
-        received_bytes_per_s: per_s(ordinary.received.bytes, Phase::SteadyState),
-        cpu_percent: cpu_percent(ordinary.cpu_ns(), run.schedule.phase_seconds(Phase::SteadyState)),
+        packets_per_s: per_s(steady_state.sent_total().packets, Phase::SteadyState),
+        bytes_per_s: per_s(steady_state.sent_total().bytes, Phase::SteadyState),
+        received_bytes_per_s: per_s(steady_state.received.bytes, Phase::SteadyState),
+        cpu_percent: cpu_percent(steady_state.cpu_ns(), run.schedule.phase_seconds(Phase::SteadyState)),
         event_packets_per_s: per_s(event.sent_total().packets, Phase::Event),
         event_bytes_per_s: per_s(event.sent_total().bytes, Phase::Event),
     }
