--- a/testbed/faulty-balancer/main.rs
+++ b/testbed/faulty-balancer/main.rs
@@ -1,5 +1,6 @@
-//! The negative control of the testbed's own tests: a small balancer with the flaw that is the name of its executable file.
-//! The checker has to find each flaw by its effects on sockets alone, and no violation by the one named `sound`.
+//! A small balancer with a deliberate flaw, for the negative controls of the testbed's checker. The name of the executable
+//! file selects the flaw. The checker has to report each flaw by its effects on sockets alone, and no violation if the name
+//! is `sound`.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -17,13 +18,13 @@
 
 /// Time that is reserved for the transit of an answer to the client.
 const ANSWER_MARGIN: Duration = Duration::from_millis(40);
-/// Lateness of an answer of [`Flaw::Late`], relative to the time at which a correct balancer answers at the latest.
+/// Time from the balancer's own deadline, which is [`ANSWER_MARGIN`] before the client's, to an answer of [`Flaw::Late`].
 const LATE_BY: Duration = Duration::from_millis(840);
 /// Time for which [`Flaw::Mute`] holds a request.
 const MUTE_TIME: Duration = Duration::from_secs(60);
 /// Time after which [`Flaw::Drop`] closes the connection of a request.
 const DROP_AFTER: Duration = Duration::from_millis(100);
-/// A flaw that does not affect every request affects one in this number.
+/// [`Flaw::Eager`] and the flaws in answers affect one request in this number.
 const REQUESTS_PER_FLAW: u64 = 20;
 /// Time for which [`Flaw::Herd`] sends everything to one server, in milliseconds.
 const HERD_MS: u64 = 200;
@@ -51,7 +52,7 @@
     Eager,
     /// Ignores the changes of which discovery notifies it.
     Deaf,
-    /// Sends everything to a server that has just started.
+    /// Sends everything to a restarted server.
     Push,
     /// Sends everything to one server at a time.
     Herd,
@@ -66,7 +67,8 @@
 }
 
 impl Flaw {
-    /// The flaw with this file name. `stubborn` has no variant: like [`Flaw::None`], it keeps sending to a silent server.
+    /// The flaw that this file name selects; [`Flaw::None`] for every other name. `stubborn` needs no variant: even without a
+    /// flaw, this balancer keeps sending to a silent server.
     fn named(name: &str) -> Flaw {
         match name {
             "late" => Flaw::Late,
@@ -129,7 +131,7 @@
         let (stream, _) = listener.accept().await?;
         let balancer = Rc::clone(&balancer);
         spawn_local(async move {
-            // An error, as of a client that has disconnected, ends only the task of its connection.
+            // An error, such as a disconnected client, ends only this connection.
             let _ = balancer.serve(stream).await;
         });
     }
@@ -149,6 +151,7 @@
     Ok(())
 }
 
+/// Parses an entry of the endpoint list. Returns the server, and whether it is the origin.
 fn parse_entry(entry: &Value) -> Result<(CacheServer, bool), Error> {
     let text = |name: &str| entry[name].as_str().unwrap_or_default().to_owned();
     let server = CacheServer {
@@ -176,7 +179,8 @@
         Ok(FaultyBalancer { flaw, servers: RefCell::new(servers), origin })
     }
 
-    /// Watches discovery; each line of its answer that is a JSON object is a list or its changes.
+    /// Watches the endpoint list at discovery. Each line of the answer that is a JSON object is a complete list or the
+    /// changes to the list.
     async fn follow_discovery(self: Rc<FaultyBalancer>, discovery: SocketAddr) -> Result<(), Error> {
         let mut stream = BufReader::new(TcpStream::connect(discovery).await?);
         stream.write_all(WATCH_REQUEST).await?;
@@ -225,7 +229,8 @@
         Ok(())
     }
 
-    /// Chooses the server of a key. Each key has a home server; if that is out of service, its keys are spread over all others.
+    /// Chooses the server for a key: the key's home server, unless the flaw selects another one. The keys of a server that is
+    /// out of service are spread over the servers in service.
     fn choose_server(&self, key: u64, request: u64) -> Option<SocketAddr> {
         let servers = self.servers.borrow();
         let count = servers.len() as u64;
@@ -252,7 +257,7 @@
 
     async fn read(&self, line: &str, key: &str) -> Result<String, Error> {
         let id = id_flag(line).ok_or("the request has no id")?;
-        let time = time_limit(line).ok_or("the request has no time")?;
+        let time = time_limit(line).ok_or("the request has no time limit")?;
         let request = u64::from_str_radix(&id, 16)? & 0xffff_ffff_ffff;
         // The testbed's clients send the key's number in addition to its name.
         let key_number = property(line, "q=").ok_or("the request has no key number")?.parse()?;
@@ -271,7 +276,8 @@
         }
     }
 
-    /// The answer of a balancer whose flaw is in its answers; `None` for other flaws.
+    /// Answers an affected request if the flaw is in the answers; `None` for other flaws. [`Flaw::Drop`] returns an error,
+    /// which closes the connection.
     async fn flawed_answer(&self, id: &str, deadline: Instant) -> Result<Option<String>, Error> {
         Ok(match self.flaw {
             Flaw::Late => {
@@ -292,7 +298,8 @@
         })
     }
 
-    /// Makes this number of attempts to a server, and fetches from the origin after a miss.
+    /// Makes `attempts` attempts to a server, and fetches the value from the origin after a miss. [`Flaw::Flood`] sends
+    /// nothing to the server and treats each attempt as a miss.
     async fn answer_read(
         &self,
         line: &str,
@@ -317,7 +324,7 @@
 
     async fn write(&self, line: &str, key: &str) -> Result<String, Error> {
         let id = id_flag(line).ok_or("the request has no id")?;
-        let time = time_limit(line).ok_or("the request has no time")?;
+        let time = time_limit(line).ok_or("the request has no time limit")?;
         let deadline = Instant::now() + time - ANSWER_MARGIN.min(time);
         match timeout_at(deadline, self.send_to_origin("PUT", line, key)).await {
             Ok(Ok(receipt)) => Ok(format!("HD O{id} c{receipt}\r\n")),
--- a/testbed/src/child_reaper/tests.rs
+++ b/testbed/src/child_reaper/tests.rs
@@ -13,7 +13,10 @@
     let text = format!("{registered_pid} {ticks}\n{unrelated_pid} 1\nnonsense\n");
     reap(Cursor::new(text));
     assert!(!registered.wait().unwrap().success());
-    assert!(unrelated.try_wait().unwrap().is_none(), "its start time differs from the registered one");
+    assert!(
+        unrelated.try_wait().unwrap().is_none(),
+        "a process with another start time than the registered one was killed"
+    );
     unrelated.kill().unwrap();
     unrelated.wait().unwrap();
 }
--- a/testbed/src/error.rs
+++ b/testbed/src/error.rs
@@ -97,11 +97,11 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// A process did not become ready.
-    #[error("balancer {balancer} did not come up; its log ends:\n{log_end}")]
+    #[error("balancer {balancer} did not become ready; its log ends:\n{log_end}")]
     ProcessNotReady {
         /// Number of the balancer.
         balancer: usize,
-        /// Last lines of its log.
+        /// Last lines of the process's log.
         log_end: String,
     },
     /// A process could not be started.
@@ -109,7 +109,7 @@
     ProcessStart {
         /// Number of the balancer.
         balancer: usize,
-        /// Path of its log, or of the program.
+        /// Path that could not be opened or executed: the process's log, or the program.
         path: PathBuf,
         /// Error of the operating system.
         source: io::Error,
--- a/testbed/src/peer_relay/tests.rs
+++ b/testbed/src/peer_relay/tests.rs
@@ -59,7 +59,7 @@
         assert_eq!(
             relay_packets(&one_way_cut).await.0.len(),
             0,
-            "a one-way cut applies in the direction from balancer 0"
+            "packets passed a one-way cut in the direction from balancer 0"
         );
     });
 }
--- a/testbed/src/processes.rs
+++ b/testbed/src/processes.rs
@@ -33,7 +33,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Interval at which a process is polled for readiness at the start of the run.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Interval at which a restarted process is polled; its impairment ends in the event log when it is ready.
+/// Interval at which a restarted process is polled for readiness, which ends its impairment in the event log.
 const RESTART_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Timeout of one readiness poll.
 const READY_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
@@ -142,7 +142,7 @@
     pub balancer: usize,
     /// Exit code; `None` if a signal ended the process.
     pub exit_code: Option<i32>,
-    /// Last lines of its log.
+    /// Last lines of the process's log.
     pub log_end: String,
 }
 
--- a/testbed/src/scale/tests.rs
+++ b/testbed/src/scale/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the test bed itself: random choices follow from the seed, and measurements are complete.
+//! Tests of the scale test's own parts: the modelled network, the measurements and the check of the configuration.
 
 use std::net::SocketAddr;
 
@@ -27,7 +27,7 @@
     assert_eq!(packet_delays(&faulty_network(1)), packet_delays(&faulty_network(1)));
     assert_ne!(packet_delays(&faulty_network(1)), packet_delays(&faulty_network(2)));
     let lost = packet_delays(&faulty_network(1)).iter().filter(|delay| delay.is_none()).count();
-    assert!((900..1_100).contains(&lost), "{lost} of 4000 packets lost at a share of 0.25");
+    assert!((900..1_100).contains(&lost), "{lost} of 4000 packets were lost, but about 1000 should be");
 }
 
 #[test]
@@ -112,7 +112,7 @@
         ScaleConfig { seconds: 0.0, ..ScaleConfig::default() },
     ] {
         let Err(TestbedError::Setup(line)) = run_scale_test(config) else {
-            panic!("an invalid configuration was accepted")
+            panic!("an invalid configuration was accepted, or failed only after the run had begun")
         };
         assert!(!line.to_string().contains('\n'));
     }
--- a/testbed/tests/controls.rs
+++ b/testbed/tests/controls.rs
@@ -159,7 +159,7 @@
     );
     let error = run_error("/bin/false");
     assert!(
-        matches!(&error, TestbedError::Aborted(cause) if cause.to_string().contains("did not come up")),
+        matches!(&error, TestbedError::Aborted(cause) if cause.to_string().contains("did not become ready")),
         "{error:?}"
     );
 }
