--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -21,7 +21,8 @@
 /// Maximum number of requests in transit or unanswered on one connection; reading pauses at this limit.
 const MAX_PIPELINED_REQUESTS: usize = 256;
 
-/// Accepts the connections of one listener group's balancers to a server until the task is aborted.
+/// Accepts the connections of one listener group's balancers to a server until the task is aborted. Connections over the
+/// server's limit are reset.
 pub async fn serve(testbed: Rc<Testbed>, server: usize, listener_group: usize, listener: TcpListener) {
     loop {
         let stream = listeners::accept(&listener).await;
@@ -42,7 +43,9 @@
 
 /// A request in transit to the server.
 struct InboundRequest {
+    /// Time of arrival at the server.
     arrives_at: Micros,
+    /// Time at which the first byte of the request was read from the socket.
     first_byte_at: Micros,
     id: u64,
     key: u64,
@@ -51,6 +54,7 @@
 
 /// An answer in transit to the balancer.
 struct OutboundAnswer {
+    /// Time at which the answer is written to the connection, its transit time included.
     leaves_at: Micros,
     line: Vec<u8>,
     /// Index of the attempt in the event log; `None` if the answer belongs to no attempt.
@@ -275,7 +279,7 @@
             return;
         }
         let (response, load) = self.ask_model(request, now);
-        // Writes belong to the origin; a cache server always fails them.
+        // Only the origin executes writes; a cache server answers each write as failed.
         let answer = if request.write { Answer::Failed } else { response.answer };
         if let Answer::Miss { .. } = answer {
             self.testbed.on_miss(request.id, self.server, response.in_slow_start);
@@ -310,7 +314,8 @@
     }
 }
 
-/// The id of a request and the key's number, a property that the testbed's clients send; `None` if either is missing.
+/// The id of a request and the key's number, a property that the testbed's clients send; `None` if either is missing
+/// or malformed.
 fn id_and_key(id: &Bytes, properties: &[(Bytes, Bytes)]) -> Option<(u64, u64)> {
     let id = u64::from_str_radix(std::str::from_utf8(id).ok()?, 16).ok()?;
     let (_, key) = properties.iter().find(|(name, _)| name.as_ref() == b"q")?;
--- a/testbed/src/child_reaper.rs
+++ b/testbed/src/child_reaper.rs
@@ -1,8 +1,8 @@
 //! The child reaper: a separate process that kills the processes of a testbed after the testbed itself was killed.
 //!
-//! Handles that kill their process when they are dropped do so at every end of the testbed but SIGKILL. The reaper reads
-//! the process ids of the testbed's processes from a pipe. When the pipe closes it kills those that still run; their start
-//! time tells them from later processes with the same id.
+//! A handle kills its process when it is dropped, which happens at every end of the testbed except SIGKILL. The reaper reads
+//! the ids and start times of the testbed's processes from a pipe. When the pipe closes, it kills the processes that still
+//! run; the start time distinguishes each from a later process with the same id.
 
 #[cfg(test)]
 mod tests;
--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -19,15 +19,15 @@
 use crate::client_protocol::{read_answer, ParsedAnswer, WireRequest};
 use crate::testbed::{request_id, Testbed};
 
-/// Time after its deadline for which an answer is still awaited, to tell a late answer from a missing one.
+/// Time after a request's deadline for which the answer is still awaited, to tell a late answer from a missing one.
 const LATE_ANSWER_WAIT: Micros = 1_000_000;
-/// A pooled connection that ends within this time after a request was written counts as closed before the request.
+/// A connection that ends within this time after a request was written counts as closed before it accepted the request.
 const CROSSED_CLOSE_TIME: Micros = 20_000;
 /// Minimum time left before the deadline for a client's retry.
 const MIN_RETRY_TIME: Micros = 50_000;
-/// Minimum time that a request states.
+/// Minimum time limit that a request states.
 const MIN_REQUEST_TIME: Micros = 1_000;
-/// Minimum share of the class's deadline that a client waits; a client with a lower share is impatient.
+/// Minimum share of the class's deadline that a patient client waits; a client with a lower share is impatient.
 const MIN_PATIENT_SHARE: f64 = 0.5;
 /// Timeout of a client's connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -61,7 +61,7 @@
     planned_at: Micros,
     /// Time for which the client waits, as the request states it.
     time: Micros,
-    /// Time after which an impatient client disconnects.
+    /// Time from the sending after which an impatient client disconnects; `None` for other clients.
     leaves_after: Option<Micros>,
 }
 
@@ -75,7 +75,9 @@
 /// How a request ended.
 struct RequestEnd {
     result: RequestResult,
+    /// Time of the end; `None` if the client stopped waiting.
     at: Option<Micros>,
+    /// Number of lines received after the answer.
     extra_lines: u32,
     /// Time after which a rejected client may retry.
     retry_after: Micros,
--- a/testbed/src/discovery.rs
+++ b/testbed/src/discovery.rs
@@ -132,7 +132,8 @@
         }
     }
 
-    /// The first line of an answer and its generation: the changes after `since`, or the complete list.
+    /// The first line of an answer and its generation: the changes after `since`, or the complete list if `since` is `None` or
+    /// higher than the visible generation.
     fn first_line(&self, since: Option<u64>) -> (String, u64) {
         let (generation, _) = self.testbed.visible_generation(self.balancer);
         if let Some(since) = since.filter(|since| *since <= generation) {
@@ -208,7 +209,8 @@
     response
 }
 
-/// Encodes a list or its changes as JSON, the form of discovery's answers and of `known` in a process's configuration.
+/// Encodes the complete endpoint list (`reset`) or changes to it as JSON, the form of discovery's answers and of `known` in
+/// a process's configuration.
 pub fn list_json(
     testbed: &Testbed,
     generation: u64,
--- a/testbed/src/experiment_run.rs
+++ b/testbed/src/experiment_run.rs
@@ -36,9 +36,9 @@
 const PROGRESS_INTERVAL: Micros = 250_000;
 /// Interval at which the number of requests in flight is polled after the load.
 const IN_FLIGHT_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Maximum number of these polls; requests that are in flight after the last one stay without an end.
+/// Maximum number of these polls; requests in flight after the last poll have no end in the event log.
 const MAX_IN_FLIGHT_POLLS: usize = 60;
-/// Requests planned within this time before a run was stopped may still have been in flight, in seconds.
+/// Time before the stop of a run, in seconds; requests planned within it may still have been in flight.
 const UNFINISHED_TIME_S: f64 = 4.0;
 
 /// Options of a run.
@@ -162,7 +162,7 @@
 }
 
 impl ExperimentRun {
-    /// Starts the load and the tasks that observe the run.
+    /// Starts the load and the tasks that observe the run. The origin has unlimited capacity until the measurement starts.
     fn begin_load(platform: Platform, relay: Option<Rc<PeerRelay>>, steps: Vec<Step>) -> ExperimentRun {
         let testbed = Rc::clone(&platform.testbed);
         let experiment = &testbed.experiment;
@@ -229,7 +229,7 @@
         self.testbed.origin.borrow_mut().has_unlimited_capacity = false;
     }
 
-    /// Time of the start of the measurement or, after it, of the next fault.
+    /// Start of the measurement; once measuring, the time of the next change by a fault, or the end of the measurement.
     fn next_event(&mut self) -> Micros {
         if !self.is_measuring {
             return self.measured_from;
--- a/testbed/src/operator_file.rs
+++ b/testbed/src/operator_file.rs
@@ -14,11 +14,11 @@
 use crate::SetupError;
 
 /// Default for the maximum difference in the duration of sends, in milliseconds. This default and those below are the
-/// daemon's own.
+/// program's own.
 const DEFAULT_SPREAD_MS: f64 = 50.0;
 /// Default for the number of retries per first attempt.
 const DEFAULT_RETRY_SHARE: f64 = 0.4;
-/// Default for the retries that a balancer may save up.
+/// Default for the number of unused retries that a balancer may save.
 const DEFAULT_SAVED_RETRIES: f64 = 10.0;
 /// Default for the time for which a fault report is effective, in milliseconds.
 const DEFAULT_EXPIRY_MS: f64 = 6_000.0;
@@ -46,7 +46,7 @@
         Ok(Some(OperatorFile { table }))
     }
 
-    /// The bounds that the program states for this file; a missing value has the daemon's default.
+    /// The bounds that the program states for this file; a missing value has the program's default.
     pub fn stated_bounds(&self, experiment: &Experiment) -> StatedBounds {
         let spread_ms = self.number(&["limits", "spread_ms"]).unwrap_or(DEFAULT_SPREAD_MS);
         StatedBounds {
@@ -97,13 +97,14 @@
         value.as_float().or(value.as_integer().map(|integer| integer as f64))
     }
 
-    /// The limit `origin` in fetches and writes per second: that of the file, or the origin's capacity.
+    /// The rate limit `origin`, in fetches and writes per second: the file's value, or the origin's capacity if the file sets
+    /// none.
     fn origin_limit(&self, experiment: &Experiment) -> f64 {
         let given = self.value_at(&["limits", "origin", "per_s"]).and_then(Value::as_integer);
         given.map_or(experiment.origin.capacity.floor(), |per_s| per_s as f64)
     }
 
-    /// The copy for the process with this number. Sets the process's real address in the relay.
+    /// Builds the copy for the process with this number, and sets the process's real address in the relay.
     pub fn copy_for(
         &self,
         experiment: &Experiment,
@@ -130,7 +131,8 @@
     }
 }
 
-/// A loopback address of its own for each process, at the port of the process's relay socket, which no other run uses.
+/// The address at which a process listens for its peers: a loopback IP address that only this process uses, and the port of
+/// the process's relay socket, which no other run uses.
 fn listen_address(number: usize, port: u16) -> SocketAddr {
     let run = std::process::id() as u8 % 250 + 1;
     let ip = Ipv4Addr::new(127, run, (number >> 8) as u8, number as u8);
--- a/testbed/src/peer_relay.rs
+++ b/testbed/src/peer_relay.rs
@@ -1,7 +1,7 @@
 //! A UDP relay for the packets between balancers, which applies the faults of their links.
 //!
-//! The relay has one socket for each balancer, and its address is the one that the balancer's peers know. A packet to a
-//! balancer arrives at that balancer's socket. The relay forwards the packet from the sender's socket, so that the
+//! The relay has one socket for each balancer. Peers know the balancer by the address of this socket, so that packets to the
+//! balancer arrive there. The relay forwards the packet from the sender's socket, so that the
 //! receiver sees the address by which it knows the sender. The faults are cuts, losses, delays, repeats, reordering and
 //! corruption.
 
@@ -43,7 +43,7 @@
     testbed: Rc<Testbed>,
     /// The relay's socket for each balancer.
     sockets: Vec<Rc<UdpSocket>>,
-    /// The real address of each balancer.
+    /// The real address of each balancer, at which it listens for its peers; `None` until it is set.
     real_addresses: RefCell<Vec<Option<SocketAddr>>>,
     /// The balancer at each real address.
     balancers: RefCell<HashMap<SocketAddr, usize>>,
--- a/testbed/src/scale/calibration.rs
+++ b/testbed/src/scale/calibration.rs
@@ -1,4 +1,4 @@
-//! An endpoint without control code, to measure the overhead of the test bed. It sends packets at the rate and of the mean
+//! An endpoint without control code, to measure the overhead of the testbed. It sends packets at the rate and of the mean
 //! length of the run to be calibrated, to random members, and ignores received packets.
 
 use std::net::SocketAddr;
--- a/testbed/src/scale/cluster_endpoint.rs
+++ b/testbed/src/scale/cluster_endpoint.rs
@@ -87,7 +87,7 @@
 }
 
 impl ClusterEndpoint {
-    /// Creates a member that starts now, in a fleet of `members`.
+    /// Creates a member that starts now, in a fleet with this number of members and zones.
     pub fn new(
         identity: ClusterMemberIdentity,
         members: usize,
--- a/testbed/src/scale/config.rs
+++ b/testbed/src/scale/config.rs
@@ -13,7 +13,7 @@
     Cluster,
     /// Fleet-wide purges, with purge replicas in addition to the members.
     Purge,
-    /// No control code, to measure the overhead of the test bed.
+    /// No control code, to measure the overhead of the testbed.
     Calibration,
 }
 
@@ -36,7 +36,7 @@
     ControlLoss,
 }
 
-/// A defect that the test bed injects, to show that the checks detect it.
+/// A defect that the testbed injects, to show that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedDefect {
     /// Each member also sends a packet to every other member once a second.
--- a/testbed/src/scale/endpoint.rs
+++ b/testbed/src/scale/endpoint.rs
@@ -23,7 +23,7 @@
     FailureDetector,
     /// Purges, their acknowledgements, and registrations of members.
     Purge,
-    /// Calibration traffic of the test bed.
+    /// Calibration traffic of the testbed.
     Calibration,
     /// Not decodable as any of the above.
     Unknown,
@@ -59,7 +59,7 @@
     }
 }
 
-/// A condition on a member's state. The test bed checks it periodically to measure how fast a change propagates.
+/// A condition on a member's state. The testbed checks it periodically to measure how fast a change propagates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StateQuery {
     /// The member considers the member at this address alive.
@@ -101,7 +101,7 @@
     fn on_tick(&mut self, now: Micros);
     /// Takes the packets to send.
     fn drain_datagrams(&mut self) -> Vec<Datagram>;
-    /// Publishes the purge with this number. Only purge replicas do.
+    /// Publishes the purge with this number at a purge replica; has no effect on a member.
     fn publish_purge(&mut self, _now: Micros, _number: u32) {}
     /// Takes the events since the last call.
     fn drain_events(&mut self, _now: Micros) -> Vec<EndpointEvent> {
--- a/testbed/src/scale/meter.rs
+++ b/testbed/src/scale/meter.rs
@@ -81,7 +81,7 @@
 /// The counts of one member by phase.
 pub type MemberPhases = [MemberCounts; Phase::COUNT];
 
-/// Histogram of the lateness of the test bed's timers.
+/// Histogram of the lateness of the testbed's timers.
 #[derive(Clone, Debug)]
 pub struct Lateness {
     buckets: Vec<u64>,
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -1,7 +1,7 @@
 //! Scale tests: the control code of many members in one process, over real UDP sockets on loopback or in simulated time.
 //!
 //! Each member runs the real control code with synthetic traffic in place of client connections. Packets between members
-//! pass a modelled network, whose delays by zone and region, packet loss and partitions follow from the seed. The test bed
+//! pass a modelled network, whose delays by zone and region, packet loss and partitions follow from the seed. The testbed
 //! measures the members' traffic and processor time itself and does not rely on their own counters.
 //! `docs/design/scale.md` describes what a scale test can show and what it cannot.
 
--- a/testbed/src/scale/network.rs
+++ b/testbed/src/scale/network.rs
@@ -1,7 +1,7 @@
 //! The modelled network between members: delays, packet loss and partitions.
 //!
-//! The fate of a packet is a pure function of the seed, the time, the two members and the sender's packet count. The sender
-//! evaluates it, so that no relay process is needed between two members.
+//! The delay or loss of a packet is a pure function of the seed, the time, the two members and the sender's packet count.
+//! The sender evaluates the function, so that no relay process is needed between two members.
 
 use std::ops::Range;
 
--- a/testbed/src/scale/purge_check.rs
+++ b/testbed/src/scale/purge_check.rs
@@ -108,7 +108,8 @@
         self.started <= at && self.stopped.is_none_or(|stopped| at < stopped)
     }
 
-    /// Time from which this incarnation cannot hold a value older than the purge, which was published at `published`.
+    /// Time from which this incarnation cannot hold a value older than the purge, which was published at `published`;
+    /// `None` if there is no such time.
     fn effective_at(&self, number: u32, published: Micros) -> Option<Micros> {
         if self.started >= published {
             return Some(self.started);
@@ -202,7 +203,7 @@
     }
 }
 
-/// Evaluates the events of a run, in any order.
+/// Evaluates the events of a run, which may be in any order.
 pub fn evaluate(run: &Run, mut events: Vec<MemberEvent>) -> PurgeSummary {
     events.sort_by_key(|event| event.at);
     let history = PurgeHistory::new(&events);
--- a/testbed/src/scale/purge_endpoint.rs
+++ b/testbed/src/scale/purge_endpoint.rs
@@ -26,7 +26,7 @@
 /// A purge replica that publishes purges on command.
 pub struct PurgeReplicaEndpoint {
     replica: Replica,
-    /// The published purges that are not completed yet, in order of publication.
+    /// Number and id of each published purge that is not completed yet, in order of publication.
     uncompleted: VecDeque<(u32, PurgeId)>,
     events: Vec<EndpointEvent>,
 }
@@ -135,7 +135,7 @@
         PurgeMemberEndpoint { member, drops_purges: identity.drops_purges, last_served: None }
     }
 
-    /// The number of a purge by its key, or `None` if the injected defect drops it.
+    /// The number of the purge of this key; `None` if the key has another form or the injected defect drops the purge.
     fn purge_number(&self, key: &[u8]) -> Option<u32> {
         let number = std::str::from_utf8(key).ok()?.strip_prefix(KEY_PREFIX)?.parse().ok()?;
         let dropped = self.drops_purges && number % DROP_DIVISOR == DROP_REMAINDER;
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -14,7 +14,7 @@
 use super::sockets::SocketRun;
 use super::Micros;
 
-/// Maximum lateness of the test bed's timers at the 99th percentile, in milliseconds. A run that exceeds it is invalid.
+/// Maximum lateness of the testbed's timers at the 99th percentile, in milliseconds. A run that exceeds it is invalid.
 pub const MAX_TIMER_LATENESS_MS: f64 = 20.0;
 /// Length of the IPv4 and UDP headers of a packet, in bytes.
 const IP_UDP_HEADER_BYTES: f64 = 28.0;
@@ -53,7 +53,7 @@
     pub us_per_datagram: f64,
     /// Processor time per tick, in microseconds.
     pub us_per_tick: f64,
-    /// Processor time of the test bed per member, including sockets, in percent of a core; 0 in simulated time.
+    /// Processor time of the testbed per member, including sockets, in percent of a core; 0 in simulated time.
     pub test_bed_cpu_percent: f64,
 }
 
@@ -75,9 +75,9 @@
     pub checked_s: f64,
     /// Milliseconds until half the observers had learned of the change; `None` if fewer did.
     pub p50_ms: Option<f64>,
-    /// Milliseconds until 99% of the observers had; `None` if fewer did.
+    /// Milliseconds until 99% of the observers had learned of the change; `None` if fewer did.
     pub p99_ms: Option<f64>,
-    /// Milliseconds until all observers had; `None` if fewer did.
+    /// Milliseconds until all observers had learned of the change; `None` if fewer did.
     pub all_ms: Option<f64>,
 }
 
@@ -113,7 +113,8 @@
     pub seed: u64,
     /// Whether time was simulated.
     pub virtual_time: bool,
-    /// Lateness of the test bed's timers at the 99th percentile, in milliseconds; over [`MAX_TIMER_LATENESS_MS`] the run is invalid.
+    /// Lateness of the testbed's timers at the 99th percentile, in milliseconds; over [`MAX_TIMER_LATENESS_MS`] the run is
+    /// invalid.
     pub lag_p99_ms: f64,
     /// Resident memory that the run added to the process, per member, in bytes.
     pub memory_per_member: f64,
@@ -137,12 +138,12 @@
     pub known: KnownMembers,
     /// Number of packets to addresses of no member.
     pub unroutable: u64,
-    /// Number of packets whose send failed, as with a full socket buffer.
+    /// Number of packets whose send failed, for example because the socket buffer was full.
     pub not_sent: u64,
 }
 
 impl Summary {
-    /// Whether the test bed's timers were on time, so that the run is valid.
+    /// Whether the testbed's timers were on time, so that the run is valid.
     pub fn is_valid(&self) -> bool {
         self.lag_p99_ms <= MAX_TIMER_LATENESS_MS
     }
--- a/testbed/src/scale/run.rs
+++ b/testbed/src/scale/run.rs
@@ -48,8 +48,8 @@
         self.members_by_address.get(&address).copied()
     }
 
-    /// Creates the control code of a member that starts now. The start time is its incarnation, so that a later start has a
-    /// greater one.
+    /// Creates the control code of a member that starts now. The start time is the member's incarnation, so that a later
+    /// start has a greater one.
     pub fn create_endpoint(&self, member: usize, now: Micros) -> Box<dyn Endpoint> {
         let config = &self.config;
         let seed = config.seed ^ (member as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ now;
--- a/testbed/src/scale/schedule.rs
+++ b/testbed/src/scale/schedule.rs
@@ -23,9 +23,9 @@
 const LOST_PACKET_SHARE: f64 = 0.01;
 /// Share of members that restart in [`FaultScenario::RestartWave`].
 const RESTARTED_MEMBER_SHARE: f64 = 0.4;
-/// Time within which these members stop.
+/// Time within which the members of a restart wave stop.
 const RESTART_WAVE_DURATION: Micros = 5_000_000;
-/// Time from the stop of each of these members to its start.
+/// Time from the stop of a member of a restart wave to its start.
 const RESTART_DOWNTIME: Micros = 1_000_000;
 /// Number of seed members, which every member contacts first.
 pub const SEED_MEMBER_COUNT: usize = 3;
@@ -33,7 +33,7 @@
 const KILLED_REPLICA_COUNT: usize = 2;
 /// Time from the start of the run to the first purge.
 const FIRST_PURGE_DELAY: Micros = 3_000_000;
-/// Number of members whose state the others are checked for when a fault affects many members.
+/// Number of affected members that the expectations are about when a fault affects many members.
 const SAMPLED_MEMBER_COUNT: usize = 3;
 
 /// The kind of an [`Action`].
@@ -103,7 +103,7 @@
     pub actions: Vec<Action>,
     /// The changes that members are expected to learn of.
     pub expectations: Vec<Expectation>,
-    /// Cache servers that stop answering, and for which period.
+    /// Each cache server that stops answering, with the period.
     pub silent_servers: Vec<(u64, Range<Micros>)>,
 }
 
--- a/testbed/src/scale/shard.rs
+++ b/testbed/src/scale/shard.rs
@@ -51,7 +51,7 @@
 pub struct Observations {
     /// Traffic and processor time by member.
     pub counts: Vec<(usize, MemberPhases)>,
-    /// The satisfied expectations by member.
+    /// The expectations that members have satisfied.
     pub satisfied: Vec<SatisfiedExpectation>,
     /// The members' events.
     pub events: Vec<MemberEvent>,
@@ -61,8 +61,10 @@
     pub unroutable: u64,
 }
 
+/// A member with its measurements.
 struct MemberSlot {
     member: usize,
+    /// The member's control code; `None` while the member is not running.
     endpoint: Option<Box<dyn Endpoint>>,
     counts: MemberPhases,
     /// Number of packets sent, an input to the network's random choices.
--- a/testbed/src/scale/sockets.rs
+++ b/testbed/src/scale/sockets.rs
@@ -34,13 +34,13 @@
 pub struct SocketRun {
     /// The observations of each shard.
     pub observations: Vec<Observations>,
-    /// Lateness of the test bed's timers after the warm-up.
+    /// Lateness of the testbed's timers after the warm-up.
     pub lateness: Lateness,
-    /// Processor time of all worker threads by phase, in nanoseconds, the test bed's own share included.
+    /// Processor time of all worker threads by phase, in nanoseconds, the testbed's own share included.
     pub cpu_ns: [u64; Phase::COUNT],
     /// Resident memory before the members started and shortly before the end, in bytes.
     pub memory: (u64, u64),
-    /// Number of packets whose send failed, as with a full socket buffer.
+    /// Number of packets whose send failed, for example because the socket buffer was full.
     pub not_sent: u64,
 }
 
@@ -103,10 +103,12 @@
     }
 }
 
-/// A timer of a worker: a member's tick, or an action of the schedule.
+/// A timer of a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum TimerKind {
+    /// The action with this index in the schedule.
     Action(usize),
+    /// The tick of this member.
     Tick(usize),
 }
 
--- a/testbed/src/scale/virtual_time.rs
+++ b/testbed/src/scale/virtual_time.rs
@@ -23,8 +23,11 @@
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EventKind {
+    /// The action with this index in the schedule.
     Action(usize),
+    /// The tick of this member.
     Tick(usize),
+    /// The arrival of a packet.
     Arrival(InFlightPacket),
 }
 
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -1,4 +1,5 @@
-//! Synthetic traffic: calls a member's control code as client requests and cache servers would, without either.
+//! Synthetic traffic: calls a member's control code as for requests of clients and responses of cache servers, without real
+//! clients or servers.
 
 use std::collections::VecDeque;
 use std::ops::Range;
@@ -32,7 +33,7 @@
     pub requests_per_s: f64,
     /// Number of cache servers.
     pub servers: usize,
-    /// Cache servers that stop answering, and for which period.
+    /// Each cache server that stops answering, with the period.
     pub silent_servers: Vec<(u64, Range<Micros>)>,
 }
 
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Generates a request: an attempt at a cache server unless it is avoided, and for a miss a fetch from the origin.
+    /// Generates a request: an attempt at a cache server unless the server is avoided, and for a miss a fetch from the origin.
     fn generate_request(&mut self, cluster: &mut Cluster, now: Micros) {
         if let Some(retries) = cluster.retry_budget() {
             retries.on_first_attempt();
--- a/testbed/src/self_reports.rs
+++ b/testbed/src/self_reports.rs
@@ -1,5 +1,6 @@
-//! Polls the state that each process reports at its address for operators, once a second: the part of a limit that it has
-//! reserved, the number of members that it considers alive, the number of servers that it avoids. The reports are used for
+//! Polls the state that each process reports at its address for operators, once a second: the reserved and the used part of
+//! the limit `origin`, the number of members that the process considers alive, the number of servers that it avoids, and the
+//! age of the oldest failure report that it has acted on. The reports are used for
 //! charts and for state that cannot be observed from outside the process.
 
 use std::cell::RefCell;
@@ -59,6 +60,7 @@
     }
 }
 
+/// Requests a process's metrics at its address for operators; `None` if the connection fails.
 async fn dump(address: SocketAddr) -> Option<String> {
     let mut stream = TcpStream::connect(address).await.ok()?;
     stream.write_all(b"DUMP\n").await.ok()?;
--- a/testbed/src/soak/check.rs
+++ b/testbed/src/soak/check.rs
@@ -1,4 +1,4 @@
-//! Checks a run of the soak: the four rules, and the exits of the processes that were signalled to end.
+//! Checks a run of the soak: the checker's four rules, and the exits of the processes that were signalled to end.
 
 #[cfg(test)]
 mod tests;
@@ -25,7 +25,7 @@
         balancer: usize,
         /// Exit code; `None` if a signal ended the process.
         exit_code: Option<i32>,
-        /// Last lines of its log.
+        /// Last lines of the process's log.
         log_end: String,
     },
     /// A process exited unexpectedly.
--- a/testbed/src/soak/check/tests.rs
+++ b/testbed/src/soak/check/tests.rs
@@ -40,6 +40,7 @@
     }
 }
 
+/// A plan with a crowd at balancer 0, or without one.
 fn plan(is_crowded: bool) -> SoakPlan {
     let plan = |seed| SoakPlan::draw(seed, DeadlineProfile::Long, "program");
     let mut plans = (0..).map(plan);
--- a/testbed/src/soak/clients.rs
+++ b/testbed/src/soak/clients.rs
@@ -37,7 +37,7 @@
 const SPLIT_PAUSE_MS: std::ops::Range<u64> = 1..120;
 /// Share of batches whose last request is split into two writes.
 const SPLIT_SHARE: f64 = 0.3;
-/// Time after its deadline for which an answer is still awaited, to tell a late answer from a missing one.
+/// Time after a request's deadline for which the answer is still awaited, to tell a late answer from a missing one.
 const LATE_ANSWER_WAIT: Duration = Duration::from_secs(1);
 /// Pause before another connection is opened.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
--- a/testbed/src/soak/plan.rs
+++ b/testbed/src/soak/plan.rs
@@ -18,7 +18,7 @@
 
 /// Maximum deadline that the protocol takes into account for the time between SIGTERM and SIGKILL.
 const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
-/// Time between SIGTERM and SIGKILL in addition to that deadline, as in the protocol.
+/// Time between SIGTERM and SIGKILL in addition to the longest deadline, as in the protocol.
 const TIME_AFTER_LONGEST_DEADLINE: Micros = 700_000;
 /// Time after SIGTERM for which clients still open connections: the protocol's maximum.
 const CONNECT_TIME_AFTER_SIGTERM: Micros = 400_000;
@@ -74,7 +74,7 @@
 /// A crowd of connections without a complete request.
 #[derive(Clone, Copy, Debug)]
 pub struct Crowd {
-    /// Number of the balancer to which they connect.
+    /// Number of the balancer to which the crowd connects.
     pub balancer: usize,
     /// Number of connections that send nothing.
     pub silent: usize,
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Adds a stall that is over well before the process has to have ended.
+    /// Adds, with the probability [`STALL_SHARE`], a stall that ends well before the process is killed.
     fn add_stall(&mut self, termination: Termination, rng: &mut SeededRng) {
         if !rng.random_bool(STALL_SHARE) {
             return;
--- a/testbed/src/soak/run.rs
+++ b/testbed/src/soak/run.rs
@@ -74,9 +74,10 @@
     testbed: Rc<Testbed>,
     platform: Platform,
     load_began_at: Micros,
-    /// Original texts of the configurations that are malformed now, with the balancer's number.
+    /// Balancer number and original text of each configuration that is malformed now.
     original_configs: Vec<(usize, String)>,
     clients: Vec<JoinHandle<()>>,
+    /// Tasks that are aborted at the end: the observation of stalls, the stalls of processes, and the crowd.
     watchers: Vec<JoinHandle<()>>,
 }
 
--- a/testbed/src/testbed.rs
+++ b/testbed/src/testbed.rs
@@ -24,9 +24,9 @@
 
 /// Delay of the kernel's first TCP retransmission; it doubles with each further loss in a row.
 const FIRST_RETRANSMISSION_DELAY: Micros = 200_000;
-/// Total delay of retransmissions from which on no further loss in a row is drawn, as TCP gives up after some losses.
+/// Total retransmission delay at which no further consecutive loss is drawn, as TCP also limits its retransmissions.
 const MAX_RETRANSMISSION_DELAY: Micros = 12 * FIRST_RETRANSMISSION_DELAY;
-/// Misses that are kept for each request until the origin answers; a request has three attempts.
+/// Maximum number of misses kept for each request until the origin answers; a request has three attempts.
 const MAX_MISSES_PER_REQUEST: usize = 3;
 /// Maximum number of bytes that one corruption changes.
 const CORRUPTED_BYTES: usize = 3;
@@ -34,7 +34,7 @@
 /// A cache miss of a server for a request.
 struct Miss {
     server: usize,
-    /// Incarnation of its machine at the miss.
+    /// Incarnation of the server's machine at the time of the miss.
     incarnation: u32,
     in_slow_start: bool,
 }
@@ -43,6 +43,7 @@
 pub struct TimedEndpointList {
     /// The endpoint list.
     pub list: EndpointList,
+    /// Time of each change in order; 0 for the initial entries.
     changed_at: Vec<Micros>,
 }
 
@@ -151,7 +152,8 @@
         self.links.borrow().state(from, to)
     }
 
-    /// Draws the transit time of data sent over a link now: the latency between the zones plus that of the link's faults.
+    /// Draws the transit time of data sent over a link now: the latency between the zones plus the
+    /// delay by the link's faults.
     pub fn draw_transit_time(&self, from: LinkEnd, to: LinkEnd, state: &LinkState) -> Micros {
         let net = &self.experiment.net;
         let is_same_zone = self.zone_of(from) == self.zone_of(to);
@@ -248,7 +250,8 @@
         endpoints.changed_at.push(now);
     }
 
-    /// The newest generation of the endpoint list that is visible to this balancer now, and when the next one will be.
+    /// The newest generation of the endpoint list that is visible to this balancer now, and the time at which the next one
+    /// becomes visible, if there is a next one.
     pub fn visible_generation(&self, balancer: usize) -> (u64, Option<Micros>) {
         let notice = micros_from_seconds(self.experiment.discovery.notice_s);
         let delay = notice + self.notice_delays.borrow()[balancer];
@@ -289,7 +292,7 @@
     TimedEndpointList { changed_at: vec![0; endpoints.len()], list: EndpointList::new(endpoints) }
 }
 
-/// Draws the delay by TCP retransmissions on a link that loses this share of packets.
+/// Draws the delay that TCP retransmissions cause on a link that loses this share of packets.
 fn draw_retransmission_delay(lost_share: f64, rng: &mut SeededRng) -> Micros {
     let mut delay = 0;
     let mut retransmission_delay = FIRST_RETRANSMISSION_DELAY;
@@ -300,7 +303,7 @@
     delay
 }
 
-/// The id of a server after this number of replacements; the highest server number is that of the origin.
+/// The id of a server after this number of replacements; the highest server number belongs to the origin.
 pub fn server_id(seed: u64, server_number: usize, replacement: u32) -> String {
     let number = seed.wrapping_mul(1_000_003) ^ ((server_number as u64) << 16) ^ u64::from(replacement);
     format!("s-{:08x}", mix_bits(number) as u32)
