--- a/testbed/faulty-balancer/main.rs
+++ b/testbed/faulty-balancer/main.rs
@@ -25,7 +25,7 @@
 /// Time after which [`Flaw::Drop`] closes the connection of a request.
 const DROP_AFTER: Duration = Duration::from_millis(100);
 /// [`Flaw::Eager`] and the flaws in answers affect one request in this number.
-const REQUESTS_PER_FLAW: u64 = 20;
+const REQUESTS_PER_AFFECTED_REQUEST: u64 = 20;
 /// Time for which [`Flaw::Herd`] sends everything to one server, in milliseconds.
 const HERD_MS: u64 = 200;
 /// Number of attempts of [`Flaw::Eager`] for an affected request.
@@ -231,45 +231,46 @@
 
     /// Chooses the server for a key: the key's home server, unless the flaw selects another one. The keys of a server that is
     /// out of service are spread over the servers in service.
-    fn choose_server(&self, key: u64, request: u64) -> Option<SocketAddr> {
+    fn choose_server(&self, key_number: u64, request_number: u64) -> Option<SocketAddr> {
         let servers = self.servers.borrow();
         let count = servers.len() as u64;
-        let home = key % count.max(1);
-        let place = match self.flaw {
+        let home = key_number % count.max(1);
+        let index = match self.flaw {
             // All balancers choose the same server and change it every fifth of a second, by the clock that they share.
             Flaw::Herd => {
                 let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).ok()?;
                 now.as_millis() as u64 / HERD_MS % count.max(1)
             }
-            Flaw::Favour if request.is_multiple_of(2) => 0,
+            Flaw::Favour if request_number.is_multiple_of(2) => 0,
             Flaw::Shun if home == 1 => 2,
             Flaw::Push => {
                 let restarted = servers.iter().position(|server| server.has_restarted);
-                restarted.map_or(home, |place| place as u64)
+                restarted.map_or(home, |index| index as u64)
             }
             _ => home,
         };
         let in_service: Vec<&CacheServer> = servers.iter().filter(|server| server.in_service).collect();
-        let other = || in_service.get((key / count.max(1)) as usize % in_service.len().max(1)).copied();
-        let server = servers.get(place as usize).filter(|server| server.in_service);
+        let other =
+            || in_service.get((key_number / count.max(1)) as usize % in_service.len().max(1)).copied();
+        let server = servers.get(index as usize).filter(|server| server.in_service);
         server.or_else(other).map(|server| server.address)
     }
 
     async fn read(&self, line: &str, key: &str) -> Result<String, Error> {
         let id = id_flag(line).ok_or("the request has no id")?;
         let time = time_limit(line).ok_or("the request has no time limit")?;
-        let request = u64::from_str_radix(&id, 16)? & 0xffff_ffff_ffff;
+        let request_number = u64::from_str_radix(&id, 16)? & 0xffff_ffff_ffff;
         // The testbed's clients send the key's number in addition to its name.
         let key_number = property(line, "q=").ok_or("the request has no key number")?.parse()?;
         let deadline = Instant::now() + time - ANSWER_MARGIN.min(time);
-        let has_flaw = request.is_multiple_of(REQUESTS_PER_FLAW);
-        if has_flaw {
+        let is_affected = request_number.is_multiple_of(REQUESTS_PER_AFFECTED_REQUEST);
+        if is_affected {
             if let Some(answer) = self.flawed_answer(&id, deadline).await? {
                 return Ok(answer);
             }
         }
-        let attempts = if self.flaw == Flaw::Eager && has_flaw { TOO_MANY_ATTEMPTS } else { 1 };
-        let answer = self.answer_read(line, key, &id, key_number, request, attempts);
+        let attempts = if self.flaw == Flaw::Eager && is_affected { TOO_MANY_ATTEMPTS } else { 1 };
+        let answer = self.answer_read(line, key, &id, key_number, request_number, attempts);
         match timeout_at(deadline, answer).await {
             Ok(Ok(answer)) if answer.starts_with("VA") => Ok(answer),
             _ => Ok("SERVER_ERROR busy 300\r\n".into()),
@@ -306,12 +307,12 @@
         key: &str,
         id: &str,
         key_number: u64,
-        request: u64,
+        request_number: u64,
         attempts: usize,
     ) -> Result<String, Error> {
         let mut answer = String::new();
         for _ in 0..attempts {
-            let address = self.choose_server(key_number, request).ok_or("no server is in service")?;
+            let address = self.choose_server(key_number, request_number).ok_or("no server is in service")?;
             answer =
                 if self.flaw == Flaw::Flood { "EN".into() } else { send_to_server(address, line).await? };
         }
