--- a/testbed/src/scale/calibration.rs
+++ b/testbed/src/scale/calibration.rs
@@ -24,7 +24,7 @@
     traffic: CalibrationTraffic,
     peers: Rc<[SocketAddr]>,
     rng: fastrand::Rng,
-    last: Micros,
+    last_tick: Micros,
     out: Vec<Datagram>,
 }
 
@@ -32,7 +32,7 @@
     /// Creates a member that sends this traffic to these peers.
     pub fn new(traffic: CalibrationTraffic, peers: Rc<[SocketAddr]>, seed: u64, now: Micros) -> Self {
         let rng = fastrand::Rng::with_seed(seed);
-        CalibrationEndpoint { traffic, peers, rng, last: now, out: Vec::new() }
+        CalibrationEndpoint { traffic, peers, rng, last_tick: now, out: Vec::new() }
     }
 }
 
@@ -40,9 +40,9 @@
     fn on_datagram(&mut self, _now: Micros, _from: SocketAddr, _bytes: &[u8]) {}
 
     fn on_tick(&mut self, now: Micros) {
-        let due = self.traffic.packets_per_s * (now - self.last) as f64 / 1e6;
-        self.last = now;
-        let count = due as usize + usize::from(self.rng.f64() < due.fract());
+        let expected_count = self.traffic.packets_per_s * (now - self.last_tick) as f64 / 1e6;
+        self.last_tick = now;
+        let count = expected_count as usize + usize::from(self.rng.f64() < expected_count.fract());
         for _ in 0..count {
             let to = self.peers[self.rng.usize(0..self.peers.len())];
             self.out.push((to, vec![CALIBRATION_FIRST_BYTE; self.traffic.packet_length.max(1)]));
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -71,11 +71,11 @@
 
 fn validate(config: &ScaleConfig) -> Result<(), SetupError> {
     if !(MIN_MEMBERS..=MAX_MEMBERS).contains(&config.members) {
-        let line = format!(
+        let message = format!(
             "the number of members must be from {MIN_MEMBERS} to {MAX_MEMBERS}, not {}",
             config.members
         );
-        return Err(SetupError::ScaleTest(line));
+        return Err(SetupError::ScaleTest(message));
     }
     if !(config.seconds > 0.0 && config.warm_up_s >= 0.0) {
         return Err(SetupError::ScaleTest(
--- a/testbed/src/scale/resources.rs
+++ b/testbed/src/scale/resources.rs
@@ -37,7 +37,7 @@
 /// # Errors
 /// A resource is too scarce, or the limit of open files cannot be read. The message is one line that names a remedy.
 pub fn check_resources(config: &ScaleConfig) -> Result<(), SetupError> {
-    let setup_error = |line: String| Err(SetupError::ScaleTest(line));
+    let setup_error = |message: String| Err(SetupError::ScaleTest(message));
     let needed_bytes = required_memory_bytes(config);
     let available_bytes = available_bytes().unwrap_or(MAX_MEMORY_BYTES);
     if needed_bytes > MAX_MEMORY_BYTES || needed_bytes > available_bytes {
--- a/testbed/src/scale/tests.rs
+++ b/testbed/src/scale/tests.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn every_byte_of_a_packet_is_counted_for_one_kind() {
+fn packet_counts_for_the_kind_of_its_first_part_and_each_byte_for_the_kind_of_its_own_part() {
     let to = SocketAddr::from(([127, 0, 0, 1], 9));
     let lease_request = rate_limit::Message::Request(rate_limit::LeaseRequest {
         incarnation: 1,
@@ -105,16 +105,16 @@
 }
 
 #[test]
-fn invalid_configuration_is_rejected_with_a_one_line_error() {
+fn invalid_configuration_is_rejected_with_a_one_line_error_and_4000_members_exceed_the_memory_limit() {
     for config in [
         ScaleConfig { members: 1, ..ScaleConfig::default() },
         ScaleConfig { members: 5_000, ..ScaleConfig::default() },
         ScaleConfig { seconds: 0.0, ..ScaleConfig::default() },
     ] {
-        let Err(TestbedError::Setup(line)) = run_scale_test(config) else {
+        let Err(TestbedError::Setup(error)) = run_scale_test(config) else {
             panic!("an invalid configuration was accepted, or failed only after the run had begun")
         };
-        assert!(!line.to_string().contains('\n'));
+        assert!(!error.to_string().contains('\n'));
     }
     let config = ScaleConfig { members: 4_000, ..ScaleConfig::default() };
     assert!(resources::required_memory_bytes(&config) > resources::MAX_MEMORY_BYTES);
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -92,9 +92,9 @@
     /// Passes the requests that arrived since the last call to the member's control code.
     pub fn generate(&mut self, cluster: &mut Cluster, now: Micros) {
         self.report_timed_out_attempts(cluster, now);
-        let due = self.requests_per_s * (now - self.last_generated) as f64 / 1e6;
+        let expected_count = self.requests_per_s * (now - self.last_generated) as f64 / 1e6;
         self.last_generated = now;
-        let count = due as usize + usize::from(self.rng.f64() < due.fract());
+        let count = expected_count as usize + usize::from(self.rng.f64() < expected_count.fract());
         for _ in 0..count.min(MAX_REQUESTS_PER_TICK) {
             self.generate_request(cluster, now);
         }
--- a/testbed/tests/controls.rs
+++ b/testbed/tests/controls.rs
@@ -25,7 +25,7 @@
          [discovery]\nnotice_s = 0.1\n{faults}"
     );
     let experiment = read(&text, &[]).unwrap();
-    let (_keep, stop) = tokio::sync::watch::channel(false);
+    let (_stop_sender, stop) = tokio::sync::watch::channel(false);
     let run = run_experiment(
         &experiment,
         RunOptions { out: folder.path(), progress: &mut |_| {}, child_reaper: None, stop },
@@ -144,7 +144,7 @@
             "name = \"t\"\nseconds = 5\n[fleet]\nbalancers = 2\nhosts = 1\nprogram = {program:?}\n\
              [load]\nrate = 1\nkeys = 1\n"
         );
-        let (_keep, stop) = tokio::sync::watch::channel(false);
+        let (_stop_sender, stop) = tokio::sync::watch::channel(false);
         let options = RunOptions { out: folder.path(), progress: &mut |_| {}, child_reaper: None, stop };
         run_experiment(&read(&text, &[]).unwrap(), options).err().unwrap()
     };
