--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -55,7 +55,7 @@
 /// An answer in transit to the balancer.
 struct OutboundAnswer {
     /// Time at which the answer is written to the connection, its transit time included.
-    leaves_at: Micros,
+    due_at: Micros,
     line: Vec<u8>,
     /// Index of the attempt in the event log; `None` if the answer belongs to no attempt.
     attempt: Option<usize>,
@@ -179,7 +179,7 @@
         writer: &mut (impl AsyncWrite + Unpin),
     ) -> Result<(), ConnectionEnd> {
         let link = self.link_to_balancer();
-        while !link.cut && self.outbound.front().is_some_and(|answer| answer.leaves_at <= now) {
+        while !link.cut && self.outbound.front().is_some_and(|answer| answer.due_at <= now) {
             let Some(mut answer) = self.outbound.pop_front() else { break };
             let corrupted = self.testbed.draw_fault(link.corrupted_share);
             if corrupted {
@@ -200,7 +200,7 @@
         let arrival = self.inbound.front().filter(|_| !self.link_to_server().cut);
         let answer = self.outbound.front().filter(|_| !self.link_to_balancer().cut);
         let arrives_at = arrival.map(|request| request.arrives_at);
-        arrives_at.into_iter().chain(answer.map(|answer| answer.leaves_at)).min()
+        arrives_at.into_iter().chain(answer.map(|answer| answer.due_at)).min()
     }
 
     /// Parses received bytes and puts each complete request in transit.
@@ -307,10 +307,10 @@
     fn send_answer(&mut self, at: Micros, line: String, attempt: Option<usize>) {
         let link = self.link_to_balancer();
         let server = LinkEnd::CacheServer(self.server);
-        let leaves_at = at + self.testbed.draw_transit_time(server, self.balancer, &link);
-        let last_answer = self.outbound.back().map_or(0, |last| last.leaves_at);
-        let leaves_at = leaves_at.max(last_answer);
-        self.outbound.push_back(OutboundAnswer { leaves_at, line: line.into_bytes(), attempt });
+        let due_at = at + self.testbed.draw_transit_time(server, self.balancer, &link);
+        let last_answer = self.outbound.back().map_or(0, |last| last.due_at);
+        let due_at = due_at.max(last_answer);
+        self.outbound.push_back(OutboundAnswer { due_at, line: line.into_bytes(), attempt });
     }
 }
 
