--- a/testbed/src/experiment_run.rs
+++ b/testbed/src/experiment_run.rs
@@ -254,7 +254,7 @@
         let cpu = CpuTimes::now();
         RunRecord {
             event_log: self.take_event_log(stopped.then_some(end)),
-            process_starts: self.platform.processes.started(),
+            process_starts: self.platform.processes.start_count(),
             crashes,
             balancers_cpu_s: cpu.children_s - cpu_before.children_s,
             testbed_cpu_s: cpu.own_s - cpu_before.own_s,
--- a/testbed/src/experiment_run/measurement.rs
+++ b/testbed/src/experiment_run/measurement.rs
@@ -1,4 +1,4 @@
-//! Measures the testbed itself (its stalls and CPU time) and shifts the times of an event log to a common origin.
+//! Measures the testbed itself (its stalls and CPU time) and shifts the times of an event log to a common start.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -53,9 +53,9 @@
     getrusage(who).map_or(0.0, |usage| seconds(usage.user_time()) + seconds(usage.system_time()))
 }
 
-/// Makes all times of an event log count from `origin`; earlier times become 0.
-pub fn shift_times(event_log: &mut EventLog, origin: Micros) {
-    let shift = |at: &mut Micros| *at = at.saturating_sub(origin);
+/// Makes all times of an event log count from `start`; earlier times become 0.
+pub fn shift_times(event_log: &mut EventLog, start: Micros) {
+    let shift = |at: &mut Micros| *at = at.saturating_sub(start);
     for request in &mut event_log.requests {
         shift(&mut request.planned_at);
         shift(&mut request.sent_at);
@@ -71,8 +71,8 @@
         shift(&mut stall.from);
         shift(&mut stall.to);
     }
-    for start in &mut event_log.process_starts {
-        shift(&mut start.at);
+    for process_start in &mut event_log.process_starts {
+        shift(&mut process_start.at);
     }
     for span in event_log.server_impairments.iter_mut().chain(&mut event_log.process_impairments) {
         shift(&mut span.from);
--- a/testbed/src/experiment_run/platform.rs
+++ b/testbed/src/experiment_run/platform.rs
@@ -126,15 +126,15 @@
             Change::Freeze(balancers) => self.processes.signal(balancers, Signal::SIGSTOP),
             Change::Thaw(balancers) => self.processes.signal(balancers, Signal::SIGCONT),
             Change::Silent(servers, silent) => self.set_silent(servers, *silent, now),
-            Change::Slow(servers, times) => self.set_slowdown(servers, *times, now),
+            Change::Slow(servers, factor) => self.set_slowdown(servers, *factor, now),
             Change::Failing(servers, share) => self.set_failure_share(servers, *share, now),
             Change::Drain(servers) => self.drain(servers, now),
             Change::Gone(servers) => self.end_servers(servers, now).await,
             Change::Restart(servers) => self.restart(servers, now).await,
             Change::Replace(servers) => self.replace(servers, now).await,
-            Change::OriginSlow(times) => self.testbed.origin.borrow_mut().set_slowdown(*times),
+            Change::OriginSlow(factor) => self.testbed.origin.borrow_mut().set_slowdown(*factor),
             Change::DiscoveryDown(down) => self.testbed.discovery_down.set(*down),
-            Change::ListLate(latest) => self.draw_notice_delays(*latest),
+            Change::ListLate(max_delay) => self.draw_notice_delays(*max_delay),
         }
         self.testbed.wake_tasks();
     }
@@ -168,11 +168,11 @@
         self.log_impairment(servers, Impairment::Silent, is_silent, now);
     }
 
-    fn set_slowdown(&self, servers: &[usize], times: f64, now: Micros) {
+    fn set_slowdown(&self, servers: &[usize], factor: f64, now: Micros) {
         for server in servers {
-            self.testbed.servers[*server].borrow_mut().set_slowdown(times);
+            self.testbed.servers[*server].borrow_mut().set_slowdown(factor);
         }
-        self.log_impairment(servers, Impairment::Slow, times != 1.0, now);
+        self.log_impairment(servers, Impairment::Slow, factor != 1.0, now);
     }
 
     fn set_failure_share(&self, servers: &[usize], share: f64, now: Micros) {
@@ -217,10 +217,10 @@
         }
     }
 
-    fn draw_notice_delays(&self, latest: Micros) {
+    fn draw_notice_delays(&self, max_delay: Micros) {
         let mut rng = seeded_rng(self.testbed.experiment.seed, RngStream::DiscoveryNotices);
         for delay in self.testbed.notice_delays.borrow_mut().iter_mut() {
-            *delay = rng.random_range(0..=latest);
+            *delay = rng.random_range(0..=max_delay);
         }
     }
 }
--- a/testbed/src/processes.rs
+++ b/testbed/src/processes.rs
@@ -364,7 +364,7 @@
     }
 
     /// Number of process starts, restarts included.
-    pub fn started(&self) -> u64 {
+    pub fn start_count(&self) -> u64 {
         self.all.iter().map(|process| process.starts.get()).sum()
     }
 
--- a/testbed/src/soak/plan.rs
+++ b/testbed/src/soak/plan.rs
@@ -248,8 +248,8 @@
     balancers.shuffle(rng);
     balancers.truncate(rng.random_range(1..experiment.fleet.balancers));
     let first = rng.random_range(TERMINATE_AT);
-    let terminate = |(place, balancer): (usize, usize)| {
-        let at = if place == 0 { first } else { first + rng.random_range(0..MAX_TERMINATION_SPREAD) };
+    let terminate = |(index, balancer): (usize, usize)| {
+        let at = if index == 0 { first } else { first + rng.random_range(0..MAX_TERMINATION_SPREAD) };
         Termination { balancer, at, kill_at: at + longest + TIME_AFTER_LONGEST_DEADLINE }
     };
     balancers.into_iter().enumerate().map(terminate).collect()
--- a/testbed/src/soak/run.rs
+++ b/testbed/src/soak/run.rs
@@ -144,8 +144,8 @@
     }
 
     fn restore_config(&mut self, balancer: usize) {
-        if let Some(place) = self.original_configs.iter().position(|(other, _)| *other == balancer) {
-            let (_, original) = self.original_configs.swap_remove(place);
+        if let Some(index) = self.original_configs.iter().position(|(other, _)| *other == balancer) {
+            let (_, original) = self.original_configs.swap_remove(index);
             let _ = self.platform.processes.replace_config(balancer, &original);
         }
     }
