--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -52,7 +52,7 @@
     write: bool,
 }
 
-/// An answer in transit to the balancer.
+/// An answer that is being made or in transit to the balancer.
 struct OutboundAnswer {
     /// Time at which the answer is written to the connection, its transit time included.
     due_at: Micros,
@@ -68,7 +68,9 @@
     balancer: LinkEnd,
     /// Incarnation of the server's machine when the connection was accepted.
     incarnation: u32,
+    /// Requests in transit, in order of arrival.
     inbound: VecDeque<InboundRequest>,
+    /// Answers that are not yet written, in the order of their requests.
     outbound: VecDeque<OutboundAnswer>,
     /// Whether any received bytes were corrupted; from then on every attempt on the connection counts as corrupted.
     corrupted: bool,
--- a/testbed/src/discovery.rs
+++ b/testbed/src/discovery.rs
@@ -132,8 +132,8 @@
         }
     }
 
-    /// The first line of an answer and its generation: the changes after `since`, or the complete list if `since` is `None` or
-    /// higher than the visible generation.
+    /// The first line of an answer and its generation: the changes after `since`, or the complete list if `since` is
+    /// `None` or higher than the visible generation.
     fn first_line(&self, since: Option<u64>) -> (String, u64) {
         let (generation, _) = self.testbed.visible_generation(self.balancer);
         if let Some(since) = since.filter(|since| *since <= generation) {
--- a/testbed/src/experiment_run.rs
+++ b/testbed/src/experiment_run.rs
@@ -153,7 +153,7 @@
     measured_until: Micros,
     /// Whether the measurement has started.
     is_measuring: bool,
-    /// Traffic between balancers up to the start of the measurement.
+    /// Traffic between balancers up to the start of the measurement; `None` where they do not communicate as peers.
     sent_before: Option<SentTraffic>,
     load_task: JoinHandle<()>,
     /// Tasks that observe the run until its end.
--- a/testbed/src/peer_relay.rs
+++ b/testbed/src/peer_relay.rs
@@ -1,9 +1,8 @@
 //! A UDP relay for the packets between balancers, which applies the faults of their links.
 //!
 //! The relay has one socket for each balancer. Peers know the balancer by the address of this socket, so that packets to the
-//! balancer arrive there. The relay forwards the packet from the sender's socket, so that the
-//! receiver sees the address by which it knows the sender. The faults are cuts, losses, delays, repeats, reordering and
-//! corruption.
+//! balancer arrive there. The relay forwards a packet from the sender's socket, so that the receiver sees the address by
+//! which it knows the sender. The faults are cuts, losses, delays, repeats, reordering and corruption.
 
 #[cfg(test)]
 mod tests;
--- a/testbed/src/processes.rs
+++ b/testbed/src/processes.rs
@@ -54,6 +54,7 @@
 
 /// One process of the program, across restarts.
 struct Process {
+    /// Address for clients.
     listen: ReservedAddress,
     /// Address for operators; only where balancers communicate as peers.
     admin: Option<ReservedAddress>,
@@ -63,6 +64,7 @@
     pid: Cell<i32>,
     /// Whether the testbed has signalled the process to end.
     end_requested: Cell<bool>,
+    /// Number of times the process was started.
     starts: Cell<u64>,
     /// Number of times the process has ended.
     ends: watch::Sender<u64>,
@@ -311,7 +313,7 @@
         }
     }
 
-    /// Stalls a process for this time; its deadlines stay the same.
+    /// Stalls a process for this time; the deadlines of its requests are not extended.
     pub async fn stall(&self, number: usize, duration: Duration) {
         let process = &self.all[number];
         let from = self.testbed.now();
--- a/testbed/src/scale/calibration.rs
+++ b/testbed/src/scale/calibration.rs
@@ -25,6 +25,7 @@
     peers: Rc<[SocketAddr]>,
     rng: fastrand::Rng,
     last_tick: Micros,
+    /// Packets that are not sent yet.
     out: Vec<Datagram>,
 }
 
--- a/testbed/src/scale/purge_check.rs
+++ b/testbed/src/scale/purge_check.rs
@@ -80,7 +80,7 @@
     /// guarantee of the mechanism.
     #[serde(rename = "done_missing")]
     pub missed_completed_purges: usize,
-    /// Number of times that a member discarded all its cached values after it had begun to serve.
+    /// Number of times that a member discarded all its cached values after its incarnation had begun to serve.
     #[serde(rename = "voided")]
     pub cache_clears: usize,
     /// Number of expired leases.
@@ -132,16 +132,22 @@
 /// A purge from the view of its publisher.
 #[derive(Clone, Copy, Debug)]
 struct PublishedPurge {
+    /// Time at which the replica accepted the purge.
     at: Micros,
+    /// Member number of the replica.
     publisher: usize,
+    /// Time at which the replica reported the purge as completed.
     completed: Option<Micros>,
 }
 
 /// The events of a run by member and by purge.
 #[derive(Debug, Default)]
 struct PurgeHistory {
+    /// Incarnations of each member in order of time, by member number; purge replicas included.
     incarnations: BTreeMap<usize, Vec<MemberIncarnation>>,
+    /// Accepted purges by number.
     published: BTreeMap<u32, PublishedPurge>,
+    /// Times of rejected purges.
     rejected: Vec<Micros>,
     expired_leases: usize,
 }
--- a/testbed/src/scale/shard.rs
+++ b/testbed/src/scale/shard.rs
@@ -69,7 +69,7 @@
     counts: MemberPhases,
     /// Number of packets sent, an input to the network's random choices.
     sent_packets: u64,
-    /// Bit mask of the satisfied expectations, by index.
+    /// Bit mask of the satisfied expectations, by their index in the schedule.
     satisfied: u64,
     /// Time of the next broadcast with [`InjectedDefect::BroadcastsToAll`].
     next_broadcast: Micros,
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -55,6 +55,7 @@
     config: WorkloadConfig,
     rng: fastrand::Rng,
     requests_per_s: f64,
+    /// Time of the last call of [`Workload::generate`].
     last_generated: Micros,
     /// Attempts at silent servers, as time of the timeout and server number.
     pending_attempts: VecDeque<(Micros, u64)>,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Generates a request: an attempt at a cache server unless the server is avoided, and for a miss a fetch from the origin.
+    /// Generates a request: an attempt at a cache server unless the server is avoided, and a fetch from the origin for a miss.
     fn generate_request(&mut self, cluster: &mut Cluster, now: Micros) {
         if let Some(retries) = cluster.retry_budget() {
             retries.on_first_attempt();
--- a/testbed/src/self_reports.rs
+++ b/testbed/src/self_reports.rs
@@ -1,7 +1,7 @@
 //! Polls the state that each process reports at its address for operators, once a second: the reserved and the used part of
 //! the limit `origin`, the number of members that the process considers alive, the number of servers that it avoids, and the
-//! age of the oldest failure report that it has acted on. The reports are used for
-//! charts and for state that cannot be observed from outside the process.
+//! age of the oldest failure report that it has acted on. The reports are used for charts and for
+//! state that cannot be observed from outside the process.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
--- a/testbed/src/soak/clients.rs
+++ b/testbed/src/soak/clients.rs
@@ -84,6 +84,7 @@
     has_stopped_sending: Cell<bool>,
     /// Whether any answer has been received.
     has_answered: Cell<bool>,
+    /// Time of the last answer, or 0 before the first.
     last_answer_at: Cell<Micros>,
 }
 
--- a/testbed/src/testbed.rs
+++ b/testbed/src/testbed.rs
@@ -58,7 +58,7 @@
     pub servers: Vec<RefCell<CacheServer>>,
     /// Incarnation number of each server's machine; connections to an earlier incarnation are reset.
     pub incarnations: Vec<Cell<u32>>,
-    /// How often each server was replaced by another one with a new id.
+    /// Number of times each server was replaced by a server with a new id.
     pub replacements: Vec<Cell<u32>>,
     /// Whether each server is silent, that is, accepts requests and does not answer.
     pub silent: Vec<Cell<bool>>,
