--- a/testbed/src/error.rs
+++ b/testbed/src/error.rs
@@ -29,7 +29,7 @@
     /// The path of the program cannot be made absolute.
     #[error("fleet.program: cannot resolve the path: {0}")]
     ProgramPath(#[source] io::Error),
-    /// The program is not built.
+    /// The program does not exist.
     #[error("fleet.program: {0} does not exist; build it first (cargo build --release) or set another path")]
     NoProgram(String),
     /// A folder cannot be created.
--- a/testbed/src/scale/config.rs
+++ b/testbed/src/scale/config.rs
@@ -111,7 +111,8 @@
     pub zones: usize,
     /// Warm-up during which the fleet forms and results do not count, in seconds.
     pub warm_up_s: f64,
-    /// Measured time after the warm-up, in seconds: one third in the steady state, then the fault scenario.
+    /// Measured time after the warm-up, in seconds: one third in the steady state, then the fault scenario;
+    /// all of it in the steady state without a fault.
     pub seconds: f64,
     /// The seed of all random choices.
     pub seed: u64,
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -1,4 +1,4 @@
-//! The results of a scale test: the summary, and a row for each member.
+//! The results of a scale test: the summary, and a row for each member and purge replica.
 
 use std::collections::BTreeMap;
 
@@ -182,7 +182,7 @@
 pub struct Outcome {
     /// The summary.
     pub summary: Summary,
-    /// A row for each member.
+    /// A row for each member and purge replica.
     pub members: Vec<MemberRow>,
 }
 
--- a/testbed/src/scale/run.rs
+++ b/testbed/src/scale/run.rs
@@ -27,7 +27,7 @@
     pub network: Network,
     /// The schedule of faults, purges and expectations.
     pub schedule: Schedule,
-    /// The address of each member, by member number.
+    /// The address of each member and purge replica, by member number; replicas have the lowest numbers.
     pub addresses: Vec<SocketAddr>,
     members_by_address: HashMap<SocketAddr, usize>,
 }
--- a/testbed/src/scale/sockets.rs
+++ b/testbed/src/scale/sockets.rs
@@ -117,8 +117,10 @@
     run: Arc<Run>,
     shard: Shard,
     worker_count: usize,
+    /// The members' sockets; the index is the member's number divided by `worker_count`.
     sockets: Vec<UdpSocket>,
     poll: Poll,
+    /// Timers by due time.
     timers: BinaryHeap<Reverse<(Micros, TimerKind)>>,
     /// Packets sent by the members of this thread, by time of arrival.
     in_flight: BinaryHeap<Reverse<InFlightPacket>>,
--- a/testbed/src/scale/virtual_time.rs
+++ b/testbed/src/scale/virtual_time.rs
@@ -34,10 +34,11 @@
 /// An event with its due time and sequence number. Events due at the same time run in insertion order.
 type QueuedEvent = Reverse<(Micros, u64, EventKind)>;
 
-/// The event queue.
+/// The events that are not processed yet.
 #[derive(Default)]
 struct EventQueue {
     heap: BinaryHeap<QueuedEvent>,
+    /// Sequence number of the last inserted event.
     sequence: u64,
 }
 
