--- a/testbed/src/scale/purge_check.rs
+++ b/testbed/src/scale/purge_check.rs
@@ -226,7 +226,7 @@
     };
     PurgeSummary {
         ordinary: evaluate_phase(run, &history, Phase::SteadyState),
-        after_event: evaluate_phase(run, &history, Phase::Event),
+        after_event: evaluate_phase(run, &history, Phase::FaultScenario),
         missed_completed_purges: count_missed_completed_purges(run, &history),
         cache_clears: members()
             .flat_map(|(_, incarnations)| incarnations)
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -203,7 +203,7 @@
         outcome.summary.not_sent = result.not_sent;
         for (phase, summary) in [
             (Phase::SteadyState, &mut outcome.summary.steady_state),
-            (Phase::Event, &mut outcome.summary.after_event),
+            (Phase::FaultScenario, &mut outcome.summary.after_event),
         ] {
             let total =
                 cpu_percent(result.cpu_ns[phase as usize], summary.seconds) / run.addresses.len() as f64;
@@ -238,9 +238,9 @@
             lag_p99_ms: lateness.quantile_ms(0.99),
             memory_per_member: memory as f64 / config.members.max(1) as f64,
             steady_state: phase_summary(run, members, Phase::SteadyState),
-            after_event: phase_summary(run, members, Phase::Event),
+            after_event: phase_summary(run, members, Phase::FaultScenario),
             control_steady_state: phase_summary(run, control, Phase::SteadyState),
-            control_after_event: phase_summary(run, control, Phase::Event),
+            control_after_event: phase_summary(run, control, Phase::FaultScenario),
             replicas: config.replicas,
             purge,
             changes: summarise_changes(run, &observed.satisfied),
@@ -358,7 +358,8 @@
 }
 
 fn member_row(run: &Run, member: usize, phases: &MemberPhases) -> MemberRow {
-    let (steady_state, event) = (&phases[Phase::SteadyState as usize], &phases[Phase::Event as usize]);
+    let (steady_state, fault_scenario) =
+        (&phases[Phase::SteadyState as usize], &phases[Phase::FaultScenario as usize]);
     let per_s = |count: u64, phase: Phase| count as f64 / run.schedule.phase_seconds(phase).max(1e-9);
     MemberRow {
         member,
@@ -368,7 +369,7 @@
         bytes_per_s: per_s(steady_state.sent_total().bytes, Phase::SteadyState),
         received_bytes_per_s: per_s(steady_state.received.bytes, Phase::SteadyState),
         cpu_percent: cpu_percent(steady_state.cpu_ns(), run.schedule.phase_seconds(Phase::SteadyState)),
-        event_packets_per_s: per_s(event.sent_total().packets, Phase::Event),
-        event_bytes_per_s: per_s(event.sent_total().bytes, Phase::Event),
+        event_packets_per_s: per_s(fault_scenario.sent_total().packets, Phase::FaultScenario),
+        event_bytes_per_s: per_s(fault_scenario.sent_total().bytes, Phase::FaultScenario),
     }
 }
--- a/testbed/src/scale/schedule.rs
+++ b/testbed/src/scale/schedule.rs
@@ -82,7 +82,7 @@
     /// The steady state.
     SteadyState,
     /// The fault scenario, to the end of the run.
-    Event,
+    FaultScenario,
 }
 
 impl Phase {
@@ -96,7 +96,7 @@
     /// End of the warm-up.
     pub warm_up_end: Micros,
     /// Start of the fault scenario.
-    pub event: Micros,
+    pub fault_start: Micros,
     /// End of the run.
     pub end: Micros,
     /// The actions on members, sorted by time.
@@ -113,13 +113,13 @@
         let to_micros = |seconds: f64| (seconds * 1e6) as Micros;
         let warm_up_end = CLOCK_START + to_micros(config.warm_up_s);
         let end = warm_up_end + to_micros(config.seconds);
-        let event = match config.event {
+        let fault_start = match config.event {
             FaultScenario::None => end,
             _ => warm_up_end + to_micros(config.seconds * STEADY_STATE_TIME_SHARE),
         };
         let schedule = Schedule {
             warm_up_end,
-            event,
+            fault_start,
             end,
             actions: Vec::new(),
             expectations: Vec::new(),
@@ -136,7 +136,7 @@
             replicas: config.replicas,
             first_stoppable_member,
         };
-        builder.add_event(config.event);
+        builder.add_fault_scenario(config.event);
         builder.add_purges(config);
         if config.mechanism == Mechanism::Purge {
             // Members have no membership in this mechanism, so that they cannot satisfy any query.
@@ -150,10 +150,10 @@
     pub fn phase(&self, now: Micros) -> Phase {
         if now < self.warm_up_end {
             Phase::WarmUp
-        } else if now < self.event {
+        } else if now < self.fault_start {
             Phase::SteadyState
         } else {
-            Phase::Event
+            Phase::FaultScenario
         }
     }
 
@@ -161,8 +161,8 @@
     pub fn phase_seconds(&self, phase: Phase) -> f64 {
         let span = match phase {
             Phase::WarmUp => self.warm_up_end - CLOCK_START,
-            Phase::SteadyState => self.event - self.warm_up_end,
-            Phase::Event => self.end - self.event,
+            Phase::SteadyState => self.fault_start - self.warm_up_end,
+            Phase::FaultScenario => self.end - self.fault_start,
         };
         span as f64 / 1e6
     }
@@ -188,12 +188,12 @@
 
     /// The time after this share of the fault scenario.
     fn time_at_share(&self, share: f64) -> Micros {
-        let Schedule { event, end, .. } = self.schedule;
-        event + ((end - event) as f64 * share) as Micros
+        let Schedule { fault_start, end, .. } = self.schedule;
+        fault_start + ((end - fault_start) as f64 * share) as Micros
     }
 
-    fn add_event(&mut self, event: FaultScenario) {
-        match event {
+    fn add_fault_scenario(&mut self, scenario: FaultScenario) {
+        match scenario {
             FaultScenario::None => {}
             FaultScenario::MemberLost => self.add_member_lost(),
             FaultScenario::Loss => {
