--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -173,7 +173,7 @@
             write: arrival.write,
             is_retry: first_id.is_some(),
             planned_at,
-            // Impatient clients state the minimum time of other clients and disconnect before it.
+            // Impatient clients state the minimum time of other clients and disconnect before it has passed.
             time: share_of_deadline(arrival.wait_share.max(MIN_PATIENT_SHARE))
                 .min(time_left)
                 .max(MIN_REQUEST_TIME),
--- a/testbed/src/experiment_run.rs
+++ b/testbed/src/experiment_run.rs
@@ -36,7 +36,7 @@
 const PROGRESS_INTERVAL: Micros = 250_000;
 /// Interval at which the number of requests in flight is polled after the load.
 const IN_FLIGHT_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Maximum number of these polls; requests in flight after the last poll have no end in the event log.
+/// Maximum number of polls for requests in flight; requests in flight after the last poll have no end in the event log.
 const MAX_IN_FLIGHT_POLLS: usize = 60;
 /// Time before the stop of a run, in seconds; requests planned within it may still have been in flight.
 const UNFINISHED_TIME_S: f64 = 4.0;
--- a/testbed/src/experiment_run/platform.rs
+++ b/testbed/src/experiment_run/platform.rs
@@ -225,7 +225,7 @@
     }
 }
 
-/// The addresses at which each balancer reaches the machines, which are those of its listener group.
+/// The addresses at which each balancer reaches the machines: the addresses for the balancer's listener group.
 fn server_addresses(
     testbed: &Testbed,
     machines: &[Machine],
--- a/testbed/src/processes.rs
+++ b/testbed/src/processes.rs
@@ -41,7 +41,7 @@
 const END_TIMEOUT: Duration = Duration::from_secs(5);
 /// Number of log lines that are shown of a crashed process.
 const SHOWN_LOG_LINES: usize = 5;
-/// Number of bytes read from the end of a log to find those lines.
+/// Number of bytes read from the end of a log to find the shown lines.
 const LOG_END_LENGTH: u64 = 8_192;
 
 /// Setup of processes whose balancers communicate as peers.
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Waits until the process is ready; returns false if it ends before.
+    /// Waits until the process is ready; returns false if it ends first.
     async fn wait_until_ready(&self, poll_interval: Duration) -> bool {
         while !answers_ready(self.listen.address()).await {
             if !self.is_running() {
@@ -292,7 +292,8 @@
         self.crashes.borrow_mut().push(crash);
     }
 
-    /// Sends a signal to the running processes among these; the exit after a signal that ends a process counts as requested.
+    /// Sends a signal to the processes with these numbers that are running; the exit after a signal that ends a process counts
+    /// as requested.
     pub fn signal(&self, numbers: &[usize], signal: Signal) {
         for number in numbers.iter().copied() {
             let process = &self.all[number];
@@ -344,7 +345,7 @@
         EventLog::end_impairment(spans, number, impairment, now);
     }
 
-    /// Restarts these processes, each as soon as it has ended.
+    /// Restarts the processes with these numbers, each as soon as it has ended.
     pub fn restart(self: &Rc<Processes>, numbers: &[usize]) {
         for number in numbers {
             spawn_local(Rc::clone(self).restart_one(*number));
--- a/testbed/src/scale/config.rs
+++ b/testbed/src/scale/config.rs
@@ -24,7 +24,7 @@
     None,
     /// One member crashes and restarts; later a cache server stops answering.
     MemberLost,
-    /// As [`FaultScenario::MemberLost`], with a packet loss of 1%.
+    /// As [`FaultScenario::MemberLost`], with a packet loss of 1% from the end of the warm-up on.
     Loss,
     /// All members of a zone crash at the same time and restart.
     ZoneLost,
--- a/testbed/src/scale/schedule.rs
+++ b/testbed/src/scale/schedule.rs
@@ -95,7 +95,7 @@
 pub struct Schedule {
     /// End of the warm-up.
     pub warm_up_end: Micros,
-    /// Start of the fault scenario.
+    /// Start of the fault scenario; the end of the run if there is none.
     pub fault_start: Micros,
     /// End of the run.
     pub end: Micros,
@@ -352,7 +352,7 @@
         }
     }
 
-    /// All members except these, as a flag by member number.
+    /// A flag by member number, which is set for all members except these.
     fn flags_of_others(&self, members: &[usize]) -> Vec<bool> {
         let mut others = vec![true; self.topology().members()];
         members.iter().for_each(|member| others[*member] = false);
--- a/testbed/src/scale/shard.rs
+++ b/testbed/src/scale/shard.rs
@@ -1,5 +1,6 @@
 //! The members of one thread: calls their control code, applies network faults to the packets they send, measures them and
-//! records when they satisfy expectations. Does no I/O and reads no wall clock, so that sockets and simulated time share it.
+//! records when they satisfy expectations. Does no I/O and reads no wall clock, so that the code is the same over sockets and in
+//! simulated time.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/testbed/src/soak/check/tests.rs
+++ b/testbed/src/soak/check/tests.rs
@@ -9,7 +9,7 @@
 
 const SENT_AT: Micros = 2_000_000;
 
-/// A request that was unanswered when its connection ended `ended_after` its sending.
+/// A request that was unanswered when its connection ended, at the time `ended_after` from its sending.
 fn unanswered(result: RequestResult, ended_after: Micros) -> ClientRequest {
     ClientRequest {
         id: 1,
--- a/testbed/src/soak/clients.rs
+++ b/testbed/src/soak/clients.rs
@@ -55,7 +55,7 @@
     pub connect_until: Micros,
     /// End of the time in which requests are sent.
     pub load_until: Micros,
-    /// Whether the client sends its next request before the last is answered, so that its connection is never idle.
+    /// Whether the client sends its next request before the previous one is answered, so that its connection is never idle.
     pub is_busy: bool,
 }
 
@@ -72,7 +72,7 @@
     request: WireRequest,
     /// Index of the request in the event log.
     log_index: usize,
-    /// Whether its last byte has been written.
+    /// Whether the last byte of the request has been written.
     is_complete: bool,
 }
 
@@ -106,7 +106,7 @@
         Rc::new(SoakClients { testbed, check_config, next_number: Cell::new(1) })
     }
 
-    /// Runs one client, which opens a new connection whenever the last has ended, as long as its target's times allow.
+    /// Runs one client, which opens a new connection whenever its previous one has ended, as long as its target's times allow.
     pub async fn run_client(self: Rc<SoakClients>, target: ClientTarget, mut rng: SeededRng) {
         while self.testbed.now() < target.connect_until.min(target.load_until) {
             if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(target.address)).await {
@@ -152,7 +152,7 @@
         }
         state.has_stopped_sending.set(true);
         state.pending_changed.notify_one();
-        // Keeps the write half open, because the balancer would take its end for a disconnect of the client.
+        // Keeps the write half open, because the balancer would treat its end as a disconnect of the client.
         std::future::pending::<()>().await;
     }
 
--- a/testbed/src/soak/plan.rs
+++ b/testbed/src/soak/plan.rs
@@ -24,7 +24,7 @@
 const CONNECT_TIME_AFTER_SIGTERM: Micros = 400_000;
 /// Time of the first SIGTERM after the start of the load, in microseconds.
 const TERMINATE_AT: std::ops::Range<Micros> = 1_200_000..1_700_000;
-/// Maximum time between the first SIGTERM and those to other balancers.
+/// Maximum time between the first SIGTERM and the first SIGTERM of each other balancer.
 const MAX_TERMINATION_SPREAD: Micros = 300_000;
 /// Time for which a run continues after the last kill.
 const TIME_AFTER_KILL: Micros = 300_000;
--- a/testbed/src/testbed.rs
+++ b/testbed/src/testbed.rs
@@ -22,7 +22,7 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Delay of the kernel's first TCP retransmission; it doubles with each further loss in a row.
+/// Delay of the kernel's first TCP retransmission; it doubles with each further consecutive loss.
 const FIRST_RETRANSMISSION_DELAY: Micros = 200_000;
 /// Total retransmission delay at which no further consecutive loss is drawn, as TCP also limits its retransmissions.
 const MAX_RETRANSMISSION_DELAY: Micros = 12 * FIRST_RETRANSMISSION_DELAY;
