--- a/purge/src/cache_fill.rs
+++ b/purge/src/cache_fill.rs
@@ -34,6 +34,7 @@
     next_token: u64,
     /// Key of each fill in flight whose response may still be stored; other fills are discarded.
     valid: HashMap<FillToken, Vec<u8>>,
+    /// Tokens of the fills in `valid`, by key.
     by_key: HashMap<Vec<u8>, HashSet<FillToken>>,
 }
 
@@ -92,7 +93,7 @@
         self.valid.len()
     }
 
-    /// Whether there are no such fills.
+    /// Whether there are no fills in flight whose responses may still be stored.
     pub fn is_empty(&self) -> bool {
         self.valid.is_empty()
     }
--- a/purge/src/cache_fill/tests.rs
+++ b/purge/src/cache_fill/tests.rs
@@ -26,7 +26,9 @@
     /// The least version that may be held since the last purge or void.
     purged: u32,
     held: Option<u32>,
+    /// Token of each fill that has begun, and the value that the fill has read.
     fills: Vec<(Option<FillToken>, u32)>,
+    /// Number of fills whose value was stored.
     kept: u32,
 }
 
@@ -114,7 +116,7 @@
                 discarded += 2 - cache.kept;
                 assert!(
                     cache.guard.is_empty() && cache.guard.by_key.is_empty(),
-                    "ended fills leave no state behind"
+                    "the guard still tracks fills that have ended"
                 );
                 assert!(capacity > 0 || cache.kept == 0);
             });
@@ -144,6 +146,6 @@
     guard.purge(b"one");
     assert_eq!(guard.finish_fill(one), FillOutcome::Discard);
     assert_eq!(guard.finish_fill(two), FillOutcome::Keep);
-    assert_eq!(guard.finish_fill(two), FillOutcome::Discard, "a token is valid once");
+    assert_eq!(guard.finish_fill(two), FillOutcome::Discard, "a token was accepted twice");
     assert_eq!(guard.finish_fill(beyond), FillOutcome::Discard);
 }
--- a/purge/src/completion.rs
+++ b/purge/src/completion.rs
@@ -1,10 +1,11 @@
 //! Decides which purges of one replica are done: applied at every member that serves, now or later.
 //!
 //! A decision takes two consecutive rounds. The first shows that a majority of the replicas holds a position. The
-//! second, begun afterwards, shows that a majority still holds the position, with replicas that held it in the first
-//! round in the same incarnations; so all of them held it at the moment between the rounds. Their registration tables
-//! as of the second round contain every member that may serve without the position in its target. Each of these members
-//! must have applied the position or have been released. The correctness argument is in `docs/design/purge.md`.
+//! second, begun afterwards, shows that a majority still holds the position; a replica counts only if it held the
+//! position in the first round in the same incarnation. So this majority held the position at the moment between the
+//! rounds, and its registration tables as of the second round contain every member that may serve without the position
+//! in its target. Each of these members must have applied the position or have been released. The correctness argument
+//! is in `docs/design/purge.md`.
 
 use std::collections::BTreeMap;
 
@@ -50,7 +51,9 @@
 #[derive(Clone, Copy, Debug)]
 struct RoundReply {
     incarnation: u64,
+    /// Position up to which the replying replica holds the purges.
     held: Position,
+    /// Number of the last change of the replying replica's table.
     change: u64,
 }
 
@@ -66,16 +69,20 @@
 struct AssignedReplicaReport {
     incarnation: u64,
     round: u64,
-    /// Head that the assigned replica had at that time; the laggards in its report are behind it.
+    /// Position up to which the assigned replica held the purges; the laggards in the report are behind this position.
     held: Position,
+    /// Number of the last change of the assigned replica's table.
     change: u64,
     report: MemberReport,
 }
 
 /// What is known of the purges that a registered member has applied.
 enum Coverage {
+    /// The registration was released, so the member needs no purge.
     Released,
+    /// The member has applied all purges up to this position.
     AppliedThrough(Position),
+    /// The assigned replica has not reported which purges the member has applied.
     Unknown,
 }
 
@@ -86,7 +93,7 @@
     pub members: Vec<MemberId>,
     /// Number of outstanding members, as far as known.
     pub members_total: u32,
-    /// Replicas that have not answered, if a majority is missing.
+    /// Replicas that did not answer in the previous round, if no majority answered.
     pub replicas: Vec<ReplicaId>,
 }
 
@@ -112,10 +119,13 @@
 #[derive(Clone, Debug)]
 pub struct Completion {
     own_id: ReplicaId,
+    /// Number of replicas.
     replicas: usize,
     injected_defects: InjectedDefects,
     round: u64,
+    /// Replies in the current round, including this replica's own.
     replies: BTreeMap<ReplicaId, RoundReply>,
+    /// Position that a majority held in the previous round; the current round has to confirm it.
     majority_position: Option<MajorityPosition>,
     reports: BTreeMap<ReplicaId, AssignedReplicaReport>,
     done_through: Position,
@@ -163,12 +173,13 @@
         self.done_through
     }
 
-    /// The members and replicas that the other purges wait for.
+    /// The members and replicas that pending purges wait for.
     pub fn outstanding(&self) -> &Outstanding {
         &self.outstanding
     }
 
-    /// Begins a round, which has to confirm the position that a majority held in the last one.
+    /// Begins a round and returns its number. The round has to confirm the position that a majority held in the last
+    /// round.
     pub fn begin_round(&mut self, incarnation: u64, held: Position, change: u64) -> u64 {
         self.majority_position = self.held_by_majority();
         self.outstanding.replicas = self.missing_replicas();
@@ -196,7 +207,7 @@
         all.filter(|replica| !self.replies.contains_key(replica)).collect()
     }
 
-    /// Handles a reply to a status request of this incarnation.
+    /// Handles a reply to a status request of this incarnation. A reply to an earlier round only updates the report.
     pub fn on_reply(&mut self, from: ReplicaId, reply: &StatusReply) {
         if reply.round > self.round {
             return;
@@ -264,9 +275,9 @@
         self.outstanding = outstanding;
     }
 
-    /// Whether the newest report of an assigned replica names its members that are behind this position. A report sent
-    /// before the assigned replica held the position names none of them, so all its members that are behind count as
-    /// outstanding.
+    /// Whether the laggards in the newest report of an assigned replica are all its members that are behind this
+    /// position. A report sent before the assigned replica held the position doesn't count them all; then each member
+    /// that is behind is counted on its own.
     fn has_current_laggards(&self, assigned_replica: ReplicaId, through: Position) -> bool {
         assigned_replica == self.own_id
             || self.reports.get(&assigned_replica).is_some_and(|known| known.held >= through)
@@ -287,7 +298,8 @@
         confirmed.map(|(replica, _)| *replica).collect()
     }
 
-    /// The registration with the greatest epoch in any table, for each member in the tables of a quorum.
+    /// For each member in the tables of a quorum, the registration with the greatest epoch in any table, and in the
+    /// greatest state that any table has for this epoch.
     fn registrations_of(&self, quorum: &[ReplicaId], tables: Tables<'_>) -> BTreeMap<MemberId, Registration> {
         let mut registrations: BTreeMap<MemberId, Registration> = BTreeMap::new();
         let own_only = self.injected_defects.has(InjectedDefect::OwnTableOnly);
@@ -309,7 +321,7 @@
         registrations
     }
 
-    /// What the assigned replica of a registration reports of it.
+    /// The purges that a registration's member has applied, by the table and the report of its assigned replica.
     fn coverage(
         &self,
         registration: &Registration,
--- a/purge/src/ids.rs
+++ b/purge/src/ids.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u32);
 
-/// A position in the log of one replica's purges, ordered by incarnation, then by sequence.
+/// A position in the stream of one replica's purges, ordered by incarnation, then by sequence.
 ///
 /// Sequence 1 of each incarnation is its start entry, which purges nothing; purges are numbered from 2.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -48,7 +48,7 @@
     }
 }
 
-/// Identifies the stream of purges that one incarnation of a replica publishes.
+/// Identifies the part of a replica's stream of purges that one of its incarnations published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StreamId {
     /// The publishing replica.
@@ -60,14 +60,14 @@
 /// Identifies a published purge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PurgeId {
-    /// The stream that contains the purge.
+    /// The part of a stream that contains the purge.
     pub stream: StreamId,
-    /// Sequence number within the stream.
+    /// Sequence number within the incarnation.
     pub sequence: u64,
 }
 
 impl PurgeId {
-    /// The position in the log of the publishing replica's purges.
+    /// The position in the publishing replica's stream.
     pub fn position(self) -> Position {
         Position { incarnation: self.stream.incarnation, sequence: self.sequence }
     }
--- a/purge/src/injected_defect.rs
+++ b/purge/src/injected_defect.rs
@@ -4,13 +4,13 @@
 #[doc(hidden)]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InjectedDefect {
-    /// A purge is done after the replies of one round.
+    /// A purge counts as done after the replies of one round.
     SecondRoundSkipped,
     /// A reply of another incarnation counts in the second round.
     IncarnationIgnored,
     /// The member counts its lease from the receipt of the answer, not from the sending of the pull.
     LeaseFromReceipt,
-    /// A restarted assigned replica releases registrations learned from others at once.
+    /// A restarted assigned replica at once releases registrations learned from other replicas.
     EarlyRelease,
     /// The assigned replica releases a registration after half of the lease duration.
     LeaseCutShort,
--- a/purge/src/lease_table.rs
+++ b/purge/src/lease_table.rs
@@ -26,10 +26,11 @@
     grantable: bool,
     /// When the last lease was granted, or the registration was added.
     granted_at: Micros,
+    /// Positions that the member has applied, as of its last pull.
     applied: VersionVector,
 }
 
-/// The leases of the members of one assigned replica.
+/// The leases of the members assigned to one replica.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseTable {
     leases: BTreeMap<MemberId, Lease>,
--- a/purge/src/lease_table/tests.rs
+++ b/purge/src/lease_table/tests.rs
@@ -42,7 +42,7 @@
     assert_eq!(
         leases.report(ReplicaId(0), Position::ZERO).floor,
         None,
-        "learned registrations are not in the report"
+        "the report includes a learned registration"
     );
     assert_eq!(leases.take_expired(started + settings.lease, &settings), []);
     assert_eq!(leases.take_expired(started + settings.lease_with_drift() + Micros(1), &settings).len(), 1);
--- a/purge/src/limits/tests.rs
+++ b/purge/src/limits/tests.rs
@@ -14,7 +14,7 @@
     assert_eq!(bucket.try_take(wait), Ok(()));
     let admitted =
         (0..10_000u64).filter(|step| bucket.try_take(wait + Micros::from_millis(*step)).is_ok()).count();
-    assert!((95..=105).contains(&admitted), "{admitted} in ten seconds");
+    assert!((95..=105).contains(&admitted), "{admitted} admitted in ten seconds at 10 per second");
 }
 
 #[test]
--- a/purge/src/log.rs
+++ b/purge/src/log.rs
@@ -78,6 +78,7 @@
     }
 }
 
+/// The entries of one replica that the log holds.
 #[derive(Clone, Debug, Default)]
 struct Stream {
     base: Position,
@@ -220,8 +221,8 @@
         ReaderLag::Entries(lag)
     }
 
-    /// The entries after a vector, as many as fit into `budget` bytes, and whether there are more. [`Run::rebase`] is
-    /// set where the vector is below the base of a stream.
+    /// The entries that a reader at these positions lacks, as many as fit into `budget` bytes, and whether there are
+    /// more. [`Run::rebase`] is set where the reader is below the base of a stream.
     pub fn runs_after(&self, applied: &VersionVector, mut budget: usize) -> (Vec<Run>, bool) {
         let mut runs = Vec::new();
         for (replica, stream) in &self.streams {
--- a/purge/src/log/tests.rs
+++ b/purge/src/log/tests.rs
@@ -8,7 +8,7 @@
     Position { incarnation, sequence }
 }
 
-/// The entries of one incarnation from its start entry, after a position.
+/// The first `count` entries of an incarnation; the start entry follows position `after`.
 fn stream_entries(incarnation: u64, after: Position, count: u64) -> Vec<Entry> {
     let position = |sequence| at(incarnation, sequence);
     let previous = |sequence| if sequence == 1 { after } else { position(sequence - 1) };
@@ -39,10 +39,10 @@
 fn entries_are_appended_once_and_without_gaps() {
     let entries = stream_entries(1, Position::ZERO, 4);
     let mut log = Log::new(100);
-    assert!(!log.append(PUBLISHER, entries[1].clone()), "an entry after a gap is rejected");
+    assert!(!log.append(PUBLISHER, entries[1].clone()), "an entry after a gap was appended");
     for entry in &entries {
         assert!(log.append(PUBLISHER, entry.clone()));
-        assert!(!log.append(PUBLISHER, entry.clone()), "a duplicate entry is rejected");
+        assert!(!log.append(PUBLISHER, entry.clone()), "a duplicate entry was appended");
     }
     assert_eq!((log.head(PUBLISHER), log.len()), (at(1, 4), 4));
 }
@@ -56,7 +56,7 @@
     let mut holds_less = log_with_entries(&old[..4], 100);
     assert!(!holds_less.append(PUBLISHER, new[0].clone()));
     assert!(holds_less.append(PUBLISHER, old[4].clone()) && holds_less.append(PUBLISHER, new[0].clone()));
-    assert!(!holds_less.append(PUBLISHER, old[5].clone()), "entries of the old incarnation are rejected");
+    assert!(!holds_less.append(PUBLISHER, old[5].clone()), "an entry of the old incarnation was appended");
 }
 
 #[test]
@@ -93,7 +93,7 @@
                 if !more {
                     break;
                 }
-                assert!(appended, "each batch of runs advances the reader");
+                assert!(appended, "a batch of runs did not advance the reader");
             }
             assert_eq!((reader.head(PUBLISHER), reader.len()), (at(2, 9), positions.len() - 1 - index));
         }
--- a/purge/src/member.rs
+++ b/purge/src/member.rs
@@ -237,8 +237,8 @@
             next = now + self.continuation_delay();
         }
         self.pulls.schedule(next);
-        // Answers without new entries are no progress towards the target: the member leaves an assigned replica that
-        // keeps answering but lacks entries of the target.
+        // While the target is not applied, an answer that announces no more entries is no progress, so that the member
+        // leaves an assigned replica that keeps answering but lacks entries of the target.
         if more || !matches!(self.phase, Phase::ApplyingTarget { .. }) {
             self.last_progress = now;
         }
@@ -329,8 +329,8 @@
         self.outbox.send(address, &Message::ToReplica(message));
     }
 
-    /// Leaves an assigned replica that doesn't answer or makes no progress, before the member serves. While it
-    /// serves, it changes replicas only once another one has answered a probe ([`Member::probe`]).
+    /// Changes the assigned replica if it doesn't answer, or if the member makes no progress with it. A serving member
+    /// changes only once another replica has answered a probe ([`Member::probe`]).
     fn change_silent_replica(&mut self, now: Micros) {
         let is_silent = self.pulls.is_silent(now, &self.config.timing);
         let is_timed_out = now.saturating_sub(self.last_progress) >= self.config.timing.registration_timeout;
--- a/purge/src/member/enrollment.rs
+++ b/purge/src/member/enrollment.rs
@@ -18,7 +18,7 @@
 const MAX_WAIT_FOR_ALL_REPLICAS: Micros = Micros::from_millis(100);
 /// Number of the resend from which the interval between resends is longer.
 const RARE_RESENDS_FROM: u32 = 4;
-/// Factor by which the interval between resends is longer then.
+/// Factor by which the interval between resends is longer from [`RARE_RESENDS_FROM`] on.
 const RARE_RESEND_FACTOR: u64 = 4;
 
 /// A registration in progress.
@@ -27,8 +27,11 @@
     started_at: Micros,
     /// Incarnation of each replica that answered the first phase.
     registered: BTreeMap<ReplicaId, u64>,
+    /// Whether the second phase has begun.
     is_confirming: bool,
+    /// Replicas that answered the second phase.
     confirmed: BTreeSet<ReplicaId>,
+    /// Greatest position in those answers, by publishing replica.
     target: VersionVector,
     resends: u32,
     resend_at: Micros,
@@ -92,6 +95,7 @@
         }
     }
 
+    /// Begins the second phase if the first is over, and sends the current phase's message again if a resend is due.
     pub(super) fn resend_enrollment(&mut self, now: Micros) {
         self.begin_confirmation(now);
         let Phase::Enrolling(enrollment) = &mut self.phase else { return };
--- a/purge/src/member/pulls.rs
+++ b/purge/src/member/pulls.rs
@@ -12,8 +12,10 @@
 #[derive(Clone, Debug)]
 pub(super) struct Pulls {
     next_number: u32,
+    /// Number and time of sending of each outstanding pull, the oldest first.
     outstanding: VecDeque<(u32, Micros)>,
     next_pull_at: Micros,
+    /// Number of pulls sent since the last answer while an earlier one was outstanding.
     unanswered_pulls: u32,
     last_answer_at: Micros,
 }
--- a/purge/src/member/replica_choice.rs
+++ b/purge/src/member/replica_choice.rs
@@ -18,6 +18,7 @@
     /// All replicas, the preferred ones first.
     order: Vec<ReplicaId>,
     current: ReplicaId,
+    /// Replica that was probed last because the assigned one was silent; the assigned one if there was none.
     candidate: ReplicaId,
     probe: Option<Probe>,
     next_number: u32,
--- a/purge/src/metrics.rs
+++ b/purge/src/metrics.rs
@@ -70,7 +70,7 @@
     pub assigned_members: usize,
     /// Rounds started.
     pub rounds: u64,
-    /// Replicas that had not answered when a round without a majority ended.
+    /// Replicas that did not answer in the previous round, if no majority answered.
     pub missing_replicas: usize,
     /// Datagrams sent.
     pub sent: Traffic,
--- a/purge/src/registration.rs
+++ b/purge/src/registration.rs
@@ -51,7 +51,8 @@
     pub through: u64,
     /// The changed registrations.
     pub registrations: Vec<Registration>,
-    /// Whether this is the last chunk that answers a request although there are more changes.
+    /// Whether there are more changes that the sender doesn't send now, because it has reached its limit of chunks. Set
+    /// only in the last chunk.
     pub more: bool,
 }
 
@@ -60,9 +61,9 @@
 pub enum StoreOutcome {
     /// The registration was stored.
     Stored,
-    /// The table already has the registration.
+    /// The table already has the registration, which is not released.
     Present,
-    /// The registration was released.
+    /// The table already has the registration, which is released.
     Released,
     /// The table has a registration with this greater epoch.
     Superseded(Epoch),
@@ -74,7 +75,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct RegistrationTable {
     registrations: BTreeMap<MemberId, Registration>,
+    /// The member of each registration, by the number of the registration's last change.
     by_change: BTreeMap<u64, MemberId>,
+    /// Number of the last change.
     change: u64,
 }
 
@@ -143,7 +146,7 @@
     }
 
     /// Evicts the released registration that changed longest ago; returns false if none is released. If the evicted
-    /// registration comes back from another replica's table, its assigned replica releases it again.
+    /// registration is stored again from another replica's table, its assigned replica releases it again.
     fn evict_released(&mut self) -> bool {
         let is_released = |member: &MemberId| {
             self.registrations
@@ -173,7 +176,9 @@
 /// A copy of another replica's table.
 #[derive(Clone, Debug, Default)]
 pub struct TableCopy {
+    /// Incarnation of the replica that owns the original table.
     incarnation: u64,
+    /// Number of the last change in the copy.
     through: u64,
     registrations: BTreeMap<MemberId, Registration>,
 }
@@ -198,8 +203,9 @@
         &self.registrations
     }
 
-    /// Applies a chunk. Ignores a chunk of an older incarnation or one that would leave a gap. Returns false if the
-    /// chunk was ignored or the copy was reset.
+    /// Applies a chunk; the first chunk of a newer incarnation replaces the copy. Ignores a chunk of an older
+    /// incarnation or one that would leave a gap. Returns false if the chunk was ignored, or if the copy was emptied
+    /// because it had too many registrations.
     pub fn apply(&mut self, chunk: &TableChunk) -> bool {
         if chunk.incarnation > self.incarnation && chunk.after == 0 {
             *self = TableCopy { incarnation: chunk.incarnation, ..TableCopy::default() };
--- a/purge/src/registration/tests.rs
+++ b/purge/src/registration/tests.rs
@@ -41,13 +41,13 @@
     }
     let chunk = table.changes_after(u64::MAX, 0);
     let message = Message::BetweenReplicas(PeerMessage::TableChunk(chunk));
-    assert!(encode(&message).is_some(), "a chunk of the greatest numbers fits");
+    assert!(encode(&message).is_some(), "a chunk with the greatest numbers is too long");
     update_copy(&mut copy, &table, 9);
     assert_eq!(copy.registrations(), table.registrations());
     store(&mut table, 3, u64::MAX);
     table.set_state(MemberId(4), epoch(u64::MAX - 1), RegistrationState::Released);
     let chunk = table.changes_after(9, copy.through(9));
-    assert_eq!(chunk.registrations.len(), 2, "a chunk contains only the changes");
+    assert_eq!(chunk.registrations.len(), 2, "expected only the two changed registrations");
     update_copy(&mut copy, &table, 9);
     assert_eq!(copy.registrations(), table.registrations());
 }
@@ -61,12 +61,15 @@
     let first = table.changes_after(5, 0);
     let second = table.changes_after(5, first.through);
     let mut copy = TableCopy::default();
-    assert!(!copy.apply(&second), "a chunk after a gap is ignored");
+    assert!(!copy.apply(&second), "a chunk after a gap was applied");
     assert!(copy.apply(&first) && copy.apply(&second) && copy.apply(&first));
     assert_eq!(copy.through(5), second.through);
     let newer = RegistrationTable::default().changes_after(6, 0);
-    assert!(copy.apply(&newer) && copy.registrations().is_empty(), "a new incarnation resets the copy");
-    assert!(!copy.apply(&first), "chunks of an old incarnation are ignored");
+    assert!(
+        copy.apply(&newer) && copy.registrations().is_empty(),
+        "a new incarnation did not reset the copy"
+    );
+    assert!(!copy.apply(&first), "a chunk of an old incarnation was applied");
 }
 
 #[test]
@@ -77,7 +80,7 @@
         assert_eq!(store(&mut table, member, 1), StoreOutcome::Stored);
     }
     assert_eq!(store(&mut table, full, 1), StoreOutcome::Full);
-    assert_eq!(store(&mut table, 17, 2), StoreOutcome::Stored, "a registered member may register again");
+    assert_eq!(store(&mut table, 17, 2), StoreOutcome::Stored, "a full table rejected a registered member");
     table.set_state(MemberId(30), epoch(1), RegistrationState::Released);
     assert_eq!(store(&mut table, full, 1), StoreOutcome::Stored);
     assert!(table.get(MemberId(30)).is_none());
@@ -85,8 +88,8 @@
     assert_eq!(table.by_change.len(), MAX_MEMBERS);
 }
 
-/// Guards against a copy that claims to be complete without registrations of the original table: it is reset once
-/// registrations evicted from the original table overflow it.
+/// Guards against a copy that claims to be complete without registrations of the original table: the copy is
+/// reset once it overflows with registrations that were evicted from the original table.
 #[test]
 fn a_copy_that_overflows_is_reset() {
     let mut table = RegistrationTable::default();
--- a/purge/src/replica.rs
+++ b/purge/src/replica.rs
@@ -39,7 +39,7 @@
         members: Vec<MemberId>,
         /// Number of outstanding members.
         members_total: u32,
-        /// Replicas that did not answer, if no majority answered.
+        /// Replicas that did not answer in the previous round, if no majority answered.
         replicas: Vec<ReplicaId>,
     },
     /// The purge was not published by this incarnation of this replica. It may be published again: purges are
@@ -77,14 +77,18 @@
     /// Present until the replica has recovered.
     recovery: Option<Recovery>,
     log: Log,
+    /// This replica's own registration table.
     table: RegistrationTable,
+    /// Copies of the other replicas' registration tables.
     copies: BTreeMap<ReplicaId, TableCopy>,
     peers: BTreeMap<ReplicaId, PeerTable>,
     leases: LeaseTable,
     completion: Completion,
     /// Whether the inputs of the completion have changed since its last evaluation.
     needs_evaluation: bool,
+    /// Earliest start of the next round.
     next_round: Micros,
+    /// Start of the current round.
     round_started: Micros,
     /// The outstanding request for entries.
     pending_fetch: Option<PendingFetch>,
@@ -242,7 +246,7 @@
         Ok(PurgeId { stream, sequence: position.sequence })
     }
 
-    /// The sequence of this incarnation up to which purges are done; the start entry always is.
+    /// The sequence of this incarnation up to which purges are done; the start entry always counts as done.
     fn done_sequence(&self) -> u64 {
         let done = self.completion.done_through();
         if done.incarnation == self.config.incarnation {
--- a/purge/src/replica/peers.rs
+++ b/purge/src/replica/peers.rs
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Sends the entries after a vector, in at most `datagrams` datagrams.
+    /// Sends a replica the entries that it lacks at these positions, in at most `datagrams` datagrams.
     fn send_entries(&mut self, to: ReplicaId, mut vector: VersionVector, datagrams: usize) {
         for sent in 1..=datagrams {
             let (runs, has_more) = self.log.runs_after(&vector, MAX_ENTRIES_BYTES);
@@ -260,8 +260,8 @@
         self.request_tables(now);
     }
 
-    /// Adopts a registration from another replica's table if it is released, or if it is assigned to this replica and
-    /// newer than the one in its own table.
+    /// Adopts a registration from another replica's table: a release if the own table has the registration; otherwise,
+    /// a registration that is assigned to this replica and newer than that of the member in the own table.
     fn adopt_registration(&mut self, now: Micros, registration: &Registration) {
         let (member, epoch) = (registration.member, registration.epoch);
         if registration.state == RegistrationState::Released {
--- a/purge/src/replica/recovery.rs
+++ b/purge/src/replica/recovery.rs
@@ -1,8 +1,8 @@
 //! Recovery of a replica that has started without state.
 //!
 //! The replica has recovered when it holds the entries and the registration tables of a majority of *other* replicas
-//! that are not recovering themselves. For each of these replicas, a reply sent after the start of the recovering one
-//! determines the positions and the table that it needs.
+//! that are not recovering themselves. For each of these replicas, the first reply of its incarnation determines the
+//! positions and the table changes that the recovering replica needs.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 use crate::wire::StatusReply;
 use crate::Micros;
 
-/// The state that one replica reported in its first reply after the start of the recovering one.
+/// The state that a replica reported in the first reply of its incarnation to the recovering replica.
 #[derive(Clone, Debug)]
 struct Snapshot {
     incarnation: u64,
@@ -82,8 +82,8 @@
 
     /// Stores the registrations of all copies in the own table, and adds leases for those assigned to this replica.
     /// Such a registration may have leases of earlier incarnations of this replica, granted until its start, or of
-    /// earlier epochs at other assigned replicas, granted until the member registered anew: that may have been later
-    /// than the start, but not later than now.
+    /// earlier epochs at other assigned replicas, granted until the member registered anew. The member may have
+    /// registered anew later than the start, but not later than now.
     fn import_registrations(&mut self, now: Micros) {
         let own_id = self.config.replica;
         for registration in self.copies.values().flat_map(|copy| copy.registrations().values()) {
--- a/purge/src/wire.rs
+++ b/purge/src/wire.rs
@@ -113,7 +113,7 @@
         epoch: Epoch,
         /// Incarnation of the replica.
         incarnation: u64,
-        /// Heads of the replica's log.
+        /// Position of the last entry of each stream in the replica's log.
         vector: VersionVector,
     },
     /// Rejects a registration because the replica knows a greater epoch of the member.
@@ -133,34 +133,35 @@
 /// A message from a replica to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Begins a round.
+    /// Requests the recipient's status. The sender sends it to all other replicas in each round.
     StatusRequest {
         /// Incarnation of the sender.
         incarnation: u64,
         /// Number of the round.
         round: u64,
-        /// Heads of the sender's log.
+        /// Position of the last entry of each stream in the sender's log.
         vector: VersionVector,
     },
     /// Answers a status request. Never sent by a recovering replica.
     StatusReply(StatusReply),
-    /// Requests entries after a vector.
+    /// Requests the entries that the sender lacks: those after its positions in `vector`.
     Fetch {
-        /// Heads of the sender's log.
+        /// Position of the last entry of each stream in the sender's log.
         vector: VersionVector,
     },
-    /// Sends entries, in answer to a fetch or unasked.
+    /// Sends entries, in answer to a fetch or without a request.
     Push {
         /// The entries.
         runs: Vec<Run>,
-        /// Whether this is the last datagram that answers a fetch although there are more entries.
+        /// Whether there are more entries that the sender doesn't send now, because it has reached its limit of
+        /// datagrams. Set only in the last datagram.
         more: bool,
     },
     /// Requests changes of the recipient's registration table.
     TableRequest {
-        /// Incarnation of the recipient that the sender's copy is of.
+        /// Incarnation of the recipient, as far as the sender knows.
         incarnation: u64,
-        /// Number of the last change in the sender's copy.
+        /// Number of the last change of this incarnation in the sender's copy; 0 if there is none.
         after: u64,
     },
     /// Some changes of a registration table, in the order of their numbers.
@@ -176,7 +177,7 @@
     pub round: u64,
     /// Incarnation of the replying replica.
     pub incarnation: u64,
-    /// Heads of the replying replica's log.
+    /// Position of the last entry of each stream in the replying replica's log.
     pub vector: VersionVector,
     /// Number of the last change of the replying replica's registration table.
     pub change: u64,
@@ -184,14 +185,15 @@
     pub report: MemberReport,
 }
 
-/// How far the members of one assigned replica have applied the purges of one publishing replica.
+/// How far the members assigned to one replica have applied the purges that another replica published.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberReport {
     /// The least position applied by any member with an active registration; none if there are no such members.
     pub floor: Option<Position>,
-    /// Some of the members that have not applied the assigned replica's head of that stream.
+    /// Up to [`MAX_NAMED_MEMBERS`] of the members with an active registration that have not applied all purges of the
+    /// publishing replica that the assigned replica's log has.
     pub laggards: Vec<MemberId>,
-    /// Number of such members.
+    /// Number of all members that have not applied them, including those that `laggards` omits.
     pub laggards_total: u32,
 }
 
@@ -223,7 +225,7 @@
     }
 }
 
-/// Encodes a message as a datagram. Returns none if it would be too long, which no message of this crate is.
+/// Encodes a message as a datagram. Returns `None` if it would be too long; messages created by this crate always fit.
 pub fn encode(message: &Message) -> Option<Vec<u8>> {
     let bytes = postcard::to_extend(message, MAGIC_AND_VERSION.to_vec()).ok()?;
     (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
--- a/purge/src/wire/tests.rs
+++ b/purge/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the wire format: every message round-trips, and no other bytes are accepted.
+//! Tests of the wire format: every message round-trips, and malformed datagrams are rejected without a panic.
 
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -126,7 +126,7 @@
 #[test]
 fn truncated_datagrams_and_trailing_bytes_are_errors() {
     for message in all_messages() {
-        let bytes = encode(&message).expect("it fits");
+        let bytes = encode(&message).expect("the message fits into a datagram");
         for length in 0..bytes.len() {
             assert!(decode(&bytes[..length]).is_err(), "{message:?} truncated to {length} bytes");
         }
@@ -149,12 +149,15 @@
     let run =
         Run { replica: ReplicaId(0), previous: Position::ZERO, starts: None, rebase: false, keys: vec![key] };
     let push = Message::BetweenReplicas(PeerMessage::Push { runs: vec![run], more: false });
-    let bytes = encode(&push).expect("it fits");
+    let bytes = encode(&push).expect("the message fits into a datagram");
     assert_eq!(decode(&bytes), Err(DecodeError::Malformed));
     let mut vector = VersionVector::default();
     vector.raise(ReplicaId(MAX_REPLICAS as u8), Position::start_of(1));
     let fetch = Message::BetweenReplicas(PeerMessage::Fetch { vector });
-    assert_eq!(decode(&encode(&fetch).expect("it fits")), Err(DecodeError::Malformed));
+    assert_eq!(
+        decode(&encode(&fetch).expect("the message fits into a datagram")),
+        Err(DecodeError::Malformed)
+    );
 }
 
 #[test]
@@ -166,7 +169,8 @@
         random.resize(4 + rng.random_range(0..300), 0);
         rng.fill_bytes(&mut random[4..]);
         let _ = decode(&random);
-        let mut bytes = encode(&messages[rng.random_range(0..messages.len())]).expect("it fits");
+        let mut bytes =
+            encode(&messages[rng.random_range(0..messages.len())]).expect("the message fits into a datagram");
         let index = rng.random_range(4..bytes.len());
         bytes[index] ^= 1 << rng.random_range(0..8);
         let _ = decode(&bytes);
--- a/purge/tests/behaviour.rs
+++ b/purge/tests/behaviour.rs
@@ -56,7 +56,7 @@
     control_plane.kill(2);
     for _ in 0..40 {
         control_plane.run(100);
-        assert!(control_plane.may_serve(5), "its lease stays valid during the change of replica");
+        assert!(control_plane.may_serve(5), "the member's lease lapsed during the change of replica");
     }
     assert_ne!(control_plane.member(5).metrics().assigned_replica, 2);
     control_plane.restart_replica(2);
@@ -77,13 +77,17 @@
     control_plane.kill(5);
     let purge = control_plane.publish(0, KEY);
     control_plane.run(1_500);
-    assert_eq!(control_plane.status(0, purge), PurgeStatus::Done, "done before a lease could expire");
+    assert_eq!(
+        control_plane.status(0, purge),
+        PurgeStatus::Done,
+        "the purge waits for a member that has left"
+    );
     control_plane.kill(4);
     let purge = control_plane.publish(0, b"another");
     control_plane.run(1_500);
     assert!(
         matches!(control_plane.status(0, purge), PurgeStatus::Pending { .. }),
-        "the crashed member's lease may still be valid"
+        "done while the crashed member's lease may still be valid"
     );
     control_plane.run(1_500);
     assert_eq!(control_plane.status(0, purge), PurgeStatus::Done);
@@ -95,7 +99,7 @@
     let now = control_plane.now;
     let replica = control_plane.replica(0);
     let admitted = (0..10_000).take_while(|_| replica.publish(now, KEY).is_ok()).count();
-    assert_eq!(admitted, 200, "the burst is admitted");
+    assert_eq!(admitted, 200, "expected exactly the burst to be admitted");
     let rejected = replica.publish(now, KEY).expect_err("the burst is exhausted");
     assert_eq!(rejected.reason, PublishRejectReason::RateLimited);
     assert!(replica.publish(now + rejected.retry_after - Micros(1), KEY).is_err());
--- a/purge/tests/ordinary.rs
+++ b/purge/tests/ordinary.rs
@@ -45,7 +45,7 @@
         assert_eq!(
             report.apply_delays.len(),
             200 * report.published,
-            "every member applies every purge by key"
+            "expected every member to apply every purge by key"
         );
         assert!(report.apply_delays.iter().all(|time| *time < MAX_APPLY_DELAY));
         let max_bytes = report.member_bytes_per_second.iter().max().copied();
--- a/purge/tests/quorums.rs
+++ b/purge/tests/quorums.rs
@@ -9,12 +9,13 @@
 use support::scripted::ControlPlane;
 
 const KEY: &[u8] = b"the key";
-/// Replicas of the scenarios with five: the one that publishes the purge, two that receive it, and two that don't.
+/// Replicas of the scenarios with five replicas: the one that publishes the purge, two that receive it, and two that
+/// don't.
 const PUBLISHER: usize = 0;
 const FIRST: usize = 1;
 const SECOND: usize = 2;
 const CUT_OFF: [usize; 2] = [3, 4];
-/// The member of those scenarios.
+/// The member of the scenarios with five replicas.
 const MEMBER: usize = 5;
 
 /// The first replica confirms that it holds the purge, then loses it in a restart before the second one receives it.
@@ -35,7 +36,7 @@
     control_plane.run(600);
     assert!(
         control_plane.has_recovered(FIRST),
-        "recovered from the second and the others, none of which holds the purge"
+        "the first replica did not recover from the second and the others, none of which holds the purge"
     );
     control_plane.cut(&[SECOND], &[FIRST, 3, 4]);
     control_plane.heal(&[PUBLISHER], &[SECOND]);
@@ -48,7 +49,7 @@
     control_plane.cut(&[PUBLISHER, SECOND], &[FIRST, 3, 4, MEMBER]);
     control_plane.start_member(MEMBER, &[FIRST]);
     control_plane.run(2_000);
-    assert!(control_plane.may_serve(MEMBER), "the member reaches a majority");
+    assert!(control_plane.may_serve(MEMBER), "the member does not serve although it reaches a majority");
     assert!(!control_plane.has_purged(MEMBER, KEY));
 }
 
@@ -78,7 +79,10 @@
     let (mut control_plane, purge) =
         first_loses_purge_before_second_receives_it(Some(InjectedDefect::SecondRoundSkipped));
     register_member_without_publisher_and_second(&mut control_plane);
-    assert!(control_plane.is_breached(PUBLISHER, purge, KEY, MEMBER), "one round is not enough");
+    assert!(
+        control_plane.is_breached(PUBLISHER, purge, KEY, MEMBER),
+        "no breach although the second round is skipped"
+    );
 }
 
 /// Both replicas lose the purge after the first round: the second replica restarts after it has confirmed the purge.
@@ -91,7 +95,7 @@
     control_plane.run(600);
     assert!(
         control_plane.has_recovered(SECOND),
-        "recovered from the first and the others, none of which holds the purge"
+        "the second replica did not recover from the first and the others, none of which holds the purge"
     );
     control_plane.cut(&[FIRST], &[SECOND, 3, 4]);
     control_plane.hold_link(FIRST, PUBLISHER);
@@ -103,7 +107,7 @@
     control_plane.restart_replica(FIRST);
     control_plane.heal(&[FIRST], &[SECOND, 3, 4]);
     control_plane.run(600);
-    assert!(control_plane.has_recovered(FIRST), "recovered from replicas that don't hold the purge");
+    assert!(control_plane.has_recovered(FIRST), "the first replica did not recover again");
     control_plane.open_link(FIRST, PUBLISHER);
     control_plane.run(50);
     (control_plane, purge)
@@ -122,7 +126,7 @@
     register_member_without_publisher_and_second(&mut control_plane);
     assert!(
         control_plane.is_breached(PUBLISHER, purge, KEY, MEMBER),
-        "a confirmation in a new incarnation is not enough"
+        "no breach although a confirmation in a new incarnation counts"
     );
 }
 
@@ -145,7 +149,7 @@
     control_plane.cut(&[MEMBER], &[FIRST]);
     control_plane.restart_replica(FIRST);
     control_plane.run(400);
-    assert!(control_plane.has_recovered(FIRST), "recovered from replicas that don't have the registration");
+    assert!(control_plane.has_recovered(FIRST), "the first replica did not recover");
     control_plane.cut(&[PUBLISHER, FIRST, SECOND], &CUT_OFF);
     let purge = control_plane.publish(PUBLISHER, KEY);
     control_plane.run(700);
@@ -154,7 +158,7 @@
     assert_eq!(
         control_plane.status(PUBLISHER, purge),
         PurgeStatus::Done,
-        "no member serves without the purge"
+        "not Done although no member serves without the purge"
     );
     (control_plane, purge)
 }
@@ -162,12 +166,18 @@
 #[test]
 fn a_registration_that_a_replica_loses_before_the_second_phase_does_not_count() {
     let (mut control_plane, purge) = registration_is_lost_before_the_second_phase(None);
-    assert!(!control_plane.may_serve(MEMBER), "only two of five replicas have the registration");
+    assert!(
+        !control_plane.may_serve(MEMBER),
+        "the member serves although only two of five replicas have its registration"
+    );
     assert_settles(&mut control_plane, PUBLISHER, 5, purge, MEMBER);
 
     let (control_plane, purge) =
         registration_is_lost_before_the_second_phase(Some(InjectedDefect::OnePhaseRegistration));
-    assert!(control_plane.is_breached(PUBLISHER, purge, KEY, MEMBER), "one phase is not enough");
+    assert!(
+        control_plane.is_breached(PUBLISHER, purge, KEY, MEMBER),
+        "no breach although the second phase is skipped"
+    );
 }
 
 /// A member has registered with the second and the third of three replicas; the second restarts while it reaches only
@@ -191,7 +201,10 @@
 fn a_replica_that_reaches_no_majority_of_others_does_not_recover() {
     let (mut control_plane, purge) = recovery_reaches_only_one_replica(None);
     assert!(!control_plane.has_recovered(1));
-    assert!(control_plane.may_serve(3), "its assigned replica still answers its pulls");
+    assert!(
+        control_plane.may_serve(3),
+        "the member does not serve although its assigned replica answers its pulls"
+    );
     let PurgeStatus::Pending { replicas, .. } = control_plane.status(0, purge) else {
         panic!("not Pending although a member lacks the purge")
     };
@@ -199,7 +212,10 @@
     assert_settles(&mut control_plane, 0, 3, purge, 3);
 
     let (control_plane, purge) = recovery_reaches_only_one_replica(Some(InjectedDefect::RecoveryFromOne));
-    assert!(control_plane.is_breached(0, purge, KEY, 3), "a recovery from one replica is not enough");
+    assert!(
+        control_plane.is_breached(0, purge, KEY, 3),
+        "no breach although a replica recovers from one other"
+    );
 }
 
 /// A purge becomes done while the third replica is cut off from the others; then a member that prefers the third
@@ -209,7 +225,7 @@
     control_plane.cut(&[2], &[0, 1]);
     let purge = control_plane.publish(0, KEY);
     control_plane.run(4_500);
-    assert_eq!(control_plane.status(0, purge), PurgeStatus::Done, "no member serves");
+    assert_eq!(control_plane.status(0, purge), PurgeStatus::Done, "not Done although no member serves");
     control_plane.start_member(3, &[2]);
     control_plane.run(1_500);
     (control_plane, purge)
@@ -218,13 +234,16 @@
 #[test]
 fn a_member_does_not_serve_before_its_target_even_if_its_assigned_replica_lacks_it() {
     let (mut control_plane, _) = assigned_replica_lacks_a_done_purge(None);
-    assert!(!control_plane.may_serve(3), "its assigned replica lacks an entry of the target");
+    assert!(
+        !control_plane.may_serve(3),
+        "the member serves although its assigned replica lacks an entry of the target"
+    );
     control_plane.run(10_000);
     assert!(
         control_plane.may_serve(3) && control_plane.has_purged(3, KEY),
-        "it has changed to another replica"
+        "the member did not catch up at another replica"
     );
 
     let (control_plane, purge) = assigned_replica_lacks_a_done_purge(Some(InjectedDefect::TargetIgnored));
-    assert!(control_plane.is_breached(0, purge, KEY, 3), "serving without the target breaches the guarantee");
+    assert!(control_plane.is_breached(0, purge, KEY, 3), "no breach although the member ignores its target");
 }
--- a/purge/tests/support/checker.rs
+++ b/purge/tests/support/checker.rs
@@ -1,5 +1,6 @@
 //! Checks the guarantee from outside the state machines. The checker records which purges were published, which were
 //! reported as done, and which each member's driver has drained; of a member's own state it uses only `may_serve`.
+//! Purges are identified by their index in order of publication. Times are in microseconds.
 
 use std::collections::HashSet;
 
@@ -16,6 +17,7 @@
 /// What the driver of one incarnation of a member has applied. Each incarnation starts with an empty cache.
 #[derive(Clone, Debug, Default)]
 pub struct Applied {
+    /// Purges applied by key.
     keys: HashSet<usize>,
     /// Purges with a smaller index were covered by voiding the cache.
     voided_before: usize,
@@ -35,7 +37,9 @@
     pub at: u64,
     pub member: usize,
     pub purge: PurgeId,
+    /// When the purge was published.
     pub published: u64,
+    /// When the purge was reported as done.
     pub done: u64,
 }
 
@@ -43,6 +47,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Checker {
     pub published: Vec<Published>,
+    /// Done purges, in order of completion.
     done: Vec<usize>,
 }
 
@@ -54,6 +59,7 @@
         key
     }
 
+    /// Records a published purge; returns its index.
     pub fn on_published(&mut self, id: PurgeId, at: u64) -> usize {
         self.published.push(Published { id, at, done_at: None });
         self.published.len() - 1
--- a/purge/tests/support/network.rs
+++ b/purge/tests/support/network.rs
@@ -8,6 +8,7 @@
 pub struct LinkQuality {
     pub loss: f64,
     pub duplication: f64,
+    /// Minimum and maximum of the usual delay.
     pub delay: (u64, u64),
     /// Share of datagrams with an additional delay, and the maximum of that delay.
     pub extra_delay_share: f64,
@@ -23,6 +24,7 @@
         extra_delay_share: 0.0,
         max_extra_delay: 0,
     };
+    /// Links after the end of all faults.
     pub const GOOD: LinkQuality = LinkQuality {
         loss: 0.0,
         duplication: 0.0,
--- a/purge/tests/support/schedule.rs
+++ b/purge/tests/support/schedule.rs
@@ -23,7 +23,7 @@
     ResumeNode(usize),
     BeginCut(Cut),
     EndCut(Cut),
-    /// Publishes a number of purges at once at one replica.
+    /// Publishes purges at once at one replica: the replica, and the number of purges.
     Publish(usize, usize),
 }
 
@@ -53,12 +53,13 @@
     Profile::BareMajorities,
 ];
 
-/// A control plane and the faults that it undergoes.
+/// A control plane and the faults that it undergoes. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Schedule {
     pub seed: u64,
     pub profile: Profile,
     pub replicas: usize,
+    /// How each member catches up.
     pub members: Vec<CatchUp>,
     /// Bit set of the members that run from the beginning; the others start and register for the first time later.
     pub early_members: u64,
@@ -76,6 +77,7 @@
     pub first_start: u64,
     /// Minimum and maximum length of keys; none for keys of widely varying length.
     pub key_bytes: Option<(usize, usize)>,
+    /// Faults with their times.
     pub faults: Vec<(u64, FaultKind)>,
     /// Time at which all faults end.
     pub faults_end_at: u64,
--- a/purge/tests/support/scripted.rs
+++ b/purge/tests/support/scripted.rs
@@ -29,7 +29,11 @@
 #[derive(Debug)]
 enum StateMachine {
     Replica(Replica),
-    Member { member: Member, purged: Vec<Vec<u8>> },
+    /// A member and the keys that it has purged.
+    Member {
+        member: Member,
+        purged: Vec<Vec<u8>>,
+    },
 }
 
 /// A control plane of replicas and members. Nodes are numbered: replicas first, then members.
@@ -39,8 +43,11 @@
     injected_defect: Option<InjectedDefect>,
     state_machines: Vec<Option<StateMachine>>,
     incarnations: Vec<u64>,
+    /// State of links, by sender and recipient; other links are open.
     links: HashMap<(usize, usize), LinkState>,
+    /// Sender, recipient and bytes of each datagram in flight.
     in_flight: Vec<(usize, usize, Vec<u8>)>,
+    /// The latest datagrams of each link, by sender and recipient.
     remembered: HashMap<(usize, usize), Vec<Vec<u8>>>,
 }
 
--- a/purge/tests/support/simulation.rs
+++ b/purge/tests/support/simulation.rs
@@ -45,10 +45,11 @@
     /// Incarnation of the process, incremented at each start.
     start: u64,
     frozen: bool,
-    /// Datagrams that arrived while the process was frozen.
+    /// Sender and bytes of each datagram that arrived while the process was frozen.
     backlog: VecDeque<(usize, Vec<u8>)>,
-    /// Rate of the clock in millionths, and its initial value in microseconds.
+    /// Rate of the clock, in millionths of the rate of virtual time.
     rate: u64,
+    /// Value of the clock at the start of the schedule, in microseconds.
     offset: u64,
     /// Purges published by this incarnation of the replica that are not done.
     pending: VecDeque<usize>,
@@ -57,7 +58,9 @@
 /// Result of a schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
+    /// The guarantee held, and the control plane settled in time.
     Held,
+    /// The guarantee was breached.
     Breached(Breach),
     /// The control plane did not settle in time after the end of all faults, for this reason.
     NotSettled(String),
@@ -71,9 +74,11 @@
     pub done: usize,
     pub rejected: usize,
     pub steps: u64,
+    /// Time from the end of all faults to the end of the run.
     pub settled_after: u64,
     /// Times from the publication of a purge to its application, one for each member that applied it by key.
     pub apply_delays: Vec<u64>,
+    /// Time from the publication of each done purge until it was reported as done.
     pub done_delays: Vec<u64>,
     pub log_trimmed: u64,
     pub voided: u64,
@@ -90,6 +95,7 @@
     rng: ChaCha8Rng,
     network: Network,
     now: u64,
+    /// Time, number and kind of each event to come, the earliest first.
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     event_count: u64,
     nodes: Vec<Node>,
