--- a/purge/src/limits.rs
+++ b/purge/src/limits.rs
@@ -21,8 +21,8 @@
 /// Space for entries in a datagram; the rest is for the header and the other fields.
 pub const MAX_ENTRIES_BYTES: usize = MAX_DATAGRAM_BYTES - 100;
 
-/// Millionths per token. A rate of one token per second refills one millionth per microsecond.
-const MICRO_TOKENS: u64 = 1_000_000;
+/// Micro-tokens (millionths of a token) per token. A rate of one token per second refills one millionth per microsecond.
+const MICRO_TOKENS_PER_TOKEN: u64 = 1_000_000;
 
 /// Token bucket that admits a rate per second and a burst.
 #[derive(Clone, Debug)]
@@ -38,7 +38,7 @@
     /// Creates a full bucket.
     pub fn new(rate_per_second: u32, burst: u32, now: Micros) -> TokenBucket {
         let (rate_per_second, burst) = (u64::from(rate_per_second.max(1)), u64::from(burst.max(1)));
-        TokenBucket { micro_tokens: burst * MICRO_TOKENS, rate_per_second, burst, last_refill: now }
+        TokenBucket { micro_tokens: burst * MICRO_TOKENS_PER_TOKEN, rate_per_second, burst, last_refill: now }
     }
 
     /// Takes a token.
@@ -49,13 +49,13 @@
         let elapsed = now.saturating_sub(self.last_refill);
         self.last_refill = self.last_refill.max(now);
         let refill = elapsed.0.saturating_mul(self.rate_per_second);
-        self.micro_tokens = self.micro_tokens.saturating_add(refill).min(self.burst * MICRO_TOKENS);
-        match self.micro_tokens.checked_sub(MICRO_TOKENS) {
+        self.micro_tokens = self.micro_tokens.saturating_add(refill).min(self.burst * MICRO_TOKENS_PER_TOKEN);
+        match self.micro_tokens.checked_sub(MICRO_TOKENS_PER_TOKEN) {
             Some(rest) => {
                 self.micro_tokens = rest;
                 Ok(())
             }
-            None => Err(Micros((MICRO_TOKENS - self.micro_tokens).div_ceil(self.rate_per_second))),
+            None => Err(Micros((MICRO_TOKENS_PER_TOKEN - self.micro_tokens).div_ceil(self.rate_per_second))),
         }
     }
 }
--- a/purge/src/log/tests.rs
+++ b/purge/src/log/tests.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_replica_without_trimmed_entries_moves_its_stream_to_the_base() {
+fn a_replica_that_lacks_trimmed_entries_moves_its_stream_to_the_base() {
     let log = log_with_entries(&stream_entries(1, Position::ZERO, 50), 10);
     let mut other = log_with_entries(&stream_entries(1, Position::ZERO, 20), 100);
     let (runs, more) = log.runs_after(&other.vector(), 10_000);
--- a/purge/src/wire.rs
+++ b/purge/src/wire.rs
@@ -233,30 +233,30 @@
 
 fn is_within_bounds(message: &Message) -> bool {
     match message {
-        Message::ToReplica(MemberMessage::Pull { applied, .. }) => is_vector_bounded(applied),
+        Message::ToReplica(MemberMessage::Pull { applied, .. }) => has_valid_replicas(applied),
         Message::ToMember(ReplicaMessage::Void { vector, .. } | ReplicaMessage::Confirmed { vector, .. }) => {
-            is_vector_bounded(vector)
+            has_valid_replicas(vector)
         }
-        Message::ToMember(ReplicaMessage::Entries { runs, .. }) => are_runs_bounded(runs),
+        Message::ToMember(ReplicaMessage::Entries { runs, .. }) => are_runs_valid(runs),
         Message::BetweenReplicas(message) => match message {
             PeerMessage::StatusRequest { vector, .. } | PeerMessage::Fetch { vector } => {
-                is_vector_bounded(vector)
+                has_valid_replicas(vector)
             }
             PeerMessage::StatusReply(reply) => {
-                is_vector_bounded(&reply.vector) && reply.report.laggards.len() <= MAX_NAMED_MEMBERS
+                has_valid_replicas(&reply.vector) && reply.report.laggards.len() <= MAX_NAMED_MEMBERS
             }
-            PeerMessage::Push { runs, .. } => are_runs_bounded(runs),
+            PeerMessage::Push { runs, .. } => are_runs_valid(runs),
             PeerMessage::TableRequest { .. } | PeerMessage::TableChunk(_) => true,
         },
         _ => true,
     }
 }
 
-fn is_vector_bounded(vector: &VersionVector) -> bool {
+fn has_valid_replicas(vector: &VersionVector) -> bool {
     vector.iter().all(|(replica, _)| replica.index() < MAX_REPLICAS)
 }
 
-fn are_runs_bounded(runs: &[Run]) -> bool {
+fn are_runs_valid(runs: &[Run]) -> bool {
     runs.iter().all(|run| {
         run.replica.index() < MAX_REPLICAS && run.keys.iter().all(|key| key.len() <= MAX_KEY_BYTES)
     })
--- a/purge/tests/quorums.rs
+++ b/purge/tests/quorums.rs
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_member_does_not_serve_before_its_target_even_if_its_assigned_replica_lacks_it() {
+fn a_member_whose_assigned_replica_lacks_its_target_serves_only_after_changing_replicas() {
     let (mut control_plane, _) = assigned_replica_lacks_a_done_purge(None);
     assert!(
         !control_plane.may_serve(3),
--- a/purge/tests/support/checker.rs
+++ b/purge/tests/support/checker.rs
@@ -83,9 +83,9 @@
             match event {
                 PurgeEvent::DiscardAll => applied.voided_before = self.published.len(),
                 PurgeEvent::Key(key) => {
-                    let number: [u8; 8] =
+                    let index: [u8; 8] =
                         key[..8].try_into().expect("a key starts with the index of its purge");
-                    let purge = u64::from_le_bytes(number) as usize;
+                    let purge = u64::from_le_bytes(index) as usize;
                     assert!(
                         purge < self.published.len(),
                         "a member drained a purge that was never published"
--- a/purge/tests/support/simulation.rs
+++ b/purge/tests/support/simulation.rs
@@ -102,7 +102,7 @@
     checker: Checker,
     rejected: usize,
     apply_delays: Vec<u64>,
-    has_ended_faults: bool,
+    have_faults_ended: bool,
     voided: u64,
     lapses: u64,
 }
@@ -128,7 +128,7 @@
             checker: Checker::default(),
             rejected: 0,
             apply_delays: Vec::new(),
-            has_ended_faults: false,
+            have_faults_ended: false,
             voided: 0,
             lapses: 0,
             schedule,
@@ -240,7 +240,7 @@
                 verdict = Some(Verdict::Breached(breach));
                 break;
             }
-            if self.has_ended_faults && self.now >= next_settled_check {
+            if self.have_faults_ended && self.now >= next_settled_check {
                 next_settled_check = self.now + SECOND / 10;
                 let reason = self.find_unsettled();
                 match reason {
@@ -257,8 +257,8 @@
     }
 
     fn report(&self, steps: u64, verdict: Verdict) -> Report {
-        let done = self.checker.published.iter();
-        let done_delays = done.filter_map(|purge| Some(purge.done_at? - purge.at)).collect();
+        let published = self.checker.published.iter();
+        let done_delays = published.filter_map(|purge| Some(purge.done_at? - purge.at)).collect();
         let mut report = Report {
             verdict,
             published: self.checker.published.len(),
@@ -300,7 +300,7 @@
             Event::Tick { node, start } => self.on_tick(node, start),
             Event::Datagram { to, from, bytes } => self.on_datagram(to, from, bytes),
             Event::Fault(fault) => {
-                if !self.has_ended_faults {
+                if !self.have_faults_ended {
                     self.on_fault(fault);
                 }
             }
@@ -472,7 +472,7 @@
     }
 
     fn end_faults(&mut self) {
-        self.has_ended_faults = true;
+        self.have_faults_ended = true;
         self.network.quality = LinkQuality::GOOD;
         self.network.cuts.clear();
         for node in 0..self.nodes.len() {
