--- a/platform-model/src/cache_server.rs
+++ b/platform-model/src/cache_server.rs
@@ -21,7 +21,8 @@
 const FETCH_TIMEOUT: Micros = 3 * MICROS_PER_SECOND;
 /// Upper bound of the exponential draw by which the varying half of the work is multiplied.
 const MAX_WORK_NOISE_FACTOR: f64 = 8.0;
-/// Maximum number of fetches in flight for each key that can be cached; beyond it all are forgotten.
+/// Maximum ratio of the fetches in flight to the keys that can be cached. Beyond it all fetches in flight are
+/// forgotten.
 const MAX_FETCHES_PER_CACHED_KEY: usize = 4;
 
 /// How a server answers a read.
@@ -54,7 +55,7 @@
 /// A load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests served in the last second.
+    /// Requests in flight that will be completed within a second.
     pub served_per_s: f64,
     /// Requests waiting for a core.
     pub waiting: f64,
@@ -157,7 +158,7 @@
         self.has_collapsed
     }
 
-    /// Takes a read that has been received completely.
+    /// Handles a read that has been received completely, and returns the response.
     pub fn on_request(&mut self, now: Micros, key: u64, rng: &mut SeededRng) -> Response {
         let capacity_share = self.capacity_share(now);
         let in_slow_start = capacity_share < 1.0;
@@ -211,6 +212,7 @@
         (self.cores * self.model.slots_per_core as f64) as usize + self.model.max_waiting
     }
 
+    /// Looks up a key in the cache; a miss counts as a fetch in flight.
     fn look_up_key(&mut self, now: Micros, key: u64) -> Answer {
         if self.cached_keys.get(&key).is_some() {
             return Answer::Hit;
@@ -259,7 +261,7 @@
         self.cached_keys.pop(&key);
     }
 
-    /// The load report attached to an answer, which is delayed and noisy.
+    /// The load report attached to an answer. The report is noisy, and up to `report_ms` old.
     pub fn load_report(&mut self, now: Micros, rng: &mut SeededRng) -> LoadReport {
         if now >= self.last_report_at + micros_from_millis(self.model.report_ms) {
             let served_count =
--- a/platform-model/src/cache_server/tests.rs
+++ b/platform-model/src/cache_server/tests.rs
@@ -16,7 +16,11 @@
     server.store(1);
     assert_eq!(read(&mut server, 2, 1), Answer::Hit);
     (2..5).for_each(|key| server.store(key));
-    assert_eq!(read(&mut server, 3, 1), Answer::Miss { fetching: false }, "the cache holds three keys");
+    assert_eq!(
+        read(&mut server, 3, 1),
+        Answer::Miss { fetching: false },
+        "expected the cache to hold only three keys"
+    );
     assert_eq!(read(&mut server, 4, 4), Answer::Hit);
     server.invalidate(4);
     assert_eq!(read(&mut server, 5, 4), Answer::Miss { fetching: false });
--- a/platform-model/src/check.rs
+++ b/platform-model/src/check.rs
@@ -92,7 +92,7 @@
         requirement("ramp", is_positive(load.ramp), IS_POSITIVE),
         requirement("warm", has_valid_warm_up, "must be from 0 to 600 s"),
         requirement("uneven", has_valid_uneven_share, "must have a share from 0 to 1"),
-        requirement("uneven", has_valid_uneven_at, "must have an at over 0 and up to 1"),
+        requirement("uneven", has_valid_uneven_at, "must have a field `at` over 0 and up to 1"),
         requirement(
             "hot",
             load.hot.iter().all(is_valid_hot_key),
--- a/platform-model/src/check/faults.rs
+++ b/platform-model/src/check/faults.rs
@@ -25,6 +25,7 @@
 struct FaultCheck<'a, 'b> {
     problems: &'a mut Problems<'b>,
     experiment: &'a Experiment,
+    /// Number of the fault, from 0.
     number: usize,
     fault: &'a Fault,
 }
@@ -186,7 +187,7 @@
 /// A state that only one fault can set at a time.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ExclusiveState {
-    /// Whether a server is in the endpoint list.
+    /// A server's state in the endpoint list.
     ServerLifecycle,
     /// Whether a server answers.
     ServerSilence,
@@ -207,8 +208,8 @@
     }
 }
 
-/// Finds faults that set the same state of a member at the same time, such as frozen and killed, or listed and not
-/// listed.
+/// Finds faults that set the same state of a member at the same time, such as frozen and killed, or draining and
+/// gone.
 fn check_contradictions(problems: &mut Problems<'_>, experiment: &Experiment, members: &[Vec<GroupMembers>]) {
     for (later_index, second) in experiment.fault.iter().enumerate() {
         for (earlier_index, first) in experiment.fault[..later_index].iter().enumerate() {
@@ -232,7 +233,8 @@
     first.at <= end_of(second) && second.at <= end_of(first)
 }
 
-/// The end of a fault in seconds; infinity if it lasts to the end of the run.
+/// The end of a fault in seconds. A fault that stops or restarts members ends when they start again, or at once; any
+/// other fault without a duration lasts to infinity.
 fn end_of(fault: &Fault) -> f64 {
     match fault.kind {
         FaultKind::Restart | FaultKind::Replace | FaultKind::Kill | FaultKind::Term | FaultKind::Roll => {
--- a/platform-model/src/checker.rs
+++ b/platform-model/src/checker.rs
@@ -112,7 +112,7 @@
     Rejected,
     /// Failed, never accepted, or abandoned by its client.
     Failed,
-    /// Accepted, but without a final answer before the deadline.
+    /// Accepted, but without a correct final answer before the deadline.
     Lost,
 }
 
--- a/platform-model/src/checker/failure_detection.rs
+++ b/platform-model/src/checker/failure_detection.rs
@@ -1,5 +1,5 @@
-//! How soon the whole fleet acts on a server that stops answering: the time from the change to each balancer's last
-//! attempt at the server, the attempts lost in between, and the time until the server is used again.
+//! How soon the whole fleet acts on a server that stops answering: the time from the start of the silence to each
+//! balancer's last attempt at the server, the attempts lost in between, and the time until the server is used again.
 
 #[cfg(test)]
 mod tests;
@@ -12,9 +12,10 @@
 use crate::summary::FailureDetection;
 use crate::{Micros, MICROS_PER_SECOND};
 
-/// A server is avoided once it receives less than this ratio of its fair share in every second until its return.
+/// A server counts as avoided once it receives less than this ratio of its fair share in every second until the end of
+/// its silence.
 const AVOIDED_BELOW_LOAD_RATIO: f64 = 0.1;
-/// A server that has returned is used again once it receives this ratio of its fair share in a second.
+/// A server that answers again counts as used again once it receives this ratio of its fair share in a second.
 const USED_AGAIN_MIN_LOAD_RATIO: f64 = 0.5;
 
 /// Computes the figures over all servers that were silent for more than a second. `server_loads` holds the attempts
@@ -55,7 +56,8 @@
     event_log.server_impairments.iter().filter(is_relevant).collect()
 }
 
-/// For each silence and each balancer that sent to the server during it, the time from its start to the last attempt.
+/// For each silence, and each balancer that sent attempts to the server in that time, the time from the start of the
+/// silence to the balancer's last attempt.
 fn last_attempt_delays(event_log: &EventLog, silences: &[&ImpairedSpan]) -> Vec<Micros> {
     let mut last_delays: HashMap<(usize, u32), Micros> = HashMap::new();
     for attempt in &event_log.attempts {
@@ -100,8 +102,8 @@
 }
 
 impl ServerLoads<'_> {
-    /// Time from the start of the silence until the server is avoided to its end, in whole seconds; the whole silence
-    /// if it is never avoided.
+    /// Time, in whole seconds, from the start of the silence until the server is avoided for the rest of the silence;
+    /// the whole silence if that never happens.
     fn avoided_after(&self, silence: &ImpairedSpan, config: &CheckConfig) -> Option<Micros> {
         let end = silence.to.unwrap_or(config.measured_until).min(config.measured_until);
         let first = (silence.from - self.measured_from).div_ceil(MICROS_PER_SECOND) as usize;
@@ -112,7 +114,8 @@
         Some(seconds_used as Micros * MICROS_PER_SECOND)
     }
 
-    /// Time from the server's return until it is used again; the remaining measured time if it is never used again.
+    /// Time from the end of the silence until the server is used again; the remaining measured time if that never
+    /// happens.
     fn used_again_after(&self, silence: &ImpairedSpan, config: &CheckConfig) -> Option<Micros> {
         let returned_at = silence.to?;
         let first = returned_at.checked_sub(self.measured_from)?.div_ceil(MICROS_PER_SECOND) as usize;
--- a/platform-model/src/checker/failure_detection/tests.rs
+++ b/platform-model/src/checker/failure_detection/tests.rs
@@ -8,7 +8,8 @@
     super::failure_detection(event_log, config, &super::super::series::series(event_log, config).server_loads)
 }
 
-/// Server 0 is silent from 10 to 20 s; the other three servers receive ten attempts a second each.
+/// Each of four servers receives ten attempts a second, except that server 0 is silent from 10 to 20 s and, from 10 to
+/// 23 s, receives only the given attempts: the balancer, and the time in seconds.
 fn silent_server_log(attempts_at_silent_server: &[(u32, f64)]) -> EventLogBuilder {
     let mut builder = EventLogBuilder::default();
     builder.event_log.server_impairments.push(ImpairedSpan {
@@ -52,7 +53,7 @@
     assert_eq!(
         failure_detection(&with_cut_link.event_log, &check_config()).lost_sends,
         1,
-        "an attempt that a cut link did not deliver is lost, too"
+        "expected an attempt that a cut link did not deliver to count as lost"
     );
     let without_attempts = failure_detection(&silent_server_log(&[]).event_log, &check_config());
     assert_eq!((without_attempts.spread_p50_ms, without_attempts.lost_sends), (None, 0));
--- a/platform-model/src/checker/limits.rs
+++ b/platform-model/src/checker/limits.rs
@@ -17,8 +17,8 @@
 const DEFAULT_RETRIES_PER_FIRST_ATTEMPT: f64 = 0.4;
 /// Retries that each balancer may save up, if the operator file does not state it.
 const DEFAULT_SAVED_RETRIES_PER_BALANCER: f64 = 10.0;
-/// Maximum age of a credit for a retry at the start of the second in which it is used: 2 s stated by the program, and
-/// 250 ms that a first request takes to its balancer at most.
+/// Maximum age of a credit for a retry at the start of the second in which it is used: 2 s as the program states,
+/// plus 250 ms, the longest time that a first request takes to its balancer.
 const RETRY_CREDIT_MAX_AGE: Micros = 2 * MICROS_PER_SECOND + MICROS_PER_SECOND / 4;
 
 /// Usage of the origin, as figures of the origin and of the limit `origin`.
@@ -210,7 +210,7 @@
 fn retry_times(event_log: &EventLog, config: &CheckConfig) -> Vec<Micros> {
     let mut attempts: Vec<&Attempt> = event_log.attempts.iter().chain(&event_log.undelivered).collect();
     attempts.sort_by_key(|attempt| attempt.received_at);
-    // By request: whether any of its attempts so far was a miss.
+    // Whether any attempt of a request so far was a miss, by the request's id.
     let mut missed_so_far: HashMap<u64, bool> = HashMap::new();
     let mut received_at = Vec::new();
     for attempt in attempts {
--- a/platform-model/src/checker/limits/tests.rs
+++ b/platform-model/src/checker/limits/tests.rs
@@ -54,7 +54,11 @@
     assert!((usage.peak - 4.0 / 3.0).abs() < 0.02 && usage.seconds_over == 2, "{usage:?}");
     assert_eq!(usage.bound, Some(1.05));
     builder.event_log.server_impairments = vec![span(Impairment::Slow)];
-    assert_eq!(slow_start_usage(&builder.event_log, &limited).peak, 0.0, "the server is not in slow start");
+    assert_eq!(
+        slow_start_usage(&builder.event_log, &limited).peak,
+        0.0,
+        "counted the usage of a server that is not in slow start"
+    );
 }
 
 #[test]
@@ -78,7 +82,11 @@
         retry_usage(&builder.event_log, &CheckConfig { stated: Some(small_budget), ..check_config() });
     assert!(usage.peak > 3.0 && usage.seconds_over > 0, "{usage:?}");
     builder.event_log.attempts.iter_mut().for_each(|attempt| attempt.result = AttemptResult::Miss);
-    assert_eq!(retry_usage(&builder.event_log, &limited).peak, 0.0, "attempts after a miss are no retries");
+    assert_eq!(
+        retry_usage(&builder.event_log, &limited).peak,
+        0.0,
+        "counted attempts after a miss as retries"
+    );
 }
 
 #[test]
@@ -93,11 +101,11 @@
     assert_eq!(
         usage.limit.usage,
         Some(0.8),
-        "all reads go to the origin here, so the rejected ones count as demand"
+        "expected rejected reads to count as demand, as all other reads go to the origin"
     );
     assert_eq!(
         origin_usage(&fetches_in_one_second(10, 10).event_log, &check_config()).limit.usage,
         None,
-        "demand does not exceed the limit"
+        "reported a usage although demand does not exceed the limit"
     );
 }
--- a/platform-model/src/checker/rules.rs
+++ b/platform-model/src/checker/rules.rs
@@ -146,7 +146,7 @@
     }
 
     /// Whether the balancer's process was killed or frozen by a fault at any time while the request was open. Such a
-    /// request counts as lost, but violates no rule.
+    /// request counts as lost, but does not violate the rule on answers.
     fn is_excused(&self, request: &ClientRequest) -> bool {
         let until = request.deadline + self.config.tolerance;
         self.event_log
@@ -167,7 +167,8 @@
 
     fn check_deadline(&self, request: &ClientRequest, due: Micros) -> Option<Finding> {
         let ended_at = request.ended_at?;
-        // The program is not charged for delays of the testbed itself, up to a second before and after the request.
+        // An answer may be later by the longest delay of the testbed itself that was recorded from a second before the
+        // request to a second after its deadline.
         let is_near = |stall: &&(Micros, Micros)| {
             stall.0 + MICROS_PER_SECOND >= request.sent_at && stall.0 <= due + MICROS_PER_SECOND
         };
--- a/platform-model/src/checker/rules/tests.rs
+++ b/platform-model/src/checker/rules/tests.rs
@@ -126,7 +126,7 @@
     assert_eq!(
         count_violations(keyed, true, &[(10.0, Rejected), (16.06, Served)]),
         0,
-        "a rejected attempt was not executed"
+        "counted a rejected attempt as executed"
     );
     assert_eq!(count_violations(Idempotency::NotIdempotent, true, &[(10.0, Rejected), (10.1, Served)]), 0);
     assert_eq!(
@@ -179,7 +179,8 @@
     builder
 }
 
-/// Guards against applying notices to a previous process to a restarted one that serves before it is found ready.
+/// Guards against holding a restarted process, which may serve before it is found ready, to the notices that only the
+/// previous process received.
 #[test]
 fn notices_before_a_restart_do_not_apply_before_the_process_is_found_ready() {
     let mut builder = restarted_after_drain(10.0);
@@ -256,7 +257,7 @@
     }
 }
 
-/// A stalled process may answer later by the duration of its stall, but no later, and still has to answer.
+/// Guards against excusing a stalled process beyond the duration of its stall, or from answering at all.
 #[test]
 fn stalled_process_may_answer_later_by_its_stall() {
     let request = served_read(10.0);
--- a/platform-model/src/checker/self_reports.rs
+++ b/platform-model/src/checker/self_reports.rs
@@ -35,10 +35,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SelfReportFindings {
     /// Longest time for which a process had a wrong number of live members, in seconds. `None` if links between
-    /// balancers had a fault, so that more than one view is right, or if a process was frozen.
+    /// balancers had a fault, so that more than one view is right, if a process was frozen, or without any reports.
     pub members_wrong_s: Option<f64>,
-    /// Number of avoided servers beyond those impaired at the time of a report or within the expiry before it, summed
-    /// over the reports.
+    /// Number of avoided servers beyond those impaired at the time of a self-report, or earlier by at most the expiry
+    /// of balancers' reports; summed over the self-reports.
     pub wrongly_avoided: u64,
     /// Age of the oldest report that was acted on, in milliseconds; `None` if no report was.
     pub oldest_report_ms: Option<f64>,
--- a/platform-model/src/checker/series.rs
+++ b/platform-model/src/checker/series.rs
@@ -7,7 +7,8 @@
 use crate::event_log::{EventLog, Receiver};
 use crate::Micros;
 
-/// Lower bound of the fair share by which a load is divided, so that a second without attempts gives 0.
+/// Lower bound of the fair share by which a number of attempts is divided, so that a second without attempts gives a
+/// load of 0.
 const MIN_FAIR_SHARE: f64 = 1e-9;
 
 /// The figures of one second of a run, as stored in `seconds.csv`.
@@ -35,7 +36,7 @@
     pub attempts: u64,
     /// Fetches that the origin received.
     pub fetches: u64,
-    /// Demand for fetches.
+    /// Demand for the origin, in requests.
     pub demand: f64,
 }
 
--- a/platform-model/src/checker/spread/tests.rs
+++ b/platform-model/src/checker/spread/tests.rs
@@ -98,5 +98,8 @@
     }
     let herd = spread(&builder.event_log, &check_config());
     assert!((herd.herd - 25.0).abs() < 1e-9, "ten attempts at once with 0.4 expected: {herd:?}");
-    assert!(herd.herd > 2.0 * herd.fair_herd, "fair draws of the same attempts form no such herd: {herd:?}");
+    assert!(
+        herd.herd > 2.0 * herd.fair_herd,
+        "fair draws of the same attempts form a herd of half the size or more: {herd:?}"
+    );
 }
--- a/platform-model/src/checker/test_log.rs
+++ b/platform-model/src/checker/test_log.rs
@@ -4,8 +4,8 @@
 use crate::event_log::{Attempt, AttemptResult, ClientRequest, EventLog, Receiver, RequestResult};
 use crate::{micros_from_seconds, MICROS_PER_SECOND};
 
-/// Terms of a run with four servers, the last with twice the weight, and an origin with a capacity of ten fetches a
-/// second.
+/// The check configuration of a run with four servers, the last with twice the weight, and an origin with a capacity
+/// of ten fetches a second.
 pub fn check_config() -> CheckConfig {
     let class = |name, idempotency| RequestClass {
         name,
--- a/platform-model/src/checker/tests.rs
+++ b/platform-model/src/checker/tests.rs
@@ -18,7 +18,7 @@
     builder.add_request(ClientRequest { planned_at: 0, ..served_read(10.0) });
     let summary = check_run(&builder.event_log, &check_config()).summary;
     let counts = (summary.requests, summary.served, summary.rejected, summary.failed, summary.lost);
-    assert_eq!(counts, (9, 2, 2, 2, 3), "a request planned while the caches fill does not count");
+    assert_eq!(counts, (9, 2, 2, 2, 3), "expected a request planned during the warm-up not to count");
 }
 
 #[test]
--- a/platform-model/src/discovery.rs
+++ b/platform-model/src/discovery.rs
@@ -32,7 +32,7 @@
 pub struct Endpoint {
     /// The server's id.
     pub id: String,
-    /// Number of the server; for the origin, the number of cache servers.
+    /// Number of the server; for the origin, the number after that of the last cache server.
     pub server_number: usize,
     /// The server's state.
     pub lifecycle: Lifecycle,
@@ -86,6 +86,7 @@
 pub struct CallQueue {
     time_per_call: Micros,
     timeout: Micros,
+    /// Time at which the queue can begin the next call.
     free_at: Micros,
 }
 
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Takes a call and returns the time at which it is answered, or `None` if it fails.
+    /// Handles a call and returns the time at which it is answered, or `None` if it fails.
     pub fn on_call(&mut self, now: Micros) -> Option<Micros> {
         let begin = self.free_at.max(now);
         if begin - now > self.timeout {
--- a/platform-model/src/event_log.rs
+++ b/platform-model/src/event_log.rs
@@ -1,7 +1,9 @@
 //! The event log of a run: requests and answers of clients, attempts received by servers and the origin, discovery's
-//! notices to balancers, and the times in which servers and processes were impaired. The checker reads nothing else.
+//! notices to balancers, and the times in which servers and processes were impaired. Apart from the
+//! balancers' reports about themselves, the checker reads nothing else of a run.
 //!
-//! All times count from the start of the run. Requests and attempts are in the order in which they were made.
+//! All times count from the start of the run. Requests are in the order in which they were sent, attempts in the
+//! order in which they were received.
 
 #[cfg(test)]
 mod tests;
@@ -93,7 +95,7 @@
     Origin,
 }
 
-/// The name in the violations' file, which stays the same when a variant is renamed.
+/// The name in request traces, which stays the same when a variant is renamed.
 impl fmt::Display for Receiver {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
--- a/platform-model/src/group.rs
+++ b/platform-model/src/group.rs
@@ -1,4 +1,5 @@
-//! Groups in an experiment file: `balancers:0-49`, `hosts:12.5%`, `zone:1`, `origin`, `discovery`.
+//! Groups of balancers and servers that the faults of an experiment file name, such as `balancers:0-49`,
+//! `hosts:12.5%`, `zone:1`, `origin` and `discovery`.
 
 #[cfg(test)]
 mod tests;
@@ -46,7 +47,7 @@
     /// The members are neither a number nor a range nor a share.
     #[error("{0}: the members are malformed; write a number, a range such as 0-49, or a share such as 10%")]
     MalformedMembers(String),
-    /// The share is not over 0% and up to 100%.
+    /// The share is not in the range from over 0% to 100%.
     #[error("{0}: a share must be over 0% and at most 100%")]
     ShareOutOfRange(String),
     /// The end of the range is lower than its start.
@@ -104,7 +105,7 @@
     Ok(zone)
 }
 
-/// The numbers below `count` that `3`, `0-49` or `12.5%` names.
+/// The numbers below `count` that a selection names, such as `3`, `0-49` or `12.5%`.
 fn resolve_numbers(
     group: &str,
     selection: &str,
@@ -130,7 +131,7 @@
     Ok((from..=to).collect())
 }
 
-/// Draws a share, given in percent, of the numbers below `count`; in order.
+/// Draws this percentage of the numbers below `count` at random, and returns them in ascending order.
 fn draw_share(
     group: &str,
     percent: &str,
--- a/platform-model/src/group/tests.rs
+++ b/platform-model/src/group/tests.rs
@@ -11,10 +11,10 @@
     assert_eq!(resolve("balancers:2-4").unwrap().balancers, [2, 3, 4]);
     assert_eq!(resolve("hosts:5").unwrap().servers, [5]);
     assert_eq!(resolve("hosts:50%").unwrap().servers.len(), 3);
-    assert_eq!(resolve("hosts:1%").unwrap().servers.len(), 1, "a share names at least one");
+    assert_eq!(resolve("hosts:1%").unwrap().servers.len(), 1, "expected a small share to name one member");
     assert_eq!(resolve("zone:1").unwrap().balancers, [1, 4, 7]);
     assert!(resolve("origin").unwrap().origin && resolve("discovery").unwrap().discovery);
-    assert_eq!(resolve("balancers:30%"), resolve("balancers:30%"), "the same seed draws the same members");
+    assert_eq!(resolve("balancers:30%"), resolve("balancers:30%"), "the same seed drew different members");
     for invalid in
         ["hosts:6", "hosts:4-2", "zone:3", "balancers:0%", "balancers:120%", "host:1", "hosts:x", "zone:"]
     {
--- a/platform-model/src/links.rs
+++ b/platform-model/src/links.rs
@@ -42,7 +42,7 @@
 }
 
 impl LinkState {
-    /// Combines a fault with those already present.
+    /// Combines a fault with the faults already present.
     fn add(&mut self, fault: &LinkFault) {
         match fault.kind {
             FaultKind::Cut => self.cut = true,
@@ -65,8 +65,10 @@
     *share = 1.0 - (1.0 - *share) * (1.0 - other);
 }
 
+/// A fault on the links between two groups.
 #[derive(Clone, Debug)]
 struct LinkFault {
+    /// Number of the fault in the experiment, from 0.
     number: usize,
     from: GroupMembers,
     to: GroupMembers,
@@ -144,6 +146,7 @@
     /// The listener group of each balancer, numbered from 0. Balancers of one group are in the same zone and in the
     /// same groups of link faults, so that they may share the listeners through which they reach the servers.
     pub fn listener_groups(&self, experiment: &Experiment) -> Vec<usize> {
+        // For each listener group: the zone, and for each group of a link fault, whether it contains the balancers.
         let mut signatures: Vec<(usize, Vec<bool>)> = Vec::new();
         let balancers = 0..experiment.fleet.balancers;
         let listener_group = |balancer| {
--- a/platform-model/src/origin.rs
+++ b/platform-model/src/origin.rs
@@ -63,7 +63,7 @@
     stopped_until: Micros,
     /// Times at which writes were executed, by idempotency key.
     executed_writes: HashMap<u64, Micros>,
-    /// Stops: the time, and the share of the requests before it that followed misses at servers in slow start.
+    /// Stops: the time, and the share of the requests in the overload that followed misses at servers in slow start.
     pub stops: Vec<(Micros, f64)>,
     /// Whether the capacity is unlimited, as while the caches fill before the experiment begins.
     pub has_unlimited_capacity: bool,
@@ -90,7 +90,7 @@
         self.slowdown = factor;
     }
 
-    /// Takes a request that has been received completely.
+    /// Handles a request that has been received completely, and returns the outcome.
     pub fn on_request(&mut self, now: Micros, request: OriginRequest, rng: &mut SeededRng) -> Outcome {
         let noise: f64 = Exp1.sample(rng);
         let work_ms = self.model.work_ms * (0.5 + 0.5 * noise.min(MAX_WORK_NOISE_FACTOR));
--- a/platform-model/src/origin/tests.rs
+++ b/platform-model/src/origin/tests.rs
@@ -31,7 +31,10 @@
     let (origin, outcomes) = run_requests(200, 10, 1.0);
     assert!((900..1_200).contains(&count_executed(&outcomes)), "{}", count_executed(&outcomes));
     assert!(origin.stops.is_empty() && outcomes.contains(&Outcome::Rejected));
-    assert!(count_executed(&run_requests(200, 10, 4.0).1) < 350, "a slowed origin runs fewer requests");
+    assert!(
+        count_executed(&run_requests(200, 10, 4.0).1) < 350,
+        "expected a slowed origin to run fewer requests"
+    );
 }
 
 #[test]
--- a/platform-model/src/schedule.rs
+++ b/platform-model/src/schedule.rs
@@ -17,11 +17,11 @@
 /// A change of the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// The links of this fault become faulty, or healthy again.
+    /// The links of this fault become faulty (`true`), or healthy again.
     Links(bool),
     /// Processes are killed.
     Kill(Vec<usize>),
-    /// Processes are told to shut down.
+    /// Processes receive SIGTERM.
     Term(Vec<usize>),
     /// Processes start again, once they have exited.
     Start(Vec<usize>),
@@ -29,7 +29,7 @@
     Freeze(Vec<usize>),
     /// Processes resume.
     Thaw(Vec<usize>),
-    /// Servers stop answering, or answer again.
+    /// Servers stop answering (`true`), or answer again.
     Silent(Vec<usize>, bool),
     /// Servers take this factor longer for each request.
     Slow(Vec<usize>, f64),
@@ -45,7 +45,7 @@
     Replace(Vec<usize>),
     /// The origin takes this factor longer for each request.
     OriginSlow(f64),
-    /// Discovery goes down, or comes up again.
+    /// Discovery goes down (`true`), or comes up again.
     DiscoveryDown(bool),
     /// Discovery delays its notices to each balancer by up to this time.
     ListLate(Micros),
--- a/platform-model/src/schedule/tests.rs
+++ b/platform-model/src/schedule/tests.rs
@@ -24,7 +24,7 @@
         .collect();
     let mut sorted = terminated.clone();
     sorted.sort_unstable();
-    assert_eq!(sorted, (0..10).collect::<Vec<_>>(), "a roll stops each process once");
+    assert_eq!(sorted, (0..10).collect::<Vec<_>>(), "expected the roll to stop each process once");
     assert_eq!(steps.last().unwrap().change, Change::Restart(vec![1]));
     assert!(
         matches!(&steps[5], Step { at, change: Change::Silent(_, false), .. } if *at == 3 * MICROS_PER_SECOND + MICROS_PER_SECOND / 2)
--- a/platform-model/src/summary.rs
+++ b/platform-model/src/summary.rs
@@ -23,7 +23,7 @@
     pub rejected: u64,
     /// Of those, failed, never accepted, or abandoned by their client.
     pub failed: u64,
-    /// Of those, accepted, but without a final answer before the deadline.
+    /// Of those, accepted, but without a correct final answer before the deadline.
     pub lost: u64,
     /// Ratio of the priority weight served within the latency objective to the requested weight. A client's first
     /// request and its retries count as one request.
@@ -35,8 +35,8 @@
     pub latency_ms: Latency,
     /// Violations of the four rules.
     pub rules: RuleViolations,
-    /// 99th percentile of the delay between the planned and the actual sending time of requests, in milliseconds. The
-    /// testbed was late in a run with more than 20.
+    /// 99th percentile of the delay between the planned and the actual sending time of requests, in milliseconds. If it
+    /// is more than 20, the testbed itself was late.
     pub lag_p99_ms: f64,
     /// Processor time of the run.
     pub cpu: Cpu,
@@ -58,7 +58,7 @@
 pub struct Processes {
     /// Number of starts, restarts included.
     pub started: u64,
-    /// Number of processes that ended without being told to.
+    /// Number of processes that exited although the testbed did not stop them.
     pub crashed: u64,
 }
 
@@ -107,9 +107,11 @@
 /// Usage of the origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OriginFigures {
-    /// Highest number of fetches in any second, divided by the capacity.
+    /// Highest number of fetches in any second, divided by the limit that the program states, or by the capacity if it
+    /// states none.
     pub peak: f64,
-    /// Answers in time divided by the capacity while demand was above it; `None` if demand never was.
+    /// Fetches whose request was served in time, divided by the same limit, in the seconds in which demand exceeded the
+    /// limit; `None` without such a second.
     pub useful: Option<f64>,
     /// Total number of fetches.
     pub fetches: u64,
@@ -139,7 +141,7 @@
 /// Usage of a fleet-wide limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitUsage {
-    /// The limit a second.
+    /// The limit per second.
     #[serde(rename = "whole")]
     pub limit: f64,
     /// Upper bound of the usage that the program states, as a multiple of the limit; `None` if balancers do not
@@ -147,10 +149,10 @@
     pub bound: Option<f64>,
     /// Highest usage in any second, divided by the limit.
     pub peak: f64,
-    /// Usage divided by the limit while demand was above it; `None` if demand never was.
+    /// Usage divided by the limit, in the seconds in which demand exceeded the limit; `None` without such a second.
     #[serde(rename = "use")]
     pub usage: Option<f64>,
-    /// Number of seconds in which usage exceeded the limit.
+    /// Number of seconds in which usage exceeded the limit; for servers in slow start, the stated bound, if any.
     pub seconds_over: u64,
 }
 
@@ -159,23 +161,25 @@
 pub struct FailureDetection {
     /// Reaction time that the program states, in milliseconds; `None` if balancers do not exchange messages.
     pub bound_ms: Option<f64>,
-    /// Time from a server's silence to the last attempt of each balancer at it, median in milliseconds.
+    /// Median of the times from the start of a server's silence to each balancer's last attempt at the server, in
+    /// milliseconds.
     pub spread_p50_ms: Option<f64>,
-    /// 99th percentile of the same time in milliseconds.
+    /// 99th percentile of the same times, in milliseconds.
     pub spread_p99_ms: Option<f64>,
     /// Stated age up to which a report is effective, in milliseconds.
     pub stale_bound_ms: Option<f64>,
     /// Age of the oldest report that was acted on, in milliseconds.
     pub stale_max_ms: Option<f64>,
-    /// Number of healthy servers avoided because of other balancers' reports.
+    /// Number of healthy servers avoided because of other balancers' reports, summed over the processes' self-reports.
     #[serde(rename = "wrong")]
     pub wrongly_avoided: u64,
     /// Number of attempts that a server did not answer or a cut link did not deliver.
     pub lost_sends: u64,
-    /// Longest time from a server's silence until it receives less than a tenth of its fair share to the end of the
-    /// silence, in milliseconds.
+    /// Longest time from the start of a server's silence until the server receives less than a tenth of its fair share
+    /// for the rest of the silence, in milliseconds.
     pub avoided_ms: Option<f64>,
-    /// Longest time from a server's return until it receives half of its fair share, in milliseconds.
+    /// Longest time from the end of a server's silence until the server receives half of its fair share, in
+    /// milliseconds.
     pub used_again_ms: Option<f64>,
 }
 
--- a/platform-model/src/workload.rs
+++ b/platform-model/src/workload.rs
@@ -51,7 +51,7 @@
 }
 
 /// Draws arrivals one after the other by thinning: candidates arrive at the highest rate, and each is accepted with
-/// the ratio of the current rate to it.
+/// a probability equal to the ratio of the current rate to the highest.
 struct Workload<'a> {
     experiment: &'a Experiment,
     rng: SeededRng,
--- a/platform-model/src/workload/tests.rs
+++ b/platform-model/src/workload/tests.rs
@@ -40,7 +40,7 @@
             |arrival: &&Arrival| (from * MICROS_PER_SECOND..to * MICROS_PER_SECOND).contains(&arrival.at);
         arrivals.iter().filter(within).count() as f64 / (to - from) as f64
     };
-    assert!((rate(0, 8) / 100.0 - 1.0).abs() < 0.15, "no ramp during the warm-up");
+    assert!((rate(0, 8) / 100.0 - 1.0).abs() < 0.15, "the rate rises during the warm-up");
     assert!((rate(18, 23) / (100.0 * 3.0 * 1.31) - 1.0).abs() < 0.15, "{}", rate(18, 23));
     assert!((rate(42, 48) / 192.0 - 1.0).abs() < 0.15);
 }
--- a/platform-model/tests/file_formats.rs
+++ b/platform-model/tests/file_formats.rs
@@ -30,7 +30,7 @@
     let summary: Summary = serde_json::from_str(&text).unwrap();
     assert_eq!(serde_json::to_value(&summary).unwrap(), before);
     let written = serde_json::to_string_pretty(&summary).unwrap();
-    assert_eq!(names(&written), names(&text), "names, nesting and order must be the same");
+    assert_eq!(names(&written), names(&text), "names, nesting or order differ");
 }
 
 #[test]
@@ -64,5 +64,5 @@
     assert_eq!((experiment.origin.capacity, experiment.origin.queue_s), (120.0, 0.5));
     assert_eq!((experiment.discovery.calls_per_s, experiment.discovery.notice_s), (250.0, 0.25));
     assert_eq!((experiment.net.same_ms, experiment.net.cross_ms), (0.3, 4.0));
-    assert_eq!(experiment.fault.len(), 22, "the file has each kind of fault once");
+    assert_eq!(experiment.fault.len(), 22, "expected each kind of fault once");
 }
