--- a/platform-model/src/check.rs
+++ b/platform-model/src/check.rs
@@ -19,15 +19,15 @@
 /// Maximum duration of the warm-up in seconds.
 const MAX_WARM_UP_S: f64 = 600.0;
 
-const IS_POSITIVE: &str = "must be a number over 0";
-const IS_NOT_NEGATIVE: &str = "must be a number of at least 0";
-const IS_SHARE: &str = "must be a share from 0 to 1";
-const IS_AT_LEAST_ONE: &str = "must be at least 1";
+const MUST_BE_POSITIVE: &str = "must be a number over 0";
+const MUST_NOT_BE_NEGATIVE: &str = "must be a number of at least 0";
+const MUST_BE_SHARE: &str = "must be a share from 0 to 1";
+const MUST_BE_AT_LEAST_ONE: &str = "must be at least 1";
 
 /// Finds all problems of an experiment; `text` is the file's text, used to find line numbers.
 pub fn find_problems(experiment: &Experiment, text: &str) -> Vec<FileProblem> {
     let mut problems = Problems { text, found: Vec::new() };
-    problems.require("", [requirement("seconds", is_positive(experiment.seconds), IS_POSITIVE)]);
+    problems.require("", [requirement("seconds", is_positive(experiment.seconds), MUST_BE_POSITIVE)]);
     problems.require("fleet", fleet_requirements(&experiment.fleet));
     problems.require("load", load_requirements(&experiment.load));
     problems.require("clients", clients_requirements(&experiment.clients));
@@ -69,7 +69,7 @@
         requirement("balancers", has_valid_balancers, "must be from 1 to 1024"),
         requirement("hosts", has_valid_servers, "must be from 1 to 1024"),
         requirement("zones", has_valid_zones, "must be from 1 to 16"),
-        requirement("told", fleet.stated_balancers != Some(0), IS_AT_LEAST_ONE),
+        requirement("told", fleet.stated_balancers != Some(0), MUST_BE_AT_LEAST_ONE),
         requirement("weights", has_valid_weights, "must be numbers over 0"),
     ]
 }
@@ -84,12 +84,12 @@
     let is_valid_burst =
         |burst: &Burst| burst.at >= 0.0 && burst.duration_s > 0.0 && burst.rate_factor >= 0.0;
     [
-        requirement("rate", is_positive(load.rate), IS_POSITIVE),
-        requirement("keys", load.keys > 0, IS_AT_LEAST_ONE),
-        requirement("zipf", has_valid_zipf, IS_NOT_NEGATIVE),
-        requirement("writes", is_share(load.writes), IS_SHARE),
-        requirement("drift", is_share(load.drift), IS_SHARE),
-        requirement("ramp", is_positive(load.ramp), IS_POSITIVE),
+        requirement("rate", is_positive(load.rate), MUST_BE_POSITIVE),
+        requirement("keys", load.keys > 0, MUST_BE_AT_LEAST_ONE),
+        requirement("zipf", has_valid_zipf, MUST_NOT_BE_NEGATIVE),
+        requirement("writes", is_share(load.writes), MUST_BE_SHARE),
+        requirement("drift", is_share(load.drift), MUST_BE_SHARE),
+        requirement("ramp", is_positive(load.ramp), MUST_BE_POSITIVE),
         requirement("warm", has_valid_warm_up, "must be from 0 to 600 s"),
         requirement("uneven", has_valid_uneven_share, "must have a share from 0 to 1"),
         requirement("uneven", has_valid_uneven_at, "must have a field `at` over 0 and up to 1"),
@@ -109,9 +109,9 @@
 
 fn clients_requirements(clients: &Clients) -> [Requirement; 3] {
     [
-        requirement("honour", is_share(clients.retry_after_share), IS_SHARE),
-        requirement("impatient", is_share(clients.impatient_share), IS_SHARE),
-        requirement("backoff_ms", is_positive(clients.backoff_ms), IS_POSITIVE),
+        requirement("honour", is_share(clients.retry_after_share), MUST_BE_SHARE),
+        requirement("impatient", is_share(clients.impatient_share), MUST_BE_SHARE),
+        requirement("backoff_ms", is_positive(clients.backoff_ms), MUST_BE_POSITIVE),
     ]
 }
 
@@ -119,28 +119,28 @@
     let has_valid_initial_share =
         servers.slow_start_initial_share > 0.0 && is_share(servers.slow_start_initial_share);
     [
-        requirement("work_ms", is_positive(servers.work_ms), IS_POSITIVE),
-        requirement("slots", servers.slots_per_core > 0, IS_AT_LEAST_ONE),
-        requirement("keep", is_positive(servers.cached_keys_ratio), IS_POSITIVE),
+        requirement("work_ms", is_positive(servers.work_ms), MUST_BE_POSITIVE),
+        requirement("slots", servers.slots_per_core > 0, MUST_BE_AT_LEAST_ONE),
+        requirement("keep", is_positive(servers.cached_keys_ratio), MUST_BE_POSITIVE),
         requirement("cold_from", has_valid_initial_share, "must be a share over 0 and up to 1"),
-        requirement("fall_times", is_positive(servers.collapse_load_factor), IS_POSITIVE),
+        requirement("fall_times", is_positive(servers.collapse_load_factor), MUST_BE_POSITIVE),
     ]
 }
 
 fn origin_requirements(origin: &Origin) -> [Requirement; 3] {
     [
-        requirement("capacity", is_positive(origin.capacity), IS_POSITIVE),
-        requirement("work_ms", is_positive(origin.work_ms), IS_POSITIVE),
-        requirement("fall_times", is_positive(origin.stop_load_factor), IS_POSITIVE),
+        requirement("capacity", is_positive(origin.capacity), MUST_BE_POSITIVE),
+        requirement("work_ms", is_positive(origin.work_ms), MUST_BE_POSITIVE),
+        requirement("fall_times", is_positive(origin.stop_load_factor), MUST_BE_POSITIVE),
     ]
 }
 
 fn discovery_requirements(discovery: &Discovery) -> [Requirement; 1] {
-    [requirement("calls_per_s", is_positive(discovery.calls_per_s), IS_POSITIVE)]
+    [requirement("calls_per_s", is_positive(discovery.calls_per_s), MUST_BE_POSITIVE)]
 }
 
 fn net_requirements(net: &Net) -> [Requirement; 1] {
-    [requirement("cross_ms", net.same_ms >= 0.0 && net.cross_ms >= 0.0, IS_NOT_NEGATIVE)]
+    [requirement("cross_ms", net.same_ms >= 0.0 && net.cross_ms >= 0.0, MUST_NOT_BE_NEGATIVE)]
 }
 
 /// The problems found so far in a file's text.
