--- a/platform-model/src/checker/rules.rs
+++ b/platform-model/src/checker/rules.rs
@@ -126,9 +126,9 @@
         if self.is_excused(request) {
             return None;
         }
-        let due = request.deadline + self.config.tolerance;
+        let latest = request.deadline + self.config.tolerance;
         match request.result {
-            RequestResult::NoAnswer => Some((due, "it was taken and had no final answer".into())),
+            RequestResult::NoAnswer => Some((latest, "it was taken and had no final answer".into())),
             RequestResult::ConnectionClosed => {
                 Some((request.ended_at?, "its connection ended without a whole answer".into()))
             }
@@ -139,7 +139,7 @@
                 ),
             )),
             RequestResult::Served | RequestResult::Rejected | RequestResult::Failed => {
-                self.check_deadline(request, due)
+                self.check_deadline(request, latest)
             }
             RequestResult::WrongValue | RequestResult::NotAccepted | RequestResult::ClientLeft => None,
         }
@@ -148,12 +148,12 @@
     /// Whether the balancer's process was killed or frozen by a fault at any time while the request was open. Such a
     /// request counts as lost, but does not violate the rule on answers.
     fn is_excused(&self, request: &ClientRequest) -> bool {
-        let until = request.deadline + self.config.tolerance;
+        let latest = request.deadline + self.config.tolerance;
         self.event_log
             .process_impairments
             .iter()
             .filter(|span| span.impairment != Impairment::ShutDown)
-            .any(|span| span.number == request.balancer && span.overlaps(request.sent_at, until))
+            .any(|span| span.number == request.balancer && span.overlaps(request.sent_at, latest))
     }
 
     /// Upper bound of the time for which the balancer's process was stalled while the request was open.
@@ -165,17 +165,17 @@
         overlapping.map(|stall| stall.to - stall.from).sum()
     }
 
-    fn check_deadline(&self, request: &ClientRequest, due: Micros) -> Option<Finding> {
+    fn check_deadline(&self, request: &ClientRequest, latest: Micros) -> Option<Finding> {
         let ended_at = request.ended_at?;
         // An answer may be later by the longest delay of the testbed itself that was recorded from a second before the
         // request to a second after its deadline.
         let is_near = |stall: &&(Micros, Micros)| {
-            stall.0 + MICROS_PER_SECOND >= request.sent_at && stall.0 <= due + MICROS_PER_SECOND
+            stall.0 + MICROS_PER_SECOND >= request.sent_at && stall.0 <= latest + MICROS_PER_SECOND
         };
         let stalls = self.event_log.testbed_stalls.iter().filter(is_near);
-        let testbed_stall = stalls.map(|(_, lateness)| *lateness).max().unwrap_or(0);
-        let stall = testbed_stall + self.stalled_time(request, due);
-        let late = ended_at.checked_sub(due + stall).filter(|late| *late > 0)?;
+        let testbed_stall = stalls.map(|(_, delay)| *delay).max().unwrap_or(0);
+        let stall = testbed_stall + self.stalled_time(request, latest);
+        let late = ended_at.checked_sub(latest + stall).filter(|late| *late > 0)?;
         let late_ms = (late + stall) as f64 / 1e3;
         Some((ended_at, format!("its answer came {late_ms:.0} ms after its deadline")))
     }
--- a/platform-model/src/checker/rules/tests.rs
+++ b/platform-model/src/checker/rules/tests.rs
@@ -10,13 +10,16 @@
 }
 
 #[test]
-fn request_needs_one_answer_in_time_produced_for_it() {
+fn request_needs_exactly_one_answer_of_its_own_in_time() {
     let valid = served_read(10.0);
-    let due = valid.deadline + 50_000;
+    let latest = valid.deadline + 50_000;
     let cases = [
-        (ClientRequest { ended_at: Some(due), ..valid.clone() }, false),
-        (ClientRequest { ended_at: Some(due + 1), ..valid.clone() }, true),
-        (ClientRequest { ended_at: Some(due + 1), result: RequestResult::Rejected, ..valid.clone() }, true),
+        (ClientRequest { ended_at: Some(latest), ..valid.clone() }, false),
+        (ClientRequest { ended_at: Some(latest + 1), ..valid.clone() }, true),
+        (
+            ClientRequest { ended_at: Some(latest + 1), result: RequestResult::Rejected, ..valid.clone() },
+            true,
+        ),
         (ClientRequest { result: RequestResult::NoAnswer, ended_at: None, ..valid.clone() }, true),
         (ClientRequest { result: RequestResult::ConnectionClosed, ..valid.clone() }, true),
         (ClientRequest { result: RequestResult::WrongValue, ..valid.clone() }, true),
@@ -61,22 +64,25 @@
 }
 
 #[test]
-fn dead_process_or_late_testbed_excuses_a_missing_or_late_answer() {
+fn stopped_process_excuses_a_missing_answer_and_testbed_delay_a_late_one() {
     let mut builder = EventLogBuilder::default();
     builder.add_request(ClientRequest {
         result: RequestResult::NoAnswer,
         ended_at: None,
         ..served_read(10.0)
     });
-    let dead = |number, from, to| ImpairedSpan {
+    let not_running = |number, from, to| ImpairedSpan {
         number,
         impairment: Impairment::NotRunning,
         from: micros_from_seconds(from),
         to: Some(micros_from_seconds(to)),
     };
-    for (span, violation_count) in
-        [(dead(0, 10.9, 12.0), 0), (dead(0, 11.1, 12.0), 1), (dead(1, 10.0, 12.0), 1), (dead(0, 5.0, 9.9), 1)]
-    {
+    for (span, violation_count) in [
+        (not_running(0, 10.9, 12.0), 0),
+        (not_running(0, 11.1, 12.0), 1),
+        (not_running(1, 10.0, 12.0), 1),
+        (not_running(0, 5.0, 9.9), 1),
+    ] {
         builder.event_log.process_impairments = vec![span];
         assert_eq!(
             violated_rules(&builder).len(),
@@ -110,7 +116,7 @@
         find_violations(&builder.event_log, &config).len()
     };
     use AttemptResult::{Failed, Miss, Rejected, Served};
-    let (idempotent, keyed) =
+    let (idempotent, with_idempotency_key) =
         (Idempotency::Idempotent, Idempotency::WithIdempotencyKey(6 * MICROS_PER_SECOND));
     assert_eq!(count_violations(idempotent, false, &[(10.0, Failed), (10.1, Miss), (10.2, Served)]), 0);
     assert_eq!(
@@ -121,10 +127,10 @@
         ),
         1
     );
-    assert_eq!(count_violations(keyed, true, &[(10.0, Failed), (16.05, Served)]), 0);
-    assert_eq!(count_violations(keyed, true, &[(10.0, Failed), (16.06, Served)]), 1);
+    assert_eq!(count_violations(with_idempotency_key, true, &[(10.0, Failed), (16.05, Served)]), 0);
+    assert_eq!(count_violations(with_idempotency_key, true, &[(10.0, Failed), (16.06, Served)]), 1);
     assert_eq!(
-        count_violations(keyed, true, &[(10.0, Rejected), (16.06, Served)]),
+        count_violations(with_idempotency_key, true, &[(10.0, Rejected), (16.06, Served)]),
         0,
         "counted a rejected attempt as executed"
     );
@@ -140,7 +146,7 @@
 }
 
 #[test]
-fn drain_applies_from_its_grace_until_the_notice_of_the_return() {
+fn drain_applies_from_the_end_of_its_grace_period_until_the_notice_that_the_server_is_back() {
     let mut builder = EventLogBuilder::default();
     let notice =
         |at, in_service| EndpointNotice { balancer: 0, server: 2, in_service, at: micros_from_seconds(at) };
@@ -164,9 +170,9 @@
 }
 
 /// An event log with a drain notified at this second, and a process started at 12 s and found ready at 12.5 s.
-fn restarted_after_drain(notified: f64) -> EventLogBuilder {
+fn drain_and_restart(notified_at: f64) -> EventLogBuilder {
     let mut builder = EventLogBuilder::default();
-    let at = micros_from_seconds(notified);
+    let at = micros_from_seconds(notified_at);
     builder.event_log.endpoint_notices =
         vec![EndpointNotice { balancer: 0, server: 2, in_service: false, at }];
     builder.event_log.process_starts = vec![ProcessStart { balancer: 0, at: micros_from_seconds(12.0) }];
@@ -182,8 +188,8 @@
 /// Guards against holding a restarted process, which may serve before it is found ready, to the notices that only the
 /// previous process received.
 #[test]
-fn notices_before_a_restart_do_not_apply_before_the_process_is_found_ready() {
-    let mut builder = restarted_after_drain(10.0);
+fn notices_before_a_restart_do_not_apply_after_it() {
+    let mut builder = drain_and_restart(10.0);
     builder.event_log.attempts = vec![attempt(1, Receiver::CacheServer(2), 12.2)];
     assert_eq!(violated_rules(&builder), []);
 }
@@ -191,7 +197,7 @@
 /// Guards against ignoring notices to a restarted process that arrive before it is found ready.
 #[test]
 fn drain_notified_before_the_process_is_found_ready_applies() {
-    let mut builder = restarted_after_drain(12.01);
+    let mut builder = drain_and_restart(12.01);
     for (at, violation_count) in [(12.2, 0), (12.57, 1), (12.7, 1)] {
         builder.event_log.attempts = vec![attempt(1, Receiver::CacheServer(2), at)];
         assert_eq!(violated_rules(&builder), vec![Rule::Drains; violation_count], "{at}");
@@ -201,7 +207,7 @@
 /// Guards against a violation with the trace of a later request that reuses the id.
 #[test]
 fn drain_violation_has_the_trace_of_the_last_request_sent_before_the_attempt() {
-    let mut builder = restarted_after_drain(12.01);
+    let mut builder = drain_and_restart(12.01);
     let id = builder.add_request(ClientRequest { key: 7, ..served_read(12.6) });
     builder.event_log.requests.push(ClientRequest { id, key: 8, ..served_read(14.0) });
     builder.event_log.attempts = vec![attempt(id, Receiver::CacheServer(2), 12.7)];
@@ -210,7 +216,7 @@
 }
 
 #[test]
-fn slow_start_collapse_and_origin_stop_by_slow_start_misses_violate_the_rule() {
+fn server_collapse_in_slow_start_and_origin_stop_due_to_slow_start_misses_violate_the_slow_start_rule() {
     let mut builder = EventLogBuilder::default();
     builder.event_log.origin_stops = vec![(micros_from_seconds(9.0), 0.49)];
     assert_eq!(violated_rules(&builder), []);
@@ -261,17 +267,17 @@
 #[test]
 fn stalled_process_may_answer_later_by_its_stall() {
     let request = served_read(10.0);
-    let due = request.deadline + 50_000;
+    let latest = request.deadline + 50_000;
     let stall = |balancer| ProcessStall { balancer, from: request.sent_at, to: request.sent_at + 200_000 };
-    let late = ClientRequest { ended_at: Some(due + 200_000), ..request.clone() };
-    let too_late = ClientRequest { ended_at: Some(due + 200_001), ..request.clone() };
-    let silent = ClientRequest { result: RequestResult::NoAnswer, ended_at: None, ..request.clone() };
-    for (request, stalled, violation_count) in
-        [(&late, 0, 0), (&late, 1, 1), (&too_late, 0, 1), (&silent, 0, 1)]
+    let late = ClientRequest { ended_at: Some(latest + 200_000), ..request.clone() };
+    let too_late = ClientRequest { ended_at: Some(latest + 200_001), ..request.clone() };
+    let unanswered = ClientRequest { result: RequestResult::NoAnswer, ended_at: None, ..request.clone() };
+    for (request, stalled_balancer, violation_count) in
+        [(&late, 0, 0), (&late, 1, 1), (&too_late, 0, 1), (&unanswered, 0, 1)]
     {
         let mut builder = EventLogBuilder::default();
         builder.add_request(request.clone());
-        builder.event_log.process_stalls = vec![stall(stalled)];
+        builder.event_log.process_stalls = vec![stall(stalled_balancer)];
         assert_eq!(violated_rules(&builder), vec![Rule::Answers; violation_count], "{request:?}");
     }
 }
