--- a/platform-model/src/checker/limits.rs
+++ b/platform-model/src/checker/limits.rs
@@ -212,19 +212,19 @@
     attempts.sort_by_key(|attempt| attempt.received_at);
     // Whether any attempt of a request so far was a miss, by the request's id.
     let mut missed_so_far: HashMap<u64, bool> = HashMap::new();
-    let mut received_at = Vec::new();
+    let mut retry_times = Vec::new();
     for attempt in attempts {
         let is_miss = attempt.result == AttemptResult::Miss;
         if let Some(missed) = missed_so_far.get_mut(&attempt.id) {
             if !*missed && config.is_measured(attempt.received_at) {
-                received_at.push(attempt.received_at);
+                retry_times.push(attempt.received_at);
             }
             *missed |= is_miss;
         } else {
             missed_so_far.insert(attempt.id, is_miss);
         }
     }
-    received_at
+    retry_times
 }
 
 /// Demand for the origin in each second: requested writes, reads that missed at a server or went to the origin, and
@@ -259,7 +259,8 @@
 /// The share of reads that needed the origin, among reads with an attempt.
 fn usual_origin_share(event_log: &EventLog, needs_origin: &HashMap<u64, bool>) -> f64 {
     let reads = event_log.requests.iter().filter(|request| !request.write);
-    let attempted: Vec<bool> = reads.filter_map(|read| needs_origin.get(&read.id)).copied().collect();
-    let needing_origin = attempted.iter().filter(|needs| **needs).count();
-    needing_origin as f64 / attempted.len().max(1) as f64
+    let needs_origin_by_read: Vec<bool> =
+        reads.filter_map(|read| needs_origin.get(&read.id)).copied().collect();
+    let reads_needing_origin = needs_origin_by_read.iter().filter(|needs| **needs).count();
+    reads_needing_origin as f64 / needs_origin_by_read.len().max(1) as f64
 }
--- a/platform-model/src/checker/spread/tests.rs
+++ b/platform-model/src/checker/spread/tests.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn impaired_servers_do_not_count_in_their_windows() {
+fn servers_do_not_count_in_windows_in_which_they_are_impaired() {
     let mut builder = log_with_moved_attempts(20);
     builder.event_log.server_impairments.push(ImpairedSpan {
         number: 0,
--- a/platform-model/src/schedule.rs
+++ b/platform-model/src/schedule.rs
@@ -183,8 +183,8 @@
     }
 
     /// Stops processes, and starts them again if the file sets a time for it.
-    fn stop_and_start(&self, end: Change) -> TimedChanges {
-        let mut changes = vec![(self.start_time(), end)];
+    fn stop_and_start(&self, stop: Change) -> TimedChanges {
+        let mut changes = vec![(self.start_time(), stop)];
         let start = Change::Start(self.targets.balancers.clone());
         changes.extend(
             self.fault
--- a/platform-model/src/schedule/tests.rs
+++ b/platform-model/src/schedule/tests.rs
@@ -12,8 +12,8 @@
     let experiment = read(&format!("{VALID_EXPERIMENT}{text}"), &[]).unwrap();
     let steps = compile_schedule(&experiment).steps;
     assert_eq!(steps, compile_schedule(&experiment).steps);
-    let at: Vec<Micros> = steps.iter().map(|step| step.at / 100_000).collect();
-    assert_eq!(at, [10, 20, 30, 30, 30, 35, 50, 50, 70, 70, 90, 110]);
+    let tenths_of_seconds: Vec<Micros> = steps.iter().map(|step| step.at / 100_000).collect();
+    assert_eq!(tenths_of_seconds, [10, 20, 30, 30, 30, 35, 50, 50, 70, 70, 90, 110]);
     let terminated: Vec<usize> = steps
         .iter()
         .filter_map(|step| match &step.change {
