--- a/platform-model/src/checker/self_reports.rs
+++ b/platform-model/src/checker/self_reports.rs
@@ -21,7 +21,7 @@
     pub balancer: usize,
     /// Tokens of the origin's limit that the process may use.
     pub reserved: f64,
-    /// Requests begun in the last window.
+    /// Tokens of the origin's limit that the process used in the last window of the limit.
     pub used: f64,
     /// Members that the process believes to be alive.
     pub members: f64,
--- a/platform-model/src/checker/self_reports/tests.rs
+++ b/platform-model/src/checker/self_reports/tests.rs
@@ -27,7 +27,7 @@
         to: Some(micros_from_seconds(20.0)),
     }];
     let mut reports: Vec<SelfReport> = (6..30).map(|second| report(f64::from(second), 0, 4.0, 0.0)).collect();
-    // The reporter counts the dead process for another 4 s, and counts it again as soon as it has restarted.
+    // The reporter counts the stopped process for another 4 s, and counts it again as soon as it has restarted.
     reports
         .iter_mut()
         .filter(|report| (micros_from_seconds(14.0)..micros_from_seconds(20.5)).contains(&report.at))
