--- a/purge/tests/support/schedule.rs
+++ b/purge/tests/support/schedule.rs
@@ -74,7 +74,7 @@
     pub void_threshold_entries: usize,
     pub tick: u64,
     /// Incarnation before the first start. As large as a time of day where message sizes must be realistic.
-    pub first_start: u64,
+    pub initial_incarnation: u64,
     /// Minimum and maximum length of keys; none for keys of widely varying length.
     pub key_bytes: Option<(usize, usize)>,
     /// Faults with their times.
@@ -111,7 +111,7 @@
             log_entries: if has_short_log { rng.random_range(4..=40) } else { 65_536 },
             void_threshold_entries: rng.random_range(2..=64),
             tick: rng.random_range(20..=50) * MILLISECOND,
-            first_start: 0,
+            initial_incarnation: 0,
             key_bytes: None,
             faults: Vec::new(),
             faults_end_at: rng.random_range(8..=16) * SECOND,
@@ -150,7 +150,7 @@
             log_entries: 65_536,
             void_threshold_entries: 64,
             tick: 50 * MILLISECOND,
-            first_start: 1_764_000_000_000_000,
+            initial_incarnation: 1_764_000_000_000_000,
             key_bytes: Some((40, 64)),
             faults,
             faults_end_at: seconds * SECOND,
--- a/purge/tests/support/simulation.rs
+++ b/purge/tests/support/simulation.rs
@@ -26,7 +26,7 @@
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Tick { node: usize, start: u64 },
+    Tick { node: usize, incarnation: u64 },
     Datagram { to: usize, from: usize, bytes: Vec<u8> },
     Fault(FaultKind),
     EndFaults,
@@ -42,8 +42,8 @@
 #[derive(Debug)]
 struct Node {
     state_machine: Option<StateMachine>,
-    /// Incarnation of the process, incremented at each start.
-    start: u64,
+    /// Incarnation of the process; incremented at each start.
+    incarnation: u64,
     frozen: bool,
     /// Sender and bytes of each datagram that arrived while the process was frozen.
     backlog: VecDeque<(usize, Vec<u8>)>,
@@ -160,33 +160,33 @@
         if self.nodes[node].state_machine.is_some() {
             return;
         }
-        let start = self.nodes[node].start + 1;
+        let incarnation = self.nodes[node].incarnation + 1;
         let seed = self.rng.random();
         let now = self.local_now(node);
         let state_machine = match node < self.schedule.replicas {
             true => StateMachine::Replica(Replica::new(
-                self.replica_config(node, start, bootstrap, seed),
+                self.replica_config(node, incarnation, bootstrap, seed),
                 Micros(now),
             )),
             false => StateMachine::Member(
-                Member::new(self.member_config(node, start, seed), Micros(now)),
+                Member::new(self.member_config(node, incarnation, seed), Micros(now)),
                 Applied::default(),
             ),
         };
         let process = &mut self.nodes[node];
         process.state_machine = Some(state_machine);
-        process.start = start;
+        process.incarnation = incarnation;
         process.frozen = false;
         process.backlog.clear();
         process.pending.clear();
         let first = self.now + self.rng.random_range(0..self.schedule.tick);
-        self.schedule_event(first, Event::Tick { node, start });
+        self.schedule_event(first, Event::Tick { node, incarnation });
     }
 
-    fn replica_config(&self, node: usize, start: u64, bootstrap: bool, seed: u64) -> ReplicaConfig {
+    fn replica_config(&self, node: usize, incarnation: u64, bootstrap: bool, seed: u64) -> ReplicaConfig {
         ReplicaConfig {
             replica: ReplicaId(node as u8),
-            incarnation: start,
+            incarnation,
             replicas: (0..self.schedule.replicas).map(address).collect(),
             bootstrap,
             seed,
@@ -297,7 +297,7 @@
 
     fn on_event(&mut self, event: Event) {
         match event {
-            Event::Tick { node, start } => self.on_tick(node, start),
+            Event::Tick { node, incarnation } => self.on_tick(node, incarnation),
             Event::Datagram { to, from, bytes } => self.on_datagram(to, from, bytes),
             Event::Fault(fault) => {
                 if !self.have_faults_ended {
@@ -308,11 +308,11 @@
         }
     }
 
-    fn on_tick(&mut self, node: usize, start: u64) {
-        if self.nodes[node].start != start || self.nodes[node].state_machine.is_none() {
+    fn on_tick(&mut self, node: usize, incarnation: u64) {
+        if self.nodes[node].incarnation != incarnation || self.nodes[node].state_machine.is_none() {
             return;
         }
-        self.schedule_event(self.now + self.schedule.tick, Event::Tick { node, start });
+        self.schedule_event(self.now + self.schedule.tick, Event::Tick { node, incarnation });
         if self.nodes[node].frozen {
             return;
         }
@@ -532,7 +532,7 @@
     let drift = rng.random_range(-schedule.drift_ppm..=schedule.drift_ppm);
     Node {
         state_machine: None,
-        start: schedule.first_start,
+        incarnation: schedule.initial_incarnation,
         frozen: false,
         backlog: VecDeque::new(),
         rate: (1_000_000 + drift) as u64,
