--- a/purge/src/completion.rs
+++ b/purge/src/completion.rs
@@ -78,7 +78,7 @@
 
 /// What is known of the purges that a registered member has applied.
 enum Coverage {
-    /// The registration was released, so the member needs no purge.
+    /// The registration was released, so no purge waits for it.
     Released,
     /// The member has applied all purges up to this position.
     AppliedThrough(Position),
--- a/purge/src/replica/recovery.rs
+++ b/purge/src/replica/recovery.rs
@@ -1,8 +1,9 @@
 //! Recovery of a replica that has started without state.
 //!
 //! The replica has recovered when it holds the entries and the registration tables of a majority of *other* replicas
-//! that are not recovering themselves. For each of these replicas, the first reply of its incarnation determines the
-//! positions and the table changes that the recovering replica needs.
+//! that are not recovering themselves. For each of these replicas, the first reply of its incarnation to a request that
+//! was sent after the start of the recovering replica determines the positions and the table changes that the latter
+//! needs.
 
 use std::collections::BTreeMap;
 
