--- a/purge/tests/quorums.rs
+++ b/purge/tests/quorums.rs
@@ -107,7 +107,10 @@
     control_plane.restart_replica(FIRST);
     control_plane.heal(&[FIRST], &[SECOND, 3, 4]);
     control_plane.run(600);
-    assert!(control_plane.has_recovered(FIRST), "the first replica did not recover again");
+    assert!(
+        control_plane.has_recovered(FIRST),
+        "the first replica did not recover from replicas that don't hold the purge"
+    );
     control_plane.open_link(FIRST, PUBLISHER);
     control_plane.run(50);
     (control_plane, purge)
@@ -149,7 +152,10 @@
     control_plane.cut(&[MEMBER], &[FIRST]);
     control_plane.restart_replica(FIRST);
     control_plane.run(400);
-    assert!(control_plane.has_recovered(FIRST), "the first replica did not recover");
+    assert!(
+        control_plane.has_recovered(FIRST),
+        "the first replica did not recover from replicas that don't have the registration"
+    );
     control_plane.cut(&[PUBLISHER, FIRST, SECOND], &CUT_OFF);
     let purge = control_plane.publish(PUBLISHER, KEY);
     control_plane.run(700);
