--- a/testbed-cli/src/charts.rs
+++ b/testbed-cli/src/charts.rs
@@ -1,5 +1,5 @@
-//! Charts of a run as SVG, drawn by plotters: results of requests over time with the faults shaded, a heat map of the
-//! servers' loads, use of the origin, and latencies. The charts need neither network access nor scripts.
+//! Charts as SVG, drawn by plotters: lines over the time of a run with the faults shaded, heat maps, and figures by number
+//! of balancers. The charts need neither network access nor scripts.
 
 #[cfg(test)]
 mod tests;
@@ -24,7 +24,7 @@
 const SIZE_AXIS_RATIO: f64 = 1.35;
 /// Lower bound of the greatest value of an axis, so that no axis is empty.
 const MIN_AXIS_MAX: f64 = 1e-9;
-/// Shortest time that is shaded for a fault, in seconds.
+/// Shortest time that is shaded for a fault, also for one without an end, in seconds.
 const MIN_SHADED_S: f64 = 0.2;
 
 const FAULT_YELLOW: RGBColor = RGBColor(255, 196, 0);
@@ -35,7 +35,7 @@
 pub(crate) const BLUE: RGBColor = RGBColor(21, 101, 192);
 pub(crate) const GREY: RGBColor = RGBColor(97, 97, 97);
 
-/// Draws on an area of this height and returns the text of the SVG element.
+/// Draws on an area of this height in pixels and returns the text of the SVG element.
 fn render_svg(
     height: u32,
     draw: impl FnOnce(&DrawingArea<SVGBackend, Shift>) -> Result<(), Error>,
@@ -50,7 +50,7 @@
     Ok(text)
 }
 
-/// Start and end of each fault, in seconds.
+/// Start and end of the shading of each fault, in seconds of the measured time.
 fn fault_intervals_s(experiment: &Experiment) -> Vec<(f64, f64)> {
     let end_s = |fault: &Fault| {
         fault.at + fault.duration_s.or(fault.restart_after_s).unwrap_or(MIN_SHADED_S).max(MIN_SHADED_S)
@@ -158,8 +158,8 @@
     )
 }
 
-/// Draws a row per server or balancer with the ratio of its value to its fair share in each second: white is the fair
-/// share, blue less, red more.
+/// Draws a row per server or balancer, with the ratio of its value to its fair share in each second: white is the fair
+/// share, blue less, red more. `rows` holds the ratios by row and second.
 ///
 /// # Errors
 /// If the drawing library fails.
@@ -188,7 +188,7 @@
 pub struct SizeLine {
     /// Name in the legend.
     pub name: String,
-    /// Points of a number of balancers and the value at that number.
+    /// Pairs of a number of balancers and the value at that number.
     pub points: Vec<(usize, f64)>,
 }
 
@@ -206,7 +206,7 @@
     }
 }
 
-/// Draws figures by number of balancers one below the other; the sizes are evenly spaced on the axis.
+/// Draws figures by number of balancers one below the other; the numbers are evenly spaced on the axis.
 ///
 /// # Errors
 /// If the drawing library fails.
@@ -261,7 +261,7 @@
     Ok(())
 }
 
-/// The colour of a load: from blue at 0 over white at 1 to red at 2 and more.
+/// The colour of a ratio to the fair share: from blue at 0 over white at 1 to red at 2 and more.
 fn heat_colour(load: f64) -> RGBColor {
     let mix = |from: (u8, u8, u8), to: (u8, u8, u8), share: f64| {
         let channel = |a: u8, b: u8| (f64::from(a) + (f64::from(b) - f64::from(a)) * share) as u8;
--- a/testbed-cli/src/charts/tests.rs
+++ b/testbed-cli/src/charts/tests.rs
@@ -1,4 +1,4 @@
-//! Guards against incomplete SVG and values lost on the way to a chart.
+//! Guards against incomplete SVG, values that are not numbers, a missing legend and wrong heat colours.
 
 use super::*;
 
--- a/testbed-cli/src/compare.rs
+++ b/testbed-cli/src/compare.rs
@@ -1,5 +1,5 @@
-//! `compare`: compares the runs of two versions, paired by experiment and seed, with bootstrap confidence intervals that
-//! tell differences from noise.
+//! `compare`: compares the runs of two versions, before and after a change, paired by experiment and seed. Bootstrap
+//! confidence intervals tell differences from noise.
 
 #[cfg(test)]
 mod tests;
@@ -17,7 +17,7 @@
 const RESAMPLE_COUNT: usize = 10_000;
 /// Smallest number of pairs for which an interval is computed.
 const MIN_PAIRS: usize = 3;
-/// Depth of subfolders in which runs are searched.
+/// Greatest depth of the subfolders that are searched for runs.
 const MAX_FOLDER_DEPTH: usize = 3;
 
 /// A compared figure: its name, and the function that reads it from a summary.
@@ -43,6 +43,7 @@
     ("balancer cpu ms", |s| Some(s.cpu.balancer_ms_per_request)),
 ];
 
+/// The ratio of a value to its value under fair draws; none if the latter is 0.
 fn ratio(value: f64, fair: f64) -> Option<f64> {
     (fair > 0.0).then(|| value / fair)
 }
@@ -56,9 +57,9 @@
     Same,
     /// The interval contains zero.
     Noise,
-    /// The figure is greater after.
+    /// The figure is greater after the change.
     More,
-    /// The figure is smaller after.
+    /// The figure is smaller after the change.
     Less,
 }
 
@@ -77,16 +78,16 @@
 /// The comparison of a figure over pairs of runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PairedFigure {
-    /// Mean of the runs before.
+    /// Mean of the runs before the change.
     pub before: f64,
-    /// Mean of the runs after.
+    /// Mean of the runs after the change.
     pub after: f64,
     /// 95% confidence interval of the mean difference; none with too few pairs.
     pub interval: Option<(f64, f64)>,
 }
 
 impl PairedFigure {
-    /// Compares pairs of values, one of each version; none without pairs.
+    /// Compares pairs of a value before and after the change; none without pairs.
     pub fn of_pairs(pairs: &[(f64, f64)]) -> Option<PairedFigure> {
         if pairs.is_empty() {
             return None;
@@ -133,7 +134,8 @@
     after: &'a Summary,
 }
 
-/// Prints the comparison of two folders of runs.
+/// Prints the comparison of two folders of runs, before and after a change. The status is [`ExitStatus::FAILED`] if a run
+/// after the change violated a rule.
 pub fn compare(before: &Path, after: &Path) -> ExitStatus {
     let (runs_before, runs_after) = (summaries_by_run(before), summaries_by_run(after));
     let mut pairs_by_name: BTreeMap<&str, Vec<SummaryPair<'_>>> = BTreeMap::new();
@@ -144,7 +146,7 @@
     }
     if pairs_by_name.is_empty() {
         eprintln!(
-            "no runs to compare: of the {1} runs in {0} and the {3} in {2} no two have the same experiment and seed",
+            "no runs to compare: none of the {1} runs in {0} has the experiment and seed of one of the {3} runs in {2}",
             before.display(),
             runs_before.len(),
             after.display(),
@@ -182,7 +184,7 @@
     }
 }
 
-/// Prints the number of rule violations of both versions; returns that after.
+/// Prints the numbers of rule violations before and after the change; returns the latter.
 fn print_violations(pairs: &[SummaryPair<'_>]) -> u64 {
     let before: u64 = pairs.iter().map(|pair| pair.before.rules.total()).sum();
     let after: u64 = pairs.iter().map(|pair| pair.after.rules.total()).sum();
@@ -190,13 +192,13 @@
     after
 }
 
-/// The summaries of the runs below a folder, by experiment and seed.
+/// The summaries of the runs below a folder, by name of the experiment and seed.
 fn summaries_by_run(folder: &Path) -> BTreeMap<(String, u64), Summary> {
     let summaries = find_summaries(folder).into_iter();
     summaries.map(|(_, summary)| ((summary.name.clone(), summary.seed), summary)).collect()
 }
 
-/// The runs below a folder, each with its folder and its summary.
+/// The folder and the summary of each run below a folder.
 pub fn find_summaries(folder: &Path) -> Vec<(PathBuf, Summary)> {
     let mut found = Vec::new();
     let mut folders = vec![(folder.to_path_buf(), 0)];
--- a/testbed-cli/src/demo.rs
+++ b/testbed-cli/src/demo.rs
@@ -41,8 +41,8 @@
     program.is_file().then(|| program.to_string_lossy().into_owned())
 }
 
-/// Builds the balancer if the working directory is its workspace, as `cargo run -p juniperladder-testbed-cli` builds the
-/// testbed only; true if it was built.
+/// Builds the balancer if the working directory is its workspace, because `cargo run -p juniperladder-testbed-cli` builds
+/// only the testbed. Returns whether the balancer was built.
 fn build_balancer() -> bool {
     if !Path::new("cli/Cargo.toml").is_file() {
         return false;
--- a/testbed-cli/src/exit.rs
+++ b/testbed-cli/src/exit.rs
@@ -9,9 +9,10 @@
 impl ExitStatus {
     /// The run completed, with every rule and stated bound kept.
     pub const PASSED: ExitStatus = ExitStatus(0);
-    /// The run completed with a rule or a stated bound broken, or a process crashed.
+    /// A rule or a stated bound was broken, a process crashed, the run was aborted, or its files could not be written.
     pub const FAILED: ExitStatus = ExitStatus(1);
-    /// The file, the arguments or the machine do not allow the run; nothing was started.
+    /// The command cannot do its work: its arguments, a file or the machine do not allow it. `run` has started nothing; a
+    /// scale test whose files cannot be written ends with this code too.
     pub const NOT_ALLOWED: ExitStatus = ExitStatus(2);
     /// The testbed fell behind its schedule, so the run does not count.
     pub const TESTBED_LATE: ExitStatus = ExitStatus(3);
@@ -21,7 +22,7 @@
         ExitStatus(code)
     }
 
-    /// The worse of two statuses. A broken rule is the worst; otherwise the greater code is the worse one.
+    /// The worse of two statuses. `FAILED` is the worst; otherwise the greater code is the worse one.
     pub fn worse(self, other: ExitStatus) -> ExitStatus {
         if [self, other].contains(&ExitStatus::FAILED) {
             return ExitStatus::FAILED;
--- a/testbed-cli/src/fit.rs
+++ b/testbed-cli/src/fit.rs
@@ -98,7 +98,7 @@
     InvalidPoint,
 }
 
-/// Greatest ratio of the residual of a growing law to that of the constant with which the cost is taken to grow.
+/// Share of the constant's residual below which the residual of a growing law must be for the cost to count as growing.
 const GROWTH_RESIDUAL_RATIO: f64 = 0.5;
 /// Share of the largest cost below which a residual is a rounding error.
 const ROUNDING_SHARE: f64 = 1e-9;
@@ -118,8 +118,8 @@
     fit
 }
 
-/// Fits all laws and orders them by residual, best first. The constant is the best one unless a growing law halves its
-/// residual.
+/// Fits all laws and orders them by residual, best first. The constant ranks first unless the residual of a growing law is
+/// less than half of the constant's.
 ///
 /// # Errors
 /// If there are fewer than three sizes, or invalid sizes or costs.
@@ -133,7 +133,7 @@
     if sizes.len() < 3 {
         return Err(FitError::TooFewSizes);
     }
-    // Residuals that differ by rounding errors only rank as equal, and the stable sort keeps the slower growth first.
+    // Residuals that are mere rounding errors rank as equal, and the stable sort keeps the slower growth first.
     let rounding_residual = points.iter().map(|(_, cost)| cost.abs()).fold(0.0, f64::max) * ROUNDING_SHARE;
     let rank = |fit: &Fit| match fit.law {
         Law::Constant => (fit.residual * GROWTH_RESIDUAL_RATIO).max(rounding_residual),
@@ -147,7 +147,7 @@
 /// Fits the smaller sizes, and predicts the cost of the largest size to compare it with the measured cost.
 ///
 /// # Errors
-/// If the smaller sizes are too few for a fit.
+/// If the smaller sizes are too few for a fit, or one of their sizes or costs is invalid.
 pub fn predict_largest(points: &[(f64, f64)]) -> Result<Prediction, FitError> {
     let size = points.iter().map(|(size, _)| *size).fold(f64::NEG_INFINITY, f64::max);
     let (largest, smaller): (Vec<_>, Vec<_>) =
--- a/testbed-cli/src/fit_table.rs
+++ b/testbed-cli/src/fit_table.rs
@@ -1,11 +1,13 @@
-//! `fit`: fits one column of a table to another. Prints fits and makes the rows of `fits.csv`, also for `scale --sizes`.
+//! `fit`: fits a cost column of a table to its size column, and prints the fits. `scale --sizes` also prints its fits with
+//! this module, and takes the rows of its `fits.csv` from it.
 
 use std::path::Path;
 
 use crate::exit::ExitStatus;
 use crate::fit::{fit, predict_largest, Fit, Prediction};
 
-/// A row of `fits.csv`; the cells of the prediction are empty if the smaller sizes are too few for one.
+/// A row of `fits.csv`, in the order of [`FIT_COLUMNS`]; the cells of the prediction are empty if the smaller sizes are too
+/// few for one.
 pub type FitRecord = [String; 9];
 
 /// The columns of `fits.csv`.
@@ -76,7 +78,7 @@
     ]
 }
 
-/// Prints the fits of one column of a table to another; skips lines that begin with #.
+/// Prints the fits of all laws to the cost column of a table; skips lines that begin with #.
 pub fn fit_table(path: &Path, size_column: &str, cost_column: &str) -> ExitStatus {
     let points = match read_points(path, size_column, cost_column) {
         Ok(points) => points,
@@ -107,7 +109,7 @@
     for record in table.records() {
         let record = record?;
         let (size, cost) = (&record[size_index], &record[cost_index]);
-        // An empty cell is a cost that was not measured at that size.
+        // An empty cell is a figure that was not measured in that run.
         if size.is_empty() || cost.is_empty() {
             continue;
         }
--- a/testbed-cli/src/lib.rs
+++ b/testbed-cli/src/lib.rs
@@ -40,9 +40,9 @@
 /// A command of the program.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Runs an experiment. Exit codes: 0 completed with every rule and stated bound kept, 1 a rule, a bound or a process
-    /// failed, 2 the file or the machine does not allow the run (nothing was started), 3 the testbed fell behind its
-    /// schedule, so the run does not count
+    /// Runs an experiment. Exit codes: 0 completed with every rule and stated bound kept, 1 a rule or a bound was
+    /// broken, a process crashed, the run was aborted or its files could not be written, 2 the file or the machine does not
+    /// allow the run (nothing was started), 3 the testbed fell behind its schedule, so the run does not count
     Run(run::RunArgs),
     /// Checks an experiment file without running the experiment
     Check {
@@ -57,9 +57,9 @@
     /// Compares the runs of two versions, paired by experiment and seed, with confidence intervals, and says which
     /// differences are noise
     Compare {
-        /// A run's folder, or a folder with runs below it
+        /// The folder of a run before the change, or a folder with such runs below it
         before: PathBuf,
-        /// The same for the version to compare with
+        /// The folder of a run after the change, or a folder with such runs below it
         after: PathBuf,
     },
     /// Prints a Markdown table of many runs, by experiment and number of balancers
@@ -81,12 +81,12 @@
         folder: PathBuf,
     },
     /// Runs the control code of many members in one process, over sockets or in simulated time. Exit codes: 0 the run
-    /// counts, 1 a check failed, 2 the arguments or the machine do not allow the run (nothing was started), 3 the test bed
-    /// fell behind its schedule, so the run does not count
+    /// counts, 1 a check failed or the run was aborted, 2 the arguments or the machine do not allow the run, or its files
+    /// cannot be written, 3 the testbed fell behind its schedule, so the run does not count
     Scale(scale_args::ScaleArgs),
     /// Runs many short seeded experiments that shut processes down gracefully. Exit codes: 0 every rule kept, 1 a rule
-    /// broken (each failing seed is printed with the command that repeats it), 2 the machine does not allow the run
-    /// (nothing was started)
+    /// broken (each failing seed is printed with the command that repeats it) or a run aborted, 2 the machine does not
+    /// allow the run of a seed (nothing was started for it)
     Soak(soak::SoakArgs),
     /// Fits a cost column of a table to its size column: the growth law that describes the cost, and the cost of the
     /// largest size as predicted from the smaller sizes
--- a/testbed-cli/src/overview.rs
+++ b/testbed-cli/src/overview.rs
@@ -42,7 +42,8 @@
 /// Summaries of runs by experiment and number of balancers.
 type RunsBySize = BTreeMap<String, BTreeMap<usize, Vec<Summary>>>;
 
-/// Prints a Markdown table of all runs below a folder; writes the chart if a file for it is given.
+/// Prints a Markdown table of all runs below a folder; writes the chart if a file for it is given. The status is
+/// [`ExitStatus::FAILED`] if a run violated a rule.
 pub fn overview(folder: &Path, chart: Option<&Path>) -> ExitStatus {
     let runs = read_runs(folder);
     if runs.is_empty() {
@@ -95,7 +96,7 @@
     let figures = [
         SizeFigure { title: "Service", lines: mean_lines(runs, |s| Some(s.service)) },
         SizeFigure {
-            title: "Spread: peak over that of fair draws",
+            title: "Spread: peak as a ratio to that of fair draws",
             lines: mean_lines(runs, |s| Some(s.spread.peak / s.spread.fair_peak.max(MIN_FAIR_PEAK))),
         },
     ];
--- a/testbed-cli/src/replay.rs
+++ b/testbed-cli/src/replay.rs
@@ -39,12 +39,15 @@
     key: u64,
 }
 
-/// Prints the replay of a run; counts all servers as of equal weight.
+/// Prints the replay of a run. All servers count as of equal weight.
 pub fn replay(folder: &Path) -> ExitStatus {
     match replay_folder(folder) {
         Ok(()) => ExitStatus::PASSED,
         Err(error) => {
-            eprintln!("cannot replay the run in {} (not the folder of a run?): {error}", folder.display());
+            eprintln!(
+                "cannot replay the run in {}: {error}; check that this is the folder of a run",
+                folder.display()
+            );
             ExitStatus::NOT_ALLOWED
         }
     }
@@ -71,6 +74,7 @@
     let mut sends = Vec::new();
     for row in csv::Reader::from_path(folder.join("attempts.csv"))?.records() {
         let row = row?;
+        // The receiver of an attempt at the origin is not a number; such an attempt is left out.
         let (Ok(server), at_ms) = (row[2].parse(), row[3].parse::<f64>()?) else { continue };
         let key =
             *keys.get(&row[0]).ok_or("attempts.csv has an attempt of a request that commands.csv lacks")?;
@@ -83,6 +87,7 @@
 
 /// The sends of a run, prepared for reassignment.
 struct Replay {
+    /// Number of cache servers.
     servers: usize,
     /// The sends of each complete window.
     windows: Vec<Vec<ServerSend>>,
@@ -117,7 +122,7 @@
         println!("{sends} sends to {} hosts; {count} hot keys have {percent:.0}% of them", self.servers);
     }
 
-    /// Prints the load imbalance of each placement. All placements draw from one generator, in this order.
+    /// Prints the load imbalance of each placement. All placements draw from one generator, so their order affects the draws.
     fn print_placements(&self, seed: u64) {
         println!("{:44} {:>6} {:>6}", "", "peak", "least");
         let mut rng = seeded_rng(seed, RngStream::FairDraws);
@@ -141,7 +146,8 @@
         self.print_imbalance("bounded load 1.25, seeing the true state", |send| bounded_load.place(send));
     }
 
-    /// Draws one of the key's home servers; a key has one for each quarter of a server's load that it brings.
+    /// Draws one of the key's home servers: a key has one, and another for each quarter of a server's fair load that it
+    /// brings.
     fn draw_home_server(&self, key: u64, rng: &mut SeededRng) -> Option<usize> {
         let homes = (self.key_loads[&key] / HOT_KEY_LOAD_SHARE) as usize + 1;
         self.rendezvous.ranked(key).nth(rng.random_range(0..homes.min(self.servers)))
@@ -153,7 +159,7 @@
     }
 }
 
-/// Groups the sends by complete window.
+/// Groups the sends by window; leaves out those after the last complete window.
 fn group_by_window(sends: &[ServerSend], seconds: f64) -> Vec<Vec<ServerSend>> {
     let mut windows = vec![Vec::new(); ((seconds * 1e3 / WINDOW_MS) as usize).max(1)];
     for send in sends {
@@ -173,7 +179,7 @@
     least: f64,
 }
 
-/// The load imbalance of these sends under a placement; leaves out sends that it places on no server.
+/// The load imbalance of the sends of all windows under a placement. Sends that the placement puts on no server do not count.
 fn load_imbalance(
     windows: &[Vec<ServerSend>],
     servers: usize,
--- a/testbed-cli/src/replay/placement.rs
+++ b/testbed-cli/src/replay/placement.rs
@@ -1,4 +1,4 @@
-//! Placements of keys on servers that a run is compared with.
+//! Placements of keys on servers, with which the placement of a run is compared.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -13,6 +13,7 @@
 
 /// Rendezvous hashing of keys on servers.
 pub struct RendezvousHashing {
+    /// Number of servers.
     servers: usize,
 }
 
@@ -38,10 +39,11 @@
 /// Rendezvous hashing with bounded load, with exact knowledge of all sends of the last second.
 pub struct BoundedLoad {
     rendezvous: RendezvousHashing,
+    /// Number of servers.
     servers: usize,
     /// Number of sends in the last second, by server.
     counts: HashMap<usize, f64>,
-    /// Time in milliseconds and server of each of these sends, oldest first.
+    /// Time in milliseconds and server of each send in the last second, oldest first.
     recent: VecDeque<(f64, usize)>,
 }
 
--- a/testbed-cli/src/replay/tests.rs
+++ b/testbed-cli/src/replay/tests.rs
@@ -1,4 +1,5 @@
-//! Guards against a wrong load imbalance: averaged over windows, and limited by bounded-load placement.
+//! Guards against a load imbalance that is not the mean over the windows, and against bounded-load placement that puts all
+//! sends of a key on one server.
 
 use super::*;
 
--- a/testbed-cli/src/report.rs
+++ b/testbed-cli/src/report.rs
@@ -33,6 +33,7 @@
     summary: Summary,
     experiment: Experiment,
     violations: Vec<Violation>,
+    /// Descriptions of the processes that ended unexpectedly.
     crashes: Vec<String>,
     seconds: Vec<Second>,
     /// Load of each cache server in each second, as a ratio to its fair share.
@@ -83,15 +84,15 @@
         charts::results_chart(&files.experiment, &files.seconds)?,
         charts::latency_chart(&files.experiment, &files.seconds)?,
         charts::origin_chart(&files.experiment, &files.seconds)?,
-        charts::heat_map("Load of each host over its fair part", "host", &files.server_loads)?,
+        charts::heat_map("Load of each host as a ratio to its fair share", "host", &files.server_loads)?,
     ];
     charts.extend(limit_charts(folder, &files)?);
     std::fs::write(folder.join("report.html"), page::render_page(&files, &charts)?)?;
     Ok(())
 }
 
-/// Charts of the shares of the origin limit that the balancers report as reserved and used; none if the balancers do not
-/// coordinate.
+/// Charts of the tokens of the origin limit that the balancers report as reserved and used. None if the balancers do not
+/// coordinate or `holders.csv` cannot be opened.
 fn limit_charts(folder: &Path, files: &RunFiles) -> Result<Vec<String>, Error> {
     let limit = files.summary.limits.get("origin").filter(|limit| limit.bound.is_some());
     let (Some(limit), Ok(table)) = (limit, csv::Reader::from_path(folder.join("holders.csv"))) else {
@@ -133,7 +134,7 @@
         }
         Err(error) => {
             eprintln!(
-                "cannot write the report of the run in {} (not the folder of a run?): {error}",
+                "cannot write the report of the run in {}: {error}; check that this is the folder of a run",
                 folder.display()
             );
             ExitStatus::NOT_ALLOWED
--- a/testbed-cli/src/report/page.rs
+++ b/testbed-cli/src/report/page.rs
@@ -8,7 +8,7 @@
 
 use super::RunFiles;
 
-/// Greatest number of violations shown with their request traces.
+/// Greatest number of violations shown on the page; `breaches.json` lists all.
 const MAX_SHOWN_VIOLATIONS: usize = 50;
 
 const STYLE: &str =
@@ -128,11 +128,11 @@
         row("failed", with_percent(summary.failed)),
         row("lost", with_percent(summary.lost)),
         row(
-            "service: priority weight served within the latency objective over that requested",
+            "service: share of the requested priority weight that was served within the latency objective",
             format!("{:.3}", summary.service),
         ),
         row(
-            "latency of those served, median / 99% / 99.9%",
+            "latency of the commands served, median / 99% / 99.9%",
             format!("{:.0} / {:.0} / {:.0} ms", latency.p50, latency.p99, latency.p999),
         ),
         row("attempts a command", format!("{:.3}", summary.attempts_per_request)),
@@ -150,9 +150,12 @@
         row("spread: least", with_fair_value(spread.least, spread.fair_least)),
         row("spread: idle host-windows", spread.idle.to_string()),
         row("spread: herd", with_fair_value(spread.herd, spread.fair_herd)),
-        row("origin: most fetches in a second over its capacity", format!("{:.2}", summary.origin.peak)),
         row(
-            "origin: useful answers over its capacity while demand exceeds it",
+            "origin: most fetches in a second as a ratio to its capacity",
+            format!("{:.2}", summary.origin.peak),
+        ),
+        row(
+            "origin: useful answers as a ratio to its capacity while demand exceeds the capacity",
             format_optional(summary.origin.useful, ""),
         ),
         row("sends lost at silent hosts", detection.lost_sends.to_string()),
--- a/testbed-cli/src/run.rs
+++ b/testbed-cli/src/run.rs
@@ -42,7 +42,7 @@
     pub set: Vec<String>,
 }
 
-/// Runs an experiment file with one seed or several consecutive ones; returns the worst exit status.
+/// Runs an experiment file with one seed or several consecutive ones, up to one that cannot be run; returns the worst status.
 pub fn run(args: &RunArgs) -> ExitStatus {
     let first_experiment = match read_experiment(&args.file, &args.set, args.seed) {
         Ok(experiment) => experiment,
@@ -106,7 +106,7 @@
     report::write_report(out)
 }
 
-/// Checks the record of a run and adds its costs to the summary.
+/// Checks the record of a run, and adds its costs and the findings on the self-reports to the summary.
 fn check_with_costs(experiment: &Experiment, run: &RunRecord, check_config: &CheckConfig) -> CheckResult {
     let mut checked = check_run(&run.event_log, check_config);
     let summary = &mut checked.summary;
--- a/testbed-cli/src/run_outcome.rs
+++ b/testbed-cli/src/run_outcome.rs
@@ -31,7 +31,7 @@
     }
     if summary.lag_p99_ms > MAX_LAG_P99_MS {
         println!(
-            "LATE: the testbed sent its requests {:.1} ms late at the 99th percentile, over {MAX_LAG_P99_MS}: the run does not count",
+            "LATE: the testbed sent its requests {:.1} ms late at the 99th percentile, over {MAX_LAG_P99_MS} ms: the run does not count",
             summary.lag_p99_ms
         );
         return ExitStatus::TESTBED_LATE;
@@ -119,8 +119,8 @@
     }
 }
 
-/// Prints the figures of failure detection; whether no report was acted on after its stated expiry. True if the balancer
-/// states no expiry.
+/// Prints the figures of failure detection, and returns whether no report was acted on after its stated expiry. Prints
+/// nothing and returns true if the balancers state no expiry.
 fn print_failure_detection(summary: &Summary) -> bool {
     let detection = &summary.failure_detection;
     let Some(expiry_ms) = detection.stale_bound_ms else { return true };
@@ -138,7 +138,8 @@
     is_kept
 }
 
-/// Whether every rule and every stated bound of a limit was kept; prints those that were not.
+/// Whether every rule and every stated bound of a limit was kept; if not, prints the violations of each rule and the limits
+/// over their bounds.
 fn print_rules_and_bounds(summary: &Summary) -> bool {
     let is_over = |limit: &LimitUsage| limit.bound.is_some_and(|bound| limit.peak > bound);
     let limits = summary.limits.iter();
--- a/testbed-cli/src/scale_args.rs
+++ b/testbed-cli/src/scale_args.rs
@@ -60,7 +60,7 @@
     /// Breaks the mechanism on purpose: talks-to-all, drops-changes
     #[arg(long)]
     pub flaw: Option<InjectedDefect>,
-    /// Also runs endpoints without control code at the same packet rate, to measure the test bed's own cost
+    /// In real time only: also runs endpoints without control code at the same packet rate, to measure the testbed's own cost
     #[arg(long)]
     pub calibrate: bool,
     /// Packets per second in a calibration run
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The command-line arguments that run the same test in another process.
+    /// The command-line arguments that run the same test at one size in another process.
     pub fn arguments(&self) -> Vec<String> {
         let mut arguments = vec!["scale".to_owned()];
         let values = [
--- a/testbed-cli/src/scale_run.rs
+++ b/testbed-cli/src/scale_run.rs
@@ -51,7 +51,7 @@
         return ExitStatus::PASSED;
     }
     println!(
-        "LATE: the test bed's timers fired {:.1} ms late at the 99th percentile, over {MAX_TIMER_LATENESS_MS}: the run does not count",
+        "LATE: the testbed's timers fired {:.1} ms late at the 99th percentile, over {MAX_TIMER_LATENESS_MS} ms: the run does not count",
         summary.lag_p99_ms
     );
     ExitStatus::TESTBED_LATE
@@ -78,7 +78,7 @@
     }
 }
 
-/// The summary in the output folder, if it belongs to a run with these arguments.
+/// The summary in the output folder, if its run had the same number of members, seed, mechanism, event and kind of time.
 pub fn saved_summary(args: &ScaleArgs) -> Option<Summary> {
     let summary = read_summary(&args.out)?;
     let is_same = summary.members == args.members
@@ -89,8 +89,8 @@
     is_same.then_some(summary)
 }
 
-/// Runs a scale test in a child process, so that its memory is measured separately; returns the summary and the exit status,
-/// or none if the run was not allowed or wrote no summary.
+/// Runs a scale test in a child process, so that its memory is measured separately. Returns the summary and the exit status,
+/// or none if the process could not do the run or left no summary.
 pub fn run_in_process(args: &ScaleArgs) -> Option<(Summary, ExitStatus)> {
     let program = std::env::current_exe().ok()?;
     let process = Command::new(program).args(args.arguments()).status().ok()?;
--- a/testbed-cli/src/scale_table.rs
+++ b/testbed-cli/src/scale_table.rs
@@ -34,7 +34,7 @@
         );
     }
     if summary.control_steady_state.seconds > 0.0 {
-        println!("  {} control machines:", summary.replicas);
+        println!("  {} purge replicas:", summary.replicas);
         print_phase("ordinary state", &summary.control_steady_state);
         if summary.control_after_event.seconds > 0.0 {
             print_phase("from the event on", &summary.control_after_event);
@@ -59,7 +59,7 @@
         println!("    {kind:12} {:9.2} packets {:9.0} bytes", rate.packets_per_s, rate.bytes_per_s);
     }
     println!(
-        "    control code {:.3}% of a core (busiest {:.3}%), {:.1} us a packet, {:.1} us a tick; test bed {:.3}%",
+        "    control code {:.3}% of a core (busiest {:.3}%), {:.1} us a packet, {:.1} us a tick; testbed {:.3}%",
         phase.cpu_percent,
         phase.cpu_percent_max,
         phase.us_per_datagram,
@@ -87,7 +87,8 @@
         }
     }
     println!(
-        "  members voided {} times, {} leases expired, {} serve at the end; done but missing at a serving member: {}",
+        "  members cleared their caches {} times, {} leases expired, {} members serve at the end; \
+         done but missing at a serving member: {}",
         purge.cache_clears, purge.expired_leases, purge.serving, purge.missed_completed_purges
     );
 }
--- a/testbed-cli/src/sizes.rs
+++ b/testbed-cli/src/sizes.rs
@@ -45,7 +45,7 @@
         summaries.push(summary);
     }
     if let Err(error) = write_files(&args.out, args, &summaries) {
-        eprintln!("cannot write the files of the sizes to {}: {error}", args.out.display());
+        eprintln!("cannot write sizes.csv, fits.csv or sizes.svg to {}: {error}", args.out.display());
         return ExitStatus::NOT_ALLOWED;
     }
     worst
@@ -92,6 +92,7 @@
     let mut names: Vec<&String> = rows.iter().flat_map(BTreeMap::keys).collect();
     names.sort();
     names.dedup();
+    // The first line is the command that repeats the runs, with `--sizes` in place of the `--members` of one run.
     let command = ScaleArgs { members: 0, out: PathBuf::from("OUT"), ..args.clone() }.arguments().join(" ");
     let sizes: Vec<String> = args.sizes.iter().map(usize::to_string).collect();
     let command = command.replace("--members 0", &format!("--sizes {}", sizes.join(",")));
--- a/testbed-cli/src/soak.rs
+++ b/testbed-cli/src/soak.rs
@@ -12,7 +12,7 @@
 use crate::exit::ExitStatus;
 use crate::run::status_of_error;
 
-/// Greatest number of findings printed of one seed.
+/// Greatest number of findings that are printed for one seed.
 const SHOWN_FINDINGS: usize = 5;
 
 /// Arguments of `soak`.
@@ -52,7 +52,7 @@
     pub result: SoakResult,
 }
 
-/// Runs all seeds, unless one cannot be run; returns the exit status.
+/// Runs the seeds in turn, up to one whose run ends without a record; returns the exit status.
 pub fn soak(args: &SoakArgs) -> ExitStatus {
     let mut failed = Vec::new();
     for seed in args.seed..args.seed + args.seeds {
@@ -82,7 +82,7 @@
 pub fn run_seed(args: &SoakArgs, seed: u64) -> Result<SeedOutcome, ExitStatus> {
     let plan = SoakPlan::draw(seed, args.deadlines, &args.program);
     let out = args.out.join(format!("seed-{seed}"));
-    // Deletes the logs of an earlier run of this seed; usually there is no such folder.
+    // Deletes the logs of an earlier run of this seed. Errors are ignored, as usually there is no such folder.
     let _ = std::fs::remove_dir_all(&out);
     let child_reaper = std::env::current_exe().and_then(|own| ChildReaper::start(&own)).ok();
     let record = run_soak(&plan, &out, child_reaper).map_err(|error| {
--- a/testbed-cli/src/tables.rs
+++ b/testbed-cli/src/tables.rs
@@ -1,5 +1,6 @@
-//! The files of a run besides its report: `summary.json`, and CSV tables with one compact record per request, attempt or
-//! second. The names and formats of the files and their columns are stable.
+//! The files of a run besides its report: the summary, the experiment, the violations and the crashes as JSON, and CSV tables
+//! with one compact record per request, attempt, second or self-report. The names and formats of the files and their columns
+//! are stable.
 
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -19,12 +20,12 @@
     ["id", "first", "balancer", "key", "write", "planned", "sent", "deadline", "ended", "end"];
 /// The columns of `attempts.csv`, with one row per attempt.
 const ATTEMPT_COLUMNS: [&str; 7] = ["id", "balancer", "at", "begun", "answered", "became", "cold"];
-/// The columns of `hosts.csv`, with one row per cache server and second.
+/// The columns of `hosts.csv`, with one row per cache server and second; a load is the ratio to the server's fair share.
 const SERVER_COLUMNS: [&str; 3] = ["host", "second", "load"];
 /// The columns of `holders.csv`, with one row per self-report of a process.
 const SELF_REPORT_COLUMNS: [&str; 6] = ["second", "balancer", "held", "used", "members", "passed_by"];
 
-/// Writes `summary.json` and all tables of a run to its folder.
+/// Writes all files of a run besides its report to its folder.
 ///
 /// # Errors
 /// If a file cannot be written.
@@ -119,7 +120,7 @@
     table.flush()
 }
 
-/// Milliseconds since the start of the measured time; negative while the caches fill.
+/// Formats a time as milliseconds since the start of the measured time; negative during the warm-up.
 fn millis(at: Micros, check_config: &CheckConfig) -> String {
     format!("{:.3}", (at as f64 - check_config.measured_from as f64) / 1e3)
 }
--- a/testbed-cli/tests/fleet.rs
+++ b/testbed-cli/tests/fleet.rs
@@ -20,7 +20,7 @@
     RUN_SLOTS[slot].lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Partitions the balancers into halves that cannot reach each other for four seconds.
+/// A fault that partitions twelve balancers into halves, which cannot reach each other for four seconds.
 const PEER_LINKS_CUT_IN_HALVES: &str = "[[fault]]\nat = 1\nfor = 4\nwhat = \"cut\"\n\
                                   between = [\"balancers:0-5\", \"balancers:6-11\"]\n";
 
@@ -66,13 +66,15 @@
     let stated = run.stated_bounds.unwrap();
     let expiry = stated.failure_detection.unwrap().report_expiry;
     for report in &run.self_reports {
-        // A third of the twelve servers; half of the four in a zone.
+        // At most a third of the twelve servers, and at most half of the four in a zone, may be avoided.
         assert!(report.avoided_servers <= 4.0, "{name}: {report:?}");
         assert!(report.oldest_report_s * 1e6 <= expiry as f64, "{name}: {report:?}");
     }
     (run, checked)
 }
 
+/// Runs a fleet and checks that every rule was kept, no process crashed and every request was counted once. `load` completes
+/// the load section and adds sections after it. The prefix `all-` of `name` adds all shared limits and failure reports.
 fn run_and_check(name: &str, balancers: usize, load: &str, faults: &str) -> (RunRecord, CheckResult) {
     let _slot = acquire_run_slot();
     let folder = tempfile::tempdir().unwrap();
@@ -88,7 +90,8 @@
     let has_peer_links = name.starts_with("all-") || load.contains("writes = 0.5");
     let operator = if has_peer_links { format!("operator = {operator:?}\n") } else { String::new() };
     let balancer_count_setting = if name == "limits-grow" { "told = 4\n" } else { "" };
-    // Enough for well over fifteen sends to each server in slow start, however early the balancers learn of its start.
+    // 320 requests a second give well over fifteen sends to each server in slow start, however early the balancers learn of
+    // its start.
     let rate = if name == "cold-ramp" { 320 } else { 160 };
     let text = format!(
         "name = \"{name}\"\nseconds = 11\n[fleet]\nbalancers = {balancers}\nhosts = 12\nzones = 3\nprogram = {:?}\n\
@@ -125,8 +128,8 @@
         "[[fault]]\nat = 3\nfor = 4\nwhat = \"silent\"\nwho = \"hosts:2-3\"\n",
     );
     let summary = checked.summary;
-    // Two of twelve servers for four seconds: a sixth of the sends in that time are lost, and hedged
-    // requests at other servers replace them.
+    // Two of twelve servers are silent for four seconds: a sixth of the sends in that time are lost, and hedged requests at
+    // other servers replace them.
     assert!(
         summary.failure_detection.lost_sends > 0 && summary.failure_detection.lost_sends < 160,
         "{:?}",
@@ -143,7 +146,7 @@
         20,
         "[[fault]]\nat = 4\nwhat = \"kill\"\nwho = \"balancers:70%\"\nback = 1\n",
     );
-    assert_eq!(run.process_starts, 34, "fourteen processes are restarted");
+    assert_eq!(run.process_starts, 34, "fourteen processes have to be restarted");
     let served: u64 = checked.series.seconds[9..].iter().map(|second| second.served).sum();
     let requests: u64 = checked.series.seconds[9..].iter().map(|second| second.requests).sum();
     assert!(
@@ -204,7 +207,8 @@
     let summary = checked.summary;
     assert!(
         summary.lost > 0 && summary.lost < summary.requests / 5,
-        "two of ten processes are frozen for three of eleven seconds: {}",
+        "two of ten processes are frozen for three of eleven seconds, so some requests have to be lost, \
+         but under a fifth: {}",
         summary.lost
     );
 }
@@ -222,7 +226,7 @@
     );
     assert!(
         checked.summary.origin.peak < 2.5,
-        "the origin has to be protected from the misses: {:?}",
+        "the origin has to be protected from the misses of servers in slow start: {:?}",
         checked.summary.origin
     );
 }
@@ -293,7 +297,7 @@
     let avoiding: std::collections::HashSet<usize> = avoiding.collect();
     assert!(
         avoiding.len() >= 6,
-        "at least half of the balancers have to report that they avoid a host: {avoiding:?}"
+        "at least half of the balancers have to report that they avoid a server: {avoiding:?}"
     );
     assert!(
         checked.summary.failure_detection.lost_sends > 0
@@ -348,20 +352,20 @@
             .map(|attempt| attempt.received_at)
             .collect();
         received_at.sort_unstable();
-        assert!(received_at.len() > 15, "host {server}: {} sends during slow start", received_at.len());
-        // The server had started by its first send, so its capacity is at most underestimated.
+        assert!(received_at.len() > 15, "server {server}: {} sends during slow start", received_at.len());
+        // The server had started by its first send, so its capacity is never overestimated.
         let started = received_at[0];
         for (index, at) in received_at.iter().enumerate() {
             let sends = index + 1 - received_at.partition_point(|before| before + MICROS_PER_SECOND <= *at);
             let warm_share = SLOW_START_INITIAL_SHARE
                 + (1.0 - SLOW_START_INITIAL_SHARE) * (at - started) as f64
                     / (SLOW_START_DURATION_S * MICROS_PER_SECOND as f64);
-            // A core serves 50 requests per second.
+            // At 20 ms of work per request, a core serves 50 requests per second.
             let capacity = COLLAPSE_LOAD_FACTOR * 50.0 * warm_share.min(1.0);
             let max_sends = capacity + 2.0 * capacity.sqrt() + 2.0;
             assert!(
                 sends as f64 <= max_sends,
-                "host {server}: {sends} sends in a second, at most {max_sends:.1} allowed"
+                "server {server}: {sends} sends in a second, at most {max_sends:.1} allowed"
             );
         }
     }
