--- a/testbed-cli/src/compare.rs
+++ b/testbed-cli/src/compare.rs
@@ -152,7 +152,7 @@
             after.display(),
             runs_after.len()
         );
-        return ExitStatus::NOT_ALLOWED;
+        return ExitStatus::CANNOT_RUN;
     }
     let mut violations_after = 0;
     for (name, pairs) in pairs_by_name {
--- a/testbed-cli/src/demo.rs
+++ b/testbed-cli/src/demo.rs
@@ -16,7 +16,7 @@
         Ok(experiment) => experiment,
         Err(problems) => {
             problems.iter().for_each(|problem| eprintln!("demo.toml: {problem}"));
-            return ExitStatus::NOT_ALLOWED;
+            return ExitStatus::CANNOT_RUN;
         }
     };
     if let Some(program) = find_sibling_balancer() {
@@ -27,7 +27,7 @@
             "the balancer program {} does not exist; build it with cargo build --release --locked",
             experiment.fleet.program
         );
-        return ExitStatus::NOT_ALLOWED;
+        return ExitStatus::CANNOT_RUN;
     }
     let status = run_once(&experiment, out);
     println!("report: {}", out.join("report.html").display());
--- a/testbed-cli/src/exit.rs
+++ b/testbed-cli/src/exit.rs
@@ -13,7 +13,7 @@
     pub const FAILED: ExitStatus = ExitStatus(1);
     /// The command cannot do its work: its arguments, a file or the machine do not allow it. `run` has started nothing; a
     /// scale test whose files cannot be written ends with this code too.
-    pub const NOT_ALLOWED: ExitStatus = ExitStatus(2);
+    pub const CANNOT_RUN: ExitStatus = ExitStatus(2);
     /// The testbed fell behind its schedule, so the run does not count.
     pub const TESTBED_LATE: ExitStatus = ExitStatus(3);
 
--- a/testbed-cli/src/experiment_file.rs
+++ b/testbed-cli/src/experiment_file.rs
@@ -18,7 +18,7 @@
 ) -> Result<Experiment, ExitStatus> {
     let text = std::fs::read_to_string(file).map_err(|error| {
         eprintln!("cannot read the experiment file {}: {error}", file.display());
-        ExitStatus::NOT_ALLOWED
+        ExitStatus::CANNOT_RUN
     })?;
     let mut overrides = overrides.to_vec();
     overrides.extend(seed.map(|seed| format!("seed={seed}")));
@@ -26,7 +26,7 @@
         for problem in problems {
             eprintln!("{}: {problem}", file.display());
         }
-        ExitStatus::NOT_ALLOWED
+        ExitStatus::CANNOT_RUN
     })
 }
 
--- a/testbed-cli/src/fit_table.rs
+++ b/testbed-cli/src/fit_table.rs
@@ -84,11 +84,11 @@
         Ok(points) => points,
         Err(error) => {
             eprintln!("{}: {error}", path.display());
-            return ExitStatus::NOT_ALLOWED;
+            return ExitStatus::CANNOT_RUN;
         }
     };
     if print_fit(cost_column, &points).is_none() {
-        return ExitStatus::NOT_ALLOWED;
+        return ExitStatus::CANNOT_RUN;
     }
     for ranked_fit in fit(&points).unwrap_or_default() {
         let name = ranked_fit.law.name();
--- a/testbed-cli/src/overview.rs
+++ b/testbed-cli/src/overview.rs
@@ -48,13 +48,13 @@
     let runs = read_runs(folder);
     if runs.is_empty() {
         eprintln!("no runs found below {}", folder.display());
-        return ExitStatus::NOT_ALLOWED;
+        return ExitStatus::CANNOT_RUN;
     }
     let violations = print_table(&runs);
     if let Some(path) = chart {
         if let Err(error) = write_chart(path, &runs) {
             eprintln!("cannot write the chart {}: {error}", path.display());
-            return ExitStatus::NOT_ALLOWED;
+            return ExitStatus::CANNOT_RUN;
         }
     }
     if violations > 0 {
--- a/testbed-cli/src/replay.rs
+++ b/testbed-cli/src/replay.rs
@@ -48,7 +48,7 @@
                 "cannot replay the run in {}: {error}; check that this is the folder of a run",
                 folder.display()
             );
-            ExitStatus::NOT_ALLOWED
+            ExitStatus::CANNOT_RUN
         }
     }
 }
--- a/testbed-cli/src/report.rs
+++ b/testbed-cli/src/report.rs
@@ -137,7 +137,7 @@
                 "cannot write the report of the run in {}: {error}; check that this is the folder of a run",
                 folder.display()
             );
-            ExitStatus::NOT_ALLOWED
+            ExitStatus::CANNOT_RUN
         }
     }
 }
--- a/testbed-cli/src/run.rs
+++ b/testbed-cli/src/run.rs
@@ -55,7 +55,7 @@
             Ok(experiment) => run_once(&experiment, &args.out.join(format!("seed-{seed}"))),
             Err(status) => status,
         };
-        if status == ExitStatus::NOT_ALLOWED {
+        if status == ExitStatus::CANNOT_RUN {
             return status;
         }
         worst = worst.worse(status);
@@ -67,7 +67,7 @@
 pub fn run_once(experiment: &Experiment, out: &Path) -> ExitStatus {
     if let Err(error) = std::fs::create_dir_all(out) {
         eprintln!("cannot create the output folder {}: {error}", out.display());
-        return ExitStatus::NOT_ALLOWED;
+        return ExitStatus::CANNOT_RUN;
     }
     let run = match run_with_progress(experiment, out) {
         Ok(run) => run,
@@ -90,7 +90,7 @@
 /// The exit status of a run that failed without a record.
 pub fn status_of_error(error: &TestbedError) -> ExitStatus {
     match error {
-        TestbedError::Setup(_) => ExitStatus::NOT_ALLOWED,
+        TestbedError::Setup(_) => ExitStatus::CANNOT_RUN,
         TestbedError::Aborted(_) => ExitStatus::FAILED,
     }
 }
--- a/testbed-cli/src/scale_run.rs
+++ b/testbed-cli/src/scale_run.rs
@@ -29,7 +29,7 @@
     };
     if let Err(error) = write_files(&args.out, &outcome) {
         eprintln!("cannot write the files of the scale test to {}: {error}", args.out.display());
-        return ExitStatus::NOT_ALLOWED;
+        return ExitStatus::CANNOT_RUN;
     }
     scale_table::print_summary(&outcome.summary);
     if args.calibrate && !args.virtual_time {
@@ -95,7 +95,7 @@
     let program = std::env::current_exe().ok()?;
     let process = Command::new(program).args(args.arguments()).status().ok()?;
     let status = ExitStatus::from_exit_code(u8::try_from(process.code()?).ok()?);
-    if status == ExitStatus::NOT_ALLOWED {
+    if status == ExitStatus::CANNOT_RUN {
         return None;
     }
     Some((read_summary(&args.out)?, status))
--- a/testbed-cli/src/sizes.rs
+++ b/testbed-cli/src/sizes.rs
@@ -40,13 +40,13 @@
             summaries.push(summary);
             continue;
         }
-        let Some((summary, status)) = run_in_process(&size_args) else { return ExitStatus::NOT_ALLOWED };
+        let Some((summary, status)) = run_in_process(&size_args) else { return ExitStatus::CANNOT_RUN };
         worst = worst.worse(status);
         summaries.push(summary);
     }
     if let Err(error) = write_files(&args.out, args, &summaries) {
         eprintln!("cannot write sizes.csv, fits.csv or sizes.svg to {}: {error}", args.out.display());
-        return ExitStatus::NOT_ALLOWED;
+        return ExitStatus::CANNOT_RUN;
     }
     worst
 }
