--- a/testbed-cli/src/charts.rs
+++ b/testbed-cli/src/charts.rs
@@ -35,14 +35,14 @@
 pub(crate) const BLUE: RGBColor = RGBColor(21, 101, 192);
 pub(crate) const GREY: RGBColor = RGBColor(97, 97, 97);
 
-/// Draws on an area of this height in pixels and returns the text of the SVG element.
+/// Draws on an area of this height and returns the text of the SVG element.
 fn render_svg(
-    height: u32,
+    height_px: u32,
     draw: impl FnOnce(&DrawingArea<SVGBackend, Shift>) -> Result<(), Error>,
 ) -> Result<String, Error> {
     let mut text = String::new();
     {
-        let area = SVGBackend::with_string(&mut text, (WIDTH_PX, height)).into_drawing_area();
+        let area = SVGBackend::with_string(&mut text, (WIDTH_PX, height_px)).into_drawing_area();
         area.fill(&WHITE)?;
         draw(&area)?;
         area.present()?;
@@ -75,14 +75,14 @@
 pub fn line_chart(experiment: &Experiment, title: &str, lines: &[Line<'_>]) -> Result<String, Error> {
     let max_value =
         lines.iter().flat_map(|line| &line.values).copied().fold(MIN_AXIS_MAX, f64::max) * VALUE_AXIS_RATIO;
-    let end = lines.iter().map(|line| line.values.len()).max().unwrap_or(1).max(1) as f64;
+    let end_s = lines.iter().map(|line| line.values.len()).max().unwrap_or(1).max(1) as f64;
     render_svg(LINE_CHART_HEIGHT_PX, |area| {
         let mut chart = ChartBuilder::on(area)
             .caption(title, CAPTION_FONT)
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(56)
-            .build_cartesian_2d(0.0..end, 0.0..max_value)?;
+            .build_cartesian_2d(0.0..end_s, 0.0..max_value)?;
         chart.configure_mesh().label_style(LABEL_FONT).light_line_style(TRANSPARENT).x_desc("s").draw()?;
         for (from, to) in fault_intervals_s(experiment) {
             chart.draw_series([Rectangle::new(
@@ -163,21 +163,21 @@
 ///
 /// # Errors
 /// If the drawing library fails.
-pub fn heat_map(title: &str, rows: &str, servers: &[Vec<f64>]) -> Result<String, Error> {
-    let seconds = servers.iter().map(Vec::len).max().unwrap_or(1).max(1);
-    let height = (servers.len() as u32 * 7).clamp(120, 900) + 70;
-    render_svg(height, |area| {
+pub fn heat_map(title: &str, row_label: &str, rows: &[Vec<f64>]) -> Result<String, Error> {
+    let seconds = rows.iter().map(Vec::len).max().unwrap_or(1).max(1);
+    let height_px = (rows.len() as u32 * 7).clamp(120, 900) + 70;
+    render_svg(height_px, |area| {
         let mut chart = ChartBuilder::on(area)
             .caption(format!("{title} (blue 0, white 1, red 2 and more)"), CAPTION_FONT)
             .margin(8)
             .x_label_area_size(28)
             .y_label_area_size(56)
-            .build_cartesian_2d(0.0..seconds as f64, 0.0..servers.len() as f64)?;
-        chart.configure_mesh().label_style(LABEL_FONT).disable_mesh().x_desc("s").y_desc(rows).draw()?;
-        chart.draw_series(servers.iter().enumerate().flat_map(|(server, loads)| {
-            loads.iter().enumerate().map(move |(second, load)| {
-                let (x, y) = (second as f64, server as f64);
-                Rectangle::new([(x, y), (x + 1.0, y + 1.0)], heat_colour(*load).filled())
+            .build_cartesian_2d(0.0..seconds as f64, 0.0..rows.len() as f64)?;
+        chart.configure_mesh().label_style(LABEL_FONT).disable_mesh().x_desc("s").y_desc(row_label).draw()?;
+        chart.draw_series(rows.iter().enumerate().flat_map(|(row, ratios)| {
+            ratios.iter().enumerate().map(move |(second, ratio)| {
+                let (x, y) = (second as f64, row as f64);
+                Rectangle::new([(x, y), (x + 1.0, y + 1.0)], heat_colour(*ratio).filled())
             })
         }))?;
         Ok(())
@@ -262,15 +262,15 @@
 }
 
 /// The colour of a ratio to the fair share: from blue at 0 over white at 1 to red at 2 and more.
-fn heat_colour(load: f64) -> RGBColor {
+fn heat_colour(ratio: f64) -> RGBColor {
     let mix = |from: (u8, u8, u8), to: (u8, u8, u8), share: f64| {
         let channel = |a: u8, b: u8| (f64::from(a) + (f64::from(b) - f64::from(a)) * share) as u8;
         RGBColor(channel(from.0, to.0), channel(from.1, to.1), channel(from.2, to.2))
     };
     let (blue, white, red) = ((21, 101, 192), (255, 255, 255), (183, 28, 28));
-    if load < 1.0 {
-        mix(blue, white, load.max(0.0))
+    if ratio < 1.0 {
+        mix(blue, white, ratio.max(0.0))
     } else {
-        mix(white, red, (load - 1.0).min(1.0))
+        mix(white, red, (ratio - 1.0).min(1.0))
     }
 }
--- a/testbed-cli/src/report.rs
+++ b/testbed-cli/src/report.rs
@@ -94,20 +94,20 @@
 /// Charts of the tokens of the origin limit that the balancers report as reserved and used. None if the balancers do not
 /// coordinate or `holders.csv` cannot be opened.
 fn limit_charts(folder: &Path, files: &RunFiles) -> Result<Vec<String>, Error> {
-    let limit = files.summary.limits.get("origin").filter(|limit| limit.bound.is_some());
-    let (Some(limit), Ok(table)) = (limit, csv::Reader::from_path(folder.join("holders.csv"))) else {
+    let usage = files.summary.limits.get("origin").filter(|usage| usage.bound.is_some());
+    let (Some(usage), Ok(table)) = (usage, csv::Reader::from_path(folder.join("holders.csv"))) else {
         return Ok(Vec::new());
     };
-    let limit = limit.limit;
+    let limit = usage.limit;
     let seconds = files.seconds.len();
     let balancers = files.experiment.fleet.balancers;
     let mut reserved_by_all = vec![0.0; seconds];
     let mut used_by_all = vec![0.0; seconds];
-    let mut by_balancer = vec![vec![0.0; seconds]; balancers];
+    let mut reserved_ratios = vec![vec![0.0; seconds]; balancers];
     for row in table.into_deserialize() {
         let (second, balancer, reserved, used, ..): (usize, usize, f64, f64, f64, f64) = row?;
         if second < seconds && balancer < balancers {
-            by_balancer[balancer][second] = reserved / (limit / balancers as f64);
+            reserved_ratios[balancer][second] = reserved / (limit / balancers as f64);
             reserved_by_all[second] += reserved;
             used_by_all[second] += used;
         }
@@ -121,7 +121,7 @@
     let heat_title = "Units held by each balancer over its part by count";
     Ok(vec![
         charts::line_chart(&files.experiment, title, &lines)?,
-        charts::heat_map(heat_title, "balancer", &by_balancer)?,
+        charts::heat_map(heat_title, "balancer", &reserved_ratios)?,
     ])
 }
 
