--- a/testbed-cli/src/compare.rs
+++ b/testbed-cli/src/compare.rs
@@ -31,9 +31,9 @@
     ("attempts a command", |s| Some(s.attempts_per_request)),
     ("p50 ms", |s| Some(s.latency_ms.p50)),
     ("p99 ms", |s| Some(s.latency_ms.p99)),
-    ("spread.peak / fair", |s| ratio(s.spread.peak, s.spread.fair_peak)),
-    ("spread.least / fair", |s| ratio(s.spread.least, s.spread.fair_least)),
-    ("spread.herd / fair", |s| ratio(s.spread.herd, s.spread.fair_herd)),
+    ("spread.peak / fair", |s| ratio_to_fair(s.spread.peak, s.spread.fair_peak)),
+    ("spread.least / fair", |s| ratio_to_fair(s.spread.least, s.spread.fair_least)),
+    ("spread.herd / fair", |s| ratio_to_fair(s.spread.herd, s.spread.fair_herd)),
     ("spread.idle", |s| Some(s.spread.idle as f64)),
     ("origin.peak", |s| Some(s.origin.peak)),
     ("origin.useful", |s| s.origin.useful),
@@ -44,7 +44,7 @@
 ];
 
 /// The ratio of a value to its value under fair draws; none if the latter is 0.
-fn ratio(value: f64, fair: f64) -> Option<f64> {
+fn ratio_to_fair(value: f64, fair: f64) -> Option<f64> {
     (fair > 0.0).then(|| value / fair)
 }
 
--- a/testbed-cli/src/fit_table.rs
+++ b/testbed-cli/src/fit_table.rs
@@ -64,17 +64,17 @@
 }
 
 fn fit_record(name: &str, best: &Fit, prediction: Option<&Prediction>) -> FitRecord {
-    let predicted = |cell: fn(&Prediction) -> String| prediction.map(cell).unwrap_or_default();
+    let prediction_cell = |format: fn(&Prediction) -> String| prediction.map(format).unwrap_or_default();
     [
         name.to_owned(),
         best.law.name().to_owned(),
         format!("{:.6}", best.a),
         format!("{:.9}", best.b),
         format!("{:.6}", best.residual),
-        predicted(|prediction| format!("{:.0}", prediction.size)),
-        predicted(|prediction| format!("{:.6}", prediction.predicted)),
-        predicted(|prediction| format!("{:.6}", prediction.measured)),
-        predicted(|prediction| format!("{:.4}", prediction.error())),
+        prediction_cell(|prediction| format!("{:.0}", prediction.size)),
+        prediction_cell(|prediction| format!("{:.6}", prediction.predicted)),
+        prediction_cell(|prediction| format!("{:.6}", prediction.measured)),
+        prediction_cell(|prediction| format!("{:.4}", prediction.error())),
     ]
 }
 
--- a/testbed-cli/src/overview.rs
+++ b/testbed-cli/src/overview.rs
@@ -85,7 +85,7 @@
         for (size, summaries) in sizes {
             let violations: u64 = summaries.iter().map(|summary| summary.rules.total()).sum();
             total_violations += violations;
-            let cells: Vec<String> = FIGURE_COLUMNS.iter().map(|column| cell(column, summaries)).collect();
+            let cells: Vec<String> = FIGURE_COLUMNS.iter().map(|column| format_cell(column, summaries)).collect();
             println!("| {name} | {size} | {} | {violations} | {} |", summaries.len(), cells.join(" | "));
         }
     }
@@ -118,7 +118,7 @@
 }
 
 /// Formats the mean of a figure, with its minimum and maximum if they differ.
-fn cell((_, decimals, value_of): &Column, runs: &[Summary]) -> String {
+fn format_cell((_, decimals, value_of): &Column, runs: &[Summary]) -> String {
     let values: Vec<f64> = runs.iter().filter_map(value_of).collect();
     if values.is_empty() {
         return "-".into();
--- a/testbed-cli/src/overview/tests.rs
+++ b/testbed-cli/src/overview/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn cell_has_the_mean_and_the_range_where_runs_differ() {
     let run = |service| Summary { service, ..Summary::default() };
-    assert_eq!(cell(&FIGURE_COLUMNS[0], &[run(0.5), run(0.7)]), "0.600 (0.500 to 0.700)");
-    assert_eq!(cell(&FIGURE_COLUMNS[0], &[run(0.5)]), "0.500");
-    assert_eq!(cell(&FIGURE_COLUMNS[9], &[run(0.5)]), "-");
+    assert_eq!(format_cell(&FIGURE_COLUMNS[0], &[run(0.5), run(0.7)]), "0.600 (0.500 to 0.700)");
+    assert_eq!(format_cell(&FIGURE_COLUMNS[0], &[run(0.5)]), "0.500");
+    assert_eq!(format_cell(&FIGURE_COLUMNS[9], &[run(0.5)]), "-");
 }
--- a/testbed-cli/src/replay/placement.rs
+++ b/testbed-cli/src/replay/placement.rs
@@ -58,8 +58,8 @@
     pub fn place(&mut self, send: &ServerSend) -> Option<usize> {
         self.remove_expired_sends(send.at_ms);
         let bound = MAX_LOAD_TO_MEAN_RATIO * (self.recent.len() + 1) as f64 / self.servers as f64 + 1.0;
-        let is_below_bound = |server: &usize| self.counts.get(server).copied().unwrap_or(0.0) + 1.0 <= bound;
-        let server = self.rendezvous.ranked(send.key).find(is_below_bound)?;
+        let is_within_bound = |server: &usize| self.counts.get(server).copied().unwrap_or(0.0) + 1.0 <= bound;
+        let server = self.rendezvous.ranked(send.key).find(is_within_bound)?;
         *self.counts.entry(server).or_default() += 1.0;
         self.recent.push_back((send.at_ms, server));
         Some(server)
--- a/testbed-cli/src/report/page.rs
+++ b/testbed-cli/src/report/page.rs
@@ -48,15 +48,15 @@
     )
 }
 
-fn write_result(page: &mut String, summary: &Summary, crashes: usize) -> Result {
+fn write_result(page: &mut String, summary: &Summary, crash_count: usize) -> Result {
     let rules = &summary.rules;
-    let is_broken = rules.total() > 0 || crashes > 0;
+    let is_broken = rules.total() > 0 || crash_count > 0;
     let class = if is_broken { "bad" } else { "good" };
     let result = if is_broken { "Something is broken" } else { "Every rule was kept" };
     write!(
         page,
         "<p class=\"{class}\"><b>{result}</b>: breaches of answers {}, attempts {}, drains {}, cold hosts {}; \
-         processes that ended unexpectedly {crashes}.</p>",
+         processes that ended unexpectedly {crash_count}.</p>",
         rules.answers, rules.attempts, rules.drains, rules.cold
     )
 }
--- a/testbed-cli/src/run.rs
+++ b/testbed-cli/src/run.rs
@@ -177,8 +177,8 @@
             bar.set_message(format!("{ready} of {} processes ready", experiment.fleet.balancers));
         }
         Progress::Load(seconds) => {
-            let is_warming = seconds < experiment.load.warm_up_s;
-            bar.set_message(if is_warming { "the caches fill".into() } else { experiment.name.clone() });
+            let is_warming_up = seconds < experiment.load.warm_up_s;
+            bar.set_message(if is_warming_up { "the caches fill".into() } else { experiment.name.clone() });
             bar.set_position((seconds * PROGRESS_STEPS_PER_S) as u64);
         }
     }
--- a/testbed-cli/src/run_outcome.rs
+++ b/testbed-cli/src/run_outcome.rs
@@ -143,12 +143,13 @@
 fn print_rules_and_bounds(summary: &Summary) -> bool {
     let is_over = |limit: &LimitUsage| limit.bound.is_some_and(|bound| limit.peak > bound);
     let limits = summary.limits.iter();
-    let over: Vec<&String> = limits.filter(|(_, limit)| is_over(limit)).map(|(name, _)| name).collect();
+    let limits_over_bound: Vec<&String> =
+        limits.filter(|(_, limit)| is_over(limit)).map(|(name, _)| name).collect();
     let rules = summary.rules;
-    let is_kept = rules.total() == 0 && over.is_empty();
+    let is_kept = rules.total() == 0 && limits_over_bound.is_empty();
     if !is_kept {
         println!(
-            "BROKEN: rules answers {}, attempts {}, drains {}, cold {}; limits over their bound: {over:?}",
+            "BROKEN: rules answers {}, attempts {}, drains {}, cold {}; limits over their bound: {limits_over_bound:?}",
             rules.answers, rules.attempts, rules.drains, rules.cold
         );
     }
--- a/testbed-cli/src/scale_run.rs
+++ b/testbed-cli/src/scale_run.rs
@@ -73,7 +73,7 @@
         ..args.clone()
     };
     println!("the same traffic without control code:");
-    if run_in_process(&calibration).is_none() {
+    if run_in_child_process(&calibration).is_none() {
         println!("the calibration run failed");
     }
 }
@@ -91,7 +91,7 @@
 
 /// Runs a scale test in a child process, so that its memory is measured separately. Returns the summary and the exit status,
 /// or none if the process could not do the run or left no summary.
-pub fn run_in_process(args: &ScaleArgs) -> Option<(Summary, ExitStatus)> {
+pub fn run_in_child_process(args: &ScaleArgs) -> Option<(Summary, ExitStatus)> {
     let program = std::env::current_exe().ok()?;
     let process = Command::new(program).args(args.arguments()).status().ok()?;
     let status = ExitStatus::from_exit_code(u8::try_from(process.code()?).ok()?);
--- a/testbed-cli/src/sizes.rs
+++ b/testbed-cli/src/sizes.rs
@@ -9,7 +9,7 @@
 use crate::exit::ExitStatus;
 use crate::fit_table::{print_fit, FIT_COLUMNS};
 use crate::scale_args::ScaleArgs;
-use crate::scale_run::{print_status, run_in_process, saved_summary};
+use crate::scale_run::{print_status, run_in_child_process, saved_summary};
 
 type Error = Box<dyn std::error::Error>;
 
@@ -40,7 +40,7 @@
             summaries.push(summary);
             continue;
         }
-        let Some((summary, status)) = run_in_process(&size_args) else { return ExitStatus::CANNOT_RUN };
+        let Some((summary, status)) = run_in_child_process(&size_args) else { return ExitStatus::CANNOT_RUN };
         worst = worst.worse(status);
         summaries.push(summary);
     }
--- a/testbed-cli/src/soak.rs
+++ b/testbed-cli/src/soak.rs
@@ -13,7 +13,7 @@
 use crate::run::status_of_error;
 
 /// Greatest number of findings that are printed for one seed.
-const SHOWN_FINDINGS: usize = 5;
+const MAX_PRINTED_FINDINGS: usize = 5;
 
 /// Arguments of `soak`.
 #[derive(Debug, clap::Args)]
@@ -54,7 +54,7 @@
 
 /// Runs the seeds in turn, up to one whose run ends without a record; returns the exit status.
 pub fn soak(args: &SoakArgs) -> ExitStatus {
-    let mut failed = Vec::new();
+    let mut failed_seeds = Vec::new();
     for seed in args.seed..args.seed + args.seeds {
         let outcome = match run_seed(args, seed) {
             Ok(outcome) => outcome,
@@ -64,14 +64,14 @@
         println!("seed {seed}: {} findings; {requests}", findings.len());
         if !findings.is_empty() {
             print_failure(args, &outcome);
-            failed.push(seed);
+            failed_seeds.push(seed);
         }
     }
-    if failed.is_empty() {
+    if failed_seeds.is_empty() {
         println!("kept: every rule on {} seeds", args.seeds);
         return ExitStatus::PASSED;
     }
-    println!("BROKEN: {} of {} seeds: {failed:?}", failed.len(), args.seeds);
+    println!("BROKEN: {} of {} seeds: {failed_seeds:?}", failed_seeds.len(), args.seeds);
     ExitStatus::FAILED
 }
 
@@ -95,7 +95,7 @@
 
 fn print_failure(args: &SoakArgs, outcome: &SeedOutcome) {
     print!("{}", outcome.plan);
-    for finding in outcome.result.findings.iter().take(SHOWN_FINDINGS) {
+    for finding in outcome.result.findings.iter().take(MAX_PRINTED_FINDINGS) {
         println!("  {finding}");
     }
     let deadlines = match args.deadlines {
--- a/testbed-cli/src/tables.rs
+++ b/testbed-cli/src/tables.rs
@@ -90,10 +90,10 @@
             request.balancer.to_string(),
             request.key.to_string(),
             u8::from(request.write).to_string(),
-            millis(request.planned_at, check_config),
-            millis(request.sent_at, check_config),
-            millis(request.deadline, check_config),
-            request.ended_at.map_or(String::new(), |at| millis(at, check_config)),
+            format_ms(request.planned_at, check_config),
+            format_ms(request.sent_at, check_config),
+            format_ms(request.deadline, check_config),
+            request.ended_at.map_or(String::new(), |at| format_ms(at, check_config)),
             request.result.to_string(),
         ])?;
     }
@@ -111,8 +111,8 @@
                 Receiver::CacheServer(server) => server.to_string(),
                 Receiver::Origin => "origin".into(),
             },
-            millis(attempt.received_at, check_config),
-            attempt.answered_at.map_or(String::new(), |at| millis(at, check_config)),
+            format_ms(attempt.received_at, check_config),
+            attempt.answered_at.map_or(String::new(), |at| format_ms(at, check_config)),
             attempt.result.to_string(),
             u8::from(attempt.in_slow_start).to_string(),
         ])?;
@@ -121,6 +121,6 @@
 }
 
 /// Formats a time as milliseconds since the start of the measured time; negative during the warm-up.
-fn millis(at: Micros, check_config: &CheckConfig) -> String {
+fn format_ms(at: Micros, check_config: &CheckConfig) -> String {
     format!("{:.3}", (at as f64 - check_config.measured_from as f64) / 1e3)
 }
