--- a/testbed-cli/src/charts/tests.rs
+++ b/testbed-cli/src/charts/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn charts_are_complete_and_show_their_values() {
+fn charts_are_complete_svg_with_legend_and_without_nan() {
     let experiment =
         juniperladder_platform_model::reader::read(include_str!("../../demo.toml"), &[]).unwrap();
     let seconds: Vec<Second> =
--- a/testbed-cli/src/fit/tests.rs
+++ b/testbed-cli/src/fit/tests.rs
@@ -20,15 +20,15 @@
 }
 
 #[test]
-fn noise_is_fitted_by_the_constant() {
+fn fit_of_noise_around_a_constant_barely_grows() {
     let mut rng = linear_congruential_rng(7);
     for _ in 0..20 {
         let noise: Vec<f64> = SIZES.iter().map(|_| rng()).collect();
         let points: Vec<_> =
             SIZES.iter().copied().zip(noise.iter().map(|deviation| 100.0 + deviation)).collect();
         let best = fit(&points).unwrap()[0];
-        let spread = best.cost_at(2_000.0) - best.cost_at(125.0);
-        assert!(spread.abs() < 3.0, "{best:?}");
+        let growth = best.cost_at(2_000.0) - best.cost_at(125.0);
+        assert!(growth.abs() < 3.0, "{best:?}");
     }
 }
 
--- a/testbed-cli/src/overview.rs
+++ b/testbed-cli/src/overview.rs
@@ -85,7 +85,8 @@
         for (size, summaries) in sizes {
             let violations: u64 = summaries.iter().map(|summary| summary.rules.total()).sum();
             total_violations += violations;
-            let cells: Vec<String> = FIGURE_COLUMNS.iter().map(|column| format_cell(column, summaries)).collect();
+            let cells: Vec<String> =
+                FIGURE_COLUMNS.iter().map(|column| format_cell(column, summaries)).collect();
             println!("| {name} | {size} | {} | {violations} | {} |", summaries.len(), cells.join(" | "));
         }
     }
--- a/testbed-cli/src/overview/tests.rs
+++ b/testbed-cli/src/overview/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn cell_has_the_mean_and_the_range_where_runs_differ() {
+fn cell_shows_mean_and_range_or_a_dash_without_values() {
     let run = |service| Summary { service, ..Summary::default() };
     assert_eq!(format_cell(&FIGURE_COLUMNS[0], &[run(0.5), run(0.7)]), "0.600 (0.500 to 0.700)");
     assert_eq!(format_cell(&FIGURE_COLUMNS[0], &[run(0.5)]), "0.500");
--- a/testbed-cli/src/replay/tests.rs
+++ b/testbed-cli/src/replay/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 #[test]
-fn load_imbalance_is_the_mean_over_the_windows() {
+fn load_imbalance_is_averaged_over_windows_and_limited_by_bounded_load() {
     let send = |at_ms, server| ServerSend { at_ms, server, key: 1 };
     let sends: Vec<ServerSend> =
         (0..40).map(|n| send(f64::from(n) * 250.0, usize::from(n % 4 == 0))).collect();
--- a/testbed-cli/tests/fleet.rs
+++ b/testbed-cli/tests/fleet.rs
@@ -78,7 +78,7 @@
 fn run_and_check(name: &str, balancers: usize, load: &str, faults: &str) -> (RunRecord, CheckResult) {
     let _slot = acquire_run_slot();
     let folder = tempfile::tempdir().unwrap();
-    let operator = folder.path().join("operator.toml");
+    let operator_file = folder.path().join("operator.toml");
     // On a machine shared with other work the delays of sends may differ by a quarter of a second.
     let mut operator_settings = String::from(
         "[peers]\nlisten = \"127.0.0.1:0\"\nseeds = [\"127.0.0.1:1\"]\n[limits]\nspread_ms = 250\n",
@@ -86,16 +86,17 @@
     if name.starts_with("all-") {
         operator_settings += "[limits.origin]\nper_s = 400\n[limits.cold]\nper_s = 50\n[limits.second]\n[verdicts]\nwitnesses = 2\n";
     }
-    std::fs::write(&operator, operator_settings).unwrap();
+    std::fs::write(&operator_file, operator_settings).unwrap();
     let has_peer_links = name.starts_with("all-") || load.contains("writes = 0.5");
-    let operator = if has_peer_links { format!("operator = {operator:?}\n") } else { String::new() };
+    let operator_setting =
+        if has_peer_links { format!("operator = {operator_file:?}\n") } else { String::new() };
     let balancer_count_setting = if name == "limits-grow" { "told = 4\n" } else { "" };
     // 320 requests a second give well over fifteen sends to each server in slow start, however early the balancers learn of
     // its start.
     let rate = if name == "cold-ramp" { 320 } else { 160 };
     let text = format!(
         "name = \"{name}\"\nseconds = 11\n[fleet]\nbalancers = {balancers}\nhosts = 12\nzones = 3\nprogram = {:?}\n\
-         {balancer_count_setting}{operator}[load]\nrate = {rate}\nkeys = 400\n{load}{faults}",
+         {balancer_count_setting}{operator_setting}[load]\nrate = {rate}\nkeys = 400\n{load}{faults}",
         program()
     );
     let experiment = read(&text, &[]).unwrap();
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn silent_servers_cost_their_own_sends_and_no_request() {
+fn sends_to_silent_servers_are_lost_but_no_request_is() {
     let (_, checked) = run_keeping_rules(
         "silent",
         12,
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn fleet_serves_again_after_seven_in_ten_are_killed_at_once() {
+fn fleet_serves_again_after_seven_in_ten_balancers_are_killed_at_once() {
     let (run, checked) = run_keeping_rules(
         "herd",
         20,
@@ -167,7 +168,7 @@
 }
 
 #[test]
-fn drains_hold_with_late_endpoint_lists_and_discovery_down() {
+fn drain_rule_is_kept_with_late_endpoint_lists_and_discovery_down() {
     let (run, _) = run_keeping_rules(
         "drains",
         12,
@@ -214,7 +215,7 @@
 }
 
 #[test]
-fn servers_that_end_and_come_back_do_not_collapse_in_slow_start() {
+fn stopped_and_restarted_servers_do_not_collapse_in_slow_start() {
     let (run, checked) = run_keeping_rules(
         "cold",
         24,
@@ -260,15 +261,15 @@
 
 #[test]
 fn limit_holds_and_is_used_with_losses_repeats_and_reordering() {
-    let all = "between = [\"balancers\", \"balancers\"]\n";
+    let all_peer_links = "between = [\"balancers\", \"balancers\"]\n";
     let (_, checked) = run_with_origin_limit(
         "limits-loss",
         10,
         &format!(
-            "[[fault]]\nat = 0\nwhat = \"lose\"\n{all}share = 0.3\n\
-             [[fault]]\nat = 0\nwhat = \"repeat\"\n{all}share = 0.1\n\
-             [[fault]]\nat = 0\nwhat = \"reorder\"\n{all}share = 0.1\n\
-             [[fault]]\nat = 0\nwhat = \"spoil\"\n{all}share = 0.05\n"
+            "[[fault]]\nat = 0\nwhat = \"lose\"\n{all_peer_links}share = 0.3\n\
+             [[fault]]\nat = 0\nwhat = \"repeat\"\n{all_peer_links}share = 0.1\n\
+             [[fault]]\nat = 0\nwhat = \"reorder\"\n{all_peer_links}share = 0.1\n\
+             [[fault]]\nat = 0\nwhat = \"spoil\"\n{all_peer_links}share = 0.05\n"
         ),
     );
     assert!(checked.summary.limits["origin"].usage > Some(0.5), "{:?}", checked.summary.limits);
@@ -278,14 +279,14 @@
 /// process a quarter of the limit.
 #[test]
 fn limit_holds_where_the_settings_name_too_few_balancers() {
-    let text = "[[fault]]\nat = 0\nwhat = \"kill\"\nwho = \"balancers:4-15\"\nback = 3\n";
-    let (run, checked) = run_with_origin_limit("limits-grow", 16, text);
+    let faults = "[[fault]]\nat = 0\nwhat = \"kill\"\nwho = \"balancers:4-15\"\nback = 3\n";
+    let (run, checked) = run_with_origin_limit("limits-grow", 16, faults);
     assert_eq!(run.process_starts, 28);
     assert!(checked.summary.limits["origin"].usage > Some(0.3), "{:?}", checked.summary.limits);
 }
 
 #[test]
-fn silent_servers_are_avoided_by_all_and_not_overrun_when_they_return() {
+fn silent_servers_are_avoided_by_half_the_balancers_and_not_overloaded_after_restart() {
     let (run, checked) = run_with_all_limits(
         "all-silent",
         12,
@@ -354,11 +355,11 @@
         received_at.sort_unstable();
         assert!(received_at.len() > 15, "server {server}: {} sends during slow start", received_at.len());
         // The server had started by its first send, so its capacity is never overestimated.
-        let started = received_at[0];
+        let started_at = received_at[0];
         for (index, at) in received_at.iter().enumerate() {
             let sends = index + 1 - received_at.partition_point(|before| before + MICROS_PER_SECOND <= *at);
             let warm_share = SLOW_START_INITIAL_SHARE
-                + (1.0 - SLOW_START_INITIAL_SHARE) * (at - started) as f64
+                + (1.0 - SLOW_START_INITIAL_SHARE) * (at - started_at) as f64
                     / (SLOW_START_DURATION_S * MICROS_PER_SECOND as f64);
             // At 20 ms of work per request, a core serves 50 requests per second.
             let capacity = COLLAPSE_LOAD_FACTOR * 50.0 * warm_share.min(1.0);
