--- a/cli/tests/discovery.rs
+++ b/cli/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process with an overloaded discovery, which handles polls in turn and answers slowly.
+//! The daemon as a process with an overloaded discovery, which handles polls one after the other and answers slowly.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-use support::{address_in, cache_server, config, program, send_signal, wait_for_line};
+use support::{address_in, config, daemon_command, send_signal, start_cache_server, wait_for_line};
 
 /// How long a poll is queued: longer than discovery's own limit of 2 s, beyond which it rejects polls at once.
 const QUEUE_TIME: Duration = Duration::from_millis(2_300);
@@ -44,12 +44,12 @@
     String::from_utf8_lossy(&value[..1]).into_owned()
 }
 
-/// Guards against an abandoned poll while it is queued: discovery would still answer it, its changes would count as
-/// notified, and a new poll would be queued behind all others. The list arrives on the first poll, and the draining server
-/// gets no further requests.
+/// Guards against abandoning a poll while it is queued: discovery would still answer it and count its changes as notified,
+/// and a new poll would be queued behind all others. The list has to arrive on the first poll, after which the draining
+/// server gets no further requests.
 #[test]
 fn a_queued_poll_is_not_abandoned() {
-    let [draining_address, serving_address] = ["D", "S"].map(cache_server);
+    let [draining_address, serving_address] = ["D", "S"].map(start_cache_server);
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
     let discovery_address = discovery.local_addr().unwrap().to_string();
     let text = config("127.0.0.1:0", &discovery_address, &draining_address).replace(
@@ -58,7 +58,7 @@
             "\"instances\":[{{\"instanceId\":\"s-00000002\",\"hostPort\":\"{serving_address}\",\"zone\":\"x\",\"machineType\":\"a\"}},"
         ),
     );
-    let mut child = program(Some(&text)).spawn().unwrap();
+    let mut child = daemon_command(Some(&text)).spawn().unwrap();
     let mut log = BufReader::new(child.stderr.take().unwrap());
     let listen = address_in(&wait_for_line(&mut log, "listening"));
     let mut client = TcpStream::connect(&listen).unwrap();
--- a/cli/tests/faults.rs
+++ b/cli/tests/faults.rs
@@ -12,7 +12,9 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-use support::{address_in, cache_server, config, file, program, send_signal, wait_for_line};
+use support::{
+    address_in, config, daemon_command, send_signal, start_cache_server, wait_for_line, write_config_file,
+};
 
 /// The timeout of the test for an answer: far longer than any answer takes, and shorter than the request deadline.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
@@ -46,7 +48,7 @@
 }
 
 /// A running daemon with injected faults.
-struct FaultyProgram {
+struct FaultyDaemon {
     child: Child,
     /// The address for clients.
     listen: String,
@@ -55,20 +57,20 @@
 }
 
 /// Starts the daemon with these faults.
-fn start_with_faults(faults: &str) -> FaultyProgram {
+fn start_with_faults(faults: &str) -> FaultyDaemon {
     let instance = |number: usize| {
         format!(
             r#"{{"instanceId":"s-0000000{number}","hostPort":"{}","zone":"x","machineType":"a"}},"#,
-            cache_server(&value())
+            start_cache_server(&value())
         )
     };
     let others: String = (2..=SERVER_COUNT).map(instance).collect();
-    let text = config("127.0.0.1:0", "127.0.0.1:9", &cache_server(&value()))
+    let text = config("127.0.0.1:0", "127.0.0.1:9", &start_cache_server(&value()))
         .replace("\"instances\":[", &format!("\"instances\":[{others}"))
         // A request that was certainly not executed may be retried.
         .replace("\"max-attempts\":1", "\"max-attempts\":5");
     let mut child =
-        program(Some(&text)).env("LD_PRELOAD", fault_library()).env("FAULTS", faults).spawn().unwrap();
+        daemon_command(Some(&text)).env("LD_PRELOAD", fault_library()).env("FAULTS", faults).spawn().unwrap();
     let mut log = BufReader::new(child.stderr.take().unwrap());
     let listen = address_in(&wait_for_line(&mut log, "listening"));
     let rest = thread::spawn(move || {
@@ -76,14 +78,14 @@
         log.read_to_string(&mut rest).unwrap();
         rest
     });
-    FaultyProgram { child, listen, log: rest }
+    FaultyDaemon { child, listen, log: rest }
 }
 
 /// The number of requests answered with their value, and with an error.
 #[derive(Debug, Default, PartialEq)]
 struct Answers {
     served: u64,
-    other: u64,
+    errors: u64,
 }
 
 /// Sends pipelined requests on consecutive connections, and counts the answers.
@@ -108,7 +110,7 @@
                 counts.served += 1;
             } else {
                 assert!(head.starts_with("SERVER_ERROR"), "{id}: {head:?}");
-                counts.other += 1;
+                counts.errors += 1;
             }
         }
     }
@@ -117,8 +119,8 @@
 
 /// Asserts that every request is served despite these faults. Returns the rest of the log.
 fn assert_all_served(faults: &str) -> String {
-    let FaultyProgram { mut child, listen, log } = start_with_faults(faults);
-    let expected = Answers { served: CONNECTION_COUNT * PIPELINE_LENGTH, other: 0 };
+    let FaultyDaemon { mut child, listen, log } = start_with_faults(faults);
+    let expected = Answers { served: CONNECTION_COUNT * PIPELINE_LENGTH, errors: 0 };
     assert_eq!(send_requests(&listen), expected, "{faults}");
     send_signal(&child, "-TERM");
     assert!(child.wait().unwrap().success(), "{faults}");
@@ -131,7 +133,7 @@
     assert_all_served("");
 }
 
-/// Guards against requests that stall after a short read or write, which is followed by no further readiness event.
+/// Guards against requests that stall after a short read or write, after which no further readiness event follows.
 #[test]
 fn short_reads_and_writes_lose_no_request() {
     for faults in ["recv=short/2", "send=short/2", "recv=short/1,send=short/1", "recv=short/4,send=short/3"] {
@@ -139,7 +141,7 @@
     }
 }
 
-/// Guards against a system call interrupted by a signal that is taken for a failed one.
+/// Guards against treating a system call that a signal interrupted as a failed call.
 #[test]
 fn interrupted_calls_are_retried() {
     for faults in ["recv=EINTR/3", "send=EINTR/3", "epoll_wait=EINTR/2", "accept4=EINTR/2", "connect=EINTR/2"]
@@ -148,7 +150,8 @@
     }
 }
 
-/// Guards against lost connections after a transient accept error: they stay in the backlog and are accepted later.
+/// Guards against lost connections after a transient accept error: the connections stay in the backlog and are accepted
+/// later.
 #[test]
 fn connections_are_served_after_failed_accepts() {
     for error in ["ECONNABORTED", "ENFILE", "EMFILE", "ENOBUFS", "EPROTO"] {
@@ -156,8 +159,8 @@
     }
 }
 
-/// Guards against a local error that is counted against the server: a connection that this machine transiently cannot open
-/// is retried, and not counted as a failed connection to the server.
+/// Guards against counting a local error against the server: a connection that this machine transiently cannot open is
+/// retried, and not counted as a failed connection to the server.
 #[test]
 fn a_local_connect_error_is_retried_and_not_counted_against_the_server() {
     for faults in [
@@ -184,7 +187,7 @@
         "bind=EADDRINUSE/1/3",
         "listen=ENOBUFS/1/3",
     ] {
-        let FaultyProgram { mut child, listen, .. } = start_with_faults(faults);
+        let FaultyDaemon { mut child, listen, .. } = start_with_faults(faults);
         let mut client = TcpStream::connect(&listen).unwrap();
         client.write_all(b"mn\r\n").unwrap();
         let mut answer = [0; 4];
@@ -210,10 +213,10 @@
         let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
         let old_discovery = TcpListener::bind("127.0.0.1:0").unwrap();
         let [before, after] = [&old_discovery, &discovery].map(|listener| {
-            config("127.0.0.1:0", &listener.local_addr().unwrap().to_string(), &cache_server(&value()))
+            config("127.0.0.1:0", &listener.local_addr().unwrap().to_string(), &start_cache_server(&value()))
         });
-        let path = file(&before);
-        let mut child = program(None)
+        let path = write_config_file(&before);
+        let mut child = daemon_command(None)
             .env("NODE_CONFIG", &path)
             .env("LD_PRELOAD", fault_library())
             .env("FAULTS", faults)
@@ -225,9 +228,9 @@
         send_signal(&child, "-HUP");
         // A poll of the new address shows that the configuration was reloaded despite the faults.
         let (mut poll, _) = discovery.accept().unwrap();
-        let mut begin = [0; 4];
-        poll.read_exact(&mut begin).unwrap();
-        assert_eq!(&begin, b"GET ", "{faults}");
+        let mut method = [0; 4];
+        poll.read_exact(&mut method).unwrap();
+        assert_eq!(&method, b"GET ", "{faults}");
         send_signal(&child, "-TERM");
         assert!(child.wait().unwrap().success(), "{faults}");
     }
--- a/cli/tests/limits.rs
+++ b/cli/tests/limits.rs
@@ -11,17 +11,17 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use support::{address_in, call, config, file, send_signal, wait_for_line};
+use support::{address_in, config, send_admin_call, send_signal, wait_for_line, write_config_file};
 
 /// A running daemon, which is killed when the test ends or fails.
-struct RunningProgram {
+struct RunningDaemon {
     child: Child,
     log: BufReader<ChildStderr>,
     listen: String,
     admin: String,
 }
 
-impl Drop for RunningProgram {
+impl Drop for RunningDaemon {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -29,14 +29,14 @@
 }
 
 /// Starts the daemon with this number of descriptors, both as its ulimit and in its configuration.
-fn start(listen: &str, discovery: SocketAddr, server: SocketAddr, descriptors: usize) -> RunningProgram {
+fn start(listen: &str, discovery: SocketAddr, server: SocketAddr, descriptors: usize) -> RunningDaemon {
     let text = config(listen, &discovery.to_string(), &server.to_string())
         .replace("\"sockets\":512", &format!("\"sockets\":{descriptors}"))
         .replace("\"seed\"", "\"mgmt\":\"127.0.0.1:0\",\"seed\"");
     let dir = tempfile::tempdir().unwrap().keep();
     let mut child = Command::new("/bin/sh")
         .args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\""), env!("CARGO_BIN_EXE_juniperladder")])
-        .env("NODE_CONFIG", file(&text))
+        .env("NODE_CONFIG", write_config_file(&text))
         .env("TMPDIR", dir)
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
@@ -45,7 +45,7 @@
     let mut log = BufReader::new(child.stderr.take().unwrap());
     let listen = address_in(&wait_for_line(&mut log, "listening"));
     let admin = address_in(&wait_for_line(&mut log, "operators' address"));
-    RunningProgram { child, log, listen, admin }
+    RunningDaemon { child, log, listen, admin }
 }
 
 /// Checks the readiness of a balancer on a new connection. None if the connection ends or is silent until the timeout.
@@ -61,11 +61,11 @@
 /// The state of discovery when a process starts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum DiscoveryState {
-    /// Nothing listens on its address.
+    /// Nothing listens on discovery's address.
     Down,
-    /// It accepts polls and never answers.
+    /// Discovery accepts connections and never answers.
     Silent,
-    /// Its backlog is full, so connections are not established.
+    /// Discovery's backlog is full, so connections are not established.
     BacklogFull,
 }
 
@@ -76,30 +76,40 @@
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
     for discovery in [DiscoveryState::Down, DiscoveryState::Silent, DiscoveryState::BacklogFull] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let at = listener.local_addr().unwrap();
-        let mut calls = Vec::new();
+        let discovery_address = listener.local_addr().unwrap();
+        let mut connections = Vec::new();
         match discovery {
             DiscoveryState::Down => drop(listener),
             DiscoveryState::Silent => {
                 thread::spawn(move || listener.incoming().map(Result::unwrap).collect::<Vec<_>>());
             }
             DiscoveryState::BacklogFull => {
-                while let Ok(call) = TcpStream::connect_timeout(&at, Duration::from_millis(50)) {
-                    calls.push((call, listener.try_clone().unwrap()));
+                while let Ok(connection) =
+                    TcpStream::connect_timeout(&discovery_address, Duration::from_millis(50))
+                {
+                    connections.push((connection, listener.try_clone().unwrap()));
                 }
             }
         }
-        let mut first = start("127.0.0.1:0", at, server.local_addr().unwrap(), 256);
+        let mut first = start("127.0.0.1:0", discovery_address, server.local_addr().unwrap(), 256);
         let _idle = TcpStream::connect(&first.listen).unwrap();
         assert_eq!(read_readiness(&first.listen).as_deref(), Some("MN\r\n"), "{discovery:?}");
         first.child.kill().unwrap();
         first.child.wait().unwrap();
-        let began = Instant::now();
-        let second = start(&first.listen, at, server.local_addr().unwrap(), 256);
-        assert_eq!(read_readiness(&second.listen).as_deref(), Some("MN\r\n"), "{discovery:?}, again");
-        // Nine in ten starts must be ready within ten seconds; a start that waits for discovery would exceed them.
-        assert!(began.elapsed() < Duration::from_secs(10), "{discovery:?}: {:?}", began.elapsed());
-        assert_eq!(call(&second.admin, "HEALTH\n"), "ACK ready\n");
+        let restarted_at = Instant::now();
+        let second = start(&first.listen, discovery_address, server.local_addr().unwrap(), 256);
+        assert_eq!(
+            read_readiness(&second.listen).as_deref(),
+            Some("MN\r\n"),
+            "{discovery:?}, after the replacement"
+        );
+        // Nine in ten starts must be ready within ten seconds; a start that waits for discovery would take longer.
+        assert!(
+            restarted_at.elapsed() < Duration::from_secs(10),
+            "{discovery:?}: {:?}",
+            restarted_at.elapsed()
+        );
+        assert_eq!(send_admin_call(&second.admin, "HEALTH\n"), "ACK ready\n");
     }
 }
 
@@ -216,27 +226,27 @@
     const DESCRIPTORS: usize = 96;
     let server = TcpListener::bind("127.0.0.1:0").unwrap();
     let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let discovery_at = discovery.local_addr().unwrap();
+    let discovery_address = discovery.local_addr().unwrap();
     drop(discovery);
-    let mut balancer = start("127.0.0.1:0", discovery_at, server.local_addr().unwrap(), DESCRIPTORS);
+    let mut balancer = start("127.0.0.1:0", discovery_address, server.local_addr().unwrap(), DESCRIPTORS);
     let idle_connections =
         IdleConnections::new([(balancer.listen.clone(), 3 * DESCRIPTORS), (balancer.admin.clone(), 12)]);
     for _ in 0..20 {
         idle_connections.opened.recv().unwrap();
     }
     // Discovery recovers.
-    let discovery = TcpListener::bind(discovery_at).unwrap();
-    let second = TcpListener::bind("127.0.0.1:0").unwrap();
-    let _watch = answer_discovery(&discovery, second.local_addr().unwrap());
+    let discovery = TcpListener::bind(discovery_address).unwrap();
+    let listed_server = TcpListener::bind("127.0.0.1:0").unwrap();
+    let _watch = answer_discovery(&discovery, listed_server.local_addr().unwrap());
     wait_for_line(&mut balancer.log, "INFO endpoint list received");
     // A client with a request is admitted, and served by the newly listed server.
-    let serving = thread::spawn(move || serve_one_request(&second));
+    let serving = thread::spawn(move || serve_one_request(&listed_server));
     let answer = request_until_answered(&balancer.listen);
     assert!(answer.starts_with("VA 2 O"), "{answer:?}");
     serving.join().unwrap();
     assert_eq!(health_until_acknowledged(&balancer.admin).as_deref(), Some("ACK ready\n"));
     idle_connections.end();
-    assert!(balancer.child.try_wait().unwrap().is_none(), "the process still runs");
+    assert!(balancer.child.try_wait().unwrap().is_none(), "the process has ended");
     send_signal(&balancer.child, "-TERM");
     let mut log = String::new();
     balancer.log.read_to_string(&mut log).unwrap();
--- a/cli/tests/support/faults.c
+++ b/cli/tests/support/faults.c
@@ -30,13 +30,13 @@
     char call[16];
     int action;
     long every, max_times;
-    atomic_long calls, acted;
+    atomic_long calls, applied;
 };
 
 static struct rule rules[MAX_RULES];
 static int rule_count;
 
-static const struct { const char *name; int value; } errors[] = {
+static const struct { const char *name; int value; } actions[] = {
     {"short", SHORT}, {"ahead", AHEAD}, {"behind", BEHIND}, {"EIO", EIO}, {"EINTR", EINTR}, {"ENFILE", ENFILE}, {"EMFILE", EMFILE}, {"ENOBUFS", ENOBUFS},
     {"ECONNABORTED", ECONNABORTED}, {"EPROTO", EPROTO}, {"EADDRNOTAVAIL", EADDRNOTAVAIL}, {"ENETUNREACH", ENETUNREACH},
     {"EAGAIN", EAGAIN}, {"ETIMEDOUT", ETIMEDOUT}, {"EHOSTUNREACH", EHOSTUNREACH}, {"EADDRINUSE", EADDRINUSE},
@@ -53,14 +53,14 @@
         rule->max_times = -1;
         int read = sscanf(rule_text, "%15[^=]=%23[^/]/%ld/%ld", rule->call, action, &rule->every, &rule->max_times);
         int is_known = 0;
-        for (size_t index = 0; index < sizeof errors / sizeof *errors; index++) {
-            if (!strcmp(action, errors[index].name)) {
-                rule->action = errors[index].value;
+        for (size_t index = 0; index < sizeof actions / sizeof *actions; index++) {
+            if (!strcmp(action, actions[index].name)) {
+                rule->action = actions[index].value;
                 is_known = 1;
             }
         }
         if (read < 3 || !is_known || rule->every < 1) {
-            fprintf(stderr, "FAULTS: bad rule %s\n", rule_text);
+            fprintf(stderr, "FAULTS: invalid rule %s: expected CALL=ACTION/EVERY or CALL=ACTION/EVERY/MOST with a known action\n", rule_text);
             abort();
         }
         rule_count++;
@@ -73,7 +73,7 @@
         struct rule *rule = &rules[index];
         if (strcmp(rule->call, call)) continue;
         if ((atomic_fetch_add(&rule->calls, 1) + 1) % rule->every) continue;
-        if (rule->max_times >= 0 && atomic_fetch_add(&rule->acted, 1) >= rule->max_times) continue;
+        if (rule->max_times >= 0 && atomic_fetch_add(&rule->applied, 1) >= rule->max_times) continue;
         return rule->action;
     }
     return 0;
@@ -112,7 +112,7 @@
     return NEXT(epoll_wait)(epoll, events, max_events, timeout);
 }
 
-/* Fails only for the configuration file, which has this extension in the tests. */
+/* Fails only for the configuration file, whose name ends with .json in the tests. */
 int open64(const char *path, int flags, ...) {
     va_list rest;
     va_start(rest, flags);
--- a/cluster/src/failure_detector/suspicion.rs
+++ b/cluster/src/failure_detector/suspicion.rs
@@ -32,7 +32,7 @@
     ClearedButAvoidedUntil(Micros),
 }
 
-/// The input of a decision on the suspected servers.
+/// The rules that decide which servers are suspected, with the reports and servers to which they apply.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SuspicionRules<'a> {
     pub(super) terms: &'a FailureDetectorTerms,
@@ -62,6 +62,7 @@
 }
 
 impl ZoneCounts {
+    /// Whether one more of the zone's servers may be suspected.
     fn has_capacity(&self) -> bool {
         (self.suspected + 1) as f64 <= MAX_SUSPECTED_SHARE_OF_ZONE * self.serving as f64
     }
--- a/cluster/src/failure_detector/tests.rs
+++ b/cluster/src/failure_detector/tests.rs
@@ -28,7 +28,7 @@
     }
     assert!(
         avoided > 100_000 && lost_requests > 10_000,
-        "{avoided} requests avoided a server, {lost_requests} were lost"
+        "too few requests to test the guarantee: {avoided} avoided a server, {lost_requests} were lost"
     );
 }
 
@@ -39,12 +39,12 @@
             let scenario = Scenario { defect: Some(defect), ..random_scenario(*seed) };
             run_fleet(*seed, scenario).violation.is_some()
         });
-        assert!(detected_by.is_some(), "{defect:?}");
+        assert!(detected_by.is_some(), "{defect:?}: not detected");
     }
 }
 
 #[test]
-fn too_few_faulty_reporters_cause_no_avoidance_of_healthy_servers() {
+fn fewer_faulty_reporters_than_the_quorum_cause_no_avoidance_of_healthy_servers() {
     for seed in 0..20 {
         let scenario = Scenario {
             members: 20,
@@ -74,9 +74,9 @@
         detector.on_server_observed(server(number), false, Micros(20_000 + number));
     }
     detector.on_server_observed(server(5), true, Micros(30_000));
-    assert_eq!(detector.metrics().own_reports, 1, "most servers answer, so that the report is made");
+    assert_eq!(detector.metrics().own_reports, 1, "no report was made although most servers answer");
     detector.on_server_observed(server(6), true, Micros(30_000) + Micros::from_secs(3));
-    assert_eq!(detector.metrics().own_reports, 1, "the answers have expired, so that no report is made");
+    assert_eq!(detector.metrics().own_reports, 1, "a report was made although the answers have expired");
 }
 
 /// Guards against a partition of one zone's network path that makes members of other zones suspect a healthy server.
@@ -191,7 +191,7 @@
 #[test]
 #[ignore = "prints a table; run manually"]
 fn failure_detector_tables() {
-    println!("| members | loss | detection p50, p99, max (ms) | recovery, max (ms) | lost a server | packets a second a member |");
+    println!("| members | loss | detection p50, p99, max (ms) | recovery, max (ms) | lost requests a server | packets a second a member |");
     for (members, loss_ratio) in [(12, 0.0), (100, 0.0), (100, 0.3), (300, 0.0), (300, 0.3), (500, 0.0)] {
         let scenario = Scenario {
             members,
--- a/cluster/src/retry_budget/tests.rs
+++ b/cluster/src/retry_budget/tests.rs
@@ -16,7 +16,7 @@
 const MAX_FREEZE_DURATION: Micros = Micros::from_secs(3);
 /// The windows for which the bound is checked: a second, and the complete run.
 const WINDOWS: [Micros; 2] = [Micros::SECOND, Micros::from_secs(30)];
-/// The maximum age of credits: first attempts up to this time before a window may pay for retries in it.
+/// The maximum age of credits: a first attempt pays for retries in a window that begins at most this much later.
 const MAX_CREDIT_AGE: Micros = Micros::from_secs(2);
 /// The maximum delay of a late packet.
 const MAX_LATE_DELAYS: &[Micros] = &[Micros::from_secs(4)];
@@ -27,7 +27,9 @@
     terms: RetryBudgetTerms,
     network: VirtualNetwork<Message, Step>,
     members: Vec<RetryBudget>,
+    /// The times of the first attempts of all members, in order.
     first_attempts: Vec<Micros>,
+    /// The times of the retries, in order.
     retries: Vec<Micros>,
     rejected: usize,
     is_bound_kept: bool,
@@ -122,13 +124,13 @@
 
     /// Begins or rejects a retry at the first member.
     fn retry(&mut self) {
-        let clock = self.network.clock(0);
-        if !self.members[0].has_credit(clock) {
-            self.members[0].on_rejected(clock);
+        let now = self.network.clock(0);
+        if !self.members[0].has_credit(now) {
+            self.members[0].on_rejected(now);
             self.rejected += 1;
             return;
         }
-        self.members[0].acquire(clock);
+        self.members[0].acquire(now);
         self.retries.push(self.network.now());
         self.check_bound();
     }
@@ -153,17 +155,17 @@
     let mut rejected = 0;
     for seed in 0..1_000 {
         let result = run_fleet(seed, 0.1, seed % 2 == 0);
-        assert!(result.is_bound_kept, "seed {seed}");
+        assert!(result.is_bound_kept, "seed {seed}: more retries than the budget allows");
         retries += result.retries;
         rejected += result.rejected;
     }
     assert!(rejected > 50_000, "the demand did not exceed the budget: only {rejected} rejections");
     // Of about 200 credits in a run the first member earns about 40 itself and receives most of the others.
-    assert!(retries > 100_000, "{retries}");
+    assert!(retries > 100_000, "only {retries} retries");
 }
 
 #[test]
-fn duplicated_or_late_transfer_is_not_accepted() {
+fn duplicated_or_late_transfer_or_one_from_another_member_is_not_accepted() {
     let now = Micros::SECOND;
     let terms = RetryBudgetTerms { retries_per_first_attempt: 0.5, max_saved_credits: 40.0, holders: 2 };
     let mut budget = RetryBudget::new(terms, 0, 1);
@@ -176,7 +178,7 @@
     assert_eq!(
         budget.metrics(now).received_credits,
         0.0,
-        "the transfer comes from a member that was not asked"
+        "a transfer was accepted from a member that was not asked"
     );
     budget.on_message(now, address(1), transfer);
     budget.on_message(now, address(1), transfer);
@@ -186,12 +188,16 @@
     assert_eq!(
         budget.metrics(Micros::from_secs(2)).received_credits,
         0.0,
-        "received credits expire after a second"
+        "received credits have not expired after a second"
     );
     let Message::Request { incarnation, sent, .. } = requests[1].1 else { panic!("{requests:?}") };
     let late = Micros::from_secs(3);
     budget.on_message(late, address(1), Message::Transfer { incarnation, sent, credits: 3 });
-    assert_eq!(budget.metrics(late).received_credits, 0.0, "the request has timed out");
+    assert_eq!(
+        budget.metrics(late).received_credits,
+        0.0,
+        "a transfer was accepted after its request had timed out"
+    );
 }
 
 /// Guards against a free retry: a transfer of no credits was stored before a transfer of one credit, and the retry was charged
@@ -209,5 +215,5 @@
     receive(&mut budget, 1);
     assert!(budget.has_credit(now));
     budget.acquire(now);
-    assert!(!budget.has_credit(now), "one credit pays one retry");
+    assert!(!budget.has_credit(now), "one credit paid for more than one retry");
 }
--- a/dispatch/src/dispatcher/attempts.rs
+++ b/dispatch/src/dispatcher/attempts.rs
@@ -7,7 +7,7 @@
 
 use super::state::{DispatcherState, InFlightAttempt, Timer, NO_DEADLINE};
 use super::Dispatcher;
-use crate::carrier::AttemptEnd;
+use crate::attempt_transport::AttemptEnd;
 use crate::clock::to_ms;
 use crate::counters::increment;
 use crate::identifiers::{AttemptId, ServerLabel};
@@ -37,7 +37,7 @@
             AttemptEnd::Reply(Reply::Miss { fetch_in_progress }) => {
                 return Completion { result: AttemptResult::Miss, fetch_in_progress, answer: None };
             }
-            // The server is running: the result is no evidence against its connections or its load.
+            // A server that responds is running: an error is no evidence of a connection fault or of overload.
             AttemptEnd::Reply(Reply::Error) | AttemptEnd::Malformed => AttemptResult::Error,
             AttemptEnd::Reply(Reply::Rejected) => AttemptResult::Rejected,
             AttemptEnd::ConnectFailed => AttemptResult::ConnectFailed,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Handles the end of an attempt that had already timed out. If the request is still open, as a retry is in flight,
+    /// Handles the end of an attempt that had already timed out. If the request is still open, while a retry is in flight,
     /// the late answer is valid and is sent to the client.
     fn on_late_end(&self, state: &mut DispatcherState, id: AttemptId, end: AttemptEnd) {
         let Some(request) = state.timed_out.remove(&id) else { return };
@@ -97,13 +97,13 @@
         self.count_attempt(result);
         let now = self.clock.now();
         let latency = now.saturating_sub(attempt.begun_at);
-        debug!(self.log, "attempt completed"; "request" => attempt.request.0, "attempt" => attempt.attempt,
+        debug!(self.log, "attempt completed"; "request" => attempt.request.0, "attempt" => attempt.number,
             "server" => %ServerLabel(attempt.server), "result" => ?result, "latency_ms" => to_ms(latency));
         let is_request_closed = self.answer_if_final(state, attempt.request, answer);
         let completed = CompletedAttempt {
             id: attempt.request.to_request_id(),
             server: attempt.server,
-            attempt: attempt.attempt,
+            attempt: attempt.number,
             latency,
             result,
             is_request_closed,
@@ -191,31 +191,24 @@
         if open.attempts == 0 {
             let class = open.request.class as usize;
             let windows = &self.deduplication_windows;
-            // A class that is not in the settings counts as the last one everywhere.
+            // A class that is not in the settings counts as the last class everywhere.
             let window = windows.get(class).or(windows.last()).copied().flatten();
             open.retry_write_deadline = window.map_or(NO_DEADLINE, |window| now.saturating_add(window));
         }
-        let attempt = open.attempts;
+        let number = open.attempts;
         open.attempts += 1;
         open.attempts_in_flight += 1;
-        let (request, request_closed) = (Rc::clone(&open.request), Rc::clone(&open.closed));
+        let (request, cancelled) = (Rc::clone(&open.request), Rc::clone(&open.attempts_cancelled));
         let id = AttemptId(state.next_id());
         increment(&self.counters.attempts);
         let confirmed = state.start_times.last_confirmed();
-        debug!(self.log, "attempt begins"; "request" => request_id.0, "attempt" => attempt,
+        debug!(self.log, "attempt begins"; "request" => request_id.0, "attempt" => number,
             "attempt_id" => id.0, "server" => %ServerLabel(server),
             "state" => ?state.servers.get(&server).map(|known| known.state),
             "endpoint_list_age_ms" => confirmed.map(|at| to_ms(now.saturating_sub(at))),
             "timeout_ms" => to_ms(deadline.saturating_sub(now)));
-        state.attempts.insert(id, InFlightAttempt { request: request_id, server, attempt, begun_at: now });
+        state.attempts.insert(id, InFlightAttempt { request: request_id, server, number, begun_at: now });
         state.add_timer(deadline, Timer::Attempt(id));
-        state.transport.begin_attempt(Attempt {
-            id,
-            request,
-            server,
-            deadline,
-            write_deadline,
-            request_closed,
-        });
+        state.transport.begin_attempt(Attempt { id, request, server, deadline, write_deadline, cancelled });
     }
 }
--- a/dispatch/src/dispatcher/state.rs
+++ b/dispatch/src/dispatcher/state.rs
@@ -10,10 +10,10 @@
 use rustc_hash::FxHashMap;
 use tokio::sync::oneshot;
 
-use crate::carrier::AttemptTransport;
+use crate::attempt_transport::AttemptTransport;
 use crate::identifiers::AttemptId;
 use crate::overrides::OperatorOverrides;
-use crate::request::{ClientRequest, ClientRequestId, ClosedFlag};
+use crate::request::{CancellationFlag, ClientRequest, ClientRequestId};
 use crate::start_times::StartTimes;
 use crate::values::Answer;
 
@@ -23,17 +23,21 @@
 /// A request that has no final answer yet.
 pub(super) struct OpenRequest {
     pub(super) request: Rc<ClientRequest>,
+    /// Sends the final answer to the client's connection.
     pub(super) answer: oneshot::Sender<Answer>,
     pub(super) deadline: Micros,
     /// The number of attempts begun.
     pub(super) attempts: u32,
     pub(super) attempts_in_flight: u32,
-    /// Whether the client has closed its sending side and may be gone; the request is closed in the decision core.
+    /// Whether the client has closed its sending side. It may be gone or still wait for the answer. The decision core
+    /// then counts the request as abandoned, so that no new attempt begins.
     pub(super) is_half_closed: bool,
-    /// The end of the deduplication window, counted from the first attempt. Until then servers drop a duplicate, so
-    /// that a retry may be written.
+    /// When to stop writing a retry: the end of the deduplication window, which begins with the first attempt. Until
+    /// then servers recognize a retry as a duplicate. `NO_DEADLINE` before the first attempt, and for a class without
+    /// a window.
     pub(super) retry_write_deadline: Micros,
-    pub(super) closed: ClosedFlag,
+    /// Shared with the request's attempts; once it is set, no more bytes of them are written.
+    pub(super) attempts_cancelled: CancellationFlag,
 }
 
 /// An attempt in flight.
@@ -41,7 +45,7 @@
     pub(super) request: ClientRequestId,
     pub(super) server: ServerId,
     /// The attempt's number within its request, from zero.
-    pub(super) attempt: u32,
+    pub(super) number: u32,
     pub(super) begun_at: Micros,
 }
 
@@ -65,14 +69,16 @@
 
 /// The mutable state of the dispatcher.
 pub(crate) struct DispatcherState {
+    /// The decision core, which decides to which servers requests are sent.
     pub(crate) balancer: Balancer,
     pub(super) transport: Rc<dyn AttemptTransport>,
     pub(super) requests: FxHashMap<ClientRequestId, OpenRequest>,
     /// The client-chosen ids of the open requests. The set has a seeded hash, as clients could choose ids that collide.
     pub(super) client_ids: HashSet<Bytes>,
     pub(super) attempts: FxHashMap<AttemptId, InFlightAttempt>,
-    /// Attempts that have timed out and whose reply may still arrive.
+    /// The requests of attempts that have timed out and whose reply may still arrive.
     pub(super) timed_out: FxHashMap<AttemptId, ClientRequestId>,
+    /// Timers by the time at which they fire, earliest first.
     pub(super) timers: BinaryHeap<Reverse<(Micros, Timer)>>,
     /// Reused buffer for the actions of the decision core, empty between events.
     pub(super) actions: Vec<Action>,
@@ -94,7 +100,7 @@
     pub(super) fn remove_request(&mut self, id: ClientRequestId) -> Option<OpenRequest> {
         let open = self.requests.remove(&id)?;
         self.client_ids.remove(&open.request.id);
-        open.closed.set(true);
+        open.attempts_cancelled.set(true);
         Some(open)
     }
 
--- a/node/src/discovery/tests.rs
+++ b/node/src/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! The discovery client against fake discoveries on loopback: silent watches, refused and unanswered polls, address
+//! The discovery client against fake discoveries on loopback: silent watches, failed and unanswered polls, address
 //! changes, pushed lists.
 
 mod event_loop_delay;
@@ -135,8 +135,8 @@
     settings.watches_discovery = watches_discovery;
     let dispatcher =
         testing::seeded_dispatcher(settings, policy.seed, Rc::new(RecordingTransport::default()), 1);
-    let timers = Rc::clone(&dispatcher);
-    spawn_local(async move { timers.run_timers().await });
+    let timer_dispatcher = Rc::clone(&dispatcher);
+    spawn_local(async move { timer_dispatcher.run_timers().await });
     let (address, address_changes) = watch::channel(address);
     spawn_local(follow(
         EndpointListReader::default(),
@@ -161,14 +161,16 @@
 const POLL_AT_START: PollPolicy = PollPolicy { polls_at_start: true, pushed_list_backoff: None, seed: 3 };
 
 /// Guards against an outdated list after a silent failure: a watch that sends nothing, or never completes a line, is
-/// replaced in time, even if the next poll is refused, rejected as too many or never answered.
+/// replaced in time, even if the next poll is closed at once, rejected with status 503 or never answered.
 #[test]
 fn a_silent_watch_is_replaced_within_six_seconds() {
     for silent in [Behaviour::FallsSilent(1), Behaviour::Trickles(1)] {
-        for between in [None, Some(Behaviour::Refuses), Some(Behaviour::Busy), Some(Behaviour::Hangs)] {
+        for next_behaviour in
+            [None, Some(Behaviour::ClosesAtOnce), Some(Behaviour::Busy), Some(Behaviour::Hangs)]
+        {
             testing::run_paused(async {
                 let mut behaviours = vec![silent];
-                behaviours.extend(between);
+                behaviours.extend(next_behaviour);
                 behaviours.push(Behaviour::SendsList(2));
                 let discovery = FakeDiscovery::new(behaviours).await;
                 let balancer = balancer(&discovery, POLL_AT_START, true);
@@ -176,14 +178,14 @@
                 let delay = balancer.wait_for_lists(2).await - silent_since;
                 assert!(
                     delay >= WATCH_SILENCE_TIMEOUT - PROMPT_POLL && delay <= CHANGE_NOTIFIED_AFTER,
-                    "{silent:?}, {between:?}: {delay:?}"
+                    "{silent:?}, {next_behaviour:?}: {delay:?}"
                 );
-                assert_eq!(discovery.poll_count(), 2 + usize::from(between.is_some()));
+                assert_eq!(discovery.poll_count(), 2 + usize::from(next_behaviour.is_some()));
                 // A healthy watch is kept open.
                 sleep(Duration::from_secs(60)).await;
                 assert_eq!(
                     (balancer.dispatcher.counters().endpoint_updates.get(), discovery.poll_count()),
-                    (2, 2 + usize::from(between.is_some()))
+                    (2, 2 + usize::from(next_behaviour.is_some()))
                 );
             });
         }
@@ -193,16 +195,16 @@
 /// Polls of an unavailable discovery are spaced out, and it is reached soon after its recovery.
 #[test]
 fn an_unavailable_discovery_is_reached_soon_after_its_recovery() {
-    for away in [Behaviour::Refuses, Behaviour::Busy, Behaviour::Hangs] {
+    for unavailable in [Behaviour::ClosesAtOnce, Behaviour::Busy, Behaviour::Hangs] {
         testing::run_paused(async {
             let discovery = FakeDiscovery::new(vec![
                 Behaviour::FallsSilent(1),
-                away,
-                away,
-                away,
-                away,
-                away,
-                away,
+                unavailable,
+                unavailable,
+                unavailable,
+                unavailable,
+                unavailable,
+                unavailable,
                 Behaviour::SendsList(2),
             ])
             .await;
@@ -210,10 +212,10 @@
             let received = balancer.wait_for_lists(2).await;
             let polls = discovery.polls.borrow();
             for pair in polls[3..].windows(2) {
-                let apart = pair[1].0 - pair[0].0;
+                let interval = pair[1].0 - pair[0].0;
                 assert!(
-                    apart >= Duration::from_secs(2) && apart < CHANGE_NOTIFIED_AFTER - ANSWER_TIMEOUT,
-                    "{away:?}: {apart:?}"
+                    interval >= Duration::from_secs(2) && interval < CHANGE_NOTIFIED_AFTER - ANSWER_TIMEOUT,
+                    "{unavailable:?}: {interval:?}"
                 );
             }
             assert!(received - polls.last().unwrap().0 < PROMPT_POLL);
@@ -229,9 +231,9 @@
         let _balancer = balancer(&discovery, PollPolicy { polls_at_start: false, ..POLL_AT_START }, true);
         sleep(Duration::from_secs(60)).await;
         let polls = discovery.polls.borrow();
-        let apart = |pair: &[(Instant, String)]| pair[1].0 - pair[0].0;
-        assert!(polls.windows(2).all(|pair| apart(pair) >= Duration::from_millis(1_100)), "{polls:?}");
-        assert!(polls.windows(2).all(|pair| apart(pair) <= CHANGE_NOTIFIED_AFTER - ANSWER_TIMEOUT));
+        let interval = |pair: &[(Instant, String)]| pair[1].0 - pair[0].0;
+        assert!(polls.windows(2).all(|pair| interval(pair) >= Duration::from_millis(1_100)), "{polls:?}");
+        assert!(polls.windows(2).all(|pair| interval(pair) <= CHANGE_NOTIFIED_AFTER - ANSWER_TIMEOUT));
     });
 }
 
@@ -239,10 +241,10 @@
 /// the old address is not polled any more.
 #[test]
 fn a_new_address_is_followed_within_four_seconds() {
-    for first in [Behaviour::Refuses, Behaviour::Busy, Behaviour::Hangs, Behaviour::SendsList(1)] {
+    for first in [Behaviour::ClosesAtOnce, Behaviour::Busy, Behaviour::Hangs, Behaviour::SendsList(1)] {
         testing::run_paused(async {
-            // The old address has failed for so long that the decision logic uses its longest backoff.
-            let old = FakeDiscovery::new(vec![Behaviour::Refuses]).await;
+            // The old address has failed for so long that the decision core uses its longest backoff.
+            let old = FakeDiscovery::new(vec![Behaviour::ClosesAtOnce]).await;
             let new = FakeDiscovery::new(vec![first, Behaviour::SendsList(1)]).await;
             let balancer = balancer(&old, POLL_AT_START, true);
             sleep(Duration::from_secs(30)).await;
@@ -263,15 +265,15 @@
 }
 
 /// Where discovery pushes its lists, changes count as notified at once: a watch is opened at the start without a request
-/// of the decision logic, and reopened as soon as discovery is reachable.
+/// of the decision core, and reopened as soon as discovery is reachable.
 #[test]
 fn where_lists_are_pushed_a_watch_is_always_open() {
     testing::run_paused(async {
         let grace = Duration::from_millis(400);
         let discovery = FakeDiscovery::new(vec![
-            Behaviour::Refuses,
+            Behaviour::ClosesAtOnce,
             Behaviour::Busy,
-            Behaviour::Refuses,
+            Behaviour::ClosesAtOnce,
             Behaviour::FallsSilent(1),
             Behaviour::SendsList(2),
         ])
@@ -285,7 +287,10 @@
         let balancer = balancer(&discovery, policy, false);
         let received = balancer.wait_for_lists(1).await;
         assert!(received - start <= grace * 4, "{:?}", received - start);
-        assert!(discovery.polls.borrow()[0].0 - start < PROMPT_POLL, "at the start");
+        assert!(
+            discovery.polls.borrow()[0].0 - start < PROMPT_POLL,
+            "the first poll was not made at the start"
+        );
         let polls: Vec<Instant> = discovery.polls.borrow().iter().map(|(at, _)| *at).collect();
         assert!(polls.windows(2).all(|pair| pair[1] - pair[0] <= grace / 2), "{polls:?}");
         assert!(balancer.wait_for_lists(2).await - received <= WATCH_SILENCE_TIMEOUT + grace);
@@ -366,7 +371,7 @@
             }
         });
         let new =
-            FakeDiscovery::new(vec![Behaviour::Refuses, Behaviour::Busy, Behaviour::SendsList(1)]).await;
+            FakeDiscovery::new(vec![Behaviour::ClosesAtOnce, Behaviour::Busy, Behaviour::SendsList(1)]).await;
         let balancer = balancer_at(old_address, POLL_AT_START, true);
         changes.send(5).await.unwrap();
         balancer.wait_for_lists(1).await;
@@ -375,10 +380,13 @@
         assert!(new.poll_count() >= 1);
         changes.send(6).await.unwrap();
         balancer.wait_for_lists(2).await;
-        assert!(new.poll_count() < 3, "the change came from the old address");
+        assert!(
+            new.poll_count() < 3,
+            "the new address sent its list before the change of the old one was applied"
+        );
         balancer.wait_for_lists(3).await;
         for generation in 7.. {
-            assert!(generation < 100, "the watch on the old address is closed");
+            assert!(generation < 100, "the watch on the old address was not closed");
             yield_until_idle().await;
             if changes.send(generation).await.is_err() {
                 break;
--- a/node/src/downstream/connection.rs
+++ b/node/src/downstream/connection.rs
@@ -27,7 +27,7 @@
 
 /// Requests that one connection may have open: enough for any pipeline, and a bound for a runaway client.
 pub(super) const MAX_PENDING_ANSWERS: usize = 128;
-/// Invalid requests after which a connection ends: more are garbage, or come from a client that reads no
+/// Invalid requests after which a connection ends: its client does not speak the protocol, or reads no
 /// answers.
 pub(super) const MAX_INVALID_REQUESTS: usize = 64;
 /// Bytes reserved for each read.
@@ -54,7 +54,7 @@
     incomplete_since: Option<Instant>,
     /// When bytes were last received, or reading was last blocked by the upload.
     last_received: Instant,
-    /// When the client last read part of its pending output, or there was none.
+    /// When part of the output was last written to the client, or the output was last empty.
     last_drained: Instant,
     /// When part of an answer was last written to the client.
     last_written: Option<Instant>,
@@ -62,9 +62,9 @@
     download: Option<Download>,
     /// The streamed value that is being received from the client.
     upload: Option<StreamedUpload>,
-    /// Whether no further request is accepted, as the client closed its side or sent `quit`, or the connection
+    /// Whether no further request is read, as the client closed its side or sent `quit`, or the connection
     /// ends because of invalid or unfinished input.
-    takes_no_more_requests: bool,
+    has_stopped_requests: bool,
     /// Whether the client has left before all its input was read; the rest is not forwarded.
     has_client_left: bool,
     /// Whether the shutdown is in its final phase: what has been read is answered, and no more is read.
@@ -73,7 +73,8 @@
 
 /// The events that the connection waits for in its current state.
 struct Interests {
-    /// Whether answers may be added to the output. Those to a client that does not read wait unformatted.
+    /// Whether answers may be added to the output. While the client leaves too much output unread, its answers
+    /// stay unformatted.
     can_answer: bool,
     /// Whether more input may be read.
     can_read: bool,
@@ -130,21 +131,21 @@
             last_written: None,
             download: None,
             upload: None,
-            takes_no_more_requests: false,
+            has_stopped_requests: false,
             has_client_left: false,
             is_final_phase: false,
         }
     }
 
-    /// Serves the connection until its end. Returns the reader if input that crosses the close may still
-    /// arrive.
+    /// Serves the connection until its end. Returns the reader if the client may still send input before it sees
+    /// the close.
     pub(super) async fn serve<S: ClientStream>(&mut self, stream: S) -> io::Result<Option<S::Reader>> {
         let (mut reader, mut writer) = stream.halves();
         loop {
             self.take_requests();
             self.update_times();
             self.update_buffered_bytes();
-            if (self.takes_no_more_requests || self.is_final_phase) && self.has_sent_all_answers() {
+            if (self.has_stopped_requests || self.is_final_phase) && self.has_sent_all_answers() {
                 writer.shutdown().await?;
                 return Ok(Some(reader));
             }
@@ -190,7 +191,7 @@
         let is_upload_blocked = self.is_upload_blocked();
         // Reading is allowed only once all complete requests have been taken, so that an end of input is never seen
         // before a request sent ahead of it.
-        let has_room_for_requests = !self.takes_no_more_requests
+        let has_room_for_requests = !self.has_stopped_requests
             && !self.is_final_phase
             && !is_upload_blocked
             && self.pending.len() < MAX_PENDING_ANSWERS
@@ -200,7 +201,7 @@
         Interests {
             can_answer,
             can_read,
-            must_watch_disconnect: !(can_read || self.takes_no_more_requests || self.has_client_left),
+            must_watch_disconnect: !(can_read || self.has_stopped_requests || self.has_client_left),
             is_upload_blocked,
             is_idle: self.is_idle(),
             deadline: self.deadline(),
@@ -224,7 +225,7 @@
     ) -> io::Result<ConnectionEvent> {
         let downstream = self.downstream;
         let chunk_bytes = downstream.resource_limits.chunk_bytes;
-        let is_reading_over = self.takes_no_more_requests || self.is_final_phase;
+        let is_reading_over = self.has_stopped_requests || self.is_final_phase;
         let watch = interests.must_watch_disconnect;
         Ok(tokio::select! {
             biased;
@@ -292,8 +293,8 @@
         Ok(true)
     }
 
-    /// Reads what has already arrived, even if the runtime has not polled for it, and returns whether there
-    /// was anything. Even a long event loop delay must not make unread input look like silence.
+    /// Reads what has already arrived, even if the runtime has not polled for it yet, and returns whether
+    /// there was anything. Even a long event loop delay must not make unread input look like silence.
     fn read_arrived(&mut self, reader: &mut impl ClientReader) -> io::Result<bool> {
         match reader.read_arrived(&mut self.input) {
             Poll::Ready(read) => {
@@ -304,7 +305,8 @@
         }
     }
 
-    /// Whether an answer may still be in transit and would be lost by a reset, if input crosses the close.
+    /// Whether an answer may still be in transit: input that arrives after the close would reset the connection,
+    /// and the answer would be lost.
     fn has_written_recently(&self) -> bool {
         self.last_written.is_some_and(|written| written.elapsed() < LINGER_TIMEOUT)
     }
@@ -320,7 +322,7 @@
 
     /// Handles the end of the input: the client has left, or waits for its remaining answers.
     fn on_input_ended(&mut self) {
-        self.takes_no_more_requests = true;
+        self.has_stopped_requests = true;
         self.report_half_close();
     }
 
--- a/node/src/override_store.rs
+++ b/node/src/override_store.rs
@@ -5,7 +5,8 @@
 //! overrides. An override takes effect in its own process whether it could be written or not.
 //!
 //! A disk may stall for a second. The file is read and written on the runtime's blocking threads, so that neither client
-//! requests nor admin calls wait for it. A failed write is logged once and retried at every interval.
+//! requests nor admin calls wait for it. A failed synchronization is retried at every interval; of consecutive failures
+//! only the first is logged.
 
 mod file;
 
@@ -73,12 +74,14 @@
     path: PathBuf,
     /// Changes that are not in the file yet, by server name.
     pending: RefCell<BTreeMap<String, OverrideState>>,
+    /// The version of the file whose overrides were last applied.
     last_seen: Cell<Option<FileVersion>>,
     last_change: Cell<ChangeId>,
     /// The last change that was written or whose write failed.
     last_attempted: watch::Sender<ChangeId>,
     change_recorded: Notify,
-    write_failed: Cell<bool>,
+    /// Whether the last synchronization with the file failed.
+    last_synchronization_failed: Cell<bool>,
     found_override_file: bool,
     log: Logger,
 }
@@ -109,7 +112,7 @@
             last_change: Cell::default(),
             last_attempted: watch::Sender::new(ChangeId::default()),
             change_recorded: Notify::new(),
-            write_failed: Cell::new(false),
+            last_synchronization_failed: Cell::new(false),
             found_override_file: stored.is_ok(),
             log,
         })
@@ -154,7 +157,7 @@
         let changes = self.pending.borrow().clone();
         match self.update_file(changes.clone()).await {
             Ok(content) => {
-                self.write_failed.set(false);
+                self.last_synchronization_failed.set(false);
                 self.remove_pending(&changes);
                 if let Some(content) = content {
                     self.last_seen.set(Some(content.version));
@@ -185,7 +188,7 @@
 
     /// Logs the first of several consecutive failures.
     fn on_failure(&self, error: &SynchronizeError) {
-        let failed_before = self.write_failed.replace(true);
+        let failed_before = self.last_synchronization_failed.replace(true);
         if !failed_before {
             warn!(self.log, "failed to synchronize operator overrides with their file"; "reason" => %error);
         }
--- a/node/src/simulation.rs
+++ b/node/src/simulation.rs
@@ -56,9 +56,11 @@
 /// What clients and servers have observed of one request.
 #[derive(Debug, Default)]
 struct RequestRecord {
+    /// The index in [`SIMULATED_CLASSES`].
     class: usize,
     /// When the client received the answer, or left.
     closed_at: Option<Instant>,
+    /// The arrivals at all servers, in order.
     arrivals: Vec<Arrival>,
 }
 
@@ -70,7 +72,7 @@
     may_have_been_executed: Rc<Cell<bool>>,
 }
 
-/// What may occur, counted to detect a simulation in which it never does.
+/// What may occur in a simulation, counted to detect that something hardly ever does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Occurrence {
     Served,
@@ -88,6 +90,7 @@
 /// What clients and servers observe.
 #[derive(Debug, Default)]
 struct EventLog {
+    /// The requests that clients have sent, by id.
     requests: RefCell<HashMap<String, RequestRecord>>,
     violations: RefCell<Vec<String>>,
     /// The number of clients that wait for answers.
@@ -96,8 +99,8 @@
 }
 
 impl EventLog {
-    fn violation(&self, id: &str, what: impl Into<String>) {
-        self.violations.borrow_mut().push(format!("{id}: {}", what.into()));
+    fn record_violation(&self, id: &str, text: impl Into<String>) {
+        self.violations.borrow_mut().push(format!("{id}: {}", text.into()));
     }
 
     fn count(&self, occurrence: Occurrence) {
@@ -113,32 +116,34 @@
         self.requests.borrow_mut().entry(id.to_owned()).or_default().closed_at.get_or_insert(Instant::now());
     }
 
-    /// Records that a server has received the complete request. The returned cell tells whether the server
-    /// may have executed it; the server clears it if it did not.
-    fn on_request_arrived(&self, id: &str, now: Instant) -> Rc<Cell<bool>> {
+    /// Records that a server has received the complete request. The returned cell holds whether the
+    /// server may have executed it; the server sets it to false if it did not.
+    fn on_request_arrived(&self, id: &str, arrived_at: Instant) -> Rc<Cell<bool>> {
         let mut requests = self.requests.borrow_mut();
         let Some(request) = requests.get_mut(id) else {
-            self.violation(id, "arrived at a server, but no client sent the request");
+            self.record_violation(id, "arrived at a server, but no client sent the request");
             return Rc::default();
         };
-        if request.closed_at.is_some_and(|closed_at| closed_at < now) {
-            self.violation(id, "reached a server after its answer or after its client had left");
+        if request.closed_at.is_some_and(|closed_at| closed_at < arrived_at) {
+            self.record_violation(id, "reached a server after its answer or after its client had left");
         }
         if request.arrivals.len() >= MAX_ATTEMPTS as usize {
-            self.violation(id, "more attempts than the settings allow");
+            self.record_violation(id, "more attempts than the settings allow");
         }
         let executed = request.arrivals.iter().filter(|arrival| arrival.may_have_been_executed.get());
-        let earlier = executed.map(|arrival| arrival.at).min();
+        let first_executed_at = executed.map(|arrival| arrival.at).min();
         let is_allowed = match SIMULATED_CLASSES[request.class].idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::WithIdempotencyKey => earlier.is_none_or(|first| now - first < DEDUPLICATION_WINDOW),
-            Idempotency::NotIdempotent => earlier.is_none(),
+            Idempotency::WithIdempotencyKey => {
+                first_executed_at.is_none_or(|first| arrived_at - first < DEDUPLICATION_WINDOW)
+            }
+            Idempotency::NotIdempotent => first_executed_at.is_none(),
         };
         if !is_allowed {
-            self.violation(id, "sent again although an earlier attempt may have been executed");
+            self.record_violation(id, "sent again although an earlier attempt may have been executed");
         }
         let may_have_been_executed = Rc::new(Cell::new(true));
-        let arrival = Arrival { at: now, may_have_been_executed: Rc::clone(&may_have_been_executed) };
+        let arrival = Arrival { at: arrived_at, may_have_been_executed: Rc::clone(&may_have_been_executed) };
         request.arrivals.push(arrival);
         may_have_been_executed
     }
@@ -260,14 +265,14 @@
         // request.
         sleep_until(signalled_at + longest_deadline + TIME_AFTER_LONGEST_DEADLINE).await;
         if self.event_log.waiting_clients.get() > 0 {
-            self.event_log.violation("-", "a client still waits at the end of the process");
+            self.event_log.record_violation("-", "a client still waits at the end of the process");
         }
     }
 }
 
 /// Checks the invariant in simulations drawn from seeds.
 #[test]
-fn every_request_taken_has_one_complete_answer_in_time() {
+fn every_accepted_request_has_one_complete_answer_in_time() {
     let mut counts: HashMap<Occurrence, u64> = HashMap::new();
     for seed in 0..SEED_COUNT {
         let event_log = testing::run_paused(async move { Simulation::new(seed).run(seed).await });
@@ -291,6 +296,6 @@
     let behaviours = request_behaviours.into_iter().chain(servers::CONNECT_BEHAVIOURS);
     for occurrence in expected.into_iter().chain(behaviours.map(Occurrence::Server)) {
         let has_occurred = counts.get(&occurrence).is_some_and(|count| *count >= SEED_COUNT / 10);
-        assert!(has_occurred, "{occurrence:?}: {counts:?}");
+        assert!(has_occurred, "{occurrence:?} occurred too rarely: {counts:?}");
     }
 }
--- a/node/src/simulation/clients.rs
+++ b/node/src/simulation/clients.rs
@@ -14,18 +14,18 @@
 use crate::memcache::{read_answer, write_request};
 use crate::testing;
 
-/// The time before the close of its connection in which a request may have been sent to count as crossing the
-/// close: its client sends it once more, so that it is not lost.
-const MAX_CROSSING_TIME: Duration = Duration::from_millis(2);
+/// A request sent within this time before its connection closed may not have been read by the daemon. A missing
+/// answer to it is no violation, since a real client sends the request once more.
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(2);
 
 /// A request that waits for its answer.
 struct OpenRequest {
     request: ClientRequest,
-    sent: Instant,
+    sent_at: Instant,
     deadline: Instant,
 }
 
-/// A client that sends requests, waits and sends others, until the daemon shuts down.
+/// A client that sends requests, waits for their answers and sends others, until the daemon shuts down.
 pub async fn run_valid_client(simulation: Rc<Simulation>, client: usize, mut rng: Rng) {
     let mut sent_requests = 0;
     while !simulation.shutdown.is_stopping() {
@@ -119,23 +119,23 @@
         let class = rng.usize(..SIMULATED_CLASSES.len() * 2).saturating_sub(SIMULATED_CLASSES.len());
         let SimulatedClass { name, deadline_ms, .. } = SIMULATED_CLASSES[class];
         let id = format!("{client:02x}{sent_requests:06x}");
-        let wait = rng.u64(deadline_ms * 7 / 10..=deadline_ms);
+        let timeout_ms = rng.u64(deadline_ms * 7 / 10..=deadline_ms);
         let request = ClientRequest {
             key: Bytes::from(format!("{:016x}", rng.u64(..20))),
             value: (class > 0).then(|| vec![b'w'; rng.usize(..3000)].into()),
-            timeout: Some(juniperladder::Micros(wait * 1000)),
+            timeout: Some(juniperladder::Micros(timeout_ms * 1000)),
             properties: vec![
                 ("c".into(), name.into()),
-                ("d".into(), wait.to_string().into()),
+                ("d".into(), timeout_ms.to_string().into()),
                 ("k".into(), id.clone().into()),
             ],
             ..testing::request(&id, None)
         };
         write_request(&mut text, &request, request.timeout.unwrap_or_default());
         simulation.event_log.on_request_sent(&id, class);
-        // Time spent waiting for the answers before it does not count.
-        deadline = deadline.max(Instant::now() + Duration::from_millis(wait));
-        requests.push_back(OpenRequest { request, sent: Instant::now(), deadline });
+        // Answers are read in order, so that no deadline is before that of an earlier request.
+        deadline = deadline.max(Instant::now() + Duration::from_millis(timeout_ms));
+        requests.push_back(OpenRequest { request, sent_at: Instant::now(), deadline });
     }
     let sent = stream.write_all(&text).await;
     if sent.is_err() {
@@ -145,7 +145,7 @@
     sent.map(|()| requests)
 }
 
-/// Reads the answers, and returns whether the connection can go on.
+/// Reads the answers, and returns whether the connection can carry further requests.
 async fn read_answers(
     simulation: &Simulation,
     requests: VecDeque<OpenRequest>,
@@ -175,19 +175,20 @@
                 continue;
             }
             Ok(None) => {}
-            Err(error) => event_log.violation(&id, error.to_string()),
+            Err(error) => event_log.record_violation(&id, error.to_string()),
         }
         match timeout_at(open_request.deadline, stream.read_buf(&mut input)).await {
             Err(_) => {
-                let waited = open_request.sent.elapsed();
-                event_log.violation(&id, format!("no answer before the deadline, sent {waited:?} ago"));
+                let waited = open_request.sent_at.elapsed();
+                event_log
+                    .record_violation(&id, format!("no answer before the deadline, sent {waited:?} ago"));
                 return false;
             }
             Ok(Ok(1..)) => {}
             Ok(_) => {
-                let waited = open_request.sent.elapsed();
-                if !input.is_empty() || waited > MAX_CROSSING_TIME {
-                    event_log.violation(
+                let waited = open_request.sent_at.elapsed();
+                if !input.is_empty() || waited > CLOSE_RACE_WINDOW {
+                    event_log.record_violation(
                         &id,
                         format!("connection ended after {waited:?} with only {input:?} received"),
                     );
@@ -198,7 +199,7 @@
         }
     }
     if !input.is_empty() {
-        event_log.violation("-", format!("bytes after the last expected answer: {input:?}"));
+        event_log.record_violation("-", format!("bytes after the last expected answer: {input:?}"));
     }
     true
 }
@@ -211,7 +212,8 @@
         Answer::Rejected(_) => Occurrence::Rejected,
         Answer::Failed => Occurrence::Failed,
         other => {
-            event_log.violation(id, format!("an answer that no server made for the request: {other:?}"));
+            event_log
+                .record_violation(id, format!("an answer that no server made for the request: {other:?}"));
             Occurrence::UnexpectedAnswer
         }
     }
--- a/node/src/upstream/idle_timeout.rs
+++ b/node/src/upstream/idle_timeout.rs
@@ -1,18 +1,19 @@
 //! How long a connection to a server may be idle before the balancer closes it.
 //!
-//! A write must never cross the server's close of an idle connection. Servers, and middleboxes on the path,
-//! may close earlier than the settings say, and show it only at the next write. The timeout is therefore
+//! The balancer should not write to a connection that its server is closing as idle, as the request may then
+//! fail. Servers, and middleboxes on the path, may close earlier than the settings say, and show it only at the
+//! next write. The timeout is therefore
 //! shortened when a reused connection breaks, and slowly grows back.
 
 use std::cell::Cell;
 use std::time::Duration;
 
-/// The share of the configured idle timeout of the servers for which a connection is reused: the server's
-/// close follows its own clock and takes time to arrive. Close to 1, since in a large fleet a balancer may
-/// return to a server only after seconds.
-const CONFIGURED_SHARE: f64 = 0.95;
-/// The same share of an idle time after which a connection broke.
-const LEARNT_SHARE: f64 = 0.7;
+/// The maximum idle timeout, as a share of the servers' configured one. Below 1, since a server measures its
+/// timeout by its own clock and its close takes time to arrive; only slightly below, since in a large fleet a
+/// balancer may return to a server only after seconds.
+const SHARE_OF_CONFIGURED_TIMEOUT: f64 = 0.95;
+/// The idle timeout after a reused connection broke, as a share of the time for which that connection was idle.
+const SHARE_OF_IDLE_TIME_AT_BREAK: f64 = 0.7;
 /// The shortest idle timeout. A connection that breaks after a shorter idle time does not count.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(25);
 /// The factor by which the timeout grows with each connection that is reused after more than half of it.
@@ -28,7 +29,7 @@
 impl IdleTimeout {
     /// Creates the timeout for servers that close connections after this configured idle time.
     pub(super) fn new(configured: Duration) -> IdleTimeout {
-        let maximum = configured.mul_f64(CONFIGURED_SHARE);
+        let maximum = configured.mul_f64(SHARE_OF_CONFIGURED_TIMEOUT);
         IdleTimeout { maximum, current: Cell::new(maximum) }
     }
 
@@ -47,7 +48,8 @@
     /// Lowers the timeout, as a connection broke when it was reused after this idle time.
     pub(super) fn on_broken(&self, idle: Duration) {
         if idle >= MIN_IDLE_TIMEOUT {
-            self.current.set(self.current().min(idle.mul_f64(LEARNT_SHARE)).max(MIN_IDLE_TIMEOUT));
+            self.current
+                .set(self.current().min(idle.mul_f64(SHARE_OF_IDLE_TIME_AT_BREAK)).max(MIN_IDLE_TIMEOUT));
         }
     }
 }
--- a/node/src/upstream/tests.rs
+++ b/node/src/upstream/tests.rs
@@ -107,8 +107,8 @@
     }
 }
 
-/// The drain rule counts from the first byte of an attempt: an attempt that still waits for a connection must
-/// not begin.
+/// An attempt begins with its first byte: one that still waits for a connection when its server starts to drain
+/// must not begin.
 #[test]
 fn a_draining_server_gets_no_waiting_attempt() {
     testing::run_paused(async {
@@ -118,7 +118,11 @@
         upstream.attach(&dispatcher);
         let (_, answer) = dispatcher.accept(testing::request("7", None)).unwrap();
         yield_until_idle().await;
-        assert_eq!(dispatcher.counters().attempts_not_sent.get(), 0, "it waits for a connection");
+        assert_eq!(
+            dispatcher.counters().attempts_not_sent.get(),
+            0,
+            "the attempt ended while it waited for a connection"
+        );
         dispatcher
             .on_endpoints_changed(EndpointUpdate::Delta, &[listed_server(SERVER, EndpointState::Draining)]);
         assert!(matches!(answer.await, Ok(Answer::Rejected(_))));
@@ -196,10 +200,10 @@
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), upstream.clone(), 0);
         upstream.attach(&dispatcher);
         for listener in &servers {
-            let mut up = listed_server(SERVER, EndpointState::Serving);
-            up.address = listener.local_addr().ok();
-            up.endpoint.server = ServerId(up.address.unwrap().port().into());
-            dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[up]);
+            let mut listed = listed_server(SERVER, EndpointState::Serving);
+            listed.address = listener.local_addr().ok();
+            listed.endpoint.server = ServerId(listed.address.unwrap().port().into());
+            dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[listed]);
             let (_, answer) = dispatcher.accept(testing::request("7", Some(vec![]))).unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
             stream.read_buf(&mut BytesMut::new()).await.unwrap();
@@ -320,7 +324,7 @@
 
 /// The idle timeout is shortened when reused connections break, and grows back.
 #[test]
-fn a_shorter_idle_timeout_is_learnt_and_forgotten() {
+fn idle_timeout_shrinks_after_a_break_and_grows_back() {
     testing::run_paused(async {
         let upstream = testing::upstream(4);
         let idle_timeout = &upstream.idle_timeout;
@@ -330,11 +334,14 @@
         let margin = configured - maximum;
         assert!(
             maximum > configured.mul_f64(0.9),
-            "one of many balancers reuses a connection only after seconds"
+            "the timeout {maximum:?} is too short: one of many balancers reuses a connection only after seconds"
+        );
+        assert!(
+            margin >= configured / 25,
+            "the margin of {margin:?} is too small for the network round trip"
         );
-        assert!(margin >= configured / 25, "margin for the network round trip: {margin:?}");
         idle_timeout.on_broken(Duration::from_millis(1));
-        assert_eq!(idle_timeout.current(), maximum, "a connection that was hardly idle shows nothing");
+        assert_eq!(idle_timeout.current(), maximum, "a break after 1 ms of idle time changed the timeout");
         idle_timeout.on_broken(Duration::from_millis(100));
         assert_eq!(idle_timeout.current(), Duration::from_millis(70));
         idle_timeout.on_reused(Duration::from_millis(60));
@@ -370,14 +377,14 @@
 fn a_refused_connection_ends_the_attempt_as_not_sent() {
     testing::run_on_sockets(async {
         let closed = std::net::TcpListener::bind(("127.0.0.1", 0)).unwrap();
-        let mut down = listed_server(SERVER, EndpointState::Serving);
-        down.address = closed.local_addr().ok();
+        let mut listed = listed_server(SERVER, EndpointState::Serving);
+        listed.address = closed.local_addr().ok();
         drop(closed);
         let upstream = testing::upstream(4);
         let dispatcher =
             testing::dispatcher(testing::settings(1, Idempotency::NotIdempotent), upstream.clone(), 0);
         upstream.attach(&dispatcher);
-        dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &[down]);
+        dispatcher.on_endpoints_changed(EndpointUpdate::Restored, &[listed]);
         let (_, first) = dispatcher.accept(testing::request("7", None)).unwrap();
         let (_, second) = dispatcher.accept(testing::request("8", None)).unwrap();
         assert!(matches!((first.await, second.await), (Ok(Answer::Rejected(_)), Ok(Answer::Rejected(_)))));
@@ -394,9 +401,9 @@
     let dispatcher =
         testing::dispatcher(testing::settings(attempts, Idempotency::NotIdempotent), upstream.clone(), 0);
     upstream.attach(&dispatcher);
-    let mut up = listed_server(SERVER, EndpointState::Serving);
-    up.address = listener.local_addr().ok();
-    dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[up]);
+    let mut listed = listed_server(SERVER, EndpointState::Serving);
+    listed.address = listener.local_addr().ok();
+    dispatcher.on_endpoints_changed(EndpointUpdate::Snapshot, &[listed]);
     (dispatcher, upstream, listener)
 }
 
@@ -408,14 +415,14 @@
         testing::run_on_sockets(async {
             let (dispatcher, upstream, listener) = pool_with_one_server(3).await;
             let accepted = Rc::new(Cell::new(0));
-            let so_far = Rc::clone(&accepted);
-            let timers = Rc::clone(&dispatcher);
-            spawn_local(async move { timers.run_timers().await });
+            let accept_counter = Rc::clone(&accepted);
+            let timer_dispatcher = Rc::clone(&dispatcher);
+            spawn_local(async move { timer_dispatcher.run_timers().await });
             spawn_local(async move {
                 let mut kept = Vec::new();
                 loop {
                     let (mut stream, _) = listener.accept().await.unwrap();
-                    so_far.set(so_far.get() + 1);
+                    accept_counter.set(accept_counter.get() + 1);
                     if sends_unasked {
                         stream.write_all(b"SERVER_ERROR no\r\n").await.unwrap();
                         kept.push(stream);
@@ -425,7 +432,7 @@
             let (_, answer) = dispatcher.accept(testing::request("7", None)).unwrap();
             assert!(matches!(answer.await, Ok(Answer::Rejected(_) | Answer::Failed)));
             assert!(accepted.get() <= 3, "{} connections for three attempts", accepted.get());
-            assert_eq!(upstream.counters.attempts_written.get(), 0, "no byte of the request was written");
+            assert_eq!(upstream.counters.attempts_written.get(), 0, "a byte of the request was written");
         });
     }
 }
@@ -470,7 +477,7 @@
 /// not complete it.
 #[test]
 fn a_reset_does_not_complete_an_answer_without_a_length() {
-    for (reset, body) in [(false, true), (true, true), (true, false)] {
+    for (is_reset, has_body) in [(false, true), (true, true), (true, false)] {
         testing::run_on_sockets(async {
             let (dispatcher, _upstream, listener) = pool_with_one_server(3).await;
             let mut origin = listed_server(SERVER, EndpointState::Serving);
@@ -483,16 +490,17 @@
             while !received.ends_with(b"\r\n\r\n") {
                 stream.read_buf(&mut received).await.unwrap();
             }
-            let text: &[u8] = if body { b"HTTP/1.1 200 OK\r\n\r\nab" } else { b"HTTP/1.1 200 OK\r\n\r\n" };
+            let text: &[u8] =
+                if has_body { b"HTTP/1.1 200 OK\r\n\r\nab" } else { b"HTTP/1.1 200 OK\r\n\r\n" };
             stream.write_all(text).await.unwrap();
             yield_until_idle().await;
-            if reset {
+            if is_reset {
                 stream.set_zero_linger().unwrap();
             }
             drop(stream);
             let answer = answer.await.unwrap();
-            assert_eq!(answer == Answer::Value("ab".into()), !reset, "{answer:?}");
-            assert_eq!(dispatcher.counters().attempts_reset.get(), u64::from(reset));
+            assert_eq!(answer == Answer::Value("ab".into()), !is_reset, "{answer:?}");
+            assert_eq!(dispatcher.counters().attempts_reset.get(), u64::from(is_reset));
         });
     }
 }
@@ -523,7 +531,7 @@
             idle_stream.write_all(b"VA 1 O1\r\nv\r\n").await.unwrap();
             assert!(first.await.is_ok());
             yield_until_idle().await;
-            assert_eq!(upstream.connections.get(), 1, "the connection is idle");
+            assert_eq!(upstream.connections.get(), 1, "the connection was not kept open");
             // No turn of the event loop lies between the assignment of the request to the connection and the
             // update.
             let (_, second) = dispatcher.accept(testing::request("2", None)).unwrap();
@@ -532,7 +540,7 @@
             dispatcher.on_endpoints_changed(EndpointUpdate::Delta, &[listed]);
             if change == EndpointState::Serving {
                 let accepted = timeout(Duration::from_secs(5), new.accept()).await;
-                let (mut stream, _) = accepted.expect("the request is sent to the new address").unwrap();
+                let (mut stream, _) = accepted.expect("no connection was opened to the new address").unwrap();
                 assert!(read_request_line(&mut stream).await.contains(" O2 "));
                 stream.write_all(b"VA 1 O2\r\nw\r\n").await.unwrap();
                 assert_eq!(second.await, Ok(Answer::Value("w".into())));
--- a/platform-model/src/cache_server.rs
+++ b/platform-model/src/cache_server.rs
@@ -21,7 +21,8 @@
 const FETCH_TIMEOUT: Micros = 3 * MICROS_PER_SECOND;
 /// Upper bound of the exponential draw by which the varying half of the work is multiplied.
 const MAX_WORK_NOISE_FACTOR: f64 = 8.0;
-/// Maximum number of fetches in flight for each key that can be cached; beyond it all are forgotten.
+/// Maximum ratio of the fetches in flight to the keys that can be cached. Beyond it all fetches in flight are
+/// forgotten.
 const MAX_FETCHES_PER_CACHED_KEY: usize = 4;
 
 /// How a server answers a read.
@@ -54,7 +55,7 @@
 /// A load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests served in the last second.
+    /// Requests in flight that will be completed within a second.
     pub served_per_s: f64,
     /// Requests waiting for a core.
     pub waiting: f64,
@@ -71,7 +72,7 @@
     /// Time of the last start; `None` if it is long ago.
     pub started_at: Option<Micros>,
     /// Whether the server is draining or gone, and rejects new requests.
-    pub closed: bool,
+    pub rejects_requests: bool,
     /// Factor by which work takes longer.
     slowdown: f64,
     /// The share of requests that fail.
@@ -100,7 +101,7 @@
             cores,
             incarnation: 0,
             started_at: None,
-            closed: false,
+            rejects_requests: false,
             slowdown: 1.0,
             failure_share: 0.0,
             core_free_at: vec![0; (cores.ceil() as usize).max(1)],
@@ -142,8 +143,9 @@
     /// The share of the full capacity that is available: below 1 in slow start.
     pub fn capacity_share(&self, now: Micros) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
-        let progress = (now.saturating_sub(started_at)) as f64 / (self.model.cold_s * 1e6).max(1.0);
-        (self.model.cold_from + (1.0 - self.model.cold_from) * progress).min(1.0)
+        let progress = (now.saturating_sub(started_at)) as f64 / (self.model.slow_start_s * 1e6).max(1.0);
+        (self.model.slow_start_initial_share + (1.0 - self.model.slow_start_initial_share) * progress)
+            .min(1.0)
     }
 
     /// Current capacity in hits a second.
@@ -156,13 +158,13 @@
         self.has_collapsed
     }
 
-    /// Takes a read that has been received completely.
+    /// Handles a read that has been received completely, and returns the response.
     pub fn on_request(&mut self, now: Micros, key: u64, rng: &mut SeededRng) -> Response {
         let capacity_share = self.capacity_share(now);
         let in_slow_start = capacity_share < 1.0;
         self.track_slow_start_load(now, in_slow_start);
         let respond_now = |answer| Response { answer, at: now, in_slow_start };
-        if self.closed || self.has_collapsed {
+        if self.rejects_requests || self.has_collapsed {
             return respond_now(Answer::Rejected);
         }
         self.remove_completed(now);
@@ -190,7 +192,7 @@
         while self.recent_requests.front().is_some_and(|at| at + MICROS_PER_SECOND <= now) {
             self.recent_requests.pop_front();
         }
-        let max_requests = self.capacity(now) * self.model.fall_times;
+        let max_requests = self.capacity(now) * self.model.collapse_load_factor;
         let has_run_for_a_second = self.started_at.is_some_and(|at| at + MICROS_PER_SECOND <= now);
         if has_run_for_a_second && self.recent_requests.len() as f64 > max_requests {
             self.has_collapsed = true;
@@ -210,6 +212,7 @@
         (self.cores * self.model.slots_per_core as f64) as usize + self.model.max_waiting
     }
 
+    /// Looks up a key in the cache; a miss counts as a fetch in flight.
     fn look_up_key(&mut self, now: Micros, key: u64) -> Answer {
         if self.cached_keys.get(&key).is_some() {
             return Answer::Hit;
@@ -245,7 +248,7 @@
     /// Caches a key whose value has been fetched from the origin.
     pub fn store(&mut self, key: u64) {
         self.fetching_since.remove(&key);
-        if !self.closed {
+        if !self.rejects_requests {
             self.cached_keys.put(key, ());
         }
         if self.fetching_since.len() > MAX_FETCHES_PER_CACHED_KEY * self.cached_keys.cap().get() {
@@ -258,7 +261,7 @@
         self.cached_keys.pop(&key);
     }
 
-    /// The load report attached to an answer, which is delayed and noisy.
+    /// The load report attached to an answer. The report is noisy, and up to `report_ms` old.
     pub fn load_report(&mut self, now: Micros, rng: &mut SeededRng) -> LoadReport {
         if now >= self.last_report_at + micros_from_millis(self.model.report_ms) {
             let served_count =
--- a/platform-model/src/cache_server/tests.rs
+++ b/platform-model/src/cache_server/tests.rs
@@ -4,7 +4,7 @@
 use crate::rng::{seeded_rng, RngStream};
 
 fn server() -> (CacheServer, SeededRng) {
-    (CacheServer::new(CacheServers::default(), 1.0, 3), seeded_rng(1, RngStream::Machines))
+    (CacheServer::new(CacheServers::default(), 1.0, 3), seeded_rng(1, RngStream::ServiceTimes))
 }
 
 #[test]
@@ -16,7 +16,11 @@
     server.store(1);
     assert_eq!(read(&mut server, 2, 1), Answer::Hit);
     (2..5).for_each(|key| server.store(key));
-    assert_eq!(read(&mut server, 3, 1), Answer::Miss { fetching: false }, "the cache holds three keys");
+    assert_eq!(
+        read(&mut server, 3, 1),
+        Answer::Miss { fetching: false },
+        "expected the cache to hold only three keys"
+    );
     assert_eq!(read(&mut server, 4, 4), Answer::Hit);
     server.invalidate(4);
     assert_eq!(read(&mut server, 5, 4), Answer::Miss { fetching: false });
@@ -38,7 +42,7 @@
         "8 slots and 200 queue places, 2 of them in use"
     );
     assert!(server.load_report(MICROS_PER_SECOND, &mut rng).waiting > 100.0);
-    server.closed = true;
+    server.rejects_requests = true;
     assert_eq!(server.on_request(100 * MICROS_PER_SECOND, 1, &mut rng).answer, Answer::Rejected);
 }
 
--- a/platform-model/src/checker/rules.rs
+++ b/platform-model/src/checker/rules.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{CheckTerms, Idempotency};
+use super::{CheckConfig, Idempotency};
 use crate::event_log::{
     Attempt, ClientRequest, EndpointNotice, EventLog, Impairment, Receiver, RequestResult,
 };
@@ -51,10 +51,10 @@
 const REQUESTS_PER_REJECTED_CONNECTION: usize = 200;
 
 /// Finds all violations: those of requests in the order of the log, then those of drains, then those of slow start.
-pub fn find_violations(event_log: &EventLog, terms: &CheckTerms) -> Vec<Violation> {
+pub fn find_violations(event_log: &EventLog, config: &CheckConfig) -> Vec<Violation> {
     let run = Run {
         event_log,
-        terms,
+        config,
         attempts: by_id(&event_log.attempts, |attempt| attempt.id),
         requests: by_id(&event_log.requests, |request| request.id),
     };
@@ -72,13 +72,14 @@
     by_id
 }
 
-/// Time and description of a violation.
+/// Time and description of a violation. The descriptions in this file are stored in `breaches.json`; their wording
+/// therefore stays the same.
 type Finding = (Micros, String);
 
 /// A run under check.
 struct Run<'a> {
     event_log: &'a EventLog,
-    terms: &'a CheckTerms,
+    config: &'a CheckConfig,
     /// The attempts of each request, by its id.
     attempts: HashMap<u64, Vec<&'a Attempt>>,
     /// Requests by their ids.
@@ -101,9 +102,9 @@
             let attempts = self.attempts_of(request.id);
             let answer = self.check_answer(request, attempts).map(|finding| (Rule::Answers, finding));
             let retry =
-                check_attempts(self.terms, request, attempts).map(|finding| (Rule::Attempts, finding));
+                check_attempts(self.config, request, attempts).map(|finding| (Rule::Attempts, finding));
             for (rule, (at, description)) in [answer, retry].into_iter().flatten() {
-                let request_trace = request_trace(self.terms, request, attempts);
+                let request_trace = request_trace(self.config, request, attempts);
                 violations.push(Violation { rule, at, description, request_trace });
             }
         }
@@ -115,45 +116,44 @@
         if request.result == RequestResult::WrongValue {
             // A balancer cannot detect a byte that a link corrupted within a value.
             let is_corrupted = attempts.iter().any(|attempt| attempt.corrupted);
-            let finding =
-                (request.ended_at?, "it was served with a value that was not produced for it".into());
+            let finding = (request.ended_at?, "it was served with what nobody made for it".into());
             return (!is_corrupted).then_some(finding);
         }
         if request.extra_lines > 0 {
-            let description = format!("{} extra lines followed its answer", request.extra_lines);
+            let description = format!("{} more lines came behind its answer", request.extra_lines);
             return Some((request.ended_at?, description));
         }
         if self.is_excused(request) {
             return None;
         }
-        let due = request.deadline + self.terms.tolerance;
+        let latest = request.deadline + self.config.tolerance;
         match request.result {
-            RequestResult::NoAnswer => Some((due, "it was accepted but got no final answer".into())),
+            RequestResult::NoAnswer => Some((latest, "it was taken and had no final answer".into())),
             RequestResult::ConnectionClosed => {
                 Some((request.ended_at?, "its connection ended without a whole answer".into()))
             }
             RequestResult::ConnectionRejected => Some((
                 request.ended_at?,
                 format!(
-                    "its connection was rejected, beyond the allowed one request in {REQUESTS_PER_REJECTED_CONNECTION}"
+                    "it was shut out at the door, beyond one command in {REQUESTS_PER_REJECTED_CONNECTION}"
                 ),
             )),
             RequestResult::Served | RequestResult::Rejected | RequestResult::Failed => {
-                self.check_deadline(request, due)
+                self.check_deadline(request, latest)
             }
             RequestResult::WrongValue | RequestResult::NotAccepted | RequestResult::ClientLeft => None,
         }
     }
 
     /// Whether the balancer's process was killed or frozen by a fault at any time while the request was open. Such a
-    /// request counts as lost, but violates no rule.
+    /// request counts as lost, but does not violate the rule on answers.
     fn is_excused(&self, request: &ClientRequest) -> bool {
-        let until = request.deadline + self.terms.tolerance;
+        let latest = request.deadline + self.config.tolerance;
         self.event_log
             .process_impairments
             .iter()
-            .filter(|span| span.impairment != Impairment::Ended)
-            .any(|span| span.number == request.balancer && span.overlaps(request.sent_at, until))
+            .filter(|span| span.impairment != Impairment::ShutDown)
+            .any(|span| span.number == request.balancer && span.overlaps(request.sent_at, latest))
     }
 
     /// Upper bound of the time for which the balancer's process was stalled while the request was open.
@@ -165,16 +165,17 @@
         overlapping.map(|stall| stall.to - stall.from).sum()
     }
 
-    fn check_deadline(&self, request: &ClientRequest, due: Micros) -> Option<Finding> {
+    fn check_deadline(&self, request: &ClientRequest, latest: Micros) -> Option<Finding> {
         let ended_at = request.ended_at?;
-        // The program is not charged for delays of the testbed itself, up to a second before and after the request.
+        // An answer may be later by the longest delay of the testbed itself that was recorded from a second before the
+        // request to a second after its deadline.
         let is_near = |stall: &&(Micros, Micros)| {
-            stall.0 + MICROS_PER_SECOND >= request.sent_at && stall.0 <= due + MICROS_PER_SECOND
+            stall.0 + MICROS_PER_SECOND >= request.sent_at && stall.0 <= latest + MICROS_PER_SECOND
         };
         let stalls = self.event_log.testbed_stalls.iter().filter(is_near);
-        let testbed_stall = stalls.map(|(_, lateness)| *lateness).max().unwrap_or(0);
-        let stall = testbed_stall + self.stalled_time(request, due);
-        let late = ended_at.checked_sub(due + stall).filter(|late| *late > 0)?;
+        let testbed_stall = stalls.map(|(_, delay)| *delay).max().unwrap_or(0);
+        let stall = testbed_stall + self.stalled_time(request, latest);
+        let late = ended_at.checked_sub(latest + stall).filter(|late| *late > 0)?;
         let late_ms = (late + stall) as f64 / 1e3;
         Some((ended_at, format!("its answer came {late_ms:.0} ms after its deadline")))
     }
@@ -183,7 +184,7 @@
     /// balancer.
     fn drain_violations(&self) -> Vec<Violation> {
         let mut notices: HashMap<(u32, u32), Vec<&EndpointNotice>> = HashMap::new();
-        for notice in &self.event_log.notices {
+        for notice in &self.event_log.endpoint_notices {
             notices.entry((notice.balancer, notice.server)).or_default().push(notice);
         }
         let mut violations = Vec::new();
@@ -191,7 +192,7 @@
             let Receiver::CacheServer(server) = attempt.receiver else { continue };
             let Some(notices) = notices.get(&(attempt.balancer, server)) else { continue };
             let Some(since) = self.drain_notified_at(attempt, notices) else { continue };
-            if attempt.first_byte_at > since + self.terms.drain_grace + self.terms.tolerance {
+            if attempt.first_byte_at > since + self.config.drain_grace + self.config.tolerance {
                 violations.push(self.drain_violation(attempt, server, since));
             }
         }
@@ -229,12 +230,12 @@
 
     fn drain_violation(&self, attempt: &Attempt, server: u32, since: Micros) -> Violation {
         let late_ms = (attempt.first_byte_at - since) as f64 / 1e3;
-        let trace = |request| request_trace(self.terms, request, self.attempts_of(attempt.id));
+        let trace = |request| request_trace(self.config, request, self.attempts_of(attempt.id));
         Violation {
             rule: Rule::Drains,
             at: attempt.first_byte_at,
             description: format!(
-                "balancer {} sent to host {server} {late_ms:.0} ms after the notice of its drain",
+                "balancer {} sent to host {server} {late_ms:.0} ms after its drain was told",
                 attempt.balancer
             ),
             request_trace: self.request_of(attempt).map(trace).unwrap_or_default(),
@@ -246,17 +247,15 @@
         let violation =
             |at, description| Violation { rule: Rule::Cold, at, description, request_trace: Vec::new() };
         let collapses = self.event_log.server_collapses.iter().map(|(server, at)| {
-            let description =
-                format!("host {server} collapsed in slow start under the load of all balancers together");
+            let description = format!("host {server} was cold and was pushed over by all balancers together");
             violation(*at, description)
         });
         let stops =
             self.event_log.origin_stops.iter().filter(|(_, share)| *share >= MIN_SLOW_START_MISS_SHARE);
         let stops = stops.map(|(at, share)| {
             let percent = share * 100.0;
-            let description = format!(
-                "the origin stopped; {percent:.0}% of its requests were misses of hosts in slow start"
-            );
+            let description =
+                format!("the origin stopped, {percent:.0}% of what it was sent were cold hosts' misses");
             violation(*at, description)
         });
         collapses.chain(stops).collect()
@@ -264,29 +263,29 @@
 }
 
 /// Checks the number of attempts, and that the request was retried only as its class allows.
-fn check_attempts(terms: &CheckTerms, request: &ClientRequest, attempts: &[&Attempt]) -> Option<Finding> {
-    if let Some(excess) = attempts.get(terms.max_attempts) {
-        return Some((excess.received_at, format!("it had {} attempts, more than allowed", attempts.len())));
+fn check_attempts(config: &CheckConfig, request: &ClientRequest, attempts: &[&Attempt]) -> Option<Finding> {
+    if let Some(excess) = attempts.get(config.max_attempts) {
+        return Some((excess.received_at, format!("{} attempts", attempts.len())));
     }
     let first_executed = attempts.iter().position(|attempt| attempt.may_have_executed())?;
     let next = attempts.get(first_executed + 1)?;
-    match terms.class(request.write).idempotency {
+    match config.class(request.write).idempotency {
         Idempotency::Idempotent => None,
         Idempotency::WithIdempotencyKey(window) => {
             let last = attempts.last()?;
-            let until = attempts[first_executed].received_at + window + terms.tolerance;
+            let until = attempts[first_executed].received_at + window + config.tolerance;
             (last.received_at > until)
-                .then(|| (last.received_at, "it was retried after its idempotency key had expired".into()))
+                .then(|| (last.received_at, "it was sent again after its key's window".into()))
         }
         Idempotency::NotIdempotent => {
-            Some((next.received_at, "it was retried although it may have been executed".into()))
+            Some((next.received_at, "it was sent again though it may have run".into()))
         }
     }
 }
 
 /// The trace of a request, line by line, with times in seconds from the experiment's beginning.
-pub fn request_trace(terms: &CheckTerms, request: &ClientRequest, attempts: &[&Attempt]) -> Vec<String> {
-    let mut lines = vec![(request.sent_at, sent_line(terms, request))];
+pub fn request_trace(config: &CheckConfig, request: &ClientRequest, attempts: &[&Attempt]) -> Vec<String> {
+    let mut lines = vec![(request.sent_at, sent_line(config, request))];
     for attempt in attempts {
         let slow_start = if attempt.in_slow_start { ", cold" } else { "" };
         lines.push((attempt.received_at, format!("received by {}{slow_start}", attempt.receiver)));
@@ -296,15 +295,15 @@
     lines.extend(request.ended_at.map(|at| (at, format!("its client sees: {}", request.result))));
     lines.push((request.deadline, "its deadline".into()));
     lines.sort_by_key(|(at, _)| *at);
-    let seconds = |at: Micros| (at as f64 - terms.measured_from as f64) / 1e6;
+    let seconds = |at: Micros| (at as f64 - config.measured_from as f64) / 1e6;
     lines.into_iter().map(|(at, line)| format!("{:9.3} s  {line}", seconds(at))).collect()
 }
 
-fn sent_line(terms: &CheckTerms, request: &ClientRequest) -> String {
+fn sent_line(config: &CheckConfig, request: &ClientRequest) -> String {
     format!(
         "{:016x}: {} of key {} sent to balancer {}, wanted within {:.0} ms{}",
         request.id,
-        terms.class(request.write).name,
+        config.class(request.write).name,
         request.key,
         request.balancer,
         (request.deadline - request.sent_at) as f64 / 1e3,
--- a/platform-model/src/origin.rs
+++ b/platform-model/src/origin.rs
@@ -63,10 +63,10 @@
     stopped_until: Micros,
     /// Times at which writes were executed, by idempotency key.
     executed_writes: HashMap<u64, Micros>,
-    /// Stops: the time, and the share of the requests before it that followed misses at servers in slow start.
+    /// Stops: the time, and the share of the requests in the overload that followed misses at servers in slow start.
     pub stops: Vec<(Micros, f64)>,
     /// Whether the capacity is unlimited, as while the caches fill before the experiment begins.
-    pub unbounded: bool,
+    pub has_unlimited_capacity: bool,
 }
 
 impl Origin {
@@ -81,7 +81,7 @@
             stopped_until: 0,
             executed_writes: HashMap::new(),
             stops: Vec::new(),
-            unbounded: false,
+            has_unlimited_capacity: false,
         }
     }
 
@@ -90,14 +90,14 @@
         self.slowdown = factor;
     }
 
-    /// Takes a request that has been received completely.
+    /// Handles a request that has been received completely, and returns the outcome.
     pub fn on_request(&mut self, now: Micros, request: OriginRequest, rng: &mut SeededRng) -> Outcome {
         let noise: f64 = Exp1.sample(rng);
         let work_ms = self.model.work_ms * (0.5 + 0.5 * noise.min(MAX_WORK_NOISE_FACTOR));
         if self.is_repeat(now, request.idempotency_key) {
             return Outcome::Runs { at: now + micros_from_millis(REPEATED_WRITE_WORK_MS), repeat: true };
         }
-        if self.unbounded {
+        if self.has_unlimited_capacity {
             self.record_write(now, request.idempotency_key);
             return Outcome::Runs { at: now + micros_from_millis(work_ms), repeat: false };
         }
@@ -152,7 +152,7 @@
             self.recent_requests.pop_front();
         }
         let capacity = self.model.capacity / self.slowdown;
-        let max_requests = capacity * self.model.fall_times * 3.0;
+        let max_requests = capacity * self.model.stop_load_factor * 3.0;
         if self.recent_requests.len() as f64 > max_requests {
             self.stop(now);
         }
--- a/platform-model/src/origin/tests.rs
+++ b/platform-model/src/origin/tests.rs
@@ -5,7 +5,7 @@
 
 fn run_requests(rate: u64, seconds: u64, slowdown: f64) -> (Origin, Vec<Outcome>) {
     let mut origin = Origin::new(OriginModel { capacity: 100.0, ..OriginModel::default() });
-    let mut rng = seeded_rng(1, RngStream::Machines);
+    let mut rng = seeded_rng(1, RngStream::ServiceTimes);
     origin.set_slowdown(slowdown);
     let outcomes = (0..rate * seconds)
         .map(|n| {
@@ -31,7 +31,10 @@
     let (origin, outcomes) = run_requests(200, 10, 1.0);
     assert!((900..1_200).contains(&count_executed(&outcomes)), "{}", count_executed(&outcomes));
     assert!(origin.stops.is_empty() && outcomes.contains(&Outcome::Rejected));
-    assert!(count_executed(&run_requests(200, 10, 4.0).1) < 350, "a slowed origin runs fewer requests");
+    assert!(
+        count_executed(&run_requests(200, 10, 4.0).1) < 350,
+        "expected a slowed origin to run fewer requests"
+    );
 }
 
 #[test]
@@ -44,7 +47,7 @@
 #[test]
 fn repeated_write_with_an_idempotency_key_is_executed_once() {
     let (mut origin, _) = run_requests(1, 1, 1.0);
-    let mut rng = seeded_rng(1, RngStream::Machines);
+    let mut rng = seeded_rng(1, RngStream::ServiceTimes);
     let mut write = |now| {
         let request = OriginRequest {
             idempotency_key: Some(7),
--- a/platform-model/src/workload.rs
+++ b/platform-model/src/workload.rs
@@ -29,7 +29,7 @@
     /// Whether the request is a write.
     pub write: bool,
     /// The share of the request's deadline for which the client waits.
-    pub patience: f64,
+    pub wait_share: f64,
 }
 
 /// The name of a key on the wire.
@@ -51,7 +51,7 @@
 }
 
 /// Draws arrivals one after the other by thinning: candidates arrive at the highest rate, and each is accepted with
-/// the ratio of the current rate to it.
+/// a probability equal to the ratio of the current rate to the highest.
 struct Workload<'a> {
     experiment: &'a Experiment,
     rng: SeededRng,
@@ -79,7 +79,7 @@
             drifted_seconds: 0,
             candidate_rate: load.rate * load.ramp.max(1.0) * max_burst_factor,
             candidate_at_s: 0.0,
-            end: micros_from_seconds(load.warm) + micros_from_seconds(experiment.seconds),
+            end: micros_from_seconds(load.warm_up_s) + micros_from_seconds(experiment.seconds),
         }
     }
 
@@ -104,7 +104,7 @@
 
     /// Seconds since the experiment's beginning; negative while the caches fill.
     fn experiment_time_s(&self) -> f64 {
-        self.candidate_at_s - self.experiment.load.warm
+        self.candidate_at_s - self.experiment.load.warm_up_s
     }
 
     fn draw_acceptance(&mut self) -> bool {
@@ -115,14 +115,14 @@
     fn draw_arrival(&mut self, at: Micros) -> Arrival {
         let key = self.draw_key();
         let write = self.rng.random::<f64>() < self.experiment.load.writes;
-        let patience = MIN_PATIENT_WAIT_SHARE + PATIENT_WAIT_SHARE_RANGE * self.rng.random::<f64>();
+        let wait_share = MIN_PATIENT_WAIT_SHARE + PATIENT_WAIT_SHARE_RANGE * self.rng.random::<f64>();
         let is_impatient = self.rng.random::<f64>() < self.experiment.clients.impatient_share;
         Arrival {
             at,
             balancer: draw_balancer(self.experiment, &mut self.rng),
             key,
             write,
-            patience: if is_impatient { IMPATIENT_WAIT_SHARE } else { patience },
+            wait_share: if is_impatient { IMPATIENT_WAIT_SHARE } else { wait_share },
         }
     }
 
@@ -155,7 +155,7 @@
 /// Requests a second at this time of the experiment.
 fn rate_at(load: &Load, now_s: f64, seconds: f64) -> f64 {
     let ramp = 1.0 + (load.ramp - 1.0) * (now_s / seconds).clamp(0.0, 1.0);
-    let bursts = load.burst.iter().filter(|burst| (burst.at..burst.at + burst.lasts).contains(&now_s));
+    let bursts = load.burst.iter().filter(|burst| (burst.at..burst.at + burst.duration_s).contains(&now_s));
     load.rate * ramp * bursts.map(|burst| burst.rate_factor).product::<f64>()
 }
 
--- a/platform-model/tests/file_formats.rs
+++ b/platform-model/tests/file_formats.rs
@@ -30,7 +30,7 @@
     let summary: Summary = serde_json::from_str(&text).unwrap();
     assert_eq!(serde_json::to_value(&summary).unwrap(), before);
     let written = serde_json::to_string_pretty(&summary).unwrap();
-    assert_eq!(names(&written), names(&text), "names, nesting and order must be the same");
+    assert_eq!(names(&written), names(&text), "names, nesting or order differ");
 }
 
 #[test]
@@ -57,12 +57,12 @@
     assert_eq!(fleet.operator.as_deref(), Some("deploy/operator.example.toml"));
     let load = &experiment.load;
     assert_eq!((load.rate, load.keys, load.zipf, load.writes), (150.0, 500, 0.8, 0.05));
-    assert_eq!((load.ramp, load.drift, load.warm), (1.5, 0.01, 4.0));
+    assert_eq!((load.ramp, load.drift, load.warm_up_s), (1.5, 0.01, 4.0));
     assert_eq!((load.hot[0].at, load.hot[0].share), (10.0, 0.1));
-    assert_eq!((load.burst[0].at, load.burst[0].lasts, load.burst[0].rate_factor), (12.0, 3.0, 2.0));
+    assert_eq!((load.burst[0].at, load.burst[0].duration_s, load.burst[0].rate_factor), (12.0, 3.0, 2.0));
     assert_eq!((experiment.servers.work_ms, experiment.servers.connections), (10.0, 1000));
     assert_eq!((experiment.origin.capacity, experiment.origin.queue_s), (120.0, 0.5));
     assert_eq!((experiment.discovery.calls_per_s, experiment.discovery.notice_s), (250.0, 0.25));
     assert_eq!((experiment.net.same_ms, experiment.net.cross_ms), (0.3, 4.0));
-    assert_eq!(experiment.fault.len(), 22, "the file has each kind of fault once");
+    assert_eq!(experiment.fault.len(), 22, "expected each kind of fault once");
 }
--- a/purge/src/member.rs
+++ b/purge/src/member.rs
@@ -33,7 +33,7 @@
     /// Purge this key.
     Key(Vec<u8>),
     /// Discard everything that is cached.
-    VoidAll,
+    DiscardAll,
 }
 
 /// A member's progress towards serving.
@@ -116,7 +116,7 @@
 
     /// Drains the events that the driver has to apply. They count as applied from now on, so the driver must apply them
     /// before it makes any other call on this member.
-    pub fn drain_purges(&mut self) -> Vec<PurgeEvent> {
+    pub fn drain_events(&mut self) -> Vec<PurgeEvent> {
         if self.applied != self.received {
             self.applied = self.received.clone();
         }
@@ -224,7 +224,7 @@
     fn receive_void(&mut self, vector: &VersionVector) {
         self.metrics.voided += 1;
         self.events.clear();
-        self.events.push(PurgeEvent::VoidAll);
+        self.events.push(PurgeEvent::DiscardAll);
         self.received.merge(vector);
     }
 
@@ -237,8 +237,8 @@
             next = now + self.continuation_delay();
         }
         self.pulls.schedule(next);
-        // Answers without new entries are no progress towards the target: the member leaves an assigned replica that
-        // keeps answering but lacks entries of the target.
+        // While the target is not applied, an answer that announces no more entries is no progress, so that the member
+        // leaves an assigned replica that keeps answering but lacks entries of the target.
         if more || !matches!(self.phase, Phase::ApplyingTarget { .. }) {
             self.last_progress = now;
         }
@@ -329,8 +329,8 @@
         self.outbox.send(address, &Message::ToReplica(message));
     }
 
-    /// Leaves an assigned replica that doesn't answer or makes no progress, before the member serves. While it
-    /// serves, it changes replicas only once another one has answered a probe ([`Member::probe`]).
+    /// Changes the assigned replica if it doesn't answer, or if the member makes no progress with it. A serving member
+    /// changes only once another replica has answered a probe ([`Member::probe`]).
     fn change_silent_replica(&mut self, now: Micros) {
         let is_silent = self.pulls.is_silent(now, &self.config.timing);
         let is_timed_out = now.saturating_sub(self.last_progress) >= self.config.timing.registration_timeout;
--- a/purge/tests/support/scripted.rs
+++ b/purge/tests/support/scripted.rs
@@ -29,7 +29,11 @@
 #[derive(Debug)]
 enum StateMachine {
     Replica(Replica),
-    Member { member: Member, purged: Vec<Vec<u8>> },
+    /// A member and the keys that it has purged.
+    Member {
+        member: Member,
+        purged: Vec<Vec<u8>>,
+    },
 }
 
 /// A control plane of replicas and members. Nodes are numbered: replicas first, then members.
@@ -39,8 +43,11 @@
     injected_defect: Option<InjectedDefect>,
     state_machines: Vec<Option<StateMachine>>,
     incarnations: Vec<u64>,
+    /// State of links, by sender and recipient; other links are open.
     links: HashMap<(usize, usize), LinkState>,
+    /// Sender, recipient and bytes of each datagram in flight.
     in_flight: Vec<(usize, usize, Vec<u8>)>,
+    /// The latest datagrams of each link, by sender and recipient.
     remembered: HashMap<(usize, usize), Vec<Vec<u8>>>,
 }
 
@@ -197,7 +204,7 @@
         let datagrams = match &mut self.state_machines[node] {
             Some(StateMachine::Replica(replica)) => replica.drain(),
             Some(StateMachine::Member { member, purged }) => {
-                for event in member.drain_purges() {
+                for event in member.drain_events() {
                     if let PurgeEvent::Key(key) = event {
                         purged.push(key);
                     }
--- a/purge/tests/support/simulation.rs
+++ b/purge/tests/support/simulation.rs
@@ -26,7 +26,7 @@
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Tick { node: usize, start: u64 },
+    Tick { node: usize, incarnation: u64 },
     Datagram { to: usize, from: usize, bytes: Vec<u8> },
     Fault(FaultKind),
     EndFaults,
@@ -42,13 +42,14 @@
 #[derive(Debug)]
 struct Node {
     state_machine: Option<StateMachine>,
-    /// Incarnation of the process, incremented at each start.
-    start: u64,
+    /// Incarnation of the process; incremented at each start.
+    incarnation: u64,
     frozen: bool,
-    /// Datagrams that arrived while the process was frozen.
+    /// Sender and bytes of each datagram that arrived while the process was frozen.
     backlog: VecDeque<(usize, Vec<u8>)>,
-    /// Rate of the clock in millionths, and its initial value in microseconds.
+    /// Rate of the clock, in millionths of the rate of virtual time.
     rate: u64,
+    /// Value of the clock at the start of the schedule, in microseconds.
     offset: u64,
     /// Purges published by this incarnation of the replica that are not done.
     pending: VecDeque<usize>,
@@ -57,7 +58,9 @@
 /// Result of a schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
+    /// The guarantee held, and the control plane settled in time.
     Held,
+    /// The guarantee was breached.
     Breached(Breach),
     /// The control plane did not settle in time after the end of all faults, for this reason.
     NotSettled(String),
@@ -71,9 +74,11 @@
     pub done: usize,
     pub rejected: usize,
     pub steps: u64,
+    /// Time from the end of all faults to the end of the run.
     pub settled_after: u64,
     /// Times from the publication of a purge to its application, one for each member that applied it by key.
     pub apply_delays: Vec<u64>,
+    /// Time from the publication of each done purge until it was reported as done.
     pub done_delays: Vec<u64>,
     pub log_trimmed: u64,
     pub voided: u64,
@@ -90,13 +95,14 @@
     rng: ChaCha8Rng,
     network: Network,
     now: u64,
+    /// Time, number and kind of each event to come, the earliest first.
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     event_count: u64,
     nodes: Vec<Node>,
     checker: Checker,
     rejected: usize,
     apply_delays: Vec<u64>,
-    has_ended_faults: bool,
+    have_faults_ended: bool,
     voided: u64,
     lapses: u64,
 }
@@ -122,7 +128,7 @@
             checker: Checker::default(),
             rejected: 0,
             apply_delays: Vec::new(),
-            has_ended_faults: false,
+            have_faults_ended: false,
             voided: 0,
             lapses: 0,
             schedule,
@@ -154,33 +160,33 @@
         if self.nodes[node].state_machine.is_some() {
             return;
         }
-        let start = self.nodes[node].start + 1;
+        let incarnation = self.nodes[node].incarnation + 1;
         let seed = self.rng.random();
         let now = self.local_now(node);
         let state_machine = match node < self.schedule.replicas {
             true => StateMachine::Replica(Replica::new(
-                self.replica_config(node, start, bootstrap, seed),
+                self.replica_config(node, incarnation, bootstrap, seed),
                 Micros(now),
             )),
             false => StateMachine::Member(
-                Member::new(self.member_config(node, start, seed), Micros(now)),
+                Member::new(self.member_config(node, incarnation, seed), Micros(now)),
                 Applied::default(),
             ),
         };
         let process = &mut self.nodes[node];
         process.state_machine = Some(state_machine);
-        process.start = start;
+        process.incarnation = incarnation;
         process.frozen = false;
         process.backlog.clear();
         process.pending.clear();
         let first = self.now + self.rng.random_range(0..self.schedule.tick);
-        self.schedule_event(first, Event::Tick { node, start });
+        self.schedule_event(first, Event::Tick { node, incarnation });
     }
 
-    fn replica_config(&self, node: usize, start: u64, bootstrap: bool, seed: u64) -> ReplicaConfig {
+    fn replica_config(&self, node: usize, incarnation: u64, bootstrap: bool, seed: u64) -> ReplicaConfig {
         ReplicaConfig {
             replica: ReplicaId(node as u8),
-            incarnation: start,
+            incarnation,
             replicas: (0..self.schedule.replicas).map(address).collect(),
             bootstrap,
             seed,
@@ -234,7 +240,7 @@
                 verdict = Some(Verdict::Breached(breach));
                 break;
             }
-            if self.has_ended_faults && self.now >= next_settled_check {
+            if self.have_faults_ended && self.now >= next_settled_check {
                 next_settled_check = self.now + SECOND / 10;
                 let reason = self.find_unsettled();
                 match reason {
@@ -251,8 +257,8 @@
     }
 
     fn report(&self, steps: u64, verdict: Verdict) -> Report {
-        let done = self.checker.published.iter();
-        let done_delays = done.filter_map(|purge| Some(purge.done_at? - purge.at)).collect();
+        let published = self.checker.published.iter();
+        let done_delays = published.filter_map(|purge| Some(purge.done_at? - purge.at)).collect();
         let mut report = Report {
             verdict,
             published: self.checker.published.len(),
@@ -291,10 +297,10 @@
 
     fn on_event(&mut self, event: Event) {
         match event {
-            Event::Tick { node, start } => self.on_tick(node, start),
+            Event::Tick { node, incarnation } => self.on_tick(node, incarnation),
             Event::Datagram { to, from, bytes } => self.on_datagram(to, from, bytes),
             Event::Fault(fault) => {
-                if !self.has_ended_faults {
+                if !self.have_faults_ended {
                     self.on_fault(fault);
                 }
             }
@@ -302,11 +308,11 @@
         }
     }
 
-    fn on_tick(&mut self, node: usize, start: u64) {
-        if self.nodes[node].start != start || self.nodes[node].state_machine.is_none() {
+    fn on_tick(&mut self, node: usize, incarnation: u64) {
+        if self.nodes[node].incarnation != incarnation || self.nodes[node].state_machine.is_none() {
             return;
         }
-        self.schedule_event(self.now + self.schedule.tick, Event::Tick { node, start });
+        self.schedule_event(self.now + self.schedule.tick, Event::Tick { node, incarnation });
         if self.nodes[node].frozen {
             return;
         }
@@ -351,7 +357,7 @@
                 replica.drain()
             }
             Some(StateMachine::Member(member, applied)) => {
-                let events = member.drain_purges();
+                let events = member.drain_events();
                 for purge in self.checker.on_events(applied, &events) {
                     self.apply_delays.push(self.now - self.checker.published[purge].at);
                 }
@@ -466,7 +472,7 @@
     }
 
     fn end_faults(&mut self) {
-        self.has_ended_faults = true;
+        self.have_faults_ended = true;
         self.network.quality = LinkQuality::GOOD;
         self.network.cuts.clear();
         for node in 0..self.nodes.len() {
@@ -526,7 +532,7 @@
     let drift = rng.random_range(-schedule.drift_ppm..=schedule.drift_ppm);
     Node {
         state_machine: None,
-        start: schedule.first_start,
+        incarnation: schedule.initial_incarnation,
         frozen: false,
         backlog: VecDeque::new(),
         rate: (1_000_000 + drift) as u64,
--- a/testbed-cli/src/charts/tests.rs
+++ b/testbed-cli/src/charts/tests.rs
@@ -1,9 +1,9 @@
-//! Guards against incomplete SVG and values lost on the way to a chart.
+//! Guards against incomplete SVG, values that are not numbers, a missing legend and wrong heat colours.
 
 use super::*;
 
 #[test]
-fn charts_are_complete_and_show_their_values() {
+fn charts_are_complete_svg_with_legend_and_without_nan() {
     let experiment =
         juniperladder_platform_model::reader::read(include_str!("../../demo.toml"), &[]).unwrap();
     let seconds: Vec<Second> =
--- a/testbed-cli/src/demo.rs
+++ b/testbed-cli/src/demo.rs
@@ -16,7 +16,7 @@
         Ok(experiment) => experiment,
         Err(problems) => {
             problems.iter().for_each(|problem| eprintln!("demo.toml: {problem}"));
-            return ExitStatus::NOT_ALLOWED;
+            return ExitStatus::CANNOT_RUN;
         }
     };
     if let Some(program) = find_sibling_balancer() {
@@ -27,7 +27,7 @@
             "the balancer program {} does not exist; build it with cargo build --release --locked",
             experiment.fleet.program
         );
-        return ExitStatus::NOT_ALLOWED;
+        return ExitStatus::CANNOT_RUN;
     }
     let status = run_once(&experiment, out);
     println!("report: {}", out.join("report.html").display());
@@ -41,8 +41,8 @@
     program.is_file().then(|| program.to_string_lossy().into_owned())
 }
 
-/// Builds the balancer if the working directory is its workspace, as `cargo run -p juniperladder-testbed-cli` builds the
-/// testbed only; true if it was built.
+/// Builds the balancer if the working directory is its workspace, because `cargo run -p juniperladder-testbed-cli` builds
+/// only the testbed. Returns whether the balancer was built.
 fn build_balancer() -> bool {
     if !Path::new("cli/Cargo.toml").is_file() {
         return false;
--- a/testbed-cli/src/fit_table.rs
+++ b/testbed-cli/src/fit_table.rs
@@ -1,11 +1,13 @@
-//! `fit`: fits one column of a table to another. Prints fits and makes the rows of `fits.csv`, also for `scale --sizes`.
+//! `fit`: fits a cost column of a table to its size column, and prints the fits. `scale --sizes` also prints its fits with
+//! this module, and takes the rows of its `fits.csv` from it.
 
 use std::path::Path;
 
 use crate::exit::ExitStatus;
 use crate::fit::{fit, predict_largest, Fit, Prediction};
 
-/// A row of `fits.csv`; the cells of the prediction are empty if the smaller sizes are too few for one.
+/// A row of `fits.csv`, in the order of [`FIT_COLUMNS`]; the cells of the prediction are empty if the smaller sizes are too
+/// few for one.
 pub type FitRecord = [String; 9];
 
 /// The columns of `fits.csv`.
@@ -62,31 +64,31 @@
 }
 
 fn fit_record(name: &str, best: &Fit, prediction: Option<&Prediction>) -> FitRecord {
-    let predicted = |cell: fn(&Prediction) -> String| prediction.map(cell).unwrap_or_default();
+    let prediction_cell = |format: fn(&Prediction) -> String| prediction.map(format).unwrap_or_default();
     [
         name.to_owned(),
         best.law.name().to_owned(),
         format!("{:.6}", best.a),
         format!("{:.9}", best.b),
         format!("{:.6}", best.residual),
-        predicted(|prediction| format!("{:.0}", prediction.size)),
-        predicted(|prediction| format!("{:.6}", prediction.predicted)),
-        predicted(|prediction| format!("{:.6}", prediction.measured)),
-        predicted(|prediction| format!("{:.4}", prediction.error())),
+        prediction_cell(|prediction| format!("{:.0}", prediction.size)),
+        prediction_cell(|prediction| format!("{:.6}", prediction.predicted)),
+        prediction_cell(|prediction| format!("{:.6}", prediction.measured)),
+        prediction_cell(|prediction| format!("{:.4}", prediction.error())),
     ]
 }
 
-/// Prints the fits of one column of a table to another; skips lines that begin with #.
+/// Prints the fits of all laws to the cost column of a table; skips lines that begin with #.
 pub fn fit_table(path: &Path, size_column: &str, cost_column: &str) -> ExitStatus {
     let points = match read_points(path, size_column, cost_column) {
         Ok(points) => points,
         Err(error) => {
             eprintln!("{}: {error}", path.display());
-            return ExitStatus::NOT_ALLOWED;
+            return ExitStatus::CANNOT_RUN;
         }
     };
     if print_fit(cost_column, &points).is_none() {
-        return ExitStatus::NOT_ALLOWED;
+        return ExitStatus::CANNOT_RUN;
     }
     for ranked_fit in fit(&points).unwrap_or_default() {
         let name = ranked_fit.law.name();
@@ -107,7 +109,7 @@
     for record in table.records() {
         let record = record?;
         let (size, cost) = (&record[size_index], &record[cost_index]);
-        // An empty cell is a cost that was not measured at that size.
+        // An empty cell is a figure that was not measured in that run.
         if size.is_empty() || cost.is_empty() {
             continue;
         }
--- a/testbed-cli/src/overview.rs
+++ b/testbed-cli/src/overview.rs
@@ -42,18 +42,19 @@
 /// Summaries of runs by experiment and number of balancers.
 type RunsBySize = BTreeMap<String, BTreeMap<usize, Vec<Summary>>>;
 
-/// Prints a Markdown table of all runs below a folder; writes the chart if a file for it is given.
+/// Prints a Markdown table of all runs below a folder; writes the chart if a file for it is given. The status is
+/// [`ExitStatus::FAILED`] if a run violated a rule.
 pub fn overview(folder: &Path, chart: Option<&Path>) -> ExitStatus {
     let runs = read_runs(folder);
     if runs.is_empty() {
         eprintln!("no runs found below {}", folder.display());
-        return ExitStatus::NOT_ALLOWED;
+        return ExitStatus::CANNOT_RUN;
     }
     let violations = print_table(&runs);
     if let Some(path) = chart {
         if let Err(error) = write_chart(path, &runs) {
             eprintln!("cannot write the chart {}: {error}", path.display());
-            return ExitStatus::NOT_ALLOWED;
+            return ExitStatus::CANNOT_RUN;
         }
     }
     if violations > 0 {
@@ -84,7 +85,8 @@
         for (size, summaries) in sizes {
             let violations: u64 = summaries.iter().map(|summary| summary.rules.total()).sum();
             total_violations += violations;
-            let cells: Vec<String> = FIGURE_COLUMNS.iter().map(|column| cell(column, summaries)).collect();
+            let cells: Vec<String> =
+                FIGURE_COLUMNS.iter().map(|column| format_cell(column, summaries)).collect();
             println!("| {name} | {size} | {} | {violations} | {} |", summaries.len(), cells.join(" | "));
         }
     }
@@ -95,7 +97,7 @@
     let figures = [
         SizeFigure { title: "Service", lines: mean_lines(runs, |s| Some(s.service)) },
         SizeFigure {
-            title: "Spread: peak over that of fair draws",
+            title: "Spread: peak as a ratio to that of fair draws",
             lines: mean_lines(runs, |s| Some(s.spread.peak / s.spread.fair_peak.max(MIN_FAIR_PEAK))),
         },
     ];
@@ -117,7 +119,7 @@
 }
 
 /// Formats the mean of a figure, with its minimum and maximum if they differ.
-fn cell((_, decimals, value_of): &Column, runs: &[Summary]) -> String {
+fn format_cell((_, decimals, value_of): &Column, runs: &[Summary]) -> String {
     let values: Vec<f64> = runs.iter().filter_map(value_of).collect();
     if values.is_empty() {
         return "-".into();
--- a/testbed-cli/src/replay/placement.rs
+++ b/testbed-cli/src/replay/placement.rs
@@ -1,4 +1,4 @@
-//! Placements of keys on servers that a run is compared with.
+//! Placements of keys on servers, with which the placement of a run is compared.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -13,6 +13,7 @@
 
 /// Rendezvous hashing of keys on servers.
 pub struct RendezvousHashing {
+    /// Number of servers.
     servers: usize,
 }
 
@@ -38,10 +39,11 @@
 /// Rendezvous hashing with bounded load, with exact knowledge of all sends of the last second.
 pub struct BoundedLoad {
     rendezvous: RendezvousHashing,
+    /// Number of servers.
     servers: usize,
     /// Number of sends in the last second, by server.
     counts: HashMap<usize, f64>,
-    /// Time in milliseconds and server of each of these sends, oldest first.
+    /// Time in milliseconds and server of each send in the last second, oldest first.
     recent: VecDeque<(f64, usize)>,
 }
 
@@ -56,8 +58,8 @@
     pub fn place(&mut self, send: &ServerSend) -> Option<usize> {
         self.remove_expired_sends(send.at_ms);
         let bound = MAX_LOAD_TO_MEAN_RATIO * (self.recent.len() + 1) as f64 / self.servers as f64 + 1.0;
-        let is_below_bound = |server: &usize| self.counts.get(server).copied().unwrap_or(0.0) + 1.0 <= bound;
-        let server = self.rendezvous.ranked(send.key).find(is_below_bound)?;
+        let is_within_bound = |server: &usize| self.counts.get(server).copied().unwrap_or(0.0) + 1.0 <= bound;
+        let server = self.rendezvous.ranked(send.key).find(is_within_bound)?;
         *self.counts.entry(server).or_default() += 1.0;
         self.recent.push_back((send.at_ms, server));
         Some(server)
--- a/testbed-cli/src/replay/tests.rs
+++ b/testbed-cli/src/replay/tests.rs
@@ -1,9 +1,10 @@
-//! Guards against a wrong load imbalance: averaged over windows, and limited by bounded-load placement.
+//! Guards against a load imbalance that is not the mean over the windows, and against bounded-load placement that puts all
+//! sends of a key on one server.
 
 use super::*;
 
 #[test]
-fn load_imbalance_is_the_mean_over_the_windows() {
+fn load_imbalance_is_averaged_over_windows_and_limited_by_bounded_load() {
     let send = |at_ms, server| ServerSend { at_ms, server, key: 1 };
     let sends: Vec<ServerSend> =
         (0..40).map(|n| send(f64::from(n) * 250.0, usize::from(n % 4 == 0))).collect();
--- a/testbed-cli/src/report/page.rs
+++ b/testbed-cli/src/report/page.rs
@@ -8,7 +8,7 @@
 
 use super::RunFiles;
 
-/// Greatest number of violations shown with their request traces.
+/// Greatest number of violations shown on the page; `breaches.json` lists all.
 const MAX_SHOWN_VIOLATIONS: usize = 50;
 
 const STYLE: &str =
@@ -48,15 +48,15 @@
     )
 }
 
-fn write_result(page: &mut String, summary: &Summary, crashes: usize) -> Result {
+fn write_result(page: &mut String, summary: &Summary, crash_count: usize) -> Result {
     let rules = &summary.rules;
-    let is_broken = rules.total() > 0 || crashes > 0;
+    let is_broken = rules.total() > 0 || crash_count > 0;
     let class = if is_broken { "bad" } else { "good" };
     let result = if is_broken { "Something is broken" } else { "Every rule was kept" };
     write!(
         page,
         "<p class=\"{class}\"><b>{result}</b>: breaches of answers {}, attempts {}, drains {}, cold hosts {}; \
-         processes that ended unexpectedly {crashes}.</p>",
+         processes that ended unexpectedly {crash_count}.</p>",
         rules.answers, rules.attempts, rules.drains, rules.cold
     )
 }
@@ -79,11 +79,11 @@
     }
     page.push_str("<table><tr><th>from</th><th>for</th><th>what</th><th>who</th></tr>");
     for fault in &experiment.fault {
-        let lasts = fault.lasts.map_or("-".into(), |lasts| format!("{lasts} s"));
-        let between = fault.between.as_ref().map(|[first, second]| format!("{first} to {second}"));
-        let who = escape(&fault.who.clone().or(between).unwrap_or_default());
-        let (at, kind) = (fault.at, fault.what);
-        write!(page, "<tr><td>{at} s</td><td>{lasts}</td><td>{kind:?}</td><td>{who}</td></tr>")?;
+        let duration = fault.duration_s.map_or("-".into(), |duration_s| format!("{duration_s} s"));
+        let link_ends = fault.link_ends.as_ref().map(|[first, second]| format!("{first} to {second}"));
+        let targets = escape(&fault.targets.clone().or(link_ends).unwrap_or_default());
+        let (at, kind) = (fault.at, fault.kind);
+        write!(page, "<tr><td>{at} s</td><td>{duration}</td><td>{kind:?}</td><td>{targets}</td></tr>")?;
     }
     page.push_str("</table>");
     Ok(())
@@ -128,11 +128,11 @@
         row("failed", with_percent(summary.failed)),
         row("lost", with_percent(summary.lost)),
         row(
-            "service: priority weight served within the latency objective over that requested",
+            "service: share of the requested priority weight that was served within the latency objective",
             format!("{:.3}", summary.service),
         ),
         row(
-            "latency of those served, median / 99% / 99.9%",
+            "latency of the commands served, median / 99% / 99.9%",
             format!("{:.0} / {:.0} / {:.0} ms", latency.p50, latency.p99, latency.p999),
         ),
         row("attempts a command", format!("{:.3}", summary.attempts_per_request)),
@@ -150,9 +150,12 @@
         row("spread: least", with_fair_value(spread.least, spread.fair_least)),
         row("spread: idle host-windows", spread.idle.to_string()),
         row("spread: herd", with_fair_value(spread.herd, spread.fair_herd)),
-        row("origin: most fetches in a second over its capacity", format!("{:.2}", summary.origin.peak)),
         row(
-            "origin: useful answers over its capacity while demand exceeds it",
+            "origin: most fetches in a second as a ratio to its capacity",
+            format!("{:.2}", summary.origin.peak),
+        ),
+        row(
+            "origin: useful answers as a ratio to its capacity while demand exceeds the capacity",
             format_optional(summary.origin.useful, ""),
         ),
         row("sends lost at silent hosts", detection.lost_sends.to_string()),
--- a/testbed-cli/src/run.rs
+++ b/testbed-cli/src/run.rs
@@ -6,9 +6,9 @@
 
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use juniperladder_platform_model::checker::self_reports::check_self_reports;
-use juniperladder_platform_model::checker::{check_run, CheckResult, CheckTerms};
+use juniperladder_platform_model::checker::{check_run, CheckConfig, CheckResult};
 use juniperladder_platform_model::experiment::Experiment;
-use juniperladder_platform_model::schedule::schedule;
+use juniperladder_platform_model::schedule::compile_schedule;
 use juniperladder_testbed::child_reaper::ChildReaper;
 use juniperladder_testbed::{run_experiment, Progress, RunOptions, RunRecord, TestbedError};
 use tokio::sync::watch;
@@ -42,7 +42,7 @@
     pub set: Vec<String>,
 }
 
-/// Runs an experiment file with one seed or several consecutive ones; returns the worst exit status.
+/// Runs an experiment file with one seed or several consecutive ones, up to one that cannot be run; returns the worst status.
 pub fn run(args: &RunArgs) -> ExitStatus {
     let first_experiment = match read_experiment(&args.file, &args.set, args.seed) {
         Ok(experiment) => experiment,
@@ -55,7 +55,7 @@
             Ok(experiment) => run_once(&experiment, &args.out.join(format!("seed-{seed}"))),
             Err(status) => status,
         };
-        if status == ExitStatus::NOT_ALLOWED {
+        if status == ExitStatus::CANNOT_RUN {
             return status;
         }
         worst = worst.worse(status);
@@ -67,7 +67,7 @@
 pub fn run_once(experiment: &Experiment, out: &Path) -> ExitStatus {
     if let Err(error) = std::fs::create_dir_all(out) {
         eprintln!("cannot create the output folder {}: {error}", out.display());
-        return ExitStatus::NOT_ALLOWED;
+        return ExitStatus::CANNOT_RUN;
     }
     let run = match run_with_progress(experiment, out) {
         Ok(run) => run,
@@ -76,11 +76,11 @@
             return status_of_error(&error);
         }
     };
-    let terms = CheckTerms::of(experiment);
-    let measured_until = run.end.max(terms.measured_from + 1);
-    let terms = CheckTerms { measured_until, stated: run.stated, ..terms };
-    let checked = check_with_costs(experiment, &run, &terms);
-    if let Err(error) = write_files(out, experiment, &run, &terms, &checked) {
+    let check_config = CheckConfig::of(experiment);
+    let measured_until = run.ended_at.max(check_config.measured_from + 1);
+    let check_config = CheckConfig { measured_until, stated: run.stated_bounds, ..check_config };
+    let checked = check_with_costs(experiment, &run, &check_config);
+    if let Err(error) = write_files(out, experiment, &run, &check_config, &checked) {
         eprintln!("cannot write the files of the run to {}: {error}", out.display());
         return ExitStatus::FAILED;
     }
@@ -90,8 +90,8 @@
 /// The exit status of a run that failed without a record.
 pub fn status_of_error(error: &TestbedError) -> ExitStatus {
     match error {
-        TestbedError::NotAllowed(_) => ExitStatus::NOT_ALLOWED,
-        TestbedError::Broken(_) => ExitStatus::FAILED,
+        TestbedError::Setup(_) => ExitStatus::CANNOT_RUN,
+        TestbedError::Aborted(_) => ExitStatus::FAILED,
     }
 }
 
@@ -99,20 +99,20 @@
     out: &Path,
     experiment: &Experiment,
     run: &RunRecord,
-    terms: &CheckTerms,
+    check_config: &CheckConfig,
     checked: &CheckResult,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    tables::write_tables(out, experiment, run, terms, checked)?;
+    tables::write_tables(out, experiment, run, check_config, checked)?;
     report::write_report(out)
 }
 
-/// Checks the record of a run and adds its costs to the summary.
-fn check_with_costs(experiment: &Experiment, run: &RunRecord, terms: &CheckTerms) -> CheckResult {
-    let mut checked = check_run(&run.event_log, terms);
+/// Checks the record of a run, and adds its costs and the findings on the self-reports to the summary.
+fn check_with_costs(experiment: &Experiment, run: &RunRecord, check_config: &CheckConfig) -> CheckResult {
+    let mut checked = check_run(&run.event_log, check_config);
     let summary = &mut checked.summary;
     summary.name = experiment.name.clone();
     summary.seed = experiment.seed;
-    summary.processes.started = run.started;
+    summary.processes.started = run.process_starts;
     summary.processes.crashed = run.crashes.len() as u64;
     let requests = run.event_log.requests.len().max(1) as f64;
     summary.cpu.balancer_ms_per_request = run.balancers_cpu_s * 1e3 / requests;
@@ -121,9 +121,9 @@
         summary.peers.packets_per_s = rates.packets_per_s;
         summary.peers.bytes_per_s = rates.bytes_per_s;
     }
-    if run.stated.is_some() {
-        let has_link_faults = schedule(experiment).links.has_faults_between_balancers();
-        let findings = check_self_reports(&run.event_log, terms, &run.self_reports, has_link_faults);
+    if run.stated_bounds.is_some() {
+        let has_link_faults = compile_schedule(experiment).links.has_faults_between_balancers();
+        let findings = check_self_reports(&run.event_log, check_config, &run.self_reports, has_link_faults);
         summary.peers.members_max_wrong_s = findings.members_wrong_s;
         summary.failure_detection.wrongly_avoided = findings.wrongly_avoided;
         summary.failure_detection.stale_max_ms = findings.oldest_report_ms;
@@ -160,7 +160,7 @@
 }
 
 fn progress_bar(experiment: &Experiment) -> ProgressBar {
-    let seconds = experiment.seconds + experiment.load.warm;
+    let seconds = experiment.seconds + experiment.load.warm_up_s;
     let bar = ProgressBar::new((seconds * PROGRESS_STEPS_PER_S) as u64);
     if !std::io::stderr().is_terminal() {
         bar.set_draw_target(ProgressDrawTarget::hidden());
@@ -177,8 +177,8 @@
             bar.set_message(format!("{ready} of {} processes ready", experiment.fleet.balancers));
         }
         Progress::Load(seconds) => {
-            let is_warming = seconds < experiment.load.warm;
-            bar.set_message(if is_warming { "the caches fill".into() } else { experiment.name.clone() });
+            let is_warming_up = seconds < experiment.load.warm_up_s;
+            bar.set_message(if is_warming_up { "the caches fill".into() } else { experiment.name.clone() });
             bar.set_position((seconds * PROGRESS_STEPS_PER_S) as u64);
         }
     }
--- a/testbed-cli/src/scale_args.rs
+++ b/testbed-cli/src/scale_args.rs
@@ -2,7 +2,9 @@
 
 use std::path::PathBuf;
 
-use juniperladder_testbed::scale::{CalibrationTraffic, Event, Flaw, Mechanism, ScaleConfig};
+use juniperladder_testbed::scale::{
+    CalibrationTraffic, FaultScenario, InjectedDefect, Mechanism, ScaleConfig,
+};
 
 /// Arguments of `scale`.
 #[derive(Clone, Debug, clap::Args)]
@@ -36,7 +38,7 @@
     pub seed: u64,
     /// The event: none, member-lost, loss, zone-lost, region-cut, restart-wave, control-loss
     #[arg(long, default_value = "none")]
-    pub event: Event,
+    pub event: FaultScenario,
     /// Simulates time, for sizes that this machine cannot run in real time
     #[arg(long = "virtual")]
     pub virtual_time: bool,
@@ -46,10 +48,10 @@
     /// Client requests per second at each member
     #[arg(long, default_value_t = 20.0)]
     pub requests: f64,
-    /// Control machines of a purge run, in addition to the members
+    /// Replicas of a purge run, in addition to the members
     #[arg(long, default_value_t = 11)]
     pub replicas: usize,
-    /// Purges published per second by all control machines together
+    /// Purges published per second by all purge replicas together
     #[arg(long, default_value_t = 11.0)]
     pub publishes: f64,
     /// The number of cache servers
@@ -57,8 +59,8 @@
     pub cache_hosts: usize,
     /// Breaks the mechanism on purpose: talks-to-all, drops-changes
     #[arg(long)]
-    pub flaw: Option<Flaw>,
-    /// Also runs endpoints without control code at the same packet rate, to measure the test bed's own cost
+    pub flaw: Option<InjectedDefect>,
+    /// In real time only: also runs endpoints without control code at the same packet rate, to measure the testbed's own cost
     #[arg(long)]
     pub calibrate: bool,
     /// Packets per second in a calibration run
@@ -94,11 +96,11 @@
                 packets_per_s: self.calibration_packets,
                 packet_length: self.calibration_length,
             },
-            flaw: self.flaw,
+            defect: self.flaw,
         }
     }
 
-    /// The command-line arguments that run the same test in another process.
+    /// The command-line arguments that run the same test at one size in another process.
     pub fn arguments(&self) -> Vec<String> {
         let mut arguments = vec!["scale".to_owned()];
         let values = [
--- a/testbed-cli/src/scale_run.rs
+++ b/testbed-cli/src/scale_run.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 use std::process::Command;
 
-use juniperladder_testbed::scale::results::LATE_MS;
-use juniperladder_testbed::scale::{self, Event, Mechanism, Outcome, Summary};
+use juniperladder_testbed::scale::results::MAX_TIMER_LATENESS_MS;
+use juniperladder_testbed::scale::{self, FaultScenario, Mechanism, Outcome, Summary};
 
 use crate::exit::ExitStatus;
 use crate::run::status_of_error;
@@ -29,7 +29,7 @@
     };
     if let Err(error) = write_files(&args.out, &outcome) {
         eprintln!("cannot write the files of the scale test to {}: {error}", args.out.display());
-        return ExitStatus::NOT_ALLOWED;
+        return ExitStatus::CANNOT_RUN;
     }
     scale_table::print_summary(&outcome.summary);
     if args.calibrate && !args.virtual_time {
@@ -40,18 +40,18 @@
 
 /// Prints why a run failed or does not count, if so; returns its exit status.
 pub fn print_status(summary: &Summary) -> ExitStatus {
-    if let Some(purge) = summary.purge.filter(|purge| purge.done_missing > 0) {
+    if let Some(purge) = summary.purge.filter(|purge| purge.missed_completed_purges > 0) {
         println!(
             "BROKEN: {} times a member served without a purge that had been reported as done",
-            purge.done_missing
+            purge.missed_completed_purges
         );
         return ExitStatus::FAILED;
     }
-    if summary.counts() {
+    if summary.is_valid() {
         return ExitStatus::PASSED;
     }
     println!(
-        "LATE: the test bed's timers fired {:.1} ms late at the 99th percentile, over {LATE_MS}: the run does not count",
+        "LATE: the testbed's timers fired {:.1} ms late at the 99th percentile, over {MAX_TIMER_LATENESS_MS} ms: the run does not count",
         summary.lag_p99_ms
     );
     ExitStatus::TESTBED_LATE
@@ -59,10 +59,10 @@
 
 /// Runs endpoints without control code in a child process, with the packet rate and mean packet size of the finished run.
 fn calibrate(args: &ScaleArgs, summary: &Summary) {
-    let sent = summary.ordinary.sent;
+    let sent = summary.steady_state.sent;
     let calibration = ScaleArgs {
         mechanism: Mechanism::Calibration,
-        event: Event::None,
+        event: FaultScenario::None,
         flaw: None,
         calibrate: false,
         warm_up: CALIBRATION_WARM_UP_S,
@@ -73,12 +73,12 @@
         ..args.clone()
     };
     println!("the same traffic without control code:");
-    if run_in_process(&calibration).is_none() {
+    if run_in_child_process(&calibration).is_none() {
         println!("the calibration run failed");
     }
 }
 
-/// The summary in the output folder, if it belongs to a run with these arguments.
+/// The summary in the output folder, if its run had the same number of members, seed, mechanism, event and kind of time.
 pub fn saved_summary(args: &ScaleArgs) -> Option<Summary> {
     let summary = read_summary(&args.out)?;
     let is_same = summary.members == args.members
@@ -89,13 +89,13 @@
     is_same.then_some(summary)
 }
 
-/// Runs a scale test in a child process, so that its memory is measured separately; returns the summary and the exit status,
-/// or none if the run was not allowed or wrote no summary.
-pub fn run_in_process(args: &ScaleArgs) -> Option<(Summary, ExitStatus)> {
+/// Runs a scale test in a child process, so that its memory is measured separately. Returns the summary and the exit status,
+/// or none if the process could not do the run or left no summary.
+pub fn run_in_child_process(args: &ScaleArgs) -> Option<(Summary, ExitStatus)> {
     let program = std::env::current_exe().ok()?;
     let process = Command::new(program).args(args.arguments()).status().ok()?;
     let status = ExitStatus::from_exit_code(u8::try_from(process.code()?).ok()?);
-    if status == ExitStatus::NOT_ALLOWED {
+    if status == ExitStatus::CANNOT_RUN {
         return None;
     }
     Some((read_summary(&args.out)?, status))
--- a/testbed-cli/src/scale_table.rs
+++ b/testbed-cli/src/scale_table.rs
@@ -15,16 +15,16 @@
         if summary.virtual_time { ", simulated time" } else { "" },
         summary.flaw.as_ref().map_or(String::new(), |flaw| format!(", broken on purpose: {flaw}")),
     );
-    print_phase("ordinary state", &summary.ordinary);
+    print_phase("ordinary state", &summary.steady_state);
     if summary.after_event.seconds > 0.0 {
         print_phase("from the event on", &summary.after_event);
     }
     println!(
         "  memory a member {:.0} KB; members known: least {}, median {}, most {}; timers late by {:.1} ms (p99)",
         summary.memory_per_member / 1e3,
-        summary.known.least,
+        summary.known.min,
         summary.known.median,
-        summary.known.most,
+        summary.known.max,
         summary.lag_p99_ms
     );
     if summary.unroutable + summary.not_sent > 0 {
@@ -33,9 +33,9 @@
             summary.unroutable, summary.not_sent
         );
     }
-    if summary.control_ordinary.seconds > 0.0 {
-        println!("  {} control machines:", summary.replicas);
-        print_phase("ordinary state", &summary.control_ordinary);
+    if summary.control_steady_state.seconds > 0.0 {
+        println!("  {} purge replicas:", summary.replicas);
+        print_phase("ordinary state", &summary.control_steady_state);
         if summary.control_after_event.seconds > 0.0 {
             print_phase("from the event on", &summary.control_after_event);
         }
@@ -59,7 +59,7 @@
         println!("    {kind:12} {:9.2} packets {:9.0} bytes", rate.packets_per_s, rate.bytes_per_s);
     }
     println!(
-        "    control code {:.3}% of a core (busiest {:.3}%), {:.1} us a packet, {:.1} us a tick; test bed {:.3}%",
+        "    control code {:.3}% of a core (busiest {:.3}%), {:.1} us a packet, {:.1} us a tick; testbed {:.3}%",
         phase.cpu_percent,
         phase.cpu_percent_max,
         phase.us_per_datagram,
@@ -75,20 +75,21 @@
         }
         println!(
             "  purges, {name}: {} accepted, {} rejected; {} never acted on, {} not done, {} orphaned",
-            phase.accepted, phase.rejected, phase.never, phase.not_done, phase.orphaned
+            phase.accepted, phase.rejected, phase.never_applied, phase.not_completed, phase.orphaned
         );
         for (what, times) in [
-            ("a connected member acts", phase.acted),
-            ("all connected members act", phase.all_acted),
-            ("the publisher is notified of completion", phase.done),
+            ("a connected member acts", phase.time_to_apply),
+            ("all connected members act", phase.time_to_apply_everywhere),
+            ("the publisher is notified of completion", phase.time_to_completion),
         ] {
             let Times { p50_ms, p99_ms, max_ms, .. } = times;
             println!("    until {what}: p50 {p50_ms:.0} ms, p99 {p99_ms:.0} ms, max {max_ms:.0} ms");
         }
     }
     println!(
-        "  members voided {} times, {} leases expired, {} serve at the end; done but missing at a serving member: {}",
-        purge.voided, purge.lapses, purge.serving, purge.done_missing
+        "  members cleared their caches {} times, {} leases expired, {} members serve at the end; \
+         done but missing at a serving member: {}",
+        purge.cache_clears, purge.expired_leases, purge.serving, purge.missed_completed_purges
     );
 }
 
@@ -98,9 +99,9 @@
         "  {:16} {} observers, {} unaware, {} never (in {:.1} s): p50 {} ms, p99 {} ms, all {} ms",
         change.name,
         change.observers,
-        change.unaware,
-        change.never,
-        change.asked_s,
+        change.never_knew_member,
+        change.not_reached,
+        change.checked_s,
         format_ms(change.p50_ms),
         format_ms(change.p99_ms),
         format_ms(change.all_ms)
--- a/testbed-cli/src/tables.rs
+++ b/testbed-cli/src/tables.rs
@@ -1,5 +1,6 @@
-//! The files of a run besides its report: `summary.json`, and CSV tables with one compact record per request, attempt or
-//! second. The names and formats of the files and their columns are stable.
+//! The files of a run besides its report: the summary, the experiment, the violations and the crashes as JSON, and CSV tables
+//! with one compact record per request, attempt, second or self-report. The names and formats of the files and their columns
+//! are stable.
 
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -7,7 +8,7 @@
 
 use juniperladder_platform_model::checker::self_reports::SelfReport;
 use juniperladder_platform_model::checker::series::Series;
-use juniperladder_platform_model::checker::{CheckResult, CheckTerms};
+use juniperladder_platform_model::checker::{CheckConfig, CheckResult};
 use juniperladder_platform_model::event_log::{Attempt, ClientRequest, Receiver};
 use juniperladder_platform_model::experiment::Experiment;
 use juniperladder_platform_model::{Micros, MICROS_PER_SECOND};
@@ -19,12 +20,12 @@
     ["id", "first", "balancer", "key", "write", "planned", "sent", "deadline", "ended", "end"];
 /// The columns of `attempts.csv`, with one row per attempt.
 const ATTEMPT_COLUMNS: [&str; 7] = ["id", "balancer", "at", "begun", "answered", "became", "cold"];
-/// The columns of `hosts.csv`, with one row per cache server and second.
+/// The columns of `hosts.csv`, with one row per cache server and second; a load is the ratio to the server's fair share.
 const SERVER_COLUMNS: [&str; 3] = ["host", "second", "load"];
 /// The columns of `holders.csv`, with one row per self-report of a process.
 const SELF_REPORT_COLUMNS: [&str; 6] = ["second", "balancer", "held", "used", "members", "passed_by"];
 
-/// Writes `summary.json` and all tables of a run to its folder.
+/// Writes all files of a run besides its report to its folder.
 ///
 /// # Errors
 /// If a file cannot be written.
@@ -32,7 +33,7 @@
     out: &Path,
     experiment: &Experiment,
     run: &RunRecord,
-    terms: &CheckTerms,
+    check_config: &CheckConfig,
     checked: &CheckResult,
 ) -> io::Result<()> {
     write_json(&out.join("summary.json"), &checked.summary)?;
@@ -40,9 +41,9 @@
     write_json(&out.join("breaches.json"), &checked.violations)?;
     write_json(&out.join("crashes.json"), &run.crashes)?;
     write_series(out, &checked.series)?;
-    write_requests(&out.join("commands.csv"), &run.event_log.requests, terms)?;
-    write_attempts(&out.join("attempts.csv"), &run.event_log.attempts, terms)?;
-    write_self_reports(&out.join("holders.csv"), &run.self_reports, terms)
+    write_requests(&out.join("commands.csv"), &run.event_log.requests, check_config)?;
+    write_attempts(&out.join("attempts.csv"), &run.event_log.attempts, check_config)?;
+    write_self_reports(&out.join("holders.csv"), &run.self_reports, check_config)
 }
 
 fn write_json<T: Serialize>(path: &Path, value: &T) -> io::Result<()> {
@@ -68,18 +69,18 @@
     servers.flush()
 }
 
-fn write_self_reports(path: &Path, reports: &[SelfReport], terms: &CheckTerms) -> io::Result<()> {
+fn write_self_reports(path: &Path, reports: &[SelfReport], check_config: &CheckConfig) -> io::Result<()> {
     let mut table = csv::Writer::from_path(path)?;
     table.write_record(SELF_REPORT_COLUMNS)?;
-    for report in reports.iter().filter(|report| terms.is_measured(report.at)) {
-        let second = (report.at - terms.measured_from) / MICROS_PER_SECOND;
+    for report in reports.iter().filter(|report| check_config.is_measured(report.at)) {
+        let second = (report.at - check_config.measured_from) / MICROS_PER_SECOND;
         let SelfReport { balancer, reserved, used, members, avoided_servers, .. } = *report;
         table.serialize((second, balancer, reserved, used, members, avoided_servers))?;
     }
     table.flush()
 }
 
-fn write_requests(path: &Path, requests: &[ClientRequest], terms: &CheckTerms) -> io::Result<()> {
+fn write_requests(path: &Path, requests: &[ClientRequest], check_config: &CheckConfig) -> io::Result<()> {
     let mut table = csv::Writer::from_path(path)?;
     table.write_record(REQUEST_COLUMNS)?;
     for request in requests {
@@ -89,17 +90,17 @@
             request.balancer.to_string(),
             request.key.to_string(),
             u8::from(request.write).to_string(),
-            millis(request.planned_at, terms),
-            millis(request.sent_at, terms),
-            millis(request.deadline, terms),
-            request.ended_at.map_or(String::new(), |at| millis(at, terms)),
+            format_ms(request.planned_at, check_config),
+            format_ms(request.sent_at, check_config),
+            format_ms(request.deadline, check_config),
+            request.ended_at.map_or(String::new(), |at| format_ms(at, check_config)),
             request.result.to_string(),
         ])?;
     }
     table.flush()
 }
 
-fn write_attempts(path: &Path, attempts: &[Attempt], terms: &CheckTerms) -> io::Result<()> {
+fn write_attempts(path: &Path, attempts: &[Attempt], check_config: &CheckConfig) -> io::Result<()> {
     let mut table = csv::Writer::from_path(path)?;
     table.write_record(ATTEMPT_COLUMNS)?;
     for attempt in attempts {
@@ -110,8 +111,8 @@
                 Receiver::CacheServer(server) => server.to_string(),
                 Receiver::Origin => "origin".into(),
             },
-            millis(attempt.received_at, terms),
-            attempt.answered_at.map_or(String::new(), |at| millis(at, terms)),
+            format_ms(attempt.received_at, check_config),
+            attempt.answered_at.map_or(String::new(), |at| format_ms(at, check_config)),
             attempt.result.to_string(),
             u8::from(attempt.in_slow_start).to_string(),
         ])?;
@@ -119,7 +120,7 @@
     table.flush()
 }
 
-/// Milliseconds since the start of the measured time; negative while the caches fill.
-fn millis(at: Micros, terms: &CheckTerms) -> String {
-    format!("{:.3}", (at as f64 - terms.measured_from as f64) / 1e3)
+/// Formats a time as milliseconds since the start of the measured time; negative during the warm-up.
+fn format_ms(at: Micros, check_config: &CheckConfig) -> String {
+    format!("{:.3}", (at as f64 - check_config.measured_from as f64) / 1e3)
 }
--- a/testbed-cli/tests/fleet.rs
+++ b/testbed-cli/tests/fleet.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-use juniperladder_platform_model::checker::{check_run, CheckResult, CheckTerms};
+use juniperladder_platform_model::checker::{check_run, CheckConfig, CheckResult};
 use juniperladder_platform_model::event_log::Receiver;
 use juniperladder_platform_model::reader::read;
 use juniperladder_platform_model::MICROS_PER_SECOND;
@@ -20,7 +20,7 @@
     RUN_SLOTS[slot].lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Partitions the balancers into halves that cannot reach each other for four seconds.
+/// A fault that partitions twelve balancers into halves, which cannot reach each other for four seconds.
 const PEER_LINKS_CUT_IN_HALVES: &str = "[[fault]]\nat = 1\nfor = 4\nwhat = \"cut\"\n\
                                   between = [\"balancers:0-5\", \"balancers:6-11\"]\n";
 
@@ -63,20 +63,22 @@
         let usage = limits[limit];
         assert!(usage.peak <= usage.bound.unwrap(), "{name}: {limit}: {usage:?}");
     }
-    let stated = run.stated.unwrap();
+    let stated = run.stated_bounds.unwrap();
     let expiry = stated.failure_detection.unwrap().report_expiry;
     for report in &run.self_reports {
-        // A third of the twelve servers; half of the four in a zone.
+        // At most a third of the twelve servers, and at most half of the four in a zone, may be avoided.
         assert!(report.avoided_servers <= 4.0, "{name}: {report:?}");
         assert!(report.oldest_report_s * 1e6 <= expiry as f64, "{name}: {report:?}");
     }
     (run, checked)
 }
 
+/// Runs a fleet and checks that every rule was kept, no process crashed and every request was counted once. `load` completes
+/// the load section and adds sections after it. The prefix `all-` of `name` adds all shared limits and failure reports.
 fn run_and_check(name: &str, balancers: usize, load: &str, faults: &str) -> (RunRecord, CheckResult) {
     let _slot = acquire_run_slot();
     let folder = tempfile::tempdir().unwrap();
-    let operator = folder.path().join("operator.toml");
+    let operator_file = folder.path().join("operator.toml");
     // On a machine shared with other work the delays of sends may differ by a quarter of a second.
     let mut operator_settings = String::from(
         "[peers]\nlisten = \"127.0.0.1:0\"\nseeds = [\"127.0.0.1:1\"]\n[limits]\nspread_ms = 250\n",
@@ -84,15 +86,17 @@
     if name.starts_with("all-") {
         operator_settings += "[limits.origin]\nper_s = 400\n[limits.cold]\nper_s = 50\n[limits.second]\n[verdicts]\nwitnesses = 2\n";
     }
-    std::fs::write(&operator, operator_settings).unwrap();
+    std::fs::write(&operator_file, operator_settings).unwrap();
     let has_peer_links = name.starts_with("all-") || load.contains("writes = 0.5");
-    let operator = if has_peer_links { format!("operator = {operator:?}\n") } else { String::new() };
+    let operator_setting =
+        if has_peer_links { format!("operator = {operator_file:?}\n") } else { String::new() };
     let balancer_count_setting = if name == "limits-grow" { "told = 4\n" } else { "" };
-    // Enough for well over fifteen sends to each server in slow start, however early the balancers learn of its start.
+    // 320 requests a second give well over fifteen sends to each server in slow start, however early the balancers learn of
+    // its start.
     let rate = if name == "cold-ramp" { 320 } else { 160 };
     let text = format!(
         "name = \"{name}\"\nseconds = 11\n[fleet]\nbalancers = {balancers}\nhosts = 12\nzones = 3\nprogram = {:?}\n\
-         {balancer_count_setting}{operator}[load]\nrate = {rate}\nkeys = 400\n{load}{faults}",
+         {balancer_count_setting}{operator_setting}[load]\nrate = {rate}\nkeys = 400\n{load}{faults}",
         program()
     );
     let experiment = read(&text, &[]).unwrap();
@@ -103,9 +107,12 @@
     )
     .unwrap();
     // On a machine shared with other tests delays of up to half a second have to be tolerated.
-    let terms =
-        CheckTerms { tolerance: MICROS_PER_SECOND / 2, stated: run.stated, ..CheckTerms::of(&experiment) };
-    let checked = check_run(&run.event_log, &terms);
+    let check_config = CheckConfig {
+        tolerance: MICROS_PER_SECOND / 2,
+        stated: run.stated_bounds,
+        ..CheckConfig::of(&experiment)
+    };
+    let checked = check_run(&run.event_log, &check_config);
     assert_eq!(run.crashes, [""; 0], "{name}");
     assert_eq!(checked.summary.rules.total(), 0, "{name}: {:#?}", checked.violations);
     let summary = &checked.summary;
@@ -115,15 +122,15 @@
 }
 
 #[test]
-fn silent_servers_cost_their_own_sends_and_no_request() {
+fn sends_to_silent_servers_are_lost_but_no_request_is() {
     let (_, checked) = run_keeping_rules(
         "silent",
         12,
         "[[fault]]\nat = 3\nfor = 4\nwhat = \"silent\"\nwho = \"hosts:2-3\"\n",
     );
     let summary = checked.summary;
-    // Two of twelve servers for four seconds: a sixth of the sends in that time are lost, and hedged
-    // requests at other servers replace them.
+    // Two of twelve servers are silent for four seconds: a sixth of the sends in that time are lost, and hedged requests at
+    // other servers replace them.
     assert!(
         summary.failure_detection.lost_sends > 0 && summary.failure_detection.lost_sends < 160,
         "{:?}",
@@ -134,13 +141,13 @@
 }
 
 #[test]
-fn fleet_serves_again_after_seven_in_ten_are_killed_at_once() {
+fn fleet_serves_again_after_seven_in_ten_balancers_are_killed_at_once() {
     let (run, checked) = run_keeping_rules(
         "herd",
         20,
         "[[fault]]\nat = 4\nwhat = \"kill\"\nwho = \"balancers:70%\"\nback = 1\n",
     );
-    assert_eq!(run.started, 34, "fourteen processes are restarted");
+    assert_eq!(run.process_starts, 34, "fourteen processes have to be restarted");
     let served: u64 = checked.series.seconds[9..].iter().map(|second| second.served).sum();
     let requests: u64 = checked.series.seconds[9..].iter().map(|second| second.requests).sum();
     assert!(
@@ -156,12 +163,12 @@
         8,
         "[[fault]]\nat = 2\nwhat = \"roll\"\nwho = \"balancers\"\nshare = 0.25\nevery = 2\n",
     );
-    assert_eq!(run.started, 16);
+    assert_eq!(run.process_starts, 16);
     assert_eq!(checked.summary.lost, 0, "a graceful shutdown has to lose no request");
 }
 
 #[test]
-fn drains_hold_with_late_endpoint_lists_and_discovery_down() {
+fn drain_rule_is_kept_with_late_endpoint_lists_and_discovery_down() {
     let (run, _) = run_keeping_rules(
         "drains",
         12,
@@ -171,7 +178,7 @@
          [[fault]]\nat = 5\nwhat = \"replace\"\nwho = \"hosts:0\"\n",
     );
     assert!(
-        run.event_log.notices.iter().filter(|notice| !notice.in_service).count() >= 12,
+        run.event_log.endpoint_notices.iter().filter(|notice| !notice.in_service).count() >= 12,
         "balancers have to be notified of the drains"
     );
 }
@@ -201,13 +208,14 @@
     let summary = checked.summary;
     assert!(
         summary.lost > 0 && summary.lost < summary.requests / 5,
-        "two of ten processes are frozen for three of eleven seconds: {}",
+        "two of ten processes are frozen for three of eleven seconds, so some requests have to be lost, \
+         but under a fifth: {}",
         summary.lost
     );
 }
 
 #[test]
-fn servers_that_end_and_come_back_do_not_collapse_in_slow_start() {
+fn stopped_and_restarted_servers_do_not_collapse_in_slow_start() {
     let (run, checked) = run_keeping_rules(
         "cold",
         24,
@@ -219,7 +227,7 @@
     );
     assert!(
         checked.summary.origin.peak < 2.5,
-        "the origin has to be protected from the misses: {:?}",
+        "the origin has to be protected from the misses of servers in slow start: {:?}",
         checked.summary.origin
     );
 }
@@ -248,20 +256,20 @@
          [[fault]]\nat = 3\nfor = 4\nwhat = \"freeze\"\nwho = \"balancers:5-6\"\n\
          [[fault]]\nat = 5\nwhat = \"kill\"\nwho = \"balancers:8\"\nback = 0\n",
     );
-    assert_eq!(run.started, 17);
+    assert_eq!(run.process_starts, 17);
 }
 
 #[test]
 fn limit_holds_and_is_used_with_losses_repeats_and_reordering() {
-    let all = "between = [\"balancers\", \"balancers\"]\n";
+    let all_peer_links = "between = [\"balancers\", \"balancers\"]\n";
     let (_, checked) = run_with_origin_limit(
         "limits-loss",
         10,
         &format!(
-            "[[fault]]\nat = 0\nwhat = \"lose\"\n{all}share = 0.3\n\
-             [[fault]]\nat = 0\nwhat = \"repeat\"\n{all}share = 0.1\n\
-             [[fault]]\nat = 0\nwhat = \"reorder\"\n{all}share = 0.1\n\
-             [[fault]]\nat = 0\nwhat = \"spoil\"\n{all}share = 0.05\n"
+            "[[fault]]\nat = 0\nwhat = \"lose\"\n{all_peer_links}share = 0.3\n\
+             [[fault]]\nat = 0\nwhat = \"repeat\"\n{all_peer_links}share = 0.1\n\
+             [[fault]]\nat = 0\nwhat = \"reorder\"\n{all_peer_links}share = 0.1\n\
+             [[fault]]\nat = 0\nwhat = \"spoil\"\n{all_peer_links}share = 0.05\n"
         ),
     );
     assert!(checked.summary.limits["origin"].usage > Some(0.5), "{:?}", checked.summary.limits);
@@ -271,14 +279,14 @@
 /// process a quarter of the limit.
 #[test]
 fn limit_holds_where_the_settings_name_too_few_balancers() {
-    let text = "[[fault]]\nat = 0\nwhat = \"kill\"\nwho = \"balancers:4-15\"\nback = 3\n";
-    let (run, checked) = run_with_origin_limit("limits-grow", 16, text);
-    assert_eq!(run.started, 28);
+    let faults = "[[fault]]\nat = 0\nwhat = \"kill\"\nwho = \"balancers:4-15\"\nback = 3\n";
+    let (run, checked) = run_with_origin_limit("limits-grow", 16, faults);
+    assert_eq!(run.process_starts, 28);
     assert!(checked.summary.limits["origin"].usage > Some(0.3), "{:?}", checked.summary.limits);
 }
 
 #[test]
-fn silent_servers_are_avoided_by_all_and_not_overrun_when_they_return() {
+fn silent_servers_are_avoided_by_half_the_balancers_and_not_overloaded_after_restart() {
     let (run, checked) = run_with_all_limits(
         "all-silent",
         12,
@@ -290,7 +298,7 @@
     let avoiding: std::collections::HashSet<usize> = avoiding.collect();
     assert!(
         avoiding.len() >= 6,
-        "at least half of the balancers have to report that they avoid a host: {avoiding:?}"
+        "at least half of the balancers have to report that they avoid a server: {avoiding:?}"
     );
     assert!(
         checked.summary.failure_detection.lost_sends > 0
@@ -315,7 +323,7 @@
              [[fault]]\nat = 6\nwhat = \"replace\"\nwho = \"hosts:2\"\n"
         ),
     );
-    assert_eq!(run.started, 14);
+    assert_eq!(run.process_starts, 14);
 }
 
 /// Guards against a server overloaded during slow start: two servers restart while thirty balancers without peer links send to
@@ -335,7 +343,7 @@
                   [[fault]]\nat = 4.5\nwhat = \"kill\"\nwho = \"balancers:0-7\"\nback = 0.5\n\
                   [[fault]]\nat = 6\nwhat = \"kill\"\nwho = \"balancers:20-25\"\nback = 0.5\n";
     let (run, _) = run_and_check("cold-ramp", 30, &load, faults);
-    assert_eq!(run.started, 44);
+    assert_eq!(run.process_starts, 44);
     for server in [2, 3] {
         let mut received_at: Vec<u64> = run
             .event_log
@@ -345,20 +353,20 @@
             .map(|attempt| attempt.received_at)
             .collect();
         received_at.sort_unstable();
-        assert!(received_at.len() > 15, "host {server}: {} sends during slow start", received_at.len());
-        // The server had started by its first send, so its capacity is at most underestimated.
-        let started = received_at[0];
+        assert!(received_at.len() > 15, "server {server}: {} sends during slow start", received_at.len());
+        // The server had started by its first send, so its capacity is never overestimated.
+        let started_at = received_at[0];
         for (index, at) in received_at.iter().enumerate() {
             let sends = index + 1 - received_at.partition_point(|before| before + MICROS_PER_SECOND <= *at);
             let warm_share = SLOW_START_INITIAL_SHARE
-                + (1.0 - SLOW_START_INITIAL_SHARE) * (at - started) as f64
+                + (1.0 - SLOW_START_INITIAL_SHARE) * (at - started_at) as f64
                     / (SLOW_START_DURATION_S * MICROS_PER_SECOND as f64);
-            // A core serves 50 requests per second.
+            // At 20 ms of work per request, a core serves 50 requests per second.
             let capacity = COLLAPSE_LOAD_FACTOR * 50.0 * warm_share.min(1.0);
             let max_sends = capacity + 2.0 * capacity.sqrt() + 2.0;
             assert!(
                 sends as f64 <= max_sends,
-                "host {server}: {sends} sends in a second, at most {max_sends:.1} allowed"
+                "server {server}: {sends} sends in a second, at most {max_sends:.1} allowed"
             );
         }
     }
--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -21,8 +21,9 @@
 /// Maximum number of requests in transit or unanswered on one connection; reading pauses at this limit.
 const MAX_PIPELINED_REQUESTS: usize = 256;
 
-/// Accepts the connections of one side's balancers to a server until the task is aborted.
-pub async fn serve(testbed: Rc<Testbed>, server: usize, side: usize, listener: TcpListener) {
+/// Accepts the connections of one listener group's balancers to a server until the task is aborted. Connections over the
+/// server's limit are reset.
+pub async fn serve(testbed: Rc<Testbed>, server: usize, listener_group: usize, listener: TcpListener) {
     loop {
         let stream = listeners::accept(&listener).await;
         let open_connections = &testbed.open_connections[server];
@@ -33,7 +34,7 @@
         open_connections.set(open_connections.get() + 1);
         let testbed = Rc::clone(&testbed);
         spawn_local(async move {
-            ServerConnection::new(Rc::clone(&testbed), server, side).serve(stream).await;
+            ServerConnection::new(Rc::clone(&testbed), server, listener_group).serve(stream).await;
             let open_connections = &testbed.open_connections[server];
             open_connections.set(open_connections.get() - 1);
         });
@@ -42,16 +43,19 @@
 
 /// A request in transit to the server.
 struct InboundRequest {
+    /// Time of arrival at the server.
     arrives_at: Micros,
+    /// Time at which the first byte of the request was read from the socket.
     first_byte_at: Micros,
     id: u64,
     key: u64,
     write: bool,
 }
 
-/// An answer in transit to the balancer.
+/// An answer that is being made or in transit to the balancer.
 struct OutboundAnswer {
-    leaves_at: Micros,
+    /// Time at which the answer is written to the connection, its transit time included.
+    due_at: Micros,
     line: Vec<u8>,
     /// Index of the attempt in the event log; `None` if the answer belongs to no attempt.
     attempt: Option<usize>,
@@ -64,7 +68,9 @@
     balancer: LinkEnd,
     /// Incarnation of the server's machine when the connection was accepted.
     incarnation: u32,
+    /// Requests in transit, in order of arrival.
     inbound: VecDeque<InboundRequest>,
+    /// Answers that are not yet written, in the order of their requests.
     outbound: VecDeque<OutboundAnswer>,
     /// Whether any received bytes were corrupted; from then on every attempt on the connection counts as corrupted.
     corrupted: bool,
@@ -81,9 +87,9 @@
 }
 
 impl ServerConnection {
-    fn new(testbed: Rc<Testbed>, server: usize, side: usize) -> ServerConnection {
+    fn new(testbed: Rc<Testbed>, server: usize, listener_group: usize) -> ServerConnection {
         ServerConnection {
-            balancer: LinkEnd::Balancer(testbed.side_members[side]),
+            balancer: LinkEnd::Balancer(testbed.listener_group_members[listener_group]),
             incarnation: testbed.incarnations[server].get(),
             testbed,
             server,
@@ -175,7 +181,7 @@
         writer: &mut (impl AsyncWrite + Unpin),
     ) -> Result<(), ConnectionEnd> {
         let link = self.link_to_balancer();
-        while !link.cut && self.outbound.front().is_some_and(|answer| answer.leaves_at <= now) {
+        while !link.cut && self.outbound.front().is_some_and(|answer| answer.due_at <= now) {
             let Some(mut answer) = self.outbound.pop_front() else { break };
             let corrupted = self.testbed.draw_fault(link.corrupted_share);
             if corrupted {
@@ -196,7 +202,7 @@
         let arrival = self.inbound.front().filter(|_| !self.link_to_server().cut);
         let answer = self.outbound.front().filter(|_| !self.link_to_balancer().cut);
         let arrives_at = arrival.map(|request| request.arrives_at);
-        arrives_at.into_iter().chain(answer.map(|answer| answer.leaves_at)).min()
+        arrives_at.into_iter().chain(answer.map(|answer| answer.due_at)).min()
     }
 
     /// Parses received bytes and puts each complete request in transit.
@@ -275,7 +281,7 @@
             return;
         }
         let (response, load) = self.ask_model(request, now);
-        // Writes belong to the origin; a cache server always fails them.
+        // Only the origin executes writes; a cache server answers each write as failed.
         let answer = if request.write { Answer::Failed } else { response.answer };
         if let Answer::Miss { .. } = answer {
             self.testbed.on_miss(request.id, self.server, response.in_slow_start);
@@ -303,14 +309,15 @@
     fn send_answer(&mut self, at: Micros, line: String, attempt: Option<usize>) {
         let link = self.link_to_balancer();
         let server = LinkEnd::CacheServer(self.server);
-        let leaves_at = at + self.testbed.draw_transit_time(server, self.balancer, &link);
-        let last_answer = self.outbound.back().map_or(0, |last| last.leaves_at);
-        let leaves_at = leaves_at.max(last_answer);
-        self.outbound.push_back(OutboundAnswer { leaves_at, line: line.into_bytes(), attempt });
+        let due_at = at + self.testbed.draw_transit_time(server, self.balancer, &link);
+        let last_answer = self.outbound.back().map_or(0, |last| last.due_at);
+        let due_at = due_at.max(last_answer);
+        self.outbound.push_back(OutboundAnswer { due_at, line: line.into_bytes(), attempt });
     }
 }
 
-/// The id of a request and the key's number, a property that the testbed's clients send; `None` if either is missing.
+/// The id of a request and the key's number, a property that the testbed's clients send; `None` if either is missing
+/// or malformed.
 fn id_and_key(id: &Bytes, properties: &[(Bytes, Bytes)]) -> Option<(u64, u64)> {
     let id = u64::from_str_radix(std::str::from_utf8(id).ok()?, 16).ok()?;
     let (_, key) = properties.iter().find(|(name, _)| name.as_ref() == b"q")?;
--- a/testbed/src/clients.rs
+++ b/testbed/src/clients.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use juniperladder_platform_model::checker::CheckTerms;
+use juniperladder_platform_model::checker::CheckConfig;
 use juniperladder_platform_model::event_log::{ClientRequest, RequestResult};
 use juniperladder_platform_model::rng::{seeded_rng, RngStream, SeededRng};
 use juniperladder_platform_model::workload::Arrival;
@@ -19,15 +19,15 @@
 use crate::client_protocol::{read_answer, ParsedAnswer, WireRequest};
 use crate::testbed::{request_id, Testbed};
 
-/// Time after its deadline for which an answer is still awaited, to tell a late answer from a missing one.
+/// Time after a request's deadline for which the answer is still awaited, to tell a late answer from a missing one.
 const LATE_ANSWER_WAIT: Micros = 1_000_000;
-/// A pooled connection that ends within this time after a request was written counts as closed before the request.
+/// A connection that ends within this time after a request was written counts as closed before it accepted the request.
 const CROSSED_CLOSE_TIME: Micros = 20_000;
 /// Minimum time left before the deadline for a client's retry.
 const MIN_RETRY_TIME: Micros = 50_000;
-/// Minimum time that a request states.
+/// Minimum time limit that a request states.
 const MIN_REQUEST_TIME: Micros = 1_000;
-/// Minimum share of the class's deadline that a client waits; a client with a lower patience is impatient.
+/// Minimum share of the class's deadline that a patient client waits; a client with a lower share is impatient.
 const MIN_PATIENT_SHARE: f64 = 0.5;
 /// Timeout of a client's connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -40,7 +40,7 @@
 /// The clients of all balancers.
 pub struct Clients {
     testbed: Rc<Testbed>,
-    terms: CheckTerms,
+    check_config: CheckConfig,
     addresses: Vec<SocketAddr>,
     /// Pooled idle connections, by balancer.
     idle_connections: Vec<RefCell<Vec<Connection>>>,
@@ -61,7 +61,7 @@
     planned_at: Micros,
     /// Time for which the client waits, as the request states it.
     time: Micros,
-    /// Time after which an impatient client disconnects.
+    /// Time from the sending after which an impatient client disconnects; `None` for other clients.
     leaves_after: Option<Micros>,
 }
 
@@ -75,7 +75,9 @@
 /// How a request ended.
 struct RequestEnd {
     result: RequestResult,
+    /// Time of the end; `None` if the client stopped waiting.
     at: Option<Micros>,
+    /// Number of lines received after the answer.
     extra_lines: u32,
     /// Time after which a rejected client may retry.
     retry_after: Micros,
@@ -89,12 +91,12 @@
 
 impl Clients {
     /// Creates the clients of balancers at these addresses.
-    pub fn new(testbed: Rc<Testbed>, terms: CheckTerms, addresses: Vec<SocketAddr>) -> Rc<Clients> {
+    pub fn new(testbed: Rc<Testbed>, check_config: CheckConfig, addresses: Vec<SocketAddr>) -> Rc<Clients> {
         let idle_connections = addresses.iter().map(|_| RefCell::default()).collect();
         let rng = RefCell::new(seeded_rng(testbed.experiment.seed, RngStream::Clients));
         Rc::new(Clients {
             testbed,
-            terms,
+            check_config,
             addresses,
             idle_connections,
             rng,
@@ -123,7 +125,7 @@
 
     /// Runs a client: its first request and its retries.
     async fn run_client(&self, arrival: &Arrival) {
-        let deadline = arrival.at + self.terms.class(arrival.write).deadline;
+        let deadline = arrival.at + self.check_config.class(arrival.write).deadline;
         let mut first_id = None;
         let mut planned_at = arrival.at;
         let mut balancer = arrival.balancer as usize;
@@ -158,10 +160,10 @@
         planned_at: Micros,
         first_id: Option<u64>,
     ) -> OutgoingRequest {
-        let class_deadline = self.terms.class(arrival.write).deadline;
+        let class_deadline = self.check_config.class(arrival.write).deadline;
         let time_left = (arrival.at + class_deadline).saturating_sub(planned_at);
         let share_of_deadline = |share: f64| (class_deadline as f64 * share) as Micros;
-        let is_impatient = arrival.patience < MIN_PATIENT_SHARE;
+        let is_impatient = arrival.wait_share < MIN_PATIENT_SHARE;
         let id = request_id(balancer, self.next_number.replace(self.next_number.get() + 1));
         OutgoingRequest {
             id,
@@ -171,11 +173,11 @@
             write: arrival.write,
             is_retry: first_id.is_some(),
             planned_at,
-            // Impatient clients state the minimum time of other clients and disconnect before it.
-            time: share_of_deadline(arrival.patience.max(MIN_PATIENT_SHARE))
+            // Impatient clients state the minimum time of other clients and disconnect before it has passed.
+            time: share_of_deadline(arrival.wait_share.max(MIN_PATIENT_SHARE))
                 .min(time_left)
                 .max(MIN_REQUEST_TIME),
-            leaves_after: is_impatient.then(|| share_of_deadline(arrival.patience)),
+            leaves_after: is_impatient.then(|| share_of_deadline(arrival.wait_share)),
         }
     }
 
@@ -197,7 +199,7 @@
         let mut rng = self.rng.borrow_mut();
         let backoff_ms = model.backoff_ms * f64::from(1 << retry) * rng.random_range(0.5..1.5);
         let backoff = micros_from_millis(backoff_ms);
-        let honours_retry_after = rng.random::<f64>() < model.honour;
+        let honours_retry_after = rng.random::<f64>() < model.retry_after_share;
         let wait = if honours_retry_after { backoff.max(retry_after) } else { backoff };
         (wait, rng.random_range(0..self.addresses.len()))
     }
--- a/testbed/src/error.rs
+++ b/testbed/src/error.rs
@@ -8,10 +8,10 @@
 pub enum TestbedError {
     /// The experiment file or the machine does not allow the run; no process was started.
     #[error(transparent)]
-    NotAllowed(#[from] SetupError),
+    Setup(#[from] SetupError),
     /// The run had begun and was aborted.
     #[error(transparent)]
-    Broken(#[from] RunError),
+    Aborted(#[from] RunError),
 }
 
 /// Error in the preparation of a run.
@@ -29,7 +29,7 @@
     /// The path of the program cannot be made absolute.
     #[error("fleet.program: cannot resolve the path: {0}")]
     ProgramPath(#[source] io::Error),
-    /// The program is not built.
+    /// The program does not exist.
     #[error("fleet.program: {0} does not exist; build it first (cargo build --release) or set another path")]
     NoProgram(String),
     /// A folder cannot be created.
@@ -97,11 +97,11 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// A process did not become ready.
-    #[error("balancer {balancer} did not come up; its log ends:\n{log_end}")]
+    #[error("balancer {balancer} did not become ready; its log ends:\n{log_end}")]
     ProcessNotReady {
         /// Number of the balancer.
         balancer: usize,
-        /// Last lines of its log.
+        /// Last lines of the process's log.
         log_end: String,
     },
     /// A process could not be started.
@@ -109,7 +109,7 @@
     ProcessStart {
         /// Number of the balancer.
         balancer: usize,
-        /// Path of its log, or of the program.
+        /// Path that could not be opened or executed: the process's log, or the program.
         path: PathBuf,
         /// Error of the operating system.
         source: io::Error,
--- a/testbed/src/experiment_run.rs
+++ b/testbed/src/experiment_run.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 use juniperladder_platform_model::checker::self_reports::SelfReport;
-use juniperladder_platform_model::checker::{CheckTerms, StatedBounds};
+use juniperladder_platform_model::checker::{CheckConfig, StatedBounds};
 use juniperladder_platform_model::event_log::EventLog;
 use juniperladder_platform_model::experiment::Experiment;
-use juniperladder_platform_model::schedule::{schedule, Schedule, Step};
+use juniperladder_platform_model::schedule::{compile_schedule, Schedule, Step};
 use juniperladder_platform_model::workload::draw_arrivals;
 use juniperladder_platform_model::{micros_from_seconds, Micros};
 use tokio::sync::watch;
@@ -36,9 +36,9 @@
 const PROGRESS_INTERVAL: Micros = 250_000;
 /// Interval at which the number of requests in flight is polled after the load.
 const IN_FLIGHT_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Maximum number of these polls; requests that are in flight after the last one stay without an end.
+/// Maximum number of polls for requests in flight; requests in flight after the last poll have no end in the event log.
 const MAX_IN_FLIGHT_POLLS: usize = 60;
-/// Requests planned within this time before a run was stopped may still have been in flight, in seconds.
+/// Time before the stop of a run, in seconds; requests planned within it may still have been in flight.
 const UNFINISHED_TIME_S: f64 = 4.0;
 
 /// Options of a run.
@@ -76,7 +76,7 @@
     /// Events of clients, servers and discovery.
     pub event_log: EventLog,
     /// Number of process starts, restarts included.
-    pub started: u64,
+    pub process_starts: u64,
     /// Descriptions of unexpected exits of processes, each with the last log lines.
     pub crashes: Vec<String>,
     /// CPU time of all balancers, in seconds.
@@ -88,11 +88,11 @@
     /// Reports of each process's own state, once a second; empty where balancers do not communicate as peers.
     pub self_reports: Vec<SelfReport>,
     /// Bounds that the program states for shared limits; `None` where balancers do not communicate as peers.
-    pub stated: Option<StatedBounds>,
+    pub stated_bounds: Option<StatedBounds>,
     /// Whether the run was stopped before its planned end.
     pub stopped: bool,
     /// End of the load, or the end of the evaluated time of a run that was stopped.
-    pub end: Micros,
+    pub ended_at: Micros,
 }
 
 /// Runs an experiment to its end.
@@ -100,9 +100,10 @@
 /// # Errors
 /// The setup failed and no process was started, or the run was aborted.
 pub fn run_experiment(experiment: &Experiment, options: RunOptions<'_>) -> Result<RunRecord, TestbedError> {
-    let schedule = schedule(experiment);
-    let sides = schedule.links.sides(experiment).iter().max().map_or(1, |last| last + 1);
-    check_resources(experiment, sides)?;
+    let schedule = compile_schedule(experiment);
+    let listener_group_count =
+        schedule.links.listener_groups(experiment).iter().max().map_or(1, |last| last + 1);
+    check_resources(experiment, listener_group_count)?;
     let operator_file = OperatorFile::read(experiment)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let runtime = runtime.map_err(SetupError::Runtime)?;
@@ -133,7 +134,7 @@
     let mut run = ExperimentRun::begin_load(platform, relay, schedule.steps);
     let stopped = run.send_load(progress, &mut stop).await;
     let mut record = run.finish(stopped, cpu_before).await;
-    record.stated = stated;
+    record.stated_bounds = stated;
     Ok(record)
 }
 
@@ -152,7 +153,7 @@
     measured_until: Micros,
     /// Whether the measurement has started.
     is_measuring: bool,
-    /// Traffic between balancers up to the start of the measurement.
+    /// Traffic between balancers up to the start of the measurement; `None` where they do not communicate as peers.
     sent_before: Option<SentTraffic>,
     load_task: JoinHandle<()>,
     /// Tasks that observe the run until its end.
@@ -161,7 +162,7 @@
 }
 
 impl ExperimentRun {
-    /// Starts the load and the tasks that observe the run.
+    /// Starts the load and the tasks that observe the run. The origin has unlimited capacity until the measurement starts.
     fn begin_load(platform: Platform, relay: Option<Rc<PeerRelay>>, steps: Vec<Step>) -> ExperimentRun {
         let testbed = Rc::clone(&platform.testbed);
         let experiment = &testbed.experiment;
@@ -172,12 +173,12 @@
         for arrival in &mut arrivals {
             arrival.at += load_began_at;
         }
-        let terms = CheckTerms::of(experiment);
-        let clients = Clients::new(Rc::clone(&testbed), terms, platform.processes.addresses());
+        let check_config = CheckConfig::of(experiment);
+        let clients = Clients::new(Rc::clone(&testbed), check_config, platform.processes.addresses());
         let load_task = spawn_local(Rc::clone(&clients).send_arrivals(arrivals));
-        let measured_from = load_began_at + micros_from_seconds(experiment.load.warm);
+        let measured_from = load_began_at + micros_from_seconds(experiment.load.warm_up_s);
         let measured_until = measured_from + micros_from_seconds(experiment.seconds);
-        testbed.origin.borrow_mut().unbounded = true;
+        testbed.origin.borrow_mut().has_unlimited_capacity = true;
         ExperimentRun {
             sent_before: total_sent(relay.as_ref()),
             platform,
@@ -225,10 +226,10 @@
     fn begin_measuring(&mut self) {
         self.is_measuring = true;
         self.sent_before = total_sent(self.relay.as_ref());
-        self.testbed.origin.borrow_mut().unbounded = false;
+        self.testbed.origin.borrow_mut().has_unlimited_capacity = false;
     }
 
-    /// Time of the start of the measurement or, after it, of the next fault.
+    /// Start of the measurement; once measuring, the time of the next change by a fault, or the end of the measurement.
     fn next_event(&mut self) -> Micros {
         if !self.is_measuring {
             return self.measured_from;
@@ -253,15 +254,15 @@
         let cpu = CpuTimes::now();
         RunRecord {
             event_log: self.take_event_log(stopped.then_some(end)),
-            started: self.platform.processes.started(),
+            process_starts: self.platform.processes.start_count(),
             crashes,
             balancers_cpu_s: cpu.children_s - cpu_before.children_s,
             testbed_cpu_s: cpu.own_s - cpu_before.own_s,
             peer_traffic,
             self_reports: self.take_self_reports(),
-            stated: None,
+            stated_bounds: None,
             stopped,
-            end: end.saturating_sub(self.load_began_at),
+            ended_at: end.saturating_sub(self.load_began_at),
         }
     }
 
--- a/testbed/src/experiment_run/platform.rs
+++ b/testbed/src/experiment_run/platform.rs
@@ -33,15 +33,16 @@
 
 /// A server or the origin, as balancers reach it.
 struct Machine {
-    /// Address of the machine for each side.
+    /// Address of the machine for each listener group.
     addresses: Vec<ReservedAddress>,
     /// Tasks that listen at these addresses; empty while the machine is stopped.
     listeners: Vec<JoinHandle<()>>,
 }
 
 impl Machine {
-    fn new(sides: usize) -> io::Result<Machine> {
-        let addresses = (0..sides).map(|_| ReservedAddress::new()).collect::<io::Result<_>>()?;
+    fn new(listener_group_count: usize) -> io::Result<Machine> {
+        let addresses =
+            (0..listener_group_count).map(|_| ReservedAddress::new()).collect::<io::Result<_>>()?;
         Ok(Machine { addresses, listeners: Vec::new() })
     }
 }
@@ -55,10 +56,11 @@
         child_reaper: Option<ChildReaper>,
     ) -> Result<Platform, SetupError> {
         let machine_count = testbed.servers.len() + 1;
-        let sides = testbed.side_members.len();
-        let machines = (0..machine_count).map(|_| Machine::new(sides)).collect::<io::Result<Vec<_>>>();
+        let listener_group_count = testbed.listener_group_members.len();
+        let machines =
+            (0..machine_count).map(|_| Machine::new(listener_group_count)).collect::<io::Result<Vec<_>>>();
         let machines = machines.map_err(SetupError::Listener)?;
-        let servers = server_addresses(&testbed, &machines, sides);
+        let servers = server_addresses(&testbed, &machines, listener_group_count);
         let discovery = serve_discovery(&testbed, &servers).map_err(SetupError::Listener)?;
         let processes = Processes::prepare(&testbed, out, &discovery, &servers, peers, child_reaper)?;
         let mut platform = Platform { testbed, processes, machines };
@@ -72,13 +74,13 @@
     fn listen(&mut self, machine: usize) -> io::Result<()> {
         let is_origin = machine == self.testbed.servers.len();
         let Machine { addresses, listeners } = &mut self.machines[machine];
-        for (side, address) in addresses.iter().enumerate() {
+        for (listener_group, address) in addresses.iter().enumerate() {
             let listener = address.listen()?;
             let testbed = Rc::clone(&self.testbed);
             listeners.push(if is_origin {
-                spawn_local(origin::serve(testbed, side, listener))
+                spawn_local(origin::serve(testbed, listener_group, listener))
             } else {
-                spawn_local(cache_servers::serve(testbed, machine, side, listener))
+                spawn_local(cache_servers::serve(testbed, machine, listener_group, listener))
             });
         }
         Ok(())
@@ -110,7 +112,7 @@
         let experiment = &self.testbed.experiment;
         let latest_notice = self.testbed.notice_delays.borrow().iter().copied().max().unwrap_or(0);
         let listed_after = micros_from_seconds(experiment.discovery.notice_s) + latest_notice;
-        micros_from_seconds(experiment.servers.cold_s).max(listed_after)
+        micros_from_seconds(experiment.servers.slow_start_s).max(listed_after)
     }
 
     /// Applies one change and wakes all tasks that wait for changes.
@@ -124,15 +126,15 @@
             Change::Freeze(balancers) => self.processes.signal(balancers, Signal::SIGSTOP),
             Change::Thaw(balancers) => self.processes.signal(balancers, Signal::SIGCONT),
             Change::Silent(servers, silent) => self.set_silent(servers, *silent, now),
-            Change::Slow(servers, times) => self.set_slowdown(servers, *times, now),
+            Change::Slow(servers, factor) => self.set_slowdown(servers, *factor, now),
             Change::Failing(servers, share) => self.set_failure_share(servers, *share, now),
             Change::Drain(servers) => self.drain(servers, now),
             Change::Gone(servers) => self.end_servers(servers, now).await,
             Change::Restart(servers) => self.restart(servers, now).await,
             Change::Replace(servers) => self.replace(servers, now).await,
-            Change::OriginSlow(times) => self.testbed.origin.borrow_mut().set_slowdown(*times),
+            Change::OriginSlow(factor) => self.testbed.origin.borrow_mut().set_slowdown(*factor),
             Change::DiscoveryDown(down) => self.testbed.discovery_down.set(*down),
-            Change::ListLate(latest) => self.draw_notice_delays(*latest),
+            Change::ListLate(max_delay) => self.draw_notice_delays(*max_delay),
         }
         self.testbed.wake_tasks();
     }
@@ -166,11 +168,11 @@
         self.log_impairment(servers, Impairment::Silent, is_silent, now);
     }
 
-    fn set_slowdown(&self, servers: &[usize], times: f64, now: Micros) {
+    fn set_slowdown(&self, servers: &[usize], factor: f64, now: Micros) {
         for server in servers {
-            self.testbed.servers[*server].borrow_mut().set_slowdown(times);
+            self.testbed.servers[*server].borrow_mut().set_slowdown(factor);
         }
-        self.log_impairment(servers, Impairment::Slow, times != 1.0, now);
+        self.log_impairment(servers, Impairment::Slow, factor != 1.0, now);
     }
 
     fn set_failure_share(&self, servers: &[usize], share: f64, now: Micros) {
@@ -182,7 +184,7 @@
 
     fn drain(&self, servers: &[usize], now: Micros) {
         for server in servers {
-            self.testbed.servers[*server].borrow_mut().closed = true;
+            self.testbed.servers[*server].borrow_mut().rejects_requests = true;
             self.testbed.set_lifecycle(*server, Lifecycle::Terminating);
         }
         self.log_impairment(servers, Impairment::OutOfService, true, now);
@@ -215,23 +217,27 @@
         }
     }
 
-    fn draw_notice_delays(&self, latest: Micros) {
-        let mut rng = seeded_rng(self.testbed.experiment.seed, RngStream::Lists);
+    fn draw_notice_delays(&self, max_delay: Micros) {
+        let mut rng = seeded_rng(self.testbed.experiment.seed, RngStream::DiscoveryNotices);
         for delay in self.testbed.notice_delays.borrow_mut().iter_mut() {
-            *delay = rng.random_range(0..=latest);
+            *delay = rng.random_range(0..=max_delay);
         }
     }
 }
 
-/// The addresses at which each balancer reaches the machines, which are those of its side.
-fn server_addresses(testbed: &Testbed, machines: &[Machine], sides: usize) -> Vec<ServerAddresses> {
-    let of_side = |side: usize| {
-        let addresses = machines.iter().map(|machine| machine.addresses[side].address());
+/// The addresses at which each balancer reaches the machines: the addresses for the balancer's listener group.
+fn server_addresses(
+    testbed: &Testbed,
+    machines: &[Machine],
+    listener_group_count: usize,
+) -> Vec<ServerAddresses> {
+    let of_group = |listener_group: usize| {
+        let addresses = machines.iter().map(|machine| machine.addresses[listener_group].address());
         ServerAddresses::new(addresses.collect())
     };
-    let by_side: Vec<ServerAddresses> = (0..sides).map(of_side).collect();
-    let side_of_balancer = testbed.links.borrow().sides(&testbed.experiment);
-    side_of_balancer.iter().map(|side| Rc::clone(&by_side[*side])).collect()
+    let by_group: Vec<ServerAddresses> = (0..listener_group_count).map(of_group).collect();
+    let group_of_balancer = testbed.links.borrow().listener_groups(&testbed.experiment);
+    group_of_balancer.iter().map(|listener_group| Rc::clone(&by_group[*listener_group])).collect()
 }
 
 /// Serves discovery to each balancer at a separate address and returns these addresses.
--- a/testbed/src/processes.rs
+++ b/testbed/src/processes.rs
@@ -33,7 +33,7 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Interval at which a process is polled for readiness at the start of the run.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Interval at which a restarted process is polled; its impairment ends in the event log when it is ready.
+/// Interval at which a restarted process is polled for readiness, which ends its impairment in the event log.
 const RESTART_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Timeout of one readiness poll.
 const READY_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
@@ -41,7 +41,7 @@
 const END_TIMEOUT: Duration = Duration::from_secs(5);
 /// Number of log lines that are shown of a crashed process.
 const SHOWN_LOG_LINES: usize = 5;
-/// Number of bytes read from the end of a log to find those lines.
+/// Number of bytes read from the end of a log to find the shown lines.
 const LOG_END_LENGTH: u64 = 8_192;
 
 /// Setup of processes whose balancers communicate as peers.
@@ -54,6 +54,7 @@
 
 /// One process of the program, across restarts.
 struct Process {
+    /// Address for clients.
     listen: ReservedAddress,
     /// Address for operators; only where balancers communicate as peers.
     admin: Option<ReservedAddress>,
@@ -63,6 +64,7 @@
     pid: Cell<i32>,
     /// Whether the testbed has signalled the process to end.
     end_requested: Cell<bool>,
+    /// Number of times the process was started.
     starts: Cell<u64>,
     /// Number of times the process has ended.
     ends: watch::Sender<u64>,
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Waits until the process is ready; returns false if it ends before.
+    /// Waits until the process is ready; returns false if it ends first.
     async fn wait_until_ready(&self, poll_interval: Duration) -> bool {
         while !answers_ready(self.listen.address()).await {
             if !self.is_running() {
@@ -142,7 +144,7 @@
     pub balancer: usize,
     /// Exit code; `None` if a signal ended the process.
     pub exit_code: Option<i32>,
-    /// Last lines of its log.
+    /// Last lines of the process's log.
     pub log_end: String,
 }
 
@@ -269,7 +271,10 @@
         process.pid.set(0);
         let exit_code = status.as_ref().ok().and_then(ExitStatus::code);
         let is_graceful_exit = process.end_requested.get() && exit_code == Some(0);
-        self.begin_impairment(number, if is_graceful_exit { Impairment::Ended } else { Impairment::Dead });
+        self.begin_impairment(
+            number,
+            if is_graceful_exit { Impairment::ShutDown } else { Impairment::NotRunning },
+        );
         if process.end_requested.get() {
             let log_end = log_end(&process.log);
             self.planned_ends.borrow_mut().push(PlannedEnd { balancer: number, exit_code, log_end });
@@ -282,12 +287,13 @@
     fn on_crash(&self, number: usize, status: io::Result<ExitStatus>) {
         let status_text = status.map_or_else(|error| error.to_string(), |status| status.to_string());
         let log_end = log_end(&self.all[number].log);
-        let crash =
-            format!("balancer {number} exited unexpectedly ({status_text}); its log ends:\n{log_end}");
+        // This text is stored in `crashes.json`; its wording therefore stays the same.
+        let crash = format!("balancer {number} ended by itself ({status_text}); its log ends:\n{log_end}");
         self.crashes.borrow_mut().push(crash);
     }
 
-    /// Sends a signal to the running processes among these; the exit after a signal that ends a process counts as requested.
+    /// Sends a signal to the processes with these numbers that are running; the exit after a signal that ends a process counts
+    /// as requested.
     pub fn signal(&self, numbers: &[usize], signal: Signal) {
         for number in numbers.iter().copied() {
             let process = &self.all[number];
@@ -299,7 +305,7 @@
                 Signal::SIGCONT => self.end_impairment(number, Impairment::Frozen),
                 Signal::SIGKILL => {
                     process.end_requested.set(true);
-                    self.begin_impairment(number, Impairment::Dead);
+                    self.begin_impairment(number, Impairment::NotRunning);
                 }
                 Signal::SIGHUP | Signal::SIGUSR1 => {}
                 _ => process.end_requested.set(true),
@@ -308,7 +314,7 @@
         }
     }
 
-    /// Stalls a process for this time; its deadlines stay the same.
+    /// Stalls a process for this time; the deadlines of its requests are not extended.
     pub async fn stall(&self, number: usize, duration: Duration) {
         let process = &self.all[number];
         let from = self.testbed.now();
@@ -339,7 +345,7 @@
         EventLog::end_impairment(spans, number, impairment, now);
     }
 
-    /// Restarts these processes, each as soon as it has ended.
+    /// Restarts the processes with these numbers, each as soon as it has ended.
     pub fn restart(self: &Rc<Processes>, numbers: &[usize]) {
         for number in numbers {
             spawn_local(Rc::clone(self).restart_one(*number));
@@ -356,12 +362,12 @@
             return;
         }
         process.wait_until_ready(RESTART_POLL_INTERVAL).await;
-        self.end_impairment(number, Impairment::Dead);
-        self.end_impairment(number, Impairment::Ended);
+        self.end_impairment(number, Impairment::NotRunning);
+        self.end_impairment(number, Impairment::ShutDown);
     }
 
     /// Number of process starts, restarts included.
-    pub fn started(&self) -> u64 {
+    pub fn start_count(&self) -> u64 {
         self.all.iter().map(|process| process.starts.get()).sum()
     }
 
