--- a/testbed/src/scale/config.rs
+++ b/testbed/src/scale/config.rs
@@ -11,20 +11,20 @@
     Membership,
     /// All coordination of a balancer: membership, rate limits, retry budget, failure detection.
     Cluster,
-    /// Fleet-wide purges, with control machines (purge replicas) in addition to the members.
+    /// Fleet-wide purges, with purge replicas in addition to the members.
     Purge,
-    /// No control code, to measure the overhead of the test bed.
+    /// No control code, to measure the overhead of the testbed.
     Calibration,
 }
 
 /// The fault scenario that follows the measurement of the steady state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Event {
+pub enum FaultScenario {
     /// No fault.
     None,
     /// One member crashes and restarts; later a cache server stops answering.
     MemberLost,
-    /// As [`Event::MemberLost`], with a packet loss of 1%.
+    /// As [`FaultScenario::MemberLost`], with a packet loss of 1% from the end of the warm-up on.
     Loss,
     /// All members of a zone crash at the same time and restart.
     ZoneLost,
@@ -32,13 +32,13 @@
     RegionCut,
     /// 40% of all members restart within a few seconds.
     RestartWave,
-    /// Two control machines crash at the same time and restart.
+    /// Two purge replicas crash at the same time and restart.
     ControlLoss,
 }
 
-/// A defect that the test bed injects, to show that the checks detect it.
+/// A defect that the testbed injects, to show that the checks detect it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
+pub enum InjectedDefect {
     /// Each member also sends a packet to every other member once a second.
     BroadcastsToAll,
     /// One member loses one purge in a thousand.
@@ -87,7 +87,7 @@
 
 impl_names!(Mechanism, Membership => "membership", Cluster => "cluster", Purge => "purge", Calibration => "calibration");
 impl_names!(
-    Event,
+    FaultScenario,
     None => "none",
     MemberLost => "member-lost",
     Loss => "loss",
@@ -96,7 +96,7 @@
     RestartWave => "restart-wave",
     ControlLoss => "control-loss",
 );
-impl_names!(Flaw, BroadcastsToAll => "talks-to-all", DropsPurges => "drops-changes");
+impl_names!(InjectedDefect, BroadcastsToAll => "talks-to-all", DropsPurges => "drops-changes");
 
 /// The configuration of a scale test.
 #[derive(Clone, Debug)]
@@ -111,28 +111,29 @@
     pub zones: usize,
     /// Warm-up during which the fleet forms and results do not count, in seconds.
     pub warm_up_s: f64,
-    /// Measured time after the warm-up, in seconds: one third in the steady state, then the fault scenario.
+    /// Measured time after the warm-up, in seconds: one third in the steady state, then the fault scenario;
+    /// all of it in the steady state without a fault.
     pub seconds: f64,
     /// The seed of all random choices.
     pub seed: u64,
     /// The fault scenario.
-    pub event: Event,
+    pub event: FaultScenario,
     /// Whether the run uses simulated time instead of sockets and real time.
     pub virtual_time: bool,
     /// Number of threads that drive the members in real time.
     pub workers: usize,
     /// Client requests per second at a member, on average.
     pub requests_per_s: f64,
-    /// Number of control machines in addition to the members; only used by [`Mechanism::Purge`].
+    /// Number of purge replicas in addition to the members; only used by [`Mechanism::Purge`].
     pub replicas: usize,
-    /// Purges published per second, by all control machines together.
+    /// Purges published per second, by all purge replicas together.
     pub publishes_per_s: f64,
     /// Number of cache servers that the synthetic traffic is sent to.
     pub cache_hosts: usize,
     /// The traffic of a calibration run.
     pub calibration: CalibrationTraffic,
     /// The injected defect, if any.
-    pub flaw: Option<Flaw>,
+    pub defect: Option<InjectedDefect>,
 }
 
 impl Default for ScaleConfig {
@@ -145,7 +146,7 @@
             warm_up_s: 10.0,
             seconds: 30.0,
             seed: 1,
-            event: Event::None,
+            event: FaultScenario::None,
             virtual_time: false,
             workers: 4,
             requests_per_s: 20.0,
@@ -153,19 +154,19 @@
             publishes_per_s: 11.0,
             cache_hosts: 230,
             calibration: CalibrationTraffic::default(),
-            flaw: None,
+            defect: None,
         }
     }
 }
 
 impl ScaleConfig {
-    /// This configuration without control machines if the mechanism does not use them.
+    /// This configuration without purge replicas if the mechanism does not use them.
     pub fn without_unused_replicas(self) -> ScaleConfig {
         let replicas = if self.mechanism == Mechanism::Purge { self.replicas } else { 0 };
         ScaleConfig { replicas, ..self }
     }
 
-    /// Number of members and control machines together.
+    /// Number of members and purge replicas together.
     pub fn endpoint_count(&self) -> usize {
         self.members + self.replicas
     }
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -1,7 +1,7 @@
 //! Scale tests: the control code of many members in one process, over real UDP sockets on loopback or in simulated time.
 //!
 //! Each member runs the real control code with synthetic traffic in place of client connections. Packets between members
-//! pass a modelled network, whose delays by zone and region, packet loss and partitions follow from the seed. The test bed
+//! pass a modelled network, whose delays by zone and region, packet loss and partitions follow from the seed. The testbed
 //! measures the members' traffic and processor time itself and does not rely on their own counters.
 //! `docs/design/scale.md` describes what a scale test can show and what it cannot.
 
@@ -29,7 +29,7 @@
 use std::sync::Arc;
 
 pub use calibration::CalibrationTraffic;
-pub use config::{Event, Flaw, Mechanism, ScaleConfig};
+pub use config::{FaultScenario, InjectedDefect, Mechanism, ScaleConfig};
 pub use purge_check::{PurgePhase, PurgeSummary, Times};
 pub use results::{Outcome, Summary};
 
@@ -71,11 +71,11 @@
 
 fn validate(config: &ScaleConfig) -> Result<(), SetupError> {
     if !(MIN_MEMBERS..=MAX_MEMBERS).contains(&config.members) {
-        let line = format!(
+        let message = format!(
             "the number of members must be from {MIN_MEMBERS} to {MAX_MEMBERS}, not {}",
             config.members
         );
-        return Err(SetupError::ScaleTest(line));
+        return Err(SetupError::ScaleTest(message));
     }
     if !(config.seconds > 0.0 && config.warm_up_s >= 0.0) {
         return Err(SetupError::ScaleTest(
--- a/testbed/src/scale/purge_endpoint.rs
+++ b/testbed/src/scale/purge_endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints that run fleet-wide purges: control machines, which also publish, and members, which are balancers or cache
+//! Endpoints that run fleet-wide purges: purge replicas, which also publish, and members, which are balancers or cache
 //! servers.
 
 use std::collections::VecDeque;
@@ -18,21 +18,21 @@
 pub const PURGE_PACKET_PREFIX: &[u8] = b"JPC";
 /// Prefix of the keys of published purges, followed by the purge's number. It gives the keys a typical length.
 const KEY_PREFIX: &str = "scale:object:";
-/// [`super::Flaw::DropsPurges`] drops the purges whose number modulo this divisor is [`DROP_REMAINDER`].
+/// [`super::InjectedDefect::DropsPurges`] drops the purges whose number modulo this divisor is [`DROP_REMAINDER`].
 const DROP_DIVISOR: u32 = 1_000;
 /// See [`DROP_DIVISOR`].
 const DROP_REMAINDER: u32 = 500;
 
-/// A control machine that publishes purges on command.
+/// A purge replica that publishes purges on command.
 pub struct PurgeReplicaEndpoint {
     replica: Replica,
-    /// The published purges that are not completed yet, in order of publication.
+    /// Number and id of each published purge that is not completed yet, in order of publication.
     uncompleted: VecDeque<(u32, PurgeId)>,
     events: Vec<EndpointEvent>,
 }
 
 impl PurgeReplicaEndpoint {
-    /// Creates a control machine that starts now. `bootstrap` is set for the first start of all control machines.
+    /// Creates a replica that starts now. `bootstrap` is set for the first start of all replicas.
     pub fn new(
         replica: u8,
         replicas: Vec<SocketAddr>,
@@ -99,13 +99,13 @@
 pub struct PurgeMemberIdentity {
     /// The member's number.
     pub member: u32,
-    /// The addresses of the control machines.
+    /// The addresses of the replicas.
     pub replicas: Vec<SocketAddr>,
-    /// The control machines in order of preference, nearest first.
+    /// The replicas in order of preference, nearest first.
     pub preferred_replicas: Vec<u8>,
     /// Whether the member is a cache server, which replays missed purges; a balancer discards all its cached values instead.
     pub is_cache_server: bool,
-    /// Whether the member has the defect [`super::Flaw::DropsPurges`].
+    /// Whether the member has the defect [`super::InjectedDefect::DropsPurges`].
     pub drops_purges: bool,
     /// The seed of the member's random numbers.
     pub seed: u64,
@@ -135,7 +135,7 @@
         PurgeMemberEndpoint { member, drops_purges: identity.drops_purges, last_served: None }
     }
 
-    /// The number of a purge by its key, or `None` if the injected defect drops it.
+    /// The number of the purge of this key; `None` if the key has another form or the injected defect drops the purge.
     fn purge_number(&self, key: &[u8]) -> Option<u32> {
         let number = std::str::from_utf8(key).ok()?.strip_prefix(KEY_PREFIX)?.parse().ok()?;
         let dropped = self.drops_purges && number % DROP_DIVISOR == DROP_REMAINDER;
@@ -158,12 +158,12 @@
 
     fn drain_events(&mut self, now: Micros) -> Vec<EndpointEvent> {
         let mut events = Vec::new();
-        for event in self.member.drain_purges() {
+        for event in self.member.drain_events() {
             match event {
                 PurgeEvent::Key(key) => {
                     events.extend(self.purge_number(&key).map(EndpointEvent::PurgeApplied))
                 }
-                PurgeEvent::VoidAll => events.push(EndpointEvent::CacheCleared),
+                PurgeEvent::DiscardAll => events.push(EndpointEvent::CacheCleared),
             }
         }
         let is_serving = self.member.may_serve(Time(now));
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -1,4 +1,4 @@
-//! The results of a scale test: the summary, and a row for each member.
+//! The results of a scale test: the summary, and a row for each member and purge replica.
 
 use std::collections::BTreeMap;
 
@@ -14,8 +14,8 @@
 use super::sockets::SocketRun;
 use super::Micros;
 
-/// Maximum lateness of the test bed's timers at the 99th percentile, in milliseconds. A run that exceeds it is invalid.
-pub const LATE_MS: f64 = 20.0;
+/// Maximum lateness of the testbed's timers at the 99th percentile, in milliseconds. A run that exceeds it is invalid.
+pub const MAX_TIMER_LATENESS_MS: f64 = 20.0;
 /// Length of the IPv4 and UDP headers of a packet, in bytes.
 const IP_UDP_HEADER_BYTES: f64 = 28.0;
 /// Minimum time to detect the loss of a member. A member that reports the loss earlier had never known the lost member.
@@ -53,7 +53,7 @@
     pub us_per_datagram: f64,
     /// Processor time per tick, in microseconds.
     pub us_per_tick: f64,
-    /// Processor time of the test bed per member, including sockets, in percent of a core; 0 in simulated time.
+    /// Processor time of the testbed per member, including sockets, in percent of a core; 0 in simulated time.
     pub test_bed_cpu_percent: f64,
 }
 
@@ -65,16 +65,19 @@
     /// Number of members expected to learn of the change.
     pub observers: usize,
     /// Number of observers that had never known the lost member; the times exclude them.
-    pub unaware: usize,
+    #[serde(rename = "unaware")]
+    pub never_knew_member: usize,
     /// Number of observers that did not learn of the change before the checks ended.
-    pub never: usize,
+    #[serde(rename = "never")]
+    pub not_reached: usize,
     /// Duration of the checks, in seconds.
-    pub asked_s: f64,
+    #[serde(rename = "asked_s")]
+    pub checked_s: f64,
     /// Milliseconds until half the observers had learned of the change; `None` if fewer did.
     pub p50_ms: Option<f64>,
-    /// Milliseconds until 99% of the observers had; `None` if fewer did.
+    /// Milliseconds until 99% of the observers had learned of the change; `None` if fewer did.
     pub p99_ms: Option<f64>,
-    /// Milliseconds until all observers had; `None` if fewer did.
+    /// Milliseconds until all observers had learned of the change; `None` if fewer did.
     pub all_ms: Option<f64>,
 }
 
@@ -82,11 +85,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct KnownMembers {
     /// The minimum.
-    pub least: usize,
+    #[serde(rename = "least")]
+    pub min: usize,
     /// The median.
     pub median: usize,
     /// The maximum.
-    pub most: usize,
+    #[serde(rename = "most")]
+    pub max: usize,
 }
 
 /// The summary of a scale test.
@@ -108,19 +113,22 @@
     pub seed: u64,
     /// Whether time was simulated.
     pub virtual_time: bool,
-    /// Lateness of the test bed's timers at the 99th percentile, in milliseconds; over [`LATE_MS`] the run is invalid.
+    /// Lateness of the testbed's timers at the 99th percentile, in milliseconds; over [`MAX_TIMER_LATENESS_MS`] the run is
+    /// invalid.
     pub lag_p99_ms: f64,
     /// Resident memory that the run added to the process, per member, in bytes.
     pub memory_per_member: f64,
     /// Members in the steady state.
-    pub ordinary: PhaseSummary,
+    #[serde(rename = "ordinary")]
+    pub steady_state: PhaseSummary,
     /// Members from the start of the fault scenario on.
     pub after_event: PhaseSummary,
-    /// Control machines in the steady state.
-    pub control_ordinary: PhaseSummary,
-    /// Control machines from the start of the fault scenario on.
+    /// Purge replicas in the steady state.
+    #[serde(rename = "control_ordinary")]
+    pub control_steady_state: PhaseSummary,
+    /// Purge replicas from the start of the fault scenario on.
     pub control_after_event: PhaseSummary,
-    /// Number of control machines.
+    /// Number of purge replicas.
     pub replicas: usize,
     /// Results of the purges, if the mechanism has any.
     pub purge: Option<PurgeSummary>,
@@ -130,19 +138,19 @@
     pub known: KnownMembers,
     /// Number of packets to addresses of no member.
     pub unroutable: u64,
-    /// Number of packets whose send failed, as with a full socket buffer.
+    /// Number of packets whose send failed, for example because the socket buffer was full.
     pub not_sent: u64,
 }
 
 impl Summary {
-    /// Whether the test bed's timers were on time, so that the run is valid.
-    pub fn counts(&self) -> bool {
-        self.lag_p99_ms <= LATE_MS
+    /// Whether the testbed's timers were on time, so that the run is valid.
+    pub fn is_valid(&self) -> bool {
+        self.lag_p99_ms <= MAX_TIMER_LATENESS_MS
     }
 
     /// Whether no guarantee of the mechanism was violated.
     pub fn is_sound(&self) -> bool {
-        self.purge.is_none_or(|purge| purge.done_missing == 0)
+        self.purge.is_none_or(|purge| purge.missed_completed_purges == 0)
     }
 }
 
@@ -174,7 +182,7 @@
 pub struct Outcome {
     /// The summary.
     pub summary: Summary,
-    /// A row for each member.
+    /// A row for each member and purge replica.
     pub members: Vec<MemberRow>,
 }
 
@@ -194,8 +202,8 @@
             Outcome::from_observations(run, total, &result.lateness, after.saturating_sub(before));
         outcome.summary.not_sent = result.not_sent;
         for (phase, summary) in [
-            (Phase::SteadyState, &mut outcome.summary.ordinary),
-            (Phase::Event, &mut outcome.summary.after_event),
+            (Phase::SteadyState, &mut outcome.summary.steady_state),
+            (Phase::FaultScenario, &mut outcome.summary.after_event),
         ] {
             let total =
                 cpu_percent(result.cpu_ns[phase as usize], summary.seconds) / run.addresses.len() as f64;
@@ -221,7 +229,7 @@
         let summary = Summary {
             mechanism: config.mechanism.name().to_owned(),
             event: config.event.name().to_owned(),
-            flaw: config.flaw.map(|flaw| flaw.name().to_owned()),
+            flaw: config.defect.map(|defect| defect.name().to_owned()),
             members: config.members,
             regions: run.network.topology().regions(),
             zones: run.network.topology().zones(),
@@ -229,17 +237,17 @@
             virtual_time: config.virtual_time,
             lag_p99_ms: lateness.quantile_ms(0.99),
             memory_per_member: memory as f64 / config.members.max(1) as f64,
-            ordinary: phase_summary(run, members, Phase::SteadyState),
-            after_event: phase_summary(run, members, Phase::Event),
-            control_ordinary: phase_summary(run, control, Phase::SteadyState),
-            control_after_event: phase_summary(run, control, Phase::Event),
+            steady_state: phase_summary(run, members, Phase::SteadyState),
+            after_event: phase_summary(run, members, Phase::FaultScenario),
+            control_steady_state: phase_summary(run, control, Phase::SteadyState),
+            control_after_event: phase_summary(run, control, Phase::FaultScenario),
             replicas: config.replicas,
             purge,
             changes: summarise_changes(run, &observed.satisfied),
             known: KnownMembers {
-                least: known.first().copied().unwrap_or(0),
+                min: known.first().copied().unwrap_or(0),
                 median: known.get(known.len() / 2).copied().unwrap_or(0),
-                most: known.last().copied().unwrap_or(0),
+                max: known.last().copied().unwrap_or(0),
             },
             unroutable: observed.unroutable,
             not_sent: 0,
@@ -327,12 +335,12 @@
         .map(|expectation| expectation.at.saturating_sub(first.at))
         .collect();
     times.sort_unstable();
-    let never = observers - times.len();
+    let not_reached = observers - times.len();
     let is_loss = matches!(first.query, StateQuery::NotAlive(_));
-    let unaware =
+    let never_knew_member =
         if is_loss { times.iter().filter(|time| **time < MIN_LOSS_DETECTION_TIME).count() } else { 0 };
-    times.drain(..unaware);
-    let aware = observers - unaware;
+    times.drain(..never_knew_member);
+    let aware = observers - never_knew_member;
     let at_share = |share: f64| {
         let rank = ((aware as f64 * share).ceil() as usize).max(1);
         times.get(rank - 1).map(|time| *time as f64 / 1e3)
@@ -340,9 +348,9 @@
     ChangeSummary {
         name: first.name.to_owned(),
         observers,
-        unaware,
-        never,
-        asked_s: (first.until - first.at) as f64 / 1e6,
+        never_knew_member,
+        not_reached,
+        checked_s: (first.until - first.at) as f64 / 1e6,
         p50_ms: at_share(0.5),
         p99_ms: at_share(0.99),
         all_ms: at_share(1.0),
@@ -350,17 +358,18 @@
 }
 
 fn member_row(run: &Run, member: usize, phases: &MemberPhases) -> MemberRow {
-    let (ordinary, event) = (&phases[Phase::SteadyState as usize], &phases[Phase::Event as usize]);
+    let (steady_state, fault_scenario) =
+        (&phases[Phase::SteadyState as usize], &phases[Phase::FaultScenario as usize]);
     let per_s = |count: u64, phase: Phase| count as f64 / run.schedule.phase_seconds(phase).max(1e-9);
     MemberRow {
         member,
         zone: run.network.topology().zone(member),
         region: run.network.topology().region(member),
-        packets_per_s: per_s(ordinary.sent_total().packets, Phase::SteadyState),
-        bytes_per_s: per_s(ordinary.sent_total().bytes, Phase::SteadyState),
-        received_bytes_per_s: per_s(ordinary.received.bytes, Phase::SteadyState),
-        cpu_percent: cpu_percent(ordinary.cpu_ns(), run.schedule.phase_seconds(Phase::SteadyState)),
-        event_packets_per_s: per_s(event.sent_total().packets, Phase::Event),
-        event_bytes_per_s: per_s(event.sent_total().bytes, Phase::Event),
+        packets_per_s: per_s(steady_state.sent_total().packets, Phase::SteadyState),
+        bytes_per_s: per_s(steady_state.sent_total().bytes, Phase::SteadyState),
+        received_bytes_per_s: per_s(steady_state.received.bytes, Phase::SteadyState),
+        cpu_percent: cpu_percent(steady_state.cpu_ns(), run.schedule.phase_seconds(Phase::SteadyState)),
+        event_packets_per_s: per_s(fault_scenario.sent_total().packets, Phase::FaultScenario),
+        event_bytes_per_s: per_s(fault_scenario.sent_total().bytes, Phase::FaultScenario),
     }
 }
--- a/testbed/src/scale/run.rs
+++ b/testbed/src/scale/run.rs
@@ -6,7 +6,7 @@
 
 use super::calibration::CalibrationEndpoint;
 use super::cluster_endpoint::{ClusterEndpoint, ClusterMemberIdentity, MembershipEndpoint};
-use super::config::{Flaw, Mechanism, ScaleConfig};
+use super::config::{InjectedDefect, Mechanism, ScaleConfig};
 use super::endpoint::Endpoint;
 use super::network::Network;
 use super::purge_endpoint::{PurgeMemberEndpoint, PurgeMemberIdentity, PurgeReplicaEndpoint};
@@ -27,7 +27,7 @@
     pub network: Network,
     /// The schedule of faults, purges and expectations.
     pub schedule: Schedule,
-    /// The address of each member, by member number.
+    /// The address of each member and purge replica, by member number; replicas have the lowest numbers.
     pub addresses: Vec<SocketAddr>,
     members_by_address: HashMap<SocketAddr, usize>,
 }
@@ -48,8 +48,8 @@
         self.members_by_address.get(&address).copied()
     }
 
-    /// Creates the control code of a member that starts now. The start time is its incarnation, so that a later start has a
-    /// greater one.
+    /// Creates the control code of a member that starts now. The start time is the member's incarnation, so that a later
+    /// start has a greater one.
     pub fn create_endpoint(&self, member: usize, now: Micros) -> Box<dyn Endpoint> {
         let config = &self.config;
         let seed = config.seed ^ (member as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ now;
@@ -87,7 +87,7 @@
         let mut preferred_replicas: Vec<u8> = (0..config.replicas as u8).collect();
         preferred_replicas
             .sort_by_key(|replica| self.network.topology().delay(member, usize::from(*replica)));
-        let drops_purges = config.flaw == Some(Flaw::DropsPurges) && member == config.replicas;
+        let drops_purges = config.defect == Some(InjectedDefect::DropsPurges) && member == config.replicas;
         PurgeMemberIdentity {
             member: member as u32,
             replicas: self.addresses[..config.replicas].to_vec(),
--- a/testbed/src/scale/schedule.rs
+++ b/testbed/src/scale/schedule.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::ops::Range;
 
-use super::config::{Event, Mechanism, ScaleConfig};
+use super::config::{FaultScenario, Mechanism, ScaleConfig};
 use super::endpoint::StateQuery;
 use super::network::{Network, PacketLoss, Partition, PartitionScope};
 use super::topology::Topology;
@@ -19,21 +19,21 @@
 const RECOVERY_TIME_SHARE: f64 = 0.45;
 /// Share of the fault scenario's time after which a cache server stops answering.
 const SERVER_SILENCE_TIME_SHARE: f64 = 0.7;
-/// Share of packets lost in [`Event::Loss`].
+/// Share of packets lost in [`FaultScenario::Loss`].
 const LOST_PACKET_SHARE: f64 = 0.01;
-/// Share of members that restart in [`Event::RestartWave`].
+/// Share of members that restart in [`FaultScenario::RestartWave`].
 const RESTARTED_MEMBER_SHARE: f64 = 0.4;
-/// Time within which these members stop.
+/// Time within which the members of a restart wave stop.
 const RESTART_WAVE_DURATION: Micros = 5_000_000;
-/// Time from the stop of each of these members to its start.
+/// Time from the stop of a member of a restart wave to its start.
 const RESTART_DOWNTIME: Micros = 1_000_000;
 /// Number of seed members, which every member contacts first.
 pub const SEED_MEMBER_COUNT: usize = 3;
-/// Number of control machines killed in [`Event::ControlLoss`].
+/// Number of purge replicas killed in [`FaultScenario::ControlLoss`].
 const KILLED_REPLICA_COUNT: usize = 2;
 /// Time from the start of the run to the first purge.
 const FIRST_PURGE_DELAY: Micros = 3_000_000;
-/// Number of members whose state the others are checked for when a fault affects many members.
+/// Number of affected members that the expectations are about when a fault affects many members.
 const SAMPLED_MEMBER_COUNT: usize = 3;
 
 /// The kind of an [`Action`].
@@ -82,7 +82,7 @@
     /// The steady state.
     SteadyState,
     /// The fault scenario, to the end of the run.
-    Event,
+    FaultScenario,
 }
 
 impl Phase {
@@ -95,15 +95,15 @@
 pub struct Schedule {
     /// End of the warm-up.
     pub warm_up_end: Micros,
-    /// Start of the fault scenario.
-    pub event: Micros,
+    /// Start of the fault scenario; the end of the run if there is none.
+    pub fault_start: Micros,
     /// End of the run.
     pub end: Micros,
     /// The actions on members, sorted by time.
     pub actions: Vec<Action>,
     /// The changes that members are expected to learn of.
     pub expectations: Vec<Expectation>,
-    /// Cache servers that stop answering, and for which period.
+    /// Each cache server that stops answering, with the period.
     pub silent_servers: Vec<(u64, Range<Micros>)>,
 }
 
@@ -113,13 +113,13 @@
         let to_micros = |seconds: f64| (seconds * 1e6) as Micros;
         let warm_up_end = CLOCK_START + to_micros(config.warm_up_s);
         let end = warm_up_end + to_micros(config.seconds);
-        let event = match config.event {
-            Event::None => end,
+        let fault_start = match config.event {
+            FaultScenario::None => end,
             _ => warm_up_end + to_micros(config.seconds * STEADY_STATE_TIME_SHARE),
         };
         let schedule = Schedule {
             warm_up_end,
-            event,
+            fault_start,
             end,
             actions: Vec::new(),
             expectations: Vec::new(),
@@ -136,7 +136,7 @@
             replicas: config.replicas,
             first_stoppable_member,
         };
-        builder.add_event(config.event);
+        builder.add_fault_scenario(config.event);
         builder.add_purges(config);
         if config.mechanism == Mechanism::Purge {
             // Members have no membership in this mechanism, so that they cannot satisfy any query.
@@ -150,10 +150,10 @@
     pub fn phase(&self, now: Micros) -> Phase {
         if now < self.warm_up_end {
             Phase::WarmUp
-        } else if now < self.event {
+        } else if now < self.fault_start {
             Phase::SteadyState
         } else {
-            Phase::Event
+            Phase::FaultScenario
         }
     }
 
@@ -161,8 +161,8 @@
     pub fn phase_seconds(&self, phase: Phase) -> f64 {
         let span = match phase {
             Phase::WarmUp => self.warm_up_end - CLOCK_START,
-            Phase::SteadyState => self.event - self.warm_up_end,
-            Phase::Event => self.end - self.event,
+            Phase::SteadyState => self.fault_start - self.warm_up_end,
+            Phase::FaultScenario => self.end - self.fault_start,
         };
         span as f64 / 1e6
     }
@@ -174,10 +174,10 @@
     network: &'a mut Network,
     addresses: &'a [SocketAddr],
     rng: fastrand::Rng,
-    /// Number of control machines; they have the lowest member numbers.
+    /// Number of purge replicas; they have the lowest member numbers.
     replicas: usize,
-    /// The lowest number of a member that [`Event::MemberLost`] may stop. Control machines and seeds are exempt, but at least
-    /// one member can always be stopped.
+    /// The lowest number of a member that [`FaultScenario::MemberLost`] may stop. Purge replicas and seeds are exempt,
+    /// but at least one member can always be stopped.
     first_stoppable_member: usize,
 }
 
@@ -188,23 +188,23 @@
 
     /// The time after this share of the fault scenario.
     fn time_at_share(&self, share: f64) -> Micros {
-        let Schedule { event, end, .. } = self.schedule;
-        event + ((end - event) as f64 * share) as Micros
+        let Schedule { fault_start, end, .. } = self.schedule;
+        fault_start + ((end - fault_start) as f64 * share) as Micros
     }
 
-    fn add_event(&mut self, event: Event) {
-        match event {
-            Event::None => {}
-            Event::MemberLost => self.add_member_lost(),
-            Event::Loss => {
+    fn add_fault_scenario(&mut self, scenario: FaultScenario) {
+        match scenario {
+            FaultScenario::None => {}
+            FaultScenario::MemberLost => self.add_member_lost(),
+            FaultScenario::Loss => {
                 let period = self.schedule.warm_up_end..self.schedule.end;
                 self.network.add_packet_loss(PacketLoss { period, lost_share: LOST_PACKET_SHARE });
                 self.add_member_lost();
             }
-            Event::ZoneLost => self.add_zone_lost(),
-            Event::RegionCut => self.add_region_cut(),
-            Event::RestartWave => self.add_restart_wave(),
-            Event::ControlLoss => self.add_control_loss(),
+            FaultScenario::ZoneLost => self.add_zone_lost(),
+            FaultScenario::RegionCut => self.add_region_cut(),
+            FaultScenario::RestartWave => self.add_restart_wave(),
+            FaultScenario::ControlLoss => self.add_control_loss(),
         }
     }
 
@@ -311,7 +311,7 @@
         }
     }
 
-    /// Two control machines crash at the same time and restart. Does nothing without control machines.
+    /// Two purge replicas crash at the same time and restart. Does nothing without purge replicas.
     fn add_control_loss(&mut self) {
         let mut replicas: Vec<usize> = (0..self.replicas).collect();
         self.rng.shuffle(&mut replicas);
@@ -321,7 +321,7 @@
         }
     }
 
-    /// Adds purges at a constant rate, published by the control machines round-robin.
+    /// Adds purges at a constant rate, published by the purge replicas round-robin.
     fn add_purges(&mut self, config: &ScaleConfig) {
         if self.replicas == 0 || config.publishes_per_s <= 0.0 {
             return;
@@ -352,7 +352,7 @@
         }
     }
 
-    /// All members except these, as a flag by member number.
+    /// A flag by member number, which is set for all members except these.
     fn flags_of_others(&self, members: &[usize]) -> Vec<bool> {
         let mut others = vec![true; self.topology().members()];
         members.iter().for_each(|member| others[*member] = false);
--- a/testbed/src/scale/shard.rs
+++ b/testbed/src/scale/shard.rs
@@ -1,10 +1,11 @@
 //! The members of one thread: calls their control code, applies network faults to the packets they send, measures them and
-//! records when they satisfy expectations. Does no I/O and reads no wall clock, so that sockets and simulated time share it.
+//! records when they satisfy expectations. Does no I/O and reads no wall clock, so that the code is the same over sockets and in
+//! simulated time.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use super::config::Flaw;
+use super::config::InjectedDefect;
 use super::endpoint::{Datagram, Endpoint, EndpointEvent};
 use super::meter::{thread_cpu_ns, Calls, MemberCounts, MemberPhases};
 use super::run::Run;
@@ -51,7 +52,7 @@
 pub struct Observations {
     /// Traffic and processor time by member.
     pub counts: Vec<(usize, MemberPhases)>,
-    /// The satisfied expectations by member.
+    /// The expectations that members have satisfied.
     pub satisfied: Vec<SatisfiedExpectation>,
     /// The members' events.
     pub events: Vec<MemberEvent>,
@@ -61,15 +62,17 @@
     pub unroutable: u64,
 }
 
+/// A member with its measurements.
 struct MemberSlot {
     member: usize,
+    /// The member's control code; `None` while the member is not running.
     endpoint: Option<Box<dyn Endpoint>>,
     counts: MemberPhases,
     /// Number of packets sent, an input to the network's random choices.
     sent_packets: u64,
-    /// Bit mask of the satisfied expectations, by index.
+    /// Bit mask of the satisfied expectations, by their index in the schedule.
     satisfied: u64,
-    /// Time of the next broadcast with [`Flaw::BroadcastsToAll`].
+    /// Time of the next broadcast with [`InjectedDefect::BroadcastsToAll`].
     next_broadcast: Micros,
 }
 
@@ -166,7 +169,7 @@
         endpoint.on_tick(now);
         let mut sent = endpoint.drain_datagrams();
         count_call(&mut slot.counts[phase].ticks, cpu_before_ns);
-        if self.run.config.flaw == Some(Flaw::BroadcastsToAll) && now >= slot.next_broadcast {
+        if self.run.config.defect == Some(InjectedDefect::BroadcastsToAll) && now >= slot.next_broadcast {
             slot.next_broadcast = now + 1_000_000;
             sent.extend(broadcast_packets(&self.run, member));
         }
--- a/testbed/src/scale/virtual_time.rs
+++ b/testbed/src/scale/virtual_time.rs
@@ -23,18 +23,22 @@
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EventKind {
+    /// The action with this index in the schedule.
     Action(usize),
+    /// The tick of this member.
     Tick(usize),
+    /// The arrival of a packet.
     Arrival(InFlightPacket),
 }
 
 /// An event with its due time and sequence number. Events due at the same time run in insertion order.
 type QueuedEvent = Reverse<(Micros, u64, EventKind)>;
 
-/// The event queue.
+/// The events that are not processed yet.
 #[derive(Default)]
 struct EventQueue {
     heap: BinaryHeap<QueuedEvent>,
+    /// Sequence number of the last inserted event.
     sequence: u64,
 }
 
--- a/testbed/src/scale/workload.rs
+++ b/testbed/src/scale/workload.rs
@@ -1,4 +1,5 @@
-//! Synthetic traffic: calls a member's control code as client requests and cache servers would, without either.
+//! Synthetic traffic: calls a member's control code as for requests of clients and responses of cache servers, without real
+//! clients or servers.
 
 use std::collections::VecDeque;
 use std::ops::Range;
@@ -32,7 +33,7 @@
     pub requests_per_s: f64,
     /// Number of cache servers.
     pub servers: usize,
-    /// Cache servers that stop answering, and for which period.
+    /// Each cache server that stops answering, with the period.
     pub silent_servers: Vec<(u64, Range<Micros>)>,
 }
 
@@ -54,6 +55,7 @@
     config: WorkloadConfig,
     rng: fastrand::Rng,
     requests_per_s: f64,
+    /// Time of the last call of [`Workload::generate`].
     last_generated: Micros,
     /// Attempts at silent servers, as time of the timeout and server number.
     pending_attempts: VecDeque<(Micros, u64)>,
@@ -91,9 +93,9 @@
     /// Passes the requests that arrived since the last call to the member's control code.
     pub fn generate(&mut self, cluster: &mut Cluster, now: Micros) {
         self.report_timed_out_attempts(cluster, now);
-        let due = self.requests_per_s * (now - self.last_generated) as f64 / 1e6;
+        let expected_count = self.requests_per_s * (now - self.last_generated) as f64 / 1e6;
         self.last_generated = now;
-        let count = due as usize + usize::from(self.rng.f64() < due.fract());
+        let count = expected_count as usize + usize::from(self.rng.f64() < expected_count.fract());
         for _ in 0..count.min(MAX_REQUESTS_PER_TICK) {
             self.generate_request(cluster, now);
         }
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Generates a request: an attempt at a cache server unless it is avoided, and for a miss a fetch from the origin.
+    /// Generates a request: an attempt at a cache server unless the server is avoided, and a fetch from the origin for a miss.
     fn generate_request(&mut self, cluster: &mut Cluster, now: Micros) {
         if let Some(retries) = cluster.retry_budget() {
             retries.on_first_attempt();
--- a/testbed/src/soak/clients.rs
+++ b/testbed/src/soak/clients.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use juniperladder_platform_model::checker::CheckTerms;
+use juniperladder_platform_model::checker::CheckConfig;
 use juniperladder_platform_model::event_log::{ClientRequest, RequestResult};
 use juniperladder_platform_model::rng::SeededRng;
 use juniperladder_platform_model::Micros;
@@ -37,7 +37,7 @@
 const SPLIT_PAUSE_MS: std::ops::Range<u64> = 1..120;
 /// Share of batches whose last request is split into two writes.
 const SPLIT_SHARE: f64 = 0.3;
-/// Time after its deadline for which an answer is still awaited, to tell a late answer from a missing one.
+/// Time after a request's deadline for which the answer is still awaited, to tell a late answer from a missing one.
 const LATE_ANSWER_WAIT: Duration = Duration::from_secs(1);
 /// Pause before another connection is opened.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
@@ -55,14 +55,14 @@
     pub connect_until: Micros,
     /// End of the time in which requests are sent.
     pub load_until: Micros,
-    /// Whether the client sends its next request before the last is answered, so that its connection is never idle.
+    /// Whether the client sends its next request before the previous one is answered, so that its connection is never idle.
     pub is_busy: bool,
 }
 
 /// State shared by all clients.
 pub struct SoakClients {
     testbed: Rc<Testbed>,
-    terms: CheckTerms,
+    check_config: CheckConfig,
     next_number: Cell<u64>,
 }
 
@@ -72,7 +72,7 @@
     request: WireRequest,
     /// Index of the request in the event log.
     log_index: usize,
-    /// Whether its last byte has been written.
+    /// Whether the last byte of the request has been written.
     is_complete: bool,
 }
 
@@ -84,6 +84,7 @@
     has_stopped_sending: Cell<bool>,
     /// Whether any answer has been received.
     has_answered: Cell<bool>,
+    /// Time of the last answer, or 0 before the first.
     last_answer_at: Cell<Micros>,
 }
 
@@ -101,11 +102,11 @@
 impl SoakClients {
     /// Creates the clients of this testbed.
     pub fn new(testbed: Rc<Testbed>) -> Rc<SoakClients> {
-        let terms = CheckTerms::of(&testbed.experiment);
-        Rc::new(SoakClients { testbed, terms, next_number: Cell::new(1) })
+        let check_config = CheckConfig::of(&testbed.experiment);
+        Rc::new(SoakClients { testbed, check_config, next_number: Cell::new(1) })
     }
 
-    /// Runs one client, which opens a new connection whenever the last has ended, as long as its target's times allow.
+    /// Runs one client, which opens a new connection whenever its previous one has ended, as long as its target's times allow.
     pub async fn run_client(self: Rc<SoakClients>, target: ClientTarget, mut rng: SeededRng) {
         while self.testbed.now() < target.connect_until.min(target.load_until) {
             if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(target.address)).await {
@@ -151,7 +152,7 @@
         }
         state.has_stopped_sending.set(true);
         state.pending_changed.notify_one();
-        // Keeps the write half open, because the balancer would take its end for a disconnect of the client.
+        // Keeps the write half open, because the balancer would treat its end as a disconnect of the client.
         std::future::pending::<()>().await;
     }
 
@@ -196,7 +197,7 @@
             key: rng.random_range(0..load.keys),
             write,
             is_retry: false,
-            time: self.terms.class(write).deadline,
+            time: self.check_config.class(write).deadline,
         }
     }
 
@@ -240,7 +241,7 @@
         state: &ConnectionState,
         mut reader: BufReader<OwnedReadHalf>,
     ) -> ReadingEnd {
-        let longest_wait = Duration::from_micros(self.terms.longest_deadline()) + LATE_ANSWER_WAIT;
+        let longest_wait = Duration::from_micros(self.check_config.longest_deadline()) + LATE_ANSWER_WAIT;
         loop {
             let first = state.pending.borrow().front().copied();
             let Some(pending) = first else {
--- a/testbed/src/soak/plan.rs
+++ b/testbed/src/soak/plan.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use juniperladder_platform_model::checker::CheckTerms;
+use juniperladder_platform_model::checker::CheckConfig;
 use juniperladder_platform_model::experiment::{DeadlineProfile, Experiment};
 use juniperladder_platform_model::reader::read;
 use juniperladder_platform_model::rng::{seeded_rng, RngStream, SeededRng};
@@ -18,13 +18,13 @@
 
 /// Maximum deadline that the protocol takes into account for the time between SIGTERM and SIGKILL.
 const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
-/// Time between SIGTERM and SIGKILL in addition to that deadline, as in the protocol.
+/// Time between SIGTERM and SIGKILL in addition to the longest deadline, as in the protocol.
 const TIME_AFTER_LONGEST_DEADLINE: Micros = 700_000;
 /// Time after SIGTERM for which clients still open connections: the protocol's maximum.
 const CONNECT_TIME_AFTER_SIGTERM: Micros = 400_000;
 /// Time of the first SIGTERM after the start of the load, in microseconds.
 const TERMINATE_AT: std::ops::Range<Micros> = 1_200_000..1_700_000;
-/// Maximum time between the first SIGTERM and those to other balancers.
+/// Maximum time between the first SIGTERM and the first SIGTERM of each other balancer.
 const MAX_TERMINATION_SPREAD: Micros = 300_000;
 /// Time for which a run continues after the last kill.
 const TIME_AFTER_KILL: Micros = 300_000;
@@ -74,7 +74,7 @@
 /// A crowd of connections without a complete request.
 #[derive(Clone, Copy, Debug)]
 pub struct Crowd {
-    /// Number of the balancer to which they connect.
+    /// Number of the balancer to which the crowd connects.
     pub balancer: usize,
     /// Number of connections that send nothing.
     pub silent: usize,
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Adds a stall that is over well before the process has to have ended.
+    /// Adds, with the probability [`STALL_SHARE`], a stall that ends well before the process is killed.
     fn add_stall(&mut self, termination: Termination, rng: &mut SeededRng) {
         if !rng.random_bool(STALL_SHARE) {
             return;
@@ -243,13 +243,13 @@
 }
 
 fn draw_terminations(experiment: &Experiment, rng: &mut SeededRng) -> Vec<Termination> {
-    let longest = CheckTerms::of(experiment).longest_deadline().min(MAX_COUNTED_DEADLINE);
+    let longest = CheckConfig::of(experiment).longest_deadline().min(MAX_COUNTED_DEADLINE);
     let mut balancers: Vec<usize> = (0..experiment.fleet.balancers).collect();
     balancers.shuffle(rng);
     balancers.truncate(rng.random_range(1..experiment.fleet.balancers));
     let first = rng.random_range(TERMINATE_AT);
-    let terminate = |(place, balancer): (usize, usize)| {
-        let at = if place == 0 { first } else { first + rng.random_range(0..MAX_TERMINATION_SPREAD) };
+    let terminate = |(index, balancer): (usize, usize)| {
+        let at = if index == 0 { first } else { first + rng.random_range(0..MAX_TERMINATION_SPREAD) };
         Termination { balancer, at, kill_at: at + longest + TIME_AFTER_LONGEST_DEADLINE }
     };
     balancers.into_iter().enumerate().map(terminate).collect()
--- a/testbed/src/soak/run.rs
+++ b/testbed/src/soak/run.rs
@@ -5,7 +5,7 @@
 
 use juniperladder_platform_model::event_log::EventLog;
 use juniperladder_platform_model::rng::{mix_bits, seeded_rng, RngStream};
-use juniperladder_platform_model::schedule::{schedule, Step};
+use juniperladder_platform_model::schedule::{compile_schedule, Step};
 use juniperladder_platform_model::Micros;
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tokio::time::sleep_until;
@@ -56,7 +56,7 @@
     out: &Path,
     child_reaper: Option<ChildReaper>,
 ) -> Result<SoakRecord, TestbedError> {
-    let links = schedule(&plan.experiment).links;
+    let links = compile_schedule(&plan.experiment).links;
     let testbed = Testbed::new(plan.experiment.clone(), links);
     let platform = Platform::prepare(Rc::clone(&testbed), out, None, child_reaper)?;
     platform.processes.start_all(|_| ()).await?;
@@ -74,9 +74,10 @@
     testbed: Rc<Testbed>,
     platform: Platform,
     load_began_at: Micros,
-    /// Original texts of the configurations that are malformed now, with the balancer's number.
+    /// Balancer number and original text of each configuration that is malformed now.
     original_configs: Vec<(usize, String)>,
     clients: Vec<JoinHandle<()>>,
+    /// Tasks that are aborted at the end: the observation of stalls, the stalls of processes, and the crowd.
     watchers: Vec<JoinHandle<()>>,
 }
 
@@ -143,8 +144,8 @@
     }
 
     fn restore_config(&mut self, balancer: usize) {
-        if let Some(place) = self.original_configs.iter().position(|(other, _)| *other == balancer) {
-            let (_, original) = self.original_configs.swap_remove(place);
+        if let Some(index) = self.original_configs.iter().position(|(other, _)| *other == balancer) {
+            let (_, original) = self.original_configs.swap_remove(index);
             let _ = self.platform.processes.replace_config(balancer, &original);
         }
     }
--- a/testbed/src/testbed.rs
+++ b/testbed/src/testbed.rs
@@ -22,11 +22,11 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Delay of the kernel's first TCP retransmission; it doubles with each further loss in a row.
+/// Delay of the kernel's first TCP retransmission; it doubles with each further consecutive loss.
 const FIRST_RETRANSMISSION_DELAY: Micros = 200_000;
-/// Total delay of retransmissions from which on no further loss in a row is drawn, as TCP gives up after some losses.
+/// Total retransmission delay at which no further consecutive loss is drawn, as TCP also limits its retransmissions.
 const MAX_RETRANSMISSION_DELAY: Micros = 12 * FIRST_RETRANSMISSION_DELAY;
-/// Misses that are kept for each request until the origin answers; a request has three attempts.
+/// Maximum number of misses kept for each request until the origin answers; a request has three attempts.
 const MAX_MISSES_PER_REQUEST: usize = 3;
 /// Maximum number of bytes that one corruption changes.
 const CORRUPTED_BYTES: usize = 3;
@@ -34,7 +34,7 @@
 /// A cache miss of a server for a request.
 struct Miss {
     server: usize,
-    /// Incarnation of its machine at the miss.
+    /// Incarnation of the server's machine at the time of the miss.
     incarnation: u32,
     in_slow_start: bool,
 }
@@ -43,6 +43,7 @@
 pub struct TimedEndpointList {
     /// The endpoint list.
     pub list: EndpointList,
+    /// Time of each change in order; 0 for the initial entries.
     changed_at: Vec<Micros>,
 }
 
@@ -57,7 +58,7 @@
     pub servers: Vec<RefCell<CacheServer>>,
     /// Incarnation number of each server's machine; connections to an earlier incarnation are reset.
     pub incarnations: Vec<Cell<u32>>,
-    /// How often each server was replaced by another one with a new id.
+    /// Number of times each server was replaced by a server with a new id.
     pub replacements: Vec<Cell<u32>>,
     /// Whether each server is silent, that is, accepts requests and does not answer.
     pub silent: Vec<Cell<bool>>,
@@ -75,9 +76,9 @@
     pub notice_delays: RefCell<Vec<Micros>>,
     /// The links and their faults.
     pub links: RefCell<Links>,
-    /// One balancer of each side, by the number of the side. Balancers of one side see the same links and zone, and
-    /// share listeners.
-    pub side_members: Vec<usize>,
+    /// One balancer of each listener group, by the number of the group. Balancers of one group see the same links
+    /// and zone, and share listeners.
+    pub listener_group_members: Vec<usize>,
     /// The event log of the run.
     pub event_log: RefCell<EventLog>,
     /// Cache misses by request id.
@@ -92,9 +93,9 @@
     /// Creates the platform of an experiment; its clock starts now.
     pub fn new(experiment: Experiment, links: Links) -> Rc<Testbed> {
         let server_count = experiment.fleet.servers;
-        let sides = links.sides(&experiment);
-        let side_count = sides.iter().copied().max().unwrap_or(0) + 1;
-        let member_of_side = |side| sides.iter().position(|other| *other == side);
+        let listener_groups = links.listener_groups(&experiment);
+        let group_count = listener_groups.iter().copied().max().unwrap_or(0) + 1;
+        let member_of_group = |group| listener_groups.iter().position(|other| *other == group);
         let discovery = &experiment.discovery;
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Rc::new(Testbed {
@@ -111,10 +112,10 @@
             discovery_down: Cell::new(false),
             notice_delays: RefCell::new(vec![0; experiment.fleet.balancers]),
             links: RefCell::new(links),
-            side_members: (0..side_count).filter_map(member_of_side).collect(),
+            listener_group_members: (0..group_count).filter_map(member_of_group).collect(),
             event_log: RefCell::default(),
             misses: RefCell::default(),
-            machine_rng: RefCell::new(seeded_rng(experiment.seed, RngStream::Machines)),
+            machine_rng: RefCell::new(seeded_rng(experiment.seed, RngStream::ServiceTimes)),
             link_rng: RefCell::new(seeded_rng(experiment.seed, RngStream::Links)),
             changes: watch::channel(0).0,
             experiment,
@@ -151,7 +152,8 @@
         self.links.borrow().state(from, to)
     }
 
-    /// Draws the transit time of data sent over a link now: the latency between the zones plus that of the link's faults.
+    /// Draws the transit time of data sent over a link now: the latency between the zones plus the
+    /// delay by the link's faults.
     pub fn draw_transit_time(&self, from: LinkEnd, to: LinkEnd, state: &LinkState) -> Micros {
         let net = &self.experiment.net;
         let is_same_zone = self.zone_of(from) == self.zone_of(to);
@@ -244,11 +246,12 @@
         let started_at = self.servers[server].borrow().started_at;
         let now = self.now();
         let mut endpoints = self.endpoints.borrow_mut();
-        endpoints.list.apply_change(Endpoint { id, slot: server, lifecycle, started_at });
+        endpoints.list.apply_change(Endpoint { id, server_number: server, lifecycle, started_at });
         endpoints.changed_at.push(now);
     }
 
-    /// The newest generation of the endpoint list that is visible to this balancer now, and when the next one will be.
+    /// The newest generation of the endpoint list that is visible to this balancer now, and the time at which the next one
+    /// becomes visible, if there is a next one.
     pub fn visible_generation(&self, balancer: usize) -> (u64, Option<Micros>) {
         let notice = micros_from_seconds(self.experiment.discovery.notice_s);
         let delay = notice + self.notice_delays.borrow()[balancer];
@@ -268,7 +271,7 @@
 
 fn cache_servers(experiment: &Experiment) -> Vec<RefCell<CacheServer>> {
     let fleet = &experiment.fleet;
-    let cached_keys = experiment.servers.keep * experiment.load.keys as f64;
+    let cached_keys = experiment.servers.cached_keys_ratio * experiment.load.keys as f64;
     let max_keys = (cached_keys / fleet.servers as f64).ceil().max(1.0) as usize;
     let server = |number: usize| {
         let weight = fleet.weights[number % fleet.weights.len()];
@@ -279,9 +282,9 @@
 
 /// The initial endpoint list: all servers and the origin, in service.
 fn initial_endpoints(experiment: &Experiment) -> TimedEndpointList {
-    let endpoint = |slot| Endpoint {
-        id: server_id(experiment.seed, slot, 0),
-        slot,
+    let endpoint = |server_number| Endpoint {
+        id: server_id(experiment.seed, server_number, 0),
+        server_number,
         lifecycle: Lifecycle::InService,
         started_at: None,
     };
@@ -289,7 +292,7 @@
     TimedEndpointList { changed_at: vec![0; endpoints.len()], list: EndpointList::new(endpoints) }
 }
 
-/// Draws the delay by TCP retransmissions on a link that loses this share of packets.
+/// Draws the delay that TCP retransmissions cause on a link that loses this share of packets.
 fn draw_retransmission_delay(lost_share: f64, rng: &mut SeededRng) -> Micros {
     let mut delay = 0;
     let mut retransmission_delay = FIRST_RETRANSMISSION_DELAY;
@@ -300,9 +303,9 @@
     delay
 }
 
-/// The id of the server in a slot after this number of replacements; the last slot is that of the origin.
-pub fn server_id(seed: u64, slot: usize, replacement: u32) -> String {
-    let number = seed.wrapping_mul(1_000_003) ^ ((slot as u64) << 16) ^ u64::from(replacement);
+/// The id of a server after this number of replacements; the highest server number belongs to the origin.
+pub fn server_id(seed: u64, server_number: usize, replacement: u32) -> String {
+    let number = seed.wrapping_mul(1_000_003) ^ ((server_number as u64) << 16) ^ u64::from(replacement);
     format!("s-{:08x}", mix_bits(number) as u32)
 }
 
--- a/testbed/tests/controls.rs
+++ b/testbed/tests/controls.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use juniperladder_platform_model::checker::rules::Rule;
-use juniperladder_platform_model::checker::{check_run, CheckTerms};
+use juniperladder_platform_model::checker::{check_run, CheckConfig};
 use juniperladder_platform_model::experiment::DeadlineProfile;
 use juniperladder_platform_model::reader::read;
 use juniperladder_platform_model::summary::Summary;
@@ -25,7 +25,7 @@
          [discovery]\nnotice_s = 0.1\n{faults}"
     );
     let experiment = read(&text, &[]).unwrap();
-    let (_keep, stop) = tokio::sync::watch::channel(false);
+    let (_stop_sender, stop) = tokio::sync::watch::channel(false);
     let run = run_experiment(
         &experiment,
         RunOptions { out: folder.path(), progress: &mut |_| {}, child_reaper: None, stop },
@@ -33,8 +33,8 @@
     .unwrap();
     assert_eq!(run.crashes, [""; 0]);
     // Tests run in parallel on one machine, so an answer counts as late only from half a second on.
-    let terms = CheckTerms { tolerance: MICROS_PER_SECOND / 2, ..CheckTerms::of(&experiment) };
-    check_run(&run.event_log, &terms).summary
+    let check_config = CheckConfig { tolerance: MICROS_PER_SECOND / 2, ..CheckConfig::of(&experiment) };
+    check_run(&run.event_log, &check_config).summary
 }
 
 const DRAIN: &str = "[[fault]]\nat = 2\nfor = 6\nwhat = \"drain\"\nwho = \"hosts:3\"\n";
@@ -144,7 +144,7 @@
             "name = \"t\"\nseconds = 5\n[fleet]\nbalancers = 2\nhosts = 1\nprogram = {program:?}\n\
              [load]\nrate = 1\nkeys = 1\n"
         );
-        let (_keep, stop) = tokio::sync::watch::channel(false);
+        let (_stop_sender, stop) = tokio::sync::watch::channel(false);
         let options = RunOptions { out: folder.path(), progress: &mut |_| {}, child_reaper: None, stop };
         run_experiment(&read(&text, &[]).unwrap(), options).err().unwrap()
     };
@@ -154,12 +154,12 @@
             .as_str(),
     );
     assert!(
-        matches!(&error, TestbedError::NotAllowed(cause) if cause.to_string().contains("build it first")),
+        matches!(&error, TestbedError::Setup(cause) if cause.to_string().contains("build it first")),
         "{error:?}"
     );
     let error = run_error("/bin/false");
     assert!(
-        matches!(&error, TestbedError::Broken(cause) if cause.to_string().contains("did not come up")),
+        matches!(&error, TestbedError::Aborted(cause) if cause.to_string().contains("did not become ready")),
         "{error:?}"
     );
 }
