--- a/node/src/coordination.rs
+++ b/node/src/coordination.rs
@@ -77,7 +77,7 @@
         }
     }
 
-    fn on_rejected(&mut self, limit: SharedLimit, now: Micros) {
+    fn on_denied(&mut self, limit: SharedLimit, now: Micros) {
         let mut cluster = self.cluster.borrow_mut();
         if limit == SharedLimit::RetryBudget {
             if let Some(budget) = cluster.retry_budget() {
@@ -100,9 +100,9 @@
         }
     }
 
-    fn on_server_observed(&mut self, server: ServerId, started: Micros, silent: bool, now: Micros) {
+    fn on_server_observed(&mut self, server: ServerId, started: Micros, is_silent: bool, now: Micros) {
         if let Some(failure_detector) = self.cluster.borrow_mut().failure_detector() {
-            failure_detector.on_server_observed(ServerIncarnation { server, started }, silent, now);
+            failure_detector.on_server_observed(ServerIncarnation { server, started }, is_silent, now);
         }
     }
 
--- a/node/src/coordination/tests.rs
+++ b/node/src/coordination/tests.rs
@@ -99,9 +99,9 @@
     for _ in 0..5 {
         coordination.on_new_request(NOW);
     }
-    coordination.on_rejected(SharedLimit::OriginRate, NOW);
+    coordination.on_denied(SharedLimit::OriginRate, NOW);
     coordination.acquire(SharedLimit::RetryBudget, NOW);
-    coordination.on_rejected(SharedLimit::RetryBudget, NOW);
+    coordination.on_denied(SharedLimit::RetryBudget, NOW);
     assert_eq!(coordination.wait_time(SharedLimit::OriginRate, NOW), Some(WAIT_WITHOUT_TOKENS));
     assert_eq!(coordination.wait_time(SharedLimit::RetryBudget, NOW), Some(Micros::ZERO));
     assert_eq!(coordination.wait_time(slow_start, NOW), Some(WAIT_WITHOUT_TOKENS));
--- a/src/balancer/tests/coordination.rs
+++ b/src/balancer/tests/coordination.rs
@@ -44,7 +44,7 @@
         self.0.borrow_mut().acquired.push(limit);
     }
 
-    fn on_rejected(&mut self, limit: SharedLimit, _now: Micros) {
+    fn on_denied(&mut self, limit: SharedLimit, _now: Micros) {
         self.0.borrow_mut().rejected.push(limit);
     }
 
@@ -56,14 +56,8 @@
         self.0.borrow_mut().serving = servers.to_vec();
     }
 
-    fn on_server_observed(
-        &mut self,
-        server: ServerId,
-        _started: Micros,
-        is_unresponsive: bool,
-        _now: Micros,
-    ) {
-        self.0.borrow_mut().observed.push((server, is_unresponsive));
+    fn on_server_observed(&mut self, server: ServerId, _started: Micros, is_silent: bool, _now: Micros) {
+        self.0.borrow_mut().observed.push((server, is_silent));
     }
 
     fn should_avoid(&mut self, server: ServerId, _started: Micros, _: Micros, _: f64, _now: Micros) -> bool {
@@ -101,7 +95,7 @@
     }
     assert_eq!(fake.0.borrow().first_attempts, 100);
     assert!(
-        fake.0.borrow().observed.iter().all(|(_, is_unresponsive)| !is_unresponsive)
+        fake.0.borrow().observed.iter().all(|(_, is_silent)| !is_silent)
             && fake.0.borrow().observed.len() == 100
     );
 }
@@ -121,7 +115,7 @@
         let to = sent_to(&handle(&mut balancer, 10, Event::Request(request(1, 10, 5)))).unwrap();
         handle(&mut balancer, 20, completed(1, 0, to, result));
         let observed = fake.0.borrow().observed.first().copied();
-        assert_eq!(observed, expected.map(|is_unresponsive| (to, is_unresponsive)), "{result:?}");
+        assert_eq!(observed, expected.map(|is_silent| (to, is_silent)), "{result:?}");
     }
 }
 
--- a/src/coordination.rs
+++ b/src/coordination.rs
@@ -39,14 +39,14 @@
     /// same time.
     fn acquire(&mut self, limit: SharedLimit, now: Micros);
     /// Records that a request that needed the limit was rejected, or that the limit denied it an attempt.
-    fn on_rejected(&mut self, limit: SharedLimit, now: Micros);
+    fn on_denied(&mut self, limit: SharedLimit, now: Micros);
     /// Records a new request that is not a client's retry.
     fn on_new_request(&mut self, now: Micros);
     /// Records the cache servers that serve after a change of the endpoint list.
     fn on_endpoints_changed(&mut self, servers: &[ServingServer]);
     /// Records whether the server with this start time failed to respond to this balancer's own attempt
-    /// (`is_unresponsive`) or responded.
-    fn on_server_observed(&mut self, server: ServerId, started: Micros, is_unresponsive: bool, now: Micros);
+    /// (`is_silent`) or responded.
+    fn on_server_observed(&mut self, server: ServerId, started: Micros, is_silent: bool, now: Micros);
     /// Whether this attempt should avoid the server because other balancers report that it does not respond.
     /// A suspected server still gets occasional trial attempts, and each call may select the attempt as a
     /// trial. `last_response` is the time of the server's last response to this balancer.
@@ -113,7 +113,7 @@
             return;
         }
         if let Some(shared) = &mut self.0 {
-            shared.on_rejected(SharedLimit::OriginRate, now);
+            shared.on_denied(SharedLimit::OriginRate, now);
         }
     }
 
@@ -170,7 +170,7 @@
         let limit = SharedLimit::SlowStart(server.server, server.started);
         let is_exhausted = shared.wait_time(limit, now).is_some_and(|wait| wait > Micros::ZERO);
         if is_exhausted {
-            shared.on_rejected(limit, now);
+            shared.on_denied(limit, now);
         }
         !is_exhausted
     }
@@ -184,7 +184,7 @@
         result: AttemptResult,
         evidence: LoadEvidence,
     ) {
-        let is_unresponsive = match result {
+        let is_silent = match result {
             AttemptResult::Served | AttemptResult::Miss if evidence == LoadEvidence::Accepted => false,
             AttemptResult::Timeout | AttemptResult::ConnectFailed if evidence == LoadEvidence::Rejected => {
                 true
@@ -192,7 +192,7 @@
             _ => return,
         };
         if let Some(shared) = &mut self.0 {
-            shared.on_server_observed(server.server, server.started, is_unresponsive, now);
+            shared.on_server_observed(server.server, server.started, is_silent, now);
         }
     }
 }
