--- a/node/src/downstream/connection/requests.rs
+++ b/node/src/downstream/connection/requests.rs
@@ -33,7 +33,7 @@
 
     fn on_incoming(&mut self, incoming: Incoming) {
         match incoming {
-            Incoming::Ready => self.answer_readiness(),
+            Incoming::ReadinessCheck => self.answer_readiness(),
             Incoming::Request { request, class } => {
                 if let Some(request) = self.classify(request, &class) {
                     self.dispatch_request(*request);
--- a/protocols/src/memcache/request_reader.rs
+++ b/protocols/src/memcache/request_reader.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Incoming {
     /// `mn`: the client asks whether the balancer is ready.
-    Ready,
+    ReadinessCheck,
     /// A complete request.
     Request {
         /// The request, with the value of a write.
@@ -186,7 +186,7 @@
         return Line::Incoming(Incoming::Malformed("ERROR"));
     };
     match (name, tokens.as_slice()) {
-        (b"mn", []) => Line::Incoming(Incoming::Ready),
+        (b"mn", []) => Line::Incoming(Incoming::ReadinessCheck),
         (b"quit", []) => Line::Incoming(Incoming::Quit),
         (b"mg", [key, flags @ ..]) => Line::Incoming(match parse_request(text, key, flags) {
             Ok((request, class)) => Incoming::Request { request, class },
--- a/protocols/src/memcache/tests.rs
+++ b/protocols/src/memcache/tests.rs
@@ -24,7 +24,7 @@
     for piece_bytes in 1..text.len() {
         assert_eq!(read_all(text, piece_bytes), incoming);
     }
-    let [Incoming::Request { request: read, class }, Incoming::Ready, Incoming::Request { request: write, .. }] =
+    let [Incoming::Request { request: read, class }, Incoming::ReadinessCheck, Incoming::Request { request: write, .. }] =
         &incoming[..]
     else {
         panic!("{incoming:?}")
@@ -45,11 +45,14 @@
 #[test]
 fn malformed_input_is_answered_and_later_requests_are_read_unless_its_end_is_unknown() {
     let long = [b"mg ".to_vec(), vec![b'k'; 300], b" v O1 Pd=1\r\nmn\r\n".to_vec()].concat();
-    assert_eq!(read_all(&long, 64), [Incoming::Malformed("CLIENT_ERROR key too long"), Incoming::Ready]);
+    assert_eq!(
+        read_all(&long, 64),
+        [Incoming::Malformed("CLIENT_ERROR key too long"), Incoming::ReadinessCheck]
+    );
     let line = format!("ms k {} O1 Pd=1\r\n", MAX_VALUE_BYTES + 1);
     let large = [line.into_bytes(), vec![b'\n'; MAX_VALUE_BYTES + 3], b"mn\r\n".to_vec()].concat();
     let too_large = Incoming::Malformed("SERVER_ERROR object too large for cache");
-    assert_eq!(read_all(&large, 4096), [too_large, Incoming::Ready]);
+    assert_eq!(read_all(&large, 4096), [too_large, Incoming::ReadinessCheck]);
     assert_eq!(read_all(b"mg k v O1 Pd=x\r\n", 99), [Incoming::Malformed("CLIENT_ERROR bad properties")]);
     assert_eq!(read_all(b"\r\n\xff\r\n", 99), [Incoming::Malformed("ERROR"), Incoming::Malformed("ERROR")]);
     assert_eq!(read_all(b"ms k five O1\r\n", 99), [Incoming::Unrecoverable("CLIENT_ERROR bad data chunk")]);
--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -230,7 +230,7 @@
                     }
                     None => self.send_answer(now, "CLIENT_ERROR no client sent this\r\n".into(), None),
                 },
-                Incoming::Ready => self.send_answer(now, "MN\r\n".into(), None),
+                Incoming::ReadinessCheck => self.send_answer(now, "MN\r\n".into(), None),
                 Incoming::Malformed(line) | Incoming::Unrecoverable(line) => {
                     self.send_answer(now, format!("{line}\r\n"), None);
                 }
