--- a/dispatch/src/dispatcher.rs
+++ b/dispatch/src/dispatcher.rs
@@ -144,13 +144,13 @@
     /// Accepts a request; the receiver gets its answer. Returns none if another request with the same id is open:
     /// servers could not distinguish the two, and one might get the other's answer.
     pub fn accept(&self, request: ClientRequest) -> Option<(ClientRequestId, oneshot::Receiver<Answer>)> {
-        self.accept_after_wait(request, Micros(0))
+        self.accept_delayed(request, Micros(0))
     }
 
     /// Accepts a request that may have waited for up to `longest_wait` before it was read. The wait is subtracted from
     /// the request's time-out, but at most `MAX_WAIT_SHARE` of the time-out, as `longest_wait` is an upper bound that
     /// may be far too large.
-    pub fn accept_after_wait(
+    pub fn accept_delayed(
         &self,
         request: ClientRequest,
         longest_wait: Micros,
--- a/node/src/downstream/connection/requests.rs
+++ b/node/src/downstream/connection/requests.rs
@@ -101,7 +101,7 @@
         }
         let client_id = request.id.clone();
         let value_bytes = request.value.as_ref().map_or(0, Bytes::len);
-        let accepted = self.downstream.dispatcher.accept_after_wait(request, self.longest_unread_wait());
+        let accepted = self.downstream.dispatcher.accept_delayed(request, self.longest_unread_wait());
         let Some((id, answer)) = accepted else { return self.reject_invalid("CLIENT_ERROR id in use") };
         self.request_bytes += value_bytes;
         let pending = PendingRequest { id, client_id, answer, value_bytes };
