--- a/dispatch/src/streamed_value.rs
+++ b/dispatch/src/streamed_value.rs
@@ -39,7 +39,7 @@
 /// The receiver was dropped, and the rest of the value need not be sent; or, for `try_send`, the channel is full.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("cannot send a chunk of the streamed value: receiver dropped or channel full")]
-pub struct ReceiverGone;
+pub struct ChunkSendError;
 
 /// Creates the two sides of a streamed value of this many bytes.
 pub fn streamed_value(length: usize) -> (ChunkSender, ChunkReceiver) {
@@ -87,9 +87,9 @@
     ///
     /// # Errors
     /// The receiver was dropped.
-    pub async fn send(&mut self, chunk: Bytes) -> Result<(), ReceiverGone> {
+    pub async fn send(&mut self, chunk: Bytes) -> Result<(), ChunkSendError> {
         match self.withhold_last_byte(chunk) {
-            Some(chunk) => self.chunks.send(chunk).await.map_err(|_| ReceiverGone),
+            Some(chunk) => self.chunks.send(chunk).await.map_err(|_| ChunkSendError),
             None => Ok(()),
         }
     }
@@ -98,9 +98,9 @@
     ///
     /// # Errors
     /// The receiver was dropped, or the channel is full.
-    pub fn try_send(&mut self, chunk: Bytes) -> Result<(), ReceiverGone> {
+    pub fn try_send(&mut self, chunk: Bytes) -> Result<(), ChunkSendError> {
         match self.withhold_last_byte(chunk) {
-            Some(chunk) => self.chunks.try_send(chunk).map_err(|_| ReceiverGone),
+            Some(chunk) => self.chunks.try_send(chunk).map_err(|_| ChunkSendError),
             None => Ok(()),
         }
     }
@@ -129,8 +129,8 @@
     ///
     /// # Errors
     /// The receiver was dropped.
-    pub async fn finish(self) -> Result<(), ReceiverGone> {
-        self.chunks.send(self.last_byte).await.map_err(|_| ReceiverGone)
+    pub async fn finish(self) -> Result<(), ChunkSendError> {
+        self.chunks.send(self.last_byte).await.map_err(|_| ChunkSendError)
     }
 
     /// Returns the part of this chunk that may be sent now: all but the value's last byte.
--- a/dispatch/src/streamed_value/tests.rs
+++ b/dispatch/src/streamed_value/tests.rs
@@ -39,7 +39,7 @@
         let second = sender.send(Bytes::from_static(b"b"));
         assert!(tokio::time::timeout(std::time::Duration::from_secs(9), second).await.is_err());
         drop(receiver);
-        assert_eq!(sender.send(Bytes::from_static(b"c")).await, Err(ReceiverGone));
+        assert_eq!(sender.send(Bytes::from_static(b"c")).await, Err(ChunkSendError));
         sender.wait_for_receiver_gone().await;
     });
 }
--- a/node/src/upstream/download.rs
+++ b/node/src/upstream/download.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::{BufMut, Bytes, BytesMut};
-use juniperladder_dispatch::streamed_value::{ChunkSender, ReceiverGone};
+use juniperladder_dispatch::streamed_value::{ChunkSendError, ChunkSender};
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::time::timeout;
 
@@ -47,8 +47,8 @@
     }
 }
 
-impl From<ReceiverGone> for ReadError {
-    fn from(_: ReceiverGone) -> ReadError {
+impl From<ChunkSendError> for ReadError {
+    fn from(_: ChunkSendError) -> ReadError {
         ReadError::Disconnected
     }
 }
