--- a/testbed-cli/src/scale_args.rs
+++ b/testbed-cli/src/scale_args.rs
@@ -85,7 +85,7 @@
             warm_up_s: self.warm_up,
             seconds: self.seconds,
             seed: self.seed,
-            event: self.event,
+            fault_scenario: self.event,
             virtual_time: self.virtual_time,
             workers: self.workers,
             requests_per_s: self.requests,
--- a/testbed-cli/src/scale_table.rs
+++ b/testbed-cli/src/scale_table.rs
@@ -1,7 +1,7 @@
 //! Prints the summary of a scale test.
 
 use juniperladder_testbed::scale::results::{ChangeSummary, PhaseSummary, Summary};
-use juniperladder_testbed::scale::{PurgeSummary, Times};
+use juniperladder_testbed::scale::{DurationDistribution, PurgeSummary};
 
 pub fn print_summary(summary: &Summary) {
     println!(
@@ -69,7 +69,8 @@
 }
 
 fn print_purge(purge: &PurgeSummary) {
-    for (name, phase) in [("ordinary state", &purge.ordinary), ("from the event on", &purge.after_event)] {
+    for (name, phase) in [("ordinary state", &purge.steady_state), ("from the event on", &purge.after_event)]
+    {
         if phase.accepted + phase.rejected == 0 {
             continue;
         }
@@ -82,7 +83,7 @@
             ("all connected members act", phase.time_to_apply_everywhere),
             ("the publisher is notified of completion", phase.time_to_completion),
         ] {
-            let Times { p50_ms, p99_ms, max_ms, .. } = times;
+            let DurationDistribution { p50_ms, p99_ms, max_ms, .. } = times;
             println!("    until {what}: p50 {p50_ms:.0} ms, p99 {p99_ms:.0} ms, max {max_ms:.0} ms");
         }
     }
--- a/testbed/src/scale/config.rs
+++ b/testbed/src/scale/config.rs
@@ -117,7 +117,7 @@
     /// The seed of all random choices.
     pub seed: u64,
     /// The fault scenario.
-    pub event: FaultScenario,
+    pub fault_scenario: FaultScenario,
     /// Whether the run uses simulated time instead of sockets and real time.
     pub virtual_time: bool,
     /// Number of threads that drive the members in real time.
@@ -146,7 +146,7 @@
             warm_up_s: 10.0,
             seconds: 30.0,
             seed: 1,
-            event: FaultScenario::None,
+            fault_scenario: FaultScenario::None,
             virtual_time: false,
             workers: 4,
             requests_per_s: 20.0,
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -30,7 +30,7 @@
 
 pub use calibration::CalibrationTraffic;
 pub use config::{FaultScenario, InjectedDefect, Mechanism, ScaleConfig};
-pub use purge_check::{PurgePhase, PurgeSummary, Times};
+pub use purge_check::{DurationDistribution, PurgePhase, PurgeSummary};
 pub use results::{Outcome, Summary};
 
 use crate::{RunError, SetupError, TestbedError};
--- a/testbed/src/scale/purge_check.rs
+++ b/testbed/src/scale/purge_check.rs
@@ -20,7 +20,7 @@
 
 /// Distribution of durations, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Times {
+pub struct DurationDistribution {
     /// Number of durations.
     pub count: usize,
     /// The 50th percentile.
@@ -31,14 +31,14 @@
     pub max_ms: f64,
 }
 
-impl Times {
-    fn from_durations(mut times: Vec<Micros>) -> Times {
+impl DurationDistribution {
+    fn from_durations(mut times: Vec<Micros>) -> DurationDistribution {
         times.sort_unstable();
         let at = |share: f64| {
             let rank = ((times.len() as f64 * share).ceil() as usize).max(1);
             times.get(rank - 1).map_or(0.0, |time| *time as f64 / 1e3)
         };
-        Times { count: times.len(), p50_ms: at(0.5), p99_ms: at(0.99), max_ms: at(1.0) }
+        DurationDistribution { count: times.len(), p50_ms: at(0.5), p99_ms: at(0.99), max_ms: at(1.0) }
     }
 }
 
@@ -51,16 +51,16 @@
     pub rejected: usize,
     /// Time from the purge until a connected member applied it, over all members and purges.
     #[serde(rename = "acted")]
-    pub time_to_apply: Times,
+    pub time_to_apply: DurationDistribution,
     /// Time from the purge until all connected members had applied it, over all purges.
     #[serde(rename = "all_acted")]
-    pub time_to_apply_everywhere: Times,
+    pub time_to_apply_everywhere: DurationDistribution,
     /// Number of pairs of a purge and a connected member that never applied it.
     #[serde(rename = "never")]
     pub never_applied: usize,
     /// Time from the purge until its publisher was notified of its completion.
     #[serde(rename = "done")]
-    pub time_to_completion: Times,
+    pub time_to_completion: DurationDistribution,
     /// Number of purges never reported as completed although the replica was not killed.
     #[serde(rename = "not_done")]
     pub not_completed: usize,
@@ -73,7 +73,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PurgeSummary {
     /// Purges published in the steady state.
-    pub ordinary: PurgePhase,
+    #[serde(rename = "ordinary")]
+    pub steady_state: PurgePhase,
     /// Purges published from the start of the fault scenario on.
     pub after_event: PurgePhase,
     /// Number of cases in which a member served without a purge that had been reported as completed. Each one violates the
@@ -225,7 +226,7 @@
         incarnation.stopped.is_none() && incarnation.serving_periods.last().is_some_and(|s| s.1.is_none())
     };
     PurgeSummary {
-        ordinary: evaluate_phase(run, &history, Phase::SteadyState),
+        steady_state: evaluate_phase(run, &history, Phase::SteadyState),
         after_event: evaluate_phase(run, &history, Phase::FaultScenario),
         missed_completed_purges: count_missed_completed_purges(run, &history),
         cache_clears: members()
@@ -289,9 +290,9 @@
         }
     }
     (result.time_to_apply, result.time_to_apply_everywhere, result.time_to_completion) = (
-        Times::from_durations(apply_times),
-        Times::from_durations(last_apply_times),
-        Times::from_durations(completion_times),
+        DurationDistribution::from_durations(apply_times),
+        DurationDistribution::from_durations(last_apply_times),
+        DurationDistribution::from_durations(completion_times),
     );
     result
 }
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -228,7 +228,7 @@
         let purge = (config.mechanism == Mechanism::Purge).then(|| evaluate(run, events));
         let summary = Summary {
             mechanism: config.mechanism.name().to_owned(),
-            event: config.event.name().to_owned(),
+            event: config.fault_scenario.name().to_owned(),
             flaw: config.defect.map(|defect| defect.name().to_owned()),
             members: config.members,
             regions: run.network.topology().regions(),
--- a/testbed/src/scale/schedule.rs
+++ b/testbed/src/scale/schedule.rs
@@ -113,7 +113,7 @@
         let to_micros = |seconds: f64| (seconds * 1e6) as Micros;
         let warm_up_end = CLOCK_START + to_micros(config.warm_up_s);
         let end = warm_up_end + to_micros(config.seconds);
-        let fault_start = match config.event {
+        let fault_start = match config.fault_scenario {
             FaultScenario::None => end,
             _ => warm_up_end + to_micros(config.seconds * STEADY_STATE_TIME_SHARE),
         };
@@ -136,7 +136,7 @@
             replicas: config.replicas,
             first_stoppable_member,
         };
-        builder.add_fault_scenario(config.event);
+        builder.add_fault_scenario(config.fault_scenario);
         builder.add_purges(config);
         if config.mechanism == Mechanism::Purge {
             // Members have no membership in this mechanism, so that they cannot satisfy any query.
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -20,7 +20,7 @@
         members: MEMBERS,
         warm_up_s: 8.0,
         seconds: 18.0,
-        event: FaultScenario::MemberLost,
+        fault_scenario: FaultScenario::MemberLost,
         virtual_time: true,
         ..ScaleConfig::default()
     }
@@ -90,7 +90,7 @@
         let config = ScaleConfig {
             members: 40,
             seed,
-            event: FaultScenario::RegionCut,
+            fault_scenario: FaultScenario::RegionCut,
             ..config(Mechanism::Membership)
         };
         let summary = summary(config);
@@ -101,8 +101,8 @@
 }
 
 /// A purge run of 200 members and 11 purge replicas, with enough purges to detect the loss of one in a thousand.
-fn purge_config(event: FaultScenario) -> ScaleConfig {
-    ScaleConfig { publishes_per_s: 70.0, seconds: 24.0, event, ..config(Mechanism::Purge) }
+fn purge_config(fault_scenario: FaultScenario) -> ScaleConfig {
+    ScaleConfig { publishes_per_s: 70.0, seconds: 24.0, fault_scenario, ..config(Mechanism::Purge) }
 }
 
 /// The violated bounds of a purge run, one line each.
@@ -114,7 +114,7 @@
         purge.missed_completed_purges == 0,
         format!("{} times served without a completed purge", purge.missed_completed_purges),
     );
-    for phase in [&purge.ordinary, &purge.after_event] {
+    for phase in [&purge.steady_state, &purge.after_event] {
         check(phase.never_applied == 0, format!("{} never applied", phase.never_applied));
         check(phase.not_completed == 0, format!("{} not completed", phase.not_completed));
         check(
@@ -128,12 +128,12 @@
 
 #[test]
 fn purges_reach_all_members_with_and_without_faults() {
-    for event in
+    for fault_scenario in
         [FaultScenario::None, FaultScenario::Loss, FaultScenario::ControlLoss, FaultScenario::RestartWave]
     {
-        let summary = summary(purge_config(event));
-        assert_eq!(purge_violations(&summary), Vec::<String>::new(), "{event:?}");
-        assert!(summary.purge.unwrap().ordinary.time_to_apply.count > 50 * MEMBERS);
+        let summary = summary(purge_config(fault_scenario));
+        assert_eq!(purge_violations(&summary), Vec::<String>::new(), "{fault_scenario:?}");
+        assert!(summary.purge.unwrap().steady_state.time_to_apply.count > 50 * MEMBERS);
     }
 }
 
