--- a/platform-model/src/cache_server.rs
+++ b/platform-model/src/cache_server.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
     /// Requests in flight that will be completed within a second.
-    pub served_per_s: f64,
+    pub completing_within_1_s: f64,
     /// Requests waiting for a core.
     pub waiting: f64,
 }
@@ -270,8 +270,10 @@
             let noise = self.model.report_noise;
             let mut add_noise =
                 |value: usize| value as f64 * (1.0 + noise * (2.0 * rng.random::<f64>() - 1.0));
-            self.last_report =
-                LoadReport { served_per_s: add_noise(served_count), waiting: add_noise(waiting_count) };
+            self.last_report = LoadReport {
+                completing_within_1_s: add_noise(served_count),
+                waiting: add_noise(waiting_count),
+            };
             self.last_report_at = now;
         }
         self.last_report
--- a/platform-model/src/checker.rs
+++ b/platform-model/src/checker.rs
@@ -5,6 +5,7 @@
 //! measured time of the [`CheckConfig`] count in figures. Checking cannot fail, and the same log gives the same
 //! result.
 
+mod check_config;
 pub mod failure_detection;
 pub mod limits;
 pub mod rules;
@@ -13,7 +14,6 @@
 mod sliding_window;
 pub mod spread;
 mod statistics;
-mod terms;
 
 #[cfg(test)]
 mod tests;
@@ -23,7 +23,7 @@
 
 use std::collections::HashMap;
 
-pub use terms::{
+pub use check_config::{
     CheckConfig, Idempotency, RequestClass, StatedBounds, StatedFailureDetection, StatedRetryBudget,
 };
 
--- a/platform-model/src/checker/terms.rs
+++ b/platform-model/src/checker/check_config.rs
@@ -61,7 +61,7 @@
 
 impl CheckConfig {
     /// The configuration for an experiment, without bounds stated by the program.
-    pub fn of(experiment: &Experiment) -> CheckConfig {
+    pub fn for_experiment(experiment: &Experiment) -> CheckConfig {
         let measured_from = micros_from_seconds(experiment.load.warm_up_s);
         let fleet = &experiment.fleet;
         let weight = |server: usize| fleet.weights[server % fleet.weights.len()];
--- a/platform-model/src/checker/self_reports.rs
+++ b/platform-model/src/checker/self_reports.rs
@@ -20,9 +20,9 @@
     /// The balancer's number.
     pub balancer: usize,
     /// Tokens of the origin's limit that the process may use.
-    pub reserved: f64,
+    pub usable_origin_tokens: f64,
     /// Tokens of the origin's limit that the process used in the last window of the limit.
-    pub used: f64,
+    pub used_origin_tokens: f64,
     /// Members that the process believes to be alive.
     pub members: f64,
     /// Servers that the process avoids because of other balancers' reports.
--- a/testbed-cli/src/run.rs
+++ b/testbed-cli/src/run.rs
@@ -76,7 +76,7 @@
             return status_of_error(&error);
         }
     };
-    let check_config = CheckConfig::of(experiment);
+    let check_config = CheckConfig::for_experiment(experiment);
     let measured_until = run.ended_at.max(check_config.measured_from + 1);
     let check_config = CheckConfig { measured_until, stated: run.stated_bounds, ..check_config };
     let checked = check_with_costs(experiment, &run, &check_config);
--- a/testbed-cli/src/tables.rs
+++ b/testbed-cli/src/tables.rs
@@ -74,8 +74,17 @@
     table.write_record(SELF_REPORT_COLUMNS)?;
     for report in reports.iter().filter(|report| check_config.is_measured(report.at)) {
         let second = (report.at - check_config.measured_from) / MICROS_PER_SECOND;
-        let SelfReport { balancer, reserved, used, members, avoided_servers, .. } = *report;
-        table.serialize((second, balancer, reserved, used, members, avoided_servers))?;
+        let SelfReport {
+            balancer, usable_origin_tokens, used_origin_tokens, members, avoided_servers, ..
+        } = *report;
+        table.serialize((
+            second,
+            balancer,
+            usable_origin_tokens,
+            used_origin_tokens,
+            members,
+            avoided_servers,
+        ))?;
     }
     table.flush()
 }
--- a/testbed-cli/tests/fleet.rs
+++ b/testbed-cli/tests/fleet.rs
@@ -110,7 +110,7 @@
     let check_config = CheckConfig {
         tolerance: MICROS_PER_SECOND / 2,
         stated: run.stated_bounds,
-        ..CheckConfig::of(&experiment)
+        ..CheckConfig::for_experiment(&experiment)
     };
     let checked = check_run(&run.event_log, &check_config);
     assert_eq!(run.crashes, [""; 0], "{name}");
--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -328,7 +328,7 @@
 /// The result of an attempt with this answer, and the answer in its wire form.
 fn answer_line(answer: Answer, request: &InboundRequest, load: &LoadReport) -> (AttemptResult, String) {
     let id = request.id;
-    let load = format!(" Lserved_ps={:.1},pending={:.1}", load.served_per_s, load.waiting);
+    let load = format!(" Lserved_ps={:.1},pending={:.1}", load.completing_within_1_s, load.waiting);
     match answer {
         Answer::Hit => {
             let value = value_of(id, request.key);
--- a/testbed/src/experiment_run.rs
+++ b/testbed/src/experiment_run.rs
@@ -173,7 +173,7 @@
         for arrival in &mut arrivals {
             arrival.at += load_began_at;
         }
-        let check_config = CheckConfig::of(experiment);
+        let check_config = CheckConfig::for_experiment(experiment);
         let clients = Clients::new(Rc::clone(&testbed), check_config, platform.processes.addresses());
         let load_task = spawn_local(Rc::clone(&clients).send_arrivals(arrivals));
         let measured_from = load_began_at + micros_from_seconds(experiment.load.warm_up_s);
--- a/testbed/src/process_config.rs
+++ b/testbed/src/process_config.rs
@@ -46,7 +46,7 @@
 /// Builds the settings object of a process.
 fn settings(experiment: &Experiment, number: usize) -> Value {
     let fleet = &experiment.fleet;
-    let check_config = CheckConfig::of(experiment);
+    let check_config = CheckConfig::for_experiment(experiment);
     let kind_count = fleet.weights.len();
     let mut kinds: Vec<String> = (0..kind_count).map(kind_name).collect();
     kinds.push("origin".into());
--- a/testbed/src/self_reports.rs
+++ b/testbed/src/self_reports.rs
@@ -52,8 +52,8 @@
     SelfReport {
         at,
         balancer,
-        reserved: figure("app_limit_held{limit=\"origin\"}"),
-        used: figure("app_limit_used{limit=\"origin\"}"),
+        usable_origin_tokens: figure("app_limit_held{limit=\"origin\"}"),
+        used_origin_tokens: figure("app_limit_used{limit=\"origin\"}"),
         members: figure("app_members{state=\"alive\"}"),
         avoided_servers: figure("app_verdicts_hosts_passed_by"),
         oldest_report_s: figure("app_verdicts_oldest_acted_seconds"),
--- a/testbed/src/soak/check.rs
+++ b/testbed/src/soak/check.rs
@@ -87,7 +87,7 @@
 
 /// Finds all violations of a run and counts its requests by result.
 pub fn check_soak(plan: &SoakPlan, record: &SoakRecord) -> SoakResult {
-    let check_config = CheckConfig::of(&plan.experiment);
+    let check_config = CheckConfig::for_experiment(&plan.experiment);
     let mut event_log = record.event_log.clone();
     classify_closed_connections(&mut event_log, &check_config, plan.crowd.map(|crowd| crowd.balancer as u32));
     SoakResult {
--- a/testbed/src/soak/clients.rs
+++ b/testbed/src/soak/clients.rs
@@ -102,7 +102,7 @@
 impl SoakClients {
     /// Creates the clients of this testbed.
     pub fn new(testbed: Rc<Testbed>) -> Rc<SoakClients> {
-        let check_config = CheckConfig::of(&testbed.experiment);
+        let check_config = CheckConfig::for_experiment(&testbed.experiment);
         Rc::new(SoakClients { testbed, check_config, next_number: Cell::new(1) })
     }
 
--- a/testbed/src/soak/plan.rs
+++ b/testbed/src/soak/plan.rs
@@ -243,7 +243,7 @@
 }
 
 fn draw_terminations(experiment: &Experiment, rng: &mut SeededRng) -> Vec<Termination> {
-    let longest = CheckConfig::of(experiment).longest_deadline().min(MAX_COUNTED_DEADLINE);
+    let longest = CheckConfig::for_experiment(experiment).longest_deadline().min(MAX_COUNTED_DEADLINE);
     let mut balancers: Vec<usize> = (0..experiment.fleet.balancers).collect();
     balancers.shuffle(rng);
     balancers.truncate(rng.random_range(1..experiment.fleet.balancers));
--- a/testbed/tests/controls.rs
+++ b/testbed/tests/controls.rs
@@ -33,7 +33,8 @@
     .unwrap();
     assert_eq!(run.crashes, [""; 0]);
     // Tests run in parallel on one machine, so an answer counts as late only from half a second on.
-    let check_config = CheckConfig { tolerance: MICROS_PER_SECOND / 2, ..CheckConfig::of(&experiment) };
+    let check_config =
+        CheckConfig { tolerance: MICROS_PER_SECOND / 2, ..CheckConfig::for_experiment(&experiment) };
     check_run(&run.event_log, &check_config).summary
 }
 
