--- a/purge/src/replica/peers.rs
+++ b/purge/src/replica/peers.rs
@@ -85,13 +85,13 @@
         &mut self,
         now: Micros,
         from: ReplicaId,
-        asked_by: u64,
+        requester_incarnation: u64,
         round: u64,
         vector: &VersionVector,
     ) {
         if self.recovery.is_none() {
             let reply = StatusReply {
-                asked_by,
+                requester_incarnation,
                 round,
                 incarnation: self.config.incarnation,
                 vector: self.log.vector(),
@@ -105,7 +105,7 @@
 
     fn on_status_reply(&mut self, now: Micros, from: ReplicaId, reply: &StatusReply) {
         let peer = self.peers.entry(from).or_default();
-        if reply.asked_by != self.config.incarnation || reply.incarnation < peer.incarnation {
+        if reply.requester_incarnation != self.config.incarnation || reply.incarnation < peer.incarnation {
             self.dropped.stale += 1;
             return;
         }
--- a/purge/src/wire.rs
+++ b/purge/src/wire.rs
@@ -172,7 +172,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusReply {
     /// Incarnation of the replica that sent the request.
-    pub asked_by: u64,
+    #[serde(rename = "asked_by")]
+    pub requester_incarnation: u64,
     /// Number of the round.
     pub round: u64,
     /// Incarnation of the replying replica.
--- a/purge/src/wire/tests.rs
+++ b/purge/src/wire/tests.rs
@@ -41,7 +41,7 @@
         laggards_total: u32::MAX,
     };
     StatusReply {
-        asked_by: u64::MAX,
+        requester_incarnation: u64::MAX,
         round: u64::MAX,
         incarnation: INCARNATION,
         vector: longest_vector(),
