--- a/cli/benches/data_path/balancer.rs
+++ b/cli/benches/data_path/balancer.rs
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::stand_ins::FakeServers;
+use crate::fake_servers::FakeServers;
 
 /// Time between two readiness checks after a start.
 const READY_INTERVAL: Duration = Duration::from_millis(20);
--- a/cli/benches/data_path/main.rs
+++ b/cli/benches/data_path/main.rs
@@ -7,14 +7,14 @@
 //! its writes is served. The benchmark measures real time on loopback, so nothing else may run at the same time.
 
 mod balancer;
+mod fake_servers;
 mod load;
-mod stand_ins;
 
 use std::time::Duration;
 
 use balancer::{Balancer, Usage};
+use fake_servers::FakeServers;
 use load::{Load, LoadResult};
-use stand_ins::FakeServers;
 
 /// Requests per second of one balancer at peak load: 1.3 million over 2,000 balancers.
 const PEAK_RATE: f64 = 650.0;
