--- a/benches/decision.rs
+++ b/benches/decision.rs
@@ -65,7 +65,7 @@
 /// An attempt in flight.
 struct Attempt {
     /// In microseconds.
-    sent_at: u64,
+    sent_at_us: u64,
     request: RequestId,
     server: ServerId,
     /// The attempt's number within its request, from zero.
@@ -81,7 +81,7 @@
     /// The number of cache servers, which is the id of the origin.
     cache_servers: u64,
     /// The current time in microseconds; each request advances it by 2 ms.
-    now: u64,
+    now_us: u64,
     /// The number of requests sent.
     request_count: u64,
 }
@@ -89,14 +89,14 @@
 impl LoadDriver {
     fn send_request(&mut self) {
         self.request_count += 1;
-        self.now += 2_000;
+        self.now_us += 2_000;
         let mut id = [b'0'; 36];
         id[..8].copy_from_slice(&self.request_count.to_be_bytes());
         let mixed = self.request_count.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33;
         let is_write = self.request_count.is_multiple_of(10);
         let request = Request {
             id: RequestId(id),
-            deadline: Micros(self.now + 1_100_000),
+            deadline: Micros(self.now_us + 1_100_000),
             expected_work: None,
             key: Some(Key((mixed % 400) * (mixed % 7) % 400)),
             is_write,
@@ -106,16 +106,16 @@
         };
         self.handle(Event::Request(request));
         while self.in_flight.len() > 30 {
-            let Some(Attempt { sent_at, request, server, number }) = self.in_flight.pop_front() else {
+            let Some(Attempt { sent_at_us, request, server, number }) = self.in_flight.pop_front() else {
                 return;
             };
             let is_cache = server.0 != self.cache_servers;
-            let is_miss = is_cache && (sent_at / 2_000).is_multiple_of(20);
+            let is_miss = is_cache && (sent_at_us / 2_000).is_multiple_of(20);
             let completed = CompletedAttempt {
                 id: request,
                 server,
                 attempt: number,
-                latency: Micros(self.now - sent_at),
+                latency: Micros(self.now_us - sent_at_us),
                 result: if is_miss { AttemptResult::Miss } else { AttemptResult::Served },
                 is_request_closed: !is_miss,
                 fetch_in_progress: false,
@@ -129,10 +129,10 @@
             Event::AttemptCompleted(completed) => completed.attempt + 1,
             _ => 0,
         };
-        self.balancer.handle(Micros(self.now), event, &mut self.actions);
+        self.balancer.handle(Micros(self.now_us), event, &mut self.actions);
         for action in self.actions.drain(..) {
             if let Action::Send { id, server, .. } = action {
-                self.in_flight.push_back(Attempt { sent_at: self.now, request: id, server, number });
+                self.in_flight.push_back(Attempt { sent_at_us: self.now_us, request: id, server, number });
             }
         }
     }
@@ -147,7 +147,7 @@
             actions: vec![],
             in_flight: VecDeque::new(),
             cache_servers,
-            now: 10,
+            now_us: 10,
             request_count: 0,
         };
         for _ in 0..4_000 {
