--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! Decision logic of a balancer that distributes keys over cache servers in front of a slow origin: where
+//! The decision core of a balancer that distributes keys over cache servers in front of a slow origin: where
 //! each request goes, when it is rejected, and what happens when servers are overloaded, disappear, drain or
 //! start with an empty cache. The crate does no I/O, reads no clock and keeps no global state: the caller
 //! passes in [`Event`]s and carries out the returned [`Action`]s.
