--- a/cli/tests/limits.rs
+++ b/cli/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process with exhausted descriptors, without discovery, or after its predecessor was killed.
+//! Runs the daemon as a process without discovery, as the replacement of a killed process, and with few descriptors.
 
 mod support;
 
@@ -48,7 +48,8 @@
     RunningDaemon { child, log, listen, admin }
 }
 
-/// Checks the readiness of a balancer on a new connection. None if the connection ends or is silent until the timeout.
+/// Checks the readiness of a balancer on a new connection. None if the connection fails or is silent until the timeout; an
+/// empty string if the connection is closed without an answer.
 fn read_readiness(listen: &str) -> Option<String> {
     let mut client = TcpStream::connect(listen).ok()?;
     client.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
@@ -103,10 +104,11 @@
             Some("MN\r\n"),
             "{discovery:?}, after the replacement"
         );
-        // Nine in ten starts must be ready within ten seconds; a start that waits for discovery would take longer.
+        // The requirement is that nine in ten starts are ready within ten seconds; the test demands it of each. A start
+        // that waits for discovery would take longer.
         assert!(
             restarted_at.elapsed() < Duration::from_secs(10),
-            "{discovery:?}: {:?}",
+            "{discovery:?}: ready only after {:?}",
             restarted_at.elapsed()
         );
         assert_eq!(send_admin_call(&second.admin, "HEALTH\n"), "ACK ready\n");
@@ -117,7 +119,7 @@
 struct IdleConnections {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
-    /// Receives a message whenever one of the threads has reopened its connections.
+    /// Receives a message after each round in which a thread has tried to reopen its closed connections.
     opened: Receiver<()>,
 }
 
@@ -166,11 +168,16 @@
     }
 }
 
-/// Answers the first poll with a list of this one server. The watch stays open until the returned stream is dropped.
+/// Answers the first watch request with a list of this one server. The response stays open until the returned stream is
+/// dropped.
 fn answer_discovery(discovery: &TcpListener, server: SocketAddr) -> TcpStream {
     let listening_since = Instant::now();
     let (mut watch, _) = discovery.accept().unwrap();
-    assert!(listening_since.elapsed() < Duration::from_secs(6), "{:?}", listening_since.elapsed());
+    assert!(
+        listening_since.elapsed() < Duration::from_secs(6),
+        "the daemon connected to discovery only after {:?}",
+        listening_since.elapsed()
+    );
     let mut line = String::new();
     BufReader::new(watch.try_clone().unwrap()).read_line(&mut line).unwrap();
     assert!(line.starts_with("GET /catalog/members?follow=1"), "{line}");
@@ -218,9 +225,9 @@
     })
 }
 
-/// Guards against exhausted descriptors: idle client and admin connections keep taking all descriptors that they may while
-/// discovery is down. Discovery's recovery is still detected, servers are connected, and admin calls and client requests
-/// are answered.
+/// Guards against exhausted descriptors: while discovery is down, idle client and admin connections occupy as many
+/// descriptors as the daemon grants them. Discovery's recovery is still detected, servers are connected, and admin calls and
+/// client requests are answered.
 #[test]
 fn idle_connections_do_not_exhaust_the_descriptors() {
     const DESCRIPTORS: usize = 96;
--- a/cluster/src/rate_limit/tests.rs
+++ b/cluster/src/rate_limit/tests.rs
@@ -73,7 +73,8 @@
     assert!(exceeding_runs(Scenario { ignores_arrival_spread: true, ..scenario }) > 0);
 }
 
-/// Guards against unused tokens under uneven demand: a fifth of the members has four fifths of a demand of twice the limit.
+/// Guards against unused tokens under uneven demand. The demand is twice the limit, and four fifths of it come to one fifth
+/// of the members.
 #[test]
 fn tokens_follow_an_uneven_demand() {
     let scenario = Scenario {
--- a/dispatch/src/start_times/tests.rs
+++ b/dispatch/src/start_times/tests.rs
@@ -37,8 +37,8 @@
     assert_eq!(local_start(&mut times, 8, 0, later), 0, "a start time of zero");
 }
 
-/// With the wall clock ahead a new start seems long past, and the server would skip slow start. Guards against that: the
-/// start cannot precede the last list without the server by more than the discovery delay.
+/// Guards against a new server that skips slow start: a wall clock that is ahead makes its reported start seem long past.
+/// The converted start precedes the last list without the server by at most the discovery delay.
 #[test]
 fn a_wall_clock_that_is_ahead_makes_no_new_server_warm() {
     for ahead in [10 * SECOND, HOUR] {
@@ -48,17 +48,18 @@
         let later = NOW.saturating_add(Micros(SECOND));
         let local = local_start(&mut times, 7, later.0 - ahead, later);
         assert_eq!(local, NOW.saturating_sub(DISCOVERY_DELAY).0, "ahead by {ahead} µs");
-        // The same reported start, also in a later list and after a confirmation, is the same start.
+        // A reported start is converted to the same local time in a later list, also after a confirmation.
         times.on_list_confirmed(later);
         let much_later = NOW.saturating_add(Micros(20 * SECOND));
         assert_eq!(local_start(&mut times, 7, later.0 - ahead, much_later), local);
-        // A second start of the same server is a new start.
+        // A different reported start of the same server is converted anew, from the last confirmation.
         let restarted = local_start(&mut times, 7, later.0 - ahead + 1, much_later);
         assert_eq!(restarted, later.saturating_sub(DISCOVERY_DELAY).0);
     }
 }
 
-/// With the wall clock behind a new start seems to be in the future, and the server would be in slow start until then.
+/// Guards against a new server that is in slow start for too long: a wall clock that is behind makes its reported start
+/// seem to be in the future. The converted start is at most the time at which the list was received.
 #[test]
 fn a_wall_clock_that_is_behind_keeps_no_server_in_slow_start() {
     let mut times = StartTimes::default();
@@ -69,8 +70,9 @@
     assert_eq!(local_start(&mut times, 7, later.0 + HOUR, later.saturating_add(Micros(9 * SECOND))), later.0);
 }
 
-/// Two starts of a server that are reported at the same time are two incarnations. Guards against equal local start times
-/// for both: the later start also has to be later on the local clock.
+/// Guards against equal local start times of two incarnations of a server. Their reported starts differ, but both are
+/// received at the same moment and may be limited to the same local time; the later start has to be later on the local
+/// clock, too.
 #[test]
 fn a_later_start_is_later_whatever_the_wall_clock() {
     for (first, second) in [(NOW.0 - HOUR, NOW.0 - HOUR + 1), (NOW.0 + HOUR, NOW.0 + HOUR + 1)] {
--- a/node/src/downstream/connection/answers.rs
+++ b/node/src/downstream/connection/answers.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// Waits for the next chunk of a download; forever if there is none.
+/// Waits for the next chunk of the download; without a download, waits forever.
 pub(super) async fn next_chunk(download: &Option<Download>) -> Option<Bytes> {
     match download {
         Some(download) => download.value.next().await,
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -1,9 +1,10 @@
-//! The UDP transport between balancers: carries the packets of this balancer's cluster member. It is enabled only by an
-//! operators' file.
+//! The UDP transport between balancers: carries the packets of this balancer's cluster member. It runs only if the
+//! balancer was given an operators' file ([`ClusterConfigFile`]).
 //!
 //! Guarantee: packets do not delay requests. At most [`PACKETS_PER_TURN`] packets are read in one turn of the event loop;
-//! further ones wait in the socket's buffer, and are lost when it is full. The cluster bounds the packets to send. A packet
-//! that the socket does not accept is lost; the cluster's protocol tolerates lost packets and repeats what is needed.
+//! further ones wait in the socket's buffer, and are lost when it is full. [`Cluster`] bounds the number of packets to
+//! send. A packet that the socket does not accept is lost; the cluster's protocol tolerates lost packets and repeats what
+//! is needed.
 
 use std::cell::RefCell;
 use std::io;
@@ -48,7 +49,7 @@
     cluster: Rc<RefCell<Cluster>>,
     socket: UdpSocket,
     clock: Clock,
-    /// The bound that every rate limit guarantees, in requests in any second as a multiple of the limit's rate.
+    /// The maximum number of requests in any second that every rate limit guarantees, as a multiple of the limit's rate.
     stated_bound: f64,
     log: Logger,
 }
@@ -71,7 +72,7 @@
         let socket = bind(address).map_err(listen_error)?;
         let bound = socket.local_addr().map_err(listen_error)?;
         let now = clock.now();
-        // The clock is Unix time, so a later incarnation has a greater number.
+        // The start time is the incarnation number: the clock counts Unix time, so that a later start has a greater one.
         let member = config.member_config(bound, position, settings, now.0, seed)?;
         info!(log, "peer coordination started"; "address" => member.address.to_string(),
             "position" => member.position);
@@ -91,7 +92,7 @@
         loop {
             tokio::select! {
                 () = sleep_until(next_tick) => {}
-                // The next read returns any error.
+                // An error is ignored here; the next read returns it.
                 _ = self.socket.readable() => {}
             }
             // Packets are also read before a tick: after an event loop delay, a member whose answer has arrived must
--- a/node/src/peers/tests.rs
+++ b/node/src/peers/tests.rs
@@ -7,9 +7,9 @@
 use super::*;
 use crate::testing::{self, yield_until_idle};
 
-/// Repetitions, because the order of branches that are ready at once is random.
+/// How often the test is repeated: `tokio::select!` picks at random among branches that are ready at the same time.
 const REPETITIONS: usize = 40;
-/// An event loop delay longer than a probe of a member may take.
+/// An event loop delay that exceeds the time in which a probed member has to answer.
 const EVENT_LOOP_DELAY: Duration = Duration::from_millis(1_200);
 
 fn config(position: u32, seed: SocketAddr) -> ClusterConfigFile {
--- a/node/src/upstream/download.rs
+++ b/node/src/upstream/download.rs
@@ -1,7 +1,7 @@
 //! Streams values from a server to a client, chunk by chunk, as fast as the client reads them.
 //!
 //! Guarantee: the client gets the last byte only when the server has ended the value as its protocol
-//! requires, so that an interrupted value is never complete.
+//! requires, so that the client never takes an interrupted value for a complete one.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
 use super::READ_BYTES;
 use crate::{http, memcache};
 
-/// How long a streamed value may make no progress: a server may stall, and one that has vanished stays silent
-/// forever.
+/// Maximum time for which a streamed value may make no progress. A server may stall for a while, but one that
+/// has vanished sends nothing more, not even the end of the connection.
 pub(super) const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The body of a streamed value, in the server's protocol.
@@ -56,8 +56,9 @@
 /// Forwards a streamed value until its end, in chunks of up to `chunk_bytes`.
 ///
 /// # Errors
-/// The value was interrupted: the connection of the server or of the client ended, or the value is malformed.
-/// The client has not received its last byte then.
+/// The value was interrupted: the connection of the server or of the client ended, the server sent nothing for
+/// [`STALL_TIMEOUT`], or the value is malformed. In each case the client has not received the last byte of the
+/// value.
 pub(super) async fn forward_value<S: AsyncRead + Unpin>(
     stream: &mut S,
     input: &mut BytesMut,
--- a/platform-model/src/checker/failure_detection.rs
+++ b/platform-model/src/checker/failure_detection.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// The silences of servers that began in the measured time and lasted longer than a second.
+/// The silences that began in the measured time and lasted longer than a second, of all servers.
 fn silences<'a>(event_log: &'a EventLog, config: &CheckConfig) -> Vec<&'a ImpairedSpan> {
     let is_relevant = |span: &&ImpairedSpan| {
         span.impairment == Impairment::Silent
@@ -102,8 +102,9 @@
 }
 
 impl ServerLoads<'_> {
-    /// Time, in whole seconds, from the start of the silence until the server is avoided for the rest of the silence;
-    /// the whole silence if that never happens.
+    /// Time from the start of the silence until the server is avoided for the rest of the silence, as a number of full
+    /// seconds; all full seconds of the silence if that never happens. Seconds that lie only partly in the silence are
+    /// not counted.
     fn avoided_after(&self, silence: &ImpairedSpan, config: &CheckConfig) -> Option<Micros> {
         let end = silence.to.unwrap_or(config.measured_until).min(config.measured_until);
         let first = (silence.from - self.measured_from).div_ceil(MICROS_PER_SECOND) as usize;
--- a/protocols/src/http/response.rs
+++ b/protocols/src/http/response.rs
@@ -99,7 +99,7 @@
 
 fn header<'a>(input: &mut &'a [u8]) -> winnow::Result<(&'a [u8], &'a [u8])> {
     let name = take_while(1.., |byte: u8| byte.is_ascii_graphic() && byte != b':');
-    // Any bytes are allowed: an unreadable load report does not make the response malformed.
+    // Any bytes are allowed, so that an unused header, such as a load report, cannot make the response malformed.
     let value = take_till(0.., b'\n');
     terminated(separated_pair(name, (b':', space0), value), b'\n').parse_next(input)
 }
--- a/testbed/src/experiment_run/platform.rs
+++ b/testbed/src/experiment_run/platform.rs
@@ -25,13 +25,13 @@
 pub struct Platform {
     /// State shared by machines and processes.
     pub testbed: Rc<Testbed>,
-    /// The processes of the program.
+    /// The processes of the program under test.
     pub processes: Rc<Processes>,
     /// The servers in order, with the origin as the last.
     machines: Vec<Machine>,
 }
 
-/// A server or the origin, as balancers reach it.
+/// The addresses of a server or of the origin, and the tasks that listen at them.
 struct Machine {
     /// Address of the machine for each listener group.
     addresses: Vec<ReservedAddress>,
