--- a/cli/tests/limits.rs
+++ b/cli/tests/limits.rs
@@ -120,19 +120,19 @@
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
     /// Receives a message after each round in which a thread has tried to reopen its closed connections.
-    opened: Receiver<()>,
+    rounds: Receiver<()>,
 }
 
 impl IdleConnections {
     /// Opens the given number of connections to each of these addresses.
     fn new(targets: [(String, usize); 2]) -> IdleConnections {
         let stop = Arc::new(AtomicBool::new(false));
-        let (sender, opened) = mpsc::channel();
+        let (sender, rounds) = mpsc::channel();
         let threads = targets.map(|(address, connections)| {
             let (stop, sender) = (Arc::clone(&stop), sender.clone());
             thread::spawn(move || keep_connected(&address, connections, &stop, &sender))
         });
-        IdleConnections { stop, threads: threads.into(), opened }
+        IdleConnections { stop, threads: threads.into(), rounds }
     }
 
     /// Stops the threads; a thread that has panicked fails the test.
@@ -145,7 +145,7 @@
 }
 
 /// Keeps this number of idle connections open.
-fn keep_connected(address: &str, connections: usize, stop: &AtomicBool, opened: &Sender<()>) {
+fn keep_connected(address: &str, connections: usize, stop: &AtomicBool, rounds: &Sender<()>) {
     let mut open: Vec<TcpStream> = Vec::new();
     while !stop.load(Ordering::Relaxed) {
         open.retain(is_still_open);
@@ -155,7 +155,7 @@
                 Err(_) => break,
             }
         }
-        let _ = opened.send(());
+        let _ = rounds.send(());
         thread::sleep(Duration::from_millis(20));
     }
 }
@@ -239,7 +239,7 @@
     let idle_connections =
         IdleConnections::new([(balancer.listen.clone(), 3 * DESCRIPTORS), (balancer.admin.clone(), 12)]);
     for _ in 0..20 {
-        idle_connections.opened.recv().unwrap();
+        idle_connections.rounds.recv().unwrap();
     }
     // Discovery recovers.
     let discovery = TcpListener::bind(discovery_address).unwrap();
--- a/cluster/src/rate_limit/tests.rs
+++ b/cluster/src/rate_limit/tests.rs
@@ -34,8 +34,8 @@
     let defects =
         [Defect::LeaseFromReceipt, Defect::OutdatedRequestsApplied, Defect::RequestIncarnationIgnored]
             .map(Some);
-    let defects_with_wait = defects.into_iter().map(|defect| (defect, false));
-    for (defect, skips_start_wait) in defects_with_wait.chain([(None, true)]) {
+    let defect_cases = defects.into_iter().map(|defect| (defect, false));
+    for (defect, skips_start_wait) in defect_cases.chain([(None, true)]) {
         let detected_by = (0..10 * SCENARIOS).find(|seed| {
             let scenario = Scenario { defect, skips_start_wait, ..random_scenario(*seed) };
             run_fleet(*seed, scenario).max_arrived > terms(&scenario).total_tokens() as usize
@@ -123,10 +123,10 @@
         };
         let owned: Vec<u32> = (0..2 * owners).map(|position| terms.owned_tokens(position)).collect();
         assert_eq!(owned.iter().sum::<u32>(), requests_per_s);
-        let (of_owners, beyond) = owned.split_at(owners as usize);
-        let least = of_owners.iter().min().unwrap();
+        let (owners_tokens, others_tokens) = owned.split_at(owners as usize);
+        let least = owners_tokens.iter().min().unwrap();
         let most = owned.iter().max().unwrap();
-        assert!(most - least <= 1 && beyond.iter().all(|tokens| *tokens == 0));
+        assert!(most - least <= 1 && others_tokens.iter().all(|tokens| *tokens == 0));
     }
 }
 
--- a/dispatch/src/start_times/tests.rs
+++ b/dispatch/src/start_times/tests.rs
@@ -40,7 +40,7 @@
 /// Guards against a new server that skips slow start: a wall clock that is ahead makes its reported start seem long past.
 /// The converted start precedes the last list without the server by at most the discovery delay.
 #[test]
-fn a_wall_clock_that_is_ahead_makes_no_new_server_warm() {
+fn a_new_server_is_not_treated_as_warm_if_the_wall_clock_is_ahead() {
     for ahead in [10 * SECOND, HOUR] {
         let mut times = StartTimes::default();
         local_start(&mut times, 1, NOW.0 - 2 * HOUR, NOW);
@@ -61,7 +61,7 @@
 /// Guards against a new server that is in slow start for too long: a wall clock that is behind makes its reported start
 /// seem to be in the future. The converted start is at most the time at which the list was received.
 #[test]
-fn a_wall_clock_that_is_behind_keeps_no_server_in_slow_start() {
+fn a_new_server_is_not_kept_in_slow_start_if_the_wall_clock_is_behind() {
     let mut times = StartTimes::default();
     assert_eq!(local_start(&mut times, 1, NOW.0 + HOUR, NOW), NOW.0, "in the first list");
     times.on_list_confirmed(NOW);
--- a/node/src/cluster_config/member_config.rs
+++ b/node/src/cluster_config/member_config.rs
@@ -61,7 +61,7 @@
 
     /// The bound that every rate limit guarantees: the maximum number of requests in any second, as a multiple of the
     /// limit's rate.
-    pub fn stated_bound(&self) -> f64 {
+    pub fn guaranteed_rate_ratio(&self) -> f64 {
         1.0 + self.limits.arrival_spread_ms as f64 / 1e3
     }
 }
--- a/node/src/cluster_config/tests.rs
+++ b/node/src/cluster_config/tests.rs
@@ -156,7 +156,7 @@
         .unwrap_err()
         .to_string()
         .contains("position"));
-    assert_eq!(config.stated_bound(), 1.05);
+    assert_eq!(config.guaranteed_rate_ratio(), 1.05);
 }
 
 /// An operators' file with every key, each with a distinct value.
--- a/node/src/coordination/metrics.rs
+++ b/node/src/coordination/metrics.rs
@@ -12,14 +12,14 @@
 /// The metric label of the slow start limit.
 const SLOW_START_LIMIT_LABEL: &str = "cold";
 
-/// Formats the metrics in the Prometheus text format. `stated_bound` is the bound that every rate limit guarantees: the
-/// maximum number of requests in any second, as a multiple of the limit's rate.
-pub fn metrics_text(metrics: &ClusterMetrics, stated_bound: f64) -> String {
+/// Formats the metrics in the Prometheus text format. `guaranteed_rate_ratio` is the bound that every rate limit
+/// guarantees: the maximum number of requests in any second, as a multiple of the limit's rate.
+pub fn metrics_text(metrics: &ClusterMetrics, guaranteed_rate_ratio: f64) -> String {
     let mut text = MetricsText::default();
     write_members(&mut text, metrics);
     write_packets(&mut text, metrics);
     for limit in &metrics.rate_limits {
-        text.labelled_sample("limit_bound", ("limit", &limit.name), stated_bound);
+        text.labelled_sample("limit_bound", ("limit", &limit.name), guaranteed_rate_ratio);
         write_rate_limit(&mut text, &limit.name, &limit.metrics);
     }
     if let Some(slow_start) = &metrics.slow_start {
--- a/node/src/coordination/tests.rs
+++ b/node/src/coordination/tests.rs
@@ -111,5 +111,5 @@
     coordination.on_server_observed(SERVER, SERVER_STARTED, true, AFTER_FIRST_LEASE);
     assert!(!coordination.should_avoid(SERVER, SERVER_STARTED, Micros::ZERO, 1.0, AFTER_FIRST_LEASE));
     let metrics = cluster.borrow_mut().metrics(AFTER_FIRST_LEASE);
-    assert_eq!(metrics_text(&metrics, config.stated_bound()), METRICS);
+    assert_eq!(metrics_text(&metrics, config.guaranteed_rate_ratio()), METRICS);
 }
--- a/node/src/downstream/connection.rs
+++ b/node/src/downstream/connection.rs
@@ -55,7 +55,7 @@
     /// When bytes were last received, or reading was last blocked by the upload.
     last_received: Instant,
     /// When part of the output was last written to the client, or the output was last empty.
-    last_drained: Instant,
+    last_output_progress: Instant,
     /// When part of an answer was last written to the client.
     last_written: Option<Instant>,
     /// The streamed value that is being sent to the client.
@@ -127,7 +127,7 @@
             invalid_requests: 0,
             incomplete_since: None,
             last_received: now,
-            last_drained: now,
+            last_output_progress: now,
             last_written: None,
             download: None,
             upload: None,
--- a/node/src/downstream/connection/answers.rs
+++ b/node/src/downstream/connection/answers.rs
@@ -81,7 +81,7 @@
     /// Records that part of the output was written.
     pub(super) fn on_written(&mut self) {
         let now = Instant::now();
-        self.last_drained = now;
+        self.last_output_progress = now;
         self.last_written = Some(now);
     }
 }
--- a/node/src/downstream/connection/timing.rs
+++ b/node/src/downstream/connection/timing.rs
@@ -22,7 +22,7 @@
     /// When this connection times out in its current state; `None` while its client waits for the dispatcher.
     pub(super) fn deadline(&self) -> Option<Instant> {
         if !self.output.is_empty() {
-            return Some(self.last_drained + UNREAD_ANSWER_TIMEOUT);
+            return Some(self.last_output_progress + UNREAD_ANSWER_TIMEOUT);
         }
         if !self.pending.is_empty() || self.download.is_some() {
             return None;
@@ -57,7 +57,7 @@
             self.last_received = now;
         }
         if self.output.is_empty() {
-            self.last_drained = now;
+            self.last_output_progress = now;
         }
     }
 
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -50,7 +50,7 @@
     socket: UdpSocket,
     clock: Clock,
     /// The maximum number of requests in any second that every rate limit guarantees, as a multiple of the limit's rate.
-    stated_bound: f64,
+    guaranteed_rate_ratio: f64,
     log: Logger,
 }
 
@@ -70,14 +70,20 @@
         let address = config.peers.listen_address;
         let listen_error = |source| PeersError::Listen { address, source };
         let socket = bind(address).map_err(listen_error)?;
-        let bound = socket.local_addr().map_err(listen_error)?;
+        let bound_address = socket.local_addr().map_err(listen_error)?;
         let now = clock.now();
         // The start time is the incarnation number: the clock counts Unix time, so that a later start has a greater one.
-        let member = config.member_config(bound, position, settings, now.0, seed)?;
+        let member = config.member_config(bound_address, position, settings, now.0, seed)?;
         info!(log, "peer coordination started"; "address" => member.address.to_string(),
             "position" => member.position);
         let cluster = Rc::new(RefCell::new(Cluster::new(member, now)));
-        Ok(Rc::new(Peers { cluster, socket, clock, stated_bound: config.stated_bound(), log }))
+        Ok(Rc::new(Peers {
+            cluster,
+            socket,
+            clock,
+            guaranteed_rate_ratio: config.guaranteed_rate_ratio(),
+            log,
+        }))
     }
 
     /// The decision core's view of the cluster.
@@ -143,7 +149,7 @@
     /// The metrics in the Prometheus text format.
     pub fn metrics_text(&self) -> String {
         let metrics = self.cluster.borrow_mut().metrics(self.clock.now());
-        metrics_text(&metrics, self.stated_bound)
+        metrics_text(&metrics, self.guaranteed_rate_ratio)
     }
 }
 
--- a/node/src/peers/tests.rs
+++ b/node/src/peers/tests.rs
@@ -49,15 +49,15 @@
 /// Guards against a false suspicion after an event loop delay: answers that arrived meanwhile are read before timeouts are
 /// evaluated.
 #[test]
-fn a_member_that_answered_during_a_stall_is_not_suspected() {
+fn a_member_that_answered_during_an_event_loop_delay_is_not_suspected() {
     for repetition in 0..REPETITIONS {
         testing::run_paused(async {
             let clock = Clock::start();
             let mut responsive = ResponsiveMember::start(clock);
-            let seed_member = responsive.socket.local_addr().unwrap();
+            let seed_address = responsive.socket.local_addr().unwrap();
             let settings = testing::settings(1, Idempotency::Idempotent);
             let peers =
-                Peers::start(&config(0, seed_member), None, &settings, 1, clock, testing::log()).unwrap();
+                Peers::start(&config(0, seed_address), None, &settings, 1, clock, testing::log()).unwrap();
             let task_peers = Rc::clone(&peers);
             spawn_local(async move { task_peers.run().await });
             let ticks = 40 + repetition;
--- a/platform-model/src/checker/failure_detection.rs
+++ b/platform-model/src/checker/failure_detection.rs
@@ -32,12 +32,12 @@
     let mut avoided: Vec<Micros> = silences.iter().filter_map(avoided_after).collect();
     let used_again_after = |silence: &&ImpairedSpan| loads.used_again_after(silence, config);
     let mut used_again: Vec<Micros> = silences.iter().filter_map(used_again_after).collect();
-    let stated = config.stated.and_then(|stated| stated.failure_detection);
+    let bounds = config.stated.and_then(|stated_bounds| stated_bounds.failure_detection);
     FailureDetection {
-        bound_ms: stated.map(|stated| millis(stated.reaction_time)),
+        bound_ms: bounds.map(|bounds| millis(bounds.reaction_time)),
         spread_p50_ms: percentile_ms(&mut last_attempt_delays, 0.5),
         spread_p99_ms: percentile_ms(&mut last_attempt_delays, 0.99),
-        stale_bound_ms: stated.map(|stated| millis(stated.report_expiry)),
+        stale_bound_ms: bounds.map(|bounds| millis(bounds.report_expiry)),
         stale_max_ms: None,
         wrongly_avoided: 0,
         lost_sends: count_lost_attempts(event_log, config),
@@ -61,9 +61,9 @@
 fn last_attempt_delays(event_log: &EventLog, silences: &[&ImpairedSpan]) -> Vec<Micros> {
     let mut last_delays: HashMap<(usize, u32), Micros> = HashMap::new();
     for attempt in &event_log.attempts {
-        for (number, silence) in silences.iter().enumerate() {
+        for (silence_index, silence) in silences.iter().enumerate() {
             if is_received_during(attempt, silence) {
-                last_delays.insert((number, attempt.balancer), attempt.received_at - silence.from);
+                last_delays.insert((silence_index, attempt.balancer), attempt.received_at - silence.from);
             }
         }
     }
--- a/protocols/src/http/response.rs
+++ b/protocols/src/http/response.rs
@@ -71,15 +71,15 @@
 impl<'a> Headers<'a> {
     /// The value of the first header of this name.
     fn value(&self, name: &str) -> Option<&'a [u8]> {
-        let header = self.0.iter().find(|(known, _)| known.eq_ignore_ascii_case(name.as_bytes()));
+        let header = self.0.iter().find(|(header_name, _)| header_name.eq_ignore_ascii_case(name.as_bytes()));
         header.map(|(_, value)| value.trim_ascii())
     }
 
     /// Whether a header of this name has this item in its comma-separated list.
     fn lists(&self, name: &str, item: &str) -> bool {
-        self.0.iter().any(|(known, value)| {
+        self.0.iter().any(|(header_name, value)| {
             let mut items = value.split(|byte| *byte == b',');
-            known.eq_ignore_ascii_case(name.as_bytes())
+            header_name.eq_ignore_ascii_case(name.as_bytes())
                 && items.any(|listed| listed.trim_ascii().eq_ignore_ascii_case(item.as_bytes()))
         })
     }
--- a/testbed/src/experiment_run/platform.rs
+++ b/testbed/src/experiment_run/platform.rs
@@ -60,9 +60,10 @@
         let machines =
             (0..machine_count).map(|_| Machine::new(listener_group_count)).collect::<io::Result<Vec<_>>>();
         let machines = machines.map_err(SetupError::Listener)?;
-        let servers = server_addresses(&testbed, &machines, listener_group_count);
-        let discovery = serve_discovery(&testbed, &servers).map_err(SetupError::Listener)?;
-        let processes = Processes::prepare(&testbed, out, &discovery, &servers, peers, child_reaper)?;
+        let addresses_by_balancer = server_addresses(&testbed, &machines, listener_group_count);
+        let discovery = serve_discovery(&testbed, &addresses_by_balancer).map_err(SetupError::Listener)?;
+        let processes =
+            Processes::prepare(&testbed, out, &discovery, &addresses_by_balancer, peers, child_reaper)?;
         let mut platform = Platform { testbed, processes, machines };
         for machine in 0..machine_count {
             platform.listen(machine).map_err(SetupError::Listener)?;
@@ -111,8 +112,8 @@
     fn time_until_healthy(&self) -> Micros {
         let experiment = &self.testbed.experiment;
         let latest_notice = self.testbed.notice_delays.borrow().iter().copied().max().unwrap_or(0);
-        let listed_after = micros_from_seconds(experiment.discovery.notice_s) + latest_notice;
-        micros_from_seconds(experiment.servers.slow_start_s).max(listed_after)
+        let notified_after = micros_from_seconds(experiment.discovery.notice_s) + latest_notice;
+        micros_from_seconds(experiment.servers.slow_start_s).max(notified_after)
     }
 
     /// Applies one change and wakes all tasks that wait for changes.
@@ -241,17 +242,20 @@
 }
 
 /// Serves discovery to each balancer at a separate address and returns these addresses.
-fn serve_discovery(testbed: &Rc<Testbed>, servers: &[ServerAddresses]) -> io::Result<Vec<SocketAddr>> {
+fn serve_discovery(
+    testbed: &Rc<Testbed>,
+    addresses_by_balancer: &[ServerAddresses],
+) -> io::Result<Vec<SocketAddr>> {
     let mut addresses = Vec::new();
-    for (balancer, servers) in servers.iter().enumerate() {
+    for (balancer, server_addresses) in addresses_by_balancer.iter().enumerate() {
         let reserved = ReservedAddress::new()?;
         addresses.push(reserved.address());
         let listener = reserved.listen()?;
-        let (testbed, servers) = (Rc::clone(testbed), Rc::clone(servers));
+        let (testbed, server_addresses) = (Rc::clone(testbed), Rc::clone(server_addresses));
         spawn_local(async move {
             // Keeps the address reserved for this balancer while the listener is open.
             let _reserved = reserved;
-            discovery::serve(testbed, balancer, servers, listener).await;
+            discovery::serve(testbed, balancer, server_addresses, listener).await;
         });
     }
     Ok(addresses)
