--- a/purge/src/lease_table.rs
+++ b/purge/src/lease_table.rs
@@ -4,9 +4,10 @@
 //!
 //! A registration is reported as expired only when none of its leases can still be valid at its member: the assigned
 //! replica counts the lease from the receipt of the last pull that it answered, the member from the sending of that
-//! pull, and the assigned replica waits longer by the drift of two clocks. A registration that the assigned replica
-//! learned from another replica is never granted a lease; it expires one lease duration after it was learned, which is
-//! not before the assigned replica's start.
+//! pull, and the assigned replica adds the drift of two clocks. A registration that the assigned replica learned from
+//! another replica is never granted a lease. Leases of an earlier incarnation of the assigned replica may still be
+//! valid, so the registration expires only one lease duration, with the drift added, after it was learned; it is never
+//! learned before the assigned replica's start.
 
 use std::collections::BTreeMap;
 
@@ -44,7 +45,7 @@
     }
 
     /// Adds a registration learned from another replica; leases of this epoch or of an earlier one may have been
-    /// granted until `since`.
+    /// granted up to `since`.
     pub fn add_learned(&mut self, member: MemberId, epoch: Epoch, since: Micros, settings: &ReplicaSettings) {
         let granted_at =
             if settings.injected_defects.has(InjectedDefect::EarlyRelease) { Micros::ZERO } else { since };
@@ -57,7 +58,7 @@
         self.leases.get(&member).is_some_and(|lease| lease.grantable && lease.epoch == epoch)
     }
 
-    /// Removes a member's lease.
+    /// Removes a member's registration and its lease.
     pub fn remove(&mut self, member: MemberId) {
         self.leases.remove(&member);
     }
@@ -90,7 +91,8 @@
         expired
     }
 
-    /// Reports what the active registrations have applied of a replica's purges; members below `head` are laggards.
+    /// Reports how far the members with an active registration have applied the purges of `replica`. Members whose
+    /// applied position is before `head` are laggards.
     pub fn report(&self, replica: ReplicaId, head: Position) -> MemberReport {
         let mut report = MemberReport::default();
         for (member, lease) in self.leases.iter().filter(|(_, lease)| lease.grantable) {
--- a/purge/tests/support/simulation.rs
+++ b/purge/tests/support/simulation.rs
@@ -1,4 +1,5 @@
-//! Runs a schedule event by event and checks the guarantee after each event.
+//! Runs a schedule event by event. After each event, checks the guarantee: a member that may serve has applied every
+//! purge that was reported as done.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -51,7 +52,7 @@
     rate: u64,
     /// Value of the clock at the start of the schedule, in microseconds.
     offset: u64,
-    /// Purges published by this incarnation of the replica that are not done.
+    /// Indices of the purges that this incarnation published and that are not done yet; empty for a member.
     pending: VecDeque<usize>,
 }
 
@@ -80,8 +81,11 @@
     pub apply_delays: Vec<u64>,
     /// Time from the publication of each done purge until it was reported as done.
     pub done_delays: Vec<u64>,
+    /// Entries trimmed from the logs of the replicas that run at the end, since their last start.
     pub log_trimmed: u64,
+    /// Times that a member voided its cache, over all members and their incarnations.
     pub voided: u64,
+    /// Leases that expired while their member served, over all members and their incarnations.
     pub lapses: u64,
     /// Bytes per second of each member in both directions, with IP and UDP headers.
     pub member_bytes_per_second: Vec<u64>,
@@ -95,7 +99,8 @@
     rng: ChaCha8Rng,
     network: Network,
     now: u64,
-    /// Time, number and kind of each event to come, the earliest first.
+    /// Pending events, the earliest first. Each has its time and a sequence number, which orders events of the same
+    /// time.
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     event_count: u64,
     nodes: Vec<Node>,
@@ -481,7 +486,7 @@
         }
     }
 
-    /// Checks the guarantee at this moment.
+    /// Checks the guarantee for each member that may serve now.
     fn check(&mut self) -> Result<(), Breach> {
         for node in self.schedule.replicas..self.nodes.len() {
             let now = self.local_now(node);
@@ -511,7 +516,7 @@
                 Some(StateMachine::Member(member, _)) => {
                     if !member.may_serve(Micros(self.local_now(number))) {
                         return Some(format!(
-                            "member {number} does not serve; metrics: {:?}",
+                            "member at node {number} does not serve; metrics: {:?}",
                             member.metrics()
                         ));
                     }
