--- a/platform-model/src/checker/failure_detection/tests.rs
+++ b/platform-model/src/checker/failure_detection/tests.rs
@@ -8,8 +8,8 @@
     super::failure_detection(event_log, config, &super::super::series::series(event_log, config).server_loads)
 }
 
-/// Each of four servers receives ten attempts a second, except that server 0 is silent from 10 to 20 s and, from 10 to
-/// 23 s, receives only the given attempts: the balancer, and the time in seconds.
+/// An event log in which each of four servers receives ten attempts a second from 5 to 35 s. Server 0 is silent from 10
+/// to 20 s. From 10 to 23 s it receives only the given attempts, each a balancer and a time in seconds.
 fn silent_server_log(attempts_at_silent_server: &[(u32, f64)]) -> EventLogBuilder {
     let mut builder = EventLogBuilder::default();
     builder.event_log.server_impairments.push(ImpairedSpan {
