--- a/node/src/cluster_config/check.rs
+++ b/node/src/cluster_config/check.rs
@@ -1,4 +1,5 @@
-//! The value ranges of the operators' file. Only the first value out of range is reported, in the order of the checks.
+//! Checks the values of the operators' file (`ClusterConfigFile`). Only the first invalid value is reported, in the
+//! order of the checks.
 
 use std::fmt::Display;
 use std::ops::RangeInclusive;
@@ -21,11 +22,11 @@
 const MAX_SUSPECTED_SHARE: RangeInclusive<f64> = 0.0..=0.5;
 const TRIALS_PER_S: RangeInclusive<f64> = 0.1..=20.0;
 
-/// A value out of range.
+/// An invalid value in the operators' file.
 pub(super) struct InvalidValue {
-    /// The key, including its tables.
+    /// The dotted key in the file, preceded by the tables that contain it, such as `limits.origin.per_s`.
     pub(super) key: &'static str,
-    /// The valid values.
+    /// Describes the valid values, for the error message.
     pub(super) expected: String,
 }
 
@@ -46,7 +47,7 @@
     require(
         !advertised.ip().is_unspecified(),
         "peers.address",
-        "others cannot reach 0.0.0.0 or ::; set the address at which they reach this balancer",
+        "other balancers cannot reach 0.0.0.0 or ::; set the address at which they reach this balancer",
     )
 }
 
@@ -59,7 +60,7 @@
     require(
         CLOCK_DRIFT.contains(&limits.clock_drift),
         "limits.drift",
-        &format!("a share {}", format_range(&CLOCK_DRIFT)),
+        &format!("a relative difference in clock speed, {}", format_range(&CLOCK_DRIFT)),
     )?;
     let is_in_range = limits.arrival_spread_ms <= MAX_ARRIVAL_SPREAD_MS;
     require(is_in_range, "limits.spread_ms", &format!("at most {MAX_ARRIVAL_SPREAD_MS} ms"))?;
--- a/node/src/cluster_config/tests.rs
+++ b/node/src/cluster_config/tests.rs
@@ -78,7 +78,7 @@
         ("lease_ms = 2000", "leasems = 5", "unknown field `leasems`, expected one of"),
         ("per_s = 400", "per_s = -4", "invalid value"),
         ("per_s = 400", "per_s = 0", "limits.origin.per_s: from 1"),
-        ("drift = 0.001", "drift = 2.0", "limits.drift: a share from 0"),
+        ("drift = 0.001", "drift = 2.0", "limits.drift: a relative difference in clock speed, from 0"),
         ("share = 0.4", "share = 40", "limits.second.share: retries per first attempt, from 0"),
         ("witnesses = 3", "witnesses = 1", "verdicts.witnesses: from 2 to 16; a single"),
         ("most = 0.34", "most = 0.9", "verdicts.most: a share of the servers"),
