--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -1,5 +1,6 @@
-//! The connections of the cache servers: reads requests, gets the response to each from the platform model, and writes the
-//! answers in order at their times. Link faults are applied to these reads and writes.
+//! Serves the balancers' connections to the cache servers: reads requests, gets the response to each from the platform
+//! model, and writes the answers in the order of the requests when they are due. Link faults are applied to these reads
+//! and writes.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -21,8 +22,8 @@
 /// Maximum number of requests in transit or unanswered on one connection; reading pauses at this limit.
 const MAX_PIPELINED_REQUESTS: usize = 256;
 
-/// Accepts the connections of one listener group's balancers to a server until the task is aborted. Connections over the
-/// server's limit are reset.
+/// Accepts connections to a server on the listener that the balancers of one listener group share, until the task is
+/// aborted. Connections over the server's limit are reset.
 pub async fn serve(testbed: Rc<Testbed>, server: usize, listener_group: usize, listener: TcpListener) {
     loop {
         let stream = listeners::accept(&listener).await;
@@ -52,7 +53,7 @@
     write: bool,
 }
 
-/// An answer that is being made or in transit to the balancer.
+/// An answer that the server has yet to send, or that is in transit to the balancer.
 struct OutboundAnswer {
     /// Time at which the answer is written to the connection, its transit time included.
     due_at: Micros,
@@ -242,8 +243,8 @@
         }
     }
 
-    /// Puts a request in transit to the server; `arrives_at` is its send time on entry. Requests arrive in the order in which
-    /// they were sent.
+    /// Puts a request in transit to the server. The caller sets `arrives_at` to the send time; this function adds the
+    /// transit time. Requests arrive in the order in which they were sent.
     fn put_in_transit(&mut self, mut request: InboundRequest) {
         let link = self.link_to_server();
         let server = LinkEnd::CacheServer(self.server);
@@ -292,7 +293,8 @@
         self.send_answer(response.at, line, Some(log_index));
     }
 
-    /// The model's response to a request, and the load report of its answer.
+    /// Gets the model's response to a request and the load report that is sent with the answer; logs a collapse of the
+    /// server.
     fn ask_model(&self, request: &InboundRequest, now: Micros) -> (Response, LoadReport) {
         let testbed = &self.testbed;
         let mut server = testbed.servers[self.server].borrow_mut();
@@ -305,7 +307,7 @@
         (response, load)
     }
 
-    /// Puts an answer in transit at this time. Answers keep the order of their requests.
+    /// Puts an answer in transit; the server sends it at time `at`. Answers keep the order of their requests.
     fn send_answer(&mut self, at: Micros, line: String, attempt: Option<usize>) {
         let link = self.link_to_balancer();
         let server = LinkEnd::CacheServer(self.server);
@@ -316,8 +318,8 @@
     }
 }
 
-/// The id of a request and the key's number, a property that the testbed's clients send; `None` if either is missing
-/// or malformed.
+/// Parses the id of a request and the number of its key, which the testbed's clients send as property `q`; `None` if
+/// either is missing or malformed.
 fn id_and_key(id: &Bytes, properties: &[(Bytes, Bytes)]) -> Option<(u64, u64)> {
     let id = u64::from_str_radix(std::str::from_utf8(id).ok()?, 16).ok()?;
     let (_, key) = properties.iter().find(|(name, _)| name.as_ref() == b"q")?;
