--- a/dispatch/src/dispatcher/overrides.rs
+++ b/dispatch/src/dispatcher/overrides.rs
@@ -1,5 +1,5 @@
-//! Operator overrides: take a server offline and bring it online again. No I/O: the daemon reads the calls and writes
-//! the answers.
+//! Operator overrides: take a server offline and bring it online again. This module does no I/O: the daemon reads the
+//! operators' calls and writes the answers to them.
 //!
 //! An override is not an update from discovery: it neither answers a poll nor postpones one.
 
@@ -15,7 +15,7 @@
     /// [`Dispatcher::bring_online`].
     ///
     /// # Errors
-    /// The server is not offline, and no listing of it is remembered.
+    /// The server is neither offline nor among the servers remembered from discovery's lists.
     pub fn take_offline(&self, name: &str) -> Result<(), UnknownServer> {
         let now = self.clock().now();
         let overridden = self.state.borrow_mut().overrides.take_offline(server_id(name), name, now)?;
@@ -23,18 +23,18 @@
         Ok(())
     }
 
-    /// Restores the override of an earlier process that took this server offline.
+    /// Takes a server offline again after a restart, as the override that an earlier process stored says.
     pub fn restore_override(&self, name: &str) {
         let now = self.clock().now();
         let overridden = self.state.borrow_mut().overrides.restore(server_id(name), name, now);
         self.apply_override(overridden);
     }
 
-    /// Brings a server online again: its state is again the one that discovery reports, and it warms up like a server
-    /// that has just started.
+    /// Brings a server online again: its state is again the one that discovery reports, and it goes through slow start
+    /// like a server that has just started.
     ///
     /// # Errors
-    /// The server is not offline, and no listing of it is remembered.
+    /// The server is neither offline nor among the servers remembered from discovery's lists.
     pub fn bring_online(&self, name: &str) -> Result<(), UnknownServer> {
         let now = self.clock().now();
         let overridden = self.state.borrow_mut().overrides.bring_online(server_id(name), now)?;
--- a/dispatch/src/overrides.rs
+++ b/dispatch/src/overrides.rs
@@ -15,7 +15,7 @@
 /// Maximum number of remembered ids of servers that were ever listed; beyond it the oldest are forgotten.
 const MAX_REMEMBERED_SERVERS: usize = 16_384;
 
-/// The server is not offline, and no listing of it is remembered.
+/// The server is neither offline nor among the servers remembered from discovery's lists.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("no such cache host has been listed; give an instanceId of the list")]
 pub struct UnknownServer;
@@ -105,7 +105,7 @@
     /// Takes a server offline. Returns the server with the override applied if it is listed.
     ///
     /// # Errors
-    /// The server is not offline, and no listing of it is remembered.
+    /// The server is neither offline nor among the servers remembered from discovery's lists.
     pub fn take_offline(
         &mut self,
         server: ServerId,
@@ -130,7 +130,7 @@
     /// `now`, unless discovery has reported a start since the override began.
     ///
     /// # Errors
-    /// The server is not offline, and no listing of it is remembered.
+    /// The server is neither offline nor among the servers remembered from discovery's lists.
     pub fn bring_online(
         &mut self,
         server: ServerId,
