--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -13,13 +13,13 @@
 
 /// Time over which the retries of clients that are rejected together are spread.
 pub(super) const RETRY_AFTER_SPREAD: Micros = Micros::from_millis(250);
-/// Margin for a certain estimate of the elapsed time, as a multiple of the minimum batch interval: the
-/// remaining time of a client retry must be below the longest one of first attempts by more than the margin.
+/// The estimate of the elapsed time counts as certain if the remaining time of a client retry is below the
+/// longest remaining time of first attempts by more than this multiple of the minimum batch interval.
 const TIME_LEFT_TOLERANCE_IN_BATCH_INTERVALS: f64 = 2.0;
 /// Share of the estimated time since the first attempt that counts if the estimate is uncertain.
 const UNCERTAIN_ELAPSED_SHARE: f64 = 0.5;
 
-/// How long clients wait, as observed from their first attempts.
+/// Estimates how long a client has already waited, from the remaining times of first attempts seen so far.
 #[derive(Debug)]
 pub(super) struct Admission {
     /// Longest remaining time of a first attempt on arrival, by class.
@@ -72,7 +72,8 @@
 impl Balancer {
     /// Handles a new request.
     pub(super) fn on_request(&mut self, now: Micros, mut request: Request, actions: &mut Vec<Action>) {
-        // Tenants beyond those of the settings share one source in the gaps.
+        // Tenants that the settings do not list get one common number: the gap of a server counts them as a
+        // single source.
         request.tenant = request.tenant.min(self.settings.tenants.len() as u32);
         if !request.is_client_retry {
             self.admission.on_new_request(now, &request, &self.settings);
@@ -97,7 +98,8 @@
     }
 
     /// Answers a request that is not served: rejects it if repeating it is harmless, and fails it otherwise.
-    /// Retry-After is `wait` plus a random spread, up to the site's maximum, or zero if the site sends none.
+    /// Retry-After is `wait` plus a random spread, limited to the configured maximum, or zero if the settings
+    /// disable it.
     pub(super) fn reject_or_fail(
         &mut self,
         now: Micros,
--- a/src/balancer/tests/simulation.rs
+++ b/src/balancer/tests/simulation.rs
@@ -64,7 +64,8 @@
     pub outage: Outage,
 }
 
-/// Size of the model: the tests simulate the base size, the capacity measurements larger ones.
+/// Size of the model, and the slowdown of one cache server. The tests simulate the base size, the capacity
+/// measurements larger ones.
 #[derive(Clone, Copy)]
 pub struct Scale {
     /// Factor on the numbers of workers of each cache server and of the origin, and of keys.
@@ -95,12 +96,14 @@
     }
 }
 
-/// Results of a simulation; lists are indexed by second, from 0.
+/// Results of a simulation. Lists have one value a second; index 0 is second 1, at which the virtual time
+/// starts.
 #[derive(Default)]
 pub struct SimulationResult {
     /// First attempts of clients.
     pub requested: Vec<f64>,
-    /// First attempts of clients that were served within the latency objective, also by a client retry.
+    /// Client requests that were served within the latency objective, whether the first attempt or a retry
+    /// was served; each counts in the second of its first attempt.
     pub served: Vec<f64>,
     /// Sends to the origin.
     pub fetches: Vec<f64>,
@@ -110,9 +113,9 @@
     pub sends: f64,
     /// Peak of the sends to one server in slow start in one second, relative to its capacity at that time.
     pub peak_slow_start_load: f64,
-    /// Largest excess, in one second, of the sends to one server in slow start over its tolerable load plus
-    /// the random variation, which is taken as 2 square roots of that load plus 2. Counts the sends of the
-    /// balancers that know of the restart.
+    /// Largest value, over seconds and servers in slow start, of the sends to a server in one second minus
+    /// what it tolerates. With the tolerable load L, that is L + 2 * sqrt(L) + 2; the last two terms allow
+    /// for random variation. Only sends of balancers that know of the restart count.
     pub excess_over_chance: f64,
     /// Sends by second and cache server.
     pub cache_sends: Vec<Vec<f64>>,
