--- a/cli/benches/data_path/fake_servers.rs
+++ b/cli/benches/data_path/fake_servers.rs
@@ -97,7 +97,8 @@
         let _ = self.lists.send(format!("{list}\n"));
     }
 
-    /// A complete list of this number of servers, or changes to them, in discovery's format.
+    /// Formats an endpoint list of servers 0 to `servers` - 1 as discovery sends it: a complete list if `is_complete`,
+    /// otherwise an update of these servers.
     pub fn list(&self, servers: usize, is_complete: bool, generation: u64) -> String {
         let entry = |number: usize| {
             format!(
@@ -189,7 +190,7 @@
     }
 }
 
-/// Serves one watch. The first message has no changes, because the process was started with the current list.
+/// Serves one watch. The first message has no changes, because the balancer was started with the current list.
 async fn send_changes(mut stream: TcpStream, mut lists: broadcast::Receiver<String>) -> std::io::Result<()> {
     let mut call = [0; 4_096];
     let _ = stream.read(&mut call).await?;
