--- a/testbed-cli/src/scale_table.rs
+++ b/testbed-cli/src/scale_table.rs
@@ -13,7 +13,7 @@
         summary.seed,
         summary.event,
         if summary.virtual_time { ", simulated time" } else { "" },
-        summary.flaw.as_ref().map_or(String::new(), |flaw| format!(", broken on purpose: {flaw}")),
+        summary.flaw.as_ref().map_or(String::new(), |flaw| format!(", injected defect: {flaw}")),
     );
     print_phase("ordinary state", &summary.steady_state);
     if summary.after_event.seconds > 0.0 {
@@ -46,7 +46,7 @@
 
 fn print_phase(name: &str, phase: &PhaseSummary) {
     println!(
-        "  {name}, {:.0} s: a member sends {:.1} packets, {:.0} bytes a second ({:.0} with headers, busiest {:.0}), \
+        "  {name}, {:.0} s: each sends {:.1} packets, {:.0} bytes a second ({:.0} with headers, busiest {:.0}), \
          receives {:.0}",
         phase.seconds,
         phase.sent.packets_per_s,
@@ -97,7 +97,7 @@
 fn print_change(change: &ChangeSummary) {
     let format_ms = |ms: Option<f64>| ms.map_or("-".to_owned(), |ms| format!("{ms:.0}"));
     println!(
-        "  {:16} {} observers, {} unaware, {} never (in {:.1} s): p50 {} ms, p99 {} ms, all {} ms",
+        "  {:16} {} observers, {} never knew the member, {} not reached in {:.1} s: p50 {} ms, p99 {} ms, all {} ms",
         change.name,
         change.observers,
         change.never_knew_member,
