--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -36,7 +36,7 @@
 use crate::request::RequestId;
 use crate::settings::Settings;
 use crate::time::Micros;
-use admission::Admission;
+use admission::ClientWaitEstimator;
 use discovery_schedule::DiscoverySchedule;
 use endpoint_set::EndpointSet;
 use gap_ladder::{GapLadder, BALANCERS_WITHOUT_LONGER_GAPS};
@@ -72,7 +72,7 @@
     /// other server can take the origin's requests, so every attempt that a gap holds back is lost.
     origin_ladder: GapLadder,
     origin_queue: OriginQueue,
-    admission: Admission,
+    client_wait: ClientWaitEstimator,
     hedge_budget: HedgeBudget,
     open_requests: RequestTable,
 }
@@ -93,7 +93,7 @@
             cache_ladder: GapLadder::new(&settings, settings.balancers),
             origin_ladder: GapLadder::new(&settings, origin_balancers),
             origin_queue: OriginQueue::default(),
-            admission: Admission::new(settings.classes.len()),
+            client_wait: ClientWaitEstimator::new(settings.classes.len()),
             hedge_budget: HedgeBudget::new(),
             open_requests: RequestTable::new(FIRST_REQUEST_TIMER),
             settings,
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -21,15 +21,15 @@
 
 /// Estimates how long a client has already waited, from the remaining times of first attempts seen so far.
 #[derive(Debug)]
-pub(super) struct Admission {
+pub(super) struct ClientWaitEstimator {
     /// Longest remaining time of a first attempt on arrival, by class.
     longest_initial_time_left: Vec<Micros>,
 }
 
-impl Admission {
+impl ClientWaitEstimator {
     /// Creates the state without observations, for this number of classes.
-    pub(super) fn new(classes: usize) -> Admission {
-        Admission { longest_initial_time_left: vec![Micros::ZERO; classes] }
+    pub(super) fn new(classes: usize) -> ClientWaitEstimator {
+        ClientWaitEstimator { longest_initial_time_left: vec![Micros::ZERO; classes] }
     }
 
     /// Records the remaining time of a request that is not a client's retry.
@@ -76,11 +76,11 @@
         // single source.
         request.tenant = request.tenant.min(self.settings.tenants.len() as u32);
         if !request.is_client_retry {
-            self.admission.on_new_request(now, &request, &self.settings);
+            self.client_wait.on_new_request(now, &request, &self.settings);
             self.coordination.on_new_request(now);
             self.hedge_budget.on_new_request(&self.cache_ladder);
         }
-        let useful_until = self.admission.useful_until(now, &request, &self.settings);
+        let useful_until = self.client_wait.useful_until(now, &request, &self.settings);
         let read_key = request.key.filter(|_| !request.is_write);
         if let Some(key) = read_key {
             self.placement.on_read(key);
