--- a/node/src/cluster_config/check.rs
+++ b/node/src/cluster_config/check.rs
@@ -15,11 +15,11 @@
 const MAX_ARRIVAL_SPREAD_MS: u64 = 1_000;
 const REQUESTS_PER_S: RangeInclusive<u32> = 1..=1_000_000;
 const RETRIES_PER_FIRST_ATTEMPT: RangeInclusive<f64> = 0.0..=3.0;
-const MAX_SAVED_CREDITS: RangeInclusive<f64> = 1.0..=1_000.0;
+const MAX_SAVED_CREDITS_RANGE: RangeInclusive<f64> = 1.0..=1_000.0;
 /// At least 2, because the report of a single balancer is not trusted.
-const MIN_REPORTERS: RangeInclusive<usize> = 2..=16;
+const MIN_REPORTERS_RANGE: RangeInclusive<usize> = 2..=16;
 const REPORT_LIFETIME_MS: RangeInclusive<u64> = 2_000..=30_000;
-const MAX_SUSPECTED_SHARE: RangeInclusive<f64> = 0.0..=0.5;
+const MAX_SUSPECTED_SHARE_RANGE: RangeInclusive<f64> = 0.0..=0.5;
 const TRIALS_PER_S: RangeInclusive<f64> = 0.1..=20.0;
 
 /// An invalid value in the operators' file.
@@ -83,17 +83,17 @@
         &format!("retries per first attempt, {}", format_range(&RETRIES_PER_FIRST_ATTEMPT)),
     )?;
     require(
-        MAX_SAVED_CREDITS.contains(&budget.max_saved_credits),
+        MAX_SAVED_CREDITS_RANGE.contains(&budget.max_saved_credits),
         "limits.second.saved",
-        &format!("retry credits per balancer, {}", format_range(&MAX_SAVED_CREDITS)),
+        &format!("retry credits per balancer, {}", format_range(&MAX_SAVED_CREDITS_RANGE)),
     )
 }
 
 fn check_failure_detector(failure_detector: &FailureDetectorConfig) -> CheckResult {
     require(
-        MIN_REPORTERS.contains(&failure_detector.min_reporters),
+        MIN_REPORTERS_RANGE.contains(&failure_detector.min_reporters),
         "verdicts.witnesses",
-        &format!("{}; a single report is not trusted", format_range(&MIN_REPORTERS)),
+        &format!("{}; a single report is not trusted", format_range(&MIN_REPORTERS_RANGE)),
     )?;
     require(
         REPORT_LIFETIME_MS.contains(&failure_detector.report_lifetime_ms),
@@ -101,9 +101,9 @@
         &format!("{} ms", format_range(&REPORT_LIFETIME_MS)),
     )?;
     require(
-        MAX_SUSPECTED_SHARE.contains(&failure_detector.max_suspected_share),
+        MAX_SUSPECTED_SHARE_RANGE.contains(&failure_detector.max_suspected_share),
         "verdicts.most",
-        &format!("a share of the servers, {}", format_range(&MAX_SUSPECTED_SHARE)),
+        &format!("a share of the servers, {}", format_range(&MAX_SUSPECTED_SHARE_RANGE)),
     )?;
     require(
         TRIALS_PER_S.contains(&failure_detector.trials_per_s),
