--- a/purge/src/lease_table.rs
+++ b/purge/src/lease_table.rs
@@ -45,10 +45,19 @@
     }
 
     /// Adds a registration learned from another replica; leases of this epoch or of an earlier one may have been
-    /// granted up to `since`.
-    pub fn add_learned(&mut self, member: MemberId, epoch: Epoch, since: Micros, settings: &ReplicaSettings) {
-        let granted_at =
-            if settings.injected_defects.has(InjectedDefect::EarlyRelease) { Micros::ZERO } else { since };
+    /// granted up to `learned_at`.
+    pub fn add_learned(
+        &mut self,
+        member: MemberId,
+        epoch: Epoch,
+        learned_at: Micros,
+        settings: &ReplicaSettings,
+    ) {
+        let granted_at = if settings.injected_defects.has(InjectedDefect::EarlyRelease) {
+            Micros::ZERO
+        } else {
+            learned_at
+        };
         self.leases
             .insert(member, Lease { epoch, grantable: false, granted_at, applied: VersionVector::default() });
     }
