--- a/purge/tests/support/simulation.rs
+++ b/purge/tests/support/simulation.rs
@@ -178,12 +178,12 @@
                 Applied::default(),
             ),
         };
-        let process = &mut self.nodes[node];
-        process.state_machine = Some(state_machine);
-        process.incarnation = incarnation;
-        process.frozen = false;
-        process.backlog.clear();
-        process.pending.clear();
+        let node_state = &mut self.nodes[node];
+        node_state.state_machine = Some(state_machine);
+        node_state.incarnation = incarnation;
+        node_state.frozen = false;
+        node_state.backlog.clear();
+        node_state.pending.clear();
         let first = self.now + self.rng.random_range(0..self.schedule.tick);
         self.schedule_event(first, Event::Tick { node, incarnation });
     }
@@ -289,8 +289,9 @@
                 }
                 Some(StateMachine::Member(member, _)) => {
                     let metrics = member.metrics();
-                    let both = bytes_with_headers(metrics.sent) + bytes_with_headers(metrics.received);
-                    report.member_bytes_per_second.push(per_second(both));
+                    let sent_and_received =
+                        bytes_with_headers(metrics.sent) + bytes_with_headers(metrics.received);
+                    report.member_bytes_per_second.push(per_second(sent_and_received));
                     report.voided += member.metrics().voided;
                     report.lapses += member.metrics().lapses;
                 }
@@ -346,17 +347,17 @@
 
     /// Acts as the driver after each call: applies drained purges, records completed ones, and sends datagrams.
     fn drive(&mut self, node: usize) {
-        let process = &mut self.nodes[node];
-        let datagrams = match &mut process.state_machine {
+        let node_state = &mut self.nodes[node];
+        let datagrams = match &mut node_state.state_machine {
             Some(StateMachine::Replica(replica)) => {
                 assert!(replica.metrics().log_entries <= self.schedule.log_entries);
                 assert!(replica.metrics().registrations <= MAX_MEMBERS);
-                while let Some(purge) = process.pending.front().copied() {
+                while let Some(purge) = node_state.pending.front().copied() {
                     let id = self.checker.published[purge].id;
                     if replica.status(id) != PurgeStatus::Done {
                         break;
                     }
-                    process.pending.pop_front();
+                    node_state.pending.pop_front();
                     self.checker.on_done(purge, self.now);
                 }
                 replica.drain()
@@ -422,11 +423,11 @@
             self.voided += member.metrics().voided;
             self.lapses += member.metrics().lapses;
         }
-        let process = &mut self.nodes[node];
-        process.state_machine = None;
-        process.frozen = false;
-        process.backlog.clear();
-        process.pending.clear();
+        let node_state = &mut self.nodes[node];
+        node_state.state_machine = None;
+        node_state.frozen = false;
+        node_state.backlog.clear();
+        node_state.pending.clear();
     }
 
     fn leave(&mut self, node: usize) {
@@ -452,10 +453,11 @@
     fn publish(&mut self, node: usize, count: usize) {
         let now = self.local_now(node);
         for _ in 0..count {
-            let drawn = if self.rng.random_bool(0.1) { 250 } else { self.rng.random_range(8..=64) };
+            let unbounded_length =
+                if self.rng.random_bool(0.1) { 250 } else { self.rng.random_range(8..=64) };
             let length = match self.schedule.key_bytes {
                 Some((least, greatest)) => self.rng.random_range(least..=greatest),
-                None => drawn,
+                None => unbounded_length,
             };
             let key = self.checker.next_key(length);
             if self.nodes[node].frozen {
