--- a/platform-model/src/checker/failure_detection/tests.rs
+++ b/platform-model/src/checker/failure_detection/tests.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn server_is_avoided_and_used_again_relative_to_its_fair_share() {
+fn avoided_and_used_again_times_follow_from_the_ratio_to_the_fair_share() {
     let figures = failure_detection(&silent_server_log(&[]).event_log, &check_config());
     assert_eq!((figures.avoided_ms, figures.used_again_ms), (Some(0.0), Some(4000.0)));
     let attempts: Vec<(u32, f64)> = (0..3).map(|n| (1, 12.3 + f64::from(n) / 10.0)).collect();
