--- a/testbed/src/cache_servers.rs
+++ b/testbed/src/cache_servers.rs
@@ -131,8 +131,8 @@
     }
 
     fn is_reset(&self) -> bool {
-        let is_gone = self.testbed.incarnations[self.server].get() != self.incarnation;
-        is_gone || self.link_to_server().reset || self.link_to_balancer().reset
+        let is_earlier_incarnation = self.testbed.incarnations[self.server].get() != self.incarnation;
+        is_earlier_incarnation || self.link_to_server().reset || self.link_to_balancer().reset
     }
 
     /// Reads requests and writes answers until the connection ends.
