--- a/dispatch/src/dispatcher/overrides.rs
+++ b/dispatch/src/dispatcher/overrides.rs
@@ -18,16 +18,16 @@
     /// The server is neither offline nor among the servers remembered from discovery's lists.
     pub fn take_offline(&self, name: &str) -> Result<(), UnknownServer> {
         let now = self.clock().now();
-        let overridden = self.state.borrow_mut().overrides.take_offline(server_id(name), name, now)?;
-        self.apply_override(overridden);
+        let updated_server = self.state.borrow_mut().overrides.take_offline(server_id(name), name, now)?;
+        self.apply_override(updated_server);
         Ok(())
     }
 
     /// Takes a server offline again after a restart, as the override that an earlier process stored says.
     pub fn restore_override(&self, name: &str) {
         let now = self.clock().now();
-        let overridden = self.state.borrow_mut().overrides.restore(server_id(name), name, now);
-        self.apply_override(overridden);
+        let updated_server = self.state.borrow_mut().overrides.restore(server_id(name), name, now);
+        self.apply_override(updated_server);
     }
 
     /// Brings a server online again: its state is again the one that discovery reports, and it goes through slow start
@@ -37,8 +37,8 @@
     /// The server is neither offline nor among the servers remembered from discovery's lists.
     pub fn bring_online(&self, name: &str) -> Result<(), UnknownServer> {
         let now = self.clock().now();
-        let overridden = self.state.borrow_mut().overrides.bring_online(server_id(name), now)?;
-        self.apply_override(overridden);
+        let updated_server = self.state.borrow_mut().overrides.bring_online(server_id(name), now)?;
+        self.apply_override(updated_server);
         Ok(())
     }
 
@@ -47,8 +47,8 @@
         self.state.borrow().overrides.offline_servers()
     }
 
-    fn apply_override(&self, overridden: Option<ListedServer>) {
-        if let Some(server) = overridden {
+    fn apply_override(&self, updated_server: Option<ListedServer>) {
+        if let Some(server) = updated_server {
             let mut state = self.state.borrow_mut();
             self.apply_endpoints(&mut state, EndpointUpdate::OperatorOverride, &[server]);
         }
