--- a/cli/benches/data_path/fake_servers.rs
+++ b/cli/benches/data_path/fake_servers.rs
@@ -120,23 +120,28 @@
     seed: u64,
 ) {
     let listener = TcpListener::from_std(listener).expect("cannot register the listener");
-    let rng = Rc::new(Cell::new(seed));
+    let last_seed = Rc::new(Cell::new(seed));
     while let Ok((stream, _)) = listener.accept().await {
-        let (shared, value, rng) = (Arc::clone(&shared), Rc::clone(&value), Rc::clone(&rng));
+        let (shared, value, last_seed) = (Arc::clone(&shared), Rc::clone(&value), Rc::clone(&last_seed));
         spawn_local(async move {
             shared.open_connections.fetch_add(1, Ordering::Relaxed);
             shared.total_connections.fetch_add(1, Ordering::Relaxed);
-            let _ = serve(stream, &shared, &value, &rng).await;
+            let _ = serve(stream, &shared, &value, &last_seed).await;
             shared.open_connections.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
 /// Answers the requests of one connection in order.
-async fn serve(stream: TcpStream, shared: &Shared, value: &[u8], seed: &Cell<u64>) -> std::io::Result<()> {
+async fn serve(
+    stream: TcpStream,
+    shared: &Shared,
+    value: &[u8],
+    last_seed: &Cell<u64>,
+) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
-    seed.set(seed.get().wrapping_add(1));
-    let mut rng = fastrand::Rng::with_seed(seed.get());
+    last_seed.set(last_seed.get().wrapping_add(1));
+    let mut rng = fastrand::Rng::with_seed(last_seed.get());
     let (mut stream, mut line) = (BufReader::new(stream), String::new());
     while stream.read_line(&mut line).await? > 0 {
         let id = line.split_whitespace().find(|word| word.starts_with('O')).unwrap_or("O0").to_owned();
