--- a/cli/benches/data_path/stand_ins.rs
+++ b/cli/benches/data_path/fake_servers.rs
@@ -97,7 +97,8 @@
         let _ = self.lists.send(format!("{list}\n"));
     }
 
-    /// A complete list of this number of servers, or changes to them, in discovery's format.
+    /// Formats an endpoint list of servers 0 to `servers` - 1 as discovery sends it: a complete list if `is_complete`,
+    /// otherwise an update of these servers.
     pub fn list(&self, servers: usize, is_complete: bool, generation: u64) -> String {
         let entry = |number: usize| {
             format!(
@@ -119,23 +120,28 @@
     seed: u64,
 ) {
     let listener = TcpListener::from_std(listener).expect("cannot register the listener");
-    let rng = Rc::new(Cell::new(seed));
+    let last_seed = Rc::new(Cell::new(seed));
     while let Ok((stream, _)) = listener.accept().await {
-        let (shared, value, rng) = (Arc::clone(&shared), Rc::clone(&value), Rc::clone(&rng));
+        let (shared, value, last_seed) = (Arc::clone(&shared), Rc::clone(&value), Rc::clone(&last_seed));
         spawn_local(async move {
             shared.open_connections.fetch_add(1, Ordering::Relaxed);
             shared.total_connections.fetch_add(1, Ordering::Relaxed);
-            let _ = serve(stream, &shared, &value, &rng).await;
+            let _ = serve(stream, &shared, &value, &last_seed).await;
             shared.open_connections.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
 /// Answers the requests of one connection in order.
-async fn serve(stream: TcpStream, shared: &Shared, value: &[u8], seed: &Cell<u64>) -> std::io::Result<()> {
+async fn serve(
+    stream: TcpStream,
+    shared: &Shared,
+    value: &[u8],
+    last_seed: &Cell<u64>,
+) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
-    seed.set(seed.get().wrapping_add(1));
-    let mut rng = fastrand::Rng::with_seed(seed.get());
+    last_seed.set(last_seed.get().wrapping_add(1));
+    let mut rng = fastrand::Rng::with_seed(last_seed.get());
     let (mut stream, mut line) = (BufReader::new(stream), String::new());
     while stream.read_line(&mut line).await? > 0 {
         let id = line.split_whitespace().find(|word| word.starts_with('O')).unwrap_or("O0").to_owned();
@@ -189,7 +195,7 @@
     }
 }
 
-/// Serves one watch. The first message has no changes, because the process was started with the current list.
+/// Serves one watch. The first message has no changes, because the balancer was started with the current list.
 async fn send_changes(mut stream: TcpStream, mut lists: broadcast::Receiver<String>) -> std::io::Result<()> {
     let mut call = [0; 4_096];
     let _ = stream.read(&mut call).await?;
--- a/cli/tests/limits.rs
+++ b/cli/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The daemon as a process with exhausted descriptors, without discovery, or after its predecessor was killed.
+//! Runs the daemon as a process without discovery, as the replacement of a killed process, and with few descriptors.
 
 mod support;
 
@@ -48,7 +48,8 @@
     RunningDaemon { child, log, listen, admin }
 }
 
-/// Checks the readiness of a balancer on a new connection. None if the connection ends or is silent until the timeout.
+/// Checks the readiness of a balancer on a new connection. None if the connection fails or is silent until the timeout; an
+/// empty string if the connection is closed without an answer.
 fn read_readiness(listen: &str) -> Option<String> {
     let mut client = TcpStream::connect(listen).ok()?;
     client.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
@@ -103,10 +104,11 @@
             Some("MN\r\n"),
             "{discovery:?}, after the replacement"
         );
-        // Nine in ten starts must be ready within ten seconds; a start that waits for discovery would take longer.
+        // The requirement is that nine in ten starts are ready within ten seconds; the test demands it of each. A start
+        // that waits for discovery would take longer.
         assert!(
             restarted_at.elapsed() < Duration::from_secs(10),
-            "{discovery:?}: {:?}",
+            "{discovery:?}: ready only after {:?}",
             restarted_at.elapsed()
         );
         assert_eq!(send_admin_call(&second.admin, "HEALTH\n"), "ACK ready\n");
@@ -117,20 +119,20 @@
 struct IdleConnections {
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
-    /// Receives a message whenever one of the threads has reopened its connections.
-    opened: Receiver<()>,
+    /// Receives a message after each round in which a thread has tried to reopen its closed connections.
+    rounds: Receiver<()>,
 }
 
 impl IdleConnections {
     /// Opens the given number of connections to each of these addresses.
     fn new(targets: [(String, usize); 2]) -> IdleConnections {
         let stop = Arc::new(AtomicBool::new(false));
-        let (sender, opened) = mpsc::channel();
+        let (sender, rounds) = mpsc::channel();
         let threads = targets.map(|(address, connections)| {
             let (stop, sender) = (Arc::clone(&stop), sender.clone());
             thread::spawn(move || keep_connected(&address, connections, &stop, &sender))
         });
-        IdleConnections { stop, threads: threads.into(), opened }
+        IdleConnections { stop, threads: threads.into(), rounds }
     }
 
     /// Stops the threads; a thread that has panicked fails the test.
@@ -143,7 +145,7 @@
 }
 
 /// Keeps this number of idle connections open.
-fn keep_connected(address: &str, connections: usize, stop: &AtomicBool, opened: &Sender<()>) {
+fn keep_connected(address: &str, connections: usize, stop: &AtomicBool, rounds: &Sender<()>) {
     let mut open: Vec<TcpStream> = Vec::new();
     while !stop.load(Ordering::Relaxed) {
         open.retain(is_still_open);
@@ -153,7 +155,7 @@
                 Err(_) => break,
             }
         }
-        let _ = opened.send(());
+        let _ = rounds.send(());
         thread::sleep(Duration::from_millis(20));
     }
 }
@@ -166,11 +168,16 @@
     }
 }
 
-/// Answers the first poll with a list of this one server. The watch stays open until the returned stream is dropped.
+/// Answers the first watch request with a list of this one server. The response stays open until the returned stream is
+/// dropped.
 fn answer_discovery(discovery: &TcpListener, server: SocketAddr) -> TcpStream {
     let listening_since = Instant::now();
     let (mut watch, _) = discovery.accept().unwrap();
-    assert!(listening_since.elapsed() < Duration::from_secs(6), "{:?}", listening_since.elapsed());
+    assert!(
+        listening_since.elapsed() < Duration::from_secs(6),
+        "the daemon connected to discovery only after {:?}",
+        listening_since.elapsed()
+    );
     let mut line = String::new();
     BufReader::new(watch.try_clone().unwrap()).read_line(&mut line).unwrap();
     assert!(line.starts_with("GET /catalog/members?follow=1"), "{line}");
@@ -218,9 +225,9 @@
     })
 }
 
-/// Guards against exhausted descriptors: idle client and admin connections keep taking all descriptors that they may while
-/// discovery is down. Discovery's recovery is still detected, servers are connected, and admin calls and client requests
-/// are answered.
+/// Guards against exhausted descriptors: while discovery is down, idle client and admin connections occupy as many
+/// descriptors as the daemon grants them. Discovery's recovery is still detected, servers are connected, and admin calls and
+/// client requests are answered.
 #[test]
 fn idle_connections_do_not_exhaust_the_descriptors() {
     const DESCRIPTORS: usize = 96;
@@ -232,7 +239,7 @@
     let idle_connections =
         IdleConnections::new([(balancer.listen.clone(), 3 * DESCRIPTORS), (balancer.admin.clone(), 12)]);
     for _ in 0..20 {
-        idle_connections.opened.recv().unwrap();
+        idle_connections.rounds.recv().unwrap();
     }
     // Discovery recovers.
     let discovery = TcpListener::bind(discovery_address).unwrap();
--- a/node/src/downstream/connection/answers.rs
+++ b/node/src/downstream/connection/answers.rs
@@ -81,12 +81,12 @@
     /// Records that part of the output was written.
     pub(super) fn on_written(&mut self) {
         let now = Instant::now();
-        self.last_drained = now;
+        self.last_output_progress = now;
         self.last_written = Some(now);
     }
 }
 
-/// Waits for the next chunk of a download; forever if there is none.
+/// Waits for the next chunk of the download; without a download, waits forever.
 pub(super) async fn next_chunk(download: &Option<Download>) -> Option<Bytes> {
     match download {
         Some(download) => download.value.next().await,
--- a/node/src/peers.rs
+++ b/node/src/peers.rs
@@ -1,9 +1,10 @@
-//! The UDP transport between balancers: carries the packets of this balancer's cluster member. It is enabled only by an
-//! operators' file.
+//! The UDP transport between balancers: carries the packets of this balancer's cluster member. It runs only if the
+//! balancer was given an operators' file ([`ClusterConfigFile`]).
 //!
 //! Guarantee: packets do not delay requests. At most [`PACKETS_PER_TURN`] packets are read in one turn of the event loop;
-//! further ones wait in the socket's buffer, and are lost when it is full. The cluster bounds the packets to send. A packet
-//! that the socket does not accept is lost; the cluster's protocol tolerates lost packets and repeats what is needed.
+//! further ones wait in the socket's buffer, and are lost when it is full. [`Cluster`] bounds the number of packets to
+//! send. A packet that the socket does not accept is lost; the cluster's protocol tolerates lost packets and repeats what
+//! is needed.
 
 use std::cell::RefCell;
 use std::io;
@@ -48,8 +49,8 @@
     cluster: Rc<RefCell<Cluster>>,
     socket: UdpSocket,
     clock: Clock,
-    /// The bound that every rate limit guarantees, in requests in any second as a multiple of the limit's rate.
-    stated_bound: f64,
+    /// The maximum number of requests in any second that every rate limit guarantees, as a multiple of the limit's rate.
+    guaranteed_rate_ratio: f64,
     log: Logger,
 }
 
@@ -69,14 +70,20 @@
         let address = config.peers.listen_address;
         let listen_error = |source| PeersError::Listen { address, source };
         let socket = bind(address).map_err(listen_error)?;
-        let bound = socket.local_addr().map_err(listen_error)?;
+        let bound_address = socket.local_addr().map_err(listen_error)?;
         let now = clock.now();
-        // The clock is Unix time, so a later incarnation has a greater number.
-        let member = config.member_config(bound, position, settings, now.0, seed)?;
+        // The start time is the incarnation number: the clock counts Unix time, so that a later start has a greater one.
+        let member = config.member_config(bound_address, position, settings, now.0, seed)?;
         info!(log, "peer coordination started"; "address" => member.address.to_string(),
             "position" => member.position);
         let cluster = Rc::new(RefCell::new(Cluster::new(member, now)));
-        Ok(Rc::new(Peers { cluster, socket, clock, stated_bound: config.stated_bound(), log }))
+        Ok(Rc::new(Peers {
+            cluster,
+            socket,
+            clock,
+            guaranteed_rate_ratio: config.guaranteed_rate_ratio(),
+            log,
+        }))
     }
 
     /// The decision core's view of the cluster.
@@ -91,7 +98,7 @@
         loop {
             tokio::select! {
                 () = sleep_until(next_tick) => {}
-                // The next read returns any error.
+                // An error is ignored here; the next read returns it.
                 _ = self.socket.readable() => {}
             }
             // Packets are also read before a tick: after an event loop delay, a member whose answer has arrived must
@@ -142,7 +149,7 @@
     /// The metrics in the Prometheus text format.
     pub fn metrics_text(&self) -> String {
         let metrics = self.cluster.borrow_mut().metrics(self.clock.now());
-        metrics_text(&metrics, self.stated_bound)
+        metrics_text(&metrics, self.guaranteed_rate_ratio)
     }
 }
 
--- a/node/src/peers/tests.rs
+++ b/node/src/peers/tests.rs
@@ -7,9 +7,9 @@
 use super::*;
 use crate::testing::{self, yield_until_idle};
 
-/// Repetitions, because the order of branches that are ready at once is random.
+/// How often the test is repeated: `tokio::select!` picks at random among branches that are ready at the same time.
 const REPETITIONS: usize = 40;
-/// An event loop delay longer than a probe of a member may take.
+/// An event loop delay that exceeds the time in which a probed member has to answer.
 const EVENT_LOOP_DELAY: Duration = Duration::from_millis(1_200);
 
 fn config(position: u32, seed: SocketAddr) -> ClusterConfigFile {
@@ -49,15 +49,15 @@
 /// Guards against a false suspicion after an event loop delay: answers that arrived meanwhile are read before timeouts are
 /// evaluated.
 #[test]
-fn a_member_that_answered_during_a_stall_is_not_suspected() {
+fn a_member_that_answered_during_an_event_loop_delay_is_not_suspected() {
     for repetition in 0..REPETITIONS {
         testing::run_paused(async {
             let clock = Clock::start();
             let mut responsive = ResponsiveMember::start(clock);
-            let seed_member = responsive.socket.local_addr().unwrap();
+            let seed_address = responsive.socket.local_addr().unwrap();
             let settings = testing::settings(1, Idempotency::Idempotent);
             let peers =
-                Peers::start(&config(0, seed_member), None, &settings, 1, clock, testing::log()).unwrap();
+                Peers::start(&config(0, seed_address), None, &settings, 1, clock, testing::log()).unwrap();
             let task_peers = Rc::clone(&peers);
             spawn_local(async move { task_peers.run().await });
             let ticks = 40 + repetition;
--- a/platform-model/src/checker/failure_detection/tests.rs
+++ b/platform-model/src/checker/failure_detection/tests.rs
@@ -8,8 +8,8 @@
     super::failure_detection(event_log, config, &super::super::series::series(event_log, config).server_loads)
 }
 
-/// Each of four servers receives ten attempts a second, except that server 0 is silent from 10 to 20 s and, from 10 to
-/// 23 s, receives only the given attempts: the balancer, and the time in seconds.
+/// An event log in which each of four servers receives ten attempts a second from 5 to 35 s. Server 0 is silent from 10
+/// to 20 s. From 10 to 23 s it receives only the given attempts, each a balancer and a time in seconds.
 fn silent_server_log(attempts_at_silent_server: &[(u32, f64)]) -> EventLogBuilder {
     let mut builder = EventLogBuilder::default();
     builder.event_log.server_impairments.push(ImpairedSpan {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn server_is_avoided_and_used_again_relative_to_its_fair_share() {
+fn avoided_and_used_again_times_follow_from_the_ratio_to_the_fair_share() {
     let figures = failure_detection(&silent_server_log(&[]).event_log, &check_config());
     assert_eq!((figures.avoided_ms, figures.used_again_ms), (Some(0.0), Some(4000.0)));
     let attempts: Vec<(u32, f64)> = (0..3).map(|n| (1, 12.3 + f64::from(n) / 10.0)).collect();
--- a/protocols/src/http/response.rs
+++ b/protocols/src/http/response.rs
@@ -71,15 +71,15 @@
 impl<'a> Headers<'a> {
     /// The value of the first header of this name.
     fn value(&self, name: &str) -> Option<&'a [u8]> {
-        let header = self.0.iter().find(|(known, _)| known.eq_ignore_ascii_case(name.as_bytes()));
+        let header = self.0.iter().find(|(header_name, _)| header_name.eq_ignore_ascii_case(name.as_bytes()));
         header.map(|(_, value)| value.trim_ascii())
     }
 
     /// Whether a header of this name has this item in its comma-separated list.
     fn lists(&self, name: &str, item: &str) -> bool {
-        self.0.iter().any(|(known, value)| {
+        self.0.iter().any(|(header_name, value)| {
             let mut items = value.split(|byte| *byte == b',');
-            known.eq_ignore_ascii_case(name.as_bytes())
+            header_name.eq_ignore_ascii_case(name.as_bytes())
                 && items.any(|listed| listed.trim_ascii().eq_ignore_ascii_case(item.as_bytes()))
         })
     }
@@ -99,7 +99,7 @@
 
 fn header<'a>(input: &mut &'a [u8]) -> winnow::Result<(&'a [u8], &'a [u8])> {
     let name = take_while(1.., |byte: u8| byte.is_ascii_graphic() && byte != b':');
-    // Any bytes are allowed: an unreadable load report does not make the response malformed.
+    // Any bytes are allowed, so that an unused header, such as a load report, cannot make the response malformed.
     let value = take_till(0.., b'\n');
     terminated(separated_pair(name, (b':', space0), value), b'\n').parse_next(input)
 }
--- a/purge/tests/support/simulation.rs
+++ b/purge/tests/support/simulation.rs
@@ -1,4 +1,5 @@
-//! Runs a schedule event by event and checks the guarantee after each event.
+//! Runs a schedule event by event. After each event, checks the guarantee: a member that may serve has applied every
+//! purge that was reported as done.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -51,7 +52,7 @@
     rate: u64,
     /// Value of the clock at the start of the schedule, in microseconds.
     offset: u64,
-    /// Purges published by this incarnation of the replica that are not done.
+    /// Indices of the purges that this incarnation published and that are not done yet; empty for a member.
     pending: VecDeque<usize>,
 }
 
@@ -80,8 +81,11 @@
     pub apply_delays: Vec<u64>,
     /// Time from the publication of each done purge until it was reported as done.
     pub done_delays: Vec<u64>,
+    /// Entries trimmed from the logs of the replicas that run at the end, since their last start.
     pub log_trimmed: u64,
+    /// Times that a member voided its cache, over all members and their incarnations.
     pub voided: u64,
+    /// Leases that expired while their member served, over all members and their incarnations.
     pub lapses: u64,
     /// Bytes per second of each member in both directions, with IP and UDP headers.
     pub member_bytes_per_second: Vec<u64>,
@@ -95,7 +99,8 @@
     rng: ChaCha8Rng,
     network: Network,
     now: u64,
-    /// Time, number and kind of each event to come, the earliest first.
+    /// Pending events, the earliest first. Each has its time and a sequence number, which orders events of the same
+    /// time.
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     event_count: u64,
     nodes: Vec<Node>,
@@ -173,12 +178,12 @@
                 Applied::default(),
             ),
         };
-        let process = &mut self.nodes[node];
-        process.state_machine = Some(state_machine);
-        process.incarnation = incarnation;
-        process.frozen = false;
-        process.backlog.clear();
-        process.pending.clear();
+        let node_state = &mut self.nodes[node];
+        node_state.state_machine = Some(state_machine);
+        node_state.incarnation = incarnation;
+        node_state.frozen = false;
+        node_state.backlog.clear();
+        node_state.pending.clear();
         let first = self.now + self.rng.random_range(0..self.schedule.tick);
         self.schedule_event(first, Event::Tick { node, incarnation });
     }
@@ -284,8 +289,9 @@
                 }
                 Some(StateMachine::Member(member, _)) => {
                     let metrics = member.metrics();
-                    let both = bytes_with_headers(metrics.sent) + bytes_with_headers(metrics.received);
-                    report.member_bytes_per_second.push(per_second(both));
+                    let sent_and_received =
+                        bytes_with_headers(metrics.sent) + bytes_with_headers(metrics.received);
+                    report.member_bytes_per_second.push(per_second(sent_and_received));
                     report.voided += member.metrics().voided;
                     report.lapses += member.metrics().lapses;
                 }
@@ -341,17 +347,17 @@
 
     /// Acts as the driver after each call: applies drained purges, records completed ones, and sends datagrams.
     fn drive(&mut self, node: usize) {
-        let process = &mut self.nodes[node];
-        let datagrams = match &mut process.state_machine {
+        let node_state = &mut self.nodes[node];
+        let datagrams = match &mut node_state.state_machine {
             Some(StateMachine::Replica(replica)) => {
                 assert!(replica.metrics().log_entries <= self.schedule.log_entries);
                 assert!(replica.metrics().registrations <= MAX_MEMBERS);
-                while let Some(purge) = process.pending.front().copied() {
+                while let Some(purge) = node_state.pending.front().copied() {
                     let id = self.checker.published[purge].id;
                     if replica.status(id) != PurgeStatus::Done {
                         break;
                     }
-                    process.pending.pop_front();
+                    node_state.pending.pop_front();
                     self.checker.on_done(purge, self.now);
                 }
                 replica.drain()
@@ -417,11 +423,11 @@
             self.voided += member.metrics().voided;
             self.lapses += member.metrics().lapses;
         }
-        let process = &mut self.nodes[node];
-        process.state_machine = None;
-        process.frozen = false;
-        process.backlog.clear();
-        process.pending.clear();
+        let node_state = &mut self.nodes[node];
+        node_state.state_machine = None;
+        node_state.frozen = false;
+        node_state.backlog.clear();
+        node_state.pending.clear();
     }
 
     fn leave(&mut self, node: usize) {
@@ -447,10 +453,11 @@
     fn publish(&mut self, node: usize, count: usize) {
         let now = self.local_now(node);
         for _ in 0..count {
-            let drawn = if self.rng.random_bool(0.1) { 250 } else { self.rng.random_range(8..=64) };
+            let unbounded_length =
+                if self.rng.random_bool(0.1) { 250 } else { self.rng.random_range(8..=64) };
             let length = match self.schedule.key_bytes {
                 Some((least, greatest)) => self.rng.random_range(least..=greatest),
-                None => drawn,
+                None => unbounded_length,
             };
             let key = self.checker.next_key(length);
             if self.nodes[node].frozen {
@@ -481,7 +488,7 @@
         }
     }
 
-    /// Checks the guarantee at this moment.
+    /// Checks the guarantee for each member that may serve now.
     fn check(&mut self) -> Result<(), Breach> {
         for node in self.schedule.replicas..self.nodes.len() {
             let now = self.local_now(node);
@@ -511,7 +518,7 @@
                 Some(StateMachine::Member(member, _)) => {
                     if !member.may_serve(Micros(self.local_now(number))) {
                         return Some(format!(
-                            "member {number} does not serve; metrics: {:?}",
+                            "member at node {number} does not serve; metrics: {:?}",
                             member.metrics()
                         ));
                     }
